--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -8,11 +8,24 @@
 
 fn entry(name: &str, kind: usize, state: MemberState) -> MemberEntry {
     let (id, zone) = (MemberId::named(name), usize::from(kind == 0));
-    MemberEntry { id, state, weight: 8.0, zone, kind, cell: 0, started: 0 }
+    MemberEntry {
+        id,
+        state,
+        weight: 8.0,
+        zone,
+        kind,
+        cell: 0,
+        started: 0,
+    }
 }
 
 fn settings() -> Settings {
-    let cold = ColdRule { start_share: 0.2, warm_within: 10 * S, multiple: 2.0, window: S };
+    let cold = ColdRule {
+        start_share: 0.2,
+        warm_within: 10 * S,
+        multiple: 2.0,
+        window: S,
+    };
     let class = Class {
         aim: 300_000,
         aim_stretch: 2.0,
@@ -52,7 +65,14 @@
     let mut now = 1_000 * S;
     let upper = [("p1", 1), ("p2", 1), ("origin", 2)];
     let entries = upper.map(|(n, k)| entry(n, k, MemberState::Ready)).to_vec();
-    router.handle(now, Event::Members { update: ListUpdate::Full, entries }, &mut actions);
+    router.handle(
+        now,
+        Event::Members {
+            update: ListUpdate::Full,
+            entries,
+        },
+        &mut actions,
+    );
     let mut id = 0;
     println!("| deploys | us a request, with its outcome |\n| --- | --- |");
     for deploy in 0..=1_000_usize {
@@ -61,7 +81,14 @@
         if let Some(before) = deploy.checked_sub(1) {
             entries.extend(of(before, MemberState::Gone));
         }
-        router.handle(now, Event::Members { update: ListUpdate::Delta, entries }, &mut actions);
+        router.handle(
+            now,
+            Event::Members {
+                update: ListUpdate::Delta,
+                entries,
+            },
+            &mut actions,
+        );
         now += 120 * S;
         if ![1, 10, 100, 400, 1_000].contains(&deploy) {
             continue;
@@ -103,6 +130,9 @@
             };
             router.handle(now, Event::Outcome(outcome), &mut actions);
         }
-        println!("| {deploy} | {:.2} |", began.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS));
+        println!(
+            "| {deploy} | {:.2} |",
+            began.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
+        );
     }
 }
--- a/crates/cli/benches/proxy.rs
+++ b/crates/cli/benches/proxy.rs
@@ -32,11 +32,18 @@
 }
 
 fn runtime(threads: usize) -> tokio::runtime::Runtime {
-    tokio::runtime::Builder::new_multi_thread().worker_threads(threads).enable_all().build().unwrap()
+    tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(threads)
+        .enable_all()
+        .build()
+        .unwrap()
 }
 
 fn main() {
-    let arguments: Vec<String> = std::env::args().skip(1).filter(|a| a != "--bench").collect();
+    let arguments: Vec<String> = std::env::args()
+        .skip(1)
+        .filter(|a| a != "--bench")
+        .collect();
     match arguments.first().map(String::as_str) {
         Some("serve") => runtime(1).block_on(serve(&arguments[1], arguments.get(2))),
         seconds => {
@@ -52,9 +59,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     println!("{}", listener.local_addr().unwrap());
     let to: Option<SocketAddr> = to.map(|t| t.parse().unwrap());
-    let bodies = Arc::new((Bytes::from(vec![b's'; SMALL]), Bytes::from(vec![b'l'; LARGE])));
-    let client =
-        hyper_util::client::legacy::Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
+    let bodies = Arc::new((
+        Bytes::from(vec![b's'; SMALL]),
+        Bytes::from(vec![b'l'; LARGE]),
+    ));
+    let client = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
+        .build_http::<Full<Bytes>>();
     loop {
         let (socket, _) = listener.accept().await.unwrap();
         let _ = socket.set_nodelay(true);
@@ -62,14 +72,16 @@
         match what {
             "http" => {
                 tokio::spawn(async move {
-                    let answer = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
-                        let body = if size_of(request.uri().path()) == LARGE {
-                            bodies.1.clone()
-                        } else {
-                            bodies.0.clone()
-                        };
-                        async move { Ok::<_, hyper::Error>(hyper::Response::new(Full::new(body))) }
-                    });
+                    let answer = service_fn(
+                        move |request: hyper::Request<hyper::body::Incoming>| {
+                            let body = if size_of(request.uri().path()) == LARGE {
+                                bodies.1.clone()
+                            } else {
+                                bodies.0.clone()
+                            };
+                            async move { Ok::<_, hyper::Error>(hyper::Response::new(Full::new(body))) }
+                        },
+                    );
                     let server = hyper::server::conn::http1::Builder::new();
                     let _ = server.serve_connection(TokioIo::new(socket), answer).await;
                 });
@@ -79,7 +91,9 @@
                 tokio::spawn(async move {
                     let pass = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
                         let uri = format!("http://{to}{}", request.uri().path());
-                        let onward = hyper::Request::get(uri).body(Full::new(Bytes::new())).unwrap();
+                        let onward = hyper::Request::get(uri)
+                            .body(Full::new(Bytes::new()))
+                            .unwrap();
                         let client = client.clone();
                         async move { client.request(onward).await }
                     });
@@ -97,7 +111,9 @@
             }
             "silent" => {
                 tokio::spawn(async move {
-                    let options = LinkOptions { max_streams: 100_000 };
+                    let options = LinkOptions {
+                        max_streams: 100_000,
+                    };
                     let (_link, mut incoming) = Link::start(socket, Side::Answerer, options);
                     let mut held = vec![];
                     while let Some(inbound) = incoming.next().await {
@@ -113,13 +129,24 @@
 }
 
 async fn framed_member(socket: TcpStream, bodies: Arc<(Bytes, Bytes)>) {
-    let (_link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
+    let (_link, mut incoming) =
+        Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
     while let Some(inbound) = incoming.next().await {
-        let Inbound::Request(head, mut responder) = inbound else { continue };
-        let body = if size_of(&head.object) == LARGE { bodies.1.clone() } else { bodies.0.clone() };
+        let Inbound::Request(head, mut responder) = inbound else {
+            continue;
+        };
+        let body = if size_of(&head.object) == LARGE {
+            bodies.1.clone()
+        } else {
+            bodies.0.clone()
+        };
         tokio::spawn(async move {
             let size = Some(body.len() as u64);
-            let answer = AnswerHead { size, note: WireNote::Hit as i32, ..Default::default() };
+            let answer = AnswerHead {
+                size,
+                note: WireNote::Hit as i32,
+                ..Default::default()
+            };
             if responder.head(answer).await.is_ok() && responder.data(body).await.is_ok() {
                 let _ = responder.end(None).await;
             }
@@ -144,10 +171,21 @@
 fn start(arguments: &[&str]) -> Process {
     use std::io::{BufRead, BufReader};
     let mut command = Command::new(std::env::current_exe().unwrap());
-    let mut child = command.arg("serve").args(arguments).stdout(Stdio::piped()).spawn().unwrap();
+    let mut child = command
+        .arg("serve")
+        .args(arguments)
+        .stdout(Stdio::piped())
+        .spawn()
+        .unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    Process { child, at: line.trim().parse().unwrap(), framed: None }
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    Process {
+        child,
+        at: line.trim().parse().unwrap(),
+        framed: None,
+    }
 }
 
 fn dispatcher(member: SocketAddr, folder: &std::path::Path) -> Process {
@@ -175,7 +213,11 @@
     };
     let bound: serde_json::Value = serde_json::from_slice(&bytes).unwrap();
     let at = |door: &str| bound[door].as_str().unwrap().parse().unwrap();
-    Process { child, at: at("http"), framed: Some(at("framed")) }
+    Process {
+        child,
+        at: at("http"),
+        framed: Some(at("framed")),
+    }
 }
 
 /// User and system time so far, and resident memory in bytes.
@@ -207,7 +249,11 @@
             got += n;
             if body.is_none() {
                 if let Some(at) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
-                    assert!(buffer.starts_with(b"HTTP/1.1 200"), "{:?}", &buffer[..40.min(buffer.len())]);
+                    assert!(
+                        buffer.starts_with(b"HTTP/1.1 200"),
+                        "{:?}",
+                        &buffer[..40.min(buffer.len())]
+                    );
                     body = Some(at + 4 + want);
                 }
             }
@@ -223,7 +269,12 @@
     while Instant::now() < until {
         let began = Instant::now();
         let class = "page".into();
-        let head = RequestHead { object: path.clone(), class, left_us: 20_000_000, ..Default::default() };
+        let head = RequestHead {
+            object: path.clone(),
+            class,
+            left_us: 20_000_000,
+            ..Default::default()
+        };
         let mut call = link.call(head).unwrap();
         let mut got = 0;
         loop {
@@ -240,7 +291,12 @@
     times
 }
 
-async fn load(to: SocketAddr, framed: bool, path: &str, length: Duration) -> (f64, u64, u64, usize) {
+async fn load(
+    to: SocketAddr,
+    framed: bool,
+    path: &str,
+    length: Duration,
+) -> (f64, u64, u64, usize) {
     let until = Instant::now() + length;
     let began = Instant::now();
     let mut loops = vec![];
@@ -275,10 +331,14 @@
         load(to, framed, path, length / 4).await;
         let before = middle.map(|p| usage(p).0);
         let (rate, p50, p99, count) = load(to, framed, path, length).await;
-        let cpu =
-            middle.zip(before).map(|(p, before)| (usage(p).0 - before).as_micros() as f64 / count as f64);
+        let cpu = middle
+            .zip(before)
+            .map(|(p, before)| (usage(p).0 - before).as_micros() as f64 / count as f64);
         let cpu = cpu.map_or("-".to_owned(), |us| format!("{us:.1}"));
-        println!("| {name} | {} | {rate:.0} | {p50} | {p99} | {cpu} |", &path[1..]);
+        println!(
+            "| {name} | {} | {rate:.0} | {p50} | {p99} | {cpu} |",
+            &path[1..]
+        );
     }
 }
 
@@ -299,8 +359,22 @@
     row("HTTP, hyper proxy", hyper.at, false, Some(&hyper), length).await;
     row("HTTP, dispatcher", edge.at, false, Some(&edge), length).await;
     row("framed straight", member.at, true, None, length).await;
-    row("framed, byte relay", framed_relay.at, true, Some(&framed_relay), length).await;
-    row("framed, dispatcher", edge.framed.unwrap(), true, Some(&edge), length).await;
+    row(
+        "framed, byte relay",
+        framed_relay.at,
+        true,
+        Some(&framed_relay),
+        length,
+    )
+    .await;
+    row(
+        "framed, dispatcher",
+        edge.framed.unwrap(),
+        true,
+        Some(&edge),
+        length,
+    )
+    .await;
 
     println!("\n| idle connections | bytes each, program |\n| --- | --- |");
     const IDLE: usize = 2_000;
@@ -316,7 +390,10 @@
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
         let after = usage(process).1;
-        println!("| {name} | {} |", after.saturating_sub(before) / IDLE as u64);
+        println!(
+            "| {name} | {} |",
+            after.saturating_sub(before) / IDLE as u64
+        );
         drop(held);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
@@ -332,8 +409,12 @@
     let mut calls = vec![];
     for n in 0..OPEN {
         let class = "page".into();
-        let head =
-            RequestHead { object: format!("/o{n}"), class, left_us: 20_000_000, ..Default::default() };
+        let head = RequestHead {
+            object: format!("/o{n}"),
+            class,
+            left_us: 20_000_000,
+            ..Default::default()
+        };
         calls.push(link.call(head).unwrap());
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
--- a/crates/cli/src/cache.rs
+++ b/crates/cli/src/cache.rs
@@ -98,8 +98,12 @@
                 r.purges
             );
             for rank in 0..=3 {
-                let of: Vec<u64> =
-                    r.copies.iter().filter(|c| c.meta.rank == rank).map(|c| c.meta.size).collect();
+                let of: Vec<u64> = r
+                    .copies
+                    .iter()
+                    .filter(|c| c.meta.rank == rank)
+                    .map(|c| c.meta.size)
+                    .collect();
                 if !of.is_empty() {
                     let _ = writeln!(
                         out,
--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -22,21 +22,31 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let (scheme, rest) = text.split_once("://").ok_or("it begins with http:// or pspn://")?;
+        let (scheme, rest) = text
+            .split_once("://")
+            .ok_or("it begins with http:// or pspn://")?;
         let (framed, tls) = match scheme {
             "http" => (false, false),
             "https" => (false, true),
             "pspn" => (true, false),
             "pspns" => (true, true),
             other => {
-                return Err(format!("{other}:// is not spoken here; http, https, pspn and pspns are"));
+                return Err(format!(
+                    "{other}:// is not spoken here; http, https, pspn and pspns are"
+                ));
             }
         };
         let slash = rest.find('/').ok_or("no path after the address")?;
         let (at, path) = rest.split_at(slash);
-        let at =
-            at.parse().map_err(|_| format!("{at:?} is not an address and port, such as 127.0.0.1:8080"))?;
-        Ok(Self { framed, tls, at, path: path.to_owned() })
+        let at = at
+            .parse()
+            .map_err(|_| format!("{at:?} is not an address and port, such as 127.0.0.1:8080"))?;
+        Ok(Self {
+            framed,
+            tls,
+            at,
+            path: path.to_owned(),
+        })
     }
 }
 
@@ -71,16 +81,27 @@
 impl Asking {
     fn client(&self, url: &Url) -> Result<Client, Failure> {
         let all = std::iter::once(url.at).chain(self.also.iter().copied());
-        let rules = RetryRules { most: self.tries.max(1), ..RetryRules::default() };
+        let rules = RetryRules {
+            most: self.tries.max(1),
+            ..RetryRules::default()
+        };
         let mut builder = Client::builder().retries(rules);
         if url.tls {
-            let authority = self.authority.as_ref().ok_or("https and pspns need --authority".to_owned())?;
+            let authority = self
+                .authority
+                .as_ref()
+                .ok_or("https and pspns need --authority".to_owned())?;
             let own = self.certificate.clone().zip(self.key.clone());
             let own = own.map(|(certificate, key)| Files { certificate, key });
             let trust = Trust::load(authority, own.as_ref())?;
             builder = builder.tls(trust, self.server_name.clone());
         }
-        Ok(if url.framed { builder.framed(all) } else { builder.http(all) }.build()?)
+        Ok(if url.framed {
+            builder.framed(all)
+        } else {
+            builder.http(all)
+        }
+        .build()?)
     }
 
     fn request(&self, url: &Url) -> Request {
@@ -118,10 +139,17 @@
         None => Box::new(std::io::stdout().lock()),
     };
     // Not over the bytes themselves.
-    let shown = std::io::stderr().is_terminal() && (a.out.is_some() || !std::io::stdout().is_terminal());
-    let bar = if shown { ProgressBar::no_length() } else { ProgressBar::hidden() };
+    let shown =
+        std::io::stderr().is_terminal() && (a.out.is_some() || !std::io::stdout().is_terminal());
+    let bar = if shown {
+        ProgressBar::no_length()
+    } else {
+        ProgressBar::hidden()
+    };
     let form = "{bar:40} {bytes} of {total_bytes}, {bytes_per_sec}, {eta} to go";
-    bar.set_style(ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()));
+    bar.set_style(
+        ProgressStyle::with_template(form).unwrap_or_else(|_| ProgressStyle::default_bar()),
+    );
     let mut call = client.call(request)?;
     let mut outcome = Outcome::Failed { may_have_run: true };
     while let Some(piece) = call.next().await {
@@ -152,15 +180,29 @@
     match outcome {
         Outcome::Served => Ok(()),
         Outcome::Refused { come_back } => {
-            let again =
-                come_back.map(|c| format!("; come back after {} ms", c.as_millis())).unwrap_or_default();
-            let why = client.last_trouble().map(|why| format!("; {why}")).unwrap_or_default();
-            eprintln!("refused after {} tries: nothing was done{again}{why}", call.tries());
+            let again = come_back
+                .map(|c| format!("; come back after {} ms", c.as_millis()))
+                .unwrap_or_default();
+            let why = client
+                .last_trouble()
+                .map(|why| format!("; {why}"))
+                .unwrap_or_default();
+            eprintln!(
+                "refused after {} tries: nothing was done{again}{why}",
+                call.tries()
+            );
             Err(Failure::No)
         }
         Outcome::Failed { may_have_run } => {
-            let ran = if may_have_run { "it may have run" } else { "nothing has run" };
-            let why = client.last_trouble().map(|why| format!("; {why}")).unwrap_or_default();
+            let ran = if may_have_run {
+                "it may have run"
+            } else {
+                "nothing has run"
+            };
+            let why = client
+                .last_trouble()
+                .map(|why| format!("; {why}"))
+                .unwrap_or_default();
             eprintln!("failed after {} tries: {ran}{why}", call.tries());
             Err(Failure::No)
         }
@@ -195,7 +237,8 @@
     let client = a.asking.client(&a.url)?;
     let gap = Duration::from_secs_f64(1.0 / a.rate);
     let calls = (a.rate * a.seconds).ceil() as u64;
-    let mut times = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).map_err(|e| e.to_string())?;
+    let mut times =
+        Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3).map_err(|e| e.to_string())?;
     let (mut served, mut refused, mut failed, mut tries, mut not_begun) =
         (0_u64, 0_u64, 0_u64, 0_u64, 0_u64);
     let mut running = JoinSet::new();
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -103,18 +103,25 @@
     for at in &arguments.at {
         let mut now = list(*at).await?;
         if !arguments.set.is_empty() {
-            let changes = arguments.set.iter().map(|set| change(set, &arguments, &now));
+            let changes = arguments
+                .set
+                .iter()
+                .map(|set| change(set, &arguments, &now));
             let members = changes.collect::<Result<Vec<_>, _>>()?;
-            let head = ListHead { form: ListForm::Delta as i32, seq: now.seq + 1, members };
+            let head = ListHead {
+                form: ListForm::Delta as i32,
+                seq: now.seq + 1,
+                members,
+            };
             acknowledged(*at, ask(*at, Frame::Members(head)).await?)?;
             now = list(*at).await?;
         }
         println!("{at}: list {}, {} members", now.seq, now.members.len());
         for m in &now.members {
             let state = format!("{:?}", m.state()).to_lowercase();
-            let started = m
-                .started_ago_us
-                .map_or("long ago".to_owned(), |us| format!("{:.1} s ago", us as f64 / 1e6));
+            let started = m.started_ago_us.map_or("long ago".to_owned(), |us| {
+                format!("{:.1} s ago", us as f64 / 1e6)
+            });
             println!(
                 "  {:<22} {state:<9} {:<7} {:<12} weight {} started {started}",
                 m.address, m.kind, m.zone, m.weight
@@ -134,14 +141,24 @@
             Ok(MemberRecord {
                 state: State::Ready,
                 weight: 1.0,
-                zone: a.zone.clone().ok_or(format!("{address} is new: say its --zone"))?,
-                kind: a.kind.clone().ok_or(format!("{address} is new: say its --kind"))?,
+                zone: a
+                    .zone
+                    .clone()
+                    .ok_or(format!("{address} is new: say its --zone"))?,
+                kind: a
+                    .kind
+                    .clone()
+                    .ok_or(format!("{address} is new: say its --kind"))?,
                 cell: 0,
                 start: 1,
                 started_unix_ms: None,
             })
         };
-        a.through.member(address, |known| changed(known, state, new, a.weight, a.cold)).await?;
+        a.through
+            .member(address, |known| {
+                changed(known, state, new, a.weight, a.cold)
+            })
+            .await?;
     }
     Ok(())
 }
@@ -151,8 +168,13 @@
     let usage = || format!("--set {set}: not ADDRESS=ready, ADDRESS=draining or ADDRESS=gone");
     let (address, state) = set.split_once('=').ok_or_else(usage)?;
     let address = address.trim();
-    address.parse::<SocketAddr>().map_err(|_| format!("{address:?} is not an address and port"))?;
-    ["ready", "draining", "gone"].contains(&state).then_some((address, state)).ok_or_else(usage)
+    address
+        .parse::<SocketAddr>()
+        .map_err(|_| format!("{address:?} is not an address and port"))?;
+    ["ready", "draining", "gone"]
+        .contains(&state)
+        .then_some((address, state))
+        .ok_or_else(usage)
 }
 
 fn change(set: &str, arguments: &MembersArguments, now: &ListHead) -> Result<MemberLine, String> {
@@ -167,8 +189,14 @@
         Some(line) => line,
         None => MemberLine {
             address: address.to_owned(),
-            kind: arguments.kind.clone().ok_or(format!("{address} is new: say its --kind"))?,
-            zone: arguments.zone.clone().ok_or(format!("{address} is new: say its --zone"))?,
+            kind: arguments
+                .kind
+                .clone()
+                .ok_or(format!("{address} is new: say its --kind"))?,
+            zone: arguments
+                .zone
+                .clone()
+                .ok_or(format!("{address} is new: say its --zone"))?,
             weight: 1.0,
             ..Default::default()
         },
@@ -183,16 +211,30 @@
 }
 
 pub async fn purge(arguments: PurgeArguments) -> Result<(), Failure> {
-    let named = arguments.group_of.as_deref().map(|g| ObjectId::named(g.trim_end_matches('/')).0);
+    let named = arguments
+        .group_of
+        .as_deref()
+        .map(|g| ObjectId::named(g.trim_end_matches('/')).0);
     let group = named.or(arguments.group).unwrap_or(0);
     if !arguments.through.etcd.is_empty() {
-        return arguments.through.purge(arguments.object, group, arguments.wait).await;
+        return arguments
+            .through
+            .purge(arguments.object, group, arguments.wait)
+            .await;
     }
-    let head = PurgeHead { object: arguments.object, group, age_us: arguments.age_ms * 1_000, seq: 1 };
+    let head = PurgeHead {
+        object: arguments.object,
+        group,
+        age_us: arguments.age_ms * 1_000,
+        seq: 1,
+    };
     let mut failed = Vec::new();
     for at in &arguments.at {
         // A purge that reached some is told to all the same: each keeps it alone.
-        match ask(*at, Frame::Purge(head.clone())).await.and_then(|answer| acknowledged(*at, answer)) {
+        match ask(*at, Frame::Purge(head.clone()))
+            .await
+            .and_then(|answer| acknowledged(*at, answer))
+        {
             Ok(()) => println!("{at}: purged"),
             Err(e) => failed.push(e),
         }
--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -37,7 +37,12 @@
         Ok(Etcd::new(&access, Duration::from_secs(3))?)
     }
 
-    pub async fn purge(&self, object: Option<String>, group: u64, wait: bool) -> Result<(), Failure> {
+    pub async fn purge(
+        &self,
+        object: Option<String>,
+        group: u64,
+        wait: bool,
+    ) -> Result<(), Failure> {
         let etcd = self.open()?;
         let revision = writer::purge(&etcd, &self.prefix, &PurgeRecord { object, group }).await?;
         println!("purged at revision {revision}");
@@ -104,7 +109,10 @@
                     None => println!("purge of group {}", head.group),
                 },
                 Output::Dispatchers(all) => {
-                    println!("dispatchers: {}", all.keys().cloned().collect::<Vec<_>>().join(", "))
+                    println!(
+                        "dispatchers: {}",
+                        all.keys().cloned().collect::<Vec<_>>().join(", ")
+                    )
                 }
                 Output::Gap { first: false, .. } => {
                     println!("history is lost: everything counts as purged")
@@ -126,7 +134,10 @@
 
 fn print_line(m: &MemberLine) {
     let state = format!("{:?}", m.state()).to_lowercase();
-    println!("  {:<22} {state:<9} {:<7} {:<12} weight {}", m.address, m.kind, m.zone, m.weight);
+    println!(
+        "  {:<22} {state:<9} {:<7} {:<12} weight {}",
+        m.address, m.kind, m.zone, m.weight
+    );
 }
 
 /// A record after a change of its state, as `members --set` words it.
--- a/crates/cli/src/experiments.rs
+++ b/crates/cli/src/experiments.rs
@@ -16,7 +16,11 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let number = |t: &str| t.trim().parse::<u64>().map_err(|_| format!("{t:?} is no seed"));
+        let number = |t: &str| {
+            t.trim()
+                .parse::<u64>()
+                .map_err(|_| format!("{t:?} is no seed"))
+        };
         let seeds: Vec<u64> = match text.split_once("..") {
             Some((from, to)) => (number(from)?..=number(to)?).collect(),
             None => text.split(',').map(number).collect::<Result<_, _>>()?,
@@ -30,7 +34,9 @@
 }
 
 fn jobs(wanted: Option<usize>) -> usize {
-    wanted.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get())).max(1)
+    wanted
+        .unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |n| n.get()))
+        .max(1)
 }
 
 #[derive(clap::Args)]
@@ -61,11 +67,17 @@
 
 pub fn sweep(a: SweepArguments) -> Result<(), Failure> {
     if a.vary.len() > 2 {
-        return Err(Failure::CannotRun(format!("{} settings vary; two at most", a.vary.len())));
+        return Err(Failure::CannotRun(format!(
+            "{} settings vary; two at most",
+            a.vary.len()
+        )));
     }
     let text = text(&a.scenario, &a.sets)?;
     let name = a.scenario.display().to_string();
-    let source = Source { name: &name, text: &text };
+    let source = Source {
+        name: &name,
+        text: &text,
+    };
     let cells = sweep::cells(&a.seeds.0, &a.sets, &a.vary);
     let played = sweep::run(&source, &cells, a.out.as_deref(), jobs(a.jobs), false)?;
     let rows = sweep::rows(&played);
@@ -126,8 +138,17 @@
     let Some(program) = program else {
         let text = text(path, sets)?;
         let name = path.display().to_string();
-        let source = Source { name: &name, text: &text };
-        let cells: Vec<Cell> = seeds.iter().map(|seed| Cell { seed: *seed, sets: sets.to_vec() }).collect();
+        let source = Source {
+            name: &name,
+            text: &text,
+        };
+        let cells: Vec<Cell> = seeds
+            .iter()
+            .map(|seed| Cell {
+                seed: *seed,
+                sets: sets.to_vec(),
+            })
+            .collect();
         let played = sweep::run(&source, &cells, None, jobs, false)?;
         return Ok(played.into_iter().map(|p| p.figures).collect());
     };
@@ -136,7 +157,11 @@
         let mut children = Vec::new();
         for seed in some {
             let mut command = std::process::Command::new(program);
-            command.args(["--log", "error", "lab", "run"]).arg(path).arg("--virtual").arg("--json");
+            command
+                .args(["--log", "error", "lab", "run"])
+                .arg(path)
+                .arg("--virtual")
+                .arg("--json");
             command.arg("--seed").arg(seed.to_string());
             for set in sets {
                 command.arg("--set").arg(set.to_string());
@@ -150,7 +175,10 @@
                 .map_err(|e| format!("{} did not answer with a run: {e}", program.display()))?;
             let number = |key: &str| json[key].as_f64().unwrap_or(0.0);
             let rules = json["rules"].as_array().cloned().unwrap_or_default();
-            let breaches = rules.iter().filter_map(|r| r["breaches"].as_u64()).sum::<u64>() as usize;
+            let breaches = rules
+                .iter()
+                .filter_map(|r| r["breaches"].as_u64())
+                .sum::<u64>() as usize;
             out.push(Figures {
                 service: number("service"),
                 worst_10s: number("worst_10s"),
@@ -168,10 +196,26 @@
 pub fn compare(a: CompareArguments) -> Result<(), Failure> {
     let mut pairs = Vec::new();
     for path in &a.scenarios {
-        let one = way(path, &a.seeds.0, &a.sets_a, a.program_a.as_deref(), jobs(a.jobs))?;
-        let other = way(path, &a.seeds.0, &a.sets_b, a.program_b.as_deref(), jobs(a.jobs))?;
+        let one = way(
+            path,
+            &a.seeds.0,
+            &a.sets_a,
+            a.program_a.as_deref(),
+            jobs(a.jobs),
+        )?;
+        let other = way(
+            path,
+            &a.seeds.0,
+            &a.sets_b,
+            a.program_b.as_deref(),
+            jobs(a.jobs),
+        )?;
         for ((seed, a), b) in a.seeds.0.iter().zip(one).zip(other) {
-            pairs.push(Pair { day: format!("{} seed {seed}", path.display()), a, b });
+            pairs.push(Pair {
+                day: format!("{} seed {seed}", path.display()),
+                a,
+                b,
+            });
         }
     }
     let words = compare::words(&pairs);
@@ -182,15 +226,31 @@
     by_service.sort_by(|x, y| (x.b.service - x.a.service).total_cmp(&(y.b.service - y.a.service)));
     println!("days on which B lost and won most:");
     let many = by_service.len();
-    for (n, p) in by_service.iter().enumerate().filter(|(n, _)| *n < 3 || n + 3 >= many) {
-        println!("  {:>4} {}: service {:.4} to {:.4}", n + 1, p.day, p.a.service, p.b.service);
+    for (n, p) in by_service
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| *n < 3 || n + 3 >= many)
+    {
+        println!(
+            "  {:>4} {}: service {:.4} to {:.4}",
+            n + 1,
+            p.day,
+            p.a.service,
+            p.b.service
+        );
     }
     if let Some(out) = &a.out {
         std::fs::create_dir_all(out)?;
         std::fs::write(out.join("pairs.json"), serde_json::to_vec_pretty(&pairs)?)?;
         let figures = |of: fn(&Pair) -> Figures| pairs.iter().map(of).collect::<Vec<Figures>>();
-        let rows = [sweep::row("A".into(), &figures(|p| p.a)), sweep::row("B".into(), &figures(|p| p.b))];
-        std::fs::write(out.join("report.html"), html::sweep("A and B on the same days", &rows, &words)?)?;
+        let rows = [
+            sweep::row("A".into(), &figures(|p| p.a)),
+            sweep::row("B".into(), &figures(|p| p.b)),
+        ];
+        std::fs::write(
+            out.join("report.html"),
+            html::sweep("A and B on the same days", &rows, &words)?,
+        )?;
         println!("{}", out.join("report.html").display());
     }
     if pairs.iter().any(|p| p.b.breaches > p.a.breaches) {
@@ -221,13 +281,18 @@
 
 fn goal(word: &str) -> Result<hunt::Goal, String> {
     let found = hunt::Goal::WORDS.iter().find(|(w, _)| *w == word);
-    found.map(|(_, g)| *g).ok_or("none of worst, rules, fallen".into())
+    found
+        .map(|(_, g)| *g)
+        .ok_or("none of worst, rules, fallen".into())
 }
 
 pub fn hunt(a: HuntArguments) -> Result<(), Failure> {
     let text = text(&a.scenario, &a.sets)?;
     let name = a.scenario.display().to_string();
-    let source = Source { name: &name, text: &text };
+    let source = Source {
+        name: &name,
+        text: &text,
+    };
     let Some(found) = hunt::hunt(&source, &a.sets, a.goal, a.from, a.days)? else {
         eprintln!("nothing of the kind on {} days", a.days);
         return Ok(());
@@ -284,11 +349,16 @@
 }
 
 pub fn explain(a: ExplainArguments) -> Result<(), Failure> {
-    let id =
-        TryId::parse(&a.request).ok_or(format!("{} names no request; one is called c12.0", a.request))?;
+    let id = TryId::parse(&a.request).ok_or(format!(
+        "{} names no request; one is called c12.0",
+        a.request
+    ))?;
     let sights = folder::explain(&a.run, id)?;
     if sights.is_empty() {
-        return Err(Failure::CannotRun(format!("nothing was seen of {} in this run", a.request)));
+        return Err(Failure::CannotRun(format!(
+            "nothing was seen of {} in this run",
+            a.request
+        )));
     }
     let mut out = std::io::stdout().lock();
     for sight in sights {
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -31,7 +31,10 @@
     let day = arguments.day.load()?;
     let (folder, temporary) = match arguments.folder.clone() {
         Some(folder) => (folder, false),
-        None => (std::env::temp_dir().join(format!("pointspindle-fleet-{}", std::process::id())), true),
+        None => (
+            std::env::temp_dir().join(format!("pointspindle-fleet-{}", std::process::id())),
+            true,
+        ),
     };
     if !arguments.json {
         let count = day.dispatcher_count();
@@ -52,7 +55,8 @@
     if arguments.json {
         let mut told = json(&day, &outcome);
         told["dispatchers"] = day.dispatcher_count().into();
-        told["sums"] = serde_json::to_value(&mine).map_err(|e| Failure::CannotRun(e.to_string()))?;
+        told["sums"] =
+            serde_json::to_value(&mine).map_err(|e| Failure::CannotRun(e.to_string()))?;
         told["without_loss"] =
             serde_json::to_value(&quiet).map_err(|e| Failure::CannotRun(e.to_string()))?;
         if let Some(rules) = told["rules"].as_array_mut() {
@@ -64,7 +68,11 @@
         print_rule(&judged);
         print_sums(&mine, quiet.as_ref());
     }
-    let broken = outcome.rules.iter().chain([&judged]).any(|r| !r.breaches.is_empty());
+    let broken = outcome
+        .rules
+        .iter()
+        .chain([&judged])
+        .any(|r| !r.breaches.is_empty());
     if broken {
         return Err(Failure::No);
     }
@@ -81,11 +89,20 @@
     if arguments.no_twin || day.struck_sites().is_empty() {
         return Ok((outcome, None));
     }
-    let twin = play(&day.without_site_troubles(), arguments, &folder.join("twin")).await?;
+    let twin = play(
+        &day.without_site_troubles(),
+        arguments,
+        &folder.join("twin"),
+    )
+    .await?;
     Ok((outcome, Some(twin)))
 }
 
-async fn play(day: &Scenario, arguments: &FleetArguments, folder: &Path) -> Result<Outcome, Failure> {
+async fn play(
+    day: &Scenario,
+    arguments: &FleetArguments,
+    folder: &Path,
+) -> Result<Outcome, Failure> {
     if !arguments.virtual_time {
         let program = std::env::current_exe()?;
         return Ok(day::run(day, &program, folder, arguments.plant).await?);
@@ -95,15 +112,34 @@
 
 fn print_sums(mine: &Sums, quiet: Option<&Sums>) {
     let peak = |p: &Peak, unit: &str| {
-        format!("{} {unit} at {} from {} dispatchers at {:.1} s", p.count, p.host, p.dispatchers, p.at_s)
+        format!(
+            "{} {unit} at {} from {} dispatchers at {:.1} s",
+            p.count, p.host, p.dispatchers, p.at_s
+        )
     };
-    for AtRole { role, under_way, attempts, returned } in &mine.roles {
-        println!("  at a {role}: most {}; {}", peak(under_way, "under way"), peak(attempts, "a second"));
+    for AtRole {
+        role,
+        under_way,
+        attempts,
+        returned,
+    } in &mine.roles
+    {
+        println!(
+            "  at a {role}: most {}; {}",
+            peak(under_way, "under way"),
+            peak(attempts, "a second")
+        );
         if returned.count > 0 {
-            println!("    in the first second of one that came back: {}", peak(returned, "attempts"));
+            println!(
+                "    in the first second of one that came back: {}",
+                peak(returned, "attempts")
+            );
         }
     }
-    for (cold, what) in [(&mine.cold, "known of"), (&mine.cold_unknown, "not known of")] {
+    for (cold, what) in [
+        (&mine.cold, "known of"),
+        (&mine.cold_unknown, "not known of"),
+    ] {
         if cold.most > 0.0 {
             println!(
                 "  cold, {what}: {} was sent {:.1} requests of mean work in a window by {} dispatchers, {:.1} allowed, {:.1} at most, at {:.1} s",
@@ -127,10 +163,19 @@
         mine.mean_served
     );
     for (n, site) in mine.sites.iter().enumerate() {
-        let Site { name, struck, before, since, worst, back_after_s, .. } = site;
+        let Site {
+            name,
+            struck,
+            before,
+            since,
+            worst,
+            back_after_s,
+            ..
+        } = site;
         let back = back_after_s.map_or("not back".into(), |s| format!("back after {s:.0} s"));
-        let beside =
-            quiet.and_then(|q| q.sites.get(n)).map(|q| format!(" ({:.3} without the loss)", q.since));
+        let beside = quiet
+            .and_then(|q| q.sites.get(n))
+            .map(|q| format!(" ({:.3} without the loss)", q.since));
         println!(
             "  {name}{}: served {before:.3} before, {since:.3} since{}, worst 3 s {worst:.3}, {back}",
             if *struck { " (struck)" } else { "" },
--- a/crates/cli/src/idle.rs
+++ b/crates/cli/src/idle.rs
@@ -16,7 +16,11 @@
 #[derive(clap::Args)]
 pub struct IdleArguments {
     /// Connections at each step; the last one is what the limit of descriptors leaves, if that is less.
-    #[arg(long, value_delimiter = ',', default_value = "0,1000,5000,10000,20000,50000,100000")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "0,1000,5000,10000,20000,50000,100000"
+    )]
     steps: Vec<usize>,
     /// Requests a second beside them.
     #[arg(long, default_value_t = 1_000.0)]
@@ -53,9 +57,16 @@
     }
 }
 
-async fn start(folder: &Path, members: &str, threads: usize, idle_ms: u64) -> Result<Server, Failure> {
-    let (file, ready) =
-        (folder.join(format!("idle-{idle_ms}.ini")), folder.join(format!("ready-{idle_ms}")));
+async fn start(
+    folder: &Path,
+    members: &str,
+    threads: usize,
+    idle_ms: u64,
+) -> Result<Server, Failure> {
+    let (file, ready) = (
+        folder.join(format!("idle-{idle_ms}.ini")),
+        folder.join(format!("ready-{idle_ms}")),
+    );
     let text = format!(
         "[dispatcher]\nzone = branch\nnumber = 0\n[listen]\nhttp = 127.0.0.1:0\nframed = 127.0.0.1:0\n\
          max_connections = 1000000\nidle_ms = {idle_ms}\n[zone hub]\n[zone branch]\ndispatchers = 1\n\
@@ -65,7 +76,11 @@
     let _ = std::fs::remove_file(&ready);
     let mut command = Command::new(std::env::current_exe()?);
     command.env("TOKIO_WORKER_THREADS", threads.max(1).to_string());
-    command.args(["--log", "error", "serve"]).arg(&file).arg("--ready-file").arg(&ready);
+    command
+        .args(["--log", "error", "serve"])
+        .arg(&file)
+        .arg("--ready-file")
+        .arg(&ready);
     let mut child = command.stdout(Stdio::null()).spawn()?;
     let began = std::time::Instant::now();
     while !ready.exists() {
@@ -78,8 +93,14 @@
     let bound: serde_json::Value = serde_json::from_slice(&std::fs::read(&ready)?)?;
     let at = |door: &str| bound[door].as_str().and_then(|a| a.parse().ok());
     match (at("http"), at("framed")) {
-        (Some(http), Some(framed)) => Ok(Server { child, http, framed }),
-        _ => Err(Failure::CannotRun("the dispatcher does not tell its doors".into())),
+        (Some(http), Some(framed)) => Ok(Server {
+            child,
+            http,
+            framed,
+        }),
+        _ => Err(Failure::CannotRun(
+            "the dispatcher does not tell its doors".into(),
+        )),
     }
 }
 
@@ -143,15 +164,18 @@
         for framed in [false, true] {
             let server = start(folder.path(), &members, a.threads, 3_600_000).await?;
             let door = framed.then(|| (server.framed, "test-page".to_owned()));
-            let (steps, stopped) = measure(plan(server.http, door, server.child.id(), OBJECT), line).await;
+            let (steps, stopped) =
+                measure(plan(server.http, door, server.child.id(), OBJECT), line).await;
             say(&steps, stopped.as_deref());
             all.push(steps);
         }
         let crowd = steps.iter().copied().max().unwrap_or(0).clamp(1, 10_000);
         let idle_ms = 3_000 + crowd as u64 / 2;
         let server = start(folder.path(), &members, a.threads, idle_ms).await?;
-        let plan =
-            Plan { length: Duration::from_millis(idle_ms + 3_000), ..plan(server.http, None, 0, OBJECT) };
+        let plan = Plan {
+            length: Duration::from_millis(idle_ms + 3_000),
+            ..plan(server.http, None, 0, OBJECT)
+        };
         let e = expiry(plan, crowd, Duration::from_millis(idle_ms)).await?;
         println!(
             "{} fell idle within moments: closed at most {:.0} ms after their time (99 of 100 within {:.0}); {} requests meanwhile, {} failed, p99 {} us, longest {} us",
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -72,9 +72,9 @@
     pub(crate) fn load(&self) -> Result<Scenario, Failure> {
         let day = scenario::load_with(&self.scenario, self.seed, &self.sets)?;
         match self.seconds {
-            Some(seconds) if !(2.0..=3_600.0).contains(&seconds) => {
-                Err(Failure::CannotRun(format!("--seconds {seconds}: from 2 to 3600")))
-            }
+            Some(seconds) if !(2.0..=3_600.0).contains(&seconds) => Err(Failure::CannotRun(
+                format!("--seconds {seconds}: from 2 to 3600"),
+            )),
             Some(seconds) => Ok(day.scaled(seconds)),
             None => Ok(day),
         }
@@ -114,7 +114,9 @@
 pub(crate) fn plant(word: &str) -> Result<Plant, String> {
     let words: Vec<&str> = Plant::WORDS.iter().map(|(w, _)| *w).collect();
     let found = Plant::WORDS.iter().find(|(w, _)| *w == word);
-    found.map(|(_, p)| *p).ok_or(format!("none of {}", words.join(", ")))
+    found
+        .map(|(_, p)| *p)
+        .ok_or(format!("none of {}", words.join(", ")))
 }
 
 pub async fn run(command: Command) -> Result<(), Failure> {
@@ -134,7 +136,11 @@
         Command::Idle(arguments) => idle::idle(arguments).await,
         Command::Import { day, full } => {
             let text = std::fs::read_to_string(&day)?;
-            let size = if full { import::Size::Full } else { import::Size::Loopback };
+            let size = if full {
+                import::Size::Full
+            } else {
+                import::Size::Loopback
+            };
             let (scenario, left) = import::import(&text, size)?;
             for why in left {
                 eprintln!("not carried over: {why}");
@@ -169,7 +175,10 @@
     let program = std::env::current_exe()?;
     let (folder, temporary) = match arguments.folder.clone() {
         Some(folder) => (folder, false),
-        None => (std::env::temp_dir().join(format!("pointspindle-lab-{}", std::process::id())), true),
+        None => (
+            std::env::temp_dir().join(format!("pointspindle-lab-{}", std::process::id())),
+            true,
+        ),
     };
     if !arguments.json {
         println!(
@@ -203,17 +212,39 @@
 }
 
 fn keep(arguments: &RunArguments, scenario: &Scenario, outcome: &Outcome) -> Result<(), Failure> {
-    let Some(out) = &arguments.out else { return Ok(()) };
-    let Outcome { service, rules, sights, .. } = outcome;
-    let run = Run::new(scenario, &arguments.day.sets, arguments.virtual_time, service, rules, sights);
-    folder::keep(out, &std::fs::read_to_string(&arguments.day.scenario)?, &run, sights)?;
+    let Some(out) = &arguments.out else {
+        return Ok(());
+    };
+    let Outcome {
+        service,
+        rules,
+        sights,
+        ..
+    } = outcome;
+    let run = Run::new(
+        scenario,
+        &arguments.day.sets,
+        arguments.virtual_time,
+        service,
+        rules,
+        sights,
+    );
+    folder::keep(
+        out,
+        &std::fs::read_to_string(&arguments.day.scenario)?,
+        &run,
+        sights,
+    )?;
     println!("{}", out.join("report.html").display());
     Ok(())
 }
 
 fn explain(arguments: &RunArguments, sights: &[Sight]) -> Result<(), Failure> {
-    let Some(wanted) = &arguments.explain else { return Ok(()) };
-    let id = TryId::parse(wanted).ok_or(format!("{wanted} names no request; one is called c12.0"))?;
+    let Some(wanted) = &arguments.explain else {
+        return Ok(());
+    };
+    let id =
+        TryId::parse(wanted).ok_or(format!("{wanted} names no request; one is called c12.0"))?;
     for sight in trail(sights, id.call) {
         println!("{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.saw);
     }
@@ -229,9 +260,21 @@
         let why = "this plant is a relay between sockets; leave --virtual out";
         return Err(Failure::CannotRun(why.into()));
     }
-    let virt::Outcome { service, rules, sights, cost } =
-        virt::run(scenario, plant).map_err(Failure::CannotRun)?;
-    Ok((Outcome { service, rules, sights, rig_late_ms: 0.0 }, cost))
+    let virt::Outcome {
+        service,
+        rules,
+        sights,
+        cost,
+    } = virt::run(scenario, plant).map_err(Failure::CannotRun)?;
+    Ok((
+        Outcome {
+            service,
+            rules,
+            sights,
+            rig_late_ms: 0.0,
+        },
+        cost,
+    ))
 }
 
 fn play_virtual(arguments: &RunArguments, scenario: &Scenario) -> Result<(), Failure> {
@@ -315,9 +358,20 @@
 }
 
 pub(crate) fn print_rule(r: &Rule) {
-    let kinds: Vec<String> = r.kinds().iter().map(|(kind, n)| format!("{kind} {n}")).collect();
-    let broken = if kinds.is_empty() { "kept".into() } else { format!("BROKEN ({})", kinds.join(", ")) };
-    println!("  rule {:<8} {broken}; {} checked: {}", r.name, r.checked, r.about);
+    let kinds: Vec<String> = r
+        .kinds()
+        .iter()
+        .map(|(kind, n)| format!("{kind} {n}"))
+        .collect();
+    let broken = if kinds.is_empty() {
+        "kept".into()
+    } else {
+        format!("BROKEN ({})", kinds.join(", "))
+    };
+    println!(
+        "  rule {:<8} {broken}; {} checked: {}",
+        r.name, r.checked, r.about
+    );
     if !r.unknowing.is_empty() {
         println!(
             "    {} times by dispatchers that had not been told; first {}",
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -9,14 +9,18 @@
 /// `few`: without a level, no line for each request.
 pub fn start(level: Option<Level>, few: bool, json: bool) {
     let targets = match (level, few) {
-        (None, true) => {
-            Targets::new().with_default(Level::WARN).with_target("pointspindle_platform", Level::INFO)
-        }
+        (None, true) => Targets::new()
+            .with_default(Level::WARN)
+            .with_target("pointspindle_platform", Level::INFO),
         (level, _) => Targets::new().with_default(level.unwrap_or(Level::INFO)),
     };
     let layer = fmt::layer().with_writer(std::io::stderr).with_target(false);
     let layer = match json {
-        true => layer.json().with_current_span(true).with_filter(targets).boxed(),
+        true => layer
+            .json()
+            .with_current_span(true)
+            .with_filter(targets)
+            .boxed(),
         false => layer.with_ansi(false).with_filter(targets).boxed(),
     };
     tracing_subscriber::registry().with(layer).init();
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -52,7 +52,9 @@
     let mut target = target(&a.target)?;
     if let Some(seconds) = a.seconds {
         if !(0.2..=600.0).contains(&seconds) {
-            return Err(Failure::CannotRun(format!("--seconds {seconds}: 0.2 to 600")));
+            return Err(Failure::CannotRun(format!(
+                "--seconds {seconds}: 0.2 to 600"
+            )));
         }
         target.seconds = seconds;
     }
@@ -65,7 +67,8 @@
     let program = std::env::current_exe()?;
     let mut runs: Vec<Vec<Step>> = Vec::new();
     if let Some(file) = &a.steps {
-        let named = |e: &dyn std::fmt::Display| Failure::CannotRun(format!("{}: {e}", file.display()));
+        let named =
+            |e: &dyn std::fmt::Display| Failure::CannotRun(format!("{}: {e}", file.display()));
         let text = std::fs::read_to_string(file).map_err(|e| named(&e))?;
         runs = serde_json::from_str(&text).map_err(|e| named(&e))?;
     }
@@ -95,8 +98,14 @@
     let whole = serde_json::json!({ "target": target, "runs": runs, "slopes": told });
     if let Some(folder) = &a.out {
         std::fs::create_dir_all(folder)?;
-        std::fs::write(folder.join("steps.json"), serde_json::to_vec(&whole["runs"])?)?;
-        std::fs::write(folder.join("slopes.json"), serde_json::to_vec_pretty(&told)?)?;
+        std::fs::write(
+            folder.join("steps.json"),
+            serde_json::to_vec(&whole["runs"])?,
+        )?;
+        std::fs::write(
+            folder.join("slopes.json"),
+            serde_json::to_vec_pretty(&told)?,
+        )?;
     }
     let broken = broken(&target, &runs);
     if a.json {
@@ -117,19 +126,31 @@
 
 pub fn capacity(a: CapacityArguments) -> Result<(), Failure> {
     let target = target(&a.target)?;
-    let named = |e: &dyn std::fmt::Display| Failure::CannotRun(format!("{}: {e}", a.slopes.display()));
+    let named =
+        |e: &dyn std::fmt::Display| Failure::CannotRun(format!("{}: {e}", a.slopes.display()));
     let text = std::fs::read_to_string(&a.slopes).map_err(|e| named(&e))?;
     let slopes: Slopes = serde_json::from_str(&text).map_err(|e| named(&e))?;
-    if let Some((name, _)) = slopes.figures.iter().find(|(_, s)| s.from == 0 || s.to < s.from) {
-        return Err(named(&format!("{name}: from and to, the sizes that it was measured at, are missing")));
+    if let Some((name, _)) = slopes
+        .figures
+        .iter()
+        .find(|(_, s)| s.from == 0 || s.to < s.from)
+    {
+        return Err(named(&format!(
+            "{name}: from and to, the sizes that it was measured at, are missing"
+        )));
     }
     print!("{}", capacity::page(&target, &slopes));
     Ok(())
 }
 
 fn commit() -> String {
-    let asked = std::process::Command::new("git").args(["rev-parse", "--short", "HEAD"]).output();
-    let told = asked.ok().filter(|o| o.status.success()).and_then(|o| String::from_utf8(o.stdout).ok());
+    let asked = std::process::Command::new("git")
+        .args(["rev-parse", "--short", "HEAD"])
+        .output();
+    let told = asked
+        .ok()
+        .filter(|o| o.status.success())
+        .and_then(|o| String::from_utf8(o.stdout).ok());
     told.map_or("unknown".to_owned(), |t| t.trim().to_owned())
 }
 
@@ -143,9 +164,12 @@
     for phase in runs.iter().flatten().flat_map(|s| &s.phases) {
         for (what, lag) in [("purges", &phase.purges), ("changes", &phase.changes)] {
             if let Some(lag) = lag {
-                *counts.entry(format!("{what} written, over all sizes")).or_default() += lag.written as f64;
-                *counts.entry(format!("{what} never heard by a dispatcher")).or_default() +=
-                    lag.never as f64;
+                *counts
+                    .entry(format!("{what} written, over all sizes"))
+                    .or_default() += lag.written as f64;
+                *counts
+                    .entry(format!("{what} never heard by a dispatcher"))
+                    .or_default() += lag.never as f64;
             }
         }
     }
@@ -155,18 +179,32 @@
 /// What is over its budget at the largest step, or never came.
 fn broken(t: &Target, runs: &[Vec<Step>]) -> Vec<String> {
     let mut broken = Vec::new();
-    for step in runs.iter().flat_map(|r| r.iter().max_by_key(|s| s.dispatchers)) {
+    for step in runs
+        .iter()
+        .flat_map(|r| r.iter().max_by_key(|s| s.dispatchers))
+    {
         let n = step.dispatchers as f64;
-        for phase in step.phases.iter().filter(|p| ["rest", "purges"].contains(&p.name.as_str())) {
+        for phase in step
+            .phases
+            .iter()
+            .filter(|p| ["rest", "purges"].contains(&p.name.as_str()))
+        {
             let kb = phase.traffic.bytes_out as f64 / phase.seconds / n / 1024.0;
             let of = [
-                ("processor", phase.dispatchers.cores / n, t.core_share, "cores"),
+                (
+                    "processor",
+                    phase.dispatchers.cores / n,
+                    t.core_share,
+                    "cores",
+                ),
                 ("memory", phase.dispatchers.memory_mb / n, t.memory_mb, "MB"),
                 ("bytes", kb, t.kb_per_s, "KB/s"),
             ];
             for (what, is, most, unit) in of.into_iter().filter(|(_, is, most, _)| is > most) {
                 let name = &phase.name;
-                broken.push(format!("{what} of a dispatcher in {name}: {is:.3} {unit}, {most} at most"));
+                broken.push(format!(
+                    "{what} of a dispatcher in {name}: {is:.3} {unit}, {most} at most"
+                ));
             }
         }
         for phase in &step.phases {
@@ -196,13 +234,19 @@
         for phase in &step.phases {
             let f = &phase.traffic;
             let each = |x: f64| x / n as f64;
-            let lag = phase.purges.as_ref().or(phase.changes.as_ref()).map_or(String::new(), |l| {
-                format!(
-                    "; {} written, in force p50 {:.1} p99 {:.1} longest {:.1} ms, {} never",
-                    l.written, l.p50_ms, l.p99_ms, l.longest_ms, l.never
-                )
-            });
-            let whole = phase.whole_ms.map_or(String::new(), |ms| format!("; whole after {ms:.0} ms"));
+            let lag = phase
+                .purges
+                .as_ref()
+                .or(phase.changes.as_ref())
+                .map_or(String::new(), |l| {
+                    format!(
+                        "; {} written, in force p50 {:.1} p99 {:.1} longest {:.1} ms, {} never",
+                        l.written, l.p50_ms, l.p99_ms, l.longest_ms, l.never
+                    )
+                });
+            let whole = phase
+                .whole_ms
+                .map_or(String::new(), |ms| format!("; whole after {ms:.0} ms"));
             println!(
                 "  {:<14} store {:.2} cores {:.0} MB; a dispatcher {:.4} cores {:.2} MB, {:.2} KB/s in, {:.2} out{lag}{whole}",
                 phase.name,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -100,14 +100,19 @@
          [class test-page]\npath_prefix = /\nfresh_ms = 12000\ngrace_ms = 20000\n"
     );
     text += &sections(&members);
-    Ok((pointspindle_config::parse("embedded settings", &text)?, stage))
+    Ok((
+        pointspindle_config::parse("embedded settings", &text)?,
+        stage,
+    ))
 }
 
 /// The settings' sections of members.
 pub(crate) fn sections(members: &[MemberLine]) -> String {
     let section = |(n, m): (usize, &MemberLine)| {
         let (address, kind, zone, weight) = (&m.address, &m.kind, &m.zone, m.weight);
-        format!("[member m{n}]\naddress = {address}\nkind = {kind}\nzone = {zone}\nweight = {weight}\n")
+        format!(
+            "[member m{n}]\naddress = {address}\nkind = {kind}\nzone = {zone}\nweight = {weight}\n"
+        )
     };
     members.iter().enumerate().map(section).collect()
 }
@@ -119,7 +124,9 @@
         println!("  curl -i http://{http}{path}");
     }
     if let Some(framed) = bound.framed {
-        println!("  pointspindle get pspn://{framed}/video/lesson-1 --class lesson-video -o lesson-1");
+        println!(
+            "  pointspindle get pspn://{framed}/video/lesson-1 --class lesson-video -o lesson-1"
+        );
     }
     if let Some(metrics) = bound.metrics {
         println!("  curl http://{metrics}/metrics");
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -61,7 +61,12 @@
 
 fn broken(rules: &[pointspindle_lab::audit::Rule]) -> Result<(), Failure> {
     for rule in rules {
-        println!("{}: {} cases, {} breaches", rule.name, rule.checked, rule.breaches.len());
+        println!(
+            "{}: {} cases, {} breaches",
+            rule.name,
+            rule.checked,
+            rule.breaches.len()
+        );
     }
     if rules.iter().any(|r| !r.breaches.is_empty()) {
         return Err(Failure::No);
@@ -81,11 +86,15 @@
     if !event::poll(wait)? {
         return Ok(None);
     }
-    let Event::Key(key) = event::read()? else { return Ok(None) };
+    let Event::Key(key) = event::read()? else {
+        return Ok(None);
+    };
     Ok(match key.code {
         _ if key.kind != KeyEventKind::Press => None,
         KeyCode::Char('q') | KeyCode::Esc => Some(Key::Quit),
-        KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => Some(Key::Quit),
+        KeyCode::Char('c') if key.modifiers.contains(event::KeyModifiers::CONTROL) => {
+            Some(Key::Quit)
+        }
         KeyCode::Char(' ') => Some(Key::Pause),
         KeyCode::Char('+') => Some(Key::Faster),
         KeyCode::Char('-') => Some(Key::Slower),
@@ -141,8 +150,9 @@
     let run = tokio::spawn(async move { day::run_watched(&of, &program, &at, None, seen).await });
     let stop = run.abort_handle();
     let mut terminal = ratatui::init();
-    let shown =
-        tokio::task::block_in_place(|| live(&mut terminal, scenario, &recorder, || run.is_finished()));
+    let shown = tokio::task::block_in_place(|| {
+        live(&mut terminal, scenario, &recorder, || run.is_finished())
+    });
     ratatui::restore();
     let left = !matches!(shown, Ok(true));
     if left {
@@ -154,7 +164,9 @@
     shown?;
     match outcome {
         Ok(outcome) => broken(&outcome?.rules),
-        Err(_) => Err(Failure::CannotRun("left before the day was over: nothing was judged".into())),
+        Err(_) => Err(Failure::CannotRun(
+            "left before the day was over: nothing was judged".into(),
+        )),
     }
 }
 
@@ -175,7 +187,10 @@
             if began.is_none() && matches!(sight.saw, Saw::Asked { .. }) {
                 began = Some(sight.at);
             }
-            view.take(&Sight { at: sight.at.saturating_sub(began.unwrap_or(sight.at)), saw: sight.saw });
+            view.take(&Sight {
+                at: sight.at.saturating_sub(began.unwrap_or(sight.at)),
+                saw: sight.saw,
+            });
         }
         if let Some(began) = began {
             view.to(recorder.now().saturating_sub(began));
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -22,7 +22,18 @@
 fn run(plant: Option<&str>, etcd: bool) -> (i32, serde_json::Value) {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
     let mut command = Command::new(env!("CARGO_BIN_EXE_pointspindle"));
-    command.args(["--log", "error", "lab", "run", scenario, "--seconds", SECONDS, "--json", "--seed", "7"]);
+    command.args([
+        "--log",
+        "error",
+        "lab",
+        "run",
+        scenario,
+        "--seconds",
+        SECONDS,
+        "--json",
+        "--seed",
+        "7",
+    ]);
     if let Some(plant) = plant {
         command.args(["--plant", plant]);
     }
@@ -43,7 +54,12 @@
 }
 
 fn rule<'a>(day: &'a serde_json::Value, name: &str) -> &'a serde_json::Value {
-    day["rules"].as_array().unwrap().iter().find(|r| r["name"] == name).unwrap()
+    day["rules"]
+        .as_array()
+        .unwrap()
+        .iter()
+        .find(|r| r["name"] == name)
+        .unwrap()
 }
 
 /// One after another: they share the machine's cores, and the rig must not be what is late.
@@ -54,7 +70,10 @@
     for name in ["answers", "effects", "drains", "cold", "purges"] {
         let rule = rule(&day, name);
         assert_eq!(rule["breaches"], 0, "{rule:#}");
-        assert!(rule["checked"].as_u64().unwrap() >= 10, "never exercised: {rule:#}");
+        assert!(
+            rule["checked"].as_u64().unwrap() >= 10,
+            "never exercised: {rule:#}"
+        );
     }
     assert!(day["service"].as_f64().unwrap() > 0.3, "{day:#}");
     for (plant, name, kind) in [
@@ -67,16 +86,27 @@
     ] {
         let (status, day) = play(Some(plant));
         assert_eq!(status, 1, "{plant}: {day:#}");
-        assert!(rule(&day, name)["kinds"][kind].as_u64().unwrap_or(0) > 0, "{plant}: {day:#}");
+        assert!(
+            rule(&day, name)["kinds"][kind].as_u64().unwrap_or(0) > 0,
+            "{plant}: {day:#}"
+        );
         for other in ["answers", "effects", "drains", "cold", "purges"] {
-            assert!(other == name || rule(&day, other)["breaches"] == 0, "{plant} broke {other}: {day:#}");
+            assert!(
+                other == name || rule(&day, other)["breaches"] == 0,
+                "{plant} broke {other}: {day:#}"
+            );
         }
     }
     // Lists and purges through an etcd whose streams break again and again.
-    let played = (0..3).map(|_| run(None, true)).find(|(status, _)| *status != 2);
+    let played = (0..3)
+        .map(|_| run(None, true))
+        .find(|(status, _)| *status != 2);
     let (status, day) = played.expect("the machine is too busy to judge anything");
     assert_eq!(status, 0, "{day:#}");
     for name in ["drains", "purges"] {
-        assert!(rule(&day, name)["checked"].as_u64().unwrap() >= 10, "never exercised: {day:#}");
+        assert!(
+            rule(&day, name)["checked"].as_u64().unwrap() >= 10,
+            "never exercised: {day:#}"
+        );
     }
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -7,7 +7,16 @@
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/site-loss.ini");
     for _ in 0..3 {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pointspindle"));
-        command.args(["--log", "error", "lab", "fleet", scenario, "--seconds", "14", "--json"]);
+        command.args([
+            "--log",
+            "error",
+            "lab",
+            "fleet",
+            scenario,
+            "--seconds",
+            "14",
+            "--json",
+        ]);
         command.args(["--set", "day.rate=60", "--seed", "29"]);
         println!("seed 29, 14 s, twelve dispatchers");
         let out = command.output().unwrap();
@@ -15,7 +24,10 @@
         let told = String::from_utf8_lossy(&out.stdout);
         if status != 2 {
             let why = String::from_utf8_lossy(&out.stderr);
-            return (status, serde_json::from_str(&told).unwrap_or_else(|e| panic!("{e}: {told} {why}")));
+            return (
+                status,
+                serde_json::from_str(&told).unwrap_or_else(|e| panic!("{e}: {told} {why}")),
+            );
         }
         println!("{}", String::from_utf8_lossy(&out.stderr));
     }
@@ -30,14 +42,28 @@
     }
     let checked = |name: &str| {
         let mut rules = day["rules"].as_array().unwrap().iter();
-        rules.find(|r| r["name"] == name).unwrap()["checked"].as_u64().unwrap()
+        rules.find(|r| r["name"] == name).unwrap()["checked"]
+            .as_u64()
+            .unwrap()
     };
-    for (name, least) in [("answers", 500), ("effects", 400), ("cold", 20), ("purges", 10), ("sums", 4)] {
-        assert!(checked(name) >= least, "{name} was never exercised: {day:#}");
+    for (name, least) in [
+        ("answers", 500),
+        ("effects", 400),
+        ("cold", 20),
+        ("purges", 10),
+        ("sums", 4),
+    ] {
+        assert!(
+            checked(name) >= least,
+            "{name} was never exercised: {day:#}"
+        );
     }
     assert_eq!((status, &day["dispatchers"]), (0, &12.into()), "{day:#}");
     let sites = day["sums"]["sites"].as_array().unwrap();
-    let struck: Vec<bool> = sites.iter().map(|s| s["struck"].as_bool().unwrap()).collect();
+    let struck: Vec<bool> = sites
+        .iter()
+        .map(|s| s["struck"].as_bool().unwrap())
+        .collect();
     assert_eq!(struck, [true, true, false]);
     // The struck ones were: a day on which nothing happened would keep every rule as well.
     assert!(sites[0]["worst"].as_f64().unwrap() < 0.9, "{day:#}");
--- a/crates/cli/tests/platform/clocks.rs
+++ b/crates/cli/tests/platform/clocks.rs
@@ -9,7 +9,10 @@
 const ROUNDING_MS: u64 = 5;
 
 fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
 }
 
 fn purge(object: &str, ms: u128) -> String {
@@ -33,7 +36,14 @@
         let faults = Faults::new();
         let dispatcher = Dispatcher::spawn_faulty(&faults, |at| config(at, board.at, &hosts)).await;
         let (_, say) = board.poll().await;
-        Self { faults, board, say, cache, hosts, dispatcher }
+        Self {
+            faults,
+            board,
+            say,
+            cache,
+            hosts,
+            dispatcher,
+        }
     }
 
     /// Tells an event; it is taken when this returns: the stream ends behind it, and the board is asked again.
@@ -48,7 +58,9 @@
     /// The oldest copy that the next request for an object takes, in milliseconds.
     async fn cap(&mut self, object: &str) -> u64 {
         let mut client = Client::connect(self.dispatcher.at).await;
-        client.ask(1, "/ops/page", &[("HTTP_X_ROW", object)], b"").await;
+        client
+            .ask(1, "/ops/page", &[("HTTP_X_ROW", object)], b"")
+            .await;
         assert_eq!(client.answer(1).await.status, 200);
         let pull = loop {
             let (pull, _) = self.cache.next("PULL").await;
@@ -57,7 +69,9 @@
             }
         };
         let cap = pull.split([',', ' ']).find_map(|f| f.strip_prefix("cap="));
-        cap.unwrap_or_else(|| panic!("no age in {pull}")).parse().unwrap()
+        cap.unwrap_or_else(|| panic!("no age in {pull}"))
+            .parse()
+            .unwrap()
     }
 
     /// No copy from before a purge at `purged` is asked for.
@@ -82,13 +96,19 @@
         s.faults.step_wall(step);
         let (purged, ms) = (Instant::now(), unix_ms());
         s.tell(2, &purge(ROW, ms)).await;
-        s.keeps(ROW, purged, &format!("{step} s before a purge")).await;
+        s.keeps(ROW, purged, &format!("{step} s before a purge"))
+            .await;
 
         let mut s = Stepped::start().await;
         let (purged, ms) = (Instant::now(), unix_ms());
         s.faults.step_wall(step);
         s.tell(2, &purge(ROW, ms)).await;
-        s.keeps(ROW, purged, &format!("{step} s between a purge and its telling")).await;
+        s.keeps(
+            ROW,
+            purged,
+            &format!("{step} s between a purge and its telling"),
+        )
+        .await;
 
         let second = "00000000000000bb";
         let mut s = Stepped::start().await;
@@ -97,8 +117,10 @@
         s.faults.step_wall(step);
         let (again, ms) = (Instant::now(), unix_ms());
         s.tell(3, &purge(second, ms)).await;
-        s.keeps(ROW, purged, &format!("{step} s after the first purge")).await;
-        s.keeps(second, again, &format!("{step} s before the second purge")).await;
+        s.keeps(ROW, purged, &format!("{step} s after the first purge"))
+            .await;
+        s.keeps(second, again, &format!("{step} s before the second purge"))
+            .await;
     }
 }
 
@@ -112,13 +134,19 @@
         let mut next = board().await;
         let known = format!("}},{{\"rev\":2,{}}}]}},", purge(ROW, ms));
         let text = config(s.dispatcher.at, next.at, &s.hosts);
-        let text =
-            changed(text, &[("}]},", known.as_str()), ("\"known\":{\"rev\":1", "\"known\":{\"rev\":2")]);
+        let text = changed(
+            text,
+            &[
+                ("}]},", known.as_str()),
+                ("\"known\":{\"rev\":1", "\"known\":{\"rev\":2"),
+            ],
+        );
         std::fs::write(&s.dispatcher.config, text).unwrap();
         s.dispatcher.signal("-HUP");
         let (last, _say) = next.poll().await;
         assert_eq!(last, 2);
-        s.keeps(ROW, purged, &format!("{step} s before a new configuration")).await;
+        s.keeps(ROW, purged, &format!("{step} s before a new configuration"))
+            .await;
     }
 }
 
@@ -132,11 +160,19 @@
         let hosts = [listed("s-1", cache.at, "box", "Ready")];
         let dispatcher = Dispatcher::spawn_faulty(&faults, |at| config(at, board.at, &hosts)).await;
         let (_, say) = board.poll().await;
-        let mut s = Stepped { faults, board, say, cache, hosts, dispatcher };
+        let mut s = Stepped {
+            faults,
+            board,
+            say,
+            cache,
+            hosts,
+            dispatcher,
+        };
         s.faults.step_wall(0.0);
         let (purged, ms) = (Instant::now(), unix_ms());
         s.tell(2, &purge(ROW, ms)).await;
-        s.keeps(ROW, purged, &format!("{ahead} s ahead until now")).await;
+        s.keeps(ROW, purged, &format!("{ahead} s ahead until now"))
+            .await;
     }
 }
 
@@ -150,14 +186,21 @@
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         s.faults.step_wall(step);
         let born = format!("\"share\":10,\"born_ms\":{}", unix_ms());
-        let entry = listed("s-2", cold.at, "box", "Ready").replace("\"share\":50,\"born_ms\":0", &born);
+        let entry =
+            listed("s-2", cold.at, "box", "Ready").replace("\"share\":50,\"born_ms\":0", &born);
         let drained = listed("s-1", s.cache.at, "box", "Terminating");
-        s.tell(2, &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{drained},{entry}]}}")).await;
+        s.tell(
+            2,
+            &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{drained},{entry}]}}"),
+        )
+        .await;
         let mut client = Client::connect(s.dispatcher.at).await;
         let mut served = 0;
         for n in 0..200u32 {
             let row = format!("{n:016x}");
-            client.ask(1, "/ops/page", &[("HTTP_X_ROW", &row)], b"").await;
+            client
+                .ask(1, "/ops/page", &[("HTTP_X_ROW", &row)], b"")
+                .await;
             served += usize::from(client.answer(1).await.status == 200);
         }
         println!("{step} s: a cold host served {served} of 200");
--- a/crates/cli/tests/platform/crowd.rs
+++ b/crates/cli/tests/platform/crowd.rs
@@ -25,7 +25,10 @@
         loop {
             let mut client = Client::connect(at).await;
             // It may be closed before that is written.
-            let _ = client.write.write_all(&request(1, "/ops/page", &[], b"")).await;
+            let _ = client
+                .write
+                .write_all(&request(1, "/ops/page", &[], b""))
+                .await;
             if let Some(answer) = client.end(1).await {
                 return answer;
             }
@@ -42,12 +45,18 @@
         let made = Arc::new(AtomicUsize::new(0));
         let idle = |made: Arc<AtomicUsize>| async move {
             loop {
-                let Ok(socket) = TcpStream::connect(at).await else { continue };
+                let Ok(socket) = TcpStream::connect(at).await else {
+                    continue;
+                };
                 made.fetch_add(1, Ordering::SeqCst);
                 let _ = socket.readable().await;
             }
         };
-        let crowd = Self((0..size).map(|_| tokio::spawn(idle(made.clone()))).collect());
+        let crowd = Self(
+            (0..size)
+                .map(|_| tokio::spawn(idle(made.clone())))
+                .collect(),
+        );
         let all = async {
             while made.load(Ordering::SeqCst) < size {
                 tokio::time::sleep(Duration::from_millis(10)).await;
@@ -68,21 +77,39 @@
 /// back, a host that drains is heard of, and what is asked then goes elsewhere.
 #[tokio::test]
 async fn idle_clients_fill_the_descriptors_while_discovery_is_down() {
-    let (cache, origin) = (host(|id, _| served(id, "old")).await, host(|id, _| served(id, "origin")).await);
-    let hosts = [listed("s-1", cache.at, "box", "Ready"), listed("o-1", origin.at, "origin", "Ready")];
+    let (cache, origin) = (
+        host(|id, _| served(id, "old")).await,
+        host(|id, _| served(id, "origin")).await,
+    );
+    let hosts = [
+        listed("s-1", cache.at, "box", "Ready"),
+        listed("o-1", origin.at, "origin", "Ready"),
+    ];
     let down = nobody();
-    let dispatcher = Dispatcher::spawn_bounded(Some(96), |at| limited(config(at, down, &hosts), 96)).await;
+    let dispatcher =
+        Dispatcher::spawn_bounded(Some(96), |at| limited(config(at, down, &hosts), 96)).await;
     let crowd = Crowd::gather(dispatcher.at, 300).await;
     assert_eq!(asked_until_answered(dispatcher.at).await.body, b"old");
     let mut next = board().await;
-    std::fs::write(&dispatcher.config, limited(config(dispatcher.at, next.at, &hosts), 96)).unwrap();
+    std::fs::write(
+        &dispatcher.config,
+        limited(config(dispatcher.at, next.at, &hosts), 96),
+    )
+    .unwrap();
     dispatcher.signal("-HUP");
     let (last, say) = next.poll().await;
     assert_eq!(last, 1, "the watch goes on from what is known");
     let other = host(|id, _| served(id, "other")).await;
-    let told =
-        [listed("s-1", cache.at, "box", "Terminating"), listed("s-2", other.at, "box", "Ready")].join(",");
-    say.send(event(2, &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{told}]}}"))).unwrap();
+    let told = [
+        listed("s-1", cache.at, "box", "Terminating"),
+        listed("s-2", other.at, "box", "Ready"),
+    ]
+    .join(",");
+    say.send(event(
+        2,
+        &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{told}]}}"),
+    ))
+    .unwrap();
     drop(say);
     // It asks on from there: the event is taken by then.
     assert_eq!(next.poll().await.0, 2);
@@ -102,7 +129,12 @@
     let mut hosts = Vec::new();
     for n in 0..24 {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        hosts.push(listed(&format!("s-{n}"), listener.local_addr().unwrap(), "box", "Ready"));
+        hosts.push(listed(
+            &format!("s-{n}"),
+            listener.local_addr().unwrap(),
+            "box",
+            "Ready",
+        ));
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
                 tokio::spawn(answer_pulls(socket));
@@ -115,8 +147,13 @@
     let mut client = Client::connect(dispatcher.at).await;
     let mut most = 0;
     for n in 0..200u16 {
-        let row = format!("{:016x}", 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(n) + 1));
-        client.ask(n + 1, "/ops/page", &[("HTTP_X_ROW", &row)], b"").await;
+        let row = format!(
+            "{:016x}",
+            0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(u64::from(n) + 1)
+        );
+        client
+            .ask(n + 1, "/ops/page", &[("HTTP_X_ROW", &row)], b"")
+            .await;
         let answer = client.answer(n + 1).await;
         assert_eq!(answer.status, 200, "request {n}: {answer:?}");
         most = most.max(dispatcher.descriptors());
@@ -149,7 +186,8 @@
     let (board, cache) = (board().await, host(|id, _| served(id, "good")).await);
     let hosts = [listed("s-1", cache.at, "box", "Ready")];
     let board_at = board.at;
-    let mut dispatcher = Dispatcher::spawn_bounded(Some(40), |at| config(at, board_at, &hosts)).await;
+    let mut dispatcher =
+        Dispatcher::spawn_bounded(Some(40), |at| config(at, board_at, &hosts)).await;
     let mut usual = Client::connect(dispatcher.at).await;
     usual.ask(1, "/ops/page", &[], b"").await;
     assert_eq!(usual.answer(1).await.body, b"good");
@@ -161,7 +199,9 @@
     assert!(dispatcher.runs());
     drop(crowd);
     let again = async { while asked_until_answered(dispatcher.at).await.status != 200 {} };
-    timeout(PATIENCE, again).await.expect("as before once the crowd is gone");
+    timeout(PATIENCE, again)
+        .await
+        .expect("as before once the crowd is gone");
 }
 
 /// Clients that ask for much and read nothing: what is held for them stays within the memory that it was told of, and who reads is
@@ -180,7 +220,9 @@
     for _ in 0..12 {
         let mut client = Client::connect(dispatcher.at).await;
         for id in 1..=32 {
-            client.ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"").await;
+            client
+                .ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"")
+                .await;
         }
         silent.push(client);
     }
@@ -193,10 +235,19 @@
             }
         }
     };
-    assert_eq!(timeout(PATIENCE, served).await.expect("served in the end").body, b"good");
+    assert_eq!(
+        timeout(PATIENCE, served)
+            .await
+            .expect("served in the end")
+            .body,
+        b"good"
+    );
     let peak = dispatcher.peak_kb();
     println!("peak {peak} kB, for 154 MB of answers that nobody reads");
-    assert!(peak < 32 * 1024, "{peak} kB of the 32 MB that it was told of");
+    assert!(
+        peak < 32 * 1024,
+        "{peak} kB of the 32 MB that it was told of"
+    );
 }
 
 /// Started again with discovery down, silent or behind, and with a `known` that is old: ready by its own word and serving. The
@@ -206,7 +257,11 @@
     let (silent, behind) = (held().await, board().await);
     let cache = host(|id, _| served(id, "good")).await;
     let hosts = [listed("s-1", cache.at, "box", "Ready")];
-    let boards = [("down", nobody()), ("silent", silent.at), ("behind", behind.at)];
+    let boards = [
+        ("down", nobody()),
+        ("silent", silent.at),
+        ("behind", behind.at),
+    ];
     for (what, board) in boards {
         let mut starting = tokio::task::JoinSet::new();
         for _ in 0..10 {
@@ -225,7 +280,10 @@
             });
         }
         let mut ready = Vec::new();
-        while let Some(one) = timeout(PATIENCE, starting.join_next()).await.expect("ready in time") {
+        while let Some(one) = timeout(PATIENCE, starting.join_next())
+            .await
+            .expect("ready in time")
+        {
             ready.push(one.unwrap().as_millis());
         }
         ready.sort();
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -15,7 +15,10 @@
 async fn waiting_request(fields: &[(&str, &str)]) -> (Late, Dispatcher, Say, Client, Board) {
     let (mut board, cache) = (board().await, late().await);
     let origin = host(|id, _| served(id, "good")).await;
-    let hosts = [listed("s-1", cache.at, "box", "Ready"), listed("o-1", origin.at, "origin", "Ready")];
+    let hosts = [
+        listed("s-1", cache.at, "box", "Ready"),
+        listed("o-1", origin.at, "origin", "Ready"),
+    ];
     let dispatcher = Dispatcher::start_with(board.at, &hosts, &[PATIENT]).await;
     let (_, say) = board.poll().await;
     let mut client = Client::connect(dispatcher.at).await;
@@ -45,7 +48,9 @@
 /// stream ends behind it, and the board is asked again from its number on.
 async fn told(board: &mut Board, say: Say, what: &str, listed_too: &[String]) -> (Host, Say) {
     let other = host(|id, _| served(id, "other")).await;
-    let hosts = [&[listed("s-2", other.at, "box", "Ready")], listed_too].concat().join(",");
+    let hosts = [&[listed("s-2", other.at, "box", "Ready")], listed_too]
+        .concat()
+        .join(",");
     let list = format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{hosts}]}}");
     say.send(event(2, &format!("{what}{list}"))).unwrap();
     drop(say);
@@ -78,8 +83,12 @@
 async fn a_purge_and_the_time_are_those_of_the_first_byte() {
     let row = ("HTTP_X_ROW", "00000000000000aa");
     let patient = ("HTTP_X_TTL_MS", "5000");
-    let (cache, _dispatcher, say, mut client, mut board) = waiting_request(&[TXN, row, patient]).await;
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
+    let (cache, _dispatcher, say, mut client, mut board) =
+        waiting_request(&[TXN, row, patient]).await;
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis();
     let purge = format!("\"flush\":{{\"asset\":\"{}\",\"ms\":{now}}},", row.1);
     let (_other, _say) = told(&mut board, say, &purge, &[]).await;
     let cache = cache.release();
@@ -93,9 +102,15 @@
     };
     let number = |name: &str| -> u64 {
         let found = pull.split([',', ' ']).find_map(|f| f.strip_prefix(name));
-        found.unwrap_or_else(|| panic!("{name} in {pull}")).parse().unwrap()
+        found
+            .unwrap_or_else(|| panic!("{name} in {pull}"))
+            .parse()
+            .unwrap()
     };
-    assert!(number("cap=") < 12_000, "no copy from before the purge: {pull}");
+    assert!(
+        number("cap=") < 12_000,
+        "no copy from before the purge: {pull}"
+    );
     assert!(number("ms=") < 4_900, "less time is left by then: {pull}");
     peer.say(&served(TXN.1, "late")).await;
     assert_eq!(client.answer(1).await.body, b"late");
@@ -109,7 +124,9 @@
     let once = ("deduplicated", "at_most_once");
     let dispatcher = Dispatcher::start_with(board.at, &hosts, &[PATIENT, once]).await;
     let mut client = Client::connect(dispatcher.at).await;
-    client.ask(1, "/ops/submit", &[("HTTP_X_TTL_MS", "400")], b"x").await;
+    client
+        .ask(1, "/ops/submit", &[("HTTP_X_TTL_MS", "400")], b"x")
+        .await;
     let answer = client.answer(1).await;
     assert_eq!(answer.status, 503, "{answer:?}");
     let heard = heard_by(origin, dispatcher, vec![client]).await;
@@ -156,15 +173,25 @@
     let (pull, mut blocked) = cache.pull(&mut others).await;
     blocked
         .say(
-            format!("{} served rev=77aa,since=1764576000123,res=mem 200000\r\nand then", id_of(&pull))
-                .as_bytes(),
+            format!(
+                "{} served rev=77aa,since=1764576000123,res=mem 200000\r\nand then",
+                id_of(&pull)
+            )
+            .as_bytes(),
         )
         .await;
     // In the dispatcher's buffers before the abort is.
     client.abort(1).await;
     // The blocked connection is the one with nothing under way: all at once, each must be heard elsewhere.
     for id in 1..=6 {
-        client.ask(id, "/ops/page", &[("HTTP_X_ROW", &format!("{id:016x}"))], b"").await;
+        client
+            .ask(
+                id,
+                "/ops/page",
+                &[("HTTP_X_ROW", &format!("{id:016x}"))],
+                b"",
+            )
+            .await;
     }
     for _ in 1..=6 {
         let (pull, mut peer) = cache.pull(&mut others).await;
@@ -193,7 +220,14 @@
     assert_eq!(client.answer(1).await.body, b"first");
     let from = first.socket.get_ref().peer_addr().unwrap();
     others.push(first);
-    client.ask(2, "/ops/page", &[TXN, ("HTTP_X_ROW", "00000000000000bb")], b"").await;
+    client
+        .ask(
+            2,
+            "/ops/page",
+            &[TXN, ("HTTP_X_ROW", "00000000000000bb")],
+            b"",
+        )
+        .await;
     let (_, mut peer) = cache.pull(&mut others).await;
     if peer.socket.get_ref().peer_addr().unwrap() == from {
         peer.say(&served(TXN.1, "first")).await;
@@ -213,11 +247,16 @@
     let hosts = [listed("s-1", cache.at, "box", "Ready")];
     let dispatcher = Dispatcher::start(board.at, &hosts).await;
     let mut client = Client::connect(dispatcher.at).await;
-    client.ask(1, "/ops/page", &[("HTTP_X_GOT", "4be0c1927d55a6f3")], b"").await;
+    client
+        .ask(1, "/ops/page", &[("HTTP_X_GOT", "4be0c1927d55a6f3")], b"")
+        .await;
     client.ask(2, "/ops/page", &[], b"").await;
     for id in 1..=2 {
         let answer = client.answer(id).await;
-        assert!(answer.status != 200 && !answer.head.contains("X-Ok304"), "{answer:?}");
+        assert!(
+            answer.status != 200 && !answer.head.contains("X-Ok304"),
+            "{answer:?}"
+        );
     }
 }
 
@@ -310,9 +349,15 @@
     let hosts = [listed("s-1", cache.at, "box", "Ready")];
     let dispatcher = Dispatcher::start(slow.at, &hosts).await;
     let other = host(|id, _| served(id, "other")).await;
-    let change =
-        [listed("s-1", cache.at, "box", "Terminating"), listed("s-2", other.at, "box", "Ready")].join(",");
-    let change = event(2, &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{change}]}}"));
+    let change = [
+        listed("s-1", cache.at, "box", "Terminating"),
+        listed("s-2", other.at, "box", "Ready"),
+    ]
+    .join(",");
+    let change = event(
+        2,
+        &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{change}]}}"),
+    );
     // Each answer tells it, whether it is still wanted or not; once it is taken the board is asked from its number on.
     let heard = async {
         loop {
@@ -323,7 +368,9 @@
             let _ = say.send(change.clone());
         }
     };
-    tokio::time::timeout(PATIENCE, heard).await.expect("heard in the end");
+    tokio::time::timeout(PATIENCE, heard)
+        .await
+        .expect("heard in the end");
     let mut client = Client::connect(dispatcher.at).await;
     client.ask(1, "/ops/page", &[], b"").await;
     assert_eq!(client.answer(1).await.body, b"other");
@@ -356,7 +403,12 @@
     let (pull, peer) = cache.pull(&mut others).await;
     others.push(peer);
     let mut half = BytesMut::new();
-    record(&mut half, BEGIN_REQUEST, 2, &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0]);
+    record(
+        &mut half,
+        BEGIN_REQUEST,
+        2,
+        &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0],
+    );
     client.write.write_all(&half).await.unwrap();
     // Meanwhile the host gives its signs of life.
     let cut = tokio::select! {
@@ -387,10 +439,16 @@
     let txns: Vec<String> = (1..=33).map(|n| format!("9b1f03aa000000{n:02x}")).collect();
     let row = ("HTTP_X_ROW", "aaaaaaaaaaaaaaaa");
     for (n, txn) in txns.iter().enumerate() {
-        client.ask(n as u16 + 1, "/ops/page", &[("HTTP_X_TXN", txn), row], b"").await;
+        client
+            .ask(n as u16 + 1, "/ops/page", &[("HTTP_X_TXN", txn), row], b"")
+            .await;
     }
     let more = client.answer(33).await;
-    assert_eq!((more.status, more.body.len()), (0, 0), "overloaded, by the protocol's own word");
+    assert_eq!(
+        (more.status, more.body.len()),
+        (0, 0),
+        "overloaded, by the protocol's own word"
+    );
     let (pull, _) = cache.next("PULL").await;
     match leaves {
         "half-close" => client.write.shutdown().await.unwrap(),
@@ -409,7 +467,11 @@
 /// A second new board is named before the first new one has spoken: the old one is read on until the last one speaks.
 #[tokio::test]
 async fn the_old_board_is_read_until_the_last_named_one_speaks() {
-    let (mut first, silent, cache) = (board().await, held().await, host(|id, _| served(id, "good")).await);
+    let (mut first, silent, cache) = (
+        board().await,
+        held().await,
+        host(|id, _| served(id, "good")).await,
+    );
     let hosts = [listed("s-1", cache.at, "box", "Ready")];
     let dispatcher = Dispatcher::start(first.at, &hosts).await;
     let (_, say) = first.poll().await;
@@ -420,7 +482,11 @@
     let mut last = board().await;
     std::fs::write(&dispatcher.config, config(dispatcher.at, last.at, &hosts)).unwrap();
     dispatcher.signal("-HUP");
-    assert_eq!(last.poll().await.0, 2, "what the old one told meanwhile is known");
+    assert_eq!(
+        last.poll().await.0,
+        2,
+        "what the old one told meanwhile is known"
+    );
     drop(asked);
 }
 
@@ -434,7 +500,9 @@
     for _ in 0..8 {
         let mut client = Client::connect(dispatcher.at).await;
         for id in 1..=32 {
-            client.ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"").await;
+            client
+                .ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"")
+                .await;
         }
     }
     let mut usual = Client::connect(dispatcher.at).await;
@@ -454,7 +522,9 @@
             }
         }
     };
-    tokio::time::timeout(PATIENCE, quiet).await.expect("all that began is given up");
+    tokio::time::timeout(PATIENCE, quiet)
+        .await
+        .expect("all that began is given up");
 }
 
 /// Ten new configurations in a row, each with another board, one of them half written and one dead, and SIGTERM among them: the
@@ -484,7 +554,11 @@
     let mut last = boards.pop().unwrap();
     let (known, say) = last.poll().await;
     assert_eq!(known, 1);
-    say.send(event(2, "\"flush\":{\"asset\":\"00000000000000aa\",\"ms\":1}")).unwrap();
+    say.send(event(
+        2,
+        "\"flush\":{\"asset\":\"00000000000000aa\",\"ms\":1}",
+    ))
+    .unwrap();
     drop(say);
     assert_eq!(last.poll().await.0, 2, "what it tells is taken");
     peer.say(&served(id_of(&pull), "good")).await;
@@ -506,14 +580,27 @@
     let mut others = Vec::new();
     let (_, mut old) = cache.pull(&mut others).await;
     let from = old.socket.get_ref().peer_addr().unwrap();
-    let change =
-        [listed("s-1", cache.at, "box", "Gone"), listed("s-9", cache.at, "box", "Ready")].join(",");
-    say.send(event(2, &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{change}]}}"))).unwrap();
+    let change = [
+        listed("s-1", cache.at, "box", "Gone"),
+        listed("s-9", cache.at, "box", "Ready"),
+    ]
+    .join(",");
+    say.send(event(
+        2,
+        &format!("\"pool\":{{\"seq\":2,\"whole\":false,\"hosts\":[{change}]}}"),
+    ))
+    .unwrap();
     drop(say);
     assert_eq!(board.poll().await.0, 2);
-    client.ask(2, "/ops/page", &[("HTTP_X_ROW", "00000000000000bb")], b"").await;
+    client
+        .ask(2, "/ops/page", &[("HTTP_X_ROW", "00000000000000bb")], b"")
+        .await;
     let (pull, mut new) = cache.pull(&mut others).await;
-    assert_ne!(new.socket.get_ref().peer_addr().unwrap(), from, "its own connection: {pull}");
+    assert_ne!(
+        new.socket.get_ref().peer_addr().unwrap(),
+        from,
+        "its own connection: {pull}"
+    );
     old.say(&served(TXN.1, "old")).await;
     new.say(&served(id_of(&pull), "new")).await;
     assert_eq!(client.answer(1).await.body, b"old");
@@ -524,11 +611,16 @@
 #[tokio::test]
 async fn a_keyed_request_does_not_begin_again_after_its_window() {
     let (board, origin, parent) = (board().await, held().await, late().await);
-    let hosts = [listed("o-1", origin.at, "origin", "Ready"), listed("p-1", parent.at, "parent", "Ready")];
+    let hosts = [
+        listed("o-1", origin.at, "origin", "Ready"),
+        listed("p-1", parent.at, "parent", "Ready"),
+    ];
     let dispatcher = Dispatcher::start_with(board.at, &hosts, &[PATIENT]).await;
     let mut client = Client::connect(dispatcher.at).await;
     let mut others = Vec::new();
-    client.ask(1, "/ops/submit", &[KEY, ("HTTP_X_TTL_MS", "5000")], b"x").await;
+    client
+        .ask(1, "/ops/submit", &[KEY, ("HTTP_X_TTL_MS", "5000")], b"x")
+        .await;
     let (_, first) = origin.pull(&mut others).await;
     let window = tokio::time::sleep(Duration::from_millis(2_000));
     // It goes to the parent next, where no connection comes up.
--- a/crates/cli/tests/platform/faults.rs
+++ b/crates/cli/tests/platform/faults.rs
@@ -49,8 +49,11 @@
         let folder = tempfile::tempdir().unwrap();
         let library = folder.path().join("faults.so");
         let source = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/platform/faults.c");
-        let built =
-            Command::new("cc").args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(source).status();
+        let built = Command::new("cc")
+            .args(["-shared", "-fPIC", "-O1", "-o"])
+            .arg(&library)
+            .arg(source)
+            .status();
         assert!(built.expect("a C compiler").success());
         (library, folder)
     });
@@ -62,17 +65,30 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("control");
         std::fs::write(&path, [0; NUMBERS * 8]).unwrap();
-        let file = std::fs::OpenOptions::new().read(true).write(true).open(&path).unwrap();
-        Self { file, path, _folder: folder }
+        let file = std::fs::OpenOptions::new()
+            .read(true)
+            .write(true)
+            .open(&path)
+            .unwrap();
+        Self {
+            file,
+            path,
+            _folder: folder,
+        }
     }
 
     /// What a process that is to have them is started with.
     pub fn environment(&self) -> [(&'static str, PathBuf); 2] {
-        [("LD_PRELOAD", library().clone()), ("FAULTS_CONTROL", self.path.clone())]
+        [
+            ("LD_PRELOAD", library().clone()),
+            ("FAULTS_CONTROL", self.path.clone()),
+        ]
     }
 
     fn set(&self, place: u64, number: i64) {
-        self.file.write_all_at(&number.to_ne_bytes(), place * 8).unwrap();
+        self.file
+            .write_all_at(&number.to_ne_bytes(), place * 8)
+            .unwrap();
     }
 
     fn get(&self, place: u64) -> i64 {
@@ -109,6 +125,8 @@
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
-        tokio::time::timeout(crate::stage::PATIENCE, spent).await.expect("the calls are made");
+        tokio::time::timeout(crate::stage::PATIENCE, spent)
+            .await
+            .expect("the calls are made");
     }
 }
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -26,8 +26,15 @@
 where
     F: Fn(&str, &str) -> Vec<u8> + Clone + Send + Sync + 'static,
 {
-    let (board, cache, origin) = (board().await, host(script.clone()).await, host(script).await);
-    let hosts = [listed("s-1", cache.at, "box", "Ready"), listed("o-1", origin.at, "origin", "Ready")];
+    let (board, cache, origin) = (
+        board().await,
+        host(script.clone()).await,
+        host(script).await,
+    );
+    let hosts = [
+        listed("s-1", cache.at, "box", "Ready"),
+        listed("o-1", origin.at, "origin", "Ready"),
+    ];
     let dispatcher = Dispatcher::start(board.at, &hosts).await;
     (board, cache, origin, dispatcher)
 }
@@ -47,13 +54,19 @@
     let (last, say) = board.poll().await;
     assert_eq!(last, 0);
     let whole = listed("s-1", cache.at, "box", "Ready");
-    say.send(event(1, &format!("\"pool\":{{\"seq\":1,\"whole\":true,\"hosts\":[{whole}]}}"))).unwrap();
+    say.send(event(
+        1,
+        &format!("\"pool\":{{\"seq\":1,\"whole\":true,\"hosts\":[{whole}]}}"),
+    ))
+    .unwrap();
     let ready = async {
         while dispatcher.alive().await != 200 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, ready).await.expect("it is ready in time");
+    tokio::time::timeout(PATIENCE, ready)
+        .await
+        .expect("it is ready in time");
 }
 
 /// What the platform refuses, as far as it shows from outside while requests are served: other processes, listeners beside the
@@ -77,28 +90,45 @@
     let mut threads = 0;
     for task in std::fs::read_dir(proc.join("task")).unwrap() {
         let id = task.unwrap().file_name().into_string().unwrap();
-        assert_eq!(read(&format!("task/{id}/children")).trim(), "", "it has started another process");
+        assert_eq!(
+            read(&format!("task/{id}/children")).trim(),
+            "",
+            "it has started another process"
+        );
         threads += 1;
     }
     assert_eq!(threads, 1, "one thread does it all");
     let mut inodes = std::collections::BTreeSet::new();
     for fd in std::fs::read_dir(proc.join("fd")).unwrap() {
-        let Ok(link) = std::fs::read_link(fd.unwrap().path()) else { continue };
+        let Ok(link) = std::fs::read_link(fd.unwrap().path()) else {
+            continue;
+        };
         let link = link.to_string_lossy().into_owned();
         assert!(!link.contains("io_uring"), "{link}");
-        inodes.extend(link.strip_prefix("socket:[").map(|l| l.trim_end_matches(']').to_owned()));
+        inodes.extend(
+            link.strip_prefix("socket:[")
+                .map(|l| l.trim_end_matches(']').to_owned()),
+        );
     }
     // Columns of proc_pid_net(5): of tcp, 4th the state (0A listens), 10th the inode; of unix, 7th the inode, 8th a name.
     let rows = |what: &str, inode: usize| -> Vec<Vec<String>> {
         let text = read(what);
-        let fields = text.lines().skip(1).map(|l| l.split_whitespace().map(str::to_owned).collect());
-        fields.filter(|f: &Vec<String>| f.get(inode).is_some_and(|i| inodes.contains(i))).collect()
+        let fields = text
+            .lines()
+            .skip(1)
+            .map(|l| l.split_whitespace().map(str::to_owned).collect());
+        fields
+            .filter(|f: &Vec<String>| f.get(inode).is_some_and(|i| inodes.contains(i)))
+            .collect()
     };
     let tcp = rows("net/tcp", 9);
     let listening = tcp.iter().filter(|f| f[3] == "0A").count();
     assert!(listening == 1 && tcp.len() >= 4, "{tcp:?}");
     assert!(rows("net/tcp6", 9).is_empty() && rows("net/udp6", 9).is_empty());
-    assert!(rows("net/unix", 6).iter().all(|f| f.len() < 8), "a Unix socket has a name");
+    assert!(
+        rows("net/unix", 6).iter().all(|f| f.len() < 8),
+        "a Unix socket has a name"
+    );
 }
 
 #[tokio::test]
@@ -113,26 +143,45 @@
     let (_board, mut cache, mut origin, dispatcher) = small(script).await;
     let mut client = Client::connect(dispatcher.at).await;
 
-    client.ask(1, "/ops/page", &[("HTTP_X_TXN", "9b1f03aa5c7e2d41")], b"").await;
+    client
+        .ask(1, "/ops/page", &[("HTTP_X_TXN", "9b1f03aa5c7e2d41")], b"")
+        .await;
     let answer = client.answer(1).await;
     assert_eq!((answer.status, answer.body.len()), (200, 200_000));
     let (pull, _) = cache.next("PULL").await;
-    assert!(pull.starts_with("PULL 9b1f03aa5c7e2d41 kind=page,obj=7f3a9c21e0b4d655,seg=3,ms="), "{pull}");
-    assert!(pull.contains(",up=o-1,store=1,cap=12000,do=revalidate 0"), "{pull}");
+    assert!(
+        pull.starts_with("PULL 9b1f03aa5c7e2d41 kind=page,obj=7f3a9c21e0b4d655,seg=3,ms="),
+        "{pull}"
+    );
+    assert!(
+        pull.contains(",up=o-1,store=1,cap=12000,do=revalidate 0"),
+        "{pull}"
+    );
 
-    client.ask(2, "/ops/page", &[("HTTP_X_GOT", "4be0c1927d55a6f3")], b"").await;
+    client
+        .ask(2, "/ops/page", &[("HTTP_X_GOT", "4be0c1927d55a6f3")], b"")
+        .await;
     let same = client.answer(2).await;
-    assert!(same.status == 200 && same.body.is_empty() && same.head.contains("X-Ok304: 1"), "{same:?}");
+    assert!(
+        same.status == 200 && same.body.is_empty() && same.head.contains("X-Ok304: 1"),
+        "{same:?}"
+    );
 
     // A write runs at the origin, with its key and body as they came.
     let write = [("HTTP_X_TXN_KEY", KEY), ("CONTENT_LENGTH", "5")];
     client.ask(3, "/ops/submit", &write, b"a\r\nb\0").await;
     assert_eq!(client.answer(3).await.status, 200);
     let (pull, body) = origin.next("PULL").await;
-    assert!(pull.contains(&format!(",token={KEY} 5")) && body == b"a\r\nb\0", "{pull}");
+    assert!(
+        pull.contains(&format!(",token={KEY} 5")) && body == b"a\r\nb\0",
+        "{pull}"
+    );
 
     // Given up: the cache host is told, and the number is free again.
-    let never = [("HTTP_X_ROW", "aaaaaaaaaaaaaaaa"), ("HTTP_X_TXN", "9b1f03aa5c7e2d42")];
+    let never = [
+        ("HTTP_X_ROW", "aaaaaaaaaaaaaaaa"),
+        ("HTTP_X_TXN", "9b1f03aa5c7e2d42"),
+    ];
     client.ask(4, "/ops/page", &never, b"").await;
     cache.next("PULL 9b1f03aa5c7e2d42").await;
     let mut abort = BytesMut::new();
@@ -152,7 +201,10 @@
     let mut client = Client::connect(dispatcher.at).await;
     client.ask(1, "/ops/page", &[], b"").await;
     let refused = client.answer(1).await;
-    assert!(refused.status == 503 && refused.head.contains("X-Throttle-Ms: "), "{refused:?}");
+    assert!(
+        refused.status == 503 && refused.head.contains("X-Throttle-Ms: "),
+        "{refused:?}"
+    );
 }
 
 /// Spoilt answers end their connection, are never served, and another attempt is made; what only brings more than belongs
@@ -164,7 +216,12 @@
         let good = served(id, "good");
         if fields.contains("obj=bbbbbbbbbbbbbbbb") {
             // An unknown id ahead, and a second copy.
-            return [served("ffffffffffffffff", "other"), good.clone(), served(id, "copy")].concat();
+            return [
+                served("ffffffffffffffff", "other"),
+                good.clone(),
+                served(id, "copy"),
+            ]
+            .concat();
         }
         match count.fetch_add(1, Ordering::SeqCst) % 6 {
             0 => b"\xff\x00\x81 noise\r\n".to_vec(),
@@ -174,7 +231,11 @@
             _ => good,
         }
     };
-    let (board, a, b) = (board().await, host(script.clone()).await, host(script.clone()).await);
+    let (board, a, b) = (
+        board().await,
+        host(script.clone()).await,
+        host(script.clone()).await,
+    );
     let origin = host(script).await;
     let hosts = [
         listed("s-1", a.at, "box", "Ready"),
@@ -186,14 +247,18 @@
     let mut good = 0;
     for n in 1..=30 {
         let row = format!("{n:016x}");
-        client.ask(n, "/ops/page", &[("HTTP_X_ROW", &row)], b"").await;
+        client
+            .ask(n, "/ops/page", &[("HTTP_X_ROW", &row)], b"")
+            .await;
         let answer = client.answer(n).await;
         assert!(answer.status == 503 || answer.body == b"good", "{answer:?}");
         good += (answer.status == 200) as usize;
     }
     assert!(good >= 10, "{good} of 30 were served");
     for n in 1..=10 {
-        client.ask(n, "/ops/page", &[("HTTP_X_ROW", "bbbbbbbbbbbbbbbb")], b"").await;
+        client
+            .ask(n, "/ops/page", &[("HTTP_X_ROW", "bbbbbbbbbbbbbbbb")], b"")
+            .await;
         assert_eq!(client.answer(n).await.body, b"good");
     }
 }
@@ -205,7 +270,12 @@
     let mut usual = Client::connect(dispatcher.at).await;
     let begin = |id| {
         let mut out = BytesMut::new();
-        record(&mut out, BEGIN_REQUEST, id, &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0]);
+        record(
+            &mut out,
+            BEGIN_REQUEST,
+            id,
+            &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0],
+        );
         out
     };
     let with = |fields: &[(&str, &str)]| request(1, "/ops/page", fields, b"");
@@ -244,13 +314,21 @@
         usual.ask(1, "/ops/page", &[], b"").await;
         assert_eq!(usual.answer(1).await.body, b"good", "case {n}");
         cache.next("PULL").await;
-        assert!(cache.heard.try_recv().is_err(), "case {n}: something else went out");
+        assert!(
+            cache.heard.try_recv().is_err(),
+            "case {n}: something else went out"
+        );
     }
     // The id of an open request, with another object: the first one goes on.
     let id = ("HTTP_X_TXN", "9b1f03aa5c7e2dff");
     let both = [
         request(1, "/ops/page", &[id], b""),
-        request(2, "/ops/page", &[id, ("HTTP_X_ROW", "cccccccccccccccc")], b""),
+        request(
+            2,
+            "/ops/page",
+            &[id, ("HTTP_X_ROW", "cccccccccccccccc")],
+            b"",
+        ),
     ];
     usual.write.write_all(&both.concat()).await.unwrap();
     assert_eq!(usual.answer(2).await.status, 400);
@@ -293,7 +371,9 @@
     for _ in 0..8 {
         let mut client = Client::connect(dispatcher.at).await;
         for id in 1..=32 {
-            client.ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"").await;
+            client
+                .ask(id, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"")
+                .await;
         }
         clients.push(client);
     }
@@ -380,15 +460,24 @@
     let mut idle = Client::connect(dispatcher.at).await;
     idle.ask(1, "/ops/page", &[], b"").await;
     assert_eq!(idle.answer(1).await.status, 200);
-    client.ask(1, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"").await;
+    client
+        .ask(1, "/ops/page", &[("HTTP_X_ROW", "aaaaaaaaaaaaaaaa")], b"")
+        .await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     dispatcher.signal("-TERM");
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut late = Client::connect(dispatcher.at).await;
     late.ask(1, "/ops/page", &[], b"").await;
-    assert_eq!(late.answer(1).await.status, 200, "new ones still come for a moment");
+    assert_eq!(
+        late.answer(1).await.status,
+        200,
+        "new ones still come for a moment"
+    );
     assert_eq!(client.answer(1).await.status, 200);
-    assert!(idle.end(2).await.is_none(), "closed without a word when nothing is open");
+    assert!(
+        idle.end(2).await.is_none(),
+        "closed without a word when nothing is open"
+    );
     assert_eq!(dispatcher.exit().await, 0);
 }
 
@@ -408,7 +497,10 @@
             .unwrap();
         assert!(!out.status.success());
         let text = String::from_utf8(out.stderr).unwrap();
-        assert!(text.contains("config.json") && !text.contains("panicked"), "{text}");
+        assert!(
+            text.contains("config.json") && !text.contains("panicked"),
+            "{text}"
+        );
         text
     };
     complaint(None);
@@ -416,5 +508,8 @@
     let at = ([127, 0, 0, 1], 1).into();
     let good = config(at, at, &[]);
     assert!(complaint(Some(&good.replace("\"Zone\":1", "\"Zone\":9"))).contains("settings.Zone"));
-    assert!(complaint(Some(&good.replace("127.0.0.1:1\",\"seed", "nowhere\",\"seed"))).contains("listen"));
+    assert!(complaint(Some(
+        &good.replace("127.0.0.1:1\",\"seed", "nowhere\",\"seed")
+    ))
+    .contains("listen"));
 }
--- a/crates/cli/tests/platform/shutdown.rs
+++ b/crates/cli/tests/platform/shutdown.rs
@@ -41,7 +41,11 @@
 impl Asking {
     async fn ask(&self, client: &mut Client, id: u16) -> bool {
         let fields = [("HTTP_X_TTL_MS", self.ttl_ms.as_str()), KEY];
-        let body: &[u8] = if self.class == "/ops/submit" { b"x" } else { b"" };
+        let body: &[u8] = if self.class == "/ops/submit" {
+            b"x"
+        } else {
+            b""
+        };
         let bytes = request(id, self.class, &fields, body);
         client.write.write_all(&bytes).await.is_ok()
     }
@@ -55,7 +59,9 @@
 
     async fn run(mut self) -> Tally {
         loop {
-            let Ok(socket) = tokio::net::TcpStream::connect(self.at).await else { return self.tally };
+            let Ok(socket) = tokio::net::TcpStream::connect(self.at).await else {
+                return self.tally;
+            };
             let open = self.one_connection(Client::new(socket)).await;
             let killed = self.killed.is_cancelled();
             for asked in open {
@@ -67,7 +73,10 @@
                     self.again(asked).await;
                 }
             }
-            let late = self.term.borrow().is_some_and(|term| term.elapsed() > NEW_CONNECTIONS);
+            let late = self
+                .term
+                .borrow()
+                .is_some_and(|term| term.elapsed() > NEW_CONNECTIONS);
             if killed || late {
                 return self.tally;
             }
@@ -103,7 +112,9 @@
 
     async fn again(&mut self, asked: Instant) {
         self.tally.crossed += 1;
-        let Ok(socket) = tokio::net::TcpStream::connect(self.at).await else { return };
+        let Ok(socket) = tokio::net::TcpStream::connect(self.at).await else {
+            return;
+        };
         let mut client = Client::new(socket);
         if !self.ask(&mut client, 1).await {
             return;
@@ -124,9 +135,15 @@
 async fn ended_and_killed(deadline_ms: u64, effect: &str) -> Tally {
     let silent = |_: &str, _: &str| Vec::new();
     let (board, cache, origin) = (board().await, host(silent).await, host(silent).await);
-    let hosts = [listed("s-1", cache.at, "box", "Ready"), listed("o-1", origin.at, "origin", "Ready")];
+    let hosts = [
+        listed("s-1", cache.at, "box", "Ready"),
+        listed("o-1", origin.at, "origin", "Ready"),
+    ];
     let deadline = format!("\"DeadlineMs\":{deadline_ms}.0");
-    let changes = [("\"DeadlineMs\":5000.0", deadline.as_str()), ("\"deduplicated\"", effect)];
+    let changes = [
+        ("\"DeadlineMs\":5000.0", deadline.as_str()),
+        ("\"deduplicated\"", effect),
+    ];
     let mut dispatcher = Dispatcher::start_with(board.at, &hosts, &changes).await;
     let (term, is_term) = tokio::sync::watch::channel(None);
     let kill = CancellationToken::new();
@@ -134,7 +151,17 @@
     for class in ["/ops/page", "/ops/submit"].into_iter().cycle().take(6) {
         let (at, ttl_ms) = (dispatcher.at, deadline_ms.to_string());
         let (term, killed) = (is_term.clone(), kill.clone());
-        clients.spawn(Asking { at, class, ttl_ms, term, killed, tally: Tally::default() }.run());
+        clients.spawn(
+            Asking {
+                at,
+                class,
+                ttl_ms,
+                term,
+                killed,
+                tally: Tally::default(),
+            }
+            .run(),
+        );
     }
     tokio::time::sleep(Duration::from_millis(200)).await;
     dispatcher.signal("-TERM");
@@ -162,7 +189,13 @@
     let mut runs = JoinSet::new();
     for deadline_ms in [50, 100, 250, 400, 600, 1_000, 3_000, 5_000] {
         for effect in ["\"deduplicated\"", "\"at_most_once\""] {
-            runs.spawn(async move { (deadline_ms, effect, ended_and_killed(deadline_ms, effect).await) });
+            runs.spawn(async move {
+                (
+                    deadline_ms,
+                    effect,
+                    ended_and_killed(deadline_ms, effect).await,
+                )
+            });
         }
     }
     let mut lost = Vec::new();
@@ -173,7 +206,16 @@
             tally.answered, tally.crossed
         );
         assert!(tally.answered > 50, "clients were there");
-        lost.extend(tally.lost.into_iter().map(|(after, why)| (deadline_ms, effect, after, why)));
+        lost.extend(
+            tally
+                .lost
+                .into_iter()
+                .map(|(after, why)| (deadline_ms, effect, after, why)),
+        );
     }
-    assert!(lost.is_empty(), "{} lost, by deadline, effect and time after SIGTERM: {lost:?}", lost.len());
+    assert!(
+        lost.is_empty(),
+        "{} lost, by deadline, effect and time after SIGTERM: {lost:?}",
+        lost.len()
+    );
 }
--- a/crates/cli/tests/platform/soak/books.rs
+++ b/crates/cli/tests/platform/soak/books.rs
@@ -88,7 +88,9 @@
 
 impl Books {
     pub fn lock(&self) -> MutexGuard<'_, Book> {
-        self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// A new attempt; its number.
@@ -99,13 +101,17 @@
     }
 
     pub fn over(&self, pull: usize, over: Over) {
-        self.lock().pulls[pull].over.get_or_insert((Instant::now(), over));
+        self.lock().pulls[pull]
+            .over
+            .get_or_insert((Instant::now(), over));
     }
 
     /// A request's end, unless it had one. Answers are counted whatever came before.
     pub fn ended(&self, txn: &str, end: End) {
         let mut book = self.lock();
-        let Some(asked) = book.asked.get_mut(txn) else { return };
+        let Some(asked) = book.asked.get_mut(txn) else {
+            return;
+        };
         asked.answers += usize::from(matches!(end, End::Answered(..)));
         if asked.end == End::Open {
             asked.end = end;
--- a/crates/cli/tests/platform/soak/judge.rs
+++ b/crates/cli/tests/platform/soak/judge.rs
@@ -53,13 +53,20 @@
 
 /// All that the books show, by clause and request.
 pub fn judge(plan: &Plan, book: &Book) -> Vec<Violation> {
-    let mut judge = Judge { plan, book, found: Vec::new() };
+    let mut judge = Judge {
+        plan,
+        book,
+        found: Vec::new(),
+    };
     let mut pulls: BTreeMap<&str, Vec<&Pull>> = BTreeMap::new();
     for pull in &book.pulls {
         pulls.entry(&pull.txn).or_default().push(pull);
     }
     for (txn, asked) in &book.asked {
-        let of = pulls.get(txn.as_str()).map(Vec::as_slice).unwrap_or_default();
+        let of = pulls
+            .get(txn.as_str())
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         judge.answer(txn, asked, of);
         judge.attempts(txn, asked, of);
     }
@@ -71,7 +78,11 @@
 
 impl Judge<'_> {
     fn find(&mut self, clause: Clause, txn: &str, why: impl Into<String>) {
-        self.found.push(Violation { clause, txn: txn.to_owned(), why: why.into() });
+        self.found.push(Violation {
+            clause,
+            txn: txn.to_owned(),
+            why: why.into(),
+        });
     }
 
     fn answer(&mut self, txn: &str, asked: &Asked, pulls: &[&Pull]) {
@@ -82,7 +93,11 @@
             End::Answered(at, status) => {
                 let limit = asked.ttl + SLACK + LOST_AFTER;
                 if asked.left.is_none() && at > asked.sent + limit {
-                    self.find(Clause::InTime, txn, format!("answered after {:?}", at - asked.sent));
+                    self.find(
+                        Clause::InTime,
+                        txn,
+                        format!("answered after {:?}", at - asked.sent),
+                    );
                 }
                 self.refusal(txn, asked, status, pulls);
             }
@@ -97,7 +112,11 @@
                             && at + SLACK >= e.killed
                             && at <= e.killed + ms(500)
                     });
-                    let why = if ending { "killed before its answer" } else { "closed without an answer" };
+                    let why = if ending {
+                        "killed before its answer"
+                    } else {
+                        "closed without an answer"
+                    };
                     self.find(Clause::Answered, txn, why);
                 }
             }
@@ -108,16 +127,29 @@
     /// A refusal tells that trying again is harmless.
     fn refusal(&mut self, txn: &str, asked: &Asked, status: u16, pulls: &[&Pull]) {
         let unsafe_class = asked.class == Class::Submit && self.plan.effect == "at_most_once";
-        let may_have_run = pulls.iter().any(|p| !matches!(p.over, Some((_, Over::Refused))));
+        let may_have_run = pulls
+            .iter()
+            .any(|p| !matches!(p.over, Some((_, Over::Refused))));
         if status == 503 && unsafe_class && may_have_run {
-            self.find(Clause::Refusals, txn, "refused, and an attempt may have run");
+            self.find(
+                Clause::Refusals,
+                txn,
+                "refused, and an attempt may have run",
+            );
         }
     }
 
     fn attempts(&mut self, txn: &str, asked: &Asked, pulls: &[&Pull]) {
         for pull in pulls {
-            if asked.left.is_some_and(|left| pull.at > left + AFTER_LEAVING + SLACK) {
-                self.find(Clause::AfterLeaving, txn, "an attempt after its client has left");
+            if asked
+                .left
+                .is_some_and(|left| pull.at > left + AFTER_LEAVING + SLACK)
+            {
+                self.find(
+                    Clause::AfterLeaving,
+                    txn,
+                    "an attempt after its client has left",
+                );
             }
             let left = (asked.sent + asked.ttl).saturating_duration_since(pull.at);
             if ms(pull.ms) > left + MS_SLACK {
@@ -130,11 +162,19 @@
             let (first, second) = (pair[0], pair[1]);
             let over = first.over.map(|(at, _)| at);
             if over.is_none_or(|over| over > second.at + SLACK) {
-                self.find(Clause::OneAttemptAtOnce, txn, "a second attempt while the first was out");
+                self.find(
+                    Clause::OneAttemptAtOnce,
+                    txn,
+                    "a second attempt while the first was out",
+                );
             }
         }
-        let ran = pulls.iter().find(|p| !matches!(p.over, Some((_, Over::Refused))));
-        let Some(ran) = ran.filter(|_| asked.class == Class::Submit) else { return };
+        let ran = pulls
+            .iter()
+            .find(|p| !matches!(p.over, Some((_, Over::Refused))));
+        let Some(ran) = ran.filter(|_| asked.class == Class::Submit) else {
+            return;
+        };
         let window = match self.plan.effect {
             "at_most_once" => Duration::ZERO,
             "deduplicated" => self.plan.key_window + SLACK,
@@ -142,7 +182,11 @@
         };
         for pull in pulls.iter().filter(|p| p.at > ran.at) {
             if window.is_zero() || pull.at > ran.at + window {
-                self.find(Clause::NoEffectTwice, txn, format!("again after {:?}", pull.at - ran.at));
+                self.find(
+                    Clause::NoEffectTwice,
+                    txn,
+                    format!("again after {:?}", pull.at - ran.at),
+                );
             }
         }
     }
@@ -151,7 +195,10 @@
     fn in_force(&self, told: Instant, grace: Duration) -> Instant {
         let trouble = self.book.board_troubles.iter();
         let late = trouble.filter(|(from, to)| *from <= told + SLACK && told <= *to + SLACK);
-        late.map(|(from, _)| *from + TOLD_AT_THE_LATEST).fold(told, Instant::max) + grace + SLACK
+        late.map(|(from, _)| *from + TOLD_AT_THE_LATEST)
+            .fold(told, Instant::max)
+            + grace
+            + SLACK
     }
 
     fn told(&mut self, txn: &str, asked: &Asked, pull: &Pull) {
@@ -160,7 +207,11 @@
                 Told::Drained { host }
                     if *host == pull.host && pull.at > self.in_force(*at, DRAIN_GRACE) =>
                 {
-                    self.find(Clause::Drains, txn, format!("sent to host {host}, which drains"));
+                    self.find(
+                        Clause::Drains,
+                        txn,
+                        format!("sent to host {host}, which drains"),
+                    );
                 }
                 Told::Purged { object, at: purged } if *object == asked.object => {
                     let matters = asked.class == Class::Page && pull.at < *purged + PURGE_DONE;
@@ -188,7 +239,10 @@
             Told::Drained { host } => book.pulls.iter().any(|p| p.txn == txn && p.host == *host),
         });
         lines.extend(told.map(|(when, told)| format!("{} told: {told:?}", at(*when))));
-        let endings = book.endings.iter().filter(|e| e.dispatcher == asked.dispatcher);
+        let endings = book
+            .endings
+            .iter()
+            .filter(|e| e.dispatcher == asked.dispatcher);
         lines.extend(endings.map(|e| format!("{} killed: {e:?}", at(e.killed))));
     }
     let pulls = book.pulls.iter().filter(|p| p.txn == txn);
@@ -206,34 +260,74 @@
         }
     };
     let served: Vec<String> = {
-        let answered = book.asked.iter().filter(|(_, a)| matches!(a.end, End::Answered(_, 200)));
+        let answered = book
+            .asked
+            .iter()
+            .filter(|(_, a)| matches!(a.end, End::Answered(_, 200)));
         let pulled: BTreeSet<&str> = book.pulls.iter().map(|p| p.txn.as_str()).collect();
-        answered.filter(|(txn, _)| pulled.contains(txn.as_str())).map(|(txn, _)| txn.clone()).collect()
+        answered
+            .filter(|(txn, _)| pulled.contains(txn.as_str()))
+            .map(|(txn, _)| txn.clone())
+            .collect()
+    };
+    let page = served
+        .iter()
+        .find(|txn| book.asked[*txn].class == Class::Page)
+        .cloned();
+    let submit = served
+        .iter()
+        .find(|txn| book.asked[*txn].class == Class::Submit)
+        .cloned();
+    let (Some(page), Some(submit)) = (page, submit) else {
+        return planted;
     };
-    let page = served.iter().find(|txn| book.asked[*txn].class == Class::Page).cloned();
-    let submit = served.iter().find(|txn| book.asked[*txn].class == Class::Submit).cloned();
-    let (Some(page), Some(submit)) = (page, submit) else { return planted };
     let asked = |book: &mut Book, txn: &str, change: &dyn Fn(&mut Asked)| {
         book.asked.get_mut(txn).map(change).is_some()
     };
     let again = |book: &mut Book, txn: &str, after: Duration| {
-        let Some(first) = book.pulls.iter().find(|p| p.txn == txn).cloned() else { return false };
+        let Some(first) = book.pulls.iter().find(|p| p.txn == txn).cloned() else {
+            return false;
+        };
         let at = first.at + after;
-        book.pulls.push(Pull { at, ms: 0, over: Some((at, Over::Served)), ..first });
+        book.pulls.push(Pull {
+            at,
+            ms: 0,
+            over: Some((at, Over::Served)),
+            ..first
+        });
         true
     };
-    plant(Clause::Answered, &|b| asked(b, &page, &|a| a.end = End::Open));
     plant(Clause::Answered, &|b| {
-        asked(b, &page, &|a| a.end = End::Closed { at: a.sent + ms(500), new: false })
+        asked(b, &page, &|a| a.end = End::Open)
+    });
+    plant(Clause::Answered, &|b| {
+        asked(b, &page, &|a| {
+            a.end = End::Closed {
+                at: a.sent + ms(500),
+                new: false,
+            }
+        })
+    });
+    plant(Clause::InTime, &|b| {
+        asked(b, &page, &|a| {
+            a.end = End::Answered(a.sent + a.ttl + ms(700), 200)
+        })
     });
-    plant(Clause::InTime, &|b| asked(b, &page, &|a| a.end = End::Answered(a.sent + a.ttl + ms(700), 200)));
     plant(Clause::Once, &|b| asked(b, &page, &|a| a.answers += 1));
-    plant(Clause::AfterLeaving, &|b| asked(b, &page, &|a| a.left = Some(a.sent - ms(300))));
+    plant(Clause::AfterLeaving, &|b| {
+        asked(b, &page, &|a| a.left = Some(a.sent - ms(300)))
+    });
     plant(Clause::TimeLeft, &|b| {
-        b.pulls.iter_mut().find(|p| p.txn == page).map(|p| p.ms += 60_000).is_some()
+        b.pulls
+            .iter_mut()
+            .find(|p| p.txn == page)
+            .map(|p| p.ms += 60_000)
+            .is_some()
     });
     plant(Clause::OneAttemptAtOnce, &|b| {
-        let Some(first) = b.pulls.iter_mut().find(|p| p.txn == page) else { return false };
+        let Some(first) = b.pulls.iter_mut().find(|p| p.txn == page) else {
+            return false;
+        };
         first.over = None;
         again(b, &page, ms(1))
     });
@@ -241,15 +335,21 @@
         plan.effect != "idempotent" && again(b, &submit, plan.key_window + ms(200))
     });
     plant(Clause::Refusals, &|b| {
-        plan.effect == "at_most_once" && asked(b, &submit, &|a| a.end = End::Answered(a.sent + ms(1), 503))
+        plan.effect == "at_most_once"
+            && asked(b, &submit, &|a| a.end = End::Answered(a.sent + ms(1), 503))
     });
     plant(Clause::Drains, &|b| {
-        let Some(pull) = b.pulls.iter().find(|p| p.txn == page).cloned() else { return false };
-        b.told.push((pull.at - ms(9_000), Told::Drained { host: pull.host }));
+        let Some(pull) = b.pulls.iter().find(|p| p.txn == page).cloned() else {
+            return false;
+        };
+        b.told
+            .push((pull.at - ms(9_000), Told::Drained { host: pull.host }));
         true
     });
     plant(Clause::Purges, &|b| {
-        let Some(pull) = b.pulls.iter().find(|p| p.txn == page).cloned() else { return false };
+        let Some(pull) = b.pulls.iter().find(|p| p.txn == page).cloned() else {
+            return false;
+        };
         let (object, at) = (b.asked[&page].object, pull.at - ms(5_000));
         b.told.push((at, Told::Purged { object, at }));
         true
--- a/crates/cli/tests/platform/soak/mod.rs
+++ b/crates/cli/tests/platform/soak/mod.rs
@@ -68,14 +68,28 @@
             hosts.push(CacheHost::start(number, kind, books.clone()).await);
         }
         let lines: Vec<String> = hosts.iter().map(|h| h.line("Ready")).collect();
-        log.put(&format!("\"pool\":{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}", lines.join(",")));
+        log.put(&format!(
+            "\"pool\":{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}",
+            lines.join(",")
+        ));
         let mut places = Vec::new();
         for number in 0..plan.processes {
             let at = free_address().await;
-            places.push(Arc::new(Place { number, at, term: Mutex::default() }));
+            places.push(Arc::new(Place {
+                number,
+                at,
+                term: Mutex::default(),
+            }));
         }
         let over = CancellationToken::new();
-        Arc::new(Self { plan, books, log, hosts: Mutex::new(hosts), places, over })
+        Arc::new(Self {
+            plan,
+            books,
+            log,
+            hosts: Mutex::new(hosts),
+            places,
+            over,
+        })
     }
 
     fn config(&self, place: &Place, board: SocketAddr) -> String {
@@ -86,9 +100,14 @@
         let deadline = format!("\"DeadlineMs\":{}.0", p.deadline.as_millis());
         let window = format!("\"KeyTtlMs\":{}.0", p.key_window.as_millis());
         let effect = format!("\"{}\"", p.effect);
-        let (all, me) = (format!("\"Balancers\":{}", p.processes), format!("\"Me\":{}", place.number));
-        let (here, attempts) =
-            (format!("\"InstancesByZone\":[0,{}]", p.processes), format!("\"MaxAttempts\":{}", p.attempts));
+        let (all, me) = (
+            format!("\"Balancers\":{}", p.processes),
+            format!("\"Me\":{}", place.number),
+        );
+        let (here, attempts) = (
+            format!("\"InstancesByZone\":[0,{}]", p.processes),
+            format!("\"MaxAttempts\":{}", p.attempts),
+        );
         let sockets = format!("\"sockets\":{}", p.sockets);
         changed(
             text,
@@ -127,7 +146,11 @@
                 host.feel(Mood::Good);
             });
         }
-        self.hosts.lock().unwrap().iter().for_each(|host| host.feel(Mood::Good));
+        self.hosts
+            .lock()
+            .unwrap()
+            .iter()
+            .for_each(|host| host.feel(Mood::Good));
     }
 
     /// Objects are purged; cache hosts drain, go and are replaced.
@@ -137,13 +160,19 @@
         while self.pause(between(&mut dice, 100, 400)).await {
             if dice.gen_bool(0.8) {
                 let (object, at) = (dice.gen_range(0..30u64), Instant::now());
-                let flush = format!("\"flush\":{{\"asset\":\"{object:016x}\",\"ms\":{}}}", unix_ms());
+                let flush = format!(
+                    "\"flush\":{{\"asset\":\"{object:016x}\",\"ms\":{}}}",
+                    unix_ms()
+                );
                 // Told a little later than it happened.
                 if !self.pause(between(&mut dice, 0, 200)).await {
                     return;
                 }
                 self.log.put(&flush);
-                self.books.lock().told.push((Instant::now(), Told::Purged { object, at }));
+                self.books
+                    .lock()
+                    .told
+                    .push((Instant::now(), Told::Purged { object, at }));
                 continue;
             }
             let new = CacheHost::start(next, "box", self.books.clone()).await;
@@ -154,8 +183,13 @@
             };
             (next, seq) = (next + 1, seq + 1);
             let lines = [old.line("Terminating"), new.line("Ready")].join(",");
-            self.log.put(&format!("\"pool\":{{\"seq\":{seq},\"whole\":false,\"hosts\":[{lines}]}}"));
-            self.books.lock().told.push((Instant::now(), Told::Drained { host: old.number }));
+            self.log.put(&format!(
+                "\"pool\":{{\"seq\":{seq},\"whole\":false,\"hosts\":[{lines}]}}"
+            ));
+            self.books
+                .lock()
+                .told
+                .push((Instant::now(), Told::Drained { host: old.number }));
         }
     }
 
@@ -163,7 +197,11 @@
     async fn board_troubles(self: Arc<Self>) {
         let mut dice = self.plan.dice(3);
         while self.pause(between(&mut dice, 1_500, 4_000)).await {
-            let state = if dice.gen_bool(0.5) { BoardState::Down } else { BoardState::Silent };
+            let state = if dice.gen_bool(0.5) {
+                BoardState::Down
+            } else {
+                BoardState::Silent
+            };
             let from = Instant::now();
             self.log.set(state);
             self.pause(between(&mut dice, 300, 2_500)).await;
@@ -193,8 +231,9 @@
                             tokio::time::sleep(between(&mut dice, 0, 40)).await;
                         }
                     }
-                    4..6 if self.plan.steps => faults
-                        .step_wall([-3_600.0, -5.0, -1.0, 0.0, 1.0, 5.0, 3_600.0][dice.gen_range(0..7)]),
+                    4..6 if self.plan.steps => faults.step_wall(
+                        [-3_600.0, -5.0, -1.0, 0.0, 1.0, 5.0, 3_600.0][dice.gen_range(0..7)],
+                    ),
                     6 => {
                         dispatcher.signal("-STOP");
                         tokio::time::sleep(between(&mut dice, 20, 250)).await;
@@ -205,7 +244,10 @@
                 }
             }
             if !dispatcher.runs() {
-                self.books.lock().crashes.push(format!("dispatcher {} has ended by itself", place.number));
+                self.books
+                    .lock()
+                    .crashes
+                    .push(format!("dispatcher {} has ended by itself", place.number));
                 return;
             }
             if self.over.is_cancelled() {
@@ -229,10 +271,16 @@
         if dispatcher.runs() {
             dispatcher.signal("-KILL");
         } else if let Some(code) = dispatcher.exit_code().filter(|code| *code != 0) {
-            self.books.lock().crashes.push(format!("dispatcher {} ended with {code}", place.number));
+            self.books
+                .lock()
+                .crashes
+                .push(format!("dispatcher {} ended with {code}", place.number));
         }
         let killed = Instant::now();
-        self.books.lock().endings.push(Ending { dispatcher: place.number, killed });
+        self.books.lock().endings.push(Ending {
+            dispatcher: place.number,
+            killed,
+        });
     }
 
     /// Returns once no request is open, or none can be in time any more.
@@ -248,12 +296,25 @@
 
     /// One client: connects, asks, takes back, leaves, and comes again.
     async fn client(self: Arc<Self>, place: Arc<Place>, number: u64) {
-        let mut dice = self.plan.dice(1_000_000 + 100 * place.number as u64 + number);
+        let mut dice = self
+            .plan
+            .dice(1_000_000 + 100 * place.number as u64 + number);
         loop {
-            let late = place.term.lock().unwrap().is_some_and(|term| term.elapsed() > NEW_CONNECTIONS);
-            let socket = if late { None } else { TcpStream::connect(place.at).await.ok() };
+            let late = place
+                .term
+                .lock()
+                .unwrap()
+                .is_some_and(|term| term.elapsed() > NEW_CONNECTIONS);
+            let socket = if late {
+                None
+            } else {
+                TcpStream::connect(place.at).await.ok()
+            };
             match socket {
-                Some(socket) => self.connection(&place, Client::new(socket), &mut dice).await,
+                Some(socket) => {
+                    self.connection(&place, Client::new(socket), &mut dice)
+                        .await
+                }
                 None => tokio::time::sleep(Duration::from_millis(20)).await,
             }
             if self.over.is_cancelled() {
@@ -349,7 +410,11 @@
         for number in 0..soak.plan.clients_each as u64 {
             others.spawn(soak.clone().client(place.clone(), number));
         }
-        let idle = if soak.plan.crowd { soak.plan.sockets as usize / 2 } else { 0 };
+        let idle = if soak.plan.crowd {
+            soak.plan.sockets as usize / 2
+        } else {
+            0
+        };
         (0..idle).for_each(|_| _ = others.spawn(soak.clone().idle_client(place.clone())));
     }
     others.spawn(soak.clone().moods());
@@ -363,16 +428,30 @@
     others.abort_all();
     while let Some(ended) = others.join_next().await {
         // Stopped, unless it has failed by itself.
-        assert!(!ended.is_err_and(|e| e.is_panic()), "a stand-in or a client has failed");
+        assert!(
+            !ended.is_err_and(|e| e.is_panic()),
+            "a stand-in or a client has failed"
+        );
     }
     let book = soak.books.lock().clone();
     book
 }
 
 fn report(plan: &Plan, book: &Book, violations: &[Violation]) {
-    let start = book.asked.values().map(|a| a.sent).min().unwrap_or_else(Instant::now);
+    let start = book
+        .asked
+        .values()
+        .map(|a| a.sent)
+        .min()
+        .unwrap_or_else(Instant::now);
     for v in violations.iter().take(5) {
-        println!("seed {}: {:?}: {}\n    {}", plan.seed, v.clause, v.why, way(book, &v.txn, start));
+        println!(
+            "seed {}: {:?}: {}\n    {}",
+            plan.seed,
+            v.clause,
+            v.why,
+            way(book, &v.txn, start)
+        );
     }
     if !violations.is_empty() {
         let seconds = plan.lasts.as_secs();
@@ -403,7 +482,11 @@
         let plan = Plan::draw(seed, lasts);
         let book = play(plan.clone()).await;
         let violations = judge(&plan, &book);
-        let answered = book.asked.values().filter(|a| matches!(a.end, End::Answered(_, 200))).count();
+        let answered = book
+            .asked
+            .values()
+            .filter(|a| matches!(a.end, End::Answered(_, 200)))
+            .count();
         println!(
             "{plan:?}: {} requests, {answered} served, {} attempts, {} violations",
             book.asked.len(),
--- a/crates/cli/tests/platform/soak/plan.rs
+++ b/crates/cli/tests/platform/soak/plan.rs
@@ -29,7 +29,10 @@
     pub fn draw(seed: u64, lasts: Duration) -> Self {
         let mut dice = StdRng::seed_from_u64(seed);
         let crowd = dice.gen_bool(0.25);
-        let deadline = one_of(&mut dice, &[50, 120, 250, 400, 600, 1_000, 2_000, 3_000, 5_000]);
+        let deadline = one_of(
+            &mut dice,
+            &[50, 120, 250, 400, 600, 1_000, 2_000, 3_000, 5_000],
+        );
         Self {
             seed,
             processes: one_of(&mut dice, &[3, 3, 4, 5, 8, 12, 30]),
@@ -38,7 +41,11 @@
             effect: one_of(&mut dice, &["idempotent", "deduplicated", "at_most_once"]),
             key_window: Duration::from_millis(one_of(&mut dice, &[500, 1_000, 2_000])),
             attempts: dice.gen_range(2..=8),
-            sockets: if crowd { 96 } else { one_of(&mut dice, &[128, 256, 512]) },
+            sockets: if crowd {
+                96
+            } else {
+                one_of(&mut dice, &[128, 256, 512])
+            },
             crowd,
             steps: dice.gen_bool(0.4),
             lasts,
@@ -46,6 +53,10 @@
     }
 
     pub fn dice(&self, salt: u64) -> StdRng {
-        StdRng::seed_from_u64(self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(salt))
+        StdRng::seed_from_u64(
+            self.seed
+                .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                .wrapping_add(salt),
+        )
     }
 }
--- a/crates/cli/tests/platform/soak/world.rs
+++ b/crates/cli/tests/platform/soak/world.rs
@@ -14,7 +14,10 @@
 use tokio::time::Instant;
 
 pub fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis()
 }
 
 /// How a host behaves just now.
@@ -29,8 +32,14 @@
     Spoils,
 }
 
-pub const MOODS: [Mood; 6] =
-    [Mood::Good, Mood::Hangs, Mood::Refuses, Mood::Fails, Mood::Resets, Mood::Spoils];
+pub const MOODS: [Mood; 6] = [
+    Mood::Good,
+    Mood::Hangs,
+    Mood::Refuses,
+    Mood::Fails,
+    Mood::Resets,
+    Mood::Spoils,
+];
 
 #[derive(Debug)]
 pub struct CacheHost {
@@ -44,7 +53,12 @@
     pub async fn start(number: usize, kind: &'static str, books: Arc<Books>) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let at = listener.local_addr().unwrap();
-        let host = Arc::new(Self { number, kind, at, mood: AtomicU8::new(0) });
+        let host = Arc::new(Self {
+            number,
+            kind,
+            at,
+            mood: AtomicU8::new(0),
+        });
         let own = host.clone();
         tokio::spawn(async move {
             while let Ok((socket, _)) = listener.accept().await {
@@ -94,13 +108,26 @@
                 let field = |name: &str| fields.split(',').find_map(|f| f.strip_prefix(name));
                 let number = |name: &str| field(name).and_then(|v| v.parse().ok()).unwrap_or(0);
                 let (txn, ms, cap) = (id.to_owned(), number("ms="), number("cap="));
-                let pull = books.pulled(Pull { txn, host: host.number, at, ms, cap, over: None });
+                let pull = books.pulled(Pull {
+                    txn,
+                    host: host.number,
+                    at,
+                    ms,
+                    cap,
+                    over: None,
+                });
                 open.lock().unwrap().insert(id.to_owned(), pull);
                 let mood = host.mood();
                 if mood == Mood::Resets {
                     break;
                 }
-                tokio::spawn(answer(mood, id.to_owned(), open.clone(), write.clone(), books.clone()));
+                tokio::spawn(answer(
+                    mood,
+                    id.to_owned(),
+                    open.clone(),
+                    write.clone(),
+                    books.clone(),
+                ));
             }
             ["KILL", id] => {
                 if let Some(pull) = open.lock().unwrap().remove(id) {
@@ -116,7 +143,8 @@
     }
     // What was open ends with the connection.
     let left: Vec<usize> = open.lock().unwrap().drain().map(|(_, pull)| pull).collect();
-    left.into_iter().for_each(|pull| books.over(pull, Over::MayHaveRun));
+    left.into_iter()
+        .for_each(|pull| books.over(pull, Over::MayHaveRun));
 }
 
 async fn answer(
@@ -129,16 +157,31 @@
     let (bytes, over) = match mood {
         Mood::Hangs | Mood::Resets => return,
         Mood::Good => (crate::stage::served(&id, "good"), Over::Served),
-        Mood::Refuses => (format!("{id} overload res=crowded 0\r\n\r\n").into_bytes(), Over::Refused),
-        Mood::Fails => (format!("{id} crashed res=mem 0\r\n\r\n").into_bytes(), Over::MayHaveRun),
+        Mood::Refuses => (
+            format!("{id} overload res=crowded 0\r\n\r\n").into_bytes(),
+            Over::Refused,
+        ),
+        Mood::Fails => (
+            format!("{id} crashed res=mem 0\r\n\r\n").into_bytes(),
+            Over::MayHaveRun,
+        ),
         Mood::Spoils => (b"\xff\x00 no answer at all\r\n".to_vec(), Over::MayHaveRun),
     };
     // A little work, of the id's own length.
     tokio::time::sleep(Duration::from_millis(u64::from(id.as_bytes()[15] % 8))).await;
-    let Some(pull) = open.lock().unwrap().remove(&id) else { return };
+    let Some(pull) = open.lock().unwrap().remove(&id) else {
+        return;
+    };
     let mut write = write.lock().await;
     let written = write.write_all(&bytes).await;
-    books.over(pull, if written.is_ok() { over } else { Over::MayHaveRun });
+    books.over(
+        pull,
+        if written.is_ok() {
+            over
+        } else {
+            Over::MayHaveRun
+        },
+    );
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -166,7 +209,12 @@
         }
         let addresses = listeners.iter().map(|l| l.local_addr().unwrap()).collect();
         let (told, state) = (watch::channel(0).0, watch::channel(BoardState::Up).0);
-        let log = Arc::new(Self { events: Mutex::default(), told, state, addresses });
+        let log = Arc::new(Self {
+            events: Mutex::default(),
+            told,
+            state,
+            addresses,
+        });
         for listener in listeners {
             let log = log.clone();
             tokio::spawn(async move {
@@ -192,13 +240,19 @@
     /// All that was told, as a configuration knows it.
     pub fn known(&self) -> String {
         let events = self.events.lock().unwrap();
-        format!("{{\"rev\":{},\"notices\":[{}]}}", events.len(), events.join(","))
+        format!(
+            "{{\"rev\":{},\"notices\":[{}]}}",
+            events.len(),
+            events.join(",")
+        )
     }
 
     async fn tell(self: Arc<Self>, mut socket: TcpStream) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
-            let Ok(byte) = socket.read_u8().await else { return };
+            let Ok(byte) = socket.read_u8().await else {
+                return;
+            };
             head.push(byte);
         }
         let head = String::from_utf8_lossy(&head).to_lowercase();
@@ -218,7 +272,11 @@
                     last += 1;
                     text += &format!("id: {last}\ndata: {event}\n\n");
                 }
-                if socket.write_all(std::mem::take(&mut text).as_bytes()).await.is_err() {
+                if socket
+                    .write_all(std::mem::take(&mut text).as_bytes())
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -239,13 +297,28 @@
     id: u16,
     deadline: Duration,
 ) -> (String, bytes::BytesMut) {
-    let class = if dice.gen_bool(0.3) { Class::Submit } else { Class::Page };
+    let class = if dice.gen_bool(0.3) {
+        Class::Submit
+    } else {
+        Class::Page
+    };
     let object = dice.gen_range(0..30u64) + if class == Class::Submit { 1_000 } else { 0 };
     let most = deadline.as_millis() as u64;
-    let ttl_ms = if dice.gen_bool(0.05) { dice.gen_range(1..=20) } else { dice.gen_range(most / 2..=most) };
+    let ttl_ms = if dice.gen_bool(0.05) {
+        dice.gen_range(1..=20)
+    } else {
+        dice.gen_range(most / 2..=most)
+    };
     let (txn, ttl) = (format!("{:016x}", dice.gen::<u64>()), ttl_ms.to_string());
-    let (row, key) = (format!("{object:016x}"), format!("{:032x}", dice.gen::<u128>()));
-    let mut fields = vec![("HTTP_X_TXN", txn.as_str()), ("HTTP_X_ROW", &row), ("HTTP_X_TTL_MS", &ttl)];
+    let (row, key) = (
+        format!("{object:016x}"),
+        format!("{:032x}", dice.gen::<u128>()),
+    );
+    let mut fields = vec![
+        ("HTTP_X_TXN", txn.as_str()),
+        ("HTTP_X_ROW", &row),
+        ("HTTP_X_TTL_MS", &ttl),
+    ];
     let (script, body): (_, &[u8]) = match class {
         Class::Page => ("/ops/page", b""),
         Class::Submit => {
@@ -255,7 +328,16 @@
     };
     let bytes = request(id, script, &fields, body);
     let (sent, ttl) = (Instant::now(), Duration::from_millis(ttl_ms));
-    let asked = Asked { dispatcher, class, object, sent, ttl, end: End::Open, left: None, answers: 0 };
+    let asked = Asked {
+        dispatcher,
+        class,
+        object,
+        sent,
+        ttl,
+        end: End::Open,
+        left: None,
+        answers: 0,
+    };
     books.lock().asked.insert(txn.clone(), asked);
     (txn, bytes)
 }
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -20,7 +20,9 @@
 /// A loopback address that nobody else in this run uses.
 pub fn own_ip() -> std::net::IpAddr {
     static NEXT: std::sync::atomic::AtomicU16 = std::sync::atomic::AtomicU16::new(1);
-    let [high, low] = NEXT.fetch_add(1, std::sync::atomic::Ordering::SeqCst).to_be_bytes();
+    let [high, low] = NEXT
+        .fetch_add(1, std::sync::atomic::Ordering::SeqCst)
+        .to_be_bytes();
     std::net::Ipv4Addr::new(127, 32 + (std::process::id() % 64) as u8, high, low).into()
 }
 
@@ -59,7 +61,9 @@
                             body.truncate(body.len() - 2);
                             (script(id, fields), body)
                         }
-                        ["ECHO", tag] => (format!("{tag} green - 0\r\n\r\n").into_bytes(), Vec::new()),
+                        ["ECHO", tag] => {
+                            (format!("{tag} green - 0\r\n\r\n").into_bytes(), Vec::new())
+                        }
                         _ => Default::default(),
                     };
                     let _ = tell.send((text, body));
@@ -77,7 +81,10 @@
     /// The next line that begins so.
     pub async fn next(&mut self, word: &str) -> Heard {
         loop {
-            let heard = timeout(PATIENCE, self.heard.recv()).await.expect("a line in time").unwrap();
+            let heard = timeout(PATIENCE, self.heard.recv())
+                .await
+                .expect("a line in time")
+                .unwrap();
             if heard.0.starts_with(word) {
                 return heard;
             }
@@ -99,8 +106,13 @@
 
 impl Held {
     pub async fn accept(&self) -> Peer {
-        let (socket, _) = timeout(PATIENCE, self.listener.accept()).await.expect("it connects").unwrap();
-        Peer { socket: BufReader::new(socket) }
+        let (socket, _) = timeout(PATIENCE, self.listener.accept())
+            .await
+            .expect("it connects")
+            .unwrap();
+        Peer {
+            socket: BufReader::new(socket),
+        }
     }
 
     /// The next PULL on any connection, with the connection.
@@ -157,7 +169,10 @@
 
     async fn body(&mut self, pull: &str) {
         let length: usize = pull.rsplit(' ').next().unwrap().parse().unwrap();
-        self.socket.read_exact(&mut vec![0; length + 2]).await.unwrap();
+        self.socket
+            .read_exact(&mut vec![0; length + 2])
+            .await
+            .unwrap();
     }
 
     pub async fn say(&mut self, bytes: &[u8]) {
@@ -167,7 +182,9 @@
     /// All that still comes until the dispatcher closes.
     pub async fn rest(mut self) -> String {
         let mut bytes = Vec::new();
-        let _ = timeout(PATIENCE, self.socket.read_to_end(&mut bytes)).await.expect("it closes");
+        let _ = timeout(PATIENCE, self.socket.read_to_end(&mut bytes))
+            .await
+            .expect("it closes");
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
@@ -195,14 +212,21 @@
     while let Ok(Ok(filler)) = timeout(Duration::from_millis(300), TcpStream::connect(at)).await {
         fillers.push(filler);
     }
-    Late { listener, fillers, at }
+    Late {
+        listener,
+        fillers,
+        at,
+    }
 }
 
 impl Late {
     pub fn release(self) -> Held {
         drop(self.fillers);
         self.listener.set_nonblocking(true).unwrap();
-        Held { listener: TcpListener::from_std(self.listener).unwrap(), at: self.at }
+        Held {
+            listener: TcpListener::from_std(self.listener).unwrap(),
+            at: self.at,
+        }
     }
 }
 
@@ -215,7 +239,11 @@
 }
 
 pub fn served(id: &str, body: &str) -> Vec<u8> {
-    format!("{id} served rev=77aa,since=1764576000123,res=mem {}\r\n{body}\r\n", body.len()).into_bytes()
+    format!(
+        "{id} served rev=77aa,since=1764576000123,res=mem {}\r\n{body}\r\n",
+        body.len()
+    )
+    .into_bytes()
 }
 
 /// A notice board: each poll is told with its last number, and sent what is put in.
@@ -242,7 +270,10 @@
                     head.push(socket.read_u8().await.unwrap());
                 }
                 let head = String::from_utf8(head).unwrap().to_lowercase();
-                let last = head.lines().find_map(|l| l.strip_prefix("last-event-id: ")).unwrap();
+                let last = head
+                    .lines()
+                    .find_map(|l| l.strip_prefix("last-event-id: "))
+                    .unwrap();
                 let (say, mut said) = mpsc::unbounded_channel();
                 tokio::time::sleep(late).await;
                 let _ = tell.send((last.parse().unwrap(), say));
@@ -267,7 +298,10 @@
 
 impl Board {
     pub async fn poll(&mut self) -> (u64, mpsc::UnboundedSender<String>) {
-        timeout(PATIENCE, self.polls.recv()).await.expect("a poll in time").unwrap()
+        timeout(PATIENCE, self.polls.recv())
+            .await
+            .expect("a poll in time")
+            .unwrap()
     }
 }
 
@@ -284,7 +318,11 @@
 
 /// An address and port that nobody else in this run uses.
 pub async fn free_address() -> SocketAddr {
-    TcpListener::bind((own_ip(), 0)).await.unwrap().local_addr().unwrap()
+    TcpListener::bind((own_ip(), 0))
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 /// A dispatcher's process; killed when the test ends.
@@ -379,7 +417,11 @@
             .env("BALANCER_CONFIG", &file)
             .env("BALANCER_LISTEN", at.to_string())
             .envs(faults.map(Faults::environment).into_iter().flatten())
-            .stderr(if std::env::var_os("SHOW").is_some() { Stdio::inherit() } else { Stdio::null() })
+            .stderr(if std::env::var_os("SHOW").is_some() {
+                Stdio::inherit()
+            } else {
+                Stdio::null()
+            })
             .spawn()
             .unwrap();
         let listening = async {
@@ -387,8 +429,15 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(PATIENCE, listening).await.expect("it listens in time");
-        Self { child, at, config: file, _folder: folder }
+        timeout(PATIENCE, listening)
+            .await
+            .expect("it listens in time");
+        Self {
+            child,
+            at,
+            config: file,
+            _folder: folder,
+        }
     }
 
     /// As [`Self::start`], with something else in the configuration.
@@ -417,7 +466,11 @@
     }
 
     pub fn signal(&self, name: &str) {
-        let told = Command::new("kill").arg(name).arg(self.child.id().to_string()).status().unwrap();
+        let told = Command::new("kill")
+            .arg(name)
+            .arg(self.child.id().to_string())
+            .status()
+            .unwrap();
         assert!(told.success());
     }
 
@@ -437,7 +490,10 @@
     /// The most memory that it has held.
     pub fn peak_kb(&self) -> u64 {
         let status = std::fs::read_to_string(self.proc("status")).unwrap();
-        let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).unwrap();
+        let peak = status
+            .lines()
+            .find_map(|l| l.strip_prefix("VmHWM:"))
+            .unwrap();
         peak.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
@@ -449,7 +505,10 @@
 
     /// How it has ended, if it has.
     pub fn exit_code(&mut self) -> Option<i32> {
-        self.child.try_wait().unwrap().map(|status| status.code().unwrap_or(-1))
+        self.child
+            .try_wait()
+            .unwrap()
+            .map(|status| status.code().unwrap_or(-1))
     }
 
     pub fn runs(&mut self) -> bool {
@@ -499,7 +558,12 @@
     pub fn new(socket: TcpStream) -> Self {
         let (read, write) = socket.into_split();
         let records = FramedRead::new(read, RecordCodec);
-        Self { write, records, parts: BTreeMap::new(), ended: BTreeMap::new() }
+        Self {
+            write,
+            records,
+            parts: BTreeMap::new(),
+            ended: BTreeMap::new(),
+        }
     }
 
     /// A whole request; `fields` replace or add to those of a good one for a page.
@@ -525,7 +589,11 @@
         loop {
             let record = self.records.next().await?.ok()?;
             match record.kind {
-                STDOUT => self.parts.entry(record.id).or_default().extend_from_slice(&record.content),
+                STDOUT => self
+                    .parts
+                    .entry(record.id)
+                    .or_default()
+                    .extend_from_slice(&record.content),
                 END_REQUEST => {
                     let bytes = self.parts.remove(&record.id).unwrap_or_default();
                     return Some((record.id, read_answer(bytes)));
@@ -545,7 +613,9 @@
 
     /// Leaves with a reset in place of an end.
     pub fn reset(self) {
-        socket2::SockRef::from(self.write.as_ref()).set_linger(Some(Duration::ZERO)).unwrap();
+        socket2::SockRef::from(self.write.as_ref())
+            .set_linger(Some(Duration::ZERO))
+            .unwrap();
     }
 
     pub async fn answer(&mut self, id: u16) -> Answer {
@@ -554,11 +624,17 @@
 }
 
 fn read_answer(mut bytes: BytesMut) -> Answer {
-    let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else { return Answer::default() };
+    let Some(end) = bytes.windows(4).position(|w| w == b"\r\n\r\n") else {
+        return Answer::default();
+    };
     let head = String::from_utf8(bytes.split_to(end).to_vec()).unwrap();
     bytes.advance(4);
     let status = head.strip_prefix("Status: ").unwrap()[..3].parse().unwrap();
-    Answer { status, head, body: bytes.to_vec() }
+    Answer {
+        status,
+        head,
+        body: bytes.to_vec(),
+    }
 }
 
 pub fn request(id: u16, script: &str, fields: &[(&str, &str)], body: &[u8]) -> BytesMut {
@@ -568,14 +644,28 @@
         *next += 1;
         format!("{:016x}", *next)
     };
-    let mut all = vec![("SCRIPT_NAME", script), ("HTTP_X_TXN", &txn), ("HTTP_X_ROW", "7f3a9c21e0b4d655")];
-    all.extend([("HTTP_X_TTL_MS", "4000"), ("HTTP_X_NTH", "3"), ("HTTP_X_BATCH", "17")]);
+    let mut all = vec![
+        ("SCRIPT_NAME", script),
+        ("HTTP_X_TXN", &txn),
+        ("HTTP_X_ROW", "7f3a9c21e0b4d655"),
+    ];
+    all.extend([
+        ("HTTP_X_TTL_MS", "4000"),
+        ("HTTP_X_NTH", "3"),
+        ("HTTP_X_BATCH", "17"),
+    ]);
     all.retain(|(name, _)| !fields.iter().any(|(n, _)| n == name));
     all.extend(fields);
     let mut params = BytesMut::new();
-    all.iter().for_each(|(n, v)| pair(&mut params, n.as_bytes(), v.as_bytes()));
+    all.iter()
+        .for_each(|(n, v)| pair(&mut params, n.as_bytes(), v.as_bytes()));
     let mut out = BytesMut::new();
-    record(&mut out, BEGIN_REQUEST, id, &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0]);
+    record(
+        &mut out,
+        BEGIN_REQUEST,
+        id,
+        &[0, 1, KEEP_CONN, 0, 0, 0, 0, 0],
+    );
     record(&mut out, PARAMS, id, &params);
     record(&mut out, PARAMS, id, &[]);
     if !body.is_empty() {
--- a/crates/cli/tests/platform/syscalls.rs
+++ b/crates/cli/tests/platform/syscalls.rs
@@ -44,9 +44,11 @@
         faults.spent(Call::Accept).await;
         for (n, client) in resting.iter_mut().enumerate() {
             // It may be closed before that is written.
-            let _ =
-                tokio::io::AsyncWriteExt::write_all(&mut client.write, &request(1, "/ops/page", &[], b""))
-                    .await;
+            let _ = tokio::io::AsyncWriteExt::write_all(
+                &mut client.write,
+                &request(1, "/ops/page", &[], b""),
+            )
+            .await;
             let answer = client.end(1).await;
             assert!(
                 answer.is_some_and(|a| a.body == b"good"),
@@ -83,10 +85,18 @@
 /// each costs one request at most, and the host is not held off.
 #[tokio::test]
 async fn a_local_shortage_is_no_word_about_a_host() {
-    let connects = [errno::EADDRNOTAVAIL, errno::ENOBUFS, errno::ENETUNREACH, errno::EINTR];
+    let connects = [
+        errno::EADDRNOTAVAIL,
+        errno::ENOBUFS,
+        errno::ENETUNREACH,
+        errno::EINTR,
+    ];
     let sockets = [errno::ENFILE, errno::ENOBUFS, errno::ENOMEM];
     let connects = connects.map(|error| (Call::Connect, error));
-    for (call, error) in connects.into_iter().chain(sockets.map(|error| (Call::Socket, error))) {
+    for (call, error) in connects
+        .into_iter()
+        .chain(sockets.map(|error| (Call::Socket, error)))
+    {
         let (board, cache) = (board().await, host(|id, _| served(id, "good")).await);
         let hosts = [listed("s-1", cache.at, "box", "Ready")];
         let faults = Faults::new();
@@ -140,10 +150,16 @@
             if let Some(call) = call {
                 faults.fail(call, errno::EINTR, 2);
             }
-            client.ask(n, "/ops/page", &[("HTTP_X_ROW", &format!("{n:016x}"))], b"").await;
+            client
+                .ask(n, "/ops/page", &[("HTTP_X_ROW", &format!("{n:016x}"))], b"")
+                .await;
             let answer = client.end(n).await;
             let answer = answer.unwrap_or_else(|| panic!("{call:?}, {short} bytes: closed"));
-            assert_eq!((answer.status, answer.body.len()), (200, body.len()), "{call:?}, {short} bytes");
+            assert_eq!(
+                (answer.status, answer.body.len()),
+                (200, body.len()),
+                "{call:?}, {short} bytes"
+            );
         }
     }
 }
--- a/crates/cli/tests/platform/time_left.rs
+++ b/crates/cli/tests/platform/time_left.rs
@@ -12,7 +12,10 @@
 
 fn number(pull: &str, name: &str) -> u64 {
     let found = pull.split([',', ' ']).find_map(|f| f.strip_prefix(name));
-    found.unwrap_or_else(|| panic!("{name} in {pull}")).parse().unwrap()
+    found
+        .unwrap_or_else(|| panic!("{name} in {pull}"))
+        .parse()
+        .unwrap()
 }
 
 /// Stopped for a second: requests that came meanwhile, one by one and in a batch, on a new connection and on one that rested,
@@ -49,8 +52,8 @@
         assert!(answered > 0, "there was time for some");
         for _ in 0..answered {
             let (pull, _) = cache.next("PULL").await;
-            let left =
-                Duration::from_millis(ttl_ms).saturating_sub(written - sent + Duration::from_secs(1));
+            let left = Duration::from_millis(ttl_ms)
+                .saturating_sub(written - sent + Duration::from_secs(1));
             let told = Duration::from_millis(number(&pull, "ms="));
             assert!(told <= left + SLACK, "{ttl_ms} ms, a second ago: {pull}");
         }
@@ -69,7 +72,9 @@
     dispatcher.signal("-CONT");
     // It has gone on: this is read after that.
     assert_eq!(dispatcher.alive().await, 200);
-    client.ask(1, "/ops/page", &[("HTTP_X_TTL_MS", "4000")], b"").await;
+    client
+        .ask(1, "/ops/page", &[("HTTP_X_TTL_MS", "4000")], b"")
+        .await;
     assert_eq!(client.answer(1).await.status, 200);
     let (pull, _) = cache.next("PULL").await;
     assert!(number(&pull, "ms=") > 3_000, "{pull}");
@@ -87,10 +92,15 @@
         for (id, class) in [(1, "/ops/page"), (2, "/ops/submit")] {
             let key = ("HTTP_X_TXN_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
             let body: &[u8] = if id == 2 { b"x" } else { b"" };
-            client.ask(id, class, &[("HTTP_X_TTL_MS", &ttl), key], body).await;
+            client
+                .ask(id, class, &[("HTTP_X_TTL_MS", &ttl), key], body)
+                .await;
         }
         for id in 1..=2 {
-            assert!(matches!(client.answer(id).await.status, 502 | 503), "{ttl_ms} ms");
+            assert!(
+                matches!(client.answer(id).await.status, 502 | 503),
+                "{ttl_ms} ms"
+            );
         }
         while let Ok((line, _)) = cache.heard.try_recv() {
             assert!(
@@ -135,7 +145,9 @@
     for round in 0..8u64 {
         let txn = format!("9b1f03aa00ee{round:04x}");
         let key = ("HTTP_X_TXN_KEY", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
-        client.ask(1, "/ops/submit", &[("HTTP_X_TXN", &txn), key], b"x").await;
+        client
+            .ask(1, "/ops/submit", &[("HTTP_X_TXN", &txn), key], b"x")
+            .await;
         origin.next(&format!("PULL {txn}")).await;
         // Refused for want of room: it is tried again a little later.
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -146,7 +158,11 @@
         client.write.write_all(&abort).await.unwrap();
         tokio::time::sleep(Duration::from_millis(300)).await;
         dispatcher.signal("-CONT");
-        assert_eq!(client.answer(1).await.status, 0, "round {round}: an end without an answer");
+        assert_eq!(
+            client.answer(1).await.status,
+            0,
+            "round {round}: an end without an answer"
+        );
         assert_eq!(dispatcher.alive().await, 200);
         while let Ok((line, _)) = origin.heard.try_recv() {
             assert!(!line.starts_with("PULL"), "round {round}: {line}");
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -52,7 +52,13 @@
             .arg("--ready-file")
             .arg(&ready)
             .stdout(Stdio::null())
-            .stderr(std::fs::File::options().create(true).append(true).open(folder.join("log")).unwrap())
+            .stderr(
+                std::fs::File::options()
+                    .create(true)
+                    .append(true)
+                    .open(folder.join("log"))
+                    .unwrap(),
+            )
             .spawn()
             .unwrap();
         let patience = Instant::now();
@@ -65,14 +71,21 @@
                 "{}",
                 std::fs::read_to_string(folder.join("log")).unwrap()
             );
-            assert!(patience.elapsed() < Duration::from_secs(30), "it does not listen");
+            assert!(
+                patience.elapsed() < Duration::from_secs(30),
+                "it does not listen"
+            );
             std::thread::sleep(Duration::from_millis(5));
         };
         Self { child, bound }
     }
 
     fn signal(&self, name: &str) {
-        let told = Command::new("kill").arg(name).arg(self.child.id().to_string()).status().unwrap();
+        let told = Command::new("kill")
+            .arg(name)
+            .arg(self.child.id().to_string())
+            .status()
+            .unwrap();
         assert!(told.success());
     }
 
@@ -91,7 +104,10 @@
 
 impl Answer {
     fn field(&self, name: &str) -> &str {
-        self.fields.iter().find(|(n, _)| n == name).map_or("", |(_, v)| v.as_str())
+        self.fields
+            .iter()
+            .find(|(n, _)| n == name)
+            .map_or("", |(_, v)| v.as_str())
     }
 }
 
@@ -102,12 +118,21 @@
     let mut pieces = FramedRead::new(socket, ResponseCodec::new(head_only));
     let mut out: Vec<Answer> = vec![];
     while out.iter().filter(|a| a.whole).count() < answers {
-        match tokio::time::timeout(Duration::from_secs(20), pieces.next()).await.expect("an answer in time")
+        match tokio::time::timeout(Duration::from_secs(20), pieces.next())
+            .await
+            .expect("an answer in time")
         {
             Some(Ok(HttpPiece::Head { status, fields, .. })) => {
-                out.push(Answer { status, fields, body: vec![], whole: false });
+                out.push(Answer {
+                    status,
+                    fields,
+                    body: vec![],
+                    whole: false,
+                });
+            }
+            Some(Ok(HttpPiece::Data(data))) => {
+                out.last_mut().unwrap().body.extend_from_slice(&data)
             }
-            Some(Ok(HttpPiece::Data(data))) => out.last_mut().unwrap().body.extend_from_slice(&data),
             Some(Ok(HttpPiece::End)) => out.last_mut().unwrap().whole = true,
             Some(Err(_)) | None => break,
         }
@@ -126,39 +151,89 @@
     let fleet = Running::start(&["serve", "--port", "0"], folder.path());
     let to = fleet.bound.http;
     let first = get(to, "/page/welcome", "").await;
-    assert_eq!((first.status, first.body.len(), first.field("content-length")), (200, 2048, "2048"));
-    assert!(first.field("cache-status").contains("fwd=miss"), "{}", first.field("cache-status"));
+    assert_eq!(
+        (
+            first.status,
+            first.body.len(),
+            first.field("content-length")
+        ),
+        (200, 2048, "2048")
+    );
+    assert!(
+        first.field("cache-status").contains("fwd=miss"),
+        "{}",
+        first.field("cache-status")
+    );
     let second = get(to, "/page/welcome", "").await;
     assert!(second.field("cache-status").contains("hit"));
     assert_eq!(first.body, second.body);
 
     let part = get(to, "/page/welcome", "Range: bytes=100-149\r\n").await;
-    assert_eq!((part.status, part.field("content-range")), (206, "bytes 100-149/2048"));
+    assert_eq!(
+        (part.status, part.field("content-range")),
+        (206, "bytes 100-149/2048")
+    );
     assert_eq!(part.body, first.body[100..150]);
     let outside = get(to, "/page/welcome", "Range: bytes=9999-\r\n").await;
-    assert_eq!((outside.status, outside.field("content-range")), (416, "bytes */2048"));
-    let same = get(to, "/page/welcome", &format!("If-None-Match: {}\r\n", first.field("etag"))).await;
+    assert_eq!(
+        (outside.status, outside.field("content-range")),
+        (416, "bytes */2048")
+    );
+    let same = get(
+        to,
+        "/page/welcome",
+        &format!("If-None-Match: {}\r\n", first.field("etag")),
+    )
+    .await;
     assert_eq!((same.status, same.body.len()), (304, 0));
-    let head = http(to, "HEAD /page/welcome HTTP/1.1\r\nHost: x\r\n\r\n", 1, true).await;
-    assert_eq!((head[0].status, head[0].field("content-length")), (200, "2048"));
+    let head = http(
+        to,
+        "HEAD /page/welcome HTTP/1.1\r\nHost: x\r\n\r\n",
+        1,
+        true,
+    )
+    .await;
+    assert_eq!(
+        (head[0].status, head[0].field("content-length")),
+        (200, "2048")
+    );
     assert_eq!(get(to, "/page/none", "").await.status, 404);
     let large = get(to, "/video/lesson-2", "").await;
     assert_eq!((large.status, large.body.len()), (200, 4 << 20));
 
     // Pipelined requests are answered in order; one that two readers could read differently is refused.
     let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-    let three = [ask("/video/lesson-1"), ask("/page/welcome"), ask("/page/signs/stop")].concat();
-    let sizes: Vec<usize> = http(to, &three, 3, false).await.iter().map(|a| a.body.len()).collect();
+    let three = [
+        ask("/video/lesson-1"),
+        ask("/page/welcome"),
+        ask("/page/signs/stop"),
+    ]
+    .concat();
+    let sizes: Vec<usize> = http(to, &three, 3, false)
+        .await
+        .iter()
+        .map(|a| a.body.len())
+        .collect();
     assert_eq!(sizes, [1 << 20, 2048, 6 * 1024]);
     let smuggled = "GET /page/welcome HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(http(to, smuggled, 1, false).await[0].status, 400);
 
     let control = fleet.bound.control.to_string();
     let list = text(&program(&["members", "--at", &control]).stdout);
-    assert!(list.contains("4 members") && list.contains("parent"), "{list}");
-    assert!(program(&["purge", "--at", &control, "--object", "/page/welcome"]).status.success());
+    assert!(
+        list.contains("4 members") && list.contains("parent"),
+        "{list}"
+    );
+    assert!(
+        program(&["purge", "--at", &control, "--object", "/page/welcome"])
+            .status
+            .success()
+    );
     let purged = get(to, "/page/welcome", "").await;
-    assert!(purged.field("cache-status").contains("fwd=miss"), "a copy from before the purge does not do");
+    assert!(
+        purged.field("cache-status").contains("fwd=miss"),
+        "a copy from before the purge does not do"
+    );
     let metrics = text(&get(fleet.bound.metrics, "/metrics", "").await.body);
     assert!(
         metrics.contains("pointspindle_requests_total{class=\"test-page\",outcome=\"served\"}"),
@@ -172,19 +247,34 @@
 fn wrong_settings_are_named_and_nothing_starts_with_them() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("wrong.ini");
-    std::fs::write(&file, "[dispatcher]\nzone = a\nnumbr = 3\n[listen]\nhttp = 127.0.0.1:0\n").unwrap();
+    std::fs::write(
+        &file,
+        "[dispatcher]\nzone = a\nnumbr = 3\n[listen]\nhttp = 127.0.0.1:0\n",
+    )
+    .unwrap();
     let checked = program(&["check", file.to_str().unwrap()]);
     assert_eq!(checked.status.code(), Some(1));
     let told = text(&checked.stdout);
-    assert!(told.contains("wrong.ini:3: dispatcher.numbr: no such key; did you mean number?"), "{told}");
+    assert!(
+        told.contains("wrong.ini:3: dispatcher.numbr: no such key; did you mean number?"),
+        "{told}"
+    );
     assert!(told.contains("no class"), "{told}");
     let served = program(&["serve", file.to_str().unwrap()]);
     assert_eq!(served.status.code(), Some(2));
     assert!(text(&served.stderr).contains("wrong.ini:3"));
     let scenario = folder.path().join("day.ini");
-    std::fs::write(&scenario, "[day]\nabout = x\n[class a]\n[trouble t]\nkind = earthquake\n").unwrap();
+    std::fs::write(
+        &scenario,
+        "[day]\nabout = x\n[class a]\n[trouble t]\nkind = earthquake\n",
+    )
+    .unwrap();
     let checked = program(&["lab", "check", scenario.to_str().unwrap()]);
-    assert!(text(&checked.stdout).contains("day.ini:5: trouble t.kind"), "{}", text(&checked.stdout));
+    assert!(
+        text(&checked.stdout).contains("day.ini:5: trouble t.kind"),
+        "{}",
+        text(&checked.stdout)
+    );
 }
 
 /// Settings of a dispatcher whose only cache host is whatever listens at `member`.
@@ -224,7 +314,9 @@
             let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
             tokio::spawn(async move {
                 while let Some(inbound) = incoming.next().await {
-                    let pointspindle_link::Inbound::Request(_, responder) = inbound else { continue };
+                    let pointspindle_link::Inbound::Request(_, responder) = inbound else {
+                        continue;
+                    };
                     tokio::spawn(play(kind, responder, link.clone()));
                 }
             });
@@ -234,7 +326,11 @@
 }
 
 async fn play(kind: Host, mut responder: pointspindle_link::Responder, link: Link) {
-    let head = AnswerHead { size: Some(4_000), note: WireNote::Hit as i32, ..Default::default() };
+    let head = AnswerHead {
+        size: Some(4_000),
+        note: WireNote::Hit as i32,
+        ..Default::default()
+    };
     match kind {
         Host::Silent => {
             responder.gone().await;
@@ -295,18 +391,26 @@
     let edge = Running::start(&["serve", &file], folder.path());
     let (end, took) = framed(edge.bound.framed, 700).await;
     assert_eq!(status_of(&end), Some(WireStatus::Refused), "{end:?}");
-    assert!(took >= Duration::from_millis(300), "it waited for the host: {took:?}");
+    assert!(
+        took >= Duration::from_millis(300),
+        "it waited for the host: {took:?}"
+    );
     let answer = get(edge.bound.http, "/a", "X-Deadline-Ms: 700\r\n").await;
     assert_eq!((answer.status, answer.field("x-outcome")), (503, "refused"));
     assert!(
-        !answer.field("retry-after").is_empty() && answer.field("proxy-status").contains("pointspindle")
+        !answer.field("retry-after").is_empty()
+            && answer.field("proxy-status").contains("pointspindle")
     );
 }
 
 #[tokio::test]
 async fn nobody_at_the_member_s_address_is_a_quick_refusal() {
     let folder = tempfile::tempdir().unwrap();
-    let nobody = TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap();
+    let nobody = TcpListener::bind("127.0.0.1:0")
+        .await
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let file = settings(folder.path(), nobody, "");
     let edge = Running::start(&["serve", &file], folder.path());
     let (end, _) = framed(edge.bound.framed, 1_400).await;
@@ -335,7 +439,10 @@
     let (end, _) = framed(edge.bound.framed, 1_400).await;
     assert_eq!(status_of(&end), Some(WireStatus::Refused), "{end:?}");
     let metrics = text(&get(edge.bound.metrics, "/metrics", "").await.body);
-    assert!(metrics.contains("pointspindle_attempts_total{outcome=\"connect_failed\"}"), "{metrics}");
+    assert!(
+        metrics.contains("pointspindle_attempts_total{outcome=\"connect_failed\"}"),
+        "{metrics}"
+    );
 }
 
 /// A client that reads nothing and gives no credit back: its own answer fails in time, others are served.
@@ -352,13 +459,22 @@
         left_us: 900_000,
         ..Default::default()
     };
-    frames.send(Frame::Request(1, ask("/video/lesson-2", "lesson-video"))).await.unwrap();
+    frames
+        .send(Frame::Request(1, ask("/video/lesson-2", "lesson-video")))
+        .await
+        .unwrap();
     for stream in 2..12 {
-        frames.send(Frame::Request(stream, ask("/page/welcome", "test-page"))).await.unwrap();
+        frames
+            .send(Frame::Request(stream, ask("/page/welcome", "test-page")))
+            .await
+            .unwrap();
     }
     let (mut bytes, mut ended, mut slow) = (0, 0, None);
     while slow.is_none() || ended < 10 {
-        match tokio::time::timeout(Duration::from_secs(10), frames.next()).await.expect("in time") {
+        match tokio::time::timeout(Duration::from_secs(10), frames.next())
+            .await
+            .expect("in time")
+        {
             Some(Ok(Frame::Data(1, data))) => bytes += data.len(),
             Some(Ok(Frame::Error(1, e))) => slow = Some(e.status()),
             Some(Ok(Frame::End(1, _))) => panic!("4 MiB without credit"),
@@ -383,7 +499,10 @@
         let file = settings(folder.path(), host(kind).await, "");
         let edge = Running::start(&["serve", &file], folder.path());
         let answer = get(edge.bound.http, "/a", "X-Deadline-Ms: 900\r\n").await;
-        assert_eq!((answer.status, answer.body.len(), answer.whole), (200, 2_000, false));
+        assert_eq!(
+            (answer.status, answer.body.len(), answer.whole),
+            (200, 2_000, false)
+        );
         let (end, _) = framed(edge.bound.framed, 900).await;
         assert_eq!(status_of(&end), Some(WireStatus::Failed), "{end:?}");
     }
@@ -395,13 +514,20 @@
     let file = settings(folder.path(), host(Host::Answers(700)).await, "");
     let edge = Running::start(&["serve", &file], folder.path());
     let (to_framed, to_http) = (edge.bound.framed, edge.bound.http);
-    let calls: Vec<_> = (0..6).map(|_| tokio::spawn(framed(to_framed, 1_400))).collect();
-    let asked: Vec<_> = (0..6).map(|_| tokio::spawn(async move { get(to_http, "/b", "").await })).collect();
+    let calls: Vec<_> = (0..6)
+        .map(|_| tokio::spawn(framed(to_framed, 1_400)))
+        .collect();
+    let asked: Vec<_> = (0..6)
+        .map(|_| tokio::spawn(async move { get(to_http, "/b", "").await }))
+        .collect();
     // All are open once the metrics say so.
     let patience = Instant::now();
     loop {
         let metrics = text(&get(edge.bound.metrics, "/metrics", "").await.body);
-        if metrics.lines().any(|l| l == "pointspindle_open_requests 12") {
+        if metrics
+            .lines()
+            .any(|l| l == "pointspindle_open_requests 12")
+        {
             break;
         }
         assert!(patience.elapsed() < Duration::from_secs(10), "{metrics}");
@@ -416,9 +542,16 @@
     }
     for asked in asked {
         let answer = asked.await.unwrap();
-        assert!(answer.whole && matches!(answer.status, 200 | 503), "{}", answer.status);
+        assert!(
+            answer.whole && matches!(answer.status, 200 | 503),
+            "{}",
+            answer.status
+        );
     }
-    assert!(TcpStream::connect(to_http).await.is_err(), "nothing new is taken");
+    assert!(
+        TcpStream::connect(to_http).await.is_err(),
+        "nothing new is taken"
+    );
     assert_eq!(edge.wait(), 0);
 }
 
@@ -445,7 +578,12 @@
         let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         for n in 0..200 + 40 * round {
-            let purge = PurgeHead { object: Some(format!("/p{n}")), group: n, age_us: 0, seq: n };
+            let purge = PurgeHead {
+                object: Some(format!("/p{n}")),
+                group: n,
+                age_us: 0,
+                seq: n,
+            };
             link.control(Frame::Purge(purge)).await.unwrap();
             if n % 50 == 0 {
                 tokio::time::sleep(Duration::from_millis(7)).await;
@@ -462,7 +600,10 @@
     let edge = Running::start(&["serve", &file], folder.path());
     assert_eq!(get(edge.bound.http, "/a", "").await.status, 200);
     let log = std::fs::read_to_string(folder.path().join("log")).unwrap();
-    assert!(log.contains("the state file is not used") && log.contains("torn"), "{log}");
+    assert!(
+        log.contains("the state file is not used") && log.contains("torn"),
+        "{log}"
+    );
 }
 
 #[tokio::test]
@@ -473,14 +614,24 @@
     let edge = Running::start(&["serve", &file], folder.path());
     let control = edge.bound.control.to_string();
     let set = format!("{other}=ready");
-    let told =
-        program(&["members", "--at", &control, "--set", &set, "--kind", "cache", "--zone", "b", "--cold"]);
+    let told = program(&[
+        "members", "--at", &control, "--set", &set, "--kind", "cache", "--zone", "b", "--cold",
+    ]);
     assert!(told.status.success(), "{}", text(&told.stderr));
     edge.signal("-TERM");
     edge.wait();
     let edge = Running::start(&["serve", &file], folder.path());
     let list = text(&program(&["members", "--at", &edge.bound.control.to_string()]).stdout);
-    assert!(list.contains(&other) && list.contains("3 members"), "{list}");
-    let wrong = program(&["members", "--at", &edge.bound.control.to_string(), "--set", "nonsense"]);
+    assert!(
+        list.contains(&other) && list.contains("3 members"),
+        "{list}"
+    );
+    let wrong = program(&[
+        "members",
+        "--at",
+        &edge.bound.control.to_string(),
+        "--set",
+        "nonsense",
+    ]);
     assert_eq!(wrong.status.code(), Some(2));
 }
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -29,13 +29,19 @@
         while let Ok((socket, _)) = listener.accept().await {
             let tell = tell.clone();
             tokio::spawn(async move {
-                let (_link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
+                let (_link, mut incoming) =
+                    Link::start(socket, Side::Answerer, LinkOptions::default());
                 while let Some(inbound) = incoming.next().await {
-                    let Inbound::Request(head, mut responder) = inbound else { continue };
+                    let Inbound::Request(head, mut responder) = inbound else {
+                        continue;
+                    };
                     let age = head.fetch.as_ref().map_or(0, |f| f.age_us);
                     let _ = tell.send((head.object.clone(), age));
-                    let answer =
-                        AnswerHead { size: Some(2), note: WireNote::Hit as i32, ..Default::default() };
+                    let answer = AnswerHead {
+                        size: Some(2),
+                        note: WireNote::Hit as i32,
+                        ..Default::default()
+                    };
                     let _ = responder.head(answer).await;
                     let _ = responder.data("ok".into()).await;
                     let _ = responder.end(None).await;
@@ -89,14 +95,20 @@
             }
         };
         let bound = timeout(PATIENCE, bound).await.expect("it listens");
-        Self { child, http: bound["http"].as_str().unwrap().parse().unwrap() }
+        Self {
+            child,
+            http: bound["http"].as_str().unwrap().parse().unwrap(),
+        }
     }
 
     async fn get(&self, path: &str) -> String {
         let mut socket = TcpStream::connect(self.http).await.unwrap();
         ask(&mut socket, path).await;
         let mut text = String::new();
-        timeout(PATIENCE, socket.read_to_string(&mut text)).await.expect("an answer").unwrap();
+        timeout(PATIENCE, socket.read_to_string(&mut text))
+            .await
+            .expect("an answer")
+            .unwrap();
         text
     }
 
@@ -121,7 +133,10 @@
 async fn until(what: &str, d: &Dispatcher, ages: &mut Ages, is: impl Fn(u64) -> bool) {
     let asking = async {
         for n in 0.. {
-            if d.get(&format!("/page/{what}-{n}")).await.starts_with("HTTP/1.1 200") {
+            if d.get(&format!("/page/{what}-{n}"))
+                .await
+                .starts_with("HTTP/1.1 200")
+            {
                 let (_, age) = ages.recv().await.unwrap();
                 if is(age) {
                     return;
@@ -130,14 +145,21 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, asking).await.unwrap_or_else(|_| panic!("{what}: not in time"));
+    timeout(PATIENCE, asking)
+        .await
+        .unwrap_or_else(|_| panic!("{what}: not in time"));
 }
 
 async fn purge(etcd: SocketAddr) -> Output {
     let at = format!("http://{etcd}");
     let run = move || {
-        let args = ["purge", "--etcd", &at, "--prefix", PREFIX, "--object", "/page/x", "--wait"];
-        Command::new(env!("CARGO_BIN_EXE_pointspindle")).args(args).output().unwrap()
+        let args = [
+            "purge", "--etcd", &at, "--prefix", PREFIX, "--object", "/page/x", "--wait",
+        ];
+        Command::new(env!("CARGO_BIN_EXE_pointspindle"))
+            .args(args)
+            .output()
+            .unwrap()
     };
     tokio::task::spawn_blocking(run).await.unwrap()
 }
@@ -146,7 +168,10 @@
 async fn who_cannot_prove_that_purges_are_known_holds_back_by_itself() {
     let store = StandIn::new(None);
     let etcd = store.listen().await.unwrap();
-    let access = Access { endpoints: vec![format!("http://{etcd}")], ..Default::default() };
+    let access = Access {
+        endpoints: vec![format!("http://{etcd}")],
+        ..Default::default()
+    };
     let client = Etcd::new(&access, Duration::from_secs(5)).unwrap();
     let (at, mut ages) = member().await;
     let record = MemberRecord {
@@ -158,7 +183,11 @@
         start: 1,
         started_unix_ms: None,
     };
-    writer::member(&client, PREFIX, &at.to_string(), |_| Ok(Some(record.clone()))).await.unwrap();
+    writer::member(&client, PREFIX, &at.to_string(), |_| {
+        Ok(Some(record.clone()))
+    })
+    .await
+    .unwrap();
     let folder = tempfile::tempdir().unwrap();
     let d = Dispatcher::start(folder.path(), "one", etcd, 1_500).await;
     until("proven", &d, &mut ages, |age| age > HALF).await;
@@ -168,7 +197,10 @@
     until("cut", &d, &mut ages, |age| age > 0 && age <= HALF).await;
     let spared = d.get("/spared/1").await;
     assert!(spared.starts_with("HTTP/1.1 200"), "{spared}");
-    assert!(ages.recv().await.unwrap().1 > HALF, "by the operator's word");
+    assert!(
+        ages.recv().await.unwrap().1 > HALF,
+        "by the operator's word"
+    );
     store.fault(|f| f.silent = false);
     until("back", &d, &mut ages, |age| age > HALF).await;
 
@@ -180,10 +212,16 @@
     ask(&mut first, "/page/woken").await;
     d.signal("-CONT");
     let mut text = String::new();
-    timeout(PATIENCE, first.read_to_string(&mut text)).await.expect("an answer").unwrap();
+    timeout(PATIENCE, first.read_to_string(&mut text))
+        .await
+        .expect("an answer")
+        .unwrap();
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     let (object, age) = ages.recv().await.unwrap();
-    assert!(object.contains("woken") && age > 0 && age <= HALF, "{object} {age}");
+    assert!(
+        object.contains("woken") && age > 0 && age <= HALF,
+        "{object} {age}"
+    );
 
     // Started while everything is cut, with the list of its state file.
     let late = Dispatcher::start(folder.path(), "late", etcd, 1_500).await;
@@ -198,7 +236,10 @@
     // The operator is told when it is in force everywhere; and where one promises nothing, that.
     let told = purge(etcd).await;
     let text = String::from_utf8_lossy(&told.stdout).into_owned();
-    assert!(told.status.success() && text.contains("in force everywhere"), "{text}");
+    assert!(
+        told.status.success() && text.contains("in force everywhere"),
+        "{text}"
+    );
     assert!(text.contains("within 1500 ms"), "{text}");
     let old = Dispatcher::start(folder.path(), "old", etcd, 0).await;
     until("old", &old, &mut ages, |age| age > HALF).await;
@@ -213,5 +254,8 @@
         }
     };
     let text = timeout(PATIENCE, registered).await.expect("it registers");
-    assert!(text.contains("no time can be told") && text.contains("old"), "{text}");
+    assert!(
+        text.contains("no time can be told") && text.contains("old"),
+        "{text}"
+    );
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -5,11 +5,17 @@
 use std::process::{Command, Output};
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_pointspindle")).args(args).output().unwrap()
+    Command::new(env!("CARGO_BIN_EXE_pointspindle"))
+        .args(args)
+        .output()
+        .unwrap()
 }
 
 fn root() -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../..")
+        .canonicalize()
+        .unwrap()
 }
 
 fn count(v: &Value) -> u64 {
@@ -49,7 +55,10 @@
         assert_eq!(count(&step["hosts"]), (4 * n).div_ceil(6));
         let phase = |name: &str| {
             let phases = step["phases"].as_array().unwrap();
-            phases.iter().find(|p| p["name"] == name).unwrap_or_else(|| panic!("no phase {name}"))
+            phases
+                .iter()
+                .find(|p| p["name"] == name)
+                .unwrap_or_else(|| panic!("no phase {name}"))
         };
         // Each write is told to each, once; nobody misses one.
         for (name, what, kind) in [
@@ -70,20 +79,35 @@
         assert_eq!(count(&phase("storm")["purges"]["written"]), 50);
         // All know all, and nothing more.
         let items = &phase("rest")["items"];
-        assert_eq!((count(&items["members"]), count(&items["dispatchers"])), (count(&step["hosts"]), n));
+        assert_eq!(
+            (count(&items["members"]), count(&items["dispatchers"])),
+            (count(&step["hosts"]), n)
+        );
         assert!(phase("compacted")["whole_ms"].as_f64().unwrap() > 0.0);
         // A process of hollow ones that is killed and started again is told as so many leaves and so many returns, to each that is there.
         let restarted = count(&phase("restart")["traffic"]["events"]["dispatchers"]);
-        assert!(restarted >= 4 * (n - 2) && restarted <= 4 * n, "{restarted} at {n}");
+        assert!(
+            restarted >= 4 * (n - 2) && restarted <= 4 * n,
+            "{restarted} at {n}"
+        );
     }
     let slope = &all["slopes"]["figures"]["rest/store bytes out"];
     assert_eq!((count(&slope["from"]), count(&slope["to"])), (3, 6));
     // The page can be written from what was kept.
     let slopes = out.join("slopes.json");
-    let page =
-        run(&["lab", "capacity", "--target", file.to_str().unwrap(), "--slopes", slopes.to_str().unwrap()]);
+    let page = run(&[
+        "lab",
+        "capacity",
+        "--target",
+        file.to_str().unwrap(),
+        "--slopes",
+        slopes.to_str().unwrap(),
+    ]);
     let page = String::from_utf8_lossy(&page.stdout).into_owned();
-    assert!(page.contains("extrapolated") || page.contains("measured"), "{page}");
+    assert!(
+        page.contains("extrapolated") || page.contains("measured"),
+        "{page}"
+    );
 }
 
 #[test]
@@ -94,11 +118,17 @@
     let told = run(&["lab", "scale", file.to_str().unwrap()]);
     let text = String::from_utf8_lossy(&told.stderr).into_owned();
     assert_eq!(told.status.code(), Some(2), "{text}");
-    assert!(text.contains("odd.ini") && text.contains("dispatchers"), "{text}");
+    assert!(
+        text.contains("odd.ini") && text.contains("dispatchers"),
+        "{text}"
+    );
     std::fs::write(&file, "[target]\ndispatchers = 6\nhosts = 4\n").unwrap();
     let told = run(&["lab", "scale", file.to_str().unwrap(), "--hollow", "9000"]);
     let text = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert!(told.status.code() == Some(2) && text.contains("--hollow 9000"), "{text}");
+    assert!(
+        told.status.code() == Some(2) && text.contains("--hollow 9000"),
+        "{text}"
+    );
     let slopes = folder.path().join("slopes.json");
     std::fs::write(
         &slopes,
@@ -106,11 +136,20 @@
             "figures":{"rest/x":{"unit":"","a":1.0,"b":0.0,"residual":0.0,"from":0,"to":0}}}"#,
     )
     .unwrap();
-    let told =
-        run(&["lab", "capacity", "--target", file.to_str().unwrap(), "--slopes", slopes.to_str().unwrap()]);
+    let told = run(&[
+        "lab",
+        "capacity",
+        "--target",
+        file.to_str().unwrap(),
+        "--slopes",
+        slopes.to_str().unwrap(),
+    ]);
     let text = String::from_utf8_lossy(&told.stderr).into_owned();
     assert_eq!(told.status.code(), Some(2), "{text}");
-    assert!(text.contains("slopes.json") && text.contains("rest/x"), "{text}");
+    assert!(
+        text.contains("slopes.json") && text.contains("rest/x"),
+        "{text}"
+    );
 }
 
 /// No figure on the page outlives its run.
@@ -129,5 +168,8 @@
     let written = String::from_utf8_lossy(&told.stdout).into_owned();
     let page = std::fs::read_to_string(root.join("docs/CAPACITY.md")).unwrap();
     assert!(told.status.success());
-    assert!(page == written, "docs/CAPACITY.md is not what `lab capacity` writes from its slopes");
+    assert!(
+        page == written,
+        "docs/CAPACITY.md is not what `lab capacity` writes from its slopes"
+    );
 }
