--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -107,7 +107,17 @@
 impl Machine {
     pub fn new(effect: Effect, deadline: Micros) -> Self {
         let (phase, shadow, ran) = (Phase::Waiting(0), None, None);
-        Self { effect, deadline, phase, tries: 0, live: None, shadow, ran, sent: 0, come_back: None }
+        Self {
+            effect,
+            deadline,
+            phase,
+            tries: 0,
+            live: None,
+            shadow,
+            ran,
+            sent: 0,
+            come_back: None,
+        }
     }
 
     /// How many tries were made so far.
@@ -133,7 +143,9 @@
 
     /// The answer's head has come: from here on the call is this try's. True if it is to be handed on.
     pub fn head(&mut self, now: Micros, number: u32, shared: &mut Retries) -> bool {
-        let Some(live) = self.live.as_mut().filter(|l| l.number == number) else { return false };
+        let Some(live) = self.live.as_mut().filter(|l| l.number == number) else {
+            return false;
+        };
         // In the same moment as the deadline: whichever was told first.
         if now >= self.deadline {
             return false;
@@ -152,13 +164,22 @@
         shared: &mut Retries,
         act: &mut Vec<Action>,
     ) {
-        let Some(live) = self.live.filter(|l| l.number == number) else { return };
+        let Some(live) = self.live.filter(|l| l.number == number) else {
+            return;
+        };
         self.live = None;
         match end {
             End::NotSent | End::Lost { .. } if !live.headed => shared.silent(now, live.dispatcher),
             _ => shared.heard(live.dispatcher),
         }
-        if !matches!(end, End::NotSent | End::Refused { .. } | End::Failed { may_have_run: false }) {
+        if !matches!(
+            end,
+            End::NotSent
+                | End::Refused { .. }
+                | End::Failed {
+                    may_have_run: false
+                }
+        ) {
             self.ran.get_or_insert(self.sent);
         }
         match end {
@@ -172,12 +193,23 @@
             }
             _ => self.shadow = self.shadow.filter(|(_, until)| *until > now),
         }
-        self.come_back = if let End::Refused { come_back } = end { come_back } else { None };
+        self.come_back = if let End::Refused { come_back } = end {
+            come_back
+        } else {
+            None
+        };
         self.after(now, live.dispatcher, end, shared, act);
     }
 
     /// Goes on after a try that gave nothing.
-    fn after(&mut self, now: Micros, at: usize, end: End, shared: &mut Retries, act: &mut Vec<Action>) {
+    fn after(
+        &mut self,
+        now: Micros,
+        at: usize,
+        end: End,
+        shared: &mut Retries,
+        act: &mut Vec<Action>,
+    ) {
         let nothing_sent = end == End::NotSent;
         if !self.may_repeat(now) || self.tries >= shared.rules().most {
             return self.give_up(act);
@@ -192,7 +224,11 @@
         if !nothing_sent && !shared.may_retry() {
             return self.give_up(act);
         }
-        let told = if let End::Refused { come_back } = end { come_back } else { None };
+        let told = if let End::Refused { come_back } = end {
+            come_back
+        } else {
+            None
+        };
         let mut until = now + shared.wait(self.tries, told);
         if let (Some((dispatcher, over)), true) = (self.shadow, nothing_sent) {
             // The one that may still be at it cannot be reached: the others are asked when it must have let go.
@@ -248,8 +284,16 @@
         let number = self.tries;
         self.tries += 1;
         (self.phase, self.sent) = (Phase::Trying, now);
-        self.live = Some(Live { number, dispatcher, headed: false });
-        act.push(Action::Try { number, dispatcher, left: self.deadline - now });
+        self.live = Some(Live {
+            number,
+            dispatcher,
+            headed: false,
+        });
+        act.push(Action::Try {
+            number,
+            dispatcher,
+            left: self.deadline - now,
+        });
         act.push(Action::WakeAt(self.deadline));
     }
 
@@ -259,7 +303,9 @@
                 shared.silent(now, live.dispatcher);
             }
             self.ran.get_or_insert(self.sent);
-            act.push(Action::Abandon { number: live.number });
+            act.push(Action::Abandon {
+                number: live.number,
+            });
             return self.finish(Outcome::Failed { may_have_run: true }, act);
         }
         self.give_up(act);
@@ -270,7 +316,11 @@
         let come_back = self.come_back.map(Duration::from_micros);
         let harmless = self.ran.is_none() || self.effect == Effect::Safe;
         self.finish(
-            if harmless { Outcome::Refused { come_back } } else { Outcome::Failed { may_have_run: true } },
+            if harmless {
+                Outcome::Refused { come_back }
+            } else {
+                Outcome::Failed { may_have_run: true }
+            },
             act,
         );
     }
@@ -305,17 +355,33 @@
 
     fn tried(act: &[Action]) -> Option<(u32, usize)> {
         act.iter().find_map(|a| match a {
-            Action::Try { number, dispatcher, .. } => Some((*number, *dispatcher)),
+            Action::Try {
+                number, dispatcher, ..
+            } => Some((*number, *dispatcher)),
             _ => None,
         })
     }
 
     fn done(act: &[Action]) -> Vec<Outcome> {
-        act.iter().filter_map(|a| if let Action::Done(o) = a { Some(*o) } else { None }).collect()
+        act.iter()
+            .filter_map(|a| {
+                if let Action::Done(o) = a {
+                    Some(*o)
+                } else {
+                    None
+                }
+            })
+            .collect()
     }
 
     fn woken_at(act: &[Action]) -> Option<Micros> {
-        act.iter().rev().find_map(|a| if let Action::WakeAt(at) = a { Some(*at) } else { None })
+        act.iter().rev().find_map(|a| {
+            if let Action::WakeAt(at) = a {
+                Some(*at)
+            } else {
+                None
+            }
+        })
     }
 
     /// Each order of an answer and the deadline in the same instant ends the call once.
@@ -344,11 +410,23 @@
         let (mut m, act) = begin(Effect::Safe, &mut r);
         assert_eq!(tried(&act), Some((0, 0)));
         let mut act = vec![];
-        m.ended(S / 10, 0, End::Lost { lease: Some(200_000) }, &mut r, &mut act);
+        m.ended(
+            S / 10,
+            0,
+            End::Lost {
+                lease: Some(200_000),
+            },
+            &mut r,
+            &mut act,
+        );
         let at = woken_at(&act).unwrap();
         let mut act = vec![];
         m.wake(at, &mut r, &mut act);
-        assert_eq!(tried(&act), Some((1, 0)), "the same one: it ends the old try first");
+        assert_eq!(
+            tried(&act),
+            Some((1, 0)),
+            "the same one: it ends the old try first"
+        );
         let mut act = vec![];
         m.ended(at + 1_000, 1, End::NotSent, &mut r, &mut act);
         let over = woken_at(&act).unwrap();
@@ -384,7 +462,11 @@
         let (mut m, _) = begin(Effect::Unsafe, &mut r);
         let mut act = vec![];
         m.ended(1_000, 0, End::NotSent, &mut r, &mut act);
-        assert_eq!(tried(&act).map(|t| t.1), Some(1), "nothing was sent: the other one at once");
+        assert_eq!(
+            tried(&act).map(|t| t.1),
+            Some(1),
+            "nothing was sent: the other one at once"
+        );
     }
 
     #[test]
@@ -392,8 +474,21 @@
         let mut r = shared(1);
         let (mut m, _) = begin(Effect::Safe, &mut r);
         let mut act = vec![];
-        m.ended(S, 0, End::Refused { come_back: Some(5 * S) }, &mut r, &mut act);
-        assert_eq!(done(&act), [Outcome::Refused { come_back: Some(Duration::from_secs(5)) }]);
+        m.ended(
+            S,
+            0,
+            End::Refused {
+                come_back: Some(5 * S),
+            },
+            &mut r,
+            &mut act,
+        );
+        assert_eq!(
+            done(&act),
+            [Outcome::Refused {
+                come_back: Some(Duration::from_secs(5))
+            }]
+        );
     }
 
     /// Any mix of ends, at any times, with any effect: exactly one outcome, no try while another lives, none elsewhere
@@ -404,18 +499,24 @@
             let mut dice = StdRng::seed_from_u64(seed);
             let mut r = Retries::new(RetryRules::default(), dice.gen_range(1..4), seed);
             let window = Duration::from_millis(500);
-            let effect = [Effect::Safe, Effect::Keyed { window }, Effect::Unsafe][dice.gen_range(0..3)];
+            let effect =
+                [Effect::Safe, Effect::Keyed { window }, Effect::Unsafe][dice.gen_range(0..3)];
             let mut m = Machine::new(effect, 2 * S);
             let (mut now, mut act) = (0, vec![]);
             m.start(now, &mut r, &mut act);
             let (mut live, mut wake, mut outcomes) = (None, None, 0);
-            let (mut shadow, mut first_ran): (Option<(usize, Micros)>, Option<Micros>) = (None, None);
+            let (mut shadow, mut first_ran): (Option<(usize, Micros)>, Option<Micros>) =
+                (None, None);
             let mut asked = 0;
             for _ in 0..200 {
                 for a in std::mem::take(&mut act) {
                     assert_eq!(outcomes, 0, "seed {seed}: {a:?} after the outcome");
                     match a {
-                        Action::Try { number, dispatcher, left } => {
+                        Action::Try {
+                            number,
+                            dispatcher,
+                            left,
+                        } => {
                             assert!(live.is_none(), "seed {seed}: two live tries");
                             assert!(now < 2 * S && left == 2 * S - now);
                             if let Some((at, until)) = shadow.filter(|s| now < s.1) {
@@ -427,7 +528,9 @@
                                 );
                             }
                             match (effect, first_ran) {
-                                (Effect::Unsafe, Some(_)) => panic!("seed {seed}: may be done twice"),
+                                (Effect::Unsafe, Some(_)) => {
+                                    panic!("seed {seed}: may be done twice")
+                                }
                                 (Effect::Keyed { .. }, Some(at)) => {
                                     assert!(now < at + 500_000, "seed {seed}")
                                 }
@@ -447,7 +550,8 @@
                 if outcomes > 0 && live.is_none() {
                     break;
                 }
-                let Some((number, dispatcher, sent)) = live.filter(|_| dice.gen::<f64>() < 0.9) else {
+                let Some((number, dispatcher, sent)) = live.filter(|_| dice.gen::<f64>() < 0.9)
+                else {
                     now = wake.unwrap_or(now).max(now);
                     m.wake(now, &mut r, &mut act);
                     continue;
@@ -460,8 +564,12 @@
                 let lease = [None, Some(100_000), Some(400_000)][dice.gen_range(0..3)];
                 let end = match dice.gen_range(0..6) {
                     0 => End::Complete,
-                    1 => End::Refused { come_back: dice.gen::<bool>().then_some(300_000) },
-                    2 => End::Failed { may_have_run: dice.gen() },
+                    1 => End::Refused {
+                        come_back: dice.gen::<bool>().then_some(300_000),
+                    },
+                    2 => End::Failed {
+                        may_have_run: dice.gen(),
+                    },
                     3 => End::NotSent,
                     _ => End::Lost { lease },
                 };
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -59,17 +59,27 @@
 
     /// Work that a repeat under the same key does not do again, for `window` after its first try.
     pub fn keyed(self, key: impl Into<String>, window: Duration) -> Self {
-        Self { key: key.into(), effect: Effect::Keyed { window }, ..self }
+        Self {
+            key: key.into(),
+            effect: Effect::Keyed { window },
+            ..self
+        }
     }
 
     /// Work that a repeat would do again.
     pub fn unsafe_to_repeat(self) -> Self {
-        Self { effect: Effect::Unsafe, ..self }
+        Self {
+            effect: Effect::Unsafe,
+            ..self
+        }
     }
 
     /// One byte range, as in HTTP: `bytes=0-99`.
     pub fn range(self, range: impl Into<String>) -> Self {
-        Self { range: range.into(), ..self }
+        Self {
+            range: range.into(),
+            ..self
+        }
     }
 
     fn check(&self, framed: bool) -> Result<(), Misuse> {
@@ -84,7 +94,10 @@
             ("if_range", &self.if_range),
             ("if_none_match", &self.if_none_match),
         ];
-        if let Some((field, _)) = fields.into_iter().find(|(_, v)| v.contains(char::is_control)) {
+        if let Some((field, _)) = fields
+            .into_iter()
+            .find(|(_, v)| v.contains(char::is_control))
+        {
             return Err(Misuse::Field { object, field });
         }
         if self.deadline.is_zero() {
@@ -142,12 +155,20 @@
 impl Builder {
     /// These dispatchers, by the framed protocol.
     pub fn framed(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
-        Self { framed: true, dispatchers: dispatchers.into_iter().collect(), ..self }
+        Self {
+            framed: true,
+            dispatchers: dispatchers.into_iter().collect(),
+            ..self
+        }
     }
 
     /// These dispatchers, by HTTP/1.1.
     pub fn http(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
-        Self { framed: false, dispatchers: dispatchers.into_iter().collect(), ..self }
+        Self {
+            framed: false,
+            dispatchers: dispatchers.into_iter().collect(),
+            ..self
+        }
     }
 
     pub fn retries(self, rules: RetryRules) -> Self {
@@ -161,7 +182,10 @@
 
     /// By TLS. The name that dispatchers' certificates must bear; each one's address by default.
     pub fn tls(self, trust: Trust, name: Option<String>) -> Self {
-        Self { trust: Some((trust, name)), ..self }
+        Self {
+            trust: Some((trust, name)),
+            ..self
+        }
     }
 
     /// Another network than the machine's own.
@@ -171,7 +195,10 @@
 
     /// Of what is drawn at random (waits, names of calls); drawn itself by default.
     pub fn seed(self, seed: u64) -> Self {
-        Self { seed: Some(seed), ..self }
+        Self {
+            seed: Some(seed),
+            ..self
+        }
     }
 
     pub fn build(self) -> Result<Client, Misuse> {
@@ -181,7 +208,13 @@
         let trouble = Arc::new(Mutex::new(None));
         let door = |at: &SocketAddr| {
             let (net, trust, trouble) = (self.net.clone(), self.trust.clone(), trouble.clone());
-            let dial = Dial { at: *at, net, trust, patience: self.connect, trouble };
+            let dial = Dial {
+                at: *at,
+                net,
+                trust,
+                patience: self.connect,
+                trouble,
+            };
             match self.framed {
                 true => Door::Framed(Framed::new(dial)),
                 false => Door::Http(Http::new(dial)),
@@ -193,9 +226,18 @@
         // No two clients name their calls alike.
         let name = rand::thread_rng().gen();
         let next = std::sync::atomic::AtomicU64::new(0);
-        let inner =
-            Inner { framed: self.framed, doors, retries, born: Instant::now(), name, next, trouble };
-        Ok(Client { inner: Arc::new(inner) })
+        let inner = Inner {
+            framed: self.framed,
+            doors,
+            retries,
+            born: Instant::now(),
+            name,
+            next,
+            trouble,
+        };
+        Ok(Client {
+            inner: Arc::new(inner),
+        })
     }
 }
 
@@ -215,7 +257,9 @@
     }
 
     fn retries(&self) -> MutexGuard<'_, Retries> {
-        self.retries.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.retries
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 }
 
@@ -249,16 +293,33 @@
         request.check(self.inner.framed)?;
         let now = self.inner.now();
         let machine = Machine::new(request.effect, now + request.deadline.as_micros() as Micros);
-        let number = self.inner.next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        let number = self
+            .inner
+            .next
+            .fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         let name = format!("{:016x}-{number}", self.inner.name);
         let (todo, live, wake) = (VecDeque::new(), None, None);
         let inner = self.inner.clone();
-        Ok(Call { inner, request, name, machine, todo, live, wake, begun: false, ended: false })
+        Ok(Call {
+            inner,
+            request,
+            name,
+            machine,
+            todo,
+            live,
+            wake,
+            begun: false,
+            ended: false,
+        })
     }
 
     /// Why the last connection that was wanted was not made: for people, such as what is wrong with a certificate.
     pub fn last_trouble(&self) -> Option<String> {
-        self.inner.trouble.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).clone()
+        self.inner
+            .trouble
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
     /// A call to its end, with the whole body in memory.
@@ -333,7 +394,11 @@
         loop {
             while let Some(action) = self.todo.pop_front() {
                 match action {
-                    Action::Try { number, dispatcher, left } => {
+                    Action::Try {
+                        number,
+                        dispatcher,
+                        left,
+                    } => {
                         // Dropped before the next one goes out: its cancel is on its way first.
                         self.live = None;
                         // What connects in vain must not take longer than the client waits.
@@ -342,7 +407,9 @@
                         let sent = door.send(&self.request, &self.name, left);
                         match tokio::time::timeout(longest, sent).await {
                             Ok(Ok(live)) => self.live = Some((number, live)),
-                            Ok(Err(end)) => self.tell(|m, now, s, act| m.ended(now, number, end, s, act)),
+                            Ok(Err(end)) => {
+                                self.tell(|m, now, s, act| m.ended(now, number, end, s, act))
+                            }
                             // In the middle of sending: it may be on its way.
                             Err(_) => self.tell(|m, now, s, act| m.wake(now, s, act)),
                         }
@@ -356,7 +423,9 @@
                     }
                 }
             }
-            let wake = self.wake.map(|at| Duration::from_micros(at.saturating_sub(self.inner.now())));
+            let wake = self
+                .wake
+                .map(|at| Duration::from_micros(at.saturating_sub(self.inner.now())));
             let step = tokio::select! {
                 biased;
                 next = progress(&mut self.live) => Step::Piece(next.0, next.1),
--- a/crates/client/src/dial.rs
+++ b/crates/client/src/dial.rs
@@ -26,7 +26,8 @@
             Err(_) => format!("no connection within {} ms", self.patience.as_millis()),
         };
         tracing::debug!(at = %self.at, why, "no connection");
-        *self.trouble.lock().unwrap_or_else(|p| p.into_inner()) = Some(format!("{}: {why}", self.at));
+        *self.trouble.lock().unwrap_or_else(|p| p.into_inner()) =
+            Some(format!("{}: {why}", self.at));
         None
     }
 
@@ -38,7 +39,9 @@
                 let name = name.clone().unwrap_or_else(|| self.at.ip().to_string());
                 trust.connect(socket, &name).await
             }
-            (Some(_), _) => Err(std::io::Error::other("the simulated network carries no TLS")),
+            (Some(_), _) => Err(std::io::Error::other(
+                "the simulated network carries no TLS",
+            )),
         }
     }
 }
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -42,7 +42,10 @@
 
 impl Framed {
     pub fn new(dial: Dial) -> Self {
-        Self { dial, held: Mutex::new(None) }
+        Self {
+            dial,
+            held: Mutex::new(None),
+        }
     }
 
     async fn connection(&self) -> Option<Arc<Connection>> {
@@ -52,7 +55,10 @@
         }
         let line = self.dial.line().await?;
         let (link, incoming) = Link::start(line, Side::Caller, LinkOptions::default());
-        let connection = Arc::new(Connection { link, lease_us: AtomicU64::new(0) });
+        let connection = Arc::new(Connection {
+            link,
+            lease_us: AtomicU64::new(0),
+        });
         tokio::spawn(listen(connection.clone(), incoming));
         tokio::spawn(keep(connection.clone()));
         *held = Some(connection.clone());
@@ -60,7 +66,12 @@
     }
 
     /// Sends a try; an error: nothing was sent.
-    pub async fn send(&self, request: &Request, call: &str, left_us: u64) -> Result<FramedTry, End> {
+    pub async fn send(
+        &self,
+        request: &Request,
+        call: &str,
+        left_us: u64,
+    ) -> Result<FramedTry, End> {
         let connection = self.connection().await.ok_or(End::NotSent)?;
         let head = RequestHead {
             object: request.object.clone(),
@@ -79,7 +90,11 @@
             ..Default::default()
         };
         let call = connection.link.call(head).map_err(|_| End::NotSent)?;
-        Ok(FramedTry { call, connection, headed: false })
+        Ok(FramedTry {
+            call,
+            connection,
+            headed: false,
+        })
     }
 
     pub async fn close(&self) {
@@ -103,14 +118,20 @@
                 Some(Part::Data(data)) => Ok(Piece::Data(data)),
                 Some(Part::End(CallEnd::Complete(_))) => Err(End::Complete),
                 Some(Part::End(CallEnd::Error(e))) => Err(match e.status() {
-                    WireStatus::Refused | WireStatus::Full | WireStatus::Miss if !e.may_have_run => {
-                        End::Refused { come_back: e.retry_after_us }
+                    WireStatus::Refused | WireStatus::Full | WireStatus::Miss
+                        if !e.may_have_run =>
+                    {
+                        End::Refused {
+                            come_back: e.retry_after_us,
+                        }
                     }
-                    _ => End::Failed { may_have_run: e.may_have_run },
+                    _ => End::Failed {
+                        may_have_run: e.may_have_run,
+                    },
+                }),
+                Some(Part::End(CallEnd::Broken(_) | CallEnd::NotSent)) | None => Err(End::Lost {
+                    lease: self.connection.lease(),
                 }),
-                Some(Part::End(CallEnd::Broken(_) | CallEnd::NotSent)) | None => {
-                    Err(End::Lost { lease: self.connection.lease() })
-                }
             };
         }
     }
@@ -119,13 +140,23 @@
 async fn listen(connection: Arc<Connection>, mut incoming: Incoming) {
     while let Some(inbound) = incoming.next().await {
         match inbound {
-            Inbound::Control(Frame::Hello(HelloHead { lease_us: Some(lease), .. })) => {
+            Inbound::Control(Frame::Hello(HelloHead {
+                lease_us: Some(lease),
+                ..
+            })) => {
                 connection.lease_us.store(lease, Ordering::Relaxed);
-                let hello = HelloHead { process: 1, lease_us: Some(lease), ..Default::default() };
+                let hello = HelloHead {
+                    process: 1,
+                    lease_us: Some(lease),
+                    ..Default::default()
+                };
                 connection.link.say(Frame::Hello(hello));
             }
             Inbound::Control(Frame::Probe(probe)) if !probe.echo => {
-                connection.link.say(Frame::Probe(ProbeHead { echo: true, ..probe }));
+                connection.link.say(Frame::Probe(ProbeHead {
+                    echo: true,
+                    ..probe
+                }));
             }
             _ => {}
         }
@@ -147,6 +178,9 @@
             return;
         }
         token += 1;
-        connection.link.say(Frame::Probe(ProbeHead { token, ..Default::default() }));
+        connection.link.say(Frame::Probe(ProbeHead {
+            token,
+            ..Default::default()
+        }));
     }
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -37,7 +37,10 @@
 
 impl Http {
     pub fn new(dial: Dial) -> Self {
-        Self { dial, idle: Idle::default() }
+        Self {
+            dial,
+            idle: Idle::default(),
+        }
     }
 
     async fn connection(&self) -> Option<Connection> {
@@ -50,13 +53,20 @@
             }
         }
         let (read, write) = self.dial.line().await?.split();
-        Some(Connection { read: Reader::new(read, ResponseCodec::new(false)), write })
+        Some(Connection {
+            read: Reader::new(read, ResponseCodec::new(false)),
+            write,
+        })
     }
 
     pub async fn send(&self, request: &Request, left_us: u64) -> Result<HttpTry, End> {
         let mut connection = self.connection().await.ok_or(End::NotSent)?;
         connection.read.codec().head_only = request.head_only;
-        let query = if request.part > 0 { format!("?part={}", request.part) } else { String::new() };
+        let query = if request.part > 0 {
+            format!("?part={}", request.part)
+        } else {
+            String::new()
+        };
         let method = if request.head_only { "HEAD" } else { "GET" };
         let mut text = format!(
             "{method} {}{query} HTTP/1.1\r\nhost: {}\r\nx-deadline-ms: {}\r\n",
@@ -76,7 +86,9 @@
         text += "\r\n";
         if connection.write.write_all(text.as_bytes()).await.is_err() {
             // Some of it may have gone out.
-            return Err(End::Lost { lease: Some(LETS_GO) });
+            return Err(End::Lost {
+                lease: Some(LETS_GO),
+            });
         }
         let idle = self.idle.clone();
         Ok(HttpTry {
@@ -98,12 +110,23 @@
     pub async fn next(&mut self) -> Result<Piece, End> {
         loop {
             let Some(connection) = &mut self.connection else {
-                return Err(End::Lost { lease: Some(LETS_GO) });
+                return Err(End::Lost {
+                    lease: Some(LETS_GO),
+                });
             };
             match connection.read.next().await {
-                Some(Ok(HttpPiece::Head { status, fields, keep_alive })) => {
+                Some(Ok(HttpPiece::Head {
+                    status,
+                    fields,
+                    keep_alive,
+                })) => {
                     (self.status, self.keep) = (status, keep_alive);
-                    let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+                    let find = |name: &str| {
+                        fields
+                            .iter()
+                            .find(|(n, _)| n == name)
+                            .map(|(_, v)| v.as_str())
+                    };
                     let refused = find("x-outcome") == Some("refused");
                     let ms = find("x-come-back-ms").and_then(|v| v.parse::<u64>().ok());
                     let s = find("retry-after").and_then(|v| v.parse::<u64>().ok());
@@ -113,7 +136,9 @@
                         return Ok(Piece::Head(head(status, &fields)));
                     }
                 }
-                Some(Ok(HttpPiece::Data(data))) if is_answer(self.status) => return Ok(Piece::Data(data)),
+                Some(Ok(HttpPiece::Data(data))) if is_answer(self.status) => {
+                    return Ok(Piece::Data(data))
+                }
                 Some(Ok(HttpPiece::Data(_))) => {}
                 Some(Ok(HttpPiece::End)) => {
                     let connection = self.connection.take().filter(|_| self.keep);
@@ -122,13 +147,19 @@
                     idle.extend(connection.filter(|_| room));
                     return Err(match self.status {
                         status if is_answer(status) => End::Complete,
-                        503 if !self.ran => End::Refused { come_back: self.come_back },
-                        _ => End::Failed { may_have_run: self.ran },
+                        503 if !self.ran => End::Refused {
+                            come_back: self.come_back,
+                        },
+                        _ => End::Failed {
+                            may_have_run: self.ran,
+                        },
                     });
                 }
                 Some(Err(_)) | None => {
                     self.connection = None;
-                    return Err(End::Lost { lease: Some(LETS_GO) });
+                    return Err(End::Lost {
+                        lease: Some(LETS_GO),
+                    });
                 }
             }
         }
@@ -142,7 +173,12 @@
 
 /// The head in the framed protocol's terms.
 fn head(status: u16, fields: &[(String, String)]) -> AnswerHead {
-    let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+    let find = |name: &str| {
+        fields
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
+    };
     let range = find("content-range").and_then(|v| v.strip_prefix("bytes "));
     let (span, whole) = range.and_then(|r| r.split_once('/')).unwrap_or(("", ""));
     let cache = find("cache-status").unwrap_or_default();
@@ -162,7 +198,9 @@
         content_type: find("content-type").unwrap_or_default().to_owned(),
         not_modified: status == 304,
         unsatisfiable: status == 416,
-        range_first: span.split_once('-').and_then(|(first, _)| first.parse().ok()),
+        range_first: span
+            .split_once('-')
+            .and_then(|(first, _)| first.parse().ok()),
         whole_size: whole.parse().ok(),
         ..Default::default()
     }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -71,7 +71,9 @@
     EffectOverHttp(String),
     #[error("{0}: a keyed request needs a key")]
     NoKey(String),
-    #[error("{0:?}: an object's name begins with / and holds neither spaces nor control characters")]
+    #[error(
+        "{0:?}: an object's name begins with / and holds neither spaces nor control characters"
+    )]
     Object(String),
     #[error("{object}: {field} holds a line's end")]
     Field { object: String, field: &'static str },
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -74,7 +74,13 @@
     pub fn new(rules: RetryRules, dispatchers: usize, seed: u64) -> Self {
         let breakers = vec![Breaker::default(); dispatchers];
         let dice = StdRng::seed_from_u64(seed);
-        Self { rules, tokens: rules.saved, breakers, next: 0, dice }
+        Self {
+            rules,
+            tokens: rules.saved,
+            breakers,
+            next: 0,
+            dice,
+        }
     }
 
     pub fn rules(&self) -> &RetryRules {
@@ -118,7 +124,10 @@
 
     /// Whether this one may be asked now, outside its turn.
     pub fn may_ask(&mut self, now: Micros, dispatcher: usize) -> bool {
-        let open = self.breakers.get(dispatcher).is_some_and(|b| now >= b.open_until);
+        let open = self
+            .breakers
+            .get(dispatcher)
+            .is_some_and(|b| now >= b.open_until);
         if open {
             self.ask(now, dispatcher);
         }
@@ -135,7 +144,10 @@
 
     /// When the first of those that are left alone may be asked again.
     pub fn next_open(&self) -> Option<Micros> {
-        self.breakers.iter().map(|b| b.open_until.max(b.trial_until)).min()
+        self.breakers
+            .iter()
+            .map(|b| b.open_until.max(b.trial_until))
+            .min()
     }
 
     /// Word from a dispatcher, whatever it says.
@@ -181,7 +193,10 @@
                 tries += r.may_retry() as u32;
             }
         }
-        assert!((1_190..=1_215).contains(&tries), "{tries} tries of 1,000 calls");
+        assert!(
+            (1_190..=1_215).contains(&tries),
+            "{tries} tries of 1,000 calls"
+        );
     }
 
     #[test]
@@ -190,9 +205,21 @@
         let mut spread = |n, told| (0..200).map(|_| r.wait(n, told)).collect::<Vec<Micros>>();
         let (first, third, told) = (spread(1, None), spread(3, None), spread(1, Some(1_000_000)));
         let range = |w: &[Micros]| (*w.iter().min().unwrap(), *w.iter().max().unwrap());
-        assert!(range(&first).0 >= 25_000 && range(&first).1 <= 75_000, "{:?}", range(&first));
-        assert!(range(&third).0 >= 100_000 && range(&third).1 <= 300_000, "{:?}", range(&third));
-        assert!(range(&told).0 >= 1_000_000 && range(&told).1 > 1_100_000, "{:?}", range(&told));
+        assert!(
+            range(&first).0 >= 25_000 && range(&first).1 <= 75_000,
+            "{:?}",
+            range(&first)
+        );
+        assert!(
+            range(&third).0 >= 100_000 && range(&third).1 <= 300_000,
+            "{:?}",
+            range(&third)
+        );
+        assert!(
+            range(&told).0 >= 1_000_000 && range(&told).1 > 1_100_000,
+            "{:?}",
+            range(&told)
+        );
     }
 
     #[test]
--- a/crates/client/tests/cuts.rs
+++ b/crates/client/tests/cuts.rs
@@ -75,9 +75,16 @@
 
 /// Bytes of an object, by its name alone.
 fn content(object: &str) -> Bytes {
-    let number: usize = object.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0);
+    let number: usize = object
+        .rsplit('/')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0);
     let len = [0, 1, 700, 9_000, 70_000][number % 5];
-    (0..len).map(|n| ((n * 31 + number) % 251) as u8).collect::<Vec<u8>>().into()
+    (0..len)
+        .map(|n| ((n * 31 + number) % 251) as u8)
+        .collect::<Vec<u8>>()
+        .into()
 }
 
 async fn member(seen: Arc<Seen>, seed: u64) -> SocketAddr {
@@ -91,13 +98,20 @@
                 let (_link, mut incoming) =
                     Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
                 while let Some(inbound) = incoming.next().await {
-                    let Inbound::Request(head, responder) = inbound else { continue };
+                    let Inbound::Request(head, responder) = inbound else {
+                        continue;
+                    };
                     // Some are so slow that a second attempt would meet the first.
                     let wait = match dice.lock().unwrap().gen_range(0..20) {
                         0 => 500,
                         n => n / 2,
                     };
-                    tokio::spawn(answer(seen.clone(), head, responder, Duration::from_millis(wait)));
+                    tokio::spawn(answer(
+                        seen.clone(),
+                        head,
+                        responder,
+                        Duration::from_millis(wait),
+                    ));
                 }
             });
         }
@@ -108,7 +122,12 @@
 async fn answer(seen: Arc<Seen>, head: RequestHead, mut responder: Responder, wait: Duration) {
     let n = seen.began(&head.trace);
     if head.class == "unsafe" {
-        *seen.done.lock().unwrap().entry(head.trace.clone()).or_default() += 1;
+        *seen
+            .done
+            .lock()
+            .unwrap()
+            .entry(head.trace.clone())
+            .or_default() += 1;
     }
     let body = content(&head.object);
     // A cancel ends it at once, as at a real member.
@@ -118,7 +137,11 @@
     };
     if !gone {
         let size = Some(body.len() as u64);
-        let answer = AnswerHead { size, note: WireNote::Hit as i32, ..Default::default() };
+        let answer = AnswerHead {
+            size,
+            note: WireNote::Hit as i32,
+            ..Default::default()
+        };
         if responder.head(answer).await.is_ok() && responder.data(body).await.is_ok() {
             let _ = responder.end(None).await;
         }
@@ -149,7 +172,9 @@
     tokio::spawn(async move {
         let mut dice = StdRng::seed_from_u64(seed);
         while let Ok((client, _)) = listener.accept().await {
-            let Ok(server) = TcpStream::connect(to).await else { continue };
+            let Ok(server) = TcpStream::connect(to).await else {
+                continue;
+            };
             let (after, silent) = (dice.gen_range(1..1_200_000_u64), dice.gen::<f64>() < 0.3);
             let cuts = cuts.clone();
             tokio::spawn(async move {
@@ -181,7 +206,9 @@
 ) -> bool {
     let mut buffer = vec![0; 8 * 1024];
     loop {
-        let Ok(read @ 1..) = from.read(&mut buffer).await else { return false };
+        let Ok(read @ 1..) = from.read(&mut buffer).await else {
+            return false;
+        };
         let may = left.load(Ordering::Relaxed).min(read as u64);
         if to.write_all(&buffer[..may as usize]).await.is_err() {
             return false;
@@ -212,13 +239,28 @@
     let cuts = Arc::new(AtomicU64::new(0));
     let mut doors = Vec::new();
     for (n, d) in [&one, &two].into_iter().enumerate() {
-        let to = if framed { d.bound().framed } else { d.bound().http };
+        let to = if framed {
+            d.bound().framed
+        } else {
+            d.bound().http
+        };
         doors.push(relay(to.unwrap(), seed + 10 + n as u64, cuts.clone()).await);
     }
     // Hard on purpose: the budget is another test's.
-    let rules = RetryRules { share: 2.0, saved: 1e6, silent: 8, ..RetryRules::default() };
+    let rules = RetryRules {
+        share: 2.0,
+        saved: 1e6,
+        silent: 8,
+        ..RetryRules::default()
+    };
     let builder = Client::builder().retries(rules).seed(seed);
-    let client = if framed { builder.framed(doors) } else { builder.http(doors) }.build().unwrap();
+    let client = if framed {
+        builder.framed(doors)
+    } else {
+        builder.http(doors)
+    }
+    .build()
+    .unwrap();
     let (mut running, mut sum) = (JoinSet::new(), Count::default());
     let mut add = |(outcome, tries): (Outcome, u32)| {
         sum.tries += u64::from(tries);
@@ -231,10 +273,21 @@
     for n in 0..calls {
         let name = format!("call-{n}");
         let deadline = Duration::from_secs(3);
-        let request = Request { trace: name.clone(), ..Request::get(format!("/o/{n}"), "page", deadline) };
+        let request = Request {
+            trace: name.clone(),
+            ..Request::get(format!("/o/{n}"), "page", deadline)
+        };
         let request = match n % 10 {
-            0 if framed => Request { class: "keyed".into(), ..request }.keyed(name, Duration::from_secs(3)),
-            1 if framed => Request { class: "unsafe".into(), ..request }.unsafe_to_repeat(),
+            0 if framed => Request {
+                class: "keyed".into(),
+                ..request
+            }
+            .keyed(name, Duration::from_secs(3)),
+            1 if framed => Request {
+                class: "unsafe".into(),
+                ..request
+            }
+            .unsafe_to_repeat(),
             _ => request,
         };
         let client = client.clone();
@@ -251,10 +304,17 @@
                     Piece::End(end) => outcome = Some(end),
                 }
             }
-            assert!(began.elapsed() < Duration::from_secs(6), "long after its deadline");
+            assert!(
+                began.elapsed() < Duration::from_secs(6),
+                "long after its deadline"
+            );
             let outcome = outcome.expect("a call has an outcome");
             if outcome == Outcome::Served {
-                assert!(body == content(&object), "{object}: {} bytes, not its own", body.len());
+                assert!(
+                    body == content(&object),
+                    "{object}: {} bytes, not its own",
+                    body.len()
+                );
             }
             (outcome, call.tries())
         });
@@ -276,9 +336,23 @@
     );
     assert_eq!(sum.served + sum.refused + sum.failed, calls);
     assert!(cut > 50, "{cut} cuts");
-    assert!(sum.served * 10 > calls * 8, "{} of {calls} served", sum.served);
-    assert!(seen.together() < TOGETHER, "two live attempts for {:?}", seen.together());
-    let twice = seen.done.lock().unwrap().values().filter(|n| **n > 1).count();
+    assert!(
+        sum.served * 10 > calls * 8,
+        "{} of {calls} served",
+        sum.served
+    );
+    assert!(
+        seen.together() < TOGETHER,
+        "two live attempts for {:?}",
+        seen.together()
+    );
+    let twice = seen
+        .done
+        .lock()
+        .unwrap()
+        .values()
+        .filter(|n| **n > 1)
+        .count();
     assert_eq!(twice, 0, "unsafe work done twice");
     one.stop().await;
     two.stop().await;
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -25,12 +25,18 @@
         let folder = folder.join(name);
         std::fs::create_dir_all(&folder).unwrap();
         let mut params = CertificateParams::new(vec![]).unwrap();
-        params.distinguished_name.push(rcgen::DnType::CommonName, name);
+        params
+            .distinguished_name
+            .push(rcgen::DnType::CommonName, name);
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
         let key = KeyPair::generate().unwrap();
         let certificate = params.self_signed(&key).unwrap();
         std::fs::write(folder.join("authority.pem"), certificate.pem()).unwrap();
-        Self { certificate, key, folder }
+        Self {
+            certificate,
+            key,
+            folder,
+        }
     }
 
     fn file(&self) -> PathBuf {
@@ -41,7 +47,9 @@
         let mut params = CertificateParams::new(vec!["127.0.0.1".to_owned()]).unwrap();
         change(&mut params);
         let key = KeyPair::generate().unwrap();
-        let certificate = params.signed_by(&key, &self.certificate, &self.key).unwrap();
+        let certificate = params
+            .signed_by(&key, &self.certificate, &self.key)
+            .unwrap();
         let files = Files {
             certificate: self.folder.join(format!("{file}.pem")),
             key: self.folder.join(format!("{file}.key")),
@@ -53,7 +61,10 @@
 }
 
 fn body() -> Bytes {
-    (0..LARGE).map(|n| (n * 31 % 251) as u8).collect::<Vec<u8>>().into()
+    (0..LARGE)
+        .map(|n| (n * 31 % 251) as u8)
+        .collect::<Vec<u8>>()
+        .into()
 }
 
 async fn member() -> SocketAddr {
@@ -62,13 +73,24 @@
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
-                let (_link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
+                let (_link, mut incoming) =
+                    Link::start(socket, Side::Answerer, LinkOptions::default());
                 while let Some(inbound) = incoming.next().await {
-                    let Inbound::Request(head, mut responder) = inbound else { continue };
+                    let Inbound::Request(head, mut responder) = inbound else {
+                        continue;
+                    };
                     tokio::spawn(async move {
-                        let body = if head.object == "/large" { body() } else { "small".into() };
+                        let body = if head.object == "/large" {
+                            body()
+                        } else {
+                            "small".into()
+                        };
                         let size = Some(body.len() as u64);
-                        let answer = AnswerHead { size, note: WireNote::Hit as i32, ..Default::default() };
+                        let answer = AnswerHead {
+                            size,
+                            note: WireNote::Hit as i32,
+                            ..Default::default()
+                        };
                         let _ = responder.head(answer).await;
                         let _ = responder.data(body).await;
                         let _ = responder.end(None).await;
@@ -82,8 +104,9 @@
 
 async fn dispatcher(files: &Files, client_authority: Option<&Path>) -> Dispatcher {
     let member = member().await;
-    let clients =
-        client_authority.map(|f| format!("client_authority = {}\n", f.display())).unwrap_or_default();
+    let clients = client_authority
+        .map(|f| format!("client_authority = {}\n", f.display()))
+        .unwrap_or_default();
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttps = 127.0.0.1:0\nframed_tls = 127.0.0.1:0\ndrain_ms = 100\n\
          [tls]\ncertificate = {}\nkey = {}\n{clients}[zone b]\ndispatchers = 1\n\
@@ -97,9 +120,19 @@
 }
 
 fn client(bound: &Bound, framed: bool, trust: Trust) -> Client {
-    let rules = RetryRules { most: 1, ..RetryRules::default() };
-    let builder = Client::builder().retries(rules).connect_timeout(Duration::from_secs(5)).tls(trust, None);
-    let builder = if framed { builder.framed(bound.framed_tls) } else { builder.http(bound.https) };
+    let rules = RetryRules {
+        most: 1,
+        ..RetryRules::default()
+    };
+    let builder = Client::builder()
+        .retries(rules)
+        .connect_timeout(Duration::from_secs(5))
+        .tls(trust, None);
+    let builder = if framed {
+        builder.framed(bound.framed_tls)
+    } else {
+        builder.http(bound.https)
+    };
     builder.build().unwrap()
 }
 
@@ -122,7 +155,9 @@
             (Outcome::Served, Bytes::from("small")),
             "framed {framed}"
         );
-        let mut call = client.call(Request::get("/large", "page", Duration::from_secs(15))).unwrap();
+        let mut call = client
+            .call(Request::get("/large", "page", Duration::from_secs(15)))
+            .unwrap();
         let mut got = Vec::new();
         while let Some(piece) = call.next().await {
             match piece {
@@ -138,14 +173,19 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn wrong_certificates_are_turned_away_with_a_plain_reason() {
     let folder = tempfile::tempdir().unwrap();
-    let (ours, foreign) = (Authority::new(folder.path(), "ours"), Authority::new(folder.path(), "foreign"));
+    let (ours, foreign) = (
+        Authority::new(folder.path(), "ours"),
+        Authority::new(folder.path(), "foreign"),
+    );
     let trust = Trust::load(&ours.file(), None).unwrap();
     let old = |p: &mut CertificateParams| {
         p.not_before = rcgen::date_time_ymd(2001, 1, 1);
         p.not_after = rcgen::date_time_ymd(2002, 1, 1);
     };
     let other = |p: &mut CertificateParams| {
-        p.subject_alt_names = vec![rcgen::SanType::DnsName("elsewhere.example".try_into().unwrap())];
+        p.subject_alt_names = vec![rcgen::SanType::DnsName(
+            "elsewhere.example".try_into().unwrap(),
+        )];
     };
     let cases = [
         (ours.sign("expired", old), "expired"),
@@ -168,24 +208,47 @@
     let edge = dispatcher(&ours.sign("edge", |_| {}), Some(&ours.file())).await;
     let (own, strange) = (ours.sign("desk", |_| {}), foreign.sign("desk", |_| {}));
     for (shown, served) in [(None, false), (Some(&strange), false), (Some(&own), true)] {
-        let client = client(edge.bound(), true, Trust::load(&ours.file(), shown).unwrap());
+        let client = client(
+            edge.bound(),
+            true,
+            Trust::load(&ours.file(), shown).unwrap(),
+        );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
     // Files that cannot be used are named, and never quoted.
     let key = std::fs::read_to_string(&own.key).unwrap();
-    let swapped = Files { certificate: own.key.clone(), key: own.certificate.clone() };
-    let told = Trust::load(&ours.file(), Some(&swapped)).unwrap_err().to_string();
-    assert!(told.contains("desk.key") && !told.contains(key.lines().nth(1).unwrap()), "{told}");
+    let swapped = Files {
+        certificate: own.key.clone(),
+        key: own.certificate.clone(),
+    };
+    let told = Trust::load(&ours.file(), Some(&swapped))
+        .unwrap_err()
+        .to_string();
+    assert!(
+        told.contains("desk.key") && !told.contains(key.lines().nth(1).unwrap()),
+        "{told}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_reload_is_for_new_connections_and_drops_none() {
     let folder = tempfile::tempdir().unwrap();
-    let (first, second) = (Authority::new(folder.path(), "first"), Authority::new(folder.path(), "second"));
+    let (first, second) = (
+        Authority::new(folder.path(), "first"),
+        Authority::new(folder.path(), "second"),
+    );
     let files = first.sign("edge", |_| {});
     let edge = dispatcher(&files, None).await;
-    let old = client(edge.bound(), true, Trust::load(&first.file(), None).unwrap());
-    let new = client(edge.bound(), true, Trust::load(&second.file(), None).unwrap());
+    let old = client(
+        edge.bound(),
+        true,
+        Trust::load(&first.file(), None).unwrap(),
+    );
+    let new = client(
+        edge.bound(),
+        true,
+        Trust::load(&second.file(), None).unwrap(),
+    );
     assert_eq!(get(&old, "/small").await.0, Outcome::Served);
     assert_ne!(get(&new, "/small").await.0, Outcome::Served);
     // Half a reload is none.
@@ -195,6 +258,15 @@
     assert_eq!(get(&old, "/small").await.0, Outcome::Served);
     std::fs::copy(&renewed.key, &files.key).unwrap();
     edge.reload_tls().unwrap();
-    assert_eq!(get(&new, "/small").await.0, Outcome::Served, "{:?}", new.last_trouble());
-    assert_eq!(get(&old, "/small").await.0, Outcome::Served, "its connection stands");
+    assert_eq!(
+        get(&new, "/small").await.0,
+        Outcome::Served,
+        "{:?}",
+        new.last_trouble()
+    );
+    assert_eq!(
+        get(&old, "/small").await.0,
+        Outcome::Served,
+        "its connection stands"
+    );
 }
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -24,6 +24,8 @@
 
     /// The span up to a later moment; none: the machine was booted in between, and nobody knows.
     pub fn until(&self, later: &Self) -> Option<Duration> {
-        (self.boot == later.boot).then(|| later.since.checked_sub(self.since)).flatten()
+        (self.boot == later.boot)
+            .then(|| later.since.checked_sub(self.since))
+            .flatten()
     }
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -36,12 +36,18 @@
 impl WallClock {
     /// Reads both clocks. To be done once, early in a process.
     pub fn start() -> Self {
-        Self { at_start: wall(), started: Instant::now() }
+        Self {
+            at_start: wall(),
+            started: Instant::now(),
+        }
     }
 
     /// What both clocks say now.
     pub fn read(&self) -> Reading {
-        Reading { wall: wall(), elapsed: self.started.elapsed() }
+        Reading {
+            wall: wall(),
+            elapsed: self.started.elapsed(),
+        }
     }
 
     /// Time since 1970, without the steps that the wall clock has made since the start.
@@ -99,7 +105,9 @@
 }
 
 fn wall() -> Duration {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 #[cfg(test)]
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -4,18 +4,26 @@
 const START: u64 = 1_764_576_000;
 
 fn clock() -> WallClock {
-    WallClock { at_start: Duration::from_secs(START), started: Instant::now() }
+    WallClock {
+        at_start: Duration::from_secs(START),
+        started: Instant::now(),
+    }
 }
 
 /// `elapsed` seconds after the start, with a wall clock that is off by `step` seconds.
 fn reading(elapsed: u64, step: i64) -> Reading {
     let wall = (START + elapsed).saturating_add_signed(step);
-    Reading { wall: Duration::from_secs(wall), elapsed: Duration::from_secs(elapsed) }
+    Reading {
+        wall: Duration::from_secs(wall),
+        elapsed: Duration::from_secs(elapsed),
+    }
 }
 
 /// The age, in seconds, of something that happened `at` seconds after the start.
 fn age(at: i64, now: Reading) -> u64 {
-    clock().age_at(now, (START.saturating_add_signed(at) * 1_000) as f64).as_secs()
+    clock()
+        .age_at(now, (START.saturating_add_signed(at) * 1_000) as f64)
+        .as_secs()
 }
 
 #[test]
@@ -29,15 +37,25 @@
     }
     assert_eq!(age(10, reading(12, 0)), 2);
     assert_eq!(age(-30, reading(12, 0)), 42, "before the start");
-    assert_eq!(age(20, reading(12, 0)), 0, "another machine's clock runs ahead");
+    assert_eq!(
+        age(20, reading(12, 0)),
+        0,
+        "another machine's clock runs ahead"
+    );
 }
 
 #[test]
 fn a_clock_that_is_set_right_after_the_start_makes_nothing_older() {
     // It was an hour ahead at the start; what happens now is stamped with the right time.
-    let ahead = WallClock { at_start: Duration::from_secs(START + HOUR), started: Instant::now() };
+    let ahead = WallClock {
+        at_start: Duration::from_secs(START + HOUR),
+        started: Instant::now(),
+    };
     let now = reading(12, 0);
-    assert_eq!(ahead.age_at(now, ((START + 10) * 1_000) as f64).as_secs(), 2);
+    assert_eq!(
+        ahead.age_at(now, ((START + 10) * 1_000) as f64).as_secs(),
+        2
+    );
 }
 
 #[test]
@@ -59,7 +77,12 @@
 fn spans_between_processes_are_known_within_one_boot() {
     let first = BootMoment::now().expect("a Linux machine");
     let second = BootMoment::now().unwrap();
-    assert!(first.until(&second).is_some_and(|span| span < Duration::from_secs(60)));
-    let other = BootMoment { boot: "another".into(), ..second };
+    assert!(first
+        .until(&second)
+        .is_some_and(|span| span < Duration::from_secs(60)));
+    let other = BootMoment {
+        boot: "another".into(),
+        ..second
+    };
     assert_eq!(first.until(&other), None);
 }
--- a/crates/config/src/cache.rs
+++ b/crates/config/src/cache.rs
@@ -73,7 +73,12 @@
     let name = r.value("cache", "name", "cache".to_owned(), "a name");
     let role = r.choice("cache", "role", Role::Cache, &Role::WORDS);
     let weight = r.number("cache", "weight", 50.0, 0.01, 1e6);
-    let framed = r.must("listen", "framed", SocketAddr::from(([127, 0, 0, 1], 0)), "an address and port");
+    let framed = r.must(
+        "listen",
+        "framed",
+        SocketAddr::from(([127, 0, 0, 1], 0)),
+        "an address and port",
+    );
     let control = address(r, "listen", "control");
     let store = store(r, role);
     let origin = address(r, "origin", "address").map(|at| OriginPlace {
@@ -85,7 +90,11 @@
         r.complain("origin", "address", "missing, such as 127.0.0.1:9100");
     }
     if origin.is_none() && role == Role::Origin {
-        r.complain("cache", "role", "origin: a gateway to an HTTP origin needs [origin] address");
+        r.complain(
+            "cache",
+            "role",
+            "origin: a gateway to an HTTP origin needs [origin] address",
+        );
     }
     let mut classes = Vec::new();
     for class in r.named("class") {
@@ -124,7 +133,10 @@
 }
 
 fn store(r: &mut Reader, role: Role) -> Option<StorePlace> {
-    let path = r.text("store", "path").filter(|p| !p.is_empty()).map(PathBuf::from);
+    let path = r
+        .text("store", "path")
+        .filter(|p| !p.is_empty())
+        .map(PathBuf::from);
     let capacity = (r.number("store", "capacity_mb", 1_024.0, 0.01, 1e9) * MB) as u64;
     let segment = (r.number("store", "segment_mb", 64.0, 0.01, 2_048.0) * MB) as u32;
     let block = (r.number("store", "block_kb", 64.0, 1.0, 1_024.0) * 1024.0) as u32;
@@ -135,22 +147,42 @@
         r.complain("store", "capacity_mb", "at least six segments (segment_mb)");
     }
     if block > segment / 4 {
-        r.complain("store", "block_kb", "at most a quarter of a segment (segment_mb)");
+        r.complain(
+            "store",
+            "block_kb",
+            "at most a quarter of a segment (segment_mb)",
+        );
     }
     let Some(path) = path else {
         if role != Role::Origin {
-            r.complain("store", "path", "missing: a cache host or parent keeps copies");
+            r.complain(
+                "store",
+                "path",
+                "missing: a cache host or parent keeps copies",
+            );
         }
         return None;
     };
-    Some(StorePlace { path, capacity, segment, block, memory, warm_share, sync_us })
+    Some(StorePlace {
+        path,
+        capacity,
+        segment,
+        block,
+        memory,
+        warm_share,
+        sync_us,
+    })
 }
 
 fn address(r: &mut Reader, section: &str, key: &str) -> Option<SocketAddr> {
     let text = r.text(section, key).filter(|t| !t.is_empty())?;
     let read = text.parse().ok();
     if read.is_none() {
-        r.complain(section, key, &format!("{text:?} is not an address and port, such as 127.0.0.1:9000"));
+        r.complain(
+            section,
+            key,
+            &format!("{text:?} is not an address and port, such as 127.0.0.1:9000"),
+        );
     }
     read
 }
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -12,8 +12,11 @@
 }
 
 impl Role {
-    pub const WORDS: [(&'static str, Self); 3] =
-        [("cache", Self::Cache), ("parent", Self::Parent), ("origin", Self::Origin)];
+    pub const WORDS: [(&'static str, Self); 3] = [
+        ("cache", Self::Cache),
+        ("parent", Self::Parent),
+        ("origin", Self::Origin),
+    ];
 
     pub fn word(self) -> &'static str {
         Self::WORDS[self.kind()].0
@@ -25,7 +28,10 @@
     }
 
     pub fn of(word: &str) -> Option<Self> {
-        Self::WORDS.iter().find(|(w, _)| *w == word).map(|(_, role)| *role)
+        Self::WORDS
+            .iter()
+            .find(|(w, _)| *w == word)
+            .map(|(_, role)| *role)
     }
 }
 
@@ -45,7 +51,11 @@
         let section = format!("member {name}");
         let address = reader.must(&section, "address", String::new(), "host:port");
         if !address.is_empty() && address.parse::<std::net::SocketAddr>().is_err() {
-            reader.complain(&section, "address", &format!("{address:?} is not an address and port"));
+            reader.complain(
+                &section,
+                "address",
+                &format!("{address:?} is not an address and port"),
+            );
         }
         if members.iter().any(|m| m.address == address) {
             reader.complain(&section, "address", "another member has this address");
@@ -57,7 +67,13 @@
         }
         let weight = reader.number(&section, "weight", 1.0, 0.001, 1e6);
         let cell = reader.value(&section, "cell", 0, "a whole number");
-        members.push(MemberSpec { address, role, zone, weight, cell });
+        members.push(MemberSpec {
+            address,
+            role,
+            zone,
+            weight,
+            cell,
+        });
     }
     members
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -36,7 +36,12 @@
 impl Complaints {
     pub fn one(file: &str, line: usize, key: &str, reason: &str) -> Self {
         let (file, key, reason) = (file.to_owned(), key.to_owned(), reason.to_owned());
-        Self(vec![Complaint { file, line, key, reason }])
+        Self(vec![Complaint {
+            file,
+            line,
+            key,
+            reason,
+        }])
     }
 }
 
@@ -91,7 +96,11 @@
 
 impl Reader {
     pub fn new(file: &str, text: &str) -> Result<Self, Complaints> {
-        let options = ParseOption { enabled_quote: false, enabled_escape: false, ..Default::default() };
+        let options = ParseOption {
+            enabled_quote: false,
+            enabled_escape: false,
+            ..Default::default()
+        };
         let ini = Ini::load_from_str_opt(text, options)
             .map_err(|e| Complaints::one(file, e.line, "", &format!("not INI: {}", e.msg)))?;
         let mut reader = Self {
@@ -108,7 +117,11 @@
                     let reason = format!("the section stands already on line {}", first.line);
                     reader.complain_at(line, &format!("[{section}]"), &reason);
                 } else {
-                    let new = Section { line, keys: BTreeMap::new(), used: false };
+                    let new = Section {
+                        line,
+                        keys: BTreeMap::new(),
+                        used: false,
+                    };
                     reader.sections.insert(section.clone(), new);
                     reader.order.push(section);
                 }
@@ -123,8 +136,16 @@
                 reader.complain_at(line, &format!("{section}.{key}"), &reason);
                 continue;
             }
-            let value = ini.section(Some(section.as_str())).and_then(|s| s.get(&key)).unwrap_or_default();
-            let value = value.split(" #").next().unwrap_or_default().trim().to_owned();
+            let value = ini
+                .section(Some(section.as_str()))
+                .and_then(|s| s.get(&key))
+                .unwrap_or_default();
+            let value = value
+                .split(" #")
+                .next()
+                .unwrap_or_default()
+                .trim()
+                .to_owned();
             if let Some(found) = reader.sections.get_mut(&section) {
                 found.keys.insert(key, (line, value));
             }
@@ -134,7 +155,11 @@
 
     /// Puts a value in place of the file's, or beside it; complaints about it name no line.
     pub fn set(&mut self, section: &str, key: &str, value: &str) {
-        let new = || Section { line: 0, keys: BTreeMap::new(), used: false };
+        let new = || Section {
+            line: 0,
+            keys: BTreeMap::new(),
+            used: false,
+        };
         if !self.sections.contains_key(section) {
             self.order.push(section.to_owned());
         }
@@ -144,13 +169,25 @@
 
     fn complain_at(&mut self, line: usize, key: &str, reason: &str) {
         let (file, key, reason) = (self.file.clone(), key.to_owned(), reason.to_owned());
-        self.complaints.push(Complaint { file, line, key, reason });
+        self.complaints.push(Complaint {
+            file,
+            line,
+            key,
+            reason,
+        });
     }
 
     /// A complaint about a key, on its line, or on its section's where it is missing.
     pub fn complain(&mut self, section: &str, key: &str, reason: &str) {
-        let line = self.sections.get(section).map_or(0, |s| s.keys.get(key).map_or(s.line, |(n, _)| *n));
-        let name = if key.is_empty() { format!("[{section}]") } else { format!("{section}.{key}") };
+        let line = self
+            .sections
+            .get(section)
+            .map_or(0, |s| s.keys.get(key).map_or(s.line, |(n, _)| *n));
+        let name = if key.is_empty() {
+            format!("[{section}]")
+        } else {
+            format!("{section}.{key}")
+        };
         self.complain_at(line, &name, reason);
     }
 
@@ -169,7 +206,10 @@
 
     /// The text of a key. Marks the section and the key as known.
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
-        self.asked.entry(section.to_owned()).or_default().push(key.to_owned());
+        self.asked
+            .entry(section.to_owned())
+            .or_default()
+            .push(key.to_owned());
         let found = self.sections.get_mut(section)?;
         found.used = true;
         found.keys.get(key).map(|(_, value)| value.clone())
@@ -231,13 +271,25 @@
     }
 
     /// One of a few words.
-    pub fn choice<T: Copy>(&mut self, section: &str, key: &str, default: T, words: &[(&str, T)]) -> T {
-        let Some(text) = self.text(section, key) else { return default };
+    pub fn choice<T: Copy>(
+        &mut self,
+        section: &str,
+        key: &str,
+        default: T,
+        words: &[(&str, T)],
+    ) -> T {
+        let Some(text) = self.text(section, key) else {
+            return default;
+        };
         match words.iter().find(|(word, _)| *word == text) {
             Some((_, value)) => *value,
             None => {
                 let words: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
-                self.complain(section, key, &format!("{text:?} is none of {}", words.join(", ")));
+                self.complain(
+                    section,
+                    key,
+                    &format!("{text:?} is none of {}", words.join(", ")),
+                );
                 default
             }
         }
@@ -248,7 +300,11 @@
         let mut unknown = Vec::new();
         for (name, section) in &self.sections {
             if !section.used {
-                unknown.push((section.line, format!("[{name}]"), "no such section".to_owned()));
+                unknown.push((
+                    section.line,
+                    format!("[{name}]"),
+                    "no such section".to_owned(),
+                ));
                 continue;
             }
             let asked = self.asked.get(name).map_or(&[][..], |a| a.as_slice());
@@ -274,9 +330,21 @@
 /// A known key that shares most of its beginning or end with this one.
 fn nearest<'a>(key: &str, known: &'a [String]) -> Option<&'a String> {
     let shared = |k: &str| {
-        let front = k.bytes().zip(key.bytes()).take_while(|(a, b)| a == b).count();
-        let back = k.bytes().rev().zip(key.bytes().rev()).take_while(|(a, b)| a == b).count();
+        let front = k
+            .bytes()
+            .zip(key.bytes())
+            .take_while(|(a, b)| a == b)
+            .count();
+        let back = k
+            .bytes()
+            .rev()
+            .zip(key.bytes().rev())
+            .take_while(|(a, b)| a == b)
+            .count();
         front.max(back)
     };
-    known.iter().max_by_key(|k| shared(k)).filter(|k| 2 * shared(k) >= key.len().max(k.len()))
+    known
+        .iter()
+        .max_by_key(|k| shared(k))
+        .filter(|k| 2 * shared(k) >= key.len().max(k.len()))
 }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -54,7 +54,8 @@
             IpAddr::V6(a) => (a.to_bits(), 128),
         };
         let ((own, len), (other, other_len)) = (bits(self.address), bits(address));
-        len == other_len && (self.bits == 0 || (own ^ other).leading_zeros() >= u32::from(self.bits))
+        len == other_len
+            && (self.bits == 0 || (own ^ other).leading_zeros() >= u32::from(self.bits))
     }
 }
 
@@ -149,19 +150,37 @@
 
 pub(crate) fn read(r: &mut Reader) -> Option<EdgeSettings> {
     let name = r.value("dispatcher", "name", "dispatcher".to_owned(), "a name");
-    let zone_name = r.must("dispatcher", "zone", String::new(), "the zone that it serves");
-    let me: Option<u32> = r.text("dispatcher", "number").and_then(|text| match text.parse() {
-        Ok(n) => Some(n),
-        Err(_) => {
-            r.complain("dispatcher", "number", &format!("{text:?} is not a whole number"));
-            None
-        }
-    });
+    let zone_name = r.must(
+        "dispatcher",
+        "zone",
+        String::new(),
+        "the zone that it serves",
+    );
+    let me: Option<u32> = r
+        .text("dispatcher", "number")
+        .and_then(|text| match text.parse() {
+            Ok(n) => Some(n),
+            Err(_) => {
+                r.complain(
+                    "dispatcher",
+                    "number",
+                    &format!("{text:?} is not a whole number"),
+                );
+                None
+            }
+        });
     let routers = r.number("dispatcher", "count", 1, 1, 100_000);
     if me.is_some_and(|me| me >= routers) {
-        r.complain("dispatcher", "number", "numbers count from 0 and lie below count");
+        r.complain(
+            "dispatcher",
+            "number",
+            "numbers count from 0 and lie below count",
+        );
     }
-    let state_file = r.text("dispatcher", "state_file").filter(|s| !s.is_empty()).map(PathBuf::from);
+    let state_file = r
+        .text("dispatcher", "state_file")
+        .filter(|s| !s.is_empty())
+        .map(PathBuf::from);
     let answer_slack_us = r.ms("dispatcher", "answer_slack_ms", 20.0, 0.0, 10_000.0);
     let max_requests = r.number("dispatcher", "max_requests", 20_000, 1, 10_000_000);
     let buffer_bytes = r.number("dispatcher", "buffer_mb", 512, 1, 1_000_000_u64) * 1024 * 1024;
@@ -169,19 +188,28 @@
     let mut zones = Vec::new();
     let mut counts = Vec::new();
     for zone in r.named("zone") {
-        counts.push(Zone { routers: r.number(&format!("zone {zone}"), "dispatchers", 0, 0, 100_000) });
+        counts.push(Zone {
+            routers: r.number(&format!("zone {zone}"), "dispatchers", 0, 0, 100_000),
+        });
         zones.push(zone);
     }
     if zones.is_empty() && !zone_name.is_empty() {
         zones.push(zone_name.clone());
         counts.push(Zone { routers });
     }
-    let zone = zones.iter().position(|z| *z == zone_name).unwrap_or_else(|| {
-        if !zone_name.is_empty() {
-            r.complain("dispatcher", "zone", &format!("{zone_name:?} is none of the [zone …] sections"));
-        }
-        0
-    });
+    let zone = zones
+        .iter()
+        .position(|z| *z == zone_name)
+        .unwrap_or_else(|| {
+            if !zone_name.is_empty() {
+                r.complain(
+                    "dispatcher",
+                    "zone",
+                    &format!("{zone_name:?} is none of the [zone …] sections"),
+                );
+            }
+            0
+        });
 
     let mut classes: Vec<ClassSpec> = Vec::new();
     let mut router_classes = Vec::new();
@@ -190,7 +218,11 @@
         let taken = |c: &&ClassSpec| c.path_prefix.is_some() && c.path_prefix == spec.path_prefix;
         if let Some(twin) = classes.iter().find(taken).map(|c| c.name.clone()) {
             let section = format!("class {}", spec.name);
-            r.complain(&section, "path_prefix", &format!("class {twin} has the same"));
+            r.complain(
+                &section,
+                "path_prefix",
+                &format!("class {twin} has the same"),
+            );
         }
         classes.push(spec);
         router_classes.push(class);
@@ -237,13 +269,21 @@
             "fleet",
             "notes",
             Notes::All,
-            &[("all", Notes::All), ("hit", Notes::HitOnly), ("none", Notes::None)],
+            &[
+                ("all", Notes::All),
+                ("hit", Notes::HitOnly),
+                ("none", Notes::None),
+            ],
         ),
         siblings: r.choice(
             "fleet",
             "siblings",
             Siblings::OwnZone,
-            &[("none", Siblings::None), ("zone", Siblings::OwnZone), ("any", Siblings::Any)],
+            &[
+                ("none", Siblings::None),
+                ("zone", Siblings::OwnZone),
+                ("any", Siblings::Any),
+            ],
         ),
         straight: r.flag("fleet", "straight", true),
         joins: r.flag("fleet", "joins", true),
@@ -275,7 +315,12 @@
     })
 }
 
-fn optional<T: std::str::FromStr>(r: &mut Reader, section: &str, key: &str, what: &str) -> Option<T> {
+fn optional<T: std::str::FromStr>(
+    r: &mut Reader,
+    section: &str,
+    key: &str,
+    what: &str,
+) -> Option<T> {
     let text = r.text(section, key).filter(|t| !t.is_empty())?;
     match text.parse() {
         Ok(value) => Some(value),
@@ -287,12 +332,26 @@
 }
 
 fn listen(r: &mut Reader) -> Listen {
-    let mut address = |key: &str| optional(r, "listen", key, "an address and port, such as 127.0.0.1:8080");
+    let mut address = |key: &str| {
+        optional(
+            r,
+            "listen",
+            key,
+            "an address and port, such as 127.0.0.1:8080",
+        )
+    };
     let (http, framed) = (address("http"), address("framed"));
     let (https, framed_tls) = (address("https"), address("framed_tls"));
     let (control, metrics) = (address("control"), address("metrics"));
-    if [http, framed, https, framed_tls].iter().all(Option::is_none) {
-        r.complain("listen", "", "neither http, framed, https nor framed_tls: no client could come");
+    if [http, framed, https, framed_tls]
+        .iter()
+        .all(Option::is_none)
+    {
+        r.complain(
+            "listen",
+            "",
+            "neither http, framed, https nor framed_tls: no client could come",
+        );
     }
     let max_connections = r.number("listen", "max_connections", 10_000, 1, 10_000_000);
     let soft = (max_connections - max_connections / 10).max(1);
@@ -300,9 +359,18 @@
     if soft_connections > max_connections {
         r.complain("listen", "soft_connections", "more than max_connections");
     }
-    let address_connections = r.number("listen", "address_connections", max_connections, 1, 10_000_000);
-    let networks =
-        r.named("network").into_iter().filter_map(|name| network(r, name, max_connections)).collect();
+    let address_connections = r.number(
+        "listen",
+        "address_connections",
+        max_connections,
+        1,
+        10_000_000,
+    );
+    let networks = r
+        .named("network")
+        .into_iter()
+        .filter_map(|name| network(r, name, max_connections))
+        .collect();
     Listen {
         http,
         framed,
@@ -326,28 +394,55 @@
 
 fn etcd(r: &mut Reader) -> Option<EtcdSettings> {
     let endpoints = r.text("etcd", "endpoints").unwrap_or_default();
-    let endpoints: Vec<String> =
-        endpoints.split(',').map(|e| e.trim().to_owned()).filter(|e| !e.is_empty()).collect();
-    if let Some(bad) = endpoints.iter().find(|e| !e.starts_with("http://") && !e.starts_with("https://")) {
+    let endpoints: Vec<String> = endpoints
+        .split(',')
+        .map(|e| e.trim().to_owned())
+        .filter(|e| !e.is_empty())
+        .collect();
+    if let Some(bad) = endpoints
+        .iter()
+        .find(|e| !e.starts_with("http://") && !e.starts_with("https://"))
+    {
         r.complain(
             "etcd",
             "endpoints",
             &format!("{bad:?} is not http://ADDRESS:PORT or https://ADDRESS:PORT"),
         );
     }
-    let prefix = r.value("etcd", "prefix", "/pointspindle".to_owned(), "what keys begin with");
+    let prefix = r.value(
+        "etcd",
+        "prefix",
+        "/pointspindle".to_owned(),
+        "what keys begin with",
+    );
     if prefix.ends_with('/') || prefix.is_empty() {
-        r.complain("etcd", "prefix", "keys begin with it and /v1/: it is not empty and ends with no /");
+        r.complain(
+            "etcd",
+            "prefix",
+            "keys begin with it and /v1/: it is not empty and ends with no /",
+        );
     }
-    let mut file = |key: &str| r.text("etcd", key).filter(|t| !t.is_empty()).map(PathBuf::from);
+    let mut file = |key: &str| {
+        r.text("etcd", key)
+            .filter(|t| !t.is_empty())
+            .map(PathBuf::from)
+    };
     let (authority, certificate, key) = (file("authority"), file("certificate"), file("key"));
     let password = file("password_file");
     if certificate.is_some() != key.is_some() {
-        r.complain("etcd", if key.is_none() { "key" } else { "certificate" }, "missing: both or none");
+        r.complain(
+            "etcd",
+            if key.is_none() { "key" } else { "certificate" },
+            "missing: both or none",
+        );
     }
     let user = r.text("etcd", "user").filter(|u| !u.is_empty());
     if user.is_some() != password.is_some() {
-        let missing = if user.is_none() { "user" } else { "password_file" };
+        let missing = if user.is_none() {
+            "user"
+        } else {
+            "password_file"
+        };
         r.complain("etcd", missing, "missing: both or none");
     }
     let lease_s = r.number("etcd", "lease_s", 5, 2, 600);
@@ -355,11 +450,19 @@
     let start_wait_us = r.ms("etcd", "start_wait_ms", 2_000.0, 0.0, MINUTE);
     let purge_within_us = r.ms("etcd", "purge_within_ms", 0.0, 0.0, MINUTE);
     if (1..300_000).contains(&purge_within_us) {
-        r.complain("etcd", "purge_within_ms", "0 for no promise, or at least 300");
+        r.complain(
+            "etcd",
+            "purge_within_ms",
+            "0 for no promise, or at least 300",
+        );
     }
     if endpoints.is_empty() {
         if r.has("etcd") {
-            r.complain("etcd", "endpoints", "missing, such as http://127.0.0.1:2379");
+            r.complain(
+                "etcd",
+                "endpoints",
+                "missing, such as http://127.0.0.1:2379",
+            );
         }
         return None;
     }
@@ -378,12 +481,21 @@
 }
 
 fn tls(r: &mut Reader, listen: &Listen) -> Option<Tls> {
-    let mut file = |key: &str| r.text("tls", key).filter(|t| !t.is_empty()).map(PathBuf::from);
-    let (certificate, key, client_authority) = (file("certificate"), file("key"), file("client_authority"));
+    let mut file = |key: &str| {
+        r.text("tls", key)
+            .filter(|t| !t.is_empty())
+            .map(PathBuf::from)
+    };
+    let (certificate, key, client_authority) =
+        (file("certificate"), file("key"), file("client_authority"));
     let wanted = [("https", listen.https), ("framed_tls", listen.framed_tls)];
     let door = wanted.iter().find(|(_, at)| at.is_some());
     match (certificate, key, door) {
-        (Some(certificate), Some(key), _) => Some(Tls { certificate, key, client_authority }),
+        (Some(certificate), Some(key), _) => Some(Tls {
+            certificate,
+            key,
+            client_authority,
+        }),
         (None, None, None) if client_authority.is_none() => None,
         (None, None, Some((door, _))) => {
             r.complain("listen", door, "needs certificate and key in [tls]");
@@ -392,7 +504,11 @@
         (certificate, _, _) => {
             r.complain(
                 "tls",
-                if certificate.is_none() { "certificate" } else { "key" },
+                if certificate.is_none() {
+                    "certificate"
+                } else {
+                    "key"
+                },
                 "missing (a PEM file)",
             );
             None
@@ -403,10 +519,16 @@
 fn network(r: &mut Reader, name: String, most: usize) -> Option<Network> {
     let section = format!("network {name}");
     let connections = r.number(&section, "connections", most, 1, 10_000_000);
-    let text = r.must(&section, "prefix", String::new(), "addresses, such as 10.20.0.0/16");
+    let text = r.must(
+        &section,
+        "prefix",
+        String::new(),
+        "addresses, such as 10.20.0.0/16",
+    );
     let read = || {
         let (address, bits) = text.split_once('/')?;
-        let (address, bits): (IpAddr, u8) = (address.trim().parse().ok()?, bits.trim().parse().ok()?);
+        let (address, bits): (IpAddr, u8) =
+            (address.trim().parse().ok()?, bits.trim().parse().ok()?);
         (bits <= if address.is_ipv4() { 32 } else { 128 }).then_some((address, bits))
     };
     let found = read();
@@ -418,7 +540,12 @@
         );
     }
     let (address, bits) = found?;
-    Some(Network { name, address, bits, connections })
+    Some(Network {
+        name,
+        address,
+        bits,
+        connections,
+    })
 }
 
 fn class(r: &mut Reader, name: String) -> (ClassSpec, Class) {
@@ -436,22 +563,38 @@
         &section,
         "key_group",
         KeyGroup::All,
-        &[("all", KeyGroup::All), ("zone", KeyGroup::Zone), ("cell", KeyGroup::Cell)],
+        &[
+            ("all", KeyGroup::All),
+            ("zone", KeyGroup::Zone),
+            ("cell", KeyGroup::Cell),
+        ],
     );
     let window = r.ms(&section, "key_window_ms", 2_000.0, 1.0, 60.0 * MINUTE);
     let repeat = r.choice(
         &section,
         "repeat",
         Repeat::Safe,
-        &[("safe", Repeat::Safe), ("keyed", Repeat::Keyed { group, window }), ("unsafe", Repeat::Unsafe)],
+        &[
+            ("safe", Repeat::Safe),
+            ("keyed", Repeat::Keyed { group, window }),
+            ("unsafe", Repeat::Unsafe),
+        ],
     );
     let uncacheable = r.flag(&section, "uncacheable", false);
     if uncacheable && path_prefix.is_some() {
         // HTTP at the door is GET and HEAD, which say that they change nothing.
-        r.complain(&section, "path_prefix", "uncacheable classes come by the framed protocol only");
+        r.complain(
+            &section,
+            "path_prefix",
+            "uncacheable classes come by the framed protocol only",
+        );
     }
     if !uncacheable && repeat != Repeat::Safe {
-        r.complain(&section, "repeat", "what may be kept is safe to repeat; set uncacheable = yes");
+        r.complain(
+            &section,
+            "repeat",
+            "what may be kept is safe to repeat; set uncacheable = yes",
+        );
     }
     let class = Class {
         aim,
@@ -463,10 +606,22 @@
         grace: r.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
     };
     if class.grace > 0 && class.fresh == 0 {
-        r.complain(&section, "grace_ms", "without fresh_ms a copy never grows old");
+        r.complain(
+            &section,
+            "grace_ms",
+            "without fresh_ms a copy never grows old",
+        );
     }
     let purge_exempt = r.flag(&section, "purge_exempt", false);
-    (ClassSpec { name, path_prefix, deadline_us, purge_exempt }, class)
+    (
+        ClassSpec {
+            name,
+            path_prefix,
+            deadline_us,
+            purge_exempt,
+        },
+        class,
+    )
 }
 
 pub(crate) fn cold(r: &mut Reader, section: &str) -> ColdRule {
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -4,7 +4,12 @@
 const EXAMPLE: &str = include_str!("../../../examples/edge.ini");
 
 fn complaints(text: &str) -> Vec<String> {
-    parse("f.ini", text).expect_err("wrong").0.iter().map(|c| c.to_string()).collect()
+    parse("f.ini", text)
+        .expect_err("wrong")
+        .0
+        .iter()
+        .map(|c| c.to_string())
+        .collect()
 }
 
 #[test]
@@ -13,7 +18,13 @@
     assert_eq!((s.members.len(), s.classes.len(), s.router.zone), (4, 3, 1));
     assert_eq!(s.router.classes[1].fresh, 12_000_000);
     assert_eq!(s.router.cold_parent.start_share, 0.062);
-    assert!(matches!(s.router.classes[2].repeat, pointspindle::Repeat::Keyed { window: 2_000_000, .. }));
+    assert!(matches!(
+        s.router.classes[2].repeat,
+        pointspindle::Repeat::Keyed {
+            window: 2_000_000,
+            ..
+        }
+    ));
 }
 
 #[test]
@@ -28,15 +39,32 @@
         );
     let line = |of: &str| 1 + text.lines().position(|l| l.starts_with(of)).unwrap();
     let told = complaints(&text);
-    let has = |what: String| assert!(told.iter().any(|c| c.starts_with(&what)), "{what} in {told:#?}");
+    let has = |what: String| {
+        assert!(
+            told.iter().any(|c| c.starts_with(&what)),
+            "{what} in {told:#?}"
+        )
+    };
     has(format!(
         "f.ini:{}: fleet.max_atempts: no such key; did you mean max_attempts?",
         line("max_atempts")
     ));
-    has(format!("f.ini:{}: fleet.siblings: \"near\" is none of none, zone, any", line("siblings")));
-    has(format!("f.ini:{}: class test-submit.aim_ms: \"soon\" is not a number", line("aim_ms = soon")));
-    has(format!("f.ini:{}: member cache-1.zone: \"branch-7\"", line("zone = branch-7")));
-    has(format!("f.ini:{}: member cache-1.weight: -5", line("weight = -5")));
+    has(format!(
+        "f.ini:{}: fleet.siblings: \"near\" is none of none, zone, any",
+        line("siblings")
+    ));
+    has(format!(
+        "f.ini:{}: class test-submit.aim_ms: \"soon\" is not a number",
+        line("aim_ms = soon")
+    ));
+    has(format!(
+        "f.ini:{}: member cache-1.zone: \"branch-7\"",
+        line("zone = branch-7")
+    ));
+    has(format!(
+        "f.ini:{}: member cache-1.weight: -5",
+        line("weight = -5")
+    ));
     assert_eq!(told.len(), 5, "{told:#?}");
 }
 
@@ -49,22 +77,54 @@
     };
     wrong("number = 0 ", "number = 3 ", "dispatcher.number");
     wrong("zone = branch-1 ", "zone = branch-9 ", "dispatcher.zone");
-    wrong("address = 127.0.0.1:9002", "address = 127.0.0.1:9001", "member cache-2.address");
-    wrong("repeat = safe ", "repeat = unsafe ", "class lesson-video.repeat");
-    wrong("fresh_ms = 12000", "fresh_ms = 0", "class test-page.grace_ms");
-    wrong("[zone hub]", "[zone hub]\ndispatchers = 1\n[zone hub]", "[zone hub]");
+    wrong(
+        "address = 127.0.0.1:9002",
+        "address = 127.0.0.1:9001",
+        "member cache-2.address",
+    );
+    wrong(
+        "repeat = safe ",
+        "repeat = unsafe ",
+        "class lesson-video.repeat",
+    );
+    wrong(
+        "fresh_ms = 12000",
+        "fresh_ms = 0",
+        "class test-page.grace_ms",
+    );
+    wrong(
+        "[zone hub]",
+        "[zone hub]\ndispatchers = 1\n[zone hub]",
+        "[zone hub]",
+    );
     wrong("[http]", "[htpp]", "[htpp]");
     wrong("http = 127.0.0.1:8080", "http = localhost", "listen.http");
-    wrong("max_attempts = 6", "max_attempts = 6\nmax_attempts = 7", "fleet.max_attempts");
-    assert!(complaints("[dispatcher\nname = x")[0].starts_with("f.ini:"), "not INI, with its line");
+    wrong(
+        "max_attempts = 6",
+        "max_attempts = 6\nmax_attempts = 7",
+        "fleet.max_attempts",
+    );
+    assert!(
+        complaints("[dispatcher\nname = x")[0].starts_with("f.ini:"),
+        "not INI, with its line"
+    );
 }
 
 #[test]
 fn the_example_of_a_cache_host_is_right_and_what_is_missing_is_named() {
     let example = include_str!("../../../examples/cache.ini");
-    let s = pointspindle_config::parse_cache("cache.ini", example).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((s.classes.len(), s.places, s.store.unwrap().segment), (3, 64, 64 << 20));
+    let s =
+        pointspindle_config::parse_cache("cache.ini", example).unwrap_or_else(|e| panic!("{e}"));
+    assert_eq!(
+        (s.classes.len(), s.places, s.store.unwrap().segment),
+        (3, 64, 64 << 20)
+    );
     let gateway = example.replace("role = cache ", "role = origin ");
-    let told = pointspindle_config::parse_cache("cache.ini", &gateway).unwrap_err().to_string();
-    assert!(told.contains("cache.ini:5") && told.contains("[origin] address"), "{told}");
+    let told = pointspindle_config::parse_cache("cache.ini", &gateway)
+        .unwrap_err()
+        .to_string();
+    assert!(
+        told.contains("cache.ini:5") && told.contains("[origin] address"),
+        "{told}"
+    );
 }
--- a/crates/edge/src/admission.rs
+++ b/crates/edge/src/admission.rs
@@ -91,12 +91,20 @@
     pub fn arrive(&mut self, now: Micros, address: IpAddr) -> (Verdict, Vec<ConnectionId>) {
         let mut close = Vec::new();
         let network = self.limits.networks.iter().position(|n| n.holds(address));
-        let of_address = self.by_address.get(&address).map(|share| (share, self.limits.per_address));
-        let of_network = network.map(|n| (&self.by_network[n], self.limits.networks[n].connections));
-        let full = of_address.into_iter().chain(of_network).filter(|(share, most)| share.open >= *most);
+        let of_address = self
+            .by_address
+            .get(&address)
+            .map(|share| (share, self.limits.per_address));
+        let of_network =
+            network.map(|n| (&self.by_network[n], self.limits.networks[n].connections));
+        let full = of_address
+            .into_iter()
+            .chain(of_network)
+            .filter(|(share, most)| share.open >= *most);
         // Its own longest idle one makes room; another address's does not.
-        let own: Vec<Option<ConnectionId>> =
-            full.map(|(share, _)| share.idle.first().map(|(_, id)| *id)).collect();
+        let own: Vec<Option<ConnectionId>> = full
+            .map(|(share, _)| share.idle.first().map(|(_, id)| *id))
+            .collect();
         if own.contains(&None) {
             return (self.turn_away(now), close);
         }
@@ -109,9 +117,15 @@
             return (self.turn_away(now), close);
         }
         self.next += 1;
-        let connection = Connection { address, network, idle_since: Some(now), closing: false };
+        let connection = Connection {
+            address,
+            network,
+            idle_since: Some(now),
+            closing: false,
+        };
         self.open.insert(self.next, connection);
-        self.shares(address, network).for_each(|share| share.open += 1);
+        self.shares(address, network)
+            .for_each(|share| share.open += 1);
         // The newcomer is not what makes room for itself.
         self.trim(self.limits.soft, &mut close);
         self.rest((address, network), (now, self.next));
@@ -119,9 +133,15 @@
     }
 
     /// What a connection counts in.
-    fn shares(&mut self, address: IpAddr, network: Option<usize>) -> impl Iterator<Item = &mut Share> {
+    fn shares(
+        &mut self,
+        address: IpAddr,
+        network: Option<usize>,
+    ) -> impl Iterator<Item = &mut Share> {
         let of_network = network.and_then(|n| self.by_network.get_mut(n));
-        [self.by_address.entry(address).or_default()].into_iter().chain(of_network)
+        [self.by_address.entry(address).or_default()]
+            .into_iter()
+            .chain(of_network)
     }
 
     /// Among those that may be told to close, or not any more.
@@ -132,7 +152,11 @@
         });
     }
 
-    fn unrest(&mut self, (address, network): (IpAddr, Option<usize>), idle: (Micros, ConnectionId)) {
+    fn unrest(
+        &mut self,
+        (address, network): (IpAddr, Option<usize>),
+        idle: (Micros, ConnectionId),
+    ) {
         self.idle.remove(&idle);
         self.shares(address, network).for_each(|share| {
             share.idle.remove(&idle);
@@ -162,19 +186,25 @@
             self.turned = (now, 0);
         }
         self.turned.1 += 1;
-        Verdict::TurnAway { come_back: COME_BACK + SPREAD * (self.turned.1 / 100) }
+        Verdict::TurnAway {
+            come_back: COME_BACK + SPREAD * (self.turned.1 / 100),
+        }
     }
 
     /// Tells idle connections to close until at most `most` stay.
     fn trim(&mut self, most: usize, close: &mut Vec<ConnectionId>) {
         while self.open.len() - self.closing > most {
-            let Some((_, id)) = self.idle.first().copied() else { return };
+            let Some((_, id)) = self.idle.first().copied() else {
+                return;
+            };
             self.tell_to_close(id, close);
         }
     }
 
     fn tell_to_close(&mut self, id: ConnectionId, close: &mut Vec<ConnectionId>) {
-        let Some(c) = self.open.get_mut(&id).filter(|c| !c.closing) else { return };
+        let Some(c) = self.open.get_mut(&id).filter(|c| !c.closing) else {
+            return;
+        };
         c.closing = true;
         self.closing += 1;
         close.push(id);
@@ -196,7 +226,9 @@
     /// A request has begun on it. One that was told to close in the same moment is answered all the same, and closes
     /// after that.
     pub fn busy(&mut self, id: ConnectionId) {
-        let Some(c) = self.open.get_mut(&id) else { return };
+        let Some(c) = self.open.get_mut(&id) else {
+            return;
+        };
         let place = (c.address, c.network);
         if let Some(since) = c.idle_since.take() {
             self.unrest(place, (since, id));
@@ -204,7 +236,9 @@
     }
 
     pub fn idle(&mut self, now: Micros, id: ConnectionId) {
-        let Some(c) = self.open.get_mut(&id).filter(|c| c.idle_since.is_none()) else { return };
+        let Some(c) = self.open.get_mut(&id).filter(|c| c.idle_since.is_none()) else {
+            return;
+        };
         c.idle_since = Some(now);
         if !c.closing {
             let place = (c.address, c.network);
@@ -213,13 +247,20 @@
     }
 
     pub fn closed(&mut self, id: ConnectionId) {
-        let Some(c) = self.open.remove(&id) else { return };
+        let Some(c) = self.open.remove(&id) else {
+            return;
+        };
         if let Some(since) = c.idle_since {
             self.unrest((c.address, c.network), (since, id));
         }
         self.closing -= c.closing as usize;
-        self.shares(c.address, c.network).for_each(|share| share.open -= 1);
-        if self.by_address.get(&c.address).is_some_and(|share| share.open == 0) {
+        self.shares(c.address, c.network)
+            .for_each(|share| share.open -= 1);
+        if self
+            .by_address
+            .get(&c.address)
+            .is_some_and(|share| share.open == 0)
+        {
             self.by_address.remove(&c.address);
         }
     }
@@ -227,10 +268,17 @@
     /// Other limits from now on; idle connections over them are told to close.
     pub fn limit(&mut self, limits: Limits) -> Vec<ConnectionId> {
         self.limits = limits;
-        self.by_network = self.limits.networks.iter().map(|_| Share::default()).collect();
+        self.by_network = self
+            .limits
+            .networks
+            .iter()
+            .map(|_| Share::default())
+            .collect();
         for (id, c) in &mut self.open {
             c.network = self.limits.networks.iter().position(|n| n.holds(c.address));
-            let Some(share) = c.network.and_then(|n| self.by_network.get_mut(n)) else { continue };
+            let Some(share) = c.network.and_then(|n| self.by_network.get_mut(n)) else {
+                continue;
+            };
             share.open += 1;
             if let Some(since) = c.idle_since.filter(|_| !c.closing) {
                 share.idle.insert((since, *id));
@@ -238,10 +286,17 @@
         }
         let mut close = Vec::new();
         for n in 0..self.by_network.len() {
-            let over = self.by_network[n].open.saturating_sub(self.limits.networks[n].connections);
-            let own: Vec<ConnectionId> =
-                self.by_network[n].idle.iter().take(over).map(|(_, id)| *id).collect();
-            own.into_iter().for_each(|id| self.tell_to_close(id, &mut close));
+            let over = self.by_network[n]
+                .open
+                .saturating_sub(self.limits.networks[n].connections);
+            let own: Vec<ConnectionId> = self.by_network[n]
+                .idle
+                .iter()
+                .take(over)
+                .map(|(_, id)| *id)
+                .collect();
+            own.into_iter()
+                .for_each(|id| self.tell_to_close(id, &mut close));
         }
         self.trim(self.limits.soft, &mut close);
         close
@@ -252,7 +307,12 @@
 mod tests {
     use super::*;
 
-    const LIMITS: Limits = Limits { hard: 10, soft: 6, per_address: 4, networks: Vec::new() };
+    const LIMITS: Limits = Limits {
+        hard: 10,
+        soft: 6,
+        per_address: 4,
+        networks: Vec::new(),
+    };
 
     fn from(n: u8) -> IpAddr {
         IpAddr::from([127, 0, 0, n])
@@ -308,24 +368,41 @@
 
     #[test]
     fn an_address_makes_room_with_its_own_idle_ones_only() {
-        let mut a = Admission::new(Limits { hard: 100, soft: 100, per_address: 3, ..LIMITS });
+        let mut a = Admission::new(Limits {
+            hard: 100,
+            soft: 100,
+            per_address: 3,
+            ..LIMITS
+        });
         let (other, _) = take(&mut a, 0, 2);
         let ids: Vec<ConnectionId> = (1..=3).map(|n| take(&mut a, n, 1).0).collect();
         let (newest, close) = take(&mut a, 10, 1);
-        assert_eq!(close, [ids[0]], "not {other}, which has been idle for longer");
+        assert_eq!(
+            close,
+            [ids[0]],
+            "not {other}, which has been idle for longer"
+        );
         a.closed(ids[0]);
         a.busy(ids[1]);
         a.busy(ids[2]);
         a.busy(newest);
         let (verdict, close) = a.arrive(20, from(1));
-        assert!(matches!(verdict, Verdict::TurnAway { .. }) && close.is_empty(), "{verdict:?} {close:?}");
+        assert!(
+            matches!(verdict, Verdict::TurnAway { .. }) && close.is_empty(),
+            "{verdict:?} {close:?}"
+        );
     }
 
     /// Told to close and asked something in the same moment: it is answered, counts until it is gone, and is not told
     /// twice.
     #[test]
     fn a_request_on_a_closing_connection_is_no_newly_idle_one() {
-        let mut a = Admission::new(Limits { hard: 10, soft: 1, per_address: 10, ..LIMITS });
+        let mut a = Admission::new(Limits {
+            hard: 10,
+            soft: 1,
+            per_address: 10,
+            ..LIMITS
+        });
         let (first, _) = take(&mut a, 0, 1);
         let (_, close) = take(&mut a, 1, 2);
         assert_eq!(close, [first]);
@@ -342,22 +419,49 @@
         let mut a = Admission::new(LIMITS);
         let ids: Vec<ConnectionId> = (0..6).map(|n| take(&mut a, n, n as u8).0).collect();
         a.busy(ids[5]);
-        assert_eq!(a.limit(Limits { hard: 3, soft: 2, per_address: 1, ..LIMITS }), ids[..4]);
-        assert_eq!(a.make_room(10), [ids[4]], "the last idle one; the busy one is left");
+        assert_eq!(
+            a.limit(Limits {
+                hard: 3,
+                soft: 2,
+                per_address: 1,
+                ..LIMITS
+            }),
+            ids[..4]
+        );
+        assert_eq!(
+            a.make_room(10),
+            [ids[4]],
+            "the last idle one; the busy one is left"
+        );
         ids.iter().for_each(|id| a.closed(*id));
-        assert_eq!((a.open.len(), a.by_address.len(), a.idle.len(), a.closing), (0, 0, 0, 0));
+        assert_eq!(
+            (a.open.len(), a.by_address.len(), a.idle.len(), a.closing),
+            (0, 0, 0, 0)
+        );
     }
 
     fn network(name: &str, prefix: [u8; 4], bits: u8, connections: usize) -> Network {
-        Network { name: name.into(), address: IpAddr::from(prefix), bits, connections }
+        Network {
+            name: name.into(),
+            address: IpAddr::from(prefix),
+            bits,
+            connections,
+        }
     }
 
     /// One branch with very many connections leaves the others theirs, whichever addresses it comes from.
     #[test]
     fn a_networks_share_is_its_own() {
-        let networks = vec![network("one", [127, 1, 0, 0], 16, 2), network("all", [127, 0, 0, 0], 8, 3)];
-        let mut a =
-            Admission::new(Limits { hard: 100, soft: 100, per_address: 100, networks: networks.clone() });
+        let networks = vec![
+            network("one", [127, 1, 0, 0], 16, 2),
+            network("all", [127, 0, 0, 0], 8, 3),
+        ];
+        let mut a = Admission::new(Limits {
+            hard: 100,
+            soft: 100,
+            per_address: 100,
+            networks: networks.clone(),
+        });
         let come = |a: &mut Admission, now, ip: [u8; 4]| match a.arrive(now, IpAddr::from(ip)) {
             (Verdict::Take(id), close) => Some((id, close)),
             _ => None,
@@ -369,21 +473,49 @@
         a.closed(first);
         a.busy(second);
         a.busy(third);
-        assert_eq!(come(&mut a, 3, [127, 1, 0, 1]), None, "all of its own are busy");
+        assert_eq!(
+            come(&mut a, 3, [127, 1, 0, 1]),
+            None,
+            "all of its own are busy"
+        );
         let (other, close) = come(&mut a, 4, [127, 2, 0, 1]).unwrap();
         assert!(close.is_empty(), "another network is not touched");
         a.idle(5, second);
         // Lowered while it is used: idle ones go, busy ones stay.
-        let lower = networks.into_iter().map(|n| Network { connections: 1, ..n }).collect();
-        assert_eq!(a.limit(Limits { hard: 100, soft: 100, per_address: 100, networks: lower }), [second]);
-        [second, third, other].into_iter().for_each(|id| a.closed(id));
-        assert!(a.by_network.iter().all(|n| n.open == 0 && n.idle.is_empty()));
+        let lower = networks
+            .into_iter()
+            .map(|n| Network {
+                connections: 1,
+                ..n
+            })
+            .collect();
+        assert_eq!(
+            a.limit(Limits {
+                hard: 100,
+                soft: 100,
+                per_address: 100,
+                networks: lower
+            }),
+            [second]
+        );
+        [second, third, other]
+            .into_iter()
+            .for_each(|id| a.closed(id));
+        assert!(a
+            .by_network
+            .iter()
+            .all(|n| n.open == 0 && n.idle.is_empty()));
     }
 
     /// A hundred thousand that fall idle in the same instant go in slices, and one that is used in between stays.
     #[test]
     fn those_idle_for_too_long_go_longest_first_in_slices() {
-        let mut a = Admission::new(Limits { hard: 200_000, soft: 200_000, per_address: 200_000, ..LIMITS });
+        let mut a = Admission::new(Limits {
+            hard: 200_000,
+            soft: 200_000,
+            per_address: 200_000,
+            ..LIMITS
+        });
         let ids: Vec<ConnectionId> = (0..100_000).map(|n| take(&mut a, 7, n as u8).0).collect();
         assert_eq!(a.next_expiry(1_000), Some(1_007));
         assert!(a.expire(1_006, 1_000, 256).is_empty());
--- a/crates/edge/src/budget.rs
+++ b/crates/edge/src/budget.rs
@@ -25,7 +25,11 @@
 impl Budget {
     /// Half of the bytes that may be held is a crowd.
     pub fn new(requests: usize, full: u64) -> Self {
-        Self { requests, crowded: full / 2, full }
+        Self {
+            requests,
+            crowded: full / 2,
+            full,
+        }
     }
 
     /// `dice`, from 0 to 1, is rolled for those who are refused only.
@@ -33,7 +37,9 @@
         if open < self.requests && held < self.full {
             return Verdict::Take;
         }
-        Verdict::Refuse { come_back: COME_BACK + (COME_BACK as f64 * dice().clamp(0.0, 1.0)) as Micros }
+        Verdict::Refuse {
+            come_back: COME_BACK + (COME_BACK as f64 * dice().clamp(0.0, 1.0)) as Micros,
+        }
     }
 }
 
--- a/crates/edge/src/core/asks.rs
+++ b/crates/edge/src/core/asks.rs
@@ -25,8 +25,14 @@
 impl Waiting {
     /// The request as it is now: its client waits for less.
     pub fn go_on(self, now: Micros) -> Request {
-        let left = self.request.left.saturating_sub(now.saturating_sub(self.since));
-        Request { left, ..self.request }
+        let left = self
+            .request
+            .left
+            .saturating_sub(now.saturating_sub(self.since));
+        Request {
+            left,
+            ..self.request
+        }
     }
 }
 
@@ -64,7 +70,15 @@
         }
         let due = now + LONGEST;
         let (id, request) = (request.id.0, request.clone());
-        self.waiting.insert(id, Waiting { request, member, since: now, due });
+        self.waiting.insert(
+            id,
+            Waiting {
+                request,
+                member,
+                since: now,
+                due,
+            },
+        );
         self.queues.entry(member).or_default().push_back(id);
         Some(due)
     }
@@ -102,20 +116,35 @@
 
     fn request(id: u64) -> Request {
         let object = ObjectId::named("/o");
-        Request { id: RequestId(id), class: 0, object, part: 0, group: 0, left: 1_000_000, kb: None }
+        Request {
+            id: RequestId(id),
+            class: 0,
+            object,
+            part: 0,
+            group: 0,
+            left: 1_000_000,
+            kb: None,
+        }
     }
 
     #[test]
     fn answers_serve_those_that_wait_in_order_and_leave_nothing() {
         let (mut a, m) = (Asks::default(), MemberId(1));
-        assert_eq!(a.wait(0, m, &request(1)), None, "it does not give by asking");
+        assert_eq!(
+            a.wait(0, m, &request(1)),
+            None,
+            "it does not give by asking"
+        );
         a.told(m, true);
         for id in 1..=3 {
             assert_eq!(a.wait(id, m, &request(id)), Some(id + LONGEST));
         }
         a.take(1);
         let second = a.answered(m).unwrap();
-        assert_eq!((second.request.id.0, second.go_on(5_002).left), (2, 995_000));
+        assert_eq!(
+            (second.request.id.0, second.go_on(5_002).left),
+            (2, 995_000)
+        );
         assert_eq!(a.answered(m).map(|w| w.request.id.0), Some(3));
         assert!(a.answered(m).is_none() && a.waiting.is_empty() && a.queues.is_empty());
         a.keep(|_| false);
@@ -126,7 +155,9 @@
     fn no_more_wait_for_one_member_than_may() {
         let (mut a, m) = (Asks::default(), MemberId(1));
         a.told(m, true);
-        let waiting = (0..1_000).filter(|id| a.wait(0, m, &request(*id)).is_some()).count();
+        let waiting = (0..1_000)
+            .filter(|id| a.wait(0, m, &request(*id)).is_some())
+            .count();
         assert_eq!(waiting, MOST);
     }
 }
--- a/crates/edge/src/core/hold.rs
+++ b/crates/edge/src/core/hold.rs
@@ -24,7 +24,11 @@
     pub fn of(settings: &EdgeSettings) -> Option<Self> {
         let within = settings.etcd.as_ref().map_or(0, |e| e.purge_within_us);
         let exempt = settings.classes.iter().map(|c| c.purge_exempt).collect();
-        (within > 0).then_some(Self { half: within / 2, proven: None, exempt })
+        (within > 0).then_some(Self {
+            half: within / 2,
+            proven: None,
+            exempt,
+        })
     }
 
     pub fn proven(&mut self, at: Micros) {
--- a/crates/edge/src/core/list.rs
+++ b/crates/edge/src/core/list.rs
@@ -59,7 +59,13 @@
 
 impl MemberList {
     pub fn new(zones: &[String], by_id: bool) -> Self {
-        Self { by_id, zones: zones.to_vec(), lines: BTreeMap::new(), seq: 0, newest: 0 }
+        Self {
+            by_id,
+            zones: zones.to_vec(),
+            lines: BTreeMap::new(),
+            seq: 0,
+            newest: 0,
+        }
     }
 
     pub fn seq(&self) -> u64 {
@@ -68,12 +74,17 @@
 
     /// Where to send to; none for a member that is gone or was never listed.
     pub fn address(&self, id: MemberId) -> Option<String> {
-        self.lines.get(&id).filter(|l| l.gone.is_none()).map(|l| l.line.address.clone())
+        self.lines
+            .get(&id)
+            .filter(|l| l.gone.is_none())
+            .map(|l| l.line.address.clone())
     }
 
     /// Whether anything may be sent there, or filled from there.
     pub fn is_ready(&self, id: MemberId) -> bool {
-        self.lines.get(&id).is_some_and(|l| l.gone.is_none() && l.line.state() == WireState::Ready)
+        self.lines
+            .get(&id)
+            .is_some_and(|l| l.gone.is_none() && l.line.state() == WireState::Ready)
     }
 
     /// Judges an update. One of the past is left out; of one after a gap every line is newer than what is
@@ -90,11 +101,28 @@
         match update {
             ListUpdate::Full | ListUpdate::Cached => (self.seq, self.newest) = (head.seq, head.seq),
             ListUpdate::Failed => {
-                let event = Event::Members { update, entries: Vec::new() };
-                return (Some(event), ListNews { seq: self.seq, wanted, bad });
+                let event = Event::Members {
+                    update,
+                    entries: Vec::new(),
+                };
+                return (
+                    Some(event),
+                    ListNews {
+                        seq: self.seq,
+                        wanted,
+                        bad,
+                    },
+                );
             }
             ListUpdate::Delta if head.seq <= self.newest => {
-                return (None, ListNews { seq: self.seq, wanted, bad });
+                return (
+                    None,
+                    ListNews {
+                        seq: self.seq,
+                        wanted,
+                        bad,
+                    },
+                );
             }
             ListUpdate::Delta => {
                 self.newest = head.seq;
@@ -109,10 +137,20 @@
         for line in head.members {
             match self.entry(now, &line) {
                 Ok(entry) => {
-                    let (started, gone) =
-                        (entry.started, (entry.state == MemberState::Gone).then_some(now));
+                    let (started, gone) = (
+                        entry.started,
+                        (entry.state == MemberState::Gone).then_some(now),
+                    );
                     let process = self.lines.get(&entry.id).and_then(|l| l.process);
-                    self.lines.insert(entry.id, Line { line, started, gone, process });
+                    self.lines.insert(
+                        entry.id,
+                        Line {
+                            line,
+                            started,
+                            gone,
+                            process,
+                        },
+                    );
                     entries.push(entry);
                 }
                 Err(reason) => bad.push(format!("{}: {reason}", line.address)),
@@ -126,8 +164,16 @@
                 }
             }
         }
-        self.lines.retain(|_, l| l.gone.is_none_or(|at| now < at + KEEP_GONE));
-        (Some(Event::Members { update, entries }), ListNews { seq: self.seq, wanted, bad })
+        self.lines
+            .retain(|_, l| l.gone.is_none_or(|at| now < at + KEEP_GONE));
+        (
+            Some(Event::Members { update, entries }),
+            ListNews {
+                seq: self.seq,
+                wanted,
+                bad,
+            },
+        )
     }
 
     /// A member's word of its process; when that started by this clock, or none for who is not listed.
@@ -137,14 +183,23 @@
     pub fn hello(&mut self, now: Micros, id: MemberId, hello: &HelloHead) -> Option<Hello> {
         let line = self.lines.get_mut(&id).filter(|l| l.gone.is_none())?;
         let before = line.process;
-        let told = hello.started_ago_us.map_or(0, |ago| now.saturating_sub(ago).max(1));
+        let told = hello
+            .started_ago_us
+            .map_or(0, |ago| now.saturating_sub(ago).max(1));
         let started = match before {
             Some(p) if p.identity == hello.process => p.started,
             Some(p) => told.max(p.heard),
             None => told,
         };
-        line.process = Some(Process { identity: hello.process, started, heard: now });
-        Some(Hello { started, replaced: before.is_some_and(|p| p.identity != hello.process) })
+        line.process = Some(Process {
+            identity: hello.process,
+            started,
+            heard: now,
+        });
+        Some(Hello {
+            started,
+            replaced: before.is_some_and(|p| p.identity != hello.process),
+        })
     }
 
     /// Word from a member: its process still runs.
@@ -193,6 +248,10 @@
             started_ago_us: (l.started > 0).then(|| now.saturating_sub(l.started)),
             ..l.line.clone()
         };
-        ListHead { form: ListForm::Full as i32, seq: self.seq, members: listed.map(line).collect() }
+        ListHead {
+            form: ListForm::Full as i32,
+            seq: self.seq,
+            members: listed.map(line).collect(),
+        }
     }
 }
--- a/crates/edge/src/core/mod.rs
+++ b/crates/edge/src/core/mod.rs
@@ -47,7 +47,11 @@
     /// The whole answer has come.
     Complete,
     /// The member said so, with an error frame.
-    Told { status: WireStatus, note: WireNote, may_have_run: bool },
+    Told {
+        status: WireStatus,
+        note: WireNote,
+        may_have_run: bool,
+    },
     /// No connection; nothing was sent.
     ConnectFailed,
     /// Nothing was sent: no place on the connection, or it might not begin any more ([`Core::begin`]).
@@ -132,43 +136,26 @@
         fetch: Option<FetchOrder>,
     },
     /// Cancel at the member; nothing of this attempt is told any more.
-    Abort {
-        request: u64,
-        attempt: u32,
-    },
+    Abort { request: u64, attempt: u32 },
     /// Pass the answer on from its head.
-    Commit {
-        request: u64,
-        attempt: u32,
-    },
+    Commit { request: u64, attempt: u32 },
     /// Final: a retry is harmless.
     Refuse {
         request: u64,
         retry_after: Option<Micros>,
     },
     /// Final: no promise.
-    Fail {
-        request: u64,
-    },
+    Fail { request: u64 },
     /// Final, after the head was passed on: the answer stays incomplete and the client must see that.
-    Break {
-        request: u64,
-    },
+    Break { request: u64 },
     /// The list in force, after [`Input::Members`].
     List(ListNews),
     /// After [`Input::Hello`]: whether another process was at that address before.
-    Hello {
-        replaced: bool,
-    },
+    Hello { replaced: bool },
     /// Ask a member for work, on its connection; its answer is an [`Input::Lease`].
-    Want {
-        member: String,
-        work_us: u64,
-    },
+    Want { member: String, work_us: u64 },
     /// Connect to a member, so that it can say who it is and what it takes, though no request goes there yet.
-    Meet {
-        member: String,
-    },
+    Meet { member: String },
 }
 
 /// Counts of how attempts ended, for metrics; told with [`Core::take_ends`].
@@ -194,7 +181,11 @@
     /// A copy may be no older than this, and none is taken from a fill that began before.
     fn no_older(&mut self, limit: Micros) {
         // 0 would say nothing of the age.
-        self.age = if self.age == 0 { limit.max(1) } else { self.age.min(limit).max(1) };
+        self.age = if self.age == 0 {
+            limit.max(1)
+        } else {
+            self.age.min(limit).max(1)
+        };
         self.join = false;
     }
 }
@@ -262,7 +253,11 @@
             peers: Peers::new(
                 &settings.name,
                 &settings.zones[settings.router.zone],
-                settings.router.cold_cache.window.max(settings.router.cold_parent.window),
+                settings
+                    .router
+                    .cold_cache
+                    .window
+                    .max(settings.router.cold_parent.window),
             ),
             counts: None,
             count_at: None,
@@ -307,7 +302,11 @@
 
     /// Members, purges and dispatchers that are kept.
     pub fn kept(&mut self, now: Micros) -> (usize, usize, usize) {
-        (self.list.whole(now).members.len(), self.purges.recent(now).len(), self.peers.len())
+        (
+            self.list.whole(now).members.len(),
+            self.purges.recent(now).len(),
+            self.peers.len(),
+        )
     }
 
     /// What is worth keeping over a restart.
@@ -324,8 +323,15 @@
         match input {
             Input::Request(id, ask) => {
                 let object = ObjectId::named(&ask.object);
-                self.open
-                    .insert(id, Open { class: ask.class, object, group: ask.group, ..Open::default() });
+                self.open.insert(
+                    id,
+                    Open {
+                        class: ask.class,
+                        object,
+                        group: ask.group,
+                        ..Open::default()
+                    },
+                );
                 let request = Request {
                     id: RequestId(id),
                     class: ask.class,
@@ -340,9 +346,18 @@
                     self.drive(now, Event::Request(request), out);
                 }
             }
-            Input::Head { request, attempt, note, size } => {
-                let Some(open) = self.open.get_mut(&request).filter(|o| !o.done) else { return };
-                let Some(sent) = open.out.as_mut().filter(|a| a.number == attempt) else { return };
+            Input::Head {
+                request,
+                attempt,
+                note,
+                size,
+            } => {
+                let Some(open) = self.open.get_mut(&request).filter(|o| !o.done) else {
+                    return;
+                };
+                let Some(sent) = open.out.as_mut().filter(|a| a.number == attempt) else {
+                    return;
+                };
                 sent.note = note;
                 sent.kb = size.map(|bytes| bytes as f64 / 1024.0);
                 let member = sent.member;
@@ -351,13 +366,21 @@
                 out.push(Output::Commit { request, attempt });
                 self.drive(now, Event::Begun(member), out);
             }
-            Input::Ended { request, attempt, end } => {
+            Input::Ended {
+                request,
+                attempt,
+                end,
+            } => {
                 let (status, note) = match end {
                     AttemptEnd::Complete => (Status::Ok, None),
                     AttemptEnd::ConnectFailed => (Status::ConnectFailed, None),
                     AttemptEnd::NotSent => (Status::Moot, None),
                     AttemptEnd::Broken => (Status::Reset, None),
-                    AttemptEnd::Told { status, note, may_have_run } => {
+                    AttemptEnd::Told {
+                        status,
+                        note,
+                        may_have_run,
+                    } => {
                         // A status that promises more than the frame's own word is not believed.
                         let status = match status {
                             WireStatus::Full if !may_have_run => Status::Full,
@@ -371,7 +394,9 @@
                 self.attempt_over(now, request, attempt, status, note, out);
             }
             Input::Gone(request) => {
-                let Some(open) = self.open.get_mut(&request) else { return };
+                let Some(open) = self.open.get_mut(&request) else {
+                    return;
+                };
                 if let Some(waiting) = self.asks.take(request) {
                     self.timers.cancel(waiting.due, timers::Timer::Ask(request));
                 }
@@ -399,14 +424,31 @@
                     Some(object) => o.object == object,
                     None => o.group == head.group,
                 });
-                self.drive(now, Event::Purge { object, group: head.group, age: head.age_us }, out);
+                self.drive(
+                    now,
+                    Event::Purge {
+                        object,
+                        group: head.group,
+                        age: head.age_us,
+                    },
+                    out,
+                );
             }
             Input::Hello { member, hello } => {
                 let id = MemberId::named(&member);
                 let found = self.list.hello(now, id, &hello);
-                out.push(Output::Hello { replaced: found.is_some_and(|h| h.replaced) });
+                out.push(Output::Hello {
+                    replaced: found.is_some_and(|h| h.replaced),
+                });
                 if let Some(found) = found {
-                    self.drive(now, Event::Hello { member: id, started: found.started }, out);
+                    self.drive(
+                        now,
+                        Event::Hello {
+                            member: id,
+                            started: found.started,
+                        },
+                        out,
+                    );
                 }
             }
             Input::Lease { member, lease } => {
@@ -414,9 +456,18 @@
                 let (work, lasts) = (lease.work_us as f64 / 1e6, lease.for_us.min(LONGEST_LEASE));
                 let member = MemberId::named(&member);
                 self.asks.told(member, lease.by_asking);
-                self.drive(now, Event::Lease { member, work, lasts }, out);
+                self.drive(
+                    now,
+                    Event::Lease {
+                        member,
+                        work,
+                        lasts,
+                    },
+                    out,
+                );
                 if let Some(waiting) = lease.answers.then(|| self.asks.answered(member)).flatten() {
-                    self.timers.cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
+                    self.timers
+                        .cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
                     self.drive(now, Event::Request(waiting.go_on(now)), out);
                 }
             }
@@ -463,13 +514,22 @@
         }
         ordered.begun = true;
         let (age, join) = (ordered.age, ordered.join);
-        Some(Begin { left: ordered.due - now, age, join, held: limit.is_some() })
+        Some(Begin {
+            left: ordered.due - now,
+            age,
+            join,
+            held: limit.is_some(),
+        })
     }
 
     /// The same question without the promise, for what still waits.
     pub fn may_begin(&self, now: Micros, request: u64, attempt: u32) -> bool {
-        let Some(open) = self.open.get(&request).filter(|o| !o.done) else { return false };
-        let Some(ordered) = open.out.as_ref().filter(|a| a.number == attempt) else { return false };
+        let Some(open) = self.open.get(&request).filter(|o| !o.done) else {
+            return false;
+        };
+        let Some(ordered) = open.out.as_ref().filter(|a| a.number == attempt) else {
+            return false;
+        };
         let ready = |id| self.list.is_ready(id);
         self.router.may_begin(now, RequestId(request))
             && now < ordered.due
@@ -480,14 +540,18 @@
     /// A purge was told: what has been ordered and not begun asks for no copy from before it.
     fn tighten(&mut self, limit: Micros, of: impl Fn(&Open) -> bool) {
         for open in self.open.values_mut().filter(|o| of(o)) {
-            open.out.iter_mut().filter(|a| !a.begun).for_each(|a| a.no_older(limit));
+            open.out
+                .iter_mut()
+                .filter(|a| !a.begun)
+                .for_each(|a| a.no_older(limit));
         }
     }
 
     fn give_up_all(&mut self, now: Micros, out: &mut Vec<Output>) {
         // Those that wait for a member's word are not known to the router yet.
         for waiting in self.asks.take_all() {
-            self.timers.cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
+            self.timers
+                .cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
             self.drive(now, Event::Request(waiting.go_on(now)), out);
         }
         let unanswered = self.open.iter().filter(|(_, o)| !o.done && !o.committed);
@@ -535,41 +599,80 @@
 
     /// A request of a group whose purges may have been missed purges the group as of then, once.
     fn purge_if_missed(&mut self, now: Micros, group: u64, out: &mut Vec<Output>) {
-        let Some((at, told)) = &mut self.missed else { return };
+        let Some((at, told)) = &mut self.missed else {
+            return;
+        };
         let age = now.saturating_sub(*at);
         if age > self.purge_done {
             self.missed = None;
         } else if told.insert(group) {
-            self.purges.add(now, &PurgeHead { object: None, group, age_us: age, seq: 0 });
-            self.drive(now, Event::Purge { object: None, group, age }, out);
+            self.purges.add(
+                now,
+                &PurgeHead {
+                    object: None,
+                    group,
+                    age_us: age,
+                    seq: 0,
+                },
+            );
+            self.drive(
+                now,
+                Event::Purge {
+                    object: None,
+                    group,
+                    age,
+                },
+                out,
+            );
         }
     }
 
     /// Has a request wait for the word of the member whose it is, if that gives its work by asking and has none left here.
     fn ask_first(&mut self, now: Micros, request: &Request, out: &mut Vec<Output>) -> bool {
-        let short = self.asks.any().then(|| self.router.short_of(now, request)).flatten();
-        let Some((member, work)) = short else { return false };
-        let Some(address) = self.list.address(member) else { return false };
-        let Some(due) = self.asks.wait(now, member, request) else { return false };
+        let short = self
+            .asks
+            .any()
+            .then(|| self.router.short_of(now, request))
+            .flatten();
+        let Some((member, work)) = short else {
+            return false;
+        };
+        let Some(address) = self.list.address(member) else {
+            return false;
+        };
+        let Some(due) = self.asks.wait(now, member, request) else {
+            return false;
+        };
         self.timers.set(due, timers::Timer::Ask(request.id.0));
         // Rounded up: what is given is compared with what it costs.
-        out.push(Output::Want { member: address, work_us: (work * 1e6) as u64 + 1 });
+        out.push(Output::Want {
+            member: address,
+            work_us: (work * 1e6) as u64 + 1,
+        });
         true
     }
 
     /// Caches of the own zone that are listed as ready are connected to before a request goes there: one that is met for
     /// the first time with a request in hand would get it whatever it has to say of itself, and from all dispatchers.
     fn meet(&self, event: &Event, out: &mut Vec<Output>) {
-        let Event::Members { entries, .. } = event else { return };
+        let Event::Members { entries, .. } = event else {
+            return;
+        };
         let cache = |e: &&MemberEntry| {
             e.state == MemberState::Ready && e.zone == self.zone && e.kind == Role::Cache.kind()
         };
-        let caches = entries.iter().filter(cache).filter_map(|e| self.list.address(e.id));
+        let caches = entries
+            .iter()
+            .filter(cache)
+            .filter_map(|e| self.list.address(e.id));
         out.extend(caches.map(|member| Output::Meet { member }));
     }
 
     fn is_out(&self, request: u64, attempt: u32) -> bool {
-        self.open.get(&request).and_then(|o| o.out.as_ref()).is_some_and(|a| a.number == attempt)
+        self.open
+            .get(&request)
+            .and_then(|o| o.out.as_ref())
+            .is_some_and(|a| a.number == attempt)
     }
 
     /// An attempt is over: the router hears of it once, and a request whose answer was being passed on ends.
@@ -598,7 +701,9 @@
     /// An answer whose head was passed on cannot be had elsewhere: whatever ends its attempt early, be it a member
     /// that hangs in mid-body and is given up with all that it holds, breaks the answer off.
     fn break_if_passed_on(&mut self, request: u64, out: &mut Vec<Output>) {
-        let Some(open) = self.open.get_mut(&request) else { return };
+        let Some(open) = self.open.get_mut(&request) else {
+            return;
+        };
         if open.committed && !open.done {
             open.done = true;
             out.push(Output::Break { request });
@@ -624,7 +729,8 @@
             Status::Timeout | Status::Cancelled => Status::ConnectFailed,
             _ => status,
         };
-        self.timers.cancel(attempt.due, timers::Timer::Attempt(request, attempt.number));
+        self.timers
+            .cancel(attempt.due, timers::Timer::Attempt(request, attempt.number));
         *self.ends.entry(status_word(status)).or_default() += 1;
         Some(Event::Outcome(Outcome {
             request: RequestId(request),
@@ -646,20 +752,34 @@
             self.router.handle(now, event, &mut actions);
             for action in actions.drain(..) {
                 match action {
-                    Action::Send { request, member, timeout, fetch } => {
+                    Action::Send {
+                        request,
+                        member,
+                        timeout,
+                        fetch,
+                    } => {
                         events.extend(self.send(now, request.0, member, timeout, fetch, out));
                     }
                     Action::Cancel { request, attempt } => {
                         if self.is_out(request.0, attempt) {
-                            out.push(Output::Abort { request: request.0, attempt });
+                            out.push(Output::Abort {
+                                request: request.0,
+                                attempt,
+                            });
                             self.break_if_passed_on(request.0, out);
                             events.extend(self.outcome(now, request.0, Status::Cancelled, None));
                             self.forget_if_over(request.0);
                         }
                     }
-                    Action::Refuse { request, retry_after } => {
+                    Action::Refuse {
+                        request,
+                        retry_after,
+                    } => {
                         if self.finish(request.0) {
-                            out.push(Output::Refuse { request: request.0, retry_after });
+                            out.push(Output::Refuse {
+                                request: request.0,
+                                retry_after,
+                            });
                         }
                     }
                     Action::Fail { request } => {
@@ -688,7 +808,10 @@
         let open = self.open.get_mut(&request)?;
         let (number, due) = (open.attempts, now + timeout);
         open.attempts += 1;
-        let from = fetch.as_ref().map(|f| f.source).filter(|source| *source != member);
+        let from = fetch
+            .as_ref()
+            .map(|f| f.source)
+            .filter(|source| *source != member);
         open.out = Some(Attempt {
             number,
             member,
@@ -707,7 +830,8 @@
         let (Some(address), None | Some(Some(_))) = (address, &source) else {
             return self.outcome(now, request, Status::Moot, None);
         };
-        self.timers.set(due, timers::Timer::Attempt(request, number));
+        self.timers
+            .set(due, timers::Timer::Attempt(request, number));
         let fetch = fetch.map(|f| FetchOrder {
             source: source.flatten(),
             keep: f.keep,
@@ -716,20 +840,32 @@
             held_only: f.held_only,
             renew: f.renew,
         });
-        out.push(Output::Send { request, attempt: number, member: address, timeout, fetch });
+        out.push(Output::Send {
+            request,
+            attempt: number,
+            member: address,
+            timeout,
+            fetch,
+        });
         None
     }
 
     /// Marks a request as answered; false if it was before.
     fn finish(&mut self, request: u64) -> bool {
-        let Some(open) = self.open.get_mut(&request) else { return false };
+        let Some(open) = self.open.get_mut(&request) else {
+            return false;
+        };
         let first = !std::mem::replace(&mut open.done, true);
         self.forget_if_over(request);
         first
     }
 
     fn forget_if_over(&mut self, request: u64) {
-        if self.open.get(&request).is_some_and(|o| o.done && o.out.is_none()) {
+        if self
+            .open
+            .get(&request)
+            .is_some_and(|o| o.done && o.out.is_none())
+        {
             self.open.remove(&request);
         }
     }
--- a/crates/edge/src/core/purges.rs
+++ b/crates/edge/src/core/purges.rs
@@ -23,20 +23,34 @@
 
 impl PurgeLog {
     pub fn new(purge_done: Micros) -> Self {
-        Self { keep: purge_done + MARGIN, purges: VecDeque::new() }
+        Self {
+            keep: purge_done + MARGIN,
+            purges: VecDeque::new(),
+        }
     }
 
     pub fn add(&mut self, now: Micros, head: &PurgeHead) {
         self.forget(now);
         let at = now.saturating_sub(head.age_us);
-        self.purges.push_back(Purge { at, object: head.object.clone(), group: head.group });
+        self.purges.push_back(Purge {
+            at,
+            object: head.object.clone(),
+            group: head.group,
+        });
         if self.purges.len() > MOST {
             let mut groups: BTreeMap<u64, Micros> = BTreeMap::new();
             for purge in &self.purges {
                 let newest = groups.entry(purge.group).or_default();
                 *newest = purge.at.max(*newest);
             }
-            self.purges = groups.into_iter().map(|(group, at)| Purge { at, object: None, group }).collect();
+            self.purges = groups
+                .into_iter()
+                .map(|(group, at)| Purge {
+                    at,
+                    object: None,
+                    group,
+                })
+                .collect();
         }
     }
 
--- a/crates/edge/src/core/state.rs
+++ b/crates/edge/src/core/state.rs
@@ -71,7 +71,11 @@
             start: m.start,
             started_ago_us: m.started_ago_us,
         };
-        let purge = |p: PurgeHead| KeptPurge { object: p.object, group: p.group, age_us: p.age_us };
+        let purge = |p: PurgeHead| KeptPurge {
+            object: p.object,
+            group: p.group,
+            age_us: p.age_us,
+        };
         Self {
             saved_unix_ms: 0,
             saved: None,
@@ -83,9 +87,15 @@
 
     /// The file's bytes, with both clocks of now.
     pub fn to_bytes(&self, unix_ms: u64, now: Option<&BootMoment>) -> Vec<u8> {
-        let saved =
-            now.map(|now| SavedAt { boot: now.boot.clone(), since_boot_us: now.since.as_micros() as u64 });
-        let stamped = Self { saved_unix_ms: unix_ms, saved, ..self.clone() };
+        let saved = now.map(|now| SavedAt {
+            boot: now.boot.clone(),
+            since_boot_us: now.since.as_micros() as u64,
+        });
+        let stamped = Self {
+            saved_unix_ms: unix_ms,
+            saved,
+            ..self.clone()
+        };
         let text = serde_json::to_vec(&stamped).expect("plain data is always JSON");
         let sum = crc32fast::hash(&text);
         let mut out = format!("{MAGIC} {VERSION} {sum:08x} {}\n", text.len()).into_bytes();
@@ -94,10 +104,16 @@
     }
 
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
-        let line_end = bytes.iter().take(128).position(|b| *b == b'\n').ok_or(StateError::Foreign)?;
+        let line_end = bytes
+            .iter()
+            .take(128)
+            .position(|b| *b == b'\n')
+            .ok_or(StateError::Foreign)?;
         let line = std::str::from_utf8(&bytes[..line_end]).map_err(|_| StateError::Foreign)?;
         let words: Vec<&str> = line.split(' ').collect();
-        let [MAGIC, version, sum, len] = words[..] else { return Err(StateError::Foreign) };
+        let [MAGIC, version, sum, len] = words[..] else {
+            return Err(StateError::Foreign);
+        };
         match version.parse() {
             Ok(VERSION) => {}
             Ok(other) => return Err(StateError::Version(other)),
@@ -105,7 +121,10 @@
         }
         let text = &bytes[line_end + 1..];
         if len.parse() != Ok(text.len()) {
-            return Err(StateError::Torn(format!("{} bytes, {len} were written", text.len())));
+            return Err(StateError::Torn(format!(
+                "{} bytes, {len} were written",
+                text.len()
+            )));
         }
         if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(text)) {
             return Err(StateError::Torn("the checksum does not fit".into()));
@@ -134,14 +153,22 @@
             seq: 0,
         };
         let members = self.members.iter().map(member).collect();
-        let list = ListHead { form: ListForm::Cached as i32, seq: self.seq, members };
+        let list = ListHead {
+            form: ListForm::Cached as i32,
+            seq: self.seq,
+            members,
+        };
         (list, self.purges.iter().map(purge).collect())
     }
 
     fn span_until(&self, now: &BootMoment) -> Option<u64> {
         let saved = self.saved.as_ref()?;
         let since = Duration::from_micros(saved.since_boot_us);
-        let span = BootMoment { boot: saved.boot.clone(), since }.until(now)?;
+        let span = BootMoment {
+            boot: saved.boot.clone(),
+            since,
+        }
+        .until(now)?;
         Some(span.as_micros() as u64)
     }
 }
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -32,7 +32,13 @@
 
 impl Health {
     /// `heard`: when the last frame came; `awaited`: streams are open.
-    pub fn look(&mut self, rule: &HealthRule, now: Micros, heard: Micros, awaited: bool) -> Verdict {
+    pub fn look(
+        &mut self,
+        rule: &HealthRule,
+        now: Micros,
+        heard: Micros,
+        awaited: bool,
+    ) -> Verdict {
         if let Some(asked) = self.asked {
             if heard >= asked {
                 self.asked = None;
@@ -55,17 +61,33 @@
 mod tests {
     use super::*;
 
-    const RULE: HealthRule = HealthRule { quiet: 2_000, idle: 15_000, answer: 1_000 };
+    const RULE: HealthRule = HealthRule {
+        quiet: 2_000,
+        idle: 15_000,
+        answer: 1_000,
+    };
 
     #[test]
     fn a_quiet_connection_is_asked_once_and_dead_only_without_any_answer() {
         let mut h = Health::default();
         assert_eq!(h.look(&RULE, 1_999, 0, true), Verdict::Fine);
         assert_eq!(h.look(&RULE, 2_000, 0, true), Verdict::Probe);
-        assert_eq!(h.look(&RULE, 2_999, 0, true), Verdict::Fine, "asked, and still in time");
+        assert_eq!(
+            h.look(&RULE, 2_999, 0, true),
+            Verdict::Fine,
+            "asked, and still in time"
+        );
         let mut answered = h;
-        assert_eq!(answered.look(&RULE, 3_000, 2_900, true), Verdict::Fine, "a frame of any kind came");
-        assert_eq!(answered.look(&RULE, 4_900, 2_900, true), Verdict::Probe, "quiet again");
+        assert_eq!(
+            answered.look(&RULE, 3_000, 2_900, true),
+            Verdict::Fine,
+            "a frame of any kind came"
+        );
+        assert_eq!(
+            answered.look(&RULE, 4_900, 2_900, true),
+            Verdict::Probe,
+            "quiet again"
+        );
         assert_eq!(h.look(&RULE, 3_000, 0, true), Verdict::Dead);
     }
 
@@ -75,7 +97,10 @@
         assert_eq!(h.look(&RULE, 14_999, 0, false), Verdict::Fine);
         assert_eq!(h.look(&RULE, 15_000, 0, false), Verdict::Probe);
         let mut never = Health::default();
-        assert_eq!(never.look(&HealthRule { idle: 0, ..RULE }, 10_000_000, 0, false), Verdict::Fine);
+        assert_eq!(
+            never.look(&HealthRule { idle: 0, ..RULE }, 10_000_000, 0, false),
+            Verdict::Fine
+        );
     }
 
     /// Looks may come late (a stopped process, a jump of the clock): that is no silence of the peer after a probe.
--- a/crates/edge/src/keys.rs
+++ b/crates/edge/src/keys.rs
@@ -33,8 +33,14 @@
 
 #[derive(Debug)]
 enum Entry<A> {
-    Running { ticket: Ticket, next: Option<Ticket> },
-    Over { at: Micros, answer: Option<(A, usize)> },
+    Running {
+        ticket: Ticket,
+        next: Option<Ticket>,
+    },
+    Over {
+        at: Micros,
+        answer: Option<(A, usize)>,
+    },
 }
 
 #[derive(Debug)]
@@ -48,7 +54,12 @@
 
 impl<A: Clone> Keys<A> {
     pub fn new(rule: KeysRule) -> Self {
-        Self { rule, calls: HashMap::new(), ends: VecDeque::new(), bytes: 0 }
+        Self {
+            rule,
+            calls: HashMap::new(),
+            ends: VecDeque::new(),
+            bytes: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
@@ -64,16 +75,23 @@
         self.forget(now);
         let full = self.calls.len() >= self.rule.most;
         match self.calls.get_mut(call) {
-            Some(Entry::Running { ticket: running, next }) => {
+            Some(Entry::Running {
+                ticket: running,
+                next,
+            }) => {
                 let end = next.replace(ticket).into_iter().chain([*running]).collect();
                 return Begin::After(end);
             }
-            Some(Entry::Over { answer: Some((answer, _)), .. }) => return Begin::Answered(answer.clone()),
+            Some(Entry::Over {
+                answer: Some((answer, _)),
+                ..
+            }) => return Begin::Answered(answer.clone()),
             Some(Entry::Over { answer: None, .. }) => {}
             None if full => return Begin::Full,
             None => {}
         }
-        self.calls.insert(call.to_owned(), Entry::Running { ticket, next: None });
+        self.calls
+            .insert(call.to_owned(), Entry::Running { ticket, next: None });
         Begin::Run
     }
 
@@ -85,7 +103,13 @@
         ticket: Ticket,
         answer: Option<(A, usize)>,
     ) -> Option<Ticket> {
-        let Some(Entry::Running { ticket: running, next }) = self.calls.get_mut(call) else { return None };
+        let Some(Entry::Running {
+            ticket: running,
+            next,
+        }) = self.calls.get_mut(call)
+        else {
+            return None;
+        };
         if *running != ticket {
             // It only waited for its turn.
             next.take_if(|waiting| *waiting == ticket);
@@ -99,7 +123,8 @@
         }
         // Answered in the moment in which it was tried again: the one that waits finds the answer at its turn.
         self.bytes += answer.as_ref().map_or(0, |a| a.1);
-        self.calls.insert(call.to_owned(), Entry::Over { at: now, answer });
+        self.calls
+            .insert(call.to_owned(), Entry::Over { at: now, answer });
         self.ends.push_back((now, call.to_owned()));
         waiting
     }
@@ -107,14 +132,23 @@
     /// What was kept of a call that is over.
     pub fn answered(&self, call: &str) -> Option<A> {
         match self.calls.get(call) {
-            Some(Entry::Over { answer: Some((answer, _)), .. }) => Some(answer.clone()),
+            Some(Entry::Over {
+                answer: Some((answer, _)),
+                ..
+            }) => Some(answer.clone()),
             _ => None,
         }
     }
 
     fn forget(&mut self, now: Micros) {
-        while self.ends.front().is_some_and(|(at, _)| *at + self.rule.keep <= now) {
-            let Some((ended, call)) = self.ends.pop_front() else { return };
+        while self
+            .ends
+            .front()
+            .is_some_and(|(at, _)| *at + self.rule.keep <= now)
+        {
+            let Some((ended, call)) = self.ends.pop_front() else {
+                return;
+            };
             // Tried again since, it has another end to come or had one later.
             if let Some(Entry::Over { at, answer }) = self.calls.get(&call) {
                 if *at == ended {
@@ -130,14 +164,22 @@
 mod tests {
     use super::*;
 
-    const RULE: KeysRule = KeysRule { most: 3, keep: 100, answer_bytes: 10 };
+    const RULE: KeysRule = KeysRule {
+        most: 3,
+        keep: 100,
+        answer_bytes: 10,
+    };
 
     #[test]
     fn a_second_try_ends_the_first_and_begins_when_that_end_is_known() {
         let mut k = Keys::<&str>::new(RULE);
         assert_eq!(k.begin(0, "a", 1), Begin::Run);
         assert_eq!(k.begin(1, "a", 2), Begin::After(vec![1]));
-        assert_eq!(k.begin(2, "a", 3), Begin::After(vec![2, 1]), "a third ends who waits as well");
+        assert_eq!(
+            k.begin(2, "a", 3),
+            Begin::After(vec![2, 1]),
+            "a third ends who waits as well"
+        );
         assert_eq!(k.over(3, "a", 2, None), None, "it only waited");
         assert_eq!(k.over(4, "a", 1, None), Some(3));
         assert_eq!(k.over(5, "a", 1, None), None, "once");
@@ -160,7 +202,11 @@
         assert_eq!(k.begin(1_000, "c", 6), Begin::Run);
         k.over(1_000, "c", 6, None);
         assert_eq!(k.begin(2_000, "d", 7), Begin::Run);
-        assert_eq!((k.len(), k.bytes, k.ends.len()), (1, 0, 0), "nothing is left of what is over");
+        assert_eq!(
+            (k.len(), k.bytes, k.ends.len()),
+            (1, 0, 0),
+            "nothing is left of what is over"
+        );
     }
 
     /// The answer was complete just as its client came back for it.
@@ -172,7 +218,11 @@
         assert_eq!(k.over(2, "a", 1, Some(("done", 4))), Some(2));
         assert_eq!(k.answered("a"), Some("done"));
         assert_eq!(k.over(3, "a", 2, None), None);
-        assert_eq!(k.answered("a"), Some("done"), "its own end takes nothing away");
+        assert_eq!(
+            k.answered("a"),
+            Some("done"),
+            "its own end takes nothing away"
+        );
     }
 
     #[test]
--- a/crates/edge/src/net/control.rs
+++ b/crates/edge/src/net/control.rs
@@ -8,7 +8,10 @@
 
 pub(crate) async fn serve(door: Door, socket: Line) {
     let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions { max_streams: 1 });
-    let teller = Teller { ears: None, hub: door.hub.clone() };
+    let teller = Teller {
+        ears: None,
+        hub: door.hub.clone(),
+    };
     loop {
         let inbound = tokio::select! {
             inbound = incoming.next() => inbound,
@@ -16,26 +19,40 @@
         };
         let answer = match inbound {
             None => break,
-            Some(Inbound::Control(Frame::Members(head))) if head.form() == ListForm::Unspecified => {
+            Some(Inbound::Control(Frame::Members(head)))
+                if head.form() == ListForm::Unspecified =>
+            {
                 Frame::Members(teller.list())
             }
             Some(Inbound::Control(Frame::Members(head))) => {
                 let seq = head.seq;
                 tracing::info!(form = ?head.form(), seq, lines = head.members.len(), "member list");
                 let news = teller.members(head);
-                let trouble = news.wanted.into_iter().chain(news.bad).collect::<Vec<_>>().join("; ");
+                let trouble = news
+                    .wanted
+                    .into_iter()
+                    .chain(news.bad)
+                    .collect::<Vec<_>>()
+                    .join("; ");
                 Frame::Ack(AckHead { seq, trouble })
             }
             Some(Inbound::Control(Frame::Purge(head))) => {
                 let (seq, told) = (head.seq, Instant::now());
                 tracing::info!(object = ?head.object, group = head.group, seq, "purge");
                 teller.purge(head);
-                door.hub.metrics.purge_lag.observe(told.elapsed().as_secs_f64());
-                Frame::Ack(AckHead { seq, trouble: String::new() })
-            }
-            Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => {
-                Frame::Probe(ProbeHead { echo: true, ..probe })
+                door.hub
+                    .metrics
+                    .purge_lag
+                    .observe(told.elapsed().as_secs_f64());
+                Frame::Ack(AckHead {
+                    seq,
+                    trouble: String::new(),
+                })
             }
+            Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => Frame::Probe(ProbeHead {
+                echo: true,
+                ..probe
+            }),
             Some(Inbound::Control(_)) => continue,
             Some(Inbound::Request(_, responder)) => {
                 let error = ErrorHead {
--- a/crates/edge/src/net/desk.rs
+++ b/crates/edge/src/net/desk.rs
@@ -72,10 +72,21 @@
 /// What a request's task is to do; the core's outputs without the request's number.
 #[derive(Debug)]
 pub enum Order {
-    Send { attempt: u32, member: String, timeout: Micros, fetch: Option<FetchOrder> },
-    Abort { attempt: u32 },
-    Commit { attempt: u32 },
-    Refuse { retry_after: Option<Micros> },
+    Send {
+        attempt: u32,
+        member: String,
+        timeout: Micros,
+        fetch: Option<FetchOrder>,
+    },
+    Abort {
+        attempt: u32,
+    },
+    Commit {
+        attempt: u32,
+    },
+    Refuse {
+        retry_after: Option<Micros>,
+    },
     Fail,
     Break,
 }
@@ -125,7 +136,14 @@
     pub fn new(settings: Arc<EdgeSettings>, seed: u64, side: impl FnOnce(&Meter) -> S) -> Self {
         let core = Core::new(&settings, seed);
         let dice = StdRng::seed_from_u64(seed);
-        let locked = Locked { core, orders: HashMap::new(), out: Vec::new(), armed: None, next: 0, dice };
+        let locked = Locked {
+            core,
+            orders: HashMap::new(),
+            out: Vec::new(),
+            armed: None,
+            next: 0,
+            dice,
+        };
         let budget = Budget::new(settings.max_requests, settings.buffer_bytes);
         let meter = Meter::new(budget.crowded);
         Self {
@@ -152,9 +170,14 @@
         }
         // Only those who wait pay for the clock.
         let began = std::time::Instant::now();
-        let locked = self.locked.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+        let locked = self
+            .locked
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         self.metrics.lock_waits.inc();
-        self.metrics.lock_wait_us.inc_by(began.elapsed().as_micros() as u64);
+        self.metrics
+            .lock_wait_us
+            .inc_by(began.elapsed().as_micros() as u64);
         locked
     }
 
@@ -214,7 +237,9 @@
     /// Whether an attempt that still waits may begin at all.
     pub fn may_begin(&self, ticket: Ticket) -> bool {
         let now = self.now();
-        self.lock().core.may_begin(now, ticket.request, ticket.attempt)
+        self.lock()
+            .core
+            .may_begin(now, ticket.request, ticket.attempt)
     }
 
     /// The request's task is done with it, however it ended.
@@ -233,7 +258,9 @@
 
     pub fn members(&self, head: ListHead) -> ListNews {
         let news = self.handle(self.lock(), Input::Members(head));
-        let news = news.list.expect("a list update always tells what became of it");
+        let news = news
+            .list
+            .expect("a list update always tells what became of it");
         self.metrics.list.set(news.seq as i64);
         for bad in &news.bad {
             tracing::warn!(line = %bad, "a line of the member list is not used");
@@ -244,7 +271,10 @@
 
     /// True if another process was at this address before.
     pub fn hello(&self, member: &str, hello: HelloHead) -> bool {
-        let input = Input::Hello { member: member.to_owned(), hello };
+        let input = Input::Hello {
+            member: member.to_owned(),
+            hello,
+        };
         self.handle(self.lock(), input).replaced
     }
 
@@ -277,8 +307,14 @@
     /// Ends of requests and attempts so far, in a line for the log.
     pub fn figures(&self) -> String {
         let text = self.metrics.text();
-        let counts = text.lines().filter(|l| l.contains("s_total{") && !l.ends_with(" 0"));
-        let short = |l: &str| l.trim_start_matches("pointspindle_").replace("_total", "").replace('"', "");
+        let counts = text
+            .lines()
+            .filter(|l| l.contains("s_total{") && !l.ends_with(" 0"));
+        let short = |l: &str| {
+            l.trim_start_matches("pointspindle_")
+                .replace("_total", "")
+                .replace('"', "")
+        };
         counts.map(short).collect::<Vec<_>>().join(" ")
     }
 
@@ -306,12 +342,27 @@
         let mut news = News::default();
         for output in out.drain(..) {
             let (id, order) = match output {
-                Output::Send { request, attempt, member, timeout, fetch } => {
-                    (request, Order::Send { attempt, member, timeout, fetch })
-                }
+                Output::Send {
+                    request,
+                    attempt,
+                    member,
+                    timeout,
+                    fetch,
+                } => (
+                    request,
+                    Order::Send {
+                        attempt,
+                        member,
+                        timeout,
+                        fetch,
+                    },
+                ),
                 Output::Abort { request, attempt } => (request, Order::Abort { attempt }),
                 Output::Commit { request, attempt } => (request, Order::Commit { attempt }),
-                Output::Refuse { request, retry_after } => (request, Order::Refuse { retry_after }),
+                Output::Refuse {
+                    request,
+                    retry_after,
+                } => (request, Order::Refuse { retry_after }),
                 Output::Fail { request } => (request, Order::Fail),
                 Output::Break { request } => (request, Order::Break),
                 Output::Hello { replaced } => {
--- a/crates/edge/src/net/door_framed.rs
+++ b/crates/edge/src/net/door_framed.rs
@@ -22,7 +22,9 @@
 
 pub(crate) async fn serve(door: Door, socket: Line, seat: Seat) {
     let listen = &door.hub.settings.listen;
-    let options = LinkOptions { max_streams: listen.max_streams };
+    let options = LinkOptions {
+        max_streams: listen.max_streams,
+    };
     let meter = door.hub.meter.clone();
     let (link, mut incoming) = Link::start_metered(socket, Side::Answerer, options, meter);
     let lease = Duration::from_micros(listen.client_lease_us);
@@ -63,7 +65,10 @@
         match next {
             None => break,
             Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => {
-                let echo = Frame::Probe(ProbeHead { echo: true, ..probe });
+                let echo = Frame::Probe(ProbeHead {
+                    echo: true,
+                    ..probe
+                });
                 if link.control(echo).await.is_err() {
                     break;
                 }
@@ -113,7 +118,11 @@
         return end(responder, WireStatus::Failed, false, None, detail).await;
     };
     let most = settings.classes[class].deadline_us;
-    let left = if head.left_us == 0 { most } else { head.left_us.min(most) };
+    let left = if head.left_us == 0 {
+        most
+    } else {
+        head.left_us.min(most)
+    };
     let ask = Ask {
         class,
         object: head.object.clone(),
@@ -131,28 +140,67 @@
             Ok(Entered::Answered(kept)) => return replay(responder, kept).await,
             Err(Some(come_back)) => {
                 let detail = "too many calls are known by name".to_owned();
-                return end(responder, WireStatus::Refused, false, Some(come_back), detail).await;
+                return end(
+                    responder,
+                    WireStatus::Refused,
+                    false,
+                    Some(come_back),
+                    detail,
+                )
+                .await;
             }
             // Tried again itself while it waited: nothing of it was begun.
             Err(None) => {
-                return end(responder, WireStatus::Refused, false, None, "tried again".into()).await
+                return end(
+                    responder,
+                    WireStatus::Refused,
+                    false,
+                    None,
+                    "tried again".into(),
+                )
+                .await
             }
         }
     }
     let waited = came.elapsed().as_micros() as Micros;
-    let ask = Ask { left: ask.left.saturating_sub(waited), ..ask };
+    let ask = Ask {
+        left: ask.left.saturating_sub(waited),
+        ..ask
+    };
     // Credit comes in halves of a window: less than one is no sign of slowness.
     let (least, window) = (settings.listen.least_pace, settings.listen.pace_window_us);
-    let one = (u64::from(streams::STREAM_WINDOW) * 1_000_000).checked_div(least).unwrap_or(0);
-    let pace = Pace::new(PaceRule { least, window: window.max(one) });
+    let one = (u64::from(streams::STREAM_WINDOW) * 1_000_000)
+        .checked_div(least)
+        .unwrap_or(0);
+    let pace = Pace::new(PaceRule {
+        least,
+        window: window.max(one),
+    });
     let slow = door.hub.metrics.slow_clients.clone();
     let superseded = tried.as_ref().map(|t| t.superseded.clone());
     // Only what must not run twice is kept: of all else a second answer costs a hit.
-    let kept = (tried.is_some() && settings.router.classes[class].uncacheable).then(Keeping::default);
-    let mut client = FramedClient { responder: Some(responder), pace, slow, superseded, kept };
-    let fate =
-        exchange::run(&door.hub, Asked { ask, template: head, body: Bytes::new() }, &mut client).await;
-    if let (Some(tried), Some(kept), Fate::Served | Fate::ClientGone) = (&mut tried, client.kept, fate) {
+    let kept =
+        (tried.is_some() && settings.router.classes[class].uncacheable).then(Keeping::default);
+    let mut client = FramedClient {
+        responder: Some(responder),
+        pace,
+        slow,
+        superseded,
+        kept,
+    };
+    let fate = exchange::run(
+        &door.hub,
+        Asked {
+            ask,
+            template: head,
+            body: Bytes::new(),
+        },
+        &mut client,
+    )
+    .await;
+    if let (Some(tried), Some(kept), Fate::Served | Fate::ClientGone) =
+        (&mut tried, client.kept, fate)
+    {
         if let Some(kept) = kept.whole() {
             tried.keep(kept);
         }
@@ -210,8 +258,13 @@
     }
 
     fn whole(self) -> Option<Kept> {
-        let head = self.head.filter(|_| self.ended && self.bytes <= KEPT_ANSWER)?;
-        Some(Kept { head, body: self.body })
+        let head = self
+            .head
+            .filter(|_| self.ended && self.bytes <= KEPT_ANSWER)?;
+        Some(Kept {
+            head,
+            body: self.body,
+        })
     }
 }
 
@@ -222,8 +275,13 @@
     retry_after_us: Option<Micros>,
     detail: String,
 ) {
-    let error =
-        ErrorHead { status: status as i32, may_have_run, retry_after_us, detail, ..Default::default() };
+    let error = ErrorHead {
+        status: status as i32,
+        may_have_run,
+        retry_after_us,
+        detail,
+        ..Default::default()
+    };
     let _ = responder.error(error).await;
 }
 
@@ -251,7 +309,9 @@
 
 impl ClientSide for FramedClient {
     async fn gone(&mut self) {
-        let Some(responder) = &self.responder else { return std::future::pending().await };
+        let Some(responder) = &self.responder else {
+            return std::future::pending().await;
+        };
         match &self.superseded {
             Some(superseded) => tokio::select! {
                 _ = responder.gone() => {}
@@ -265,7 +325,10 @@
         if let Some(kept) = &mut self.kept {
             kept.head = Some(head.clone());
         }
-        self.open()?.head(head.clone()).await.map_err(|_| ClientGone)
+        self.open()?
+            .head(head.clone())
+            .await
+            .map_err(|_| ClientGone)
     }
 
     async fn data(&mut self, data: Bytes) -> Result<(), ClientGone> {
@@ -274,7 +337,10 @@
         }
         let bytes = data.len() as u64;
         let superseded = self.superseded.clone();
-        let patience = self.pace.patience().map_or(Duration::MAX, Duration::from_micros);
+        let patience = self
+            .pace
+            .patience()
+            .map_or(Duration::MAX, Duration::from_micros);
         let began = Instant::now();
         let sending = tokio::time::timeout(patience, self.open()?.data(data));
         let sent = match superseded {
@@ -305,15 +371,23 @@
     }
 
     async fn refuse(&mut self, after: Option<Micros>) {
-        self.finish(WireStatus::Refused, false, after, "refused: a retry is harmless").await;
+        self.finish(
+            WireStatus::Refused,
+            false,
+            after,
+            "refused: a retry is harmless",
+        )
+        .await;
     }
 
     async fn fail(&mut self) {
-        self.finish(WireStatus::Failed, true, None, "failed: it may have run").await;
+        self.finish(WireStatus::Failed, true, None, "failed: it may have run")
+            .await;
     }
 
     async fn break_off(&mut self) {
-        self.finish(WireStatus::Failed, true, None, "the answer broke off").await;
+        self.finish(WireStatus::Failed, true, None, "the answer broke off")
+            .await;
     }
 }
 
--- a/crates/edge/src/net/door_http.rs
+++ b/crates/edge/src/net/door_http.rs
@@ -102,7 +102,9 @@
 async fn answer(door: &Door, request: HttpRequest, client: &mut HttpClient) -> Option<Fate> {
     let settings = &door.hub.settings;
     let Some(asked) = asked(settings, &request) else {
-        client.short(404, &format!("no class serves {}\n", request.path), vec![]).await;
+        client
+            .short(404, &format!("no class serves {}\n", request.path), vec![])
+            .await;
         return None;
     };
     Some(exchange::run(&door.hub, asked, client).await)
@@ -110,11 +112,21 @@
 
 /// An HTTP request in the dispatcher's terms: class by the longest prefix, group by the path's first segments.
 fn asked(settings: &EdgeSettings, request: &HttpRequest) -> Option<Asked> {
-    let prefix =
-        |c: &pointspindle_config::ClassSpec| c.path_prefix.clone().filter(|p| request.path.starts_with(p));
-    let fitting = settings.classes.iter().enumerate().filter_map(|(n, c)| Some((prefix(c)?.len(), n)));
+    let prefix = |c: &pointspindle_config::ClassSpec| {
+        c.path_prefix
+            .clone()
+            .filter(|p| request.path.starts_with(p))
+    };
+    let fitting = settings
+        .classes
+        .iter()
+        .enumerate()
+        .filter_map(|(n, c)| Some((prefix(c)?.len(), n)));
     let (_, class) = fitting.max_by_key(|(len, n)| (*len, std::cmp::Reverse(*n)))?;
-    let part = request.query.strip_prefix("part=").and_then(|n| n.parse().ok());
+    let part = request
+        .query
+        .strip_prefix("part=")
+        .and_then(|n| n.parse().ok());
     let object = match (part, request.query.is_empty()) {
         (Some(_), _) | (_, true) => request.path.clone(),
         _ => format!("{}?{}", request.path, request.query),
@@ -122,8 +134,17 @@
     let part = part.unwrap_or(0);
     let group = group_of(&request.path, settings.group_segments);
     let most = settings.classes[class].deadline_us;
-    let left = request.deadline_ms.map_or(most, |ms| ms.saturating_mul(1000).min(most));
-    let ask = Ask { class, object: object.clone(), part, group, left, size: None };
+    let left = request
+        .deadline_ms
+        .map_or(most, |ms| ms.saturating_mul(1000).min(most));
+    let ask = Ask {
+        class,
+        object: object.clone(),
+        part,
+        group,
+        left,
+        size: None,
+    };
     let template = RequestHead {
         object,
         part,
@@ -136,7 +157,11 @@
         if_range: request.if_range.clone().unwrap_or_default(),
         ..Default::default()
     };
-    Some(Asked { ask, template, body: Bytes::new() })
+    Some(Asked {
+        ask,
+        template,
+        body: Bytes::new(),
+    })
 }
 
 /// The purge group of an HTTP path: the number of its first segments, as `purge --group-of` tells it too.
@@ -170,7 +195,14 @@
     async fn write_out(&mut self) -> Result<(), ClientGone> {
         while !self.out.is_empty() {
             self.begun = true;
-            let Self { write, out, pace, rule, slow, .. } = self;
+            let Self {
+                write,
+                out,
+                pace,
+                rule,
+                slow,
+                ..
+            } = self;
             write_some(write, out, pace, *rule, slow).await?;
         }
         if self.out.capacity() > KEPT_BUFFER {
@@ -183,7 +215,13 @@
     async fn write_paced(&mut self, bytes: &mut (impl Buf + Send)) -> Result<(), ClientGone> {
         self.begun = true;
         while bytes.has_remaining() {
-            let Self { write, pace, rule, slow, .. } = self;
+            let Self {
+                write,
+                pace,
+                rule,
+                slow,
+                ..
+            } = self;
             write_some(write, bytes, pace, *rule, slow).await?;
         }
         Ok(())
@@ -193,11 +231,20 @@
     async fn short(&mut self, status: u16, text: &str, mut fields: Vec<(&'static str, String)>) {
         fields.push(("content-type", "text/plain; charset=utf-8".into()));
         let length = Some(text.len() as u64);
-        HttpAnswer { status, length, close: self.close, fields }.write(&mut self.out);
+        HttpAnswer {
+            status,
+            length,
+            close: self.close,
+            fields,
+        }
+        .write(&mut self.out);
         if self.method == Method::Get {
             self.out.extend_from_slice(text.as_bytes());
         }
-        if tokio::time::timeout(LAST_WORDS, self.write_out()).await.is_err() {
+        if tokio::time::timeout(LAST_WORDS, self.write_out())
+            .await
+            .is_err()
+        {
             self.close = true;
         }
     }
@@ -264,7 +311,11 @@
             fields.push(("content-type", head.content_type.clone()));
         }
         fields.push(("accept-ranges", "bytes".into()));
-        let code = if head.code == 0 { 200 } else { head.code as u16 };
+        let code = if head.code == 0 {
+            200
+        } else {
+            head.code as u16
+        };
         let (status, length) = match (head.not_modified, head.unsatisfiable, head.range_first) {
             (true, ..) => (304, Some(0)),
             (_, true, _) => (416, Some(0)),
@@ -274,14 +325,23 @@
         match (status, head.range_first, head.size, head.whole_size) {
             (416, _, _, Some(whole)) => fields.push(("content-range", format!("bytes */{whole}"))),
             (206, Some(first), Some(size), Some(whole)) if size > 0 => {
-                fields.push(("content-range", format!("bytes {first}-{}/{whole}", first + size - 1)));
+                fields.push((
+                    "content-range",
+                    format!("bytes {first}-{}/{whole}", first + size - 1),
+                ));
             }
             _ => {}
         }
         self.begun = false;
         self.chunked = length.is_none();
         self.body_allowed = self.method == Method::Get && !matches!(status, 304 | 416);
-        HttpAnswer { status, length, close: self.close, fields }.write(&mut self.out);
+        HttpAnswer {
+            status,
+            length,
+            close: self.close,
+            fields,
+        }
+        .write(&mut self.out);
         Ok(())
     }
 
@@ -327,15 +387,22 @@
             ("retry-after", ms.div_ceil(1_000).max(1).to_string()),
             ("x-come-back-ms", ms.to_string()),
             ("x-outcome", "refused".to_owned()),
-            ("proxy-status", "pointspindle; error=destination_unavailable; details=\"refused\"".to_owned()),
+            (
+                "proxy-status",
+                "pointspindle; error=destination_unavailable; details=\"refused\"".to_owned(),
+            ),
         ];
-        self.short(503, "refused: a retry is harmless\n", fields).await;
+        self.short(503, "refused: a retry is harmless\n", fields)
+            .await;
     }
 
     async fn fail(&mut self) {
         let fields = vec![
             ("x-outcome", "failed".to_owned()),
-            ("proxy-status", "pointspindle; error=connection_terminated; details=\"failed\"".to_owned()),
+            (
+                "proxy-status",
+                "pointspindle; error=connection_terminated; details=\"failed\"".to_owned(),
+            ),
         ];
         self.short(502, "failed: it may have run\n", fields).await;
     }
@@ -353,7 +420,10 @@
 
 /// RFC 9211: how the answer came about at the cache.
 fn cache_status(head: &AnswerHead) -> String {
-    let ttl = head.fresh_left_us.map(|left| format!("; ttl={}", left / 1_000_000)).unwrap_or_default();
+    let ttl = head
+        .fresh_left_us
+        .map(|left| format!("; ttl={}", left / 1_000_000))
+        .unwrap_or_default();
     match head.note() {
         WireNote::Hit => format!("pointspindle; hit{ttl}"),
         WireNote::Old => "pointspindle; hit; detail=old".into(),
--- a/crates/edge/src/net/exchange.rs
+++ b/crates/edge/src/net/exchange.rs
@@ -25,7 +25,10 @@
         &mut self,
         head: &AnswerHead,
     ) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
-    fn data(&mut self, data: Bytes) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
+    fn data(
+        &mut self,
+        data: Bytes,
+    ) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
     fn flush(&mut self) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
     /// Final: the answer is complete.
     fn end(&mut self) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
@@ -58,7 +61,13 @@
 }
 
 impl Fate {
-    pub const ALL: [Self; 5] = [Self::Served, Self::Refused, Self::Failed, Self::Broken, Self::ClientGone];
+    pub const ALL: [Self; 5] = [
+        Self::Served,
+        Self::Refused,
+        Self::Failed,
+        Self::Broken,
+        Self::ClientGone,
+    ];
 
     pub fn word(self) -> &'static str {
         match self {
@@ -72,7 +81,11 @@
 }
 
 /// Runs a request to its end. The number is taken off the table on every way out, a panic's included.
-pub async fn run<S: MemberSide, C: ClientSide>(hub: &Arc<Desk<S>>, asked: Asked, client: &mut C) -> Fate {
+pub async fn run<S: MemberSide, C: ClientSide>(
+    hub: &Arc<Desk<S>>,
+    asked: Asked,
+    client: &mut C,
+) -> Fate {
     let began = Instant::now();
     let class = asked.ask.class;
     let (id, orders) = match hub.open(asked.ask.clone()) {
@@ -80,14 +93,29 @@
         Err(come_back) => {
             // No room: nothing of this request was told to anybody.
             let router = &hub.settings.router;
-            client.refuse(router.retry_after.then_some(come_back.min(router.max_retry_after))).await;
+            client
+                .refuse(
+                    router
+                        .retry_after
+                        .then_some(come_back.min(router.max_retry_after)),
+                )
+                .await;
             hub.metrics.no_room.inc();
-            hub.metrics.request_ended(class, Fate::Refused, began.elapsed());
+            hub.metrics
+                .request_ended(class, Fate::Refused, began.elapsed());
             return Fate::Refused;
         }
     };
     let closing = Closing { hub, id };
-    let mut exchange = Exchange { hub, closing, class, asked, orders, began, made: 0 };
+    let mut exchange = Exchange {
+        hub,
+        closing,
+        class,
+        asked,
+        orders,
+        began,
+        made: 0,
+    };
     let fate = exchange.run(client).await;
     if matches!(fate, Fate::ClientGone) {
         hub.tell(Input::Gone(exchange.closing.id));
@@ -96,9 +124,17 @@
     hub.metrics.request_ended(class, fate, began.elapsed());
     match fate {
         Fate::Served => {
-            tracing::debug!(fate = fate.word(), us = began.elapsed().as_micros() as u64, "request ended")
+            tracing::debug!(
+                fate = fate.word(),
+                us = began.elapsed().as_micros() as u64,
+                "request ended"
+            )
         }
-        _ => tracing::info!(fate = fate.word(), us = began.elapsed().as_micros() as u64, "request ended"),
+        _ => tracing::info!(
+            fate = fate.word(),
+            us = began.elapsed().as_micros() as u64,
+            "request ended"
+        ),
     }
     fate
 }
@@ -163,20 +199,33 @@
     /// None: nothing tells which version it is, or where its end is.
     fn of(head: &AnswerHead) -> Option<Self> {
         let strong = !head.validator.is_empty() && !head.validator.starts_with("W/");
-        let size = head.size.filter(|_| strong && head.code == 0 && !head.not_modified)?;
+        let size = head
+            .size
+            .filter(|_| strong && head.code == 0 && !head.not_modified)?;
         let first = head.range_first.unwrap_or(0);
         let whole = match head.range_first {
             Some(_) => head.whole_size?,
             None => size,
         };
-        Some(Self { validator: head.validator.clone(), whole, next: first, end: first + size, resumed: 0 })
+        Some(Self {
+            validator: head.validator.clone(),
+            whole,
+            next: first,
+            end: first + size,
+            resumed: 0,
+        })
     }
 
     /// Whether an answer is what is left: of the same version, from the next byte to the end.
     fn fits(&self, head: &AnswerHead) -> bool {
         let span = (head.range_first, head.size, head.whole_size);
         head.validator == self.validator
-            && span == (Some(self.next), Some(self.end - self.next), Some(self.whole))
+            && span
+                == (
+                    Some(self.next),
+                    Some(self.end - self.next),
+                    Some(self.whole),
+                )
     }
 }
 
@@ -214,7 +263,10 @@
         let mut progress = Progress::of(&head).filter(|_| safe && !self.asked.template.head_only);
         let mut first = Some(head);
         loop {
-            match self.pass_on(client, attempt, call, first.take(), &mut progress).await {
+            match self
+                .pass_on(client, attempt, call, first.take(), &mut progress)
+                .await
+            {
                 Passed::Fate(fate) => return fate,
                 Passed::Broke => {}
             }
@@ -238,7 +290,10 @@
     ) -> Got<S::Call> {
         let waited = self.began.elapsed().as_micros() as Micros;
         let left = self.asked.ask.left.saturating_sub(waited);
-        let Some(progress) = progress.as_mut().filter(|p| p.resumed < RESUMED && p.next < p.end) else {
+        let Some(progress) = progress
+            .as_mut()
+            .filter(|p| p.resumed < RESUMED && p.next < p.end)
+        else {
             return Got::Failed;
         };
         if left < RESUME_LEAST {
@@ -247,7 +302,10 @@
         }
         progress.resumed += 1;
         self.hub.close(self.closing.id);
-        let Ok((id, orders)) = self.hub.open(Ask { left, ..self.asked.ask.clone() }) else {
+        let Ok((id, orders)) = self.hub.open(Ask {
+            left,
+            ..self.asked.ask.clone()
+        }) else {
             return Got::Failed;
         };
         self.made += self.hub.settings.router.max_attempts;
@@ -279,7 +337,11 @@
                 Got::Failed
             }
             other => {
-                tracing::info!(next = progress.next, end = progress.end, "what is left is had nowhere");
+                tracing::info!(
+                    next = progress.next,
+                    end = progress.end,
+                    "what is left is had nowhere"
+                );
                 other
             }
         }
@@ -306,7 +368,12 @@
                     self.hub.tell(Input::Gone(self.closing.id));
                     return Got::Failed;
                 }
-                Step::Order(Some(Order::Send { attempt, member, timeout, fetch })) => {
+                Step::Order(Some(Order::Send {
+                    attempt,
+                    member,
+                    timeout,
+                    fetch,
+                })) => {
                     tracing::debug!(attempt, member, ?fetch, "attempt");
                     let fetch = fetch.map(|f| FetchHead {
                         source: f.source.unwrap_or_default(),
@@ -317,10 +384,23 @@
                         renew: f.renew,
                     });
                     let template = self.asked.template.clone();
-                    let request =
-                        RequestHead { fetch, left_us: timeout, attempt: self.made + attempt, ..template };
-                    let ticket = Ticket { request: self.closing.id, attempt };
-                    current = Some(Attempt { ticket, member, request, call: None, head: None });
+                    let request = RequestHead {
+                        fetch,
+                        left_us: timeout,
+                        attempt: self.made + attempt,
+                        ..template
+                    };
+                    let ticket = Ticket {
+                        request: self.closing.id,
+                        attempt,
+                    };
+                    current = Some(Attempt {
+                        ticket,
+                        member,
+                        request,
+                        call: None,
+                        head: None,
+                    });
                 }
                 Step::Order(Some(Order::Abort { attempt })) => {
                     // Dropping the call tells the member; the next attempt goes out after that.
@@ -330,7 +410,9 @@
                     let Some(found) = current.take().filter(|a| a.ticket.attempt == attempt) else {
                         continue;
                     };
-                    let (Some(call), Some(head)) = (found.call, found.head) else { continue };
+                    let (Some(call), Some(head)) = (found.call, found.head) else {
+                        continue;
+                    };
                     return Got::Answer(attempt, call, head);
                 }
                 Step::Order(Some(Order::Refuse { retry_after })) => {
@@ -370,9 +452,16 @@
 
     fn ended(&self, attempt: Option<Attempt<S::Call>>, end: AttemptEnd) {
         let Some(attempt) = attempt else { return };
-        let Ticket { request, attempt: number } = attempt.ticket;
+        let Ticket {
+            request,
+            attempt: number,
+        } = attempt.ticket;
         tracing::debug!(attempt = number, member = %attempt.member, ?end, "attempt ended");
-        self.hub.tell(Input::Ended { request, attempt: number, end });
+        self.hub.tell(Input::Ended {
+            request,
+            attempt: number,
+            end,
+        });
     }
 
     /// The answer streams: from here on it is complete, or goes on from elsewhere, or is broken off. `head`: none where it was passed on
@@ -388,7 +477,9 @@
         // Bytes that the client still misses: one that has them all may leave before the member's end comes.
         let mut missing = progress.as_ref().map(|p| p.end - p.next);
         if let Some(head) = head {
-            self.hub.metrics.first_byte(self.class, self.began.elapsed());
+            self.hub
+                .metrics
+                .first_byte(self.class, self.began.elapsed());
             let passed_on = tokio::select! {
                 biased;
                 _ = self.orders.recv() => None,
@@ -449,12 +540,24 @@
                 Some(Part::End(CallEnd::Complete(_))) => {
                     let ended = client.end().await;
                     let request = self.closing.id;
-                    self.hub.tell(Input::Ended { request, attempt, end: AttemptEnd::Complete });
-                    return Passed::Fate(if ended.is_ok() { Fate::Served } else { Fate::ClientGone });
+                    self.hub.tell(Input::Ended {
+                        request,
+                        attempt,
+                        end: AttemptEnd::Complete,
+                    });
+                    return Passed::Fate(if ended.is_ok() {
+                        Fate::Served
+                    } else {
+                        Fate::ClientGone
+                    });
                 }
                 Some(Part::End(end)) => {
                     let (request, end) = (self.closing.id, attempt_end(end));
-                    self.hub.tell(Input::Ended { request, attempt, end });
+                    self.hub.tell(Input::Ended {
+                        request,
+                        attempt,
+                        end,
+                    });
                     return Passed::Broke;
                 }
                 Some(Part::Head(_)) => {}
@@ -471,13 +574,21 @@
     current: &mut Option<Attempt<S::Call>>,
 ) -> Step<S::Call> {
     match current {
-        Some(Attempt { head: None, call: Some(call), .. }) => match call.next().await {
+        Some(Attempt {
+            head: None,
+            call: Some(call),
+            ..
+        }) => match call.next().await {
             Some(part) => Step::Part(part),
             None => std::future::pending().await,
         },
-        Some(Attempt { ticket, call: None, member, request, .. }) => {
-            Step::Call(S::call(hub, *ticket, member, request.clone(), body).await)
-        }
+        Some(Attempt {
+            ticket,
+            call: None,
+            member,
+            request,
+            ..
+        }) => Step::Call(S::call(hub, *ticket, member, request.clone(), body).await),
         _ => std::future::pending().await,
     }
 }
@@ -487,8 +598,10 @@
         CallEnd::Complete(_) => AttemptEnd::Complete,
         CallEnd::Broken(_) => AttemptEnd::Broken,
         CallEnd::NotSent => AttemptEnd::NotSent,
-        CallEnd::Error(e) => {
-            AttemptEnd::Told { status: e.status(), note: e.note(), may_have_run: e.may_have_run }
-        }
+        CallEnd::Error(e) => AttemptEnd::Told {
+            status: e.status(),
+            note: e.note(),
+            may_have_run: e.may_have_run,
+        },
     }
 }
--- a/crates/edge/src/net/keeper.rs
+++ b/crates/edge/src/net/keeper.rs
@@ -51,13 +51,22 @@
 
 impl Keeper {
     pub fn new(limits: Limits) -> Arc<Self> {
-        let locked = Locked { admission: Admission::new(limits), told: HashMap::new() };
+        let locked = Locked {
+            admission: Admission::new(limits),
+            told: HashMap::new(),
+        };
         let turning = Semaphore::new(TURNING);
-        Arc::new(Self { locked: Mutex::new(locked), born: Instant::now(), turning })
+        Arc::new(Self {
+            locked: Mutex::new(locked),
+            born: Instant::now(),
+            turning,
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.locked.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.locked
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Micros {
@@ -72,7 +81,11 @@
             Verdict::Take(id) => {
                 let told = Arc::new(Notify::new());
                 locked.told.insert(id, told.clone());
-                Ok(Seat { keeper: self.clone(), id, told })
+                Ok(Seat {
+                    keeper: self.clone(),
+                    id,
+                    told,
+                })
             }
             Verdict::TurnAway { come_back } => Err(come_back),
         }
@@ -101,7 +114,9 @@
 
     /// Says when to come back, and closes. In a crowd, only closes.
     pub(crate) async fn turn_away(&self, line: Line, speaks: Speaks, come_back: Micros) {
-        let Ok(_place) = self.turning.try_acquire() else { return };
+        let Ok(_place) = self.turning.try_acquire() else {
+            return;
+        };
         let ms = come_back.div_ceil(1_000);
         let words = async {
             match speaks {
@@ -115,7 +130,13 @@
                         ("content-type", "text/plain; charset=utf-8".to_owned()),
                     ];
                     let length = Some(text.len() as u64);
-                    HttpAnswer { status: 503, length, close: true, fields }.write(&mut out);
+                    HttpAnswer {
+                        status: 503,
+                        length,
+                        close: true,
+                        fields,
+                    }
+                    .write(&mut out);
                     out.extend_from_slice(text.as_bytes());
                     let (read, write) = line.split();
                     if write.write_all(&out).await.is_err() {
--- a/crates/edge/src/net/metrics.rs
+++ b/crates/edge/src/net/metrics.rs
@@ -82,7 +82,11 @@
         let turned_away = Counter::default();
         let (members_connected, list): (Gauge, Gauge) = (Gauge::default(), Gauge::default());
         let purge_lag = Histogram::new(exponential_buckets(0.000_01, 4.0, 10));
-        all.register("requests", "Requests by class and final outcome", requests.clone());
+        all.register(
+            "requests",
+            "Requests by class and final outcome",
+            requests.clone(),
+        );
         all.register("attempts", "Attempts by outcome", attempts.clone());
         let s = Unit::Seconds;
         all.register_with_unit(
@@ -97,9 +101,18 @@
             s.clone(),
             last.clone(),
         );
-        all.register("open_requests", "Requests without a final answer", open.clone());
-        all.register("connections", "Connections at all doors", connections.clone());
-        let (no_room, slow_clients, buffered) = (Counter::default(), Counter::default(), Gauge::default());
+        all.register(
+            "open_requests",
+            "Requests without a final answer",
+            open.clone(),
+        );
+        all.register(
+            "connections",
+            "Connections at all doors",
+            connections.clone(),
+        );
+        let (no_room, slow_clients, buffered) =
+            (Counter::default(), Counter::default(), Gauge::default());
         let (not_begun, held_back) = (Counter::default(), Counter::default());
         let purges_proven = Gauge::default();
         let (lock_waits, lock_wait_us, dead_connections) =
@@ -110,7 +123,11 @@
         all.register("held_back", help, held_back.clone());
         let help = "Purges are proven to be known (1) or not (0); -1: that is not promised";
         all.register("purges_proven", help, purges_proven.clone());
-        all.register("no_room", "Requests refused because as much is under way as may be", no_room.clone());
+        all.register(
+            "no_room",
+            "Requests refused because as much is under way as may be",
+            no_room.clone(),
+        );
         all.register(
             "slow_clients",
             "Answers given up because the client took too little",
@@ -121,7 +138,11 @@
             "Bytes of bodies read and not yet taken, as last looked at",
             buffered.clone(),
         );
-        all.register("core_lock_waits", "Times that somebody waited for the core", lock_waits.clone());
+        all.register(
+            "core_lock_waits",
+            "Times that somebody waited for the core",
+            lock_waits.clone(),
+        );
         all.register(
             "core_lock_wait_us",
             "Time that was waited for the core, microseconds",
@@ -130,11 +151,20 @@
         let dead = "Connections to members closed because they gave no sign of life";
         all.register("dead_member_connections", dead, dead_connections.clone());
         let (lost_clients, known_calls) = (Counter::default(), Gauge::default());
-        let lost = "Connections of clients closed because they gave no sign of life while they waited";
+        let lost =
+            "Connections of clients closed because they gave no sign of life while they waited";
         all.register("lost_clients", lost, lost_clients.clone());
-        all.register("known_calls", "Calls of clients that run or are remembered", known_calls.clone());
+        all.register(
+            "known_calls",
+            "Calls of clients that run or are remembered",
+            known_calls.clone(),
+        );
         let tls_failed = Counter::default();
-        all.register("tls_failed", "TLS handshakes that came to nothing", tls_failed.clone());
+        all.register(
+            "tls_failed",
+            "TLS handshakes that came to nothing",
+            tls_failed.clone(),
+        );
         let (source_current, peers): (Gauge, Gauge) = (Gauge::default(), Gauge::default());
         let (source_gaps, source_bad) = (Counter::default(), Counter::default());
         all.register(
@@ -142,15 +172,35 @@
             "1: lists and purges are as new as they should be",
             source_current.clone(),
         );
-        all.register("source_gaps", "Times that purges may have been missed", source_gaps.clone());
-        all.register("source_bad", "Keys of the source that could not be used", source_bad.clone());
+        all.register(
+            "source_gaps",
+            "Times that purges may have been missed",
+            source_gaps.clone(),
+        );
+        all.register(
+            "source_bad",
+            "Keys of the source that could not be used",
+            source_bad.clone(),
+        );
         all.register("peers", "Dispatchers that are registered", peers.clone());
         let resumed = Counter::default();
-        all.register("resumed", "Answers that went on from another member", resumed.clone());
+        all.register(
+            "resumed",
+            "Answers that went on from another member",
+            resumed.clone(),
+        );
         let turned = "Connections turned away for want of a place";
         all.register("turned_away", turned, turned_away.clone());
-        all.register("member_connections", "Connections to members", members_connected.clone());
-        all.register("list_version", "Number of the member list in force", list.clone());
+        all.register(
+            "member_connections",
+            "Connections to members",
+            members_connected.clone(),
+        );
+        all.register(
+            "list_version",
+            "Number of the member list in force",
+            list.clone(),
+        );
         all.register_with_unit(
             "purge_lag",
             "From a purge's frame to its being in force",
@@ -159,8 +209,13 @@
         );
         let by_class = |c: &ClassSpec| {
             let class = c.name.clone();
-            let end = |fate: Fate| ClassEnd { class: class.clone(), outcome: fate.word() };
-            let only = ClassOnly { class: class.clone() };
+            let end = |fate: Fate| ClassEnd {
+                class: class.clone(),
+                outcome: fate.word(),
+            };
+            let only = ClassOnly {
+                class: class.clone(),
+            };
             ByClass {
                 ends: Fate::ALL.map(|fate| requests.get_or_create(&end(fate)).clone()),
                 first: first.get_or_create(&only).clone(),
@@ -198,7 +253,9 @@
     }
 
     pub fn request_ended(&self, class: usize, fate: Fate, took: Duration) {
-        let Some(class) = self.by_class.get(class) else { return };
+        let Some(class) = self.by_class.get(class) else {
+            return;
+        };
         class.last.observe(took.as_secs_f64());
         class.ends[fate as usize].inc();
     }
@@ -210,7 +267,9 @@
     }
 
     pub fn attempt_ended(&self, outcome: &'static str, count: u64) {
-        self.attempts.get_or_create(&AttemptEndLabel { outcome }).inc_by(count);
+        self.attempts
+            .get_or_create(&AttemptEndLabel { outcome })
+            .inc_by(count);
     }
 
     pub fn text(&self) -> String {
@@ -232,7 +291,13 @@
     let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8".to_owned();
     let fields = vec![("content-type", kind)];
     let mut out = bytes::BytesMut::new();
-    HttpAnswer { status: 200, length: Some(text.len() as u64), close: true, fields }.write(&mut out);
+    HttpAnswer {
+        status: 200,
+        length: Some(text.len() as u64),
+        close: true,
+        fields,
+    }
+    .write(&mut out);
     out.extend_from_slice(text.as_bytes());
     let _ = tokio::time::timeout(Duration::from_secs(2), write.write_all(&out)).await;
     write.shutdown();
