--- a/crates/edge/src/net/mod.rs
+++ b/crates/edge/src/net/mod.rs
@@ -42,7 +42,11 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("cannot listen on {address} ({what}): {source}")]
-    Listen { what: &'static str, address: SocketAddr, source: std::io::Error },
+    Listen {
+        what: &'static str,
+        address: SocketAddr,
+        source: std::io::Error,
+    },
     #[error("TLS: {0}")]
     Tls(#[from] TlsError),
 }
@@ -76,23 +80,42 @@
         if !saver::restore(&hub).await && !settings.members.is_empty() {
             hub.members(static_list(&settings));
         }
-        Self { net, hub, wished, helpers: JoinSet::new() }
+        Self {
+            net,
+            hub,
+            wished,
+            helpers: JoinSet::new(),
+        }
     }
 
     /// Lists, purges and counts come from this source too, for as long as the dispatcher runs.
     pub fn follow(&mut self, source: impl crate::source::Source) {
-        let teller = crate::source::Teller { hub: self.hub.clone(), ears: None };
+        let teller = crate::source::Teller {
+            hub: self.hub.clone(),
+            ears: None,
+        };
         self.helpers.spawn(source.run(teller));
     }
 
     /// The dispatcher without its doors: registration, list, purges, counts, connections to members and state file, all as ever.
     /// For rehearsals of many on one machine; `ears` hear what has come into force.
     pub fn hollow(self, source: impl crate::source::Source, ears: crate::source::Ears) -> Hollow {
-        let Self { hub, wished, mut helpers, .. } = self;
-        let teller = crate::source::Teller { hub: hub.clone(), ears: Some(ears) };
+        let Self {
+            hub,
+            wished,
+            mut helpers,
+            ..
+        } = self;
+        let teller = crate::source::Teller {
+            hub: hub.clone(),
+            ears: Some(ears),
+        };
         helpers.spawn(source.run(teller));
         follow_up(&hub, wished, &mut helpers);
-        Hollow { hub, _helpers: helpers }
+        Hollow {
+            hub,
+            _helpers: helpers,
+        }
     }
 
     /// Waits for the source's view to be current. False: it was not in time.
@@ -104,11 +127,19 @@
 
     /// Listens.
     pub async fn open(self) -> Result<Dispatcher, StartError> {
-        let Self { net, hub, wished, mut helpers } = self;
+        let Self {
+            net,
+            hub,
+            wished,
+            mut helpers,
+        } = self;
         let settings = hub.settings.clone();
         let mut doors = JoinSet::new();
         let tls = |t: &pointspindle_config::Tls| {
-            let files = Files { certificate: t.certificate.clone(), key: t.key.clone() };
+            let files = Files {
+                certificate: t.certificate.clone(),
+                key: t.key.clone(),
+            };
             Identity::load(files, t.client_authority.clone())
         };
         let identity = settings.tls.as_ref().map(tls).transpose()?.map(Arc::new);
@@ -118,44 +149,96 @@
         // One set of places for both doors: descriptors are what runs out.
         let (hard, soft) = (l.max_connections, l.soft_connections);
         let per_address = l.address_connections;
-        let keeper = Keeper::new(Limits { hard, soft, per_address, networks: l.networks.clone() });
+        let keeper = Keeper::new(Limits {
+            hard,
+            soft,
+            per_address,
+            networks: l.networks.clone(),
+        });
         helpers.spawn(keeper::expire(keeper.clone(), l.idle_us));
-        let door = Door { hub: hub.clone(), keeper, stopping: stopping.clone(), identity: None };
-        let sealed = Door { identity: identity.clone(), ..door.clone() };
+        let door = Door {
+            hub: hub.clone(),
+            keeper,
+            stopping: stopping.clone(),
+            identity: None,
+        };
+        let sealed = Door {
+            identity: identity.clone(),
+            ..door.clone()
+        };
         if let Some(listener) = listen(&net, "http", l.http, &mut bound.http).await? {
-            doors.spawn(accept(listener, door.clone(), Speaks::Http, door_http::serve));
+            doors.spawn(accept(
+                listener,
+                door.clone(),
+                Speaks::Http,
+                door_http::serve,
+            ));
         }
         if let Some(listener) = listen(&net, "framed", l.framed, &mut bound.framed).await? {
             doors.spawn(accept(listener, door, Speaks::Framed, door_framed::serve));
         }
         if let Some(listener) = listen(&net, "https", l.https, &mut bound.https).await? {
-            doors.spawn(accept(listener, sealed.clone(), Speaks::Http, door_http::serve));
+            doors.spawn(accept(
+                listener,
+                sealed.clone(),
+                Speaks::Http,
+                door_http::serve,
+            ));
         }
-        if let Some(listener) = listen(&net, "framed_tls", l.framed_tls, &mut bound.framed_tls).await? {
+        if let Some(listener) =
+            listen(&net, "framed_tls", l.framed_tls, &mut bound.framed_tls).await?
+        {
             doors.spawn(accept(listener, sealed, Speaks::Framed, door_framed::serve));
         }
         // Operators get places of their own: a full door must not lock them out.
-        let operators =
-            || Keeper::new(Limits { hard: 64, soft: 64, per_address: 64, networks: Vec::new() });
-        let operators =
-            || Door { hub: hub.clone(), keeper: operators(), stopping: stopping.clone(), identity: None };
+        let operators = || {
+            Keeper::new(Limits {
+                hard: 64,
+                soft: 64,
+                per_address: 64,
+                networks: Vec::new(),
+            })
+        };
+        let operators = || Door {
+            hub: hub.clone(),
+            keeper: operators(),
+            stopping: stopping.clone(),
+            identity: None,
+        };
         if let Some(listener) = listen(&net, "control", l.control, &mut bound.control).await? {
             let door = operators();
-            doors.spawn(accept(listener, door, Speaks::Framed, |door, socket, seat| async move {
-                control::serve(door, socket).await;
-                drop(seat);
-            }));
+            doors.spawn(accept(
+                listener,
+                door,
+                Speaks::Framed,
+                |door, socket, seat| async move {
+                    control::serve(door, socket).await;
+                    drop(seat);
+                },
+            ));
         }
         if let Some(listener) = listen(&net, "metrics", l.metrics, &mut bound.metrics).await? {
             let door = operators();
-            doors.spawn(accept(listener, door, Speaks::Http, |door, socket, seat| async move {
-                metrics::serve(door, socket).await;
-                drop(seat);
-            }));
+            doors.spawn(accept(
+                listener,
+                door,
+                Speaks::Http,
+                |door, socket, seat| async move {
+                    metrics::serve(door, socket).await;
+                    drop(seat);
+                },
+            ));
         }
         follow_up(&hub, wished, &mut helpers);
         tracing::info!(name = %settings.name, ?bound, "dispatcher listens");
-        Ok(Dispatcher { hub, bound, stop, doors, helpers, identity })
+        Ok(Dispatcher {
+            hub,
+            bound,
+            stop,
+            doors,
+            helpers,
+            identity,
+        })
     }
 }
 
@@ -216,7 +299,9 @@
 
     /// Reads certificates and keys again, for connections from now on; after an error the old ones stay in use.
     pub fn reload_tls(&self) -> Result<(), TlsError> {
-        self.identity.as_ref().map_or(Ok(()), |identity| identity.reload())
+        self.identity
+            .as_ref()
+            .map_or(Ok(()), |identity| identity.reload())
     }
 
     /// Takes nothing new, answers what was accepted, and ends. True if all was answered in time.
@@ -249,7 +334,11 @@
         started_ago_us: None,
     };
     let members = settings.members.iter().map(line).collect();
-    ListHead { form: ListForm::Full as i32, seq: 0, members }
+    ListHead {
+        form: ListForm::Full as i32,
+        seq: 0,
+        members,
+    }
 }
 
 async fn listen(
@@ -258,8 +347,14 @@
     wanted: Option<SocketAddr>,
     bound: &mut Option<SocketAddr>,
 ) -> Result<Option<Listener>, StartError> {
-    let Some(address) = wanted else { return Ok(None) };
-    let failed = |source| StartError::Listen { what, address, source };
+    let Some(address) = wanted else {
+        return Ok(None);
+    };
+    let failed = |source| StartError::Listen {
+        what,
+        address,
+        source,
+    };
     let listener = net.listen(address).await.map_err(failed)?;
     *bound = Some(listener.local_addr().map_err(failed)?);
     Ok(Some(listener))
@@ -401,11 +496,34 @@
         let settings =
             Arc::new(pointspindle_config::parse("test", &text).unwrap_or_else(|e| panic!("{e}")));
         let (stop, stopping) = watch::channel(false);
-        let limits = Limits { hard: 1, soft: 1, per_address: 1, networks: Vec::new() };
-        let (hub, keeper) = (Arc::new(Hub::framed(settings, 1, Net::Tcp).0), Keeper::new(limits));
+        let limits = Limits {
+            hard: 1,
+            soft: 1,
+            per_address: 1,
+            networks: Vec::new(),
+        };
+        let (hub, keeper) = (
+            Arc::new(Hub::framed(settings, 1, Net::Tcp).0),
+            Keeper::new(limits),
+        );
         let listener = Net::Tcp.listen(([127, 0, 0, 1], 0).into()).await.unwrap();
-        let socket = Net::Tcp.connect(None, listener.local_addr().unwrap()).await.unwrap();
-        let seat = keeper.arrive([127, 0, 0, 1].into()).unwrap_or_else(|_| panic!("a free seat"));
-        (Door { hub, keeper, stopping, identity: None }, socket, seat, stop)
+        let socket = Net::Tcp
+            .connect(None, listener.local_addr().unwrap())
+            .await
+            .unwrap();
+        let seat = keeper
+            .arrive([127, 0, 0, 1].into())
+            .unwrap_or_else(|_| panic!("a free seat"));
+        (
+            Door {
+                hub,
+                keeper,
+                stopping,
+                identity: None,
+            },
+            socket,
+            seat,
+            stop,
+        )
     }
 }
--- a/crates/edge/src/net/saver.rs
+++ b/crates/edge/src/net/saver.rs
@@ -18,13 +18,20 @@
 
 /// Tells the hub what an earlier run left; false if there is nothing to tell.
 pub(crate) async fn restore(hub: &Arc<Hub>) -> bool {
-    let Some(path) = hub.settings.state_file.clone() else { return false };
+    let Some(path) = hub.settings.state_file.clone() else {
+        return false;
+    };
     let shown = path.display().to_string();
     let read = tokio::task::spawn_blocking(move || read(&path)).await;
     match read {
         Ok(Ok(Some(snapshot))) => {
             let (list, purges) = snapshot.told(BootMoment::now().as_ref());
-            tracing::info!(file = shown, members = list.members.len(), purges = purges.len(), "state read");
+            tracing::info!(
+                file = shown,
+                members = list.members.len(),
+                purges = purges.len(),
+                "state read"
+            );
             for purge in purges {
                 hub.purge(purge);
             }
@@ -50,8 +57,12 @@
         Err(e) => return Err(e.to_string()),
     };
     let mut bytes = Vec::new();
-    file.take(MAX_FILE + 1).read_to_end(&mut bytes).map_err(|e| e.to_string())?;
-    Snapshot::from_bytes(&bytes).map(Some).map_err(|e| e.to_string())
+    file.take(MAX_FILE + 1)
+        .read_to_end(&mut bytes)
+        .map_err(|e| e.to_string())?;
+    Snapshot::from_bytes(&bytes)
+        .map(Some)
+        .map_err(|e| e.to_string())
 }
 
 fn write(path: &Path, snapshot: &Snapshot) -> std::io::Result<()> {
@@ -65,13 +76,18 @@
     file.sync_all()?;
     std::fs::rename(beside, path)?;
     // The name is durable once its folder is.
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     std::fs::File::open(folder)?.sync_all()
 }
 
 /// Writes what holds now; false: the old file stays.
 async fn save(hub: &Arc<Hub>) -> bool {
-    let Some(path) = hub.settings.state_file.clone() else { return true };
+    let Some(path) = hub.settings.state_file.clone() else {
+        return true;
+    };
     let snapshot = hub.snapshot();
     let shown = path.display().to_string();
     let written = tokio::task::spawn_blocking(move || write(&path, &snapshot)).await;
--- a/crates/edge/src/net/tries.rs
+++ b/crates/edge/src/net/tries.rs
@@ -55,13 +55,26 @@
 
 impl Tries {
     pub fn new(most: usize) -> Arc<Self> {
-        let keys = Keys::new(KeysRule { most, keep: KEEP, answer_bytes: ANSWERS });
-        let locked = Locked { keys, next: 0, told: HashMap::new() };
-        Arc::new(Self { locked: Mutex::new(locked), born: Instant::now() })
+        let keys = Keys::new(KeysRule {
+            most,
+            keep: KEEP,
+            answer_bytes: ANSWERS,
+        });
+        let locked = Locked {
+            keys,
+            next: 0,
+            told: HashMap::new(),
+        };
+        Arc::new(Self {
+            locked: Mutex::new(locked),
+            born: Instant::now(),
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.locked.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.locked
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Micros {
@@ -91,7 +104,14 @@
         let (sender, turn) = turn.unzip();
         locked.told.insert(ticket, (superseded.clone(), sender));
         let (tries, call) = (self.clone(), call.to_owned());
-        Begun::Run(Try { tries, call, ticket, superseded, turn, answer: None })
+        Begun::Run(Try {
+            tries,
+            call,
+            ticket,
+            superseded,
+            turn,
+            answer: None,
+        })
     }
 }
 
@@ -99,7 +119,9 @@
     /// Returns when the tries before it are over: what was kept of the call, if it was answered meanwhile. An error: it
     /// was tried again itself.
     pub async fn turn(&mut self) -> Result<Option<Kept>, ()> {
-        let Some(turn) = self.turn.take() else { return Ok(None) };
+        let Some(turn) = self.turn.take() else {
+            return Ok(None);
+        };
         tokio::select! {
             turn = turn => turn.map_err(|_| ())?,
             _ = self.superseded.notified() => return Err(()),
@@ -121,7 +143,9 @@
             let size = kept.body.iter().map(Bytes::len).sum::<usize>() + 256;
             (kept, size)
         });
-        let next = locked.keys.over(self.tries.now(), &self.call, self.ticket, answer);
+        let next = locked
+            .keys
+            .over(self.tries.now(), &self.call, self.ticket, answer);
         if let Some((_, turn)) = next.and_then(|next| locked.told.get_mut(&next)) {
             if let Some(turn) = turn.take() {
                 let _ = turn.send(());
--- a/crates/edge/src/net/upstream.rs
+++ b/crates/edge/src/net/upstream.rs
@@ -56,8 +56,11 @@
         // As many again as may run: those that are remembered.
         let tries = Tries::new(2 * settings.max_requests);
         let upstream = settings.upstream.clone();
-        let side =
-            |meter: &Meter| Framed { pool: Pool::new(upstream, seed, meter.clone(), net), wishes, tries };
+        let side = |meter: &Meter| Framed {
+            pool: Pool::new(upstream, seed, meter.clone(), net),
+            wishes,
+            tries,
+        };
         (Self::new(settings, seed, side), wished)
     }
 }
@@ -65,7 +68,12 @@
 impl Hub {
     pub(crate) fn items(&self) -> super::Items {
         let (members, purges, dispatchers) = self.kept();
-        super::Items { members, purges, dispatchers, connections: self.side.pool.count() }
+        super::Items {
+            members,
+            purges,
+            dispatchers,
+            connections: self.side.pool.count(),
+        }
     }
 }
 
@@ -180,7 +188,17 @@
         // Its own: dispatchers that are given the same seed must not come back together.
         let dice = Arc::new(Mutex::new(StdRng::seed_from_u64(seed ^ process)));
         let (entries, greeted, redials) = Default::default();
-        Self { settings, entries, greeted, redials, dice, meter, net, born: Instant::now(), process }
+        Self {
+            settings,
+            entries,
+            greeted,
+            redials,
+            dice,
+            meter,
+            net,
+            born: Instant::now(),
+            process,
+        }
     }
 
     fn now(&self) -> Micros {
@@ -188,20 +206,30 @@
     }
 
     fn redials(&self) -> MutexGuard<'_, HashMap<String, Redial>> {
-        self.redials.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.redials
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn roll(&self) -> f64 {
-        self.dice.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).gen()
+        self.dice
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .gen()
     }
 
     fn failed(&self, address: &str) {
         let (now, dice) = (self.now(), self.roll());
-        self.redials().entry(address.to_owned()).or_default().failed(now, dice);
+        self.redials()
+            .entry(address.to_owned())
+            .or_default()
+            .failed(now, dice);
     }
 
     fn entries(&self) -> MutexGuard<'_, HashMap<String, Entry>> {
-        self.entries.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.entries
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// The connection to an address, shared with whoever else waits for it. Safe to drop while waiting: the
@@ -217,24 +245,35 @@
                 }
                 _ => {
                     let now = self.now();
-                    let wait = match self.redials().get(address).map_or(Dial::Now, |r| r.dial(now)) {
+                    let wait = match self
+                        .redials()
+                        .get(address)
+                        .map_or(Dial::Now, |r| r.dial(now))
+                    {
                         Dial::Now => 0,
                         Dial::In(wait) => wait,
                         Dial::NotFor(wait) => {
                             let ms = wait.div_ceil(1_000);
-                            return Err(NoLink::Failed(format!("it failed lately; next try in {ms} ms")));
+                            return Err(NoLink::Failed(format!(
+                                "it failed lately; next try in {ms} ms"
+                            )));
                         }
                     };
                     let (sender, slot) = watch::channel(Slot::Connecting);
-                    let entry =
-                        Entry { slot: slot.clone(), used: Instant::now(), health: Health::default() };
+                    let entry = Entry {
+                        slot: slot.clone(),
+                        used: Instant::now(),
+                        health: Health::default(),
+                    };
                     entries.insert(address.to_owned(), entry);
                     tokio::spawn(connect(hub.clone(), address.to_owned(), sender, wait));
                     (slot, true)
                 }
             }
         };
-        let slot = slot.wait_for(|slot| !matches!(slot, Slot::Connecting)).await;
+        let slot = slot
+            .wait_for(|slot| !matches!(slot, Slot::Connecting))
+            .await;
         match slot.as_deref() {
             Ok(Slot::Ready { replaced: true, .. }) if waited => Err(NoLink::Replaced),
             Ok(Slot::Ready { link, .. }) => Ok(link.clone()),
@@ -270,7 +309,11 @@
     fn sweep(&self) -> u64 {
         let idle = Duration::from_micros(self.settings.idle_us);
         let s = &self.settings;
-        let rule = HealthRule { quiet: s.quiet_ping_us, idle: s.idle_ping_us, answer: s.ping_timeout_us };
+        let rule = HealthRule {
+            quiet: s.quiet_ping_us,
+            idle: s.idle_ping_us,
+            answer: s.ping_timeout_us,
+        };
         let now = self.now();
         let mut dead = 0;
         let mut greeted = self.greeted();
@@ -310,14 +353,19 @@
     }
 
     fn greeted(&self) -> MutexGuard<'_, HashMap<String, Instant>> {
-        self.greeted.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.greeted
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     async fn socket(&self, address: &str) -> Result<Line, ConnectFailure> {
-        let invalid = |e| ConnectFailure::Peer(std::io::Error::new(std::io::ErrorKind::InvalidInput, e));
+        let invalid =
+            |e| ConnectFailure::Peer(std::io::Error::new(std::io::ErrorKind::InvalidInput, e));
         let target: SocketAddr = address.parse().map_err(invalid)?;
         let longest = Duration::from_micros(self.settings.connect_us);
-        self.net.connect_within(self.settings.bind, target, longest).await
+        self.net
+            .connect_within(self.settings.bind, target, longest)
+            .await
     }
 }
 
@@ -337,7 +385,9 @@
             return;
         }
     };
-    let options = LinkOptions { max_streams: pool.settings.max_streams };
+    let options = LinkOptions {
+        max_streams: pool.settings.max_streams,
+    };
     let meter = pool.meter.clone();
     let (link, mut incoming) = Link::start_metered(socket, Side::Caller, options, meter);
     // So that a member which warms up knows whom to lease its work to.
@@ -357,7 +407,9 @@
         match tokio::time::timeout(wait, incoming.next()).await {
             // Cut before its hello: that is no word of not saying any. The next connection waits for it too.
             Ok(None) => return failed("cut before its hello".into()),
-            Ok(Some(first @ Inbound::Control(Frame::Hello(_)))) => replaced = heard(&hub, &address, first),
+            Ok(Some(first @ Inbound::Control(Frame::Hello(_)))) => {
+                replaced = heard(&hub, &address, first)
+            }
             Ok(Some(first)) => {
                 pool.greeted().remove(&address);
                 heard(&hub, &address, first);
@@ -367,13 +419,19 @@
             }
         }
     }
-    sender.send_replace(Slot::Ready { link: link.clone(), replaced });
+    sender.send_replace(Slot::Ready {
+        link: link.clone(),
+        replaced,
+    });
     while let Some(inbound) = incoming.next().await {
         heard(&hub, &address, inbound);
     }
     if link.broke() {
         let (now, dice) = (pool.now(), pool.roll());
-        pool.redials().entry(address.clone()).or_default().broke(now, dice);
+        pool.redials()
+            .entry(address.clone())
+            .or_default()
+            .broke(now, dice);
         if pool.greeted().contains_key(&address) {
             hub.side.meet(address);
         }
@@ -388,7 +446,10 @@
     match inbound {
         Inbound::Control(Frame::Hello(hello)) => greet(hub, address, hello),
         Inbound::Control(Frame::Lease(lease)) => {
-            hub.tell(Input::Lease { member: address.to_owned(), lease });
+            hub.tell(Input::Lease {
+                member: address.to_owned(),
+                lease,
+            });
             false
         }
         _ => false,
@@ -397,7 +458,10 @@
 
 /// True if another process was there before.
 fn greet(hub: &Arc<Hub>, address: &str, hello: HelloHead) -> bool {
-    hub.side.pool.greeted().insert(address.to_owned(), Instant::now());
+    hub.side
+        .pool
+        .greeted()
+        .insert(address.to_owned(), Instant::now());
     let replaced = hub.hello(address, hello);
     if replaced {
         tracing::info!(
@@ -442,9 +506,13 @@
     loop {
         tokio::time::sleep(LOOK).await;
         hub.metrics.dead_connections.inc_by(hub.side.pool.sweep());
-        hub.metrics.purges_proven.set(hub.is_proven().map_or(-1, i64::from));
+        hub.metrics
+            .purges_proven
+            .set(hub.is_proven().map_or(-1, i64::from));
         hub.metrics.buffered.set(hub.meter.held() as i64);
         hub.metrics.known_calls.set(hub.side.tries.known() as i64);
-        hub.metrics.members_connected.set(hub.side.pool.count() as i64);
+        hub.metrics
+            .members_connected
+            .set(hub.side.pool.count() as i64);
     }
 }
--- a/crates/edge/src/pace.rs
+++ b/crates/edge/src/pace.rs
@@ -22,7 +22,11 @@
 
 impl Pace {
     pub fn new(rule: PaceRule) -> Self {
-        Self { rule, waited: 0, taken: 0 }
+        Self {
+            rule,
+            waited: 0,
+            taken: 0,
+        }
     }
 
     /// Longest wait before it is worth asking [`Pace::took`] again with what was taken.
@@ -51,7 +55,10 @@
 mod tests {
     use super::*;
 
-    const RULE: PaceRule = PaceRule { least: 1_000, window: 2_000_000 };
+    const RULE: PaceRule = PaceRule {
+        least: 1_000,
+        window: 2_000_000,
+    };
 
     #[test]
     fn a_slow_and_honest_line_survives_and_a_trickle_does_not() {
--- a/crates/edge/src/peers.rs
+++ b/crates/edge/src/peers.rs
@@ -117,16 +117,28 @@
         let settled = now >= self.changed + self.hold;
         let joined = self.joined.is_some_and(|at| now >= at + self.hold);
         let cold = joined && self.current && now < self.kept;
-        let place = roster.keys().position(|name| *name == self.name).map(|n| n as u32);
-        Some(Counts { here: here.max(1), all: all.max(1), me: place.filter(|_| cold && settled), cold })
+        let place = roster
+            .keys()
+            .position(|name| *name == self.name)
+            .map(|n| n as u32);
+        Some(Counts {
+            here: here.max(1),
+            all: all.max(1),
+            me: place.filter(|_| cold && settled),
+            cold,
+        })
     }
 
     /// When [`Peers::counts`] changes next if nothing is told.
     pub fn next(&self, now: Micros) -> Option<Micros> {
         let held = self.larger.iter().map(|(until, ..)| *until);
         let joined = self.joined.map(|at| at + self.hold);
-        let all = held.chain(joined).chain([self.changed + self.hold, self.kept]);
-        all.filter(|at| *at > now).min().filter(|_| self.roster.is_some())
+        let all = held
+            .chain(joined)
+            .chain([self.changed + self.hold, self.kept]);
+        all.filter(|at| *at > now)
+            .min()
+            .filter(|_| self.roster.is_some())
     }
 }
 
--- a/crates/edge/src/peers/tests.rs
+++ b/crates/edge/src/peers/tests.rs
@@ -29,7 +29,12 @@
             match dice.gen_range(0..40) {
                 0 if all.len() < 12 => {
                     let peers = Peers::new(&format!("d{}", dice.gen::<u16>()), "b", WINDOW);
-                    all.push(One { peers, lag: 0, kept: None, paused: 0 });
+                    all.push(One {
+                        peers,
+                        lag: 0,
+                        kept: None,
+                        paused: 0,
+                    });
                 }
                 1 if !all.is_empty() => {
                     let n = dice.gen_range(0..all.len());
@@ -50,14 +55,21 @@
                 }
             }
             let registered = |o: &&One| o.kept.is_some_and(|at| now < at + LEASE);
-            let roster: Roster =
-                all.iter().filter(registered).map(|o| (o.peers.name.clone(), "b".to_owned())).collect();
+            let roster: Roster = all
+                .iter()
+                .filter(registered)
+                .map(|o| (o.peers.name.clone(), "b".to_owned()))
+                .collect();
             if truth.last().unwrap().1 != roster {
                 truth.push((now, roster));
             }
             let (mut sum, mut owners) = (0.0, 0);
             for one in all.iter_mut().filter(|o| now >= o.paused) {
-                let seen = truth.iter().rev().find(|(at, _)| at + one.lag <= now).unwrap();
+                let seen = truth
+                    .iter()
+                    .rev()
+                    .find(|(at, _)| at + one.lag <= now)
+                    .unwrap();
                 one.peers.view(true);
                 one.peers.roster(now, seen.1.clone());
                 let counts = one.peers.counts(now).unwrap();
@@ -69,7 +81,10 @@
                 owners += u32::from(counts.me == Some(0));
             }
             assert!(sum <= 1.0 + 1e-9, "seed {seed}: {sum} of a budget at {now}");
-            assert!(owners <= 1, "seed {seed}: {owners} dispatchers for one parent at {now}");
+            assert!(
+                owners <= 1,
+                "seed {seed}: {owners} dispatchers for one parent at {now}"
+            );
             most = most.max(sum);
         }
         assert!(taken == 0 || most > 0.0);
@@ -80,23 +95,54 @@
 fn a_lease_without_word_a_stale_view_and_a_newcomer_take_nothing() {
     let mut peers = Peers::new("a", "b", WINDOW);
     assert_eq!(peers.counts(5), None, "nothing was told: the settings hold");
-    let roster =
-        |names: &[&str]| names.iter().map(|n| (n.to_string(), "b".to_string())).collect::<Roster>();
+    let roster = |names: &[&str]| {
+        names
+            .iter()
+            .map(|n| (n.to_string(), "b".to_string()))
+            .collect::<Roster>()
+    };
     peers.view(true);
     peers.kept(0, 30 * LEASE);
     peers.roster(0, roster(&["a"]));
-    assert_eq!(peers.counts(0), Some(Counts { here: 1, all: 1, me: None, cold: false }));
+    assert_eq!(
+        peers.counts(0),
+        Some(Counts {
+            here: 1,
+            all: 1,
+            me: None,
+            cold: false
+        })
+    );
     let settled = HOLD + WINDOW;
     assert_eq!(peers.next(0), Some(settled));
-    assert_eq!(peers.counts(settled), Some(Counts { here: 1, all: 1, me: Some(0), cold: true }));
+    assert_eq!(
+        peers.counts(settled),
+        Some(Counts {
+            here: 1,
+            all: 1,
+            me: Some(0),
+            cold: true
+        })
+    );
     // Another one: counted at once, and forgotten late.
     peers.roster(settled, roster(&["a", "c"]));
-    assert_eq!(peers.counts(settled), Some(Counts { here: 2, all: 2, me: None, cold: true }));
+    assert_eq!(
+        peers.counts(settled),
+        Some(Counts {
+            here: 2,
+            all: 2,
+            me: None,
+            cold: true
+        })
+    );
     peers.roster(settled + 1, roster(&["a"]));
     assert_eq!(peers.counts(settled + 2).unwrap().here, 2);
     assert_eq!(peers.counts(3 * settled).unwrap().here, 1);
     peers.view(false);
     assert!(!peers.counts(3 * settled).unwrap().cold);
     peers.view(true);
-    assert!(!peers.counts(20 * LEASE).unwrap().cold, "two thirds of the lease are over");
+    assert!(
+        !peers.counts(20 * LEASE).unwrap().cold,
+        "two thirds of the lease are over"
+    );
 }
--- a/crates/edge/src/redial.rs
+++ b/crates/edge/src/redial.rs
@@ -74,7 +74,9 @@
         let mut waits = vec![];
         for _ in 0..40 {
             r.failed(1_000, 0.5);
-            let Dial::NotFor(wait) = r.dial(1_000) else { panic!("{:?}", r.dial(1_000)) };
+            let Dial::NotFor(wait) = r.dial(1_000) else {
+                panic!("{:?}", r.dial(1_000))
+            };
             assert_eq!(r.dial(1_000 + wait), Dial::Now);
             waits.push(wait);
         }
@@ -95,7 +97,9 @@
             }
         };
         let times: Vec<Micros> = (0..1_000).map(|n| at(n as f64 / 1_000.0)).collect();
-        let most = (0..10).map(|ms| times.iter().filter(|t| **t / 1_000 == ms).count()).max();
+        let most = (0..10)
+            .map(|ms| times.iter().filter(|t| **t / 1_000 == ms).count())
+            .max();
         assert_eq!(most, Some(100), "in any one millisecond");
     }
 
--- a/crates/edge/src/source.rs
+++ b/crates/edge/src/source.rs
@@ -31,7 +31,9 @@
 
 impl std::fmt::Debug for Teller {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Teller").field("hub", &self.hub).finish_non_exhaustive()
+        f.debug_struct("Teller")
+            .field("hub", &self.hub)
+            .finish_non_exhaustive()
     }
 }
 
--- a/crates/edge/tests/core.rs
+++ b/crates/edge/tests/core.rs
@@ -56,7 +56,10 @@
 impl Stage {
     fn new() -> Self {
         let settings = parse("test", SETTINGS).unwrap_or_else(|e| panic!("{e}"));
-        let mut stage = Self { core: Core::new(&settings, 1), now: T0 };
+        let mut stage = Self {
+            core: Core::new(&settings, 1),
+            now: T0,
+        };
         stage.list(ListForm::Full, 1, fleet());
         stage
     }
@@ -68,13 +71,29 @@
     }
 
     fn list(&mut self, form: ListForm, seq: u64, members: Vec<MemberLine>) -> Option<String> {
-        let out = self.tell(Input::Members(ListHead { form: form as i32, seq, members }));
-        out.into_iter().find_map(|o| if let Output::List(news) = o { news.wanted } else { None })
+        let out = self.tell(Input::Members(ListHead {
+            form: form as i32,
+            seq,
+            members,
+        }));
+        out.into_iter().find_map(|o| {
+            if let Output::List(news) = o {
+                news.wanted
+            } else {
+                None
+            }
+        })
     }
 
     fn ask(&mut self, id: u64, class: usize) -> Vec<Output> {
         let object = format!("/video/{id}");
-        let ask = Ask { class, object, group: 3, left: 2_000 * MS, ..Default::default() };
+        let ask = Ask {
+            class,
+            object,
+            group: 3,
+            left: 2_000 * MS,
+            ..Default::default()
+        };
         self.tell(Input::Request(id, ask))
     }
 
@@ -92,7 +111,12 @@
 
 fn sent(out: &[Output]) -> Option<(u32, String, Option<FetchOrder>)> {
     out.iter().find_map(|o| match o {
-        Output::Send { attempt, member, fetch, .. } => Some((*attempt, member.clone(), fetch.clone())),
+        Output::Send {
+            attempt,
+            member,
+            fetch,
+            ..
+        } => Some((*attempt, member.clone(), fetch.clone())),
         _ => None,
     })
 }
@@ -101,7 +125,10 @@
     let is_final = |o: &&Output| {
         matches!(
             o,
-            Output::Refuse { .. } | Output::Fail { .. } | Output::Break { .. } | Output::Commit { .. }
+            Output::Refuse { .. }
+                | Output::Fail { .. }
+                | Output::Break { .. }
+                | Output::Commit { .. }
         )
     };
     out.iter().filter(is_final).count()
@@ -115,18 +142,34 @@
         let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
         let mut out = stage.to(T0 + 1_979 * MS);
         stage.now = T0 + 1_980 * MS;
-        let head = Input::Head { request: 1, attempt, note: WireNote::Hit, size: None };
+        let head = Input::Head {
+            request: 1,
+            attempt,
+            note: WireNote::Hit,
+            size: None,
+        };
         if answer_first {
             out.extend(stage.tell(head));
-            out.extend(stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::Complete }));
+            out.extend(stage.tell(Input::Ended {
+                request: 1,
+                attempt,
+                end: AttemptEnd::Complete,
+            }));
             out.extend(stage.tell(Input::Tick));
         } else {
             out.extend(stage.tell(Input::Tick));
             out.extend(stage.tell(head));
-            out.extend(stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::Complete }));
+            out.extend(stage.tell(Input::Ended {
+                request: 1,
+                attempt,
+                end: AttemptEnd::Complete,
+            }));
         }
         assert_eq!(finals(&out), 1, "answer first: {answer_first}: {out:?}");
-        assert_eq!(matches!(out.last(), Some(Output::Commit { .. })), answer_first);
+        assert_eq!(
+            matches!(out.last(), Some(Output::Commit { .. })),
+            answer_first
+        );
         assert_eq!(stage.core.open_requests(), 0);
     }
 }
@@ -148,10 +191,19 @@
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     assert_eq!(
-        finals(&stage.tell(Input::Head { request: 1, attempt, note: WireNote::Hit, size: None })),
+        finals(&stage.tell(Input::Head {
+            request: 1,
+            attempt,
+            note: WireNote::Hit,
+            size: None
+        })),
         1
     );
-    let out = stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::Broken });
+    let out = stage.tell(Input::Ended {
+        request: 1,
+        attempt,
+        end: AttemptEnd::Broken,
+    });
     assert_eq!(out, [Output::Break { request: 1 }]);
     let late = stage.to(T0 + 3_000 * MS);
     assert!(late.is_empty(), "{late:?}");
@@ -162,16 +214,33 @@
 #[test]
 fn an_answer_under_way_at_a_member_that_is_given_up_is_broken_off() {
     let mut stage = Stage::new();
-    stage.list(ListForm::Delta, 2, vec![line("127.0.0.1:2", "cache", WireState::Gone)]);
+    stage.list(
+        ListForm::Delta,
+        2,
+        vec![line("127.0.0.1:2", "cache", WireState::Gone)],
+    );
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     stage.now += MS;
-    stage.tell(Input::Head { request: 1, attempt, note: WireNote::Hit, size: None });
+    stage.tell(Input::Head {
+        request: 1,
+        attempt,
+        note: WireNote::Hit,
+        size: None,
+    });
     stage.now += MS;
     for id in 2..5 {
         assert_eq!(sent(&stage.ask(id, 0)).unwrap().1, "127.0.0.1:1");
     }
     let out = stage.to(T0 + 1_800 * MS);
-    let given_up = out.iter().position(|o| *o == Output::Abort { request: 1, attempt }).expect("given up");
+    let given_up = out
+        .iter()
+        .position(|o| {
+            *o == Output::Abort {
+                request: 1,
+                attempt,
+            }
+        })
+        .expect("given up");
     assert_eq!(out[given_up + 1], Output::Break { request: 1 });
     stage.to(T0 + 3_000 * MS);
     assert_eq!(stage.core.open_requests(), 0);
@@ -181,9 +250,20 @@
 fn a_client_that_leaves_while_its_answer_streams_ends_the_attempt_and_nothing_follows() {
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
-    stage.tell(Input::Head { request: 1, attempt, note: WireNote::Hit, size: None });
+    stage.tell(Input::Head {
+        request: 1,
+        attempt,
+        note: WireNote::Hit,
+        size: None,
+    });
     let out = stage.tell(Input::Gone(1));
-    assert_eq!(out, [Output::Abort { request: 1, attempt }]);
+    assert_eq!(
+        out,
+        [Output::Abort {
+            request: 1,
+            attempt
+        }]
+    );
     assert!(stage.to(T0 + 3_000 * MS).is_empty());
     assert_eq!(stage.core.open_requests(), 0);
 }
@@ -192,10 +272,22 @@
 fn an_unsafe_request_goes_on_only_when_nothing_ran() {
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 1)).unwrap();
-    let out = stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::ConnectFailed });
+    let out = stage.tell(Input::Ended {
+        request: 1,
+        attempt,
+        end: AttemptEnd::ConnectFailed,
+    });
     let (attempt, ..) = sent(&out).expect("nothing ran: sent again");
-    let told = AttemptEnd::Told { status: WireStatus::Full, note: WireNote::Untold, may_have_run: true };
-    let out = stage.tell(Input::Ended { request: 1, attempt, end: told });
+    let told = AttemptEnd::Told {
+        status: WireStatus::Full,
+        note: WireNote::Untold,
+        may_have_run: true,
+    };
+    let out = stage.tell(Input::Ended {
+        request: 1,
+        attempt,
+        end: told,
+    });
     assert_eq!(
         out,
         [Output::Fail { request: 1 }],
@@ -215,7 +307,11 @@
         assert_eq!(member, "127.0.0.1:2");
     }
     // One from the past must not bring it back.
-    stage.list(ListForm::Delta, 4, vec![line("127.0.0.1:1", "cache", WireState::Ready)]);
+    stage.list(
+        ListForm::Delta,
+        4,
+        vec![line("127.0.0.1:1", "cache", WireState::Ready)],
+    );
     assert_eq!(sent(&stage.ask(40, 0)).unwrap().1, "127.0.0.1:2");
     assert_eq!(stage.list(ListForm::Full, 9, vec![drain]), None);
     assert_eq!(stage.core.list_seq(), 9);
@@ -226,12 +322,24 @@
     let mut stage = Stage::new();
     let (attempt, _, fetch) = sent(&stage.ask(1, 0)).unwrap();
     assert_eq!(fetch.unwrap().age, 0, "good until purged");
-    stage.tell(Input::Purge(PurgeHead { object: None, group: 3, age_us: 30 * MS, seq: 1 }));
+    stage.tell(Input::Purge(PurgeHead {
+        object: None,
+        group: 3,
+        age_us: 30 * MS,
+        seq: 1,
+    }));
     stage.now += 10 * MS;
-    let out = stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::ConnectFailed });
+    let out = stage.tell(Input::Ended {
+        request: 1,
+        attempt,
+        end: AttemptEnd::ConnectFailed,
+    });
     let (_, _, fetch) = sent(&out).unwrap();
     let fetch = fetch.unwrap();
-    assert!((1..=40 * MS).contains(&fetch.age) && !fetch.join, "{fetch:?}");
+    assert!(
+        (1..=40 * MS).contains(&fetch.age) && !fetch.join,
+        "{fetch:?}"
+    );
 }
 
 /// Told ages jitter; the same start must not look like another process, and another start must.
@@ -248,7 +356,11 @@
     stage.list(ListForm::Delta, 3, vec![cold(1, 1_700 * MS)]);
     let ago = |stage: &mut Stage| {
         let list = stage.core.members(stage.now);
-        list.members.iter().find(|m| m.address == "127.0.0.1:1").unwrap().started_ago_us
+        list.members
+            .iter()
+            .find(|m| m.address == "127.0.0.1:1")
+            .unwrap()
+            .started_ago_us
     };
     assert_eq!(ago(&mut stage), Some(1_500 * MS), "as first told");
     stage.list(ListForm::Delta, 4, vec![cold(2, 100 * MS)]);
@@ -270,12 +382,21 @@
             age_us: 5 * MS,
             seq: 1,
         }));
-        let moment =
-            |boot: &str, ms: u64| BootMoment { boot: boot.into(), since: Duration::from_millis(ms) };
-        let bytes = stage.core.snapshot(stage.now).to_bytes(1_000_000, Some(&moment("one", 1_000)));
-        let after = |now: Option<BootMoment>| Snapshot::from_bytes(&bytes).unwrap().told(now.as_ref());
+        let moment = |boot: &str, ms: u64| BootMoment {
+            boot: boot.into(),
+            since: Duration::from_millis(ms),
+        };
+        let bytes = stage
+            .core
+            .snapshot(stage.now)
+            .to_bytes(1_000_000, Some(&moment("one", 1_000)));
+        let after =
+            |now: Option<BootMoment>| Snapshot::from_bytes(&bytes).unwrap().told(now.as_ref());
         let (list, purges) = after(Some(moment("one", 3_000)));
-        assert_eq!((list.form(), list.members.len(), list.seq), (ListForm::Cached, 4, 1));
+        assert_eq!(
+            (list.form(), list.members.len(), list.seq),
+            (ListForm::Cached, 4, 1)
+        );
         assert_eq!(purges[0].age_us, 2_005 * MS);
         // Where it is not known for how long, a purge counts as young as it was, never as older than it is.
         for unknown in [Some(moment("another", 3_000)), None] {
@@ -295,9 +416,17 @@
             wrong[at] ^= 1;
             assert!(Snapshot::from_bytes(&wrong).is_err(), "byte {at} changed");
         }
-        assert_eq!(Snapshot::from_bytes(b"[dispatcher]\nname = x\n"), Err(StateError::Foreign));
-        let later = String::from_utf8(good).unwrap().replacen("state 1", "state 2", 1);
-        assert_eq!(Snapshot::from_bytes(later.as_bytes()), Err(StateError::Version(2)));
+        assert_eq!(
+            Snapshot::from_bytes(b"[dispatcher]\nname = x\n"),
+            Err(StateError::Foreign)
+        );
+        let later = String::from_utf8(good)
+            .unwrap()
+            .replacen("state 1", "state 2", 1);
+        assert_eq!(
+            Snapshot::from_bytes(later.as_bytes()),
+            Err(StateError::Version(2))
+        );
     }
 
     #[test]
@@ -305,19 +434,38 @@
         let mut stage = Stage::new();
         for n in 0..20_000 {
             let object = Some(format!("/video/{n}"));
-            stage.tell(Input::Purge(PurgeHead { object, group: n % 7, age_us: 0, seq: 1 }));
+            stage.tell(Input::Purge(PurgeHead {
+                object,
+                group: n % 7,
+                age_us: 0,
+                seq: 1,
+            }));
         }
         let (_, purges) = stage.core.snapshot(stage.now).told(None);
-        let whole: Vec<u64> = purges.iter().filter(|p| p.object.is_none()).map(|p| p.group).collect();
+        let whole: Vec<u64> = purges
+            .iter()
+            .filter(|p| p.object.is_none())
+            .map(|p| p.group)
+            .collect();
         assert_eq!(whole, (0..7).collect::<Vec<u64>>());
         stage.now += 60_000 * MS;
-        assert!(stage.core.snapshot(stage.now).told(None).1.is_empty(), "forgotten in time");
+        assert!(
+            stage.core.snapshot(stage.now).told(None).1.is_empty(),
+            "forgotten in time"
+        );
     }
 }
 
 fn hello(stage: &mut Stage, process: u64, ago: Option<u64>) -> bool {
-    let hello = HelloHead { process, started_ago_us: ago, ..Default::default() };
-    let out = stage.tell(Input::Hello { member: "127.0.0.1:1".into(), hello });
+    let hello = HelloHead {
+        process,
+        started_ago_us: ago,
+        ..Default::default()
+    };
+    let out = stage.tell(Input::Hello {
+        member: "127.0.0.1:1".into(),
+        hello,
+    });
     matches!(out[..], [Output::Hello { replaced: true }])
 }
 
@@ -325,23 +473,43 @@
 fn given(stage: &mut Stage, from: u64) -> usize {
     let ask = |stage: &mut Stage, id: u64| {
         let size = Some(6_000_000);
-        let ask =
-            Ask { class: 0, object: format!("/video/{id}"), left: 2_000 * MS, size, ..Default::default() };
+        let ask = Ask {
+            class: 0,
+            object: format!("/video/{id}"),
+            left: 2_000 * MS,
+            size,
+            ..Default::default()
+        };
         sent(&stage.tell(Input::Request(id, ask))).is_some()
     };
     let took: Vec<u64> = (from..from + 60).filter(|id| ask(stage, *id)).collect();
     for id in &took {
-        stage.tell(Input::Head { request: *id, attempt: 0, note: WireNote::Hit, size: None });
-        stage.tell(Input::Ended { request: *id, attempt: 0, end: AttemptEnd::Complete });
+        stage.tell(Input::Head {
+            request: *id,
+            attempt: 0,
+            note: WireNote::Hit,
+            size: None,
+        });
+        stage.tell(Input::Ended {
+            request: *id,
+            attempt: 0,
+            end: AttemptEnd::Complete,
+        });
     }
     took.len()
 }
 
 fn alone() -> Stage {
     let settings = parse("test", SETTINGS).unwrap_or_else(|e| panic!("{e}"));
-    let mut stage = Stage { core: Core::new(&settings, 1), now: T0 };
+    let mut stage = Stage {
+        core: Core::new(&settings, 1),
+        now: T0,
+    };
     let ready = WireState::Ready;
-    let lines = vec![line("127.0.0.1:1", "cache", ready), line("127.0.0.1:9", "origin", ready)];
+    let lines = vec![
+        line("127.0.0.1:1", "cache", ready),
+        line("127.0.0.1:9", "origin", ready),
+    ];
     stage.list(ListForm::Full, 1, lines);
     stage.to(T0 + 120_000 * MS);
     stage
@@ -353,7 +521,10 @@
     let day = Some(86_400_000 * MS);
     assert!(!hello(&mut stage, 7, day), "met for the first time");
     stage.now += 1_000 * MS;
-    assert!(!hello(&mut stage, 7, day), "the same process on another connection");
+    assert!(
+        !hello(&mut stage, 7, day),
+        "the same process on another connection"
+    );
     let warm = given(&mut stage, 100);
     stage.now += 5_000 * MS;
     assert!(hello(&mut stage, 8, day), "another one, whose clock lies");
@@ -375,15 +546,30 @@
 fn a_hello_of_somebody_who_is_not_listed_changes_nothing() {
     let mut stage = alone();
     let warm = given(&mut stage, 100);
-    let hello = HelloHead { process: 3, started_ago_us: Some(0), ..Default::default() };
-    stage.tell(Input::Hello { member: "127.0.0.1:77".into(), hello });
+    let hello = HelloHead {
+        process: 3,
+        started_ago_us: Some(0),
+        ..Default::default()
+    };
+    stage.tell(Input::Hello {
+        member: "127.0.0.1:77".into(),
+        hello,
+    });
     stage.now += 5_000 * MS;
     assert!(given(&mut stage, 200) + 5 > warm);
 }
 
 fn lease(work_ms: u64, by_asking: bool, answers: bool) -> Input {
-    let lease = LeaseHead { work_us: work_ms * MS, for_us: 125 * MS, by_asking, answers };
-    Input::Lease { member: "127.0.0.1:1".into(), lease }
+    let lease = LeaseHead {
+        work_us: work_ms * MS,
+        for_us: 125 * MS,
+        by_asking,
+        answers,
+    };
+    Input::Lease {
+        member: "127.0.0.1:1".into(),
+        lease,
+    }
 }
 
 /// A member that gives its work by asking: the request waits for its word, and goes by it; without a word it goes on
@@ -405,20 +591,47 @@
         };
         stage.tell(Input::Request(id, ask))
     };
-    let wanted = |out: &[Output]| out.iter().filter(|o| matches!(o, Output::Want { .. })).count();
+    let wanted = |out: &[Output]| {
+        out.iter()
+            .filter(|o| matches!(o, Output::Want { .. }))
+            .count()
+    };
     let out = ask(&mut stage, 1);
-    assert_eq!((wanted(&out), sent(&out), finals(&out)), (1, None, 0), "{out:?}");
-    let Some(Output::Want { work_us, .. }) = out.first() else { panic!("{out:?}") };
+    assert_eq!(
+        (wanted(&out), sent(&out), finals(&out)),
+        (1, None, 0),
+        "{out:?}"
+    );
+    let Some(Output::Want { work_us, .. }) = out.first() else {
+        panic!("{out:?}")
+    };
     let work_ms = work_us.div_ceil(MS);
     stage.now += MS;
     let out = stage.tell(lease(work_ms, true, true));
-    assert_eq!(sent(&out).map(|s| s.1), Some("127.0.0.1:1".into()), "given: {out:?}");
-    stage.tell(Input::Head { request: 1, attempt: 0, note: WireNote::Hit, size: None });
-    stage.tell(Input::Ended { request: 1, attempt: 0, end: AttemptEnd::Complete });
+    assert_eq!(
+        sent(&out).map(|s| s.1),
+        Some("127.0.0.1:1".into()),
+        "given: {out:?}"
+    );
+    stage.tell(Input::Head {
+        request: 1,
+        attempt: 0,
+        note: WireNote::Hit,
+        size: None,
+    });
+    stage.tell(Input::Ended {
+        request: 1,
+        attempt: 0,
+        end: AttemptEnd::Complete,
+    });
 
     ask(&mut stage, 2);
     let out = stage.tell(lease(0, true, true));
-    assert_eq!((sent(&out), finals(&out)), (None, 1), "not given, and nobody else is there: {out:?}");
+    assert_eq!(
+        (sent(&out), finals(&out)),
+        (None, 1),
+        "not given, and nobody else is there: {out:?}"
+    );
 
     ask(&mut stage, 3);
     assert_eq!(wanted(&stage.tell(Input::Gone(3))), 0);
@@ -426,7 +639,11 @@
     let out = ask(&mut stage, 4);
     assert_eq!(wanted(&out), 1);
     let out = stage.to(next + MS);
-    assert_eq!(finals(&out), 1, "no word came: decided without one: {out:?}");
+    assert_eq!(
+        finals(&out),
+        1,
+        "no word came: decided without one: {out:?}"
+    );
     assert_eq!(stage.core.open_requests(), 0);
 
     stage.tell(lease(0, false, false));
@@ -437,8 +654,9 @@
 /// harmless also where it may not run twice.
 #[test]
 fn an_attempt_begins_only_if_all_still_allows_it() {
-    let delta =
-        |seq, address: &str, kind: &str, state| (ListForm::Delta, seq, vec![line(address, kind, state)]);
+    let delta = |seq, address: &str, kind: &str, state| {
+        (ListForm::Delta, seq, vec![line(address, kind, state)])
+    };
     // The client leaves.
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
@@ -450,22 +668,43 @@
         for of_source in [false, true] {
             let mut stage = Stage::new();
             let (attempt, member, fetch) = sent(&stage.ask(1, 0)).unwrap();
-            let source = fetch.and_then(|f| f.source).expect("a fill names its source");
-            let (struck, kind) = if of_source { (source, "parent") } else { (member, "cache") };
+            let source = fetch
+                .and_then(|f| f.source)
+                .expect("a fill names its source");
+            let (struck, kind) = if of_source {
+                (source, "parent")
+            } else {
+                (member, "cache")
+            };
             let (form, seq, members) = delta(2, &struck, kind, state);
             stage.list(form, seq, members);
-            assert_eq!(stage.core.begin(T0, 1, attempt), None, "{state:?}, source: {of_source}");
-            let out = stage.tell(Input::Ended { request: 1, attempt, end: AttemptEnd::NotSent });
+            assert_eq!(
+                stage.core.begin(T0, 1, attempt),
+                None,
+                "{state:?}, source: {of_source}"
+            );
+            let out = stage.tell(Input::Ended {
+                request: 1,
+                attempt,
+                end: AttemptEnd::NotSent,
+            });
             let (next, to, fetch) = sent(&out).expect("another attempt");
             assert!(to != struck && fetch.is_none_or(|f| f.source.as_ref() != Some(&struck)));
-            assert!(stage.core.begin(T0, 1, next).is_some() && stage.core.begin(T0, 1, attempt).is_none());
+            assert!(
+                stage.core.begin(T0, 1, next).is_some()
+                    && stage.core.begin(T0, 1, attempt).is_none()
+            );
         }
     }
     // The time is up.
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     let late = T0 + 1_000 * MS;
-    assert_eq!(stage.core.begin(late, 1, attempt).map(|b| b.left), Some(980 * MS), "less is left by then");
+    assert_eq!(
+        stage.core.begin(late, 1, attempt).map(|b| b.left),
+        Some(980 * MS),
+        "less is left by then"
+    );
     assert_eq!(stage.core.begin(T0 + 1_980 * MS, 1, attempt), None);
     // At its time-out: one that began may have run, one that did not has not.
     for began in [true, false] {
@@ -474,7 +713,11 @@
         assert!(!began || stage.core.begin(T0, 1, attempt).is_some());
         let out = stage.to(T0 + 2_000 * MS);
         assert_eq!(out.contains(&Output::Fail { request: 1 }), began, "{out:?}");
-        assert_eq!(out.iter().any(|o| matches!(o, Output::Refuse { .. })), !began, "{out:?}");
+        assert_eq!(
+            out.iter().any(|o| matches!(o, Output::Refuse { .. })),
+            !began,
+            "{out:?}"
+        );
         // A member to which nothing could be written in time counts as one that was not reached.
         let end = if began { "timeout" } else { "connect_failed" };
         assert_eq!(stage.core.take_ends().get(end), Some(&1));
@@ -491,7 +734,12 @@
         let mut stage = Stage::new();
         let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
         stage.now = T0 + 300 * MS;
-        let other = PurgeHead { object: Some("/video/2".into()), group: 3, age_us: 7 * MS, seq: 1 };
+        let other = PurgeHead {
+            object: Some("/video/2".into()),
+            group: 3,
+            age_us: 7 * MS,
+            seq: 1,
+        };
         stage.tell(Input::Purge(other));
         assert_eq!(
             stage.core.begin(stage.now, 1, attempt).map(|b| b.age),
@@ -501,9 +749,17 @@
         let mut stage = Stage::new();
         let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
         stage.now = T0 + 300 * MS;
-        stage.tell(Input::Purge(PurgeHead { object, group: 3, age_us: 7 * MS, seq: 1 }));
+        stage.tell(Input::Purge(PurgeHead {
+            object,
+            group: 3,
+            age_us: 7 * MS,
+            seq: 1,
+        }));
         let begin = stage.core.begin(stage.now, 1, attempt).unwrap();
-        assert!(begin.age > 0 && begin.age <= 7 * MS && !begin.join, "{begin:?} ({before} before)");
+        assert!(
+            begin.age > 0 && begin.age <= 7 * MS && !begin.join,
+            "{begin:?} ({before} before)"
+        );
     }
 }
 
@@ -514,7 +770,12 @@
     let mut out = Vec::new();
     let mut most = 0;
     for n in 0..100_000u64 {
-        let head = PurgeHead { object: Some(format!("/video/{n}")), group: n % 1_000, age_us: 0, seq: 0 };
+        let head = PurgeHead {
+            object: Some(format!("/video/{n}")),
+            group: n % 1_000,
+            age_us: 0,
+            seq: 0,
+        };
         s.core.handle(s.now + n, Input::Purge(head), &mut out);
         if n % 1_000 == 0 {
             most = most.max(s.core.kept(s.now + n).1);
@@ -526,7 +787,13 @@
     assert!(most <= 16 * 1024, "{most}");
     s.now += 100_000;
     for restart in 0..10_000u64 {
-        let name = |n: u64| if n == restart % 50 { format!("d-{n}-{restart}") } else { format!("d-{n}") };
+        let name = |n: u64| {
+            if n == restart % 50 {
+                format!("d-{n}-{restart}")
+            } else {
+                format!("d-{n}")
+            }
+        };
         let roster = (0..50).map(|n| (name(n), "branch".to_owned())).collect();
         s.now += MS;
         s.core.handle(s.now, Input::Roster(roster), &mut out);
--- a/crates/edge/tests/doors.rs
+++ b/crates/edge/tests/doors.rs
@@ -38,13 +38,19 @@
 }
 
 async fn ask(socket: &mut TcpStream, path: &str) {
-    socket.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).await.unwrap();
+    socket
+        .write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes())
+        .await
+        .unwrap();
 }
 
 /// Everything until the peer closes.
 async fn rest(socket: &mut TcpStream) -> String {
     let mut text = Vec::new();
-    timeout(PATIENCE, socket.read_to_end(&mut text)).await.expect("closed in time").unwrap();
+    timeout(PATIENCE, socket.read_to_end(&mut text))
+        .await
+        .expect("closed in time")
+        .unwrap();
     String::from_utf8_lossy(&text).into_owned()
 }
 
@@ -52,7 +58,10 @@
 async fn short(socket: &mut TcpStream) -> String {
     ask(socket, "/none").await;
     let mut buffer = vec![0; 4096];
-    let read = timeout(PATIENCE, socket.read(&mut buffer)).await.expect("answered").unwrap();
+    let read = timeout(PATIENCE, socket.read(&mut buffer))
+        .await
+        .expect("answered")
+        .unwrap();
     String::from_utf8_lossy(&buffer[..read]).into_owned()
 }
 
@@ -79,7 +88,10 @@
 #[tokio::test]
 async fn full_of_requests_under_way_newcomers_are_told_when_to_come_back() {
     let dispatcher = start("max_connections = 3\nsoft_connections = 3").await;
-    let (http, framed) = (dispatcher.bound().http.unwrap(), dispatcher.bound().framed.unwrap());
+    let (http, framed) = (
+        dispatcher.bound().http.unwrap(),
+        dispatcher.bound().framed.unwrap(),
+    );
     let mut held = Vec::new();
     for n in 0..3 {
         let mut socket = connect(http).await;
@@ -96,15 +108,23 @@
             break text;
         }
     };
-    assert!(refused.starts_with("HTTP/1.1 503") && refused.contains("x-come-back-ms: 1000"), "{refused}");
-    assert!(refused.to_lowercase().contains("retry-after: 1"), "{refused}");
+    assert!(
+        refused.starts_with("HTTP/1.1 503") && refused.contains("x-come-back-ms: 1000"),
+        "{refused}"
+    );
+    assert!(
+        refused.to_lowercase().contains("retry-after: 1"),
+        "{refused}"
+    );
     let mut other = connect(framed).await;
     let words = rest(&mut other).await;
     assert!(words.contains("come back after"), "{words:?}");
     for socket in &mut held {
         let mut buffer = vec![0; 4096];
-        let read =
-            timeout(PATIENCE, socket.read(&mut buffer)).await.expect("answered by its deadline").unwrap();
+        let read = timeout(PATIENCE, socket.read(&mut buffer))
+            .await
+            .expect("answered by its deadline")
+            .unwrap();
         assert!(read > 0, "a request under way was given up for a newcomer");
     }
     dispatcher.stop().await;
@@ -123,9 +143,16 @@
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.9:0".parse().unwrap()).unwrap();
     let mut other = socket.connect(at).await.unwrap();
-    assert!(short(&mut other).await.starts_with("HTTP/1.1 404"), "another address is not touched");
+    assert!(
+        short(&mut other).await.starts_with("HTTP/1.1 404"),
+        "another address is not touched"
+    );
     let mut third = connect(at).await;
-    assert_eq!(rest(&mut mine[0]).await, "", "its own longest idle one made room");
+    assert_eq!(
+        rest(&mut mine[0]).await,
+        "",
+        "its own longest idle one made room"
+    );
     assert!(short(&mut third).await.starts_with("HTTP/1.1 404"));
     assert!(short(&mut other).await.starts_with("HTTP/1.1 404"));
     dispatcher.stop().await;
@@ -134,12 +161,21 @@
 #[tokio::test]
 async fn a_connection_idle_for_too_long_is_closed_and_one_in_use_is_not() {
     let dispatcher = start("idle_ms = 1000").await;
-    let (http, framed) = (dispatcher.bound().http.unwrap(), dispatcher.bound().framed.unwrap());
+    let (http, framed) = (
+        dispatcher.bound().http.unwrap(),
+        dispatcher.bound().framed.unwrap(),
+    );
     let (idle, mut used) = (connect(http).await, connect(http).await);
     // Speaks the protocol, and asks for nothing but echoes: as idle as the other.
     let mut pinging = connect(framed).await;
     pinging
-        .write_all(&[&pointspindle_wire::frame::PREFACE[..], &[0, 0, 0, 0, 12, 0, 0, 0, 0]].concat())
+        .write_all(
+            &[
+                &pointspindle_wire::frame::PREFACE[..],
+                &[0, 0, 0, 0, 12, 0, 0, 0, 0],
+            ]
+            .concat(),
+        )
         .await
         .unwrap();
     let mut buffer = [0; 64];
@@ -168,7 +204,8 @@
     let queued: Vec<std::net::TcpStream> = (0..16)
         .map(|_| {
             let mut socket = std::net::TcpStream::connect(at).unwrap();
-            std::io::Write::write_all(&mut socket, b"GET /none HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+            std::io::Write::write_all(&mut socket, b"GET /none HTTP/1.1\r\nHost: a\r\n\r\n")
+                .unwrap();
             socket.set_nonblocking(true).unwrap();
             socket
         })
@@ -177,9 +214,14 @@
     for (n, socket) in queued.into_iter().enumerate() {
         let mut text = Vec::new();
         let mut socket = TcpStream::from_std(socket).unwrap();
-        let read = timeout(PATIENCE, socket.read_to_end(&mut text)).await.expect("closed in time");
+        let read = timeout(PATIENCE, socket.read_to_end(&mut text))
+            .await
+            .expect("closed in time");
         let text = String::from_utf8_lossy(&text).into_owned();
-        assert!(read.is_ok() && text.starts_with("HTTP/1.1 404"), "connection {n}: {read:?}, {text:?}");
+        assert!(
+            read.is_ok() && text.starts_with("HTTP/1.1 404"),
+            "connection {n}: {read:?}, {text:?}"
+        );
     }
     assert!(stopped.await.unwrap());
 }
--- a/crates/edge/tests/state.rs
+++ b/crates/edge/tests/state.rs
@@ -30,7 +30,11 @@
         kind: "cache".into(),
         ..Default::default()
     };
-    ListHead { form: form as i32, seq, members: vec![line] }
+    ListHead {
+        form: form as i32,
+        seq,
+        members: vec![line],
+    }
 }
 
 /// Tells one list, then hands the way into the dispatcher to the test.
@@ -56,7 +60,10 @@
     std::fs::write(&state, before.to_bytes(1, None)).unwrap();
     let mut prepared = Prepared::new(Net::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
-    prepared.follow(Once { list: list(ListForm::Full, 9, WireState::Draining), hand });
+    prepared.follow(Once {
+        list: list(ListForm::Full, 9, WireState::Draining),
+        hand,
+    });
     assert!(prepared.heard(PATIENCE).await);
     let teller = teller.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
@@ -78,7 +85,10 @@
     let state = place.join("edge.state");
     let mut prepared = Prepared::new(Net::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
-    prepared.follow(Once { list: list(ListForm::Full, 9, WireState::Ready), hand });
+    prepared.follow(Once {
+        list: list(ListForm::Full, 9, WireState::Ready),
+        hand,
+    });
     let teller = teller.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
     let holds = |purges: usize| {
@@ -93,14 +103,23 @@
             }
         }
     };
-    let object = |name: &str| PurgeHead { object: Some(name.into()), group: 1, age_us: 0, seq: 0 };
+    let object = |name: &str| PurgeHead {
+        object: Some(name.into()),
+        group: 1,
+        age_us: 0,
+        seq: 0,
+    };
     teller.purge(object("/page/1"));
-    tokio::time::timeout(PATIENCE, holds(1)).await.expect("the first purge is written");
+    tokio::time::timeout(PATIENCE, holds(1))
+        .await
+        .expect("the first purge is written");
     std::fs::rename(&place, &away).unwrap();
     teller.purge(object("/page/2"));
     // Time for a try that fails; one that comes later finds the folder again.
     tokio::time::sleep(Duration::from_millis(300)).await;
     std::fs::rename(&away, &place).unwrap();
-    tokio::time::timeout(PATIENCE, holds(2)).await.expect("the second purge is written in the end");
+    tokio::time::timeout(PATIENCE, holds(2))
+        .await
+        .expect("the second purge is written in the end");
     dispatcher.stop().await;
 }
--- a/crates/edge/tests/upstream.rs
+++ b/crates/edge/tests/upstream.rs
@@ -31,7 +31,9 @@
     let asked = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     socket.write_all(asked.as_bytes()).await.unwrap();
     let mut text = String::new();
-    let _ = timeout(PATIENCE, socket.read_to_string(&mut text)).await.expect("answered in time");
+    let _ = timeout(PATIENCE, socket.read_to_string(&mut text))
+        .await
+        .expect("answered in time");
     text
 }
 
@@ -54,9 +56,17 @@
 
 impl Member {
     async fn accept(listener: &TcpListener) -> Self {
-        let socket = timeout(PATIENCE, listener.accept()).await.expect("it connects").unwrap().0;
+        let socket = timeout(PATIENCE, listener.accept())
+            .await
+            .expect("it connects")
+            .unwrap()
+            .0;
         socket.set_nodelay(true).unwrap();
-        Self { socket, read: Default::default(), write: FrameCodec::default() }
+        Self {
+            socket,
+            read: Default::default(),
+            write: FrameCodec::default(),
+        }
     }
 
     fn bytes(&mut self, frame: Frame) -> BytesMut {
@@ -72,7 +82,12 @@
 
     async fn hello(&mut self, process: u64) {
         let started_ago_us = Some(60_000_000);
-        self.say(Frame::Hello(HelloHead { process, started_ago_us, ..Default::default() })).await;
+        self.say(Frame::Hello(HelloHead {
+            process,
+            started_ago_us,
+            ..Default::default()
+        }))
+        .await;
     }
 
     /// The next frame; none when the dispatcher has closed.
@@ -81,7 +96,9 @@
             if let Some(frame) = self.read.0.decode(&mut self.read.1).unwrap() {
                 return Some(frame);
             }
-            let read = timeout(PATIENCE, self.socket.read_buf(&mut self.read.1)).await.expect("it speaks");
+            let read = timeout(PATIENCE, self.socket.read_buf(&mut self.read.1))
+                .await
+                .expect("it speaks");
             if !matches!(read, Ok(n) if n > 0) {
                 return None;
             }
@@ -97,17 +114,30 @@
         loop {
             match self.hear().await.expect("the connection is open") {
                 Frame::Request(id, head) => return (id, head),
-                Frame::Probe(p) if !p.echo => self.say(Frame::Probe(ProbeHead { echo: true, ..p })).await,
+                Frame::Probe(p) if !p.echo => {
+                    self.say(Frame::Probe(ProbeHead { echo: true, ..p })).await
+                }
                 _ => {}
             }
         }
     }
 
     async fn answer(&mut self, id: u32) {
-        let head = AnswerHead { size: Some(2), note: WireNote::Hit as i32, ..Default::default() };
+        let head = AnswerHead {
+            size: Some(2),
+            note: WireNote::Hit as i32,
+            ..Default::default()
+        };
         self.say(Frame::Head(id, head)).await;
         self.say(Frame::Data(id, "ok".into())).await;
-        self.say(Frame::End(id, EndHead { bytes: 2, load: None })).await;
+        self.say(Frame::End(
+            id,
+            EndHead {
+                bytes: 2,
+                load: None,
+            },
+        ))
+        .await;
     }
 }
 
@@ -116,8 +146,11 @@
 #[tokio::test]
 async fn a_half_open_connection_to_the_old_process_is_found_and_left() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let dispatcher =
-        start(listener.local_addr().unwrap(), "quiet_ping_ms = 400\nping_timeout_ms = 400").await;
+    let dispatcher = start(
+        listener.local_addr().unwrap(),
+        "quiet_ping_ms = 400\nping_timeout_ms = 400",
+    )
+    .await;
     let http = dispatcher.bound().http.unwrap();
     let first = tokio::spawn(get(http, "/page/1"));
     let mut old = Member::accept(&listener).await;
@@ -139,7 +172,10 @@
     }
     assert_eq!(asked_old, 1, "one attempt, and the connection is closed");
     let metrics = get(dispatcher.bound().metrics.unwrap(), "/").await;
-    assert!(metrics.contains("pointspindle_dead_member_connections_total 1"), "{metrics}");
+    assert!(
+        metrics.contains("pointspindle_dead_member_connections_total 1"),
+        "{metrics}"
+    );
     dispatcher.stop().await;
 }
 
@@ -160,11 +196,20 @@
     let second = tokio::spawn(served(http, "/page/2"));
     for _ in 0..3 {
         let mut cut = Member::accept(&listener).await;
-        let whole = cut.bytes(Frame::Hello(HelloHead { process: 2, ..Default::default() }));
-        cut.socket.write_all(&whole[..whole.len() - 1]).await.unwrap();
+        let whole = cut.bytes(Frame::Hello(HelloHead {
+            process: 2,
+            ..Default::default()
+        }));
+        cut.socket
+            .write_all(&whole[..whole.len() - 1])
+            .await
+            .unwrap();
         cut.socket.shutdown().await.unwrap();
         while let Some(frame) = cut.hear().await {
-            assert!(!matches!(frame, Frame::Request(..)), "sent before the hello");
+            assert!(
+                !matches!(frame, Frame::Request(..)),
+                "sent before the hello"
+            );
         }
     }
     let mut whole = Member::accept(&listener).await;
@@ -186,12 +231,27 @@
          [member one]\naddress = {member}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 60000\naim_ms = 50000\n"
     );
-    let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1).await.unwrap();
-    let mut client = TcpStream::connect(dispatcher.bound().http.unwrap()).await.unwrap();
-    client.write_all(b"GET /page/1 HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
+    let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
+        .await
+        .unwrap();
+    let mut client = TcpStream::connect(dispatcher.bound().http.unwrap())
+        .await
+        .unwrap();
+    client
+        .write_all(b"GET /page/1 HTTP/1.1\r\nHost: a\r\n\r\n")
+        .await
+        .unwrap();
     let mut member = Member::accept(&listener).await;
     let id = member.asked().await;
-    member.say(Frame::Head(id, AnswerHead { size: Some(1 << 30), ..Default::default() })).await;
+    member
+        .say(Frame::Head(
+            id,
+            AnswerHead {
+                size: Some(1 << 30),
+                ..Default::default()
+            },
+        ))
+        .await;
     let mut sent = 0;
     let cancelled = loop {
         // As much as the credit of the stream allows, so that the client is what is waited for.
@@ -209,7 +269,10 @@
     };
     assert_eq!(cancelled, id);
     let mut rest = Vec::new();
-    timeout(PATIENCE, client.read_to_end(&mut rest)).await.expect("cut").ok();
+    timeout(PATIENCE, client.read_to_end(&mut rest))
+        .await
+        .expect("cut")
+        .ok();
     assert!(rest.len() < 1 << 30);
     dispatcher.stop().await;
 }
@@ -226,14 +289,24 @@
         let mut member = Member::accept(&listener).await;
         member.hello(1).await;
         let id = member.asked().await;
-        let head = AnswerHead { size: Some(100), note: WireNote::Hit as i32, ..Default::default() };
+        let head = AnswerHead {
+            size: Some(100),
+            note: WireNote::Hit as i32,
+            ..Default::default()
+        };
         let mut both = member.bytes(Frame::Head(id, head));
-        let error =
-            ErrorHead { status: WireStatus::Failed as i32, may_have_run: true, ..Default::default() };
+        let error = ErrorHead {
+            status: WireStatus::Failed as i32,
+            may_have_run: true,
+            ..Default::default()
+        };
         both.extend_from_slice(&member.bytes(Frame::Error(id, error)));
         member.socket.write_all(&both).await.unwrap();
         let told = asking.await.unwrap();
-        assert!(told.starts_with("HTTP/1.1 502") || told.starts_with("HTTP/1.1 200"), "{n}: {told:?}");
+        assert!(
+            told.starts_with("HTTP/1.1 502") || told.starts_with("HTTP/1.1 200"),
+            "{n}: {told:?}"
+        );
         drop(member);
     }
 }
@@ -280,7 +353,10 @@
         tokio::time::sleep(Duration::from_millis(30)).await;
         drop((dies, door));
         let (id, asked) = timeout(PATIENCE, lives.request()).await.unwrap();
-        assert_eq!((asked.range.as_str(), asked.if_range.as_str()), ("bytes=4-9", "\"v1\""));
+        assert_eq!(
+            (asked.range.as_str(), asked.if_range.as_str()),
+            ("bytes=4-9", "\"v1\"")
+        );
         let rest = AnswerHead {
             size: Some(6),
             range_first: Some(4),
@@ -290,7 +366,15 @@
         };
         lives.say(Frame::Head(id, rest)).await;
         lives.say(Frame::Data(id, "456789".into())).await;
-        lives.say(Frame::End(id, EndHead { bytes: 6, load: None })).await;
+        lives
+            .say(Frame::End(
+                id,
+                EndHead {
+                    bytes: 6,
+                    load: None,
+                },
+            ))
+            .await;
         let told = asking.await.unwrap();
         assert!(told.starts_with("HTTP/1.1 200"), "{told}");
         assert_eq!(told.ends_with("\r\n\r\n0123456789"), served, "{told}");
@@ -318,16 +402,24 @@
              [class page]\npath_prefix = /page/\ndeadline_ms = 60000\naim_ms = 50000\n",
             listener.local_addr().unwrap()
         );
-        let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1).await.unwrap();
-        let mut client = TcpStream::connect(dispatcher.bound().http.unwrap()).await.unwrap();
-        let asked: String = (0..31).map(|n| format!("GET /page/{n} HTTP/1.1\r\nHost: a\r\n\r\n")).collect();
+        let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
+            .await
+            .unwrap();
+        let mut client = TcpStream::connect(dispatcher.bound().http.unwrap())
+            .await
+            .unwrap();
+        let asked: String = (0..31)
+            .map(|n| format!("GET /page/{n} HTTP/1.1\r\nHost: a\r\n\r\n"))
+            .collect();
         client.write_all(asked.as_bytes()).await.unwrap();
         let mut member = Member::accept(&listener).await;
         let id = member.asked().await;
         let held = match leaves {
             Leaves::Close => None,
             Leaves::Reset => {
-                socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+                socket2::SockRef::from(&client)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap();
                 None
             }
             Leaves::HalfClose => {
@@ -339,10 +431,18 @@
             drop(client);
         }
         let cancelled = loop {
-            match member.hear().await.expect("the connection to the member stays") {
+            match member
+                .hear()
+                .await
+                .expect("the connection to the member stays")
+            {
                 Frame::Cancel(stream, _) => break stream,
                 Frame::Request(..) => panic!("{leaves:?}: sent on for a client that has left"),
-                Frame::Probe(p) if !p.echo => member.say(Frame::Probe(ProbeHead { echo: true, ..p })).await,
+                Frame::Probe(p) if !p.echo => {
+                    member
+                        .say(Frame::Probe(ProbeHead { echo: true, ..p }))
+                        .await
+                }
                 _ => {}
             }
         };
@@ -350,7 +450,10 @@
         // What is asked by who is there comes next, and nothing in between.
         let last = tokio::spawn(get(dispatcher.bound().http.unwrap(), "/page/last"));
         let (id, head) = member.request().await;
-        assert_eq!(head.object, "/page/last", "{leaves:?}: sent on for a client that has left");
+        assert_eq!(
+            head.object, "/page/last",
+            "{leaves:?}: sent on for a client that has left"
+        );
         member.answer(id).await;
         assert!(last.await.unwrap().starts_with("HTTP/1.1 200"));
         dispatcher.stop().await;
@@ -363,7 +466,9 @@
 async fn behind_a_member_that_reads_nothing_only_those_begin_whose_clients_are_there() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4 * 1024).unwrap();
-    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    socket
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     socket.listen(16).unwrap();
     socket.set_nonblocking(true).unwrap();
     let listener = TcpListener::from_std(socket.into()).unwrap();
@@ -374,10 +479,13 @@
          [class page]\npath_prefix = /page/\ndeadline_ms = 60000\naim_ms = 50000\n",
         listener.local_addr().unwrap()
     );
-    let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1).await.unwrap();
+    let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
+        .await
+        .unwrap();
     let bound = dispatcher.bound();
     let socket = TcpStream::connect(bound.framed.unwrap()).await.unwrap();
-    let (clients, _incoming) = Link::start(socket, Side::Caller, LinkOptions { max_streams: 4_000 });
+    let (clients, _incoming) =
+        Link::start(socket, Side::Caller, LinkOptions { max_streams: 4_000 });
     let long = "x".repeat(12_000);
     let ask = |n: usize| RequestHead {
         object: format!("/page/{n}/{long}"),
@@ -387,7 +495,10 @@
     let calls: Vec<_> = (0..MANY).map(|n| clients.call(ask(n)).unwrap()).collect();
     let metrics = bound.metrics.unwrap();
     let under_way = |text: &str| -> usize {
-        let line = text.lines().find(|l| l.starts_with("pointspindle_open_requests ")).expect("a figure");
+        let line = text
+            .lines()
+            .find(|l| l.starts_with("pointspindle_open_requests "))
+            .expect("a figure");
         line.rsplit(' ').next().unwrap().parse().unwrap()
     };
     // All are placed: whatever still comes goes behind them.
@@ -400,7 +511,11 @@
     let mut left_open = stay.len();
     // What the kernel had taken before the leaving cannot be called back: it is cancelled behind.
     let gone = |n: usize| n & 1 == 1;
-    while left_open > 0 || begun.iter().any(|(id, n)| gone(*n) && !cancelled.contains(id)) {
+    while left_open > 0
+        || begun
+            .iter()
+            .any(|(id, n)| gone(*n) && !cancelled.contains(id))
+    {
         match member.hear().await.expect("the connection stays") {
             Frame::Request(id, head) => {
                 let n: usize = head.object.split('/').nth(2).unwrap().parse().unwrap();
@@ -413,11 +528,21 @@
     }
     // What the kernel took before the leaving has numbers without a gap; behind the first gap nobody's who left goes out.
     let first = begun[0].0;
-    let taken = begun.iter().zip(first..).take_while(|((id, _), next)| id == next).count();
+    let taken = begun
+        .iter()
+        .zip(first..)
+        .take_while(|((id, _), next)| id == next)
+        .count();
     let late = begun[taken..].iter().filter(|(_, n)| gone(*n)).count();
-    println!("{} of {MANY} requests went out, {taken} of them in the kernel by then", begun.len());
+    println!(
+        "{} of {MANY} requests went out, {taken} of them in the kernel by then",
+        begun.len()
+    );
     assert_eq!(late, 0, "went out for clients that had left");
-    assert!(taken < MANY, "the kernel's own buffer has to be smaller than all of them");
+    assert!(
+        taken < MANY,
+        "the kernel's own buffer has to be smaller than all of them"
+    );
     dispatcher.stop().await;
 }
 
@@ -428,7 +553,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, asking).await.expect("it comes to that in time");
+    timeout(PATIENCE, asking)
+        .await
+        .expect("it comes to that in time");
 }
 
 /// Requests of [`behind_a_member_that_reads_nothing_only_those_begin_whose_clients_are_there`].
--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -18,7 +18,10 @@
 fn main() {
     let service = |name: &str, methods: Vec<Method>| {
         let service = Service::builder().name(name).package("etcdserverpb");
-        methods.into_iter().fold(service, |service, method| service.method(method)).build()
+        methods
+            .into_iter()
+            .fold(service, |service, method| service.method(method))
+            .build()
     };
     Builder::new().compile(&[
         service(
@@ -26,17 +29,50 @@
             vec![
                 method("range", "Range", "RangeRequest", "RangeResponse", false),
                 method("put", "Put", "PutRequest", "PutResponse", false),
-                method("delete_range", "DeleteRange", "DeleteRangeRequest", "DeleteRangeResponse", false),
+                method(
+                    "delete_range",
+                    "DeleteRange",
+                    "DeleteRangeRequest",
+                    "DeleteRangeResponse",
+                    false,
+                ),
                 method("txn", "Txn", "TxnRequest", "TxnResponse", false),
-                method("compact", "Compact", "CompactionRequest", "CompactionResponse", false),
+                method(
+                    "compact",
+                    "Compact",
+                    "CompactionRequest",
+                    "CompactionResponse",
+                    false,
+                ),
             ],
         ),
-        service("Watch", vec![method("watch", "Watch", "WatchRequest", "WatchResponse", true)]),
+        service(
+            "Watch",
+            vec![method(
+                "watch",
+                "Watch",
+                "WatchRequest",
+                "WatchResponse",
+                true,
+            )],
+        ),
         service(
             "Lease",
             vec![
-                method("lease_grant", "LeaseGrant", "LeaseGrantRequest", "LeaseGrantResponse", false),
-                method("lease_revoke", "LeaseRevoke", "LeaseRevokeRequest", "LeaseRevokeResponse", false),
+                method(
+                    "lease_grant",
+                    "LeaseGrant",
+                    "LeaseGrantRequest",
+                    "LeaseGrantResponse",
+                    false,
+                ),
+                method(
+                    "lease_revoke",
+                    "LeaseRevoke",
+                    "LeaseRevokeRequest",
+                    "LeaseRevokeResponse",
+                    false,
+                ),
                 method(
                     "lease_keep_alive",
                     "LeaseKeepAlive",
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -49,7 +49,10 @@
     NoEndpoint,
     /// Nothing says whether a write was done.
     #[error("{endpoint}: {} ({:?})", status.message(), status.code())]
-    Call { endpoint: String, status: Box<Status> },
+    Call {
+        endpoint: String,
+        status: Box<Status>,
+    },
     /// A read at a revision that is not kept any more.
     #[error("history before that revision is compacted away")]
     Compacted,
@@ -91,7 +94,8 @@
 impl Etcd {
     /// Connects when first needed. `patience`: longest wait for a connection, and for the answer of a call that is no stream.
     pub fn new(access: &Access, patience: Duration) -> Result<Self, EtcdError> {
-        let read = |file: &PathBuf| std::fs::read(file).map_err(|e| EtcdError::File(file.clone(), e));
+        let read =
+            |file: &PathBuf| std::fs::read(file).map_err(|e| EtcdError::File(file.clone(), e));
         let mut tls = None;
         if access.endpoints.iter().any(|e| e.starts_with("https://")) {
             let mut config = ClientTlsConfig::new();
@@ -106,7 +110,10 @@
         let user = match &access.user {
             Some((name, file)) => {
                 let text = String::from_utf8_lossy(&read(file)?).into_owned();
-                Some((name.clone(), text.lines().next().unwrap_or_default().to_owned()))
+                Some((
+                    name.clone(),
+                    text.lines().next().unwrap_or_default().to_owned(),
+                ))
             }
             None => None,
         };
@@ -125,13 +132,24 @@
             if let Some(tls) = tls.clone().filter(|_| name.starts_with("https://")) {
                 endpoint = endpoint.tls_config(tls).map_err(failed)?;
             }
-            doors.push(Door { name: name.clone(), channel: endpoint.connect_lazy() });
+            doors.push(Door {
+                name: name.clone(),
+                channel: endpoint.connect_lazy(),
+            });
         }
         if doors.is_empty() {
             return Err(EtcdError::NoEndpoint);
         }
         let (at, token) = (AtomicUsize::new(0), Mutex::new(None));
-        Ok(Self { inner: Arc::new(Inner { doors, at, patience, user, token }) })
+        Ok(Self {
+            inner: Arc::new(Inner {
+                doors,
+                at,
+                patience,
+                user,
+                token,
+            }),
+        })
     }
 
     fn door(&self) -> (usize, &Door) {
@@ -142,20 +160,30 @@
     /// The next call goes to the next endpoint; also for streams that broke.
     pub fn turn_away(&self, from: usize) {
         let next = (from + 1) % self.inner.doors.len();
-        let _ = self.inner.at.compare_exchange(from, next, Ordering::Relaxed, Ordering::Relaxed);
+        let _ = self
+            .inner
+            .at
+            .compare_exchange(from, next, Ordering::Relaxed, Ordering::Relaxed);
     }
 
     fn token(&self) -> std::sync::MutexGuard<'_, Option<MetadataValue<Ascii>>> {
-        self.inner.token.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.inner
+            .token
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     async fn log_in(&self, channel: &Channel) -> Result<(), Status> {
-        let Some((name, password)) = self.inner.user.clone() else { return Ok(()) };
+        let Some((name, password)) = self.inner.user.clone() else {
+            return Ok(());
+        };
         if self.token().is_some() {
             return Ok(());
         }
         let mut auth = stubs::auth_client::AuthClient::new(channel.clone());
-        let answer = auth.authenticate(AuthenticateRequest { name, password }).await?;
+        let answer = auth
+            .authenticate(AuthenticateRequest { name, password })
+            .await?;
         let token = answer.into_inner().token.parse();
         *self.token() = Some(token.map_err(|_| Status::internal("a token that cannot be sent"))?);
         Ok(())
@@ -194,7 +222,10 @@
             Err(status) if is_compacted(&status) => Err(EtcdError::Compacted),
             Err(status) => {
                 self.turn_away(at);
-                Err(EtcdError::Call { endpoint: door.name.clone(), status: Box::new(status) })
+                Err(EtcdError::Call {
+                    endpoint: door.name.clone(),
+                    status: Box::new(status),
+                })
             }
         }
     }
@@ -222,7 +253,10 @@
     pub async fn grant(&self, seconds: i64) -> Result<(i64, i64), EtcdError> {
         let granted = self
             .call(|channel| {
-                let request = self.with_token(LeaseGrantRequest { ttl: seconds, id: 0 });
+                let request = self.with_token(LeaseGrantRequest {
+                    ttl: seconds,
+                    id: 0,
+                });
                 let mut lease = stubs::lease_client::LeaseClient::new(channel);
                 async move { lease.lease_grant(request).await }
             })
@@ -250,8 +284,8 @@
                 async move {
                     let mut answers = lease.lease_keep_alive(request).await?.into_inner();
                     let answer = answers.message().await?;
-                    let answer =
-                        answer.ok_or_else(|| Status::unavailable("the stream ended without a word"))?;
+                    let answer = answer
+                        .ok_or_else(|| Status::unavailable("the stream ended without a word"))?;
                     Ok(tonic::Response::new(answer))
                 }
             })
@@ -286,7 +320,12 @@
             keys.extend(page.kvs);
             match keys.last().filter(|_| page.more) {
                 Some(last) => from = [&last.key[..], &[0]].concat(),
-                None => return Ok(Snapshot { header: header.unwrap_or_default(), keys }),
+                None => {
+                    return Ok(Snapshot {
+                        header: header.unwrap_or_default(),
+                        keys,
+                    })
+                }
             }
         }
     }
@@ -304,19 +343,29 @@
             self.log_in(&door.channel).await?;
             let mut request = self.with_token(requests);
             // A member without a leader must say so, and not stay silent.
-            request.metadata_mut().insert("hasleader", MetadataValue::from_static("true"));
+            request
+                .metadata_mut()
+                .insert("hasleader", MetadataValue::from_static("true"));
             let watch = stubs::watch_client::WatchClient::new(door.channel.clone());
             let mut watch = watch.max_decoding_message_size(MOST_BYTES);
             watch.watch(request).await
         };
         let opened = tokio::time::timeout(self.inner.patience, open).await;
         let opened = opened.unwrap_or_else(|_| Err(Status::deadline_exceeded("no answer in time")));
-        opened.map(|answers| (at, answers.into_inner())).map_err(|status| {
-            if status.code() == Code::Unauthenticated {
-                *self.token() = None;
-            }
-            (at, EtcdError::Call { endpoint: door.name.clone(), status: Box::new(status) })
-        })
+        opened
+            .map(|answers| (at, answers.into_inner()))
+            .map_err(|status| {
+                if status.code() == Code::Unauthenticated {
+                    *self.token() = None;
+                }
+                (
+                    at,
+                    EtcdError::Call {
+                        endpoint: door.name.clone(),
+                        status: Box::new(status),
+                    },
+                )
+            })
     }
 }
 
--- a/crates/etcd/src/feed.rs
+++ b/crates/etcd/src/feed.rs
@@ -34,15 +34,23 @@
 }
 
 /// Runs until `tell` says that nobody listens any more (false). `prefix` as in [`layout`].
-pub async fn run(etcd: Etcd, prefix: String, mut watcher: Watcher, mut tell: impl FnMut(Output) -> bool) {
+pub async fn run(
+    etcd: Etcd,
+    prefix: String,
+    mut watcher: Watcher,
+    mut tell: impl FnMut(Output) -> bool,
+) {
     let (born, clock) = (Instant::now(), WallClock::start());
     let (sender, mut said) = mpsc::channel(QUEUE);
     let mut asked: Option<Asked> = None;
     let mut number = 0;
     let watched = layout::watched(&prefix);
     loop {
-        let wait =
-            Duration::from_micros(watcher.next().saturating_sub(born.elapsed().as_micros() as Micros));
+        let wait = Duration::from_micros(
+            watcher
+                .next()
+                .saturating_sub(born.elapsed().as_micros() as Micros),
+        );
         let input = tokio::select! {
             said = said.recv() => said,
             () = tokio::time::sleep(wait) => Some((number, Input::Tick)),
@@ -53,31 +61,60 @@
             continue;
         }
         let mut out = Vec::new();
-        watcher.handle(born.elapsed().as_micros() as Micros, clock.earlier_ms(), input, &mut out);
+        watcher.handle(
+            born.elapsed().as_micros() as Micros,
+            clock.earlier_ms(),
+            input,
+            &mut out,
+        );
         for output in out {
             match output {
                 Output::AskSnapshot => {
                     number += 1;
                     let task = snapshot(etcd.clone(), watched.clone(), number, sender.clone());
-                    asked = Some(Asked { number, task: tokio::spawn(task).abort_handle(), progress: None });
+                    asked = Some(Asked {
+                        number,
+                        task: tokio::spawn(task).abort_handle(),
+                        progress: None,
+                    });
                 }
                 Output::AskWatch { from } => {
                     number += 1;
                     let (progress, requests) = mpsc::channel(4);
-                    let task = watch(etcd.clone(), watched.clone(), from, requests, number, sender.clone());
+                    let task = watch(
+                        etcd.clone(),
+                        watched.clone(),
+                        from,
+                        requests,
+                        number,
+                        sender.clone(),
+                    );
                     let task = tokio::spawn(task).abort_handle();
-                    asked = Some(Asked { number, task, progress: Some(progress) });
+                    asked = Some(Asked {
+                        number,
+                        task,
+                        progress: Some(progress),
+                    });
                 }
                 Output::AskProgress => {
-                    let progress =
-                        asked.as_ref().filter(|a| a.number == number).and_then(|a| a.progress.as_ref());
+                    let progress = asked
+                        .as_ref()
+                        .filter(|a| a.number == number)
+                        .and_then(|a| a.progress.as_ref());
                     if let Some(progress) = progress {
                         let request = watch_request::Request::Progress(WatchProgressRequest {});
-                        let _ = progress.try_send(WatchRequest { request: Some(request) });
+                        let _ = progress.try_send(WatchRequest {
+                            request: Some(request),
+                        });
                     }
                 }
                 Output::AskMark { asked } => {
-                    tokio::spawn(mark(etcd.clone(), layout::purge_mark(&prefix), asked, sender.clone()));
+                    tokio::spawn(mark(
+                        etcd.clone(),
+                        layout::purge_mark(&prefix),
+                        asked,
+                        sender.clone(),
+                    ));
                 }
                 Output::Hang => {
                     number += 1;
@@ -95,19 +132,36 @@
 
 fn header(h: Option<proto::ResponseHeader>) -> Header {
     let h = h.unwrap_or_default();
-    Header { cluster: h.cluster_id, revision: h.revision }
+    Header {
+        cluster: h.cluster_id,
+        revision: h.revision,
+    }
 }
 
 /// Ends with its call's own patience.
 async fn mark(etcd: Etcd, key: String, asked: Micros, said: mpsc::Sender<(u64, Input)>) {
-    let read = etcd.range(proto::RangeRequest { key: key.into_bytes(), ..Default::default() }).await;
+    let read = etcd
+        .range(proto::RangeRequest {
+            key: key.into_bytes(),
+            ..Default::default()
+        })
+        .await;
     let told = |r: proto::RangeResponse| {
         let cluster = header(r.header).cluster;
         (cluster, r.kvs.first().map_or(0, |kv| kv.mod_revision))
     };
-    let read =
-        read.map(told).map_err(|e| tracing::debug!(error = %e, "etcd: the purges' mark is not read"));
-    let _ = said.send((BESIDE, Input::Mark { asked, read: read.ok() })).await;
+    let read = read
+        .map(told)
+        .map_err(|e| tracing::debug!(error = %e, "etcd: the purges' mark is not read"));
+    let _ = said
+        .send((
+            BESIDE,
+            Input::Mark {
+                asked,
+                read: read.ok(),
+            },
+        ))
+        .await;
 }
 
 async fn snapshot(etcd: Etcd, prefix: String, number: u64, said: mpsc::Sender<(u64, Input)>) {
@@ -147,7 +201,9 @@
         fragment: true,
         ..Default::default()
     };
-    let create = WatchRequest { request: Some(watch_request::Request::Create(create)) };
+    let create = WatchRequest {
+        request: Some(watch_request::Request::Create(create)),
+    };
     let more = futures_util::stream::unfold(progress, |mut progress| async move {
         progress.recv().await.map(|request| (request, progress))
     });
@@ -199,10 +255,21 @@
     let change = |event: proto::Event| {
         let kv = event.kv?;
         Some(match event.r#type {
-            1 => Change::Delete { key: kv.key, mod_revision: kv.mod_revision },
-            _ => Change::Put(KeyValue { key: kv.key, value: kv.value, mod_revision: kv.mod_revision }),
+            1 => Change::Delete {
+                key: kv.key,
+                mod_revision: kv.mod_revision,
+            },
+            _ => Change::Put(KeyValue {
+                key: kv.key,
+                value: kv.value,
+                mod_revision: kv.mod_revision,
+            }),
         })
     };
     let changes = answer.events.into_iter().filter_map(change).collect();
-    Ok(Input::News { header, changes, fragment: answer.fragment })
+    Ok(Input::News {
+        header,
+        changes,
+        fragment: answer.fragment,
+    })
 }
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -100,7 +100,9 @@
 /// Reads a key; none for what another subsystem of this version may keep beside.
 pub fn name(prefix: &str, key: &[u8]) -> Result<Option<Name>, BadKey> {
     let text = String::from_utf8_lossy(key).into_owned();
-    let Some(rest) = text.strip_prefix(&watched(prefix)) else { return Err(BadKey::Foreign(text)) };
+    let Some(rest) = text.strip_prefix(&watched(prefix)) else {
+        return Err(BadKey::Foreign(text));
+    };
     match rest.split_once('/') {
         Some((_, "")) | None => Err(BadKey::Foreign(text)),
         Some(("members", address)) => Ok(Some(Name::Member(address.to_owned()))),
@@ -152,7 +154,9 @@
             kind: r.kind.clone(),
             cell: r.cell,
             start: r.start,
-            started_ago_us: r.started_unix_ms.map(|at| wall_ms.saturating_sub(at).saturating_mul(1_000)),
+            started_ago_us: r
+                .started_unix_ms
+                .map(|at| wall_ms.saturating_sub(at).saturating_mul(1_000)),
         }
     }
 }
@@ -160,7 +164,12 @@
 impl PurgeRecord {
     /// As if it had happened just now: older than it is would spare copies from before it.
     pub fn head(&self) -> PurgeHead {
-        PurgeHead { object: self.object.clone(), group: self.group, age_us: 0, seq: 0 }
+        PurgeHead {
+            object: self.object.clone(),
+            group: self.group,
+            age_us: 0,
+            seq: 0,
+        }
     }
 }
 
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -25,7 +25,9 @@
 impl EtcdSource {
     /// As a dispatcher's settings say; none where they say nothing of etcd.
     pub fn of(settings: &EdgeSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
-        let Some(e) = &settings.etcd else { return Ok(None) };
+        let Some(e) = &settings.etcd else {
+            return Ok(None);
+        };
         let access = Access {
             endpoints: e.endpoints.clone(),
             authority: e.authority.clone(),
@@ -39,7 +41,10 @@
             zone: settings.zones[settings.router.zone].clone(),
             lease_s: e.lease_s,
             // The proof is a lease of half of the promise: renewed often enough that one lost answer does not end it.
-            rule: Rule { prove_every: e.purge_within_us / 6, ..Rule::default() },
+            rule: Rule {
+                prove_every: e.purge_within_us / 6,
+                ..Rule::default()
+            },
             purge_within_ms: (e.purge_within_us > 0).then_some(e.purge_within_us / 1_000),
             seed,
         }))
@@ -48,7 +53,10 @@
 
 impl Source for EtcdSource {
     async fn run(self, teller: Teller) {
-        let record = DispatcherRecord { zone: self.zone, purge_within_ms: self.purge_within_ms };
+        let record = DispatcherRecord {
+            zone: self.zone,
+            purge_within_ms: self.purge_within_ms,
+        };
         let told = teller.clone();
         let registered = writer::register(
             self.etcd.clone(),
@@ -84,14 +92,21 @@
         }
         Output::Dispatchers(all) => {
             tracing::info!(dispatchers = all.len(), "etcd: dispatchers");
-            teller.roster(all.into_iter().map(|(name, record)| (name, record.zone)).collect());
+            teller.roster(
+                all.into_iter()
+                    .map(|(name, record)| (name, record.zone))
+                    .collect(),
+            );
         }
         // Purges live for a minute, so the first snapshot holds all that copies may still be older than. Purging everything at each
         // start of a dispatcher would have the origin pay for every deploy.
         Output::Gap { first: true, .. } => {}
         Output::Gap { age_us, .. } => {
             let lost_s = age_us as f64 / 1e6;
-            tracing::warn!(lost_s, "etcd: history is lost; everything counts as purged now");
+            tracing::warn!(
+                lost_s,
+                "etcd: history is lost; everything counts as purged now"
+            );
             teller.missed();
         }
         Output::Bad(bad) => {
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -34,7 +34,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     Put(KeyValue),
-    Delete { key: Vec<u8>, mod_revision: Revision },
+    Delete {
+        key: Vec<u8>,
+        mod_revision: Revision,
+    },
 }
 
 impl Change {
@@ -243,7 +246,11 @@
             _ => self.heard + self.rule.progress_every + self.rule.silent,
         };
         let stale = self.whole_at + self.rule.stale;
-        let next = if self.told == View::Current { phase.min(stale) } else { phase };
+        let next = if self.told == View::Current {
+            phase.min(stale)
+        } else {
+            phase
+        };
         match self.rule.prove_every {
             0 => next,
             every => next.min(self.mark_asked.map_or(self.mark_next, |at| at + 3 * every)),
@@ -270,7 +277,11 @@
                     self.seen(now, header, out);
                 }
             }
-            Input::News { header, changes, fragment } => {
+            Input::News {
+                header,
+                changes,
+                fragment,
+            } => {
                 if self.phase == Phase::Watching && self.seen(now, header, out) {
                     self.partial.extend(changes);
                     if !fragment {
@@ -317,7 +328,9 @@
             let known = self.revision > 0 && !self.lost && cluster == self.cluster;
             if known && self.revision >= revision {
                 self.mark = None;
-                out.push(Output::Proven { ago: now.saturating_sub(asked) });
+                out.push(Output::Proven {
+                    ago: now.saturating_sub(asked),
+                });
             }
         }
         let given_up = self.mark_asked.is_some_and(|at| now >= at + 3 * every);
@@ -352,7 +365,9 @@
 
     fn watch(&mut self, now: Micros, out: &mut Vec<Output>) {
         (self.phase, self.heard) = (Phase::Opening, now);
-        out.push(Output::AskWatch { from: self.revision + 1 });
+        out.push(Output::AskWatch {
+            from: self.revision + 1,
+        });
     }
 
     /// Asks again after a while of its own: all dispatchers lose etcd in the same moment.
@@ -406,8 +421,8 @@
         keys: Vec<KeyValue>,
         out: &mut Vec<Output>,
     ) {
-        let foreign =
-            self.revision > 0 && (header.cluster != self.cluster || header.revision < self.revision);
+        let foreign = self.revision > 0
+            && (header.cluster != self.cluster || header.revision < self.revision);
         let lost = self.lost || foreign;
         let known = if foreign { 0 } else { self.revision };
         let (mut members, mut purges, mut dispatchers) =
@@ -436,7 +451,10 @@
             // What was on its way then counts as missed, too.
             let since = self.whole_at.saturating_sub(self.rule.silent);
             let first = self.revision == 0;
-            out.push(Output::Gap { age_us: now.saturating_sub(since), first });
+            out.push(Output::Gap {
+                age_us: now.saturating_sub(since),
+                first,
+            });
         }
         // Purges before members: a host that comes back is asked under them.
         told.sort_by_key(|(revision, _)| *revision);
@@ -446,19 +464,32 @@
         self.dispatchers = dispatchers;
         out.push(Output::Dispatchers(self.dispatchers.clone()));
         self.seq += 1;
-        let lines = self.members.iter().map(|(a, r)| MemberRecord::line(Some(r), a, wall_ms)).collect();
-        out.push(Output::Members(ListHead { form: ListForm::Full as i32, seq: self.seq, members: lines }));
+        let lines = self
+            .members
+            .iter()
+            .map(|(a, r)| MemberRecord::line(Some(r), a, wall_ms))
+            .collect();
+        out.push(Output::Members(ListHead {
+            form: ListForm::Full as i32,
+            seq: self.seq,
+            members: lines,
+        }));
         self.whole(now, out);
         self.watch(now, out);
     }
 
     fn read_put(&self, kv: &KeyValue) -> Result<Option<Read>, layout::BadKey> {
         Ok(match layout::name(&self.prefix, &kv.key)? {
-            Some(Name::Member(address)) => Some(Read::Member(address, layout::member(&kv.key, &kv.value)?)),
-            Some(Name::Dispatcher(name)) => {
-                Some(Read::Dispatcher(name, layout::dispatcher(&kv.key, &kv.value)?))
+            Some(Name::Member(address)) => {
+                Some(Read::Member(address, layout::member(&kv.key, &kv.value)?))
+            }
+            Some(Name::Dispatcher(name)) => Some(Read::Dispatcher(
+                name,
+                layout::dispatcher(&kv.key, &kv.value)?,
+            )),
+            Some(Name::Purge(id)) => {
+                Some(Read::Purge(id, layout::purge(&kv.key, &kv.value)?.head()))
             }
-            Some(Name::Purge(id)) => Some(Read::Purge(id, layout::purge(&kv.key, &kv.value)?.head())),
             None => None,
         })
     }
@@ -491,7 +522,9 @@
                         lines.insert(address.clone(), MemberRecord::line(None, &address, wall_ms));
                         self.members.remove(&address);
                     }
-                    Ok(Some(Name::Dispatcher(name))) => roster |= self.dispatchers.remove(&name).is_some(),
+                    Ok(Some(Name::Dispatcher(name))) => {
+                        roster |= self.dispatchers.remove(&name).is_some()
+                    }
                     Ok(Some(Name::Purge(id))) => drop(self.purges.remove(&id)),
                     Ok(None) => {}
                     Err(bad) => out.push(Output::Bad(bad)),
@@ -504,7 +537,11 @@
         if !lines.is_empty() {
             self.seq += 1;
             let members = lines.into_values().collect();
-            out.push(Output::Members(ListHead { form: ListForm::Delta as i32, seq: self.seq, members }));
+            out.push(Output::Members(ListHead {
+                form: ListForm::Delta as i32,
+                seq: self.seq,
+                members,
+            }));
         }
     }
 }
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -24,8 +24,15 @@
 }
 
 fn put(key: String, value: Vec<u8>, lease: i64) -> RequestOp {
-    let put = PutRequest { key: key.into_bytes(), value, lease, ..Default::default() };
-    RequestOp { request: Some(request_op::Request::Put(put)) }
+    let put = PutRequest {
+        key: key.into_bytes(),
+        value,
+        lease,
+        ..Default::default()
+    };
+    RequestOp {
+        request: Some(request_op::Request::Put(put)),
+    }
 }
 
 /// A key's last change is still this one; 0: it does not exist.
@@ -51,18 +58,36 @@
 ) -> Result<i64, WriteError> {
     let key = layout::member_key(prefix, address);
     for _ in 0..TRIES {
-        let read = etcd.range(RangeRequest { key: key.clone().into_bytes(), ..Default::default() }).await?;
+        let read = etcd
+            .range(RangeRequest {
+                key: key.clone().into_bytes(),
+                ..Default::default()
+            })
+            .await?;
         let known = read.kvs.first();
-        let record = known.map(|kv| layout::member(&kv.key, &kv.value)).transpose()?;
+        let record = known
+            .map(|kv| layout::member(&kv.key, &kv.value))
+            .transpose()?;
         let operation = match change(record).map_err(WriteError::Refused)? {
             Some(record) => put(key.clone(), json(&record), 0),
             None => {
-                let delete = DeleteRangeRequest { key: key.clone().into_bytes(), ..Default::default() };
-                RequestOp { request: Some(request_op::Request::DeleteRange(delete)) }
+                let delete = DeleteRangeRequest {
+                    key: key.clone().into_bytes(),
+                    ..Default::default()
+                };
+                RequestOp {
+                    request: Some(request_op::Request::DeleteRange(delete)),
+                }
             }
         };
         let compare = vec![unchanged(&key, known.map_or(0, |kv| kv.mod_revision))];
-        let done = etcd.txn(TxnRequest { compare, success: vec![operation], failure: vec![] }).await?;
+        let done = etcd
+            .txn(TxnRequest {
+                compare,
+                success: vec![operation],
+                failure: vec![],
+            })
+            .await?;
         if done.succeeded {
             return Ok(done.header.unwrap_or_default().revision);
         }
@@ -74,10 +99,22 @@
 pub async fn purge(etcd: &Etcd, prefix: &str, record: &PurgeRecord) -> Result<i64, WriteError> {
     let (lease, _) = etcd.grant(PURGE_SECONDS).await?;
     for _ in 0..TRIES {
-        let key = layout::purge_key(prefix, &format!("{:032x}", rand::thread_rng().gen::<u128>()));
+        let key = layout::purge_key(
+            prefix,
+            &format!("{:032x}", rand::thread_rng().gen::<u128>()),
+        );
         let mark = put(layout::purge_mark(prefix), Vec::new(), 0);
-        let (compare, success) = (vec![unchanged(&key, 0)], vec![put(key, json(record), lease), mark]);
-        let done = etcd.txn(TxnRequest { compare, success, failure: vec![] }).await?;
+        let (compare, success) = (
+            vec![unchanged(&key, 0)],
+            vec![put(key, json(record), lease), mark],
+        );
+        let done = etcd
+            .txn(TxnRequest {
+                compare,
+                success,
+                failure: vec![],
+            })
+            .await?;
         if done.succeeded {
             return Ok(done.header.unwrap_or_default().revision);
         }
@@ -98,7 +135,10 @@
 pub async fn promise(etcd: &Etcd, prefix: &str) -> Result<Promise, WriteError> {
     let from = layout::dispatcher_key(prefix, "");
     let read = etcd.snapshot(&from).await?;
-    let mut promise = Promise { dispatchers: read.keys.len(), ..Promise::default() };
+    let mut promise = Promise {
+        dispatchers: read.keys.len(),
+        ..Promise::default()
+    };
     for kv in read.keys {
         let name = String::from_utf8_lossy(&kv.key[from.len().min(kv.key.len())..]).into_owned();
         match layout::dispatcher(&kv.key, &kv.value)?.purge_within_ms {
@@ -187,7 +227,12 @@
             target_union: Some(compare::TargetUnion::Lease(id)),
         };
         let write = vec![put(key, json(record), id)];
-        etcd.txn(TxnRequest { compare: vec![held], success: vec![], failure: write }).await?;
+        etcd.txn(TxnRequest {
+            compare: vec![held],
+            success: vec![],
+            failure: write,
+        })
+        .await?;
     }
     Ok((id, ttl))
 }
--- a/crates/etcd/tests/history.rs
+++ b/crates/etcd/tests/history.rs
@@ -38,10 +38,17 @@
             match value {
                 Some(value) => {
                     keys.insert(key.clone(), (value.clone(), revision));
-                    changes.push(Change::Put(KeyValue { key, value, mod_revision: revision }));
+                    changes.push(Change::Put(KeyValue {
+                        key,
+                        value,
+                        mod_revision: revision,
+                    }));
                 }
                 None if keys.remove(&key).is_some() => {
-                    changes.push(Change::Delete { key, mod_revision: revision });
+                    changes.push(Change::Delete {
+                        key,
+                        mod_revision: revision,
+                    });
                 }
                 None => {}
             }
@@ -73,7 +80,11 @@
 
 impl Play {
     fn new(seed: u64) -> Self {
-        let first = Truth { states: vec![Keys::new()], log: vec![vec![]], compacted: 0 };
+        let first = Truth {
+            states: vec![Keys::new()],
+            log: vec![vec![]],
+            compacted: 0,
+        };
         Self {
             dice: StdRng::seed_from_u64(seed),
             truths: vec![first],
@@ -97,11 +108,15 @@
 
     fn tell(&mut self, input: Input) {
         let mut out = vec![];
-        self.watcher.handle(self.now, 1_700_000_000_000, input, &mut out);
+        self.watcher
+            .handle(self.now, 1_700_000_000_000, input, &mut out);
         for output in out {
             match output {
                 Output::AskSnapshot => {
-                    assert!(!self.reading && self.stream.is_none(), "one thing is asked at a time");
+                    assert!(
+                        !self.reading && self.stream.is_none(),
+                        "one thing is asked at a time"
+                    );
                     self.reading = true;
                 }
                 Output::AskWatch { from } => {
@@ -155,7 +170,10 @@
         let members: Vec<String> = keys
             .keys()
             .filter_map(|k| {
-                std::str::from_utf8(k).unwrap().strip_prefix("/edge/v1/members/").map(str::to_owned)
+                std::str::from_utf8(k)
+                    .unwrap()
+                    .strip_prefix("/edge/v1/members/")
+                    .map(str::to_owned)
             })
             .filter(|a| a != "odd")
             .collect();
@@ -171,7 +189,10 @@
         let (epoch, told) = (self.epoch, &self.told);
         for (of, at, object, _) in &self.written {
             if *of == epoch && *at <= revision {
-                assert!(told.contains(object), "purge of {object} at {at} missed by revision {revision}");
+                assert!(
+                    told.contains(object),
+                    "purge of {object} at {at} missed by revision {revision}"
+                );
             }
         }
     }
@@ -225,7 +246,11 @@
             let key = member_key(PREFIX, &format!("10.0.0.{n}:80"));
             match self.dice.gen_range(0..10) {
                 0..=3 => {
-                    let state = if self.dice.gen() { State::Ready } else { State::Draining };
+                    let state = if self.dice.gen() {
+                        State::Ready
+                    } else {
+                        State::Draining
+                    };
                     let start = self.dice.gen_range(0..9);
                     let record = MemberRecord {
                         state,
@@ -240,7 +265,10 @@
                 }
                 // Put and deleted in one revision is the last of both; the model's keys are a map as etcd's are.
                 4..=5 => writes.push((key.into_bytes(), None)),
-                6 => writes.push((member_key(PREFIX, "odd").into_bytes(), Some(b"no record".to_vec()))),
+                6 => writes.push((
+                    member_key(PREFIX, "odd").into_bytes(),
+                    Some(b"no record".to_vec()),
+                )),
                 7 => {
                     // Somebody takes purges away early.
                     let purge = self
@@ -256,7 +284,10 @@
                 }
                 _ => {
                     let object = format!("/o/{}", self.dice.gen::<u32>());
-                    let record = PurgeRecord { object: Some(object.clone()), group: 1 };
+                    let record = PurgeRecord {
+                        object: Some(object.clone()),
+                        group: 1,
+                    };
                     let key = purge_key(PREFIX, &object.replace('/', "-"));
                     writes.push((key.into_bytes(), Some(serde_json::to_vec(&record).unwrap())));
                     let (epoch, revision) = (self.truths.len() - 1, self.truth().revision() + 1);
@@ -274,17 +305,25 @@
         let epoch = self.truths.len() - 1;
         let (revision, compacted) = (self.truth().revision(), self.truth().compacted);
         // A restored cluster is a new one to its clients, with old revisions.
-        let header = Header { cluster: epoch as u64 + 1, revision };
+        let header = Header {
+            cluster: epoch as u64 + 1,
+            revision,
+        };
         if self.reading {
             self.reading = false;
             let keys = self.truth().at(revision).iter();
-            let keys =
-                keys.map(|(k, (v, at))| KeyValue { key: k.clone(), value: v.clone(), mod_revision: *at });
+            let keys = keys.map(|(k, (v, at))| KeyValue {
+                key: k.clone(),
+                value: v.clone(),
+                mod_revision: *at,
+            });
             let keys = keys.collect();
             self.epoch = epoch;
             return self.tell(Input::Snapshot { header, keys });
         }
-        let Some((from, created)) = self.stream else { return };
+        let Some((from, created)) = self.stream else {
+            return;
+        };
         if !created {
             if from <= compacted {
                 self.stream = None;
@@ -296,23 +335,36 @@
         }
         if let Some(changes) = (!self.fragments.is_empty()).then(|| self.fragments.remove(0)) {
             let fragment = !self.fragments.is_empty();
-            return self.tell(Input::News { header, changes, fragment });
+            return self.tell(Input::News {
+                header,
+                changes,
+                fragment,
+            });
         }
         if from > revision {
             return self.tell(Input::Progress { header });
         }
         // Some revisions at once, whole; cut into fragments now and then.
         let to = self.dice.gen_range(from..=revision);
-        let changes: Vec<Change> =
-            (from..=to).flat_map(|r| self.truth().log[r as usize - 1].clone()).collect();
+        let changes: Vec<Change> = (from..=to)
+            .flat_map(|r| self.truth().log[r as usize - 1].clone())
+            .collect();
         self.stream = Some((to + 1, true));
         if changes.len() > 1 && self.dice.gen::<f64>() < 0.3 {
             let at = self.dice.gen_range(1..changes.len());
             let (first, second) = changes.split_at(at);
             self.fragments = vec![second.to_vec()];
-            self.tell(Input::News { header, changes: first.to_vec(), fragment: true });
+            self.tell(Input::News {
+                header,
+                changes: first.to_vec(),
+                fragment: true,
+            });
         } else {
-            self.tell(Input::News { header, changes, fragment: false });
+            self.tell(Input::News {
+                header,
+                changes,
+                fragment: false,
+            });
         }
     }
 
@@ -325,7 +377,11 @@
                 self.tell(Input::Tick);
             }
         }
-        assert_eq!(self.epoch, self.truths.len() - 1, "it has found the new history");
+        assert_eq!(
+            self.epoch,
+            self.truths.len() - 1,
+            "it has found the new history"
+        );
         let newest = self.truth().revision();
         assert_eq!(self.watcher.revision(), newest);
         assert_eq!(self.watcher.view(), View::Current);
@@ -342,11 +398,16 @@
             play.settle();
         }));
         assert!(failed.is_ok(), "seed {seed}");
-        sums.iter_mut().zip(play.counts).for_each(|(sum, n)| *sum += n);
+        sums.iter_mut()
+            .zip(play.counts)
+            .for_each(|(sum, n)| *sum += n);
     }
     let [broken, compactions, restored, gaps, lost] = sums;
     println!("{broken} streams broken, {compactions} compactions, {restored} restored, {gaps} gaps, {lost} watches refused");
-    assert!(broken > 2_000 && compactions > 2_000 && restored > 100 && gaps > 100 && lost > 50, "{sums:?}");
+    assert!(
+        broken > 2_000 && compactions > 2_000 && restored > 100 && gaps > 100 && lost > 50,
+        "{sums:?}"
+    );
 }
 
 /// The stream is there and says nothing: found within the rule's time, and the view is stale before a drain can be late.
@@ -355,11 +416,24 @@
     let rule = Rule::default();
     let mut w = Watcher::new(PREFIX, rule, 0, 1);
     let mut out = vec![];
-    let header = Header { cluster: 1, revision: 5 };
+    let header = Header {
+        cluster: 1,
+        revision: 5,
+    };
     w.handle(0, 0, Input::Tick, &mut out);
-    w.handle(10, 0, Input::Snapshot { header, keys: vec![] }, &mut out);
+    w.handle(
+        10,
+        0,
+        Input::Snapshot {
+            header,
+            keys: vec![],
+        },
+        &mut out,
+    );
     w.handle(20, 0, Input::Created { header }, &mut out);
-    assert!(out.contains(&Output::View(View::Current)) && out.contains(&Output::AskWatch { from: 6 }));
+    assert!(
+        out.contains(&Output::View(View::Current)) && out.contains(&Output::AskWatch { from: 6 })
+    );
     let (mut asked, mut hung, mut stale) = (None, None, None);
     let mut now = 20;
     while stale.is_none() && now < 2_000_000 {
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -15,13 +15,17 @@
 const PROMISE: u64 = 1_500 * MS;
 const T0: u64 = 1_000_000_000;
 
-const SETTINGS: &str = "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\n[zone b]\ndispatchers = 1\n\
+const SETTINGS: &str =
+    "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\n[zone b]\ndispatchers = 1\n\
     [etcd]\nendpoints = http://127.0.0.1:1\npurge_within_ms = 1500\n\
     [class page]\npath_prefix = /page/\nfresh_ms = 60000\ngrace_ms = 60000\n\
     [class spared]\npath_prefix = /spared/\nfresh_ms = 60000\npurge_exempt = yes\n";
 
 fn core(now: u64) -> Core {
-    let mut core = Core::new(&parse("test", SETTINGS).unwrap_or_else(|e| panic!("{e}")), 1);
+    let mut core = Core::new(
+        &parse("test", SETTINGS).unwrap_or_else(|e| panic!("{e}")),
+        1,
+    );
     let line = |address: &str, kind: &str| MemberLine {
         address: address.into(),
         state: WireState::Ready as i32,
@@ -31,7 +35,11 @@
         ..Default::default()
     };
     let members = vec![line("127.0.0.1:2", "cache"), line("127.0.0.1:9", "origin")];
-    let list = ListHead { form: ListForm::Full as i32, seq: 1, members };
+    let list = ListHead {
+        form: ListForm::Full as i32,
+        seq: 1,
+        members,
+    };
     core.handle(now, Told::Members(list), &mut Vec::new());
     core
 }
@@ -39,10 +47,18 @@
 /// Begins an attempt for a request of this class; how old its copy may be, and whether it was held back.
 fn begin(core: &mut Core, now: u64, id: u64, class: usize) -> Option<(u64, bool)> {
     let mut out = Vec::new();
-    let ask = Ask { class, object: format!("/o/{id}"), group: 1, left: 2_000_000, ..Default::default() };
+    let ask = Ask {
+        class,
+        object: format!("/o/{id}"),
+        group: 1,
+        left: 2_000_000,
+        ..Default::default()
+    };
     core.handle(now, Told::Request(id, ask), &mut out);
     let attempt = out.iter().find_map(|o| match o {
-        Order::Send { request, attempt, .. } if *request == id => Some(*attempt),
+        Order::Send {
+            request, attempt, ..
+        } if *request == id => Some(*attempt),
         _ => None,
     })?;
     let terms = core.begin(now, id, attempt);
@@ -59,9 +75,16 @@
     assert!(!held(&mut core, T0, 3, 1), "the operator's word by class");
     core.handle(T0, Told::Proven { ago: 100 * MS }, &mut Vec::new());
     assert!(!held(&mut core, T0 + 649 * MS, 4, 0));
-    assert!(held(&mut core, T0 + 650 * MS, 5, 0), "the lease runs from the question, not from its answer");
+    assert!(
+        held(&mut core, T0 + 650 * MS, 5, 0),
+        "the lease runs from the question, not from its answer"
+    );
     // An older proof that comes late takes nothing back and gives nothing.
-    core.handle(T0 + 660 * MS, Told::Proven { ago: 800 * MS }, &mut Vec::new());
+    core.handle(
+        T0 + 660 * MS,
+        Told::Proven { ago: 800 * MS },
+        &mut Vec::new(),
+    );
     assert!(held(&mut core, T0 + 660 * MS, 6, 0));
     core.handle(T0 + 700 * MS, Told::Proven { ago: 0 }, &mut Vec::new());
     assert!(!held(&mut core, T0 + 700 * MS, 7, 0));
@@ -70,12 +93,18 @@
 }
 
 fn rule() -> Rule {
-    Rule { prove_every: PROMISE / 6, ..Rule::default() }
+    Rule {
+        prove_every: PROMISE / 6,
+        ..Rule::default()
+    }
 }
 
 #[test]
 fn a_proof_needs_a_view_that_has_reached_what_was_read_of_the_same_history() {
-    let header = |revision| Header { cluster: 1, revision };
+    let header = |revision| Header {
+        cluster: 1,
+        revision,
+    };
     let mut w = Watcher::new(PREFIX, rule(), 0, 1);
     let mut out = vec![];
     let mut tell = |w: &mut Watcher, now, input| -> Vec<Output> {
@@ -84,32 +113,90 @@
         out.clone()
     };
     let proven = |out: &[Output]| {
-        out.iter().find_map(|o| if let Output::Proven { ago } = o { Some(*ago) } else { None })
+        out.iter().find_map(|o| {
+            if let Output::Proven { ago } = o {
+                Some(*ago)
+            } else {
+                None
+            }
+        })
     };
     let asked = tell(&mut w, 0, Input::Tick);
     assert!(asked.contains(&Output::AskMark { asked: 0 }));
     // Before anything is known nothing is proven.
-    assert_eq!(proven(&tell(&mut w, 5, Input::Mark { asked: 0, read: Some((1, 7)) })), None);
-    tell(&mut w, 10, Input::Snapshot { header: header(5), keys: vec![] });
+    assert_eq!(
+        proven(&tell(
+            &mut w,
+            5,
+            Input::Mark {
+                asked: 0,
+                read: Some((1, 7))
+            }
+        )),
+        None
+    );
+    tell(
+        &mut w,
+        10,
+        Input::Snapshot {
+            header: header(5),
+            keys: vec![],
+        },
+    );
     tell(&mut w, 20, Input::Created { header: header(5) });
-    assert_eq!(proven(&tell(&mut w, 30, Input::Tick)), None, "the purge of revision 7 is not in the view");
+    assert_eq!(
+        proven(&tell(&mut w, 30, Input::Tick)),
+        None,
+        "the purge of revision 7 is not in the view"
+    );
     let purge = Change::Put(KeyValue {
         key: purge_key(PREFIX, "a").into_bytes(),
         value: br#"{"group":1}"#.to_vec(),
         mod_revision: 7,
     });
-    let told = tell(&mut w, 40, Input::News { header: header(7), changes: vec![purge], fragment: false });
-    let purge_at = told.iter().position(|o| matches!(o, Output::Purge(_))).expect("the purge");
-    let proof_at = told.iter().position(|o| matches!(o, Output::Proven { ago: 40 })).expect("the proof");
+    let told = tell(
+        &mut w,
+        40,
+        Input::News {
+            header: header(7),
+            changes: vec![purge],
+            fragment: false,
+        },
+    );
+    let purge_at = told
+        .iter()
+        .position(|o| matches!(o, Output::Purge(_)))
+        .expect("the purge");
+    let proof_at = told
+        .iter()
+        .position(|o| matches!(o, Output::Proven { ago: 40 }))
+        .expect("the proof");
     assert!(purge_at < proof_at, "in force before it is said to be");
     // A question that was given up: its late answer is none to the next one.
     let second = rule().prove_every;
     assert!(tell(&mut w, second, Input::Tick).contains(&Output::AskMark { asked: second }));
     let third = second + 3 * rule().prove_every;
     assert!(tell(&mut w, third, Input::Tick).contains(&Output::AskMark { asked: third }));
-    assert_eq!(proven(&tell(&mut w, third + 1, Input::Mark { asked: second, read: Some((1, 7)) })), None);
     assert_eq!(
-        proven(&tell(&mut w, third + 2, Input::Mark { asked: third, read: Some((2, 7)) })),
+        proven(&tell(
+            &mut w,
+            third + 1,
+            Input::Mark {
+                asked: second,
+                read: Some((1, 7))
+            }
+        )),
+        None
+    );
+    assert_eq!(
+        proven(&tell(
+            &mut w,
+            third + 2,
+            Input::Mark {
+                asked: third,
+                read: Some((2, 7))
+            }
+        )),
         None,
         "another cluster"
     );
@@ -118,7 +205,14 @@
     for _ in 0..200 {
         now += 10 * MS;
         tell(&mut w, now, Input::Tick);
-        tell(&mut w, now, Input::Mark { asked: now, read: Some((1, 7)) });
+        tell(
+            &mut w,
+            now,
+            Input::Mark {
+                asked: now,
+                read: Some((1, 7)),
+            },
+        );
     }
     assert_eq!(w.view(), pointspindle_etcd::View::Stale);
 }
@@ -146,10 +240,21 @@
     fn new(seed: u64, lies: bool) -> Self {
         let (now, known, next) = (T0, 0, 0);
         let mut watcher = Watcher::new(PREFIX, rule(), now, seed);
-        let header = Header { cluster: 1, revision: 1 };
+        let header = Header {
+            cluster: 1,
+            revision: 1,
+        };
         let mut out = Vec::new();
         watcher.handle(now, 0, Input::Tick, &mut out);
-        watcher.handle(now, 0, Input::Snapshot { header, keys: vec![] }, &mut out);
+        watcher.handle(
+            now,
+            0,
+            Input::Snapshot {
+                header,
+                keys: vec![],
+            },
+            &mut out,
+        );
         watcher.handle(now, 0, Input::Created { header }, &mut out);
         Self {
             dice: StdRng::seed_from_u64(seed),
@@ -170,7 +275,11 @@
 
     /// A way's time, behind a cut if there is one.
     fn way(&mut self, cut: u64) -> u64 {
-        let slow = if self.dice.gen_bool(0.05) { 600 * MS } else { 20 * MS };
+        let slow = if self.dice.gen_bool(0.05) {
+            600 * MS
+        } else {
+            20 * MS
+        };
         self.now.max(cut) + self.dice.gen_range(0..slow)
     }
 
@@ -183,7 +292,9 @@
             2 => self.now += self.dice.gen_range(0..10_000 * MS),
             3..=12 => {
                 self.purges.push(self.now);
-                let comes = self.way(self.cut_down).max(self.events.back().map_or(0, |e| e.0));
+                let comes = self
+                    .way(self.cut_down)
+                    .max(self.events.back().map_or(0, |e| e.0));
                 self.events.push_back((comes, self.purges.len()));
             }
             _ => {}
@@ -192,24 +303,46 @@
         if self.dice.gen_bool(0.5) {
             self.look();
         }
-        while let Some((_, number)) = self.events.front().copied().filter(|(at, _)| *at <= self.now) {
+        while let Some((_, number)) = self
+            .events
+            .front()
+            .copied()
+            .filter(|(at, _)| *at <= self.now)
+        {
             self.events.pop_front();
             let revision = number as i64 + 1;
             let key = purge_key(PREFIX, &number.to_string()).into_bytes();
-            let put = KeyValue { key, value: br#"{"group":1}"#.to_vec(), mod_revision: revision };
-            let header = Header { cluster: 1, revision };
-            self.tell(Input::News { header, changes: vec![Change::Put(put)], fragment: false });
+            let put = KeyValue {
+                key,
+                value: br#"{"group":1}"#.to_vec(),
+                mod_revision: revision,
+            };
+            let header = Header {
+                cluster: 1,
+                revision,
+            };
+            self.tell(Input::News {
+                header,
+                changes: vec![Change::Put(put)],
+                fragment: false,
+            });
         }
         let due: Vec<Input> = {
             let now = self.now;
-            let (due, later) =
-                std::mem::take(&mut self.answers).into_iter().partition(|(at, _)| *at <= now);
+            let (due, later) = std::mem::take(&mut self.answers)
+                .into_iter()
+                .partition(|(at, _)| *at <= now);
             self.answers = later;
             Vec::into_iter(due).map(|(_, input)| input).collect()
         };
         due.into_iter().for_each(|input| self.tell(input));
         // A stream that stands and says nothing is no matter of this test: it never hangs up.
-        self.tell(Input::Progress { header: Header { cluster: 1, revision: self.watcher.revision() } });
+        self.tell(Input::Progress {
+            header: Header {
+                cluster: 1,
+                revision: self.watcher.revision(),
+            },
+        });
         self.tell(Input::Tick);
         self.look();
     }
@@ -221,19 +354,31 @@
             match output {
                 Output::Purge(head) => {
                     self.known += 1;
-                    self.core.handle(self.now, Told::Purge(head), &mut Vec::new());
+                    self.core
+                        .handle(self.now, Told::Purge(head), &mut Vec::new());
                 }
                 Output::Proven { ago } => {
                     let ago = if self.lies { 0 } else { ago };
-                    self.core.handle(self.now, Told::Proven { ago }, &mut Vec::new());
+                    self.core
+                        .handle(self.now, Told::Proven { ago }, &mut Vec::new());
                 }
                 Output::AskMark { asked } => {
                     // Read when it reaches the store; its answer takes its own way back.
                     let reached = self.way(self.cut_up);
                     let written = self.purges.iter().filter(|at| **at <= reached).count() as i64;
                     let comes = reached.max(self.cut_down) + self.dice.gen_range(0..20 * MS);
-                    let revision = if self.lies || written == 0 { 0 } else { written + 1 };
-                    self.answers.push((comes, Input::Mark { asked, read: Some((1, revision)) }));
+                    let revision = if self.lies || written == 0 {
+                        0
+                    } else {
+                        written + 1
+                    };
+                    self.answers.push((
+                        comes,
+                        Input::Mark {
+                            asked,
+                            read: Some((1, revision)),
+                        },
+                    ));
                 }
                 _ => {}
             }
@@ -243,9 +388,13 @@
     /// One attempt, held against every purge.
     fn look(&mut self) {
         self.next += 1;
-        let Some((age, held)) = begin(&mut self.core, self.now, self.next, 0) else { return };
+        let Some((age, held)) = begin(&mut self.core, self.now, self.next, 0) else {
+            return;
+        };
         self.checked[held as usize] += 1;
-        let owed = self.purges[self.known..].iter().filter(|at| **at + PROMISE <= self.now);
+        let owed = self.purges[self.known..]
+            .iter()
+            .filter(|at| **at + PROMISE <= self.now);
         for at in owed {
             self.checked[2] += 1;
             let since = self.now - at;
@@ -264,10 +413,13 @@
     let mut sums = [0; 3];
     for seed in 0..300 {
         let mut play = Play::new(seed, false);
-        let kept =
-            std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| (0..800).for_each(|_| play.step())));
+        let kept = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            (0..800).for_each(|_| play.step())
+        }));
         assert!(kept.is_ok(), "seed {seed}");
-        sums.iter_mut().zip(play.checked).for_each(|(sum, n)| *sum += n);
+        sums.iter_mut()
+            .zip(play.checked)
+            .for_each(|(sum, n)| *sum += n);
     }
     let [free, held, owed] = sums;
     println!("{free} attempts as ever, {held} held back, {owed} times an unknown purge was over its time");
@@ -279,8 +431,10 @@
 fn a_process_that_lies_about_being_current_is_found() {
     let found = (0..50).any(|seed| {
         let mut play = Play::new(seed, true);
-        std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| (0..800).for_each(|_| play.step())))
-            .is_err()
+        std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
+            (0..800).for_each(|_| play.step())
+        }))
+        .is_err()
     });
     assert!(found);
 }
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -55,7 +55,10 @@
         uncacheable: bool,
     ) -> Self {
         // A plain question of a cacheable class wants what is held; what runs at the origin is passed on.
-        let plain = FetchHead { held_only: !uncacheable, ..FetchHead::default() };
+        let plain = FetchHead {
+            held_only: !uncacheable,
+            ..FetchHead::default()
+        };
         let fetch = head.fetch.clone().unwrap_or(plain);
         // A source of a fill asks nobody else when it is to give what it holds.
         let inner = fetch.held_only && fetch.source.is_empty();
@@ -63,11 +66,23 @@
             "" => own.map(str::to_owned).filter(|_| !inner),
             named => Some(named.to_owned()),
         };
-        let limit =
-            if uncacheable { Some(0) } else { (fetch.age_us > 0).then_some(fetch.age_us).or(fresh) };
+        let limit = if uncacheable {
+            Some(0)
+        } else {
+            (fetch.age_us > 0).then_some(fetch.age_us).or(fresh)
+        };
         let keep = if uncacheable { 0 } else { fetch.keep };
         let join = fetch.join && !uncacheable;
-        Self { key, limit, fresh, held_only: fetch.held_only, source, keep, join, renew: fetch.renew }
+        Self {
+            key,
+            limit,
+            fresh,
+            held_only: fetch.held_only,
+            source,
+            keep,
+            join,
+            renew: fetch.renew,
+        }
     }
 }
 
@@ -115,7 +130,13 @@
 
 impl<K: Clone + Ord> Desk<K> {
     pub fn new(rule: Rule) -> Self {
-        Self { rule, fills: BTreeMap::new(), by_key: BTreeMap::new(), waiting: VecDeque::new(), next: 0 }
+        Self {
+            rule,
+            fills: BTreeMap::new(),
+            by_key: BTreeMap::new(),
+            waiting: VecDeque::new(),
+            next: 0,
+        }
     }
 
     pub fn filling(&self) -> usize {
@@ -131,8 +152,10 @@
         if let Some(held) = held.filter(young) {
             let old = asked.fresh.is_some_and(|fresh| held.age > fresh);
             // One renewal of a copy at a time, and only where there is a place to spare: it is nobody's answer.
-            let behind =
-                old && asked.renew && asked.source.is_some() && !self.by_key.contains_key(&asked.key);
+            let behind = old
+                && asked.renew
+                && asked.source.is_some()
+                && !self.by_key.contains_key(&asked.key);
             let renew = (behind && self.fills.len() < self.rule.places).then(|| self.begin(&asked));
             return Verdict::Serve { old, renew };
         }
@@ -168,7 +191,11 @@
     fn begin(&mut self, asked: &Asked<K>) -> FillId {
         self.next += 1;
         let joinable = asked.keep > 0 && !asked.held_only;
-        let fill = Fill { key: asked.key.clone(), joinable, limit: asked.limit };
+        let fill = Fill {
+            key: asked.key.clone(),
+            joinable,
+            limit: asked.limit,
+        };
         self.fills.insert(self.next, fill);
         if joinable {
             self.by_key.insert(asked.key.clone(), self.next);
@@ -178,7 +205,11 @@
 
     /// Nobody may join it any more: a purge of its object came while it was under way.
     pub fn shut(&mut self, key: &K) {
-        if let Some(fill) = self.by_key.remove(key).and_then(|id| self.fills.get_mut(&id)) {
+        if let Some(fill) = self
+            .by_key
+            .remove(key)
+            .and_then(|id| self.fills.get_mut(&id))
+        {
             fill.joinable = false;
         }
     }
@@ -190,7 +221,10 @@
             self.by_key.remove(&ended.key);
         }
         let (waiter, asked) = self.waiting.pop_front()?;
-        Some(Turn { waiter, fill: self.begin(&asked) })
+        Some(Turn {
+            waiter,
+            fill: self.begin(&asked),
+        })
     }
 
     /// Who waited has left.
@@ -220,45 +254,120 @@
 
     #[test]
     fn an_age_limit_is_kept_to_the_microsecond_and_old_copies_are_renewed_once() {
-        let mut desk = Desk::new(Rule { places: 4, queue: 1 });
+        let mut desk = Desk::new(Rule {
+            places: 4,
+            queue: 1,
+        });
         let held = |age| Some(Held { age });
-        assert_eq!(desk.ask(asked("a"), held(10 * S)), Verdict::Serve { old: false, renew: None });
-        assert!(matches!(desk.ask(asked("a"), held(10 * S + 1)), Verdict::Fill(_)));
-        let grace = Asked { limit: Some(30 * S), renew: true, ..asked("b") };
-        let Verdict::Serve { old: true, renew: Some(fill) } = desk.ask(grace.clone(), held(20 * S)) else {
+        assert_eq!(
+            desk.ask(asked("a"), held(10 * S)),
+            Verdict::Serve {
+                old: false,
+                renew: None
+            }
+        );
+        assert!(matches!(
+            desk.ask(asked("a"), held(10 * S + 1)),
+            Verdict::Fill(_)
+        ));
+        let grace = Asked {
+            limit: Some(30 * S),
+            renew: true,
+            ..asked("b")
+        };
+        let Verdict::Serve {
+            old: true,
+            renew: Some(fill),
+        } = desk.ask(grace.clone(), held(20 * S))
+        else {
             panic!()
         };
         // Many ask meanwhile: one renewal.
-        assert_eq!(desk.ask(grace.clone(), held(20 * S)), Verdict::Serve { old: true, renew: None });
+        assert_eq!(
+            desk.ask(grace.clone(), held(20 * S)),
+            Verdict::Serve {
+                old: true,
+                renew: None
+            }
+        );
         desk.over(fill);
-        assert!(matches!(desk.ask(grace, held(20 * S)), Verdict::Serve { renew: Some(_), .. }));
+        assert!(matches!(
+            desk.ask(grace, held(20 * S)),
+            Verdict::Serve { renew: Some(_), .. }
+        ));
     }
 
     #[test]
     fn fills_are_joined_where_they_bring_what_is_wanted() {
-        let mut desk = Desk::new(Rule { places: 9, queue: 0 });
-        let Verdict::Fill(first) = desk.ask(asked("a"), None) else { panic!() };
+        let mut desk = Desk::new(Rule {
+            places: 9,
+            queue: 0,
+        });
+        let Verdict::Fill(first) = desk.ask(asked("a"), None) else {
+            panic!()
+        };
         assert_eq!(desk.ask(asked("a"), None), Verdict::Join(first));
         // Younger than what the first may bring, or alone by its own wish.
-        assert!(matches!(desk.ask(Asked { limit: Some(S), ..asked("a") }, None), Verdict::Fill(_)));
-        assert!(matches!(desk.ask(Asked { join: false, ..asked("a") }, None), Verdict::Fill(_)));
-        let Verdict::Fill(last) = desk.ask(asked("b"), None) else { panic!() };
+        assert!(matches!(
+            desk.ask(
+                Asked {
+                    limit: Some(S),
+                    ..asked("a")
+                },
+                None
+            ),
+            Verdict::Fill(_)
+        ));
+        assert!(matches!(
+            desk.ask(
+                Asked {
+                    join: false,
+                    ..asked("a")
+                },
+                None
+            ),
+            Verdict::Fill(_)
+        ));
+        let Verdict::Fill(last) = desk.ask(asked("b"), None) else {
+            panic!()
+        };
         desk.shut(&"b");
         assert!(matches!(desk.ask(asked("b"), None), Verdict::Fill(n) if n != last));
         // What passes through is one request's own.
-        let through = Asked { keep: 0, ..asked("c") };
+        let through = Asked {
+            keep: 0,
+            ..asked("c")
+        };
         assert!(matches!(desk.ask(through.clone(), None), Verdict::Fill(_)));
         assert!(matches!(desk.ask(through, None), Verdict::Fill(_)));
     }
 
     #[test]
     fn places_and_the_queue_are_bounded_and_turns_come_in_order() {
-        let mut desk = Desk::new(Rule { places: 1, queue: 2 });
-        let Verdict::Fill(fill) = desk.ask(asked("a"), None) else { panic!() };
-        let Verdict::Wait(b) = desk.ask(asked("b"), None) else { panic!() };
-        let Verdict::Wait(c) = desk.ask(asked("c"), None) else { panic!() };
+        let mut desk = Desk::new(Rule {
+            places: 1,
+            queue: 2,
+        });
+        let Verdict::Fill(fill) = desk.ask(asked("a"), None) else {
+            panic!()
+        };
+        let Verdict::Wait(b) = desk.ask(asked("b"), None) else {
+            panic!()
+        };
+        let Verdict::Wait(c) = desk.ask(asked("c"), None) else {
+            panic!()
+        };
         assert_eq!(desk.ask(asked("d"), None), Verdict::Full);
-        assert_eq!(desk.ask(Asked { source: None, ..asked("d") }, None), Verdict::Miss);
+        assert_eq!(
+            desk.ask(
+                Asked {
+                    source: None,
+                    ..asked("d")
+                },
+                None
+            ),
+            Verdict::Miss
+        );
         desk.leave(b);
         let turn = desk.over(fill).unwrap();
         assert_eq!((turn.waiter, desk.filling(), desk.waiting()), (c, 1, 0));
@@ -268,15 +377,38 @@
 
     #[test]
     fn a_source_gives_what_it_holds_and_asks_nobody() {
-        let mut head = RequestHead { object: "/a".into(), ..Default::default() };
-        let of = |head: &RequestHead, uncacheable| Asked::of(head, (), None, Some("origin"), uncacheable);
-        assert_eq!(of(&head, false).source, None, "a plain question wants what is held");
-        assert_eq!(of(&head, true).source.as_deref(), Some("origin"), "what must run is passed on");
-        head.fetch = Some(FetchHead { held_only: true, ..Default::default() });
+        let mut head = RequestHead {
+            object: "/a".into(),
+            ..Default::default()
+        };
+        let of = |head: &RequestHead, uncacheable| {
+            Asked::of(head, (), None, Some("origin"), uncacheable)
+        };
+        assert_eq!(
+            of(&head, false).source,
+            None,
+            "a plain question wants what is held"
+        );
+        assert_eq!(
+            of(&head, true).source.as_deref(),
+            Some("origin"),
+            "what must run is passed on"
+        );
+        head.fetch = Some(FetchHead {
+            held_only: true,
+            ..Default::default()
+        });
         assert_eq!(of(&head, false).source, None);
-        head.fetch = Some(FetchHead { keep: 2, ..Default::default() });
+        head.fetch = Some(FetchHead {
+            keep: 2,
+            ..Default::default()
+        });
         assert_eq!(of(&head, false).source.as_deref(), Some("origin"));
-        head.fetch = Some(FetchHead { source: "p:1".into(), held_only: true, ..Default::default() });
+        head.fetch = Some(FetchHead {
+            source: "p:1".into(),
+            held_only: true,
+            ..Default::default()
+        });
         assert_eq!(
             of(&head, false).source.as_deref(),
             Some("p:1"),
--- a/crates/host/src/fresh.rs
+++ b/crates/host/src/fresh.rs
@@ -16,8 +16,13 @@
 
 /// `fields` with names in lower case; `took`: from the question to the answer's head; `now_s`: seconds since 1970.
 pub fn freshness(fields: &[(String, String)], took: Micros, now_s: u64) -> Freshness {
-    let all =
-        |name: &str| fields.iter().filter(|(n, _)| n == name).map(|(_, v)| v.as_str()).collect::<Vec<_>>();
+    let all = |name: &str| {
+        fields
+            .iter()
+            .filter(|(n, _)| n == name)
+            .map(|(_, v)| v.as_str())
+            .collect::<Vec<_>>()
+    };
     let control = all("cache-control").join(",");
     let mut no_store = false;
     let (mut max_age, mut s_maxage, mut no_cache) = (None, None, false);
@@ -33,20 +38,39 @@
             _ => {}
         }
     }
-    let date_of = |name: &str| all(name).first().and_then(|v| httpdate::parse_http_date(v).ok());
-    let secs =
-        |t: std::time::SystemTime| t.duration_since(std::time::UNIX_EPOCH).map_or(0, |d| d.as_secs());
+    let date_of = |name: &str| {
+        all(name)
+            .first()
+            .and_then(|v| httpdate::parse_http_date(v).ok())
+    };
+    let secs = |t: std::time::SystemTime| {
+        t.duration_since(std::time::UNIX_EPOCH)
+            .map_or(0, |d| d.as_secs())
+    };
     let date = date_of("date").map(secs);
     // A date that cannot be read is in the past (5.3).
     let until = |v: &&str| httpdate::parse_http_date(v).map_or(0, secs);
-    let expires = all("expires").first().map(|v| until(v).saturating_sub(date.unwrap_or(now_s)));
-    let lifetime = if no_cache { Some(0) } else { s_maxage.or(max_age).or(expires) };
+    let expires = all("expires")
+        .first()
+        .map(|v| until(v).saturating_sub(date.unwrap_or(now_s)));
+    let lifetime = if no_cache {
+        Some(0)
+    } else {
+        s_maxage.or(max_age).or(expires)
+    };
     // 4.2.3, the conservative way.
     let apparent = date.map_or(0, |date| now_s.saturating_sub(date));
-    let told = all("age").first().and_then(|v| v.trim().parse::<u64>().ok()).unwrap_or(0);
+    let told = all("age")
+        .first()
+        .and_then(|v| v.trim().parse::<u64>().ok())
+        .unwrap_or(0);
     let corrected = told.saturating_mul(S).saturating_add(took);
     let age = corrected.max(apparent.saturating_mul(S));
-    Freshness { no_store, lifetime: lifetime.map(|s| s.saturating_mul(S)), age }
+    Freshness {
+        no_store,
+        lifetime: lifetime.map(|s| s.saturating_mul(S)),
+        age,
+    }
 }
 
 #[cfg(test)]
@@ -54,24 +78,57 @@
     use super::*;
 
     fn of(fields: &[(&str, &str)]) -> Freshness {
-        let fields: Vec<_> = fields.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect();
+        let fields: Vec<_> = fields
+            .iter()
+            .map(|(n, v)| (n.to_string(), v.to_string()))
+            .collect();
         freshness(&fields, 250_000, 1_445_412_480)
     }
 
     /// 1,445,412,480 s is Wed, 21 Oct 2015 07:28:00 GMT.
     #[test]
     fn the_most_specific_word_counts_and_what_cannot_be_read_is_stale() {
-        assert_eq!(of(&[]), Freshness { no_store: false, lifetime: None, age: 250_000 });
-        let both = of(&[("cache-control", "max-age=60, s-maxage=\"30\""), ("expires", "0")]);
+        assert_eq!(
+            of(&[]),
+            Freshness {
+                no_store: false,
+                lifetime: None,
+                age: 250_000
+            }
+        );
+        let both = of(&[
+            ("cache-control", "max-age=60, s-maxage=\"30\""),
+            ("expires", "0"),
+        ]);
         assert_eq!(both.lifetime, Some(30 * S));
         assert_eq!(of(&[("cache-control", "max-age=soon")]).lifetime, Some(0));
-        assert_eq!(of(&[("cache-control", "max-age=60"), ("cache-control", "no-cache")]).lifetime, Some(0));
+        assert_eq!(
+            of(&[
+                ("cache-control", "max-age=60"),
+                ("cache-control", "no-cache")
+            ])
+            .lifetime,
+            Some(0)
+        );
         assert!(of(&[("cache-control", "public, No-Store")]).no_store);
         assert!(of(&[("cache-control", "private")]).no_store);
-        let dates =
-            [("date", "Wed, 21 Oct 2015 07:27:00 GMT"), ("expires", "Wed, 21 Oct 2015 07:37:00 GMT")];
-        assert_eq!(of(&dates), Freshness { no_store: false, lifetime: Some(600 * S), age: 60 * S });
+        let dates = [
+            ("date", "Wed, 21 Oct 2015 07:27:00 GMT"),
+            ("expires", "Wed, 21 Oct 2015 07:37:00 GMT"),
+        ];
+        assert_eq!(
+            of(&dates),
+            Freshness {
+                no_store: false,
+                lifetime: Some(600 * S),
+                age: 60 * S
+            }
+        );
         assert_eq!(of(&[("expires", "0")]).lifetime, Some(0));
-        assert_eq!(of(&[("age", "90")]).age, 90 * S + 250_000, "the way counts as old");
+        assert_eq!(
+            of(&[("age", "90")]).age,
+            90 * S + 250_000,
+            "the way counts as old"
+        );
     }
 }
--- a/crates/host/src/lease.rs
+++ b/crates/host/src/lease.rs
@@ -88,7 +88,16 @@
     /// For a process that started at `started`. `quantum` is the sending time of the dearest usual request, in seconds.
     pub fn new(rule: ColdRule, weight: f64, started: Micros, quantum: f64) -> Self {
         let users = VecDeque::new();
-        Self { rule, weight, started, quantum, users, bucket: 0.0, slot: started, others: 0.0 }
+        Self {
+            rule,
+            weight,
+            started,
+            quantum,
+            users,
+            bucket: 0.0,
+            slot: started,
+            others: 0.0,
+        }
     }
 
     pub fn slot_length(&self) -> Micros {
@@ -109,10 +118,19 @@
     pub fn join(&mut self, user: UserId, asks: bool) -> Grant {
         match self.users.iter_mut().find(|u| u.id == user) {
             Some(known) => (known.gone, known.asks) = (false, asks),
-            None => self.users.push_back(User { id: user, asks, ..User::default() }),
+            None => self.users.push_back(User {
+                id: user,
+                asks,
+                ..User::default()
+            }),
         }
         let by_asking = self.gives_by_asking(self.slot);
-        Grant { user, work: 0.0, lasts: 2 * self.slot_length(), by_asking }
+        Grant {
+            user,
+            work: 0.0,
+            lasts: 2 * self.slot_length(),
+            by_asking,
+        }
     }
 
     fn gives_by_asking(&self, now: Micros) -> bool {
@@ -133,7 +151,12 @@
             None => 0.0,
         };
         self.bucket -= work;
-        Grant { user, work, lasts, by_asking }
+        Grant {
+            user,
+            work,
+            lasts,
+            by_asking,
+        }
     }
 
     /// A connection has ended: what it holds lapses with the slot. It is forgotten two slots later.
@@ -158,7 +181,9 @@
 
     /// Budget of a window that ends `now`, in seconds of sending time.
     fn budget(&self, now: Micros) -> f64 {
-        let from = now.saturating_sub(self.rule.window + 2 * self.slot_length()).max(self.started);
+        let from = now
+            .saturating_sub(self.rule.window + 2 * self.slot_length())
+            .max(self.started);
         let warm = (from - self.started) as f64 / self.rule.warm_within.max(1) as f64;
         let share = self.rule.start_share + (1.0 - self.rule.start_share) * warm.min(1.0);
         self.rule.multiple * share.min(1.0) * self.weight * self.rule.window as f64 / 1e6
@@ -197,13 +222,22 @@
         let each = (self.bucket / sharing.max(1) as f64).max(self.quantum);
         let mut turns = 0;
         for (n, user) in self.users.iter_mut().enumerate().filter(|(_, u)| !u.gone) {
-            let work = if waits(user) && each <= self.bucket + 1e-9 { each } else { 0.0 };
+            let work = if waits(user) && each <= self.bucket + 1e-9 {
+                each
+            } else {
+                0.0
+            };
             if work > 0.0 {
                 self.bucket -= work;
                 turns = n + 1;
             }
             user.granted.0 = work;
-            grants.push(Grant { user: user.id, work, lasts: length, by_asking });
+            grants.push(Grant {
+                user: user.id,
+                work,
+                lasts: length,
+                by_asking,
+            });
         }
         self.users.rotate_left(turns);
         grants
@@ -215,16 +249,25 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    const RULE: ColdRule =
-        ColdRule { start_share: 0.17, warm_within: 18_000_000, multiple: 2.0, window: 2_000_000 };
+    const RULE: ColdRule = ColdRule {
+        start_share: 0.17,
+        warm_within: 18_000_000,
+        multiple: 2.0,
+        window: 2_000_000,
+    };
 
     fn budget(from: Micros, weight: f64) -> f64 {
-        let share = RULE.start_share + (1.0 - RULE.start_share) * from as f64 / RULE.warm_within as f64;
+        let share =
+            RULE.start_share + (1.0 - RULE.start_share) * from as f64 / RULE.warm_within as f64;
         RULE.multiple * share.min(1.0) * weight * RULE.window as f64 / 1e6
     }
 
     /// Every user works its lease off at the worst moment that is allowed: its very end, and one slot of way more.
-    fn worst(users: u64, quantum: f64, odd: impl Fn(&mut Ledger, u64)) -> (f64, BTreeMap<UserId, f64>) {
+    fn worst(
+        users: u64,
+        quantum: f64,
+        odd: impl Fn(&mut Ledger, u64),
+    ) -> (f64, BTreeMap<UserId, f64>) {
         let mut ledger = Ledger::new(RULE, 6.29, 0, quantum);
         for user in 0..users {
             ledger.join(user, false);
@@ -254,7 +297,12 @@
         sent.sort_by_key(|s| s.0);
         let most = sent.iter().enumerate().map(|(n, (at, _))| {
             let from = at.saturating_sub(RULE.window);
-            let sum: f64 = sent[..=n].iter().rev().take_while(|s| s.0 > from).map(|s| s.1).sum();
+            let sum: f64 = sent[..=n]
+                .iter()
+                .rev()
+                .take_while(|s| s.0 > from)
+                .map(|s| s.1)
+                .sum();
             sum / budget(from, 6.29)
         });
         (most.fold(0.0, f64::max), by)
@@ -268,7 +316,10 @@
             let given: f64 = by.values().sum();
             // The mean capacity of the warm-up, times the multiple.
             let could = 2.0 * 6.29 * (0.17 + 1.0) / 2.0 * 18.0;
-            assert!(given > 0.5 * could, "{users} users: {given:.1} s of {could:.1} s");
+            assert!(
+                given > 0.5 * could,
+                "{users} users: {given:.1} s of {could:.1} s"
+            );
         }
     }
 
@@ -276,8 +327,13 @@
     fn two_hundred_get_whole_requests_in_turn() {
         let (_, by) = worst(200, 0.3, |_, _| {});
         assert_eq!(by.len(), 200);
-        let (least, most) = by.values().fold((f64::MAX, 0.0_f64), |(a, b), v| (a.min(*v), b.max(*v)));
-        assert!(least > 0.29 && most - least < 0.31, "each had a turn, nobody two more: {least} to {most}");
+        let (least, most) = by
+            .values()
+            .fold((f64::MAX, 0.0_f64), |(a, b), v| (a.min(*v), b.max(*v)));
+        assert!(
+            least > 0.29 && most - least < 0.31,
+            "each had a turn, nobody two more: {least} to {most}"
+        );
     }
 
     #[test]
@@ -339,7 +395,10 @@
         for _ in 0..20 {
             missing += usual - sum(&mut ledger).min(usual);
         }
-        assert!(missing > 1.5, "{missing:.2} s of 2 s beyond the lease were held back");
+        assert!(
+            missing > 1.5,
+            "{missing:.2} s of 2 s beyond the lease were held back"
+        );
     }
 
     /// One request that needs more than three quarters of a window's budget cannot be leased while it does.
@@ -350,10 +409,17 @@
         let mut first = None;
         while first.is_none() && !ledger.is_over(ledger.next_slot()) {
             let now = ledger.next_slot();
-            first = ledger.turn(now).first().filter(|g| g.work > 0.0).map(|_| now);
+            first = ledger
+                .turn(now)
+                .first()
+                .filter(|g| g.work > 0.0)
+                .map(|_| now);
         }
         let at = first.expect("granted in the end");
-        assert!(0.75 * budget(at, 1.0) >= 1.0 && at > 3_000_000, "first granted at {at}");
+        assert!(
+            0.75 * budget(at, 1.0) >= 1.0 && at > 3_000_000,
+            "first granted at {at}"
+        );
     }
 
     /// Two hundred that ask at awkward moments, for whole requests, and use what they get at the very end: no window has
@@ -394,7 +460,12 @@
             let mut most: f64 = 0.0;
             for (n, (at, _)) in sent.iter().enumerate() {
                 let from = at.saturating_sub(RULE.window);
-                let sum: f64 = sent[..=n].iter().rev().take_while(|s| s.0 > from).map(|s| s.1).sum();
+                let sum: f64 = sent[..=n]
+                    .iter()
+                    .rev()
+                    .take_while(|s| s.0 > from)
+                    .map(|s| s.1)
+                    .sum();
                 most = most.max(sum / budget(from, 3.0));
             }
             let used: f64 = sent.iter().map(|s| s.1).sum();
--- a/crates/host/src/net/answer.rs
+++ b/crates/host/src/net/answer.rs
@@ -36,7 +36,12 @@
 
 impl Drop for Place {
     fn drop(&mut self) {
-        let error = failed(WireStatus::Error, WireNote::SourceUnreachable, true, "the fill was given up");
+        let error = failed(
+            WireStatus::Error,
+            WireNote::SourceUnreachable,
+            true,
+            "the fill was given up",
+        );
         self.flow.end(FlowEnd::Failed(Box::new(error)));
         self.shared.fill_over(self.fill);
     }
@@ -44,7 +49,13 @@
 
 fn failed(status: WireStatus, note: WireNote, may_have_run: bool, detail: &str) -> ErrorHead {
     let (status, note, detail) = (status as i32, note as i32, detail.to_owned());
-    ErrorHead { status, note, may_have_run, detail, ..ErrorHead::default() }
+    ErrorHead {
+        status,
+        note,
+        may_have_run,
+        detail,
+        ..ErrorHead::default()
+    }
 }
 
 pub(super) async fn run(shared: Arc<Shared>, head: RequestHead, responder: Responder) {
@@ -60,8 +71,24 @@
     };
     let _open = Open(shared.clone());
     let error = match room {
-        true => Request { shared: shared.clone(), head, came }.run(responder).await,
-        false => Some((responder, failed(WireStatus::Full, WireNote::Untold, false, "too many requests"))),
+        true => {
+            Request {
+                shared: shared.clone(),
+                head,
+                came,
+            }
+            .run(responder)
+            .await
+        }
+        false => Some((
+            responder,
+            failed(
+                WireStatus::Full,
+                WireNote::Untold,
+                false,
+                "too many requests",
+            ),
+        )),
     };
     if let Some((responder, error)) = error {
         let load = Some(shared.load());
@@ -71,7 +98,13 @@
             WireStatus::Miss => c.misses += 1,
             _ => c.failed += 1,
         });
-        let _ = responder.error(ErrorHead { load, elapsed_us, ..error }).await;
+        let _ = responder
+            .error(ErrorHead {
+                load,
+                elapsed_us,
+                ..error
+            })
+            .await;
     }
 }
 
@@ -85,21 +118,36 @@
 
 impl Request {
     fn key(&self) -> Key {
-        Meta { object: self.head.object.clone(), part: self.head.part, ..Meta::default() }.key()
+        Meta {
+            object: self.head.object.clone(),
+            part: self.head.part,
+            ..Meta::default()
+        }
+        .key()
     }
 
     async fn run(self, responder: Responder) -> Unanswered {
         let shared = self.shared.clone();
-        let Some(class) = shared.settings.classes.iter().find(|c| c.name == self.head.class).cloned()
+        let Some(class) = shared
+            .settings
+            .classes
+            .iter()
+            .find(|c| c.name == self.head.class)
+            .cloned()
         else {
             let why = format!("no class {:?} here", self.head.class);
-            return Some((responder, failed(WireStatus::Error, WireNote::Untold, false, &why)));
+            return Some((
+                responder,
+                failed(WireStatus::Error, WireNote::Untold, false, &why),
+            ));
         };
         let key = self.key();
         for _ in 0..ROUNDS {
             let found = self.find(&key, class.uncacheable).await;
             let fresh = (class.fresh_us > 0).then_some(class.fresh_us);
-            let fresh = found.as_ref().map_or(fresh, |f| fresh_of(&f.meta).or(fresh));
+            let fresh = found
+                .as_ref()
+                .map_or(fresh, |f| fresh_of(&f.meta).or(fresh));
             // A cache host fills from named sources only: asked without one, it is to give what it holds.
             let tier = shared.settings.role != Role::Cache;
             let own = (tier && shared.settings.origin.is_some()).then_some(OWN);
@@ -107,7 +155,9 @@
             if shared.store.is_none() {
                 asked.keep = 0;
             }
-            let held = found.as_ref().map(|f| Held { age: shared.age(&f.meta) });
+            let held = found.as_ref().map(|f| Held {
+                age: shared.age(&f.meta),
+            });
             let (verdict, turn) = shared.ask(&asked, self.head.group, held);
             match verdict {
                 Verdict::Serve { old, renew } => {
@@ -130,16 +180,25 @@
                 }
                 Verdict::Full => {
                     let why = "every fill has its place taken, and so has the line";
-                    return Some((responder, failed(WireStatus::Full, WireNote::NoFillPlace, false, why)));
+                    return Some((
+                        responder,
+                        failed(WireStatus::Full, WireNote::NoFillPlace, false, why),
+                    ));
                 }
                 Verdict::Join(fill) => {
-                    let flow = shared.lock().flows.get(&fill).map(|(.., flow)| flow.clone());
+                    let flow = shared
+                        .lock()
+                        .flows
+                        .get(&fill)
+                        .map(|(.., flow)| flow.clone());
                     let Some(flow) = flow else { continue };
                     shared.hit(false);
                     match flow.reader() {
                         Some(reader) => {
                             shared.count(|c| c.joined += 1);
-                            return self.serve_fill(responder, reader, Some(WireNote::Joined)).await;
+                            return self
+                                .serve_fill(responder, reader, Some(WireNote::Joined))
+                                .await;
                         }
                         // Its beginning has gone by: the copy is there when it has ended.
                         None => tokio::select! {
@@ -149,7 +208,9 @@
                     }
                 }
                 Verdict::Fill(fill) => {
-                    return self.fill(responder, fill, &asked, found, class.uncacheable).await
+                    return self
+                        .fill(responder, fill, &asked, found, class.uncacheable)
+                        .await
                 }
                 Verdict::Wait(waiter) => {
                     let Some(mut turn) = turn else { continue };
@@ -169,7 +230,9 @@
                     }
                     match fill {
                         Some(fill) => {
-                            return self.fill(responder, fill, &asked, found, class.uncacheable).await
+                            return self
+                                .fill(responder, fill, &asked, found, class.uncacheable)
+                                .await
                         }
                         None if responder.is_gone() || !late => return None,
                         None => {
@@ -182,13 +245,20 @@
             }
         }
         let why = "the copy was gone again each time";
-        Some((responder, failed(WireStatus::Error, WireNote::SourceUnreachable, true, why)))
+        Some((
+            responder,
+            failed(WireStatus::Error, WireNote::SourceUnreachable, true, why),
+        ))
     }
 
     /// Time that the asker still waits.
     fn left(&self) -> Micros {
         let most = self.shared.settings.fill_us;
-        let told = if self.head.left_us == 0 { most } else { self.head.left_us.min(most) };
+        let told = if self.head.left_us == 0 {
+            most
+        } else {
+            self.head.left_us.min(most)
+        };
         told.saturating_sub(self.came.elapsed().as_micros() as Micros)
     }
 
@@ -197,7 +267,9 @@
         if uncacheable || shared.store.is_none() {
             return None;
         }
-        let found = tokio::task::spawn_blocking(move || shared.held(&key)).await.ok()??;
+        let found = tokio::task::spawn_blocking(move || shared.held(&key))
+            .await
+            .ok()??;
         // Another object under the same number has never been seen, and would be served to nobody.
         (found.meta.object == self.head.object).then_some(found)
     }
@@ -206,7 +278,12 @@
         self.came.elapsed().as_micros() as u64
     }
 
-    async fn serve_held(&self, mut responder: Responder, found: Found, note: WireNote) -> Unanswered {
+    async fn serve_held(
+        &self,
+        mut responder: Responder,
+        found: Found,
+        note: WireNote,
+    ) -> Unanswered {
         let age_us = self.shared.age(&found.meta);
         let head = AnswerHead {
             note: note as i32,
@@ -219,8 +296,17 @@
         };
         let (head, cut) = cut(head, &self.head);
         let load = self.shared.load();
-        let head = AnswerHead { elapsed_us: self.elapsed(), load: Some(load), ..head };
-        let block = self.shared.settings.store.as_ref().map_or(1, |s| u64::from(s.block));
+        let head = AnswerHead {
+            elapsed_us: self.elapsed(),
+            load: Some(load),
+            ..head
+        };
+        let block = self
+            .shared
+            .settings
+            .store
+            .as_ref()
+            .map_or(1, |s| u64::from(s.block));
         let found = Arc::new(found);
         let (mut at, end) = (cut.from, cut.from + cut.len);
         // The first block before the head: a copy that cannot be read is no answer, and another one may be had.
@@ -234,14 +320,19 @@
                     None => {
                         let found = found.clone();
                         let read = tokio::task::spawn_blocking(move || found.read(n)).await;
-                        read.map_err(|e| e.to_string()).and_then(|r| r.map_err(|e| e.to_string()))
+                        read.map_err(|e| e.to_string())
+                            .and_then(|r| r.map_err(|e| e.to_string()))
                     }
                 };
                 let bytes = match read {
                     Ok(bytes) => bytes,
                     Err(why) => {
                         tracing::error!(object = %self.head.object, why, "a copy is not what it should be");
-                        let status = if begun.is_some() { WireStatus::Miss } else { WireStatus::Error };
+                        let status = if begun.is_some() {
+                            WireStatus::Miss
+                        } else {
+                            WireStatus::Error
+                        };
                         return Some((responder, failed(status, WireNote::Untold, false, &why)));
                     }
                 };
@@ -249,7 +340,10 @@
                 let to = ((end - n as u64 * block).min(block) as usize).min(bytes.len());
                 if to <= from {
                     let why = "a copy is shorter than it says";
-                    return Some((responder, failed(WireStatus::Error, WireNote::Untold, false, why)));
+                    return Some((
+                        responder,
+                        failed(WireStatus::Error, WireNote::Untold, false, why),
+                    ));
                 }
                 piece = bytes.slice(from..to);
                 at += piece.len() as u64;
@@ -278,11 +372,16 @@
         uncacheable: bool,
     ) -> Unanswered {
         self.shared.hit(false);
-        let validator = found.map(|f| f.meta.validator.clone()).filter(|v| !v.is_empty());
+        let validator = found
+            .map(|f| f.meta.validator.clone())
+            .filter(|v| !v.is_empty());
         let conditional = validator.is_some();
         let Some(reader) = self.spawn_fill(fill, asked, validator, uncacheable, false) else {
             let why = "the fill was over before it was read";
-            return Some((responder, failed(WireStatus::Error, WireNote::Untold, true, why)));
+            return Some((
+                responder,
+                failed(WireStatus::Error, WireNote::Untold, true, why),
+            ));
         };
         if conditional {
             // Confirmed: what is held is the answer.
@@ -308,15 +407,28 @@
         uncacheable: bool,
         renewing: bool,
     ) -> Option<FlowReader> {
-        let flow = self.shared.lock().flows.get(&fill).map(|(.., flow)| flow.clone())?;
+        let flow = self
+            .shared
+            .lock()
+            .flows
+            .get(&fill)
+            .map(|(.., flow)| flow.clone())?;
         let reader = flow.reader();
-        let place = Place { shared: self.shared.clone(), fill, flow };
+        let place = Place {
+            shared: self.shared.clone(),
+            fill,
+            flow,
+        };
         let shape = &self.head;
         let fetch = FetchHead {
             source: String::new(),
             keep: asked.keep,
             // Behind an old copy the newest is wanted: the source's may be as old.
-            age_us: if renewing { 1 } else { asked.limit.unwrap_or(0) },
+            age_us: if renewing {
+                1
+            } else {
+                asked.limit.unwrap_or(0)
+            },
             join: asked.join && !renewing,
             held_only: asked.held_only,
             renew: false,
@@ -366,7 +478,10 @@
             Err(FlowEnd::Failed(error)) => return Some((responder, *error)),
             Err(FlowEnd::Complete) => {
                 let why = "an answer without a head";
-                return Some((responder, failed(WireStatus::Error, WireNote::Untold, true, why)));
+                return Some((
+                    responder,
+                    failed(WireStatus::Error, WireNote::Untold, true, why),
+                ));
             }
         };
         let mut head = AnswerHead::clone(&head);
@@ -376,7 +491,11 @@
         let (head, cut) = cut(head, &self.head);
         let bodyless = head.not_modified || head.unsatisfiable || self.head.head_only;
         let load = Some(self.shared.load());
-        let head = AnswerHead { elapsed_us: self.elapsed(), load, ..head };
+        let head = AnswerHead {
+            elapsed_us: self.elapsed(),
+            load,
+            ..head
+        };
         let (mut at, end) = (0_u64, cut.from.saturating_add(cut.len));
         if responder.head(head).await.is_err() {
             return None;
@@ -402,7 +521,10 @@
                 FlowPart::End(FlowEnd::Failed(error)) => return Some((responder, *error)),
                 FlowPart::Lost => {
                     let why = "too slow for those who read the same fill";
-                    return Some((responder, failed(WireStatus::Error, WireNote::Untold, false, why)));
+                    return Some((
+                        responder,
+                        failed(WireStatus::Error, WireNote::Untold, false, why),
+                    ));
                 }
             }
         }
@@ -422,7 +544,11 @@
 /// The head with the range and the validator that were asked for applied (RFC 9110, sections 13 and 14).
 fn cut(mut head: AnswerHead, asked: &RequestHead) -> (AnswerHead, Cut) {
     let whole = head.size;
-    let mut cut = Cut { from: 0, len: whole.unwrap_or(u64::MAX), known: whole.is_some() };
+    let mut cut = Cut {
+        from: 0,
+        len: whole.unwrap_or(u64::MAX),
+        known: whole.is_some(),
+    };
     let same = !head.validator.is_empty() && names_validator(&asked.if_none_match, &head.validator);
     if same && head.code == 0 {
         head.not_modified = true;
@@ -431,12 +557,14 @@
     let strong = !head.validator.starts_with("W/");
     let wanted = !asked.range.is_empty()
         && (asked.if_range.is_empty() || (strong && asked.if_range == head.validator));
-    let range = Range::parse(&asked.range).filter(|_| wanted && head.code == 0 && !head.not_modified);
+    let range =
+        Range::parse(&asked.range).filter(|_| wanted && head.code == 0 && !head.not_modified);
     match (range, whole) {
         (Some(range), Some(whole)) => match range.apply(whole) {
             Applied::Part(first, last) => {
                 (cut.from, cut.len) = (first, last + 1 - first);
-                (head.size, head.range_first, head.whole_size) = (Some(cut.len), Some(first), Some(whole));
+                (head.size, head.range_first, head.whole_size) =
+                    (Some(cut.len), Some(first), Some(whole));
             }
             Applied::Unsatisfiable => {
                 cut.len = 0;
@@ -471,8 +599,15 @@
         place.shared.count(|c| c.fills += 1);
         let asked_ms = place.shared.clock.steady_ms();
         // Begun before it is asked for: a purge in between strikes what the source may have taken before it.
-        let begun = place.shared.store.as_ref().map(|store| store.begin(Meta::default()));
-        let asking = place.shared.sources.ask(&self.source, self.request.clone(), self.uncacheable);
+        let begun = place
+            .shared
+            .store
+            .as_ref()
+            .map(|store| store.begin(Meta::default()));
+        let asking = place
+            .shared
+            .sources
+            .ask(&self.source, self.request.clone(), self.uncacheable);
         let began = match tokio::time::timeout(longest, asking).await {
             Ok(Ok(began)) => began,
             Ok(Err(why)) => return place.flow.end(FlowEnd::Failed(Box::new(self.error(why)))),
@@ -481,10 +616,14 @@
                 return place.flow.end(FlowEnd::Failed(Box::new(self.error(why))));
             }
         };
-        let end = match tokio::time::timeout(longest, self.pass_on(&place, began, begun, asked_ms)).await {
+        let end = match tokio::time::timeout(longest, self.pass_on(&place, began, begun, asked_ms))
+            .await
+        {
             Ok(Ok(())) => FlowEnd::Complete,
             Ok(Err(why)) => FlowEnd::Failed(Box::new(self.error(why))),
-            Err(_) => FlowEnd::Failed(Box::new(self.error(Failed::Broke("not complete in time".into())))),
+            Err(_) => FlowEnd::Failed(Box::new(
+                self.error(Failed::Broke("not complete in time".into())),
+            )),
         };
         place.flow.end(end);
     }
@@ -494,11 +633,19 @@
         let origin = self.source == OWN;
         match why {
             Failed::Unreachable(why) => {
-                let note = if origin { WireNote::OriginFailed } else { WireNote::SourceUnreachable };
+                let note = if origin {
+                    WireNote::OriginFailed
+                } else {
+                    WireNote::SourceUnreachable
+                };
                 failed(WireStatus::Error, note, false, &why)
             }
             Failed::Broke(why) => {
-                let note = if origin { WireNote::OriginFailed } else { WireNote::SourceUnreachable };
+                let note = if origin {
+                    WireNote::OriginFailed
+                } else {
+                    WireNote::SourceUnreachable
+                };
                 failed(WireStatus::Error, note, true, &why)
             }
             Failed::Told(e) => {
@@ -521,12 +668,20 @@
         asked_ms: u64,
     ) -> Result<(), Failed> {
         let shared = &place.shared;
-        let Began { head, no_store, mut answer } = began;
+        let Began {
+            head,
+            no_store,
+            mut answer,
+        } = began;
         // No younger than the question (RFC 9111, 4.2.3): its source may have taken it long before its head came.
-        let now_ms = shared.store.as_ref().map_or(asked_ms, |s| s.now_ms(asked_ms));
+        let now_ms = shared
+            .store
+            .as_ref()
+            .map_or(asked_ms, |s| s.now_ms(asked_ms));
         let born_ms = now_ms.saturating_sub(head.age_us.div_ceil(1_000));
-        let fresh_until_ms =
-            head.fresh_left_us.map_or(0, |left| (born_ms + (head.age_us + left) / 1_000).max(born_ms + 1));
+        let fresh_until_ms = head.fresh_left_us.map_or(0, |left| {
+            (born_ms + (head.age_us + left) / 1_000).max(born_ms + 1)
+        });
         let note = match head.note() {
             WireNote::FilledByOrigin => WireNote::FilledByOrigin,
             _ => WireNote::Filled,
@@ -547,7 +702,10 @@
         if head.not_modified {
             let renewed = shared.store.is_some() && self.renew(shared, meta).await;
             shared.count(|c| c.renewed += u64::from(renewed));
-            place.flow.head(AnswerHead { note: note as i32, ..head });
+            place.flow.head(AnswerHead {
+                note: note as i32,
+                ..head
+            });
             while answer.next().await?.is_some() {}
             return Ok(());
         }
@@ -555,14 +713,19 @@
         if let Some(fill) = &mut fill {
             fill.describe(meta);
         }
-        place.flow.head(AnswerHead { note: note as i32, range_first: None, ..head });
+        place.flow.head(AnswerHead {
+            note: note as i32,
+            range_first: None,
+            ..head
+        });
         let slow = Duration::from_micros(shared.settings.slow_us);
         while let Some(data) = answer.next().await? {
             shared.count(|c| c.bytes_in += data.len() as u64);
             if let Some(mut filling) = fill.take() {
                 let bytes = data.clone();
                 let written =
-                    tokio::task::spawn_blocking(move || filling.write(&bytes).map(|()| filling)).await;
+                    tokio::task::spawn_blocking(move || filling.write(&bytes).map(|()| filling))
+                        .await;
                 // No room, or a disk that fails: it passes through.
                 match written {
                     Ok(Ok(filling)) => fill = Some(filling),
@@ -577,7 +740,8 @@
         }
         if let Some(filling) = fill {
             let clock = shared.clock;
-            let committed = tokio::task::spawn_blocking(move || filling.commit(clock.steady_ms())).await;
+            let committed =
+                tokio::task::spawn_blocking(move || filling.commit(clock.steady_ms())).await;
             if let Ok(Err(e)) = committed {
                 tracing::debug!(object = %self.request.object, error = %e, "not kept");
             }
@@ -600,7 +764,11 @@
                 rank: meta.rank.max(found.meta.rank),
                 ..meta
             };
-            shared.store.as_ref()?.renew(&found, meta, shared.clock.steady_ms()).ok()
+            shared
+                .store
+                .as_ref()?
+                .renew(&found, meta, shared.clock.steady_ms())
+                .ok()
         });
         renewed.await.ok().flatten().unwrap_or(false)
     }
--- a/crates/host/src/net/flow.rs
+++ b/crates/host/src/net/flow.rs
@@ -56,7 +56,9 @@
 
 impl Flow {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.state
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// None: its beginning has gone by.
@@ -68,7 +70,10 @@
         state.next_reader += 1;
         let id = state.next_reader;
         state.readers.insert(id, 0);
-        Some(FlowReader { flow: self.clone(), id })
+        Some(FlowReader {
+            flow: self.clone(),
+            id,
+        })
     }
 
     pub fn has_readers(&self) -> bool {
@@ -134,7 +139,9 @@
     fn trim(&mut self) {
         let slowest = self.readers.values().min().copied().unwrap_or(u64::MAX);
         while self.base < slowest {
-            let Some(piece) = self.pieces.pop_front() else { break };
+            let Some(piece) = self.pieces.pop_front() else {
+                break;
+            };
             self.held -= piece.len();
             self.base += 1;
         }
@@ -169,7 +176,9 @@
             let taken = {
                 let mut state = self.flow.lock();
                 let base = state.base;
-                let Some(at) = state.readers.get(&self.id).copied() else { return FlowPart::Lost };
+                let Some(at) = state.readers.get(&self.id).copied() else {
+                    return FlowPart::Lost;
+                };
                 match state.pieces.get((at - base) as usize).cloned() {
                     Some(piece) => {
                         state.readers.insert(self.id, at + 1);
@@ -219,7 +228,11 @@
         for _ in 0..4 {
             flow.data(piece.clone(), Duration::from_secs(5)).await;
         }
-        assert_eq!(began.elapsed(), Duration::from_secs(5), "one wait, then it is let go");
+        assert_eq!(
+            began.elapsed(),
+            Duration::from_secs(5),
+            "one wait, then it is let go"
+        );
         assert!(flow.reader().is_none(), "its beginning has gone by");
         flow.end(FlowEnd::Complete);
         assert_eq!(reading.await.unwrap(), 4);
