--- a/crates/host/src/net/mod.rs
+++ b/crates/host/src/net/mod.rs
@@ -109,7 +109,11 @@
         block: place.block,
         memory: place.memory,
     };
-    Store::open(Arc::new(Folder::lock(&place.path)?), options, clock.steady_ms())
+    Store::open(
+        Arc::new(Folder::lock(&place.path)?),
+        options,
+        clock.steady_ms(),
+    )
 }
 
 impl Host {
@@ -123,7 +127,10 @@
             store = Some(opened.map_err(|e| HostError::Store(path, e))?);
         }
         let failed = |at: SocketAddr| move |e| HostError::Listen(at, e);
-        let framed = net.listen_again(settings.framed).await.map_err(failed(settings.framed))?;
+        let framed = net
+            .listen_again(settings.framed)
+            .await
+            .map_err(failed(settings.framed))?;
         let control = match settings.control {
             Some(at) => Some(net.listen_again(at).await.map_err(failed(at))?),
             None => None,
@@ -140,12 +147,28 @@
             _ => true,
         };
         let process = std::hash::RandomState::new().build_hasher().finish().max(1);
-        let hello = HelloHead { process, started_ago_us: (!warm).then_some(0), ..HelloHead::default() };
-        let dearest = settings.classes.iter().map(|c| c.mean_us as f64 / 1e6).fold(0.0, f64::max);
-        let cold = (!warm && settings.role == Role::Cache && settings.cold.warm_within > 0)
-            .then(|| (Ledger::new(settings.cold, settings.weight, EPOCH, dearest), HashMap::new()));
+        let hello = HelloHead {
+            process,
+            started_ago_us: (!warm).then_some(0),
+            ..HelloHead::default()
+        };
+        let dearest = settings
+            .classes
+            .iter()
+            .map(|c| c.mean_us as f64 / 1e6)
+            .fold(0.0, f64::max);
+        let cold =
+            (!warm && settings.role == Role::Cache && settings.cold.warm_within > 0).then(|| {
+                (
+                    Ledger::new(settings.cold, settings.weight, EPOCH, dearest),
+                    HashMap::new(),
+                )
+            });
         let locked = Locked {
-            desk: Desk::new(Rule { places: settings.places, queue: settings.queue }),
+            desk: Desk::new(Rule {
+                places: settings.places,
+                queue: settings.queue,
+            }),
             flows: HashMap::new(),
             turns: HashMap::new(),
             ledger: cold,
@@ -172,9 +195,18 @@
         }
         helpers.spawn(keep_store(shared.clone()));
         helpers.spawn(lease_out(shared.clone()));
-        let bound = HostBound { framed: at, control: control_at };
+        let bound = HostBound {
+            framed: at,
+            control: control_at,
+        };
         tracing::info!(name = %shared.settings.name, ?bound, warm, "cache host listens");
-        Ok(Self { shared, bound, stop, doors, helpers })
+        Ok(Self {
+            shared,
+            bound,
+            stop,
+            doors,
+            helpers,
+        })
     }
 
     pub fn bound(&self) -> HostBound {
@@ -215,7 +247,9 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.locked.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.locked
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub fn now(&self) -> Micros {
@@ -236,7 +270,11 @@
     pub fn load(&self) -> LoadReport {
         let locked = self.lock();
         let util = locked.desk.filling() as f64 / self.settings.places as f64;
-        LoadReport { util, hits: locked.hits, link: 0.0 }
+        LoadReport {
+            util,
+            hits: locked.hits,
+            link: 0.0,
+        }
     }
 
     /// The desk's word. What it begins has its flow, and who waits can be told, before anybody else asks.
@@ -250,8 +288,13 @@
         let verdict = locked.desk.ask(asked.clone(), held);
         let mut turn = None;
         match verdict {
-            Verdict::Fill(fill) | Verdict::Serve { renew: Some(fill), .. } => {
-                locked.flows.insert(fill, (asked.key, group, Arc::default()));
+            Verdict::Fill(fill)
+            | Verdict::Serve {
+                renew: Some(fill), ..
+            } => {
+                locked
+                    .flows
+                    .insert(fill, (asked.key, group, Arc::default()));
             }
             Verdict::Wait(waiter) => {
                 let (sender, receiver) = oneshot::channel();
@@ -287,17 +330,27 @@
             Some(object) => What::Object(object.clone()),
             None => What::Group(head.group),
         };
-        let object = head.object.as_deref().map(pointspindle_store::record::object_number);
+        let object = head
+            .object
+            .as_deref()
+            .map(pointspindle_store::record::object_number);
         {
             let mut locked = self.lock();
-            let struck = |key: &Key, group: u64| object.map_or(group == head.group, |o| key.object == o);
-            let keys: Vec<Key> =
-                locked.flows.values().filter(|(k, g, _)| struck(k, *g)).map(|(k, ..)| *k).collect();
+            let struck =
+                |key: &Key, group: u64| object.map_or(group == head.group, |o| key.object == o);
+            let keys: Vec<Key> = locked
+                .flows
+                .values()
+                .filter(|(k, g, _)| struck(k, *g))
+                .map(|(k, ..)| *k)
+                .collect();
             for key in keys {
                 locked.desk.shut(&key);
             }
         }
-        let Some(store) = self.store.clone() else { return Ok(0) };
+        let Some(store) = self.store.clone() else {
+            return Ok(0);
+        };
         let done = tokio::task::spawn_blocking(move || store.purge(&what)).await;
         done.map_err(|e| e.to_string())?.map_err(|e| e.to_string())
     }
@@ -308,7 +361,10 @@
 
     /// How old a copy is.
     pub fn age(&self, meta: &Meta) -> Micros {
-        let now = self.store.as_ref().map_or(0, |s| s.now_ms(self.clock.steady_ms()));
+        let now = self
+            .store
+            .as_ref()
+            .map_or(0, |s| s.now_ms(self.clock.steady_ms()));
         now.saturating_sub(meta.born_ms) * 1_000
     }
 }
@@ -385,17 +441,33 @@
 
 fn lease(grant: &Grant) -> LeaseHead {
     let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.by_asking);
-    LeaseHead { work_us, for_us: grant.lasts, by_asking, answers: false }
+    LeaseHead {
+        work_us,
+        for_us: grant.lasts,
+        by_asking,
+        answers: false,
+    }
 }
 
 async fn serve(shared: Arc<Shared>, line: Line, mut stop: watch::Receiver<bool>, operators: bool) {
-    let options = LinkOptions { max_streams: shared.settings.max_streams };
+    let options = LinkOptions {
+        max_streams: shared.settings.max_streams,
+    };
     let (link, mut incoming) = Link::start(line, Side::Answerer, options);
     if !operators {
-        let ago = shared.hello.started_ago_us.map(|_| shared.born.elapsed().as_micros() as u64);
-        link.say(Frame::Hello(HelloHead { started_ago_us: ago, ..shared.hello }));
+        let ago = shared
+            .hello
+            .started_ago_us
+            .map(|_| shared.born.elapsed().as_micros() as u64);
+        link.say(Frame::Hello(HelloHead {
+            started_ago_us: ago,
+            ..shared.hello
+        }));
     }
-    let mut using = Using { shared: shared.clone(), user: None };
+    let mut using = Using {
+        shared: shared.clone(),
+        user: None,
+    };
     let mut requests = JoinSet::new();
     let mut stopping = false;
     loop {
@@ -424,7 +496,11 @@
             None => break,
             Some(Inbound::Request(head, responder)) if !operators => {
                 if let (Some(user), Some((ledger, _))) = (using.user, &mut shared.lock().ledger) {
-                    let class = shared.settings.classes.iter().find(|c| c.name == head.class);
+                    let class = shared
+                        .settings
+                        .classes
+                        .iter()
+                        .find(|c| c.name == head.class);
                     ledger.took(Some(user), class.map_or(0.0, |c| c.mean_us as f64 / 1e6));
                 }
                 requests.spawn(answer::run(shared.clone(), head, responder));
@@ -432,18 +508,35 @@
             Some(Inbound::Request(_, responder)) => {
                 let detail = "this door takes purges, not requests".to_owned();
                 let status = WireStatus::Refused as i32;
-                let _ = responder.error(ErrorHead { status, detail, ..Default::default() }).await;
+                let _ = responder
+                    .error(ErrorHead {
+                        status,
+                        detail,
+                        ..Default::default()
+                    })
+                    .await;
             }
             Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => {
-                link.say(Frame::Probe(ProbeHead { echo: true, load: Some(shared.load()), ..probe }));
+                link.say(Frame::Probe(ProbeHead {
+                    echo: true,
+                    load: Some(shared.load()),
+                    ..probe
+                }));
             }
             Some(Inbound::Control(Frame::Purge(head))) if operators => {
                 tracing::info!(object = ?head.object, group = head.group, "purge");
                 let done = shared.purge(&head).await;
                 let trouble = done.err().unwrap_or_default();
-                let _ = link.control(Frame::Ack(AckHead { seq: head.seq, trouble })).await;
+                let _ = link
+                    .control(Frame::Ack(AckHead {
+                        seq: head.seq,
+                        trouble,
+                    }))
+                    .await;
             }
-            Some(Inbound::Control(Frame::Hello(hello))) if hello.dispatcher && using.user.is_none() => {
+            Some(Inbound::Control(Frame::Hello(hello)))
+                if hello.dispatcher && using.user.is_none() =>
+            {
                 let granted = {
                     let mut locked = shared.lock();
                     locked.next_user += 1;
@@ -464,9 +557,16 @@
                     (Some((ledger, _)), Some(user)) => {
                         lease(&ledger.ask(now, user, want.work_us as f64 / 1e6))
                     }
-                    _ => LeaseHead { work_us: want.work_us, for_us: 1_000_000, ..Default::default() },
+                    _ => LeaseHead {
+                        work_us: want.work_us,
+                        for_us: 1_000_000,
+                        ..Default::default()
+                    },
                 };
-                link.say(Frame::Lease(LeaseHead { answers: true, ..given }));
+                link.say(Frame::Lease(LeaseHead {
+                    answers: true,
+                    ..given
+                }));
             }
             Some(Inbound::Control(_)) => {}
         }
@@ -478,7 +578,9 @@
 
 /// Reads what was left on disk, then syncs and cleans in small parts.
 async fn keep_store(shared: Arc<Shared>) {
-    let (Some(store), Some(place)) = (shared.store.clone(), shared.settings.store.clone()) else { return };
+    let (Some(store), Some(place)) = (shared.store.clone(), shared.settings.store.clone()) else {
+        return;
+    };
     loop {
         let (reading, clock) = (store.clone(), shared.clock);
         match tokio::task::spawn_blocking(move || reading.recover(clock.steady_ms())).await {
@@ -515,7 +617,9 @@
         let grants: Vec<(Link, LeaseHead)> = {
             let mut locked = shared.lock();
             let now = shared.now();
-            let Some((ledger, links)) = &mut locked.ledger else { return };
+            let Some((ledger, links)) = &mut locked.ledger else {
+                return;
+            };
             if ledger.is_over(now) {
                 locked.ledger = None;
                 return;
--- a/crates/host/src/net/sources.rs
+++ b/crates/host/src/net/sources.rs
@@ -78,10 +78,20 @@
     pub fn new(settings: &CacheSettings, net: Net, clock: WallClock) -> Self {
         let origin = settings.origin.clone().map(|place| {
             let places = Arc::new(Semaphore::new(place.connections));
-            Arc::new(HttpOrigin { place, idle: Mutex::new(Vec::new()), places, clock })
+            Arc::new(HttpOrigin {
+                place,
+                idle: Mutex::new(Vec::new()),
+                places,
+                clock,
+            })
         });
         let connect = Duration::from_micros(settings.connect_us);
-        Self { net, connect, links: Default::default(), origin }
+        Self {
+            net,
+            connect,
+            links: Default::default(),
+            origin,
+        }
     }
 
     /// Asks a source and waits for its head. `request` as it goes out; `uncacheable`: it runs there.
@@ -105,7 +115,9 @@
             return Ok(link.clone());
         }
         let unreachable = |why: String| Failed::Unreachable(format!("{address}: {why}"));
-        let at: SocketAddr = address.parse().map_err(|_| unreachable("not an address and port".into()))?;
+        let at: SocketAddr = address
+            .parse()
+            .map_err(|_| unreachable("not an address and port".into()))?;
         let line = tokio::time::timeout(self.connect, self.net.connect(None, at)).await;
         let line = line.map_err(|_| unreachable("no connection in time".into()))?;
         let line = line.map_err(|e| unreachable(e.to_string()))?;
@@ -120,12 +132,20 @@
 
     async fn framed(&self, source: &str, request: RequestHead) -> Result<Began, Failed> {
         let link = self.link(source).await?;
-        let mut call = link.call(request).map_err(|e| Failed::Unreachable(e.to_string()))?;
+        let mut call = link
+            .call(request)
+            .map_err(|e| Failed::Unreachable(e.to_string()))?;
         match call.next().await {
-            Some(Part::Head(head)) => Ok(Began { head, no_store: false, answer: Answer::Framed(call) }),
+            Some(Part::Head(head)) => Ok(Began {
+                head,
+                no_store: false,
+                answer: Answer::Framed(call),
+            }),
             Some(Part::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
             Some(Part::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
-            Some(Part::End(CallEnd::NotSent)) => Err(Failed::Unreachable("nothing of it was sent".into())),
+            Some(Part::End(CallEnd::NotSent)) => {
+                Err(Failed::Unreachable("nothing of it was sent".into()))
+            }
             _ => Err(Failed::Broke("no head".into())),
         }
     }
@@ -155,14 +175,27 @@
                 continue;
             }
             return match connection.read.next().await {
-                Some(Ok(HttpPiece::Head { status, fields, keep_alive })) => {
+                Some(Ok(HttpPiece::Head {
+                    status,
+                    fields,
+                    keep_alive,
+                })) => {
                     let took = asked.elapsed().as_micros() as Micros;
                     let now_s = origin.clock.steady().as_secs();
                     let (head, no_store) = head(status, &fields, took, now_s);
                     let home = origin.clone();
                     let connection = Some(connection);
-                    let answer = HttpAnswering { connection, keep: keep_alive, home, _place: place };
-                    Ok(Began { head, no_store, answer: Answer::Http(Box::new(answer)) })
+                    let answer = HttpAnswering {
+                        connection,
+                        keep: keep_alive,
+                        home,
+                        _place: place,
+                    };
+                    Ok(Began {
+                        head,
+                        no_store,
+                        answer: Answer::Http(Box::new(answer)),
+                    })
                 }
                 None if reused => continue,
                 Some(Err(e)) if !(reused && e.status() == 0) => Err(Failed::Broke(e.to_string())),
@@ -177,8 +210,13 @@
         let at = origin.place.address;
         let line = tokio::time::timeout(self.connect, self.net.connect(None, at)).await;
         let line = line.map_err(|_| Failed::Unreachable(format!("{at}: no connection in time")))?;
-        let (read, write) = line.map_err(|e| Failed::Unreachable(format!("{at}: {e}")))?.split();
-        Ok(Connection { read: Reader::new(read, ResponseCodec::new(false)), write })
+        let (read, write) = line
+            .map_err(|e| Failed::Unreachable(format!("{at}: {e}")))?
+            .split();
+        Ok(Connection {
+            read: Reader::new(read, ResponseCodec::new(false)),
+            write,
+        })
     }
 }
 
@@ -196,7 +234,10 @@
         (part, true) => format!("&part={part}"),
         (part, false) => format!("?part={part}"),
     };
-    let mut out = format!("{method} {}{query} HTTP/1.1\r\nhost: {}\r\n", request.object, place.host);
+    let mut out = format!(
+        "{method} {}{query} HTTP/1.1\r\nhost: {}\r\n",
+        request.object, place.host
+    );
     let key = if runs { request.key.as_str() } else { "" };
     let fields = [
         ("x-request-id", request.trace.as_str()),
@@ -204,7 +245,9 @@
         ("if-none-match", request.if_none_match.as_str()),
         ("content-length", if runs { "0" } else { "" }),
     ];
-    for (name, value) in fields.into_iter().filter(|(_, v)| !v.is_empty() && !v.contains(char::is_control))
+    for (name, value) in fields
+        .into_iter()
+        .filter(|(_, v)| !v.is_empty() && !v.contains(char::is_control))
     {
         out += &format!("{name}: {value}\r\n");
     }
@@ -212,7 +255,12 @@
 }
 
 fn head(status: u16, fields: &[(String, String)], took: Micros, now_s: u64) -> (AnswerHead, bool) {
-    let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.clone());
+    let find = |name: &str| {
+        fields
+            .iter()
+            .find(|(n, _)| n == name)
+            .map(|(_, v)| v.clone())
+    };
     let fresh = fresh::freshness(fields, took, now_s);
     let kept = matches!(status, 200 | 304);
     let head = AnswerHead {
@@ -241,12 +289,18 @@
                 _ => Err(Failed::Broke("a second head".into())),
             },
             Self::Http(answering) => {
-                let Some(connection) = &mut answering.connection else { return Ok(None) };
+                let Some(connection) = &mut answering.connection else {
+                    return Ok(None);
+                };
                 match connection.read.next().await {
                     Some(Ok(HttpPiece::Data(data))) => Ok(Some(data)),
                     Some(Ok(HttpPiece::End)) => {
                         let connection = answering.connection.take().filter(|_| answering.keep);
-                        let mut idle = answering.home.idle.lock().unwrap_or_else(|p| p.into_inner());
+                        let mut idle = answering
+                            .home
+                            .idle
+                            .lock()
+                            .unwrap_or_else(|p| p.into_inner());
                         idle.extend(connection);
                         Ok(None)
                     }
--- a/crates/host/tests/service.rs
+++ b/crates/host/tests/service.rs
@@ -61,7 +61,11 @@
         let head = String::from_utf8(read.split_to(end).to_vec()).unwrap();
         let line = head.lines().next().unwrap().to_owned();
         let path = line.split(' ').nth(1).unwrap().to_owned();
-        let known = head.lines().find_map(|l| l.strip_prefix("if-none-match: ")).unwrap_or("").to_owned();
+        let known = head
+            .lines()
+            .find_map(|l| l.strip_prefix("if-none-match: "))
+            .unwrap_or("")
+            .to_owned();
         let (wait, version, cut) = {
             let mut seen = seen.lock().unwrap();
             *seen.asked.entry(line.clone()).or_default() += 1;
@@ -69,8 +73,13 @@
         };
         tokio::time::sleep(wait).await;
         let tag = format!("\"v{version}\"");
-        let fresh = if path.starts_with("/page/") { "max-age=1" } else { "max-age=600" };
-        let fields = format!("ETag: {tag}\r\nCache-Control: {fresh}\r\nContent-Type: text/plain\r\n");
+        let fresh = if path.starts_with("/page/") {
+            "max-age=1"
+        } else {
+            "max-age=600"
+        };
+        let fields =
+            format!("ETag: {tag}\r\nCache-Control: {fresh}\r\nContent-Type: text/plain\r\n");
         if known == tag {
             seen.lock().unwrap().confirmed += 1;
             let text = format!("HTTP/1.1 304 Not Modified\r\n{fields}\r\n");
@@ -80,10 +89,14 @@
             continue;
         }
         let body = body(&path, version);
-        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{fields}\r\n", body.len());
+        let text = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n{fields}\r\n",
+            body.len()
+        );
         let sent = &body[..cut.unwrap_or(body.len()).min(body.len())];
         seen.lock().unwrap().bytes += sent.len() as u64;
-        if socket.write_all(text.as_bytes()).await.is_err() || socket.write_all(sent).await.is_err() {
+        if socket.write_all(text.as_bytes()).await.is_err() || socket.write_all(sent).await.is_err()
+        {
             return;
         }
         if sent.len() < body.len() {
@@ -102,8 +115,11 @@
         "[cache]\nname = {role}\nrole = {role}\n[listen]\nframed = 127.0.0.1:0\ncontrol = 127.0.0.1:0\ndrain_ms = 2000\n\
          {store}{origin}{more}[class video]\n[class page]\nfresh_ms = 5000\n[class enrol]\nuncacheable = yes\n"
     );
-    let settings = pointspindle_config::parse_cache("test", &text).unwrap_or_else(|e| panic!("{e}"));
-    Host::start(settings, Net::Tcp).await.unwrap_or_else(|e| panic!("{e}"))
+    let settings =
+        pointspindle_config::parse_cache("test", &text).unwrap_or_else(|e| panic!("{e}"));
+    Host::start(settings, Net::Tcp)
+        .await
+        .unwrap_or_else(|e| panic!("{e}"))
 }
 
 async fn link(to: SocketAddr) -> Link {
@@ -118,16 +134,31 @@
 
 fn ask(object: &str, source: &str) -> RequestHead {
     let class = object.split('/').nth(1).unwrap().to_owned();
-    let fetch = FetchHead { source: source.into(), keep: 2, join: true, ..Default::default() };
+    let fetch = FetchHead {
+        source: source.into(),
+        keep: 2,
+        join: true,
+        ..Default::default()
+    };
     let left_us = 8_000_000;
-    RequestHead { object: object.into(), class, left_us, fetch: Some(fetch), ..Default::default() }
+    RequestHead {
+        object: object.into(),
+        class,
+        left_us,
+        fetch: Some(fetch),
+        ..Default::default()
+    }
 }
 
 async fn get(link: &Link, asked: RequestHead) -> Result<(AnswerHead, Bytes), ErrorHead> {
     let mut call = link.call(asked).unwrap();
     let (mut head, mut got) = (None, BytesMut::new());
     loop {
-        match tokio::time::timeout(Duration::from_secs(10), call.next()).await.expect("in time").unwrap() {
+        match tokio::time::timeout(Duration::from_secs(10), call.next())
+            .await
+            .expect("in time")
+            .unwrap()
+        {
             Part::Head(h) => head = Some(h),
             Part::Data(data) => got.extend_from_slice(&data),
             Part::End(CallEnd::Complete(_)) => return Ok((head.unwrap(), got.freeze())),
@@ -158,12 +189,27 @@
 
 impl Fleet {
     async fn start(more: &str) -> Self {
-        let seen = Arc::new(Mutex::new(Seen { version: 1, ..Seen::default() }));
+        let seen = Arc::new(Mutex::new(Seen {
+            version: 1,
+            ..Seen::default()
+        }));
         let origin = origin(seen.clone()).await;
         let folder = tempfile::tempdir().unwrap();
-        let parent = host("parent", Some(&folder.path().join("parent")), Some(origin), "").await;
+        let parent = host(
+            "parent",
+            Some(&folder.path().join("parent")),
+            Some(origin),
+            "",
+        )
+        .await;
         let edge = host("cache", Some(&folder.path().join("edge")), None, more).await;
-        Self { seen, parent, edge, origin, folder }
+        Self {
+            seen,
+            parent,
+            edge,
+            origin,
+            folder,
+        }
     }
 
     fn source(&self) -> String {
@@ -172,7 +218,13 @@
 
     fn asked(&self, line: &str) -> u64 {
         let line = format!("{line} HTTP/1.1");
-        self.seen.lock().unwrap().asked.get(&line).copied().unwrap_or(0)
+        self.seen
+            .lock()
+            .unwrap()
+            .asked
+            .get(&line)
+            .copied()
+            .unwrap_or(0)
     }
 }
 
@@ -188,7 +240,11 @@
     });
     for asked in asking.collect::<Vec<_>>() {
         let (head, got) = asked.await.unwrap();
-        assert!(got == body("/video/large", 1), "{head:?}: {} bytes", got.len());
+        assert!(
+            got == body("/video/large", 1),
+            "{head:?}: {} bytes",
+            got.len()
+        );
     }
     assert_eq!(fleet.asked("GET /video/large"), 1);
     let (head, got) = get(&edge, ask("/video/large", &source)).await.unwrap();
@@ -208,24 +264,51 @@
             if from >= size {
                 continue;
             }
-            let asked = RequestHead { range: range.clone(), ..ask(object, &source) };
+            let asked = RequestHead {
+                range: range.clone(),
+                ..ask(object, &source)
+            };
             let (head, got) = get(&edge, asked).await.unwrap();
-            assert_eq!((head.range_first, head.whole_size), (Some(from), Some(size)), "{object} {range}");
-            assert_eq!(got, whole.slice(from as usize..to as usize), "{object} {range}");
+            assert_eq!(
+                (head.range_first, head.whole_size),
+                (Some(from), Some(size)),
+                "{object} {range}"
+            );
+            assert_eq!(
+                got,
+                whole.slice(from as usize..to as usize),
+                "{object} {range}"
+            );
         }
-        let beyond = RequestHead { range: format!("bytes={size}-"), ..ask(object, &source) };
+        let beyond = RequestHead {
+            range: format!("bytes={size}-"),
+            ..ask(object, &source)
+        };
         let (head, got) = get(&edge, beyond).await.unwrap();
         assert!(head.unsatisfiable && got.is_empty());
-        let other =
-            RequestHead { range: "bytes=0-0".into(), if_range: "\"v9\"".into(), ..ask(object, &source) };
-        assert_eq!(get(&edge, other).await.unwrap().1, whole, "another validator: the whole");
+        let other = RequestHead {
+            range: "bytes=0-0".into(),
+            if_range: "\"v9\"".into(),
+            ..ask(object, &source)
+        };
+        assert_eq!(
+            get(&edge, other).await.unwrap().1,
+            whole,
+            "another validator: the whole"
+        );
     }
-    let known = RequestHead { if_none_match: "\"v1\"".into(), ..ask("/video/large", &source) };
+    let known = RequestHead {
+        if_none_match: "\"v1\"".into(),
+        ..ask("/video/large", &source)
+    };
     let (head, got) = get(&edge, known).await.unwrap();
     assert!(head.not_modified && got.is_empty());
     let empty = get(&edge, ask("/page/empty", &source)).await.unwrap();
     assert_eq!((empty.0.size, empty.1.len()), (Some(0), 0));
-    let head_only = RequestHead { head_only: true, ..ask("/video/large", &source) };
+    let head_only = RequestHead {
+        head_only: true,
+        ..ask("/video/large", &source)
+    };
     let (head, got) = get(&edge, head_only).await.unwrap();
     assert_eq!((head.size, got.len()), (Some(3_000_000), 0));
 }
@@ -246,7 +329,10 @@
         asked
     };
     let (head, got) = get(&edge, old(true)).await.unwrap();
-    assert!(head.note() == WireNote::Old && got == body("/page/a", 1), "{head:?}");
+    assert!(
+        head.note() == WireNote::Old && got == body("/page/a", 1),
+        "{head:?}"
+    );
     // Confirmed by the origin, through the parent whose copy was as old.
     let mut rounds = 0;
     while fleet.edge.counts().renewed == 0 {
@@ -256,7 +342,10 @@
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     let (head, got) = get(&edge, old(false)).await.unwrap();
-    assert!(got == body("/page/a", 1) && head.age_us < 3_000_000, "{head:?}");
+    assert!(
+        got == body("/page/a", 1) && head.age_us < 3_000_000,
+        "{head:?}"
+    );
     let seen = fleet.seen.lock().unwrap();
     assert!(
         seen.confirmed >= 1 && seen.bytes == before,
@@ -281,7 +370,14 @@
     }
     for at in [fleet.parent.bound().control, fleet.edge.bound().control] {
         for object in ["/video/a", "/video/b"] {
-            purge(at.unwrap(), PurgeHead { object: Some(object.into()), ..Default::default() }).await;
+            purge(
+                at.unwrap(),
+                PurgeHead {
+                    object: Some(object.into()),
+                    ..Default::default()
+                },
+            )
+            .await;
         }
     }
     fleet.seen.lock().unwrap().version = 2;
@@ -292,7 +388,9 @@
         assert!(got == body(object, 2), "{object}: {head:?}");
     }
     // A restart comes back with its store, tells so, and what was purged stays away.
-    let Fleet { edge: old, folder, .. } = fleet;
+    let Fleet {
+        edge: old, folder, ..
+    } = fleet;
     assert!(old.is_cold(), "its first start was an empty one");
     edge.close("done");
     assert!(old.stop().await, "drained");
@@ -301,7 +399,10 @@
     let edge = link(again.bound().framed).await;
     for object in ["/video/a", "/video/b"] {
         let (head, got) = get(&edge, ask(object, "127.0.0.1:1")).await.unwrap();
-        assert!(head.note() == WireNote::Hit && got == body(object, 2), "{object}: {head:?}");
+        assert!(
+            head.note() == WireNote::Hit && got == body(object, 2),
+            "{object}: {head:?}"
+        );
     }
 }
 
@@ -310,18 +411,39 @@
     let fleet = Fleet::start("[fills]\nplaces = 1\nqueue = 1\n").await;
     let edge = link(fleet.edge.bound().framed).await;
     let source = fleet.source();
-    let dead = get(&edge, ask("/video/x", "127.0.0.1:1")).await.unwrap_err();
-    assert_eq!((dead.note(), dead.may_have_run), (WireNote::SourceUnreachable, false));
+    let dead = get(&edge, ask("/video/x", "127.0.0.1:1"))
+        .await
+        .unwrap_err();
+    assert_eq!(
+        (dead.note(), dead.may_have_run),
+        (WireNote::SourceUnreachable, false)
+    );
     fleet.seen.lock().unwrap().cut_after = Some(10_000);
     let cut = get(&edge, ask("/video/x", &source)).await.unwrap_err();
-    assert!(cut.may_have_run && cut.note() == WireNote::OriginFailed, "{cut:?}");
+    assert!(
+        cut.may_have_run && cut.note() == WireNote::OriginFailed,
+        "{cut:?}"
+    );
     let mut held = ask("/video/x", &source);
     held.fetch.as_mut().unwrap().held_only = true;
     let lacks = get(&edge, held).await.unwrap_err();
-    assert_eq!(lacks.note(), WireNote::SourceLacks, "half an answer is not held");
-    let plain = RequestHead { fetch: None, ..ask("/video/x", "") };
-    assert_eq!(get(&edge, plain).await.unwrap_err().status(), WireStatus::Miss);
-    let odd = RequestHead { class: "odd".into(), ..ask("/video/x", "") };
+    assert_eq!(
+        lacks.note(),
+        WireNote::SourceLacks,
+        "half an answer is not held"
+    );
+    let plain = RequestHead {
+        fetch: None,
+        ..ask("/video/x", "")
+    };
+    assert_eq!(
+        get(&edge, plain).await.unwrap_err().status(),
+        WireStatus::Miss
+    );
+    let odd = RequestHead {
+        class: "odd".into(),
+        ..ask("/video/x", "")
+    };
     assert!(get(&edge, odd).await.unwrap_err().detail.contains("odd"));
 
     // One fill and one that waits; the third is told at once, and the line moves on.
@@ -338,7 +460,10 @@
         match asked.await.unwrap() {
             Ok((_, got)) => assert_eq!(got.len(), 20_000),
             Err(e) => {
-                assert_eq!((e.status(), e.note()), (WireStatus::Full, WireNote::NoFillPlace));
+                assert_eq!(
+                    (e.status(), e.note()),
+                    (WireStatus::Full, WireNote::NoFillPlace)
+                );
                 full += 1;
             }
         }
@@ -348,15 +473,28 @@
     let gateway = host("origin", None, Some(fleet.origin), "").await;
     let gate = link(gateway.bound().framed).await;
     for _ in 0..2 {
-        let run = RequestHead { key: "k1".into(), fetch: None, ..ask("/enrol/1", "") };
+        let run = RequestHead {
+            key: "k1".into(),
+            fetch: None,
+            ..ask("/enrol/1", "")
+        };
         assert_eq!(get(&gate, run).await.unwrap().1, body("/enrol/1", 1));
     }
     assert_eq!(fleet.asked("POST /enrol/1"), 2);
     // A cache host beside the origin: filled where the origin is named, and not where it is only asked for what it holds.
-    let near = host("cache", Some(&fleet.folder.path().join("near")), Some(fleet.origin), "").await;
+    let near = host(
+        "cache",
+        Some(&fleet.folder.path().join("near")),
+        Some(fleet.origin),
+        "",
+    )
+    .await;
     let near = link(near.bound().framed).await;
     let look = ask("/video/near", "");
-    assert_eq!(get(&near, look).await.unwrap_err().status(), WireStatus::Miss);
+    assert_eq!(
+        get(&near, look).await.unwrap_err().status(),
+        WireStatus::Miss
+    );
     let named = ask("/video/near", &fleet.origin.to_string());
     assert_eq!(get(&near, named).await.unwrap().1, body("/video/near", 1));
 }
@@ -367,14 +505,23 @@
     let origin = origin(Arc::default()).await;
     let gateway = host("origin", None, Some(origin), "").await;
     // Blocking, on the runtime's one thread: none of them is accepted meanwhile.
-    let queued: Vec<std::net::TcpStream> =
-        (0..16).map(|_| std::net::TcpStream::connect(gateway.bound().framed).unwrap()).collect();
+    let queued: Vec<std::net::TcpStream> = (0..16)
+        .map(|_| std::net::TcpStream::connect(gateway.bound().framed).unwrap())
+        .collect();
     let mut asking = tokio::task::JoinSet::new();
     for socket in queued {
         socket.set_nonblocking(true).unwrap();
         let link = over(TcpStream::from_std(socket).unwrap());
         asking.spawn(async move {
-            get(&link, RequestHead { key: "k1".into(), fetch: None, ..ask("/enrol/1", "") }).await
+            get(
+                &link,
+                RequestHead {
+                    key: "k1".into(),
+                    fetch: None,
+                    ..ask("/enrol/1", "")
+                },
+            )
+            .await
         });
     }
     // Told before any of the tasks above runs.
--- a/crates/lab/src/audit/answers.rs
+++ b/crates/lab/src/audit/answers.rs
@@ -3,8 +3,10 @@
 use crate::record::{End, Saw};
 
 pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule =
-        Rule::new("answers", "every accepted request has one final answer in time, nothing after it");
+    let mut rule = Rule::new(
+        "answers",
+        "every accepted request has one final answer in time, nothing after it",
+    );
     for t in &e.tries {
         one(e, t, &mut rule);
     }
@@ -34,14 +36,31 @@
     match end {
         None => rule.breach("silent", t.deadline, id, "no final answer".into()),
         Some((at, End::Lost)) => {
-            rule.breach("silent", *at, id, "the connection ended without an answer".into());
+            rule.breach(
+                "silent",
+                *at,
+                id,
+                "the connection ended without an answer".into(),
+            );
         }
         Some((at, _)) if *at > t.deadline + e.slack && !left => {
             let late = (*at - t.deadline) as f64 / 1e3;
             rule.breach("late", *at, id, format!("{late:.0} ms after the deadline"));
         }
-        Some((at, End::Served { version: None, bytes, .. })) => {
-            rule.breach("wrong", *at, id, format!("served {bytes} bytes that are not the object's"));
+        Some((
+            at,
+            End::Served {
+                version: None,
+                bytes,
+                ..
+            },
+        )) => {
+            rule.breach(
+                "wrong",
+                *at,
+                id,
+                format!("served {bytes} bytes that are not the object's"),
+            );
         }
         _ => {}
     }
@@ -54,7 +73,8 @@
             let detail = format!("sent to {} {after:.0} ms after its answer", attempt.host);
             // Sent before it, and held up on a way that was cut off.
             if e.was_parted(attempt.by, &attempt.host, *at, attempt.from) {
-                rule.unknowing.push(Breach::new("after", attempt.from, id, detail));
+                rule.unknowing
+                    .push(Breach::new("after", attempt.from, id, detail));
             } else {
                 rule.breach("after", attempt.from, id, detail);
             }
--- a/crates/lab/src/audit/cold.rs
+++ b/crates/lab/src/audit/cold.rs
@@ -70,23 +70,47 @@
 pub(super) fn look(e: &Evidence) -> (Rule, ColdPeak, ColdPeak) {
     let (mut knowing, mut unknowing) = (ColdPeak::default(), ColdPeak::default());
     let mean = e.scenario.mean_work();
-    let mut rule = Rule::new("cold", "no cold member is sent more than it bears, by all together");
+    let mut rule = Rule::new(
+        "cold",
+        "no cold member is sent more than it bears, by all together",
+    );
     let models = e.scenario.class_models();
     let hosts = e.hosts();
     let asked: HashMap<_, _> = e.tries.iter().map(|t| (t.id, t.dispatcher)).collect();
     let mut cold: HashMap<String, Cold> = HashMap::new();
     for sight in e.sights {
         match &sight.saw {
-            Saw::Started { host, cold: true, start } => {
+            Saw::Started {
+                host,
+                cold: true,
+                start,
+            } => {
                 let (sent, told) = Default::default();
                 let (started, start) = (sight.at, *start);
-                cold.insert(host.clone(), Cold { started, start, sent, told, over: false });
+                cold.insert(
+                    host.clone(),
+                    Cold {
+                        started,
+                        start,
+                        sent,
+                        told,
+                        over: false,
+                    },
+                );
             }
-            Saw::ToldList { dispatcher, ready, starts, .. } => {
+            Saw::ToldList {
+                dispatcher,
+                ready,
+                starts,
+                ..
+            } => {
                 for (host, start) in ready.iter().zip(starts) {
                     // Word of the start before this one, come late, tells nothing of this one.
                     if let Some(member) = cold.get_mut(host).filter(|m| *start >= m.start) {
-                        member.told.entry(*dispatcher).or_insert(e.awake(*dispatcher, sight.at));
+                        member
+                            .told
+                            .entry(*dispatcher)
+                            .or_insert(e.awake(*dispatcher, sight.at));
                     }
                 }
             }
@@ -96,14 +120,27 @@
                 }
             }
             Saw::Fell { host, why } => {
-                let Some(member) = cold.remove(host) else { continue };
+                let Some(member) = cold.remove(host) else {
+                    continue;
+                };
                 if why.contains("cold") {
                     let detail = format!("{host} fell over: {why}");
-                    file(&mut rule, &member, Breach::new("cold", sight.at, None, detail));
+                    file(
+                        &mut rule,
+                        &member,
+                        Breach::new("cold", sight.at, None, detail),
+                    );
                 }
             }
-            Saw::Reached { host, class, id, by, .. } => {
-                let (Some(member), Some((role, weight))) = (cold.get_mut(host), hosts.get(host)) else {
+            Saw::Reached {
+                host,
+                class,
+                id,
+                by,
+                ..
+            } => {
+                let (Some(member), Some((role, weight))) = (cold.get_mut(host), hosts.get(host))
+                else {
                     continue;
                 };
                 let spec = e.scenario.cold(*role);
@@ -115,7 +152,12 @@
                 let by = by.or_else(|| id.and_then(|id| asked.get(&id).copied()));
                 let told = by.and_then(|by| member.told.get(&by));
                 let knew = told.is_some_and(|told| sight.at >= told + e.slack);
-                member.sent.push(Sent { at: sight.at, by, work, knew });
+                member.sent.push(Sent {
+                    at: sight.at,
+                    by,
+                    work,
+                    knew,
+                });
                 let from = sight.at.saturating_sub(spec.window);
                 member.sent.retain(|s| s.at > from);
                 let sum: f64 = member.sent.iter().map(|s| s.work).sum();
@@ -131,10 +173,17 @@
                     knew: member.knew(),
                     dispatchers: 0,
                 };
-                let of = if peak.knew >= KNEW { &mut knowing } else { &mut unknowing };
+                let of = if peak.knew >= KNEW {
+                    &mut knowing
+                } else {
+                    &mut unknowing
+                };
                 if peak.worse(of) {
                     let by: HashSet<_> = member.sent.iter().filter_map(|s| s.by).collect();
-                    *of = ColdPeak { dispatchers: by.len() as u64, ..peak };
+                    *of = ColdPeak {
+                        dispatchers: by.len() as u64,
+                        ..peak
+                    };
                 }
                 if sum > budget * EXACTLY && !member.over {
                     member.over = true;
@@ -142,7 +191,11 @@
                         "{host} was sent {sum:.2} s of work in a window for {budget:.2} s, {:.0}% of it by dispatchers told of its start",
                         100.0 * member.knew()
                     );
-                    file(&mut rule, member, Breach::new("cold", sight.at, *id, detail));
+                    file(
+                        &mut rule,
+                        member,
+                        Breach::new("cold", sight.at, *id, detail),
+                    );
                 }
             }
             _ => {}
@@ -165,7 +218,9 @@
         self.sights
             .iter()
             .filter_map(|s| match &s.saw {
-                Saw::Member { host, role, weight, .. } => Some((host.clone(), (*role, *weight))),
+                Saw::Member {
+                    host, role, weight, ..
+                } => Some((host.clone(), (*role, *weight))),
                 _ => None,
             })
             .collect()
--- a/crates/lab/src/audit/drains.rs
+++ b/crates/lab/src/audit/drains.rs
@@ -5,13 +5,22 @@
 use std::collections::HashMap;
 
 pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule = Rule::new("drains", "nothing new to a drained or gone member, nor with it as a source");
+    let mut rule = Rule::new(
+        "drains",
+        "nothing new to a drained or gone member, nor with it as a source",
+    );
     // Since when each dispatcher knows that a member drains or is gone.
     let mut out: HashMap<(usize, String), Micros> = HashMap::new();
     let late = e.scenario.rules.drain_grace + e.slack;
     for sight in e.sights {
         match &sight.saw {
-            Saw::ToldList { dispatcher, whole, ready, out: left, .. } => {
+            Saw::ToldList {
+                dispatcher,
+                whole,
+                ready,
+                out: left,
+                ..
+            } => {
                 for host in ready {
                     out.remove(&(*dispatcher, host.clone()));
                 }
@@ -25,13 +34,22 @@
                 }
             }
             Saw::Killed { dispatcher } => out.retain(|(d, _), _| d != dispatcher),
-            Saw::Reached { host, by: Some(by), id, source, .. } => {
+            Saw::Reached {
+                host,
+                by: Some(by),
+                id,
+                source,
+                ..
+            } => {
                 let mut look = |member: &String, what: &str| {
-                    let Some(since) = out.get(&(*by, member.clone())) else { return };
+                    let Some(since) = out.get(&(*by, member.clone())) else {
+                        return;
+                    };
                     if sight.at > since + late {
                         let after = (sight.at - since) as f64 / 1e3;
-                        let detail =
-                            format!("dispatcher {by} {what} {member} {after:.0} ms after the notice");
+                        let detail = format!(
+                            "dispatcher {by} {what} {member} {after:.0} ms after the notice"
+                        );
                         rule.breach("drain", sight.at, *id, detail);
                     }
                 };
--- a/crates/lab/src/audit/effects.rs
+++ b/crates/lab/src/audit/effects.rs
@@ -3,7 +3,10 @@
 use crate::scenario::Effect;
 
 pub(super) fn judge(e: &Evidence, effects: &[(String, u32)]) -> Rule {
-    let mut rule = Rule::new("effects", "no two attempts at once, and no work that must not run twice");
+    let mut rule = Rule::new(
+        "effects",
+        "no two attempts at once, and no work that must not run twice",
+    );
     for t in &e.tries {
         rule.checked += t.attempts.len() as u64;
         for (n, b) in t.attempts.iter().enumerate() {
@@ -23,7 +26,8 @@
                     let detail = format!("at {} and {} together for {both:.0} ms", a.host, b.host);
                     // Its cancel was on its way, and no dispatcher could know that it does not arrive. What ran twice still counts below.
                     if e.was_parted(a.by, &a.host, b.from, end) {
-                        rule.unknowing.push(Breach::new("double", b.from, Some(t.id), detail));
+                        rule.unknowing
+                            .push(Breach::new("double", b.from, Some(t.id), detail));
                     } else {
                         rule.breach("double", b.from, Some(t.id), detail);
                     }
--- a/crates/lab/src/audit/mod.rs
+++ b/crates/lab/src/audit/mod.rs
@@ -31,7 +31,12 @@
 impl Breach {
     fn new(kind: &str, at: Micros, id: Option<TryId>, detail: String) -> Self {
         let request = id.map(TryId::trace);
-        Self { kind: kind.into(), at_ms: at as f64 / 1e3, request, detail }
+        Self {
+            kind: kind.into(),
+            at_ms: at as f64 / 1e3,
+            request,
+            detail,
+        }
     }
 }
 
@@ -135,7 +140,15 @@
             let at = sight.at;
             let place = |id: &TryId| places.get(id).copied();
             match &sight.saw {
-                Saw::Asked { id, dispatcher, class, number, group, deadline, .. } => {
+                Saw::Asked {
+                    id,
+                    dispatcher,
+                    class,
+                    number,
+                    group,
+                    deadline,
+                    ..
+                } => {
                     places.insert(*id, tries.len());
                     tries.push(Try {
                         id: *id,
@@ -154,16 +167,36 @@
                         tries[n].ends.push((at, end.clone()));
                     }
                 }
-                Saw::Reached { host, by: Some(by), id: Some(id), attempt, .. } => {
+                Saw::Reached {
+                    host,
+                    by: Some(by),
+                    id: Some(id),
+                    attempt,
+                    ..
+                } => {
                     if let Some(n) = place(id) {
                         let (host, by, number) = (host.clone(), *by, *attempt);
-                        let attempt = Attempt { host, by, number, from: at, to: None };
+                        let attempt = Attempt {
+                            host,
+                            by,
+                            number,
+                            from: at,
+                            to: None,
+                        };
                         tries[n].attempts.push(attempt);
                     }
                 }
-                Saw::Gone { host, id: Some(id), attempt, by: Some(_), .. } => {
+                Saw::Gone {
+                    host,
+                    id: Some(id),
+                    attempt,
+                    by: Some(_),
+                    ..
+                } => {
                     let Some(n) = place(id) else { continue };
-                    let open = |a: &&mut Attempt| a.to.is_none() && a.host == *host && a.number == *attempt;
+                    let open = |a: &&mut Attempt| {
+                        a.to.is_none() && a.host == *host && a.number == *attempt
+                    };
                     if let Some(attempt) = tries[n].attempts.iter_mut().find(open) {
                         attempt.to = Some(at);
                     }
@@ -171,14 +204,21 @@
                 Saw::Parted { host, parted: true } => {
                     parting.insert(host.clone(), at);
                 }
-                Saw::Parted { host, parted: false } => {
+                Saw::Parted {
+                    host,
+                    parted: false,
+                } => {
                     if let Some(from) = parting.remove(host) {
                         parted.push((host.clone(), from, at));
                     }
                 }
                 Saw::Killed { dispatcher } => {
                     killed.entry(*dispatcher).or_insert(at);
-                    hung.extend(hanging.remove(dispatcher).map(|from| (*dispatcher, from, at)));
+                    hung.extend(
+                        hanging
+                            .remove(dispatcher)
+                            .map(|from| (*dispatcher, from, at)),
+                    );
                 }
                 Saw::Born { dispatcher } => {
                     if let Some(from) = killed.remove(dispatcher) {
@@ -190,22 +230,47 @@
                 }
                 Saw::Member { host, zone, .. } => _ = zones.insert(host.clone(), *zone),
                 Saw::Stopping { dispatcher } => _ = stopped.insert(*dispatcher, at),
-                Saw::Hung { dispatcher, hung: true } => _ = hanging.insert(*dispatcher, at),
-                Saw::Hung { dispatcher, hung: false } => {
-                    hung.extend(hanging.remove(dispatcher).map(|from| (*dispatcher, from, at)));
+                Saw::Hung {
+                    dispatcher,
+                    hung: true,
+                } => _ = hanging.insert(*dispatcher, at),
+                Saw::Hung {
+                    dispatcher,
+                    hung: false,
+                } => {
+                    hung.extend(
+                        hanging
+                            .remove(dispatcher)
+                            .map(|from| (*dispatcher, from, at)),
+                    );
                 }
                 Saw::Walled { zone, walled: true } => _ = walling.insert(*zone, at),
-                Saw::Walled { zone, walled: false } => {
+                Saw::Walled {
+                    zone,
+                    walled: false,
+                } => {
                     walled.extend(walling.remove(zone).map(|from| (*zone, from, at)));
                 }
                 _ => {}
             }
         }
         let over = sights.last().map_or(0, |s| s.at);
-        down.extend(killed.into_iter().map(|(dispatcher, from)| (dispatcher, from, over)));
+        down.extend(
+            killed
+                .into_iter()
+                .map(|(dispatcher, from)| (dispatcher, from, over)),
+        );
         parted.extend(parting.into_iter().map(|(host, from)| (host, from, over)));
-        hung.extend(hanging.into_iter().map(|(dispatcher, from)| (dispatcher, from, over)));
-        stopping.extend(stopped.into_iter().map(|(dispatcher, from)| (dispatcher, from, over)));
+        hung.extend(
+            hanging
+                .into_iter()
+                .map(|(dispatcher, from)| (dispatcher, from, over)),
+        );
+        stopping.extend(
+            stopped
+                .into_iter()
+                .map(|(dispatcher, from)| (dispatcher, from, over)),
+        );
         walled.extend(walling.into_iter().map(|(zone, from)| (zone, from, over)));
         let slack = scenario.rules.slack;
         #[rustfmt::skip]
@@ -218,10 +283,18 @@
     pub fn was_parted(&self, by: usize, host: &str, from: Micros, to: Micros) -> bool {
         let slack = self.slack;
         let within = |a: Micros, b: Micros| a <= to + slack && from <= b + slack;
-        let (here, there) = (self.scenario.branch_of_dispatcher(by), self.zones.get(host).copied());
+        let (here, there) = (
+            self.scenario.branch_of_dispatcher(by),
+            self.zones.get(host).copied(),
+        );
         let across = |zone: usize| (zone == here) != (Some(zone) == there);
-        self.parted.iter().any(|(h, a, b)| h == host && within(*a, *b))
-            || self.walled.iter().any(|(zone, a, b)| across(*zone) && within(*a, *b))
+        self.parted
+            .iter()
+            .any(|(h, a, b)| h == host && within(*a, *b))
+            || self
+                .walled
+                .iter()
+                .any(|(zone, a, b)| across(*zone) && within(*a, *b))
     }
 
     /// Whether the dispatcher was killed, away, or stood still, at some time in a span.
@@ -234,13 +307,17 @@
     /// Whether it had been told to stop when it was asked: it may have been gone before it read that.
     pub fn was_stopping(&self, dispatcher: usize, asked: Micros) -> bool {
         let slack = self.slack;
-        self.stopping.iter().any(|(d, a, b)| *d == dispatcher && *a <= asked + slack && asked <= *b + slack)
+        self.stopping
+            .iter()
+            .any(|(d, a, b)| *d == dispatcher && *a <= asked + slack && asked <= *b + slack)
     }
 
     /// When a dispatcher that was told something could read it: not while it stands still.
     pub fn awake(&self, dispatcher: usize, at: Micros) -> Micros {
-        let asleep =
-            self.hung.iter().find(|(d, a, b)| *d == dispatcher && *a <= at + self.slack && at <= *b);
+        let asleep = self
+            .hung
+            .iter()
+            .find(|(d, a, b)| *d == dispatcher && *a <= at + self.slack && at <= *b);
         asleep.map_or(at, |(_, _, until)| at.max(*until))
     }
 }
--- a/crates/lab/src/audit/purges.rs
+++ b/crates/lab/src/audit/purges.rs
@@ -18,24 +18,49 @@
 }
 
 pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule = Rule::new("purges", "nothing sent after a purge's grace is answered from an older copy");
+    let mut rule = Rule::new(
+        "purges",
+        "nothing sent after a purge's grace is answered from an older copy",
+    );
     let mut told: HashMap<(usize, Struck), Vec<Told>> = HashMap::new();
     for sight in e.sights {
-        if let Saw::ToldPurge { dispatcher, object, group, version_from } = &sight.saw {
-            let new = Told { at: e.awake(*dispatcher, sight.at), version: *version_from };
+        if let Saw::ToldPurge {
+            dispatcher,
+            object,
+            group,
+            version_from,
+        } = &sight.saw
+        {
+            let new = Told {
+                at: e.awake(*dispatcher, sight.at),
+                version: *version_from,
+            };
             let struck = object.map_or(Struck::Group(*group), Struck::Object);
             told.entry((*dispatcher, struck)).or_default().push(new);
         }
     }
     let late = e.scenario.rules.purge_grace + e.slack;
     for t in &e.tries {
-        let Some((at, End::Served { version: Some(version), .. })) = t.ends.first() else { continue };
+        let Some((
+            at,
+            End::Served {
+                version: Some(version),
+                ..
+            },
+        )) = t.ends.first()
+        else {
+            continue;
+        };
         // The answer came from the last attempt that was out before it.
-        let Some(attempt) = t.attempts.iter().rfind(|a| a.from <= *at) else { continue };
+        let Some(attempt) = t.attempts.iter().rfind(|a| a.from <= *at) else {
+            continue;
+        };
         let of = |struck| told.get(&(attempt.by, struck)).into_iter().flatten();
         let purges = of(Struck::Group(t.group)).chain(of(Struck::Object(t.number)));
         let due = purges.filter(|p| attempt.from > p.at + late);
-        let Some(newest) = due.max_by_key(|p| p.version) else { continue };
+        let Some(newest) = due.max_by_key(|p| p.version) else {
+            continue;
+        };
         rule.checked += 1;
         if *version < newest.version {
             let after = (attempt.from - newest.at) as f64 / 1e3;
--- a/crates/lab/src/audit/service.rs
+++ b/crates/lab/src/audit/service.rs
@@ -46,13 +46,19 @@
 
     fn of(calls: &[(u64, bool)]) -> Self {
         let answered = calls.iter().filter(|(_, answered)| *answered).count();
-        Self { calls: calls.len() as u64, answered: answered as u64 }
+        Self {
+            calls: calls.len() as u64,
+            answered: answered as u64,
+        }
     }
 }
 
 impl ClassService {
     pub fn answered(&self) -> Group {
-        Group { calls: self.calls - self.left, answered: self.served }
+        Group {
+            calls: self.calls - self.left,
+            answered: self.served,
+        }
     }
 
     /// `calls`: size, and whether it was answered.
@@ -61,8 +67,10 @@
         let count = calls.len();
         let largest = if count < 400 { count / 4 } else { count / 10 };
         let next = (largest + count / 5).min(count);
-        (self.largest, self.next_largest) =
-            (Group::of(&calls[..largest]), Group::of(&calls[largest..next]));
+        (self.largest, self.next_largest) = (
+            Group::of(&calls[..largest]),
+            Group::of(&calls[largest..next]),
+        );
     }
 }
 
@@ -104,22 +112,40 @@
     for (n, t) in evidence.tries.iter().enumerate() {
         tries.entry(t.id.call).or_default().push(n);
     }
-    let blank = |c: &crate::scenario::ClassDay| ClassService { name: c.name.clone(), ..Default::default() };
+    let blank = |c: &crate::scenario::ClassDay| ClassService {
+        name: c.name.clone(),
+        ..Default::default()
+    };
     let mut classes: Vec<ClassService> = scenario.classes.iter().map(blank).collect();
     let mut sums = vec![(0.0, 0.0); classes.len()];
     let new_histogram = || hdrhistogram::Histogram::<u64>::new_with_bounds(1, 600_000_000, 3);
-    let mut times: Vec<_> = classes.iter().map(|_| new_histogram().expect("fixed bounds")).collect();
+    let mut times: Vec<_> = classes
+        .iter()
+        .map(|_| new_histogram().expect("fixed bounds"))
+        .collect();
     let mut sizes = vec![Vec::new(); classes.len()];
     let mut by_second = vec![(0.0, 0.0); scenario.seconds.ceil() as usize];
     let mut by_branch = vec![by_second.clone(); scenario.branches];
-    for (n, call) in traffic.calls.iter().enumerate().filter(|(_, c)| c.at >= scenario.warm) {
+    for (n, call) in traffic
+        .calls
+        .iter()
+        .enumerate()
+        .filter(|(_, c)| c.at >= scenario.warm)
+    {
         let class = &mut classes[call.class];
         class.calls += 1;
         let worth = scenario.classes[call.class].worth;
         let mine = tries.get(&(n as u64)).map_or(&[][..], |t| t.as_slice());
-        let ends: Vec<_> = mine.iter().flat_map(|n| evidence.tries[*n].ends.first()).collect();
+        let ends: Vec<_> = mine
+            .iter()
+            .flat_map(|n| evidence.tries[*n].ends.first())
+            .collect();
         let served = ends.iter().find_map(|(at, end)| match end {
-            End::Served { version: Some(_), old, .. } => Some((*at, *old)),
+            End::Served {
+                version: Some(_),
+                old,
+                ..
+            } => Some((*at, *old)),
             _ => None,
         });
         let mut got = 0.0;
@@ -138,7 +164,10 @@
                 class.late += !in_time as u64;
                 let _ = times[call.class].record(took.max(1));
             }
-            None if ends.last().is_some_and(|(_, end)| matches!(end, End::Refused { .. })) => {
+            None if ends
+                .last()
+                .is_some_and(|(_, end)| matches!(end, End::Refused { .. })) =>
+            {
                 class.refused += 1
             }
             None => class.failed += 1,
@@ -146,7 +175,10 @@
         sums[call.class].0 += worth;
         sums[call.class].1 += got;
         let second = (call.at / 1_000_000) as usize;
-        for seconds in [&mut by_second].into_iter().chain(by_branch.get_mut(call.branch)) {
+        for seconds in [&mut by_second]
+            .into_iter()
+            .chain(by_branch.get_mut(call.branch))
+        {
             if let Some(second) = seconds.get_mut(second) {
                 second.0 += worth;
                 second.1 += got;
@@ -166,9 +198,15 @@
     let width = STRETCH.min(counted.len().max(1));
     let stretches = counted.windows(width).enumerate();
     let sum = |w: &[(f64, f64)]| w.iter().fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
-    let worst = stretches.map(|(n, w)| (ratio(sum(w)), n)).min_by(|a, b| a.0.total_cmp(&b.0));
+    let worst = stretches
+        .map(|(n, w)| (ratio(sum(w)), n))
+        .min_by(|a, b| a.0.total_cmp(&b.0));
     let (worst_10s, from) = worst.unwrap_or((1.0, 0));
-    let worst_class = classes.iter().filter(|c| c.calls > c.left).map(|c| c.service).fold(1.0, f64::min);
+    let worst_class = classes
+        .iter()
+        .filter(|c| c.calls > c.left)
+        .map(|c| c.service)
+        .fold(1.0, f64::min);
     let (a, b, c) = scenario.goal;
     let goal = (a * ratio(all) + b * worst_10s + c * worst_class) / (a + b + c).max(1e-9);
     Service {
--- a/crates/lab/src/audit/sizes.rs
+++ b/crates/lab/src/audit/sizes.rs
@@ -10,18 +10,35 @@
 const FEW: u64 = 20;
 
 pub fn judge(scenario: &Scenario, service: &Service) -> Rule {
-    let mut rule =
-        Rule::new("sizes", "the largest requests of a class are answered nearly as often as the others");
-    let least = if scenario.troubles.is_empty() { QUIET } else { TROUBLED };
+    let mut rule = Rule::new(
+        "sizes",
+        "the largest requests of a class are answered nearly as often as the others",
+    );
+    let least = if scenario.troubles.is_empty() {
+        QUIET
+    } else {
+        TROUBLED
+    };
     for class in &service.classes {
         let whole = class.answered().share();
-        let groups: [(&str, Group); 2] = [("largest", class.largest), ("next largest", class.next_largest)];
+        let groups: [(&str, Group); 2] = [
+            ("largest", class.largest),
+            ("next largest", class.next_largest),
+        ];
         for (name, group) in groups.into_iter().filter(|(_, g)| g.calls >= FEW) {
             rule.checked += 1;
             if group.share() < least * whole {
-                let shares =
-                    format!("{:.3} of {} calls, of the class {whole:.3}", group.share(), group.calls);
-                rule.breach("large", 0, None, format!("{}, the {name}: answered {shares}", class.name));
+                let shares = format!(
+                    "{:.3} of {} calls, of the class {whole:.3}",
+                    group.share(),
+                    group.calls
+                );
+                rule.breach(
+                    "large",
+                    0,
+                    None,
+                    format!("{}, the {name}: answered {shares}", class.name),
+                );
             }
         }
     }
@@ -49,13 +66,25 @@
         let mut quiet = troubled.clone();
         quiet.troubles.clear();
         let judged = |scenario: &Scenario, class: ClassService| {
-            judge(scenario, &Service { classes: vec![class], ..Service::default() }).breaches.len()
+            judge(
+                scenario,
+                &Service {
+                    classes: vec![class],
+                    ..Service::default()
+                },
+            )
+            .breaches
+            .len()
         };
         // 0.9 of all: six tenths of the largest will do on a quiet day, four and a half on others.
         assert_eq!(judged(&quiet, class(group(100, 61), group(200, 130))), 0);
         assert_eq!(judged(&quiet, class(group(100, 59), group(200, 110))), 2);
         assert_eq!(judged(&troubled, class(group(100, 59), group(200, 110))), 0);
         assert_eq!(judged(&troubled, class(group(100, 44), group(200, 85))), 2);
-        assert_eq!(judged(&quiet, class(group(9, 0), group(19, 0))), 0, "too few to say anything");
+        assert_eq!(
+            judged(&quiet, class(group(9, 0), group(19, 0))),
+            0,
+            "too few to say anything"
+        );
     }
 }
--- a/crates/lab/src/audit/sums.rs
+++ b/crates/lab/src/audit/sums.rs
@@ -104,13 +104,22 @@
     let by_weight = count as f64 / weight.max(1e-9);
     if by_weight > peak.by_weight {
         let dispatchers = by.values().filter(|n| **n > 0).count() as u64;
-        *peak = Peak { host: host.into(), at_s: at as f64 / 1e6, count, by_weight, dispatchers };
+        *peak = Peak {
+            host: host.into(),
+            at_s: at as f64 / 1e6,
+            count,
+            by_weight,
+            dispatchers,
+        };
     }
 }
 
 pub fn sums(scenario: &Scenario, service: &Service, sights: &[Sight]) -> Sums {
     let evidence = Evidence::new(scenario, sights);
-    let mut sums = Sums { roles: at_members(sights), ..Sums::default() };
+    let mut sums = Sums {
+        roles: at_members(sights),
+        ..Sums::default()
+    };
     second_attempts(&evidence, &mut sums);
     fairness(&evidence, &mut sums);
     sums.sites = sites(scenario, service);
@@ -125,13 +134,24 @@
     let mut roles: BTreeMap<&str, AtRole> = BTreeMap::new();
     for sight in sights {
         match &sight.saw {
-            Saw::Member { host, role, weight, .. } => _ = members.insert(host, (*role, *weight)),
-            Saw::Started { host, cold: true, .. } => {
-                let fresh = Now { started: Some(sight.at), ..Now::default() };
+            Saw::Member {
+                host, role, weight, ..
+            } => _ = members.insert(host, (*role, *weight)),
+            Saw::Started {
+                host, cold: true, ..
+            } => {
+                let fresh = Now {
+                    started: Some(sight.at),
+                    ..Now::default()
+                };
                 now.insert(host, fresh);
             }
-            Saw::Reached { host, by: Some(by), .. } => {
-                let Some((role, weight)) = members.get(host.as_str()).copied() else { continue };
+            Saw::Reached {
+                host, by: Some(by), ..
+            } => {
+                let Some((role, weight)) = members.get(host.as_str()).copied() else {
+                    continue;
+                };
                 let at = now.entry(host).or_default();
                 *at.by.entry(*by).or_default() += 1;
                 if sight.at >= at.second.0 + 1_000_000 {
@@ -141,11 +161,16 @@
                 let of = roles.entry(role.word()).or_default();
                 raise(&mut of.under_way, host, weight, sight.at, &at.by);
                 raise(&mut of.attempts, host, weight, sight.at, &at.second.1);
-                if at.started.is_some_and(|started| sight.at < started + 1_000_000) {
+                if at
+                    .started
+                    .is_some_and(|started| sight.at < started + 1_000_000)
+                {
                     raise(&mut of.returned, host, weight, sight.at, &at.second.1);
                 }
             }
-            Saw::Gone { host, by: Some(by), .. } => {
+            Saw::Gone {
+                host, by: Some(by), ..
+            } => {
                 if let Some(at) = now.get_mut(host.as_str()) {
                     if let Some(n) = at.by.get_mut(by) {
                         *n = n.saturating_sub(1);
@@ -155,7 +180,13 @@
             _ => {}
         }
     }
-    roles.into_iter().map(|(role, at)| AtRole { role: role.into(), ..at }).collect()
+    roles
+        .into_iter()
+        .map(|(role, at)| AtRole {
+            role: role.into(),
+            ..at
+        })
+        .collect()
 }
 
 fn second_attempts(e: &Evidence, sums: &mut Sums) {
@@ -172,7 +203,10 @@
     }
     let share = |(first, more): (u64, u64)| more as f64 / (first.max(1)) as f64;
     sums.second_attempts = share(spans.values().fold((0, 0), |a, s| (a.0 + s.0, a.1 + s.1)));
-    let worst = spans.iter().filter(|(_, s)| s.0 >= FEW).map(|(at, s)| (share(*s), *at));
+    let worst = spans
+        .iter()
+        .filter(|(_, s)| s.0 >= FEW)
+        .map(|(at, s)| (share(*s), *at));
     if let Some((most, at)) = worst.max_by(|a, b| a.0.total_cmp(&b.0)) {
         (sums.second_attempts_worst, sums.second_attempts_at_s) = (most, (at * SPAN) as f64 / 1e6);
     }
@@ -181,7 +215,9 @@
 fn left(e: &Evidence) -> Left {
     let mut left = Left::default();
     for t in &e.tries {
-        let Some((at, _)) = t.ends.iter().find(|(_, end)| *end == End::LeftEarly) else { continue };
+        let Some((at, _)) = t.ends.iter().find(|(_, end)| *end == End::LeftEarly) else {
+            continue;
+        };
         left.clients += 1;
         left.unsent += t.attempts.iter().all(|a| a.from > *at) as u64;
         // What was sent before and held up on a way that was cut off came late by nobody's doing.
@@ -197,15 +233,32 @@
 fn fairness(e: &Evidence, sums: &mut Sums) {
     let mut shares: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for t in &e.tries {
-        let Some((_, end)) = t.ends.first().filter(|(_, end)| *end != End::LeftEarly) else { continue };
+        let Some((_, end)) = t.ends.first().filter(|(_, end)| *end != End::LeftEarly) else {
+            continue;
+        };
         let own = shares.entry(t.dispatcher).or_default();
-        own.0 += matches!(end, End::Served { version: Some(_), .. }) as u8 as f64;
+        own.0 += matches!(
+            end,
+            End::Served {
+                version: Some(_),
+                ..
+            }
+        ) as u8 as f64;
         own.1 += 1.0;
     }
-    let shares: Vec<(usize, f64)> = shares.into_iter().map(|(d, (got, all))| (d, got / all)).collect();
-    let (sum, squares) = shares.iter().fold((0.0, 0.0), |a, (_, x)| (a.0 + x, a.1 + x * x));
+    let shares: Vec<(usize, f64)> = shares
+        .into_iter()
+        .map(|(d, (got, all))| (d, got / all))
+        .collect();
+    let (sum, squares) = shares
+        .iter()
+        .fold((0.0, 0.0), |a, (_, x)| (a.0 + x, a.1 + x * x));
     let count = shares.len().max(1) as f64;
-    sums.fairness = if squares > 0.0 { sum * sum / (count * squares) } else { 1.0 };
+    sums.fairness = if squares > 0.0 {
+        sum * sum / (count * squares)
+    } else {
+        1.0
+    };
     sums.mean_served = sum / count;
     if let Some((dispatcher, least)) = shares.iter().min_by(|a, b| a.1.total_cmp(&b.1)) {
         (sums.least_dispatcher, sums.least_served) = (*dispatcher, *least);
@@ -213,7 +266,9 @@
 }
 
 fn ratio(seconds: &[(f64, f64)]) -> f64 {
-    let (asked, got) = seconds.iter().fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
+    let (asked, got) = seconds
+        .iter()
+        .fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
     if asked > 0.0 {
         got / asked
     } else {
@@ -226,17 +281,29 @@
         .troubles
         .iter()
         .filter(|t| t.kind.strikes_site())
-        .map(|t| ((t.at / 1_000_000) as usize, ((t.at + t.length) / 1_000_000) as usize))
+        .map(|t| {
+            (
+                (t.at / 1_000_000) as usize,
+                ((t.at + t.length) / 1_000_000) as usize,
+            )
+        })
         .collect();
-    let Some(from) = strikes.iter().map(|s| s.0).min() else { return Vec::new() };
+    let Some(from) = strikes.iter().map(|s| s.0).min() else {
+        return Vec::new();
+    };
     let until = strikes.iter().map(|s| s.1).max().unwrap_or(from);
     let (struck, names) = (scenario.struck_sites(), scenario.zones());
     let warm = (scenario.warm / 1_000_000) as usize;
     let of = |(n, seconds): (usize, &Vec<(f64, f64)>)| {
         let (from, until) = (from.min(seconds.len()), until.min(seconds.len()));
         let before = ratio(&seconds[warm.min(from)..from]);
-        let worst = seconds[from..].windows(STRETCH).map(ratio).fold(1.0, f64::min);
-        let back = seconds[until..].windows(STRETCH).position(|w| ratio(w) >= BACK * before);
+        let worst = seconds[from..]
+            .windows(STRETCH)
+            .map(ratio)
+            .fold(1.0, f64::min);
+        let back = seconds[until..]
+            .windows(STRETCH)
+            .position(|w| ratio(w) >= BACK * before);
         Site {
             name: names[n].clone(),
             struck: struck.contains(&n),
@@ -252,7 +319,10 @@
 
 /// The day's bounds, each as a line of its own; `twin`: the same day without what strikes a site.
 pub fn judge(scenario: &Scenario, sums: &Sums, twin: Option<&Sums>) -> Rule {
-    let mut rule = Rule::new("sums", "what all dispatchers do together stays within the day's bounds");
+    let mut rule = Rule::new(
+        "sums",
+        "what all dispatchers do together stays within the day's bounds",
+    );
     let bounds = scenario.sums;
     let over = |rule: &mut Rule, kind: &str, bound: f64, most: f64, at_s: f64, detail: String| {
         if bound > 0.0 {
@@ -269,11 +339,21 @@
             "{} had {} under way from {} dispatchers, {:.2} for a unit of its weight",
             peak.host, peak.count, peak.dispatchers, peak.by_weight
         );
-        over(&mut rule, "under_way", bounds.under_way, peak.by_weight, peak.at_s, detail);
+        over(
+            &mut rule,
+            "under_way",
+            bounds.under_way,
+            peak.by_weight,
+            peak.at_s,
+            detail,
+        );
     }
     if sums.left.clients > 0 {
         rule.checked += 1;
-        let (longest, bound) = (sums.left.longest_ms, (GONE + scenario.rules.slack) as f64 / 1e3);
+        let (longest, bound) = (
+            sums.left.longest_ms,
+            (GONE + scenario.rules.slack) as f64 / 1e3,
+        );
         if longest > bound {
             let detail = format!(
                 "an attempt reached a member {longest:.0} ms after its client had left, {bound:.0} at most"
@@ -283,7 +363,14 @@
     }
     let (most, at_s) = (sums.second_attempts_worst, sums.second_attempts_at_s);
     let detail = format!("{most:.2} attempts beyond the first for each first one in 2 s");
-    over(&mut rule, "second_attempts", bounds.second_attempts, most, at_s, detail);
+    over(
+        &mut rule,
+        "second_attempts",
+        bounds.second_attempts,
+        most,
+        at_s,
+        detail,
+    );
     let mut under = |kind: &str, bound: f64, least: f64, detail: String| {
         if bound > 0.0 {
             rule.checked += 1;
--- a/crates/lab/src/book.rs
+++ b/crates/lab/src/book.rs
@@ -88,16 +88,30 @@
 
     pub fn change(&mut self, now: Micros, line: Line) {
         match self.lines.iter_mut().find(|l| l.host == line.host) {
-            Some(known) => *known = Line { address: known.address.clone(), ..line.clone() },
+            Some(known) => {
+                *known = Line {
+                    address: known.address.clone(),
+                    ..line.clone()
+                }
+            }
             None => self.lines.push(line.clone()),
         }
-        let line = self.lines.iter().find(|l| l.host == line.host).cloned().unwrap_or(line);
+        let line = self
+            .lines
+            .iter()
+            .find(|l| l.host == line.host)
+            .cloned()
+            .unwrap_or(line);
         let more = if now < self.more.1 { self.more.0 } else { 0 };
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
             let (least, most) = self.rules.list_told;
             let due = now + more + self.rng.gen_range(least..=most);
             // In order: a change waits for the one before it.
-            let last = ear.waiting.iter().rev().find(|(_, t)| matches!(t, Told::Delta(..)));
+            let last = ear
+                .waiting
+                .iter()
+                .rev()
+                .find(|(_, t)| matches!(t, Told::Delta(..)));
             let due = due.max(last.map_or(0, |(at, _)| *at));
             ear.seq += 1;
             let told = Told::Delta(ear.seq, vec![line.clone()]);
@@ -112,7 +126,14 @@
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
             let (least, most) = self.rules.purge_told;
             let due = now + self.rng.gen_range(least..=most);
-            ear.push(due, Told::Purge { object: object.clone(), group, at: now });
+            ear.push(
+                due,
+                Told::Purge {
+                    object: object.clone(),
+                    group,
+                    at: now,
+                },
+            );
         }
     }
 
@@ -125,12 +146,21 @@
 
     /// A dispatcher starts: the purges that may still matter at once, and the whole list.
     pub fn hear(&mut self, now: Micros, dispatcher: usize) {
-        let lines: Vec<Line> = self.lines.iter().filter(|l| l.listed != Listed::Gone).cloned().collect();
+        let lines: Vec<Line> = self
+            .lines
+            .iter()
+            .filter(|l| l.listed != Listed::Gone)
+            .cloned()
+            .collect();
         let ear = &mut self.ears[dispatcher];
         ear.deaf = false;
         ear.seq += 1;
         for (at, object, group) in &self.purges {
-            let told = Told::Purge { object: object.clone(), group: *group, at: *at };
+            let told = Told::Purge {
+                object: object.clone(),
+                group: *group,
+                at: *at,
+            };
             ear.waiting.push_back((now, told));
         }
         let seq = ear.seq;
@@ -138,7 +168,10 @@
     }
 
     pub fn next(&self) -> Option<Micros> {
-        self.ears.iter().filter_map(|e| e.waiting.front().map(|(at, _)| *at)).min()
+        self.ears
+            .iter()
+            .filter_map(|e| e.waiting.front().map(|(at, _)| *at))
+            .min()
     }
 
     /// What is to be told by now, dispatcher by dispatcher.
@@ -182,11 +215,25 @@
 ) -> Update {
     let of = |wanted: bool| -> Vec<String> {
         let fits = |l: &&Line| (l.listed == Listed::Ready) == wanted;
-        lines.iter().filter(fits).map(|l| l.address.clone()).collect()
+        lines
+            .iter()
+            .filter(fits)
+            .map(|l| l.address.clone())
+            .collect()
     };
     let whole = form == ListForm::Full;
-    let starts = lines.iter().filter(|l| l.listed == Listed::Ready).map(|l| l.start).collect();
-    let saw = Saw::ToldList { dispatcher, whole, ready: of(true), starts, out: of(false) };
+    let starts = lines
+        .iter()
+        .filter(|l| l.listed == Listed::Ready)
+        .map(|l| l.start)
+        .collect();
+    let saw = Saw::ToldList {
+        dispatcher,
+        whole,
+        ready: of(true),
+        starts,
+        out: of(false),
+    };
     // Claims to have told of drains and did not.
     let hidden = plant == Some(Plant::Drain) && lines.iter().any(|l| l.listed == Listed::Draining);
     let line = |l: &Line| {
@@ -210,5 +257,13 @@
         }
     };
     let members = lines.iter().map(line).collect();
-    Update { head: ListHead { form: form as i32, seq, members }, saw, hidden }
+    Update {
+        head: ListHead {
+            form: form as i32,
+            seq,
+            members,
+        },
+        saw,
+        hidden,
+    }
 }
--- a/crates/lab/src/content.rs
+++ b/crates/lab/src/content.rs
@@ -32,8 +32,10 @@
         let mut line = [b' '; LINE];
         line[LINE - 1] = b'\n';
         if n == 0 {
-            let text =
-                format!("object {:016x} part {:06} version {:010}", self.number, self.part, self.version);
+            let text = format!(
+                "object {:016x} part {:06} version {:010}",
+                self.number, self.part, self.version
+            );
             line[..text.len()].copy_from_slice(text.as_bytes());
             return line;
         }
@@ -63,7 +65,13 @@
     pub fn version_of(number: u64, part: u64, first: &[u8]) -> Option<u64> {
         let text = std::str::from_utf8(first.get(..LINE)?).ok()?;
         let version = text.trim_end().rsplit(' ').next()?.parse().ok()?;
-        let same = Body { number, part, version }.line(0) == first[..LINE];
+        let same = Body {
+            number,
+            part,
+            version,
+        }
+        .line(0)
+            == first[..LINE];
         same.then_some(version)
     }
 }
@@ -82,7 +90,14 @@
 
 impl Checker {
     pub fn new(number: u64, part: u64) -> Self {
-        Self { number, part, at: 0, first: Vec::new(), body: None, wrong: false }
+        Self {
+            number,
+            part,
+            at: 0,
+            first: Vec::new(),
+            body: None,
+            wrong: false,
+        }
     }
 
     pub fn take(&mut self, mut data: &[u8]) {
@@ -96,11 +111,19 @@
             }
             match Body::version_of(self.number, self.part, &self.first) {
                 Some(version) => {
-                    self.body = Some(Body { number: self.number, part: self.part, version });
+                    self.body = Some(Body {
+                        number: self.number,
+                        part: self.part,
+                        version,
+                    });
                 }
                 None => {
                     self.wrong = true;
-                    self.body = Some(Body { number: self.number, part: self.part, version: 0 });
+                    self.body = Some(Body {
+                        number: self.number,
+                        part: self.part,
+                        version: 0,
+                    });
                 }
             }
         }
@@ -113,7 +136,10 @@
 
     /// Bytes taken, and the version, if every byte was right.
     pub fn finish(&self) -> (u64, Option<u64>) {
-        (self.at, self.body.filter(|_| !self.wrong).map(|b| b.version))
+        (
+            self.at,
+            self.body.filter(|_| !self.wrong).map(|b| b.version),
+        )
     }
 }
 
@@ -123,10 +149,18 @@
 
     #[test]
     fn every_cut_gives_the_same_bytes_and_a_wrong_one_is_found() {
-        let body = Body { number: 7, part: 2, version: 12 };
+        let body = Body {
+            number: 7,
+            part: 2,
+            version: 12,
+        };
         let whole = body.bytes(0, 1_000);
         for from in [0, 1, 63, 64, 65, 700] {
-            assert_eq!(body.bytes(from as u64, 100)[..], whole[from..from + 100], "from {from}");
+            assert_eq!(
+                body.bytes(from as u64, 100)[..],
+                whole[from..from + 100],
+                "from {from}"
+            );
         }
         let check = |bytes: &[u8], step: usize| {
             let mut checker = Checker::new(7, 2);
@@ -140,6 +174,10 @@
         wrong[640] ^= 1;
         assert_eq!(check(&wrong, 100), (1_000, None));
         assert_eq!(Body { number: 8, ..body }.bytes(0, 64).len(), 64);
-        assert_eq!(check(&Body { number: 8, ..body }.bytes(0, 200), 50).1, None, "another object's bytes");
+        assert_eq!(
+            check(&Body { number: 8, ..body }.bytes(0, 200), 50).1,
+            None,
+            "another object's bytes"
+        );
     }
 }
--- a/crates/lab/src/day/by_etcd.rs
+++ b/crates/lab/src/day/by_etcd.rs
@@ -28,7 +28,10 @@
     pub async fn start() -> std::io::Result<Self> {
         let stand_in = StandIn::new(None);
         let endpoint = format!("http://{}", stand_in.listen().await?);
-        let access = Access { endpoints: vec![endpoint.clone()], ..Default::default() };
+        let access = Access {
+            endpoints: vec![endpoint.clone()],
+            ..Default::default()
+        };
         let etcd = Etcd::new(&access, Duration::from_secs(2)).map_err(std::io::Error::other)?;
         tokio::spawn(async move {
             let mut dice = StdRng::seed_from_u64(1);
@@ -73,7 +76,14 @@
             started: None,
         };
         let lines: Vec<Line> = hosts.iter().enumerate().map(line).collect();
-        let control = Self { etcd: etcd.etcd.clone(), stage, recorder, members, lines, dispatchers };
+        let control = Self {
+            etcd: etcd.etcd.clone(),
+            stage,
+            recorder,
+            members,
+            lines,
+            dispatchers,
+        };
         for line in &control.lines {
             control.write(line).await.map_err(std::io::Error::other)?;
         }
@@ -82,7 +92,9 @@
 
     async fn write(&self, line: &Line) -> Result<(), writer::WriteError> {
         let (kind, zone, weight) = self.members.get(&line.host).cloned().unwrap_or_default();
-        let ago = line.started.map(|at| self.recorder.now().saturating_sub(at));
+        let ago = line
+            .started
+            .map(|at| self.recorder.now().saturating_sub(at));
         let state = match line.listed {
             Listed::Ready => Some(State::Ready),
             Listed::Draining => Some(State::Draining),
@@ -95,14 +107,28 @@
             kind,
             cell: 0,
             start: line.start,
-            started_unix_ms: ago.map(|ago| pointspindle_clock::stamp_ms().saturating_sub(ago / 1_000)),
+            started_unix_ms: ago
+                .map(|ago| pointspindle_clock::stamp_ms().saturating_sub(ago / 1_000)),
         });
-        writer::member(&self.etcd, PREFIX, &line.address, |_| Ok(record.clone())).await.map(drop)
+        writer::member(&self.etcd, PREFIX, &line.address, |_| Ok(record.clone()))
+            .await
+            .map(drop)
     }
 
     fn saw_lines(&self, dispatcher: usize, form: ListForm, lines: &[Line]) {
         let nobody = |_| None;
-        self.recorder.saw(book::update(dispatcher, form, 0, lines, self.recorder.now(), None, nobody).saw);
+        self.recorder.saw(
+            book::update(
+                dispatcher,
+                form,
+                0,
+                lines,
+                self.recorder.now(),
+                None,
+                nobody,
+            )
+            .saw,
+        );
     }
 
     pub async fn run(mut self, mut news: mpsc::UnboundedReceiver<News>) {
@@ -137,7 +163,9 @@
                     }
                 }
                 // It has read everything before it listened.
-                News::Up { dispatcher, done, .. } => {
+                News::Up {
+                    dispatcher, done, ..
+                } => {
                     self.saw_lines(dispatcher, ListForm::Full, &self.lines);
                     let _ = done.send(());
                 }
--- a/crates/lab/src/day/clients.rs
+++ b/crates/lab/src/day/clients.rs
@@ -40,7 +40,10 @@
         let mut missed = 0;
         for try_no in 0..=clients.retries {
             let target = &self.targets[self.scenario.target(&call, number, try_no, missed)];
-            let id = TryId { call: number, try_no };
+            let id = TryId {
+                call: number,
+                try_no,
+            };
             let end = self.one_try(target, id, &call, class).await;
             missed += matches!(end, None | Some(End::Lost)) as u32;
             let come_back = match end {
@@ -57,9 +60,18 @@
     }
 
     /// None: nothing was asked, for want of a connection.
-    async fn one_try(&self, target: &Target, id: TryId, call: &Call, class: &ClassDay) -> Option<End> {
+    async fn one_try(
+        &self,
+        target: &Target,
+        id: TryId,
+        call: &Call,
+        class: &ClassDay,
+    ) -> Option<End> {
         let patience = Duration::from_micros(class.deadline) + AFTER;
-        let leaves = call.leaves.filter(|_| id.try_no == 0).map(Duration::from_micros);
+        let leaves = call
+            .leaves
+            .filter(|_| id.try_no == 0)
+            .map(Duration::from_micros);
         let asked = async {
             if call.http {
                 self.http(target, id, call, class).await
@@ -73,7 +85,10 @@
             _ = tokio::time::sleep(leaves.unwrap_or(Duration::MAX)), if leaves.is_some() => Some(End::LeftEarly),
         };
         if let Some(end) = &end {
-            self.recorder.saw(Saw::Ended { id, end: end.clone() });
+            self.recorder.saw(Saw::Ended {
+                id,
+                end: end.clone(),
+            });
         }
         end
     }
@@ -98,9 +113,12 @@
         if let Some(link) = held.as_ref().filter(|link| link.takes_calls()) {
             return Some(link.clone());
         }
-        let socket =
-            tokio::time::timeout(CONNECT, self.net.connect(None, target.framed)).await.ok()?.ok()?;
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions { max_streams: 4096 });
+        let socket = tokio::time::timeout(CONNECT, self.net.connect(None, target.framed))
+            .await
+            .ok()?
+            .ok()?;
+        let (link, mut incoming) =
+            Link::start(socket, Side::Caller, LinkOptions { max_streams: 4096 });
         let (watched, recorder, dispatcher) = (link.clone(), self.recorder.clone(), target.number);
         tokio::spawn(async move {
             while incoming.next().await.is_some() {}
@@ -113,7 +131,13 @@
         Some(link)
     }
 
-    async fn framed(&self, target: &Target, id: TryId, call: &Call, class: &ClassDay) -> Option<End> {
+    async fn framed(
+        &self,
+        target: &Target,
+        id: TryId,
+        call: &Call,
+        class: &ClassDay,
+    ) -> Option<End> {
         let link = self.link(target).await?;
         let request = RequestHead {
             object: call.object.clone(),
@@ -123,7 +147,11 @@
             left_us: class.deadline,
             size: self.scenario.sizes_told.then_some(call.size),
             trace: id.trace(),
-            key: if class.effect == Effect::Safe { String::new() } else { id.trace() },
+            key: if class.effect == Effect::Safe {
+                String::new()
+            } else {
+                id.trace()
+            },
             ..Default::default()
         };
         let at = self.recorder.now();
@@ -141,10 +169,16 @@
                 Part::End(CallEnd::Complete(_)) => {
                     let (bytes, version) = checker.finish();
                     let version = version.filter(|_| size.is_none_or(|size| size == bytes));
-                    return Some(End::Served { version, bytes, old });
+                    return Some(End::Served {
+                        version,
+                        bytes,
+                        old,
+                    });
                 }
                 Part::End(CallEnd::Error(e)) if e.status() == WireStatus::Refused => {
-                    return Some(End::Refused { come_back: e.retry_after_us });
+                    return Some(End::Refused {
+                        come_back: e.retry_after_us,
+                    });
                 }
                 Part::End(CallEnd::Error(_)) if size.is_some() => return Some(End::Broken),
                 Part::End(CallEnd::Error(_)) => return Some(End::Failed),
@@ -157,23 +191,38 @@
     async fn http(&self, target: &Target, id: TryId, call: &Call, class: &ClassDay) -> Option<End> {
         let (connection, strays) = target.pool.take(&self.net, target.http).await;
         for _ in 0..strays {
-            self.recorder.saw(Saw::Stray { dispatcher: target.number });
+            self.recorder.saw(Saw::Stray {
+                dispatcher: target.number,
+            });
         }
         let mut connection = connection.ok()?;
         let path = format!("{}?part={}", call.object, call.part);
         let at = self.recorder.now();
-        connection.ask(&path, &id.trace(), class.deadline / 1_000).await.ok()?;
+        connection
+            .ask(&path, &id.trace(), class.deadline / 1_000)
+            .await
+            .ok()?;
         self.asked(target, id, call, class, at);
         let mut checker = Checker::new(call.number, call.part);
         let (mut status, mut old, mut come_back, mut keep) = (0, false, None, false);
         loop {
             match connection.next().await {
-                Some(Ok(HttpPiece::Head { status: told, fields, keep_alive })) => {
-                    let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+                Some(Ok(HttpPiece::Head {
+                    status: told,
+                    fields,
+                    keep_alive,
+                })) => {
+                    let find = |name: &str| {
+                        fields
+                            .iter()
+                            .find(|(n, _)| n == name)
+                            .map(|(_, v)| v.as_str())
+                    };
                     (status, keep) = (told, keep_alive);
                     old = find("cache-status").is_some_and(|v| v.contains("detail=old"));
-                    come_back =
-                        find("x-come-back-ms").and_then(|v| v.parse::<u64>().ok()).map(|ms| ms * 1_000);
+                    come_back = find("x-come-back-ms")
+                        .and_then(|v| v.parse::<u64>().ok())
+                        .map(|ms| ms * 1_000);
                 }
                 Some(Ok(HttpPiece::Data(data))) if status == 200 => checker.take(&data),
                 Some(Ok(HttpPiece::Data(_))) => {}
@@ -184,7 +233,11 @@
                     return Some(match status {
                         200 => {
                             let (bytes, version) = checker.finish();
-                            End::Served { version, bytes, old }
+                            End::Served {
+                                version,
+                                bytes,
+                                old,
+                            }
                         }
                         503 => End::Refused { come_back },
                         _ => End::Failed,
--- a/crates/lab/src/day/control.rs
+++ b/crates/lab/src/day/control.rs
@@ -58,7 +58,10 @@
                     let _ = done.send(());
                 }
             }
-            let wait = self.book.next().map(|at| Duration::from_micros(at.saturating_sub(now)));
+            let wait = self
+                .book
+                .next()
+                .map(|at| Duration::from_micros(at.saturating_sub(now)));
             let next = tokio::select! {
                 next = news.recv() => next,
                 _ = tokio::time::sleep(wait.unwrap_or(Duration::from_secs(3_600))) => continue,
@@ -75,14 +78,20 @@
                         link.close("the dispatcher is gone");
                     }
                 }
-                Some(News::Up { dispatcher, at, done }) => {
+                Some(News::Up {
+                    dispatcher,
+                    at,
+                    done,
+                }) => {
                     let connected =
-                        tokio::time::timeout(Duration::from_secs(2), self.net.connect(None, at)).await;
+                        tokio::time::timeout(Duration::from_secs(2), self.net.connect(None, at))
+                            .await;
                     let Ok(Ok(socket)) = connected else {
                         tracing::error!(dispatcher, "control cannot connect");
                         continue;
                     };
-                    let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+                    let (link, mut incoming) =
+                        Link::start(socket, Side::Caller, LinkOptions::default());
                     tokio::spawn(async move { while incoming.next().await.is_some() {} });
                     links.insert(dispatcher, link);
                     waiting.insert(dispatcher, done);
@@ -100,10 +109,20 @@
                 // Of a group: what every object of it has at least.
                 let version_from = self.stage.with(|w| w.version(number.unwrap_or(0), group));
                 let age_us = now.saturating_sub(at);
-                let head = PurgeHead { object, group, age_us, seq: 0 };
+                let head = PurgeHead {
+                    object,
+                    group,
+                    age_us,
+                    seq: 0,
+                };
                 (
                     Frame::Purge(head),
-                    Saw::ToldPurge { dispatcher, object: number, group, version_from },
+                    Saw::ToldPurge {
+                        dispatcher,
+                        object: number,
+                        group,
+                        version_from,
+                    },
                     false,
                 )
             }
--- a/crates/lab/src/day/http_client.rs
+++ b/crates/lab/src/day/http_client.rs
@@ -44,7 +44,10 @@
 impl Connection {
     pub fn over(line: impl Into<Line>) -> Self {
         let (read, write) = line.into().split();
-        Self { read: Reader::new(read, ResponseCodec::new(false)), write }
+        Self {
+            read: Reader::new(read, ResponseCodec::new(false)),
+            write,
+        }
     }
 
     pub async fn ask(&mut self, target: &str, trace: &str, left_ms: u64) -> std::io::Result<()> {
@@ -56,6 +59,9 @@
 
     /// The next piece of the answer; none: the connection ended where it may.
     pub async fn next(&mut self) -> Option<Result<HttpPiece, String>> {
-        self.read.next().await.map(|piece| piece.map_err(|e| e.to_string()))
+        self.read
+            .next()
+            .await
+            .map(|piece| piece.map_err(|e| e.to_string()))
     }
 }
--- a/crates/lab/src/day/mod.rs
+++ b/crates/lab/src/day/mod.rs
@@ -64,7 +64,10 @@
     ];
 
     pub fn word(self) -> &'static str {
-        Self::WORDS.iter().find(|(_, p)| *p == self).map_or("", |(w, _)| w)
+        Self::WORDS
+            .iter()
+            .find(|(_, p)| *p == self)
+            .map_or("", |(w, _)| w)
     }
 }
 
@@ -92,7 +95,12 @@
 /// must not find each other's members at a port that one of them has left for a moment.
 pub(crate) fn loopback(role: u8, n: usize) -> IpAddr {
     let block = 64 + (std::process::id() % 128) as u8;
-    IpAddr::V4(Ipv4Addr::new(127, block, role + (n / 250) as u8, (n % 250 + 1) as u8))
+    IpAddr::V4(Ipv4Addr::new(
+        127,
+        block,
+        role + (n / 250) as u8,
+        (n % 250 + 1) as u8,
+    ))
 }
 
 fn member_ip(n: usize) -> IpAddr {
@@ -122,17 +130,33 @@
 
 /// Plays a day with the real shell on a simulated network, under a paused clock: with latency, loss and partitions, in the time
 /// that its work takes. Blocks; must not be called on a runtime's thread.
-pub fn shell(scenario: &Scenario, folder: &Path, plant: Option<Plant>) -> Result<Outcome, RigError> {
+pub fn shell(
+    scenario: &Scenario,
+    folder: &Path,
+    plant: Option<Plant>,
+) -> Result<Outcome, RigError> {
     if matches!(plant, Some(Plant::Double | Plant::Silent | Plant::Late)) {
-        return Err(RigError::Io(std::io::Error::other("this plant is a relay between real sockets")));
+        return Err(RigError::Io(std::io::Error::other(
+            "this plant is a relay between real sockets",
+        )));
     }
     if let Some(why) = scenario.needs_fleet() {
         return Err(RigError::Io(std::io::Error::other(why)));
     }
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build()?;
     runtime.block_on(async {
         let net = SimNet::new(scenario.weather, stream(scenario.seed, "network"));
-        play(scenario, &Rig::Shell(net), folder, plant, Recorder::default()).await
+        play(
+            scenario,
+            &Rig::Shell(net),
+            folder,
+            plant,
+            Recorder::default(),
+        )
+        .await
     })
 }
 
@@ -180,16 +204,34 @@
     if let Some(why) = scenario.needs_shell() {
         return Err(RigError::Io(std::io::Error::other(why)));
     }
-    play(scenario, &Rig::Processes(program, None), folder, plant, recorder).await
+    play(
+        scenario,
+        &Rig::Processes(program, None),
+        folder,
+        plant,
+        recorder,
+    )
+    .await
 }
 
 /// Plays a day with lists and purges through a stand-in etcd whose streams break again and again, and whose history is compacted.
-pub async fn run_by_etcd(scenario: &Scenario, program: &Path, folder: &Path) -> Result<Outcome, RigError> {
+pub async fn run_by_etcd(
+    scenario: &Scenario,
+    program: &Path,
+    folder: &Path,
+) -> Result<Outcome, RigError> {
     if let Some(why) = scenario.needs_shell() {
         return Err(RigError::Io(std::io::Error::other(why)));
     }
     let etcd = Flapping::start().await?;
-    play(scenario, &Rig::Processes(program, Some(etcd)), folder, None, Recorder::default()).await
+    play(
+        scenario,
+        &Rig::Processes(program, Some(etcd)),
+        folder,
+        None,
+        Recorder::default(),
+    )
+    .await
 }
 
 async fn play(
@@ -204,43 +246,79 @@
     if let Rig::Shell(_) = rig {
         // What is on its way when somebody decides otherwise arrives all the same, and so late at most.
         let w = scenario.weather;
-        let resent = if w.loss > 0.0 { 2 * w.resend } else { Duration::ZERO };
+        let resent = if w.loss > 0.0 {
+            2 * w.resend
+        } else {
+            Duration::ZERO
+        };
         planted.rules.slack += (w.latency + w.jitter + resent).as_micros() as Micros;
     }
     let planted = match plant {
         Some(Plant::Cold) => planted.with_unseen_starts(),
-        Some(Plant::Alone) => Scenario { told_alone: true, ..planted },
+        Some(Plant::Alone) => Scenario {
+            told_alone: true,
+            ..planted
+        },
         _ => planted,
     };
     let scenario = &planted;
     let hosts = scenario.hosts(|n| rig.member_address(n));
     let script = Script::write(scenario, &hosts, |n| rig.member_address(n));
     let traffic = Traffic::draw(scenario);
-    let mut options = StageOptions { fills_from: Some(fills_from()), net: rig.net(), ..Default::default() };
+    let mut options = StageOptions {
+        fills_from: Some(fills_from()),
+        net: rig.net(),
+        ..Default::default()
+    };
     if scenario.hello {
         let of = scenario.clone();
         let make = move |role, weight, started| of.ledger(role, weight, started);
         options.hello = Some(Ledgers(Arc::new(make)));
     }
     for dispatcher in 0..scenario.dispatcher_count() {
-        options.dispatchers.insert(source_ip(dispatcher), dispatcher);
+        options
+            .dispatchers
+            .insert(source_ip(dispatcher), dispatcher);
     }
     let walls = Walls::default();
-    if script.steps.iter().any(|(_, step)| matches!(step, Step::Wall { .. })) {
+    if script
+        .steps
+        .iter()
+        .any(|(_, step)| matches!(step, Step::Wall { .. }))
+    {
         let site = |dispatcher| scenario.branch_of_dispatcher(dispatcher);
-        options.walls = Some((walls.clone(), (0..scenario.dispatcher_count()).map(site).collect()));
+        options.walls = Some((
+            walls.clone(),
+            (0..scenario.dispatcher_count()).map(site).collect(),
+        ));
     }
     let all: Vec<HostSpec> = hosts.iter().chain(&script.newcomers).cloned().collect();
     if plant == Some(Plant::Purge) {
-        options.deaf_to_age =
-            all.iter().filter(|h| h.role == Role::Cache).map(|h| h.address.clone()).collect();
+        options.deaf_to_age = all
+            .iter()
+            .filter(|h| h.role == Role::Cache)
+            .map(|h| h.address.clone())
+            .collect();
     }
     for h in &all {
         let (host, role) = (h.address.clone(), h.role);
-        recorder.saw_at(0, Saw::Member { host, role, zone: h.zone, weight: h.weight });
+        recorder.saw_at(
+            0,
+            Saw::Member {
+                host,
+                role,
+                zone: h.zone,
+                weight: h.weight,
+            },
+        );
     }
     let world = stream(scenario.seed, "world");
-    let mut world = World::new(scenario.world_spec(), hosts.clone(), scenario.catalogue(), world);
+    let mut world = World::new(
+        scenario.world_spec(),
+        hosts.clone(),
+        scenario.catalogue(),
+        world,
+    );
     for newcomer in &script.newcomers {
         world.add(newcomer.clone());
     }
@@ -256,7 +334,11 @@
     }
     let zones = scenario.zones();
     let line = |h: &HostSpec| (h.role.word().to_owned(), zones[h.zone].clone(), h.weight);
-    let members = all.iter().enumerate().map(|(n, h)| (n, line(h))).collect::<HashMap<_, _>>();
+    let members = all
+        .iter()
+        .enumerate()
+        .map(|(n, h)| (n, line(h)))
+        .collect::<HashMap<_, _>>();
     let (news, heard) = mpsc::unbounded_channel();
     match rig {
         Rig::Processes(_, Some(etcd)) => {
@@ -266,7 +348,14 @@
         }
         _ => {
             let (stage, recorder) = (stage.clone(), recorder.clone());
-            let control = Control { book, stage, recorder, members, plant, net: rig.net() };
+            let control = Control {
+                book,
+                stage,
+                recorder,
+                members,
+                plant,
+                net: rig.net(),
+            };
             tokio::spawn(control.run(heard));
         }
     }
@@ -279,18 +368,31 @@
         let (mut http, framed) = (process.doors().http, process.doors().framed);
         // Half of the day passes first, so that the rest of it is as always.
         let from = recorder.now() + scenario.length() / 3;
-        let shortest = scenario.classes.iter().map(|c| c.deadline).min().unwrap_or(0);
-        let delay = Duration::from_micros(shortest + scenario.rules.slack) + Duration::from_millis(400);
+        let shortest = scenario
+            .classes
+            .iter()
+            .map(|c| c.deadline)
+            .min()
+            .unwrap_or(0);
+        let delay =
+            Duration::from_micros(shortest + scenario.rules.slack) + Duration::from_millis(400);
         match plant {
             Some(Plant::Silent) if number == 0 => {
                 http = relay::bytes(http, relay::Answers::Swallow, from, recorder.clone()).await?;
             }
             Some(Plant::Late) if number == 0 => {
-                http = relay::bytes(http, relay::Answers::Delay(delay), from, recorder.clone()).await?;
+                http = relay::bytes(http, relay::Answers::Delay(delay), from, recorder.clone())
+                    .await?;
             }
             _ => {}
         }
-        targets.push(Target { number, http, framed, pool: Default::default(), link: Default::default() });
+        targets.push(Target {
+            number,
+            http,
+            framed,
+            pool: Default::default(),
+            link: Default::default(),
+        });
         processes.push(process);
     }
     for (number, process) in processes.iter().enumerate() {
@@ -306,10 +408,25 @@
         targets,
         net: rig.net(),
     });
-    let load = tokio::spawn(play_traffic(clients, traffic.clone(), recorder.clone(), began));
-    let played =
-        play_script(scenario, &script, &stage, &recorder, &news, &mut processes, began, plant, rig, &walls)
-            .await;
+    let load = tokio::spawn(play_traffic(
+        clients,
+        traffic.clone(),
+        recorder.clone(),
+        began,
+    ));
+    let played = play_script(
+        scenario,
+        &script,
+        &stage,
+        &recorder,
+        &news,
+        &mut processes,
+        began,
+        plant,
+        rig,
+        &walls,
+    )
+    .await;
     let _ = load.await;
     watch.abort();
     let stopped = async {
@@ -323,7 +440,10 @@
     let late = lateness.load(Ordering::Relaxed);
     let rig_late_ms = late as f64 / 1e3;
     if late > scenario.rules.slack {
-        return Err(RigError::Late(rig_late_ms, scenario.rules.slack as f64 / 1e3));
+        return Err(RigError::Late(
+            rig_late_ms,
+            scenario.rules.slack as f64 / 1e3,
+        ));
     }
     let mut sights = recorder.take();
     // The day's own time: everything before it is at 0.
@@ -333,18 +453,31 @@
             *deadline = deadline.saturating_sub(began);
         }
     }
-    let mut effects: Vec<(String, u32)> =
-        stage.with(|w| w.effects().iter().map(|(work, n)| (work.to_string(), *n)).collect());
+    let mut effects: Vec<(String, u32)> = stage.with(|w| {
+        w.effects()
+            .iter()
+            .map(|(work, n)| (work.to_string(), *n))
+            .collect()
+    });
     effects.sort();
     let mut rules = audit::judge(scenario, &sights, &effects);
     let service = audit::service::service(scenario, &traffic, &sights);
     rules.push(audit::sizes::judge(scenario, &service));
-    Ok(Outcome { service, rules, sights, rig_late_ms })
+    Ok(Outcome {
+        service,
+        rules,
+        sights,
+        rig_late_ms,
+    })
 }
 
 async fn tell_up(news: &mpsc::UnboundedSender<News>, dispatcher: usize, at: SocketAddr) {
     let (done, told) = oneshot::channel();
-    let _ = news.send(News::Up { dispatcher, at, done });
+    let _ = news.send(News::Up {
+        dispatcher,
+        at,
+        done,
+    });
     let _ = tokio::time::timeout(Duration::from_secs(5), told).await;
 }
 
@@ -394,13 +527,22 @@
         match step {
             Step::Say(text) => recorder.saw(Saw::Trouble { text: text.clone() }),
             Step::Fault { host, fault } => {
-                stage.tell(In::Fault { host: *host, fault: fault.clone().later(shift) });
+                stage.tell(In::Fault {
+                    host: *host,
+                    fault: fault.clone().later(shift),
+                });
             }
             Step::List { host, listed } => {
                 let (start, started) = stage.with(|w| w.start(*host));
                 let started = started.map(|at| at - EPOCH);
                 let address = stage.address_of(*host);
-                let line = Line { host: *host, address, listed: *listed, start, started };
+                let line = Line {
+                    host: *host,
+                    address,
+                    listed: *listed,
+                    start,
+                    started,
+                };
                 // A process that is down again by now is not announced.
                 if *listed != Listed::Ready || stage.with(|w| w.is_up(*host)) {
                     let _ = news.send(News::Change(line));
@@ -415,45 +557,70 @@
                 purge(scenario, stage, news, Some(object.clone()), *group, plant);
             }
             // Troubles may overlap: who is down is not killed again, who is up is not started.
-            Step::Kill { dispatcher } | Step::Hang { dispatcher, .. } | Step::Stop { dispatcher }
+            Step::Kill { dispatcher }
+            | Step::Hang { dispatcher, .. }
+            | Step::Stop { dispatcher }
                 if !processes[*dispatcher].is_up() => {}
             Step::Revive { dispatcher } if processes[*dispatcher].is_up() => {}
             Step::Hang { dispatcher, hung } => {
                 processes[*dispatcher].hang(*hung).await?;
-                recorder.saw(Saw::Hung { dispatcher: *dispatcher, hung: *hung });
+                recorder.saw(Saw::Hung {
+                    dispatcher: *dispatcher,
+                    hung: *hung,
+                });
             }
             Step::Stop { dispatcher } => {
-                recorder.saw(Saw::Stopping { dispatcher: *dispatcher });
-                let _ = news.send(News::Down { dispatcher: *dispatcher });
+                recorder.saw(Saw::Stopping {
+                    dispatcher: *dispatcher,
+                });
+                let _ = news.send(News::Down {
+                    dispatcher: *dispatcher,
+                });
                 processes[*dispatcher].tell_to_stop().await?;
             }
             Step::Wall { zone, ways, .. } => {
-                recorder.saw(Saw::Walled { zone: *zone, walled: ways.is_some() });
+                recorder.saw(Saw::Walled {
+                    zone: *zone,
+                    walled: ways.is_some(),
+                });
                 walls.set(*zone, *ways);
             }
             Step::Kill { dispatcher } => {
-                recorder.saw(Saw::Killed { dispatcher: *dispatcher });
-                let _ = news.send(News::Down { dispatcher: *dispatcher });
+                recorder.saw(Saw::Killed {
+                    dispatcher: *dispatcher,
+                });
+                let _ = news.send(News::Down {
+                    dispatcher: *dispatcher,
+                });
                 processes[*dispatcher].kill().await?;
             }
             Step::Revive { dispatcher } => {
                 if processes[*dispatcher].is_leaving() {
                     // By now it is gone, and what it was told with it.
-                    recorder.saw(Saw::Killed { dispatcher: *dispatcher });
+                    recorder.saw(Saw::Killed {
+                        dispatcher: *dispatcher,
+                    });
                 }
                 processes[*dispatcher].start(scenario).await?;
                 tell_up(news, *dispatcher, processes[*dispatcher].doors().control).await;
-                recorder.saw(Saw::Born { dispatcher: *dispatcher });
+                recorder.saw(Saw::Born {
+                    dispatcher: *dispatcher,
+                });
             }
             Step::Way { host, open: true } => {
                 stage.open_way(*host).await?;
             }
             Step::Way { host, open: false } => stage.cut_way(*host),
             Step::Part { host, parted } => {
-                let (Rig::Shell(net), Ok(at)) = (rig, stage.address_of(*host).parse::<SocketAddr>()) else {
+                let (Rig::Shell(net), Ok(at)) =
+                    (rig, stage.address_of(*host).parse::<SocketAddr>())
+                else {
                     continue;
                 };
-                recorder.saw(Saw::Parted { host: stage.address_of(*host), parted: *parted });
+                recorder.saw(Saw::Parted {
+                    host: stage.address_of(*host),
+                    parted: *parted,
+                });
                 for dispatcher in 0..processes.len() {
                     if *parted {
                         net.part(source_ip(dispatcher), at.ip());
@@ -463,7 +630,10 @@
                 }
             }
             Step::ListDelay { more, until } => {
-                let _ = news.send(News::Delay { more: *more, until: began + until });
+                let _ = news.send(News::Delay {
+                    more: *more,
+                    until: began + until,
+                });
             }
         }
     }
@@ -482,7 +652,10 @@
 ) {
     let at = stage.now();
     let number = object.as_deref().map(|o| ObjectId::named(o).0);
-    stage.tell(In::Change { object: number, group });
+    stage.tell(In::Change {
+        object: number,
+        group,
+    });
     let _ = news.send(News::Purge { object, group });
     if plant == Some(Plant::Purge) {
         return;
@@ -493,7 +666,12 @@
         let stage = stage.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_micros(after)).await;
-            stage.tell(In::Purge { host, object: number, group, at });
+            stage.tell(In::Purge {
+                host,
+                object: number,
+                group,
+                at,
+            });
         });
     }
 }
--- a/crates/lab/src/day/process.rs
+++ b/crates/lab/src/day/process.rs
@@ -44,7 +44,12 @@
 impl Process {
     pub fn new(program: &Path, folder: &Path, number: usize, etcd: Option<String>) -> Self {
         let any = SocketAddr::new(listen_ip(number), 0);
-        let doors = Doors { http: any, framed: any, control: any, metrics: any };
+        let doors = Doors {
+            http: any,
+            framed: any,
+            control: any,
+            metrics: any,
+        };
         Self {
             number,
             program: program.into(),
@@ -57,7 +62,8 @@
     }
 
     fn file(&self, what: &str) -> PathBuf {
-        self.folder.join(format!("dispatcher-{}.{what}", self.number))
+        self.folder
+            .join(format!("dispatcher-{}.{what}", self.number))
     }
 
     /// Starts it and waits until it listens; one that is still leaving, when it is gone.
@@ -65,15 +71,35 @@
         self.gone().await?;
         let (settings, ready) = (self.file("ini"), self.file("ready"));
         let bind = source_ip(self.number).to_string();
-        let text =
-            ini(scenario, self.number, &self.doors, &bind, &self.file("state"), self.etcd.as_deref());
+        let text = ini(
+            scenario,
+            self.number,
+            &self.doors,
+            &bind,
+            &self.file("state"),
+            self.etcd.as_deref(),
+        );
         std::fs::write(&settings, text)?;
         let _ = std::fs::remove_file(&ready);
-        let log = std::fs::File::options().create(true).append(true).open(self.file("log"))?;
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(self.file("log"))?;
         let mut command = Command::new(&self.program);
-        command.arg("--log-json").arg("serve").arg(&settings).arg("--ready-file").arg(&ready);
-        command.arg("--seed").arg((scenario.seed ^ self.number as u64).to_string());
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log).kill_on_drop(true);
+        command
+            .arg("--log-json")
+            .arg("serve")
+            .arg(&settings)
+            .arg("--ready-file")
+            .arg(&ready);
+        command
+            .arg("--seed")
+            .arg((scenario.seed ^ self.number as u64).to_string());
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .kill_on_drop(true);
         let mut child = command.spawn()?;
         let wait = async {
             loop {
@@ -83,7 +109,10 @@
                 if let Some(status) = child.try_wait()? {
                     let log = std::fs::read_to_string(self.file("log")).unwrap_or_default();
                     let last = log.lines().last().unwrap_or_default();
-                    return Err(RigError::Dispatcher(self.number, format!("{status}: {last}")));
+                    return Err(RigError::Dispatcher(
+                        self.number,
+                        format!("{status}: {last}"),
+                    ));
                 }
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -95,7 +124,12 @@
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
             (bound.http, bound.framed, bound.control, bound.metrics)
         {
-            self.doors = Doors { http, framed, control, metrics };
+            self.doors = Doors {
+                http,
+                framed,
+                control,
+                metrics,
+            };
         }
         self.child = Some(child);
         Ok(())
@@ -110,8 +144,14 @@
     }
 
     async fn signal(&self, name: &str) -> Result<(), RigError> {
-        let Some(pid) = self.child.as_ref().and_then(Child::id) else { return Ok(()) };
-        let told = Command::new("kill").arg(format!("-{name}")).arg(pid.to_string()).status().await?;
+        let Some(pid) = self.child.as_ref().and_then(Child::id) else {
+            return Ok(());
+        };
+        let told = Command::new("kill")
+            .arg(format!("-{name}"))
+            .arg(pid.to_string())
+            .status()
+            .await?;
         let failed = || RigError::Dispatcher(self.number, format!("cannot be sent {name}"));
         told.success().then_some(()).ok_or_else(failed)
     }
@@ -133,14 +173,22 @@
         if !std::mem::take(&mut self.leaving) {
             return Ok(());
         }
-        let Some(mut child) = self.child.take() else { return Ok(()) };
+        let Some(mut child) = self.child.take() else {
+            return Ok(());
+        };
         match tokio::time::timeout(PATIENCE, child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(RigError::Dispatcher(self.number, format!("ended with {status}"))),
+            Ok(Ok(status)) => Err(RigError::Dispatcher(
+                self.number,
+                format!("ended with {status}"),
+            )),
             Ok(Err(e)) => Err(e.into()),
             Err(_) => {
                 child.kill().await?;
-                Err(RigError::Dispatcher(self.number, "did not stop when told to".into()))
+                Err(RigError::Dispatcher(
+                    self.number,
+                    "did not stop when told to".into(),
+                ))
             }
         }
     }
--- a/crates/lab/src/day/relay.rs
+++ b/crates/lab/src/day/relay.rs
@@ -48,7 +48,12 @@
     let read = async move {
         let mut buffer = vec![0; 16 * 1024];
         while let Ok(n) = from_server.read(&mut buffer).await {
-            if n == 0 || sender.send((tokio::time::Instant::now(), buffer[..n].to_vec())).await.is_err() {
+            if n == 0
+                || sender
+                    .send((tokio::time::Instant::now(), buffer[..n].to_vec()))
+                    .await
+                    .is_err()
+            {
                 break;
             }
         }
@@ -99,7 +104,9 @@
     let (member, mut words) = Link::start(onward, Side::Caller, LinkOptions::default());
     tokio::spawn(async move { while words.next().await.is_some() {} });
     while let Some(inbound) = incoming.next().await {
-        let Inbound::Request(head, mut responder) = inbound else { continue };
+        let Inbound::Request(head, mut responder) = inbound else {
+            continue;
+        };
         let (Ok(mut first), Ok(mut second)) = (member.call(head.clone()), member.call(head)) else {
             continue;
         };
--- a/crates/lab/src/day/settings.rs
+++ b/crates/lab/src/day/settings.rs
@@ -33,7 +33,8 @@
     let branch = s.branch_of_dispatcher(dispatcher);
     let zones = s.zones();
     let mut t = String::new();
-    let _ = write!(
+    let _ =
+        write!(
         t,
         "[dispatcher]\nname = d{dispatcher}\nzone = {}\nnumber = {}\ncount = {}\nstate_file = {}\n\
          [listen]\nhttp = {}\nframed = {}\ncontrol = {}\nmetrics = {}\nmax_streams = 4096\n\
--- a/crates/lab/src/day/task.rs
+++ b/crates/lab/src/day/task.rs
@@ -26,8 +26,19 @@
 impl Task {
     pub fn new(net: SimNet, folder: &Path, number: usize) -> Self {
         let any = SocketAddr::new(listen_ip(number), 0);
-        let doors = Doors { http: any, framed: any, control: any, metrics: any };
-        Self { number, folder: folder.into(), net, doors, up: None }
+        let doors = Doors {
+            http: any,
+            framed: any,
+            control: any,
+            metrics: any,
+        };
+        Self {
+            number,
+            folder: folder.into(),
+            net,
+            doors,
+            up: None,
+        }
     }
 
     fn failed(&self, why: impl std::fmt::Display) -> RigError {
@@ -36,7 +47,9 @@
 
     async fn start(&mut self, scenario: &Scenario) -> Result<(), RigError> {
         let bind = source_ip(self.number).to_string();
-        let state = self.folder.join(format!("dispatcher-{}.state", self.number));
+        let state = self
+            .folder
+            .join(format!("dispatcher-{}.state", self.number));
         let text = ini(scenario, self.number, &self.doors, &bind, &state, None);
         let settings = pointspindle_config::parse("settings", &text).map_err(|e| self.failed(e))?;
         let life = self.net.life();
@@ -47,7 +60,12 @@
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
             (bound.http, bound.framed, bound.control, bound.metrics)
         {
-            self.doors = Doors { http, framed, control, metrics };
+            self.doors = Doors {
+                http,
+                framed,
+                control,
+                metrics,
+            };
         }
         self.up = Some((dispatcher, life));
         Ok(())
@@ -64,10 +82,14 @@
     }
 
     async fn stop(&mut self) -> Result<(), RigError> {
-        let Some((dispatcher, life)) = self.up.take() else { return Ok(()) };
+        let Some((dispatcher, life)) = self.up.take() else {
+            return Ok(());
+        };
         let drained = dispatcher.stop().await;
         life.end();
-        drained.then_some(()).ok_or_else(|| self.failed("some requests had no answer when it stopped"))
+        drained
+            .then_some(())
+            .ok_or_else(|| self.failed("some requests had no answer when it stopped"))
     }
 }
 
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -32,7 +32,12 @@
         fill_retries: 1,
         abort_fill: false,
         joins: true,
-        cold: ColdSpec { start_share: 0.2, warm_within: 5_000_000, multiple: 2.0, window: 1_000_000 },
+        cold: ColdSpec {
+            start_share: 0.2,
+            warm_within: 5_000_000,
+            multiple: 2.0,
+            window: 1_000_000,
+        },
         think: if role == Role::Origin { 5_000 } else { 0 },
         report_every: 200_000,
         pause_every: 0,
@@ -50,11 +55,17 @@
 }
 
 /// Starts the fleet; the lines of its member list.
-pub async fn start(class_names: [&str; 2], zones: [&str; 2]) -> std::io::Result<(Stage, Vec<MemberLine>)> {
+pub async fn start(
+    class_names: [&str; 2],
+    zones: [&str; 2],
+) -> std::io::Result<(Stage, Vec<MemberLine>)> {
     let mut hosts = Vec::new();
-    for (role, zone, weight) in
-        [(Role::Cache, 1, 8.0), (Role::Cache, 1, 8.0), (Role::Parent, 0, 16.0), (Role::Origin, 0, 32.0)]
-    {
+    for (role, zone, weight) in [
+        (Role::Cache, 1, 8.0),
+        (Role::Cache, 1, 8.0),
+        (Role::Parent, 0, 16.0),
+        (Role::Origin, 0, 32.0),
+    ] {
         hosts.push(plain_host(free_address("127.0.0.1")?, role, zone, weight));
     }
     let class = |(n, name): (usize, &str)| ClassModel {
@@ -67,12 +78,23 @@
     let classes: Vec<ClassModel> = class_names.into_iter().enumerate().map(class).collect();
     let spec = WorldSpec {
         classes: classes.clone(),
-        zones: zones.iter().map(|z| ZoneSpec { name: (*z).into(), link: 0.0 }).collect(),
+        zones: zones
+            .iter()
+            .map(|z| ZoneSpec {
+                name: (*z).into(),
+                link: 0.0,
+            })
+            .collect(),
         flow: FLOW,
         fill_pace: 3.0,
         key_window: 2_000_000,
     };
-    let catalogue = |w: &Wanted| SAMPLES.iter().find(|(name, ..)| *name == &*w.object).map(|s| s.2);
+    let catalogue = |w: &Wanted| {
+        SAMPLES
+            .iter()
+            .find(|(name, ..)| *name == &*w.object)
+            .map(|s| s.2)
+    };
     let line = |h: &HostSpec| MemberLine {
         address: h.address.clone(),
         state: pointspindle_wire::WireState::Ready as i32,
--- a/crates/lab/src/etcd/measure.rs
+++ b/crates/lab/src/etcd/measure.rs
@@ -53,12 +53,18 @@
 }
 
 fn access(endpoint: &str) -> Access {
-    Access { endpoints: vec![endpoint.to_owned()], ..Default::default() }
+    Access {
+        endpoints: vec![endpoint.to_owned()],
+        ..Default::default()
+    }
 }
 
 pub async fn measure(plan: Plan) -> Result<Figures, String> {
     let stand_in = StandIn::new(None);
-    let endpoint = format!("http://{}", stand_in.listen().await.map_err(|e| e.to_string())?);
+    let endpoint = format!(
+        "http://{}",
+        stand_in.listen().await.map_err(|e| e.to_string())?
+    );
     let patience = Duration::from_secs(10);
     let client = Etcd::new(&access(&endpoint), patience).map_err(|e| e.to_string())?;
     fill(&stand_in, plan);
@@ -70,13 +76,18 @@
         // Each with a connection of its own, as a dispatcher's.
         let etcd = Etcd::new(&access(&endpoint), patience).map_err(|e| e.to_string())?;
         // A large view takes longer to read than silence is suffered.
-        let rule = Rule { silent: 10_000_000, ..Rule::default() };
+        let rule = Rule {
+            silent: 10_000_000,
+            ..Rule::default()
+        };
         let watcher = Watcher::new(PREFIX, rule, 0, plan.seed + n as u64);
         tokio::spawn(feed::run(etcd, PREFIX.to_owned(), watcher, move |output| {
             let now = Instant::now();
             let mut ears = ears.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             match output {
-                Output::Purge(head) => drop(ears.purges.insert(head.object.unwrap_or_default(), now)),
+                Output::Purge(head) => {
+                    drop(ears.purges.insert(head.object.unwrap_or_default(), now))
+                }
                 Output::Gap { first: false, .. } => ears.gaps.push(now),
                 Output::Members(_) => ears.lists.push(now),
                 Output::View(View::Current) => ears.current = Some(now),
@@ -103,8 +114,13 @@
         let due = start + gap.mul_f64(written.len() as f64);
         tokio::time::sleep_until(due).await;
         let object = format!("/o/{}", written.len());
-        let record = PurgeRecord { object: Some(object.clone()), group: 1 };
-        writer::purge(&client, PREFIX, &record).await.map_err(|e| e.to_string())?;
+        let record = PurgeRecord {
+            object: Some(object.clone()),
+            group: 1,
+        };
+        writer::purge(&client, PREFIX, &record)
+            .await
+            .map_err(|e| e.to_string())?;
         written.push((object, Instant::now()));
     }
     tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -118,10 +134,14 @@
         let ears = ears.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         gaps += ears.gaps.len();
         for (object, at) in &written {
-            let word = ears.purges.get(object).or_else(|| ears.gaps.iter().find(|gap| *gap >= at));
+            let word = ears
+                .purges
+                .get(object)
+                .or_else(|| ears.gaps.iter().find(|gap| *gap >= at));
             match word {
                 Some(word) => {
-                    let _ = lag.record((word.saturating_duration_since(*at).as_micros() as u64).max(1));
+                    let _ =
+                        lag.record((word.saturating_duration_since(*at).as_micros() as u64).max(1));
                 }
                 None => missing += 1,
             }
@@ -132,17 +152,24 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     stand_in.change(|store, _| {
         for n in 0..3 {
-            let _ = store.txn(&puts(vec![(purge_key(PREFIX, &format!("again-{n}")), purge(n))]));
+            let _ = store.txn(&puts(vec![(
+                purge_key(PREFIX, &format!("again-{n}")),
+                purge(n),
+            )]));
         }
     });
     stand_in.compact();
-    let marks: Vec<usize> =
-        heard.iter().map(|e| e.lock().unwrap_or_else(|p| p.into_inner()).gaps.len()).collect();
+    let marks: Vec<usize> = heard
+        .iter()
+        .map(|e| e.lock().unwrap_or_else(|p| p.into_inner()).gaps.len())
+        .collect();
     let back = Instant::now();
     stand_in.fault(|f| f.away = false);
     let mut mark = marks.into_iter();
-    let marks: HashMap<usize, usize> =
-        heard.iter().map(|e| (Arc::as_ptr(e) as usize, mark.next().unwrap_or(0))).collect();
+    let marks: HashMap<usize, usize> = heard
+        .iter()
+        .map(|e| (Arc::as_ptr(e) as usize, mark.next().unwrap_or(0)))
+        .collect();
     let again = loop {
         let done = heard.iter().all(|e| {
             let ears = e.lock().unwrap_or_else(|p| p.into_inner());
@@ -157,7 +184,15 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     };
-    Ok(Figures { lag, writes: written.len(), missing, gaps, drops, first_view, again })
+    Ok(Figures {
+        lag,
+        writes: written.len(),
+        missing,
+        gaps,
+        drops,
+        first_view,
+        again,
+    })
 }
 
 async fn all_current(
@@ -165,7 +200,10 @@
     is: impl Fn(&Heard) -> bool,
     began: Instant,
 ) -> Result<Duration, String> {
-    while !heard.iter().all(|e| is(&e.lock().unwrap_or_else(|p| p.into_inner()))) {
+    while !heard
+        .iter()
+        .all(|e| is(&e.lock().unwrap_or_else(|p| p.into_inner())))
+    {
         if began.elapsed() > Duration::from_secs(60) {
             return Err("not every watcher has a view within 60 s".into());
         }
@@ -175,7 +213,10 @@
 }
 
 fn purge(n: usize) -> Vec<u8> {
-    let record = PurgeRecord { object: Some(format!("/before/{n}")), group: n as u64 };
+    let record = PurgeRecord {
+        object: Some(format!("/before/{n}")),
+        group: n as u64,
+    };
     serde_json::to_vec(&record).unwrap_or_default()
 }
 
@@ -187,7 +228,10 @@
             ..Default::default()
         })),
     };
-    TxnRequest { success: all.into_iter().map(put).collect(), ..Default::default() }
+    TxnRequest {
+        success: all.into_iter().map(put).collect(),
+        ..Default::default()
+    }
 }
 
 fn fill(stand_in: &StandIn, plan: Plan) {
@@ -207,7 +251,8 @@
     };
     stand_in.change(|store, _| {
         let _ = store.txn(&puts((0..plan.members).map(member).collect()));
-        let keys = (0..plan.purges).map(|n| (purge_key(PREFIX, &format!("before-{n:07}")), purge(n)));
+        let keys =
+            (0..plan.purges).map(|n| (purge_key(PREFIX, &format!("before-{n:07}")), purge(n)));
         let _ = store.txn(&puts(keys.collect()));
     });
 }
--- a/crates/lab/src/etcd/mod.rs
+++ b/crates/lab/src/etcd/mod.rs
@@ -78,14 +78,17 @@
             born: Instant::now(),
             traffic: traffic::Traffic::default(),
         };
-        Self { inner: Arc::new(inner) }
+        Self {
+            inner: Arc::new(inner),
+        }
     }
 
     /// Listens on a loopback port of the system's choice.
     pub async fn listen(&self) -> std::io::Result<SocketAddr> {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let at = listener.local_addr()?;
-        let incoming = TcpIncoming::from_listener(listener, true, None).map_err(std::io::Error::other)?;
+        let incoming =
+            TcpIncoming::from_listener(listener, true, None).map_err(std::io::Error::other)?;
         let counted = self.inner.traffic.sockets();
         let incoming = incoming.map(move |socket| socket.map(|socket| counted.count(socket)));
         let serve = tonic::transport::Server::builder()
@@ -106,7 +109,10 @@
     }
 
     fn store(&self) -> MutexGuard<'_, Store> {
-        self.inner.store.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.inner
+            .store
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// What has gone over the wire since the start, by kind of message.
@@ -170,7 +176,9 @@
         if faults.silent {
             std::future::pending::<()>().await;
         }
-        let Some((name, _)) = &self.inner.user else { return Ok(()) };
+        let Some((name, _)) = &self.inner.user else {
+            return Ok(());
+        };
         let shown = metadata.get("token").and_then(|t| t.to_str().ok());
         match shown == Some(format!("{name}.token").as_str()) {
             true => Ok(()),
@@ -193,20 +201,37 @@
 
 #[tonic::async_trait]
 impl KV for StandIn {
-    async fn range(&self, request: Request<RangeRequest>) -> Result<Response<RangeResponse>, Status> {
+    async fn range(
+        &self,
+        request: Request<RangeRequest>,
+    ) -> Result<Response<RangeResponse>, Status> {
         self.admit(request.metadata()).await?;
         let answer = self.store().range(request.get_ref()).map_err(refused)?;
-        let kind = if request.get_ref().range_end.is_empty() { "read" } else { "snapshot" };
+        let kind = if request.get_ref().range_end.is_empty() {
+            "read"
+        } else {
+            "snapshot"
+        };
         self.inner.traffic.call(kind, request.get_ref(), &answer);
         Ok(Response::new(answer))
     }
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
         self.admit(request.metadata()).await?;
-        let put = RequestOp { request: Some(request_op::Request::Put(request.into_inner())) };
-        let request = TxnRequest { success: vec![put], ..Default::default() };
-        let done = self.change(|store, _| store.txn(&request)).map_err(refused)?;
-        Ok(Response::new(PutResponse { header: done.header, prev_kv: None }))
+        let put = RequestOp {
+            request: Some(request_op::Request::Put(request.into_inner())),
+        };
+        let request = TxnRequest {
+            success: vec![put],
+            ..Default::default()
+        };
+        let done = self
+            .change(|store, _| store.txn(&request))
+            .map_err(refused)?;
+        Ok(Response::new(PutResponse {
+            header: done.header,
+            prev_kv: None,
+        }))
     }
 
     async fn delete_range(
@@ -214,20 +239,37 @@
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
         self.admit(request.metadata()).await?;
-        let delete = RequestOp { request: Some(request_op::Request::DeleteRange(request.into_inner())) };
-        let request = TxnRequest { success: vec![delete], ..Default::default() };
-        let done = self.change(|store, _| store.txn(&request)).map_err(refused)?;
+        let delete = RequestOp {
+            request: Some(request_op::Request::DeleteRange(request.into_inner())),
+        };
+        let request = TxnRequest {
+            success: vec![delete],
+            ..Default::default()
+        };
+        let done = self
+            .change(|store, _| store.txn(&request))
+            .map_err(refused)?;
         let deleted = match done.responses.first().and_then(|r| r.response.as_ref()) {
             Some(response_op::Response::DeleteRange(told)) => told.deleted,
             _ => 0,
         };
-        Ok(Response::new(DeleteRangeResponse { header: done.header, deleted, prev_kvs: vec![] }))
+        Ok(Response::new(DeleteRangeResponse {
+            header: done.header,
+            deleted,
+            prev_kvs: vec![],
+        }))
     }
 
     async fn txn(&self, request: Request<TxnRequest>) -> Result<Response<TxnResponse>, Status> {
         self.admit(request.metadata()).await?;
-        let done = self.change(|store, _| store.txn(request.get_ref())).map_err(refused)?;
-        self.inner.traffic.call(traffic::of_write(request.get_ref()), request.get_ref(), &done);
+        let done = self
+            .change(|store, _| store.txn(request.get_ref()))
+            .map_err(refused)?;
+        self.inner.traffic.call(
+            traffic::of_write(request.get_ref()),
+            request.get_ref(),
+            &done,
+        );
         Ok(Response::new(done))
     }
 
@@ -236,8 +278,11 @@
         request: Request<CompactionRequest>,
     ) -> Result<Response<CompactionResponse>, Status> {
         self.admit(request.metadata()).await?;
-        self.change(|store, _| store.compact(request.get_ref().revision)).map_err(refused)?;
-        Ok(Response::new(CompactionResponse { header: Some(self.look(Store::header)) }))
+        self.change(|store, _| store.compact(request.get_ref().revision))
+            .map_err(refused)?;
+        Ok(Response::new(CompactionResponse {
+            header: Some(self.look(Store::header)),
+        }))
     }
 }
 
@@ -253,8 +298,15 @@
         let ttl = request.get_ref().ttl;
         let id = self.change(|store, now| store.grant(now, ttl));
         let (header, error) = (Some(self.look(Store::header)), String::new());
-        let answer = LeaseGrantResponse { header, id, ttl, error };
-        self.inner.traffic.call("lease granted", request.get_ref(), &answer);
+        let answer = LeaseGrantResponse {
+            header,
+            id,
+            ttl,
+            error,
+        };
+        self.inner
+            .traffic
+            .call("lease granted", request.get_ref(), &answer);
         Ok(Response::new(answer))
     }
 
@@ -263,8 +315,11 @@
         request: Request<LeaseRevokeRequest>,
     ) -> Result<Response<LeaseRevokeResponse>, Status> {
         self.admit(request.metadata()).await?;
-        self.change(|store, _| store.revoke(request.get_ref().id)).map_err(refused)?;
-        Ok(Response::new(LeaseRevokeResponse { header: Some(self.look(Store::header)) }))
+        self.change(|store, _| store.revoke(request.get_ref().id))
+            .map_err(refused)?;
+        Ok(Response::new(LeaseRevokeResponse {
+            header: Some(self.look(Store::header)),
+        }))
     }
 
     type LeaseKeepAliveStream = Answers<LeaseKeepAliveResponse>;
@@ -279,7 +334,11 @@
             let question = asked.message().await.ok()??;
             let id = question.id;
             let ttl = etcd.change(|store, now| store.keep_alive(now, id));
-            let answer = LeaseKeepAliveResponse { header: Some(etcd.look(Store::header)), id, ttl };
+            let answer = LeaseKeepAliveResponse {
+                header: Some(etcd.look(Store::header)),
+                id,
+                ttl,
+            };
             etcd.inner.traffic.call("lease kept", &question, &answer);
             Some((Ok(answer), (etcd, asked)))
         });
@@ -302,7 +361,9 @@
             Some(_) => Err(Status::invalid_argument(
                 "etcdserver: authentication failed, invalid user ID or password",
             )),
-            None => Err(Status::failed_precondition("etcdserver: authentication is not enabled")),
+            None => Err(Status::failed_precondition(
+                "etcdserver: authentication is not enabled",
+            )),
         }
     }
 }
--- a/crates/lab/src/etcd/store.rs
+++ b/crates/lab/src/etcd/store.rs
@@ -66,7 +66,12 @@
     }
 
     pub fn header(&self) -> ResponseHeader {
-        ResponseHeader { cluster_id: self.cluster, member_id: 1, revision: self.revision, raft_term: 1 }
+        ResponseHeader {
+            cluster_id: self.cluster,
+            member_id: 1,
+            revision: self.revision,
+            raft_term: 1,
+        }
     }
 
     /// The keys as they were at a revision: what came after is taken back.
@@ -78,7 +83,12 @@
             return Err(Refused::Compacted);
         }
         let mut keys = self.keys.clone();
-        for event in self.log.range(revision + 1..).rev().flat_map(|(_, events)| events.iter().rev()) {
+        for event in self
+            .log
+            .range(revision + 1..)
+            .rev()
+            .flat_map(|(_, events)| events.iter().rev())
+        {
             let Some(kv) = &event.kv else { continue };
             match &event.prev_kv {
                 Some(before) => keys.insert(kv.key.clone(), before.clone()),
@@ -93,15 +103,27 @@
             0 => None,
             revision => Some(self.at(revision)?),
         };
-        let from = old.as_ref().unwrap_or(&self.keys).range(request.key.clone()..);
+        let from = old
+            .as_ref()
+            .unwrap_or(&self.keys)
+            .range(request.key.clone()..);
         let fits = from.take_while(|(key, _)| {
             request.range_end == [0] || within(key, &request.key, &request.range_end)
         });
         let all: Vec<&KeyValue> = fits.map(|(_, kv)| kv).collect();
-        let most = if request.limit > 0 { request.limit as usize } else { usize::MAX };
+        let most = if request.limit > 0 {
+            request.limit as usize
+        } else {
+            usize::MAX
+        };
         let (count, more) = (all.len() as i64, all.len() > most);
         let kvs = all.into_iter().take(most).cloned().collect();
-        Ok(RangeResponse { header: Some(self.header()), kvs, more, count })
+        Ok(RangeResponse {
+            header: Some(self.header()),
+            kvs,
+            more,
+            count,
+        })
     }
 
     fn holds(&self, compare: &Compare) -> bool {
@@ -129,7 +151,11 @@
 
     pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refused> {
         let succeeded = request.compare.iter().all(|c| self.holds(c));
-        let operations = if succeeded { &request.success } else { &request.failure };
+        let operations = if succeeded {
+            &request.success
+        } else {
+            &request.failure
+        };
         for operation in operations {
             if let Some(request_op::Request::Put(put)) = &operation.request {
                 if put.lease != 0 && !self.leases.contains_key(&put.lease) {
@@ -141,15 +167,20 @@
         let (mut events, mut responses) = (Vec::new(), Vec::new());
         for operation in operations {
             let response = match &operation.request {
-                Some(request_op::Request::Range(range)) => response_op::Response::Range(self.range(range)?),
+                Some(request_op::Request::Range(range)) => {
+                    response_op::Response::Range(self.range(range)?)
+                }
                 Some(request_op::Request::Put(put)) => {
                     events.push(self.put(revision, put));
                     response_op::Response::Put(PutResponse::default())
                 }
                 Some(request_op::Request::DeleteRange(delete)) => {
                     let gone: Vec<Vec<u8>> = self.keys.keys().cloned().collect();
-                    let gone = gone.into_iter().filter(|k| within(k, &delete.key, &delete.range_end));
-                    let gone: Vec<Event> = gone.filter_map(|key| self.delete(revision, &key)).collect();
+                    let gone = gone
+                        .into_iter()
+                        .filter(|k| within(k, &delete.key, &delete.range_end));
+                    let gone: Vec<Event> =
+                        gone.filter_map(|key| self.delete(revision, &key)).collect();
                     let deleted = gone.len() as i64;
                     events.extend(gone);
                     response_op::Response::DeleteRange(DeleteRangeResponse {
@@ -159,10 +190,16 @@
                 }
                 None => continue,
             };
-            responses.push(ResponseOp { response: Some(response) });
+            responses.push(ResponseOp {
+                response: Some(response),
+            });
         }
         self.commit(revision, events);
-        Ok(TxnResponse { header: Some(self.header()), succeeded, responses })
+        Ok(TxnResponse {
+            header: Some(self.header()),
+            succeeded,
+            responses,
+        })
     }
 
     fn commit(&mut self, revision: i64, events: Vec<Event>) {
@@ -174,7 +211,10 @@
 
     fn put(&mut self, revision: i64, put: &PutRequest) -> Event {
         let before = self.keys.get(&put.key).cloned();
-        if let Some(lease) = before.as_ref().and_then(|kv| self.leases.get_mut(&kv.lease)) {
+        if let Some(lease) = before
+            .as_ref()
+            .and_then(|kv| self.leases.get_mut(&kv.lease))
+        {
             lease.keys.remove(&put.key);
         }
         if let Some(lease) = self.leases.get_mut(&put.lease) {
@@ -189,7 +229,11 @@
             lease: put.lease,
         };
         self.keys.insert(put.key.clone(), kv.clone());
-        Event { r#type: EventType::Put as i32, kv: Some(kv), prev_kv: before }
+        Event {
+            r#type: EventType::Put as i32,
+            kv: Some(kv),
+            prev_kv: before,
+        }
     }
 
     fn delete(&mut self, revision: i64, key: &[u8]) -> Option<Event> {
@@ -197,8 +241,16 @@
         if let Some(lease) = self.leases.get_mut(&before.lease) {
             lease.keys.remove(key);
         }
-        let kv = KeyValue { key: key.to_vec(), mod_revision: revision, ..Default::default() };
-        Some(Event { r#type: EventType::Delete as i32, kv: Some(kv), prev_kv: Some(before) })
+        let kv = KeyValue {
+            key: key.to_vec(),
+            mod_revision: revision,
+            ..Default::default()
+        };
+        Some(Event {
+            r#type: EventType::Delete as i32,
+            kv: Some(kv),
+            prev_kv: Some(before),
+        })
     }
 
     /// History up to this revision, which is kept itself, is forgotten.
@@ -242,8 +294,15 @@
         let id = self.next_lease;
         self.next_lease += 1;
         let ends = now + ttl.max(1) as u64 * 1_000_000;
-        self.leases
-            .insert(id, Lease { ttl: ttl.max(1), ends, granted: self.revision, keys: BTreeSet::new() });
+        self.leases.insert(
+            id,
+            Lease {
+                ttl: ttl.max(1),
+                ends,
+                granted: self.revision,
+                keys: BTreeSet::new(),
+            },
+        );
         id
     }
 
@@ -258,14 +317,23 @@
     pub fn revoke(&mut self, id: i64) -> Result<(), Refused> {
         let lease = self.leases.remove(&id).ok_or(Refused::NoLease)?;
         let revision = self.revision + 1;
-        let events = lease.keys.iter().filter_map(|key| self.delete(revision, key)).collect();
+        let events = lease
+            .keys
+            .iter()
+            .filter_map(|key| self.delete(revision, key))
+            .collect();
         self.commit(revision, events);
         Ok(())
     }
 
     /// Takes leases away that have ended.
     pub fn expire(&mut self, now: Micros) {
-        let over: Vec<i64> = self.leases.iter().filter(|(_, l)| l.ends <= now).map(|(id, _)| *id).collect();
+        let over: Vec<i64> = self
+            .leases
+            .iter()
+            .filter(|(_, l)| l.ends <= now)
+            .map(|(id, _)| *id)
+            .collect();
         for id in over {
             let _ = self.revoke(id);
         }
--- a/crates/lab/src/etcd/traffic.rs
+++ b/crates/lab/src/etcd/traffic.rs
@@ -50,11 +50,15 @@
 
 /// What a write is about, by its first key.
 pub fn of_write(request: &TxnRequest) -> &'static str {
-    let keys = request.success.iter().chain(&request.failure).filter_map(|op| match &op.request {
-        Some(request_op::Request::Put(put)) => Some(&put.key[..]),
-        Some(request_op::Request::DeleteRange(delete)) => Some(&delete.key[..]),
-        _ => None,
-    });
+    let keys = request
+        .success
+        .iter()
+        .chain(&request.failure)
+        .filter_map(|op| match &op.request {
+            Some(request_op::Request::Put(put)) => Some(&put.key[..]),
+            Some(request_op::Request::DeleteRange(delete)) => Some(&delete.key[..]),
+            _ => None,
+        });
     match keys.map(about).next() {
         Some("purges") => "purge written",
         Some("dispatchers") => "registration",
@@ -75,7 +79,9 @@
 
 impl Traffic {
     fn lock(&self) -> MutexGuard<'_, Figures> {
-        self.told.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.told
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub fn figures(&self) -> Figures {
@@ -143,7 +149,10 @@
             };
             (kind.clone(), count)
         });
-        let events = self.events.iter().map(|(k, n)| (k.clone(), n - before.events.get(k).unwrap_or(&0)));
+        let events = self
+            .events
+            .iter()
+            .map(|(k, n)| (k.clone(), n - before.events.get(k).unwrap_or(&0)));
         Self {
             kinds: kinds.collect(),
             events: events.collect(),
@@ -157,7 +166,10 @@
 impl Sockets {
     pub(super) fn count(&self, socket: TcpStream) -> Counted {
         self.bytes.2.fetch_add(1, Ordering::Relaxed);
-        Counted { socket, of: self.clone() }
+        Counted {
+            socket,
+            of: self.clone(),
+        }
     }
 }
 
@@ -182,13 +194,20 @@
     ) -> Poll<Result<()>> {
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.socket).poll_read(cx, buffer);
-        self.of.bytes.0.fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
+        self.of
+            .bytes
+            .0
+            .fetch_add((buffer.filled().len() - before) as u64, Ordering::Relaxed);
         read
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<Result<usize>> {
         let written = Pin::new(&mut self.socket).poll_write(cx, bytes);
         self.wrote(written)
     }
--- a/crates/lab/src/etcd/watches.rs
+++ b/crates/lab/src/etcd/watches.rs
@@ -38,7 +38,13 @@
         self.admit(request.metadata()).await?;
         let wants_leader = request.metadata().get("hasleader").is_some();
         let (out, answers) = mpsc::channel(QUEUE);
-        let line = Line { etcd: self.clone(), watches: BTreeMap::new(), next_id: 0, wants_leader, out };
+        let line = Line {
+            etcd: self.clone(),
+            watches: BTreeMap::new(),
+            next_id: 0,
+            wants_leader,
+            out,
+        };
         tokio::spawn(line.run(request.into_inner()));
         let answers = futures_util::stream::unfold(answers, |mut answers| async move {
             answers.recv().await.map(|answer| (answer, answers))
@@ -55,7 +61,9 @@
         loop {
             let faults_now = faults.borrow_and_update().clone();
             if faults_now.away {
-                let _ = self.out.try_send(Err(Status::unavailable("the stand-in is away")));
+                let _ = self
+                    .out
+                    .try_send(Err(Status::unavailable("the stand-in is away")));
                 return;
             }
             if faults_now.silent {
@@ -66,7 +74,9 @@
                 }
             }
             if faults_now.no_leader && self.wants_leader {
-                let _ = self.out.try_send(Err(Status::unavailable("etcdserver: no leader")));
+                let _ = self
+                    .out
+                    .try_send(Err(Status::unavailable("etcdserver: no leader")));
                 return;
             }
             let done = tokio::select! {
@@ -102,8 +112,11 @@
                 let (header, compacted) = self.etcd.look(|s| (s.header(), s.compacted()));
                 let id = self.next_id;
                 self.next_id += 1;
-                let from =
-                    if create.start_revision > 0 { create.start_revision } else { header.revision + 1 };
+                let from = if create.start_revision > 0 {
+                    create.start_revision
+                } else {
+                    header.revision + 1
+                };
                 let answer = WatchResponse {
                     header: Some(header),
                     watch_id: id,
@@ -120,14 +133,24 @@
             Some(watch_request::Request::Cancel(cancel)) => {
                 self.watches.remove(&cancel.watch_id);
                 let (header, watch_id) = (Some(self.etcd.look(Store::header)), cancel.watch_id);
-                self.say(WatchResponse { header, watch_id, canceled: true, ..Default::default() }).await
+                self.say(WatchResponse {
+                    header,
+                    watch_id,
+                    canceled: true,
+                    ..Default::default()
+                })
+                .await
             }
             Some(watch_request::Request::Progress(_)) => {
                 self.send_all().await?;
                 let header = self.etcd.look(Store::header);
                 // Only when everything up to the header's revision has been sent.
                 if self.watches.values().all(|w| w.from > header.revision) {
-                    let answer = WatchResponse { header: Some(header), watch_id: -1, ..Default::default() };
+                    let answer = WatchResponse {
+                        header: Some(header),
+                        watch_id: -1,
+                        ..Default::default()
+                    };
                     self.say(answer).await?;
                 }
                 Ok(())
@@ -152,7 +175,9 @@
     async fn send_all(&mut self) -> Result<(), Over> {
         let ids: Vec<i64> = self.watches.keys().copied().collect();
         for id in ids {
-            let Some(watched) = self.watches.get_mut(&id) else { continue };
+            let Some(watched) = self.watches.get_mut(&id) else {
+                continue;
+            };
             let (from, create) = (watched.from, watched.create.clone());
             let (events, header, compacted) = self.etcd.look(|s| {
                 let events = s.since(from, &create.key, &create.range_end);
@@ -187,13 +212,22 @@
             events.iter_mut().for_each(|e| e.prev_kv = None);
         }
         let faults = self.etcd.inner.faults.borrow().clone();
-        let most = if create.fragment && faults.fragment > 0 { faults.fragment } else { events.len() };
+        let most = if create.fragment && faults.fragment > 0 {
+            faults.fragment
+        } else {
+            events.len()
+        };
         let pieces: Vec<Vec<Event>> = events.chunks(most.max(1)).map(<[Event]>::to_vec).collect();
         let last = pieces.len() - 1;
         for (n, events) in pieces.into_iter().enumerate() {
             let header = Some(header.clone());
-            let answer =
-                WatchResponse { header, watch_id: id, fragment: n < last, events, ..Default::default() };
+            let answer = WatchResponse {
+                header,
+                watch_id: id,
+                fragment: n < last,
+                events,
+                ..Default::default()
+            };
             self.say(answer).await?;
             if n < last && faults.cut_fragments {
                 return Err(Over);
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -97,7 +97,12 @@
         let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         let (object, class) = (plan.path.clone(), class.clone());
-        let head = RequestHead { object, class, left_us: 10_000_000, ..Default::default() };
+        let head = RequestHead {
+            object,
+            class,
+            left_us: 10_000_000,
+            ..Default::default()
+        };
         for _ in 0..TRIES {
             let mut call = link.call(head.clone()).map_err(std::io::Error::other)?;
             while let Some(part) = call.next().await {
@@ -145,7 +150,9 @@
             let (n, plan) = (next, plan.clone());
             making.spawn(async move {
                 let opening = tokio::time::timeout(Duration::from_secs(10), Held::open(n, &plan));
-                opening.await.unwrap_or_else(|_| Err(std::io::Error::other("no answer in ten seconds")))
+                opening
+                    .await
+                    .unwrap_or_else(|_| Err(std::io::Error::other("no answer in ten seconds")))
             });
             next += 1;
         }
@@ -168,7 +175,9 @@
     for n in 0..ACTIVE {
         let (plan, done) = (plan.clone(), done.clone());
         loops.spawn(async move {
-            let Ok(socket) = connect(n, plan.http).await else { return };
+            let Ok(socket) = connect(n, plan.http).await else {
+                return;
+            };
             let mut connection = Connection::over(socket);
             let mut due = began + each.mul_f64(n as f64 / ACTIVE as f64);
             while due < began + plan.length {
@@ -197,14 +206,25 @@
 fn status_kb(pid: u32, key: &str) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find(|l| l.starts_with(key));
-    line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().nth(1)?.parse().ok())
+        .unwrap_or(0)
 }
 
 /// User and system time so far.
 fn cpu(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    let fields: Vec<&str> = text.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-    let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
+    let fields: Vec<&str> = text
+        .rsplit(") ")
+        .next()
+        .unwrap_or_default()
+        .split(' ')
+        .collect();
+    let ticks = |n: usize| {
+        fields
+            .get(n)
+            .and_then(|f| f.parse::<u64>().ok())
+            .unwrap_or(0)
+    };
     Duration::from_millis((ticks(11) + ticks(12)) * 10)
 }
 
@@ -216,7 +236,10 @@
 /// What the kernel holds for sockets: buffers of TCP, in pages of 4 KiB, of the whole machine.
 fn kernel() -> u64 {
     let text = std::fs::read_to_string("/proc/net/sockstat").unwrap_or_default();
-    let tcp = text.lines().find(|l| l.starts_with("TCP:")).unwrap_or_default();
+    let tcp = text
+        .lines()
+        .find(|l| l.starts_with("TCP:"))
+        .unwrap_or_default();
     let pages = tcp.split_whitespace().skip_while(|w| *w != "mem").nth(1);
     pages.and_then(|p| p.parse::<u64>().ok()).unwrap_or(0) * 4096
 }
@@ -238,7 +261,12 @@
         let idle_cpu = (cpu(plan.pid) - used).as_secs_f64() / at.elapsed().as_secs_f64();
         let (times, failed) = load(&plan).await;
         let step = Step {
-            protocol: if plan.framed.is_some() { "framed" } else { "HTTP" }.into(),
+            protocol: if plan.framed.is_some() {
+                "framed"
+            } else {
+                "HTTP"
+            }
+            .into(),
             idle: held.len(),
             made_per_s,
             program,
@@ -265,7 +293,10 @@
     let n = steps.len() as f64;
     let mean = |f: &dyn Fn(&Step) -> f64| steps.iter().map(f).sum::<f64>() / n.max(1.0);
     let (x, y) = (mean(&|s| s.idle as f64), mean(&|s| of(s) as f64));
-    let over: f64 = steps.iter().map(|s| (s.idle as f64 - x) * (of(s) as f64 - y)).sum();
+    let over: f64 = steps
+        .iter()
+        .map(|s| (s.idle as f64 - x) * (of(s) as f64 - y))
+        .sum();
     let under: f64 = steps.iter().map(|s| (s.idle as f64 - x).powi(2)).sum();
     over / under.max(1e-9)
 }
@@ -308,9 +339,13 @@
     });
     let (times, failed) = load(&plan).await;
     let lives = tokio::time::timeout(Duration::from_secs(5), watching).await;
-    let lives = lives.map_err(|_| std::io::Error::other("some were not closed by the end of the load"))?;
-    let mut late: Vec<Duration> =
-        lives.map_err(std::io::Error::other)?.into_iter().map(|life| life.saturating_sub(idle)).collect();
+    let lives =
+        lives.map_err(|_| std::io::Error::other("some were not closed by the end of the load"))?;
+    let mut late: Vec<Duration> = lives
+        .map_err(std::io::Error::other)?
+        .into_iter()
+        .map(|life| life.saturating_sub(idle))
+        .collect();
     late.sort_unstable();
     let ms = |d: Option<&Duration>| d.map_or(0.0, |d| d.as_secs_f64() * 1e3);
     Ok(Expiry {
--- a/crates/lab/src/import.rs
+++ b/crates/lab/src/import.rs
@@ -250,8 +250,13 @@
         };
         let parents = is(f.parent_kind);
         let cache = |s: &Server| s.up && s.kind as i64 != f.parent_kind && s.kind != f.origin_kind;
-        let caches: Vec<usize> =
-            day.servers.iter().enumerate().filter(|(_, s)| cache(s)).map(|(n, _)| n).collect();
+        let caches: Vec<usize> = day
+            .servers
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| cache(s))
+            .map(|(n, _)| n)
+            .collect();
         let mut zones: Vec<usize> = caches.iter().map(|n| day.servers[*n].zone).collect();
         zones.sort_unstable();
         zones.dedup();
@@ -260,18 +265,36 @@
             return Err(ImportError::Missing("tier, class or dispatcher"));
         }
         let full = size == Size::Full;
-        let branches = if full { zones.len() } else { zones.len().min(3) };
+        let branches = if full {
+            zones.len()
+        } else {
+            zones.len().min(3)
+        };
         let per_branch = (caches.len() as f64 / zones.len() as f64).round().max(1.0) as usize;
-        let per_zone = (day.balancers.len() as f64 / zones.len() as f64).round().max(1.0) as usize;
+        let per_zone = (day.balancers.len() as f64 / zones.len() as f64)
+            .round()
+            .max(1.0) as usize;
         Ok(Self {
             size,
             branches,
             per_branch: if full { per_branch } else { per_branch.max(3) },
             dispatchers: if full { per_zone } else { 1 },
-            parent_count: if full { parents.len() } else { parents.len().min(2) },
-            hubs: if full { f.hubs.max(1) } else { f.hubs.clamp(1, 2) },
+            parent_count: if full {
+                parents.len()
+            } else {
+                parents.len().min(2)
+            },
+            hubs: if full {
+                f.hubs.max(1)
+            } else {
+                f.hubs.clamp(1, 2)
+            },
             // Bodies small enough for one machine; sending times stay as they are.
-            flow: if full { f.kb_per_s } else { f.kb_per_s.min(500.0) },
+            flow: if full {
+                f.kb_per_s
+            } else {
+                f.kb_per_s.min(500.0)
+            },
             // At loopback size a branch has a share of its load: weights shrink with it.
             cache_weight: mean(caches.iter().map(|n| day.servers[*n].weight))
                 * if full { 1.0 } else { 0.35 },
@@ -303,9 +326,11 @@
         let capacity = (self.branches * self.per_branch) as f64 * self.cache_weight;
         let rate = day.traffic.load * capacity / work;
         let kind = &day.tiers[0].kinds[0];
-        let branch_caches = self.caches.len() as f64 / (day.zones.len() - self.first_branch).max(1) as f64;
+        let branch_caches =
+            self.caches.len() as f64 / (day.zones.len() - self.first_branch).max(1) as f64;
         // Kept copies are told as microseconds of sending, by location.
-        let room = mean(f.room.iter().copied().filter(|r| *r > 0.0)) / 1e6 * f.kb_per_s / branch_caches;
+        let room =
+            mean(f.room.iter().copied().filter(|r| *r > 0.0)) / 1e6 * f.kb_per_s / branch_caches;
         let scale = self.flow / f.kb_per_s
             * (self.cache_weight / mean(self.caches.iter().map(|n| day.servers[*n].weight)));
         let link = mean(f.link.iter().skip(self.first_branch).copied());
@@ -319,7 +344,11 @@
             "# Imported: a {} day of {}.\n[day]\nabout = a {} day of {}, imported\nseconds = {:.1}\nrate = {:.2}\nwarm_s = {:.0}\npurges_per_s = {:.3}\n",
             day.kind, day.site, day.kind, day.site, day.length / 1e6 + self.lead(), rate, self.lead(), f.purges,
         );
-        let siblings = if f.siblings == "location" { "zone" } else { f.siblings.as_str() };
+        let siblings = if f.siblings == "location" {
+            "zone"
+        } else {
+            f.siblings.as_str()
+        };
         let yes = |b: bool| if b { "yes" } else { "no" };
         let window = day.classes.iter().map(|c| c.window).fold(0.0, f64::max) / 1e3;
         let _ = writeln!(
@@ -437,9 +466,16 @@
     /// Writes a trouble; the reason if it has no counterpart here.
     fn trouble(&self, day: &Day, n: usize, t: &TroublePart, out: &mut String) -> Option<String> {
         let on_parents = t.on.iter().any(|s| self.parents.contains(s));
-        let on_origin =
-            t.on.iter().any(|s| day.servers.get(*s).is_some_and(|s| s.kind == day.fam.origin_kind));
-        let of = if on_parents { self.parents.len() } else { self.caches.len() };
+        let on_origin = t.on.iter().any(|s| {
+            day.servers
+                .get(*s)
+                .is_some_and(|s| s.kind == day.fam.origin_kind)
+        });
+        let of = if on_parents {
+            self.parents.len()
+        } else {
+            self.caches.len()
+        };
         let mut share = t.on.len() as f64 / of.max(1) as f64;
         let (mut hard, mut down, mut zone) = (None, None, None);
         let mut role = if on_parents { "parent" } else { "cache" };
@@ -459,7 +495,11 @@
             "deploy" | "preempt" => {
                 let first = t.steps.iter().flat_map(|s| &s.stop).next();
                 let parents = first.is_some_and(|s| self.parents.contains(s));
-                let of = if parents { self.parents.len() } else { self.caches.len() };
+                let of = if parents {
+                    self.parents.len()
+                } else {
+                    self.caches.len()
+                };
                 role = if parents { "parent" } else { "cache" };
                 share = stopped as f64 / of.max(1) as f64;
                 hard = Some(t.extra);
@@ -503,7 +543,9 @@
                 share = t.size;
                 "one_off"
             }
-            "report_late" => return Some("report_late: load reports are not read by the module".into()),
+            "report_late" => {
+                return Some("report_late: load reports are not read by the module".into())
+            }
             other => return Some(format!("{other}: no counterpart here")),
         };
         if on_origin {
--- a/crates/lab/src/model/cold.rs
+++ b/crates/lab/src/model/cold.rs
@@ -41,7 +41,14 @@
 impl Spent {
     /// Counts work, in seconds of a transfer at full pace, and tells what part of the budget of the window that
     /// ends now is used: over 1 the member falls over.
-    pub fn send(&mut self, now: Micros, started: Micros, weight: f64, spec: &ColdSpec, work: f64) -> f64 {
+    pub fn send(
+        &mut self,
+        now: Micros,
+        started: Micros,
+        weight: f64,
+        spec: &ColdSpec,
+        work: f64,
+    ) -> f64 {
         self.sent.push_back((now, work));
         self.sum += work;
         let from = now.saturating_sub(spec.window);
@@ -59,8 +66,12 @@
 mod tests {
     use super::*;
 
-    const SPEC: ColdSpec =
-        ColdSpec { start_share: 0.25, warm_within: 10_000_000, multiple: 2.0, window: 1_000_000 };
+    const SPEC: ColdSpec = ColdSpec {
+        start_share: 0.25,
+        warm_within: 10_000_000,
+        multiple: 2.0,
+        window: 1_000_000,
+    };
 
     /// The budget of the first window: 2 x 0.25 x 4 transfers x 1 s = 2 s of work.
     #[test]
--- a/crates/lab/src/model/host.rs
+++ b/crates/lab/src/model/host.rs
@@ -22,7 +22,11 @@
     /// The origin works before its first byte; a turn of `think` ends then.
     Thinking(Answer),
     /// On the link until the key's end.
-    Sending { key: (u64, u64), fill: Option<FillId>, cut: bool },
+    Sending {
+        key: (u64, u64),
+        fill: Option<FillId>,
+        cut: bool,
+    },
     /// Its part of the link is done; the fill that it passes on is not.
     Trailing(FillId),
     /// Taken, and never answered.
@@ -113,7 +117,8 @@
     }
 
     pub fn is_cold(&self, now: Micros) -> bool {
-        self.started.is_some_and(|at| now < at + self.spec.cold.over())
+        self.started
+            .is_some_and(|at| now < at + self.spec.cold.over())
     }
 
     /// Transfers that its link carries now.
@@ -121,17 +126,34 @@
         if self.hangs(now) {
             return 0.0;
         }
-        let cold = self.started.map_or(1.0, |at| self.spec.cold.share(now.saturating_sub(at)));
-        let slow = if now < self.faults.slow.1 { self.faults.slow.0.max(1e-3) } else { 1.0 };
+        let cold = self
+            .started
+            .map_or(1.0, |at| self.spec.cold.share(now.saturating_sub(at)));
+        let slow = if now < self.faults.slow.1 {
+            self.faults.slow.0.max(1e-3)
+        } else {
+            1.0
+        };
         self.spec.weight * cold / slow
     }
 
     /// The load report that answers carry: as old as its period allows.
     pub fn load(&mut self, now: Micros, link: f64) -> LoadReport {
         if now >= self.report.0 + self.spec.report_every {
-            let link = if self.spec.role == Role::Parent { self.fills.len() as f64 } else { link };
+            let link = if self.spec.role == Role::Parent {
+                self.fills.len() as f64
+            } else {
+                link
+            };
             let util = self.pipe.load().min(10.0);
-            self.report = (now, LoadReport { util, hits: self.hits, link });
+            self.report = (
+                now,
+                LoadReport {
+                    util,
+                    hits: self.hits,
+                    link,
+                },
+            );
         }
         self.report.1
     }
@@ -143,7 +165,10 @@
 
     /// The newest purge of an object that this member knows.
     pub fn purged(&self, number: u64, group: u64) -> Option<Micros> {
-        self.purged_objects.get(&number).max(self.purged_groups.get(&group)).copied()
+        self.purged_objects
+            .get(&number)
+            .max(self.purged_groups.get(&group))
+            .copied()
     }
 
     /// The next moment at which something happens by itself.
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -278,12 +278,28 @@
     /// The same fault with its end on a clock that runs ahead by `shift`.
     pub fn later(self, shift: Micros) -> Self {
         match self {
-            Self::Hang { until } => Self::Hang { until: until + shift },
-            Self::Lose { share, until } => Self::Lose { share, until: until + shift },
-            Self::Cut { share, until } => Self::Cut { share, until: until + shift },
-            Self::Refuse { until } => Self::Refuse { until: until + shift },
-            Self::Err { share, until } => Self::Err { share, until: until + shift },
-            Self::Slow { factor, until } => Self::Slow { factor, until: until + shift },
+            Self::Hang { until } => Self::Hang {
+                until: until + shift,
+            },
+            Self::Lose { share, until } => Self::Lose {
+                share,
+                until: until + shift,
+            },
+            Self::Cut { share, until } => Self::Cut {
+                share,
+                until: until + shift,
+            },
+            Self::Refuse { until } => Self::Refuse {
+                until: until + shift,
+            },
+            Self::Err { share, until } => Self::Err {
+                share,
+                until: until + shift,
+            },
+            Self::Slow { factor, until } => Self::Slow {
+                factor,
+                until: until + shift,
+            },
             Self::Die | Self::Return => self,
         }
     }
--- a/crates/lab/src/model/pipe.rs
+++ b/crates/lab/src/model/pipe.rs
@@ -21,7 +21,13 @@
 
 impl Pipe {
     pub fn new(capacity: f64, thrash: f64) -> Self {
-        Self { capacity, thrash, served: 0.0, at: 0, ends: BTreeSet::new() }
+        Self {
+            capacity,
+            thrash,
+            served: 0.0,
+            at: 0,
+            ends: BTreeSet::new(),
+        }
     }
 
     /// Share of its own pace that each transfer gets: 1 while the link is not full. Crowding costs some of it.
@@ -78,7 +84,9 @@
     /// A transfer that has ended by now.
     pub fn ended(&mut self, now: Micros) -> Option<u64> {
         self.advance(now);
-        self.ends.first().filter(|(end, _)| *end as f64 <= self.served + 0.5)?;
+        self.ends
+            .first()
+            .filter(|(end, _)| *end as f64 <= self.served + 0.5)?;
         self.ends.pop_first().map(|(_, id)| id)
     }
 
@@ -117,10 +125,18 @@
         for id in 0..4 {
             pipe.begin(0, id, 100);
         }
-        assert_eq!(run(&mut pipe), [(200, 0), (200, 1), (200, 2), (200, 3)], "four on a link for two");
+        assert_eq!(
+            run(&mut pipe),
+            [(200, 0), (200, 1), (200, 2), (200, 3)],
+            "four on a link for two"
+        );
         let mut pipe = Pipe::new(2.0, 0.0);
         pipe.begin(0, 1, 100);
-        assert_eq!(run(&mut pipe), [(100, 1)], "one cannot use more than its own pace");
+        assert_eq!(
+            run(&mut pipe),
+            [(100, 1)],
+            "one cannot use more than its own pace"
+        );
         let mut pipe = Pipe::new(1.0, 0.0);
         pipe.begin(0, 1, 100);
         pipe.begin(50, 2, 100);
@@ -143,6 +159,10 @@
         let mut pipe = Pipe::new(1.0, 0.5);
         pipe.begin(0, 1, 100);
         pipe.begin(0, 2, 100);
-        assert_eq!(run(&mut pipe)[0].0, 300, "twice the load costs twice and half again");
+        assert_eq!(
+            run(&mut pipe)[0].0,
+            300,
+            "twice the load costs twice and half again"
+        );
     }
 }
--- a/crates/lab/src/model/store.rs
+++ b/crates/lab/src/model/store.rs
@@ -26,7 +26,13 @@
 
 impl Store {
     pub fn new(most: u64) -> Self {
-        Self { most, bytes: 0, held: HashMap::new(), order: BTreeSet::new(), clock: 0 }
+        Self {
+            most,
+            bytes: 0,
+            held: HashMap::new(),
+            order: BTreeSet::new(),
+            clock: 0,
+        }
     }
 
     pub fn get(&self, key: Key) -> Option<Copy> {
@@ -53,7 +59,9 @@
     /// A copy was used: it moves to the end of its rank, or of the rank given (0 leaves it).
     pub fn touch(&mut self, key: Key, rank: u8) {
         let used = self.next();
-        let Some(held) = self.held.get_mut(&key) else { return };
+        let Some(held) = self.held.get_mut(&key) else {
+            return;
+        };
         self.order.remove(&(held.rank, held.used, key));
         held.used = used;
         if rank > 0 {
@@ -84,7 +92,15 @@
         let used = self.next();
         self.bytes += copy.size;
         self.order.insert((rank, used, key));
-        self.held.insert(key, Held { copy, group, rank, used });
+        self.held.insert(
+            key,
+            Held {
+                copy,
+                group,
+                rank,
+                used,
+            },
+        );
         true
     }
 
@@ -100,7 +116,12 @@
         let struck = |key: &Key, held: &Held| {
             held.copy.birth < at && object.map_or(held.group == group, |o| key.0 == o)
         };
-        let keys: Vec<Key> = self.held.iter().filter(|(k, h)| struck(k, h)).map(|(k, _)| *k).collect();
+        let keys: Vec<Key> = self
+            .held
+            .iter()
+            .filter(|(k, h)| struck(k, h))
+            .map(|(k, _)| *k)
+            .collect();
         for key in keys {
             self.remove(key);
         }
@@ -112,7 +133,11 @@
     use super::*;
 
     fn copy(size: u64, birth: Micros) -> Copy {
-        Copy { version: 0, size, birth }
+        Copy {
+            version: 0,
+            size,
+            birth,
+        }
     }
 
     #[test]
@@ -121,7 +146,10 @@
         assert!(store.put((1, 0), 0, copy(10, 0), 2));
         assert!(store.put((2, 0), 0, copy(10, 0), 1));
         assert!(store.put((3, 0), 0, copy(10, 0), 2));
-        assert!(store.put((4, 0), 0, copy(10, 0), 1), "pushes out its own rank");
+        assert!(
+            store.put((4, 0), 0, copy(10, 0), 1),
+            "pushes out its own rank"
+        );
         assert!(store.get((2, 0)).is_none() && store.get((1, 0)).is_some());
         store.touch((1, 0), 0);
         assert!(store.put((5, 0), 0, copy(20, 0), 2));
@@ -129,8 +157,14 @@
             store.get((4, 0)).is_none() && store.get((3, 0)).is_none(),
             "rank 1, then the longest unused"
         );
-        assert!(!store.put((6, 0), 0, copy(10, 0), 1), "nothing of a higher rank for it");
-        assert!(!store.put((7, 0), 0, copy(31, 0), 3), "larger than the store");
+        assert!(
+            !store.put((6, 0), 0, copy(10, 0), 1),
+            "nothing of a higher rank for it"
+        );
+        assert!(
+            !store.put((7, 0), 0, copy(31, 0), 3),
+            "larger than the store"
+        );
         assert_eq!((store.bytes(), store.len()), (30, 2));
     }
 
@@ -141,7 +175,11 @@
         store.put((1, 1), 7, copy(10, 300), 1);
         store.put((2, 0), 8, copy(10, 100), 1);
         store.purge(None, 7, 200);
-        assert!(store.get((1, 0)).is_none() && store.get((1, 1)).is_some() && store.get((2, 0)).is_some());
+        assert!(
+            store.get((1, 0)).is_none()
+                && store.get((1, 1)).is_some()
+                && store.get((2, 0)).is_some()
+        );
         store.purge(Some(2), 0, 200);
         assert!(store.get((2, 0)).is_none());
     }
--- a/crates/lab/src/model/world/fills.rs
+++ b/crates/lab/src/model/world/fills.rs
@@ -15,15 +15,24 @@
         held: Option<Copy>,
         out: &mut Vec<Out>,
     ) {
-        let source = wanted.source.clone().filter(|s| *s != self.hosts[h].spec.address);
+        let source = wanted
+            .source
+            .clone()
+            .filter(|s| *s != self.hosts[h].spec.address);
         let source = source.or_else(|| self.upstream(h)).filter(|_| {
             // Held only, at the member itself: no fill.
             !(wanted.held_only && wanted.source.is_none())
         });
         let Some(source) = source else {
             if let Some((job, _)) = job {
-                let under_way = self.hosts[h].filling.contains_key(&(wanted.number, wanted.part));
-                let note = if under_way { WireNote::Joined } else { WireNote::Untold };
+                let under_way = self.hosts[h]
+                    .filling
+                    .contains_key(&(wanted.number, wanted.part));
+                let note = if under_way {
+                    WireNote::Joined
+                } else {
+                    WireNote::Untold
+                };
                 self.reject(now, h, job, WireStatus::Miss, note, false, out);
             }
             return;
@@ -31,7 +40,15 @@
         let host = &mut self.hosts[h];
         if host.fills.len() >= host.spec.fill_places {
             if let Some((job, _)) = job {
-                self.reject(now, h, job, WireStatus::Full, WireNote::NoFillPlace, false, out);
+                self.reject(
+                    now,
+                    h,
+                    job,
+                    WireStatus::Full,
+                    WireNote::NoFillPlace,
+                    false,
+                    out,
+                );
             }
             return;
         }
@@ -40,7 +57,11 @@
         let key = (wanted.number, wanted.part);
         let due = now + host.spec.fill_timeout;
         // The source fills for us, unless it is to give only what it holds.
-        let asked = Wanted { source: None, holds: held.map(|c| c.version), ..wanted.clone() };
+        let asked = Wanted {
+            source: None,
+            holds: held.map(|c| c.version),
+            ..wanted.clone()
+        };
         let waiting = job.map(|(job, _)| job).into_iter().collect();
         let found = fill::Fill {
             key,
@@ -59,9 +80,21 @@
         host.filling.insert(key, fill);
         host.waits.insert((due, Wait::FillDue(fill)));
         if let Some((job, arrived)) = job {
-            host.jobs.insert(job, Job { wanted, arrived, state: JobState::Filling(fill) });
+            host.jobs.insert(
+                job,
+                Job {
+                    wanted,
+                    arrived,
+                    state: JobState::Filling(fill),
+                },
+            );
         }
-        out.push(Out::Fill { host: h, fill, source, wanted: asked });
+        out.push(Out::Fill {
+            host: h,
+            fill,
+            source,
+            wanted: asked,
+        });
     }
 
     /// A parent's own source.
@@ -69,21 +102,39 @@
         if self.hosts[h].spec.role != Role::Parent {
             return None;
         }
-        self.hosts.iter().find(|o| o.spec.role == Role::Origin).map(|o| o.spec.address.clone())
+        self.hosts
+            .iter()
+            .find(|o| o.spec.role == Role::Origin)
+            .map(|o| o.spec.address.clone())
     }
 
     /// A request leaves its fill, which runs on or is dropped with its last one.
-    pub(super) fn unwait(&mut self, now: Micros, h: HostId, fill: FillId, job: JobId, out: &mut Vec<Out>) {
+    pub(super) fn unwait(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        fill: FillId,
+        job: JobId,
+        out: &mut Vec<Out>,
+    ) {
         let host = &mut self.hosts[h];
-        let Some(found) = host.fills.get_mut(&fill) else { return };
+        let Some(found) = host.fills.get_mut(&fill) else {
+            return;
+        };
         found.waiting.retain(|j| *j != job);
-        if found.waiting.is_empty() && !found.behind && host.spec.abort_fill && !found.is_complete() {
+        if found.waiting.is_empty() && !found.behind && host.spec.abort_fill && !found.is_complete()
+        {
             self.forget_fill(now, h, fill);
             out.push(Out::DropFill { host: h, fill });
         }
     }
 
-    pub(super) fn forget_fill(&mut self, now: Micros, h: HostId, fill: FillId) -> Option<fill::Fill> {
+    pub(super) fn forget_fill(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        fill: FillId,
+    ) -> Option<fill::Fill> {
         let host = &mut self.hosts[h];
         let found = host.fills.remove(&fill)?;
         host.waits.remove(&(found.due, Wait::FillDue(fill)));
@@ -108,19 +159,34 @@
         out: &mut Vec<Out>,
     ) {
         if self.hosts[h].hangs(now) {
-            self.hosts[h].deferred.push(In::SourceHead { host: h, fill, answer });
+            self.hosts[h].deferred.push(In::SourceHead {
+                host: h,
+                fill,
+                answer,
+            });
             return;
         }
         let zone = self.hosts[h].spec.zone;
-        let Some(found) = self.hosts[h].fills.get_mut(&fill).filter(|f| f.head.is_none()) else { return };
+        let Some(found) = self.hosts[h]
+            .fills
+            .get_mut(&fill)
+            .filter(|f| f.head.is_none())
+        else {
+            return;
+        };
         let key = found.key;
         // A copy that the source confirmed has the body that is held here.
         let held = self.hosts[h].store.get(key);
         let copy = match held.filter(|_| answer.not_modified) {
-            Some(held) => Copy { birth: answer.copy.birth, ..held },
+            Some(held) => Copy {
+                birth: answer.copy.birth,
+                ..held
+            },
             None => answer.copy,
         };
-        let outside = self.host_of_source(h, fill).is_none_or(|s| self.hosts[s].spec.zone != zone);
+        let outside = self
+            .host_of_source(h, fill)
+            .is_none_or(|s| self.hosts[s].spec.zone != zone);
         let bytes = if answer.not_modified { 0 } else { copy.size };
         let found = self.hosts[h].fills.get_mut(&fill).expect("looked up above");
         let head = Answer { copy, ..answer };
@@ -135,7 +201,8 @@
         for (n, job) in waiting.into_iter().enumerate() {
             let note = match (n, head.note, self.source_is_origin(h, fill)) {
                 (1.., ..) => WireNote::Joined,
-                (_, _, true) | (_, WireNote::Filled | WireNote::FilledByOrigin | WireNote::Joined, _) => {
+                (_, _, true)
+                | (_, WireNote::Filled | WireNote::FilledByOrigin | WireNote::Joined, _) => {
                     WireNote::FilledByOrigin
                 }
                 _ => WireNote::Filled,
@@ -150,7 +217,8 @@
     }
 
     pub(super) fn source_is_origin(&self, h: HostId, fill: FillId) -> bool {
-        self.host_of_source(h, fill).is_some_and(|s| self.hosts[s].spec.role == Role::Origin)
+        self.host_of_source(h, fill)
+            .is_some_and(|s| self.hosts[s].spec.role == Role::Origin)
     }
 
     /// Passes a fill on to one who waits for it, if its copy is young enough for that request.
@@ -165,7 +233,9 @@
         note: WireNote,
         out: &mut Vec<Out>,
     ) {
-        let Some(found) = self.hosts[h].jobs.remove(&job) else { return };
+        let Some(found) = self.hosts[h].jobs.remove(&job) else {
+            return;
+        };
         let floor = self.floor(h, found.arrived, &found.wanted);
         if head.copy.birth < floor {
             // Joined a fill that was asked for with less: a fill of its own.
@@ -188,7 +258,9 @@
         out: &mut Vec<Out>,
     ) {
         if self.hosts[h].hangs(now) {
-            self.hosts[h].deferred.push(In::SourceEnd { host: h, fill, end });
+            self.hosts[h]
+                .deferred
+                .push(In::SourceEnd { host: h, fill, end });
             return;
         }
         match end {
@@ -198,14 +270,20 @@
                 }
                 self.if_complete(now, h, fill, out);
             }
-            SourceEnd::Told { status, note } => self.fill_failed(now, h, fill, Some((status, note)), out),
+            SourceEnd::Told { status, note } => {
+                self.fill_failed(now, h, fill, Some((status, note)), out)
+            }
             SourceEnd::Unreachable => self.fill_failed(now, h, fill, None, out),
         }
         self.refresh(h);
     }
 
     pub(super) fn fill_due(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<Out>) {
-        if self.hosts[h].fills.get(&fill).is_some_and(|f| f.head.is_none()) {
+        if self.hosts[h]
+            .fills
+            .get(&fill)
+            .is_some_and(|f| f.head.is_none())
+        {
             out.push(Out::DropFill { host: h, fill });
             self.fill_failed(now, h, fill, None, out);
         }
@@ -222,31 +300,52 @@
     ) {
         let origin = self.source_is_origin(h, fill);
         let parent = self.hosts[h].spec.role == Role::Parent;
-        let Some(found) = self.forget_fill(now, h, fill) else { return };
+        let Some(found) = self.forget_fill(now, h, fill) else {
+            return;
+        };
         let lacks = matches!(told, Some((WireStatus::Miss, _)));
         let safe = !found.wanted.key_is_set();
-        if found.head.is_none() && found.tries_left > 0 && !lacks && safe && !found.waiting.is_empty() {
+        if found.head.is_none()
+            && found.tries_left > 0
+            && !lacks
+            && safe
+            && !found.waiting.is_empty()
+        {
             self.next_fill += 1;
             let (id, due) = (self.next_fill, now + self.hosts[h].spec.fill_timeout);
-            let wanted = Wanted { source: None, ..found.wanted.clone() };
+            let wanted = Wanted {
+                source: None,
+                ..found.wanted.clone()
+            };
             let source = found.source.clone();
             for job in &found.waiting {
                 if let Some(job) = self.hosts[h].jobs.get_mut(job) {
                     job.state = JobState::Filling(id);
                 }
             }
-            let again = fill::Fill { tries_left: found.tries_left - 1, due, began: now, ..found };
+            let again = fill::Fill {
+                tries_left: found.tries_left - 1,
+                due,
+                began: now,
+                ..found
+            };
             self.hosts[h].filling.insert(again.key, id);
             self.hosts[h].waits.insert((due, Wait::FillDue(id)));
             self.hosts[h].fills.insert(id, again);
-            return out.push(Out::Fill { host: h, fill: id, source, wanted });
+            return out.push(Out::Fill {
+                host: h,
+                fill: id,
+                source,
+                wanted,
+            });
         }
         let (status, note, ran) = match told {
             Some((WireStatus::Full, _)) => (WireStatus::Full, WireNote::SourceRefused, false),
             Some((WireStatus::Miss, _)) => (WireStatus::Miss, WireNote::SourceLacks, false),
-            Some((_, WireNote::SourceRefused | WireNote::SourceUnreachable | WireNote::OriginFailed)) => {
-                (WireStatus::Error, WireNote::OriginFailed, true)
-            }
+            Some((
+                _,
+                WireNote::SourceRefused | WireNote::SourceUnreachable | WireNote::OriginFailed,
+            )) => (WireStatus::Error, WireNote::OriginFailed, true),
             _ => (WireStatus::Error, WireNote::SourceUnreachable, true),
         };
         // A parent whose origin turned it away says so as a failure of the origin, not as its own lack of room.
@@ -255,7 +354,9 @@
             _ => (status, note),
         };
         for job in found.waiting {
-            let Some(state) = self.hosts[h].jobs.get(&job).map(|j| &j.state) else { continue };
+            let Some(state) = self.hosts[h].jobs.get(&job).map(|j| &j.state) else {
+                continue;
+            };
             match state {
                 JobState::Filling(_) => {
                     self.hosts[h].jobs.remove(&job);
@@ -286,13 +387,23 @@
 
     /// Keeps a copy that is here to its last byte, and ends the answers that waited for that.
     pub(super) fn if_complete(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<Out>) {
-        if !self.hosts[h].fills.get(&fill).is_some_and(|f| f.is_complete()) {
+        if !self.hosts[h]
+            .fills
+            .get(&fill)
+            .is_some_and(|f| f.is_complete())
+        {
             return;
         }
-        let Some(found) = self.forget_fill(now, h, fill) else { return };
+        let Some(found) = self.forget_fill(now, h, fill) else {
+            return;
+        };
         let Some(head) = found.head else { return };
         let (number, group) = (found.wanted.number, found.wanted.group);
-        let uncacheable = self.spec.classes.get(found.wanted.class).is_some_and(|c| c.uncacheable);
+        let uncacheable = self
+            .spec
+            .classes
+            .get(found.wanted.class)
+            .is_some_and(|c| c.uncacheable);
         let rank = self.rank(h, found.wanted.keep);
         let host = &mut self.hosts[h];
         if !uncacheable && head.code == 200 && !host.is_purged(number, group, head.copy.birth) {
@@ -303,8 +414,10 @@
             }
         }
         for job in found.waiting {
-            let trailing =
-                self.hosts[h].jobs.get(&job).is_some_and(|j| matches!(j.state, JobState::Trailing(_)));
+            let trailing = self.hosts[h]
+                .jobs
+                .get(&job)
+                .is_some_and(|j| matches!(j.state, JobState::Trailing(_)));
             if trailing {
                 self.hosts[h].jobs.remove(&job);
                 out.push(Out::Finish { host: h, job });
