--- a/crates/lab/src/model/world/mod.rs
+++ b/crates/lab/src/model/world/mod.rs
@@ -55,13 +55,19 @@
 
 impl std::fmt::Debug for World {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("World").field("hosts", &self.hosts.len()).finish_non_exhaustive()
+        f.debug_struct("World")
+            .field("hosts", &self.hosts.len())
+            .finish_non_exhaustive()
     }
 }
 
 impl World {
     pub fn new(spec: WorldSpec, hosts: Vec<HostSpec>, catalogue: Catalogue, seed: u64) -> Self {
-        let addresses = hosts.iter().enumerate().map(|(n, h)| (h.address.clone(), n)).collect();
+        let addresses = hosts
+            .iter()
+            .enumerate()
+            .map(|(n, h)| (h.address.clone(), n))
+            .collect();
         let link = |z: &ZoneSpec| Pipe::new(z.link / spec.fill_pace.max(1e-9), 0.0);
         let links: Vec<Pipe> = spec.zones.iter().map(link).collect();
         let mut world = Self {
@@ -154,7 +160,12 @@
             In::Cancel { host, job } => self.cancel(now, host, job, out),
             In::SourceHead { host, fill, answer } => self.source_head(now, host, fill, answer, out),
             In::SourceEnd { host, fill, end } => self.source_end(now, host, fill, end, out),
-            In::Purge { host, object, group, at } => {
+            In::Purge {
+                host,
+                object,
+                group,
+                at,
+            } => {
                 let h = &mut self.hosts[host];
                 h.store.purge(object, group, at);
                 for map in [&mut h.purged_objects, &mut h.purged_groups] {
@@ -168,8 +179,14 @@
                 };
                 *newest = at.max(*newest);
             }
-            In::Change { object: Some(object), .. } => *self.versions.entry(object).or_default() += 1,
-            In::Change { object: None, group } => *self.group_versions.entry(group).or_default() += 1,
+            In::Change {
+                object: Some(object),
+                ..
+            } => *self.versions.entry(object).or_default() += 1,
+            In::Change {
+                object: None,
+                group,
+            } => *self.group_versions.entry(group).or_default() += 1,
             In::Fault { host, fault } => self.fault(now, host, fault, out),
             In::Tick => {}
         }
@@ -235,7 +252,12 @@
         while let Some(job) = self.hosts[h].pipe.ended(now) {
             self.sent(now, h, job, out);
         }
-        while let Some((at, wait)) = self.hosts[h].waits.first().copied().filter(|(at, _)| *at <= now) {
+        while let Some((at, wait)) = self.hosts[h]
+            .waits
+            .first()
+            .copied()
+            .filter(|(at, _)| *at <= now)
+        {
             self.hosts[h].waits.remove(&(at, wait));
             match wait {
                 Wait::Think(job) => self.thought(now, h, job, out),
@@ -255,7 +277,9 @@
             for input in std::mem::take(&mut self.hosts[h].deferred) {
                 match input {
                     In::Arrive { job, wanted, .. } => self.take(now, h, job, wanted, out),
-                    In::SourceHead { fill, answer, .. } => self.source_head(now, h, fill, answer, out),
+                    In::SourceHead { fill, answer, .. } => {
+                        self.source_head(now, h, fill, answer, out)
+                    }
                     In::SourceEnd { fill, end, .. } => self.source_end(now, h, fill, end, out),
                     _ => {}
                 }
@@ -281,7 +305,8 @@
         host.pipe.set_capacity(now, capacity);
         if host.is_cold(now) && host.pipe.transfers() > 0 {
             // On a common grid, so that many looks of one moment are one.
-            host.waits.insert(((now / WARM_STEP + 1) * WARM_STEP, Wait::Look));
+            host.waits
+                .insert(((now / WARM_STEP + 1) * WARM_STEP, Wait::Look));
         }
     }
 
@@ -295,7 +320,11 @@
             return;
         }
         if self.hosts[h].hangs(now) {
-            self.hosts[h].deferred.push(In::Arrive { host: h, job, wanted });
+            self.hosts[h].deferred.push(In::Arrive {
+                host: h,
+                job,
+                wanted,
+            });
             return self.refresh(h);
         }
         self.take(now, h, job, wanted, out);
@@ -304,7 +333,11 @@
 
     /// Every attempt that reaches a cold member counts, also one that only looks or is turned away.
     fn pushed_over(&mut self, now: Micros, h: HostId, wanted: &Wanted, out: &mut Vec<Out>) -> bool {
-        let work = self.spec.classes.get(wanted.class).map_or(0.0, |c| c.mean as f64 / 1e6);
+        let work = self
+            .spec
+            .classes
+            .get(wanted.class)
+            .map_or(0.0, |c| c.mean as f64 / 1e6);
         let host = &mut self.hosts[h];
         match (host.spec.role, host.started) {
             (Role::Origin, _) => {
@@ -317,7 +350,9 @@
                 if spec.multiple <= 0.0 || self.origin_falls >= ORIGIN_FALLS {
                     return false;
                 }
-                let used = self.origin_spent.send(now, 0, host.spec.weight, &spec, work);
+                let used = self
+                    .origin_spent
+                    .send(now, 0, host.spec.weight, &spec, work);
                 if used > cold::EXACTLY {
                     self.origin_falls += 1;
                     self.origin_spent = cold::Spent::default();
@@ -354,7 +389,11 @@
             return self.reject(now, h, job, WireStatus::Full, WireNote::Untold, false, out);
         }
         if now < lose.1 && self.rng.gen::<f64>() < lose.0 {
-            let lost = Job { wanted, arrived: now, state: JobState::Lost };
+            let lost = Job {
+                wanted,
+                arrived: now,
+                state: JobState::Lost,
+            };
             self.hosts[h].jobs.insert(job, lost);
             return;
         }
@@ -385,11 +424,21 @@
             (0, fresh) => arrived.saturating_sub(fresh),
             (age, _) => arrived.saturating_sub(age),
         };
-        let purged = self.hosts[h].purged(wanted.number, wanted.group).filter(|at| *at <= arrived);
+        let purged = self.hosts[h]
+            .purged(wanted.number, wanted.group)
+            .filter(|at| *at <= arrived);
         asked.max(purged.unwrap_or(0))
     }
 
-    fn hit(&mut self, now: Micros, h: HostId, job: JobId, wanted: Wanted, copy: Copy, out: &mut Vec<Out>) {
+    fn hit(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        job: JobId,
+        wanted: Wanted,
+        copy: Copy,
+        out: &mut Vec<Out>,
+    ) {
         let key = (wanted.number, wanted.part);
         let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.fresh);
         let age = now.saturating_sub(copy.birth);
@@ -405,7 +454,12 @@
         self.admit(now, h, job, wanted, answer, None, out);
         if let Some(wanted) = behind.filter(|_| !self.hosts[h].filling.contains_key(&key)) {
             // Behind the answer the copy must be new, whatever age the answer itself could have.
-            let wanted = Wanted { age: 1, join: false, held_only: false, ..wanted };
+            let wanted = Wanted {
+                age: 1,
+                join: false,
+                held_only: false,
+                ..wanted
+            };
             self.begin_fill(now, h, None, wanted, Some(copy), out);
         }
     }
@@ -419,7 +473,14 @@
         }
     }
 
-    fn answer(&mut self, now: Micros, h: HostId, note: WireNote, copy: Copy, wanted: &Wanted) -> Answer {
+    fn answer(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        note: WireNote,
+        copy: Copy,
+        wanted: &Wanted,
+    ) -> Answer {
         let zone = self.hosts[h].spec.zone;
         let link = self.links.get(zone).map_or(0.0, |l| l.load());
         let load = self.hosts[h].load(now, link);
@@ -427,7 +488,15 @@
         let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.fresh);
         let fresh_left = (fresh > 0).then(|| fresh.saturating_sub(age));
         let not_modified = wanted.holds == Some(copy.version);
-        Answer { note, copy, age, fresh_left, not_modified, load, code: 200 }
+        Answer {
+            note,
+            copy,
+            age,
+            fresh_left,
+            not_modified,
+            load,
+            code: 200,
+        }
     }
 
     fn miss(
@@ -441,7 +510,11 @@
     ) {
         let key = (wanted.number, wanted.part);
         let parent = self.hosts[h].spec.role == Role::Parent;
-        let join = if parent { self.hosts[h].spec.joins && !wanted.key_is_set() } else { wanted.join };
+        let join = if parent {
+            self.hosts[h].spec.joins && !wanted.key_is_set()
+        } else {
+            wanted.join
+        };
         let under_way = self.hosts[h].filling.get(&key).copied();
         if let Some(fill) = under_way.filter(|_| join) {
             let host = &mut self.hosts[h];
@@ -449,7 +522,14 @@
                 found.waiting.push(job);
                 let head = found.head.clone();
                 let state = JobState::Filling(fill);
-                host.jobs.insert(job, Job { wanted, arrived: now, state });
+                host.jobs.insert(
+                    job,
+                    Job {
+                        wanted,
+                        arrived: now,
+                        state,
+                    },
+                );
                 if let Some(head) = head {
                     self.serve_from_fill(now, h, fill, job, &head, WireNote::Joined, out);
                 }
@@ -475,7 +555,14 @@
         if host.busy >= host.spec.places {
             host.queue.push_back(job);
             let state = JobState::Queued(answer, fill);
-            host.jobs.insert(job, Job { wanted, arrived: now, state });
+            host.jobs.insert(
+                job,
+                Job {
+                    wanted,
+                    arrived: now,
+                    state,
+                },
+            );
             return;
         }
         self.begin(now, h, job, wanted, answer, fill, out);
@@ -503,7 +590,14 @@
             let at = now + wait as Micros + 1;
             self.hosts[h].waits.insert((at, Wait::Think(job)));
             let state = JobState::Thinking(answer);
-            self.hosts[h].jobs.insert(job, Job { wanted, arrived: now, state });
+            self.hosts[h].jobs.insert(
+                job,
+                Job {
+                    wanted,
+                    arrived: now,
+                    state,
+                },
+            );
             return;
         }
         self.transfer(now, h, job, wanted, answer, fill, out);
@@ -520,7 +614,11 @@
         fill: Option<FillId>,
         out: &mut Vec<Out>,
     ) {
-        let bytes = if answer.not_modified { 0 } else { answer.copy.size };
+        let bytes = if answer.not_modified {
+            0
+        } else {
+            answer.copy.size
+        };
         let work = (bytes as f64 / self.spec.flow * 1e6) as u64 + BARE;
         self.warm(now, h);
         let cut = match self.hosts[h].faults.cut {
@@ -529,23 +627,42 @@
         };
         let host = &mut self.hosts[h];
         let key = host.pipe.begin(now, job, work);
-        host.jobs.insert(job, Job { wanted, arrived: now, state: JobState::Sending { key, fill, cut } });
-        out.push(Out::Start { host: h, job, answer });
+        host.jobs.insert(
+            job,
+            Job {
+                wanted,
+                arrived: now,
+                state: JobState::Sending { key, fill, cut },
+            },
+        );
+        out.push(Out::Start {
+            host: h,
+            job,
+            answer,
+        });
         self.warm(now, h);
     }
 
     /// The origin's work before the first byte is done.
     fn thought(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
-        let Some(found) = self.hosts[h].jobs.remove(&job) else { return };
-        let JobState::Thinking(answer) = found.state else { return };
+        let Some(found) = self.hosts[h].jobs.remove(&job) else {
+            return;
+        };
+        let JobState::Thinking(answer) = found.state else {
+            return;
+        };
         self.transfer(now, h, job, found.wanted, answer, None, out);
     }
 
     /// Its part of the link is through.
     fn sent(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
         let host = &mut self.hosts[h];
-        let Some(found) = host.jobs.get_mut(&job) else { return };
-        let JobState::Sending { fill, cut, .. } = found.state else { return };
+        let Some(found) = host.jobs.get_mut(&job) else {
+            return;
+        };
+        let JobState::Sending { fill, cut, .. } = found.state else {
+            return;
+        };
         if cut {
             host.jobs.remove(&job);
             out.push(Out::Cut { host: h, job });
@@ -565,9 +682,15 @@
     fn leave_place(&mut self, now: Micros, h: HostId, out: &mut Vec<Out>) {
         self.hosts[h].busy -= 1;
         while self.hosts[h].busy < self.hosts[h].spec.places {
-            let Some(job) = self.hosts[h].queue.pop_front() else { break };
-            let Some(found) = self.hosts[h].jobs.remove(&job) else { continue };
-            let JobState::Queued(answer, fill) = found.state else { continue };
+            let Some(job) = self.hosts[h].queue.pop_front() else {
+                break;
+            };
+            let Some(found) = self.hosts[h].jobs.remove(&job) else {
+                continue;
+            };
+            let JobState::Queued(answer, fill) = found.state else {
+                continue;
+            };
             self.begin(now, h, job, found.wanted, answer, fill, out);
         }
         self.warm(now, h);
@@ -585,13 +708,23 @@
         out: &mut Vec<Out>,
     ) {
         let load = self.hosts[h].load(now, 0.0);
-        out.push(Out::Reject { host: h, job, status, note, may_have_run, load });
+        out.push(Out::Reject {
+            host: h,
+            job,
+            status,
+            note,
+            may_have_run,
+            load,
+        });
     }
 
     fn cancel(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
         let host = &mut self.hosts[h];
-        host.deferred.retain(|i| !matches!(i, In::Arrive { job: j, .. } if *j == job));
-        let Some(found) = host.jobs.remove(&job) else { return };
+        host.deferred
+            .retain(|i| !matches!(i, In::Arrive { job: j, .. } if *j == job));
+        let Some(found) = host.jobs.remove(&job) else {
+            return;
+        };
         match found.state {
             JobState::Filling(fill) => self.unwait(now, h, fill, job, out),
             JobState::Queued(_, fill) => {
@@ -619,14 +752,29 @@
 
     // ---- the origin
 
-    fn at_origin(&mut self, now: Micros, h: HostId, job: JobId, wanted: Wanted, out: &mut Vec<Out>) {
+    fn at_origin(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        job: JobId,
+        wanted: Wanted,
+        out: &mut Vec<Out>,
+    ) {
         if wanted.key_is_set() {
             let window = self.spec.key_window;
             if self.ran.len() > PURGES {
                 self.ran.retain(|_, at| *at + window > now);
             }
-            let dedupes = self.spec.classes.get(wanted.class).is_some_and(|c| c.dedupes);
-            let repeat = dedupes && self.ran.get(&wanted.key).is_some_and(|at| now < *at + window);
+            let dedupes = self
+                .spec
+                .classes
+                .get(wanted.class)
+                .is_some_and(|c| c.dedupes);
+            let repeat = dedupes
+                && self
+                    .ran
+                    .get(&wanted.key)
+                    .is_some_and(|at| now < *at + window);
             if !repeat {
                 self.ran.insert(wanted.key.clone(), now);
                 *self.effects.entry(wanted.key.clone()).or_default() += 1;
@@ -638,7 +786,11 @@
             birth: now,
         });
         let code = if copy.is_some() { 200 } else { 404 };
-        let copy = copy.unwrap_or(Copy { version: 0, size: 0, birth: now });
+        let copy = copy.unwrap_or(Copy {
+            version: 0,
+            size: 0,
+            birth: now,
+        });
         let mut answer = self.answer(now, h, WireNote::Hit, copy, &wanted);
         answer.code = code;
         self.admit(now, h, job, wanted, answer, None, out);
--- a/crates/lab/src/record.rs
+++ b/crates/lab/src/record.rs
@@ -18,7 +18,10 @@
 
     pub fn parse(trace: &str) -> Option<Self> {
         let (call, try_no) = trace.strip_prefix('c')?.split_once('.')?;
-        Some(Self { call: call.parse().ok()?, try_no: try_no.parse().ok()? })
+        Some(Self {
+            call: call.parse().ok()?,
+            try_no: try_no.parse().ok()?,
+        })
     }
 }
 
@@ -169,7 +172,10 @@
 
 impl Default for Recorder {
     fn default() -> Self {
-        Self { born: Instant::now(), sights: Arc::default() }
+        Self {
+            born: Instant::now(),
+            sights: Arc::default(),
+        }
     }
 }
 
@@ -179,7 +185,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Vec<Sight>> {
-        self.sights.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.sights
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub fn saw(&self, saw: Saw) {
@@ -192,7 +200,9 @@
 
     /// What was seen since the first `known` sights, in the order of its coming.
     pub fn since(&self, known: usize) -> Vec<Sight> {
-        self.lock().get(known..).map_or(Vec::new(), <[Sight]>::to_vec)
+        self.lock()
+            .get(known..)
+            .map_or(Vec::new(), <[Sight]>::to_vec)
     }
 
     /// Everything seen so far, by time.
@@ -217,8 +227,10 @@
 /// Everything that happened to a call, in order, with what happened to the members that its attempts reached.
 pub fn trail(sights: &[Sight], call: u64) -> Vec<&Sight> {
     let mine = |s: &Sight| s.saw.id().is_some_and(|id| id.call == call);
-    let span =
-        sights.iter().filter(|s| mine(s)).fold((Micros::MAX, 0), |(a, b), s| (a.min(s.at), b.max(s.at)));
+    let span = sights
+        .iter()
+        .filter(|s| mine(s))
+        .fold((Micros::MAX, 0), |(a, b), s| (a.min(s.at), b.max(s.at)));
     let reached = |s: &Sight| match &s.saw {
         Saw::Reached { host, .. } if mine(s) => Some(host.clone()),
         _ => None,
@@ -226,13 +238,19 @@
     let hosts: std::collections::BTreeSet<String> = sights.iter().filter_map(reached).collect();
     let about = |s: &Sight| match &s.saw {
         Saw::Fell { host, .. } | Saw::Started { host, .. } => hosts.contains(host),
-        Saw::ToldList { ready, out, whole: false, .. } => {
-            ready.iter().chain(out).any(|h| hosts.contains(h))
-        }
+        Saw::ToldList {
+            ready,
+            out,
+            whole: false,
+            ..
+        } => ready.iter().chain(out).any(|h| hosts.contains(h)),
         Saw::Killed { .. } | Saw::Born { .. } | Saw::Trouble { .. } => true,
         Saw::Hung { .. } | Saw::Stopping { .. } | Saw::Walled { .. } => true,
         _ => false,
     };
     let near = |s: &Sight| s.at + 2_000_000 >= span.0 && s.at <= span.1 + 500_000;
-    sights.iter().filter(|s| mine(s) || (near(s) && about(s))).collect()
+    sights
+        .iter()
+        .filter(|s| mine(s) || (near(s) && about(s)))
+        .collect()
 }
--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -24,12 +24,30 @@
     by: &'static str,
 }
 
-fn run(what: &str, figure: &'static str, unit: &'static str, budget: Option<f64>, by: &'static str) -> Row {
-    Row { what: what.to_owned(), known: Known::Run { figure, unit, budget }, by }
+fn run(
+    what: &str,
+    figure: &'static str,
+    unit: &'static str,
+    budget: Option<f64>,
+    by: &'static str,
+) -> Row {
+    Row {
+        what: what.to_owned(),
+        known: Known::Run {
+            figure,
+            unit,
+            budget,
+        },
+        by,
+    }
 }
 
 fn open(what: &str, by: &'static str) -> Row {
-    Row { what: what.to_owned(), known: Known::NotMeasured, by }
+    Row {
+        what: what.to_owned(),
+        known: Known::NotMeasured,
+        by,
+    }
 }
 
 const CONTROL: &str = "`etcd/watcher.rs`, `edge/net`; `cli/tests/scale.rs`";
@@ -165,18 +183,33 @@
 }
 
 fn line_of(s: &Slope) -> String {
-    let bend = if s.c == 0.0 { String::new() } else { format!(" {:+.2e} N^2", s.c) };
-    format!("{:.3e} {:+.2e} N{bend}, {:.0}% off", s.a, s.b, 100.0 * s.residual)
+    let bend = if s.c == 0.0 {
+        String::new()
+    } else {
+        format!(" {:+.2e} N^2", s.c)
+    };
+    format!(
+        "{:.3e} {:+.2e} N{bend}, {:.0}% off",
+        s.a,
+        s.b,
+        100.0 * s.residual
+    )
 }
 
 /// How the figure at this size is known.
 fn how(s: &Slope, n: f64) -> String {
     match s.spread {
         _ if s.residual > STRAIGHT => {
-            format!("no line: {:.0}% off; largest value measured", 100.0 * s.residual)
+            format!(
+                "no line: {:.0}% off; largest value measured",
+                100.0 * s.residual
+            )
         }
         Some(spread) if spread > AGREE => {
-            format!("runs {:.0}% apart, slope not used; largest value measured", 100.0 * spread)
+            format!(
+                "runs {:.0}% apart, slope not used; largest value measured",
+                100.0 * spread
+            )
         }
         _ if n > s.to as f64 => format!("extrapolated x{:.1}", n / s.to as f64),
         None => "measured, one run".to_owned(),
@@ -190,20 +223,43 @@
         let _ = writeln!(out, "| {} | | | | | | {how} | {by} |", row.what);
         return;
     }
-    let Known::Run { figure, unit, budget } = &row.known else {
-        let _ = writeln!(out, "| {} | | *not measured* | | | | *not measured* | {by} |", row.what);
+    let Known::Run {
+        figure,
+        unit,
+        budget,
+    } = &row.known
+    else {
+        let _ = writeln!(
+            out,
+            "| {} | | *not measured* | | | | *not measured* | {by} |",
+            row.what
+        );
         return;
     };
     let Some(slope) = slopes.figures.get(*figure) else {
-        let _ = writeln!(out, "| {} | | *not measured* | | | | *not measured* | {by} |", row.what);
+        let _ = writeln!(
+            out,
+            "| {} | | *not measured* | | | | *not measured* | {by} |",
+            row.what
+        );
         return;
     };
     let used = slope.is_used();
-    let (at, twice) = if used { (slope.at(n), slope.at(2.0 * n)) } else { (slope.most, 0.0) };
+    let (at, twice) = if used {
+        (slope.at(n), slope.at(2.0 * n))
+    } else {
+        (slope.most, 0.0)
+    };
     let (budget, share) = match budget {
         None => (String::new(), String::new()),
-        Some(b) if at > *b => (format!("{} {unit}", number(*b)), format!("**{:.1} times over**", at / b)),
-        Some(b) => (format!("{} {unit}", number(*b)), format!("{:.1}%", 100.0 * at / b)),
+        Some(b) if at > *b => (
+            format!("{} {unit}", number(*b)),
+            format!("**{:.1} times over**", at / b),
+        ),
+        Some(b) => (
+            format!("{} {unit}", number(*b)),
+            format!("{:.1}%", 100.0 * at / b),
+        ),
     };
     let _ = writeln!(
         out,
@@ -267,17 +323,39 @@
     let mut bent = Vec::new();
     for r in all {
         if let Known::Run { figure, .. } = r.known {
-            bent.extend(s.figures.get(figure).filter(|f| f.is_used() && f.c != 0.0).map(|_| figure));
+            bent.extend(
+                s.figures
+                    .get(figure)
+                    .filter(|f| f.is_used() && f.c != 0.0)
+                    .map(|_| figure),
+            );
         }
-        let Known::Run { figure, budget: Some(budget), .. } = r.known else { continue };
-        let Some(slope) = s.figures.get(figure).filter(|slope| slope.is_used()) else { continue };
+        let Known::Run {
+            figure,
+            budget: Some(budget),
+            ..
+        } = r.known
+        else {
+            continue;
+        };
+        let Some(slope) = s.figures.get(figure).filter(|slope| slope.is_used()) else {
+            continue;
+        };
         shares.push((slope.at(2.0 * n) / budget, format!("{} ({figure})", r.what)));
     }
     shares.sort_by(|a, b| b.0.total_cmp(&a.0));
     for (share, what) in shares.iter().take(5) {
-        let _ = writeln!(out, "* at twice the size {:.0}% of its budget: {what}", 100.0 * share);
+        let _ = writeln!(
+            out,
+            "* at twice the size {:.0}% of its budget: {what}",
+            100.0 * share
+        );
     }
-    let bent = if bent.is_empty() { "none".to_owned() } else { bent.join(", ") };
+    let bent = if bent.is_empty() {
+        "none".to_owned()
+    } else {
+        bent.join(", ")
+    };
     let _ = writeln!(out, "* lines that bend (N^2): {bent}");
     out
 }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -46,9 +46,19 @@
 pub fn read(name: &str, text: &str) -> Result<Target, Complaints> {
     let mut r = Reader::new(name, text)?;
     let target = Target {
-        dispatchers: r.must("target", "dispatchers", 0usize, "how many dispatchers there will be"),
+        dispatchers: r.must(
+            "target",
+            "dispatchers",
+            0usize,
+            "how many dispatchers there will be",
+        ),
         sites: r.number("target", "sites", 1, 1, MOST),
-        hosts: r.must("target", "hosts", 0usize, "how many cache hosts there will be"),
+        hosts: r.must(
+            "target",
+            "hosts",
+            0usize,
+            "how many cache hosts there will be",
+        ),
         regions: r.number("target", "regions", 1, 1, 1_000),
         zones: r.number("target", "zones", 1, 1, 10_000),
         requests_per_s: r.number("target", "requests_per_s", 0.0, 0.0, 1e9),
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -26,9 +26,19 @@
     /// The control store's stand-in.
     Store,
     /// Hollow dispatchers with these numbers, over so many sites.
-    Dispatchers { store: String, first: usize, count: usize, sites: usize, promise_ms: f64 },
+    Dispatchers {
+        store: String,
+        first: usize,
+        count: usize,
+        sites: usize,
+        promise_ms: f64,
+    },
     /// Hollow cache hosts: no store, no bodies.
-    Hosts { first: usize, count: usize, sites: usize },
+    Hosts {
+        first: usize,
+        count: usize,
+        sites: usize,
+    },
 }
 
 /// What a process is told.
@@ -69,7 +79,9 @@
 
 /// Microseconds since 1970: all processes are on one machine.
 pub fn now_us() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_micros() as u64)
 }
 
 /// The object of a purge that is written now.
@@ -78,7 +90,12 @@
 }
 
 fn written_us(object: &str) -> Option<u64> {
-    object.strip_prefix("/scale/")?.split_once('/')?.1.parse().ok()
+    object
+        .strip_prefix("/scale/")?
+        .split_once('/')?
+        .1
+        .parse()
+        .ok()
 }
 
 struct Ear {
@@ -109,7 +126,10 @@
 }
 
 fn told(lines: &Histogram<u64>) -> Vec<(u64, u64)> {
-    lines.iter_recorded().map(|v| (v.value_iterated_to(), v.count_since_last_iteration())).collect()
+    lines
+        .iter_recorded()
+        .map(|v| (v.value_iterated_to(), v.count_since_last_iteration()))
+        .collect()
 }
 
 type Words = Lines<BufReader<Stdin>>;
@@ -126,20 +146,38 @@
 /// Runs the part that the first line of standard input names, until that ends.
 pub async fn run() -> Result<(), String> {
     let mut words = BufReader::new(tokio::io::stdin()).lines();
-    let line = words.next_line().await.map_err(|e| e.to_string())?.ok_or("nothing was asked for")?;
+    let line = words
+        .next_line()
+        .await
+        .map_err(|e| e.to_string())?
+        .ok_or("nothing was asked for")?;
     match serde_json::from_str(&line).map_err(|e| format!("{line}: {e}"))? {
         Part::Store => store(words).await,
-        Part::Dispatchers { store, first, count, sites, promise_ms } => {
-            dispatchers(words, &store, first..first + count, sites, promise_ms).await
-        }
-        Part::Hosts { first, count, sites } => hosts(words, first, count, sites).await,
+        Part::Dispatchers {
+            store,
+            first,
+            count,
+            sites,
+            promise_ms,
+        } => dispatchers(words, &store, first..first + count, sites, promise_ms).await,
+        Part::Hosts {
+            first,
+            count,
+            sites,
+        } => hosts(words, first, count, sites).await,
     }
 }
 
 async fn store(mut words: Words) -> Result<(), String> {
     let store = StandIn::new(None);
-    let at = format!("http://{}", store.listen().await.map_err(|e| e.to_string())?);
-    let figures = || Say::Store { at: at.clone(), traffic: store.traffic().figures() };
+    let at = format!(
+        "http://{}",
+        store.listen().await.map_err(|e| e.to_string())?
+    );
+    let figures = || Say::Store {
+        at: at.clone(),
+        traffic: store.traffic().figures(),
+    };
     say(&figures());
     while let Some(asked) = ask(&mut words).await {
         match asked {
@@ -206,7 +244,9 @@
 async fn hollow_one(settings: &str, number: usize, ear: Arc<Mutex<Ear>>) -> Result<Hollow, String> {
     let settings = parse("hollow", settings).map_err(|e| e.to_string())?;
     let seed = number as u64 + 1;
-    let source = EtcdSource::of(&settings, seed).map_err(|e| e.to_string())?.ok_or("no control store")?;
+    let source = EtcdSource::of(&settings, seed)
+        .map_err(|e| e.to_string())?
+        .ok_or("no control store")?;
     let prepared = Prepared::new(Net::Tcp, settings, seed).await;
     let ears: Ears = Arc::new(move |told| {
         let now = now_us();
@@ -261,9 +301,12 @@
     let mut running = Vec::new();
     let mut listed = Vec::new();
     for number in first..first + count {
-        let mut settings = parse_cache("hollow", &host_settings(number)).map_err(|e| e.to_string())?;
+        let mut settings =
+            parse_cache("hollow", &host_settings(number)).map_err(|e| e.to_string())?;
         settings.store = None;
-        let host = Host::start(settings, Net::Tcp).await.map_err(|e| e.to_string())?;
+        let host = Host::start(settings, Net::Tcp)
+            .await
+            .map_err(|e| e.to_string())?;
         listed.push((host.bound().framed.to_string(), record(number, sites)));
         running.push(host);
     }
--- a/crates/lab/src/scale/slopes.rs
+++ b/crates/lab/src/scale/slopes.rs
@@ -72,7 +72,9 @@
         }
         let mut c = polyfit_rs::polyfit_rs::polyfit(&x, &y, degree).ok()?;
         c.resize(3, 0.0);
-        let far = points.iter().map(|(x, y)| (y - c[0] - c[1] * x - c[2] * x * x).abs());
+        let far = points
+            .iter()
+            .map(|(x, y)| (y - c[0] - c[1] * x - c[2] * x * x).abs());
         let far = far.fold(0.0, f64::max);
         Some((c, far))
     };
@@ -114,7 +116,10 @@
         };
         of_phase(phase, n, &mut put);
     }
-    let ready = [("start", &step.ready_ms), ("restart", &step.restart_ready_ms)];
+    let ready = [
+        ("start", &step.ready_ms),
+        ("restart", &step.restart_ready_ms),
+    ];
     for (name, [p50, p90, longest]) in ready {
         for (what, value) in [("p50", p50), ("p90", p90), ("longest", longest)] {
             all.insert(format!("{name}/ready {what}"), ("ms", *value));
@@ -128,19 +133,51 @@
     put("store cores", "cores", phase.store.cores);
     put("store memory", "MB", phase.store.memory_mb);
     put("store connections", "", phase.store.descriptors as f64);
-    put("store bytes out", "KB/s", phase.traffic.bytes_out as f64 / s / 1024.0);
-    put("store bytes in", "KB/s", phase.traffic.bytes_in as f64 / s / 1024.0);
+    put(
+        "store bytes out",
+        "KB/s",
+        phase.traffic.bytes_out as f64 / s / 1024.0,
+    );
+    put(
+        "store bytes in",
+        "KB/s",
+        phase.traffic.bytes_in as f64 / s / 1024.0,
+    );
     put("dispatcher cores", "cores", phase.dispatchers.cores / n);
     put("dispatcher memory", "MB", phase.dispatchers.memory_mb / n);
-    put("dispatcher bytes in", "KB/s", phase.traffic.bytes_out as f64 / s / n / 1024.0);
-    put("dispatcher bytes out", "KB/s", phase.traffic.bytes_in as f64 / s / n / 1024.0);
-    put("dispatcher bytes of the phase", "KB", phase.traffic.bytes_out as f64 / n / 1024.0);
-    put("dispatcher connections to hosts", "", phase.items.connections as f64);
+    put(
+        "dispatcher bytes in",
+        "KB/s",
+        phase.traffic.bytes_out as f64 / s / n / 1024.0,
+    );
+    put(
+        "dispatcher bytes out",
+        "KB/s",
+        phase.traffic.bytes_in as f64 / s / n / 1024.0,
+    );
+    put(
+        "dispatcher bytes of the phase",
+        "KB",
+        phase.traffic.bytes_out as f64 / n / 1024.0,
+    );
+    put(
+        "dispatcher connections to hosts",
+        "",
+        phase.items.connections as f64,
+    );
     put("host cores", "cores", phase.hosts.cores);
     put("host memory", "MB", phase.hosts.memory_mb);
     for (kind, count) in &phase.traffic.kinds {
-        put(&format!("{kind} messages"), "1/s", (count.messages_in + count.messages_out) as f64 / s);
-        put(&format!("{kind} bytes"), "KB/s", (count.bytes_in + count.bytes_out) as f64 / s / 1024.0);
+        put(
+            &format!("{kind} messages"),
+            "1/s",
+            (count.messages_in + count.messages_out) as f64 / s,
+        );
+        put(
+            &format!("{kind} bytes"),
+            "KB/s",
+            (count.bytes_in + count.bytes_out) as f64 / s / 1024.0,
+        );
     }
     for (what, lag) in [("purge", &phase.purges), ("change", &phase.changes)] {
         if let Some(lag) = lag {
@@ -160,7 +197,9 @@
     let mut values: BTreeMap<String, (&'static str, BTreeMap<usize, Vec<f64>>)> = BTreeMap::new();
     for step in runs.iter().flatten() {
         for (name, (unit, value)) in figures(step) {
-            let of = values.entry(name).or_insert_with(|| (unit, BTreeMap::new()));
+            let of = values
+                .entry(name)
+                .or_insert_with(|| (unit, BTreeMap::new()));
             of.1.entry(step.dispatchers).or_default().push(value);
         }
     }
@@ -168,12 +207,16 @@
     let fitted = values.into_iter().filter_map(|(name, (unit, by))| {
         let points: Points = by.iter().map(|(n, v)| (*n as f64, mean(v))).collect();
         let mut slope = fit(unit, &points)?;
-        slope.most = by.values().flatten().fold(f64::NEG_INFINITY, |a, b| a.max(*b));
+        slope.most = by
+            .values()
+            .flatten()
+            .fold(f64::NEG_INFINITY, |a, b| a.max(*b));
         if runs.len() > 1 {
             // Of the largest size: that is what a fleet ahead is read off.
             let apart = by.iter().next_back().map(|(_, v)| {
-                let (least, most) =
-                    v.iter().fold((f64::INFINITY, 0.0f64), |a, x| (a.0.min(*x), a.1.max(*x)));
+                let (least, most) = v
+                    .iter()
+                    .fold((f64::INFINITY, 0.0f64), |a, x| (a.0.min(*x), a.1.max(*x)));
                 if most > 0.0 {
                     (most - least) / most
                 } else {
--- a/crates/lab/src/scale/steps.rs
+++ b/crates/lab/src/scale/steps.rs
@@ -99,9 +99,19 @@
             .kill_on_drop(true)
             .spawn()
             .map_err(rig)?;
-        let asks = child.stdin.take().ok_or_else(|| rig("no way to a process"))?;
-        let says = child.stdout.take().ok_or_else(|| rig("no way from a process"))?;
-        let mut process = Self { child, asks, says: BufReader::new(says).lines() };
+        let asks = child
+            .stdin
+            .take()
+            .ok_or_else(|| rig("no way to a process"))?;
+        let says = child
+            .stdout
+            .take()
+            .ok_or_else(|| rig("no way from a process"))?;
+        let mut process = Self {
+            child,
+            asks,
+            says: BufReader::new(says).lines(),
+        };
         process.tell(part).await?;
         let up = process.hear().await?;
         Ok((process, up))
@@ -114,8 +124,11 @@
 
     async fn hear(&mut self) -> Result<Say, ScaleError> {
         let line = timeout(PATIENCE, self.says.next_line()).await;
-        let line = line.map_err(|_| rig("a process says nothing"))?.map_err(rig)?;
-        let line = line.ok_or_else(|| rig("a process of the rig died; what it stood for is not judged"))?;
+        let line = line
+            .map_err(|_| rig("a process says nothing"))?
+            .map_err(rig)?;
+        let line =
+            line.ok_or_else(|| rig("a process of the rig died; what it stood for is not judged"))?;
         serde_json::from_str(&line).map_err(rig)
     }
 
@@ -147,7 +160,9 @@
 pub fn machine_mb() -> f64 {
     let info = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let kb = info.lines().find_map(|l| l.strip_prefix("MemTotal:"));
-    kb.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
+    kb.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok())
+        .unwrap_or(0.0)
+        / 1024.0
 }
 
 /// A fleet at one size.
@@ -169,11 +184,20 @@
 }
 
 impl Fleet {
-    async fn start(program: &std::path::Path, target: &Target, n: usize) -> Result<Self, ScaleError> {
+    async fn start(
+        program: &std::path::Path,
+        target: &Target,
+        n: usize,
+    ) -> Result<Self, ScaleError> {
         let program = program.to_owned();
         let (store, up) = Process::start(&program, &Part::Store).await?;
-        let Say::Store { at, .. } = up else { return Err(rig("not the store's word")) };
-        let access = Access { endpoints: vec![at.clone()], ..Default::default() };
+        let Say::Store { at, .. } = up else {
+            return Err(rig("not the store's word"));
+        };
+        let access = Access {
+            endpoints: vec![at.clone()],
+            ..Default::default()
+        };
         let etcd = Etcd::new(&access, Duration::from_secs(30)).map_err(rig)?;
         let sites = target.sites.min(n).max(1);
         let count = (target.hosts * n).div_ceil(target.dispatchers).max(1);
@@ -193,9 +217,15 @@
             ended: 0.0,
         };
         for first in (0..count).step_by(target.hosts_each) {
-            let part = Part::Hosts { first, count: target.hosts_each.min(count - first), sites };
+            let part = Part::Hosts {
+                first,
+                count: target.hosts_each.min(count - first),
+                sites,
+            };
             let (process, up) = Process::start(&fleet.program, &part).await?;
-            let Say::Hosts(listed) = up else { return Err(rig("not hosts' word")) };
+            let Say::Hosts(listed) = up else {
+                return Err(rig("not hosts' word"));
+            };
             fleet.listed.extend(listed);
             fleet.hosts.push(process);
         }
@@ -206,19 +236,36 @@
     }
 
     async fn write(&self, address: &str, record: &MemberRecord) -> Result<(), ScaleError> {
-        let written = writer::member(&self.etcd, PREFIX, address, |_| Ok(Some(record.clone()))).await;
+        let written =
+            writer::member(&self.etcd, PREFIX, address, |_| Ok(Some(record.clone()))).await;
         written.map(|_| ()).map_err(rig)
     }
 
     async fn purge(&self, number: usize) -> Result<(), ScaleError> {
-        let record = PurgeRecord { object: Some(object(number)), group: number as u64 };
-        writer::purge(&self.etcd, PREFIX, &record).await.map(|_| ()).map_err(rig)
+        let record = PurgeRecord {
+            object: Some(object(number)),
+            group: number as u64,
+        };
+        writer::purge(&self.etcd, PREFIX, &record)
+            .await
+            .map(|_| ())
+            .map_err(rig)
     }
 
     async fn start_dispatchers(&mut self, first: usize, count: usize) -> Result<(), ScaleError> {
         let (store, sites) = (self.at.clone(), self.sites);
-        let promise_ms = if self.target.promise { self.target.purge_ms } else { 0.0 };
-        let part = Part::Dispatchers { store, first, count, sites, promise_ms };
+        let promise_ms = if self.target.promise {
+            self.target.purge_ms
+        } else {
+            0.0
+        };
+        let part = Part::Dispatchers {
+            store,
+            first,
+            count,
+            sites,
+            promise_ms,
+        };
         let (process, _) = Process::start(&self.program, &part).await?;
         self.dispatchers.push((process, first, count));
         Ok(())
@@ -272,7 +319,10 @@
         let store = sum(vec![self.store.pid()]);
         let dispatchers = sum(self.dispatchers.iter().map(|(p, ..)| p.pid()).collect());
         let hosts = sum(self.hosts.iter().map(Process::pid).collect());
-        ([store.0, dispatchers.0, hosts.0], [store.1, dispatchers.1, hosts.1])
+        (
+            [store.0, dispatchers.0, hosts.0],
+            [store.1, dispatchers.1, hosts.1],
+        )
     }
 
     /// A phase begins.
@@ -306,7 +356,10 @@
         let count = self.count() as u64;
         let lag = |written: u64, of: fn(&Heard) -> &Vec<(u64, u64)>| {
             let mut all: BTreeMap<u64, u64> = BTreeMap::new();
-            heard.iter().flat_map(of).for_each(|(us, n)| *all.entry(*us).or_default() += n);
+            heard
+                .iter()
+                .flat_map(of)
+                .for_each(|(us, n)| *all.entry(*us).or_default() += n);
             let got: u64 = all.values().sum();
             let at = |q: f64| {
                 let mut left = (q * got as f64).ceil() as u64;
@@ -315,10 +368,19 @@
                     left = left.saturating_sub(**n);
                     here
                 });
-                found.or(all.iter().next_back()).map_or(0.0, |(us, _)| *us as f64 / 1e3)
+                found
+                    .or(all.iter().next_back())
+                    .map_or(0.0, |(us, _)| *us as f64 / 1e3)
             };
             let never = (written * count).saturating_sub(got);
-            Lag { written, heard: got, never, p50_ms: at(0.5), p99_ms: at(0.99), longest_ms: at(1.0) }
+            Lag {
+                written,
+                heard: got,
+                never,
+                p50_ms: at(0.5),
+                p99_ms: at(0.99),
+                longest_ms: at(1.0),
+            }
         };
         let mean = |of: fn(&Items) -> usize| {
             heard.iter().map(|h| of(&h.items)).sum::<usize>() / (count.max(1) as usize)
@@ -370,7 +432,13 @@
     }
 
     async fn end(self) {
-        for process in self.dispatchers.into_iter().map(|d| d.0).chain(self.hosts).chain([self.store]) {
+        for process in self
+            .dispatchers
+            .into_iter()
+            .map(|d| d.0)
+            .chain(self.hosts)
+            .chain([self.store])
+        {
             process.end().await;
         }
     }
@@ -405,7 +473,11 @@
     mut tell: impl FnMut(&str),
 ) -> Result<Step, ScaleError> {
     let mut fleet = Fleet::start(program, target, n).await?;
-    let mut step = Step { dispatchers: n, hosts: fleet.listed.len(), ..Step::default() };
+    let mut step = Step {
+        dispatchers: n,
+        hosts: fleet.listed.len(),
+        ..Step::default()
+    };
     let played = phases(&mut fleet, &mut step, n, &mut tell).await;
     fleet.end().await;
     played.map(|()| step)
@@ -428,7 +500,9 @@
     // All start at once.
     fleet.begin().await?;
     for first in (0..n).step_by(target.each) {
-        fleet.start_dispatchers(first, target.each.min(n - first)).await?;
+        fleet
+            .start_dispatchers(first, target.each.min(n - first))
+            .await?;
     }
     let whole = fleet.whole().await?;
     let mut phase = fleet.end_of("start", None, None).await?;
@@ -443,7 +517,10 @@
     keep(fleet.end_of("rest", None, None).await?)?;
 
     let mut purged = 0;
-    for (name, rate) in [("purges", target.purges_per_s), ("purges x10", 10.0 * target.purges_per_s)] {
+    for (name, rate) in [
+        ("purges", target.purges_per_s),
+        ("purges x10", 10.0 * target.purges_per_s),
+    ] {
         fleet.begin().await?;
         let written = fleet.write_purges(rate, purged).await?;
         purged += written as usize;
@@ -455,7 +532,15 @@
     let mut changed = 0;
     while fleet.since.elapsed() < rest {
         let (address, record) = fleet.listed[changed % fleet.listed.len()].clone();
-        fleet.write(&address, &MemberRecord { start: now_us(), ..record }).await?;
+        fleet
+            .write(
+                &address,
+                &MemberRecord {
+                    start: now_us(),
+                    ..record
+                },
+            )
+            .await?;
         changed += 1;
         tokio::time::sleep(Duration::from_millis(250)).await;
     }
@@ -467,7 +552,11 @@
         fleet.purge(purged + number).await?;
     }
     fleet.all_heard(target.storm as u64).await?;
-    keep(fleet.end_of("storm", Some(target.storm as u64), None).await?)?;
+    keep(
+        fleet
+            .end_of("storm", Some(target.storm as u64), None)
+            .await?,
+    )?;
 
     // A process's worth of dispatchers is killed and started again, before and after their leases have ended.
     fleet.begin().await?;
@@ -508,6 +597,12 @@
 
 async fn step_ready(fleet: &mut Fleet, into: &mut [f64; 3], from: usize) -> Result<(), ScaleError> {
     let heard = fleet.heard(Ask::Figures).await?;
-    *into = quantiles(heard.into_iter().skip(from).flat_map(|h| h.ready_ms).collect());
+    *into = quantiles(
+        heard
+            .into_iter()
+            .skip(from)
+            .flat_map(|h| h.ready_ms)
+            .collect(),
+    );
     Ok(())
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -175,11 +175,22 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let named = text.split_once('=').and_then(|(name, value)| Some((name.rsplit_once('.')?, value)));
-        let ((section, key), value) =
-            named.ok_or(format!("{text:?} is not section.key=value, such as fleet.caches=9"))?;
-        let (section, key, value) = (section.trim().into(), key.trim().into(), value.trim().into());
-        Ok(Self { section, key, value })
+        let named = text
+            .split_once('=')
+            .and_then(|(name, value)| Some((name.rsplit_once('.')?, value)));
+        let ((section, key), value) = named.ok_or(format!(
+            "{text:?} is not section.key=value, such as fleet.caches=9"
+        ))?;
+        let (section, key, value) = (
+            section.trim().into(),
+            key.trim().into(),
+            value.trim().into(),
+        );
+        Ok(Self {
+            section,
+            key,
+            value,
+        })
     }
 }
 
@@ -215,7 +226,9 @@
     let mut scenario = read::read(name, text, seed, sets)?;
     let calls = Traffic::draw(&scenario).calls;
     for (n, class) in scenario.classes.iter_mut().enumerate() {
-        let usual = calls.iter().filter(|c| c.class == n && !c.object.contains('~'));
+        let usual = calls
+            .iter()
+            .filter(|c| c.class == n && !c.object.contains('~'));
         let (sum, count) = usual.fold((0, 0_u64), |(sum, count), c| (sum + c.size, count + 1));
         if sum > 0 {
             class.scale = class.mean_bytes * count as f64 / sum as f64;
@@ -233,13 +246,20 @@
     /// Why the day cannot be played without the simulated network, if so.
     pub fn needs_shell(&self) -> Option<String> {
         let parted = self.troubles.iter().find(|t| t.kind.needs_shell())?;
-        Some(format!("trouble {}: a partition is played with --shell only", parted.name))
+        Some(format!(
+            "trouble {}: a partition is played with --shell only",
+            parted.name
+        ))
     }
 
     /// Why the day cannot be played on the simulated network, if so.
     pub fn needs_fleet(&self) -> Option<String> {
         let t = self.troubles.iter().find(|t| t.kind.needs_fleet())?;
-        Some(format!("trouble {}: {} is played by processes or in virtual time", t.name, t.kind.word()))
+        Some(format!(
+            "trouble {}: {} is played by processes or in virtual time",
+            t.name,
+            t.kind.word()
+        ))
     }
 
     pub fn length(&self) -> Micros {
@@ -273,7 +293,9 @@
     /// Branches first, then hubs.
     pub fn zones(&self) -> Vec<String> {
         let branches = (0..self.branches).map(|n| format!("branch-{}", n + 1));
-        branches.chain((0..self.hubs).map(|n| format!("hub-{}", n + 1))).collect()
+        branches
+            .chain((0..self.hubs).map(|n| format!("hub-{}", n + 1)))
+            .collect()
     }
 
     pub fn hub_of(&self, branch: usize) -> usize {
@@ -282,7 +304,13 @@
 
     /// One-way time between two zones.
     pub fn way(&self, from: usize, to: usize) -> Micros {
-        let hub = |zone: usize| if zone < self.branches { self.hub_of(zone) } else { zone - self.branches };
+        let hub = |zone: usize| {
+            if zone < self.branches {
+                self.hub_of(zone)
+            } else {
+                zone - self.branches
+            }
+        };
         if from == to {
             return self.near;
         }
@@ -309,7 +337,11 @@
     /// The dispatcher that a try goes to: those of the branch in turn, of the next one for each time that nobody was there.
     pub fn target(&self, call: &Call, number: u64, try_no: u32, missed: u32) -> usize {
         let each = self.dispatchers.max(1);
-        let moved = if self.clients.moves { missed as usize } else { 0 };
+        let moved = if self.clients.moves {
+            missed as usize
+        } else {
+            0
+        };
         let branch = (call.branch + moved) % self.branches.max(1);
         branch * each + (number as usize + try_no as usize) % each
     }
@@ -323,7 +355,11 @@
 
     /// Sites that some trouble strikes as a whole.
     pub fn struck_sites(&self) -> std::collections::BTreeSet<usize> {
-        self.troubles.iter().filter(|t| t.kind.strikes_site()).map(|t| t.whom.zone.unwrap_or(0)).collect()
+        self.troubles
+            .iter()
+            .filter(|t| t.kind.strikes_site())
+            .map(|t| t.whom.zone.unwrap_or(0))
+            .collect()
     }
 
     /// How long a client waits before its next try.
@@ -336,7 +372,11 @@
     pub fn mean_work(&self) -> f64 {
         let models = self.class_models();
         let shares: f64 = self.classes.iter().map(|c| c.share).sum();
-        let work = self.classes.iter().zip(&models).map(|(c, m)| c.share * m.mean as f64 / 1e6);
+        let work = self
+            .classes
+            .iter()
+            .zip(&models)
+            .map(|(c, m)| c.share * m.mean as f64 / 1e6);
         (work.sum::<f64>() / shares.max(1e-9)).max(1e-9)
     }
 
@@ -374,7 +414,12 @@
             let factor = 1.0 + kind.spread * (2.0 * rng.gen::<f64>() - 1.0);
             let address = address(hosts.len());
             let weight = kind.spec.weight * factor;
-            hosts.push(HostSpec { address, zone, weight, ..kind.spec.clone() });
+            hosts.push(HostSpec {
+                address,
+                zone,
+                weight,
+                ..kind.spec.clone()
+            });
         };
         for branch in 0..self.branches {
             for _ in 0..self.caches {
@@ -382,7 +427,11 @@
             }
         }
         for n in 0..self.parents {
-            add(&self.parent, self.branches + n % self.hubs.max(1), &mut hosts);
+            add(
+                &self.parent,
+                self.branches + n % self.hubs.max(1),
+                &mut hosts,
+            );
         }
         add(&self.origin, self.branches, &mut hosts);
         hosts
@@ -392,7 +441,15 @@
     pub fn catalogue(&self) -> crate::model::Catalogue {
         let classes = self.classes.clone();
         let seed = self.seed;
-        Box::new(move |w: &Wanted| Some(size_of(classes.get(w.class)?, seed, &w.object, w.number, w.part)))
+        Box::new(move |w: &Wanted| {
+            Some(size_of(
+                classes.get(w.class)?,
+                seed,
+                &w.object,
+                w.number,
+                w.part,
+            ))
+        })
     }
 
     /// The ledger of a member that has just started; none where members do not say who they are.
@@ -400,8 +457,17 @@
         let c = self.cold(role);
         let (start_share, warm_within) = (c.start_share, c.warm_within);
         let (multiple, window) = (c.multiple, c.window);
-        let rule = ColdRule { start_share, warm_within, multiple, window };
-        let dearest = self.classes.iter().map(|c| c.mean_bytes / self.flow).fold(0.0, f64::max);
+        let rule = ColdRule {
+            start_share,
+            warm_within,
+            multiple,
+            window,
+        };
+        let dearest = self
+            .classes
+            .iter()
+            .map(|c| c.mean_bytes / self.flow)
+            .fold(0.0, f64::max);
         (self.hello && role == Role::Cache).then(|| Ledger::new(rule, weight, started, dearest))
     }
 
@@ -418,12 +484,16 @@
 pub fn size_of(class: &ClassDay, seed: u64, object: &str, number: u64, part: u64) -> u64 {
     use rand::SeedableRng;
     use rand_distr::{Distribution, LogNormal};
-    let mut rng =
-        rand::rngs::StdRng::seed_from_u64(seed ^ number.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9));
+    let mut rng = rand::rngs::StdRng::seed_from_u64(
+        seed ^ number.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9),
+    );
     // The mean of a log-normal is exp(mu + sigma^2 / 2).
     let mu = class.mean_bytes.max(1.0).ln() - class.sigma * class.sigma / 2.0;
     let drawn = LogNormal::new(mu, class.sigma).map_or(class.mean_bytes, |d| d.sample(&mut rng));
-    let times: f64 = object.rsplit_once('~').and_then(|(_, n)| n.parse().ok()).unwrap_or(1.0);
+    let times: f64 = object
+        .rsplit_once('~')
+        .and_then(|(_, n)| n.parse().ok())
+        .unwrap_or(1.0);
     // One stamped line at least; the tail is cut so that no single draw fills a store.
     ((drawn * class.scale).clamp(64.0, 30.0 * class.mean_bytes) * times) as u64
 }
--- a/crates/lab/src/scenario/read.rs
+++ b/crates/lab/src/scenario/read.rs
@@ -18,14 +18,20 @@
             return self.reader.number(section, key, default, least, most);
         };
         let (Ok(a), Ok(b)) = (a.trim().parse::<f64>(), b.trim().parse::<f64>()) else {
-            self.reader.complain(section, key, "not a range of two numbers, such as 2..5");
+            self.reader
+                .complain(section, key, "not a range of two numbers, such as 2..5");
             return default;
         };
         if !(a <= b && a >= least && b <= most) {
-            self.reader.complain(section, key, &format!("not a range within {least} to {most}"));
+            self.reader.complain(
+                section,
+                key,
+                &format!("not a range within {least} to {most}"),
+            );
             return default;
         }
-        let mut rng = rand::rngs::StdRng::seed_from_u64(stream(self.seed, &format!("{section}.{key}")));
+        let mut rng =
+            rand::rngs::StdRng::seed_from_u64(stream(self.seed, &format!("{section}.{key}")));
         a + (b - a) * rng.gen::<f64>()
     }
 
@@ -38,7 +44,8 @@
     }
 
     fn count(&mut self, section: &str, key: &str, default: usize, least: usize) -> usize {
-        self.num(section, key, default as f64, least as f64, 1e6).floor() as usize
+        self.num(section, key, default as f64, least as f64, 1e6)
+            .floor() as usize
     }
 
     fn share(&mut self, section: &str, key: &str, default: f64) -> f64 {
@@ -46,7 +53,12 @@
     }
 }
 
-pub fn read(name: &str, text: &str, seed: Option<u64>, sets: &[Change]) -> Result<Scenario, Complaints> {
+pub fn read(
+    name: &str,
+    text: &str,
+    seed: Option<u64>,
+    sets: &[Change],
+) -> Result<Scenario, Complaints> {
     let mut reader = Reader::new(name, text)?;
     for set in sets {
         reader.set(&set.section, &set.key, &set.value);
@@ -56,7 +68,8 @@
     let mut d = Draws { reader, seed };
     let about = d.reader.text("day", "about").unwrap_or_default();
     if about.is_empty() {
-        d.reader.complain("day", "about", "missing: one line on what is rehearsed");
+        d.reader
+            .complain("day", "about", "missing: one line on what is rehearsed");
     }
     let seconds = d.num("day", "seconds", 45.0, 2.0, 3_600.0);
     let rate = d.num("day", "rate", 90.0, 0.1, 1e6);
@@ -65,7 +78,9 @@
     let wave = d.s("day", "wave_s", 20.0).max(100_000);
     let purges = d.num("day", "purges_per_s", 0.0, 0.0, 1_000.0);
     let scenario = Scenario {
-        name: Path::new(name).file_stem().map_or(name.to_owned(), |s| s.to_string_lossy().into_owned()),
+        name: Path::new(name)
+            .file_stem()
+            .map_or(name.to_owned(), |s| s.to_string_lossy().into_owned()),
         about,
         seconds,
         seed,
@@ -129,12 +144,19 @@
     };
     let troubles = troubles(&mut d, &scenario);
     d.reader.finish()?;
-    Ok(Scenario { troubles, ..scenario })
+    Ok(Scenario {
+        troubles,
+        ..scenario
+    })
 }
 
 fn word(d: &mut Draws, key: &str, default: &str, words: &[&str]) -> String {
     let pairs: Vec<(&str, &str)> = words.iter().map(|w| (*w, *w)).collect();
-    let default = words.iter().find(|w| **w == default).copied().unwrap_or_default();
+    let default = words
+        .iter()
+        .find(|w| **w == default)
+        .copied()
+        .unwrap_or_default();
     d.reader.choice("fleet", key, default, &pairs).to_owned()
 }
 
@@ -143,11 +165,15 @@
         let a = d.num("rules", &format!("{key}_least_ms"), least, 0.0, 6e5);
         let b = d.num("rules", &format!("{key}_most_ms"), most, 0.0, 6e5);
         if b < a {
-            d.reader.complain("rules", &format!("{key}_most_ms"), "less than the least");
+            d.reader
+                .complain("rules", &format!("{key}_most_ms"), "less than the least");
         }
         ((a * 1e3) as Micros, (b.max(a) * 1e3) as Micros)
     };
-    let (purge_told, list_told) = (span("purge_told", 64.0, 340.0), span("list_told", 300.0, 1_200.0));
+    let (purge_told, list_told) = (
+        span("purge_told", 64.0, 340.0),
+        span("list_told", 300.0, 1_200.0),
+    );
     RulesDay {
         drain_grace: d.ms("rules", "drain_grace_ms", 1_000.0),
         purge_grace: d.ms("rules", "purge_grace_ms", 500.0),
@@ -161,7 +187,12 @@
 fn kind(d: &mut Draws, section: &str, role: Role, weight: f64) -> KindDay {
     let cold_section = format!("cold {section}");
     let cold = if role == Role::Origin {
-        ColdSpec { start_share: 1.0, warm_within: 0, multiple: 1e9, window: 1_000_000 }
+        ColdSpec {
+            start_share: 1.0,
+            warm_within: 0,
+            multiple: 1e9,
+            window: 1_000_000,
+        }
     } else {
         ColdSpec {
             start_share: d.share(&cold_section, "start_share", 0.2),
@@ -185,7 +216,11 @@
         abort_fill: d.reader.flag(section, "abort_fill", false),
         joins: role == Role::Parent && d.reader.flag(section, "joins", true),
         cold,
-        think: if role == Role::Origin { d.ms(section, "think_ms", 30.0) } else { 0 },
+        think: if role == Role::Origin {
+            d.ms(section, "think_ms", 30.0)
+        } else {
+            0
+        },
         report_every: d.ms(section, "report_ms", 400.0),
         pause_every: d.ms(section, "pause_every_ms", 0.0),
         pause: d.ms(section, "pause_ms", 0.0),
@@ -194,17 +229,32 @@
         } else {
             0.0
         },
-        fall_window: if role == Role::Origin { d.ms(section, "fall_window_ms", 3_000.0) } else { 1 },
-        fall_down: if role == Role::Origin { d.ms(section, "fall_down_ms", 5_000.0) } else { 0 },
+        fall_window: if role == Role::Origin {
+            d.ms(section, "fall_window_ms", 3_000.0)
+        } else {
+            1
+        },
+        fall_down: if role == Role::Origin {
+            d.ms(section, "fall_down_ms", 5_000.0)
+        } else {
+            0
+        },
     };
-    KindDay { spec, spread: d.share(section, "spread", 0.0) }
+    KindDay {
+        spec,
+        spread: d.share(section, "spread", 0.0),
+    }
 }
 
 fn classes(d: &mut Draws) -> Vec<ClassDay> {
     let mut classes = Vec::new();
     for name in d.reader.named("class") {
         let s = format!("class {name}");
-        let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed), ("unsafe", Effect::Unsafe)];
+        let effects = [
+            ("safe", Effect::Safe),
+            ("keyed", Effect::Keyed),
+            ("unsafe", Effect::Unsafe),
+        ];
         let effect = d.reader.choice(&s, "effect", Effect::Safe, &effects);
         let class = ClassDay {
             share: d.share(&s, "share", 0.5),
@@ -232,7 +282,8 @@
         classes.push(class);
     }
     if classes.is_empty() {
-        d.reader.complain("class NAME", "", "no class: nobody asks for anything");
+        d.reader
+            .complain("class NAME", "", "no class: nobody asks for anything");
     }
     classes
 }
@@ -243,7 +294,11 @@
         let s = format!("trouble {name}");
         let Some(kind) = d.reader.text(&s, "kind").and_then(|k| Kind::of(&k)) else {
             let words: Vec<&str> = Kind::WORDS.iter().map(|(w, _)| *w).collect();
-            d.reader.complain(&s, "kind", &format!("missing or none of {}", words.join(", ")));
+            d.reader.complain(
+                &s,
+                "kind",
+                &format!("missing or none of {}", words.join(", ")),
+            );
             continue;
         };
         let zone = d.reader.text(&s, "zone").filter(|z| !z.is_empty());
@@ -251,24 +306,37 @@
         let zone = zone.and_then(|z| {
             let found = zones.iter().position(|known| *known == z);
             if found.is_none() {
-                d.reader.complain(&s, "zone", &format!("{z:?} is none of {}", zones.join(", ")));
+                d.reader.complain(
+                    &s,
+                    "zone",
+                    &format!("{z:?} is none of {}", zones.join(", ")),
+                );
             }
             found
         });
         let role = d.reader.choice(&s, "role", kind.usual_role(), &Role::WORDS);
-        let number = d.reader.text(&s, "number").and_then(|t| match t.parse::<usize>() {
-            Ok(n) => Some(n),
-            Err(_) => {
-                d.reader.complain(&s, "number", "not a whole number");
-                None
-            }
-        });
-        let whom = Whom { share: d.share(&s, "share", 0.3), zone, role, number };
+        let number = d
+            .reader
+            .text(&s, "number")
+            .and_then(|t| match t.parse::<usize>() {
+                Ok(n) => Some(n),
+                Err(_) => {
+                    d.reader.complain(&s, "number", "not a whole number");
+                    None
+                }
+            });
+        let whom = Whom {
+            share: d.share(&s, "share", 0.3),
+            zone,
+            role,
+            number,
+        };
         let takes = d.reader.choice(&s, "takes", Takes::Hosts, &Takes::WORDS);
         let ways = d.reader.choice(&s, "ways", Ways::WORDS[0].1, &Ways::WORDS);
         let told = d.reader.flag(&s, "told", true);
         if kind.strikes_site() && kind.needs_fleet() && zone.is_none() {
-            d.reader.complain(&s, "zone", "missing: which site is struck");
+            d.reader
+                .complain(&s, "zone", "missing: which site is struck");
         }
         let at = d.s(&s, "at_s", 5.0);
         if at >= scenario.length() {
--- a/crates/lab/src/scenario/script.rs
+++ b/crates/lab/src/scenario/script.rs
@@ -55,8 +55,11 @@
 }
 
 impl Takes {
-    pub const WORDS: [(&'static str, Self); 3] =
-        [("hosts", Self::Hosts), ("parents", Self::Parents), ("dispatchers", Self::Dispatchers)];
+    pub const WORDS: [(&'static str, Self); 3] = [
+        ("hosts", Self::Hosts),
+        ("parents", Self::Parents),
+        ("dispatchers", Self::Dispatchers),
+    ];
 }
 
 /// What a cut holds up of a site's traffic with the others.
@@ -68,9 +71,27 @@
 
 impl Ways {
     pub const WORDS: [(&'static str, Self); 3] = [
-        ("both", Self { inward: true, outward: true }),
-        ("in", Self { inward: true, outward: false }),
-        ("out", Self { inward: false, outward: true }),
+        (
+            "both",
+            Self {
+                inward: true,
+                outward: true,
+            },
+        ),
+        (
+            "in",
+            Self {
+                inward: true,
+                outward: false,
+            },
+        ),
+        (
+            "out",
+            Self {
+                inward: false,
+                outward: true,
+            },
+        ),
     ];
 }
 
@@ -104,11 +125,17 @@
     ];
 
     pub fn of(word: &str) -> Option<Self> {
-        Self::WORDS.iter().find(|(w, _)| *w == word).map(|(_, k)| *k)
+        Self::WORDS
+            .iter()
+            .find(|(w, _)| *w == word)
+            .map(|(_, k)| *k)
     }
 
     pub fn word(self) -> &'static str {
-        Self::WORDS.iter().find(|(_, k)| *k == self).map_or("", |(w, _)| w)
+        Self::WORDS
+            .iter()
+            .find(|(_, k)| *k == self)
+            .map_or("", |(w, _)| w)
     }
 
     /// It takes a network: not to be had in virtual time.
@@ -118,7 +145,10 @@
 
     /// It takes several sites or dispatchers that can be held still: not for the simulated network.
     pub fn needs_fleet(self) -> bool {
-        matches!(self, Self::SiteLoss | Self::SiteCut | Self::HangDispatchers | Self::StopDispatchers)
+        matches!(
+            self,
+            Self::SiteLoss | Self::SiteCut | Self::HangDispatchers | Self::StopDispatchers
+        )
     }
 
     /// It strikes a site as a whole.
@@ -271,7 +301,14 @@
     ) -> Self {
         let (steps, newcomers, replaced) = (Vec::new(), Vec::new(), Vec::new());
         let rng = StdRng::seed_from_u64(0);
-        let mut w = Writer { scenario, hosts, steps, newcomers, replaced, rng };
+        let mut w = Writer {
+            scenario,
+            hosts,
+            steps,
+            newcomers,
+            replaced,
+            rng,
+        };
         for trouble in &scenario.troubles {
             // Each trouble draws from its own stream: one more leaves the others as they were.
             let words = format!("trouble {}", trouble.name);
@@ -280,7 +317,10 @@
         }
         w.steady_purges();
         w.steps.sort_by_key(|(at, _)| *at);
-        Self { steps: w.steps, newcomers: w.newcomers }
+        Self {
+            steps: w.steps,
+            newcomers: w.newcomers,
+        }
     }
 }
 
@@ -291,7 +331,12 @@
             return;
         }
         self.rng = StdRng::seed_from_u64(stream(self.scenario.seed, "purges"));
-        let classes: Vec<_> = self.scenario.classes.iter().filter(|c| !c.uncacheable).collect();
+        let classes: Vec<_> = self
+            .scenario
+            .classes
+            .iter()
+            .filter(|c| !c.uncacheable)
+            .collect();
         let mut at = 0.0;
         while let Some(class) = classes.choose(&mut self.rng) {
             at -= (1.0 - self.rng.gen::<f64>()).ln() / self.scenario.purges * 1e6;
@@ -313,9 +358,16 @@
     /// Members that run from the start, fit, and were not replaced by an earlier deploy.
     fn fitting(&self, whom: &Whom) -> Vec<HostId> {
         let fits = |(id, h): &(HostId, &HostSpec)| {
-            h.role == whom.role && whom.zone.is_none_or(|z| z == h.zone) && !self.replaced.contains(id)
+            h.role == whom.role
+                && whom.zone.is_none_or(|z| z == h.zone)
+                && !self.replaced.contains(id)
         };
-        self.hosts.iter().enumerate().filter(fits).map(|(id, _)| id).collect()
+        self.hosts
+            .iter()
+            .enumerate()
+            .filter(fits)
+            .map(|(id, _)| id)
+            .collect()
     }
 
     fn struck(&mut self, whom: &Whom) -> Vec<HostId> {
@@ -337,7 +389,10 @@
 
     /// ... of which the list says nothing, if so.
     fn restart_told(&mut self, host: HostId, at: Micros, back: Micros, told: bool) {
-        let steps = [(at, Fault::Die, Listed::Gone), (back, Fault::Return, Listed::Ready)];
+        let steps = [
+            (at, Fault::Die, Listed::Gone),
+            (back, Fault::Return, Listed::Ready),
+        ];
         for (at, fault, listed) in steps {
             self.step(at, Step::Fault { host, fault });
             if told {
@@ -389,11 +444,23 @@
         let (at, until) = (t.at, t.at + t.length);
         let fault = match t.kind {
             Kind::Hang => Some(Fault::Hang { until }),
-            Kind::Lose => Some(Fault::Lose { share: t.hard, until }),
-            Kind::Cut => Some(Fault::Cut { share: t.hard, until }),
+            Kind::Lose => Some(Fault::Lose {
+                share: t.hard,
+                until,
+            }),
+            Kind::Cut => Some(Fault::Cut {
+                share: t.hard,
+                until,
+            }),
             Kind::Refuse => Some(Fault::Refuse { until }),
-            Kind::Errors => Some(Fault::Err { share: t.hard, until }),
-            Kind::Slow => Some(Fault::Slow { factor: t.hard, until }),
+            Kind::Errors => Some(Fault::Err {
+                share: t.hard,
+                until,
+            }),
+            Kind::Slow => Some(Fault::Slow {
+                factor: t.hard,
+                until,
+            }),
             _ => None,
         };
         let struck = match t.kind {
@@ -411,7 +478,13 @@
         self.step(at, Step::Say(said));
         if let Some(fault) = fault {
             for host in struck {
-                self.step(at, Step::Fault { host, fault: fault.clone() });
+                self.step(
+                    at,
+                    Step::Fault {
+                        host,
+                        fault: fault.clone(),
+                    },
+                );
             }
             return;
         }
@@ -419,7 +492,13 @@
             Kind::Partition => {
                 for host in struck {
                     self.step(at, Step::Part { host, parted: true });
-                    self.step(until, Step::Part { host, parted: false });
+                    self.step(
+                        until,
+                        Step::Part {
+                            host,
+                            parted: false,
+                        },
+                    );
                 }
             }
             Kind::Crash => {
@@ -449,8 +528,11 @@
                 }
             }
             Kind::HubRestart => {
-                let hub =
-                    t.whom.zone.filter(|z| *z >= self.scenario.branches).unwrap_or(self.scenario.branches);
+                let hub = t
+                    .whom
+                    .zone
+                    .filter(|z| *z >= self.scenario.branches)
+                    .unwrap_or(self.scenario.branches);
                 for host in 0..self.hosts.len() {
                     let zone = self.hosts[host].zone;
                     let branch = zone < self.scenario.branches;
@@ -468,7 +550,8 @@
             Kind::ZoneLoss => {
                 let zone = t.whom.zone.unwrap_or(0);
                 for host in 0..self.hosts.len() {
-                    let fits = self.hosts[host].zone == zone && self.hosts[host].role != Role::Origin;
+                    let fits =
+                        self.hosts[host].zone == zone && self.hosts[host].role != Role::Origin;
                     if fits && !self.replaced.contains(&host) {
                         self.restart(host, at, until);
                     }
@@ -499,10 +582,19 @@
                 for (n, dispatcher) in all.into_iter().enumerate() {
                     let at = at + gap * n as Micros;
                     let (first, then) = match t.kind {
-                        Kind::HangDispatchers => {
-                            (Step::Hang { dispatcher, hung: true }, Step::Hang { dispatcher, hung: false })
+                        Kind::HangDispatchers => (
+                            Step::Hang {
+                                dispatcher,
+                                hung: true,
+                            },
+                            Step::Hang {
+                                dispatcher,
+                                hung: false,
+                            },
+                        ),
+                        Kind::StopDispatchers => {
+                            (Step::Stop { dispatcher }, Step::Revive { dispatcher })
                         }
-                        Kind::StopDispatchers => (Step::Stop { dispatcher }, Step::Revive { dispatcher }),
                         _ => (Step::Kill { dispatcher }, Step::Revive { dispatcher }),
                     };
                     self.step(at, first);
@@ -512,8 +604,22 @@
             Kind::SiteLoss => self.site_loss(t),
             Kind::SiteCut => {
                 let zone = t.whom.zone.unwrap_or(0);
-                self.step(at, Step::Wall { zone, ways: Some(t.ways), until });
-                self.step(until, Step::Wall { zone, ways: None, until });
+                self.step(
+                    at,
+                    Step::Wall {
+                        zone,
+                        ways: Some(t.ways),
+                        until,
+                    },
+                );
+                self.step(
+                    until,
+                    Step::Wall {
+                        zone,
+                        ways: None,
+                        until,
+                    },
+                );
             }
             Kind::LateLists => {
                 let more = (t.hard * 1e6) as Micros;
@@ -525,25 +631,68 @@
 
     /// In waves: a drain notice, the end of the process after `hard` seconds, a cold successor under another
     /// address.
-    fn deploy(&mut self, t: &Trouble, struck: Vec<HostId>, address: &mut impl FnMut(usize) -> String) {
+    fn deploy(
+        &mut self,
+        t: &Trouble,
+        struck: Vec<HostId>,
+        address: &mut impl FnMut(usize) -> String,
+    ) {
         let drain = (t.hard * 1e6) as Micros;
         let count = struck.len().max(1) as Micros;
         for (n, host) in struck.into_iter().enumerate() {
             let at = t.at + t.length * n as Micros / count;
             self.replaced.push(host);
-            self.step(at, Step::List { host, listed: Listed::Draining });
-            self.step(at + drain, Step::Fault { host, fault: Fault::Die });
-            self.step(at + drain, Step::List { host, listed: Listed::Gone });
+            self.step(
+                at,
+                Step::List {
+                    host,
+                    listed: Listed::Draining,
+                },
+            );
+            self.step(
+                at + drain,
+                Step::Fault {
+                    host,
+                    fault: Fault::Die,
+                },
+            );
+            self.step(
+                at + drain,
+                Step::List {
+                    host,
+                    listed: Listed::Gone,
+                },
+            );
             let successor = self.hosts.len() + self.newcomers.len();
-            let spec = HostSpec { address: address(successor), ..self.hosts[host].clone() };
+            let spec = HostSpec {
+                address: address(successor),
+                ..self.hosts[host].clone()
+            };
             self.newcomers.push(spec);
-            self.step(at + drain, Step::Fault { host: successor, fault: Fault::Return });
-            self.step(at + drain, Step::List { host: successor, listed: Listed::Ready });
+            self.step(
+                at + drain,
+                Step::Fault {
+                    host: successor,
+                    fault: Fault::Return,
+                },
+            );
+            self.step(
+                at + drain,
+                Step::List {
+                    host: successor,
+                    listed: Listed::Ready,
+                },
+            );
         }
     }
 }
 
 /// The purge groups that one step strikes, a class each.
 pub fn purge_groups(scenario: &Scenario, group: u64) -> Vec<u64> {
-    scenario.classes.iter().filter(|c| !c.uncacheable).map(|c| group_number(&c.name, group)).collect()
+    scenario
+        .classes
+        .iter()
+        .filter(|c| !c.uncacheable)
+        .map(|c| group_number(&c.name, group))
+        .collect()
 }
--- a/crates/lab/src/scenario/traffic.rs
+++ b/crates/lab/src/scenario/traffic.rs
@@ -52,7 +52,11 @@
         let gaps = Exp::new(scenario.rate / 1e6).expect("the rate is above 0");
         let mut calls = Vec::new();
         let mut even = 0.0;
-        let mut tide = Tide { scenario, at: 0.0, even: 0.0 };
+        let mut tide = Tide {
+            scenario,
+            at: 0.0,
+            even: 0.0,
+        };
         let mut viewers = Viewers::default();
         let mut once = 0_u64;
         loop {
@@ -77,7 +81,11 @@
             let part = rng.gen_range(0..c.parts);
             let group = rank % scenario.groups;
             once += 1;
-            let plain = if local < c.local { format!("b{branch}-o{rank}") } else { format!("o{rank}") };
+            let plain = if local < c.local {
+                format!("b{branch}-o{rank}")
+            } else {
+                format!("o{rank}")
+            };
             let file = match unusual(scenario, now, class, special, once) {
                 Some(file) => file,
                 None if dice < c.once => format!("once{once}"),
@@ -125,8 +133,9 @@
         let s = self.scenario;
         let turn = at / s.wave as f64 * std::f64::consts::TAU;
         let now = at as Micros;
-        let on =
-            |t: &&super::script::Trouble| t.kind == Kind::Burst && now >= t.at && now < t.at + t.length;
+        let on = |t: &&super::script::Trouble| {
+            t.kind == Kind::Burst && now >= t.at && now < t.at + t.length
+        };
         let bursts: f64 = s.troubles.iter().filter(on).map(|t| t.hard).product();
         // Never quite 0: the day would not go on.
         ((1.0 + s.wave_depth * turn.sin()) * bursts).max(1e-3)
@@ -165,7 +174,11 @@
         (file, group): (String, u64),
     ) -> (String, u64, u64) {
         let open = self.open.entry(place).or_default();
-        let due = open.front().is_some_and(|v| v.0 <= now).then(|| open.pop_front()).flatten();
+        let due = open
+            .front()
+            .is_some_and(|v| v.0 <= now)
+            .then(|| open.pop_front())
+            .flatten();
         let (_, file, group, part) = due.unwrap_or((now, file, group, 0));
         if part + 1 < class.parts {
             open.push_back((now + class.part_every, file.clone(), group, part + 1));
--- a/crates/lab/src/sockets/fills.rs
+++ b/crates/lab/src/sockets/fills.rs
@@ -15,10 +15,20 @@
     stage.tell(In::SourceEnd { host, fill, end });
 }
 
-async fn ask(stage: &Stage, host: HostId, fill: FillId, source: &str, wanted: &Wanted) -> SourceEnd {
-    let Ok(link) = stage.link(host, source).await else { return SourceEnd::Unreachable };
+async fn ask(
+    stage: &Stage,
+    host: HostId,
+    fill: FillId,
+    source: &str,
+    wanted: &Wanted,
+) -> SourceEnd {
+    let Ok(link) = stage.link(host, source).await else {
+        return SourceEnd::Unreachable;
+    };
     let request = words::request(wanted, &stage.inner().classes, LEFT_US);
-    let Ok(mut call) = link.call(request) else { return SourceEnd::Unreachable };
+    let Ok(mut call) = link.call(request) else {
+        return SourceEnd::Unreachable;
+    };
     let asked = stage.now();
     let mut checker = Checker::new(wanted.number, wanted.part);
     let mut bodyless = false;
@@ -33,10 +43,17 @@
             Part::End(CallEnd::Complete(_)) => {
                 // A copy with a wrong byte is no copy.
                 let right = bodyless || checker.finish().1.is_some();
-                return if right { SourceEnd::Complete } else { SourceEnd::Unreachable };
+                return if right {
+                    SourceEnd::Complete
+                } else {
+                    SourceEnd::Unreachable
+                };
             }
             Part::End(CallEnd::Error(e)) => {
-                return SourceEnd::Told { status: e.status(), note: e.note() };
+                return SourceEnd::Told {
+                    status: e.status(),
+                    note: e.note(),
+                };
             }
             Part::End(CallEnd::Broken(_) | CallEnd::NotSent) => break,
         }
@@ -47,14 +64,24 @@
 /// The copy counts as no younger than the question (RFC 9111, 4.2.3): its source may have taken it, and told its age,
 /// long before the head came here, and a purge may lie in between.
 fn answer(asked: Micros, head: &AnswerHead, wanted: &Wanted) -> Answer {
-    let version = words::version(&head.validator).or(wanted.holds).unwrap_or(0);
+    let version = words::version(&head.validator)
+        .or(wanted.holds)
+        .unwrap_or(0);
     Answer {
         note: head.note(),
-        copy: Copy { version, size: head.size.unwrap_or(0), birth: asked.saturating_sub(head.age_us) },
+        copy: Copy {
+            version,
+            size: head.size.unwrap_or(0),
+            birth: asked.saturating_sub(head.age_us),
+        },
         age: head.age_us,
         fresh_left: head.fresh_left_us,
         not_modified: head.not_modified,
         load: head.load.unwrap_or_default(),
-        code: if head.code == 0 { 200 } else { head.code as u16 },
+        code: if head.code == 0 {
+            200
+        } else {
+            head.code as u16
+        },
     }
 }
--- a/crates/lab/src/sockets/member.rs
+++ b/crates/lab/src/sockets/member.rs
@@ -52,14 +52,21 @@
     let address = stage.address_of(host);
     let socket = match stage.behind_walls(host, by, socket).await {
         Ok(socket) => socket,
-        Err(e) => return tracing::warn!(host, error = %e, "a connection could not be put behind the cut"),
+        Err(e) => {
+            return tracing::warn!(host, error = %e, "a connection could not be put behind the cut")
+        }
     };
-    let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
+    let (link, mut incoming) =
+        Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
     let link = Closing(link);
     if let Some(hello) = stage.hello(host) {
         let _ = link.0.control(Frame::Hello(hello)).await;
     }
-    let mut user = Using { stage: stage.clone(), host, user: None };
+    let mut user = Using {
+        stage: stage.clone(),
+        host,
+        user: None,
+    };
     let mut requests = JoinSet::new();
     while let Some(inbound) = incoming.next().await {
         while requests.try_join_next().is_some() {}
@@ -67,10 +74,21 @@
             Inbound::Request(head, responder) => {
                 let link = link.0.clone();
                 let from = (by, user.user);
-                requests.spawn(request(stage.clone(), host, address.clone(), from, head, responder, link));
+                requests.spawn(request(
+                    stage.clone(),
+                    host,
+                    address.clone(),
+                    from,
+                    head,
+                    responder,
+                    link,
+                ));
             }
             Inbound::Control(Frame::Probe(probe)) if !probe.echo => {
-                let echo = Frame::Probe(ProbeHead { echo: true, ..probe });
+                let echo = Frame::Probe(ProbeHead {
+                    echo: true,
+                    ..probe
+                });
                 let _ = link.0.control(echo).await;
             }
             Inbound::Control(Frame::Hello(hello)) if hello.dispatcher && user.user.is_none() => {
@@ -81,7 +99,10 @@
             }
             Inbound::Control(Frame::Want(want)) => {
                 if let Some(user) = user.user {
-                    let _ = link.0.control(Frame::Lease(stage.ask(host, user, want.work_us))).await;
+                    let _ = link
+                        .0
+                        .control(Frame::Lease(stage.ask(host, user, want.work_us)))
+                        .await;
                 }
             }
             Inbound::Control(_) => {}
@@ -104,10 +125,19 @@
     fn drop(&mut self) {
         self.stage.forget(self.job);
         if self.cancel {
-            self.stage.tell(In::Cancel { host: self.host, job: self.job });
+            self.stage.tell(In::Cancel {
+                host: self.host,
+                job: self.job,
+            });
         }
         if let Some((host, id, attempt, by)) = self.gone.take() {
-            self.stage.inner().recorder.saw(Saw::Gone { host, id, attempt, by, how: self.how });
+            self.stage.inner().recorder.saw(Saw::Gone {
+                host,
+                id,
+                attempt,
+                by,
+                how: self.how,
+            });
         }
     }
 }
@@ -139,10 +169,21 @@
     if stage.inner().options.deaf_to_age.contains(&address) {
         wanted.age = u64::MAX / 2;
     }
-    let body = Body { number: wanted.number, part: wanted.part, version: 0 };
+    let body = Body {
+        number: wanted.number,
+        part: wanted.part,
+        version: 0,
+    };
     let (job, mut said) = stage.arrive(host, user, wanted);
     let gone = Some((address, id, asked.attempt, by));
-    let mut leaving = Leaving { stage: stage.clone(), host, job, gone, how: Left::Lost, cancel: true };
+    let mut leaving = Leaving {
+        stage: stage.clone(),
+        host,
+        job,
+        gone,
+        how: Left::Lost,
+        cancel: true,
+    };
     // Sent with the end: a member that dies in between leaves half an answer.
     let mut rest: Option<(Body, Cut)> = None;
     loop {
@@ -157,17 +198,29 @@
         match word {
             Some(Word::Start(answer)) => {
                 let (head, cut) = words::head(&answer, &asked, came.elapsed().as_micros() as u64);
-                let body = Body { version: answer.copy.version, ..body };
+                let body = Body {
+                    version: answer.copy.version,
+                    ..body
+                };
                 if responder.head(head).await.is_err() {
                     leaving.how = Left::Cancelled;
                     return;
                 }
-                let first = Cut { from: cut.from, len: cut.len / 2 };
+                let first = Cut {
+                    from: cut.from,
+                    len: cut.len / 2,
+                };
                 if send(&mut responder, body, first).await.is_err() {
                     leaving.how = Left::Cancelled;
                     return;
                 }
-                rest = Some((body, Cut { from: cut.from + first.len, len: cut.len - first.len }));
+                rest = Some((
+                    body,
+                    Cut {
+                        from: cut.from + first.len,
+                        len: cut.len - first.len,
+                    },
+                ));
             }
             Some(Word::Finish) => {
                 leaving.cancel = false;
@@ -175,13 +228,22 @@
                     Some((body, cut)) => send(&mut responder, body, cut).await,
                     None => Ok(()),
                 };
-                leaving.how = if sent.is_ok() { Left::Answered } else { Left::Cancelled };
+                leaving.how = if sent.is_ok() {
+                    Left::Answered
+                } else {
+                    Left::Cancelled
+                };
                 if sent.is_ok() {
                     let _ = responder.end(None).await;
                 }
                 return;
             }
-            Some(Word::Reject { status, note, ran, load }) => {
+            Some(Word::Reject {
+                status,
+                note,
+                ran,
+                load,
+            }) => {
                 leaving.cancel = false;
                 leaving.how = Left::Answered;
                 let error = ErrorHead {
@@ -210,7 +272,11 @@
     }
 }
 
-async fn send(responder: &mut Responder, body: Body, cut: Cut) -> Result<(), pointspindle_link::LinkError> {
+async fn send(
+    responder: &mut Responder,
+    body: Body,
+    cut: Cut,
+) -> Result<(), pointspindle_link::LinkError> {
     let mut at = cut.from;
     while at < cut.from + cut.len {
         let len = PIECE.min(cut.from + cut.len - at);
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -97,7 +97,12 @@
 }
 
 impl Stage {
-    pub fn new(world: World, classes: Vec<ClassModel>, recorder: Recorder, options: StageOptions) -> Self {
+    pub fn new(
+        world: World,
+        classes: Vec<ClassModel>,
+        recorder: Recorder,
+        options: StageOptions,
+    ) -> Self {
         let locked = Locked {
             world,
             words: HashMap::new(),
@@ -116,7 +121,9 @@
             options,
             links: Default::default(),
         };
-        Self { inner: Arc::new(inner) }
+        Self {
+            inner: Arc::new(inner),
+        }
     }
 
     /// Listens for all members that are up and begins to turn the world's clock.
@@ -135,7 +142,10 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.inner.locked.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+        self.inner
+            .locked
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub fn now(&self) -> Micros {
@@ -187,11 +197,29 @@
             let (job, word) = match wish {
                 Out::Start { job, answer, .. } => (job, Word::Start(answer)),
                 Out::Finish { job, .. } => (job, Word::Finish),
-                Out::Reject { job, status, note, may_have_run: ran, load, .. } => {
-                    (job, Word::Reject { status, note, ran, load })
-                }
+                Out::Reject {
+                    job,
+                    status,
+                    note,
+                    may_have_run: ran,
+                    load,
+                    ..
+                } => (
+                    job,
+                    Word::Reject {
+                        status,
+                        note,
+                        ran,
+                        load,
+                    },
+                ),
                 Out::Cut { job, .. } => (job, Word::Cut),
-                Out::Fill { host, fill, source, wanted } => {
+                Out::Fill {
+                    host,
+                    fill,
+                    source,
+                    wanted,
+                } => {
                     let task = tokio::spawn(fills::run(self.clone(), host, fill, source, wanted));
                     locked.fills.retain(|_, task| !task.is_finished());
                     locked.fills.insert(fill, task.abort_handle());
@@ -205,7 +233,10 @@
                 }
                 Out::Down { host, why } => {
                     let address = self.address(&locked.world, host);
-                    self.inner.recorder.saw(Saw::Fell { host: address, why: why.into() });
+                    self.inner.recorder.saw(Saw::Fell {
+                        host: address,
+                        why: why.into(),
+                    });
                     if let Some(listener) = locked.listeners.remove(&host) {
                         listener.abort();
                     }
@@ -221,8 +252,13 @@
                 Out::Up { host } => {
                     let address = self.address(&locked.world, host);
                     let start = locked.world.start(host).0;
-                    self.inner.recorder.saw(Saw::Started { host: address, cold: true, start });
-                    let (role, weight) = (locked.world.spec(host).role, locked.world.spec(host).weight);
+                    self.inner.recorder.saw(Saw::Started {
+                        host: address,
+                        cold: true,
+                        start,
+                    });
+                    let (role, weight) =
+                        (locked.world.spec(host).role, locked.world.spec(host).weight);
                     let make = self.inner.options.hello.as_ref();
                     let ledger = make.and_then(|make| (make.0)(role, weight, now));
                     if let Some(ledger) = ledger {
@@ -260,7 +296,12 @@
     }
 
     /// A dispatcher that keeps to leases has connected; its number, where the member leases at all.
-    pub(crate) fn join(&self, host: HostId, link: &Link, asks: bool) -> Option<(UserId, LeaseHead)> {
+    pub(crate) fn join(
+        &self,
+        host: HostId,
+        link: &Link,
+        asks: bool,
+    ) -> Option<(UserId, LeaseHead)> {
         let mut locked = self.lock();
         locked.next_user += 1;
         let user = locked.next_user;
@@ -275,9 +316,16 @@
         let now = self.now();
         let given = match locked.ledgers.get_mut(&host) {
             Some((ledger, _)) => lease(&ledger.ask(now, user, work_us as f64 / 1e6)),
-            None => LeaseHead { work_us, for_us: 1_000_000, ..Default::default() },
+            None => LeaseHead {
+                work_us,
+                for_us: 1_000_000,
+                ..Default::default()
+            },
         };
-        LeaseHead { answers: true, ..given }
+        LeaseHead {
+            answers: true,
+            ..given
+        }
     }
 
     pub(crate) fn leave(&self, host: HostId, user: UserId) {
@@ -332,7 +380,10 @@
 
     /// Listens at a member's address. Its last process may have left the port a moment ago.
     async fn listen(&self, host: HostId) -> std::io::Result<()> {
-        let address: SocketAddr = self.address_of(host).parse().map_err(std::io::Error::other)?;
+        let address: SocketAddr = self
+            .address_of(host)
+            .parse()
+            .map_err(std::io::Error::other)?;
         let mut tries = 0;
         let listener = loop {
             match self.inner.options.net.listen_again(address).await {
@@ -356,8 +407,12 @@
         by: Option<usize>,
         socket: Line,
     ) -> std::io::Result<Line> {
-        let Some((walls, sites)) = &self.inner.options.walls else { return Ok(socket) };
-        let Some(there) = by.and_then(|by| sites.get(by).copied()) else { return Ok(socket) };
+        let Some((walls, sites)) = &self.inner.options.walls else {
+            return Ok(socket);
+        };
+        let Some(there) = by.and_then(|by| sites.get(by).copied()) else {
+            return Ok(socket);
+        };
         let here = self.with(|w| w.spec(host).zone);
         walls.between(socket, there, here).await
     }
@@ -405,13 +460,16 @@
                 return;
             }
             let now = stage.now();
-            let Some((ledger, links)) = locked.ledgers.get_mut(&host) else { return };
+            let Some((ledger, links)) = locked.ledgers.get_mut(&host) else {
+                return;
+            };
             if ledger.is_over(now) {
                 locked.ledgers.remove(&host);
                 return;
             }
             let told = |g: Grant| Some((links.get(&g.user)?.clone(), lease(&g)));
-            let grants: Vec<(Link, LeaseHead)> = ledger.turn(now).into_iter().filter_map(told).collect();
+            let grants: Vec<(Link, LeaseHead)> =
+                ledger.turn(now).into_iter().filter_map(told).collect();
             (grants, ledger.slot_length())
         };
         for (link, lease) in grants {
--- a/crates/lab/src/sockets/wall.rs
+++ b/crates/lab/src/sockets/wall.rs
@@ -19,7 +19,9 @@
 
 impl Default for Walls {
     fn default() -> Self {
-        Self { up: Arc::new(watch::channel(BTreeMap::new()).0) }
+        Self {
+            up: Arc::new(watch::channel(BTreeMap::new()).0),
+        }
     }
 }
 
@@ -41,12 +43,18 @@
 
     async fn open(&self, from: usize, to: usize) {
         // Fails only once nobody can set them any more, and then nothing is to be held up.
-        let _ = self.up.subscribe().wait_for(|up| passes(up, from, to)).await;
+        let _ = self
+            .up
+            .subscribe()
+            .wait_for(|up| passes(up, from, to))
+            .await;
     }
 
     /// A connection between two zones, with this end's part of it behind the walls.
     pub async fn between(&self, line: Line, there: usize, here: usize) -> std::io::Result<Line> {
-        let Line::Tcp(outer) = line else { return Ok(line) };
+        let Line::Tcp(outer) = line else {
+            return Ok(line);
+        };
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let connect = TcpStream::connect(listener.local_addr()?);
         let (inner, accepted) = tokio::join!(connect, listener.accept());
@@ -66,7 +74,13 @@
         Ok(inner.into())
     }
 
-    async fn pump(&self, read: &mut OwnedReadHalf, write: &mut OwnedWriteHalf, from: usize, to: usize) {
+    async fn pump(
+        &self,
+        read: &mut OwnedReadHalf,
+        write: &mut OwnedWriteHalf,
+        from: usize,
+        to: usize,
+    ) {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             let got = read.read(&mut buffer).await.unwrap_or(0);
--- a/crates/lab/src/sockets/words.rs
+++ b/crates/lab/src/sockets/words.rs
@@ -11,7 +11,13 @@
 }
 
 pub fn version(validator: &str) -> Option<u64> {
-    validator.trim().trim_start_matches("W/").trim_matches('"').strip_prefix('v')?.parse().ok()
+    validator
+        .trim()
+        .trim_start_matches("W/")
+        .trim_matches('"')
+        .strip_prefix('v')?
+        .parse()
+        .ok()
 }
 
 pub fn wanted(head: &RequestHead, classes: &[ClassModel]) -> Wanted {
@@ -23,7 +29,10 @@
         number: ObjectId::named(&head.object).0,
         part: head.part,
         group: head.group,
-        class: classes.iter().position(|c| c.name == head.class).unwrap_or(usize::MAX),
+        class: classes
+            .iter()
+            .position(|c| c.name == head.class)
+            .unwrap_or(usize::MAX),
         source: (!fetch.source.is_empty()).then_some(fetch.source),
         keep: fetch.keep as u8,
         age: fetch.age_us,
@@ -51,7 +60,10 @@
         object: wanted.object.to_string(),
         part: wanted.part,
         group: wanted.group,
-        class: classes.get(wanted.class).map(|c| c.name.clone()).unwrap_or_default(),
+        class: classes
+            .get(wanted.class)
+            .map(|c| c.name.clone())
+            .unwrap_or_default(),
         left_us,
         fetch: Some(fetch),
         trace: wanted.trace.to_string(),
@@ -65,7 +77,12 @@
 /// A grant of a member's ledger, as it is told.
 pub(crate) fn lease(grant: &Grant) -> LeaseHead {
     let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.by_asking);
-    LeaseHead { work_us, for_us: grant.lasts, by_asking, answers: false }
+    LeaseHead {
+        work_us,
+        for_us: grant.lasts,
+        by_asking,
+        answers: false,
+    }
 }
 
 /// Which bytes of the body an answer carries.
@@ -81,7 +98,10 @@
     let validator = validator(answer.copy.version);
     let range_wanted =
         !asked.range.is_empty() && (asked.if_range.is_empty() || asked.if_range == validator);
-    let range = range_wanted.then(|| Range::parse(&asked.range)).flatten().map(|r| r.apply(whole));
+    let range = range_wanted
+        .then(|| Range::parse(&asked.range))
+        .flatten()
+        .map(|r| r.apply(whole));
     let mut head = AnswerHead {
         note: answer.note as i32,
         size: Some(whole),
@@ -92,13 +112,23 @@
         elapsed_us,
         load: Some(answer.load),
         fresh_left_us: answer.fresh_left,
-        code: if answer.code == 200 { 0 } else { answer.code as u32 },
+        code: if answer.code == 200 {
+            0
+        } else {
+            answer.code as u32
+        },
         ..Default::default()
     };
-    let mut cut = Cut { from: 0, len: whole };
+    let mut cut = Cut {
+        from: 0,
+        len: whole,
+    };
     match range {
         Some(Applied::Part(first, last)) if !answer.not_modified => {
-            cut = Cut { from: first, len: last + 1 - first };
+            cut = Cut {
+                from: first,
+                len: last + 1 - first,
+            };
             head.size = Some(cut.len);
             head.range_first = Some(first);
             head.whole_size = Some(whole);
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -15,9 +15,20 @@
 impl Sim<'_> {
     /// What waited for a connection goes out on it, or ends: `met` is the process that it was decided for.
     pub(super) fn connected(&mut self, job: JobId, wanted: Wanted, met: Option<u64>) {
-        let Some(found) = self.links.get(job).copied() else { return };
+        let Some(found) = self.links.get(job).copied() else {
+            return;
+        };
         let host = found.host;
-        let Owner::Attempt { dispatcher, life, request, attempt, .. } = found.owner else { return };
+        let Owner::Attempt {
+            dispatcher,
+            life,
+            request,
+            attempt,
+            ..
+        } = found.owner
+        else {
+            return;
+        };
         if self.dispatchers[dispatcher].life != life {
             return;
         }
@@ -27,14 +38,32 @@
         let start = self.meet(dispatcher, host);
         let replaced = met.is_some_and(|met| met != start);
         // Decided for the process before this one, or not to begin any more.
-        let Some(begin) = (!replaced).then(|| self.begin(dispatcher, request, attempt)).flatten() else {
+        let Some(begin) = (!replaced)
+            .then(|| self.begin(dispatcher, request, attempt))
+            .flatten()
+        else {
             self.links.close(job);
-            self.tell_core(dispatcher, Input::Ended { request, attempt, end: AttemptEnd::NotSent });
+            self.tell_core(
+                dispatcher,
+                Input::Ended {
+                    request,
+                    attempt,
+                    end: AttemptEnd::NotSent,
+                },
+            );
             return;
         };
         let planted = self.plant == Some(Plant::Purge);
-        let age = if planted { wanted.age } else { wanted.age.min(begin.age) };
-        let wanted = Wanted { age, join: begin.join, ..wanted };
+        let age = if planted {
+            wanted.age
+        } else {
+            wanted.age.min(begin.age)
+        };
+        let wanted = Wanted {
+            age,
+            join: begin.join,
+            ..wanted
+        };
         let way = self.way_of(&found.owner, host);
         self.queue.plan(self.now + way, Event::Arrive(job, wanted));
     }
@@ -45,11 +74,31 @@
         if self.dispatchers[dispatcher].connected.insert(host, start) != Some(start) {
             self.dispatchers[dispatcher].met.insert(host, start);
             let ago = started.map(|at| (EPOCH + self.now).saturating_sub(at));
-            let hello = HelloHead { process: start, started_ago_us: ago, ..Default::default() };
+            let hello = HelloHead {
+                process: start,
+                started_ago_us: ago,
+                ..Default::default()
+            };
             let member = self.address(host);
-            self.tell_core(dispatcher, Input::Hello { member: member.clone(), hello });
-            if let Some(grant) = self.ledgers.get_mut(&host).map(|l| l.join(dispatcher as u64, true)) {
-                self.tell_core(dispatcher, Input::Lease { member, lease: lease(&grant) });
+            self.tell_core(
+                dispatcher,
+                Input::Hello {
+                    member: member.clone(),
+                    hello,
+                },
+            );
+            if let Some(grant) = self
+                .ledgers
+                .get_mut(&host)
+                .map(|l| l.join(dispatcher as u64, true))
+            {
+                self.tell_core(
+                    dispatcher,
+                    Input::Lease {
+                        member,
+                        lease: lease(&grant),
+                    },
+                );
             }
         }
         start
@@ -58,9 +107,19 @@
     /// A dispatcher wants a member's word though it has no request for it.
     pub(super) fn plan_meeting(&mut self, dispatcher: usize, host: HostId, after: u64) {
         if self.s.hello && !self.dispatchers[dispatcher].connected.contains_key(&host) {
-            let way = self.s.way(self.s.branch_of_dispatcher(dispatcher), self.zone_of_host(host));
+            let way = self.s.way(
+                self.s.branch_of_dispatcher(dispatcher),
+                self.zone_of_host(host),
+            );
             let life = self.dispatchers[dispatcher].life;
-            self.queue.plan(self.now + after + 2 * way, Event::Meet { dispatcher, life, host });
+            self.queue.plan(
+                self.now + after + 2 * way,
+                Event::Meet {
+                    dispatcher,
+                    life,
+                    host,
+                },
+            );
         }
     }
 
@@ -79,18 +138,39 @@
         }
         let given = match self.ledgers.get_mut(&host) {
             Some(ledger) => lease(&ledger.ask(self.now, dispatcher as u64, work_us as f64 / 1e6)),
-            None => LeaseHead { work_us, for_us: 1_000_000, ..Default::default() },
+            None => LeaseHead {
+                work_us,
+                for_us: 1_000_000,
+                ..Default::default()
+            },
+        };
+        let lease = LeaseHead {
+            answers: true,
+            ..given
         };
-        let lease = LeaseHead { answers: true, ..given };
-        let way = self.s.way(self.s.branch_of_dispatcher(dispatcher), self.zone_of_host(host));
-        self.queue.plan(self.now + way, Event::Lease { dispatcher, life, host, lease });
+        let way = self.s.way(
+            self.s.branch_of_dispatcher(dispatcher),
+            self.zone_of_host(host),
+        );
+        self.queue.plan(
+            self.now + way,
+            Event::Lease {
+                dispatcher,
+                life,
+                host,
+                lease,
+            },
+        );
     }
 
     /// A process has started: it leases out what it bears, and who lost the one before it comes back.
     pub(super) fn warms_up(&mut self, host: HostId) {
         let spec = self.world.spec(host);
         if let Some(ledger) = self.s.ledger(spec.role, spec.weight, self.now) {
-            self.queue.plan(ledger.next_slot(), Event::Slot(host, self.world.start(host).0));
+            self.queue.plan(
+                ledger.next_slot(),
+                Event::Slot(host, self.world.start(host).0),
+            );
             self.ledgers.insert(host, ledger);
         }
         for dispatcher in 0..self.dispatchers.len() {
@@ -106,7 +186,9 @@
         if self.world.start(host).0 != start {
             return;
         }
-        let Some(ledger) = self.ledgers.get_mut(&host) else { return };
+        let Some(ledger) = self.ledgers.get_mut(&host) else {
+            return;
+        };
         let grants = ledger.turn(self.now);
         if ledger.is_over(self.now) {
             self.ledgers.remove(&host);
@@ -116,9 +198,20 @@
         for grant in grants {
             let dispatcher = grant.user as usize;
             let life = self.dispatchers[dispatcher].life;
-            let way = self.s.way(self.s.branch_of_dispatcher(dispatcher), self.zone_of_host(host));
+            let way = self.s.way(
+                self.s.branch_of_dispatcher(dispatcher),
+                self.zone_of_host(host),
+            );
             let lease = lease(&grant);
-            self.queue.plan(self.now + way, Event::Lease { dispatcher, life, host, lease });
+            self.queue.plan(
+                self.now + way,
+                Event::Lease {
+                    dispatcher,
+                    life,
+                    host,
+                    lease,
+                },
+            );
         }
         self.queue.plan(next, Event::Slot(host, start));
     }
--- a/crates/lab/src/virt/links.rs
+++ b/crates/lab/src/virt/links.rs
@@ -6,9 +6,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Owner {
     /// An attempt of a dispatcher, in one of its lives.
-    Attempt { dispatcher: usize, life: u32, request: u64, attempt: u32, id: TryId },
+    Attempt {
+        dispatcher: usize,
+        life: u32,
+        request: u64,
+        attempt: u32,
+        id: TryId,
+    },
     /// A fill of another member, in one of its process's lives.
-    Fill { host: HostId, start: u64, fill: FillId, id: Option<TryId> },
+    Fill {
+        host: HostId,
+        start: u64,
+        fill: FillId,
+        id: Option<TryId>,
+    },
 }
 
 /// A job at a member, until its end.
@@ -32,14 +43,28 @@
     pub fn open(&mut self, host: HostId, owner: Owner) -> JobId {
         self.next += 1;
         match owner {
-            Owner::Attempt { dispatcher, life, request, attempt, .. } => {
-                self.attempts.insert((dispatcher, life, request, attempt), self.next);
+            Owner::Attempt {
+                dispatcher,
+                life,
+                request,
+                attempt,
+                ..
+            } => {
+                self.attempts
+                    .insert((dispatcher, life, request, attempt), self.next);
             }
             Owner::Fill { fill, .. } => {
                 self.fills.insert(fill, self.next);
             }
         }
-        self.jobs.insert(self.next, Job { host, owner, reached: false });
+        self.jobs.insert(
+            self.next,
+            Job {
+                host,
+                owner,
+                reached: false,
+            },
+        );
         self.next
     }
 
@@ -50,7 +75,13 @@
     pub fn close(&mut self, job: JobId) -> Option<Job> {
         let found = self.jobs.remove(&job)?;
         match found.owner {
-            Owner::Attempt { dispatcher, life, request, attempt, .. } => {
+            Owner::Attempt {
+                dispatcher,
+                life,
+                request,
+                attempt,
+                ..
+            } => {
                 self.attempts.remove(&(dispatcher, life, request, attempt));
             }
             Owner::Fill { fill, .. } => {
@@ -60,8 +91,16 @@
         Some(found)
     }
 
-    pub fn of_attempt(&self, dispatcher: usize, life: u32, request: u64, attempt: u32) -> Option<JobId> {
-        self.attempts.get(&(dispatcher, life, request, attempt)).copied()
+    pub fn of_attempt(
+        &self,
+        dispatcher: usize,
+        life: u32,
+        request: u64,
+        attempt: u32,
+    ) -> Option<JobId> {
+        self.attempts
+            .get(&(dispatcher, life, request, attempt))
+            .copied()
     }
 
     pub fn of_fill(&self, fill: FillId) -> Option<JobId> {
@@ -70,7 +109,12 @@
 
     /// All jobs that fit, in the order of their numbers.
     pub fn all(&self, fits: impl Fn(&Job) -> bool) -> Vec<JobId> {
-        let mut jobs: Vec<JobId> = self.jobs.iter().filter(|(_, j)| fits(j)).map(|(id, _)| *id).collect();
+        let mut jobs: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(_, j)| fits(j))
+            .map(|(id, _)| *id)
+            .collect();
         jobs.sort_unstable();
         jobs
     }
--- a/crates/lab/src/virt/mod.rs
+++ b/crates/lab/src/virt/mod.rs
@@ -42,7 +42,10 @@
     let planted = scenario.clone();
     let planted = match plant {
         Some(Plant::Cold) => planted.with_unseen_starts(),
-        Some(Plant::Alone) => Scenario { told_alone: true, ..planted },
+        Some(Plant::Alone) => Scenario {
+            told_alone: true,
+            ..planted
+        },
         _ => planted,
     };
     let scenario = &planted;
@@ -54,5 +57,10 @@
     let mut rules = audit::judge(scenario, &sights, &effects);
     let service = audit::service::service(scenario, &traffic, &sights);
     rules.push(audit::sizes::judge(scenario, &service));
-    Ok(Outcome { service, rules, sights, cost })
+    Ok(Outcome {
+        service,
+        rules,
+        sights,
+        cost,
+    })
 }
--- a/crates/lab/src/virt/queue.rs
+++ b/crates/lab/src/virt/queue.rs
@@ -36,14 +36,21 @@
 
 impl<E> Default for Queue<E> {
     fn default() -> Self {
-        Self { heap: BinaryHeap::new(), number: 0 }
+        Self {
+            heap: BinaryHeap::new(),
+            number: 0,
+        }
     }
 }
 
 impl<E> Queue<E> {
     pub fn plan(&mut self, at: Micros, event: E) {
         self.number += 1;
-        self.heap.push(Reverse(Planned { at, number: self.number, event }));
+        self.heap.push(Reverse(Planned {
+            at,
+            number: self.number,
+            event,
+        }));
     }
 
     pub fn next_at(&self) -> Option<Micros> {
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -5,7 +5,9 @@
 use crate::book::{self, Book, Line, Told};
 use crate::day::settings::{ini, Doors};
 use crate::day::{drop_delay, Plant};
-use crate::model::{Answer, Fault, HostId, HostSpec, In, JobId, Out, Role, SourceEnd, Wanted, World};
+use crate::model::{
+    Answer, Fault, HostId, HostSpec, In, JobId, Out, Role, SourceEnd, Wanted, World,
+};
 use crate::record::{End, Left, Saw, Sight, TryId};
 use crate::scenario::script::{purge_groups, Listed, Ways};
 use crate::scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
@@ -73,7 +75,11 @@
 /// How a member's part of a job ended.
 pub(super) enum Ending {
     Finish,
-    Reject { status: WireStatus, note: WireNote, ran: bool },
+    Reject {
+        status: WireStatus,
+        note: WireNote,
+        ran: bool,
+    },
     Broken,
     Refused,
 }
@@ -137,16 +143,32 @@
 }
 
 impl<'a> Sim<'a> {
-    pub fn new(s: &'a Scenario, traffic: &'a Traffic, plant: Option<Plant>) -> Result<Self, String> {
+    pub fn new(
+        s: &'a Scenario,
+        traffic: &'a Traffic,
+        plant: Option<Plant>,
+    ) -> Result<Self, String> {
         let address = |n: usize| format!("10.{}.{}.{}:80", n / 62_500, n / 250 % 250, n % 250 + 1);
         let hosts = s.hosts(address);
         let script = Script::write(s, &hosts, address);
-        let mut world = World::new(s.world_spec(), hosts.clone(), s.catalogue(), stream(s.seed, "world"));
+        let mut world = World::new(
+            s.world_spec(),
+            hosts.clone(),
+            s.catalogue(),
+            stream(s.seed, "world"),
+        );
         for newcomer in &script.newcomers {
             world.add(newcomer.clone());
         }
         let zones = s.zones();
-        let line = |h: &HostSpec| (h.role.word().to_owned(), zones[h.zone].clone(), h.weight, h.zone);
+        let line = |h: &HostSpec| {
+            (
+                h.role.word().to_owned(),
+                zones[h.zone].clone(),
+                h.weight,
+                h.zone,
+            )
+        };
         let all: Vec<HostSpec> = hosts.iter().chain(&script.newcomers).cloned().collect();
         let book = Book::new(s.rules, &hosts, s.dispatcher_count(), s.seed);
         let mut sim = Self {
@@ -175,13 +197,24 @@
         };
         for h in &all {
             let (host, role) = (h.address.clone(), h.role);
-            sim.saw(Saw::Member { host, role, zone: h.zone, weight: h.weight });
+            sim.saw(Saw::Member {
+                host,
+                role,
+                zone: h.zone,
+                weight: h.weight,
+            });
         }
         for n in 0..s.dispatcher_count() {
             let any = "127.0.0.1:0".parse().expect("an address");
-            let doors = Doors { http: any, framed: any, control: any, metrics: any };
+            let doors = Doors {
+                http: any,
+                framed: any,
+                control: any,
+                metrics: any,
+            };
             let text = ini(s, n, &doors, "127.0.0.1", std::path::Path::new(""), None);
-            let settings = pointspindle_config::parse("the scenario", &text).map_err(|e| e.to_string())?;
+            let settings =
+                pointspindle_config::parse("the scenario", &text).map_err(|e| e.to_string())?;
             let core = Core::new(&settings, stream(s.seed, &format!("core {n}")));
             let (open, passing, heads) = Default::default();
             let (connected, met) = Default::default();
@@ -209,18 +242,36 @@
     }
 
     pub fn finish(self) -> (Vec<Sight>, Vec<(String, u32)>, Cost) {
-        let mut effects: Vec<(String, u32)> =
-            self.world.effects().iter().map(|(work, n)| (work.to_string(), *n)).collect();
+        let mut effects: Vec<(String, u32)> = self
+            .world
+            .effects()
+            .iter()
+            .map(|(work, n)| (work.to_string(), *n))
+            .collect();
         effects.sort();
-        (self.sights, effects, Cost { events: self.queue.planned() + self.cost.core_calls, ..self.cost })
+        (
+            self.sights,
+            effects,
+            Cost {
+                events: self.queue.planned() + self.cost.core_calls,
+                ..self.cost
+            },
+        )
     }
 
     /// Until nothing is planned and no client waits.
     pub fn run(&mut self) {
         loop {
             let timer = self.dispatchers.iter().filter_map(|d| d.timer).min();
-            let moments = [self.queue.next_at(), self.world_timer, timer, self.book.next()];
-            let Some(at) = moments.into_iter().flatten().min() else { break };
+            let moments = [
+                self.queue.next_at(),
+                self.world_timer,
+                timer,
+                self.book.next(),
+            ];
+            let Some(at) = moments.into_iter().flatten().min() else {
+                break;
+            };
             // Timers of idle dispatchers and warming members go on for ever: the day ends with its clients.
             if self.queue.next_at().is_none() && self.waiting.is_empty() {
                 break;
@@ -240,21 +291,31 @@
                 }
             }
             while self.queue.next_at().is_some_and(|t| t <= self.now) {
-                let Some((_, event)) = self.queue.pop() else { break };
+                let Some((_, event)) = self.queue.pop() else {
+                    break;
+                };
                 self.event(event);
             }
         }
     }
 
     fn event(&mut self, event: Event) {
-        let Some(event) = self.later(event) else { return };
+        let Some(event) = self.later(event) else {
+            return;
+        };
         match event {
-            Event::Call(n) => self.try_call(TryId { call: n as u64, try_no: 0 }),
+            Event::Call(n) => self.try_call(TryId {
+                call: n as u64,
+                try_no: 0,
+            }),
             Event::Try(id) => self.try_call(id),
             Event::Asked(id) => self.asked(id),
             Event::Leave(id) => {
                 if let Some(waiting) = self.waiting.remove(&id) {
-                    self.saw(Saw::Ended { id, end: End::LeftEarly });
+                    self.saw(Saw::Ended {
+                        id,
+                        end: End::LeftEarly,
+                    });
                     self.gone(&waiting);
                 }
             }
@@ -267,21 +328,50 @@
             Event::ClientEnd(id, end) => self.client_end(id, end),
             Event::Arrive(job, wanted) => self.arrive(job, wanted),
             Event::Cancel(job) => {
-                let Some(found) = self.links.close(job) else { return };
+                let Some(found) = self.links.close(job) else {
+                    return;
+                };
                 self.left(&found, Left::Cancelled);
-                self.tell_world(In::Cancel { host: found.host, job });
+                self.tell_world(In::Cancel {
+                    host: found.host,
+                    job,
+                });
             }
             Event::Head(job, answer) => self.head(job, answer),
             Event::Over(job, ending) => self.over(job, ending),
             Event::Step(n) => self.step(n),
-            Event::DropCopies { host, object, group, at } => {
-                self.tell_world(In::Purge { host, object, group, at: EPOCH + at });
+            Event::DropCopies {
+                host,
+                object,
+                group,
+                at,
+            } => {
+                self.tell_world(In::Purge {
+                    host,
+                    object,
+                    group,
+                    at: EPOCH + at,
+                });
             }
             Event::Connected(job, wanted, met) => self.connected(job, wanted, met),
             Event::Slot(host, start) => self.slot(host, start),
-            Event::Meet { dispatcher, life, host } => self.met(dispatcher, life, host),
-            Event::Want { dispatcher, life, host, work_us } => self.wanted(dispatcher, life, host, work_us),
-            Event::Lease { dispatcher, life, host, lease } => {
+            Event::Meet {
+                dispatcher,
+                life,
+                host,
+            } => self.met(dispatcher, life, host),
+            Event::Want {
+                dispatcher,
+                life,
+                host,
+                work_us,
+            } => self.wanted(dispatcher, life, host, work_us),
+            Event::Lease {
+                dispatcher,
+                life,
+                host,
+                lease,
+            } => {
                 if self.dispatchers[dispatcher].life == life {
                     let member = self.address(host);
                     self.tell_core(dispatcher, Input::Lease { member, lease });
@@ -303,8 +393,22 @@
         let class = &self.s.classes[call.class];
         let deadline = self.now + class.deadline;
         let (number, group, part) = (call.number, call.group, call.part);
-        self.saw(Saw::Asked { id, dispatcher, class: call.class, number, group, part, deadline });
-        self.waiting.insert(id, Waiting { dispatcher, request: None });
+        self.saw(Saw::Asked {
+            id,
+            dispatcher,
+            class: call.class,
+            number,
+            group,
+            part,
+            deadline,
+        });
+        self.waiting.insert(
+            id,
+            Waiting {
+                dispatcher,
+                request: None,
+            },
+        );
         self.queue.plan(self.now + CLIENT_WAY, Event::Asked(id));
         self.queue.plan(deadline + AFTER, Event::Patience(id));
         if let Some(leaves) = call.leaves.filter(|_| id.try_no == 0) {
@@ -313,7 +417,9 @@
     }
 
     fn asked(&mut self, id: TryId) {
-        let Some(waiting) = self.waiting.get_mut(&id) else { return };
+        let Some(waiting) = self.waiting.get_mut(&id) else {
+            return;
+        };
         let dispatcher = waiting.dispatcher;
         let d = &mut self.dispatchers[dispatcher];
         if !d.up {
@@ -340,7 +446,9 @@
     fn gone(&mut self, waiting: &Waiting) {
         if let Some(request) = waiting.request {
             self.dispatchers[waiting.dispatcher].open.remove(&request);
-            self.dispatchers[waiting.dispatcher].passing.remove(&request);
+            self.dispatchers[waiting.dispatcher]
+                .passing
+                .remove(&request);
             self.tell_core(waiting.dispatcher, Input::Gone(request));
         }
     }
@@ -349,7 +457,10 @@
         if self.waiting.remove(&id).is_none() {
             return;
         }
-        self.saw(Saw::Ended { id, end: end.clone() });
+        self.saw(Saw::Ended {
+            id,
+            end: end.clone(),
+        });
         let call = &self.calls[id.call as usize];
         let safe = self.s.classes[call.class].effect == Effect::Safe;
         if end == End::Lost {
@@ -369,7 +480,10 @@
         }
         let call = &self.calls[id.call as usize];
         let wait = self.s.wait(call, id.try_no, come_back);
-        let next = TryId { try_no: id.try_no + 1, ..id };
+        let next = TryId {
+            try_no: id.try_no + 1,
+            ..id
+        };
         self.queue.plan(self.now + wait, Event::Try(next));
     }
 
@@ -397,20 +511,45 @@
 
     /// As a shell asks, right before an attempt's first byte.
     pub(super) fn begin(&mut self, n: usize, request: u64, attempt: u32) -> Option<Begin> {
-        self.dispatchers[n].core.begin(EPOCH + self.now, request, attempt)
+        self.dispatchers[n]
+            .core
+            .begin(EPOCH + self.now, request, attempt)
     }
 
     fn output(&mut self, n: usize, output: Output) {
         let life = self.dispatchers[n].life;
         match output {
-            Output::Send { request, attempt, member, fetch, .. } => {
-                let Some(id) = self.dispatchers[n].open.get(&request).copied() else { return };
-                let Some(host) = self.world.host_of(&member) else { return };
+            Output::Send {
+                request,
+                attempt,
+                member,
+                fetch,
+                ..
+            } => {
+                let Some(id) = self.dispatchers[n].open.get(&request).copied() else {
+                    return;
+                };
+                let Some(host) = self.world.host_of(&member) else {
+                    return;
+                };
                 let waits = self.s.hello && !self.dispatchers[n].connected.contains_key(&host);
                 if !waits && self.begin(n, request, attempt).is_none() {
-                    return self.tell_core(n, Input::Ended { request, attempt, end: AttemptEnd::NotSent });
+                    return self.tell_core(
+                        n,
+                        Input::Ended {
+                            request,
+                            attempt,
+                            end: AttemptEnd::NotSent,
+                        },
+                    );
                 }
-                let owner = Owner::Attempt { dispatcher: n, life, request, attempt, id };
+                let owner = Owner::Attempt {
+                    dispatcher: n,
+                    life,
+                    request,
+                    attempt,
+                    id,
+                };
                 let call = &self.calls[id.call as usize];
                 let plain = fetch.is_none();
                 let fetch = fetch.unwrap_or(pointspindle_edge::core::FetchOrder {
@@ -430,7 +569,11 @@
                     class: call.class,
                     source: fetch.source,
                     keep: fetch.keep,
-                    age: if self.plant == Some(Plant::Purge) { u64::MAX / 2 } else { fetch.age },
+                    age: if self.plant == Some(Plant::Purge) {
+                        u64::MAX / 2
+                    } else {
+                        fetch.age
+                    },
                     join: fetch.join,
                     held_only: fetch.held_only && (safe || !plain),
                     renew: fetch.renew,
@@ -443,7 +586,8 @@
                 let way = self.way_of(&owner, host);
                 if waits {
                     let met = self.dispatchers[n].met.get(&host).copied();
-                    self.queue.plan(self.now + 2 * way, Event::Connected(job, wanted, met));
+                    self.queue
+                        .plan(self.now + 2 * way, Event::Connected(job, wanted, met));
                 } else {
                     self.queue.plan(self.now + way, Event::Arrive(job, wanted));
                 }
@@ -459,17 +603,38 @@
                     d.passing.insert(request, head);
                 }
             }
-            Output::Refuse { request, retry_after } => {
-                self.answer(n, request, End::Refused { come_back: retry_after });
+            Output::Refuse {
+                request,
+                retry_after,
+            } => {
+                self.answer(
+                    n,
+                    request,
+                    End::Refused {
+                        come_back: retry_after,
+                    },
+                );
             }
             Output::Fail { request } => self.answer(n, request, End::Failed),
             Output::Break { request } => self.answer(n, request, End::Broken),
             Output::List(_) => {}
             Output::Hello { .. } => {}
             Output::Want { member, work_us } => {
-                let Some(host) = self.world.host_of(&member) else { return };
-                let way = self.s.way(self.s.branch_of_dispatcher(n), self.zone_of_host(host));
-                self.queue.plan(self.now + way, Event::Want { dispatcher: n, life, host, work_us });
+                let Some(host) = self.world.host_of(&member) else {
+                    return;
+                };
+                let way = self
+                    .s
+                    .way(self.s.branch_of_dispatcher(n), self.zone_of_host(host));
+                self.queue.plan(
+                    self.now + way,
+                    Event::Want {
+                        dispatcher: n,
+                        life,
+                        host,
+                        work_us,
+                    },
+                );
             }
             Output::Meet { member } => {
                 if let Some(host) = self.world.host_of(&member) {
@@ -485,7 +650,8 @@
         d.passing.remove(&request);
         d.heads.remove(&request);
         if let Some(id) = d.open.remove(&request) {
-            self.queue.plan(self.now + CLIENT_WAY, Event::ClientEnd(id, end));
+            self.queue
+                .plan(self.now + CLIENT_WAY, Event::ClientEnd(id, end));
         }
     }
 
@@ -506,11 +672,15 @@
         d.passing.clear();
         d.heads.clear();
         let mut lost: Vec<TryId> = open.into_values().collect();
-        let sent = self.waiting.iter().filter(|(_, w)| w.dispatcher == n && w.request.is_none());
+        let sent = self
+            .waiting
+            .iter()
+            .filter(|(_, w)| w.dispatcher == n && w.request.is_none());
         lost.extend(sent.map(|(id, _)| *id));
         lost.sort_unstable();
         for id in lost {
-            self.queue.plan(self.now + CLIENT_WAY, Event::ClientEnd(id, End::Lost));
+            self.queue
+                .plan(self.now + CLIENT_WAY, Event::ClientEnd(id, End::Lost));
         }
         let mine = |j: &super::links::Job| matches!(j.owner, Owner::Attempt { dispatcher, life: l, .. } if dispatcher == n && l == life);
         for job in self.links.all(mine) {
@@ -546,17 +716,22 @@
 
     /// A word of its owner to stop travels to the member.
     fn cancel(&mut self, job: JobId) {
-        let Some(found) = self.links.get(job).copied() else { return };
+        let Some(found) = self.links.get(job).copied() else {
+            return;
+        };
         let way = self.way_of(&found.owner, found.host);
         self.queue.plan(self.now + way, Event::Cancel(job));
     }
 
     fn arrive(&mut self, job: JobId, wanted: Wanted) {
-        let Some(found) = self.links.get(job) else { return };
+        let Some(found) = self.links.get(job) else {
+            return;
+        };
         let (host, owner) = (found.host, found.owner);
         if !self.world.is_up(host) || self.cut_off.contains(&host) {
             let way = self.way_of(&owner, host);
-            self.queue.plan(self.now + way, Event::Over(job, Ending::Refused));
+            self.queue
+                .plan(self.now + way, Event::Over(job, Ending::Refused));
             return;
         }
         found.reached = true;
@@ -568,9 +743,19 @@
         let (source, class) = (wanted.source.clone(), wanted.class);
         if let Some(ledger) = self.ledgers.get_mut(&host) {
             let class = self.s.classes.get(class);
-            ledger.took(by.map(|by| by as u64), class.map_or(0.0, |c| c.mean_bytes / self.s.flow));
+            ledger.took(
+                by.map(|by| by as u64),
+                class.map_or(0.0, |c| c.mean_bytes / self.s.flow),
+            );
         }
-        self.saw(Saw::Reached { host: address, by, id, attempt: wanted.attempt, source, class });
+        self.saw(Saw::Reached {
+            host: address,
+            by,
+            id,
+            attempt: wanted.attempt,
+            source,
+            class,
+        });
         self.tell_world(In::Arrive { host, job, wanted });
     }
 
@@ -587,11 +772,22 @@
             return;
         }
         let (by, id, attempt) = match job.owner {
-            Owner::Attempt { dispatcher, id, attempt, .. } => (Some(dispatcher), Some(id), attempt),
+            Owner::Attempt {
+                dispatcher,
+                id,
+                attempt,
+                ..
+            } => (Some(dispatcher), Some(id), attempt),
             Owner::Fill { id, .. } => (None, id, 0),
         };
         let host = self.address(job.host);
-        self.saw(Saw::Gone { host, id, attempt, by, how });
+        self.saw(Saw::Gone {
+            host,
+            id,
+            attempt,
+            by,
+            how,
+        });
     }
 
     pub(super) fn tell_world(&mut self, input: In) {
@@ -608,19 +804,34 @@
     fn wish(&mut self, wish: Out) {
         match wish {
             Out::Start { job, answer, .. } => {
-                let Some(found) = self.links.get(job).copied() else { return };
+                let Some(found) = self.links.get(job).copied() else {
+                    return;
+                };
                 let way = self.way_of(&found.owner, found.host);
                 self.queue.plan(self.now + way, Event::Head(job, answer));
             }
             Out::Finish { job, .. } => self.ending(job, Ending::Finish, Left::Answered),
-            Out::Reject { job, status, note, may_have_run, .. } => {
-                let ending = Ending::Reject { status, note, ran: may_have_run };
+            Out::Reject {
+                job,
+                status,
+                note,
+                may_have_run,
+                ..
+            } => {
+                let ending = Ending::Reject {
+                    status,
+                    note,
+                    ran: may_have_run,
+                };
                 self.ending(job, ending, Left::Answered);
             }
             Out::Cut { job, .. } => self.ending(job, Ending::Broken, Left::Lost),
             Out::Down { host, why } => {
                 let address = self.address(host);
-                self.saw(Saw::Fell { host: address, why: why.into() });
+                self.saw(Saw::Fell {
+                    host: address,
+                    why: why.into(),
+                });
                 self.unreachable(host);
                 for job in self.links.all(|j| j.host == host && j.reached) {
                     self.ending(job, Ending::Broken, Left::Lost);
@@ -629,15 +840,31 @@
             Out::Up { host } => {
                 let address = self.address(host);
                 let start = self.world.start(host).0;
-                self.saw(Saw::Started { host: address, cold: true, start });
+                self.saw(Saw::Started {
+                    host: address,
+                    cold: true,
+                    start,
+                });
                 self.warms_up(host);
             }
-            Out::Fill { host, fill, source, wanted } => {
+            Out::Fill {
+                host,
+                fill,
+                source,
+                wanted,
+            } => {
                 let id = TryId::parse(&wanted.trace);
                 let start = self.world.start(host).0;
                 // Nobody of that name: the fill runs out of time, as it would with a wrong address.
-                let Some(at) = self.world.host_of(&source) else { return };
-                let owner = Owner::Fill { host, start, fill, id };
+                let Some(at) = self.world.host_of(&source) else {
+                    return;
+                };
+                let owner = Owner::Fill {
+                    host,
+                    start,
+                    fill,
+                    id,
+                };
                 let job = self.links.open(at, owner);
                 let way = self.way_of(&owner, at);
                 self.queue.plan(self.now + way, Event::Arrive(job, wanted));
@@ -652,7 +879,9 @@
 
     /// The member is done with a job; its word travels to the owner.
     pub(super) fn ending(&mut self, job: JobId, ending: Ending, how: Left) {
-        let Some(found) = self.links.get(job) else { return };
+        let Some(found) = self.links.get(job) else {
+            return;
+        };
         let seen = *found;
         found.reached = false;
         self.left(&seen, how);
@@ -661,19 +890,38 @@
     }
 
     fn head(&mut self, job: JobId, answer: Answer) {
-        let Some(found) = self.links.get(job).copied() else { return };
+        let Some(found) = self.links.get(job).copied() else {
+            return;
+        };
         match found.owner {
-            Owner::Attempt { dispatcher, life, request, attempt, .. } => {
+            Owner::Attempt {
+                dispatcher,
+                life,
+                request,
+                attempt,
+                ..
+            } => {
                 let d = &mut self.dispatchers[dispatcher];
                 if d.life != life {
                     return;
                 }
                 let old = answer.note == WireNote::Old;
-                d.heads.insert(request, (answer.copy.version, answer.copy.size, old));
+                d.heads
+                    .insert(request, (answer.copy.version, answer.copy.size, old));
                 let (note, size) = (answer.note, Some(answer.copy.size));
-                self.tell_core(dispatcher, Input::Head { request, attempt, note, size });
+                self.tell_core(
+                    dispatcher,
+                    Input::Head {
+                        request,
+                        attempt,
+                        note,
+                        size,
+                    },
+                );
             }
-            Owner::Fill { host, start, fill, .. } => {
+            Owner::Fill {
+                host, start, fill, ..
+            } => {
                 if self.world.start(host).0 == start {
                     self.tell_world(In::SourceHead { host, fill, answer });
                 }
@@ -682,17 +930,27 @@
     }
 
     pub(super) fn over(&mut self, job: JobId, ending: Ending) {
-        let Some(found) = self.links.close(job) else { return };
+        let Some(found) = self.links.close(job) else {
+            return;
+        };
         match found.owner {
-            Owner::Attempt { dispatcher, life, request, attempt, .. } => {
+            Owner::Attempt {
+                dispatcher,
+                life,
+                request,
+                attempt,
+                ..
+            } => {
                 if self.dispatchers[dispatcher].life != life {
                     return;
                 }
                 let end = match ending {
                     Ending::Finish => AttemptEnd::Complete,
-                    Ending::Reject { status, note, ran } => {
-                        AttemptEnd::Told { status, note, may_have_run: ran }
-                    }
+                    Ending::Reject { status, note, ran } => AttemptEnd::Told {
+                        status,
+                        note,
+                        may_have_run: ran,
+                    },
                     Ending::Broken => AttemptEnd::Broken,
                     Ending::Refused => AttemptEnd::ConnectFailed,
                 };
@@ -700,13 +958,26 @@
                     if let Some((version, bytes, old)) =
                         self.dispatchers[dispatcher].passing.remove(&request)
                     {
-                        let end = End::Served { version: Some(version), bytes, old };
+                        let end = End::Served {
+                            version: Some(version),
+                            bytes,
+                            old,
+                        };
                         self.answer(dispatcher, request, end);
                     }
                 }
-                self.tell_core(dispatcher, Input::Ended { request, attempt, end });
+                self.tell_core(
+                    dispatcher,
+                    Input::Ended {
+                        request,
+                        attempt,
+                        end,
+                    },
+                );
             }
-            Owner::Fill { host, start, fill, .. } => {
+            Owner::Fill {
+                host, start, fill, ..
+            } => {
                 if self.world.start(host).0 != start {
                     return;
                 }
@@ -728,8 +999,18 @@
             Told::Purge { object, group, at } => {
                 let number = object.as_deref().map(|o| ObjectId::named(o).0);
                 let version_from = self.world.version(number.unwrap_or(0), group);
-                let head = PurgeHead { object, group, age_us: now.saturating_sub(at), seq: 0 };
-                let saw = Saw::ToldPurge { dispatcher: n, object: number, group, version_from };
+                let head = PurgeHead {
+                    object,
+                    group,
+                    age_us: now.saturating_sub(at),
+                    seq: 0,
+                };
+                let saw = Saw::ToldPurge {
+                    dispatcher: n,
+                    object: number,
+                    group,
+                    version_from,
+                };
                 (Input::Purge(head), saw, false)
             }
             Told::Delta(seq, lines) => self.list(n, ListForm::Delta, seq, &lines),
@@ -741,7 +1022,13 @@
         }
     }
 
-    fn list(&self, dispatcher: usize, form: ListForm, seq: u64, lines: &[Line]) -> (Input, Saw, bool) {
+    fn list(
+        &self,
+        dispatcher: usize,
+        form: ListForm,
+        seq: u64,
+        lines: &[Line],
+    ) -> (Input, Saw, bool) {
         let member = |host: HostId| {
             let (kind, zone, weight, _) = self.members.get(host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
@@ -765,7 +1052,16 @@
                 let (start, started) = self.world.start(host);
                 let started = started.map(|at| at - EPOCH);
                 let address = self.address(host);
-                self.book.change(self.now, Line { host, address, listed, start, started });
+                self.book.change(
+                    self.now,
+                    Line {
+                        host,
+                        address,
+                        listed,
+                        start,
+                        started,
+                    },
+                );
             }
             Step::Purge { group } => {
                 for group in purge_groups(self.s, group) {
@@ -793,17 +1089,32 @@
 
     fn purge(&mut self, object: Option<String>, group: u64) {
         let number = object.as_deref().map(|o| ObjectId::named(o).0);
-        self.tell_world(In::Change { object: number, group });
+        self.tell_world(In::Change {
+            object: number,
+            group,
+        });
         self.book.purge(self.now, object, group);
         if self.plant == Some(Plant::Purge) {
             return;
         }
-        let hosts: Vec<HostId> =
-            self.world.hosts().filter(|(_, h)| h.role != Role::Origin).map(|(id, _)| id).collect();
+        let hosts: Vec<HostId> = self
+            .world
+            .hosts()
+            .filter(|(_, h)| h.role != Role::Origin)
+            .map(|(id, _)| id)
+            .collect();
         for host in hosts {
             let after = drop_delay(self.s, number.unwrap_or(group), host, self.now);
             let (object, at) = (number, self.now);
-            self.queue.plan(self.now + after, Event::DropCopies { host, object, group, at });
+            self.queue.plan(
+                self.now + after,
+                Event::DropCopies {
+                    host,
+                    object,
+                    group,
+                    at,
+                },
+            );
         }
     }
 }
--- a/crates/lab/src/virt/sites.rs
+++ b/crates/lab/src/virt/sites.rs
@@ -20,8 +20,12 @@
             Event::Head(job, _) | Event::Over(job, _) => Some((*job, false)),
             _ => None,
         };
-        let Some((job, down)) = ways else { return Some(event) };
-        let Some(found) = self.links.get(job).copied() else { return Some(event) };
+        let Some((job, down)) = ways else {
+            return Some(event);
+        };
+        let Some(found) = self.links.get(job).copied() else {
+            return Some(event);
+        };
         let (owner, host) = (self.zone_of(&found.owner), self.zone_of_host(found.host));
         let (from, to) = if down { (owner, host) } else { (host, owner) };
         if let Some(until) = self.held_up(from, to) {
@@ -34,7 +38,9 @@
             return None;
         }
         match (&event, found.owner) {
-            (Event::Over(..), Owner::Attempt { dispatcher, .. }) if self.dispatchers[dispatcher].hung => {
+            (Event::Over(..), Owner::Attempt { dispatcher, .. })
+                if self.dispatchers[dispatcher].hung =>
+            {
                 self.dispatchers[dispatcher].held.push(event);
                 None
             }
@@ -43,7 +49,10 @@
     }
 
     pub(super) fn wall(&mut self, zone: usize, ways: Option<Ways>, until: Micros) {
-        self.saw(Saw::Walled { zone, walled: ways.is_some() });
+        self.saw(Saw::Walled {
+            zone,
+            walled: ways.is_some(),
+        });
         match ways {
             Some(ways) => self.walls.insert(zone, ways),
             None => self.walls.remove(&zone),
@@ -57,7 +66,10 @@
             return;
         }
         d.hung = hung;
-        self.saw(Saw::Hung { dispatcher: n, hung });
+        self.saw(Saw::Hung {
+            dispatcher: n,
+            hung,
+        });
         let d = &mut self.dispatchers[n];
         if hung {
             d.timer = None;
--- a/crates/lab/tests/etcd.rs
+++ b/crates/lab/tests/etcd.rs
@@ -26,7 +26,10 @@
 }
 
 fn access(at: std::net::SocketAddr) -> Access {
-    Access { endpoints: vec![format!("http://{at}")], ..Default::default() }
+    Access {
+        endpoints: vec![format!("http://{at}")],
+        ..Default::default()
+    }
 }
 
 fn follow(etcd: Etcd, seed: u64) -> Arc<Mutex<Heard>> {
@@ -62,11 +65,28 @@
 fn truth(stand_in: &StandIn) -> BTreeMap<String, WireState> {
     let key = layout::member_key(PREFIX, "").into_bytes();
     let range_end = pointspindle_etcd::client::after(&key);
-    let read = stand_in.look(|s| s.range(&RangeRequest { key, range_end, ..Default::default() })).unwrap();
+    let read = stand_in
+        .look(|s| {
+            s.range(&RangeRequest {
+                key,
+                range_end,
+                ..Default::default()
+            })
+        })
+        .unwrap();
     let line = |kv: &pointspindle_etcd::proto::KeyValue| {
-        let Ok(Some(layout::Name::Member(address))) = layout::name(PREFIX, &kv.key) else { panic!() };
+        let Ok(Some(layout::Name::Member(address))) = layout::name(PREFIX, &kv.key) else {
+            panic!()
+        };
         let record = layout::member(&kv.key, &kv.value).unwrap();
-        (address, if record.state == State::Ready { WireState::Ready } else { WireState::Draining })
+        (
+            address,
+            if record.state == State::Ready {
+                WireState::Ready
+            } else {
+                WireState::Draining
+            },
+        )
     };
     read.kvs.iter().map(line).collect()
 }
@@ -81,20 +101,33 @@
 
 fn record(state: State) -> MemberRecord {
     let (zone, kind) = ("b".to_owned(), "cache".to_owned());
-    MemberRecord { state, weight: 5.0, zone, kind, cell: 0, start: 1, started_unix_ms: None }
+    MemberRecord {
+        state,
+        weight: 5.0,
+        zone,
+        kind,
+        cell: 0,
+        start: 1,
+        started_unix_ms: None,
+    }
 }
 
 /// `POINTSPINDLE_ETCD_ROUNDS` for a longer one by hand: a round is some ten writes and four faults.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn whenever_it_is_well_again_the_view_is_the_truth_and_no_purge_was_missed() {
-    let rounds: u64 =
-        std::env::var("POINTSPINDLE_ETCD_ROUNDS").ok().and_then(|n| n.parse().ok()).unwrap_or(60);
+    let rounds: u64 = std::env::var("POINTSPINDLE_ETCD_ROUNDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(60);
     let seed = 5;
     let mut dice = StdRng::seed_from_u64(seed);
     let stand_in = StandIn::new(None);
     let at = stand_in.listen().await.unwrap();
     let client = Etcd::new(&access(at), Duration::from_secs(5)).unwrap();
-    let heard = follow(Etcd::new(&access(at), Duration::from_millis(300)).unwrap(), seed);
+    let heard = follow(
+        Etcd::new(&access(at), Duration::from_millis(300)).unwrap(),
+        seed,
+    );
     let (mut drops, mut faults, mut restores, mut purge) = (0, 0, 0, 0);
     // Written and not told yet: the object, and when.
     let mut owed: Vec<(String, Instant)> = Vec::new();
@@ -118,13 +151,24 @@
                     0 => {
                         purge += 1;
                         let object = format!("/o/{purge}");
-                        let purged = PurgeRecord { object: Some(object.clone()), group: 1 };
+                        let purged = PurgeRecord {
+                            object: Some(object.clone()),
+                            group: 1,
+                        };
                         writer::purge(&client, PREFIX, &purged).await.unwrap();
                         owed.push((object, Instant::now()));
                     }
-                    1 => drop(writer::member(&client, PREFIX, &address, |_| Ok(None)).await.unwrap()),
+                    1 => drop(
+                        writer::member(&client, PREFIX, &address, |_| Ok(None))
+                            .await
+                            .unwrap(),
+                    ),
                     n => {
-                        let state = if n == 2 { State::Ready } else { State::Draining };
+                        let state = if n == 2 {
+                            State::Ready
+                        } else {
+                            State::Draining
+                        };
                         let written =
                             writer::member(&client, PREFIX, &address, |_| Ok(Some(record(state))));
                         written.await.unwrap();
@@ -143,7 +187,9 @@
         }
         if dice.gen_bool(0.1) {
             let (newest, compacted) = stand_in.look(|s| (s.revision(), s.compacted()));
-            stand_in.restore(dice.gen_range(compacted.max(1)..=newest)).unwrap();
+            stand_in
+                .restore(dice.gen_range(compacted.max(1)..=newest))
+                .unwrap();
             restores += 1;
         }
         stand_in.fault(|f| *f = Default::default());
@@ -163,7 +209,10 @@
     }
     let gaps = heard.lock().unwrap().gaps.len();
     println!("seed {seed}: {rounds} rounds, {drops} drops, {faults} faults, {restores} restores, {purge} purges, {gaps} gaps");
-    assert!(gaps > 1 && restores > 0 && drops > 20, "the script lacks what it is for");
+    assert!(
+        gaps > 1 && restores > 0 && drops > 20,
+        "the script lacks what it is for"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -179,7 +228,10 @@
         etcd.clone(),
         PREFIX.into(),
         "one".into(),
-        DispatcherRecord { zone, purge_within_ms: None },
+        DispatcherRecord {
+            zone,
+            purge_within_ms: None,
+        },
         1,
         move |_, _| told.load(std::sync::atomic::Ordering::SeqCst),
     );
@@ -212,7 +264,10 @@
         Etcd::new(&Access { user, ..access(at) }, Duration::from_secs(2)).unwrap()
     };
     let told = open("wrong").snapshot(PREFIX).await.unwrap_err();
-    assert!(matches!(told, EtcdError::Call { .. }) && !told.to_string().contains("wrong"), "{told}");
+    assert!(
+        matches!(told, EtcdError::Call { .. }) && !told.to_string().contains("wrong"),
+        "{told}"
+    );
     let etcd = open("open sesame");
     for n in 0..12_000 {
         if n % 4_000 == 0 {
--- a/crates/lab/tests/fleet.rs
+++ b/crates/lab/tests/fleet.rs
@@ -32,7 +32,11 @@
 }
 
 fn broken(rules: &[Rule]) -> Vec<&str> {
-    rules.iter().filter(|r| !r.breaches.is_empty()).map(|r| r.name.as_str()).collect()
+    rules
+        .iter()
+        .filter(|r| !r.breaches.is_empty())
+        .map(|r| r.name.as_str())
+        .collect()
 }
 
 #[test]
@@ -41,11 +45,18 @@
         let day = scenario(seed, &[]);
         let (outcome, mine) = play(&day, None);
         let (_, quiet) = play(&day.without_site_troubles(), None);
-        let quiet_of_day = sums(&day, &run(&day.without_site_troubles(), None).unwrap().service, &[]);
+        let quiet_of_day = sums(
+            &day,
+            &run(&day.without_site_troubles(), None).unwrap().service,
+            &[],
+        );
         assert_eq!(quiet.sites, [], "nothing strikes a site of the twin");
         let judged = judge(&day, &mine, Some(&quiet_of_day));
         assert!(judged.checked >= 4, "{judged:?}");
-        assert_eq!((broken(&outcome.rules), &judged.breaches[..]), (vec![], &[][..]));
+        assert_eq!(
+            (broken(&outcome.rules), &judged.breaches[..]),
+            (vec![], &[][..])
+        );
         assert_eq!(mine, play(&day, None).1);
     }
 }
@@ -56,9 +67,15 @@
     let day = scenario(1, &["day.rate=250"]);
     let (well, fair) = play(&day, None);
     let (planted, unfair) = play(&day, Some(Plant::Alone));
-    assert_eq!((broken(&well.rules), judge(&day, &fair, None).kinds()), (vec![], vec![]));
+    assert_eq!(
+        (broken(&well.rules), judge(&day, &fair, None).kinds()),
+        (vec![], vec![])
+    );
     assert_eq!(broken(&planted.rules), ["cold"]);
-    assert_eq!(judge(&day, &unfair, None).kinds(), [("fairness".to_owned(), 1)]);
+    assert_eq!(
+        judge(&day, &unfair, None).kinds(),
+        [("fairness".to_owned(), 1)]
+    );
     assert!(unfair.fairness < fair.fairness);
 }
 
@@ -70,7 +87,15 @@
         let hosts = day.hosts(|n| format!("host-{n}"));
         let steps = Script::write(&day, &hosts, |n| format!("host-{n}")).steps;
         let count = |fits: fn(&Step) -> bool| steps.iter().filter(|(_, s)| fits(s)).count();
-        let back = |s: &Step| matches!(s, Step::List { listed: Listed::Ready, .. });
+        let back = |s: &Step| {
+            matches!(
+                s,
+                Step::List {
+                    listed: Listed::Ready,
+                    ..
+                }
+            )
+        };
         (
             count(|s| matches!(s, Step::Fault { .. })),
             count(back),
@@ -120,8 +145,20 @@
                 _ => None,
             })
             .collect();
-        for sight in outcome.sights.iter().filter(|s| (22_200_000..25_900_000).contains(&s.at)) {
-            let Saw::Reached { host, by, id: Some(id), .. } = &sight.saw else { continue };
+        for sight in outcome
+            .sights
+            .iter()
+            .filter(|s| (22_200_000..25_900_000).contains(&s.at))
+        {
+            let Saw::Reached {
+                host,
+                by,
+                id: Some(id),
+                ..
+            } = &sight.saw
+            else {
+                continue;
+            };
             let site = day.branch_of_dispatcher(calls[id]);
             if site == 1 && zones[host.as_str()] == 1 {
                 within += 1;
@@ -139,17 +176,29 @@
 /// It does nothing while it stands still, and goes on with what it had.
 #[test]
 fn a_dispatcher_that_stands_still_sends_nothing_and_wakes() {
-    let day = only("starved", 9, &["trouble starved.share=1", "trouble starved.for_s=0"]);
+    let day = only(
+        "starved",
+        9,
+        &["trouble starved.share=1", "trouble starved.for_s=0"],
+    );
     let (outcome, _) = play(&day, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
     let mut hung: BTreeMap<usize, bool> = BTreeMap::new();
     let mut after = 0;
     for sight in &outcome.sights {
         match &sight.saw {
-            Saw::Hung { dispatcher, hung: now } => _ = hung.insert(*dispatcher, *now),
+            Saw::Hung {
+                dispatcher,
+                hung: now,
+            } => _ = hung.insert(*dispatcher, *now),
             // Sent a way's time before it stood still.
             Saw::Reached { by: Some(by), .. } if sight.at > 30_100_000 => {
-                assert_ne!(hung.get(by), Some(&true), "dispatcher {by} sent at {}", sight.at);
+                assert_ne!(
+                    hung.get(by),
+                    Some(&true),
+                    "dispatcher {by} sent at {}",
+                    sight.at
+                );
                 after += (hung.get(by) == Some(&false)) as u32;
             }
             _ => {}
@@ -167,8 +216,10 @@
     let (outcome, _) = play(&day, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
     let of = |fits: fn(&Saw) -> bool| outcome.sights.iter().filter(|s| fits(&s.saw)).count();
-    let (stopped, born) =
-        (of(|s| matches!(s, Saw::Stopping { .. })), of(|s| matches!(s, Saw::Born { .. })));
+    let (stopped, born) = (
+        of(|s| matches!(s, Saw::Stopping { .. })),
+        of(|s| matches!(s, Saw::Born { .. })),
+    );
     assert_eq!((stopped, born), (12, 12));
     assert_eq!(of(|s| matches!(s, Saw::Ended { end: End::Lost, .. })), 0);
 }
@@ -182,7 +233,15 @@
     let mut sights = Vec::new();
     let mut at = |at, saw| sights.push(Sight { at, saw });
     let (role, zone, weight) = (pointspindle_lab::model::Role::Cache, 0, 2.0);
-    at(0, Saw::Member { host: host(), role, zone, weight });
+    at(
+        0,
+        Saw::Member {
+            host: host(),
+            role,
+            zone,
+            weight,
+        },
+    );
     let asked = |call, dispatcher| Saw::Asked {
         id: id(call),
         dispatcher,
@@ -218,18 +277,34 @@
         at(2_300_000 + call, gone(call, (call % 4 == 0) as usize));
         let end = match call % 4 {
             0 => End::Refused { come_back: None },
-            _ => End::Served { version: Some(1), bytes: 1, old: false },
+            _ => End::Served {
+                version: Some(1),
+                bytes: 1,
+                old: false,
+            },
         };
         at(2_300_000 + call, Saw::Ended { id: id(call), end });
     }
     sights.sort_by_key(|s| s.at);
     let sums = sums(&day, &Default::default(), &sights);
     let cache = &sums.roles[0];
-    assert_eq!((cache.under_way.count, cache.under_way.dispatchers), (50, 2));
-    assert_eq!((cache.under_way.by_weight, cache.attempts.count), (25.0, 50));
-    assert_eq!((sums.second_attempts, sums.second_attempts_worst), (0.25, 0.25));
+    assert_eq!(
+        (cache.under_way.count, cache.under_way.dispatchers),
+        (50, 2)
+    );
+    assert_eq!(
+        (cache.under_way.by_weight, cache.attempts.count),
+        (25.0, 50)
+    );
+    assert_eq!(
+        (sums.second_attempts, sums.second_attempts_worst),
+        (0.25, 0.25)
+    );
     // One dispatcher served all of its tries, the other none: half of 1.
-    assert_eq!((sums.fairness, sums.least_dispatcher, sums.least_served), (0.5, 1, 0.0));
+    assert_eq!(
+        (sums.fairness, sums.least_dispatcher, sums.least_served),
+        (0.5, 1, 0.0)
+    );
 }
 
 /// An attempt that reaches a member after its client has left: counted, and over 0.1 s (and the rig's slack) a breach.
@@ -239,8 +314,15 @@
     let slack = day.rules.slack;
     for (after, breaches) in [(50_000, 0), (100_000 + slack + 1_000, 1)] {
         let id = TryId { call: 1, try_no: 0 };
-        let asked =
-            Saw::Asked { id, dispatcher: 0, class: 0, number: 0, group: 0, part: 0, deadline: 9_000_000 };
+        let asked = Saw::Asked {
+            id,
+            dispatcher: 0,
+            class: 0,
+            number: 0,
+            group: 0,
+            part: 0,
+            deadline: 9_000_000,
+        };
         let reached = Saw::Reached {
             host: "a:1".into(),
             by: Some(0),
@@ -250,16 +332,32 @@
             class: 0,
         };
         let sights = [
-            Sight { at: 1_000_000, saw: asked },
-            Sight { at: 2_000_000, saw: Saw::Ended { id, end: End::LeftEarly } },
-            Sight { at: 2_000_000 + after, saw: reached },
+            Sight {
+                at: 1_000_000,
+                saw: asked,
+            },
+            Sight {
+                at: 2_000_000,
+                saw: Saw::Ended {
+                    id,
+                    end: End::LeftEarly,
+                },
+            },
+            Sight {
+                at: 2_000_000 + after,
+                saw: reached,
+            },
         ];
         let sums = sums(&day, &Default::default(), &sights);
         let left = &sums.left;
         assert_eq!((left.clients, left.unsent, left.attempts), (1, 1, 1));
         assert_eq!(left.longest_ms, after as f64 / 1e3);
         let kinds = judge(&day, &sums, None).kinds();
-        assert_eq!(kinds.iter().filter(|(kind, _)| kind == "left").count(), breaches, "{kinds:?}");
+        assert_eq!(
+            kinds.iter().filter(|(kind, _)| kind == "left").count(),
+            breaches,
+            "{kinds:?}"
+        );
     }
 }
 
@@ -278,7 +376,10 @@
             println!("{dispatchers} a site: {cold:?}");
             assert!(sums.left.clients > 0);
             if plant.is_none() {
-                assert_eq!((broken(&outcome.rules), judge(&day, &sums, None).kinds()), (vec![], vec![]));
+                assert_eq!(
+                    (broken(&outcome.rules), judge(&day, &sums, None).kinds()),
+                    (vec![], vec![])
+                );
                 assert!(cold.requests <= cold.allowed, "{cold:?}");
             } else {
                 assert!(broken(&outcome.rules).contains(&"cold"));
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -16,10 +16,17 @@
 async fn a_hollow_dispatcher_keeps_what_a_real_one_keeps() {
     let store = StandIn::new(None);
     let at = format!("http://{}", store.listen().await.unwrap());
-    let etcd = Etcd::new(&Access { endpoints: vec![at.clone()], ..Default::default() }, PATIENCE).unwrap();
+    let etcd = Etcd::new(
+        &Access {
+            endpoints: vec![at.clone()],
+            ..Default::default()
+        },
+        PATIENCE,
+    )
+    .unwrap();
     let prepare = |number: usize| {
-        let settings =
-            parse("test", &dispatcher_settings(&at, number, 3, 0.0)).unwrap_or_else(|e| panic!("{e}"));
+        let settings = parse("test", &dispatcher_settings(&at, number, 3, 0.0))
+            .unwrap_or_else(|e| panic!("{e}"));
         let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
         async move { (Prepared::new(Net::Tcp, settings, 1).await, source) }
     };
@@ -30,13 +37,20 @@
     let hollow = hollow.hollow(source, Arc::new(|_| {}));
     for n in 0..12 {
         let address = format!("127.0.0.1:{}", 9 + n);
-        writer::member(&etcd, PREFIX, &address, |_| Ok(Some(record(n, 3)))).await.unwrap();
+        writer::member(&etcd, PREFIX, &address, |_| Ok(Some(record(n, 3))))
+            .await
+            .unwrap();
     }
     for n in 0..40 {
-        let purge = PurgeRecord { object: Some(format!("/{n}")), group: n };
+        let purge = PurgeRecord {
+            object: Some(format!("/{n}")),
+            group: n,
+        };
         writer::purge(&etcd, PREFIX, &purge).await.unwrap();
     }
-    writer::member(&etcd, PREFIX, "127.0.0.1:9", |_| Ok(None)).await.unwrap();
+    writer::member(&etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
+        .await
+        .unwrap();
     let kept = |i: Items| (i.members, i.purges, i.dispatchers);
     let same = async {
         // The one that was taken away is remembered as gone for a while, by both.
--- a/crates/lab/tests/import.rs
+++ b/crates/lab/tests/import.rs
@@ -40,7 +40,9 @@
 fn every_kind_of_trouble_is_carried_over_or_named() {
     let trouble = |kind: &str, more: serde_json::Value| {
         let mut t = json!({"kind": kind, "at": 5e6, "len": 8e6, "size": 0.4, "extra": 2.0, "on": [0, 1, 2], "which": 3, "steps": []});
-        t.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
+        t.as_object_mut()
+            .unwrap()
+            .extend(more.as_object().unwrap().clone());
         t
     };
     let none = json!({});
@@ -85,8 +87,14 @@
         assert_eq!(got, kinds.iter().map(|k| k.1).collect::<Vec<_>>());
         let deploy = s.troubles.iter().find(|t| t.kind == Kind::Deploy).unwrap();
         assert!((deploy.whom.share - 0.5).abs() < 0.01 && deploy.hard == 2.0);
-        assert_eq!((s.branches, s.caches, s.parents, s.rules.purge_done), (3, 4, 2, 6_000_000));
-        assert_eq!((s.classes[1].fresh, s.classes[1].grace), (9_000_000, 18_000_000));
+        assert_eq!(
+            (s.branches, s.caches, s.parents, s.rules.purge_done),
+            (3, 4, 2, 6_000_000)
+        );
+        assert_eq!(
+            (s.classes[1].fresh, s.classes[1].grace),
+            (9_000_000, 18_000_000)
+        );
     }
 }
 
@@ -117,12 +125,29 @@
     assert_eq!(script.newcomers.len(), 2);
     for (n, _) in script.newcomers.iter().enumerate() {
         let host = hosts.len() + n;
-        let ready =
-            script.steps.iter().find(|(_, s)| *s == Step::List { host, listed: Listed::Ready }).unwrap().0;
+        let ready = script
+            .steps
+            .iter()
+            .find(|(_, s)| {
+                *s == Step::List {
+                    host,
+                    listed: Listed::Ready,
+                }
+            })
+            .unwrap()
+            .0;
         let drains: Vec<u64> = script
             .steps
             .iter()
-            .filter(|(_, s)| matches!(s, Step::List { listed: Listed::Draining, .. }))
+            .filter(|(_, s)| {
+                matches!(
+                    s,
+                    Step::List {
+                        listed: Listed::Draining,
+                        ..
+                    }
+                )
+            })
             .map(|s| s.0)
             .collect();
         assert_eq!(ready, drains[n] + 2_000_000);
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -25,7 +25,12 @@
         fill_retries: 0,
         abort_fill: false,
         joins: true,
-        cold: ColdSpec { start_share: 0.25, warm_within: 10_000 * MS, multiple: 2.0, window: 1_000 * MS },
+        cold: ColdSpec {
+            start_share: 0.25,
+            warm_within: 10_000 * MS,
+            multiple: 2.0,
+            window: 1_000 * MS,
+        },
         think: 0,
         report_every: 100 * MS,
         pause_every: 0,
@@ -56,13 +61,36 @@
             uncacheable: false,
             dedupes: false,
         };
-        let zones =
-            vec![ZoneSpec { name: "b".into(), link: 0.0 }, ZoneSpec { name: "h".into(), link: 0.0 }];
-        let spec =
-            WorldSpec { classes: vec![class], zones, flow: 1e6, fill_pace: 2.0, key_window: 2_000 * MS };
-        let hosts = vec![host("c", Role::Cache, 0), host("p", Role::Parent, 1), host("o", Role::Origin, 1)];
+        let zones = vec![
+            ZoneSpec {
+                name: "b".into(),
+                link: 0.0,
+            },
+            ZoneSpec {
+                name: "h".into(),
+                link: 0.0,
+            },
+        ];
+        let spec = WorldSpec {
+            classes: vec![class],
+            zones,
+            flow: 1e6,
+            fill_pace: 2.0,
+            key_window: 2_000 * MS,
+        };
+        let hosts = vec![
+            host("c", Role::Cache, 0),
+            host("p", Role::Parent, 1),
+            host("o", Role::Origin, 1),
+        ];
         let world = World::new(spec, hosts, Box::new(|_| Some(100_000)), 1);
-        Self { world, now: T0, next: 0, fills: vec![], ends: vec![] }
+        Self {
+            world,
+            now: T0,
+            next: 0,
+            fills: vec![],
+            ends: vec![],
+        }
     }
 
     fn tell(&mut self, input: In) {
@@ -71,14 +99,22 @@
         for wish in out {
             match wish {
                 Out::Start { job, answer, .. } => {
-                    self.ends.push((job, format!("start {:?} v{}", answer.note, answer.copy.version)));
+                    self.ends.push((
+                        job,
+                        format!("start {:?} v{}", answer.note, answer.copy.version),
+                    ));
                 }
                 Out::Finish { job, .. } => self.ends.push((job, "finish".into())),
-                Out::Reject { job, status, note, .. } => {
-                    self.ends.push((job, format!("{status:?} {note:?}")))
-                }
+                Out::Reject {
+                    job, status, note, ..
+                } => self.ends.push((job, format!("{status:?} {note:?}"))),
                 Out::Cut { job, .. } => self.ends.push((job, "cut".into())),
-                Out::Fill { host, fill, source, wanted } => self.fills.push((host, fill, source, wanted)),
+                Out::Fill {
+                    host,
+                    fill,
+                    source,
+                    wanted,
+                } => self.fills.push((host, fill, source, wanted)),
                 Out::DropFill { fill, .. } => self.fills.retain(|f| f.1 != fill),
                 Out::Down { host, why } => self.ends.push((u64::MAX, format!("down {host} {why}"))),
                 Out::Up { .. } => {}
@@ -118,7 +154,11 @@
             attempt: 0,
         };
         change(&mut wanted);
-        self.tell(In::Arrive { host, job: self.next, wanted });
+        self.tell(In::Arrive {
+            host,
+            job: self.next,
+            wanted,
+        });
         self.next
     }
 
@@ -129,14 +169,26 @@
     /// Carries the oldest fill to the origin and back at once, with a copy of this moment.
     fn answer_fill(&mut self) {
         let (host, fill, ..) = self.fills.remove(0);
-        let copy = Copy { version: self.world.version(7, 3), size: 100_000, birth: self.now };
+        let copy = Copy {
+            version: self.world.version(7, 3),
+            size: 100_000,
+            birth: self.now,
+        };
         let answer = filled(copy);
         self.tell(In::SourceHead { host, fill, answer });
-        self.tell(In::SourceEnd { host, fill, end: SourceEnd::Complete });
+        self.tell(In::SourceEnd {
+            host,
+            fill,
+            end: SourceEnd::Complete,
+        });
     }
 
     fn of(&self, job: JobId) -> Vec<&str> {
-        self.ends.iter().filter(|(j, _)| *j == job).map(|(_, e)| e.as_str()).collect()
+        self.ends
+            .iter()
+            .filter(|(j, _)| *j == job)
+            .map(|(_, e)| e.as_str())
+            .collect()
     }
 }
 
@@ -160,7 +212,11 @@
     assert_eq!(stage.fills.len(), 1);
     stage.answer_fill();
     stage.pass(1_000);
-    assert!(stage.of(jobs[0])[0].starts_with("start FilledByOrigin"), "{:?}", stage.ends);
+    assert!(
+        stage.of(jobs[0])[0].starts_with("start FilledByOrigin"),
+        "{:?}",
+        stage.ends
+    );
     for job in &jobs[1..] {
         assert_eq!(stage.of(*job), ["start Joined v0", "finish"]);
     }
@@ -174,7 +230,11 @@
     let mut stage = Stage::new();
     let jobs: Vec<JobId> = (0..8).map(|_| stage.ask()).collect();
     let (host, fill, ..) = stage.fills.remove(0);
-    stage.tell(In::SourceEnd { host, fill, end: SourceEnd::Unreachable });
+    stage.tell(In::SourceEnd {
+        host,
+        fill,
+        end: SourceEnd::Unreachable,
+    });
     for job in jobs {
         assert_eq!(stage.of(job), ["Error SourceUnreachable"]);
     }
@@ -193,15 +253,31 @@
     let (host, fill, ..) = stage.fills.remove(0);
     let birth = stage.now;
     stage.pass(50);
-    stage.tell(In::Change { object: None, group: 3 });
+    stage.tell(In::Change {
+        object: None,
+        group: 3,
+    });
     let at = stage.now;
-    stage.tell(In::Purge { host: CACHE, object: None, group: 3, at });
-    let copy = Copy { version: 0, size: 100_000, birth };
+    stage.tell(In::Purge {
+        host: CACHE,
+        object: None,
+        group: 3,
+        at,
+    });
+    let copy = Copy {
+        version: 0,
+        size: 100_000,
+        birth,
+    };
     let answer = filled(copy);
     stage.tell(In::SourceHead { host, fill, answer });
     // One that asks for nothing older than the purge does not get the old copy by joining.
     let after = stage.ask_as(CACHE, |w| w.age = 1);
-    stage.tell(In::SourceEnd { host, fill, end: SourceEnd::Complete });
+    stage.tell(In::SourceEnd {
+        host,
+        fill,
+        end: SourceEnd::Complete,
+    });
     stage.pass(300);
     assert!(stage.of(before)[0].starts_with("start"), "{:?}", stage.ends);
     assert!(stage.of(after).is_empty(), "{:?}", stage.ends);
@@ -216,9 +292,15 @@
     // Budget of the first second: 2 x 0.25 x 4 transfers = 2 s of work, 20 requests of 0.1 s.
     for (each, falls) in [(10, false), (11, true)] {
         let mut stage = Stage::new();
-        stage.tell(In::Fault { host: PARENT, fault: Fault::Die });
+        stage.tell(In::Fault {
+            host: PARENT,
+            fault: Fault::Die,
+        });
         stage.pass(1_000);
-        stage.tell(In::Fault { host: PARENT, fault: Fault::Return });
+        stage.tell(In::Fault {
+            host: PARENT,
+            fault: Fault::Return,
+        });
         for _dispatcher in 0..2 {
             for _ in 0..each {
                 stage.ask_as(PARENT, |w| w.source = None);
@@ -253,11 +335,17 @@
     stage.pass(1_000);
     assert_eq!(stage.of(held).len(), 2);
     let until = stage.now + 1_000 * MS;
-    stage.tell(In::Fault { host: CACHE, fault: Fault::Hang { until } });
+    stage.tell(In::Fault {
+        host: CACHE,
+        fault: Fault::Hang { until },
+    });
     let (kept, given_up) = (stage.ask(), stage.ask());
     stage.pass(900);
     assert!(stage.of(kept).is_empty());
-    stage.tell(In::Cancel { host: CACHE, job: given_up });
+    stage.tell(In::Cancel {
+        host: CACHE,
+        job: given_up,
+    });
     stage.pass(1_000);
     assert_eq!(stage.of(kept), ["start Hit v0", "finish"]);
     assert!(stage.of(given_up).is_empty());
@@ -270,7 +358,11 @@
     stage.answer_fill();
     stage.pass(1_000);
     let jobs: Vec<JobId> = (0..13).map(|_| stage.ask()).collect();
-    assert_eq!(stage.of(jobs[12]), ["Full Untold"], "8 places and 4 that wait");
+    assert_eq!(
+        stage.of(jobs[12]),
+        ["Full Untold"],
+        "8 places and 4 that wait"
+    );
     stage.pass(5_000);
     assert_eq!(stage.ends.iter().filter(|(_, e)| e == "finish").count(), 13);
 }
--- a/crates/lab/tests/shell.rs
+++ b/crates/lab/tests/shell.rs
@@ -23,12 +23,24 @@
         let out = play(&day, None);
         println!("seed {seed}: service {:.3}", out.service.service);
         for rule in &out.rules {
-            assert!(rule.breaches.is_empty(), "seed {seed}, {}: {:?}", rule.name, rule.breaches[0]);
+            assert!(
+                rule.breaches.is_empty(),
+                "seed {seed}, {}: {:?}",
+                rule.name,
+                rule.breaches[0]
+            );
         }
         let checked = |name: &str| out.rules.iter().find(|r| r.name == name).unwrap().checked;
         assert!(checked("answers") > 1_000 && checked("drains") > 0 && checked("purges") > 0);
-        assert!(out.service.service > 0.3, "seed {seed}: {}", out.service.service);
-        assert!(virt::run(&day, None).unwrap_err().contains("silence"), "no network there to part");
+        assert!(
+            out.service.service > 0.3,
+            "seed {seed}: {}",
+            out.service.service
+        );
+        assert!(
+            virt::run(&day, None).unwrap_err().contains("silence"),
+            "no network there to part"
+        );
     }
 }
 
@@ -46,7 +58,13 @@
 #[test]
 fn the_shell_and_the_cores_alone_agree_on_the_same_day() {
     let day = load("rolling-restart.ini", 5);
-    let (shell, cores) = (play(&day, None).service.service, virt::run(&day, None).unwrap().service.service);
+    let (shell, cores) = (
+        play(&day, None).service.service,
+        virt::run(&day, None).unwrap().service.service,
+    );
     println!("seed 5: shell {shell:.4}, cores {cores:.4}");
-    assert!((shell - cores).abs() < 0.03, "shell {shell:.4}, cores {cores:.4}");
+    assert!(
+        (shell - cores).abs() < 0.03,
+        "shell {shell:.4}, cores {cores:.4}"
+    );
 }
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -14,7 +14,12 @@
 async fn version(cache: &str, source: &str, age_us: u64) -> u64 {
     let socket = tokio::net::TcpStream::connect(cache).await.unwrap();
     let (link, _incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
-    let fetch = FetchHead { source: source.into(), keep: 1, age_us, ..Default::default() };
+    let fetch = FetchHead {
+        source: source.into(),
+        keep: 1,
+        age_us,
+        ..Default::default()
+    };
     let head = RequestHead {
         object: OBJECT.into(),
         class: "page".into(),
@@ -38,14 +43,39 @@
 #[tokio::test]
 async fn a_copy_taken_before_a_purge_does_not_pass_for_younger_when_its_head_comes_late() {
     let addresses: Vec<String> = (0..2).map(|_| free_address("127.0.0.1").unwrap()).collect();
-    let class =
-        ClassModel { name: "page".into(), fresh: 0, mean: 1_000, uncacheable: false, dedupes: false };
-    let zones = vec![ZoneSpec { name: "b".into(), link: 0.0 }];
-    let spec = WorldSpec { classes: vec![class.clone()], zones, flow: 1e8, fill_pace: 2.0, key_window: 0 };
-    let origin = HostSpec { think: 400_000, ..plain_host(addresses[1].clone(), Role::Origin, 0, 8.0) };
-    let hosts = vec![plain_host(addresses[0].clone(), Role::Cache, 0, 8.0), origin];
+    let class = ClassModel {
+        name: "page".into(),
+        fresh: 0,
+        mean: 1_000,
+        uncacheable: false,
+        dedupes: false,
+    };
+    let zones = vec![ZoneSpec {
+        name: "b".into(),
+        link: 0.0,
+    }];
+    let spec = WorldSpec {
+        classes: vec![class.clone()],
+        zones,
+        flow: 1e8,
+        fill_pace: 2.0,
+        key_window: 0,
+    };
+    let origin = HostSpec {
+        think: 400_000,
+        ..plain_host(addresses[1].clone(), Role::Origin, 0, 8.0)
+    };
+    let hosts = vec![
+        plain_host(addresses[0].clone(), Role::Cache, 0, 8.0),
+        origin,
+    ];
     let world = World::new(spec, hosts, Box::new(|_| Some(1_000)), 3);
-    let stage = Stage::new(world, vec![class], Recorder::default(), StageOptions::default());
+    let stage = Stage::new(
+        world,
+        vec![class],
+        Recorder::default(),
+        StageOptions::default(),
+    );
     stage.start().await.unwrap();
 
     let asking = tokio::spawn({
@@ -54,9 +84,16 @@
     });
     // The origin has the request once the cache's fill is on its way; a purge is made while it thinks.
     tokio::time::sleep(Duration::from_millis(30)).await;
-    stage.tell(In::Change { object: None, group: 0 });
+    stage.tell(In::Change {
+        object: None,
+        group: 0,
+    });
     let purged = stage.now();
     assert_eq!(asking.await.unwrap(), 0, "asked before the purge");
     let age = stage.now() - purged;
-    assert_eq!(version(&addresses[0], &addresses[1], age).await, 1, "nothing older than the purge will do");
+    assert_eq!(
+        version(&addresses[0], &addresses[1], age).await,
+        1,
+        "nothing older than the purge will do"
+    );
 }
--- a/crates/link/src/call.rs
+++ b/crates/link/src/call.rs
@@ -75,7 +75,11 @@
         let meter = &self.shared.meter;
         meter.sub(bytes as usize);
         self.taken += bytes;
-        let window = if meter.is_crowded() { CROWDED_WINDOW } else { STREAM_WINDOW };
+        let window = if meter.is_crowded() {
+            CROWDED_WINDOW
+        } else {
+            STREAM_WINDOW
+        };
         let back = self.taken.saturating_sub(STREAM_WINDOW - window);
         if back >= window / 2 {
             self.shared.give_back(self.id, back);
@@ -94,7 +98,8 @@
         }
         if !self.ended && !self.shared.withdraw(self.id) {
             let reason = String::new();
-            self.shared.push(Frame::Cancel(self.id, CancelHead { reason }));
+            self.shared
+                .push(Frame::Cancel(self.id, CancelHead { reason }));
         }
     }
 }
@@ -133,11 +138,17 @@
             let got = self.credit.take(want).await.ok_or_else(closed)?;
             let mut left = got;
             while left > 0 {
-                let now = self.shared.connection_credit.take(left).await.ok_or_else(closed)?;
+                let now = self
+                    .shared
+                    .connection_credit
+                    .take(left)
+                    .await
+                    .ok_or_else(closed)?;
                 let piece = data.split_to(now as usize);
                 self.sent += piece.len() as u64;
                 left -= now;
-                self.send(Frame::Data(self.id, piece), When::WithNext).await?;
+                self.send(Frame::Data(self.id, piece), When::WithNext)
+                    .await?;
             }
         }
         Ok(())
@@ -147,7 +158,8 @@
     pub async fn end(mut self, load: Option<LoadReport>) -> Result<(), LinkError> {
         self.ended = true;
         let bytes = self.sent;
-        self.send(Frame::End(self.id, EndHead { bytes, load }), When::Now).await
+        self.send(Frame::End(self.id, EndHead { bytes, load }), When::Now)
+            .await
     }
 
     /// The other end, before or after the head.
--- a/crates/link/src/connect.rs
+++ b/crates/link/src/connect.rs
@@ -63,7 +63,9 @@
             match tokio::time::timeout_at(deadline, self.connect(from, to)).await {
                 Ok(Ok(line)) => return Ok(line),
                 Ok(Err(e)) if !is_local(&e) => return Err(ConnectFailure::Peer(e)),
-                Ok(Err(e)) if Instant::now() + pause >= deadline => return Err(ConnectFailure::Local(e)),
+                Ok(Err(e)) if Instant::now() + pause >= deadline => {
+                    return Err(ConnectFailure::Local(e))
+                }
                 Ok(Err(e)) => {
                     tracing::debug!(error = %e, %to, "the local machine cannot connect yet");
                     tokio::time::sleep(pause).await;
--- a/crates/link/src/credit.rs
+++ b/crates/link/src/credit.rs
@@ -13,7 +13,10 @@
 
 impl Credit {
     pub fn new(bytes: u32) -> Self {
-        Self { bytes: Semaphore::new(bytes as usize), closed: AtomicBool::new(false) }
+        Self {
+            bytes: Semaphore::new(bytes as usize),
+            closed: AtomicBool::new(false),
+        }
     }
 
     /// Waits for at least one byte of credit and takes up to `most`; none once closed.
--- a/crates/link/src/line.rs
+++ b/crates/link/src/line.rs
@@ -57,7 +57,9 @@
                 (ReadHalf::Tcp(read), WriteHalf::Tcp(write))
             }
             Self::Tls(tls) => (ReadHalf::Tls(tls.clone()), WriteHalf::Tls(TlsWrite(tls))),
-            Self::Simulated(read, write) => (ReadHalf::Simulated(read), WriteHalf::Simulated(write)),
+            Self::Simulated(read, write) => {
+                (ReadHalf::Simulated(read), WriteHalf::Simulated(write))
+            }
         }
     }
 }
@@ -209,7 +211,11 @@
     pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Line> {
         match self {
             Self::Tcp => {
-                let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+                let socket = if to.is_ipv4() {
+                    TcpSocket::new_v4()?
+                } else {
+                    TcpSocket::new_v6()?
+                };
                 if let Some(ip) = from {
                     socket.bind(SocketAddr::new(ip, 0))?;
                 }
@@ -230,7 +236,11 @@
     pub async fn listen_again(&self, at: SocketAddr) -> Result<Listener> {
         match self {
             Self::Tcp => {
-                let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+                let socket = if at.is_ipv4() {
+                    TcpSocket::new_v4()?
+                } else {
+                    TcpSocket::new_v6()?
+                };
                 socket.set_reuseaddr(true)?;
                 socket.bind(at)?;
                 Ok(Listener::Tcp(socket.listen(1024)?))
@@ -244,7 +254,10 @@
     /// The next connection and where it comes from. Safe to drop while waiting.
     pub async fn accept(&mut self) -> Result<(Line, SocketAddr)> {
         match self {
-            Self::Tcp(listener) => listener.accept().await.map(|(socket, peer)| (socket.into(), peer)),
+            Self::Tcp(listener) => listener
+                .accept()
+                .await
+                .map(|(socket, peer)| (socket.into(), peer)),
             Self::Simulated(listener) => listener.accept().await,
         }
     }
--- a/crates/link/src/meter.rs
+++ b/crates/link/src/meter.rs
@@ -23,7 +23,10 @@
 impl Meter {
     /// From `crowded` bytes on streams get small windows.
     pub fn new(crowded: u64) -> Self {
-        Self { held: Arc::default(), crowded }
+        Self {
+            held: Arc::default(),
+            crowded,
+        }
     }
 
     pub fn held(&self) -> u64 {
--- a/crates/link/src/reader.rs
+++ b/crates/link/src/reader.rs
@@ -38,7 +38,13 @@
     D::Error: From<std::io::Error>,
 {
     pub fn new(socket: ReadHalf, codec: D) -> Self {
-        Self { socket, codec, buffer: BytesMut::new(), size: LEAST, ended: false }
+        Self {
+            socket,
+            codec,
+            buffer: BytesMut::new(),
+            size: LEAST,
+            ended: false,
+        }
     }
 
     /// Nothing of a next frame has come.
@@ -102,7 +108,10 @@
             let known = self.codec.wanted().filter(|_| !self.buffer.is_empty());
             let room = known.unwrap_or(self.size).min(MOST_KNOWN);
             self.buffer.reserve(room);
-            match self.socket.try_read_buf(&mut (&mut self.buffer).limit(room)) {
+            match self
+                .socket
+                .try_read_buf(&mut (&mut self.buffer).limit(room))
+            {
                 Ok(0) => self.ended = true,
                 Ok(_) if known.is_some() => {}
                 Ok(read) if read == room => self.size = (self.size * 2).min(MOST),
--- a/crates/link/src/simulated.rs
+++ b/crates/link/src/simulated.rs
@@ -52,7 +52,9 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
+    mutex
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 /// Between two addresses.
@@ -118,7 +120,15 @@
     pub fn new(weather: Weather, seed: u64) -> Self {
         let dice = StdRng::seed_from_u64(seed);
         let (listeners, roads, ways) = Default::default();
-        let inner = Inner { weather, dice, listeners, roads, ways, sweep_at: 256, port: 20_000 };
+        let inner = Inner {
+            weather,
+            dice,
+            listeners,
+            roads,
+            ways,
+            sweep_at: 256,
+            port: 20_000,
+        };
         Self(Arc::new(Mutex::new(inner)), Arc::new(AtomicBool::new(true)))
     }
 
@@ -134,13 +144,22 @@
 
     fn delay(&self) -> Duration {
         let mut net = lock(&self.0);
-        let Weather { latency, jitter, loss, resend } = net.weather;
+        let Weather {
+            latency,
+            jitter,
+            loss,
+            resend,
+        } = net.weather;
         let resent = loss > 0.0 && net.dice.gen_bool(loss.min(1.0));
         latency + jitter.mul_f64(net.dice.gen()) + if resent { resend } else { Duration::ZERO }
     }
 
     fn road(&self, a: IpAddr, b: IpAddr) -> Arc<Road> {
-        lock(&self.0).roads.entry((a.min(b), a.max(b))).or_default().clone()
+        lock(&self.0)
+            .roads
+            .entry((a.min(b), a.max(b)))
+            .or_default()
+            .clone()
     }
 
     /// From now on nothing passes between these two, and neither is told.
@@ -167,7 +186,11 @@
 
     fn ways(&self, fits: impl Fn(IpAddr, IpAddr) -> bool) -> Vec<Arc<Way>> {
         let net = lock(&self.0);
-        net.ways.iter().filter(|w| fits(w.0, w.1)).filter_map(|w| w.2.upgrade()).collect()
+        net.ways
+            .iter()
+            .filter(|w| fits(w.0, w.1))
+            .filter_map(|w| w.2.upgrade())
+            .collect()
     }
 
     pub fn listen(&self, mut at: SocketAddr) -> Result<SimListener> {
@@ -185,7 +208,11 @@
         let (sender, queue) = mpsc::channel(BACKLOG);
         net.listeners.insert(at, sender);
         drop(net);
-        Ok(SimListener { net: self.clone(), at, queue })
+        Ok(SimListener {
+            net: self.clone(),
+            at,
+            queue,
+        })
     }
 
     /// Waits for as long as the way is parted: whoever connects brings a time-out.
@@ -208,7 +235,13 @@
             net.port = net.port.wrapping_add(1).max(20_000);
             let from = SocketAddr::new(from, net.port);
             let listener = net.listeners.get(&to).cloned();
-            let way = || Arc::new(Way { net: self.clone(), road: road.clone(), state: Mutex::default() });
+            let way = || {
+                Arc::new(Way {
+                    net: self.clone(),
+                    road: road.clone(),
+                    state: Mutex::default(),
+                })
+            };
             let (out, back) = (way(), way());
             net.ways.push((from.ip(), to.ip(), Arc::downgrade(&out)));
             net.ways.push((to.ip(), from.ip(), Arc::downgrade(&back)));
@@ -217,19 +250,30 @@
                 net.sweep_at = 256.max(2 * net.ways.len());
             }
             let here = Line::Simulated(SimRead(back.clone()), SimWrite(out.clone()));
-            (here, Line::Simulated(SimRead(out), SimWrite(back)), from, listener)
+            (
+                here,
+                Line::Simulated(SimRead(out), SimWrite(back)),
+                from,
+                listener,
+            )
         };
         let taken = listener.map(|l| l.try_send((there, from)).is_ok());
         match taken {
             Some(true) => Ok(here),
-            _ => Err(Error::new(ErrorKind::ConnectionRefused, format!("nobody listens at {to}"))),
+            _ => Err(Error::new(
+                ErrorKind::ConnectionRefused,
+                format!("nobody listens at {to}"),
+            )),
         }
     }
 }
 
 impl SimListener {
     pub async fn accept(&mut self) -> Result<(Line, SocketAddr)> {
-        self.queue.recv().await.ok_or_else(|| ErrorKind::NotConnected.into())
+        self.queue
+            .recv()
+            .await
+            .ok_or_else(|| ErrorKind::NotConnected.into())
     }
 
     pub fn at(&self) -> SocketAddr {
@@ -292,7 +336,9 @@
             self.alarm = None;
             return Poll::Ready(());
         }
-        let alarm = self.alarm.get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
+        let alarm = self
+            .alarm
+            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
         if alarm.deadline() != due {
             alarm.as_mut().reset(due);
         }
@@ -331,7 +377,9 @@
             if parted || state.due().is_none_or(|due| due > Instant::now()) {
                 return Err(ErrorKind::WouldBlock.into());
             }
-            let Some((_, piece)) = state.pieces.front_mut() else { return Ok(0) };
+            let Some((_, piece)) = state.pieces.front_mut() else {
+                return Ok(0);
+            };
             let taken = put(piece);
             piece.advance(taken);
             if piece.is_empty() {
--- a/crates/link/src/simulated/tests.rs
+++ b/crates/link/src/simulated/tests.rs
@@ -11,7 +11,10 @@
 /// Loss makes pieces late and never changes their order; a parted way is silent and loses nothing.
 #[tokio::test(start_paused = true)]
 async fn bytes_come_late_in_order_and_after_a_parting() {
-    let weather = Weather { loss: 0.3, ..Weather::default() };
+    let weather = Weather {
+        loss: 0.3,
+        ..Weather::default()
+    };
     let net = SimNet::new(weather, 7);
     let (here, there) = pair(&net).await;
     let ((_keep, write), (read, _back)) = (here.split(), there.split());
@@ -27,7 +30,10 @@
     }
     net.part(a, b);
     let waited = tokio::time::timeout(Duration::from_secs(60), read.read_buf(&mut got)).await;
-    assert!(waited.is_err(), "a parted way delivers nothing and tells nobody");
+    assert!(
+        waited.is_err(),
+        "a parted way delivers nothing and tells nobody"
+    );
     net.heal(b, a);
     drop(write);
     while read.read_buf(&mut got).await.unwrap() > 0 {}
@@ -42,7 +48,10 @@
     let ((read, _w), (_r, write)) = (here.split(), there.split());
     net.cut("10.0.0.2".parse().unwrap());
     let mut nothing = BytesMut::new();
-    assert_eq!(read.read_buf(&mut nothing).await.unwrap_err().kind(), ErrorKind::ConnectionReset);
+    assert_eq!(
+        read.read_buf(&mut nothing).await.unwrap_err().kind(),
+        ErrorKind::ConnectionReset
+    );
     assert!(write.write_all(b"x").await.is_err());
     let refused = net.connect(None, "10.0.0.1:80".parse().unwrap()).await;
     assert_eq!(refused.unwrap_err().kind(), ErrorKind::ConnectionRefused);
--- a/crates/link/src/steady.rs
+++ b/crates/link/src/steady.rs
@@ -89,7 +89,11 @@
 }
 
 impl AsyncWrite for SteadyWrite {
-    fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        context: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<Result<usize>> {
         self.poll_some(context, &[IoSlice::new(bytes)])
     }
 
