--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -59,7 +59,11 @@
     #[error("frame of type {kind} and {len} bytes is longer than the {most} allowed")]
     TooLong { kind: u8, len: usize, most: usize },
     #[error("frame of type {kind} on stream {stream} cannot be read: {reason}")]
-    Malformed { kind: u8, stream: u32, reason: String },
+    Malformed {
+        kind: u8,
+        stream: u32,
+        reason: String,
+    },
     #[error("the connection ended inside a frame ({0} bytes of it had come)")]
     Truncated(usize),
     #[error(transparent)]
@@ -143,7 +147,11 @@
         let len = u32::from_be_bytes([src[0], src[1], src[2], src[3]]) as usize;
         let kind = src[4];
         if len > most(kind) {
-            return Err(FrameError::TooLong { kind, len, most: most(kind) });
+            return Err(FrameError::TooLong {
+                kind,
+                len,
+                most: most(kind),
+            });
         }
         if src.len() < FRAME_HEAD + len {
             self.wanted = Some(FRAME_HEAD + len - src.len() + AHEAD);
@@ -165,7 +173,11 @@
 }
 
 fn read(kind: u8, stream: u32, payload: Bytes) -> Result<Frame, FrameError> {
-    let bad = |reason: String| FrameError::Malformed { kind, stream, reason };
+    let bad = |reason: String| FrameError::Malformed {
+        kind,
+        stream,
+        reason,
+    };
     fn message<M: Message + Default>(payload: Bytes) -> Result<M, String> {
         M::decode(payload).map_err(|e| e.to_string())
     }
@@ -177,14 +189,18 @@
         kind::REQUEST => Frame::Request(stream, message(payload).map_err(bad)?),
         kind::HEAD => Frame::Head(stream, message(payload).map_err(bad)?),
         // A small piece must not keep the whole buffer that it was read into while a slow reader sits on it.
-        kind::DATA if payload.len() < PINNED_FROM => Frame::Data(stream, Bytes::copy_from_slice(&payload)),
+        kind::DATA if payload.len() < PINNED_FROM => {
+            Frame::Data(stream, Bytes::copy_from_slice(&payload))
+        }
         kind::DATA => Frame::Data(stream, payload),
         kind::END => Frame::End(stream, message(payload).map_err(bad)?),
         kind::ERROR => Frame::Error(stream, message(payload).map_err(bad)?),
         kind::CANCEL => Frame::Cancel(stream, message(payload).map_err(bad)?),
         kind::CREDIT => {
-            let four: [u8; 4] =
-                payload.as_ref().try_into().map_err(|_| bad("credit has 4 bytes".into()))?;
+            let four: [u8; 4] = payload
+                .as_ref()
+                .try_into()
+                .map_err(|_| bad("credit has 4 bytes".into()))?;
             Frame::Credit(stream, u32::from_be_bytes(four))
         }
         kind::GO_AWAY => Frame::GoAway(message(payload).map_err(bad)?),
@@ -201,7 +217,11 @@
 
 fn head(kind: u8, stream: u32, len: usize, dst: &mut BytesMut) -> Result<(), FrameError> {
     if len > most(kind) {
-        return Err(FrameError::TooLong { kind, len, most: most(kind) });
+        return Err(FrameError::TooLong {
+            kind,
+            len,
+            most: most(kind),
+        });
     }
     dst.reserve(FRAME_HEAD);
     dst.put_u32(len as u32);
--- a/crates/wire/src/http.rs
+++ b/crates/wire/src/http.rs
@@ -95,7 +95,9 @@
         let window = &src[..src.len().min(MAX_HTTP_HEAD)];
         let len = match parsed.parse(window) {
             Ok(httparse::Status::Complete(len)) => len,
-            Ok(httparse::Status::Partial) if src.len() >= MAX_HTTP_HEAD => return Err(HttpError::Head),
+            Ok(httparse::Status::Partial) if src.len() >= MAX_HTTP_HEAD => {
+                return Err(HttpError::Head)
+            }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(httparse::Error::TooManyHeaders) => return Err(HttpError::Head),
             Err(httparse::Error::Version) => return Err(HttpError::Version),
@@ -110,7 +112,9 @@
         match self.decode(src)? {
             Some(request) => Ok(Some(request)),
             None if src.is_empty() => Ok(None),
-            None => Err(HttpError::Malformed("the connection ended inside the head".into())),
+            None => Err(HttpError::Malformed(
+                "the connection ended inside the head".into(),
+            )),
         }
     }
 }
@@ -131,7 +135,9 @@
         _ => target,
     };
     if !target.starts_with('/') {
-        return Err(HttpError::Malformed("the target does not begin with /".into()));
+        return Err(HttpError::Malformed(
+            "the target does not begin with /".into(),
+        ));
     }
     let (path, query) = target.split_once('?').unwrap_or((target, ""));
     let mut request = HttpRequest {
@@ -156,13 +162,16 @@
         };
         match name.as_str() {
             "transfer-encoding" => {
-                return Err(HttpError::Ambiguous("a request with a transfer coding is not taken"));
+                return Err(HttpError::Ambiguous(
+                    "a request with a transfer coding is not taken",
+                ));
             }
             "content-length" => {
                 let told = value()?;
                 let digits = !told.is_empty() && told.bytes().all(|b| b.is_ascii_digit());
                 let told = digits.then(|| told.parse().ok()).flatten();
-                let told = told.ok_or(HttpError::Ambiguous("the content length is not one number"))?;
+                let told =
+                    told.ok_or(HttpError::Ambiguous("the content length is not one number"))?;
                 if length.replace(told).is_some() {
                     return Err(HttpError::Ambiguous("two content lengths"));
                 }
@@ -196,7 +205,12 @@
 
 /// Whether a list of validators (`If-None-Match`) names this one; compared weakly (RFC 9110, 13.1.2).
 pub fn names_validator(list: &str, validator: &str) -> bool {
-    let opaque = |v: &str| v.trim().trim_start_matches("W/").trim_matches('"').to_owned();
+    let opaque = |v: &str| {
+        v.trim()
+            .trim_start_matches("W/")
+            .trim_matches('"')
+            .to_owned()
+    };
     list.trim() == "*" || list.split(',').any(|v| opaque(v) == opaque(validator))
 }
 
@@ -237,7 +251,11 @@
         use std::fmt::Write;
         let mut text = String::with_capacity(256);
         let _ = write!(text, "HTTP/1.1 {} {}\r\n", self.status, reason(self.status));
-        let _ = write!(text, "date: {}\r\n", httpdate::fmt_http_date(std::time::SystemTime::now()));
+        let _ = write!(
+            text,
+            "date: {}\r\n",
+            httpdate::fmt_http_date(std::time::SystemTime::now())
+        );
         for (name, value) in &self.fields {
             let clean: String = value.chars().filter(|c| !c.is_control()).collect();
             let _ = write!(text, "{name}: {clean}\r\n");
@@ -267,7 +285,11 @@
 /// What a client reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpPiece {
-    Head { status: u16, fields: Vec<(String, String)>, keep_alive: bool },
+    Head {
+        status: u16,
+        fields: Vec<(String, String)>,
+        keep_alive: bool,
+    },
     Data(Bytes),
     End,
 }
@@ -324,7 +346,9 @@
                         return Ok(None);
                     }
                     if &src[..2] != b"\r\n" {
-                        return Err(HttpError::Malformed("a chunk is longer than it says".into()));
+                        return Err(HttpError::Malformed(
+                            "a chunk is longer than it says".into(),
+                        ));
                     }
                     src.advance(2);
                     self.state = Reading::ChunkLine;
@@ -335,9 +359,15 @@
                         Ok(httparse::Status::Partial) if src.len() <= MAX_CHUNK_LINE => None,
                         _ => return Err(HttpError::Malformed("chunk size".into())),
                     };
-                    let Some((at, size)) = line else { return Ok(None) };
+                    let Some((at, size)) = line else {
+                        return Ok(None);
+                    };
                     src.advance(at);
-                    self.state = if size == 0 { Reading::Trailer } else { Reading::Chunk(size) };
+                    self.state = if size == 0 {
+                        Reading::Trailer
+                    } else {
+                        Reading::Chunk(size)
+                    };
                 }
                 Reading::Trailer => {
                     if src.len() < 2 {
@@ -366,7 +396,9 @@
                 Ok(Some(HttpPiece::End))
             }
             Reading::Head if src.is_empty() => Ok(None),
-            _ => Err(HttpError::Malformed("the connection ended inside an answer".into())),
+            _ => Err(HttpError::Malformed(
+                "the connection ended inside an answer".into(),
+            )),
         }
     }
 }
@@ -374,7 +406,10 @@
 impl ResponseCodec {
     /// A reader whose next answers belong to HEAD requests, or not.
     pub fn new(head_only: bool) -> Self {
-        Self { head_only, state: Reading::Head }
+        Self {
+            head_only,
+            state: Reading::Head,
+        }
     }
 
     fn head(&mut self, src: &mut BytesMut) -> Result<Option<HttpPiece>, HttpError> {
@@ -382,7 +417,9 @@
         let mut parsed = httparse::Response::new(&mut fields);
         let len = match parsed.parse(src) {
             Ok(httparse::Status::Complete(len)) => len,
-            Ok(httparse::Status::Partial) if src.len() >= MAX_HTTP_HEAD => return Err(HttpError::Head),
+            Ok(httparse::Status::Partial) if src.len() >= MAX_HTTP_HEAD => {
+                return Err(HttpError::Head)
+            }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(e) => return Err(HttpError::Malformed(e.to_string())),
         };
@@ -390,24 +427,45 @@
         let fields: Vec<(String, String)> = parsed
             .headers
             .iter()
-            .map(|h| (h.name.to_ascii_lowercase(), String::from_utf8_lossy(h.value).trim().to_owned()))
+            .map(|h| {
+                (
+                    h.name.to_ascii_lowercase(),
+                    String::from_utf8_lossy(h.value).trim().to_owned(),
+                )
+            })
             .collect();
-        let find = |name: &str| fields.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str());
+        let find = |name: &str| {
+            fields
+                .iter()
+                .find(|(n, _)| n == name)
+                .map(|(_, v)| v.as_str())
+        };
         let keep_alive =
             parsed.version == Some(1) && !find("connection").is_some_and(|v| v.contains("close"));
         let chunked = find("transfer-encoding").is_some_and(|v| v.eq_ignore_ascii_case("chunked"));
         let length = match find("content-length") {
             Some(_) if chunked => return Err(HttpError::Ambiguous("an answer with both lengths")),
-            Some(v) => Some(v.parse().map_err(|_| HttpError::Malformed("content length".into()))?),
+            Some(v) => Some(
+                v.parse()
+                    .map_err(|_| HttpError::Malformed("content length".into()))?,
+            ),
             None => None,
         };
-        self.state = match (self.head_only || status == 304 || status == 204, chunked, length) {
+        self.state = match (
+            self.head_only || status == 304 || status == 204,
+            chunked,
+            length,
+        ) {
             (true, ..) => Reading::Length(0),
             (_, true, _) => Reading::ChunkLine,
             (_, _, Some(n)) => Reading::Length(n),
             _ => Reading::ToClose,
         };
         src.advance(len);
-        Ok(Some(HttpPiece::Head { status, fields, keep_alive }))
+        Ok(Some(HttpPiece::Head {
+            status,
+            fields,
+            keep_alive,
+        }))
     }
 }
--- a/crates/wire/src/streams.rs
+++ b/crates/wire/src/streams.rs
@@ -96,7 +96,15 @@
 impl Streams {
     pub fn new(side: Side, most: usize) -> Self {
         let (open, cancelled) = (BTreeMap::new(), BTreeSet::new());
-        Self { side, most, open, highest: 0, credit: CONNECTION_WINDOW, cancelled, dim: 0 }
+        Self {
+            side,
+            most,
+            open,
+            highest: 0,
+            credit: CONNECTION_WINDOW,
+            cancelled,
+            dim: 0,
+        }
     }
 
     pub fn open_count(&self) -> usize {
@@ -109,7 +117,11 @@
             return None;
         }
         self.highest += 1;
-        let stream = Stream { phase: Phase::AwaitingHead, credit: STREAM_WINDOW, body: 0 };
+        let stream = Stream {
+            phase: Phase::AwaitingHead,
+            credit: STREAM_WINDOW,
+            body: 0,
+        };
         self.open.insert(self.highest, stream);
         Some(self.highest)
     }
@@ -148,15 +160,30 @@
                 if self.open.len() >= self.most {
                     return Err(StreamError::TooMany(self.most));
                 }
-                self.open.insert(id, Stream { phase: Phase::Asked, credit: 0, body: 0 });
-                Ok(Received::Stream { id, frame, closed: false })
+                self.open.insert(
+                    id,
+                    Stream {
+                        phase: Phase::Asked,
+                        credit: 0,
+                        body: 0,
+                    },
+                );
+                Ok(Received::Stream {
+                    id,
+                    frame,
+                    closed: false,
+                })
             }
             Frame::Cancel(id, _) => {
                 if self.side == Side::Caller {
                     return Err(StreamError::WrongSide("cancel"));
                 }
                 Ok(match self.open.remove(&id) {
-                    Some(_) => Received::Stream { id, frame, closed: true },
+                    Some(_) => Received::Stream {
+                        id,
+                        frame,
+                        closed: true,
+                    },
                     None => Received::Ignored { body: 0 },
                 })
             }
@@ -170,7 +197,9 @@
             Frame::Data(id, ref data) => {
                 let len = data.len() as u32;
                 if len > self.credit {
-                    return Err(StreamError::OverConnectionCredit((len - self.credit) as u64));
+                    return Err(StreamError::OverConnectionCredit(
+                        (len - self.credit) as u64,
+                    ));
                 }
                 self.credit -= len;
                 if let Some(s) = self.open.get_mut(&id).filter(|s| s.phase == Phase::Body) {
@@ -214,12 +243,19 @@
             return Err(StreamError::WrongSide("answer"));
         }
         if id > self.highest {
-            return Err(StreamError::OutOfOrder(id, "an answer to nothing that was asked"));
+            return Err(StreamError::OutOfOrder(
+                id,
+                "an answer to nothing that was asked",
+            ));
         }
         let Some(stream) = self.open.get_mut(&id) else {
             // Closed here by a cancel: the answer may have been under way. Else it had its end.
             let known = self.cancelled.contains(&id) || id <= self.dim;
-            return if known { Ok(Received::Ignored { body: 0 }) } else { Err(StreamError::AfterEnd(id)) };
+            return if known {
+                Ok(Received::Ignored { body: 0 })
+            } else {
+                Err(StreamError::AfterEnd(id))
+            };
         };
         let closed = step(stream).map_err(|why| StreamError::OutOfOrder(id, why))?;
         if closed {
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -14,8 +14,13 @@
 }
 
 fn request(object: &str) -> RequestHead {
-    let fetch =
-        FetchHead { source: "10.0.0.1:80".into(), keep: 2, age_us: 7, renew: true, ..Default::default() };
+    let fetch = FetchHead {
+        source: "10.0.0.1:80".into(),
+        keep: 2,
+        age_us: 7,
+        renew: true,
+        ..Default::default()
+    };
     RequestHead {
         object: object.into(),
         part: 3,
@@ -29,16 +34,56 @@
 fn frames_come_out_as_they_went_in_however_the_bytes_are_cut() {
     let sent = vec![
         Frame::Request(1, request("a")),
-        Frame::Head(1, AnswerHead { size: Some(3), validator: "v1".into(), ..Default::default() }),
+        Frame::Head(
+            1,
+            AnswerHead {
+                size: Some(3),
+                validator: "v1".into(),
+                ..Default::default()
+            },
+        ),
         Frame::Data(1, Bytes::from_static(b"abc")),
-        Frame::End(1, EndHead { bytes: 3, load: Some(LoadReport { util: 0.5, hits: 0.25, link: 1.0 }) }),
-        Frame::Error(2, ErrorHead { may_have_run: true, detail: "x".into(), ..Default::default() }),
+        Frame::End(
+            1,
+            EndHead {
+                bytes: 3,
+                load: Some(LoadReport {
+                    util: 0.5,
+                    hits: 0.25,
+                    link: 1.0,
+                }),
+            },
+        ),
+        Frame::Error(
+            2,
+            ErrorHead {
+                may_have_run: true,
+                detail: "x".into(),
+                ..Default::default()
+            },
+        ),
         Frame::Credit(0, 77),
-        Frame::Members(ListHead { seq: 4, members: vec![MemberLine::default()], ..Default::default() }),
-        Frame::Purge(PurgeHead { object: Some("a".into()), ..Default::default() }),
-        Frame::Hello(HelloHead { process: 9, started_ago_us: Some(1), ..Default::default() }),
+        Frame::Members(ListHead {
+            seq: 4,
+            members: vec![MemberLine::default()],
+            ..Default::default()
+        }),
+        Frame::Purge(PurgeHead {
+            object: Some("a".into()),
+            ..Default::default()
+        }),
+        Frame::Hello(HelloHead {
+            process: 9,
+            started_ago_us: Some(1),
+            ..Default::default()
+        }),
         Frame::Want(WantHead { work_us: 7 }),
-        Frame::Lease(LeaseHead { work_us: 400_000, for_us: 125_000, by_asking: true, answers: true }),
+        Frame::Lease(LeaseHead {
+            work_us: 400_000,
+            for_us: 125_000,
+            by_asking: true,
+            answers: true,
+        }),
     ];
     let whole = bytes_of(&sent);
     for step in [1, 2, 7, 64, whole.len()] {
@@ -69,49 +114,102 @@
 fn what_is_not_the_protocol_is_told_from_what_is_cut_short() {
     let mut codec = FrameCodec::default();
     let mut http = BytesMut::from("GE");
-    assert!(matches!(codec.decode(&mut http), Err(FrameError::Preface(_))), "two bytes are enough to tell");
+    assert!(
+        matches!(codec.decode(&mut http), Err(FrameError::Preface(_))),
+        "two bytes are enough to tell"
+    );
     let mut later = BytesMut::from(&b"PSPN\x02\0\0\0"[..]);
-    assert!(matches!(FrameCodec::default().decode(&mut later), Err(FrameError::Version(2))));
+    assert!(matches!(
+        FrameCodec::default().decode(&mut later),
+        Err(FrameError::Version(2))
+    ));
     let mut long = bytes_of(&[]);
     long.put_slice(&pointspindle_wire::frame::PREFACE);
     long.put_slice(&[0, 1, 0, 1, 3, 0, 0, 0, 1]);
     let told = FrameCodec::default().decode(&mut long);
-    assert!(matches!(told, Err(FrameError::TooLong { kind: 3, len: 65537, .. })), "{told:?}");
+    assert!(
+        matches!(
+            told,
+            Err(FrameError::TooLong {
+                kind: 3,
+                len: 65537,
+                ..
+            })
+        ),
+        "{told:?}"
+    );
     let mut cut = bytes_of(&[Frame::Request(1, request("a"))]);
     cut.truncate(cut.len() - 1);
-    assert!(matches!(FrameCodec::default().decode_eof(&mut cut), Err(FrameError::Truncated(_))));
+    assert!(matches!(
+        FrameCodec::default().decode_eof(&mut cut),
+        Err(FrameError::Truncated(_))
+    ));
 }
 
 #[test]
 fn a_peer_that_breaks_the_order_of_a_stream_is_found() {
     let mut here = Streams::new(Side::Answerer, 2);
     assert!(here.receive(Frame::Request(5, request("a"))).is_ok());
-    assert_eq!(here.receive(Frame::Request(5, request("a"))), Err(StreamError::Reused(5)));
-    assert_eq!(here.receive(Frame::Request(4, request("a"))), Err(StreamError::Reused(4)));
+    assert_eq!(
+        here.receive(Frame::Request(5, request("a"))),
+        Err(StreamError::Reused(5))
+    );
+    assert_eq!(
+        here.receive(Frame::Request(4, request("a"))),
+        Err(StreamError::Reused(4))
+    );
     assert!(here.receive(Frame::Request(6, request("a"))).is_ok());
-    assert_eq!(here.receive(Frame::Request(7, request("a"))), Err(StreamError::TooMany(2)));
+    assert_eq!(
+        here.receive(Frame::Request(7, request("a"))),
+        Err(StreamError::TooMany(2))
+    );
     here.close(5);
-    assert!(here.receive(Frame::Request(8, request("a"))).is_ok(), "an answered stream makes room");
+    assert!(
+        here.receive(Frame::Request(8, request("a"))).is_ok(),
+        "an answered stream makes room"
+    );
 
     let mut caller = Streams::new(Side::Caller, 3);
     let id = caller.call().unwrap();
     let data = |n: usize| Frame::Data(id, Bytes::from(vec![0; n]));
-    assert_eq!(caller.receive(data(1)), Err(StreamError::OutOfOrder(id, "data before the head")));
-    caller.receive(Frame::Head(id, AnswerHead::default())).unwrap();
+    assert_eq!(
+        caller.receive(data(1)),
+        Err(StreamError::OutOfOrder(id, "data before the head"))
+    );
+    caller
+        .receive(Frame::Head(id, AnswerHead::default()))
+        .unwrap();
     caller.receive(data(10)).unwrap();
-    let short = Frame::End(id, EndHead { bytes: 11, load: None });
+    let short = Frame::End(
+        id,
+        EndHead {
+            bytes: 11,
+            load: None,
+        },
+    );
     assert!(caller.receive(short).is_err(), "a silently short answer");
     let done = caller.call().unwrap();
-    caller.receive(Frame::Head(done, AnswerHead::default())).unwrap();
-    caller.receive(Frame::End(done, EndHead::default())).unwrap();
+    caller
+        .receive(Frame::Head(done, AnswerHead::default()))
+        .unwrap();
+    caller
+        .receive(Frame::End(done, EndHead::default()))
+        .unwrap();
     let twice = caller.receive(Frame::End(done, EndHead::default()));
     assert_eq!(twice, Err(StreamError::AfterEnd(done)), "a second end");
     let left = caller.call().unwrap();
     caller.close(left);
     let late = caller.receive(Frame::Head(left, AnswerHead::default()));
-    assert_eq!(late, Ok(Received::Ignored { body: 0 }), "an answer that crossed our cancel");
+    assert_eq!(
+        late,
+        Ok(Received::Ignored { body: 0 }),
+        "an answer that crossed our cancel"
+    );
     let stray = Frame::Head(99, AnswerHead::default());
-    assert!(matches!(caller.receive(stray), Err(StreamError::OutOfOrder(99, _))));
+    assert!(matches!(
+        caller.receive(stray),
+        Err(StreamError::OutOfOrder(99, _))
+    ));
 }
 
 #[test]
@@ -119,7 +217,9 @@
     let mut caller = Streams::new(Side::Caller, 8);
     let (slow, quick) = (caller.call().unwrap(), caller.call().unwrap());
     for id in [slow, quick] {
-        caller.receive(Frame::Head(id, AnswerHead::default())).unwrap();
+        caller
+            .receive(Frame::Head(id, AnswerHead::default()))
+            .unwrap();
     }
     let chunk = Bytes::from(vec![0; MAX_DATA]);
     for _ in 0..STREAM_WINDOW as usize / MAX_DATA {
--- a/crates/wire/tests/http.rs
+++ b/crates/wire/tests/http.rs
@@ -18,18 +18,30 @@
         "GET /a?part=2 HTTP/1.1\r\nHost: x\r\nRange: bytes=0-9\r\n\r\nHEAD http://x/b HTTP/1.1\r\nhost: x\r\nConnection: close\r\n\r\nGET /c",
     );
     let first = RequestCodec.decode(&mut src).unwrap().unwrap();
-    assert_eq!((first.path.as_str(), first.query.as_str(), first.keep_alive), ("/a", "part=2", true));
+    assert_eq!(
+        (first.path.as_str(), first.query.as_str(), first.keep_alive),
+        ("/a", "part=2", true)
+    );
     assert_eq!(first.range.as_deref(), Some("bytes=0-9"));
     let second = RequestCodec.decode(&mut src).unwrap().unwrap();
-    assert_eq!((second.method, second.path.as_str(), second.keep_alive), (Method::Head, "/b", false));
+    assert_eq!(
+        (second.method, second.path.as_str(), second.keep_alive),
+        (Method::Head, "/b", false)
+    );
     assert_eq!(RequestCodec.decode(&mut src).unwrap(), None);
-    assert!(RequestCodec.decode_eof(&mut src).is_err(), "a head cut short");
+    assert!(
+        RequestCodec.decode_eof(&mut src).is_err(),
+        "a head cut short"
+    );
 }
 
 #[test]
 fn shapes_that_two_readers_would_read_differently_are_refused() {
     let with = |fields: &str| format!("GET /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n\r\n");
-    assert_eq!(status(&with("Content-Length: 4\r\nTransfer-Encoding: chunked")), 400);
+    assert_eq!(
+        status(&with("Content-Length: 4\r\nTransfer-Encoding: chunked")),
+        400
+    );
     assert_eq!(status(&with("Transfer-Encoding : chunked")), 400);
     assert_eq!(status(&with("Transfer-Encoding: xchunked")), 400);
     assert_eq!(status(&with("Content-Length: 0\r\nContent-Length: 4")), 400);
@@ -49,9 +61,15 @@
     let many = "a: b\r\n".repeat(MAX_FIELDS + 1);
     assert_eq!(status(&format!("GET / HTTP/1.1\r\nHost: x\r\n{many}")), 431);
     let long = "x".repeat(MAX_HTTP_HEAD);
-    assert_eq!(status(&format!("GET / HTTP/1.1\r\nHost: x\r\na: {long}")), 431);
+    assert_eq!(
+        status(&format!("GET / HTTP/1.1\r\nHost: x\r\na: {long}")),
+        431
+    );
     let target = "y".repeat(MAX_TARGET);
-    assert_eq!(status(&format!("GET /{target} HTTP/1.1\r\nHost: x\r\n\r\n")), 414);
+    assert_eq!(
+        status(&format!("GET /{target} HTTP/1.1\r\nHost: x\r\n\r\n")),
+        414
+    );
 }
 
 fn pieces(text: &str, head_only: bool) -> Result<Vec<HttpPiece>, HttpError> {
@@ -66,21 +84,32 @@
 
 #[test]
 fn answers_end_where_they_say_and_a_short_one_is_an_error() {
-    let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
+    let chunked =
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let body: Vec<u8> = pieces(chunked, false)
         .unwrap()
         .into_iter()
-        .filter_map(|p| if let HttpPiece::Data(d) = p { Some(d.to_vec()) } else { None })
+        .filter_map(|p| {
+            if let HttpPiece::Data(d) = p {
+                Some(d.to_vec())
+            } else {
+                None
+            }
+        })
         .flatten()
         .collect();
     assert_eq!(body, b"abcde");
-    assert!(pieces(&chunked[..chunked.len() - 5], false).is_err(), "no last chunk");
+    assert!(
+        pieces(&chunked[..chunked.len() - 5], false).is_err(),
+        "no last chunk"
+    );
     assert!(pieces(&chunked.replace("3\r\n", "z\r\n"), false).is_err());
     assert!(pieces(&chunked.replace("3\r\nabc", "2\r\nabc"), false).is_err());
     assert!(pieces("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false).is_err());
     let head = pieces("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).unwrap();
     assert_eq!(head.len(), 2, "a HEAD answer has a length and no body");
-    let both = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    let both =
+        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert!(pieces(both, false).is_err());
 }
 
@@ -88,9 +117,18 @@
 fn a_written_head_reads_back_and_no_value_breaks_out_of_its_line() {
     let fields = vec![("age", "3".to_owned()), ("x", "a\r\nevil: 1".to_owned())];
     let mut dst = BytesMut::new();
-    HttpAnswer { status: 200, length: Some(0), close: true, fields }.write(&mut dst);
-    let HttpPiece::Head { status, fields, keep_alive } =
-        ResponseCodec::default().decode(&mut dst).unwrap().unwrap()
+    HttpAnswer {
+        status: 200,
+        length: Some(0),
+        close: true,
+        fields,
+    }
+    .write(&mut dst);
+    let HttpPiece::Head {
+        status,
+        fields,
+        keep_alive,
+    } = ResponseCodec::default().decode(&mut dst).unwrap().unwrap()
     else {
         panic!("no head")
     };
@@ -100,13 +138,38 @@
 
 #[test]
 fn ranges_follow_rfc_9110() {
-    assert_eq!(Range::parse("bytes=0-99").unwrap().apply(50), Applied::Part(0, 49));
-    assert_eq!(Range::parse("bytes=-10").unwrap().apply(50), Applied::Part(40, 49));
-    assert_eq!(Range::parse("bytes=-99").unwrap().apply(50), Applied::Part(0, 49));
-    assert_eq!(Range::parse("bytes=49-").unwrap().apply(50), Applied::Part(49, 49));
-    assert_eq!(Range::parse("bytes=50-").unwrap().apply(50), Applied::Unsatisfiable);
-    assert_eq!(Range::parse("bytes=-0").unwrap().apply(50), Applied::Unsatisfiable);
-    for ignored in ["bytes=5-4", "bytes=0-1,3-4", "lines=1-2", "bytes=", "bytes=-", "bytes=+1-2"] {
+    assert_eq!(
+        Range::parse("bytes=0-99").unwrap().apply(50),
+        Applied::Part(0, 49)
+    );
+    assert_eq!(
+        Range::parse("bytes=-10").unwrap().apply(50),
+        Applied::Part(40, 49)
+    );
+    assert_eq!(
+        Range::parse("bytes=-99").unwrap().apply(50),
+        Applied::Part(0, 49)
+    );
+    assert_eq!(
+        Range::parse("bytes=49-").unwrap().apply(50),
+        Applied::Part(49, 49)
+    );
+    assert_eq!(
+        Range::parse("bytes=50-").unwrap().apply(50),
+        Applied::Unsatisfiable
+    );
+    assert_eq!(
+        Range::parse("bytes=-0").unwrap().apply(50),
+        Applied::Unsatisfiable
+    );
+    for ignored in [
+        "bytes=5-4",
+        "bytes=0-1,3-4",
+        "lines=1-2",
+        "bytes=",
+        "bytes=-",
+        "bytes=+1-2",
+    ] {
         assert_eq!(Range::parse(ignored), None, "{ignored}");
     }
     assert!(names_validator("W/\"a\", \"b\"", "\"a\"") && !names_validator("\"c\"", "\"a\""));
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -7,8 +7,9 @@
 
 /// 64-bit FNV-1a with a final mix: the same text gives the same number at every router.
 fn number_of(name: &str) -> u64 {
-    let mut h =
-        name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ b as u64).wrapping_mul(0x100_0000_01b3));
+    let mut h = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |h, b| {
+        (h ^ b as u64).wrapping_mul(0x100_0000_01b3)
+    });
     h = (h ^ (h >> 32)).wrapping_mul(0xd6e8_feb8_6659_fd93);
     h ^ (h >> 32)
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -226,13 +226,22 @@
 }
 
 fn adapted(limit: f64, late: bool, least: f64, most: f64) -> f64 {
-    (limit * if late { 1.0 - LIMIT_DOWN } else { 1.0 + LIMIT_UP }).clamp(least, most)
+    (limit
+        * if late {
+            1.0 - LIMIT_DOWN
+        } else {
+            1.0 + LIMIT_UP
+        })
+    .clamp(least, most)
 }
 
 impl Presence {
     /// Word from it: a process is there, and a new one if there was none before.
     fn word(&mut self, now: Micros) {
-        let down = self.refused.take().filter(|(first, last)| *last >= first + DOWN_LEAST);
+        let down = self
+            .refused
+            .take()
+            .filter(|(first, last)| *last >= first + DOWN_LEAST);
         if down.is_some() || self.silent {
             let from = down.map_or(self.heard, |d| d.0);
             (self.back, self.unsure) = (Some((from, now)), down.is_none());
@@ -253,7 +262,10 @@
 
     /// Since when another process is there than before, as far as it was seen. Without one: not yet.
     fn started(&self, now: Micros) -> Micros {
-        if self.refused.is_some_and(|(first, last)| last >= first + DOWN_LEAST) {
+        if self
+            .refused
+            .is_some_and(|(first, last)| last >= first + DOWN_LEAST)
+        {
             return now;
         }
         self.back.map_or(0, |b| b.1)
@@ -263,10 +275,23 @@
 impl Router {
     /// A router that knows nothing yet but its settings. The seed spreads timers and draws.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let all = settings.zones.iter().map(|z| u64::from(z.routers)).sum::<u64>();
-        let routers = all.max(settings.routers.into()).max(settings.me.map_or(0, u64::from) + 1);
-        let here = settings.zones.get(settings.zone).map_or(0, |z| u64::from(z.routers));
-        let mean: Vec<f64> = settings.classes.iter().map(|c| c.aim as f64 / 1e6).collect();
+        let all = settings
+            .zones
+            .iter()
+            .map(|z| u64::from(z.routers))
+            .sum::<u64>();
+        let routers = all
+            .max(settings.routers.into())
+            .max(settings.me.map_or(0, u64::from) + 1);
+        let here = settings
+            .zones
+            .get(settings.zone)
+            .map_or(0, |z| u64::from(z.routers));
+        let mean: Vec<f64> = settings
+            .classes
+            .iter()
+            .map(|c| c.aim as f64 / 1e6)
+            .collect();
         Self {
             rng: seed,
             born: None,
@@ -305,10 +330,20 @@
         match event {
             Event::Members { update, entries } => self.on_members(now, update, entries),
             Event::Request(req) => self.on_request(now, req, act),
-            Event::Begun(id) => self.members.get_mut(&id).into_iter().for_each(|m| m.presence.word(now)),
+            Event::Begun(id) => self
+                .members
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|m| m.presence.word(now)),
             Event::Hello { member, started } => self.on_hello(now, member, started),
-            Event::Lease { member, work, lasts } => {
-                self.members.entry(member).and_modify(|m| m.lease = Some((work, now, lasts)));
+            Event::Lease {
+                member,
+                work,
+                lasts,
+            } => {
+                self.members
+                    .entry(member)
+                    .and_modify(|m| m.lease = Some((work, now, lasts)));
             }
             Event::Outcome(outcome) => self.on_outcome(now, outcome, act),
             Event::Hangup(id) => self.close(id, act),
@@ -318,7 +353,10 @@
         }
         if !self.ticking && !self.open.is_empty() {
             self.ticking = true;
-            act.push(Action::Timer { after: TICK + self.roll() % (TICK / 8), token: 0 });
+            act.push(Action::Timer {
+                after: TICK + self.roll() % (TICK / 8),
+                token: 0,
+            });
         }
     }
 
@@ -332,12 +370,20 @@
     fn on_members(&mut self, now: Micros, update: ListUpdate, entries: Vec<MemberEntry>) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
             let listed: BTreeSet<MemberId> = entries.iter().map(|e| e.id).collect();
-            for m in self.members.values_mut().filter(|m| !listed.contains(&m.entry.id)) {
+            for m in self
+                .members
+                .values_mut()
+                .filter(|m| !listed.contains(&m.entry.id))
+            {
                 m.entry.state = MemberState::Gone;
             }
         }
         for mut entry in entries {
-            entry.weight = if entry.weight > 0.0 { entry.weight } else { 1.0 };
+            entry.weight = if entry.weight > 0.0 {
+                entry.weight
+            } else {
+                1.0
+            };
             self.roles.place(entry.id, Role::of(&entry, &self.set));
             match self.members.get_mut(&entry.id) {
                 Some(m) => {
@@ -351,7 +397,15 @@
                 }
                 None => {
                     let (id, limit) = (entry.id, LIMIT_FIRST * entry.weight);
-                    self.members.insert(id, Member { entry, limit, part: 1.0, ..Member::default() });
+                    self.members.insert(
+                        id,
+                        Member {
+                            entry,
+                            limit,
+                            part: 1.0,
+                            ..Member::default()
+                        },
+                    );
                 }
             }
         }
@@ -360,8 +414,13 @@
 
     /// What was guessed of its process gives way to what it says.
     fn on_hello(&mut self, now: Micros, id: MemberId, started: Micros) {
-        let Some(m) = self.members.get_mut(&id) else { return };
-        m.presence = Presence { heard: now, ..Presence::default() };
+        let Some(m) = self.members.get_mut(&id) else {
+            return;
+        };
+        m.presence = Presence {
+            heard: now,
+            ..Presence::default()
+        };
         if started > m.entry.started {
             (m.entry.started, m.health, m.lease) = (started, Health::default(), None);
         }
@@ -376,8 +435,15 @@
         }
         let due = |m: &Member| m.out + m.fills == 0 && m.gone.is_some_and(|at| now >= at + FORGET);
         if self.members.values().any(due) {
-            let ran: BTreeSet<MemberId> = self.open.values().filter_map(|o| o.ran).map(|r| r.1).collect();
-            let forgotten = self.members.extract_if(.., |id, m| due(m) && !ran.contains(id));
+            let ran: BTreeSet<MemberId> = self
+                .open
+                .values()
+                .filter_map(|o| o.ran)
+                .map(|r| r.1)
+                .collect();
+            let forgotten = self
+                .members
+                .extract_if(.., |id, m| due(m) && !ran.contains(id));
             forgotten.for_each(|(id, _)| self.roles.forget(id));
         }
     }
@@ -387,7 +453,9 @@
         let c = self.set.classes.get(req.class).filter(|c| !c.uncacheable)?;
         let ready = |m: &&Member| m.entry.state == MemberState::Ready && self.healthy(now, m);
         let ready: Vec<&Member> = self.of(Role::Cache).filter(ready).collect();
-        let home = self.members.get(&self.pick(copy_key(req), &ready, |m| (m.out, m.out_kb))?)?;
+        let home = self
+            .members
+            .get(&self.pick(copy_key(req), &ready, |m| (m.out, m.out_kb))?)?;
         let short = home.lease.is_some() && c.worth > 0.0 && !self.cold_room(now, home, req.class);
         short.then(|| (home.entry.id, self.cost(req.class)))
     }
@@ -397,16 +465,26 @@
     fn on_request(&mut self, now: Micros, req: Request, act: &mut Vec<Action>) {
         let id = req.id;
         if req.class >= self.set.classes.len() {
-            return act.push(Action::Refuse { request: id, retry_after: None });
+            return act.push(Action::Refuse {
+                request: id,
+                retry_after: None,
+            });
         }
         if let Some(kb) = req.kb.filter(|_| self.set.stream_kb_per_s > 0.0) {
             self.sizes_told = true;
             self.learn(req.class, kb / self.set.stream_kb_per_s);
         }
-        let (worth, seconds) = (self.set.classes[req.class].worth, self.seconds(req.class, req.kb));
+        let (worth, seconds) = (
+            self.set.classes[req.class].worth,
+            self.seconds(req.class, req.kb),
+        );
         self.asked.0 += MEAN_STEP * (worth - self.asked.0);
         self.asked.1 += MEAN_STEP * (seconds - self.asked.1);
-        let open = Open { deadline: now + req.left, req, ..Open::default() };
+        let open = Open {
+            deadline: now + req.left,
+            req,
+            ..Open::default()
+        };
         self.open.insert(id, open);
         self.go_on(now, id, act);
     }
@@ -414,10 +492,17 @@
     /// Makes the next attempt of a request with nothing under way, parks it, or ends it.
     fn go_on(&mut self, now: Micros, id: RequestId, act: &mut Vec<Action>) {
         let Some(o) = self.open.get(&id) else { return };
-        if o.attempts >= self.set.max_attempts || !self.may_resend(now, o) || now + TICK >= o.deadline {
+        if o.attempts >= self.set.max_attempts
+            || !self.may_resend(now, o)
+            || now + TICK >= o.deadline
+        {
             return self.finish(id, act);
         }
-        match if now < o.not_before { Choice::Wait } else { self.choose(now, o) } {
+        match if now < o.not_before {
+            Choice::Wait
+        } else {
+            self.choose(now, o)
+        } {
             Choice::Send(way) => self.send(now, id, way, act),
             Choice::Wait => _ = self.parked.insert(id),
             Choice::Refuse => self.finish(id, act),
@@ -426,7 +511,9 @@
 
     /// Whether an attempt of a request may still begin, where it had to wait since it was ordered. Rule: no effect twice.
     pub fn may_begin(&self, now: Micros, id: RequestId) -> bool {
-        self.open.get(&id).is_some_and(|o| !o.done && self.may_resend(now, o))
+        self.open
+            .get(&id)
+            .is_some_and(|o| !o.done && self.may_resend(now, o))
     }
 
     /// Rule: no effect twice. After an attempt that may have run, only safe classes go on freely.
@@ -440,11 +527,15 @@
 
     /// Whether a resend to this member is discarded where the first attempt has run.
     fn same_group(&self, o: &Open, member: &Member) -> bool {
-        let (Some((_, first)), Repeat::Keyed { group, .. }) = (o.ran, self.set.classes[o.req.class].repeat)
+        let (Some((_, first)), Repeat::Keyed { group, .. }) =
+            (o.ran, self.set.classes[o.req.class].repeat)
         else {
             return true;
         };
-        let first = self.members.get(&first).map(|m| (m.entry.zone, m.entry.cell));
+        let first = self
+            .members
+            .get(&first)
+            .map(|m| (m.entry.zone, m.entry.cell));
         match group {
             KeyGroup::All => true,
             KeyGroup::Zone => first.is_some_and(|(zone, _)| zone == member.entry.zone),
@@ -454,25 +545,50 @@
 
     /// Final answer: refused where a retry is surely harmless, else failed.
     fn finish(&mut self, id: RequestId, act: &mut Vec<Action>) {
-        let Some(o) = self.open.get_mut(&id).filter(|o| !o.done) else { return };
+        let Some(o) = self.open.get_mut(&id).filter(|o| !o.done) else {
+            return;
+        };
         let harmless = match self.set.classes[o.req.class].repeat {
-            Repeat::Safe | Repeat::Keyed { group: KeyGroup::All, .. } => true,
+            Repeat::Safe
+            | Repeat::Keyed {
+                group: KeyGroup::All,
+                ..
+            } => true,
             _ => o.ran.is_none() && o.out.is_empty(),
         };
-        let retry_after = self.set.retry_after.then_some(HOLD_OFF.min(self.set.max_retry_after));
-        let refused = Action::Refuse { request: id, retry_after };
-        act.push(if harmless { refused } else { Action::Fail { request: id } });
+        let retry_after = self
+            .set
+            .retry_after
+            .then_some(HOLD_OFF.min(self.set.max_retry_after));
+        let refused = Action::Refuse {
+            request: id,
+            retry_after,
+        };
+        act.push(if harmless {
+            refused
+        } else {
+            Action::Fail { request: id }
+        });
         self.close(id, act);
     }
 
     /// Nothing further goes out for it; what is still under way is cancelled and only counted.
     fn close(&mut self, id: RequestId, act: &mut Vec<Action>) {
         self.parked.remove(&id);
-        let Some(o) = self.open.get_mut(&id) else { return };
+        let Some(o) = self.open.get_mut(&id) else {
+            return;
+        };
         o.done = true;
-        for out in o.out.iter_mut().filter(|out| out.cancelled.is_none() && self.set.may_cancel) {
+        for out in o
+            .out
+            .iter_mut()
+            .filter(|out| out.cancelled.is_none() && self.set.may_cancel)
+        {
             out.cancelled = Some(Blame::Nobody);
-            act.push(Action::Cancel { request: id, attempt: out.attempt });
+            act.push(Action::Cancel {
+                request: id,
+                attempt: out.attempt,
+            });
         }
         if o.out.is_empty() {
             self.open.remove(&id);
@@ -484,7 +600,8 @@
         let origin = self.origin();
         let mut past = |id: Option<MemberId>| {
             let draw = (self.roll() >> 11) as f64 / (1_u64 << 53) as f64;
-            id.and_then(|id| self.members.get(&id)).is_some_and(|m| draw >= m.part || !self.healthy(now, m))
+            id.and_then(|id| self.members.get(&id))
+                .is_some_and(|m| draw >= m.part || !self.healthy(now, m))
         };
         let (full, spared) = (past(source), past(origin));
         self.parked.remove(&id);
@@ -492,7 +609,9 @@
         let (class, kb) = (o.req.class, o.req.kb.unwrap_or(1.0));
         let purge_limit = self.purge_limit(now, &o.req);
         let c = &self.set.classes[class];
-        let above = source.and_then(|s| self.members.get(&s)).is_some_and(|m| !self.is_cache(m));
+        let above = source
+            .and_then(|s| self.members.get(&s))
+            .is_some_and(|m| !self.is_cache(m));
         let above = above && !c.uncacheable;
         let (full, spared) = (full && above, spared && above);
         // The origin in place of a parent that is full; of an origin that is, the parent's copies or none.
@@ -506,7 +625,11 @@
         let fetch = source.map(|source| {
             let failed_at = self.members.get(&source).and_then(|m| m.health.failed_at);
             let old = stale_try || spared || failed_at.is_some_and(|at| now < at + STALE_WINDOW);
-            let most = if old && c.fresh > 0 { c.fresh + c.grace } else { c.fresh };
+            let most = if old && c.fresh > 0 {
+                c.fresh + c.grace
+            } else {
+                c.fresh
+            };
             // Age 0 would mean the class's fresh time, so a purge limit stays above it.
             let age = match purge_limit {
                 Some(limit) if most == 0 => limit.max(1),
@@ -515,7 +638,11 @@
             };
             Fetch {
                 source,
-                keep: if c.uncacheable || stale_try { 0 } else { self.rank(&o.req) },
+                keep: if c.uncacheable || stale_try {
+                    0
+                } else {
+                    self.rank(&o.req)
+                },
                 age,
                 // A fill begun before a purge would hand on the purged copy.
                 join: self.set.joins && purge_limit.is_none() && !c.uncacheable,
@@ -525,8 +652,13 @@
         });
         let seconds = self.cost(class);
         let window = self.set.cold_cache.window.max(self.set.cold_parent.window);
-        for (target, is_source) in [(Some(member), false), (source.filter(|s| *s != member), true)] {
-            let Some(m) = target.and_then(|t| self.members.get_mut(&t)) else { continue };
+        for (target, is_source) in [
+            (Some(member), false),
+            (source.filter(|s| *s != member), true),
+        ] {
+            let Some(m) = target.and_then(|t| self.members.get_mut(&t)) else {
+                continue;
+            };
             if is_source {
                 m.fills += 1;
             } else {
@@ -541,18 +673,34 @@
             }
         }
         let o = self.open.get_mut(&id).expect("looked up above");
-        o.out.push(Out { attempt: o.attempts, member, source, sent: now, cancelled: None, stale_try });
+        o.out.push(Out {
+            attempt: o.attempts,
+            member,
+            source,
+            sent: now,
+            cancelled: None,
+            stale_try,
+        });
         o.attempts += 1;
         o.stale_tried |= stale_try;
         o.spared |= spared;
-        act.push(Action::Send { request: id, member, timeout: o.deadline - now, fetch });
+        act.push(Action::Send {
+            request: id,
+            member,
+            timeout: o.deadline - now,
+            fetch,
+        });
     }
 
     // ---- outcome
 
     fn on_outcome(&mut self, now: Micros, e: Outcome, act: &mut Vec<Action>) {
-        let Some(o) = self.open.get_mut(&e.request) else { return };
-        let Some(place) = o.out.iter().position(|out| out.attempt == e.attempt) else { return };
+        let Some(o) = self.open.get_mut(&e.request) else {
+            return;
+        };
+        let Some(place) = o.out.iter().position(|out| out.attempt == e.attempt) else {
+            return;
+        };
         let out = o.out.swap_remove(place);
         let unsent = matches!(e.status, Status::ConnectFailed | Status::Moot);
         let proves_idle = unsent || matches!(e.status, Status::Full | Status::Miss);
@@ -562,8 +710,12 @@
         let full = e.status == Status::Full || e.note == Note::NoFillPlace;
         o.fulls += full as u32;
         o.spared |= e.note == Note::OriginFailed;
-        let (done, class, kb, key) =
-            (o.done || e.closed, o.req.class, o.req.kb, (o.req.object, o.req.part));
+        let (done, class, kb, key) = (
+            o.done || e.closed,
+            o.req.class,
+            o.req.kb,
+            (o.req.object, o.req.part),
+        );
         let told = e.kb.or(kb).filter(|_| self.set.stream_kb_per_s > 0.0);
         let seconds = self.seconds(class, told);
         let source = out.source.filter(|s| *s != out.member);
@@ -604,7 +756,8 @@
         }
         let size = seconds * if told.is_some() { 1.0 } else { UNTOLD_SIZE };
         let c = &self.set.classes[class];
-        let late = e.elapsed as f64 > c.aim as f64 + c.aim_stretch * 1e6 * size || e.status == Status::Full;
+        let late = e.elapsed as f64 > c.aim as f64 + c.aim_stretch * 1e6 * size
+            || e.status == Status::Full;
         // Who is late: of a fill by the origin that, of another the location's link, else the cache. No
         // answer says nothing of how fast answers are; where all are slow, those that come say so.
         match (e.status, e.note) {
@@ -631,11 +784,18 @@
         if done {
             return self.close(e.request, act);
         }
-        let Some(o) = self.open.get_mut(&e.request).filter(|o| o.out.is_empty()) else { return };
+        let Some(o) = self.open.get_mut(&e.request).filter(|o| o.out.is_empty()) else {
+            return;
+        };
         if blame != Blame::Nobody {
-            o.avoid.push(source.filter(|_| blame == Blame::Source).unwrap_or(out.member));
+            o.avoid.push(
+                source
+                    .filter(|_| blame == Blame::Source)
+                    .unwrap_or(out.member),
+            );
         }
-        if self.set.classes[class].uncacheable && (full || blame != Blame::Nobody && o.attempts > 1) {
+        if self.set.classes[class].uncacheable && (full || blame != Blame::Nobody && o.attempts > 1)
+        {
             o.not_before = now + (BACK_OFF << o.fulls.min(6));
             o.avoid.clear();
         } else if o.fulls >= FULL_MOST {
@@ -643,9 +803,14 @@
         }
         // The design: a failed fill is answered from what that cache holds, within the grace.
         let c = &self.set.classes[o.req.class];
-        let stale = blame == Blame::Source && e.note != Note::SourceLacks && c.fresh > 0 && c.grace > 0;
-        if stale && !o.stale_tried && o.attempts < self.set.max_attempts && now + TICK < o.deadline {
-            let usable = self.members.get(&out.member).is_some_and(|m| self.may_send(now, m, class));
+        let stale =
+            blame == Blame::Source && e.note != Note::SourceLacks && c.fresh > 0 && c.grace > 0;
+        if stale && !o.stale_tried && o.attempts < self.set.max_attempts && now + TICK < o.deadline
+        {
+            let usable = self
+                .members
+                .get(&out.member)
+                .is_some_and(|m| self.may_send(now, m, class));
             if usable {
                 return self.send(now, e.request, (out.member, Some(out.member)), act);
             }
@@ -654,8 +819,14 @@
     }
 
     fn share(&mut self, id: Option<MemberId>, late: bool) {
-        let Some(m) = id.and_then(|id| self.members.get_mut(&id)) else { return };
-        let step = if late { 1.0 - PART_STEP } else { 1.0 + PART_STEP };
+        let Some(m) = id.and_then(|id| self.members.get_mut(&id)) else {
+            return;
+        };
+        let step = if late {
+            1.0 - PART_STEP
+        } else {
+            1.0 + PART_STEP
+        };
         m.part = (m.part * step).clamp(PART_LEAST, 1.0);
     }
 
@@ -667,8 +838,14 @@
 
     /// Whose failure an outcome is, and what it does to that member's standing.
     fn judge(&mut self, now: Micros, e: &Outcome, out: &Out, source: Option<MemberId>) -> Blame {
-        let quiet = self.members.get(&out.member).is_none_or(|m| m.presence.heard < out.sent);
-        if !matches!(e.status, Status::Timeout | Status::Cancelled | Status::Moot | Status::ConnectFailed) {
+        let quiet = self
+            .members
+            .get(&out.member)
+            .is_none_or(|m| m.presence.heard < out.sent);
+        if !matches!(
+            e.status,
+            Status::Timeout | Status::Cancelled | Status::Moot | Status::ConnectFailed
+        ) {
             if let Some(m) = self.members.get_mut(&out.member) {
                 // A connection that breaks is the old process's end as well as a new one's.
                 // That of a silent one is its peer's word that it knows nothing of it: another process.
@@ -686,7 +863,10 @@
                 match (note, source) {
                     (Note::Filled | Note::FilledByOrigin, Some(s)) => {
                         let origin = self.origin().filter(|_| note == Note::FilledByOrigin);
-                        origin.into_iter().chain([s]).for_each(|id| self.good(id, MARK_STEP));
+                        origin
+                            .into_iter()
+                            .chain([s])
+                            .for_each(|id| self.good(id, MARK_STEP));
                     }
                     // Untold, most answers are hits and say little of the source.
                     (Note::Untold, Some(s)) => self.good(s, MARK_STEP / 4.0),
@@ -701,19 +881,29 @@
                 if let Some(s) = origin.or(source) {
                     // Not reached is as good as gone; one that broke off is there.
                     let unreached = if error { MARK_HOLD } else { MARK_HARD };
-                    let least = if e.note == Note::SourceUnreachable { unreached } else { 0.0 };
+                    let least = if e.note == Note::SourceUnreachable {
+                        unreached
+                    } else {
+                        0.0
+                    };
                     self.bad(now, s, least, MARK_STEP);
-                    self.members.entry(s).and_modify(|m| m.health.failed_at = Some(now));
+                    self.members
+                        .entry(s)
+                        .and_modify(|m| m.health.failed_at = Some(now));
                 }
                 Blame::Source
             }
             // Nothing told: an error, or a refusal from afar, counts against the source that was named.
             (Status::Error | Status::Full, Note::Untold)
-                if source.is_some() && self.set.notes == Notes::None && (error || e.elapsed > NEAR) =>
+                if source.is_some()
+                    && self.set.notes == Notes::None
+                    && (error || e.elapsed > NEAR) =>
             {
                 if let Some(s) = source {
                     self.bad(now, s, 0.0, MARK_STEP);
-                    self.members.entry(s).and_modify(|m| m.health.failed_at = Some(now));
+                    self.members
+                        .entry(s)
+                        .and_modify(|m| m.health.failed_at = Some(now));
                 }
                 if error {
                     self.bad(now, out.member, 0.0, MARK_STEP);
@@ -731,7 +921,9 @@
             // A cache that answers others lost this one, or its source is slow: some of its fills go past it.
             (Status::Timeout, _) if !quiet => {
                 self.share(source, true);
-                source.into_iter().for_each(|s| self.bad(now, s, 0.0, MARK_CUT));
+                source
+                    .into_iter()
+                    .for_each(|s| self.bad(now, s, 0.0, MARK_CUT));
                 Blame::Source
             }
             // A dead process refuses the next connection: cuts that are the way's come from every host alike.
@@ -746,7 +938,9 @@
     }
 
     fn good(&mut self, id: MemberId, step: f64) {
-        let Some(m) = self.members.get_mut(&id) else { return };
+        let Some(m) = self.members.get_mut(&id) else {
+            return;
+        };
         m.health.mark *= 1.0 - step;
         if m.health.mark < MARK_TRUST / 2.0 {
             m.health.holds = 0;
@@ -755,12 +949,23 @@
 
     /// Moves the failure mark, at least to `least`; over the line the member is held off, longer each time.
     fn bad(&mut self, now: Micros, id: MemberId, least: f64, step: f64) {
-        let (gap, dice) = (self.members.get(&id).map_or(0, |m| self.trial_gap(m)), self.roll());
-        let Some(m) = self.members.get_mut(&id) else { return };
+        let (gap, dice) = (
+            self.members.get(&id).map_or(0, |m| self.trial_gap(m)),
+            self.roll(),
+        );
+        let Some(m) = self.members.get_mut(&id) else {
+            return;
+        };
         m.health.mark = (m.health.mark * (1.0 - step) + step).max(least);
         if m.health.mark >= MARK_HOLD && now >= m.health.held_until {
-            let longer = if least >= MARK_HARD && m.health.holds > 0 { gap } else { 0 };
-            let hold = (HOLD_FIRST << m.health.holds.min(8)).min(HOLD_LONGEST).max(longer);
+            let longer = if least >= MARK_HARD && m.health.holds > 0 {
+                gap
+            } else {
+                0
+            };
+            let hold = (HOLD_FIRST << m.health.holds.min(8))
+                .min(HOLD_LONGEST)
+                .max(longer);
             m.health.held_until = now + hold - hold / 4 + dice % (hold / 2);
             m.health.holds += 1;
         }
@@ -780,25 +985,45 @@
         let mut overdue: BTreeMap<MemberId, usize> = BTreeMap::new();
         for o in self.open.values() {
             for out in o.out.iter().filter(|out| out.cancelled.is_none()) {
-                let due =
-                    out.sent + DUE + (DUE_STRETCH * 1e6 * self.seconds(o.req.class, o.req.kb)) as Micros;
-                let heard = self.members.get(&out.member).map_or(now, |m| m.presence.heard);
+                let due = out.sent
+                    + DUE
+                    + (DUE_STRETCH * 1e6 * self.seconds(o.req.class, o.req.kb)) as Micros;
+                let heard = self
+                    .members
+                    .get(&out.member)
+                    .map_or(now, |m| m.presence.heard);
                 if now > due && heard < out.sent {
                     *overdue.entry(out.member).or_default() += 1;
                 }
             }
         }
         for (id, count) in overdue {
-            let on_trial = self.members.get(&id).is_some_and(|m| m.health.mark >= MARK_TRUST);
+            let on_trial = self
+                .members
+                .get(&id)
+                .is_some_and(|m| m.health.mark >= MARK_TRUST);
             if count >= SILENT_COUNT || on_trial {
-                self.members.entry(id).and_modify(|m| m.presence.silent = true);
+                self.members
+                    .entry(id)
+                    .and_modify(|m| m.presence.silent = true);
                 self.bad(now, id, MARK_HARD, MARK_STEP);
                 let set = &self.set;
                 let once = |o: &Open| set.classes[o.req.class].repeat == Repeat::Unsafe;
-                for (request, o) in self.open.iter_mut().filter(|(_, o)| set.may_cancel && !once(o)) {
-                    for out in o.out.iter_mut().filter(|out| out.cancelled.is_none() && out.member == id) {
+                for (request, o) in self
+                    .open
+                    .iter_mut()
+                    .filter(|(_, o)| set.may_cancel && !once(o))
+                {
+                    for out in o
+                        .out
+                        .iter_mut()
+                        .filter(|out| out.cancelled.is_none() && out.member == id)
+                    {
                         out.cancelled = Some(Blame::Cache);
-                        act.push(Action::Cancel { request: *request, attempt: out.attempt });
+                        act.push(Action::Cancel {
+                            request: *request,
+                            attempt: out.attempt,
+                        });
                     }
                 }
             }
@@ -811,7 +1036,8 @@
         if self.object_purges.len() + self.group_purges.len() > self.sweep_at {
             self.object_purges.retain(|_, t| *t + kept > now);
             self.group_purges.retain(|_, t| *t + kept > now);
-            self.sweep_at = PURGES_FIRST.max(2 * (self.object_purges.len() + self.group_purges.len()));
+            self.sweep_at =
+                PURGES_FIRST.max(2 * (self.object_purges.len() + self.group_purges.len()));
         }
         let newest = match object {
             Some(object) => self.object_purges.entry(object).or_default(),
@@ -822,7 +1048,10 @@
 
     /// The oldest copy that a purge allows, while copies from before it may be about.
     fn purge_limit(&self, now: Micros, req: &Request) -> Option<Micros> {
-        let at = self.object_purges.get(&req.object).max(self.group_purges.get(&req.group))?;
+        let at = self
+            .object_purges
+            .get(&req.object)
+            .max(self.group_purges.get(&req.group))?;
         (now < at + self.set.purge_done + PURGE_MARGIN).then_some(now.saturating_sub(*at))
     }
 
@@ -853,11 +1082,16 @@
     /// Sending time of an answer: by its size where told, else its class's mean.
     fn seconds(&self, class: usize, kb: Option<f64>) -> f64 {
         let pace = self.set.stream_kb_per_s;
-        kb.filter(|_| pace > 0.0).map_or(self.mean[class], |kb| kb / pace)
+        kb.filter(|_| pace > 0.0)
+            .map_or(self.mean[class], |kb| kb / pace)
     }
 
     fn weight(&self, m: &Member) -> f64 {
-        let slow = if self.is_cache(m) { (self.pace - m.health.pace).exp() * PACE_SLOW } else { 1.0 };
+        let slow = if self.is_cache(m) {
+            (self.pace - m.health.pace).exp() * PACE_SLOW
+        } else {
+            1.0
+        };
         slow.min(1.0)
             * match self.set.weights {
                 // Live weights change with the load and would move every object's home.
@@ -868,7 +1102,10 @@
 
     /// The rank a copy is kept at: first asked for, low; asked for again, above what was asked for once.
     fn rank(&self, req: &Request) -> u8 {
-        1 + self.seen.iter().any(|s| s.contains_key(&(req.object, req.part))) as u8
+        1 + self
+            .seen
+            .iter()
+            .any(|s| s.contains_key(&(req.object, req.part))) as u8
     }
 
     fn remember(&mut self, key: (ObjectId, u64), cache: MemberId) {
@@ -883,10 +1120,13 @@
     fn holder(&self, now: Micros, o: &Open, cache: MemberId) -> Option<MemberId> {
         let key = (o.req.object, o.req.part);
         let id = *self.seen.iter().find_map(|s| s.get(&key))?;
-        let m =
-            self.members.get(&id).filter(|m| self.set.siblings != Siblings::None && self.is_cache(m))?;
+        let m = self
+            .members
+            .get(&id)
+            .filter(|m| self.set.siblings != Siblings::None && self.is_cache(m))?;
         let fit = id != cache && !o.avoid.contains(&id) && self.healthy(now, m);
-        (fit && self.purge_limit(now, &o.req).is_none() && self.may_send(now, m, o.req.class)).then_some(id)
+        (fit && self.purge_limit(now, &o.req).is_none() && self.may_send(now, m, o.req.class))
+            .then_some(id)
     }
 
     /// Rules: drains and cold members. Listed as ready, and its cold budget has room for one more.
@@ -903,7 +1143,11 @@
         let seen = m.presence.started(now);
         // Silence may have been a pause: else the list tells soon. What it told before still holds.
         let pause = m.presence.unsure && now >= seen + UNSURE * rule.window;
-        let started = if pause { m.entry.started } else { m.entry.started.max(seen) };
+        let started = if pause {
+            m.entry.started
+        } else {
+            m.entry.started.max(seen)
+        };
         let warm_at = started + rule.warm_within + rule.window;
         if self.is_origin(m) || started == 0 || now >= warm_at {
             return true;
@@ -920,7 +1164,9 @@
         let share = self.cold_part * (rule.start_share + (1.0 - rule.start_share) * warm.min(1.0));
         let budget = COLD_SHARE * rule.multiple * share * m.entry.weight * rule.window as f64 / 1e6;
         if parent {
-            let dearest = (0..self.mean.len()).map(|c| self.cost(c)).fold(0.0, f64::max);
+            let dearest = (0..self.mean.len())
+                .map(|c| self.cost(c))
+                .fold(0.0, f64::max);
             let some = ((budget / dearest.max(1e-6)) as u64).clamp(1, self.routers);
             let place = |me: u32| (me as u64 + m.entry.id.0 % self.routers) % self.routers;
             let turn = self.set.me.map_or(self.routers, place);
@@ -929,7 +1175,13 @@
             }
             sharing = some as f64;
         }
-        let spent: f64 = m.spent.iter().rev().take_while(|s| s.0 > from).map(|s| s.2).sum();
+        let spent: f64 = m
+            .spent
+            .iter()
+            .rev()
+            .take_while(|s| s.0 > from)
+            .map(|s| s.2)
+            .sum();
         spent + self.cost(class) <= budget / sharing
     }
 
@@ -966,7 +1218,9 @@
     /// Members of a role that the rules allow and that have not failed this request.
     fn able(&self, now: Micros, o: &Open, role: Role) -> Vec<&Member> {
         let able = |m: &&Member| {
-            self.may_send(now, m, o.req.class) && self.same_group(o, m) && !o.avoid.contains(&m.entry.id)
+            self.may_send(now, m, o.req.class)
+                && self.same_group(o, m)
+                && !o.avoid.contains(&m.entry.id)
         };
         self.of(role).filter(able).collect()
     }
@@ -986,19 +1240,29 @@
         // The limits hold for the location as a whole: at one cache a router of many has room for chance.
         let busy = |m: &Member| m.out.saturating_sub(m.looks) as f64;
         let sum = |of: fn(&Member) -> f64| order.iter().map(|m| of(m)).sum::<f64>();
-        let whole = sum(|m| m.limit).min(self.link * sum(|m| m.entry.weight)) * stretch / self.sharing;
+        let whole =
+            sum(|m| m.limit).min(self.link * sum(|m| m.entry.weight)) * stretch / self.sharing;
         let spare = order.iter().map(|m| busy(m)).sum::<f64>() < whole.max(1.0);
         let room = |m: &&Member| busy(m) < part(m.limit * stretch, self.sharing);
         let open: Vec<&Member> = order.iter().filter(|m| spare && room(m)).copied().collect();
         let Some(cache) = self.pick(copy_key(&o.req), &open, |m| (m.out, m.out_kb)) else {
             // No room for what may need a fill: a copy held at home still answers, a miss comes back at once.
             order.retain(|m| (m.looks as f64) < LOOKS * m.entry.weight / self.sharing);
-            let held = self.seen.iter().find_map(|s| s.get(&(o.req.object, o.req.part)));
-            let held = held.copied().filter(|id| order.iter().any(|m| m.entry.id == *id));
+            let held = self
+                .seen
+                .iter()
+                .find_map(|s| s.get(&(o.req.object, o.req.part)));
+            let held = held
+                .copied()
+                .filter(|id| order.iter().any(|m| m.entry.id == *id));
             let home = held.or_else(|| self.pick(copy_key(&o.req), &order, |_| (0, 0.0)));
-            return home.filter(|_| !o.stale_tried).map_or(Choice::Refuse, |m| Choice::Send((m, Some(m))));
+            return home
+                .filter(|_| !o.stale_tried)
+                .map_or(Choice::Refuse, |m| Choice::Send((m, Some(m))));
         };
-        let source = self.holder(now, o, cache).or_else(|| self.choose_source(now, o));
+        let source = self
+            .holder(now, o, cache)
+            .or_else(|| self.choose_source(now, o));
         // While the origin fails, one source is asked for what it holds: no miss adds to it, and what can
         // only run there keeps its place.
         match source.filter(|_| !o.spared) {
@@ -1012,51 +1276,79 @@
     fn stretch(&self, req: &Request) -> f64 {
         let usual = self.asked.0 / self.asked.1.max(1e-6);
         let own = self.set.classes[req.class].worth / self.seconds(req.class, req.kb).max(1e-6);
-        (own / usual.max(1e-6)).sqrt().clamp(LIMIT_STRETCH.0, LIMIT_STRETCH.1)
+        (own / usual.max(1e-6))
+            .sqrt()
+            .clamp(LIMIT_STRETCH.0, LIMIT_STRETCH.1)
     }
 
     /// The copy's parent: hash order over all that are listed, then the origin.
     fn choose_source(&self, now: Micros, o: &Open) -> Option<MemberId> {
         let parents = self.able(now, o, Role::Parent);
-        let fit: Vec<&Member> = parents.iter().filter(|m| self.healthy(now, m)).copied().collect();
+        let fit: Vec<&Member> = parents
+            .iter()
+            .filter(|m| self.healthy(now, m))
+            .copied()
+            .collect();
         let mut origin = self.able(now, o, Role::Origin);
         origin.retain(|m| self.healthy(now, m));
         let origin = origin.first().map(|m| m.entry.id);
-        let pick = |from: &[&Member]| self.pick(copy_key(&o.req), from, |m| (m.fills, m.fills as f64));
+        let pick =
+            |from: &[&Member]| self.pick(copy_key(&o.req), from, |m| (m.fills, m.fills as f64));
         pick(&fit).or(origin).or_else(|| pick(&parents))
     }
 
     /// Rendezvous order of the copy, skipping members over the bound; all over it: the least loaded.
-    fn pick(&self, object: u64, from: &[&Member], load: fn(&Member) -> (u32, f64)) -> Option<MemberId> {
+    fn pick(
+        &self,
+        object: u64,
+        from: &[&Member],
+        load: fn(&Member) -> (u32, f64),
+    ) -> Option<MemberId> {
         let total: f64 = from.iter().map(|m| self.weight(m)).sum();
         let under_way: f64 = from.iter().map(|m| load(m).1).sum();
         let within = |m: &&&Member| {
             let (count, size) = load(m);
             let w = self.weight(m);
-            (count as f64) < part(BOUND_FLOOR * w, self.sharing) || size <= BOUND * under_way * w / total
+            (count as f64) < part(BOUND_FLOOR * w, self.sharing)
+                || size <= BOUND * under_way * w / total
         };
         let home = |a: &&&Member, b: &&&Member| {
-            score(object, a.entry.id, self.weight(a)).total_cmp(&score(object, b.entry.id, self.weight(b)))
+            score(object, a.entry.id, self.weight(a)).total_cmp(&score(
+                object,
+                b.entry.id,
+                self.weight(b),
+            ))
         };
         let least = |a: &&&Member, b: &&&Member| {
             (load(a).1 / self.weight(a)).total_cmp(&(load(b).1 / self.weight(b)))
         };
-        from.iter().filter(within).max_by(home).or_else(|| from.iter().min_by(least)).map(|m| m.entry.id)
+        from.iter()
+            .filter(within)
+            .max_by(home)
+            .or_else(|| from.iter().min_by(least))
+            .map(|m| m.entry.id)
     }
 
     /// Runs at the origin: straight there where allowed, else through a cache that names it as the source.
     fn choose_uncacheable(&self, now: Micros, o: &Open) -> Choice {
         let fit = |mut from: Vec<&Member>| {
             from.retain(|m| self.healthy(now, m));
-            self.pick(o.req.object.0, &from, |m| (m.out + m.fills, (m.out + m.fills) as f64))
+            self.pick(o.req.object.0, &from, |m| {
+                (m.out + m.fills, (m.out + m.fills) as f64)
+            })
         };
         let origin = self.able(now, o, Role::Origin).first().map(|m| m.entry.id);
         let parent = fit(self.able(now, o, Role::Parent));
         if self.set.straight {
             // A parent that is its own source fills from nowhere.
-            let listed = self.of(Role::Origin).find(|m| self.may_send(now, m, o.req.class));
+            let listed = self
+                .of(Role::Origin)
+                .find(|m| self.may_send(now, m, o.req.class));
             let parent = parent.map(|p| Choice::Send((p, Some(listed.map_or(p, |m| m.entry.id)))));
-            return origin.map(|m| Choice::Send((m, None))).or(parent).unwrap_or(Choice::Wait);
+            return origin
+                .map(|m| Choice::Send((m, None)))
+                .or(parent)
+                .unwrap_or(Choice::Wait);
         }
         match (fit(self.able(now, o, Role::Cache)), origin.or(parent)) {
             (Some(cache), Some(source)) => Choice::Send((cache, Some(source))),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,7 +13,15 @@
 pub const UNSAFE: usize = 3;
 
 fn class(repeat: Repeat, fresh: Micros, grace: Micros, uncacheable: bool) -> Class {
-    Class { aim: 300 * MS, aim_stretch: 2.0, worth: 1.0, repeat, uncacheable, fresh, grace }
+    Class {
+        aim: 300 * MS,
+        aim_stretch: 2.0,
+        worth: 1.0,
+        repeat,
+        uncacheable,
+        fresh,
+        grace,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -25,7 +33,15 @@
         classes: vec![
             class(Repeat::Safe, 0, 0, false),
             class(Repeat::Safe, 12 * S, 20 * S, false),
-            class(Repeat::Keyed { group: KeyGroup::All, window: 2 * S }, 0, 0, true),
+            class(
+                Repeat::Keyed {
+                    group: KeyGroup::All,
+                    window: 2 * S,
+                },
+                0,
+                0,
+                true,
+            ),
             class(Repeat::Unsafe, 0, 0, true),
         ],
         parent_kind: Some(1),
@@ -40,8 +56,18 @@
         max_retry_after: S,
         max_attempts: 6,
         stream_kb_per_s: 6000.0,
-        cold_cache: ColdRule { start_share: 0.2, warm_within: 10 * S, multiple: 2.0, window: 2 * S },
-        cold_parent: ColdRule { start_share: 0.1, warm_within: 20 * S, multiple: 2.0, window: 2 * S },
+        cold_cache: ColdRule {
+            start_share: 0.2,
+            warm_within: 10 * S,
+            multiple: 2.0,
+            window: 2 * S,
+        },
+        cold_parent: ColdRule {
+            start_share: 0.1,
+            warm_within: 20 * S,
+            multiple: 2.0,
+            window: 2 * S,
+        },
         purge_done: 6 * S,
     }
 }
@@ -98,8 +124,17 @@
     }
     pub fn seeded(seed: u64, settings: Settings, members: Vec<MemberEntry>) -> Self {
         let router = Router::new(settings, seed);
-        let mut stage = Self { router, now: T0, last: vec![], next: 0, attempts: Default::default() };
-        stage.tell(Event::Members { update: ListUpdate::Cached, entries: members });
+        let mut stage = Self {
+            router,
+            now: T0,
+            last: vec![],
+            next: 0,
+            attempts: Default::default(),
+        };
+        stage.tell(Event::Members {
+            update: ListUpdate::Cached,
+            entries: members,
+        });
         stage
     }
     pub fn new() -> Self {
@@ -111,10 +146,22 @@
         self.router.handle(self.now, event, &mut self.last);
         let mut sent = vec![];
         for action in &self.last {
-            if let Action::Send { request, member, timeout, fetch } = action {
+            if let Action::Send {
+                request,
+                member,
+                timeout,
+                fetch,
+            } = action
+            {
                 let n = self.attempts.entry(*request).or_default();
                 let (attempt, fetch) = (*n, fetch.clone());
-                sent.push(Sent { request: *request, attempt, member: *member, timeout: *timeout, fetch });
+                sent.push(Sent {
+                    request: *request,
+                    attempt,
+                    member: *member,
+                    timeout: *timeout,
+                    fetch,
+                });
                 *n += 1;
             }
         }
@@ -139,7 +186,13 @@
     pub fn end(&mut self, sent: &Sent, status: Status, note: Note) -> Vec<Sent> {
         self.end_after(sent, status, note, 50 * MS)
     }
-    pub fn end_after(&mut self, sent: &Sent, status: Status, note: Note, elapsed: Micros) -> Vec<Sent> {
+    pub fn end_after(
+        &mut self,
+        sent: &Sent,
+        status: Status,
+        note: Note,
+        elapsed: Micros,
+    ) -> Vec<Sent> {
         self.tell(Event::Outcome(Outcome {
             request: sent.request,
             attempt: sent.attempt,
@@ -152,9 +205,15 @@
         }))
     }
     pub fn update(&mut self, entries: Vec<MemberEntry>) {
-        self.tell(Event::Members { update: ListUpdate::Delta, entries });
+        self.tell(Event::Members {
+            update: ListUpdate::Delta,
+            entries,
+        });
     }
     pub fn finals(&self) -> Vec<&Action> {
-        self.last.iter().filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })).collect()
+        self.last
+            .iter()
+            .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+            .collect()
     }
 }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -7,7 +7,10 @@
 fn fills_are_kept_and_accepted_up_to_the_fresh_time() {
     let mut s = Stage::new();
     let page = s.ask(PAGE, "a").remove(0);
-    assert_eq!((page.fetch().age, page.fetch().renew, page.fetch().join), (12 * S, true, true));
+    assert_eq!(
+        (page.fetch().age, page.fetch().renew, page.fetch().join),
+        (12 * S, true, true)
+    );
     assert!(page.fetch().keep >= 1);
     assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 0);
 }
@@ -35,7 +38,9 @@
 fn a_failed_fill_is_answered_from_the_held_copy() {
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
-    let stale = s.end(&sent, Status::Error, Note::SourceUnreachable).remove(0);
+    let stale = s
+        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .remove(0);
     assert_eq!(stale.member, sent.member);
     assert_eq!(stale.source(), sent.member, "from what it holds only");
     assert_eq!(stale.fetch().age, 32 * S);
@@ -46,7 +51,9 @@
 fn a_miss_on_the_stale_try_goes_on_to_another_source() {
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
-    let stale = s.end(&sent, Status::Error, Note::SourceUnreachable).remove(0);
+    let stale = s
+        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .remove(0);
     let next = s.end(&stale, Status::Miss, Note::Untold).remove(0);
     assert_ne!(next.source(), sent.source());
     assert_ne!(next.source(), next.member);
@@ -56,7 +63,9 @@
 fn a_class_without_grace_gets_no_stale_try() {
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
-    let next = s.end(&sent, Status::Error, Note::SourceUnreachable).remove(0);
+    let next = s
+        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .remove(0);
     assert_ne!(next.source(), next.member);
 }
 
@@ -101,7 +110,10 @@
     through.straight = false;
     let mut s = Stage::with(through, fleet());
     let sent = s.ask(KEYED, "a").remove(0);
-    assert_eq!((sent.source(), sent.fetch().keep), (MemberId::named("origin"), 0));
+    assert_eq!(
+        (sent.source(), sent.fetch().keep),
+        (MemberId::named("origin"), 0)
+    );
 }
 
 #[test]
@@ -150,14 +162,22 @@
     let (home, spilled) = spill(&mut s, "a");
     assert_eq!(spilled.source(), home);
     let next = s.end(&spilled, Status::Miss, Note::SourceLacks).remove(0);
-    assert_ne!(next.source(), home, "it lacked the copy: on to the tier above");
+    assert_ne!(
+        next.source(),
+        home,
+        "it lacked the copy: on to the tier above"
+    );
 }
 
 #[test]
 fn after_a_purge_a_spilled_request_is_filled_from_above() {
     let mut s = Stage::new();
     let (home, _) = spill(&mut s, "a");
-    s.tell(Event::Purge { object: Some(ObjectId::named("a")), group: 5, age: 0 });
+    s.tell(Event::Purge {
+        object: Some(ObjectId::named("a")),
+        group: 5,
+        age: 0,
+    });
     assert_ne!(s.ask(VIDEO, "a")[0].source(), home);
 }
 
@@ -169,7 +189,9 @@
             let sent = s.ask(VIDEO, &format!("o{i}")).remove(0);
             s.end_after(&sent, Status::Ok, Note::Filled, elapsed);
         }
-        (0..200).filter(|i| !s.ask(VIDEO, &format!("n{i}")).is_empty()).count()
+        (0..200)
+            .filter(|i| !s.ask(VIDEO, &format!("n{i}")).is_empty())
+            .count()
     };
     let (quick, slow) = (admitted(50 * MS), admitted(2 * S));
     assert!(slow > 0 && slow < quick && quick < 200, "{slow} {quick}");
@@ -206,7 +228,10 @@
             }
         }
         assert!(s.wait(25 * MS).is_empty(), "sent again elsewhere");
-        assert!(!s.last.iter().any(|a| matches!(a, Action::Cancel { .. })), "cancelled");
+        assert!(
+            !s.last.iter().any(|a| matches!(a, Action::Cancel { .. })),
+            "cancelled"
+        );
     }
 }
 
@@ -216,18 +241,31 @@
     many.zones[1].routers = 12;
     let mut s = Stage::with(many, fleet());
     let home = s.ask(VIDEO, "a").remove(0).member;
-    assert_eq!(s.ask(VIDEO, "a")[0].member, home, "a second request at once is chance");
+    assert_eq!(
+        s.ask(VIDEO, "a")[0].member,
+        home,
+        "a second request at once is chance"
+    );
     let more = (0..40).flat_map(|i| s.ask(VIDEO, &format!("o{i}")));
     let fills = more.filter(|sent| sent.source() != sent.member).count();
-    assert!((1..=2).contains(&fills), "{fills}: the location's room holds all the same");
+    assert!(
+        (1..=2).contains(&fills),
+        "{fills}: the location's room holds all the same"
+    );
 }
 
 #[test]
 fn with_no_room_for_a_fill_a_request_looks_at_the_held_copy() {
     let mut s = Stage::new();
-    let looked = (0..80).flat_map(|_| s.ask(PAGE, "a")).find(|sent| sent.source() == sent.member).unwrap();
+    let looked = (0..80)
+        .flat_map(|_| s.ask(PAGE, "a"))
+        .find(|sent| sent.source() == sent.member)
+        .unwrap();
     assert_eq!((looked.fetch().age, looked.fetch().keep), (32 * S, 0));
-    assert!(s.end(&looked, Status::Miss, Note::Untold).is_empty(), "no second look");
+    assert!(
+        s.end(&looked, Status::Miss, Note::Untold).is_empty(),
+        "no second look"
+    );
     assert!(matches!(s.finals()[..], [Action::Refuse { .. }]));
 }
 
@@ -245,7 +283,11 @@
         let mut sent = s.ask(VIDEO, &format!("o{i}"));
         while let Some(one) = sent.pop() {
             let bad = failing.contains(&one.member);
-            let (status, note) = if bad { (Status::Reset, Note::Untold) } else { (Status::Ok, Note::Hit) };
+            let (status, note) = if bad {
+                (Status::Reset, Note::Untold)
+            } else {
+                (Status::Ok, Note::Hit)
+            };
             sent = s.end(&one, status, note);
         }
     }
@@ -274,14 +316,21 @@
         let mut at_slow = 0;
         for i in 0..of {
             let one = s.ask(VIDEO, &format!("o{i}")).remove(0);
-            let elapsed = if one.member == slow { 900 * MS } else { 60 * MS };
+            let elapsed = if one.member == slow {
+                900 * MS
+            } else {
+                60 * MS
+            };
             s.end_after(&one, Status::Ok, Note::Hit, elapsed);
             at_slow += (one.member == slow) as usize;
         }
         at_slow
     };
     let (before, _, after) = (share(120), share(300), share(120));
-    assert!(before > 20 && after > 0 && 3 * after < 2 * before, "{before} {after}");
+    assert!(
+        before > 20 && after > 0 && 3 * after < 2 * before,
+        "{before} {after}"
+    );
 }
 
 #[test]
@@ -291,7 +340,9 @@
     for (elapsed, blamed) in [(MS, false), (400 * MS, true)] {
         let mut s = Stage::with(untold.clone(), fleet());
         let sent = s.ask(VIDEO, "a").remove(0);
-        let next = s.end_after(&sent, Status::Full, Note::Untold, elapsed).remove(0);
+        let next = s
+            .end_after(&sent, Status::Full, Note::Untold, elapsed)
+            .remove(0);
         assert_eq!(
             (next.member == sent.member, next.source() != sent.source()),
             (blamed, blamed),
@@ -311,7 +362,10 @@
     tried.sort();
     tried.dedup();
     assert_eq!(tried.len(), 3);
-    assert!(matches!(s.finals()[..], [Action::Refuse { .. }]), "not held until its deadline");
+    assert!(
+        matches!(s.finals()[..], [Action::Refuse { .. }]),
+        "not held until its deadline"
+    );
 }
 
 #[test]
@@ -340,17 +394,26 @@
 fn attempts_without_any_answer_do_not_lower_what_a_location_takes() {
     let mut s = Stage::new();
     let taken = |s: &mut Stage| {
-        let full: Vec<Sent> = (0..200).flat_map(|i| s.ask(PAGE, &format!("f{i}"))).collect();
-        let taken = full.iter().filter(|sent| sent.source() != sent.member).count();
-        full.iter().for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
+        let full: Vec<Sent> = (0..200)
+            .flat_map(|i| s.ask(PAGE, &format!("f{i}")))
+            .collect();
+        let taken = full
+            .iter()
+            .filter(|sent| sent.source() != sent.member)
+            .count();
+        full.iter()
+            .for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
         taken
     };
     let before = taken(&mut s);
     for i in 0..60 {
         let lost = s.ask(PAGE, &format!("l{i}")).remove(0);
-        let good: Vec<Sent> = (0..4).flat_map(|k| s.ask(PAGE, &format!("g{i}-{k}"))).collect();
+        let good: Vec<Sent> = (0..4)
+            .flat_map(|k| s.ask(PAGE, &format!("g{i}-{k}")))
+            .collect();
         s.now += 20 * MS;
-        good.iter().for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
+        good.iter()
+            .for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
         s.end_after(&lost, Status::Timeout, Note::Untold, 3 * S);
     }
     s.now += 10 * S;
@@ -370,10 +433,16 @@
         let lost = s.ask(VIDEO, &format!("l{i}")).remove(0);
         there += (lost.source() == parent) as u32;
         // Every cache gives word meanwhile, and the source fills three.
-        let good: Vec<Sent> = (0..9).flat_map(|k| s.ask(VIDEO, &format!("g{i}-{k}"))).collect();
+        let good: Vec<Sent> = (0..9)
+            .flat_map(|k| s.ask(VIDEO, &format!("g{i}-{k}")))
+            .collect();
         s.now += 20 * MS;
         for (k, sent) in good.iter().enumerate() {
-            s.end(sent, Status::Ok, if k < 3 { Note::Filled } else { Note::Hit });
+            s.end(
+                sent,
+                Status::Ok,
+                if k < 3 { Note::Filled } else { Note::Hit },
+            );
         }
         s.end_after(&lost, Status::Timeout, Note::Untold, 3 * S);
         let page = s.ask(PAGE, &format!("p{i}")).remove(0);
@@ -382,7 +451,10 @@
         spared += (page.fetch().age != 12 * S) as u32;
         s.end(&page, Status::Ok, Note::Hit);
     }
-    assert!(there >= 30 && spared <= 30, "{there} there and {spared} spared of 60");
+    assert!(
+        there >= 30 && spared <= 30,
+        "{there} there and {spared} spared of 60"
+    );
 }
 
 /// Connections break on the way, alike from every host: the origin is not held off for it.
@@ -417,22 +489,49 @@
         let ask = |s: &mut Stage, i: usize| {
             let object = ObjectId::named(&format!("o{i}"));
             let (id, left) = (RequestId(1_000_000 + i as u64), 3 * S);
-            s.tell(Event::Request(Request { id, class: VIDEO, object, part: 0, group: 5, left, kb: None }))
+            s.tell(Event::Request(Request {
+                id,
+                class: VIDEO,
+                object,
+                part: 0,
+                group: 5,
+                left,
+                kb: None,
+            }))
         };
         for i in 0..200 {
             let sent = ask(&mut s, i).remove(0);
             s.now += 700 * MS;
             // One in four is large: 700 ms of sending at full pace.
-            let (elapsed, kb) = if i % 4 == 0 { (700, kb) } else { (20, kb.map(|kb| kb / 35.0)) };
+            let (elapsed, kb) = if i % 4 == 0 {
+                (700, kb)
+            } else {
+                (20, kb.map(|kb| kb / 35.0))
+            };
             let (request, attempt, member) = (sent.request, sent.attempt, sent.member);
             let (status, note, elapsed) = (Status::Ok, Note::Hit, elapsed * MS);
-            let outcome = Outcome { request, attempt, member, status, note, elapsed, kb, closed: true };
+            let outcome = Outcome {
+                request,
+                attempt,
+                member,
+                status,
+                note,
+                elapsed,
+                kb,
+                closed: true,
+            };
             s.tell(Event::Outcome(outcome));
         }
-        (200..400).flat_map(|i| ask(&mut s, i)).filter(|sent| sent.source() != sent.member).count()
+        (200..400)
+            .flat_map(|i| ask(&mut s, i))
+            .filter(|sent| sent.source() != sent.member)
+            .count()
     };
     let (told, untold) = (takes(Some(4_200.0)), takes(None));
-    assert!(told > untold, "{told} where sizes are told, {untold} where not");
+    assert!(
+        told > untold,
+        "{told} where sizes are told, {untold} where not"
+    );
 }
 
 /// Late fills are the link's or the origin's: hits go on as before, and only what may need a fill is refused.
@@ -449,9 +548,16 @@
             let sent = s.ask(PAGE, &format!("v{i}")).remove(0);
             s.end(&sent, Status::Ok, Note::Filled);
         }
-        let full: Vec<Sent> = (0..200).flat_map(|i| s.ask(PAGE, &format!("f{i}"))).collect();
-        full.iter().filter(|sent| sent.source() != sent.member).count()
+        let full: Vec<Sent> = (0..200)
+            .flat_map(|i| s.ask(PAGE, &format!("f{i}")))
+            .collect();
+        full.iter()
+            .filter(|sent| sent.source() != sent.member)
+            .count()
     };
     let (link, hosts) = (taken_after(Note::Filled), taken_after(Note::Hit));
-    assert!(link > 2 * hosts, "{link} after late fills, {hosts} after late hits");
+    assert!(
+        link > 2 * hosts,
+        "{link} after late fills, {hosts} after late hits"
+    );
 }
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -8,7 +8,10 @@
     let of = |n: usize| (0..20).map(move |i| entry(&format!("d{n}-{i}"), 0));
     let mut entries: Vec<MemberEntry> = of(number).collect();
     if number > 0 {
-        entries.extend(of(number - 1).map(|e| MemberEntry { state: MemberState::Gone, ..e }));
+        entries.extend(of(number - 1).map(|e| MemberEntry {
+            state: MemberState::Gone,
+            ..e
+        }));
     }
     stage.update(entries);
     stage.now += 120 * S;
@@ -31,7 +34,10 @@
         deploy(&mut stage, number);
     }
     let after_all = format!("{:?}", stage.router).len();
-    assert!(after_all < after_three + after_three / 10, "{after_three} bytes grew to {after_all}");
+    assert!(
+        after_all < after_three + after_three / 10,
+        "{after_three} bytes grew to {after_all}"
+    );
     let sent = stage.ask(PAGE, "a");
     assert!(sent[0].member != MemberId::named("d0-0") && sent.len() == 1);
 }
@@ -49,14 +55,23 @@
     let marked = |stage: &Stage| {
         !format!("{:?}", stage.router).contains("held_until: 0, pace: 0.0, failed_at: None }, out: 0, out_kb: 0.0, looks: 0, fills: 0, heard: 0, limit: 12.0, spent: [], gone: Some")
     };
-    stage.update(vec![MemberEntry { state: MemberState::Gone, ..entry("c1", 0) }]);
+    stage.update(vec![MemberEntry {
+        state: MemberState::Gone,
+        ..entry("c1", 0)
+    }]);
     stage.now += 5 * S;
     stage.update(vec![]);
-    assert!(format!("{:?}", stage.router).contains("gone: Some"), "still remembered after five seconds");
+    assert!(
+        format!("{:?}", stage.router).contains("gone: Some"),
+        "still remembered after five seconds"
+    );
     assert!(marked(&stage), "with its mark");
     stage.now += 60 * S;
     stage.update(vec![]);
-    assert!(!format!("{:?}", stage.router).contains("gone: Some"), "forgotten after a minute");
+    assert!(
+        !format!("{:?}", stage.router).contains("gone: Some"),
+        "forgotten after a minute"
+    );
 }
 
 /// A keyed request that may have run at a member that left is resent within its cell only: the cell must
@@ -64,7 +79,10 @@
 #[test]
 fn a_gone_member_that_an_open_request_ran_at_is_kept() {
     let mut set = settings();
-    set.classes[KEYED].repeat = Repeat::Keyed { group: KeyGroup::Cell, window: 600 * S };
+    set.classes[KEYED].repeat = Repeat::Keyed {
+        group: KeyGroup::Cell,
+        window: 600 * S,
+    };
     set.straight = false;
     let mut stage = Stage::with(set, fleet());
     let sent = stage.tell(Event::Request(Request {
@@ -77,14 +95,22 @@
         kb: None,
     }));
     let first = sent[0].clone();
-    let left = |n: &str| MemberEntry { state: MemberState::Gone, ..entry(n, 0) };
+    let left = |n: &str| MemberEntry {
+        state: MemberState::Gone,
+        ..entry(n, 0)
+    };
     stage.update(["c1", "c2", "c3"].map(left).to_vec());
     stage.end(&first, Status::Reset, Note::Untold);
     stage.now += 100 * S;
     stage.update(vec![]);
     stage.update(vec![entry("c9", 0)]);
     let again = stage.wait(MS);
-    assert_eq!(again.len(), 1, "resent to a newcomer of the zone: {:?}", stage.last);
+    assert_eq!(
+        again.len(),
+        1,
+        "resent to a newcomer of the zone: {:?}",
+        stage.last
+    );
     assert_eq!(again[0].member, MemberId::named("c9"));
 }
 
@@ -93,16 +119,28 @@
 fn purges_are_forgotten_once_no_older_copy_can_be_left() {
     let mut stage = Stage::new();
     for n in 0..10_000 {
-        stage.tell(Event::Purge { object: Some(ObjectId(n)), group: 0, age: 0 });
+        stage.tell(Event::Purge {
+            object: Some(ObjectId(n)),
+            group: 0,
+            age: 0,
+        });
         stage.now += MS;
     }
     let full = format!("{:?}", stage.router).len();
     stage.now += 60 * S;
     for n in 0..20_000 {
-        stage.tell(Event::Purge { object: Some(ObjectId(1_000_000 + n % 10)), group: 0, age: 0 });
+        stage.tell(Event::Purge {
+            object: Some(ObjectId(1_000_000 + n % 10)),
+            group: 0,
+            age: 0,
+        });
     }
     for n in 0..9_000 {
-        stage.tell(Event::Purge { object: Some(ObjectId(2_000_000 + n)), group: 0, age: 0 });
+        stage.tell(Event::Purge {
+            object: Some(ObjectId(2_000_000 + n)),
+            group: 0,
+            age: 0,
+        });
         stage.now += 100 * MS;
     }
     let later = format!("{:?}", stage.router).len();
--- a/tests/odd.rs
+++ b/tests/odd.rs
@@ -10,9 +10,11 @@
 
 #[test]
 fn counts_that_are_missing_or_contradict_each_other_are_harmless() {
-    for (routers, me, zones) in
-        [(0, None, vec![]), (3, Some(9), vec![Zone::default(); 2]), (0, Some(0), vec![])]
-    {
+    for (routers, me, zones) in [
+        (0, None, vec![]),
+        (3, Some(9), vec![Zone::default(); 2]),
+        (0, Some(0), vec![]),
+    ] {
         let mut set = settings();
         (set.routers, set.me, set.zones) = (routers, me, zones);
         let mut s = Stage::with(set, fleet());
@@ -30,7 +32,12 @@
     }
     let mut s = Stage::with(settings(), members);
     let sent = s.ask(VIDEO, "a").remove(0);
-    assert!(["c1", "c2", "c3"].map(MemberId::named).contains(&sent.member), "a cache of the own location");
+    assert!(
+        ["c1", "c2", "c3"]
+            .map(MemberId::named)
+            .contains(&sent.member),
+        "a cache of the own location"
+    );
 }
 
 #[test]
@@ -52,7 +59,9 @@
     s.now += 3 * S;
     let stuck = s.ask(VIDEO, "a").remove(0);
     let mut batch: Vec<MemberEntry> = fleet().into_iter().filter(|e| e.kind == 0).collect();
-    batch.iter_mut().for_each(|e| e.state = MemberState::Draining);
+    batch
+        .iter_mut()
+        .for_each(|e| e.state = MemberState::Draining);
     for name in ["n1", "n2", "n3"] {
         let mut new = entry(name, 0);
         (new.started, new.weight) = (s.now, 60.0);
@@ -61,7 +70,9 @@
     s.update(batch);
     let next = s.end(&stuck, Status::Reset, Note::Untold).remove(0);
     assert!(
-        ["n1", "n2", "n3"].map(MemberId::named).contains(&next.member),
+        ["n1", "n2", "n3"]
+            .map(MemberId::named)
+            .contains(&next.member),
         "replacements are used at once"
     );
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -35,8 +35,13 @@
     Status::Moot,
     Status::Miss,
 ];
-const NOTE: [Note; 5] =
-    [Note::Untold, Note::SourceUnreachable, Note::SourceLacks, Note::NoFillPlace, Note::OriginFailed];
+const NOTE: [Note; 5] = [
+    Note::Untold,
+    Note::SourceUnreachable,
+    Note::SourceLacks,
+    Note::NoFillPlace,
+    Note::OriginFailed,
+];
 
 /// Plays one seed and returns every action, checking the rules as it goes.
 fn play(seed: u64) -> Vec<(Micros, Action)> {
@@ -52,14 +57,23 @@
     let mut timers: Vec<Micros> = vec![];
     for step in 0..3000 {
         // Time stands still until everything that is due has been told.
-        let waiting =
-            watch.values().any(|w| w.out.values().any(|o| now >= o.1)) || timers.iter().any(|t| *t <= now);
+        let waiting = watch.values().any(|w| w.out.values().any(|o| now >= o.1))
+            || timers.iter().any(|t| *t <= now);
         now += if waiting { 0 } else { dice.roll(8) * MS };
-        let due = watch.iter().flat_map(|(id, w)| w.out.iter().map(|(n, o)| (*id, *n, o.0, o.1)));
+        let due = watch
+            .iter()
+            .flat_map(|(id, w)| w.out.iter().map(|(n, o)| (*id, *n, o.0, o.1)));
         let due = due.collect::<Vec<_>>();
         let late = due.iter().find(|d| now >= d.3).copied();
         let event = if let Some((id, attempt, member, _)) = late {
-            end(&mut watch, id, attempt, member, Status::Timeout, Note::Untold)
+            end(
+                &mut watch,
+                id,
+                attempt,
+                member,
+                Status::Timeout,
+                Note::Untold,
+            )
         } else if let Some(i) = timers.iter().position(|t| *t <= now) {
             timers.swap_remove(i);
             Event::Timer(0)
@@ -77,29 +91,60 @@
                     if e.state != MemberState::Ready {
                         away.push(e.id);
                     }
-                    Event::Members { update: ListUpdate::Delta, entries: vec![e] }
+                    Event::Members {
+                        update: ListUpdate::Delta,
+                        entries: vec![e],
+                    }
                 }
-                1 => Event::Purge { object: None, group: dice.roll(3), age: dice.roll(3) * 50 * MS },
+                1 => Event::Purge {
+                    object: None,
+                    group: dice.roll(3),
+                    age: dice.roll(3) * 50 * MS,
+                },
                 2 if !watch.is_empty() => {
-                    let id = *watch.keys().nth(dice.roll(watch.len() as u64) as usize).unwrap();
+                    let id = *watch
+                        .keys()
+                        .nth(dice.roll(watch.len() as u64) as usize)
+                        .unwrap();
                     watch.get_mut(&id).unwrap().finished = true;
                     Event::Hangup(id)
                 }
                 3..=6 if !due.is_empty() => {
                     let (id, attempt, member, _) = due[dice.roll(due.len() as u64) as usize];
                     let status = STATUS[dice.roll(9) as usize];
-                    let note =
-                        if status == Status::Ok { Note::Filled } else { NOTE[dice.roll(5) as usize] };
+                    let note = if status == Status::Ok {
+                        Note::Filled
+                    } else {
+                        NOTE[dice.roll(5) as usize]
+                    };
                     end(&mut watch, id, attempt, member, status, note)
                 }
                 _ => {
-                    let (id, class, left) =
-                        (RequestId(step), dice.roll(4) as usize, dice.roll(30) * 100 * MS + 50 * MS);
-                    watch.insert(id, Watch { deadline: now + left, class, ..Default::default() });
+                    let (id, class, left) = (
+                        RequestId(step),
+                        dice.roll(4) as usize,
+                        dice.roll(30) * 100 * MS + 50 * MS,
+                    );
+                    watch.insert(
+                        id,
+                        Watch {
+                            deadline: now + left,
+                            class,
+                            ..Default::default()
+                        },
+                    );
                     let object = ObjectId(dice.roll(20));
                     let kb = (dice.roll(2) == 0).then_some(300.0);
                     let (part, group) = (dice.roll(3), dice.roll(3));
-                    Event::Request(Request { id, class, object, part, group, left, kb })
+                    Event::Request(Request {
+                        id,
+                        class,
+                        object,
+                        part,
+                        group,
+                        left,
+                        kb,
+                    })
                 }
             }
         };
@@ -107,14 +152,22 @@
         router.handle(now, event, &mut actions);
         for action in actions {
             match &action {
-                Action::Send { request, member, timeout, fetch } => {
+                Action::Send {
+                    request,
+                    member,
+                    timeout,
+                    fetch,
+                } => {
                     let w = watch.get_mut(request).expect("a known request");
                     assert!(
                         !w.finished && w.out.is_empty() && w.sent < set.max_attempts,
                         "seed {seed}: {action:?}"
                     );
                     assert!(now + timeout <= w.deadline && *timeout > 0);
-                    assert!(!(w.ran && w.class == common::UNSAFE), "seed {seed}: an unsafe repeat");
+                    assert!(
+                        !(w.ran && w.class == common::UNSAFE),
+                        "seed {seed}: an unsafe repeat"
+                    );
                     let source = fetch.as_ref().map(|f| f.source);
                     assert!(!away.contains(member) && !source.is_some_and(|s| away.contains(&s)));
                     w.out.insert(w.sent, (*member, now + timeout));
@@ -152,7 +205,10 @@
     let w = watch.get_mut(&id).unwrap();
     w.out.remove(&attempt);
     w.finished |= status == Status::Ok;
-    w.ran |= !matches!(status, Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss);
+    w.ran |= !matches!(
+        status,
+        Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss
+    );
     Event::Outcome(Outcome {
         request: id,
         attempt,
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -5,7 +5,10 @@
 
 /// One cache, so that it is always the one that is asked.
 fn alone() -> Stage {
-    let mut s = Stage::with(settings(), vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)]);
+    let mut s = Stage::with(
+        settings(),
+        vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)],
+    );
     // Long enough for the router's own start to be past.
     s.wait(60 * S);
     s
@@ -13,7 +16,9 @@
 
 /// Requests that reach it at once, each refused or answered by nobody yet.
 fn taken(s: &mut Stage) -> usize {
-    let sent: Vec<Sent> = (0..60).flat_map(|n| s.ask(VIDEO, &format!("x{n}-{}", s.now))).collect();
+    let sent: Vec<Sent> = (0..60)
+        .flat_map(|n| s.ask(VIDEO, &format!("x{n}-{}", s.now)))
+        .collect();
     for one in &sent {
         s.end(one, Status::Ok, Note::Hit);
     }
@@ -67,7 +72,10 @@
     let mut s = alone();
     assert!(!is_careful(&mut s), "warm");
     refused(&mut s, &[S, 600 * MS, 600 * MS]);
-    assert!(is_careful(&mut s), "no process is there: what answers next has just started");
+    assert!(
+        is_careful(&mut s),
+        "no process is there: what answers next has just started"
+    );
     s.now += 3 * S;
     answered(&mut s);
     s.now += 3 * S;
@@ -113,12 +121,21 @@
     s.now += 3 * S;
     answered(&mut s);
     // Of a start before the outage: this process came after it.
-    s.update(vec![MemberEntry { started: down - 30 * S, ..entry("c1", 0) }]);
+    s.update(vec![MemberEntry {
+        started: down - 30 * S,
+        ..entry("c1", 0)
+    }]);
     assert!(is_careful(&mut s));
     // Of this one: exact from now on.
-    s.update(vec![MemberEntry { started: down + S, ..entry("c1", 0) }]);
+    s.update(vec![MemberEntry {
+        started: down + S,
+        ..entry("c1", 0)
+    }]);
     s.now = down + 14 * S;
-    assert!(!is_careful(&mut s), "10 s of warm-up and a window after its start");
+    assert!(
+        !is_careful(&mut s),
+        "10 s of warm-up and a window after its start"
+    );
     // A list of before, told late.
     s.now = down + 4 * S;
     s.update(vec![entry("c1", 0)]);
@@ -145,7 +162,9 @@
 #[test]
 fn after_silence_it_is_treated_with_care_for_two_windows() {
     let mut s = alone();
-    let lost: Vec<Sent> = (0..3).flat_map(|n| s.ask(VIDEO, &format!("l{n}"))).collect();
+    let lost: Vec<Sent> = (0..3)
+        .flat_map(|n| s.ask(VIDEO, &format!("l{n}")))
+        .collect();
     s.wait(2 * S);
     for one in &lost {
         s.end(one, Status::Cancelled, Note::Untold);
@@ -163,9 +182,14 @@
 fn a_pause_within_a_warm_up_does_not_make_it_warm() {
     let mut s = alone();
     let started = s.now;
-    s.update(vec![MemberEntry { started, ..entry("c1", 0) }]);
+    s.update(vec![MemberEntry {
+        started,
+        ..entry("c1", 0)
+    }]);
     s.now += S;
-    let lost: Vec<Sent> = (0..3).flat_map(|n| s.ask(VIDEO, &format!("l{n}"))).collect();
+    let lost: Vec<Sent> = (0..3)
+        .flat_map(|n| s.ask(VIDEO, &format!("l{n}")))
+        .collect();
     s.wait(2 * S);
     for one in &lost {
         s.end(one, Status::Cancelled, Note::Untold);
@@ -180,29 +204,52 @@
 fn a_hello_is_believed_at_once_and_ends_every_guess() {
     let mut s = alone();
     let member = MemberId::named("c1");
-    s.tell(Event::Hello { member, started: s.now - S });
+    s.tell(Event::Hello {
+        member,
+        started: s.now - S,
+    });
     assert!(is_careful(&mut s), "ahead of the list");
-    s.update(vec![MemberEntry { started: s.now - 300 * S, ..entry("c1", 0) }]);
+    s.update(vec![MemberEntry {
+        started: s.now - 300 * S,
+        ..entry("c1", 0)
+    }]);
     assert!(is_careful(&mut s), "a list of before does not undo it");
     s.now += 13 * S;
     refused(&mut s, &[S, 600 * MS, 600 * MS]);
     assert!(is_careful(&mut s));
     s.tell(Event::Hello { member, started: 0 });
-    assert!(!is_careful(&mut s), "the same process as ever: the way to it was cut");
+    assert!(
+        !is_careful(&mut s),
+        "the same process as ever: the way to it was cut"
+    );
 }
 
 #[test]
 fn a_lease_stands_in_for_the_guess_until_leases_stop_coming() {
     let mut s = alone();
     let member = MemberId::named("c1");
-    s.tell(Event::Hello { member, started: s.now });
-    s.tell(Event::Lease { member, work: 0.0, lasts: 250 * MS });
+    s.tell(Event::Hello {
+        member,
+        started: s.now,
+    });
+    s.tell(Event::Lease {
+        member,
+        work: 0.0,
+        lasts: 250 * MS,
+    });
     assert_eq!(taken(&mut s), 0, "nothing yet");
     s.now += 250 * MS;
-    s.tell(Event::Lease { member, work: 0.21, lasts: 250 * MS });
+    s.tell(Event::Lease {
+        member,
+        work: 0.21,
+        lasts: 250 * MS,
+    });
     assert!((2..=4).contains(&taken(&mut s)), "some four of 0.05 s");
     s.now += 300 * MS;
     assert_eq!(taken(&mut s), 0, "lapsed, the next one is on its way");
     s.now += 600 * MS;
-    assert!(taken(&mut s) > 10, "the connection is lost: its own part again");
+    assert!(
+        taken(&mut s) > 10,
+        "the connection is lost: its own part again"
+    );
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -16,8 +16,14 @@
 fn with_nobody_to_send_to_a_request_is_refused_in_time() {
     let mut s = Stage::with(settings(), vec![]);
     assert!(s.ask(VIDEO, "a").is_empty());
-    assert!(matches!(s.finals()[..], [Action::Refuse { .. }]), "the client comes back");
-    assert!(s.ask(UNSAFE, "a").is_empty() && s.finals().is_empty(), "this one can only wait");
+    assert!(
+        matches!(s.finals()[..], [Action::Refuse { .. }]),
+        "the client comes back"
+    );
+    assert!(
+        s.ask(UNSAFE, "a").is_empty() && s.finals().is_empty(),
+        "this one can only wait"
+    );
     let mut answered = None;
     for _ in 0..200 {
         s.wait(20 * MS);
@@ -59,7 +65,11 @@
         let mut s = Stage::new();
         let sent = s.ask(KEYED, "a").remove(0);
         s.now += after;
-        assert_eq!(s.end(&sent, Status::Reset, Note::Untold).len(), resent, "{after}");
+        assert_eq!(
+            s.end(&sent, Status::Reset, Note::Untold).len(),
+            resent,
+            "{after}"
+        );
     }
 }
 
@@ -108,7 +118,10 @@
     gone.state = MemberState::Draining;
     s.update(vec![gone]);
     for i in 0..50 {
-        assert!(s.ask(VIDEO, &format!("o{i}")).iter().all(|sent| sent.member != home));
+        assert!(s
+            .ask(VIDEO, &format!("o{i}"))
+            .iter()
+            .all(|sent| sent.member != home));
     }
 }
 
@@ -120,7 +133,10 @@
     gone.state = MemberState::Gone;
     s.update(vec![gone]);
     for i in 0..50 {
-        assert!(s.ask(VIDEO, &format!("o{i}")).iter().all(|sent| sent.source() != parent));
+        assert!(s
+            .ask(VIDEO, &format!("o{i}"))
+            .iter()
+            .all(|sent| sent.source() != parent));
     }
 }
 
@@ -129,7 +145,10 @@
     let mut s = Stage::new();
     let home = s.ask(VIDEO, "a").remove(0).member;
     let rest = fleet().into_iter().filter(|e| e.id != home).collect();
-    s.tell(Event::Members { update: ListUpdate::Full, entries: rest });
+    s.tell(Event::Members {
+        update: ListUpdate::Full,
+        entries: rest,
+    });
     assert_ne!(s.ask(VIDEO, "a")[0].member, home);
 }
 
@@ -138,8 +157,16 @@
     let mut n = 0;
     for i in 0..count {
         for sent in s.ask(VIDEO, &format!("push{i}")) {
-            n += (if as_source { sent.source() } else { sent.member } == to) as usize;
-            s.end(&sent, Status::Ok, if as_source { Note::Filled } else { Note::Hit });
+            n += (if as_source {
+                sent.source()
+            } else {
+                sent.member
+            } == to) as usize;
+            s.end(
+                &sent,
+                Status::Ok,
+                if as_source { Note::Filled } else { Note::Hit },
+            );
         }
         s.now += 2 * S / count as Micros;
     }
@@ -187,11 +214,18 @@
 #[test]
 fn a_purge_limits_the_age_asked_for() {
     let mut s = Stage::new();
-    s.tell(Event::Purge { object: Some(ObjectId::named("a")), group: 5, age: 100 * MS });
+    s.tell(Event::Purge {
+        object: Some(ObjectId::named("a")),
+        group: 5,
+        age: 100 * MS,
+    });
     for class in [VIDEO, PAGE] {
         let sent = s.ask(class, "a").remove(0);
         assert_eq!(sent.fetch().age, 100 * MS);
-        assert!(!sent.fetch().join, "a fill begun before the purge hands on the old copy");
+        assert!(
+            !sent.fetch().join,
+            "a fill begun before the purge hands on the old copy"
+        );
         let other = s.ask(class, "b").remove(0);
         assert_ne!(other.fetch().age, 100 * MS);
     }
@@ -200,7 +234,11 @@
 #[test]
 fn a_purge_just_now_never_asks_for_age_zero() {
     let mut s = Stage::new();
-    s.tell(Event::Purge { object: None, group: 5, age: 0 });
+    s.tell(Event::Purge {
+        object: None,
+        group: 5,
+        age: 0,
+    });
     assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 1);
     assert_eq!(s.ask(PAGE, "b")[0].fetch().age, 1);
 }
@@ -208,7 +246,11 @@
 #[test]
 fn a_purge_is_forgotten_once_no_older_copy_is_left() {
     let mut s = Stage::new();
-    s.tell(Event::Purge { object: None, group: 5, age: 0 });
+    s.tell(Event::Purge {
+        object: None,
+        group: 5,
+        age: 0,
+    });
     s.now += 5_900 * MS;
     assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 5_900 * MS);
     s.now += 2 * S;
@@ -218,10 +260,19 @@
 #[test]
 fn the_stale_try_is_never_older_than_a_purge() {
     let mut s = Stage::new();
-    s.tell(Event::Purge { object: Some(ObjectId::named("a")), group: 5, age: 700 * MS });
+    s.tell(Event::Purge {
+        object: Some(ObjectId::named("a")),
+        group: 5,
+        age: 700 * MS,
+    });
     let sent = s.ask(PAGE, "a").remove(0);
-    let stale = s.end(&sent, Status::Error, Note::SourceUnreachable).remove(0);
-    assert_eq!((stale.fetch().age, stale.source()), (700 * MS, stale.member));
+    let stale = s
+        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .remove(0);
+    assert_eq!(
+        (stale.fetch().age, stale.source()),
+        (700 * MS, stale.member)
+    );
 }
 
 /// Sends from `count` routers, all of one location, to one cold member within its window, in seconds of sending.
@@ -239,7 +290,12 @@
         s.now += S;
         for i in 0..200 {
             for sent in s.ask(VIDEO, &format!("push{i}")) {
-                sum += 0.05 * (if kind == 1 { sent.source() } else { sent.member } == cold) as u8 as f64;
+                sum += 0.05
+                    * (if kind == 1 {
+                        sent.source()
+                    } else {
+                        sent.member
+                    } == cold) as u8 as f64;
                 s.end(&sent, Status::Ok, Note::Filled);
             }
             s.now += 10 * MS;
@@ -270,7 +326,10 @@
         cold.started = s.now;
         s.update(vec![cold.clone()]);
         // One of some five hundred: two seconds' budget is 1.7 s of sending for all of them.
-        assert!(pushed(&mut s, 400, cold.id, true) <= 2.0 * 0.05, "{routers} {me:?} {here}");
+        assert!(
+            pushed(&mut s, 400, cold.id, true) <= 2.0 * 0.05,
+            "{routers} {me:?} {here}"
+        );
     }
 }
 
@@ -280,7 +339,11 @@
     let run = |begun: bool| {
         let mut stage = Stage::with(
             settings(),
-            fleet().into_iter().filter(|e| e.kind != 0).chain([entry("c1", 0)]).collect(),
+            fleet()
+                .into_iter()
+                .filter(|e| e.kind != 0)
+                .chain([entry("c1", 0)])
+                .collect(),
         );
         for n in 0..3 {
             let sent = stage.ask(VIDEO, &format!("o{n}"));
@@ -291,7 +354,11 @@
             stage.tell(Event::Begun(MemberId::named("c1")));
         }
         stage.wait(2 * S);
-        stage.last.iter().filter(|a| matches!(a, Action::Cancel { .. })).count()
+        stage
+            .last
+            .iter()
+            .filter(|a| matches!(a, Action::Cancel { .. }))
+            .count()
     };
     assert_eq!(run(false), 3, "without a word it is silent");
     assert_eq!(run(true), 0);
@@ -322,11 +389,17 @@
         }
         stage.now += 100 * S;
         let now = stage.now;
-        stage.update(vec![MemberEntry { started: now, ..entry("c9", 0) }]);
+        stage.update(vec![MemberEntry {
+            started: now,
+            ..entry("c9", 0)
+        }]);
         let mut sends = 0;
         for n in 0..400 {
             let sent = told(&mut stage, 1_000 + n);
-            sends += sent.iter().filter(|s| s.member == MemberId::named("c9")).count();
+            sends += sent
+                .iter()
+                .filter(|s| s.member == MemberId::named("c9"))
+                .count();
             for sent in sent {
                 stage.end(&sent, Status::Ok, Note::Hit);
             }
@@ -352,5 +425,8 @@
     assert!(s.router.may_begin(s.now + 1_200 * MS, again.request));
     assert!(!s.router.may_begin(s.now + 1_490 * MS, again.request));
     let free = s.ask(VIDEO, "b").remove(0);
-    assert!(s.router.may_begin(s.now + 1_990 * MS, free.request), "safe classes have no window");
+    assert!(
+        s.router.may_begin(s.now + 1_990 * MS, free.request),
+        "safe classes have no window"
+    );
 }
--- a/tests/sums.rs
+++ b/tests/sums.rs
@@ -8,7 +8,9 @@
 /// five moves little.
 #[test]
 fn fills_for_a_jammed_origin_fall_for_the_sum_of_routers_and_come_back() {
-    let mut routers: Vec<Stage> = (0..30).map(|seed| Stage::seeded(seed, settings(), fleet())).collect();
+    let mut routers: Vec<Stage> = (0..30)
+        .map(|seed| Stage::seeded(seed, settings(), fleet()))
+        .collect();
     let mut round = |name: &str, answers: usize, bad: fn(usize) -> bool| {
         let mut passed = vec![0; answers];
         for (r, s) in routers.iter_mut().enumerate() {
@@ -35,8 +37,9 @@
 #[test]
 fn fills_leave_a_parent_that_is_late_for_the_origin_and_come_back() {
     let only = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
-    let mut routers: Vec<Stage> =
-        (0..30).map(|seed| Stage::seeded(seed, settings(), only.clone())).collect();
+    let mut routers: Vec<Stage> = (0..30)
+        .map(|seed| Stage::seeded(seed, settings(), only.clone()))
+        .collect();
     let mut round = |name: &str, answers: usize, late: bool| {
         let mut straight = 0;
         for s in &mut routers {
@@ -65,9 +68,21 @@
 /// to be within what that one bears, though each has waited for it as long as the others.
 #[test]
 fn trials_of_a_parent_that_is_gone_add_up_to_less_than_a_cold_one_bears() {
-    let told =
-        Settings { routers: 300, zones: vec![Zone { routers: 0 }, Zone { routers: 6 }], ..settings() };
-    let seeded = |me: u32| Stage::seeded(me.into(), Settings { me: Some(me), ..told.clone() }, fleet());
+    let told = Settings {
+        routers: 300,
+        zones: vec![Zone { routers: 0 }, Zone { routers: 6 }],
+        ..settings()
+    };
+    let seeded = |me: u32| {
+        Stage::seeded(
+            me.into(),
+            Settings {
+                me: Some(me),
+                ..told.clone()
+            },
+            fleet(),
+        )
+    };
     let mut routers: Vec<Stage> = (0..300).map(seeded).collect();
     let gone = MemberId::named("p1");
     let mut trials = Vec::new();
@@ -81,7 +96,11 @@
                     let lost = one.source() == gone;
                     now += lost as u32;
                     let (status, note) = (Status::Full, Note::SourceUnreachable);
-                    let (status, note) = if lost { (status, note) } else { (Status::Ok, Note::Filled) };
+                    let (status, note) = if lost {
+                        (status, note)
+                    } else {
+                        (Status::Ok, Note::Filled)
+                    };
                     sent = s.end(&one, status, note);
                 }
             }
@@ -92,7 +111,11 @@
     let bears = rule.multiple * rule.start_share * 6.0 * rule.window as f64 / 1e6;
     let seconds = 300.0 / told.stream_kb_per_s;
     // The first ten seconds are spent on finding it gone.
-    let worst = trials[20..].windows(4).map(|w| w.iter().sum::<u32>()).max().expect("windows");
+    let worst = trials[20..]
+        .windows(4)
+        .map(|w| w.iter().sum::<u32>())
+        .max()
+        .expect("windows");
     assert!(worst > 0, "somebody tries");
     assert!(
         worst as f64 * seconds <= bears,
@@ -104,9 +127,19 @@
 /// parent of whose cold start nothing is told are tried again within seconds.
 #[test]
 fn a_long_hold_is_for_what_may_come_back_cold_only() {
-    let untold = ColdRule { start_share: 0.0, warm_within: 0, multiple: 0.0, window: 0 };
+    let untold = ColdRule {
+        start_share: 0.0,
+        warm_within: 0,
+        multiple: 0.0,
+        window: 0,
+    };
     let zones = vec![Zone { routers: 0 }, Zone { routers: 300 }];
-    let told = Settings { routers: 300, zones, cold_parent: untold, ..settings() };
+    let told = Settings {
+        routers: 300,
+        zones,
+        cold_parent: untold,
+        ..settings()
+    };
     for (name, kind) in [("p1", 1), ("origin", 2)] {
         let mut s = Stage::with(told.clone(), vec![entry("c1", 0), entry(name, kind)]);
         let mut tries = Vec::new();
@@ -117,13 +150,23 @@
                 let lost = one.source() == MemberId::named(name);
                 tries.extend(lost.then_some(half));
                 let (status, note) = (Status::Full, Note::SourceUnreachable);
-                let (status, note) = if lost { (status, note) } else { (Status::Miss, Note::Untold) };
+                let (status, note) = if lost {
+                    (status, note)
+                } else {
+                    (Status::Miss, Note::Untold)
+                };
                 sent = s.end(&one, status, note);
             }
         }
         let longest = tries.windows(2).map(|w| w[1] - w[0]).max().expect("tries");
-        assert!(longest <= 12, "{name}: {longest} halves of a second between tries");
-        assert!(tries.last().is_some_and(|last| *last >= 48), "{name}: given up, {tries:?}");
+        assert!(
+            longest <= 12,
+            "{name}: {longest} halves of a second between tries"
+        );
+        assert!(
+            tries.last().is_some_and(|last| *last >= 48),
+            "{name}: given up, {tries:?}"
+        );
     }
 }
 
@@ -158,5 +201,8 @@
     };
     let all = 30 * 20;
     let (half, few) = (straight(2), straight(20));
-    assert!(half > all * 6 / 10 && few < all / 10, "{half} and {few} of {all}");
+    assert!(
+        half > all * 6 / 10 && few < all / 10,
+        "{half} and {few} of {all}"
+    );
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -39,12 +39,24 @@
         match serde_json::from_str(text).map_err(|e| e.to_string())? {
             wire::Inbound::Round(r) => (self.now, self.round) = (settings::micros(r.t_ms), r.round),
             wire::Inbound::OverToYou(_) => {
-                write_line(&mut self.out, &wire::Outbound::Eor(wire::Eor { round: self.round }))?;
+                write_line(
+                    &mut self.out,
+                    &wire::Outbound::Eor(wire::Eor { round: self.round }),
+                )?;
                 self.out.flush().map_err(|e| e.to_string())?;
             }
             wire::Inbound::Provision(p) => {
-                let router = Router::new(settings::settings(&p.config)?, p.nonce64.unwrap_or_default());
-                self.instances.insert(p.dispatcher, Instance { router, names: BTreeMap::new() });
+                let router = Router::new(
+                    settings::settings(&p.config)?,
+                    p.nonce64.unwrap_or_default(),
+                );
+                self.instances.insert(
+                    p.dispatcher,
+                    Instance {
+                        router,
+                        names: BTreeMap::new(),
+                    },
+                );
             }
             wire::Inbound::Kill(k) => {
                 self.instances.remove(&k.dispatcher);
@@ -63,7 +75,9 @@
             }
             wire::Inbound::Reminder(r) => self.tell(r.dispatcher, Event::Timer(r.cookie))?,
             wire::Inbound::Voided(v) => self.tell(v.dispatcher, translate::purge(v))?,
-            wire::Inbound::Begun(b) => self.tell(b.dispatcher, Event::Begun(MemberId::named(&b.host)))?,
+            wire::Inbound::Begun(b) => {
+                self.tell(b.dispatcher, Event::Begun(MemberId::named(&b.host)))?
+            }
             // Peer messages and probe results carry nothing that a router uses.
             wire::Inbound::NeighbourSays(i) | wire::Inbound::Echo(i) => {
                 if !self.instances.contains_key(&i.dispatcher) {
@@ -83,14 +97,22 @@
 fn run() -> Result<(), String> {
     let mut input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     let out = BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    let mut host = Host { instances: BTreeMap::new(), now: 0, round: 0, actions: Vec::new(), out };
+    let mut host = Host {
+        instances: BTreeMap::new(),
+        now: 0,
+        round: 0,
+        actions: Vec::new(),
+        out,
+    };
     let mut text = String::new();
     for number in 1_u64.. {
         text.clear();
         match input.read_line(&mut text) {
             Ok(0) => break,
             Ok(_) if text.trim().is_empty() => {}
-            Ok(_) => host.line(&text).map_err(|e| format!("line {number}: {e}"))?,
+            Ok(_) => host
+                .line(&text)
+                .map_err(|e| format!("line {number}: {e}"))?,
             Err(e) => return Err(format!("line {number}: {e}")),
         }
     }
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -105,7 +105,12 @@
 ) -> Option<wire::Outbound<'a>> {
     let host = |id: &MemberId| names.get(id).map(String::as_str);
     Some(match action {
-        Action::Send { request, member, timeout, fetch } => {
+        Action::Send {
+            request,
+            member,
+            timeout,
+            fetch,
+        } => {
             let mut send = wire::Send {
                 dispatcher,
                 req: request.0,
@@ -127,14 +132,19 @@
                 }
             }
         }
-        Action::Refuse { request, retry_after } => wire::Outbound::Bounce(wire::Final {
+        Action::Refuse {
+            request,
+            retry_after,
+        } => wire::Outbound::Bounce(wire::Final {
             dispatcher,
             req: request.0,
             come_back_ms: retry_after.map(millis),
         }),
-        Action::Fail { request } => {
-            wire::Outbound::DropRequest(wire::Final { dispatcher, req: request.0, come_back_ms: None })
-        }
+        Action::Fail { request } => wire::Outbound::DropRequest(wire::Final {
+            dispatcher,
+            req: request.0,
+            come_back_ms: None,
+        }),
         Action::Cancel { request, attempt } => wire::Outbound::DropAttempt(wire::DropAttempt {
             dispatcher,
             req: request.0,
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -22,9 +22,15 @@
 
 fn replies(lines: &[&str]) -> Vec<serde_json::Value> {
     let out = run(lines);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let text = String::from_utf8(out.stdout).unwrap();
-    text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
+    text.lines()
+        .map(|line| serde_json::from_str(line).unwrap())
+        .collect()
 }
 
 fn complaint(lines: &[&str]) -> String {
@@ -91,7 +97,8 @@
     let failed = r#"{"SYNC":{"Dispatcher":4,"Form":"failed","SeqNo":2,"Members":null}}"#;
     let (start, list, ask) = (flat(START), flat(LIST), flat(ASK));
     let out = replies(&[
-        ROUND, &start, &list, late, gone, timer, purge, peer, empty, failed, &ask, kill, &start, &list, END,
+        ROUND, &start, &list, late, gone, timer, purge, peer, empty, failed, &ask, kill, &start,
+        &list, END,
     ]);
     assert_eq!(out.iter().filter(|m| m.get("EOR").is_some()).count(), 1);
 }
@@ -103,6 +110,7 @@
     assert!(complaint(&[r#"{"KILL":{}}"#]).contains("Dispatcher"));
     let stranger = r#"{"REMINDER":{"Dispatcher":8,"Cookie":1}}"#;
     assert!(complaint(&[ROUND, stranger]).contains("unknown Dispatcher 8"));
-    let code = r#"{"ENDED":{"Dispatcher":4,"Req":5,"StateCode":"melted","RoundNo":0,"Host":"a:1"}}"#;
+    let code =
+        r#"{"ENDED":{"Dispatcher":4,"Req":5,"StateCode":"melted","RoundNo":0,"Host":"a:1"}}"#;
     assert!(complaint(&[ROUND, &flat(START), code]).contains("melted"));
 }
