--- a/crates/host/src/desk.rs
+++ b/crates/cache-host/src/desk.rs
@@ -6,7 +6,7 @@
 //! Kept: an entry for each fill under way (at most [`Rule::places`]) and one for each request that waits (at most [`Rule::queue`]),
 //! forgotten with their ends. Nothing of a request that is served at once.
 use pointspindle::Micros;
-use pointspindle_wire::{FetchHead, RequestHead};
+use pointspindle_protocol::{FetchHead, RequestHead};
 use std::collections::{BTreeMap, VecDeque};
 
 pub type FillId = u64;
--- a/crates/host/src/net/flow.rs
+++ b/crates/cache-host/src/net/flow.rs
@@ -3,7 +3,7 @@
 //! Held: at most [`WINDOW`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
 //! go, and its answer is broken off. Without readers nothing is held.
 use bytes::Bytes;
-use pointspindle_wire::{AnswerHead, ErrorHead};
+use pointspindle_protocol::{AnswerHead, ErrorHead};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
--- a/crates/host/src/net/sources.rs
+++ b/crates/cache-host/src/net/sources.rs
@@ -4,10 +4,12 @@
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
 use pointspindle_config::{CacheSettings, OriginPlace};
-use pointspindle_link::{Call, CallEnd, Idle, Link, LinkOptions, Net, Part, Reader, WriteHalf};
-use pointspindle_wire::http::{HttpPiece, ResponseCodec};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{
+    Call, CallEnd, Idle, Link, LinkOptions, Net, Part, Reader, WriteHalf,
+};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/crates/host/tests/service.rs
+++ b/crates/cache-host/tests/service.rs
@@ -1,9 +1,9 @@
 //! A parent and an edge cache with stores on disk, before an HTTP origin that counts: every byte compared with what the origin gave.
 use bytes::{Bytes, BytesMut};
-use pointspindle_host::Host;
-use pointspindle_link::{CallEnd, Inbound, Link, LinkOptions, Net, Part};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_cache_host::Host;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{CallEnd, Inbound, Link, LinkOptions, Net, Part};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/cli/src/cache.rs
+++ b/crates/cli/src/cache.rs
@@ -1,9 +1,9 @@
 //! `pointspindle cache` and `pointspindle store`.
 use crate::serve::{descriptors, write_whole};
 use crate::Failure;
-use pointspindle_host::Host;
-use pointspindle_link::Net;
+use pointspindle_cache_host::Host;
 use pointspindle_store::{check, Folder};
+use pointspindle_transport::Net;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -3,7 +3,7 @@
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{feed, writer, Access, Etcd, Output, Rule, View, Watcher};
 use pointspindle_lab::etcd::measure::{measure, Plan};
-use pointspindle_wire::{ListForm, MemberLine};
+use pointspindle_protocol::{ListForm, MemberLine};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,11 +1,11 @@
 //! `pointspindle serve`.
 use crate::Failure;
 use pointspindle_config::EdgeSettings;
-use pointspindle_edge::{Bound, Prepared};
+use pointspindle_dispatcher::{Bound, Prepared};
 use pointspindle_etcd::EtcdSource;
 use pointspindle_lab::demo;
-use pointspindle_link::Net;
-use pointspindle_wire::MemberLine;
+use pointspindle_protocol::MemberLine;
+use pointspindle_transport::Net;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
--- a/crates/cli/tests/platform/endings.rs
+++ b/crates/cli/tests/platform/endings.rs
@@ -2,7 +2,7 @@
 //! holding its byte, its accept, its answer or its event until the test says go. docs/design/endings.md lists them.
 use crate::stage::*;
 use bytes::BytesMut;
-use pointspindle_platform_wire::fastcgi::*;
+use pointspindle_platform_protocol::fastcgi::*;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::io::AsyncWriteExt;
 
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -12,7 +12,7 @@
 mod unreadable;
 
 use bytes::BytesMut;
-use pointspindle_platform_wire::fastcgi::*;
+use pointspindle_platform_protocol::fastcgi::*;
 use stage::*;
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/cli/tests/platform/soak/mod.rs
+++ b/crates/cli/tests/platform/soak/mod.rs
@@ -12,7 +12,7 @@
 use books::*;
 use judge::{judge, plants, way, Clause, Violation};
 use plan::Plan;
-use pointspindle_platform_wire::fastcgi::{record, ABORT_REQUEST};
+use pointspindle_platform_protocol::fastcgi::{record, ABORT_REQUEST};
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -4,7 +4,7 @@
 use bytes::{Buf, BytesMut};
 use futures_util::stream::FuturesUnordered;
 use futures_util::StreamExt;
-use pointspindle_platform_wire::fastcgi::*;
+use pointspindle_platform_protocol::fastcgi::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/cli/tests/platform/time_left.rs
+++ b/crates/cli/tests/platform/time_left.rs
@@ -2,7 +2,7 @@
 //! little.
 use crate::faults::Faults;
 use crate::stage::*;
-use pointspindle_platform_wire::fastcgi::{record, ABORT_REQUEST};
+use pointspindle_platform_protocol::fastcgi::{record, ABORT_REQUEST};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
--- a/crates/cli/tests/platform/unreadable.rs
+++ b/crates/cli/tests/platform/unreadable.rs
@@ -1,7 +1,7 @@
 //! Bytes that are no record, behind good requests on one connection: what was taken whole is answered, nothing behind is taken.
 use crate::stage::*;
 use bytes::BytesMut;
-use pointspindle_platform_wire::fastcgi::*;
+use pointspindle_platform_protocol::fastcgi::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,9 +1,9 @@
 //! The program as a person and an operator would use it: over its arguments, files, sockets and signals.
 use futures_util::StreamExt;
-use pointspindle_link::{CallEnd, Link, LinkOptions, Part};
-use pointspindle_wire::http::{HttpPiece, ResponseCodec};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
@@ -314,7 +314,7 @@
             let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
             tokio::spawn(async move {
                 while let Some(inbound) = incoming.next().await {
-                    let pointspindle_link::Inbound::Request(_, responder) = inbound else {
+                    let pointspindle_transport::Inbound::Request(_, responder) = inbound else {
                         continue;
                     };
                     tokio::spawn(play(kind, responder, link.clone()));
@@ -325,7 +325,7 @@
     at
 }
 
-async fn play(kind: Host, mut responder: pointspindle_link::Responder, link: Link) {
+async fn play(kind: Host, mut responder: pointspindle_transport::Responder, link: Link) {
     let head = AnswerHead {
         size: Some(4_000),
         note: WireNote::Hit as i32,
@@ -486,7 +486,7 @@
     assert_eq!(slow, Some(WireStatus::Failed));
     assert_eq!(
         bytes,
-        pointspindle_wire::streams::STREAM_WINDOW as usize,
+        pointspindle_protocol::streams::STREAM_WINDOW as usize,
         "no more than its window was sent"
     );
 }
@@ -591,7 +591,7 @@
         }
         drop(edge);
         if let Ok(bytes) = std::fs::read(&state) {
-            pointspindle_edge::core::state::Snapshot::from_bytes(&bytes).expect("whole");
+            pointspindle_dispatcher::core::state::Snapshot::from_bytes(&bytes).expect("whole");
         }
     }
     // Torn by hand: reported, ignored, and the static members serve.
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -3,9 +3,9 @@
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
 use pointspindle_lab::etcd::StandIn;
-use pointspindle_link::{Inbound, Link, LinkOptions};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Inbound, Link, LinkOptions};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
--- a/crates/client/src/dial.rs
+++ b/crates/client/src/dial.rs
@@ -1,6 +1,6 @@
 //! How one dispatcher is reached: its address, the network, and whom to trust there.
-use pointspindle_link::tls::Trust;
-use pointspindle_link::{Line, Net};
+use pointspindle_transport::tls::Trust;
+use pointspindle_transport::{Line, Net};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -2,9 +2,9 @@
 use crate::call::End;
 use crate::dial::Dial;
 use crate::{Piece, Request};
-use pointspindle_link::{Call, CallEnd, Inbound, Incoming, Link, LinkOptions, Part};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::{Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
+use pointspindle_transport::{Call, CallEnd, Inbound, Incoming, Link, LinkOptions, Part};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -2,9 +2,9 @@
 use crate::call::End;
 use crate::dial::Dial;
 use crate::{Piece, Request};
-use pointspindle_link::{Idle as Found, Reader, WriteHalf};
-use pointspindle_wire::http::{HttpPiece, ResponseCodec};
-use pointspindle_wire::{AnswerHead, WireNote};
+use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_protocol::{AnswerHead, WireNote};
+use pointspindle_transport::{Idle as Found, Reader, WriteHalf};
 use std::sync::{Arc, Mutex};
 
 /// Idle connections kept for each dispatcher.
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -46,9 +46,9 @@
 
 pub use call::{Effect, Outcome};
 pub use client::{Builder, Call, Client, Request};
-pub use pointspindle_link::tls::{Files, TlsError, Trust};
-pub use pointspindle_link::Net;
-pub use pointspindle_wire::AnswerHead;
+pub use pointspindle_protocol::AnswerHead;
+pub use pointspindle_transport::tls::{Files, TlsError, Trust};
+pub use pointspindle_transport::Net;
 pub use retry::RetryRules;
 
 use bytes::Bytes;
--- a/crates/client/tests/cuts.rs
+++ b/crates/client/tests/cuts.rs
@@ -2,10 +2,10 @@
 //! outcome, each served body is right, and members never saw two live attempts of one call, nor unsafe work twice.
 use bytes::Bytes;
 use pointspindle_client::{Client, Outcome, Piece, Request, RetryRules};
-use pointspindle_edge::Dispatcher;
-use pointspindle_link::{Inbound, Link, LinkOptions, Responder};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_dispatcher::Dispatcher;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Inbound, Link, LinkOptions, Responder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,10 +1,10 @@
 //! TLS at both doors: what is served by it, which certificates are turned away and with what reason, and a reload under way.
 use bytes::Bytes;
 use pointspindle_client::{Client, Files, Outcome, Piece, Request, RetryRules, Trust};
-use pointspindle_edge::{Bound, Dispatcher};
-use pointspindle_link::{Inbound, Link, LinkOptions};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_dispatcher::{Bound, Dispatcher};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Inbound, Link, LinkOptions};
 use rcgen::{BasicConstraints, Certificate, CertificateParams, IsCa, KeyPair};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/edge/src/core/list.rs
+++ b/crates/dispatcher/src/core/list.rs
@@ -1,7 +1,7 @@
 //! The member list in force: numbers, addresses, and when each process started by this dispatcher's clock.
 use pointspindle::*;
 use pointspindle_config::Role;
-use pointspindle_wire::{HelloHead, ListForm, ListHead, MemberLine, WireState};
+use pointspindle_protocol::{HelloHead, ListForm, ListHead, MemberLine, WireState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Lines of gone members are dropped after this: a member back sooner in the same start must keep the same
--- a/crates/edge/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -18,7 +18,7 @@
 use list::MemberList;
 use pointspindle::*;
 use pointspindle_config::{EdgeSettings, Role};
-use pointspindle_wire::{HelloHead, LeaseHead, ListHead, PurgeHead, WireNote, WireStatus};
+use pointspindle_protocol::{HelloHead, LeaseHead, ListHead, PurgeHead, WireNote, WireStatus};
 use purges::PurgeLog;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use timers::Timers;
--- a/crates/edge/src/core/purges.rs
+++ b/crates/dispatcher/src/core/purges.rs
@@ -1,6 +1,6 @@
 //! Purges that copies may still be older than, for the state file. What they do to requests is the router's.
 use pointspindle::Micros;
-use pointspindle_wire::PurgeHead;
+use pointspindle_protocol::PurgeHead;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Purges kept one by one; beyond this they are kept by group, which purges more but never less.
--- a/crates/edge/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher keeps over a restart, and the form of its file: one line (magic, version, checksum, length)
 //! and a JSON text. A file that is torn or not ours is told from one that is absent, and never half believed.
 use pointspindle_clock::BootMoment;
-use pointspindle_wire::{ListForm, ListHead, MemberLine, PurgeHead};
+use pointspindle_protocol::{ListForm, ListHead, MemberLine, PurgeHead};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
--- a/crates/edge/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -1,9 +1,9 @@
 //! The operators' door: member lists and purges, acknowledged once they are in force.
 use super::Door;
 use crate::source::Teller;
-use pointspindle_link::{Inbound, Line, Link, LinkOptions};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Inbound, Line, Link, LinkOptions};
 use std::time::Instant;
 
 pub(crate) async fn serve(door: Door, socket: Line) {
--- a/crates/edge/src/net/desk.rs
+++ b/crates/dispatcher/src/net/desk.rs
@@ -8,8 +8,8 @@
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::EdgeSettings;
-use pointspindle_link::{Meter, Part};
-use pointspindle_wire::{HelloHead, ListHead, PurgeHead, RequestHead};
+use pointspindle_protocol::{HelloHead, ListHead, PurgeHead, RequestHead};
+use pointspindle_transport::{Meter, Part};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/edge/src/net/keeper.rs
+++ b/crates/dispatcher/src/net/keeper.rs
@@ -1,9 +1,9 @@
 //! The doors' connections: [`crate::admission`] behind a lock, and the way of its word to each connection's task.
 use crate::admission::{Admission, ConnectionId, Limits, Verdict};
 use pointspindle::Micros;
-use pointspindle_link::{AcceptFailure, Line, Link, LinkOptions};
-use pointspindle_wire::http::HttpAnswer;
-use pointspindle_wire::streams::Side;
+use pointspindle_protocol::http::HttpAnswer;
+use pointspindle_protocol::streams::Side;
+use pointspindle_transport::{AcceptFailure, Line, Link, LinkOptions};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/edge/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -2,8 +2,8 @@
 use super::exchange::Fate;
 use super::Door;
 use pointspindle_config::{ClassSpec, EdgeSettings};
-use pointspindle_link::Line;
-use pointspindle_wire::http::HttpAnswer;
+use pointspindle_protocol::http::HttpAnswer;
+use pointspindle_transport::Line;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
--- a/crates/edge/src/net/tries.rs
+++ b/crates/dispatcher/src/net/tries.rs
@@ -2,7 +2,7 @@
 use crate::keys::{Begin, Keys, KeysRule, Ticket};
 use bytes::Bytes;
 use pointspindle::Micros;
-use pointspindle_wire::AnswerHead;
+use pointspindle_protocol::AnswerHead;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{oneshot, Notify};
--- a/crates/edge/src/net/upstream.rs
+++ b/crates/dispatcher/src/net/upstream.rs
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::{EdgeSettings, Upstream};
-use pointspindle_link::{
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WantHead};
+use pointspindle_transport::{
     Call, ConnectFailure, Inbound, Line, Link, LinkError, LinkOptions, Meter, Net, Part,
 };
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::{Frame, HelloHead, ProbeHead, RequestHead, WantHead};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/edge/src/source.rs
+++ b/crates/dispatcher/src/source.rs
@@ -3,7 +3,7 @@
 use crate::net::Hub;
 use crate::peers::Roster;
 use pointspindle::Micros;
-use pointspindle_wire::{ListHead, PurgeHead};
+use pointspindle_protocol::{ListHead, PurgeHead};
 use std::sync::Arc;
 
 /// Tells a dispatcher what it learns, for as long as that runs.
--- a/crates/edge/tests/core.rs
+++ b/crates/dispatcher/tests/core.rs
@@ -1,8 +1,8 @@
 //! The core without sockets: what must hold whatever the moment.
 use pointspindle_config::parse;
-use pointspindle_edge::core::{AttemptEnd, FetchOrder};
-use pointspindle_edge::{Ask, Core, Input, Output};
-use pointspindle_wire::*;
+use pointspindle_dispatcher::core::{AttemptEnd, FetchOrder};
+use pointspindle_dispatcher::{Ask, Core, Input, Output};
+use pointspindle_protocol::*;
 
 const MS: u64 = 1_000;
 const T0: u64 = 1_000_000_000;
@@ -370,7 +370,7 @@
 mod state {
     use super::*;
     use pointspindle_clock::BootMoment;
-    use pointspindle_edge::core::state::{Snapshot, StateError};
+    use pointspindle_dispatcher::core::state::{Snapshot, StateError};
     use std::time::Duration;
 
     #[test]
--- a/crates/edge/tests/doors.rs
+++ b/crates/dispatcher/tests/doors.rs
@@ -1,6 +1,6 @@
 //! The doors over sockets: who makes room, who is turned away, and that nobody loses an answer by it.
 use pointspindle_config::parse;
-use pointspindle_edge::Dispatcher;
+use pointspindle_dispatcher::Dispatcher;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -171,7 +171,7 @@
     pinging
         .write_all(
             &[
-                &pointspindle_wire::frame::PREFACE[..],
+                &pointspindle_protocol::frame::PREFACE[..],
                 &[0, 0, 0, 0, 12, 0, 0, 0, 0],
             ]
             .concat(),
--- a/crates/edge/tests/state.rs
+++ b/crates/dispatcher/tests/state.rs
@@ -1,10 +1,10 @@
 //! The state file over restarts and troubles of its folder: what it holds is never told over what is newer, and what could not
 //! be written for a while is written later.
 use pointspindle_config::parse;
-use pointspindle_edge::core::state::Snapshot;
-use pointspindle_edge::{Prepared, Source, Teller};
-use pointspindle_link::Net;
-use pointspindle_wire::{ListForm, ListHead, MemberLine, PurgeHead, WireState};
+use pointspindle_dispatcher::core::state::Snapshot;
+use pointspindle_dispatcher::{Prepared, Source, Teller};
+use pointspindle_protocol::{ListForm, ListHead, MemberLine, PurgeHead, WireState};
+use pointspindle_transport::Net;
 use std::path::Path;
 use std::time::Duration;
 use tokio::sync::oneshot;
--- a/crates/edge/tests/upstream.rs
+++ b/crates/dispatcher/tests/upstream.rs
@@ -1,10 +1,10 @@
 //! Connections to members over sockets: what a half-open one, a cut hello and a dead address do to requests.
 use bytes::BytesMut;
 use pointspindle_config::parse;
-use pointspindle_edge::Dispatcher;
-use pointspindle_link::{Link, LinkOptions};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_dispatcher::Dispatcher;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Link, LinkOptions};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -11,7 +11,7 @@
 //!
 //! An ID is the writer's, never used again. Fields that are not known are skipped, so records may grow; another form of one is
 //! another version in the key.
-use pointspindle_wire::{MemberLine, PurgeHead, WireState};
+use pointspindle_protocol::{MemberLine, PurgeHead, WireState};
 use serde::{Deserialize, Serialize};
 
 /// Between the operator's prefix and what this version holds.
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! * [`client`]: the v3 API over gRPC, [`feed`]: a watcher against it, [`writer`]: what operators and dispatchers write.
 //!
-//! What travels is `pointspindle_wire`'s, so a dispatcher takes it like the word of its control connection.
+//! What travels is `pointspindle_protocol`'s, so a dispatcher takes it like the word of its control connection.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -5,7 +5,7 @@
 use crate::watcher::{Output, Rule, View, Watcher};
 use crate::writer::{self, Kept};
 use pointspindle_config::EdgeSettings;
-use pointspindle_edge::{Source, Teller};
+use pointspindle_dispatcher::{Source, Teller};
 use std::time::Duration;
 
 #[derive(Debug)]
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -16,7 +16,7 @@
 //!
 //! Kept: a line for each member, the last revision of each purge that is still written there.
 use crate::layout::{self, DispatcherRecord, MemberRecord, Name};
-use pointspindle_wire::{ListForm, ListHead, PurgeHead};
+use pointspindle_protocol::{ListForm, ListHead, PurgeHead};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/etcd/tests/history.rs
+++ b/crates/etcd/tests/history.rs
@@ -3,7 +3,7 @@
 //! without a gap being told; a list as a dispatcher has it is the view.
 use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::*;
-use pointspindle_wire::{ListForm, WireState};
+use pointspindle_protocol::{ListForm, WireState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -2,10 +2,10 @@
 //! Of a purge acknowledged at t, no attempt that begins at t + promise or later may use a copy from before t, unless the purge is known
 //! here (and then the decisions see to it).
 use pointspindle_config::parse;
-use pointspindle_edge::{Ask, Core, Input as Told, Output as Order};
+use pointspindle_dispatcher::{Ask, Core, Input as Told, Output as Order};
 use pointspindle_etcd::layout::purge_key;
 use pointspindle_etcd::watcher::{Change, Header, Input, KeyValue, Output, Rule, Watcher};
-use pointspindle_wire::*;
+use pointspindle_protocol::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
--- a/crates/lab/src/book.rs
+++ b/crates/lab/src/book.rs
@@ -7,7 +7,7 @@
 use crate::scenario::script::Listed;
 use crate::scenario::{stream, RulesDay};
 use pointspindle::Micros;
-use pointspindle_wire::{ListForm, ListHead, MemberLine, WireState};
+use pointspindle_protocol::{ListForm, ListHead, MemberLine, WireState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
--- a/crates/lab/src/day/by_etcd.rs
+++ b/crates/lab/src/day/by_etcd.rs
@@ -11,7 +11,7 @@
 use pointspindle::ObjectId;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
-use pointspindle_wire::ListForm;
+use pointspindle_protocol::ListForm;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
--- a/crates/lab/src/day/http_client.rs
+++ b/crates/lab/src/day/http_client.rs
@@ -1,6 +1,6 @@
 //! A client's HTTP connections to one dispatcher.
-use pointspindle_link::{Idle, Line, Net, Reader, WriteHalf};
-use pointspindle_wire::http::{HttpPiece, ResponseCodec};
+use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_transport::{Idle, Line, Net, Reader, WriteHalf};
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
--- a/crates/lab/src/day/relay.rs
+++ b/crates/lab/src/day/relay.rs
@@ -1,8 +1,8 @@
 //! Relays that break a rule between an unchanged dispatcher and its peers.
 use crate::record::Recorder;
 use pointspindle::Micros;
-use pointspindle_link::{CallEnd, Inbound, Link, LinkOptions, Part};
-use pointspindle_wire::streams::Side;
+use pointspindle_protocol::streams::Side;
+use pointspindle_transport::{CallEnd, Inbound, Link, LinkOptions, Part};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/src/day/task.rs
+++ b/crates/lab/src/day/task.rs
@@ -3,9 +3,9 @@
 use super::settings::{ini, Doors};
 use super::RigError;
 use crate::scenario::Scenario;
-use pointspindle_edge::Dispatcher;
-use pointspindle_link::simulated::SimNet;
-use pointspindle_link::Net;
+use pointspindle_dispatcher::Dispatcher;
+use pointspindle_transport::simulated::SimNet;
+use pointspindle_transport::Net;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::model::*;
 use crate::record::Recorder;
 use crate::sockets::{Stage, StageOptions};
-use pointspindle_wire::MemberLine;
+use pointspindle_protocol::MemberLine;
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
 pub const SAMPLES: [(&str, usize, u64); 5] = [
@@ -97,7 +97,7 @@
     };
     let line = |h: &HostSpec| MemberLine {
         address: h.address.clone(),
-        state: pointspindle_wire::WireState::Ready as i32,
+        state: pointspindle_protocol::WireState::Ready as i32,
         weight: h.weight,
         zone: zones[h.zone].into(),
         kind: h.role.word().into(),
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -5,10 +5,10 @@
 //! process number is known can be measured, so that a plain one can stand beside the dispatcher in the same run.
 use crate::day::http_client::Connection;
 use hdrhistogram::Histogram;
-use pointspindle_link::{CallEnd, Link, LinkOptions, Part};
-use pointspindle_wire::http::HttpPiece;
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::RequestHead;
+use pointspindle_protocol::http::HttpPiece;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::RequestHead;
+use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -16,7 +16,7 @@
 pub use world::{Catalogue, World};
 
 use pointspindle::Micros;
-use pointspindle_wire::{LoadReport, WireNote, WireStatus};
+use pointspindle_protocol::{LoadReport, WireNote, WireStatus};
 use std::sync::Arc;
 
 pub use pointspindle_config::Role;
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -3,13 +3,13 @@
 use crate::etcd::traffic::Figures;
 use crate::etcd::StandIn;
 use hdrhistogram::Histogram;
+use pointspindle_cache_host::Host;
 use pointspindle_clock::stamp_ms;
 use pointspindle_config::{parse, parse_cache};
-use pointspindle_edge::{Ears, Hollow, Items, Prepared, Told};
+use pointspindle_dispatcher::{Ears, Hollow, Items, Prepared, Told};
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::EtcdSource;
-use pointspindle_host::Host;
-use pointspindle_link::Net;
+use pointspindle_transport::Net;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
--- a/crates/lab/src/scale/steps.rs
+++ b/crates/lab/src/scale/steps.rs
@@ -4,7 +4,7 @@
 use super::Target;
 use crate::etcd::traffic::Figures;
 use crate::idle::usage;
-use pointspindle_edge::Items;
+use pointspindle_dispatcher::Items;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
 use pointspindle_etcd::{writer, Access, Etcd};
 use serde::{Deserialize, Serialize};
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -12,9 +12,9 @@
 use crate::model::cold::ColdSpec;
 use crate::model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
 use pointspindle::{ColdRule, Micros};
+use pointspindle_cache_host::lease::Ledger;
 use pointspindle_config::Complaints;
-use pointspindle_host::lease::Ledger;
-use pointspindle_link::simulated::Weather;
+use pointspindle_transport::simulated::Weather;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
--- a/crates/lab/src/sockets/fills.rs
+++ b/crates/lab/src/sockets/fills.rs
@@ -4,8 +4,8 @@
 use crate::content::Checker;
 use crate::model::{Answer, Copy, FillId, HostId, In, SourceEnd, Wanted};
 use pointspindle::Micros;
-use pointspindle_link::{CallEnd, Part};
-use pointspindle_wire::AnswerHead;
+use pointspindle_protocol::AnswerHead;
+use pointspindle_transport::{CallEnd, Part};
 
 /// Longest wait that a fill tells its source; the world gives up earlier by itself.
 const LEFT_US: u64 = 10_000_000;
--- a/crates/lab/src/sockets/member.rs
+++ b/crates/lab/src/sockets/member.rs
@@ -4,9 +4,9 @@
 use crate::content::Body;
 use crate::model::{HostId, In};
 use crate::record::{Left, Saw, TryId};
-use pointspindle_link::{Inbound, Line, Link, LinkOptions, Listener, Responder};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::*;
+use pointspindle_transport::{Inbound, Line, Link, LinkOptions, Listener, Responder};
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -276,7 +276,7 @@
     responder: &mut Responder,
     body: Body,
     cut: Cut,
-) -> Result<(), pointspindle_link::LinkError> {
+) -> Result<(), pointspindle_transport::LinkError> {
     let mut at = cut.from;
     while at < cut.from + cut.len {
         let len = PIECE.min(cut.from + cut.len - at);
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -6,10 +6,10 @@
 use crate::record::{Recorder, Saw};
 use crate::scenario::stream;
 use pointspindle::Micros;
-use pointspindle_host::lease::{Grant, Ledger, UserId};
-use pointspindle_link::{Line, Link, LinkOptions, Net};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::{Frame, HelloHead, LeaseHead};
+use pointspindle_cache_host::lease::{Grant, Ledger, UserId};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::{Frame, HelloHead, LeaseHead};
+use pointspindle_transport::{Line, Link, LinkOptions, Net};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -54,10 +54,10 @@
     Start(Answer),
     Finish,
     Reject {
-        status: pointspindle_wire::WireStatus,
-        note: pointspindle_wire::WireNote,
+        status: pointspindle_protocol::WireStatus,
+        note: pointspindle_protocol::WireNote,
         ran: bool,
-        load: pointspindle_wire::LoadReport,
+        load: pointspindle_protocol::LoadReport,
     },
     Cut,
     Down,
--- a/crates/lab/src/sockets/wall.rs
+++ b/crates/lab/src/sockets/wall.rs
@@ -3,7 +3,7 @@
 //! As with packets that are lost on the way: connections stay open, what was sent arrives once the way is open again. New
 //! connections are taken by the system all the same; nothing comes over them.
 use crate::scenario::script::Ways;
-use pointspindle_link::Line;
+use pointspindle_transport::Line;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/lab/src/sockets/words.rs
+++ b/crates/lab/src/sockets/words.rs
@@ -1,9 +1,9 @@
 //! Frames' heads in the model's terms, and back.
 use crate::model::{Answer, ClassModel, Wanted};
 use pointspindle::ObjectId;
-use pointspindle_host::lease::Grant;
-use pointspindle_wire::range::{Applied, Range};
-use pointspindle_wire::{AnswerHead, FetchHead, LeaseHead, RequestHead};
+use pointspindle_cache_host::lease::Grant;
+use pointspindle_protocol::range::{Applied, Range};
+use pointspindle_protocol::{AnswerHead, FetchHead, LeaseHead, RequestHead};
 use std::sync::Arc;
 
 pub fn validator(version: u64) -> String {
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -5,9 +5,9 @@
 use crate::model::{HostId, In, JobId, Wanted};
 use crate::record::Left;
 use crate::sockets::words::lease;
-use pointspindle_edge::core::AttemptEnd;
-use pointspindle_edge::Input;
-use pointspindle_wire::{HelloHead, LeaseHead};
+use pointspindle_dispatcher::core::AttemptEnd;
+use pointspindle_dispatcher::Input;
+use pointspindle_protocol::{HelloHead, LeaseHead};
 
 /// Dispatchers that lost a process's connection meet the next one within so long of its start, each in its own time.
 const MEETING: u64 = 200_000;
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -12,11 +12,11 @@
 use crate::scenario::script::{purge_groups, Listed, Ways};
 use crate::scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
 use pointspindle::{Micros, ObjectId};
+use pointspindle_cache_host::lease::Ledger;
 use pointspindle_config::EdgeSettings;
-use pointspindle_edge::core::{AttemptEnd, Begin};
-use pointspindle_edge::{Ask, Core, Input, Output};
-use pointspindle_host::lease::Ledger;
-use pointspindle_wire::*;
+use pointspindle_dispatcher::core::{AttemptEnd, Begin};
+use pointspindle_dispatcher::{Ask, Core, Input, Output};
+use pointspindle_protocol::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
@@ -552,7 +552,7 @@
                 };
                 let call = &self.calls[id.call as usize];
                 let plain = fetch.is_none();
-                let fetch = fetch.unwrap_or(pointspindle_edge::core::FetchOrder {
+                let fetch = fetch.unwrap_or(pointspindle_dispatcher::core::FetchOrder {
                     source: None,
                     keep: 0,
                     age: 0,
--- a/crates/lab/src/virt/sites.rs
+++ b/crates/lab/src/virt/sites.rs
@@ -5,7 +5,7 @@
 use crate::scenario::script::Ways;
 use crate::sockets::passes;
 use pointspindle::Micros;
-use pointspindle_edge::Input;
+use pointspindle_dispatcher::Input;
 
 impl Sim<'_> {
     /// Until when what goes from one zone to another is held up, if it is.
--- a/crates/lab/tests/etcd.rs
+++ b/crates/lab/tests/etcd.rs
@@ -4,7 +4,7 @@
 use pointspindle_etcd::proto::RangeRequest;
 use pointspindle_etcd::{feed, writer, Access, Etcd, EtcdError, Output, Rule, View, Watcher};
 use pointspindle_lab::etcd::StandIn;
-use pointspindle_wire::{ListForm, WireState};
+use pointspindle_protocol::{ListForm, WireState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -1,11 +1,11 @@
 //! Hollow is not fake: after the same script a hollow dispatcher keeps what a real one keeps.
 use pointspindle_config::parse;
-use pointspindle_edge::{Items, Prepared};
+use pointspindle_dispatcher::{Items, Prepared};
 use pointspindle_etcd::layout::PurgeRecord;
 use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
 use pointspindle_lab::etcd::StandIn;
 use pointspindle_lab::scale::parts::{dispatcher_settings, record, PREFIX};
-use pointspindle_link::Net;
+use pointspindle_transport::Net;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model of members: fills that are joined, die, or are crossed by a purge; an origin that tips over.
 use pointspindle_lab::model::cold::ColdSpec;
 use pointspindle_lab::model::*;
-use pointspindle_wire::WireNote;
+use pointspindle_protocol::WireNote;
 use std::sync::Arc;
 
 const MS: u64 = 1_000;
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -4,9 +4,9 @@
 use pointspindle_lab::model::*;
 use pointspindle_lab::record::Recorder;
 use pointspindle_lab::sockets::{Stage, StageOptions};
-use pointspindle_link::{CallEnd, Link, LinkOptions, Part};
-use pointspindle_wire::streams::Side;
-use pointspindle_wire::{FetchHead, RequestHead};
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::{FetchHead, RequestHead};
+use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
 use std::time::Duration;
 
 const OBJECT: &str = "/page/a";
--- a/crates/platform-wire/tests/fastcgi.rs
+++ b/crates/platform-protocol/tests/fastcgi.rs
@@ -1,8 +1,8 @@
 //! Clients' records: what good ones say however they are cut, and what becomes of bad ones.
 use bytes::{Bytes, BytesMut};
-use pointspindle_platform_wire::asked::{read, Asked, ClassForm, Question};
-use pointspindle_platform_wire::fastcgi::*;
-use pointspindle_platform_wire::requests::{Broken, Requests, Told, BODY_MOST, OPEN_MOST};
+use pointspindle_platform_protocol::asked::{read, Asked, ClassForm, Question};
+use pointspindle_platform_protocol::fastcgi::*;
+use pointspindle_platform_protocol::requests::{Broken, Requests, Told, BODY_MOST, OPEN_MOST};
 use tokio_util::codec::Decoder;
 
 const BEGIN: [u8; 8] = [0, 1, KEEP_CONN, 0, 0, 0, 0, 0];
--- a/crates/platform-wire/tests/lines.rs
+++ b/crates/platform-protocol/tests/lines.rs
@@ -1,7 +1,7 @@
 //! Cache hosts' answers and the notice board's events: whole ones however they are cut, spoilt ones at once.
 use bytes::{Bytes, BytesMut};
-use pointspindle_platform_wire::board::{Notice, Sse, SseCodec};
-use pointspindle_platform_wire::lines::*;
+use pointspindle_platform_protocol::board::{Notice, Sse, SseCodec};
+use pointspindle_platform_protocol::lines::*;
 use tokio_util::codec::Decoder;
 
 /// What a decoder makes of bytes that arrive in these pieces.
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -13,9 +13,9 @@
 //! whose answers may still come.
 use bytes::{Buf, Bytes, BytesMut};
 use futures_util::StreamExt;
-use pointspindle_edge::health::Health;
-use pointspindle_link::{Meter, SteadyRead};
-use pointspindle_platform_wire::lines::{self, Answer, AnswerCodec, LineError, Word};
+use pointspindle_dispatcher::health::Health;
+use pointspindle_platform_protocol::lines::{self, Answer, AnswerCodec, LineError, Word};
+use pointspindle_transport::{Meter, SteadyRead};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io;
--- a/crates/platform/src/front/reply.rs
+++ b/crates/platform/src/front/reply.rs
@@ -2,10 +2,10 @@
 use super::session::Shared;
 use bytes::{Bytes, BytesMut};
 use pointspindle::Micros;
-use pointspindle_edge::net::exchange::{ClientGone, ClientSide};
-use pointspindle_link::SteadyWrite;
-use pointspindle_platform_wire::fastcgi;
-use pointspindle_wire::AnswerHead;
+use pointspindle_dispatcher::net::exchange::{ClientGone, ClientSide};
+use pointspindle_platform_protocol::fastcgi;
+use pointspindle_protocol::AnswerHead;
+use pointspindle_transport::SteadyWrite;
 use std::fmt::Write;
 use std::io::{ErrorKind, IoSlice};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Clients come by FastCGI ([`front`]), cache hosts are spoken to by lines ([`upstream`]), lists and purges come from the
 //! notice board ([`board`]); [`life`] starts, reloads and stops. In between stands the same core as everywhere: a
-//! request is an [`pointspindle_edge::net::exchange`], its orders come from the [`pointspindle_edge::net::desk::Desk`], and
+//! request is an [`pointspindle_dispatcher::net::exchange`], its orders come from the [`pointspindle_dispatcher::net::desk::Desk`], and
 //! every decision from the module.
 #![forbid(unsafe_code)]
 
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,8 +1,8 @@
 //! The start configuration as the settings of a dispatcher: limits become bounds, names become numbers.
 use pointspindle_config::{ClassSpec, EdgeSettings, Listen, Role, Upstream};
-use pointspindle_platform_wire::asked::ClassForm;
-use pointspindle_platform_wire::settings::{settings, told};
-use pointspindle_platform_wire::start::Start;
+use pointspindle_platform_protocol::asked::ClassForm;
+use pointspindle_platform_protocol::settings::{settings, told};
+use pointspindle_platform_protocol::start::Start;
 use std::net::SocketAddr;
 
 /// Time kept back from a client's deadline for the answer's way to it.
@@ -107,8 +107,9 @@
             return Err(wrong("settings.Classes", "no class"));
         }
         let a = c.allowed.as_ref();
-        let allowed =
-            |f: fn(&pointspindle_platform_wire::settings::Allowed) -> Option<f64>| a.and_then(f);
+        let allowed = |f: fn(&pointspindle_platform_protocol::settings::Allowed) -> Option<f64>| {
+            a.and_then(f)
+        };
         let connect_us = told(allowed(|a| a.dial_timeout_ms)).clamp(50_000, 5_000_000);
         let idle_us = told(allowed(|a| a.keepalive_ms)).max(2_000_000);
         let max_streams = a.and_then(|a| a.streams_per_conn).unwrap_or(32).max(1);
@@ -130,7 +131,7 @@
                 max_connections: clients,
                 soft_connections: clients - clients / 10,
                 address_connections: clients,
-                max_streams: pointspindle_platform_wire::requests::OPEN_MOST,
+                max_streams: pointspindle_platform_protocol::requests::OPEN_MOST,
                 idle_us: IDLE_US,
                 head_us: HEAD_US,
                 drain_us: 60_000_000,
--- a/crates/platform/src/upstream/tests.rs
+++ b/crates/platform/src/upstream/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use pointspindle_platform_wire::start::Start;
+use pointspindle_platform_protocol::start::Start;
 
 /// Hosts are replaced without end, by new ids at the same addresses: those that are gone are forgotten.
 #[test]
--- a/crates/wire/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,7 +1,7 @@
 //! The framed codec against what a broken or hostile peer may send.
 use bytes::{BufMut, Bytes, BytesMut};
-use pointspindle_wire::streams::*;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::*;
+use pointspindle_protocol::*;
 use tokio_util::codec::{Decoder, Encoder};
 
 fn bytes_of(frames: &[Frame]) -> BytesMut {
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_later_peer_may_add_fields_and_frames() {
-    let mut raw = BytesMut::from(&pointspindle_wire::frame::PREFACE[..]);
+    let mut raw = BytesMut::from(&pointspindle_protocol::frame::PREFACE[..]);
     // A frame type of a later minor version, then a cancel with a field (tag 15) that is not known here.
     raw.put_slice(&[0, 0, 0, 2, 200, 0, 0, 0, 0, 9, 9]);
     raw.put_slice(&[0, 0, 0, 5, 6, 0, 0, 0, 1, 10, 1, b'x', 120, 1]);
@@ -124,7 +124,7 @@
         Err(FrameError::Version(2))
     ));
     let mut long = bytes_of(&[]);
-    long.put_slice(&pointspindle_wire::frame::PREFACE);
+    long.put_slice(&pointspindle_protocol::frame::PREFACE);
     long.put_slice(&[0, 1, 0, 1, 3, 0, 0, 0, 1]);
     let told = FrameCodec::default().decode(&mut long);
     assert!(
--- a/crates/wire/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as it should be, and as smugglers and floods send it.
 use bytes::BytesMut;
-use pointspindle_wire::http::*;
-use pointspindle_wire::range::{Applied, Range};
+use pointspindle_protocol::http::*;
+use pointspindle_protocol::range::{Applied, Range};
 use tokio_util::codec::Decoder;
 
 fn read(text: &str) -> Result<Option<HttpRequest>, HttpError> {
--- a/crates/link/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -4,8 +4,8 @@
 use crate::writer::When;
 use crate::LinkError;
 use bytes::Bytes;
-use pointspindle_wire::streams::{CROWDED_WINDOW, STREAM_WINDOW};
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::{CROWDED_WINDOW, STREAM_WINDOW};
+use pointspindle_protocol::*;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
 
--- a/crates/link/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,11 @@
 //! One framed connection as a pair of tokio tasks, for either end of it.
 //!
-//! A reader task judges frames with [`pointspindle_wire::streams`] and hands them to their streams; a writer
+//! A reader task judges frames with [`pointspindle_protocol::streams`] and hands them to their streams; a writer
 //! task does what the socket did not take when the frame's own sender wrote it. Bodies are sent under credit: a sender
 //! waits for its stream's, then for the connection's, then for room at the writer.
 //!
 //! Kept for each stream: an entry in one table and an unread buffer of at most
-//! [`STREAM_WINDOW`](pointspindle_wire::streams::STREAM_WINDOW) bytes; both are forgotten when its handle is dropped.
+//! [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW) bytes; both are forgotten when its handle is dropped.
 #![forbid(unsafe_code)]
 
 mod accept;
--- a/crates/link/src/meter.rs
+++ b/crates/transport/src/meter.rs
@@ -6,7 +6,7 @@
 ///
 /// A stream is owed a whole window when it opens, so what is held can go on growing for a while after
 /// [`Meter::is_crowded`]: up to the number of open streams times
-/// [`STREAM_WINDOW`](pointspindle_wire::streams::STREAM_WINDOW). Whoever opens streams bounds that number.
+/// [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW). Whoever opens streams bounds that number.
 #[derive(Clone, Debug)]
 pub struct Meter {
     held: Arc<AtomicU64>,
--- a/crates/link/src/reader.rs
+++ b/crates/transport/src/reader.rs
@@ -1,7 +1,7 @@
 //! The receiving half of a connection: reads as large as the connection has shown to need, and no buffer while it is idle.
 use crate::line::ReadHalf;
 use bytes::{BufMut, BytesMut};
-use pointspindle_wire::Wants;
+use pointspindle_protocol::Wants;
 
 /// A read asks for so many bytes at first and at least, and at most: doubled when one is filled, halved when one is not
 /// filled to a quarter.
--- a/crates/link/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -14,7 +14,7 @@
 use crate::line::{WriteHalf, PIECES};
 use crate::meter::Meter;
 use bytes::{Buf, Bytes, BytesMut};
-use pointspindle_wire::{Frame, FrameCodec, FrameError, RequestHead};
+use pointspindle_protocol::{Frame, FrameCodec, FrameError, RequestHead};
 use std::collections::VecDeque;
 use std::io::IoSlice;
 use std::sync::{Mutex, MutexGuard};
--- a/crates/link/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -1,9 +1,9 @@
 //! Two ends of a connection over a real socket, and one end against a peer that breaks the rules.
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use pointspindle_link::*;
-use pointspindle_wire::streams::*;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::*;
+use pointspindle_protocol::*;
+use pointspindle_transport::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/link/tests/path.rs
+++ b/crates/transport/tests/path.rs
@@ -1,8 +1,8 @@
 //! Bytes on their way: cut anywhere, of awkward sizes, to a peer that reads slowly or stops.
 use bytes::{Bytes, BytesMut};
-use pointspindle_link::*;
-use pointspindle_wire::streams::*;
-use pointspindle_wire::*;
+use pointspindle_protocol::streams::*;
+use pointspindle_protocol::*;
+use pointspindle_transport::*;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use pointspindle::{Action, Event, MemberId, Micros, Router};
-use pointspindle_platform_wire::settings;
+use pointspindle_platform_protocol::settings;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -1,7 +1,7 @@
 //! Wire values to router values and back.
 use crate::wire;
 use pointspindle::*;
-use pointspindle_platform_wire::settings::told;
+use pointspindle_platform_protocol::settings::told;
 use std::collections::BTreeMap;
 
 fn millis(us: Micros) -> f64 {
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,5 +1,5 @@
 //! The words of the wire, as they stand there. Absent and null values are both `None`.
-use pointspindle_platform_wire::settings::Config;
+use pointspindle_platform_protocol::settings::Config;
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Deserialize)]
