--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -6,56 +6,56 @@
 
 const S: Micros = 1_000_000;
 
-fn entry(name: &str, kind: usize, state: MemberState) -> MemberEntry {
-    let (id, zone) = (MemberId::named(name), usize::from(kind == 0));
-    MemberEntry {
+fn entry(name: &str, kind: usize, state: EndpointState) -> EndpointEntry {
+    let (id, zone) = (EndpointId::named(name), usize::from(kind == 0));
+    EndpointEntry {
         id,
         state,
         weight: 8.0,
         zone,
         kind,
         cell: 0,
-        started: 0,
+        started_at: 0,
     }
 }
 
-fn settings() -> Settings {
-    let cold = ColdRule {
-        start_share: 0.2,
-        warm_within: 10 * S,
-        multiple: 2.0,
-        window: S,
+fn settings() -> RouterSettings {
+    let cold = SlowStartRule {
+        initial_share: 0.2,
+        ramp: 10 * S,
+        overload_factor: 2.0,
+        overload_window: S,
     };
-    let class = Class {
-        aim: 300_000,
-        aim_stretch: 2.0,
-        worth: 1.0,
-        repeat: Repeat::Safe,
+    let class = RequestClass {
+        latency_objective: 300_000,
+        objective_stretch: 2.0,
+        priority_weight: 1.0,
+        idempotency: Idempotency::Idempotent,
         uncacheable: false,
-        fresh: 0,
-        grace: 0,
+        fresh_for: 0,
+        stale_if_error: 0,
     };
-    Settings {
+    RouterSettings {
         zone: 1,
         zones: vec![Zone { routers: 0 }, Zone { routers: 1 }],
         routers: 1,
-        me: Some(0),
+        router_index: Some(0),
         classes: vec![class],
         parent_kind: Some(1),
         origin_kind: Some(2),
         weights: Weights::Nominal,
-        notes: Notes::All,
+        cache_status_detail: CacheStatusDetail::All,
         siblings: Siblings::Any,
-        straight: false,
-        joins: true,
+        direct_forwarding: false,
+        coalesces_fills: true,
         may_cancel: true,
         retry_after: true,
         max_retry_after: S,
         max_attempts: 6,
         stream_kb_per_s: 6000.0,
-        cold_cache: cold,
-        cold_parent: cold,
-        purge_done: 6 * S,
+        cache_slow_start: cold,
+        parent_slow_start: cold,
+        purge_horizon: 6 * S,
     }
 }
 
@@ -64,10 +64,12 @@
     let mut actions = Vec::new();
     let mut now = 1_000 * S;
     let upper = [("p1", 1), ("p2", 1), ("origin", 2)];
-    let entries = upper.map(|(n, k)| entry(n, k, MemberState::Ready)).to_vec();
+    let entries = upper
+        .map(|(n, k)| entry(n, k, EndpointState::Ready))
+        .to_vec();
     router.handle(
         now,
-        Event::Members {
+        Event::EndpointList {
             update: ListUpdate::Full,
             entries,
         },
@@ -77,13 +79,13 @@
     println!("| deploys | us a request, with its outcome |\n| --- | --- |");
     for deploy in 0..=1_000_usize {
         let of = |d: usize, state| (0..20).map(move |n| entry(&format!("d{d}-{n}"), 0, state));
-        let mut entries: Vec<MemberEntry> = of(deploy, MemberState::Ready).collect();
+        let mut entries: Vec<EndpointEntry> = of(deploy, EndpointState::Ready).collect();
         if let Some(before) = deploy.checked_sub(1) {
-            entries.extend(of(before, MemberState::Gone));
+            entries.extend(of(before, EndpointState::Gone));
         }
         router.handle(
             now,
-            Event::Members {
+            Event::EndpointList {
                 update: ListUpdate::Delta,
                 entries,
             },
@@ -106,27 +108,30 @@
                 object,
                 part: 0,
                 group: 0,
-                left: 3 * S,
-                kb: Some(60.0),
+                time_left: 3 * S,
+                size_kb: Some(60.0),
             };
             router.handle(now, Event::Request(request), &mut actions);
             let sent = actions.iter().find_map(|a| {
-                if let Action::Send { member, .. } = a {
+                if let Action::Send {
+                    endpoint: member, ..
+                } = a
+                {
                     Some(*member)
                 } else {
                     None
                 }
             });
             let Some(member) = sent else { continue };
-            let outcome = Outcome {
+            let outcome = AttemptOutcome {
                 request: RequestId(id),
                 attempt: 0,
-                member,
-                status: Status::Ok,
-                note: Note::Hit,
+                endpoint: member,
+                status: AttemptStatus::Ok,
+                cache_status: CacheStatus::Hit,
                 elapsed: 10_000,
-                kb: None,
-                closed: true,
+                size_kb: None,
+                request_closed: true,
             };
             router.handle(now, Event::Outcome(outcome), &mut actions);
         }
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -16,7 +16,7 @@
 //! least warm part of that span. What goes back was never used, so it counts in no sum. No margin for chance is needed.
 //!
 //! Kept: one entry for each connection of a dispatcher, dropped when it ends; nothing once the member is warm.
-use pointspindle::{ColdRule, Micros};
+use pointspindle::{Micros, SlowStartRule};
 use std::collections::VecDeque;
 
 /// Slots in a window of the rule.
@@ -69,7 +69,7 @@
 /// Shares out the budget of one start of one member.
 #[derive(Debug)]
 pub struct Ledger {
-    rule: ColdRule,
+    rule: SlowStartRule,
     /// Transfers at full pace that its link carries.
     weight: f64,
     started: Micros,
@@ -86,7 +86,7 @@
 
 impl Ledger {
     /// For a process that started at `started`. `quantum` is the sending time of the dearest usual request, in seconds.
-    pub fn new(rule: ColdRule, weight: f64, started: Micros, quantum: f64) -> Self {
+    pub fn new(rule: SlowStartRule, weight: f64, started: Micros, quantum: f64) -> Self {
         let users = VecDeque::new();
         Self {
             rule,
@@ -101,12 +101,12 @@
     }
 
     pub fn slot_length(&self) -> Micros {
-        (self.rule.window / SLOTS).max(1)
+        (self.rule.overload_window / SLOTS).max(1)
     }
 
     /// Nothing is leased any more: what it bears is no longer bounded.
     pub fn is_over(&self, now: Micros) -> bool {
-        now >= self.started + self.rule.warm_within + self.rule.window
+        now >= self.started + self.rule.ramp + self.rule.overload_window
     }
 
     /// When [`Ledger::turn`] is next wanted.
@@ -182,11 +182,12 @@
     /// Budget of a window that ends `now`, in seconds of sending time.
     fn budget(&self, now: Micros) -> f64 {
         let from = now
-            .saturating_sub(self.rule.window + 2 * self.slot_length())
+            .saturating_sub(self.rule.overload_window + 2 * self.slot_length())
             .max(self.started);
-        let warm = (from - self.started) as f64 / self.rule.warm_within.max(1) as f64;
-        let share = self.rule.start_share + (1.0 - self.rule.start_share) * warm.min(1.0);
-        self.rule.multiple * share.min(1.0) * self.weight * self.rule.window as f64 / 1e6
+        let warm = (from - self.started) as f64 / self.rule.ramp.max(1) as f64;
+        let share = self.rule.initial_share + (1.0 - self.rule.initial_share) * warm.min(1.0);
+        self.rule.overload_factor * share.min(1.0) * self.weight * self.rule.overload_window as f64
+            / 1e6
     }
 
     /// Most that the bucket holds.
@@ -203,7 +204,7 @@
         let length = self.slot_length();
         self.slot = now - (now - self.slot) % length;
         let burst = self.burst(now);
-        let pace = (self.budget(now) - burst) / (self.rule.window + 2 * length) as f64;
+        let pace = (self.budget(now) - burst) / (self.rule.overload_window + 2 * length) as f64;
         // A slot late gives no more than a slot: the sum counts on it.
         let mut beyond = std::mem::take(&mut self.others);
         let mut unused = 0.0;
@@ -249,17 +250,17 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    const RULE: ColdRule = ColdRule {
-        start_share: 0.17,
-        warm_within: 18_000_000,
-        multiple: 2.0,
-        window: 2_000_000,
+    const RULE: SlowStartRule = SlowStartRule {
+        initial_share: 0.17,
+        ramp: 18_000_000,
+        overload_factor: 2.0,
+        overload_window: 2_000_000,
     };
 
     fn budget(from: Micros, weight: f64) -> f64 {
         let share =
-            RULE.start_share + (1.0 - RULE.start_share) * from as f64 / RULE.warm_within as f64;
-        RULE.multiple * share.min(1.0) * weight * RULE.window as f64 / 1e6
+            RULE.initial_share + (1.0 - RULE.initial_share) * from as f64 / RULE.ramp as f64;
+        RULE.overload_factor * share.min(1.0) * weight * RULE.overload_window as f64 / 1e6
     }
 
     /// Every user works its lease off at the worst moment that is allowed: its very end, and one slot of way more.
@@ -296,7 +297,7 @@
         }
         sent.sort_by_key(|s| s.0);
         let most = sent.iter().enumerate().map(|(n, (at, _))| {
-            let from = at.saturating_sub(RULE.window);
+            let from = at.saturating_sub(RULE.overload_window);
             let sum: f64 = sent[..=n]
                 .iter()
                 .rev()
@@ -459,7 +460,7 @@
             sent.sort_by_key(|s| s.0);
             let mut most: f64 = 0.0;
             for (n, (at, _)) in sent.iter().enumerate() {
-                let from = at.saturating_sub(RULE.window);
+                let from = at.saturating_sub(RULE.overload_window);
                 let sum: f64 = sent[..=n]
                     .iter()
                     .rev()
--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -157,13 +157,12 @@
             .iter()
             .map(|c| c.mean_us as f64 / 1e6)
             .fold(0.0, f64::max);
-        let cold =
-            (!warm && settings.role == Role::Cache && settings.cold.warm_within > 0).then(|| {
-                (
-                    Ledger::new(settings.cold, settings.weight, EPOCH, dearest),
-                    HashMap::new(),
-                )
-            });
+        let cold = (!warm && settings.role == Role::Cache && settings.cold.ramp > 0).then(|| {
+            (
+                Ledger::new(settings.cold, settings.weight, EPOCH, dearest),
+                HashMap::new(),
+            )
+        });
         let locked = Locked {
             desk: Desk::new(Rule {
                 places: settings.places,
--- a/crates/config/src/cache.rs
+++ b/crates/config/src/cache.rs
@@ -1,7 +1,7 @@
 //! What a cache host's file may say.
 use crate::members::Role;
 use crate::reader::Reader;
-use pointspindle::ColdRule;
+use pointspindle::SlowStartRule;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -63,7 +63,7 @@
     pub slow_us: u64,
     /// Transfers at full pace that its link carries, and what it bears while it warms up.
     pub weight: f64,
-    pub cold: ColdRule,
+    pub cold: SlowStartRule,
     pub classes: Vec<CacheClass>,
 }
 
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug)]
 pub struct EdgeSettings {
     pub name: String,
-    pub router: Settings,
+    pub router: RouterSettings,
     pub zones: Vec<String>,
     pub classes: Vec<ClassSpec>,
     pub listen: Listen,
@@ -246,11 +246,11 @@
         ping_timeout_us: r.ms("upstream", "ping_timeout_ms", 1_000.0, 10.0, MINUTE),
     };
     let members = members::read(r, &zones);
-    let router = Settings {
+    let router = RouterSettings {
         zone,
         zones: counts,
         routers,
-        me,
+        router_index: me,
         classes: router_classes,
         parent_kind: Some(Role::Parent.kind()),
         origin_kind: Some(Role::Origin.kind()),
@@ -265,14 +265,14 @@
                 ("live", Weights::Live),
             ],
         ),
-        notes: r.choice(
+        cache_status_detail: r.choice(
             "fleet",
             "notes",
-            Notes::All,
+            CacheStatusDetail::All,
             &[
-                ("all", Notes::All),
-                ("hit", Notes::HitOnly),
-                ("none", Notes::None),
+                ("all", CacheStatusDetail::All),
+                ("hit", CacheStatusDetail::HitOnly),
+                ("none", CacheStatusDetail::None),
             ],
         ),
         siblings: r.choice(
@@ -285,16 +285,16 @@
                 ("any", Siblings::Any),
             ],
         ),
-        straight: r.flag("fleet", "straight", true),
-        joins: r.flag("fleet", "joins", true),
+        direct_forwarding: r.flag("fleet", "straight", true),
+        coalesces_fills: r.flag("fleet", "joins", true),
         may_cancel: true,
         retry_after: r.flag("fleet", "retry_after", true),
         max_retry_after: r.ms("fleet", "max_retry_after_ms", 1000.0, 0.0, 10.0 * MINUTE),
         max_attempts: r.number("fleet", "max_attempts", 6, 1, 100),
         stream_kb_per_s: r.number("fleet", "stream_kb_per_s", 6000.0, 1.0, 1e9),
-        cold_cache: cold(r, "cold cache"),
-        cold_parent: cold(r, "cold parent"),
-        purge_done: r.ms("fleet", "purge_done_ms", 6000.0, 0.0, 60.0 * MINUTE),
+        cache_slow_start: cold(r, "cold cache"),
+        parent_slow_start: cold(r, "cold parent"),
+        purge_horizon: r.ms("fleet", "purge_done_ms", 6000.0, 0.0, 60.0 * MINUTE),
     };
     let group_segments = r.number("http", "group_segments", 2, 1, 16);
     Some(EdgeSettings {
@@ -548,7 +548,7 @@
     })
 }
 
-fn class(r: &mut Reader, name: String) -> (ClassSpec, Class) {
+fn class(r: &mut Reader, name: String) -> (ClassSpec, RequestClass) {
     let section = format!("class {name}");
     let path_prefix = r.text(&section, "path_prefix").filter(|p| !p.is_empty());
     if path_prefix.as_ref().is_some_and(|p| !p.starts_with('/')) {
@@ -562,22 +562,28 @@
     let group = r.choice(
         &section,
         "key_group",
-        KeyGroup::All,
+        KeyScope::All,
         &[
-            ("all", KeyGroup::All),
-            ("zone", KeyGroup::Zone),
-            ("cell", KeyGroup::Cell),
+            ("all", KeyScope::All),
+            ("zone", KeyScope::Zone),
+            ("cell", KeyScope::Cell),
         ],
     );
     let window = r.ms(&section, "key_window_ms", 2_000.0, 1.0, 60.0 * MINUTE);
     let repeat = r.choice(
         &section,
         "repeat",
-        Repeat::Safe,
+        Idempotency::Idempotent,
         &[
-            ("safe", Repeat::Safe),
-            ("keyed", Repeat::Keyed { group, window }),
-            ("unsafe", Repeat::Unsafe),
+            ("safe", Idempotency::Idempotent),
+            (
+                "keyed",
+                Idempotency::WithKey {
+                    scope: group,
+                    window,
+                },
+            ),
+            ("unsafe", Idempotency::NotIdempotent),
         ],
     );
     let uncacheable = r.flag(&section, "uncacheable", false);
@@ -589,23 +595,23 @@
             "uncacheable classes come by the framed protocol only",
         );
     }
-    if !uncacheable && repeat != Repeat::Safe {
+    if !uncacheable && repeat != Idempotency::Idempotent {
         r.complain(
             &section,
             "repeat",
             "what may be kept is safe to repeat; set uncacheable = yes",
         );
     }
-    let class = Class {
-        aim,
-        aim_stretch: r.number(&section, "aim_stretch", 2.0, 0.0, 1000.0),
-        worth: r.number(&section, "worth", 1.0, 0.0, 1e9),
-        repeat,
+    let class = RequestClass {
+        latency_objective: aim,
+        objective_stretch: r.number(&section, "aim_stretch", 2.0, 0.0, 1000.0),
+        priority_weight: r.number(&section, "worth", 1.0, 0.0, 1e9),
+        idempotency: repeat,
         uncacheable,
-        fresh: r.ms(&section, "fresh_ms", 0.0, 0.0, 1e9),
-        grace: r.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
+        fresh_for: r.ms(&section, "fresh_ms", 0.0, 0.0, 1e9),
+        stale_if_error: r.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
     };
-    if class.grace > 0 && class.fresh == 0 {
+    if class.stale_if_error > 0 && class.fresh_for == 0 {
         r.complain(
             &section,
             "grace_ms",
@@ -624,11 +630,11 @@
     )
 }
 
-pub(crate) fn cold(r: &mut Reader, section: &str) -> ColdRule {
-    ColdRule {
-        start_share: r.number(section, "start_share", 0.2, 0.0, 1.0),
-        warm_within: r.ms(section, "warm_within_ms", 20_000.0, 0.0, 60.0 * MINUTE),
-        multiple: r.number(section, "multiple", 2.0, 0.1, 1000.0),
-        window: r.ms(section, "window_ms", 1_000.0, 1.0, 10.0 * MINUTE),
+pub(crate) fn cold(r: &mut Reader, section: &str) -> SlowStartRule {
+    SlowStartRule {
+        initial_share: r.number(section, "start_share", 0.2, 0.0, 1.0),
+        ramp: r.ms(section, "warm_within_ms", 20_000.0, 0.0, 60.0 * MINUTE),
+        overload_factor: r.number(section, "multiple", 2.0, 0.1, 1000.0),
+        overload_window: r.ms(section, "window_ms", 1_000.0, 1.0, 10.0 * MINUTE),
     }
 }
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -16,11 +16,11 @@
 fn the_commented_example_is_right_and_says_what_it_says() {
     let s = parse("edge.ini", EXAMPLE).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!((s.members.len(), s.classes.len(), s.router.zone), (4, 3, 1));
-    assert_eq!(s.router.classes[1].fresh, 12_000_000);
-    assert_eq!(s.router.cold_parent.start_share, 0.062);
+    assert_eq!(s.router.classes[1].fresh_for, 12_000_000);
+    assert_eq!(s.router.parent_slow_start.initial_share, 0.062);
     assert!(matches!(
-        s.router.classes[2].repeat,
-        pointspindle::Repeat::Keyed {
+        s.router.classes[2].idempotency,
+        pointspindle::Idempotency::WithKey {
             window: 2_000_000,
             ..
         }
--- a/crates/dispatcher/src/core/asks.rs
+++ b/crates/dispatcher/src/core/asks.rs
@@ -6,7 +6,7 @@
 //!
 //! Kept: one entry for each waiting request, [`MOST`] for a member, and the names of members that give by asking, dropped
 //! when they give otherwise or are no longer listed.
-use pointspindle::{MemberId, Micros, Request};
+use pointspindle::{EndpointId, Micros, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Longest wait: members that are asked are of the dispatcher's own location.
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Waiting {
     pub request: Request,
-    member: MemberId,
+    member: EndpointId,
     since: Micros,
     pub due: Micros,
 }
@@ -27,10 +27,10 @@
     pub fn go_on(self, now: Micros) -> Request {
         let left = self
             .request
-            .left
+            .time_left
             .saturating_sub(now.saturating_sub(self.since));
         Request {
-            left,
+            time_left: left,
             ..self.request
         }
     }
@@ -38,14 +38,14 @@
 
 #[derive(Debug, Default)]
 pub struct Asks {
-    giving: BTreeSet<MemberId>,
+    giving: BTreeSet<EndpointId>,
     waiting: BTreeMap<u64, Waiting>,
-    queues: BTreeMap<MemberId, VecDeque<u64>>,
+    queues: BTreeMap<EndpointId, VecDeque<u64>>,
 }
 
 impl Asks {
     /// How a member gives, by its last word.
-    pub fn told(&mut self, member: MemberId, by_asking: bool) {
+    pub fn told(&mut self, member: EndpointId, by_asking: bool) {
         if by_asking {
             self.giving.insert(member);
         } else {
@@ -54,7 +54,7 @@
     }
 
     /// Nobody else is asked.
-    pub fn keep(&mut self, listed: impl Fn(MemberId) -> bool) {
+    pub fn keep(&mut self, listed: impl Fn(EndpointId) -> bool) {
         self.giving.retain(|m| listed(*m));
     }
 
@@ -63,7 +63,7 @@
     }
 
     /// Has it wait, if its member gives by asking; until when.
-    pub fn wait(&mut self, now: Micros, member: MemberId, request: &Request) -> Option<Micros> {
+    pub fn wait(&mut self, now: Micros, member: EndpointId, request: &Request) -> Option<Micros> {
         let queue = self.queues.get(&member).map_or(0, VecDeque::len);
         if !self.giving.contains(&member) || queue >= MOST {
             return None;
@@ -85,7 +85,7 @@
 
     /// The member has answered: the one that asked first goes on. An answer that comes too late serves the next, which
     /// asked for as much.
-    pub fn answered(&mut self, member: MemberId) -> Option<Waiting> {
+    pub fn answered(&mut self, member: EndpointId) -> Option<Waiting> {
         let first = self.queues.get(&member)?.front().copied()?;
         self.take(first)
     }
@@ -122,14 +122,14 @@
             object,
             part: 0,
             group: 0,
-            left: 1_000_000,
-            kb: None,
+            time_left: 1_000_000,
+            size_kb: None,
         }
     }
 
     #[test]
     fn answers_serve_those_that_wait_in_order_and_leave_nothing() {
-        let (mut a, m) = (Asks::default(), MemberId(1));
+        let (mut a, m) = (Asks::default(), EndpointId(1));
         assert_eq!(
             a.wait(0, m, &request(1)),
             None,
@@ -142,7 +142,7 @@
         a.take(1);
         let second = a.answered(m).unwrap();
         assert_eq!(
-            (second.request.id.0, second.go_on(5_002).left),
+            (second.request.id.0, second.go_on(5_002).time_left),
             (2, 995_000)
         );
         assert_eq!(a.answered(m).map(|w| w.request.id.0), Some(3));
@@ -153,7 +153,7 @@
 
     #[test]
     fn no_more_wait_for_one_member_than_may() {
-        let (mut a, m) = (Asks::default(), MemberId(1));
+        let (mut a, m) = (Asks::default(), EndpointId(1));
         a.told(m, true);
         let waiting = (0..1_000)
             .filter(|id| a.wait(0, m, &request(*id)).is_some())
--- a/crates/dispatcher/src/core/list.rs
+++ b/crates/dispatcher/src/core/list.rs
@@ -51,7 +51,7 @@
     zones: Vec<String>,
     /// Names are ids, not addresses.
     by_id: bool,
-    lines: BTreeMap<MemberId, Line>,
+    lines: BTreeMap<EndpointId, Line>,
     /// The last number up to which nothing is missing, and the newest seen.
     seq: u64,
     newest: u64,
@@ -73,7 +73,7 @@
     }
 
     /// Where to send to; none for a member that is gone or was never listed.
-    pub fn address(&self, id: MemberId) -> Option<String> {
+    pub fn address(&self, id: EndpointId) -> Option<String> {
         self.lines
             .get(&id)
             .filter(|l| l.gone.is_none())
@@ -81,7 +81,7 @@
     }
 
     /// Whether anything may be sent there, or filled from there.
-    pub fn is_ready(&self, id: MemberId) -> bool {
+    pub fn is_ready(&self, id: EndpointId) -> bool {
         self.lines
             .get(&id)
             .is_some_and(|l| l.gone.is_none() && l.line.state() == WireState::Ready)
@@ -101,7 +101,7 @@
         match update {
             ListUpdate::Full | ListUpdate::Cached => (self.seq, self.newest) = (head.seq, head.seq),
             ListUpdate::Failed => {
-                let event = Event::Members {
+                let event = Event::EndpointList {
                     update,
                     entries: Vec::new(),
                 };
@@ -138,8 +138,8 @@
             match self.entry(now, &line) {
                 Ok(entry) => {
                     let (started, gone) = (
-                        entry.started,
-                        (entry.state == MemberState::Gone).then_some(now),
+                        entry.started_at,
+                        (entry.state == EndpointState::Gone).then_some(now),
                     );
                     let process = self.lines.get(&entry.id).and_then(|l| l.process);
                     self.lines.insert(
@@ -157,7 +157,7 @@
             }
         }
         if update != ListUpdate::Delta {
-            let listed: BTreeSet<MemberId> = entries.iter().map(|e| e.id).collect();
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             for (id, line) in &mut self.lines {
                 if !listed.contains(id) {
                     line.gone.get_or_insert(now);
@@ -167,7 +167,7 @@
         self.lines
             .retain(|_, l| l.gone.is_none_or(|at| now < at + KEEP_GONE));
         (
-            Some(Event::Members { update, entries }),
+            Some(Event::EndpointList { update, entries }),
             ListNews {
                 seq: self.seq,
                 wanted,
@@ -180,7 +180,7 @@
     ///
     /// The same process keeps the moment that it was first given: told ages jitter. Another one in its place cannot
     /// have begun before the old one was last heard, whatever its clock says.
-    pub fn hello(&mut self, now: Micros, id: MemberId, hello: &HelloHead) -> Option<Hello> {
+    pub fn hello(&mut self, now: Micros, id: EndpointId, hello: &HelloHead) -> Option<Hello> {
         let line = self.lines.get_mut(&id).filter(|l| l.gone.is_none())?;
         let before = line.process;
         let told = hello
@@ -203,23 +203,23 @@
     }
 
     /// Word from a member: its process still runs.
-    pub fn heard(&mut self, now: Micros, id: MemberId) {
+    pub fn heard(&mut self, now: Micros, id: EndpointId) {
         if let Some(process) = self.lines.get_mut(&id).and_then(|l| l.process.as_mut()) {
             process.heard = now;
         }
     }
 
-    fn entry(&self, now: Micros, line: &MemberLine) -> Result<MemberEntry, String> {
-        let id = MemberId::named(&line.address);
+    fn entry(&self, now: Micros, line: &MemberLine) -> Result<EndpointEntry, String> {
+        let id = EndpointId::named(&line.address);
         if !self.by_id && line.address.parse::<std::net::SocketAddr>().is_err() {
             return Err("not an address and port".into());
         }
         let zone = self.zones.iter().position(|z| *z == line.zone);
         let role = Role::of(&line.kind).ok_or_else(|| format!("unknown kind {:?}", line.kind))?;
         let state = match line.state() {
-            WireState::Ready => MemberState::Ready,
-            WireState::Draining => MemberState::Draining,
-            WireState::Gone => MemberState::Gone,
+            WireState::Ready => EndpointState::Ready,
+            WireState::Draining => EndpointState::Draining,
+            WireState::Gone => EndpointState::Gone,
             WireState::Unspecified => return Err("no state".into()),
         };
         // The same start keeps the moment that it was first given: told ages jitter.
@@ -229,7 +229,7 @@
             (None, Some(ago)) => now.saturating_sub(ago).max(1),
             (None, None) => 0,
         };
-        Ok(MemberEntry {
+        Ok(EndpointEntry {
             id,
             state,
             weight: line.weight,
@@ -237,7 +237,7 @@
             zone: zone.unwrap_or(self.zones.len()),
             kind: role.kind(),
             cell: line.cell,
-            started,
+            started_at: started,
         })
     }
 
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -164,12 +164,12 @@
 #[derive(Debug)]
 struct Attempt {
     number: u32,
-    member: MemberId,
+    member: EndpointId,
     sent: Micros,
     due: Micros,
     note: WireNote,
     kb: Option<f64>,
-    source: Option<MemberId>,
+    source: Option<EndpointId>,
     /// What the answer may be, as of the purges told so far; see [`Core::begin`].
     age: Micros,
     join: bool,
@@ -247,7 +247,7 @@
         Self {
             router: Router::new(settings.router.clone(), seed),
             list: MemberList::new(&settings.zones, settings.upstream.by_id),
-            purges: PurgeLog::new(settings.router.purge_done),
+            purges: PurgeLog::new(settings.router.purge_horizon),
             answer_slack: settings.answer_slack_us,
             asks: Asks::default(),
             peers: Peers::new(
@@ -255,14 +255,14 @@
                 &settings.zones[settings.router.zone],
                 settings
                     .router
-                    .cold_cache
-                    .window
-                    .max(settings.router.cold_parent.window),
+                    .cache_slow_start
+                    .overload_window
+                    .max(settings.router.parent_slow_start.overload_window),
             ),
             counts: None,
             count_at: None,
             missed: None,
-            purge_done: settings.router.purge_done,
+            purge_done: settings.router.purge_horizon,
             hold: Hold::of(settings),
             zone: settings.router.zone,
             open: BTreeMap::new(),
@@ -338,8 +338,8 @@
                     object,
                     part: ask.part,
                     group: ask.group,
-                    left: ask.left.saturating_sub(self.answer_slack),
-                    kb: ask.size.map(|bytes| bytes as f64 / 1024.0),
+                    time_left: ask.left.saturating_sub(self.answer_slack),
+                    size_kb: ask.size.map(|bytes| bytes as f64 / 1024.0),
                 };
                 self.purge_if_missed(now, ask.group, out);
                 if !self.ask_first(now, &request, out) {
@@ -364,7 +364,7 @@
                 self.list.heard(now, member);
                 open.committed = true;
                 out.push(Output::Commit { request, attempt });
-                self.drive(now, Event::Begun(member), out);
+                self.drive(now, Event::ResponseStarted(member), out);
             }
             Input::Ended {
                 request,
@@ -372,10 +372,10 @@
                 end,
             } => {
                 let (status, note) = match end {
-                    AttemptEnd::Complete => (Status::Ok, None),
-                    AttemptEnd::ConnectFailed => (Status::ConnectFailed, None),
-                    AttemptEnd::NotSent => (Status::Moot, None),
-                    AttemptEnd::Broken => (Status::Reset, None),
+                    AttemptEnd::Complete => (AttemptStatus::Ok, None),
+                    AttemptEnd::ConnectFailed => (AttemptStatus::ConnectFailed, None),
+                    AttemptEnd::NotSent => (AttemptStatus::NotSent, None),
+                    AttemptEnd::Broken => (AttemptStatus::Reset, None),
                     AttemptEnd::Told {
                         status,
                         note,
@@ -383,10 +383,10 @@
                     } => {
                         // A status that promises more than the frame's own word is not believed.
                         let status = match status {
-                            WireStatus::Full if !may_have_run => Status::Full,
-                            WireStatus::Miss if !may_have_run => Status::Miss,
-                            WireStatus::Unspecified if !may_have_run => Status::Moot,
-                            _ => Status::Error,
+                            WireStatus::Full if !may_have_run => AttemptStatus::Rejected,
+                            WireStatus::Miss if !may_have_run => AttemptStatus::Miss,
+                            WireStatus::Unspecified if !may_have_run => AttemptStatus::NotSent,
+                            _ => AttemptStatus::Error,
                         };
                         (status, Some(note))
                     }
@@ -402,7 +402,7 @@
                 }
                 if !open.done {
                     open.done = true;
-                    self.drive(now, Event::Hangup(RequestId(request)), out);
+                    self.drive(now, Event::ClientDisconnected(RequestId(request)), out);
                 }
                 self.forget_if_over(request);
             }
@@ -435,7 +435,7 @@
                 );
             }
             Input::Hello { member, hello } => {
-                let id = MemberId::named(&member);
+                let id = EndpointId::named(&member);
                 let found = self.list.hello(now, id, &hello);
                 out.push(Output::Hello {
                     replaced: found.is_some_and(|h| h.replaced),
@@ -444,8 +444,8 @@
                     self.drive(
                         now,
                         Event::Hello {
-                            member: id,
-                            started: found.started,
+                            endpoint: id,
+                            started_at: found.started,
                         },
                         out,
                     );
@@ -454,14 +454,14 @@
             Input::Lease { member, lease } => {
                 // Longer than a minute is no lease of a warm-up.
                 let (work, lasts) = (lease.work_us as f64 / 1e6, lease.for_us.min(LONGEST_LEASE));
-                let member = MemberId::named(&member);
+                let member = EndpointId::named(&member);
                 self.asks.told(member, lease.by_asking);
                 self.drive(
                     now,
                     Event::Lease {
-                        member,
-                        work,
-                        lasts,
+                        endpoint: member,
+                        work_s: work,
+                        duration: lasts,
                     },
                     out,
                 );
@@ -557,7 +557,7 @@
         let unanswered = self.open.iter().filter(|(_, o)| !o.done && !o.committed);
         let ids: Vec<u64> = unanswered.map(|(id, _)| *id).collect();
         for id in ids {
-            self.drive(now, Event::GiveUp(RequestId(id)), out);
+            self.drive(now, Event::FinishNow(RequestId(id)), out);
         }
     }
 
@@ -574,7 +574,7 @@
                 timers::Timer::Attempt(request, attempt) => {
                     if self.is_out(request, attempt) {
                         out.push(Output::Abort { request, attempt });
-                        self.attempt_over(now, request, attempt, Status::Timeout, None, out);
+                        self.attempt_over(now, request, attempt, AttemptStatus::Timeout, None, out);
                     }
                 }
             }
@@ -585,7 +585,7 @@
     fn count(&mut self, now: Micros) {
         let counts = self.peers.counts(now);
         if let Some(c) = counts.filter(|_| counts != self.counts) {
-            self.router.count(c.here, c.all, c.me, c.cold);
+            self.router.set_fleet_position(c.here, c.all, c.me, c.cold);
             self.counts = counts;
         }
         if let Some(at) = self.count_at.take() {
@@ -632,7 +632,7 @@
         let short = self
             .asks
             .any()
-            .then(|| self.router.short_of(now, request))
+            .then(|| self.router.warm_up_shortfall(now, request))
             .flatten();
         let Some((member, work)) = short else {
             return false;
@@ -655,11 +655,11 @@
     /// Caches of the own zone that are listed as ready are connected to before a request goes there: one that is met for
     /// the first time with a request in hand would get it whatever it has to say of itself, and from all dispatchers.
     fn meet(&self, event: &Event, out: &mut Vec<Output>) {
-        let Event::Members { entries, .. } = event else {
+        let Event::EndpointList { entries, .. } = event else {
             return;
         };
-        let cache = |e: &&MemberEntry| {
-            e.state == MemberState::Ready && e.zone == self.zone && e.kind == Role::Cache.kind()
+        let cache = |e: &&EndpointEntry| {
+            e.state == EndpointState::Ready && e.zone == self.zone && e.kind == Role::Cache.kind()
         };
         let caches = entries
             .iter()
@@ -681,7 +681,7 @@
         now: Micros,
         request: u64,
         attempt: u32,
-        status: Status,
+        status: AttemptStatus,
         note: Option<WireNote>,
         out: &mut Vec<Output>,
     ) {
@@ -689,7 +689,7 @@
             return;
         }
         match self.open.get_mut(&request) {
-            Some(open) if open.committed && status == Status::Ok => open.done = true,
+            Some(open) if open.committed && status == AttemptStatus::Ok => open.done = true,
             _ => self.break_if_passed_on(request, out),
         }
         if let Some(event) = self.outcome(now, request, status, note) {
@@ -715,32 +715,32 @@
         &mut self,
         now: Micros,
         request: u64,
-        status: Status,
+        status: AttemptStatus,
         note: Option<WireNote>,
     ) -> Option<Event> {
         let open = self.open.get_mut(&request)?;
         let attempt = open.out.take()?;
         // What never began has not run, whatever ended it: the module hears the truth of that.
         let status = match status {
-            Status::Timeout | Status::Cancelled if attempt.begun => status,
+            AttemptStatus::Timeout | AttemptStatus::Cancelled if attempt.begun => status,
             // Wanted no longer: that says nothing of the member.
-            Status::Cancelled if open.done => Status::Moot,
+            AttemptStatus::Cancelled if open.done => AttemptStatus::NotSent,
             // Nothing could be written there in its time.
-            Status::Timeout | Status::Cancelled => Status::ConnectFailed,
+            AttemptStatus::Timeout | AttemptStatus::Cancelled => AttemptStatus::ConnectFailed,
             _ => status,
         };
         self.timers
             .cancel(attempt.due, timers::Timer::Attempt(request, attempt.number));
         *self.ends.entry(status_word(status)).or_default() += 1;
-        Some(Event::Outcome(Outcome {
+        Some(Event::Outcome(AttemptOutcome {
             request: RequestId(request),
             attempt: attempt.number,
-            member: attempt.member,
+            endpoint: attempt.member,
             status,
-            note: note_of(note.unwrap_or(attempt.note)),
+            cache_status: note_of(note.unwrap_or(attempt.note)),
             elapsed: now.saturating_sub(attempt.sent),
-            kb: attempt.kb,
-            closed: open.committed,
+            size_kb: attempt.kb,
+            request_closed: open.committed,
         }))
     }
 
@@ -754,7 +754,7 @@
                 match action {
                     Action::Send {
                         request,
-                        member,
+                        endpoint: member,
                         timeout,
                         fetch,
                     } => {
@@ -767,11 +767,16 @@
                                 attempt,
                             });
                             self.break_if_passed_on(request.0, out);
-                            events.extend(self.outcome(now, request.0, Status::Cancelled, None));
+                            events.extend(self.outcome(
+                                now,
+                                request.0,
+                                AttemptStatus::Cancelled,
+                                None,
+                            ));
                             self.forget_if_over(request.0);
                         }
                     }
-                    Action::Refuse {
+                    Action::Reject {
                         request,
                         retry_after,
                     } => {
@@ -787,7 +792,7 @@
                             out.push(Output::Fail { request: request.0 });
                         }
                     }
-                    Action::Timer { after, token } => {
+                    Action::SetTimer { after, token } => {
                         self.timers.set(now + after, timers::Timer::Router(token));
                     }
                 }
@@ -800,9 +805,9 @@
         &mut self,
         now: Micros,
         request: u64,
-        member: MemberId,
+        member: EndpointId,
         timeout: Micros,
-        fetch: Option<Fetch>,
+        fetch: Option<FetchDirective>,
         out: &mut Vec<Output>,
     ) -> Option<Event> {
         let open = self.open.get_mut(&request)?;
@@ -820,25 +825,25 @@
             note: WireNote::Untold,
             kb: None,
             source: from,
-            age: fetch.as_ref().map_or(0, |f| f.age),
-            join: fetch.as_ref().is_some_and(|f| f.join),
+            age: fetch.as_ref().map_or(0, |f| f.max_age),
+            join: fetch.as_ref().is_some_and(|f| f.coalesce),
             begun: false,
         });
         let address = self.list.address(member);
         let source = from.map(|source| self.list.address(source));
         // A member that the list no longer names, as receiver or source: nothing was sent.
         let (Some(address), None | Some(Some(_))) = (address, &source) else {
-            return self.outcome(now, request, Status::Moot, None);
+            return self.outcome(now, request, AttemptStatus::NotSent, None);
         };
         self.timers
             .set(due, timers::Timer::Attempt(request, number));
         let fetch = fetch.map(|f| FetchOrder {
             source: source.flatten(),
-            keep: f.keep,
-            age: f.age,
-            join: f.join,
-            held_only: f.held_only,
-            renew: f.renew,
+            keep: f.retention_rank,
+            age: f.max_age,
+            join: f.coalesce,
+            held_only: f.only_if_cached,
+            renew: f.revalidate,
         });
         out.push(Output::Send {
             request,
@@ -871,32 +876,32 @@
     }
 }
 
-fn status_word(status: Status) -> &'static str {
+fn status_word(status: AttemptStatus) -> &'static str {
     match status {
-        Status::Ok => "ok",
-        Status::Error => "error",
-        Status::Full => "full",
-        Status::Timeout => "timeout",
-        Status::ConnectFailed => "connect_failed",
-        Status::Reset => "reset",
-        Status::Cancelled => "cancelled",
-        Status::Moot => "not_sent",
-        Status::Miss => "miss",
+        AttemptStatus::Ok => "ok",
+        AttemptStatus::Error => "error",
+        AttemptStatus::Rejected => "full",
+        AttemptStatus::Timeout => "timeout",
+        AttemptStatus::ConnectFailed => "connect_failed",
+        AttemptStatus::Reset => "reset",
+        AttemptStatus::Cancelled => "cancelled",
+        AttemptStatus::NotSent => "not_sent",
+        AttemptStatus::Miss => "miss",
     }
 }
 
-fn note_of(note: WireNote) -> Note {
+fn note_of(note: WireNote) -> CacheStatus {
     match note {
-        WireNote::Untold => Note::Untold,
-        WireNote::Hit => Note::Hit,
-        WireNote::Filled => Note::Filled,
-        WireNote::FilledByOrigin => Note::FilledByOrigin,
-        WireNote::Joined => Note::Joined,
-        WireNote::Old => Note::Old,
-        WireNote::SourceRefused => Note::SourceRefused,
-        WireNote::SourceUnreachable => Note::SourceUnreachable,
-        WireNote::SourceLacks => Note::SourceLacks,
-        WireNote::NoFillPlace => Note::NoFillPlace,
-        WireNote::OriginFailed => Note::OriginFailed,
+        WireNote::Untold => CacheStatus::Unreported,
+        WireNote::Hit => CacheStatus::Hit,
+        WireNote::Filled => CacheStatus::Filled,
+        WireNote::FilledByOrigin => CacheStatus::FilledByOrigin,
+        WireNote::Joined => CacheStatus::Coalesced,
+        WireNote::Old => CacheStatus::Stale,
+        WireNote::SourceRefused => CacheStatus::SourceRejected,
+        WireNote::SourceUnreachable => CacheStatus::SourceUnreachable,
+        WireNote::SourceLacks => CacheStatus::SourceMiss,
+        WireNote::NoFillPlace => CacheStatus::FillLimitReached,
+        WireNote::OriginFailed => CacheStatus::OriginFailed,
     }
 }
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 
 use crate::model::cold::ColdSpec;
 use crate::model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
-use pointspindle::{ColdRule, Micros};
+use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::Ledger;
 use pointspindle_config::Complaints;
 use pointspindle_transport::simulated::Weather;
@@ -457,11 +457,11 @@
         let c = self.cold(role);
         let (start_share, warm_within) = (c.start_share, c.warm_within);
         let (multiple, window) = (c.multiple, c.window);
-        let rule = ColdRule {
-            start_share,
-            warm_within,
-            multiple,
-            window,
+        let rule = SlowStartRule {
+            initial_share: start_share,
+            ramp: warm_within,
+            overload_factor: multiple,
+            overload_window: window,
         };
         let dearest = self
             .classes
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -59,41 +59,41 @@
         .unwrap_or_default()
 }
 
-pub fn settings(c: &Config) -> Result<Settings, String> {
+pub fn settings(c: &Config) -> Result<RouterSettings, String> {
     let (f, r) = (&c.family_info, &c.rules);
     let a = c.allowed.as_ref().ok_or("settings without Allowed")?;
     let mut classes = Vec::new();
     for (i, k) in c.classes.iter().flatten().enumerate() {
         let repeat = match k.repeat.as_deref() {
-            Some("idempotent") => Repeat::Safe,
-            Some("at_most_once") => Repeat::Unsafe,
+            Some("idempotent") => Idempotency::Idempotent,
+            Some("at_most_once") => Idempotency::NotIdempotent,
             Some("deduplicated") => {
                 let group = match k.group.as_deref() {
-                    Some("all") => KeyGroup::All,
-                    Some("zone") => KeyGroup::Zone,
-                    Some("cell") => KeyGroup::Cell,
+                    Some("all") => KeyScope::All,
+                    Some("zone") => KeyScope::Zone,
+                    Some("cell") => KeyScope::Cell,
                     other => return Err(format!("unknown key group {other:?}")),
                 };
-                Repeat::Keyed {
-                    group,
+                Idempotency::WithKey {
+                    scope: group,
                     window: told(k.key_ttl_ms),
                 }
             }
             other => return Err(format!("unknown Repeat {other:?}")),
         };
-        classes.push(Class {
-            aim: told(k.aim_ms),
-            aim_stretch: k.aim_stretch.unwrap_or_default(),
-            worth: k.worth.unwrap_or_default(),
-            repeat,
+        classes.push(RequestClass {
+            latency_objective: told(k.aim_ms),
+            objective_stretch: k.aim_stretch.unwrap_or_default(),
+            priority_weight: k.worth.unwrap_or_default(),
+            idempotency: repeat,
             uncacheable: at(&f.never_kept, i),
-            fresh: micros(at(&f.max_age_ms, i)),
-            grace: micros(at(&f.usable_after_ms, i)),
+            fresh_for: micros(at(&f.max_age_ms, i)),
+            stale_if_error: micros(at(&f.usable_after_ms, i)),
         });
     }
     let zones = c.zones.iter().flatten().enumerate();
     let kind = |k: Option<i64>| k.and_then(|k| usize::try_from(k).ok());
-    Ok(Settings {
+    Ok(RouterSettings {
         zone: c.zone.unwrap_or_default(),
         zones: zones
             .map(|(i, _)| Zone {
@@ -101,7 +101,7 @@
             })
             .collect(),
         routers: c.balancers.unwrap_or_default(),
-        me: c.me,
+        router_index: c.me,
         classes,
         parent_kind: kind(f.second_tier_kind),
         origin_kind: kind(f.master_kind),
@@ -112,10 +112,10 @@
             Some("none") | None => Weights::None,
             Some(other) => return Err(format!("unknown WeightSource {other:?}")),
         },
-        notes: match f.tells.as_deref() {
-            Some("all") => Notes::All,
-            Some("hit") => Notes::HitOnly,
-            Some("none") | None => Notes::None,
+        cache_status_detail: match f.tells.as_deref() {
+            Some("all") => CacheStatusDetail::All,
+            Some("hit") => CacheStatusDetail::HitOnly,
+            Some("none") | None => CacheStatusDetail::None,
             Some(other) => return Err(format!("unknown Tells {other:?}")),
         },
         siblings: match f.neighbours.as_deref() {
@@ -124,25 +124,25 @@
             Some("none") | None => Siblings::None,
             Some(other) => return Err(format!("unknown Neighbours {other:?}")),
         },
-        straight: f.straight.unwrap_or_default(),
-        joins: f.merges_fills.unwrap_or_default(),
+        direct_forwarding: f.straight.unwrap_or_default(),
+        coalesces_fills: f.merges_fills.unwrap_or_default(),
         may_cancel: a.may_cancel.unwrap_or_default(),
         retry_after: a.retry_after.unwrap_or_default(),
         max_retry_after: told(a.max_retry_after_ms),
         max_attempts: a.max_attempts.unwrap_or_default(),
         stream_kb_per_s: f.stream_kb_per_s.unwrap_or_default(),
-        cold_cache: ColdRule {
-            start_share: r.start_capacity.unwrap_or_default(),
-            warm_within: told(r.warm_within_ms),
-            multiple: r.overload_factor.unwrap_or_default(),
-            window: told(r.fall_ms),
+        cache_slow_start: SlowStartRule {
+            initial_share: r.start_capacity.unwrap_or_default(),
+            ramp: told(r.warm_within_ms),
+            overload_factor: r.overload_factor.unwrap_or_default(),
+            overload_window: told(r.fall_ms),
         },
-        cold_parent: ColdRule {
-            start_share: f.parent_starts_at.unwrap_or_default(),
-            warm_within: told(f.upper_cold_ms),
-            multiple: f.parent_fall_multiple.unwrap_or_default(),
-            window: told(r.fall_ms),
+        parent_slow_start: SlowStartRule {
+            initial_share: f.parent_starts_at.unwrap_or_default(),
+            ramp: told(f.upper_cold_ms),
+            overload_factor: f.parent_fall_multiple.unwrap_or_default(),
+            overload_window: told(r.fall_ms),
         },
-        purge_done: told(f.gone_everywhere_ms),
+        purge_horizon: told(f.gone_everywhere_ms),
     })
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -92,7 +92,10 @@
             let deadline_us = told(class.deadline_ms);
             forms.push(ClassForm {
                 name: name.clone(),
-                keyed: matches!(router.classes[i].repeat, pointspindle::Repeat::Keyed { .. }),
+                keyed: matches!(
+                    router.classes[i].idempotency,
+                    pointspindle::Idempotency::WithKey { .. }
+                ),
                 write: router.classes[i].uncacheable,
                 deadline_ms: deadline_us / 1_000,
             });
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -16,9 +16,9 @@
 
 /// A cache, a parent or the origin. Routers agree on an object's place only if they number members alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct MemberId(pub u64);
+pub struct EndpointId(pub u64);
 
-impl MemberId {
+impl EndpointId {
     /// The number of the member with this name or address.
     pub fn named(name: &str) -> Self {
         Self(number_of(name))
@@ -42,18 +42,18 @@
 
 /// How often a request of a class may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// As often as one likes.
-    Safe,
+    Idempotent,
     /// Repeats of its key are discarded within a group of members, for a while after the first send.
-    Keyed { group: KeyGroup, window: Micros },
+    WithKey { scope: KeyScope, window: Micros },
     /// Once at most.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Which members discard each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyGroup {
+pub enum KeyScope {
     All,
     Zone,
     Cell,
@@ -61,18 +61,18 @@
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within `aim`, plus `aim_stretch` times its own sending time, earns the full worth.
-    pub aim: Micros,
-    pub aim_stretch: f64,
-    pub worth: f64,
-    pub repeat: Repeat,
+    pub latency_objective: Micros,
+    pub objective_stretch: f64,
+    pub priority_weight: f64,
+    pub idempotency: Idempotency,
     /// Runs at the origin, is never kept.
     pub uncacheable: bool,
     /// Fresh time of a copy; 0: good until purged.
-    pub fresh: Micros,
+    pub fresh_for: Micros,
     /// How much older than fresh a copy may be when asked for.
-    pub grace: Micros,
+    pub stale_if_error: Micros,
 }
 
 /// A location's or a hub's place.
@@ -84,7 +84,7 @@
 
 /// What answers tell of how they came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notes {
+pub enum CacheStatusDetail {
     All,
     HitOnly,
     None,
@@ -109,37 +109,37 @@
 
 /// How a cold member warms up, and what it bears meanwhile.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
+pub struct SlowStartRule {
     /// Share of its capacity at the start, at least.
-    pub start_share: f64,
+    pub initial_share: f64,
     /// Warm by then, rising evenly, at the latest.
-    pub warm_within: Micros,
+    pub ramp: Micros,
     /// Falls over at this multiple of its present capacity.
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// When that lasts so long.
-    pub window: Micros,
+    pub overload_window: Micros,
 }
 
 /// Told once, at the start.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct RouterSettings {
     pub zone: usize,
     pub zones: Vec<Zone>,
     /// Routers in all.
     pub routers: u32,
     /// This router's number among them, from 0, where told.
-    pub me: Option<u32>,
-    pub classes: Vec<Class>,
+    pub router_index: Option<u32>,
+    pub classes: Vec<RequestClass>,
     /// Member kind of the parents, if there are any.
     pub parent_kind: Option<usize>,
     pub origin_kind: Option<usize>,
     pub weights: Weights,
-    pub notes: Notes,
+    pub cache_status_detail: CacheStatusDetail,
     pub siblings: Siblings,
     /// Requests may go straight to a parent or the origin.
-    pub straight: bool,
+    pub direct_forwarding: bool,
     /// A request may join a fill that is under way.
-    pub joins: bool,
+    pub coalesces_fills: bool,
     pub may_cancel: bool,
     /// Clients are told how long to hold off.
     pub retry_after: bool,
@@ -147,15 +147,15 @@
     pub max_attempts: u32,
     /// Top pace of one answer, KB a second.
     pub stream_kb_per_s: f64,
-    pub cold_cache: ColdRule,
-    pub cold_parent: ColdRule,
+    pub cache_slow_start: SlowStartRule,
+    pub parent_slow_start: SlowStartRule,
     /// No copy older than a purge is left anywhere after this.
-    pub purge_done: Micros,
+    pub purge_horizon: Micros,
 }
 
 /// A member's state on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
-pub enum MemberState {
+pub enum EndpointState {
     #[default]
     Ready,
     Draining,
@@ -164,15 +164,15 @@
 
 /// One line of the member list.
 #[derive(Clone, Debug, Default)]
-pub struct MemberEntry {
-    pub id: MemberId,
-    pub state: MemberState,
+pub struct EndpointEntry {
+    pub id: EndpointId,
+    pub state: EndpointState,
     pub weight: f64,
     pub zone: usize,
     pub kind: usize,
     pub cell: u64,
     /// When it last started; 0: long ago.
-    pub started: Micros,
+    pub started_at: Micros,
 }
 
 /// News of the member list.
@@ -197,19 +197,19 @@
     pub part: u64,
     pub group: u64,
     /// Time left before the client gives this try up.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Size of the answer, where told.
-    pub kb: Option<f64>,
+    pub size_kb: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum AttemptStatus {
     Ok,
     /// The member replied with an error; it may have run.
     Error,
     /// Turned away by the member or its source; nothing ran.
-    Full,
+    Rejected,
     /// No reply in time; it may have run.
     Timeout,
     /// No connection; nothing ran.
@@ -219,75 +219,75 @@
     /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Nothing suitable held; nothing ran.
     Miss,
 }
 
 /// What an answer tells of how it came about, or why its fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
-    Untold,
+pub enum CacheStatus {
+    Unreported,
     Hit,
     Filled,
     FilledByOrigin,
     /// Joined a fill under way (on a miss: there is one).
-    Joined,
+    Coalesced,
     /// From a copy past its fresh time.
-    Old,
-    SourceRefused,
+    Stale,
+    SourceRejected,
     SourceUnreachable,
-    SourceLacks,
+    SourceMiss,
     /// All places for fills are taken at the cache.
-    NoFillPlace,
+    FillLimitReached,
     OriginFailed,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     pub request: RequestId,
     pub attempt: u32,
-    pub member: MemberId,
-    pub status: Status,
-    pub note: Note,
+    pub endpoint: EndpointId,
+    pub status: AttemptStatus,
+    pub cache_status: CacheStatus,
     /// Since the send.
     pub elapsed: Micros,
     /// Size of the answer, where it tells and the request did not.
-    pub kb: Option<f64>,
+    pub size_kb: Option<f64>,
     /// The request is finished.
-    pub closed: bool,
+    pub request_closed: bool,
 }
 
 /// What a router is told.
 #[derive(Clone, Debug)]
 pub enum Event {
-    Members {
+    EndpointList {
         update: ListUpdate,
-        entries: Vec<MemberEntry>,
+        entries: Vec<EndpointEntry>,
     },
     Request(Request),
     /// A member has begun to answer: it lives, however long the rest takes. Optional for a host whose answers
     /// come whole; one that streams to slow clients tells it, or they would make the member look silent.
-    Begun(MemberId),
+    ResponseStarted(EndpointId),
     /// A member's own word of its process, first on each connection to it: when it started, 0 for long ago. Optional:
     /// without it restarts are known from lists, and guessed from refused connections.
     Hello {
-        member: MemberId,
-        started: Micros,
+        endpoint: EndpointId,
+        started_at: Micros,
     },
     /// What a cold member itself takes from this router for a while, in seconds of sending time: in place of the
     /// router's own part of its budget, until the next one comes. Optional.
     Lease {
-        member: MemberId,
-        work: f64,
-        lasts: Micros,
+        endpoint: EndpointId,
+        work_s: f64,
+        duration: Micros,
     },
-    Outcome(Outcome),
+    Outcome(AttemptOutcome),
     /// The client has left.
-    Hangup(RequestId),
+    ClientDisconnected(RequestId),
     /// The dispatcher ends: a request gets its final answer now.
-    GiveUp(RequestId),
+    FinishNow(RequestId),
     Timer(u64),
     /// An object, or without one every object of the group, was purged `age` ago.
     Purge {
@@ -299,19 +299,19 @@
 
 /// What a cache does if it lacks the object, and which copies are good enough.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fetch {
+pub struct FetchDirective {
     /// Where a miss is filled from; the member itself: nowhere.
-    pub source: MemberId,
+    pub source: EndpointId,
     /// 0 no copy, no change; 1 to 3 the rank at which the copy is kept.
-    pub keep: u8,
+    pub retention_rank: u8,
     /// The oldest copy that will do; 0: the class's fresh time.
-    pub age: Micros,
+    pub max_age: Micros,
     /// Join a fill under way.
-    pub join: bool,
+    pub coalesce: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// Serve an ageing copy and renew it behind.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// What a router wants done, in this order.
@@ -320,12 +320,12 @@
     /// Make an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         request: RequestId,
-        member: MemberId,
+        endpoint: EndpointId,
         timeout: Micros,
-        fetch: Option<Fetch>,
+        fetch: Option<FetchDirective>,
     },
     /// Final answer: nothing ran, or a repeat is harmless.
-    Refuse {
+    Reject {
         request: RequestId,
         retry_after: Option<Micros>,
     },
@@ -338,7 +338,7 @@
         request: RequestId,
         attempt: u32,
     },
-    Timer {
+    SetTimer {
         after: Micros,
         token: u64,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,48 +11,48 @@
 //! ```
 //! use pointspindle::*;
 //!
-//! let cold = ColdRule { start_share: 0.2, warm_within: 10_000_000, multiple: 2.0, window: 1_000_000 };
-//! let settings = Settings {
+//! let slow_start = SlowStartRule { initial_share: 0.2, ramp: 10_000_000, overload_factor: 2.0, overload_window: 1_000_000 };
+//! let settings = RouterSettings {
 //!     zone: 1,
 //!     zones: vec![Zone { routers: 0 }, Zone { routers: 1 }],
 //!     routers: 1,
-//!     me: Some(0),
-//!     classes: vec![Class {
-//!         aim: 300_000, aim_stretch: 2.0, worth: 1.0,
-//!         repeat: Repeat::Safe, uncacheable: false, fresh: 12_000_000, grace: 20_000_000,
+//!     router_index: Some(0),
+//!     classes: vec![RequestClass {
+//!         latency_objective: 300_000, objective_stretch: 2.0, priority_weight: 1.0,
+//!         idempotency: Idempotency::Idempotent, uncacheable: false, fresh_for: 12_000_000, stale_if_error: 20_000_000,
 //!     }],
 //!     parent_kind: Some(1),
 //!     origin_kind: Some(2),
 //!     weights: Weights::Nominal,
-//!     notes: Notes::All,
+//!     cache_status_detail: CacheStatusDetail::All,
 //!     siblings: Siblings::Any,
-//!     straight: false,
-//!     joins: true,
+//!     direct_forwarding: false,
+//!     coalesces_fills: true,
 //!     may_cancel: true,
 //!     retry_after: true,
 //!     max_retry_after: 1_000_000,
 //!     max_attempts: 6,
 //!     stream_kb_per_s: 6000.0,
-//!     cold_cache: cold,
-//!     cold_parent: cold,
-//!     purge_done: 6_000_000,
+//!     cache_slow_start: slow_start,
+//!     parent_slow_start: slow_start,
+//!     purge_horizon: 6_000_000,
 //! };
 //! let mut router = Router::new(settings, 42);
 //! let mut actions = Vec::new();
-//! let member = |name, zone, kind| MemberEntry {
-//!     id: MemberId::named(name), state: MemberState::Ready, weight: 4.0, zone, kind, cell: 0, started: 0,
+//! let endpoint = |name, zone, kind| EndpointEntry {
+//!     id: EndpointId::named(name), state: EndpointState::Ready, weight: 4.0, zone, kind, cell: 0, started_at: 0,
 //! };
-//! let entries = vec![member("cache", 1, 0), member("parent", 0, 1), member("origin", 0, 2)];
-//! router.handle(0, Event::Members { update: ListUpdate::Full, entries }, &mut actions);
+//! let entries = vec![endpoint("cache", 1, 0), endpoint("parent", 0, 1), endpoint("origin", 0, 2)];
+//! router.handle(0, Event::EndpointList { update: ListUpdate::Full, entries }, &mut actions);
 //! router.handle(1_000, Event::Request(Request {
 //!     id: RequestId(7), class: 0, object: ObjectId::named("page"), part: 0, group: 3,
-//!     left: 2_500_000, kb: Some(300.0),
+//!     time_left: 2_500_000, size_kb: Some(300.0),
 //! }), &mut actions);
 //! let sent = actions.iter().find_map(|action| match action {
-//!     Action::Send { member, fetch: Some(fetch), .. } => Some((*member, fetch.source)),
+//!     Action::Send { endpoint, fetch: Some(fetch), .. } => Some((*endpoint, fetch.source)),
 //!     _ => None,
 //! });
-//! assert_eq!(sent, Some((MemberId::named("cache"), MemberId::named("parent"))));
+//! assert_eq!(sent, Some((EndpointId::named("cache"), EndpointId::named("parent"))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_debug_implementations)]
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -115,7 +115,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct Member {
-    entry: MemberEntry,
+    entry: EndpointEntry,
     health: Health,
     /// Requests under way at it, and their size.
     out: u32,
@@ -139,8 +139,8 @@
 #[derive(Debug, Clone)]
 struct Out {
     attempt: u32,
-    member: MemberId,
-    source: Option<MemberId>,
+    member: EndpointId,
+    source: Option<EndpointId>,
     sent: Micros,
     /// Cancelled, and for whose silence.
     cancelled: Option<Blame>,
@@ -155,7 +155,7 @@
     attempts: u32,
     out: Vec<Out>,
     /// Caches and sources that failed this request.
-    avoid: Vec<MemberId>,
+    avoid: Vec<EndpointId>,
     stale_tried: bool,
     /// Times it was turned away for want of room, and until when it waits for that.
     fulls: u32,
@@ -163,17 +163,17 @@
     spared: bool,
     not_before: Micros,
     /// First send that may have run, and where.
-    ran: Option<(Micros, MemberId)>,
+    ran: Option<(Micros, EndpointId)>,
     done: bool,
 }
 
 /// The decisions of one router. See [`Router::handle`].
 #[derive(Debug)]
 pub struct Router {
-    set: Settings,
+    set: RouterSettings,
     born: Option<Micros>,
     rng: u64,
-    members: BTreeMap<MemberId, Member>,
+    members: BTreeMap<EndpointId, Member>,
     roles: Roles,
     open: BTreeMap<RequestId, Open>,
     /// Uncacheable requests with nothing under way, waiting for somebody to send to.
@@ -199,7 +199,7 @@
     /// Purges held when they are next looked through.
     sweep_at: usize,
     /// Copies and the cache that served each; the older table goes when the newer is full.
-    seen: [BTreeMap<(ObjectId, u64), MemberId>; 2],
+    seen: [BTreeMap<(ObjectId, u64), EndpointId>; 2],
 }
 
 fn mix(mut x: u64) -> u64 {
@@ -214,7 +214,7 @@
 }
 
 /// Weighted rendezvous: the member with the highest score is the copy's home.
-fn score(object: u64, member: MemberId, weight: f64) -> f64 {
+fn score(object: u64, member: EndpointId, weight: f64) -> f64 {
     let u = (mix(object ^ mix(member.0)) >> 11) as f64 / (1_u64 << 53) as f64;
     -weight / u.max(1e-12).ln().min(-1e-12)
 }
@@ -274,7 +274,7 @@
 
 impl Router {
     /// A router that knows nothing yet but its settings. The seed spreads timers and draws.
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: RouterSettings, seed: u64) -> Self {
         let all = settings
             .zones
             .iter()
@@ -282,7 +282,7 @@
             .sum::<u64>();
         let routers = all
             .max(settings.routers.into())
-            .max(settings.me.map_or(0, u64::from) + 1);
+            .max(settings.router_index.map_or(0, u64::from) + 1);
         let here = settings
             .zones
             .get(settings.zone)
@@ -290,7 +290,7 @@
         let mean: Vec<f64> = settings
             .classes
             .iter()
-            .map(|c| c.aim as f64 / 1e6)
+            .map(|c| c.latency_objective as f64 / 1e6)
             .collect();
         Self {
             rng: seed,
@@ -319,41 +319,44 @@
     }
 
     /// How many routers there are, here and in all, and which one this is; `cold`: it takes of cold budgets.
-    pub fn count(&mut self, here: u32, all: u32, me: Option<u32>, cold: bool) {
+    pub fn set_fleet_position(&mut self, here: u32, all: u32, me: Option<u32>, cold: bool) {
         (self.sharing, self.routers) = (here.max(1) as f64, all.max(1).into());
-        (self.set.me, self.cold_part) = (me, cold as u8 as f64);
+        (self.set.router_index, self.cold_part) = (me, cold as u8 as f64);
     }
 
     /// Takes one event and appends what to do about it. `now` never runs backwards.
     pub fn handle(&mut self, now: Micros, event: Event, act: &mut Vec<Action>) {
         self.born.get_or_insert(now);
         match event {
-            Event::Members { update, entries } => self.on_members(now, update, entries),
+            Event::EndpointList { update, entries } => self.on_members(now, update, entries),
             Event::Request(req) => self.on_request(now, req, act),
-            Event::Begun(id) => self
+            Event::ResponseStarted(id) => self
                 .members
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|m| m.presence.word(now)),
-            Event::Hello { member, started } => self.on_hello(now, member, started),
+            Event::Hello {
+                endpoint: member,
+                started_at: started,
+            } => self.on_hello(now, member, started),
             Event::Lease {
-                member,
-                work,
-                lasts,
+                endpoint: member,
+                work_s: work,
+                duration: lasts,
             } => {
                 self.members
                     .entry(member)
                     .and_modify(|m| m.lease = Some((work, now, lasts)));
             }
             Event::Outcome(outcome) => self.on_outcome(now, outcome, act),
-            Event::Hangup(id) => self.close(id, act),
-            Event::GiveUp(id) => self.finish(id, act),
+            Event::ClientDisconnected(id) => self.close(id, act),
+            Event::FinishNow(id) => self.finish(id, act),
             Event::Timer(_) => self.on_timer(now, act),
             Event::Purge { object, group, age } => self.on_purge(now, object, group, age),
         }
         if !self.ticking && !self.open.is_empty() {
             self.ticking = true;
-            act.push(Action::Timer {
+            act.push(Action::SetTimer {
                 after: TICK + self.roll() % (TICK / 8),
                 token: 0,
             });
@@ -367,15 +370,15 @@
 
     // ---- membership
 
-    fn on_members(&mut self, now: Micros, update: ListUpdate, entries: Vec<MemberEntry>) {
+    fn on_members(&mut self, now: Micros, update: ListUpdate, entries: Vec<EndpointEntry>) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            let listed: BTreeSet<MemberId> = entries.iter().map(|e| e.id).collect();
+            let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
             for m in self
                 .members
                 .values_mut()
                 .filter(|m| !listed.contains(&m.entry.id))
             {
-                m.entry.state = MemberState::Gone;
+                m.entry.state = EndpointState::Gone;
             }
         }
         for mut entry in entries {
@@ -388,10 +391,10 @@
             match self.members.get_mut(&entry.id) {
                 Some(m) => {
                     // A start is never taken back: a list may be older than another word of it.
-                    entry.started = entry.started.max(m.entry.started);
-                    if entry.started != m.entry.started {
+                    entry.started_at = entry.started_at.max(m.entry.started_at);
+                    if entry.started_at != m.entry.started_at {
                         m.health = Health::default();
-                        m.presence.told(entry.started);
+                        m.presence.told(entry.started_at);
                     }
                     m.entry = entry;
                 }
@@ -413,7 +416,7 @@
     }
 
     /// What was guessed of its process gives way to what it says.
-    fn on_hello(&mut self, now: Micros, id: MemberId, started: Micros) {
+    fn on_hello(&mut self, now: Micros, id: EndpointId, started: Micros) {
         let Some(m) = self.members.get_mut(&id) else {
             return;
         };
@@ -421,8 +424,8 @@
             heard: now,
             ..Presence::default()
         };
-        if started > m.entry.started {
-            (m.entry.started, m.health, m.lease) = (started, Health::default(), None);
+        if started > m.entry.started_at {
+            (m.entry.started_at, m.health, m.lease) = (started, Health::default(), None);
         }
     }
 
@@ -431,11 +434,11 @@
     fn forget_gone(&mut self, now: Micros) {
         for m in self.members.values_mut() {
             let since = m.gone.unwrap_or(now);
-            m.gone = (m.entry.state == MemberState::Gone).then_some(since);
+            m.gone = (m.entry.state == EndpointState::Gone).then_some(since);
         }
         let due = |m: &Member| m.out + m.fills == 0 && m.gone.is_some_and(|at| now >= at + FORGET);
         if self.members.values().any(due) {
-            let ran: BTreeSet<MemberId> = self
+            let ran: BTreeSet<EndpointId> = self
                 .open
                 .values()
                 .filter_map(|o| o.ran)
@@ -449,14 +452,16 @@
     }
 
     /// Where a request would go if its home, which leases its warm-up out, had work left; and how much.
-    pub fn short_of(&self, now: Micros, req: &Request) -> Option<(MemberId, f64)> {
+    pub fn warm_up_shortfall(&self, now: Micros, req: &Request) -> Option<(EndpointId, f64)> {
         let c = self.set.classes.get(req.class).filter(|c| !c.uncacheable)?;
-        let ready = |m: &&Member| m.entry.state == MemberState::Ready && self.healthy(now, m);
+        let ready = |m: &&Member| m.entry.state == EndpointState::Ready && self.healthy(now, m);
         let ready: Vec<&Member> = self.of(Role::Cache).filter(ready).collect();
         let home = self
             .members
             .get(&self.pick(copy_key(req), &ready, |m| (m.out, m.out_kb))?)?;
-        let short = home.lease.is_some() && c.worth > 0.0 && !self.cold_room(now, home, req.class);
+        let short = home.lease.is_some()
+            && c.priority_weight > 0.0
+            && !self.cold_room(now, home, req.class);
         short.then(|| (home.entry.id, self.cost(req.class)))
     }
 
@@ -465,23 +470,23 @@
     fn on_request(&mut self, now: Micros, req: Request, act: &mut Vec<Action>) {
         let id = req.id;
         if req.class >= self.set.classes.len() {
-            return act.push(Action::Refuse {
+            return act.push(Action::Reject {
                 request: id,
                 retry_after: None,
             });
         }
-        if let Some(kb) = req.kb.filter(|_| self.set.stream_kb_per_s > 0.0) {
+        if let Some(kb) = req.size_kb.filter(|_| self.set.stream_kb_per_s > 0.0) {
             self.sizes_told = true;
             self.learn(req.class, kb / self.set.stream_kb_per_s);
         }
         let (worth, seconds) = (
-            self.set.classes[req.class].worth,
-            self.seconds(req.class, req.kb),
+            self.set.classes[req.class].priority_weight,
+            self.seconds(req.class, req.size_kb),
         );
         self.asked.0 += MEAN_STEP * (worth - self.asked.0);
         self.asked.1 += MEAN_STEP * (seconds - self.asked.1);
         let open = Open {
-            deadline: now + req.left,
+            deadline: now + req.time_left,
             req,
             ..Open::default()
         };
@@ -518,17 +523,19 @@
 
     /// Rule: no effect twice. After an attempt that may have run, only safe classes go on freely.
     fn may_resend(&self, now: Micros, o: &Open) -> bool {
-        match (o.ran, self.set.classes[o.req.class].repeat) {
-            (None, _) | (_, Repeat::Safe) => true,
-            (Some(_), Repeat::Unsafe) => false,
-            (Some((first, _)), Repeat::Keyed { window, .. }) => now + KEY_MARGIN < first + window,
+        match (o.ran, self.set.classes[o.req.class].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NotIdempotent) => false,
+            (Some((first, _)), Idempotency::WithKey { window, .. }) => {
+                now + KEY_MARGIN < first + window
+            }
         }
     }
 
     /// Whether a resend to this member is discarded where the first attempt has run.
     fn same_group(&self, o: &Open, member: &Member) -> bool {
-        let (Some((_, first)), Repeat::Keyed { group, .. }) =
-            (o.ran, self.set.classes[o.req.class].repeat)
+        let (Some((_, first)), Idempotency::WithKey { scope: group, .. }) =
+            (o.ran, self.set.classes[o.req.class].idempotency)
         else {
             return true;
         };
@@ -537,9 +544,9 @@
             .get(&first)
             .map(|m| (m.entry.zone, m.entry.cell));
         match group {
-            KeyGroup::All => true,
-            KeyGroup::Zone => first.is_some_and(|(zone, _)| zone == member.entry.zone),
-            KeyGroup::Cell => first.is_some_and(|(_, cell)| cell == member.entry.cell),
+            KeyScope::All => true,
+            KeyScope::Zone => first.is_some_and(|(zone, _)| zone == member.entry.zone),
+            KeyScope::Cell => first.is_some_and(|(_, cell)| cell == member.entry.cell),
         }
     }
 
@@ -548,10 +555,10 @@
         let Some(o) = self.open.get_mut(&id).filter(|o| !o.done) else {
             return;
         };
-        let harmless = match self.set.classes[o.req.class].repeat {
-            Repeat::Safe
-            | Repeat::Keyed {
-                group: KeyGroup::All,
+        let harmless = match self.set.classes[o.req.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::WithKey {
+                scope: KeyScope::All,
                 ..
             } => true,
             _ => o.ran.is_none() && o.out.is_empty(),
@@ -560,7 +567,7 @@
             .set
             .retry_after
             .then_some(HOLD_OFF.min(self.set.max_retry_after));
-        let refused = Action::Refuse {
+        let refused = Action::Reject {
             request: id,
             retry_after,
         };
@@ -598,7 +605,7 @@
     fn send(&mut self, now: Micros, id: RequestId, (member, source): Way, act: &mut Vec<Action>) {
         // Drawn for each fill, so that the parts of all routers add up.
         let origin = self.origin();
-        let mut past = |id: Option<MemberId>| {
+        let mut past = |id: Option<EndpointId>| {
             let draw = (self.roll() >> 11) as f64 / (1_u64 << 53) as f64;
             id.and_then(|id| self.members.get(&id))
                 .is_some_and(|m| draw >= m.part || !self.healthy(now, m))
@@ -606,7 +613,7 @@
         let (full, spared) = (past(source), past(origin));
         self.parked.remove(&id);
         let Some(o) = self.open.get(&id) else { return };
-        let (class, kb) = (o.req.class, o.req.kb.unwrap_or(1.0));
+        let (class, kb) = (o.req.class, o.req.size_kb.unwrap_or(1.0));
         let purge_limit = self.purge_limit(now, &o.req);
         let c = &self.set.classes[class];
         let above = source
@@ -625,10 +632,10 @@
         let fetch = source.map(|source| {
             let failed_at = self.members.get(&source).and_then(|m| m.health.failed_at);
             let old = stale_try || spared || failed_at.is_some_and(|at| now < at + STALE_WINDOW);
-            let most = if old && c.fresh > 0 {
-                c.fresh + c.grace
+            let most = if old && c.fresh_for > 0 {
+                c.fresh_for + c.stale_if_error
             } else {
-                c.fresh
+                c.fresh_for
             };
             // Age 0 would mean the class's fresh time, so a purge limit stays above it.
             let age = match purge_limit {
@@ -636,22 +643,26 @@
                 Some(limit) => limit.clamp(1, most),
                 None => most,
             };
-            Fetch {
+            FetchDirective {
                 source,
-                keep: if c.uncacheable || stale_try {
+                retention_rank: if c.uncacheable || stale_try {
                     0
                 } else {
                     self.rank(&o.req)
                 },
-                age,
+                max_age: age,
                 // A fill begun before a purge would hand on the purged copy.
-                join: self.set.joins && purge_limit.is_none() && !c.uncacheable,
-                held_only: spared && !stale_try,
-                renew: c.fresh > 0 && !stale_try && !spared,
+                coalesce: self.set.coalesces_fills && purge_limit.is_none() && !c.uncacheable,
+                only_if_cached: spared && !stale_try,
+                revalidate: c.fresh_for > 0 && !stale_try && !spared,
             }
         });
         let seconds = self.cost(class);
-        let window = self.set.cold_cache.window.max(self.set.cold_parent.window);
+        let window = self
+            .set
+            .cache_slow_start
+            .overload_window
+            .max(self.set.parent_slow_start.overload_window);
         for (target, is_source) in [
             (Some(member), false),
             (source.filter(|s| *s != member), true),
@@ -686,7 +697,7 @@
         o.spared |= spared;
         act.push(Action::Send {
             request: id,
-            member,
+            endpoint: member,
             timeout: o.deadline - now,
             fetch,
         });
@@ -694,7 +705,7 @@
 
     // ---- outcome
 
-    fn on_outcome(&mut self, now: Micros, e: Outcome, act: &mut Vec<Action>) {
+    fn on_outcome(&mut self, now: Micros, e: AttemptOutcome, act: &mut Vec<Action>) {
         let Some(o) = self.open.get_mut(&e.request) else {
             return;
         };
@@ -702,21 +713,26 @@
             return;
         };
         let out = o.out.swap_remove(place);
-        let unsent = matches!(e.status, Status::ConnectFailed | Status::Moot);
-        let proves_idle = unsent || matches!(e.status, Status::Full | Status::Miss);
+        let unsent = matches!(
+            e.status,
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent
+        );
+        let proves_idle =
+            unsent || matches!(e.status, AttemptStatus::Rejected | AttemptStatus::Miss);
         if !proves_idle && o.ran.is_none() {
             o.ran = Some((out.sent, out.member));
         }
-        let full = e.status == Status::Full || e.note == Note::NoFillPlace;
+        let full =
+            e.status == AttemptStatus::Rejected || e.cache_status == CacheStatus::FillLimitReached;
         o.fulls += full as u32;
-        o.spared |= e.note == Note::OriginFailed;
+        o.spared |= e.cache_status == CacheStatus::OriginFailed;
         let (done, class, kb, key) = (
-            o.done || e.closed,
+            o.done || e.request_closed,
             o.req.class,
-            o.req.kb,
+            o.req.size_kb,
             (o.req.object, o.req.part),
         );
-        let told = e.kb.or(kb).filter(|_| self.set.stream_kb_per_s > 0.0);
+        let told = e.size_kb.or(kb).filter(|_| self.set.stream_kb_per_s > 0.0);
         let seconds = self.seconds(class, told);
         let source = out.source.filter(|s| *s != out.member);
         if let Some(m) = self.members.get_mut(&out.member) {
@@ -729,14 +745,17 @@
         }
         if let Some(m) = source.and_then(|s| self.members.get_mut(&s)) {
             m.fills = m.fills.saturating_sub(1);
-            if e.note == Note::Hit || unsent {
+            if e.cache_status == CacheStatus::Hit || unsent {
                 // A hit never reached the source: its cold budget has it back, and no other attempt's.
                 m.spent.retain(|s| (s.0, s.1) != (out.sent, e.request));
             }
         }
-        if e.status == Status::Ok {
+        if e.status == AttemptStatus::Ok {
             self.remember(key, out.member);
-            let held = matches!(e.note, Note::Hit | Note::Old | Note::Untold);
+            let held = matches!(
+                e.cache_status,
+                CacheStatus::Hit | CacheStatus::Stale | CacheStatus::Unreported
+            );
             if held && !self.set.classes[class].uncacheable {
                 let pace = (e.elapsed.max(1) as f64 / 1e6 / seconds.max(1e-6)).ln();
                 self.pace += MEAN_STEP * (pace - self.pace);
@@ -746,7 +765,7 @@
             }
             // Told sizes are learned from, else quick hits: slow ones would raise what counts as late. They
             // leave large objects out, so not where others tell sizes: cold budgets were charged too little.
-            let quick = e.elapsed <= self.set.classes[class].aim;
+            let quick = e.elapsed <= self.set.classes[class].latency_objective;
             match told {
                 _ if kb.is_some() => {}
                 Some(_) => self.learn(class, seconds),
@@ -756,18 +775,20 @@
         }
         let size = seconds * if told.is_some() { 1.0 } else { UNTOLD_SIZE };
         let c = &self.set.classes[class];
-        let late = e.elapsed as f64 > c.aim as f64 + c.aim_stretch * 1e6 * size
-            || e.status == Status::Full;
+        let late = e.elapsed as f64 > c.latency_objective as f64 + c.objective_stretch * 1e6 * size
+            || e.status == AttemptStatus::Rejected;
         // Who is late: of a fill by the origin that, of another the location's link, else the cache. No
         // answer says nothing of how fast answers are; where all are slow, those that come say so.
-        match (e.status, e.note) {
-            (Status::Miss | Status::Cancelled | Status::Timeout, _) => {}
+        match (e.status, e.cache_status) {
+            (AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::Timeout, _) => {}
             _ if unsent => {}
-            (Status::Ok, Note::FilledByOrigin) | (_, Note::OriginFailed) if source.is_some() => {
+            (AttemptStatus::Ok, CacheStatus::FilledByOrigin) | (_, CacheStatus::OriginFailed)
+                if source.is_some() =>
+            {
                 self.share(self.origin(), late);
             }
-            (_, Note::SourceRefused) => self.share(source, true),
-            (Status::Ok, Note::Filled | Note::Joined) => {
+            (_, CacheStatus::SourceRejected) => self.share(source, true),
+            (AttemptStatus::Ok, CacheStatus::Filled | CacheStatus::Coalesced) => {
                 self.link = adapted(self.link, late, LIMIT_LEAST, LIMIT_MOST);
                 self.share(source, late);
             }
@@ -803,8 +824,10 @@
         }
         // The design: a failed fill is answered from what that cache holds, within the grace.
         let c = &self.set.classes[o.req.class];
-        let stale =
-            blame == Blame::Source && e.note != Note::SourceLacks && c.fresh > 0 && c.grace > 0;
+        let stale = blame == Blame::Source
+            && e.cache_status != CacheStatus::SourceMiss
+            && c.fresh_for > 0
+            && c.stale_if_error > 0;
         if stale && !o.stale_tried && o.attempts < self.set.max_attempts && now + TICK < o.deadline
         {
             let usable = self
@@ -818,7 +841,7 @@
         self.go_on(now, e.request, act);
     }
 
-    fn share(&mut self, id: Option<MemberId>, late: bool) {
+    fn share(&mut self, id: Option<EndpointId>, late: bool) {
         let Some(m) = id.and_then(|id| self.members.get_mut(&id)) else {
             return;
         };
@@ -837,51 +860,71 @@
     }
 
     /// Whose failure an outcome is, and what it does to that member's standing.
-    fn judge(&mut self, now: Micros, e: &Outcome, out: &Out, source: Option<MemberId>) -> Blame {
+    fn judge(
+        &mut self,
+        now: Micros,
+        e: &AttemptOutcome,
+        out: &Out,
+        source: Option<EndpointId>,
+    ) -> Blame {
         let quiet = self
             .members
             .get(&out.member)
             .is_none_or(|m| m.presence.heard < out.sent);
         if !matches!(
             e.status,
-            Status::Timeout | Status::Cancelled | Status::Moot | Status::ConnectFailed
+            AttemptStatus::Timeout
+                | AttemptStatus::Cancelled
+                | AttemptStatus::NotSent
+                | AttemptStatus::ConnectFailed
         ) {
             if let Some(m) = self.members.get_mut(&out.member) {
                 // A connection that breaks is the old process's end as well as a new one's.
                 // That of a silent one is its peer's word that it knows nothing of it: another process.
                 match e.status {
-                    Status::Reset if m.presence.silent => m.presence.missed(m.presence.heard, now),
-                    Status::Reset => m.presence.heard = now,
+                    AttemptStatus::Reset if m.presence.silent => {
+                        m.presence.missed(m.presence.heard, now)
+                    }
+                    AttemptStatus::Reset => m.presence.heard = now,
                     _ => m.presence.word(now),
                 }
             }
         }
-        let error = e.status == Status::Error;
-        match (e.status, e.note) {
-            (Status::Ok, note) => {
+        let error = e.status == AttemptStatus::Error;
+        match (e.status, e.cache_status) {
+            (AttemptStatus::Ok, note) => {
                 self.good(out.member, MARK_STEP);
                 match (note, source) {
-                    (Note::Filled | Note::FilledByOrigin, Some(s)) => {
-                        let origin = self.origin().filter(|_| note == Note::FilledByOrigin);
+                    (CacheStatus::Filled | CacheStatus::FilledByOrigin, Some(s)) => {
+                        let origin = self
+                            .origin()
+                            .filter(|_| note == CacheStatus::FilledByOrigin);
                         origin
                             .into_iter()
                             .chain([s])
                             .for_each(|id| self.good(id, MARK_STEP));
                     }
                     // Untold, most answers are hits and say little of the source.
-                    (Note::Untold, Some(s)) => self.good(s, MARK_STEP / 4.0),
+                    (CacheStatus::Unreported, Some(s)) => self.good(s, MARK_STEP / 4.0),
                     _ => {}
                 }
                 Blame::Nobody
             }
-            (Status::Miss, _) if out.stale_try => Blame::Nobody,
-            (_, Note::SourceLacks) | (Status::Miss, _) => Blame::Source,
-            (_, Note::SourceRefused | Note::SourceUnreachable | Note::OriginFailed) => {
-                let origin = self.origin().filter(|_| e.note == Note::OriginFailed);
+            (AttemptStatus::Miss, _) if out.stale_try => Blame::Nobody,
+            (_, CacheStatus::SourceMiss) | (AttemptStatus::Miss, _) => Blame::Source,
+            (
+                _,
+                CacheStatus::SourceRejected
+                | CacheStatus::SourceUnreachable
+                | CacheStatus::OriginFailed,
+            ) => {
+                let origin = self
+                    .origin()
+                    .filter(|_| e.cache_status == CacheStatus::OriginFailed);
                 if let Some(s) = origin.or(source) {
                     // Not reached is as good as gone; one that broke off is there.
                     let unreached = if error { MARK_HOLD } else { MARK_HARD };
-                    let least = if e.note == Note::SourceUnreachable {
+                    let least = if e.cache_status == CacheStatus::SourceUnreachable {
                         unreached
                     } else {
                         0.0
@@ -894,9 +937,9 @@
                 Blame::Source
             }
             // Nothing told: an error, or a refusal from afar, counts against the source that was named.
-            (Status::Error | Status::Full, Note::Untold)
+            (AttemptStatus::Error | AttemptStatus::Rejected, CacheStatus::Unreported)
                 if source.is_some()
-                    && self.set.notes == Notes::None
+                    && self.set.cache_status_detail == CacheStatusDetail::None
                     && (error || e.elapsed > NEAR) =>
             {
                 if let Some(s) = source {
@@ -910,8 +953,8 @@
                 }
                 Blame::Source
             }
-            (Status::Full, _) | (_, Note::NoFillPlace) => Blame::Cache,
-            (Status::ConnectFailed, _) => {
+            (AttemptStatus::Rejected, _) | (_, CacheStatus::FillLimitReached) => Blame::Cache,
+            (AttemptStatus::ConnectFailed, _) => {
                 if let Some(m) = self.members.get_mut(&out.member).filter(|m| m.out == 0) {
                     m.presence.missed(out.sent, now);
                 }
@@ -919,7 +962,7 @@
                 Blame::Cache
             }
             // A cache that answers others lost this one, or its source is slow: some of its fills go past it.
-            (Status::Timeout, _) if !quiet => {
+            (AttemptStatus::Timeout, _) if !quiet => {
                 self.share(source, true);
                 source
                     .into_iter()
@@ -927,17 +970,17 @@
                 Blame::Source
             }
             // A dead process refuses the next connection: cuts that are the way's come from every host alike.
-            (Status::Reset | Status::Error | Status::Timeout, _) => {
-                let cut = e.status == Status::Reset;
+            (AttemptStatus::Reset | AttemptStatus::Error | AttemptStatus::Timeout, _) => {
+                let cut = e.status == AttemptStatus::Reset;
                 self.bad(now, out.member, 0.0, if cut { MARK_CUT } else { MARK_STEP });
                 Blame::Cache
             }
-            (Status::Cancelled, _) => out.cancelled.unwrap_or(Blame::Cache),
-            (Status::Moot, _) => Blame::Nobody,
+            (AttemptStatus::Cancelled, _) => out.cancelled.unwrap_or(Blame::Cache),
+            (AttemptStatus::NotSent, _) => Blame::Nobody,
         }
     }
 
-    fn good(&mut self, id: MemberId, step: f64) {
+    fn good(&mut self, id: EndpointId, step: f64) {
         let Some(m) = self.members.get_mut(&id) else {
             return;
         };
@@ -948,7 +991,7 @@
     }
 
     /// Moves the failure mark, at least to `least`; over the line the member is held off, longer each time.
-    fn bad(&mut self, now: Micros, id: MemberId, least: f64, step: f64) {
+    fn bad(&mut self, now: Micros, id: EndpointId, least: f64, step: f64) {
         let (gap, dice) = (
             self.members.get(&id).map_or(0, |m| self.trial_gap(m)),
             self.roll(),
@@ -982,12 +1025,12 @@
     /// A cache that takes work and answers nothing: several answers overdue, no word since they were sent.
     /// They are cancelled and go elsewhere. A source is not judged so: a full link looks the same.
     fn find_silent(&mut self, now: Micros, act: &mut Vec<Action>) {
-        let mut overdue: BTreeMap<MemberId, usize> = BTreeMap::new();
+        let mut overdue: BTreeMap<EndpointId, usize> = BTreeMap::new();
         for o in self.open.values() {
             for out in o.out.iter().filter(|out| out.cancelled.is_none()) {
                 let due = out.sent
                     + DUE
-                    + (DUE_STRETCH * 1e6 * self.seconds(o.req.class, o.req.kb)) as Micros;
+                    + (DUE_STRETCH * 1e6 * self.seconds(o.req.class, o.req.size_kb)) as Micros;
                 let heard = self
                     .members
                     .get(&out.member)
@@ -1008,7 +1051,8 @@
                     .and_modify(|m| m.presence.silent = true);
                 self.bad(now, id, MARK_HARD, MARK_STEP);
                 let set = &self.set;
-                let once = |o: &Open| set.classes[o.req.class].repeat == Repeat::Unsafe;
+                let once =
+                    |o: &Open| set.classes[o.req.class].idempotency == Idempotency::NotIdempotent;
                 for (request, o) in self
                     .open
                     .iter_mut()
@@ -1032,7 +1076,7 @@
 
     fn on_purge(&mut self, now: Micros, object: Option<ObjectId>, group: u64, age: Micros) {
         let at = now.saturating_sub(age);
-        let kept = self.set.purge_done + PURGE_MARGIN;
+        let kept = self.set.purge_horizon + PURGE_MARGIN;
         if self.object_purges.len() + self.group_purges.len() > self.sweep_at {
             self.object_purges.retain(|_, t| *t + kept > now);
             self.group_purges.retain(|_, t| *t + kept > now);
@@ -1052,7 +1096,7 @@
             .object_purges
             .get(&req.object)
             .max(self.group_purges.get(&req.group))?;
-        (now < at + self.set.purge_done + PURGE_MARGIN).then_some(now.saturating_sub(*at))
+        (now < at + self.set.purge_horizon + PURGE_MARGIN).then_some(now.saturating_sub(*at))
     }
 
     // ---- choosing
@@ -1062,7 +1106,7 @@
         self.roles.of(role).filter_map(|id| self.members.get(&id))
     }
 
-    fn origin(&self) -> Option<MemberId> {
+    fn origin(&self) -> Option<EndpointId> {
         self.of(Role::Origin).next().map(|m| m.entry.id)
     }
 
@@ -1108,7 +1152,7 @@
             .any(|s| s.contains_key(&(req.object, req.part))) as u8
     }
 
-    fn remember(&mut self, key: (ObjectId, u64), cache: MemberId) {
+    fn remember(&mut self, key: (ObjectId, u64), cache: EndpointId) {
         if self.seen[0].len() >= SEEN_MOST {
             self.seen.swap(0, 1);
             self.seen[0].clear();
@@ -1117,7 +1161,7 @@
     }
 
     /// A request sent past its home is filled from the cache that served the copy last, not over the link in.
-    fn holder(&self, now: Micros, o: &Open, cache: MemberId) -> Option<MemberId> {
+    fn holder(&self, now: Micros, o: &Open, cache: EndpointId) -> Option<EndpointId> {
         let key = (o.req.object, o.req.part);
         let id = *self.seen.iter().find_map(|s| s.get(&key))?;
         let m = self
@@ -1131,7 +1175,7 @@
 
     /// Rules: drains and cold members. Listed as ready, and its cold budget has room for one more.
     fn may_send(&self, now: Micros, m: &Member, class: usize) -> bool {
-        m.entry.state == MemberState::Ready && self.cold_room(now, m, class)
+        m.entry.state == EndpointState::Ready && self.cold_room(now, m, class)
     }
 
     /// A cold member takes only so much in any window: the multiple of what it can do at the window's start.
@@ -1142,13 +1186,13 @@
         let (rule, mut sharing) = self.cold_rule(m);
         let seen = m.presence.started(now);
         // Silence may have been a pause: else the list tells soon. What it told before still holds.
-        let pause = m.presence.unsure && now >= seen + UNSURE * rule.window;
+        let pause = m.presence.unsure && now >= seen + UNSURE * rule.overload_window;
         let started = if pause {
-            m.entry.started
+            m.entry.started_at
         } else {
-            m.entry.started.max(seen)
+            m.entry.started_at.max(seen)
         };
-        let warm_at = started + rule.warm_within + rule.window;
+        let warm_at = started + rule.ramp + rule.overload_window;
         if self.is_origin(m) || started == 0 || now >= warm_at {
             return true;
         }
@@ -1156,20 +1200,26 @@
         if let Some((work, since, lasts)) = m.lease.filter(|l| now < l.1 + LEASES_LOST * l.2) {
             return now < since + lasts && self.cost(class) <= work;
         }
-        if now < self.born.unwrap_or(now) + rule.window {
+        if now < self.born.unwrap_or(now) + rule.overload_window {
             return false;
         }
-        let from = now.saturating_sub(rule.window);
-        let warm = from.saturating_sub(started) as f64 / rule.warm_within.max(1) as f64;
-        let share = self.cold_part * (rule.start_share + (1.0 - rule.start_share) * warm.min(1.0));
-        let budget = COLD_SHARE * rule.multiple * share * m.entry.weight * rule.window as f64 / 1e6;
+        let from = now.saturating_sub(rule.overload_window);
+        let warm = from.saturating_sub(started) as f64 / rule.ramp.max(1) as f64;
+        let share =
+            self.cold_part * (rule.initial_share + (1.0 - rule.initial_share) * warm.min(1.0));
+        let budget = COLD_SHARE
+            * rule.overload_factor
+            * share
+            * m.entry.weight
+            * rule.overload_window as f64
+            / 1e6;
         if parent {
             let dearest = (0..self.mean.len())
                 .map(|c| self.cost(c))
                 .fold(0.0, f64::max);
             let some = ((budget / dearest.max(1e-6)) as u64).clamp(1, self.routers);
             let place = |me: u32| (me as u64 + m.entry.id.0 % self.routers) % self.routers;
-            let turn = self.set.me.map_or(self.routers, place);
+            let turn = self.set.router_index.map_or(self.routers, place);
             if turn >= some && some < self.routers {
                 return false;
             }
@@ -1189,7 +1239,7 @@
     /// within its cold budget: it may come back cold, and they learn of it from nobody.
     fn trial_gap(&self, m: &Member) -> Micros {
         let (rule, many) = self.cold_rule(m);
-        let budget = COLD_SHARE * rule.multiple * rule.start_share * m.entry.weight;
+        let budget = COLD_SHARE * rule.overload_factor * rule.initial_share * m.entry.weight;
         if self.is_origin(m) || budget <= 0.0 {
             return 0;
         }
@@ -1198,10 +1248,10 @@
     }
 
     /// The rule that holds while it is cold, and how many routers share its budget.
-    fn cold_rule(&self, m: &Member) -> (&ColdRule, f64) {
+    fn cold_rule(&self, m: &Member) -> (&SlowStartRule, f64) {
         match self.is_parent(m) {
-            true => (&self.set.cold_parent, self.routers as f64),
-            false => (&self.set.cold_cache, self.sharing),
+            true => (&self.set.parent_slow_start, self.routers as f64),
+            false => (&self.set.cache_slow_start, self.sharing),
         }
     }
 
@@ -1275,14 +1325,15 @@
     /// What earns more for its sending time than most comes first where there is not room for all.
     fn stretch(&self, req: &Request) -> f64 {
         let usual = self.asked.0 / self.asked.1.max(1e-6);
-        let own = self.set.classes[req.class].worth / self.seconds(req.class, req.kb).max(1e-6);
+        let own = self.set.classes[req.class].priority_weight
+            / self.seconds(req.class, req.size_kb).max(1e-6);
         (own / usual.max(1e-6))
             .sqrt()
             .clamp(LIMIT_STRETCH.0, LIMIT_STRETCH.1)
     }
 
     /// The copy's parent: hash order over all that are listed, then the origin.
-    fn choose_source(&self, now: Micros, o: &Open) -> Option<MemberId> {
+    fn choose_source(&self, now: Micros, o: &Open) -> Option<EndpointId> {
         let parents = self.able(now, o, Role::Parent);
         let fit: Vec<&Member> = parents
             .iter()
@@ -1303,7 +1354,7 @@
         object: u64,
         from: &[&Member],
         load: fn(&Member) -> (u32, f64),
-    ) -> Option<MemberId> {
+    ) -> Option<EndpointId> {
         let total: f64 = from.iter().map(|m| self.weight(m)).sum();
         let under_way: f64 = from.iter().map(|m| load(m).1).sum();
         let within = |m: &&&Member| {
@@ -1339,7 +1390,7 @@
         };
         let origin = self.able(now, o, Role::Origin).first().map(|m| m.entry.id);
         let parent = fit(self.able(now, o, Role::Parent));
-        if self.set.straight {
+        if self.set.direct_forwarding {
             // A parent that is its own source fills from nowhere.
             let listed = self
                 .of(Role::Origin)
@@ -1358,7 +1409,7 @@
 }
 
 /// To whom, and the source. A cache that is its own source is looked at: what it holds, within the grace.
-type Way = (MemberId, Option<MemberId>);
+type Way = (EndpointId, Option<EndpointId>);
 
 enum Choice {
     Send(Way),
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -3,7 +3,7 @@
 //!
 //! Invariant: each member that the router keeps stands in the set of its role, or in none where it is another location's cache.
 //! Forgotten with the member.
-use crate::interface::{MemberEntry, MemberId, Settings};
+use crate::interface::{EndpointEntry, EndpointId, RouterSettings};
 use std::collections::BTreeSet;
 
 /// What a member is to this router.
@@ -18,7 +18,7 @@
 }
 
 impl Role {
-    pub fn of(entry: &MemberEntry, settings: &Settings) -> Self {
+    pub fn of(entry: &EndpointEntry, settings: &RouterSettings) -> Self {
         match Some(entry.kind) {
             kind if kind == settings.origin_kind => Self::Origin,
             kind if kind == settings.parent_kind => Self::Parent,
@@ -31,14 +31,14 @@
 /// Members by role, each in the order of their ids.
 #[derive(Debug, Default)]
 pub(crate) struct Roles {
-    caches: BTreeSet<MemberId>,
-    parents: BTreeSet<MemberId>,
-    origins: BTreeSet<MemberId>,
+    caches: BTreeSet<EndpointId>,
+    parents: BTreeSet<EndpointId>,
+    origins: BTreeSet<EndpointId>,
 }
 
 impl Roles {
     /// A member is listed, for the first time or anew.
-    pub fn place(&mut self, id: MemberId, role: Role) {
+    pub fn place(&mut self, id: EndpointId, role: Role) {
         self.forget(id);
         match role {
             Role::Cache => self.caches.insert(id),
@@ -48,14 +48,14 @@
         };
     }
 
-    pub fn forget(&mut self, id: MemberId) {
+    pub fn forget(&mut self, id: EndpointId) {
         for of_role in [&mut self.caches, &mut self.parents, &mut self.origins] {
             of_role.remove(&id);
         }
     }
 
     /// None for the caches of other locations: they are never chosen.
-    pub fn of(&self, role: Role) -> impl Iterator<Item = MemberId> + '_ {
+    pub fn of(&self, role: Role) -> impl Iterator<Item = EndpointId> + '_ {
         let of_role = match role {
             Role::Cache => Some(&self.caches),
             Role::Parent => Some(&self.parents),
--- a/src/roles/tests.rs
+++ b/src/roles/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn a_member_stands_in_the_set_of_its_role_alone() {
     let mut roles = Roles::default();
-    let (a, b) = (MemberId(1), MemberId(2));
+    let (a, b) = (EndpointId(1), EndpointId(2));
     roles.place(b, Role::Cache);
     roles.place(a, Role::Cache);
     assert!(roles.of(Role::Cache).eq([a, b]), "by their ids");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -12,80 +12,80 @@
 pub const KEYED: usize = 2;
 pub const UNSAFE: usize = 3;
 
-fn class(repeat: Repeat, fresh: Micros, grace: Micros, uncacheable: bool) -> Class {
-    Class {
-        aim: 300 * MS,
-        aim_stretch: 2.0,
-        worth: 1.0,
-        repeat,
+fn class(repeat: Idempotency, fresh: Micros, grace: Micros, uncacheable: bool) -> RequestClass {
+    RequestClass {
+        latency_objective: 300 * MS,
+        objective_stretch: 2.0,
+        priority_weight: 1.0,
+        idempotency: repeat,
         uncacheable,
-        fresh,
-        grace,
+        fresh_for: fresh,
+        stale_if_error: grace,
     }
 }
 
-pub fn settings() -> Settings {
-    Settings {
+pub fn settings() -> RouterSettings {
+    RouterSettings {
         zone: 1,
         zones: vec![Zone { routers: 0 }, Zone { routers: 1 }],
         routers: 2,
-        me: Some(0),
+        router_index: Some(0),
         classes: vec![
-            class(Repeat::Safe, 0, 0, false),
-            class(Repeat::Safe, 12 * S, 20 * S, false),
+            class(Idempotency::Idempotent, 0, 0, false),
+            class(Idempotency::Idempotent, 12 * S, 20 * S, false),
             class(
-                Repeat::Keyed {
-                    group: KeyGroup::All,
+                Idempotency::WithKey {
+                    scope: KeyScope::All,
                     window: 2 * S,
                 },
                 0,
                 0,
                 true,
             ),
-            class(Repeat::Unsafe, 0, 0, true),
+            class(Idempotency::NotIdempotent, 0, 0, true),
         ],
         parent_kind: Some(1),
         origin_kind: Some(2),
         weights: Weights::Nominal,
-        notes: Notes::All,
+        cache_status_detail: CacheStatusDetail::All,
         siblings: Siblings::Any,
-        straight: true,
-        joins: true,
+        direct_forwarding: true,
+        coalesces_fills: true,
         may_cancel: true,
         retry_after: true,
         max_retry_after: S,
         max_attempts: 6,
         stream_kb_per_s: 6000.0,
-        cold_cache: ColdRule {
-            start_share: 0.2,
-            warm_within: 10 * S,
-            multiple: 2.0,
-            window: 2 * S,
+        cache_slow_start: SlowStartRule {
+            initial_share: 0.2,
+            ramp: 10 * S,
+            overload_factor: 2.0,
+            overload_window: 2 * S,
         },
-        cold_parent: ColdRule {
-            start_share: 0.1,
-            warm_within: 20 * S,
-            multiple: 2.0,
-            window: 2 * S,
+        parent_slow_start: SlowStartRule {
+            initial_share: 0.1,
+            ramp: 20 * S,
+            overload_factor: 2.0,
+            overload_window: 2 * S,
         },
-        purge_done: 6 * S,
+        purge_horizon: 6 * S,
     }
 }
 
-pub fn entry(name: &str, kind: usize) -> MemberEntry {
+pub fn entry(name: &str, kind: usize) -> EndpointEntry {
     let zone = if kind == 0 { 1 } else { 0 };
-    MemberEntry {
-        id: MemberId::named(name),
-        state: MemberState::Ready,
+    EndpointEntry {
+        id: EndpointId::named(name),
+        state: EndpointState::Ready,
         weight: 6.0,
         zone,
         kind,
         cell: 0,
-        started: 0,
+        started_at: 0,
     }
 }
 
-pub fn fleet() -> Vec<MemberEntry> {
+pub fn fleet() -> Vec<EndpointEntry> {
     let caches = ["c1", "c2", "c3"].map(|n| entry(n, 0));
     let upper = [("p1", 1), ("p2", 1), ("origin", 2)].map(|(n, k)| entry(n, k));
     caches.into_iter().chain(upper).collect()
@@ -96,16 +96,16 @@
 pub struct Sent {
     pub request: RequestId,
     pub attempt: u32,
-    pub member: MemberId,
+    pub member: EndpointId,
     pub timeout: Micros,
-    pub fetch: Option<Fetch>,
+    pub fetch: Option<FetchDirective>,
 }
 
 impl Sent {
-    pub fn fetch(&self) -> &Fetch {
+    pub fn fetch(&self) -> &FetchDirective {
         self.fetch.as_ref().expect("a fetch, not a plain look")
     }
-    pub fn source(&self) -> MemberId {
+    pub fn source(&self) -> EndpointId {
         self.fetch().source
     }
 }
@@ -119,10 +119,10 @@
 }
 
 impl Stage {
-    pub fn with(settings: Settings, members: Vec<MemberEntry>) -> Self {
+    pub fn with(settings: RouterSettings, members: Vec<EndpointEntry>) -> Self {
         Self::seeded(1, settings, members)
     }
-    pub fn seeded(seed: u64, settings: Settings, members: Vec<MemberEntry>) -> Self {
+    pub fn seeded(seed: u64, settings: RouterSettings, members: Vec<EndpointEntry>) -> Self {
         let router = Router::new(settings, seed);
         let mut stage = Self {
             router,
@@ -131,7 +131,7 @@
             next: 0,
             attempts: Default::default(),
         };
-        stage.tell(Event::Members {
+        stage.tell(Event::EndpointList {
             update: ListUpdate::Cached,
             entries: members,
         });
@@ -148,7 +148,7 @@
         for action in &self.last {
             if let Action::Send {
                 request,
-                member,
+                endpoint: member,
                 timeout,
                 fetch,
             } = action
@@ -179,33 +179,33 @@
             object: ObjectId::named(object),
             part: 0,
             group: 5,
-            left: 3 * S,
-            kb: Some(300.0),
+            time_left: 3 * S,
+            size_kb: Some(300.0),
         }))
     }
-    pub fn end(&mut self, sent: &Sent, status: Status, note: Note) -> Vec<Sent> {
+    pub fn end(&mut self, sent: &Sent, status: AttemptStatus, note: CacheStatus) -> Vec<Sent> {
         self.end_after(sent, status, note, 50 * MS)
     }
     pub fn end_after(
         &mut self,
         sent: &Sent,
-        status: Status,
-        note: Note,
+        status: AttemptStatus,
+        note: CacheStatus,
         elapsed: Micros,
     ) -> Vec<Sent> {
-        self.tell(Event::Outcome(Outcome {
+        self.tell(Event::Outcome(AttemptOutcome {
             request: sent.request,
             attempt: sent.attempt,
-            member: sent.member,
+            endpoint: sent.member,
             status,
-            note,
+            cache_status: note,
             elapsed,
-            kb: None,
-            closed: status == Status::Ok,
+            size_kb: None,
+            request_closed: status == AttemptStatus::Ok,
         }))
     }
-    pub fn update(&mut self, entries: Vec<MemberEntry>) {
-        self.tell(Event::Members {
+    pub fn update(&mut self, entries: Vec<EndpointEntry>) {
+        self.tell(Event::EndpointList {
             update: ListUpdate::Delta,
             entries,
         });
@@ -213,7 +213,7 @@
     pub fn finals(&self) -> Vec<&Action> {
         self.last
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
             .collect()
     }
 }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -8,11 +8,15 @@
     let mut s = Stage::new();
     let page = s.ask(PAGE, "a").remove(0);
     assert_eq!(
-        (page.fetch().age, page.fetch().renew, page.fetch().join),
+        (
+            page.fetch().max_age,
+            page.fetch().revalidate,
+            page.fetch().coalesce
+        ),
         (12 * S, true, true)
     );
-    assert!(page.fetch().keep >= 1);
-    assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 0);
+    assert!(page.fetch().retention_rank >= 1);
+    assert_eq!(s.ask(VIDEO, "a")[0].fetch().max_age, 0);
 }
 
 #[test]
@@ -29,8 +33,8 @@
         let name = format!("o{i}");
         let (x, y) = (a.ask(VIDEO, &name).remove(0), b.ask(VIDEO, &name).remove(0));
         assert_eq!(x.source(), y.source());
-        a.end(&x, Status::Ok, Note::Hit);
-        b.end(&y, Status::Ok, Note::Hit);
+        a.end(&x, AttemptStatus::Ok, CacheStatus::Hit);
+        b.end(&y, AttemptStatus::Ok, CacheStatus::Hit);
     }
 }
 
@@ -39,12 +43,12 @@
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
     let stale = s
-        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .end(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_eq!(stale.member, sent.member);
     assert_eq!(stale.source(), sent.member, "from what it holds only");
-    assert_eq!(stale.fetch().age, 32 * S);
-    assert_eq!(stale.fetch().keep, 0);
+    assert_eq!(stale.fetch().max_age, 32 * S);
+    assert_eq!(stale.fetch().retention_rank, 0);
 }
 
 #[test]
@@ -52,9 +56,11 @@
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
     let stale = s
-        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .end(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
+        .remove(0);
+    let next = s
+        .end(&stale, AttemptStatus::Miss, CacheStatus::Unreported)
         .remove(0);
-    let next = s.end(&stale, Status::Miss, Note::Untold).remove(0);
     assert_ne!(next.source(), sent.source());
     assert_ne!(next.source(), next.member);
 }
@@ -64,7 +70,7 @@
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
     let next = s
-        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .end(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_ne!(next.source(), next.member);
 }
@@ -72,32 +78,36 @@
 #[test]
 fn for_ten_seconds_requests_bound_to_a_failed_source_accept_old_copies() {
     let mut members = fleet();
-    members.retain(|m| m.kind != 1 && m.id != MemberId::named("c3"));
+    members.retain(|m| m.kind != 1 && m.id != EndpointId::named("c3"));
     let mut s = Stage::with(settings(), members);
     let sent = s.ask(PAGE, "a").remove(0);
-    s.end(&sent, Status::Error, Note::SourceRefused);
+    s.end(&sent, AttemptStatus::Error, CacheStatus::SourceRejected);
     s.now += 9_900 * MS;
-    assert_eq!(s.ask(PAGE, "b")[0].fetch().age, 32 * S);
+    assert_eq!(s.ask(PAGE, "b")[0].fetch().max_age, 32 * S);
     s.now += 200 * MS;
-    assert_eq!(s.ask(PAGE, "c")[0].fetch().age, 12 * S);
+    assert_eq!(s.ask(PAGE, "c")[0].fetch().max_age, 12 * S);
 }
 
 #[test]
 fn the_missing_object_is_not_the_sources_failure() {
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
-    let next = s.end(&sent, Status::Miss, Note::SourceLacks).remove(0);
+    let next = s
+        .end(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss)
+        .remove(0);
     assert_ne!(next.source(), next.member, "no stale try");
-    assert_eq!(s.ask(PAGE, "a")[0].fetch().age, 12 * S);
+    assert_eq!(s.ask(PAGE, "a")[0].fetch().max_age, 12 * S);
 }
 
 #[test]
 fn where_nothing_is_told_an_error_counts_against_the_named_source() {
     let mut untold = settings();
-    untold.notes = Notes::None;
+    untold.cache_status_detail = CacheStatusDetail::None;
     let mut s = Stage::with(untold, fleet());
     let sent = s.ask(PAGE, "a").remove(0);
-    let stale = s.end(&sent, Status::Error, Note::Untold).remove(0);
+    let stale = s
+        .end(&sent, AttemptStatus::Error, CacheStatus::Unreported)
+        .remove(0);
     assert_eq!((stale.member, stale.source()), (sent.member, sent.member));
 }
 
@@ -105,14 +115,17 @@
 fn an_uncacheable_class_goes_straight_to_the_origin_where_allowed() {
     let mut s = Stage::new();
     let sent = s.ask(KEYED, "a").remove(0);
-    assert_eq!((sent.member, sent.fetch), (MemberId::named("origin"), None));
+    assert_eq!(
+        (sent.member, sent.fetch),
+        (EndpointId::named("origin"), None)
+    );
     let mut through = settings();
-    through.straight = false;
+    through.direct_forwarding = false;
     let mut s = Stage::with(through, fleet());
     let sent = s.ask(KEYED, "a").remove(0);
     assert_eq!(
-        (sent.source(), sent.fetch().keep),
-        (MemberId::named("origin"), 0)
+        (sent.source(), sent.fetch().retention_rank),
+        (EndpointId::named("origin"), 0)
     );
 }
 
@@ -129,7 +142,9 @@
         }
     }
     assert!(s.now < T0 + 600 * MS, "found within the aim");
-    let next = s.end(&first, Status::Cancelled, Note::Untold).remove(0);
+    let next = s
+        .end(&first, AttemptStatus::Cancelled, CacheStatus::Unreported)
+        .remove(0);
     assert_ne!(next.member, first.member);
     assert_ne!(s.ask(VIDEO, "a")[0].member, first.member);
 }
@@ -138,16 +153,16 @@
 fn a_member_held_off_is_tried_again() {
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
-    s.end(&sent, Status::ConnectFailed, Note::Untold);
+    s.end(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
     assert_ne!(s.ask(VIDEO, "a")[0].member, sent.member);
     s.now += 4 * S;
     assert_eq!(s.ask(VIDEO, "a")[0].member, sent.member);
 }
 
 /// Fills the home of `name` until a request for it goes to another cache.
-fn spill(s: &mut Stage, name: &str) -> (MemberId, Sent) {
+fn spill(s: &mut Stage, name: &str) -> (EndpointId, Sent) {
     let first = s.ask(VIDEO, name).remove(0);
-    s.end(&first, Status::Ok, Note::Filled);
+    s.end(&first, AttemptStatus::Ok, CacheStatus::Filled);
     loop {
         let sent = s.ask(VIDEO, name).remove(0);
         if sent.member != first.member {
@@ -161,7 +176,9 @@
     let mut s = Stage::new();
     let (home, spilled) = spill(&mut s, "a");
     assert_eq!(spilled.source(), home);
-    let next = s.end(&spilled, Status::Miss, Note::SourceLacks).remove(0);
+    let next = s
+        .end(&spilled, AttemptStatus::Miss, CacheStatus::SourceMiss)
+        .remove(0);
     assert_ne!(
         next.source(),
         home,
@@ -187,7 +204,7 @@
         let mut s = Stage::new();
         for i in 0..200 {
             let sent = s.ask(VIDEO, &format!("o{i}")).remove(0);
-            s.end_after(&sent, Status::Ok, Note::Filled, elapsed);
+            s.end_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
         }
         (0..200)
             .filter(|i| !s.ask(VIDEO, &format!("n{i}")).is_empty())
@@ -201,17 +218,23 @@
 fn a_request_turned_away_twice_for_want_of_room_is_refused() {
     let mut s = Stage::new();
     let first = s.ask(VIDEO, "a").remove(0);
-    let second = s.end(&first, Status::Full, Note::Untold).remove(0);
+    let second = s
+        .end(&first, AttemptStatus::Rejected, CacheStatus::Unreported)
+        .remove(0);
     assert_ne!(second.member, first.member);
-    assert!(s.end(&second, Status::Full, Note::Untold).is_empty());
-    assert!(matches!(s.finals()[..], [Action::Refuse { .. }]));
+    assert!(s
+        .end(&second, AttemptStatus::Rejected, CacheStatus::Unreported)
+        .is_empty());
+    assert!(matches!(s.finals()[..], [Action::Reject { .. }]));
 }
 
 #[test]
 fn an_uncacheable_request_turned_away_waits_before_it_tries_again() {
     let mut s = Stage::new();
     let first = s.ask(KEYED, "a").remove(0);
-    assert!(s.end(&first, Status::Full, Note::Untold).is_empty());
+    assert!(s
+        .end(&first, AttemptStatus::Rejected, CacheStatus::Unreported)
+        .is_empty());
     assert!(s.wait(50 * MS).is_empty());
     assert_eq!(s.wait(150 * MS).len(), 1);
 }
@@ -224,7 +247,7 @@
         // The caches are well: hits go on, while five fills take their time.
         for sent in s.ask(PAGE, &format!("o{i}")) {
             if i > 5 || sent.source() != bound.source() {
-                s.end(&sent, Status::Ok, Note::Hit);
+                s.end(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             }
         }
         assert!(s.wait(25 * MS).is_empty(), "sent again elsewhere");
@@ -261,32 +284,36 @@
         .flat_map(|_| s.ask(PAGE, "a"))
         .find(|sent| sent.source() == sent.member)
         .unwrap();
-    assert_eq!((looked.fetch().age, looked.fetch().keep), (32 * S, 0));
+    assert_eq!(
+        (looked.fetch().max_age, looked.fetch().retention_rank),
+        (32 * S, 0)
+    );
     assert!(
-        s.end(&looked, Status::Miss, Note::Untold).is_empty(),
+        s.end(&looked, AttemptStatus::Miss, CacheStatus::Unreported)
+            .is_empty(),
         "no second look"
     );
-    assert!(matches!(s.finals()[..], [Action::Refuse { .. }]));
+    assert!(matches!(s.finals()[..], [Action::Reject { .. }]));
 }
 
 #[test]
 fn a_single_broken_connection_does_not_close_a_cache() {
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
-    s.end(&sent, Status::Reset, Note::Untold);
+    s.end(&sent, AttemptStatus::Reset, CacheStatus::Unreported);
     assert_eq!(s.ask(VIDEO, "a")[0].member, sent.member);
 }
 
 /// Ends everything that is asked: with an error at the failing caches, else with a hit.
-fn fail_at(s: &mut Stage, failing: &[MemberId]) {
+fn fail_at(s: &mut Stage, failing: &[EndpointId]) {
     for i in 0..60 {
         let mut sent = s.ask(VIDEO, &format!("o{i}"));
         while let Some(one) = sent.pop() {
             let bad = failing.contains(&one.member);
             let (status, note) = if bad {
-                (Status::Reset, Note::Untold)
+                (AttemptStatus::Reset, CacheStatus::Unreported)
             } else {
-                (Status::Ok, Note::Hit)
+                (AttemptStatus::Ok, CacheStatus::Hit)
             };
             sent = s.end(&one, status, note);
         }
@@ -295,13 +322,13 @@
 
 #[test]
 fn a_cache_that_fails_alone_is_held_off_but_not_most_of_a_location() {
-    let [c1, c2, _] = ["c1", "c2", "c3"].map(MemberId::named);
+    let [c1, c2, _] = ["c1", "c2", "c3"].map(EndpointId::named);
     for (failing, used) in [(vec![c1], false), (vec![c1, c2], true)] {
         let mut s = Stage::new();
         fail_at(&mut s, &failing);
         let to_c1 = (0..40).any(|i| {
             let sent = s.ask(VIDEO, &format!("n{i}")).remove(0);
-            s.end(&sent, Status::Ok, Note::Hit);
+            s.end(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             sent.member == c1
         });
         assert_eq!(to_c1, used, "{} failing", failing.len());
@@ -310,7 +337,7 @@
 
 #[test]
 fn load_leaves_a_cache_that_only_grows_slower() {
-    let slow = MemberId::named("c1");
+    let slow = EndpointId::named("c1");
     let mut s = Stage::new();
     let mut share = |of: usize| {
         let mut at_slow = 0;
@@ -321,7 +348,7 @@
             } else {
                 60 * MS
             };
-            s.end_after(&one, Status::Ok, Note::Hit, elapsed);
+            s.end_after(&one, AttemptStatus::Ok, CacheStatus::Hit, elapsed);
             at_slow += (one.member == slow) as usize;
         }
         at_slow
@@ -336,12 +363,17 @@
 #[test]
 fn untold_a_refusal_from_afar_is_the_sources() {
     let mut untold = settings();
-    untold.notes = Notes::None;
+    untold.cache_status_detail = CacheStatusDetail::None;
     for (elapsed, blamed) in [(MS, false), (400 * MS, true)] {
         let mut s = Stage::with(untold.clone(), fleet());
         let sent = s.ask(VIDEO, "a").remove(0);
         let next = s
-            .end_after(&sent, Status::Full, Note::Untold, elapsed)
+            .end_after(
+                &sent,
+                AttemptStatus::Rejected,
+                CacheStatus::Unreported,
+                elapsed,
+            )
             .remove(0);
         assert_eq!(
             (next.member == sent.member, next.source() != sent.source()),
@@ -357,13 +389,13 @@
     let (mut sent, mut tried) = (s.ask(VIDEO, "a"), vec![]);
     while let Some(one) = sent.pop() {
         tried.push(one.member);
-        sent = s.end(&one, Status::ConnectFailed, Note::Untold);
+        sent = s.end(&one, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
     }
     tried.sort();
     tried.dedup();
     assert_eq!(tried.len(), 3);
     assert!(
-        matches!(s.finals()[..], [Action::Refuse { .. }]),
+        matches!(s.finals()[..], [Action::Reject { .. }]),
         "not held until its deadline"
     );
 }
@@ -371,22 +403,23 @@
 #[test]
 fn while_the_origin_fails_misses_do_not_add_to_it() {
     let mut s = Stage::new();
-    assert!(!s.ask(VIDEO, "o").remove(0).fetch().held_only);
+    assert!(!s.ask(VIDEO, "o").remove(0).fetch().only_if_cached);
     for i in 0..3 {
         let sent = s.ask(VIDEO, &format!("o{i}")).remove(0);
         // The behind-the-parent failure is told by a note; the client then leaves.
-        s.end(&sent, Status::Full, Note::OriginFailed);
-        s.tell(Event::Hangup(sent.request));
+        s.end(&sent, AttemptStatus::Rejected, CacheStatus::OriginFailed);
+        s.tell(Event::ClientDisconnected(sent.request));
     }
     let sent = s.ask(VIDEO, "a").remove(0);
-    assert!(sent.fetch().held_only && sent.source() != MemberId::named("origin"));
+    assert!(sent.fetch().only_if_cached && sent.source() != EndpointId::named("origin"));
     assert!(
-        s.end(&sent, Status::Miss, Note::SourceLacks).is_empty(),
+        s.end(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss)
+            .is_empty(),
         "its cache was seen to lack it as well"
     );
-    assert!(matches!(s.finals()[..], [Action::Refuse { .. }]));
+    assert!(matches!(s.finals()[..], [Action::Reject { .. }]));
     let only_there = s.ask(KEYED, "k").remove(0);
-    assert_eq!(only_there.member, MemberId::named("origin"));
+    assert_eq!(only_there.member, EndpointId::named("origin"));
 }
 
 /// Some requests are never answered there, all others in time: what the location takes does not shrink for it.
@@ -402,7 +435,7 @@
             .filter(|sent| sent.source() != sent.member)
             .count();
         full.iter()
-            .for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
+            .for_each(|sent| drop(s.end(sent, AttemptStatus::Ok, CacheStatus::Hit)));
         taken
     };
     let before = taken(&mut s);
@@ -413,8 +446,13 @@
             .collect();
         s.now += 20 * MS;
         good.iter()
-            .for_each(|sent| drop(s.end(sent, Status::Ok, Note::Hit)));
-        s.end_after(&lost, Status::Timeout, Note::Untold, 3 * S);
+            .for_each(|sent| drop(s.end(sent, AttemptStatus::Ok, CacheStatus::Hit)));
+        s.end_after(
+            &lost,
+            AttemptStatus::Timeout,
+            CacheStatus::Unreported,
+            3 * S,
+        );
     }
     s.now += 10 * S;
     assert!(taken(&mut s) >= before, "{} of {before}", taken(&mut s));
@@ -424,7 +462,7 @@
 /// to the origin, and of an origin that loses some as well, copies within the grace do; it is never left alone for good.
 #[test]
 fn attempts_lost_at_a_living_cache_do_not_hold_a_source_off_that_fills() {
-    let parent = MemberId::named("p1");
+    let parent = EndpointId::named("p1");
     let mut members = fleet();
     members.retain(|m| m.kind != 1 || m.id == parent);
     let mut s = Stage::with(settings(), members);
@@ -440,16 +478,25 @@
         for (k, sent) in good.iter().enumerate() {
             s.end(
                 sent,
-                Status::Ok,
-                if k < 3 { Note::Filled } else { Note::Hit },
+                AttemptStatus::Ok,
+                if k < 3 {
+                    CacheStatus::Filled
+                } else {
+                    CacheStatus::Hit
+                },
             );
         }
-        s.end_after(&lost, Status::Timeout, Note::Untold, 3 * S);
+        s.end_after(
+            &lost,
+            AttemptStatus::Timeout,
+            CacheStatus::Unreported,
+            3 * S,
+        );
         let page = s.ask(PAGE, &format!("p{i}")).remove(0);
-        let fill = [parent, MemberId::named("origin")].contains(&page.source());
+        let fill = [parent, EndpointId::named("origin")].contains(&page.source());
         assert!(fill, "held off after {i}");
-        spared += (page.fetch().age != 12 * S) as u32;
-        s.end(&page, Status::Ok, Note::Hit);
+        spared += (page.fetch().max_age != 12 * S) as u32;
+        s.end(&page, AttemptStatus::Ok, CacheStatus::Hit);
     }
     assert!(
         there >= 30 && spared <= 30,
@@ -463,9 +510,9 @@
     let mut s = Stage::new();
     for _ in 0..3 {
         let write = s.ask(KEYED, "w").remove(0);
-        s.end(&write, Status::Reset, Note::Untold);
+        s.end(&write, AttemptStatus::Reset, CacheStatus::Unreported);
     }
-    assert!(!s.ask(VIDEO, "a")[0].fetch().held_only);
+    assert!(!s.ask(VIDEO, "a")[0].fetch().only_if_cached);
 }
 
 /// A write whose way to the origin broke goes through a parent, which is told to have it from there; then it waits and
@@ -473,11 +520,17 @@
 #[test]
 fn a_write_that_was_cut_off_goes_through_a_parent_and_then_straight_again() {
     let mut s = Stage::new();
-    let origin = MemberId::named("origin");
+    let origin = EndpointId::named("origin");
     let write = s.ask(KEYED, "w").remove(0);
-    let through = s.end(&write, Status::Reset, Note::Untold).remove(0);
+    let through = s
+        .end(&write, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
     assert!(through.member != origin && through.source() == origin);
-    assert!(s.end(&through, Status::Miss, Note::SourceLacks).is_empty() && s.finals().is_empty());
+    assert!(
+        s.end(&through, AttemptStatus::Miss, CacheStatus::SourceMiss)
+            .is_empty()
+            && s.finals().is_empty()
+    );
     assert_eq!(s.wait(100 * MS).remove(0).member, origin);
 }
 
@@ -495,8 +548,8 @@
                 object,
                 part: 0,
                 group: 5,
-                left,
-                kb: None,
+                time_left: left,
+                size_kb: None,
             }))
         };
         for i in 0..200 {
@@ -509,16 +562,16 @@
                 (20, kb.map(|kb| kb / 35.0))
             };
             let (request, attempt, member) = (sent.request, sent.attempt, sent.member);
-            let (status, note, elapsed) = (Status::Ok, Note::Hit, elapsed * MS);
-            let outcome = Outcome {
+            let (status, note, elapsed) = (AttemptStatus::Ok, CacheStatus::Hit, elapsed * MS);
+            let outcome = AttemptOutcome {
                 request,
                 attempt,
-                member,
+                endpoint: member,
                 status,
-                note,
+                cache_status: note,
                 elapsed,
-                kb,
-                closed: true,
+                size_kb: kb,
+                request_closed: true,
             };
             s.tell(Event::Outcome(outcome));
         }
@@ -537,16 +590,16 @@
 /// Late fills are the link's or the origin's: hits go on as before, and only what may need a fill is refused.
 #[test]
 fn late_fills_leave_the_limits_of_caches_alone() {
-    let taken_after = |note: Note| {
+    let taken_after = |note: CacheStatus| {
         let mut s = Stage::new();
         for i in 0..40 {
             let sent = s.ask(PAGE, &format!("w{i}")).remove(0);
-            s.end_after(&sent, Status::Ok, note, 2 * S);
+            s.end_after(&sent, AttemptStatus::Ok, note, 2 * S);
         }
         // The link is well again; the limits are what they were, or have to be learned anew.
         for i in 0..60 {
             let sent = s.ask(PAGE, &format!("v{i}")).remove(0);
-            s.end(&sent, Status::Ok, Note::Filled);
+            s.end(&sent, AttemptStatus::Ok, CacheStatus::Filled);
         }
         let full: Vec<Sent> = (0..200)
             .flat_map(|i| s.ask(PAGE, &format!("f{i}")))
@@ -555,7 +608,10 @@
             .filter(|sent| sent.source() != sent.member)
             .count()
     };
-    let (link, hosts) = (taken_after(Note::Filled), taken_after(Note::Hit));
+    let (link, hosts) = (
+        taken_after(CacheStatus::Filled),
+        taken_after(CacheStatus::Hit),
+    );
     assert!(
         link > 2 * hosts,
         "{link} after late fills, {hosts} after late hits"
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -6,10 +6,10 @@
 /// A deploy in waves would do the same: twenty new caches, the twenty before them gone.
 fn deploy(stage: &mut Stage, number: usize) {
     let of = |n: usize| (0..20).map(move |i| entry(&format!("d{n}-{i}"), 0));
-    let mut entries: Vec<MemberEntry> = of(number).collect();
+    let mut entries: Vec<EndpointEntry> = of(number).collect();
     if number > 0 {
-        entries.extend(of(number - 1).map(|e| MemberEntry {
-            state: MemberState::Gone,
+        entries.extend(of(number - 1).map(|e| EndpointEntry {
+            state: EndpointState::Gone,
             ..e
         }));
     }
@@ -39,7 +39,7 @@
         "{after_three} bytes grew to {after_all}"
     );
     let sent = stage.ask(PAGE, "a");
-    assert!(sent[0].member != MemberId::named("d0-0") && sent.len() == 1);
+    assert!(sent[0].member != EndpointId::named("d0-0") && sent.len() == 1);
 }
 
 /// A list that flaps must not whitewash a member: its hold outlives a short absence.
@@ -48,15 +48,15 @@
     let mut stage = Stage::new();
     for n in 0..6 {
         let sent = stage.ask(PAGE, &format!("o{n}"));
-        if let Some(sent) = sent.iter().find(|s| s.member == MemberId::named("c1")) {
-            stage.end(sent, Status::ConnectFailed, Note::Untold);
+        if let Some(sent) = sent.iter().find(|s| s.member == EndpointId::named("c1")) {
+            stage.end(sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
         }
     }
     let marked = |stage: &Stage| {
         !format!("{:?}", stage.router).contains("held_until: 0, pace: 0.0, failed_at: None }, out: 0, out_kb: 0.0, looks: 0, fills: 0, heard: 0, limit: 12.0, spent: [], gone: Some")
     };
-    stage.update(vec![MemberEntry {
-        state: MemberState::Gone,
+    stage.update(vec![EndpointEntry {
+        state: EndpointState::Gone,
         ..entry("c1", 0)
     }]);
     stage.now += 5 * S;
@@ -79,11 +79,11 @@
 #[test]
 fn a_gone_member_that_an_open_request_ran_at_is_kept() {
     let mut set = settings();
-    set.classes[KEYED].repeat = Repeat::Keyed {
-        group: KeyGroup::Cell,
+    set.classes[KEYED].idempotency = Idempotency::WithKey {
+        scope: KeyScope::Cell,
         window: 600 * S,
     };
-    set.straight = false;
+    set.direct_forwarding = false;
     let mut stage = Stage::with(set, fleet());
     let sent = stage.tell(Event::Request(Request {
         id: RequestId(900),
@@ -91,16 +91,16 @@
         object: ObjectId::named("k"),
         part: 0,
         group: 0,
-        left: 500 * S,
-        kb: None,
+        time_left: 500 * S,
+        size_kb: None,
     }));
     let first = sent[0].clone();
-    let left = |n: &str| MemberEntry {
-        state: MemberState::Gone,
+    let left = |n: &str| EndpointEntry {
+        state: EndpointState::Gone,
         ..entry(n, 0)
     };
     stage.update(["c1", "c2", "c3"].map(left).to_vec());
-    stage.end(&first, Status::Reset, Note::Untold);
+    stage.end(&first, AttemptStatus::Reset, CacheStatus::Unreported);
     stage.now += 100 * S;
     stage.update(vec![]);
     stage.update(vec![entry("c9", 0)]);
@@ -111,7 +111,7 @@
         "resent to a newcomer of the zone: {:?}",
         stage.last
     );
-    assert_eq!(again[0].member, MemberId::named("c9"));
+    assert_eq!(again[0].member, EndpointId::named("c9"));
 }
 
 /// Ten thousand purges in a few seconds: looked through now and then, not at each, and gone afterwards.
--- a/tests/odd.rs
+++ b/tests/odd.rs
@@ -16,7 +16,7 @@
         (0, Some(0), vec![]),
     ] {
         let mut set = settings();
-        (set.routers, set.me, set.zones) = (routers, me, zones);
+        (set.routers, set.router_index, set.zones) = (routers, me, zones);
         let mut s = Stage::with(set, fleet());
         assert!(answered(&mut s, VIDEO) && answered(&mut s, PAGE));
     }
@@ -34,7 +34,7 @@
     let sent = s.ask(VIDEO, "a").remove(0);
     assert!(
         ["c1", "c2", "c3"]
-            .map(MemberId::named)
+            .map(EndpointId::named)
             .contains(&sent.member),
         "a cache of the own location"
     );
@@ -45,10 +45,10 @@
     let mut s = Stage::new();
     s.now += 3 * S;
     let home = s.ask(VIDEO, "a").remove(0);
-    s.end(&home, Status::ConnectFailed, Note::Untold);
+    s.end(&home, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
     assert_ne!(s.ask(VIDEO, "a")[0].member, home.member);
     let mut back = fleet().into_iter().find(|e| e.id == home.member).unwrap();
-    (back.started, back.weight) = (s.now, 60.0);
+    (back.started_at, back.weight) = (s.now, 60.0);
     s.update(vec![back]);
     assert_eq!(s.ask(VIDEO, "a")[0].member, home.member);
 }
@@ -58,20 +58,22 @@
     let mut s = Stage::new();
     s.now += 3 * S;
     let stuck = s.ask(VIDEO, "a").remove(0);
-    let mut batch: Vec<MemberEntry> = fleet().into_iter().filter(|e| e.kind == 0).collect();
+    let mut batch: Vec<EndpointEntry> = fleet().into_iter().filter(|e| e.kind == 0).collect();
     batch
         .iter_mut()
-        .for_each(|e| e.state = MemberState::Draining);
+        .for_each(|e| e.state = EndpointState::Draining);
     for name in ["n1", "n2", "n3"] {
         let mut new = entry(name, 0);
-        (new.started, new.weight) = (s.now, 60.0);
+        (new.started_at, new.weight) = (s.now, 60.0);
         batch.push(new);
     }
     s.update(batch);
-    let next = s.end(&stuck, Status::Reset, Note::Untold).remove(0);
+    let next = s
+        .end(&stuck, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
     assert!(
         ["n1", "n2", "n3"]
-            .map(MemberId::named)
+            .map(EndpointId::named)
             .contains(&next.member),
         "replacements are used at once"
     );
@@ -82,8 +84,10 @@
     let mut s = Stage::new();
     let sent = s.ask(PAGE, "a").remove(0);
     let mut dying = fleet().into_iter().find(|e| e.id == sent.member).unwrap();
-    dying.state = MemberState::Draining;
+    dying.state = EndpointState::Draining;
     s.update(vec![dying]);
-    let next = s.end(&sent, Status::Reset, Note::Untold).remove(0);
+    let next = s
+        .end(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
     assert_ne!(next.member, sent.member);
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -18,42 +18,47 @@
 struct Watch {
     deadline: Micros,
     class: usize,
-    out: BTreeMap<u32, (MemberId, Micros)>,
+    out: BTreeMap<u32, (EndpointId, Micros)>,
     sent: u32,
     ran: bool,
     finished: bool,
 }
 
-const STATUS: [Status; 9] = [
-    Status::Ok,
-    Status::Error,
-    Status::Full,
-    Status::Timeout,
-    Status::ConnectFailed,
-    Status::Reset,
-    Status::Cancelled,
-    Status::Moot,
-    Status::Miss,
+const STATUS: [AttemptStatus; 9] = [
+    AttemptStatus::Ok,
+    AttemptStatus::Error,
+    AttemptStatus::Rejected,
+    AttemptStatus::Timeout,
+    AttemptStatus::ConnectFailed,
+    AttemptStatus::Reset,
+    AttemptStatus::Cancelled,
+    AttemptStatus::NotSent,
+    AttemptStatus::Miss,
 ];
-const NOTE: [Note; 5] = [
-    Note::Untold,
-    Note::SourceUnreachable,
-    Note::SourceLacks,
-    Note::NoFillPlace,
-    Note::OriginFailed,
+const NOTE: [CacheStatus; 5] = [
+    CacheStatus::Unreported,
+    CacheStatus::SourceUnreachable,
+    CacheStatus::SourceMiss,
+    CacheStatus::FillLimitReached,
+    CacheStatus::OriginFailed,
 ];
 
 /// Plays one seed and returns every action, checking the rules as it goes.
 fn play(seed: u64) -> Vec<(Micros, Action)> {
     let mut dice = Dice(seed * 7919 + 1);
     let mut set = settings();
-    set.straight = seed.is_multiple_of(2);
-    (set.routers, set.me) = [(2, Some(1)), (0, None), (90, Some(200))][(seed % 3) as usize];
+    set.direct_forwarding = seed.is_multiple_of(2);
+    (set.routers, set.router_index) =
+        [(2, Some(1)), (0, None), (90, Some(200))][(seed % 3) as usize];
     set.zones[1].routers = [1, 0, 12][(seed % 3) as usize];
-    set.notes = [Notes::All, Notes::HitOnly, Notes::None][(seed % 3) as usize];
+    set.cache_status_detail = [
+        CacheStatusDetail::All,
+        CacheStatusDetail::HitOnly,
+        CacheStatusDetail::None,
+    ][(seed % 3) as usize];
     let (mut router, mut now, mut log) = (Router::new(set.clone(), seed), T0, vec![]);
     let mut watch: BTreeMap<RequestId, Watch> = BTreeMap::new();
-    let mut away: Vec<MemberId> = vec![];
+    let mut away: Vec<EndpointId> = vec![];
     let mut timers: Vec<Micros> = vec![];
     for step in 0..3000 {
         // Time stands still until everything that is due has been told.
@@ -71,8 +76,8 @@
                 id,
                 attempt,
                 member,
-                Status::Timeout,
-                Note::Untold,
+                AttemptStatus::Timeout,
+                CacheStatus::Unreported,
             )
         } else if let Some(i) = timers.iter().position(|t| *t <= now) {
             timers.swap_remove(i);
@@ -84,14 +89,17 @@
                     let i = dice.roll(6) as usize;
                     let mut e = entry(names[i], [0, 0, 0, 1, 1, 2][i]);
                     e.weight = dice.roll(3) as f64 * 3.0;
-                    e.started = if dice.roll(3) == 0 { now } else { 0 };
-                    e.state = [MemberState::Ready, MemberState::Draining, MemberState::Gone]
-                        [dice.roll(3) as usize];
+                    e.started_at = if dice.roll(3) == 0 { now } else { 0 };
+                    e.state = [
+                        EndpointState::Ready,
+                        EndpointState::Draining,
+                        EndpointState::Gone,
+                    ][dice.roll(3) as usize];
                     away.retain(|m| *m != e.id);
-                    if e.state != MemberState::Ready {
+                    if e.state != EndpointState::Ready {
                         away.push(e.id);
                     }
-                    Event::Members {
+                    Event::EndpointList {
                         update: ListUpdate::Delta,
                         entries: vec![e],
                     }
@@ -107,13 +115,13 @@
                         .nth(dice.roll(watch.len() as u64) as usize)
                         .unwrap();
                     watch.get_mut(&id).unwrap().finished = true;
-                    Event::Hangup(id)
+                    Event::ClientDisconnected(id)
                 }
                 3..=6 if !due.is_empty() => {
                     let (id, attempt, member, _) = due[dice.roll(due.len() as u64) as usize];
                     let status = STATUS[dice.roll(9) as usize];
-                    let note = if status == Status::Ok {
-                        Note::Filled
+                    let note = if status == AttemptStatus::Ok {
+                        CacheStatus::Filled
                     } else {
                         NOTE[dice.roll(5) as usize]
                     };
@@ -142,8 +150,8 @@
                         object,
                         part,
                         group,
-                        left,
-                        kb,
+                        time_left: left,
+                        size_kb: kb,
                     })
                 }
             }
@@ -154,7 +162,7 @@
             match &action {
                 Action::Send {
                     request,
-                    member,
+                    endpoint: member,
                     timeout,
                     fetch,
                 } => {
@@ -173,14 +181,14 @@
                     w.out.insert(w.sent, (*member, now + timeout));
                     w.sent += 1;
                 }
-                Action::Refuse { request, .. } | Action::Fail { request } => {
+                Action::Reject { request, .. } | Action::Fail { request } => {
                     let w = watch.get_mut(request).unwrap();
                     assert!(!w.finished, "seed {seed}: two final answers");
-                    let refused = matches!(action, Action::Refuse { .. });
+                    let refused = matches!(action, Action::Reject { .. });
                     assert!(!(refused && w.ran && w.class == common::UNSAFE));
                     w.finished = true;
                 }
-                Action::Timer { after, .. } => timers.push(now + after),
+                Action::SetTimer { after, .. } => timers.push(now + after),
                 _ => {}
             }
             log.push((now, action));
@@ -198,26 +206,29 @@
     watch: &mut BTreeMap<RequestId, Watch>,
     id: RequestId,
     attempt: u32,
-    member: MemberId,
-    status: Status,
-    note: Note,
+    member: EndpointId,
+    status: AttemptStatus,
+    note: CacheStatus,
 ) -> Event {
     let w = watch.get_mut(&id).unwrap();
     w.out.remove(&attempt);
-    w.finished |= status == Status::Ok;
+    w.finished |= status == AttemptStatus::Ok;
     w.ran |= !matches!(
         status,
-        Status::Full | Status::ConnectFailed | Status::Moot | Status::Miss
+        AttemptStatus::Rejected
+            | AttemptStatus::ConnectFailed
+            | AttemptStatus::NotSent
+            | AttemptStatus::Miss
     );
-    Event::Outcome(Outcome {
+    Event::Outcome(AttemptOutcome {
         request: id,
         attempt,
-        member,
+        endpoint: member,
         status,
-        note,
+        cache_status: note,
         elapsed: 40 * MS,
-        kb: None,
-        closed: w.finished,
+        size_kb: None,
+        request_closed: w.finished,
     })
 }
 
--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -20,7 +20,7 @@
         .flat_map(|n| s.ask(VIDEO, &format!("x{n}-{}", s.now)))
         .collect();
     for one in &sent {
-        s.end(one, Status::Ok, Note::Hit);
+        s.end(one, AttemptStatus::Ok, CacheStatus::Hit);
     }
     sent.len()
 }
@@ -30,7 +30,12 @@
     for gap in gaps {
         s.now += gap;
         for sent in s.ask(VIDEO, "a") {
-            s.end_after(&sent, Status::ConnectFailed, Note::Untold, 0);
+            s.end_after(
+                &sent,
+                AttemptStatus::ConnectFailed,
+                CacheStatus::Unreported,
+                0,
+            );
         }
     }
 }
@@ -38,7 +43,7 @@
 fn answered(s: &mut Stage) {
     let sent = s.ask(VIDEO, "b");
     assert_eq!(sent.len(), 1, "one may try");
-    s.end(&sent[0], Status::Ok, Note::Hit);
+    s.end(&sent[0], AttemptStatus::Ok, CacheStatus::Hit);
 }
 
 /// Of 2 x 0.2 x 6 x 2 s, 70 in 100 for this router alone, at 0.05 s each: 67. Warm it takes more.
@@ -52,8 +57,8 @@
             object: ObjectId(n),
             part: 0,
             group: 5,
-            left: 3 * S,
-            kb: Some(12_000.0),
+            time_left: 3 * S,
+            size_kb: Some(12_000.0),
         }))
     };
     let mut sent = Vec::new();
@@ -61,7 +66,7 @@
         sent.extend(dear(s, n));
     }
     for one in &sent {
-        s.end(one, Status::Ok, Note::Hit);
+        s.end(one, AttemptStatus::Ok, CacheStatus::Hit);
     }
     s.now = was;
     sent.len() < 16
@@ -94,7 +99,7 @@
     for _ in 0..3 {
         s.now += S;
         let sent = s.ask(VIDEO, "a");
-        s.end(&sent[0], Status::Reset, Note::Untold);
+        s.end(&sent[0], AttemptStatus::Reset, CacheStatus::Unreported);
     }
     s.now += 5 * S;
     answered(&mut s);
@@ -107,7 +112,7 @@
     let mut s = alone();
     let held = s.ask(VIDEO, "held");
     refused(&mut s, &[S, 600 * MS, 600 * MS]);
-    s.end(&held[0], Status::Ok, Note::Hit);
+    s.end(&held[0], AttemptStatus::Ok, CacheStatus::Hit);
     s.now += 3 * S;
     answered(&mut s);
     assert!(!is_careful(&mut s));
@@ -121,14 +126,14 @@
     s.now += 3 * S;
     answered(&mut s);
     // Of a start before the outage: this process came after it.
-    s.update(vec![MemberEntry {
-        started: down - 30 * S,
+    s.update(vec![EndpointEntry {
+        started_at: down - 30 * S,
         ..entry("c1", 0)
     }]);
     assert!(is_careful(&mut s));
     // Of this one: exact from now on.
-    s.update(vec![MemberEntry {
-        started: down + S,
+    s.update(vec![EndpointEntry {
+        started_at: down + S,
         ..entry("c1", 0)
     }]);
     s.now = down + 14 * S;
@@ -167,7 +172,7 @@
         .collect();
     s.wait(2 * S);
     for one in &lost {
-        s.end(one, Status::Cancelled, Note::Untold);
+        s.end(one, AttemptStatus::Cancelled, CacheStatus::Unreported);
     }
     s.now += 6 * S;
     answered(&mut s);
@@ -182,8 +187,8 @@
 fn a_pause_within_a_warm_up_does_not_make_it_warm() {
     let mut s = alone();
     let started = s.now;
-    s.update(vec![MemberEntry {
-        started,
+    s.update(vec![EndpointEntry {
+        started_at: started,
         ..entry("c1", 0)
     }]);
     s.now += S;
@@ -192,7 +197,7 @@
         .collect();
     s.wait(2 * S);
     for one in &lost {
-        s.end(one, Status::Cancelled, Note::Untold);
+        s.end(one, AttemptStatus::Cancelled, CacheStatus::Unreported);
     }
     s.now = started + 4 * S;
     answered(&mut s);
@@ -203,21 +208,24 @@
 #[test]
 fn a_hello_is_believed_at_once_and_ends_every_guess() {
     let mut s = alone();
-    let member = MemberId::named("c1");
+    let member = EndpointId::named("c1");
     s.tell(Event::Hello {
-        member,
-        started: s.now - S,
+        endpoint: member,
+        started_at: s.now - S,
     });
     assert!(is_careful(&mut s), "ahead of the list");
-    s.update(vec![MemberEntry {
-        started: s.now - 300 * S,
+    s.update(vec![EndpointEntry {
+        started_at: s.now - 300 * S,
         ..entry("c1", 0)
     }]);
     assert!(is_careful(&mut s), "a list of before does not undo it");
     s.now += 13 * S;
     refused(&mut s, &[S, 600 * MS, 600 * MS]);
     assert!(is_careful(&mut s));
-    s.tell(Event::Hello { member, started: 0 });
+    s.tell(Event::Hello {
+        endpoint: member,
+        started_at: 0,
+    });
     assert!(
         !is_careful(&mut s),
         "the same process as ever: the way to it was cut"
@@ -227,22 +235,22 @@
 #[test]
 fn a_lease_stands_in_for_the_guess_until_leases_stop_coming() {
     let mut s = alone();
-    let member = MemberId::named("c1");
+    let member = EndpointId::named("c1");
     s.tell(Event::Hello {
-        member,
-        started: s.now,
+        endpoint: member,
+        started_at: s.now,
     });
     s.tell(Event::Lease {
-        member,
-        work: 0.0,
-        lasts: 250 * MS,
+        endpoint: member,
+        work_s: 0.0,
+        duration: 250 * MS,
     });
     assert_eq!(taken(&mut s), 0, "nothing yet");
     s.now += 250 * MS;
     s.tell(Event::Lease {
-        member,
-        work: 0.21,
-        lasts: 250 * MS,
+        endpoint: member,
+        work_s: 0.21,
+        duration: 250 * MS,
     });
     assert!((2..=4).contains(&taken(&mut s)), "some four of 0.05 s");
     s.now += 300 * MS;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,9 @@
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
     s.now += sent.timeout;
-    assert!(s.end(&sent, Status::Timeout, Note::Untold).is_empty());
+    assert!(s
+        .end(&sent, AttemptStatus::Timeout, CacheStatus::Unreported)
+        .is_empty());
     assert_eq!(s.finals().len(), 1);
 }
 
@@ -17,7 +19,7 @@
     let mut s = Stage::with(settings(), vec![]);
     assert!(s.ask(VIDEO, "a").is_empty());
     assert!(
-        matches!(s.finals()[..], [Action::Refuse { .. }]),
+        matches!(s.finals()[..], [Action::Reject { .. }]),
         "the client comes back"
     );
     assert!(
@@ -27,7 +29,7 @@
     let mut answered = None;
     for _ in 0..200 {
         s.wait(20 * MS);
-        if matches!(s.finals()[..], [Action::Refuse { .. }]) {
+        if matches!(s.finals()[..], [Action::Reject { .. }]) {
             answered = Some(s.now);
         }
     }
@@ -38,8 +40,10 @@
 fn after_a_hang_up_nothing_goes_out() {
     let mut s = Stage::new();
     let sent = s.ask(VIDEO, "a").remove(0);
-    s.tell(Event::Hangup(sent.request));
-    assert!(s.end(&sent, Status::Cancelled, Note::Untold).is_empty());
+    s.tell(Event::ClientDisconnected(sent.request));
+    assert!(s
+        .end(&sent, AttemptStatus::Cancelled, CacheStatus::Unreported)
+        .is_empty());
     assert!(s.wait(50 * MS).is_empty());
     assert!(s.finals().is_empty());
 }
@@ -48,7 +52,9 @@
 fn an_unsafe_request_that_may_have_run_is_failed_not_resent() {
     let mut s = Stage::new();
     let sent = s.ask(UNSAFE, "a").remove(0);
-    assert!(s.end(&sent, Status::Reset, Note::Untold).is_empty());
+    assert!(s
+        .end(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
+        .is_empty());
     assert!(matches!(s.finals()[..], [Action::Fail { .. }]));
 }
 
@@ -56,7 +62,11 @@
 fn an_unsafe_request_that_did_not_run_is_sent_again() {
     let mut s = Stage::new();
     let sent = s.ask(UNSAFE, "a").remove(0);
-    assert_eq!(s.end(&sent, Status::ConnectFailed, Note::Untold).len(), 1);
+    assert_eq!(
+        s.end(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported)
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -66,7 +76,8 @@
         let sent = s.ask(KEYED, "a").remove(0);
         s.now += after;
         assert_eq!(
-            s.end(&sent, Status::Reset, Note::Untold).len(),
+            s.end(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
+                .len(),
             resent,
             "{after}"
         );
@@ -78,9 +89,13 @@
     let mut s = Stage::new();
     let first = s.ask(KEYED, "a").remove(0);
     s.now += 1_000 * MS;
-    let second = s.end(&first, Status::Reset, Note::Untold).remove(0);
+    let second = s
+        .end(&first, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
     s.now += 950 * MS;
-    assert!(s.end(&second, Status::Reset, Note::Untold).is_empty());
+    assert!(s
+        .end(&second, AttemptStatus::Reset, CacheStatus::Unreported)
+        .is_empty());
 }
 
 #[test]
@@ -90,7 +105,11 @@
     for _ in 0..40 {
         assert!(s.wait(25 * MS).is_empty());
     }
-    assert_eq!(s.end(&sent, Status::Cancelled, Note::Untold).len(), 1);
+    assert_eq!(
+        s.end(&sent, AttemptStatus::Cancelled, CacheStatus::Unreported)
+            .len(),
+        1
+    );
 }
 
 #[test]
@@ -100,7 +119,7 @@
     let mut count = 0;
     while let Some(one) = sent.pop() {
         count += 1;
-        sent = s.end(&one, Status::Full, Note::Untold);
+        sent = s.end(&one, AttemptStatus::Rejected, CacheStatus::Unreported);
         for _ in 0..20 {
             if sent.is_empty() {
                 sent = s.wait(25 * MS);
@@ -115,7 +134,7 @@
     let mut s = Stage::new();
     let home = s.ask(VIDEO, "a").remove(0).member;
     let mut gone = fleet().into_iter().find(|e| e.id == home).unwrap();
-    gone.state = MemberState::Draining;
+    gone.state = EndpointState::Draining;
     s.update(vec![gone]);
     for i in 0..50 {
         assert!(s
@@ -130,7 +149,7 @@
     let mut s = Stage::new();
     let parent = s.ask(VIDEO, "a").remove(0).source();
     let mut gone = fleet().into_iter().find(|e| e.id == parent).unwrap();
-    gone.state = MemberState::Gone;
+    gone.state = EndpointState::Gone;
     s.update(vec![gone]);
     for i in 0..50 {
         assert!(s
@@ -145,7 +164,7 @@
     let mut s = Stage::new();
     let home = s.ask(VIDEO, "a").remove(0).member;
     let rest = fleet().into_iter().filter(|e| e.id != home).collect();
-    s.tell(Event::Members {
+    s.tell(Event::EndpointList {
         update: ListUpdate::Full,
         entries: rest,
     });
@@ -153,7 +172,7 @@
 }
 
 /// Work sent to one member within two seconds, in seconds of sending.
-fn pushed(s: &mut Stage, count: usize, to: MemberId, as_source: bool) -> f64 {
+fn pushed(s: &mut Stage, count: usize, to: EndpointId, as_source: bool) -> f64 {
     let mut n = 0;
     for i in 0..count {
         for sent in s.ask(VIDEO, &format!("push{i}")) {
@@ -164,8 +183,12 @@
             } == to) as usize;
             s.end(
                 &sent,
-                Status::Ok,
-                if as_source { Note::Filled } else { Note::Hit },
+                AttemptStatus::Ok,
+                if as_source {
+                    CacheStatus::Filled
+                } else {
+                    CacheStatus::Hit
+                },
             );
         }
         s.now += 2 * S / count as Micros;
@@ -178,7 +201,7 @@
     let mut s = Stage::new();
     let mut cold = entry("c1", 0);
     s.now += 10 * S;
-    cold.started = s.now;
+    cold.started_at = s.now;
     s.update(vec![cold.clone()]);
     let work = pushed(&mut s, 2000, cold.id, false);
     assert!(work > 0.0, "it gets some");
@@ -190,7 +213,7 @@
     let mut s = Stage::new();
     let mut cold = entry("p1", 1);
     s.now += 10 * S;
-    cold.started = s.now;
+    cold.started_at = s.now;
     s.update(vec![cold.clone()]);
     let work = pushed(&mut s, 2000, cold.id, true);
     assert!(work > 0.0, "it gets some");
@@ -201,7 +224,7 @@
 fn a_router_just_started_leaves_cold_members_alone_for_a_window() {
     let mut members = fleet();
     for m in members.iter_mut().filter(|m| m.kind == 0) {
-        m.started = T0 - S;
+        m.started_at = T0 - S;
     }
     let mut s = Stage::with(settings(), members);
     assert!(s.ask(VIDEO, "a").is_empty());
@@ -221,13 +244,13 @@
     });
     for class in [VIDEO, PAGE] {
         let sent = s.ask(class, "a").remove(0);
-        assert_eq!(sent.fetch().age, 100 * MS);
+        assert_eq!(sent.fetch().max_age, 100 * MS);
         assert!(
-            !sent.fetch().join,
+            !sent.fetch().coalesce,
             "a fill begun before the purge hands on the old copy"
         );
         let other = s.ask(class, "b").remove(0);
-        assert_ne!(other.fetch().age, 100 * MS);
+        assert_ne!(other.fetch().max_age, 100 * MS);
     }
 }
 
@@ -239,8 +262,8 @@
         group: 5,
         age: 0,
     });
-    assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 1);
-    assert_eq!(s.ask(PAGE, "b")[0].fetch().age, 1);
+    assert_eq!(s.ask(VIDEO, "a")[0].fetch().max_age, 1);
+    assert_eq!(s.ask(PAGE, "b")[0].fetch().max_age, 1);
 }
 
 #[test]
@@ -252,9 +275,9 @@
         age: 0,
     });
     s.now += 5_900 * MS;
-    assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 5_900 * MS);
+    assert_eq!(s.ask(VIDEO, "a")[0].fetch().max_age, 5_900 * MS);
     s.now += 2 * S;
-    assert_eq!(s.ask(VIDEO, "a")[0].fetch().age, 0);
+    assert_eq!(s.ask(VIDEO, "a")[0].fetch().max_age, 0);
 }
 
 #[test]
@@ -267,25 +290,25 @@
     });
     let sent = s.ask(PAGE, "a").remove(0);
     let stale = s
-        .end(&sent, Status::Error, Note::SourceUnreachable)
+        .end(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_eq!(
-        (stale.fetch().age, stale.source()),
+        (stale.fetch().max_age, stale.source()),
         (700 * MS, stale.member)
     );
 }
 
 /// Sends from `count` routers, all of one location, to one cold member within its window, in seconds of sending.
 fn pushed_by_all(count: u32, kind: usize) -> f64 {
-    let cold = MemberId::named(["c1", "p1"][kind]);
+    let cold = EndpointId::named(["c1", "p1"][kind]);
     let mut sum = 0.0;
     for me in 0..count {
         let mut set = settings();
-        (set.routers, set.me, set.zones[1].routers) = (count, Some(me), count);
+        (set.routers, set.router_index, set.zones[1].routers) = (count, Some(me), count);
         let mut s = Stage::with(set, fleet());
         s.now += 10 * S;
         let mut entry = entry(["c1", "p1"][kind], kind);
-        (entry.started, entry.weight) = (s.now, 60.0);
+        (entry.started_at, entry.weight) = (s.now, 60.0);
         s.update(vec![entry]);
         s.now += S;
         for i in 0..200 {
@@ -296,7 +319,7 @@
                     } else {
                         sent.member
                     } == cold) as u8 as f64;
-                s.end(&sent, Status::Ok, Note::Filled);
+                s.end(&sent, AttemptStatus::Ok, CacheStatus::Filled);
             }
             s.now += 10 * MS;
         }
@@ -319,11 +342,11 @@
 fn counts_that_contradict_each_other_leave_a_cold_parent_alone() {
     for (routers, me, here) in [(0, Some(500), 2), (0, None, 400), (3, Some(499), 0)] {
         let mut set = settings();
-        (set.routers, set.me, set.zones[1].routers) = (routers, me, here);
+        (set.routers, set.router_index, set.zones[1].routers) = (routers, me, here);
         let mut s = Stage::with(set, fleet());
         let mut cold = entry("p1", 1);
         s.now += 10 * S;
-        cold.started = s.now;
+        cold.started_at = s.now;
         s.update(vec![cold.clone()]);
         // One of some five hundred: two seconds' budget is 1.7 s of sending for all of them.
         assert!(
@@ -347,11 +370,11 @@
         );
         for n in 0..3 {
             let sent = stage.ask(VIDEO, &format!("o{n}"));
-            assert_eq!(sent[0].member, MemberId::named("c1"));
+            assert_eq!(sent[0].member, EndpointId::named("c1"));
         }
         stage.now += 10 * MS;
         if begun {
-            stage.tell(Event::Begun(MemberId::named("c1")));
+            stage.tell(Event::ResponseStarted(EndpointId::named("c1")));
         }
         stage.wait(2 * S);
         stage
@@ -373,7 +396,7 @@
         let told = |stage: &mut Stage, n: usize| stage.ask(VIDEO, &format!("told{n}"));
         for n in 0..200 {
             let sent = told(&mut stage, n);
-            stage.end(&sent[0], Status::Ok, Note::Hit);
+            stage.end(&sent[0], AttemptStatus::Ok, CacheStatus::Hit);
         }
         for n in 0..untold {
             let sent = stage.tell(Event::Request(Request {
@@ -382,15 +405,15 @@
                 object: ObjectId::named(&format!("u{n}")),
                 part: 0,
                 group: 5,
-                left: 3 * S,
-                kb: None,
+                time_left: 3 * S,
+                size_kb: None,
             }));
-            stage.end_after(&sent[0], Status::Ok, Note::Hit, MS);
+            stage.end_after(&sent[0], AttemptStatus::Ok, CacheStatus::Hit, MS);
         }
         stage.now += 100 * S;
         let now = stage.now;
-        stage.update(vec![MemberEntry {
-            started: now,
+        stage.update(vec![EndpointEntry {
+            started_at: now,
             ..entry("c9", 0)
         }]);
         let mut sends = 0;
@@ -398,10 +421,10 @@
             let sent = told(&mut stage, 1_000 + n);
             sends += sent
                 .iter()
-                .filter(|s| s.member == MemberId::named("c9"))
+                .filter(|s| s.member == EndpointId::named("c9"))
                 .count();
             for sent in sent {
-                stage.end(&sent, Status::Ok, Note::Hit);
+                stage.end(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             }
         }
         sends
@@ -419,7 +442,9 @@
     let mut s = Stage::new();
     let first = s.ask(KEYED, "a").remove(0);
     s.now += 500 * MS;
-    let again = s.end(&first, Status::Reset, Note::Untold).remove(0);
+    let again = s
+        .end(&first, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
     // Half a second of the two has gone by; the last stretch is for the way there.
     assert!(s.router.may_begin(s.now, again.request));
     assert!(s.router.may_begin(s.now + 1_200 * MS, again.request));
--- a/tests/sums.rs
+++ b/tests/sums.rs
@@ -16,12 +16,17 @@
         for (r, s) in routers.iter_mut().enumerate() {
             for (i, passed) in passed.iter_mut().enumerate() {
                 let sent = s.ask(VIDEO, &format!("{name}-{i}")).remove(0);
-                if sent.fetch().held_only {
-                    s.end(&sent, Status::Miss, Note::SourceLacks);
+                if sent.fetch().only_if_cached {
+                    s.end(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss);
                 } else {
                     *passed += 1;
                     let elapsed = if bad(r + i) { 2 * S } else { 50 * MS };
-                    s.end_after(&sent, Status::Ok, Note::FilledByOrigin, elapsed);
+                    s.end_after(
+                        &sent,
+                        AttemptStatus::Ok,
+                        CacheStatus::FilledByOrigin,
+                        elapsed,
+                    );
                 }
             }
         }
@@ -45,14 +50,14 @@
         for s in &mut routers {
             for i in 0..answers {
                 let sent = s.ask(VIDEO, &format!("{name}-{i}")).remove(0);
-                if sent.source() == MemberId::named("origin") {
+                if sent.source() == EndpointId::named("origin") {
                     straight += (i >= answers - 10) as usize;
-                    s.end(&sent, Status::Ok, Note::FilledByOrigin);
-                } else if sent.source() == MemberId::named("p1") {
+                    s.end(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
+                } else if sent.source() == EndpointId::named("p1") {
                     let elapsed = if late { 2 * S } else { 50 * MS };
-                    s.end_after(&sent, Status::Ok, Note::Filled, elapsed);
+                    s.end_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
                 } else {
-                    s.end(&sent, Status::Miss, Note::Untold);
+                    s.end(&sent, AttemptStatus::Miss, CacheStatus::Unreported);
                 }
             }
         }
@@ -68,7 +73,7 @@
 /// to be within what that one bears, though each has waited for it as long as the others.
 #[test]
 fn trials_of_a_parent_that_is_gone_add_up_to_less_than_a_cold_one_bears() {
-    let told = Settings {
+    let told = RouterSettings {
         routers: 300,
         zones: vec![Zone { routers: 0 }, Zone { routers: 6 }],
         ..settings()
@@ -76,15 +81,15 @@
     let seeded = |me: u32| {
         Stage::seeded(
             me.into(),
-            Settings {
-                me: Some(me),
+            RouterSettings {
+                router_index: Some(me),
                 ..told.clone()
             },
             fleet(),
         )
     };
     let mut routers: Vec<Stage> = (0..300).map(seeded).collect();
-    let gone = MemberId::named("p1");
+    let gone = EndpointId::named("p1");
     let mut trials = Vec::new();
     for half in 0..240 {
         let mut now = 0;
@@ -95,11 +100,11 @@
                 while let Some(one) = sent.pop() {
                     let lost = one.source() == gone;
                     now += lost as u32;
-                    let (status, note) = (Status::Full, Note::SourceUnreachable);
+                    let (status, note) = (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
                     let (status, note) = if lost {
                         (status, note)
                     } else {
-                        (Status::Ok, Note::Filled)
+                        (AttemptStatus::Ok, CacheStatus::Filled)
                     };
                     sent = s.end(&one, status, note);
                 }
@@ -107,8 +112,8 @@
         }
         trials.push(now);
     }
-    let rule = told.cold_parent;
-    let bears = rule.multiple * rule.start_share * 6.0 * rule.window as f64 / 1e6;
+    let rule = told.parent_slow_start;
+    let bears = rule.overload_factor * rule.initial_share * 6.0 * rule.overload_window as f64 / 1e6;
     let seconds = 300.0 / told.stream_kb_per_s;
     // The first ten seconds are spent on finding it gone.
     let worst = trials[20..]
@@ -127,17 +132,17 @@
 /// parent of whose cold start nothing is told are tried again within seconds.
 #[test]
 fn a_long_hold_is_for_what_may_come_back_cold_only() {
-    let untold = ColdRule {
-        start_share: 0.0,
-        warm_within: 0,
-        multiple: 0.0,
-        window: 0,
+    let untold = SlowStartRule {
+        initial_share: 0.0,
+        ramp: 0,
+        overload_factor: 0.0,
+        overload_window: 0,
     };
     let zones = vec![Zone { routers: 0 }, Zone { routers: 300 }];
-    let told = Settings {
+    let told = RouterSettings {
         routers: 300,
         zones,
-        cold_parent: untold,
+        parent_slow_start: untold,
         ..settings()
     };
     for (name, kind) in [("p1", 1), ("origin", 2)] {
@@ -147,13 +152,13 @@
             s.now += S / 2;
             let mut sent = s.ask(VIDEO, &format!("{half}"));
             while let Some(one) = sent.pop() {
-                let lost = one.source() == MemberId::named(name);
+                let lost = one.source() == EndpointId::named(name);
                 tries.extend(lost.then_some(half));
-                let (status, note) = (Status::Full, Note::SourceUnreachable);
+                let (status, note) = (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
                 let (status, note) = if lost {
                     (status, note)
                 } else {
-                    (Status::Miss, Note::Untold)
+                    (AttemptStatus::Miss, CacheStatus::Unreported)
                 };
                 sent = s.end(&one, status, note);
             }
@@ -181,20 +186,25 @@
             let mut s = Stage::seeded(seed, settings(), only.clone());
             for i in 0..60 {
                 let sent = s.ask(VIDEO, &format!("v-{i}")).remove(0);
-                if sent.source() == MemberId::named("origin") {
+                if sent.source() == EndpointId::named("origin") {
                     count += (i >= 40) as usize;
-                    s.end(&sent, Status::Ok, Note::FilledByOrigin);
+                    s.end(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
                     continue;
                 }
                 if i % every != 0 {
-                    s.end(&sent, Status::Ok, Note::Filled);
+                    s.end(&sent, AttemptStatus::Ok, CacheStatus::Filled);
                     continue;
                 }
                 // The cache answers others meanwhile: it is not what is silent.
                 s.now += 100 * MS;
                 let other = s.ask(VIDEO, &format!("other-{i}")).remove(0);
-                s.end(&other, Status::Ok, Note::Hit);
-                s.end_after(&sent, Status::Timeout, Note::Untold, 2 * S);
+                s.end(&other, AttemptStatus::Ok, CacheStatus::Hit);
+                s.end_after(
+                    &sent,
+                    AttemptStatus::Timeout,
+                    CacheStatus::Unreported,
+                    2 * S,
+                );
             }
         }
         count
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -2,7 +2,7 @@
 mod translate;
 mod wire;
 
-use pointspindle::{Action, Event, MemberId, Micros, Router};
+use pointspindle::{Action, EndpointId, Event, Micros, Router};
 use pointspindle_platform_protocol::settings;
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
@@ -10,7 +10,7 @@
 
 struct Instance {
     router: Router,
-    names: BTreeMap<MemberId, String>,
+    names: BTreeMap<EndpointId, String>,
 }
 
 struct Host<W: Write> {
@@ -71,13 +71,17 @@
             wire::Inbound::Incoming(r) => self.tell(r.dispatcher, translate::request(r))?,
             wire::Inbound::Ended(o) => self.tell(o.dispatcher, translate::outcome(o)?)?,
             wire::Inbound::Hangup(h) => {
-                self.tell(h.dispatcher, Event::Hangup(pointspindle::RequestId(h.req)))?;
+                self.tell(
+                    h.dispatcher,
+                    Event::ClientDisconnected(pointspindle::RequestId(h.req)),
+                )?;
             }
             wire::Inbound::Reminder(r) => self.tell(r.dispatcher, Event::Timer(r.cookie))?,
             wire::Inbound::Voided(v) => self.tell(v.dispatcher, translate::purge(v))?,
-            wire::Inbound::Begun(b) => {
-                self.tell(b.dispatcher, Event::Begun(MemberId::named(&b.host)))?
-            }
+            wire::Inbound::Begun(b) => self.tell(
+                b.dispatcher,
+                Event::ResponseStarted(EndpointId::named(&b.host)),
+            )?,
             // Peer messages and probe results carry nothing that a router uses.
             wire::Inbound::NeighbourSays(i) | wire::Inbound::Echo(i) => {
                 if !self.instances.contains_key(&i.dispatcher) {
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -8,7 +8,7 @@
     us as f64 / 1000.0
 }
 
-pub fn members(s: wire::Sync, names: &mut BTreeMap<MemberId, String>) -> Result<Event, String> {
+pub fn members(s: wire::Sync, names: &mut BTreeMap<EndpointId, String>) -> Result<Event, String> {
     let update = match s.form.as_str() {
         "delta" => ListUpdate::Delta,
         "full" => ListUpdate::Full,
@@ -18,25 +18,25 @@
     };
     let mut entries = Vec::new();
     for e in s.members.into_iter().flatten() {
-        let id = MemberId::named(&e.host);
+        let id = EndpointId::named(&e.host);
         let state = match e.availability.as_deref() {
-            Some("IN") => MemberState::Ready,
-            Some("LAME") => MemberState::Draining,
-            Some("OUT") => MemberState::Gone,
+            Some("IN") => EndpointState::Ready,
+            Some("LAME") => EndpointState::Draining,
+            Some("OUT") => EndpointState::Gone,
             other => return Err(format!("unknown Availability {other:?}")),
         };
-        entries.push(MemberEntry {
+        entries.push(EndpointEntry {
             id,
             state,
             weight: e.scale.unwrap_or_default(),
             zone: e.hall.unwrap_or_default(),
             kind: e.sku.unwrap_or_default(),
             cell: e.pod.unwrap_or_default(),
-            started: told(e.came_up_ms),
+            started_at: told(e.came_up_ms),
         });
         names.insert(id, e.host);
     }
-    Ok(Event::Members { update, entries })
+    Ok(Event::EndpointList { update, entries })
 }
 
 pub fn request(r: wire::Incoming) -> Event {
@@ -46,8 +46,8 @@
         object: ObjectId::named(r.content_id.as_deref().unwrap_or_default()),
         part: r.slice.unwrap_or_default() as u64,
         group: r.set_no.unwrap_or_default() as u64,
-        left: told(r.expires_in_ms),
-        kb: r.kbytes.filter(|kb| *kb > 0.0),
+        time_left: told(r.expires_in_ms),
+        size_kb: r.kbytes.filter(|kb| *kb > 0.0),
     })
 }
 
@@ -61,39 +61,39 @@
 
 pub fn outcome(o: wire::Ended) -> Result<Event, String> {
     let status = match o.state_code.as_str() {
-        "pass" => Status::Ok,
-        "fault" => Status::Error,
-        "no_room" => Status::Full,
-        "too_slow" => Status::Timeout,
-        "no_route" => Status::ConnectFailed,
-        "cut" => Status::Reset,
-        "undone" => Status::Cancelled,
-        "stale_send" => Status::Moot,
-        "none_here" => Status::Miss,
+        "pass" => AttemptStatus::Ok,
+        "fault" => AttemptStatus::Error,
+        "no_room" => AttemptStatus::Rejected,
+        "too_slow" => AttemptStatus::Timeout,
+        "no_route" => AttemptStatus::ConnectFailed,
+        "cut" => AttemptStatus::Reset,
+        "undone" => AttemptStatus::Cancelled,
+        "stale_send" => AttemptStatus::NotSent,
+        "none_here" => AttemptStatus::Miss,
         other => return Err(format!("unknown StateCode {other:?}")),
     };
     let note = match o.remark.unwrap_or_default() {
-        1 => Note::Hit,
-        2 => Note::Filled,
-        3 => Note::FilledByOrigin,
-        4 => Note::Joined,
-        5 => Note::Old,
-        6 => Note::SourceRefused,
-        7 => Note::SourceUnreachable,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
-        10 => Note::OriginFailed,
-        _ => Note::Untold,
+        1 => CacheStatus::Hit,
+        2 => CacheStatus::Filled,
+        3 => CacheStatus::FilledByOrigin,
+        4 => CacheStatus::Coalesced,
+        5 => CacheStatus::Stale,
+        6 => CacheStatus::SourceRejected,
+        7 => CacheStatus::SourceUnreachable,
+        8 => CacheStatus::SourceMiss,
+        9 => CacheStatus::FillLimitReached,
+        10 => CacheStatus::OriginFailed,
+        _ => CacheStatus::Unreported,
     };
-    Ok(Event::Outcome(Outcome {
+    Ok(Event::Outcome(AttemptOutcome {
         request: RequestId(o.req),
         attempt: o.round_no.unwrap_or_default(),
-        member: MemberId::named(&o.host),
+        endpoint: EndpointId::named(&o.host),
         status,
-        note,
+        cache_status: note,
         elapsed: told(o.elapsed_ms),
-        kb: None,
-        closed: o.over.unwrap_or_default(),
+        size_kb: None,
+        request_closed: o.over.unwrap_or_default(),
     }))
 }
 
@@ -101,13 +101,13 @@
 pub fn action<'a>(
     dispatcher: u64,
     action: &Action,
-    names: &'a BTreeMap<MemberId, String>,
+    names: &'a BTreeMap<EndpointId, String>,
 ) -> Option<wire::Outbound<'a>> {
-    let host = |id: &MemberId| names.get(id).map(String::as_str);
+    let host = |id: &EndpointId| names.get(id).map(String::as_str);
     Some(match action {
         Action::Send {
             request,
-            member,
+            endpoint: member,
             timeout,
             fetch,
         } => {
@@ -125,14 +125,16 @@
                 None => wire::Outbound::Dispatch(send),
                 Some(f) => {
                     send.fill_from = Some(host(&f.source)?);
-                    send.store_as = Some(f.keep);
-                    send.switches = Some(f.join as u8 + 2 * f.held_only as u8 + 8 * f.renew as u8);
-                    send.how_old_ms = Some(millis(f.age));
+                    send.store_as = Some(f.retention_rank);
+                    send.switches = Some(
+                        f.coalesce as u8 + 2 * f.only_if_cached as u8 + 8 * f.revalidate as u8,
+                    );
+                    send.how_old_ms = Some(millis(f.max_age));
                     wire::Outbound::AnswerFrom(send)
                 }
             }
         }
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         } => wire::Outbound::Bounce(wire::Final {
@@ -150,7 +152,7 @@
             req: request.0,
             round_no: *attempt,
         }),
-        Action::Timer { after, token } => wire::Outbound::Schedule(wire::Schedule {
+        Action::SetTimer { after, token } => wire::Outbound::Schedule(wire::Schedule {
             dispatcher,
             after_ms: millis(*after),
             cookie: *token,
