--- a/crates/cache-host/src/desk.rs
+++ b/crates/cache-host/src/desk.rs
@@ -56,12 +56,12 @@
     ) -> Self {
         // A plain question of a cacheable class wants what is held; what runs at the origin is passed on.
         let plain = FetchHead {
-            held_only: !uncacheable,
+            only_if_cached: !uncacheable,
             ..FetchHead::default()
         };
         let fetch = head.fetch.clone().unwrap_or(plain);
         // A source of a fill asks nobody else when it is to give what it holds.
-        let inner = fetch.held_only && fetch.source.is_empty();
+        let inner = fetch.only_if_cached && fetch.source.is_empty();
         let source = match fetch.source.as_str() {
             "" => own.map(str::to_owned).filter(|_| !inner),
             named => Some(named.to_owned()),
@@ -69,19 +69,19 @@
         let limit = if uncacheable {
             Some(0)
         } else {
-            (fetch.age_us > 0).then_some(fetch.age_us).or(fresh)
+            (fetch.max_age_us > 0).then_some(fetch.max_age_us).or(fresh)
         };
-        let keep = if uncacheable { 0 } else { fetch.keep };
-        let join = fetch.join && !uncacheable;
+        let keep = if uncacheable { 0 } else { fetch.retention_rank };
+        let join = fetch.coalesce && !uncacheable;
         Self {
             key,
             limit,
             fresh,
-            held_only: fetch.held_only,
+            held_only: fetch.only_if_cached,
             source,
             keep,
             join,
-            renew: fetch.renew,
+            renew: fetch.revalidate,
         }
     }
 }
@@ -395,18 +395,18 @@
             "what must run is passed on"
         );
         head.fetch = Some(FetchHead {
-            held_only: true,
+            only_if_cached: true,
             ..Default::default()
         });
         assert_eq!(of(&head, false).source, None);
         head.fetch = Some(FetchHead {
-            keep: 2,
+            retention_rank: 2,
             ..Default::default()
         });
         assert_eq!(of(&head, false).source.as_deref(), Some("origin"));
         head.fetch = Some(FetchHead {
             source: "p:1".into(),
-            held_only: true,
+            only_if_cached: true,
             ..Default::default()
         });
         assert_eq!(
--- a/crates/cache-host/src/net/answer.rs
+++ b/crates/cache-host/src/net/answer.rs
@@ -7,7 +7,7 @@
 use pointspindle::Micros;
 use pointspindle_config::Role;
 use pointspindle_protocol::http::names_validator;
-use pointspindle_protocol::range::{Applied, Range};
+use pointspindle_protocol::range::{Range, ResolvedRange};
 use pointspindle_protocol::*;
 use pointspindle_store::{Fill, Found, Key, Meta};
 use pointspindle_transport::Responder;
@@ -38,7 +38,7 @@
     fn drop(&mut self) {
         let error = failed(
             WireStatus::Error,
-            WireNote::SourceUnreachable,
+            WireCacheStatus::SourceUnreachable,
             true,
             "the fill was given up",
         );
@@ -47,11 +47,16 @@
     }
 }
 
-fn failed(status: WireStatus, note: WireNote, may_have_run: bool, detail: &str) -> ErrorHead {
+fn failed(
+    status: WireStatus,
+    note: WireCacheStatus,
+    may_have_run: bool,
+    detail: &str,
+) -> ErrorHead {
     let (status, note, detail) = (status as i32, note as i32, detail.to_owned());
     ErrorHead {
         status,
-        note,
+        cache_status: note,
         may_have_run,
         detail,
         ..ErrorHead::default()
@@ -60,7 +65,7 @@
 
 pub(super) async fn run(shared: Arc<Shared>, head: RequestHead, responder: Responder) {
     // A way that was cut off for a while brings a request and its cancel together: nothing of it is begun.
-    if responder.is_gone() {
+    if responder.is_cancelled() {
         return;
     }
     let came = Instant::now();
@@ -83,8 +88,8 @@
         false => Some((
             responder,
             failed(
-                WireStatus::Full,
-                WireNote::Untold,
+                WireStatus::Rejected,
+                WireCacheStatus::Unreported,
                 false,
                 "too many requests",
             ),
@@ -94,7 +99,7 @@
         let load = Some(shared.load());
         let elapsed_us = came.elapsed().as_micros() as u64;
         shared.count(|c| match error.status() {
-            WireStatus::Full => c.turned_away += 1,
+            WireStatus::Rejected => c.turned_away += 1,
             WireStatus::Miss => c.misses += 1,
             _ => c.failed += 1,
         });
@@ -138,13 +143,13 @@
             let why = format!("no class {:?} here", self.head.class);
             return Some((
                 responder,
-                failed(WireStatus::Error, WireNote::Untold, false, &why),
+                failed(WireStatus::Error, WireCacheStatus::Unreported, false, &why),
             ));
         };
         let key = self.key();
         for _ in 0..ROUNDS {
             let found = self.find(&key, class.uncacheable).await;
-            let fresh = (class.fresh_us > 0).then_some(class.fresh_us);
+            let fresh = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
             let fresh = found
                 .as_ref()
                 .map_or(fresh, |f| fresh_of(&f.meta).or(fresh));
@@ -168,21 +173,35 @@
                     }
                     shared.hit(true);
                     shared.count(|c| if old { c.old += 1 } else { c.hits += 1 });
-                    let note = if old { WireNote::Old } else { WireNote::Hit };
+                    let note = if old {
+                        WireCacheStatus::Stale
+                    } else {
+                        WireCacheStatus::Hit
+                    };
                     return self.serve_held(responder, found, note).await;
                 }
                 Verdict::Miss => {
                     shared.hit(false);
                     return Some((
                         responder,
-                        failed(WireStatus::Miss, WireNote::Untold, false, "not held"),
+                        failed(
+                            WireStatus::Miss,
+                            WireCacheStatus::Unreported,
+                            false,
+                            "not held",
+                        ),
                     ));
                 }
                 Verdict::Full => {
                     let why = "every fill has its place taken, and so has the line";
                     return Some((
                         responder,
-                        failed(WireStatus::Full, WireNote::NoFillPlace, false, why),
+                        failed(
+                            WireStatus::Rejected,
+                            WireCacheStatus::FillLimitReached,
+                            false,
+                            why,
+                        ),
                     ));
                 }
                 Verdict::Join(fill) => {
@@ -197,13 +216,13 @@
                         Some(reader) => {
                             shared.count(|c| c.joined += 1);
                             return self
-                                .serve_fill(responder, reader, Some(WireNote::Joined))
+                                .serve_fill(responder, reader, Some(WireCacheStatus::Coalesced))
                                 .await;
                         }
                         // Its beginning has gone by: the copy is there when it has ended.
                         None => tokio::select! {
                             _ = flow.over() => {}
-                            () = responder.gone() => return None,
+                            () = responder.cancelled() => return None,
                         },
                     }
                 }
@@ -216,7 +235,7 @@
                     let Some(mut turn) = turn else { continue };
                     let fill = tokio::select! {
                         fill = &mut turn => fill.ok(),
-                        () = responder.gone() => None,
+                        () = responder.cancelled() => None,
                         () = tokio::time::sleep(Duration::from_micros(self.left())) => None,
                     };
                     let late = {
@@ -234,10 +253,15 @@
                                 .fill(responder, fill, &asked, found, class.uncacheable)
                                 .await
                         }
-                        None if responder.is_gone() || !late => return None,
+                        None if responder.is_cancelled() || !late => return None,
                         None => {
                             let why = "no place for a fill in time";
-                            let error = failed(WireStatus::Full, WireNote::NoFillPlace, false, why);
+                            let error = failed(
+                                WireStatus::Rejected,
+                                WireCacheStatus::FillLimitReached,
+                                false,
+                                why,
+                            );
                             return Some((responder, error));
                         }
                     }
@@ -247,17 +271,22 @@
         let why = "the copy was gone again each time";
         Some((
             responder,
-            failed(WireStatus::Error, WireNote::SourceUnreachable, true, why),
+            failed(
+                WireStatus::Error,
+                WireCacheStatus::SourceUnreachable,
+                true,
+                why,
+            ),
         ))
     }
 
     /// Time that the asker still waits.
     fn left(&self) -> Micros {
-        let most = self.shared.settings.fill_us;
-        let told = if self.head.left_us == 0 {
+        let most = self.shared.settings.fill_timeout_us;
+        let told = if self.head.time_left_us == 0 {
             most
         } else {
-            self.head.left_us.min(most)
+            self.head.time_left_us.min(most)
         };
         told.saturating_sub(self.came.elapsed().as_micros() as Micros)
     }
@@ -282,21 +311,21 @@
         &self,
         mut responder: Responder,
         found: Found,
-        note: WireNote,
+        note: WireCacheStatus,
     ) -> Unanswered {
         let age_us = self.shared.age(&found.meta);
-        let head = AnswerHead {
-            note: note as i32,
+        let head = ResponseHead {
+            cache_status: note as i32,
             size: Some(found.meta.size),
             age_us,
             validator: found.meta.validator.clone(),
             content_type: found.meta.content_type.clone(),
             fresh_left_us: fresh_of(&found.meta).map(|fresh| fresh.saturating_sub(age_us)),
-            ..AnswerHead::default()
+            ..ResponseHead::default()
         };
         let (head, cut) = cut(head, &self.head);
         let load = self.shared.load();
-        let head = AnswerHead {
+        let head = ResponseHead {
             elapsed_us: self.elapsed(),
             load: Some(load),
             ..head
@@ -333,7 +362,10 @@
                         } else {
                             WireStatus::Error
                         };
-                        return Some((responder, failed(status, WireNote::Untold, false, &why)));
+                        return Some((
+                            responder,
+                            failed(status, WireCacheStatus::Unreported, false, &why),
+                        ));
                     }
                 };
                 let from = (at % block) as usize;
@@ -342,7 +374,7 @@
                     let why = "a copy is shorter than it says";
                     return Some((
                         responder,
-                        failed(WireStatus::Error, WireNote::Untold, false, why),
+                        failed(WireStatus::Error, WireCacheStatus::Unreported, false, why),
                     ));
                 }
                 piece = bytes.slice(from..to);
@@ -380,7 +412,7 @@
             let why = "the fill was over before it was read";
             return Some((
                 responder,
-                failed(WireStatus::Error, WireNote::Untold, true, why),
+                failed(WireStatus::Error, WireCacheStatus::Unreported, true, why),
             ));
         };
         if conditional {
@@ -389,7 +421,8 @@
                 if head.not_modified {
                     let key = self.key();
                     if let Some(found) = self.find(&key, uncacheable).await {
-                        let note = WireNote::try_from(head.note).unwrap_or(WireNote::Filled);
+                        let note = WireCacheStatus::try_from(head.cache_status)
+                            .unwrap_or(WireCacheStatus::Filled);
                         return self.serve_held(responder, found, note).await;
                     }
                 }
@@ -422,27 +455,27 @@
         let shape = &self.head;
         let fetch = FetchHead {
             source: String::new(),
-            keep: asked.keep,
+            retention_rank: asked.keep,
             // Behind an old copy the newest is wanted: the source's may be as old.
-            age_us: if renewing {
+            max_age_us: if renewing {
                 1
             } else {
                 asked.limit.unwrap_or(0)
             },
-            join: asked.join && !renewing,
-            held_only: asked.held_only,
-            renew: false,
+            coalesce: asked.join && !renewing,
+            only_if_cached: asked.held_only,
+            revalidate: false,
         };
         let request = RequestHead {
             object: shape.object.clone(),
             part: shape.part,
             group: shape.group,
             class: shape.class.clone(),
-            left_us: self.shared.settings.fill_us,
+            time_left_us: self.shared.settings.fill_timeout_us,
             fetch: Some(fetch),
             trace: shape.trace.clone(),
             attempt: shape.attempt,
-            key: shape.key.clone(),
+            idempotency_key: shape.idempotency_key.clone(),
             if_none_match: validator.unwrap_or_default(),
             head_only: uncacheable && shape.head_only,
             ..RequestHead::default()
@@ -462,15 +495,15 @@
         &self,
         mut responder: Responder,
         reader: FlowReader,
-        note: Option<WireNote>,
+        note: Option<WireCacheStatus>,
     ) -> Unanswered {
         let left = Duration::from_micros(self.left());
         let head = tokio::select! {
             head = reader.head() => head,
-            () = responder.gone() => return None,
+            () = responder.cancelled() => return None,
             () = tokio::time::sleep(left) => {
                 let why = "no answer of the source in time";
-                return Some((responder, failed(WireStatus::Error, WireNote::SourceUnreachable, true, why)));
+                return Some((responder, failed(WireStatus::Error, WireCacheStatus::SourceUnreachable, true, why)));
             }
         };
         let head = match head {
@@ -480,18 +513,18 @@
                 let why = "an answer without a head";
                 return Some((
                     responder,
-                    failed(WireStatus::Error, WireNote::Untold, true, why),
+                    failed(WireStatus::Error, WireCacheStatus::Unreported, true, why),
                 ));
             }
         };
-        let mut head = AnswerHead::clone(&head);
+        let mut head = ResponseHead::clone(&head);
         if let Some(note) = note {
-            head.note = note as i32;
+            head.cache_status = note as i32;
         }
         let (head, cut) = cut(head, &self.head);
         let bodyless = head.not_modified || head.unsatisfiable || self.head.head_only;
         let load = Some(self.shared.load());
-        let head = AnswerHead {
+        let head = ResponseHead {
             elapsed_us: self.elapsed(),
             load,
             ..head
@@ -503,7 +536,7 @@
         while !(bodyless || at >= end && cut.known) {
             let part = tokio::select! {
                 part = reader.next() => part,
-                () = responder.gone() => return None,
+                () = responder.cancelled() => return None,
             };
             match part {
                 FlowPart::Data(data) => {
@@ -523,7 +556,7 @@
                     let why = "too slow for those who read the same fill";
                     return Some((
                         responder,
-                        failed(WireStatus::Error, WireNote::Untold, false, why),
+                        failed(WireStatus::Error, WireCacheStatus::Unreported, false, why),
                     ));
                 }
             }
@@ -542,7 +575,7 @@
 }
 
 /// The head with the range and the validator that were asked for applied (RFC 9110, sections 13 and 14).
-fn cut(mut head: AnswerHead, asked: &RequestHead) -> (AnswerHead, Cut) {
+fn cut(mut head: ResponseHead, asked: &RequestHead) -> (ResponseHead, Cut) {
     let whole = head.size;
     let mut cut = Cut {
         from: 0,
@@ -550,25 +583,25 @@
         known: whole.is_some(),
     };
     let same = !head.validator.is_empty() && names_validator(&asked.if_none_match, &head.validator);
-    if same && head.code == 0 {
+    if same && head.origin_status == 0 {
         head.not_modified = true;
     }
     // A weak validator holds no range together (13.1.5).
     let strong = !head.validator.starts_with("W/");
     let wanted = !asked.range.is_empty()
         && (asked.if_range.is_empty() || (strong && asked.if_range == head.validator));
-    let range =
-        Range::parse(&asked.range).filter(|_| wanted && head.code == 0 && !head.not_modified);
+    let range = Range::parse(&asked.range)
+        .filter(|_| wanted && head.origin_status == 0 && !head.not_modified);
     match (range, whole) {
         (Some(range), Some(whole)) => match range.apply(whole) {
-            Applied::Part(first, last) => {
+            ResolvedRange::Part(first, last) => {
                 (cut.from, cut.len) = (first, last + 1 - first);
-                (head.size, head.range_first, head.whole_size) =
+                (head.size, head.range_first, head.complete_size) =
                     (Some(cut.len), Some(first), Some(whole));
             }
-            Applied::Unsatisfiable => {
+            ResolvedRange::Unsatisfiable => {
                 cut.len = 0;
-                (head.size, head.whole_size, head.unsatisfiable) = (Some(0), Some(whole), true);
+                (head.size, head.complete_size, head.unsatisfiable) = (Some(0), Some(whole), true);
             }
         },
         _ if head.not_modified => head.size = None,
@@ -595,7 +628,7 @@
 
 impl Filling {
     async fn run(self, place: Place) {
-        let longest = Duration::from_micros(place.shared.settings.fill_us);
+        let longest = Duration::from_micros(place.shared.settings.fill_timeout_us);
         place.shared.count(|c| c.fills += 1);
         let asked_ms = place.shared.clock.steady_ms();
         // Begun before it is asked for: a purge in between strikes what the source may have taken before it.
@@ -634,26 +667,26 @@
         match why {
             Failed::Unreachable(why) => {
                 let note = if origin {
-                    WireNote::OriginFailed
+                    WireCacheStatus::OriginFailed
                 } else {
-                    WireNote::SourceUnreachable
+                    WireCacheStatus::SourceUnreachable
                 };
                 failed(WireStatus::Error, note, false, &why)
             }
             Failed::Broke(why) => {
                 let note = if origin {
-                    WireNote::OriginFailed
+                    WireCacheStatus::OriginFailed
                 } else {
-                    WireNote::SourceUnreachable
+                    WireCacheStatus::SourceUnreachable
                 };
                 failed(WireStatus::Error, note, true, &why)
             }
             Failed::Told(e) => {
-                let note = match (e.status(), e.note()) {
-                    (WireStatus::Miss, _) => WireNote::SourceLacks,
-                    (_, WireNote::OriginFailed) => WireNote::OriginFailed,
-                    (WireStatus::Full, _) => WireNote::SourceRefused,
-                    _ => WireNote::SourceUnreachable,
+                let note = match (e.status(), e.cache_status()) {
+                    (WireStatus::Miss, _) => WireCacheStatus::SourceMiss,
+                    (_, WireCacheStatus::OriginFailed) => WireCacheStatus::OriginFailed,
+                    (WireStatus::Rejected, _) => WireCacheStatus::SourceRejected,
+                    _ => WireCacheStatus::SourceUnreachable,
                 };
                 failed(WireStatus::Error, note, e.may_have_run, &e.detail)
             }
@@ -682,9 +715,9 @@
         let fresh_until_ms = head.fresh_left_us.map_or(0, |left| {
             (born_ms + (head.age_us + left) / 1_000).max(born_ms + 1)
         });
-        let note = match head.note() {
-            WireNote::FilledByOrigin => WireNote::FilledByOrigin,
-            _ => WireNote::Filled,
+        let note = match head.cache_status() {
+            WireCacheStatus::FilledByOrigin => WireCacheStatus::FilledByOrigin,
+            _ => WireCacheStatus::Filled,
         };
         let meta = Meta {
             object: self.request.object.clone(),
@@ -698,12 +731,12 @@
             rank: self.keep,
             ..Meta::default()
         };
-        let kept = self.keep > 0 && !no_store && !self.uncacheable && head.code == 0;
+        let kept = self.keep > 0 && !no_store && !self.uncacheable && head.origin_status == 0;
         if head.not_modified {
             let renewed = shared.store.is_some() && self.renew(shared, meta).await;
             shared.count(|c| c.renewed += u64::from(renewed));
-            place.flow.head(AnswerHead {
-                note: note as i32,
+            place.flow.head(ResponseHead {
+                cache_status: note as i32,
                 ..head
             });
             while answer.next().await?.is_some() {}
@@ -713,12 +746,12 @@
         if let Some(fill) = &mut fill {
             fill.describe(meta);
         }
-        place.flow.head(AnswerHead {
-            note: note as i32,
+        place.flow.head(ResponseHead {
+            cache_status: note as i32,
             range_first: None,
             ..head
         });
-        let slow = Duration::from_micros(shared.settings.slow_us);
+        let slow = Duration::from_micros(shared.settings.slow_reader_timeout_us);
         while let Some(data) = answer.next().await? {
             shared.count(|c| c.bytes_in += data.len() as u64);
             if let Some(mut filling) = fill.take() {
--- a/crates/cache-host/src/net/flow.rs
+++ b/crates/cache-host/src/net/flow.rs
@@ -3,7 +3,7 @@
 //! Held: at most [`WINDOW`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
 //! go, and its answer is broken off. Without readers nothing is held.
 use bytes::Bytes;
-use pointspindle_protocol::{AnswerHead, ErrorHead};
+use pointspindle_protocol::{ErrorHead, ResponseHead};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -31,7 +31,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    head: Option<Arc<AnswerHead>>,
+    head: Option<Arc<ResponseHead>>,
     /// Number of the first piece that is held.
     base: u64,
     pieces: VecDeque<Bytes>,
@@ -80,7 +80,7 @@
         !self.lock().readers.is_empty()
     }
 
-    pub fn head(&self, head: AnswerHead) {
+    pub fn head(&self, head: ResponseHead) {
         self.lock().head = Some(Arc::new(head));
         self.changed.notify_waiters();
     }
@@ -150,7 +150,7 @@
 
 impl FlowReader {
     /// The head, or how the fill ended without one.
-    pub async fn head(&self) -> Result<Arc<AnswerHead>, FlowEnd> {
+    pub async fn head(&self) -> Result<Arc<ResponseHead>, FlowEnd> {
         loop {
             let changed = self.flow.changed.notified();
             tokio::pin!(changed);
--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -8,11 +8,13 @@
 use flow::Flow;
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
-use pointspindle_config::{CacheSettings, Role, StorePlace};
+use pointspindle_config::{CacheHostSettings, Role, StoreSettings};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_store::{Folder, Key, Meta, Options, Stats, Store, StoreError, What};
-use pointspindle_transport::{AcceptFailure, Inbound, Line, Link, LinkOptions, Listener, Net};
+use pointspindle_transport::{
+    AcceptFailure, ConnectionOptions, FramedConnection, Inbound, Listener, Network, Socket,
+};
 use sources::Sources;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hasher};
@@ -68,7 +70,7 @@
     flows: HashMap<FillId, (Key, u64, Arc<Flow>)>,
     /// Who waits, with what the fill will be of.
     turns: HashMap<Waiter, (Key, u64, oneshot::Sender<FillId>)>,
-    ledger: Option<(Ledger, HashMap<UserId, Link>)>,
+    ledger: Option<(Ledger, HashMap<UserId, FramedConnection>)>,
     next_user: UserId,
     counts: Counts,
     hits: f64,
@@ -77,7 +79,7 @@
 
 pub(crate) struct Shared {
     locked: Mutex<Locked>,
-    pub settings: CacheSettings,
+    pub settings: CacheHostSettings,
     pub store: Option<Store>,
     pub sources: Sources,
     born: Instant,
@@ -102,7 +104,7 @@
     }
 }
 
-fn open_store(place: &StorePlace, clock: &WallClock) -> Result<Store, StoreError> {
+fn open_store(place: &StoreSettings, clock: &WallClock) -> Result<Store, StoreError> {
     let options = Options {
         capacity: place.capacity,
         segment: place.segment,
@@ -117,7 +119,7 @@
 }
 
 impl Host {
-    pub async fn start(settings: CacheSettings, net: Net) -> Result<Self, HostError> {
+    pub async fn start(settings: CacheHostSettings, net: Network) -> Result<Self, HostError> {
         let clock = WallClock::start();
         let mut store = None;
         if let Some(place) = settings.store.clone() {
@@ -148,25 +150,26 @@
         };
         let process = std::hash::RandomState::new().build_hasher().finish().max(1);
         let hello = HelloHead {
-            process,
+            incarnation: process,
             started_ago_us: (!warm).then_some(0),
             ..HelloHead::default()
         };
         let dearest = settings
             .classes
             .iter()
-            .map(|c| c.mean_us as f64 / 1e6)
+            .map(|c| c.mean_send_time_us as f64 / 1e6)
             .fold(0.0, f64::max);
-        let cold = (!warm && settings.role == Role::Cache && settings.cold.ramp > 0).then(|| {
-            (
-                Ledger::new(settings.cold, settings.weight, EPOCH, dearest),
-                HashMap::new(),
-            )
-        });
+        let cold =
+            (!warm && settings.role == Role::Cache && settings.slow_start.ramp > 0).then(|| {
+                (
+                    Ledger::new(settings.slow_start, settings.weight, EPOCH, dearest),
+                    HashMap::new(),
+                )
+            });
         let locked = Locked {
             desk: Desk::new(Rule {
-                places: settings.places,
-                queue: settings.queue,
+                places: settings.max_fills,
+                queue: settings.fill_queue,
             }),
             flows: HashMap::new(),
             turns: HashMap::new(),
@@ -229,7 +232,7 @@
     /// answered in time.
     pub async fn stop(mut self) -> bool {
         let _ = self.stop.send(true);
-        let longest = Duration::from_micros(self.shared.settings.drain_us);
+        let longest = Duration::from_micros(self.shared.settings.drain_timeout_us);
         let ended = async { while self.doors.join_next().await.is_some() {} };
         let drained = tokio::time::timeout(longest, ended).await.is_ok();
         self.doors.shutdown().await;
@@ -268,11 +271,11 @@
 
     pub fn load(&self) -> LoadReport {
         let locked = self.lock();
-        let util = locked.desk.filling() as f64 / self.settings.places as f64;
+        let util = locked.desk.filling() as f64 / self.settings.max_fills as f64;
         LoadReport {
-            util,
-            hits: locked.hits,
-            link: 0.0,
+            utilization: util,
+            hit_ratio: locked.hits,
+            link_utilization: 0.0,
         }
     }
 
@@ -442,23 +445,28 @@
     let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.by_asking);
     LeaseHead {
         work_us,
-        for_us: grant.lasts,
-        by_asking,
-        answers: false,
+        duration_us: grant.lasts,
+        on_request: by_asking,
+        in_reply: false,
     }
 }
 
-async fn serve(shared: Arc<Shared>, line: Line, mut stop: watch::Receiver<bool>, operators: bool) {
-    let options = LinkOptions {
+async fn serve(
+    shared: Arc<Shared>,
+    line: Socket,
+    mut stop: watch::Receiver<bool>,
+    operators: bool,
+) {
+    let options = ConnectionOptions {
         max_streams: shared.settings.max_streams,
     };
-    let (link, mut incoming) = Link::start(line, Side::Answerer, options);
+    let (link, mut incoming) = FramedConnection::start(line, Side::Answerer, options);
     if !operators {
         let ago = shared
             .hello
             .started_ago_us
             .map(|_| shared.born.elapsed().as_micros() as u64);
-        link.say(Frame::Hello(HelloHead {
+        link.push_control(Frame::Hello(HelloHead {
             started_ago_us: ago,
             ..shared.hello
         }));
@@ -500,7 +508,10 @@
                         .classes
                         .iter()
                         .find(|c| c.name == head.class);
-                    ledger.took(Some(user), class.map_or(0.0, |c| c.mean_us as f64 / 1e6));
+                    ledger.took(
+                        Some(user),
+                        class.map_or(0.0, |c| c.mean_send_time_us as f64 / 1e6),
+                    );
                 }
                 requests.spawn(answer::run(shared.clone(), head, responder));
             }
@@ -516,7 +527,7 @@
                     .await;
             }
             Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => {
-                link.say(Frame::Probe(ProbeHead {
+                link.push_control(Frame::Probe(ProbeHead {
                     echo: true,
                     load: Some(shared.load()),
                     ..probe
@@ -529,7 +540,7 @@
                 let _ = link
                     .control(Frame::Ack(AckHead {
                         seq: head.seq,
-                        trouble,
+                        rejection: trouble,
                     }))
                     .await;
             }
@@ -543,14 +554,14 @@
                     locked.ledger.as_mut().map(|(ledger, links)| {
                         links.insert(user, link.clone());
                         using.user = Some(user);
-                        lease(&ledger.join(user, hello.asks))
+                        lease(&ledger.join(user, hello.requests_work))
                     })
                 };
                 if let Some(granted) = granted {
-                    link.say(Frame::Lease(granted));
+                    link.push_control(Frame::Lease(granted));
                 }
             }
-            Some(Inbound::Control(Frame::Want(want))) => {
+            Some(Inbound::Control(Frame::WorkRequest(want))) => {
                 let now = shared.now();
                 let given = match (&mut shared.lock().ledger, using.user) {
                     (Some((ledger, _)), Some(user)) => {
@@ -558,12 +569,12 @@
                     }
                     _ => LeaseHead {
                         work_us: want.work_us,
-                        for_us: 1_000_000,
+                        duration_us: 1_000_000,
                         ..Default::default()
                     },
                 };
-                link.say(Frame::Lease(LeaseHead {
-                    answers: true,
+                link.push_control(Frame::Lease(LeaseHead {
+                    in_reply: true,
                     ..given
                 }));
             }
@@ -572,7 +583,7 @@
     }
     while requests.join_next().await.is_some() {}
     link.close("the connection is done with");
-    link.written().await;
+    link.flushed().await;
 }
 
 /// Reads what was left on disk, then syncs and cleans in small parts.
@@ -613,7 +624,7 @@
             None => return,
         };
         tokio::time::sleep(Duration::from_micros(next.saturating_sub(shared.now()))).await;
-        let grants: Vec<(Link, LeaseHead)> = {
+        let grants: Vec<(FramedConnection, LeaseHead)> = {
             let mut locked = shared.lock();
             let now = shared.now();
             let Some((ledger, links)) = &mut locked.ledger else {
@@ -627,7 +638,7 @@
             ledger.turn(now).into_iter().filter_map(told).collect()
         };
         for (link, lease) in grants {
-            link.say(Frame::Lease(lease));
+            link.push_control(Frame::Lease(lease));
         }
     }
 }
--- a/crates/cache-host/src/net/sources.rs
+++ b/crates/cache-host/src/net/sources.rs
@@ -3,12 +3,13 @@
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
-use pointspindle_config::{CacheSettings, OriginPlace};
-use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_config::{CacheHostSettings, OriginSettings};
+use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{
-    Call, CallEnd, Idle, Link, LinkOptions, Net, Part, Reader, WriteHalf,
+    Call, CallEnd, ConnectionOptions, FrameReader, FramedConnection, IdleState, Network,
+    ResponsePart, WriteHalf,
 };
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -35,13 +36,13 @@
 }
 
 struct Connection {
-    read: Reader<ResponseCodec>,
+    read: FrameReader<ResponseCodec>,
     write: WriteHalf,
 }
 
 /// The origin's pool.
 pub struct HttpOrigin {
-    place: OriginPlace,
+    place: OriginSettings,
     idle: Mutex<Vec<Connection>>,
     places: Arc<Semaphore>,
     clock: WallClock,
@@ -49,7 +50,7 @@
 
 /// What a source's head says.
 pub struct Began {
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     /// Not to be kept.
     pub no_store: bool,
     pub answer: Answer,
@@ -67,9 +68,9 @@
 }
 
 pub struct Sources {
-    net: Net,
+    net: Network,
     connect: Duration,
-    links: tokio::sync::Mutex<HashMap<String, Link>>,
+    links: tokio::sync::Mutex<HashMap<String, FramedConnection>>,
     origin: Option<Arc<HttpOrigin>>,
 }
 
@@ -77,7 +78,7 @@
 pub const OWN: &str = "origin";
 
 impl Sources {
-    pub fn new(settings: &CacheSettings, net: Net, clock: WallClock) -> Self {
+    pub fn new(settings: &CacheHostSettings, net: Network, clock: WallClock) -> Self {
         let origin = settings.origin.clone().map(|place| {
             let places = Arc::new(Semaphore::new(place.connections));
             Arc::new(HttpOrigin {
@@ -87,7 +88,7 @@
                 clock,
             })
         });
-        let connect = Duration::from_micros(settings.connect_us);
+        let connect = Duration::from_micros(settings.connect_timeout_us);
         Self {
             net,
             connect,
@@ -111,9 +112,9 @@
         }
     }
 
-    async fn link(&self, address: &str) -> Result<Link, Failed> {
+    async fn link(&self, address: &str) -> Result<FramedConnection, Failed> {
         let mut links = self.links.lock().await;
-        if let Some(link) = links.get(address).filter(|link| link.takes_calls()) {
+        if let Some(link) = links.get(address).filter(|link| link.accepts_calls()) {
             return Ok(link.clone());
         }
         let unreachable = |why: String| Failed::Unreachable(format!("{address}: {why}"));
@@ -123,7 +124,8 @@
         let line = tokio::time::timeout(self.connect, self.net.connect(None, at)).await;
         let line = line.map_err(|_| unreachable("no connection in time".into()))?;
         let line = line.map_err(|e| unreachable(e.to_string()))?;
-        let (link, mut incoming) = Link::start(line, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(line, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         links.retain(|_, link| !link.is_closed());
         if links.len() < LINKS {
@@ -138,14 +140,14 @@
             .call(request)
             .map_err(|e| Failed::Unreachable(e.to_string()))?;
         match call.next().await {
-            Some(Part::Head(head)) => Ok(Began {
+            Some(ResponsePart::Head(head)) => Ok(Began {
                 head,
                 no_store: false,
                 answer: Answer::Framed(call),
             }),
-            Some(Part::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
-            Some(Part::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
-            Some(Part::End(CallEnd::NotSent)) => {
+            Some(ResponsePart::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
+            Some(ResponsePart::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
+            Some(ResponsePart::End(CallEnd::NotSent)) => {
                 Err(Failed::Unreachable("nothing of it was sent".into()))
             }
             _ => Err(Failed::Broke("no head".into())),
@@ -166,7 +168,7 @@
         // A connection that was kept may have been closed at the other end meanwhile: what only reads is asked once more.
         for attempt in 0..2 {
             let kept = origin.idle.lock().unwrap_or_else(|p| p.into_inner()).pop();
-            let kept = kept.filter(|c| attempt == 0 && !runs && c.read.idle() == Idle::Quiet);
+            let kept = kept.filter(|c| attempt == 0 && !runs && c.read.idle() == IdleState::Quiet);
             let reused = kept.is_some();
             let mut connection = match kept {
                 Some(connection) => connection,
@@ -177,7 +179,7 @@
                 continue;
             }
             return match connection.read.next().await {
-                Some(Ok(HttpPiece::Head {
+                Some(Ok(HttpEvent::Head {
                     status,
                     fields,
                     keep_alive,
@@ -216,14 +218,14 @@
             .map_err(|e| Failed::Unreachable(format!("{at}: {e}")))?
             .split();
         Ok(Connection {
-            read: Reader::new(read, ResponseCodec::new(false)),
+            read: FrameReader::new(read, ResponseCodec::new(false)),
             write,
         })
     }
 }
 
 /// GET or HEAD; what must run is a POST, under its key where it has one.
-fn text(place: &OriginPlace, request: &RequestHead, runs: bool) -> String {
+fn text(place: &OriginSettings, request: &RequestHead, runs: bool) -> String {
     let method = if runs {
         "POST"
     } else if request.head_only {
@@ -240,7 +242,11 @@
         "{method} {}{query} HTTP/1.1\r\nhost: {}\r\n",
         request.object, place.host
     );
-    let key = if runs { request.key.as_str() } else { "" };
+    let key = if runs {
+        request.idempotency_key.as_str()
+    } else {
+        ""
+    };
     let fields = [
         ("x-request-id", request.trace.as_str()),
         ("idempotency-key", key),
@@ -256,7 +262,12 @@
     out + "\r\n"
 }
 
-fn head(status: u16, fields: &[(String, String)], took: Micros, now_s: u64) -> (AnswerHead, bool) {
+fn head(
+    status: u16,
+    fields: &[(String, String)],
+    took: Micros,
+    now_s: u64,
+) -> (ResponseHead, bool) {
     let find = |name: &str| {
         fields
             .iter()
@@ -265,16 +276,16 @@
     };
     let fresh = fresh::freshness(fields, took, now_s);
     let kept = matches!(status, 200 | 304);
-    let head = AnswerHead {
-        note: WireNote::FilledByOrigin as i32,
+    let head = ResponseHead {
+        cache_status: WireCacheStatus::FilledByOrigin as i32,
         size: find("content-length").and_then(|v| v.parse().ok()),
         age_us: fresh.age,
         validator: find("etag").unwrap_or_default(),
         content_type: find("content-type").unwrap_or_default(),
         not_modified: status == 304,
         fresh_left_us: fresh.lifetime.map(|l| l.saturating_sub(fresh.age)),
-        code: if kept { 0 } else { u32::from(status) },
-        ..AnswerHead::default()
+        origin_status: if kept { 0 } else { u32::from(status) },
+        ..ResponseHead::default()
     };
     (head, fresh.no_store || !kept)
 }
@@ -284,10 +295,10 @@
     pub async fn next(&mut self) -> Result<Option<Bytes>, Failed> {
         match self {
             Self::Framed(call) => match call.next().await {
-                Some(Part::Data(data)) => Ok(Some(data)),
-                Some(Part::End(CallEnd::Complete(_))) => Ok(None),
-                Some(Part::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
-                Some(Part::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
+                Some(ResponsePart::Data(data)) => Ok(Some(data)),
+                Some(ResponsePart::End(CallEnd::Complete(_))) => Ok(None),
+                Some(ResponsePart::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
+                Some(ResponsePart::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
                 _ => Err(Failed::Broke("a second head".into())),
             },
             Self::Http(answering) => {
@@ -295,8 +306,8 @@
                     return Ok(None);
                 };
                 match connection.read.next().await {
-                    Some(Ok(HttpPiece::Data(data))) => Ok(Some(data)),
-                    Some(Ok(HttpPiece::End)) => {
+                    Some(Ok(HttpEvent::Data(data))) => Ok(Some(data)),
+                    Some(Ok(HttpEvent::End)) => {
                         let connection = answering.connection.take().filter(|_| answering.keep);
                         let mut idle = answering
                             .home
--- a/crates/cache-host/tests/service.rs
+++ b/crates/cache-host/tests/service.rs
@@ -3,7 +3,9 @@
 use pointspindle_cache_host::Host;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{CallEnd, Inbound, Link, LinkOptions, Net, Part};
+use pointspindle_transport::{
+    CallEnd, ConnectionOptions, FramedConnection, Inbound, Network, ResponsePart,
+};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -117,17 +119,18 @@
     );
     let settings =
         pointspindle_config::parse_cache("test", &text).unwrap_or_else(|e| panic!("{e}"));
-    Host::start(settings, Net::Tcp)
+    Host::start(settings, Network::Tcp)
         .await
         .unwrap_or_else(|e| panic!("{e}"))
 }
 
-async fn link(to: SocketAddr) -> Link {
+async fn link(to: SocketAddr) -> FramedConnection {
     over(TcpStream::connect(to).await.unwrap())
 }
 
-fn over(socket: TcpStream) -> Link {
-    let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+fn over(socket: TcpStream) -> FramedConnection {
+    let (link, mut incoming) =
+        FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     tokio::spawn(async move { while incoming.next().await.is_some() {} });
     link
 }
@@ -136,21 +139,24 @@
     let class = object.split('/').nth(1).unwrap().to_owned();
     let fetch = FetchHead {
         source: source.into(),
-        keep: 2,
-        join: true,
+        retention_rank: 2,
+        coalesce: true,
         ..Default::default()
     };
     let left_us = 8_000_000;
     RequestHead {
         object: object.into(),
         class,
-        left_us,
+        time_left_us: left_us,
         fetch: Some(fetch),
         ..Default::default()
     }
 }
 
-async fn get(link: &Link, asked: RequestHead) -> Result<(AnswerHead, Bytes), ErrorHead> {
+async fn get(
+    link: &FramedConnection,
+    asked: RequestHead,
+) -> Result<(ResponseHead, Bytes), ErrorHead> {
     let mut call = link.call(asked).unwrap();
     let (mut head, mut got) = (None, BytesMut::new());
     loop {
@@ -159,22 +165,23 @@
             .expect("in time")
             .unwrap()
         {
-            Part::Head(h) => head = Some(h),
-            Part::Data(data) => got.extend_from_slice(&data),
-            Part::End(CallEnd::Complete(_)) => return Ok((head.unwrap(), got.freeze())),
-            Part::End(CallEnd::Error(e)) => return Err(e),
-            Part::End(CallEnd::Broken(why)) => panic!("{why}"),
-            Part::End(CallEnd::NotSent) => panic!("nothing of it was sent"),
+            ResponsePart::Head(h) => head = Some(h),
+            ResponsePart::Data(data) => got.extend_from_slice(&data),
+            ResponsePart::End(CallEnd::Complete(_)) => return Ok((head.unwrap(), got.freeze())),
+            ResponsePart::End(CallEnd::Error(e)) => return Err(e),
+            ResponsePart::End(CallEnd::Broken(why)) => panic!("{why}"),
+            ResponsePart::End(CallEnd::NotSent) => panic!("nothing of it was sent"),
         }
     }
 }
 
 async fn purge(at: SocketAddr, head: PurgeHead) {
     let socket = TcpStream::connect(at).await.unwrap();
-    let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+    let (link, mut incoming) =
+        FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     link.control(Frame::Purge(head)).await.unwrap();
     match incoming.next().await.unwrap() {
-        Inbound::Control(Frame::Ack(ack)) => assert_eq!(ack.trouble, ""),
+        Inbound::Control(Frame::Ack(ack)) => assert_eq!(ack.rejection, ""),
         other => panic!("{other:?}"),
     }
 }
@@ -248,7 +255,7 @@
     }
     assert_eq!(fleet.asked("GET /video/large"), 1);
     let (head, got) = get(&edge, ask("/video/large", &source)).await.unwrap();
-    assert!(head.note() == WireNote::Hit && got == body("/video/large", 1));
+    assert!(head.cache_status() == WireCacheStatus::Hit && got == body("/video/large", 1));
 
     // Ranges of what is held, and of what is filled; RFC 9110, 14.
     for object in ["/video/large", "/video/other"] {
@@ -270,7 +277,7 @@
             };
             let (head, got) = get(&edge, asked).await.unwrap();
             assert_eq!(
-                (head.range_first, head.whole_size),
+                (head.range_first, head.complete_size),
                 (Some(from), Some(size)),
                 "{object} {range}"
             );
@@ -324,13 +331,13 @@
     // Past its second at the origin, within the grace that the dispatcher allows.
     let old = |renew| {
         let mut asked = ask("/page/a", &source);
-        asked.fetch.as_mut().unwrap().age_us = 60_000_000;
-        asked.fetch.as_mut().unwrap().renew = renew;
+        asked.fetch.as_mut().unwrap().max_age_us = 60_000_000;
+        asked.fetch.as_mut().unwrap().revalidate = renew;
         asked
     };
     let (head, got) = get(&edge, old(true)).await.unwrap();
     assert!(
-        head.note() == WireNote::Old && got == body("/page/a", 1),
+        head.cache_status() == WireCacheStatus::Stale && got == body("/page/a", 1),
         "{head:?}"
     );
     // Confirmed by the origin, through the parent whose copy was as old.
@@ -400,7 +407,7 @@
     for object in ["/video/a", "/video/b"] {
         let (head, got) = get(&edge, ask(object, "127.0.0.1:1")).await.unwrap();
         assert!(
-            head.note() == WireNote::Hit && got == body(object, 2),
+            head.cache_status() == WireCacheStatus::Hit && got == body(object, 2),
             "{object}: {head:?}"
         );
     }
@@ -415,21 +422,21 @@
         .await
         .unwrap_err();
     assert_eq!(
-        (dead.note(), dead.may_have_run),
-        (WireNote::SourceUnreachable, false)
+        (dead.cache_status(), dead.may_have_run),
+        (WireCacheStatus::SourceUnreachable, false)
     );
     fleet.seen.lock().unwrap().cut_after = Some(10_000);
     let cut = get(&edge, ask("/video/x", &source)).await.unwrap_err();
     assert!(
-        cut.may_have_run && cut.note() == WireNote::OriginFailed,
+        cut.may_have_run && cut.cache_status() == WireCacheStatus::OriginFailed,
         "{cut:?}"
     );
     let mut held = ask("/video/x", &source);
-    held.fetch.as_mut().unwrap().held_only = true;
+    held.fetch.as_mut().unwrap().only_if_cached = true;
     let lacks = get(&edge, held).await.unwrap_err();
     assert_eq!(
-        lacks.note(),
-        WireNote::SourceLacks,
+        lacks.cache_status(),
+        WireCacheStatus::SourceMiss,
         "half an answer is not held"
     );
     let plain = RequestHead {
@@ -461,8 +468,8 @@
             Ok((_, got)) => assert_eq!(got.len(), 20_000),
             Err(e) => {
                 assert_eq!(
-                    (e.status(), e.note()),
-                    (WireStatus::Full, WireNote::NoFillPlace)
+                    (e.status(), e.cache_status()),
+                    (WireStatus::Rejected, WireCacheStatus::FillLimitReached)
                 );
                 full += 1;
             }
@@ -474,7 +481,7 @@
     let gate = link(gateway.bound().framed).await;
     for _ in 0..2 {
         let run = RequestHead {
-            key: "k1".into(),
+            idempotency_key: "k1".into(),
             fetch: None,
             ..ask("/enrol/1", "")
         };
@@ -516,7 +523,7 @@
             get(
                 &link,
                 RequestHead {
-                    key: "k1".into(),
+                    idempotency_key: "k1".into(),
                     fetch: None,
                     ..ask("/enrol/1", "")
                 },
--- a/crates/cli/benches/proxy.rs
+++ b/crates/cli/benches/proxy.rs
@@ -10,8 +10,8 @@
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use pointspindle_protocol::streams::Side;
-use pointspindle_protocol::{AnswerHead, RequestHead, WireNote};
-use pointspindle_transport::{CallEnd, Inbound, Link, LinkOptions, Part};
+use pointspindle_protocol::{RequestHead, ResponseHead, WireCacheStatus};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Inbound, ResponsePart};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
 use std::sync::Arc;
@@ -111,10 +111,11 @@
             }
             "silent" => {
                 tokio::spawn(async move {
-                    let options = LinkOptions {
+                    let options = ConnectionOptions {
                         max_streams: 100_000,
                     };
-                    let (_link, mut incoming) = Link::start(socket, Side::Answerer, options);
+                    let (_link, mut incoming) =
+                        FramedConnection::start(socket, Side::Answerer, options);
                     let mut held = vec![];
                     while let Some(inbound) = incoming.next().await {
                         held.push(inbound);
@@ -129,8 +130,11 @@
 }
 
 async fn framed_member(socket: TcpStream, bodies: Arc<(Bytes, Bytes)>) {
-    let (_link, mut incoming) =
-        Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
+    let (_link, mut incoming) = FramedConnection::start(
+        socket,
+        Side::Answerer,
+        ConnectionOptions { max_streams: 8192 },
+    );
     while let Some(inbound) = incoming.next().await {
         let Inbound::Request(head, mut responder) = inbound else {
             continue;
@@ -142,9 +146,9 @@
         };
         tokio::spawn(async move {
             let size = Some(body.len() as u64);
-            let answer = AnswerHead {
+            let answer = ResponseHead {
                 size,
-                note: WireNote::Hit as i32,
+                cache_status: WireCacheStatus::Hit as i32,
                 ..Default::default()
             };
             if responder.head(answer).await.is_ok() && responder.data(body).await.is_ok() {
@@ -264,7 +268,7 @@
 }
 
 /// As many calls at once as the other loops have connections, all on one.
-async fn framed_loop(link: Link, path: String, until: Instant) -> Vec<u64> {
+async fn framed_loop(link: FramedConnection, path: String, until: Instant) -> Vec<u64> {
     let mut times = vec![];
     while Instant::now() < until {
         let began = Instant::now();
@@ -272,16 +276,16 @@
         let head = RequestHead {
             object: path.clone(),
             class,
-            left_us: 20_000_000,
+            time_left_us: 20_000_000,
             ..Default::default()
         };
         let mut call = link.call(head).unwrap();
         let mut got = 0;
         loop {
             match call.next().await {
-                Some(Part::Data(data)) => got += data.len(),
-                Some(Part::End(CallEnd::Complete(_))) => break,
-                Some(Part::Head(_)) => {}
+                Some(ResponsePart::Data(data)) => got += data.len(),
+                Some(ResponsePart::End(CallEnd::Complete(_))) => break,
+                Some(ResponsePart::Head(_)) => {}
                 other => panic!("{other:?}"),
             }
         }
@@ -302,7 +306,8 @@
     let mut loops = vec![];
     let link = if framed {
         let socket = TcpStream::connect(to).await.unwrap();
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         Some(link)
     } else {
@@ -403,7 +408,11 @@
     let folder = tempfile::tempdir().unwrap();
     let edge = dispatcher(silent.at, folder.path());
     let socket = TcpStream::connect(edge.framed.unwrap()).await.unwrap();
-    let (link, _incoming) = Link::start(socket, Side::Caller, LinkOptions { max_streams: 4096 });
+    let (link, _incoming) = FramedConnection::start(
+        socket,
+        Side::Caller,
+        ConnectionOptions { max_streams: 4096 },
+    );
     let before = usage(&edge).1;
     const OPEN: usize = 500;
     let mut calls = vec![];
@@ -412,7 +421,7 @@
         let head = RequestHead {
             object: format!("/o{n}"),
             class,
-            left_us: 20_000_000,
+            time_left_us: 20_000_000,
             ..Default::default()
         };
         calls.push(link.call(head).unwrap());
--- a/crates/cli/src/cache.rs
+++ b/crates/cli/src/cache.rs
@@ -3,7 +3,7 @@
 use crate::Failure;
 use pointspindle_cache_host::Host;
 use pointspindle_store::{check, Folder};
-use pointspindle_transport::Net;
+use pointspindle_transport::Network;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use tokio::signal::unix::{signal, SignalKind};
@@ -20,7 +20,7 @@
 pub async fn run(a: Arguments) -> Result<(), Failure> {
     descriptors();
     let mut stop = signal(SignalKind::terminate())?;
-    let host = Host::start(pointspindle_config::load_cache(&a.file)?, Net::Tcp).await?;
+    let host = Host::start(pointspindle_config::load_cache(&a.file)?, Network::Tcp).await?;
     if let Some(file) = &a.ready_file {
         write_whole(file, &serde_json::to_vec(&host.bound())?)?;
     }
--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -2,7 +2,9 @@
 use crate::Failure;
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use pointspindle_client::{Client, Files, Outcome, Piece, Request, RetryRules, Trust};
+use pointspindle_client::{
+    CertificateFiles, Client, Outcome, Piece, Request, RetryRules, TrustAnchors,
+};
 use std::io::{IsTerminal, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -92,8 +94,8 @@
                 .as_ref()
                 .ok_or("https and pspns need --authority".to_owned())?;
             let own = self.certificate.clone().zip(self.key.clone());
-            let own = own.map(|(certificate, key)| Files { certificate, key });
-            let trust = Trust::load(authority, own.as_ref())?;
+            let own = own.map(|(certificate, key)| CertificateFiles { certificate, key });
+            let trust = TrustAnchors::load(authority, own.as_ref())?;
             builder = builder.tls(trust, self.server_name.clone());
         }
         Ok(if url.framed {
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -5,7 +5,7 @@
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Link, LinkOptions};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -66,7 +66,8 @@
 async fn ask(at: SocketAddr, frame: Frame) -> Result<Frame, String> {
     let talk = async {
         let socket = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         link.control(frame).await.map_err(|e| e.to_string())?;
         let answer = incoming.next().await;
         link.close("asked");
@@ -81,17 +82,21 @@
         .map_err(|e| format!("{at}: {e}"))
 }
 
-async fn list(at: SocketAddr) -> Result<ListHead, String> {
-    match ask(at, Frame::Members(ListHead::default())).await? {
-        Frame::Members(list) => Ok(list),
+async fn list(at: SocketAddr) -> Result<EndpointListHead, String> {
+    match ask(at, Frame::EndpointList(EndpointListHead::default())).await? {
+        Frame::EndpointList(list) => Ok(list),
         other => Err(format!("{at}: not a list: {other:?}")),
     }
 }
 
 fn acknowledged(at: SocketAddr, answer: Frame) -> Result<(), String> {
     match answer {
-        Frame::Ack(AckHead { trouble, .. }) if trouble.is_empty() => Ok(()),
-        Frame::Ack(AckHead { trouble, .. }) => Err(format!("{at}: {trouble}")),
+        Frame::Ack(AckHead {
+            rejection: trouble, ..
+        }) if trouble.is_empty() => Ok(()),
+        Frame::Ack(AckHead {
+            rejection: trouble, ..
+        }) => Err(format!("{at}: {trouble}")),
         other => Err(format!("{at}: not an acknowledgement: {other:?}")),
     }
 }
@@ -108,16 +113,16 @@
                 .iter()
                 .map(|set| change(set, &arguments, &now));
             let members = changes.collect::<Result<Vec<_>, _>>()?;
-            let head = ListHead {
-                form: ListForm::Delta as i32,
+            let head = EndpointListHead {
+                form: EndpointListForm::Delta as i32,
                 seq: now.seq + 1,
-                members,
+                endpoints: members,
             };
-            acknowledged(*at, ask(*at, Frame::Members(head)).await?)?;
+            acknowledged(*at, ask(*at, Frame::EndpointList(head)).await?)?;
             now = list(*at).await?;
         }
-        println!("{at}: list {}, {} members", now.seq, now.members.len());
-        for m in &now.members {
+        println!("{at}: list {}, {} members", now.seq, now.endpoints.len());
+        for m in &now.endpoints {
             let state = format!("{:?}", m.state()).to_lowercase();
             let started = m.started_ago_us.map_or("long ago".to_owned(), |us| {
                 format!("{:.1} s ago", us as f64 / 1e6)
@@ -177,17 +182,21 @@
         .ok_or_else(usage)
 }
 
-fn change(set: &str, arguments: &MembersArguments, now: &ListHead) -> Result<MemberLine, String> {
+fn change(
+    set: &str,
+    arguments: &MembersArguments,
+    now: &EndpointListHead,
+) -> Result<EndpointRecord, String> {
     let (address, state) = wanted(set)?;
     let state = match state {
-        "ready" => WireState::Ready,
-        "draining" => WireState::Draining,
-        _ => WireState::Gone,
+        "ready" => WireEndpointState::Ready,
+        "draining" => WireEndpointState::Draining,
+        _ => WireEndpointState::Gone,
     };
-    let known = now.members.iter().find(|m| m.address == address).cloned();
+    let known = now.endpoints.iter().find(|m| m.address == address).cloned();
     let mut line = match known {
         Some(line) => line,
-        None => MemberLine {
+        None => EndpointRecord {
             address: address.to_owned(),
             kind: arguments
                 .kind
@@ -204,7 +213,7 @@
     line.state = state as i32;
     line.weight = arguments.weight.unwrap_or(line.weight);
     if arguments.cold {
-        line.start += 1;
+        line.incarnation += 1;
         line.started_ago_us = Some(0);
     }
     Ok(line)
--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -3,7 +3,7 @@
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{feed, writer, Access, Etcd, Output, Rule, View, Watcher};
 use pointspindle_lab::etcd::measure::{measure, Plan};
-use pointspindle_protocol::{ListForm, MemberLine};
+use pointspindle_protocol::{EndpointListForm, EndpointRecord};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -90,14 +90,14 @@
     pub async fn show(&self, go_on: bool) -> Result<(), Failure> {
         let etcd = self.open()?;
         let watcher = Watcher::new(&self.prefix, Rule::default(), 0, std::process::id() as u64);
-        let mut shown: BTreeMap<String, MemberLine> = BTreeMap::new();
+        let mut shown: BTreeMap<String, EndpointRecord> = BTreeMap::new();
         let followed = feed::run(etcd, self.prefix.clone(), watcher, move |output| {
             match output {
                 Output::Members(head) => {
-                    if head.form() == ListForm::Full {
+                    if head.form() == EndpointListForm::Full {
                         shown.clear();
                     }
-                    for line in &head.members {
+                    for line in &head.endpoints {
                         shown.insert(line.address.clone(), line.clone());
                         print_line(line);
                     }
@@ -132,7 +132,7 @@
     }
 }
 
-fn print_line(m: &MemberLine) {
+fn print_line(m: &EndpointRecord) {
     let state = format!("{:?}", m.state()).to_lowercase();
     println!(
         "  {:<22} {state:<9} {:<7} {:<12} weight {}",
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -126,7 +126,7 @@
                 file.display(),
                 settings.zones[settings.router.zone],
                 settings.classes.len(),
-                settings.members.len()
+                settings.endpoints.len()
             );
             Ok(())
         }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,11 +1,11 @@
 //! `pointspindle serve`.
 use crate::Failure;
-use pointspindle_config::EdgeSettings;
+use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::{Bound, Prepared};
 use pointspindle_etcd::EtcdSource;
 use pointspindle_lab::demo;
-use pointspindle_protocol::MemberLine;
-use pointspindle_transport::Net;
+use pointspindle_protocol::EndpointRecord;
+use pointspindle_transport::Network;
 use std::path::PathBuf;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
@@ -39,7 +39,7 @@
     };
     let source = EtcdSource::of(&settings, seed)?;
     let wait = settings.etcd.as_ref().map_or(0, |e| e.start_wait_us);
-    let mut prepared = Prepared::new(Net::Tcp, settings, seed).await;
+    let mut prepared = Prepared::new(Network::Tcp, settings, seed).await;
     if let Some(source) = source {
         prepared.follow(source);
         if !prepared.heard(Duration::from_micros(wait)).await {
@@ -90,7 +90,9 @@
 }
 
 /// Settings and members of a first try, all on loopback.
-async fn embedded(port: u16) -> Result<(EdgeSettings, pointspindle_lab::sockets::Stage), Failure> {
+async fn embedded(
+    port: u16,
+) -> Result<(DispatcherSettings, pointspindle_lab::sockets::Stage), Failure> {
     let (stage, members) = demo::start(["lesson-video", "test-page"], ["hub", "branch"]).await?;
     let mut text = format!(
         "[dispatcher]\nname = first-try\nzone = branch\nnumber = 0\n\
@@ -107,8 +109,8 @@
 }
 
 /// The settings' sections of members.
-pub(crate) fn sections(members: &[MemberLine]) -> String {
-    let section = |(n, m): (usize, &MemberLine)| {
+pub(crate) fn sections(members: &[EndpointRecord]) -> String {
+    let section = |(n, m): (usize, &EndpointRecord)| {
         let (address, kind, zone, weight) = (&m.address, &m.kind, &m.zone, m.weight);
         format!(
             "[member m{n}]\naddress = {address}\nkind = {kind}\nzone = {zone}\nweight = {weight}\n"
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,9 +1,9 @@
 //! The program as a person and an operator would use it: over its arguments, files, sockets and signals.
 use futures_util::StreamExt;
-use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
+use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::process::{Child, Command, Output, Stdio};
@@ -122,7 +122,7 @@
             .await
             .expect("an answer in time")
         {
-            Some(Ok(HttpPiece::Head { status, fields, .. })) => {
+            Some(Ok(HttpEvent::Head { status, fields, .. })) => {
                 out.push(Answer {
                     status,
                     fields,
@@ -130,10 +130,10 @@
                     whole: false,
                 });
             }
-            Some(Ok(HttpPiece::Data(data))) => {
+            Some(Ok(HttpEvent::Data(data))) => {
                 out.last_mut().unwrap().body.extend_from_slice(&data)
             }
-            Some(Ok(HttpPiece::End)) => out.last_mut().unwrap().whole = true,
+            Some(Ok(HttpEvent::End)) => out.last_mut().unwrap().whole = true,
             Some(Err(_)) | None => break,
         }
     }
@@ -311,7 +311,8 @@
     let at = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
-            let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
+            let (link, mut incoming) =
+                FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
             tokio::spawn(async move {
                 while let Some(inbound) = incoming.next().await {
                     let pointspindle_transport::Inbound::Request(_, responder) = inbound else {
@@ -325,27 +326,31 @@
     at
 }
 
-async fn play(kind: Host, mut responder: pointspindle_transport::Responder, link: Link) {
-    let head = AnswerHead {
+async fn play(
+    kind: Host,
+    mut responder: pointspindle_transport::Responder,
+    link: FramedConnection,
+) {
+    let head = ResponseHead {
         size: Some(4_000),
-        note: WireNote::Hit as i32,
+        cache_status: WireCacheStatus::Hit as i32,
         ..Default::default()
     };
     match kind {
         Host::Silent => {
-            responder.gone().await;
+            responder.cancelled().await;
         }
         Host::DiesInBody => {
             let _ = responder.head(head).await;
             let _ = responder.data(vec![b'x'; 2_000].into()).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
-            responder.leave_silent();
+            responder.abandon();
             link.close("dies");
         }
         Host::Stalls => {
             let _ = responder.head(head).await;
             let _ = responder.data(vec![b'x'; 2_000].into()).await;
-            responder.gone().await;
+            responder.cancelled().await;
         }
         Host::Answers(after) => {
             tokio::time::sleep(Duration::from_millis(after)).await;
@@ -360,17 +365,18 @@
 async fn framed(to: SocketAddr, left_ms: u64) -> (Option<CallEnd>, Duration) {
     let began = Instant::now();
     let socket = TcpStream::connect(to).await.unwrap();
-    let (link, _incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+    let (link, _incoming) =
+        FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     let head = RequestHead {
         object: "/a".into(),
         class: "page".into(),
-        left_us: left_ms * 1_000,
+        time_left_us: left_ms * 1_000,
         ..Default::default()
     };
     let mut call = link.call(head).unwrap();
     let mut end = None;
     while let Some(part) = call.next().await {
-        if let Part::End(e) = part {
+        if let ResponsePart::End(e) = part {
             end = Some(e);
         }
     }
@@ -456,7 +462,7 @@
     let ask = |object: &str, class: &str| RequestHead {
         object: object.into(),
         class: class.into(),
-        left_us: 900_000,
+        time_left_us: 900_000,
         ..Default::default()
     };
     frames
@@ -575,7 +581,8 @@
     for round in 0..8_u64 {
         let edge = Running::start(&["serve", &file], folder.path());
         let socket = TcpStream::connect(edge.bound.control).await.unwrap();
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         for n in 0..200 + 40 * round {
             let purge = PurgeHead {
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -5,7 +5,7 @@
 use pointspindle_lab::etcd::StandIn;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Link, LinkOptions};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -30,16 +30,16 @@
             let tell = tell.clone();
             tokio::spawn(async move {
                 let (_link, mut incoming) =
-                    Link::start(socket, Side::Answerer, LinkOptions::default());
+                    FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, mut responder) = inbound else {
                         continue;
                     };
-                    let age = head.fetch.as_ref().map_or(0, |f| f.age_us);
+                    let age = head.fetch.as_ref().map_or(0, |f| f.max_age_us);
                     let _ = tell.send((head.object.clone(), age));
-                    let answer = AnswerHead {
+                    let answer = ResponseHead {
                         size: Some(2),
-                        note: WireNote::Hit as i32,
+                        cache_status: WireCacheStatus::Hit as i32,
                         ..Default::default()
                     };
                     let _ = responder.head(answer).await;
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -6,8 +6,8 @@
 use crate::retry::{Micros, Retries, RetryRules};
 use crate::{Misuse, Piece};
 use bytes::{Bytes, BytesMut};
-use pointspindle_transport::tls::Trust;
-use pointspindle_transport::Net;
+use pointspindle_transport::tls::TrustAnchors;
+use pointspindle_transport::Network;
 use rand::Rng;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -148,8 +148,8 @@
     rules: RetryRules,
     connect: Duration,
     seed: Option<u64>,
-    net: Net,
-    trust: Option<(Trust, Option<String>)>,
+    net: Network,
+    trust: Option<(TrustAnchors, Option<String>)>,
 }
 
 impl Builder {
@@ -181,7 +181,7 @@
     }
 
     /// By TLS. The name that dispatchers' certificates must bear; each one's address by default.
-    pub fn tls(self, trust: Trust, name: Option<String>) -> Self {
+    pub fn tls(self, trust: TrustAnchors, name: Option<String>) -> Self {
         Self {
             trust: Some((trust, name)),
             ..self
@@ -189,7 +189,7 @@
     }
 
     /// Another network than the machine's own.
-    pub fn net(self, net: Net) -> Self {
+    pub fn net(self, net: Network) -> Self {
         Self { net, ..self }
     }
 
@@ -283,7 +283,7 @@
             rules: RetryRules::default(),
             connect: Duration::from_millis(250),
             seed: None,
-            net: Net::Tcp,
+            net: Network::Tcp,
             trust: None,
         }
     }
@@ -326,7 +326,7 @@
     pub async fn fetch(
         &self,
         request: Request,
-    ) -> Result<(Outcome, Option<crate::AnswerHead>, Bytes), Misuse> {
+    ) -> Result<(Outcome, Option<crate::ResponseHead>, Bytes), Misuse> {
         let mut call = self.call(request)?;
         let (mut head, mut body) = (None, BytesMut::new());
         while let Some(piece) = call.next().await {
--- a/crates/client/src/dial.rs
+++ b/crates/client/src/dial.rs
@@ -1,6 +1,6 @@
 //! How one dispatcher is reached: its address, the network, and whom to trust there.
-use pointspindle_transport::tls::Trust;
-use pointspindle_transport::{Line, Net};
+use pointspindle_transport::tls::TrustAnchors;
+use pointspindle_transport::{Network, Socket};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -8,9 +8,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Dial {
     pub at: SocketAddr,
-    pub net: Net,
+    pub net: Network,
     /// By TLS, to whoever shows a certificate for this name; the address by default.
-    pub trust: Option<(Trust, Option<String>)>,
+    pub trust: Option<(TrustAnchors, Option<String>)>,
     /// Longest wait for a connection, handshake included.
     pub patience: Duration,
     /// Why the last connection was not made, shared by all dispatchers of a client.
@@ -18,7 +18,7 @@
 }
 
 impl Dial {
-    pub async fn line(&self) -> Option<Line> {
+    pub async fn line(&self) -> Option<Socket> {
         let made = tokio::time::timeout(self.patience, self.connect()).await;
         let why = match made {
             Ok(Ok(line)) => return Some(line),
@@ -31,11 +31,11 @@
         None
     }
 
-    async fn connect(&self) -> std::io::Result<Line> {
+    async fn connect(&self) -> std::io::Result<Socket> {
         let line = self.net.connect(None, self.at).await?;
         match (&self.trust, line) {
             (None, line) => Ok(line),
-            (Some((trust, name)), Line::Tcp(socket)) => {
+            (Some((trust, name)), Socket::Tcp(socket)) => {
                 let name = name.clone().unwrap_or_else(|| self.at.ip().to_string());
                 trust.connect(socket, &name).await
             }
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -4,7 +4,9 @@
 use crate::{Piece, Request};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
-use pointspindle_transport::{Call, CallEnd, Inbound, Incoming, Link, LinkOptions, Part};
+use pointspindle_transport::{
+    Call, CallEnd, ConnectionOptions, FramedConnection, Inbound, Incoming, ResponsePart,
+};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,7 +23,7 @@
 
 #[derive(Debug)]
 struct Connection {
-    link: Link,
+    link: FramedConnection,
     /// Told by the dispatcher; 0: not told.
     lease_us: AtomicU64,
 }
@@ -50,11 +52,12 @@
 
     async fn connection(&self) -> Option<Arc<Connection>> {
         let mut held = self.held.lock().await;
-        if let Some(known) = held.as_ref().filter(|c| c.link.takes_calls()) {
+        if let Some(known) = held.as_ref().filter(|c| c.link.accepts_calls()) {
             return Some(known.clone());
         }
         let line = self.dial.line().await?;
-        let (link, incoming) = Link::start(line, Side::Caller, LinkOptions::default());
+        let (link, incoming) =
+            FramedConnection::start(line, Side::Caller, ConnectionOptions::default());
         let connection = Arc::new(Connection {
             link,
             lease_us: AtomicU64::new(0),
@@ -78,11 +81,11 @@
             part: request.part,
             group: request.group,
             class: request.class.clone(),
-            left_us,
+            time_left_us: left_us,
             size: request.size,
             trace: request.trace.clone(),
-            key: request.key.clone(),
-            call: call.to_owned(),
+            idempotency_key: request.key.clone(),
+            call_id: call.to_owned(),
             head_only: request.head_only,
             if_none_match: request.if_none_match.clone(),
             range: request.range.clone(),
@@ -110,15 +113,15 @@
         loop {
             return match self.call.next().await {
                 // One head; a second is nobody's.
-                Some(Part::Head(_)) if self.headed => continue,
-                Some(Part::Head(head)) => {
+                Some(ResponsePart::Head(_)) if self.headed => continue,
+                Some(ResponsePart::Head(head)) => {
                     self.headed = true;
                     Ok(Piece::Head(head))
                 }
-                Some(Part::Data(data)) => Ok(Piece::Data(data)),
-                Some(Part::End(CallEnd::Complete(_))) => Err(End::Complete),
-                Some(Part::End(CallEnd::Error(e))) => Err(match e.status() {
-                    WireStatus::Refused | WireStatus::Full | WireStatus::Miss
+                Some(ResponsePart::Data(data)) => Ok(Piece::Data(data)),
+                Some(ResponsePart::End(CallEnd::Complete(_))) => Err(End::Complete),
+                Some(ResponsePart::End(CallEnd::Error(e))) => Err(match e.status() {
+                    WireStatus::Refused | WireStatus::Rejected | WireStatus::Miss
                         if !e.may_have_run =>
                     {
                         End::Refused {
@@ -129,9 +132,11 @@
                         may_have_run: e.may_have_run,
                     },
                 }),
-                Some(Part::End(CallEnd::Broken(_) | CallEnd::NotSent)) | None => Err(End::Lost {
-                    lease: self.connection.lease(),
-                }),
+                Some(ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent)) | None => {
+                    Err(End::Lost {
+                        lease: self.connection.lease(),
+                    })
+                }
             };
         }
     }
@@ -146,14 +151,14 @@
             })) => {
                 connection.lease_us.store(lease, Ordering::Relaxed);
                 let hello = HelloHead {
-                    process: 1,
+                    incarnation: 1,
                     lease_us: Some(lease),
                     ..Default::default()
                 };
-                connection.link.say(Frame::Hello(hello));
+                connection.link.push_control(Frame::Hello(hello));
             }
             Inbound::Control(Frame::Probe(probe)) if !probe.echo => {
-                connection.link.say(Frame::Probe(ProbeHead {
+                connection.link.push_control(Frame::Probe(ProbeHead {
                     echo: true,
                     ..probe
                 }));
@@ -173,12 +178,12 @@
         if connection.link.open_streams() == 0 {
             continue;
         }
-        if lease.is_some_and(|lease| connection.link.quiet_for() > lease) {
+        if lease.is_some_and(|lease| connection.link.time_since_last_frame() > lease) {
             connection.link.abort("no sign of life");
             return;
         }
         token += 1;
-        connection.link.say(Frame::Probe(ProbeHead {
+        connection.link.push_control(Frame::Probe(ProbeHead {
             token,
             ..Default::default()
         }));
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -2,9 +2,9 @@
 use crate::call::End;
 use crate::dial::Dial;
 use crate::{Piece, Request};
-use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
-use pointspindle_protocol::{AnswerHead, WireNote};
-use pointspindle_transport::{Idle as Found, Reader, WriteHalf};
+use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
+use pointspindle_protocol::{ResponseHead, WireCacheStatus};
+use pointspindle_transport::{FrameReader, IdleState as Found, WriteHalf};
 use std::sync::{Arc, Mutex};
 
 /// Idle connections kept for each dispatcher.
@@ -14,7 +14,7 @@
 const LETS_GO: u64 = 250_000;
 
 struct Connection {
-    read: Reader<ResponseCodec>,
+    read: FrameReader<ResponseCodec>,
     write: WriteHalf,
 }
 
@@ -54,7 +54,7 @@
         }
         let (read, write) = self.dial.line().await?.split();
         Some(Connection {
-            read: Reader::new(read, ResponseCodec::new(false)),
+            read: FrameReader::new(read, ResponseCodec::new(false)),
             write,
         })
     }
@@ -115,7 +115,7 @@
                 });
             };
             match connection.read.next().await {
-                Some(Ok(HttpPiece::Head {
+                Some(Ok(HttpEvent::Head {
                     status,
                     fields,
                     keep_alive,
@@ -136,11 +136,11 @@
                         return Ok(Piece::Head(head(status, &fields)));
                     }
                 }
-                Some(Ok(HttpPiece::Data(data))) if is_answer(self.status) => {
+                Some(Ok(HttpEvent::Data(data))) if is_answer(self.status) => {
                     return Ok(Piece::Data(data))
                 }
-                Some(Ok(HttpPiece::Data(_))) => {}
-                Some(Ok(HttpPiece::End)) => {
+                Some(Ok(HttpEvent::Data(_))) => {}
+                Some(Ok(HttpEvent::End)) => {
                     let connection = self.connection.take().filter(|_| self.keep);
                     let mut idle = self.idle.lock().unwrap_or_else(|p| p.into_inner());
                     let room = idle.len() < KEPT;
@@ -172,7 +172,7 @@
 }
 
 /// The head in the framed protocol's terms.
-fn head(status: u16, fields: &[(String, String)]) -> AnswerHead {
+fn head(status: u16, fields: &[(String, String)]) -> ResponseHead {
     let find = |name: &str| {
         fields
             .iter()
@@ -183,15 +183,15 @@
     let (span, whole) = range.and_then(|r| r.split_once('/')).unwrap_or(("", ""));
     let cache = find("cache-status").unwrap_or_default();
     let note = match cache {
-        c if c.contains("detail=old") => WireNote::Old,
-        c if c.contains("; hit") => WireNote::Hit,
-        c if c.contains("collapsed") => WireNote::Joined,
-        c if c.contains("detail=origin") => WireNote::FilledByOrigin,
-        c if c.contains("fwd=miss") => WireNote::Filled,
-        _ => WireNote::Untold,
+        c if c.contains("detail=old") => WireCacheStatus::Stale,
+        c if c.contains("; hit") => WireCacheStatus::Hit,
+        c if c.contains("collapsed") => WireCacheStatus::Coalesced,
+        c if c.contains("detail=origin") => WireCacheStatus::FilledByOrigin,
+        c if c.contains("fwd=miss") => WireCacheStatus::Filled,
+        _ => WireCacheStatus::Unreported,
     };
-    AnswerHead {
-        note: note as i32,
+    ResponseHead {
+        cache_status: note as i32,
         size: find("content-length").and_then(|v| v.parse().ok()),
         age_us: find("age").and_then(|v| v.parse::<u64>().ok()).unwrap_or(0) * 1_000_000,
         validator: find("etag").unwrap_or_default().to_owned(),
@@ -201,7 +201,7 @@
         range_first: span
             .split_once('-')
             .and_then(|(first, _)| first.parse().ok()),
-        whole_size: whole.parse().ok(),
+        complete_size: whole.parse().ok(),
         ..Default::default()
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -46,9 +46,9 @@
 
 pub use call::{Effect, Outcome};
 pub use client::{Builder, Call, Client, Request};
-pub use pointspindle_protocol::AnswerHead;
-pub use pointspindle_transport::tls::{Files, TlsError, Trust};
-pub use pointspindle_transport::Net;
+pub use pointspindle_protocol::ResponseHead;
+pub use pointspindle_transport::tls::{CertificateFiles, TlsError, TrustAnchors};
+pub use pointspindle_transport::Network;
 pub use retry::RetryRules;
 
 use bytes::Bytes;
@@ -56,7 +56,7 @@
 /// What comes of a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
-    Head(AnswerHead),
+    Head(ResponseHead),
     Data(Bytes),
     /// The last one.
     End(Outcome),
--- a/crates/client/tests/cuts.rs
+++ b/crates/client/tests/cuts.rs
@@ -5,7 +5,7 @@
 use pointspindle_dispatcher::Dispatcher;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Link, LinkOptions, Responder};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Responder};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -95,8 +95,11 @@
         while let Ok((socket, _)) = listener.accept().await {
             let (seen, dice) = (seen.clone(), dice.clone());
             tokio::spawn(async move {
-                let (_link, mut incoming) =
-                    Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
+                let (_link, mut incoming) = FramedConnection::start(
+                    socket,
+                    Side::Answerer,
+                    ConnectionOptions { max_streams: 8192 },
+                );
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, responder) = inbound else {
                         continue;
@@ -132,14 +135,14 @@
     let body = content(&head.object);
     // A cancel ends it at once, as at a real member.
     let gone = tokio::select! {
-        () = responder.gone() => true,
+        () = responder.cancelled() => true,
         () = tokio::time::sleep(wait) => false,
     };
     if !gone {
         let size = Some(body.len() as u64);
-        let answer = AnswerHead {
+        let answer = ResponseHead {
             size,
-            note: WireNote::Hit as i32,
+            cache_status: WireCacheStatus::Hit as i32,
             ..Default::default()
         };
         if responder.head(answer).await.is_ok() && responder.data(body).await.is_ok() {
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,10 +1,12 @@
 //! TLS at both doors: what is served by it, which certificates are turned away and with what reason, and a reload under way.
 use bytes::Bytes;
-use pointspindle_client::{Client, Files, Outcome, Piece, Request, RetryRules, Trust};
+use pointspindle_client::{
+    CertificateFiles, Client, Outcome, Piece, Request, RetryRules, TrustAnchors,
+};
 use pointspindle_dispatcher::{Bound, Dispatcher};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Link, LinkOptions};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
 use rcgen::{BasicConstraints, Certificate, CertificateParams, IsCa, KeyPair};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -43,14 +45,14 @@
         self.folder.join("authority.pem")
     }
 
-    fn sign(&self, file: &str, change: impl FnOnce(&mut CertificateParams)) -> Files {
+    fn sign(&self, file: &str, change: impl FnOnce(&mut CertificateParams)) -> CertificateFiles {
         let mut params = CertificateParams::new(vec!["127.0.0.1".to_owned()]).unwrap();
         change(&mut params);
         let key = KeyPair::generate().unwrap();
         let certificate = params
             .signed_by(&key, &self.certificate, &self.key)
             .unwrap();
-        let files = Files {
+        let files = CertificateFiles {
             certificate: self.folder.join(format!("{file}.pem")),
             key: self.folder.join(format!("{file}.key")),
         };
@@ -74,7 +76,7 @@
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let (_link, mut incoming) =
-                    Link::start(socket, Side::Answerer, LinkOptions::default());
+                    FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, mut responder) = inbound else {
                         continue;
@@ -86,9 +88,9 @@
                             "small".into()
                         };
                         let size = Some(body.len() as u64);
-                        let answer = AnswerHead {
+                        let answer = ResponseHead {
                             size,
-                            note: WireNote::Hit as i32,
+                            cache_status: WireCacheStatus::Hit as i32,
                             ..Default::default()
                         };
                         let _ = responder.head(answer).await;
@@ -102,7 +104,7 @@
     at
 }
 
-async fn dispatcher(files: &Files, client_authority: Option<&Path>) -> Dispatcher {
+async fn dispatcher(files: &CertificateFiles, client_authority: Option<&Path>) -> Dispatcher {
     let member = member().await;
     let clients = client_authority
         .map(|f| format!("client_authority = {}\n", f.display()))
@@ -119,7 +121,7 @@
     Dispatcher::start(settings, 1).await.unwrap()
 }
 
-fn client(bound: &Bound, framed: bool, trust: Trust) -> Client {
+fn client(bound: &Bound, framed: bool, trust: TrustAnchors) -> Client {
     let rules = RetryRules {
         most: 1,
         ..RetryRules::default()
@@ -147,7 +149,7 @@
     let folder = tempfile::tempdir().unwrap();
     let authority = Authority::new(folder.path(), "ours");
     let edge = dispatcher(&authority.sign("edge", |_| {}), None).await;
-    let trust = Trust::load(&authority.file(), None).unwrap();
+    let trust = TrustAnchors::load(&authority.file(), None).unwrap();
     for framed in [true, false] {
         let client = client(edge.bound(), framed, trust.clone());
         assert_eq!(
@@ -177,7 +179,7 @@
         Authority::new(folder.path(), "ours"),
         Authority::new(folder.path(), "foreign"),
     );
-    let trust = Trust::load(&ours.file(), None).unwrap();
+    let trust = TrustAnchors::load(&ours.file(), None).unwrap();
     let old = |p: &mut CertificateParams| {
         p.not_before = rcgen::date_time_ymd(2001, 1, 1);
         p.not_after = rcgen::date_time_ymd(2002, 1, 1);
@@ -211,17 +213,17 @@
         let client = client(
             edge.bound(),
             true,
-            Trust::load(&ours.file(), shown).unwrap(),
+            TrustAnchors::load(&ours.file(), shown).unwrap(),
         );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
     // Files that cannot be used are named, and never quoted.
     let key = std::fs::read_to_string(&own.key).unwrap();
-    let swapped = Files {
+    let swapped = CertificateFiles {
         certificate: own.key.clone(),
         key: own.certificate.clone(),
     };
-    let told = Trust::load(&ours.file(), Some(&swapped))
+    let told = TrustAnchors::load(&ours.file(), Some(&swapped))
         .unwrap_err()
         .to_string();
     assert!(
@@ -242,12 +244,12 @@
     let old = client(
         edge.bound(),
         true,
-        Trust::load(&first.file(), None).unwrap(),
+        TrustAnchors::load(&first.file(), None).unwrap(),
     );
     let new = client(
         edge.bound(),
         true,
-        Trust::load(&second.file(), None).unwrap(),
+        TrustAnchors::load(&second.file(), None).unwrap(),
     );
     assert_eq!(get(&old, "/small").await.0, Outcome::Served);
     assert_ne!(get(&new, "/small").await.0, Outcome::Served);
--- a/crates/config/src/members.rs
+++ b/crates/config/src/members.rs
@@ -18,7 +18,7 @@
         ("origin", Self::Origin),
     ];
 
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         Self::WORDS[self.kind()].0
     }
 
@@ -27,7 +27,7 @@
         self as usize
     }
 
-    pub fn of(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::WORDS
             .iter()
             .find(|(w, _)| *w == word)
@@ -37,7 +37,7 @@
 
 /// One member of a static list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct MemberSpec {
+pub struct EndpointSpec {
     pub address: String,
     pub role: Role,
     pub zone: String,
@@ -45,29 +45,29 @@
     pub cell: u64,
 }
 
-pub(crate) fn read(reader: &mut Reader, zones: &[String]) -> Vec<MemberSpec> {
-    let mut members: Vec<MemberSpec> = Vec::new();
+pub(crate) fn read(reader: &mut Reader, zones: &[String]) -> Vec<EndpointSpec> {
+    let mut members: Vec<EndpointSpec> = Vec::new();
     for name in reader.named("member") {
         let section = format!("member {name}");
-        let address = reader.must(&section, "address", String::new(), "host:port");
+        let address = reader.required(&section, "address", String::new(), "host:port");
         if !address.is_empty() && address.parse::<std::net::SocketAddr>().is_err() {
-            reader.complain(
+            reader.report(
                 &section,
                 "address",
                 &format!("{address:?} is not an address and port"),
             );
         }
         if members.iter().any(|m| m.address == address) {
-            reader.complain(&section, "address", "another member has this address");
+            reader.report(&section, "address", "another member has this address");
         }
         let role = reader.choice(&section, "kind", Role::Cache, &Role::WORDS);
-        let zone = reader.must(&section, "zone", String::new(), "a zone's name");
+        let zone = reader.required(&section, "zone", String::new(), "a zone's name");
         if !zone.is_empty() && !zones.contains(&zone) {
-            reader.complain(&section, "zone", &format!("{zone:?} is none of the zones"));
+            reader.report(&section, "zone", &format!("{zone:?} is none of the zones"));
         }
         let weight = reader.number(&section, "weight", 1.0, 0.001, 1e6);
         let cell = reader.value(&section, "cell", 0, "a whole number");
-        members.push(MemberSpec {
+        members.push(EndpointSpec {
             address,
             role,
             zone,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -7,7 +7,7 @@
 
 /// One thing that is wrong.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Complaint {
+pub struct ConfigError {
     pub file: String,
     /// From 1; 0: the file as a whole.
     pub line: usize,
@@ -16,7 +16,7 @@
     pub reason: String,
 }
 
-impl fmt::Display for Complaint {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.file)?;
         if self.line > 0 {
@@ -31,12 +31,12 @@
 
 /// Everything that is wrong, in the order of the lines.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub struct Complaints(pub Vec<Complaint>);
+pub struct ConfigErrors(pub Vec<ConfigError>);
 
-impl Complaints {
-    pub fn one(file: &str, line: usize, key: &str, reason: &str) -> Self {
+impl ConfigErrors {
+    pub fn single(file: &str, line: usize, key: &str, reason: &str) -> Self {
         let (file, key, reason) = (file.to_owned(), key.to_owned(), reason.to_owned());
-        Self(vec![Complaint {
+        Self(vec![ConfigError {
             file,
             line,
             key,
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for Complaints {
+impl fmt::Display for ConfigErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (n, complaint) in self.0.iter().enumerate() {
             if n > 0 {
@@ -72,7 +72,7 @@
     sections: BTreeMap<String, Section>,
     order: Vec<String>,
     asked: BTreeMap<String, Vec<String>>,
-    complaints: Vec<Complaint>,
+    complaints: Vec<ConfigError>,
 }
 
 /// The lines on which sections and keys stand: the library tells values, not places.
@@ -95,14 +95,14 @@
 }
 
 impl Reader {
-    pub fn new(file: &str, text: &str) -> Result<Self, Complaints> {
+    pub fn new(file: &str, text: &str) -> Result<Self, ConfigErrors> {
         let options = ParseOption {
             enabled_quote: false,
             enabled_escape: false,
             ..Default::default()
         };
         let ini = Ini::load_from_str_opt(text, options)
-            .map_err(|e| Complaints::one(file, e.line, "", &format!("not INI: {}", e.msg)))?;
+            .map_err(|e| ConfigErrors::single(file, e.line, "", &format!("not INI: {}", e.msg)))?;
         let mut reader = Self {
             file: file.to_owned(),
             sections: BTreeMap::new(),
@@ -169,7 +169,7 @@
 
     fn complain_at(&mut self, line: usize, key: &str, reason: &str) {
         let (file, key, reason) = (self.file.clone(), key.to_owned(), reason.to_owned());
-        self.complaints.push(Complaint {
+        self.complaints.push(ConfigError {
             file,
             line,
             key,
@@ -178,7 +178,7 @@
     }
 
     /// A complaint about a key, on its line, or on its section's where it is missing.
-    pub fn complain(&mut self, section: &str, key: &str, reason: &str) {
+    pub fn report(&mut self, section: &str, key: &str, reason: &str) {
         let line = self
             .sections
             .get(section)
@@ -220,18 +220,18 @@
         match self.text(section, key) {
             None => default,
             Some(text) => text.parse().unwrap_or_else(|_| {
-                self.complain(section, key, &format!("{text:?} is not {what}"));
+                self.report(section, key, &format!("{text:?} is not {what}"));
                 default
             }),
         }
     }
 
     /// A value that must be there; a complaint and the stand-in where it is not.
-    pub fn must<T: FromStr>(&mut self, section: &str, key: &str, stand_in: T, what: &str) -> T {
+    pub fn required<T: FromStr>(&mut self, section: &str, key: &str, stand_in: T, what: &str) -> T {
         match self.text(section, key) {
             Some(_) => self.value(section, key, stand_in, what),
             None => {
-                self.complain(section, key, &format!("missing ({what})"));
+                self.report(section, key, &format!("missing ({what})"));
                 stand_in
             }
         }
@@ -247,7 +247,7 @@
         if got >= least && got <= most {
             return got;
         }
-        self.complain(section, key, &format!("{got} is not {what}"));
+        self.report(section, key, &format!("{got} is not {what}"));
         default
     }
 
@@ -264,7 +264,7 @@
             Some("no" | "false" | "off") => false,
             Some(other) => {
                 let reason = format!("{other:?} is not yes or no");
-                self.complain(section, key, &reason);
+                self.report(section, key, &reason);
                 default
             }
         }
@@ -285,7 +285,7 @@
             Some((_, value)) => *value,
             None => {
                 let words: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
-                self.complain(
+                self.report(
                     section,
                     key,
                     &format!("{text:?} is none of {}", words.join(", ")),
@@ -296,7 +296,7 @@
     }
 
     /// Complains about sections and keys that nothing asked for, then tells all complaints.
-    pub fn finish(mut self) -> Result<(), Complaints> {
+    pub fn finish(mut self) -> Result<(), ConfigErrors> {
         let mut unknown = Vec::new();
         for (name, section) in &self.sections {
             if !section.used {
@@ -323,7 +323,7 @@
             return Ok(());
         }
         self.complaints.sort_by_key(|c| c.line);
-        Err(Complaints(self.complaints))
+        Err(ConfigErrors(self.complaints))
     }
 }
 
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,5 +1,5 @@
 //! What a dispatcher's file may say, and what it means to the decision module.
-use crate::members::{self, MemberSpec, Role};
+use crate::members::{self, EndpointSpec, Role};
 use crate::reader::Reader;
 use pointspindle::*;
 use std::net::{IpAddr, SocketAddr};
@@ -7,7 +7,7 @@
 
 /// Where the dispatcher listens; port 0: any free one.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listen {
+pub struct ListenSettings {
     pub http: Option<SocketAddr>,
     pub framed: Option<SocketAddr>,
     /// The same by TLS.
@@ -24,22 +24,22 @@
     pub address_connections: usize,
     pub max_streams: usize,
     /// A connection without a request under way is closed after this.
-    pub idle_us: u64,
+    pub idle_timeout_us: u64,
     /// A request's head must be complete by then.
-    pub head_us: u64,
+    pub head_timeout_us: u64,
     /// Most time that a stopping dispatcher waits for answers under way.
-    pub drain_us: u64,
+    pub drain_timeout_us: u64,
     /// A client that takes less than so many bytes a second, over a window in which it was waited for, is given up.
-    pub least_pace: u64,
+    pub min_client_bytes_per_s: u64,
     pub pace_window_us: u64,
     /// What runs for a client that keeps to leases is cancelled when it gives no sign of life for so long.
     pub client_lease_us: u64,
-    pub networks: Vec<Network>,
+    pub network_quotas: Vec<NetworkQuota>,
 }
 
 /// Client addresses that share a number of connections: a branch's.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Network {
+pub struct NetworkQuota {
     pub name: String,
     pub address: IpAddr,
     /// Leading bits of the address that count.
@@ -47,8 +47,8 @@
     pub connections: usize,
 }
 
-impl Network {
-    pub fn holds(&self, address: IpAddr) -> bool {
+impl NetworkQuota {
+    pub fn contains(&self, address: IpAddr) -> bool {
         let bits = |a: IpAddr| match a.to_canonical() {
             IpAddr::V4(a) => (u128::from(a.to_bits()) << 96, 32),
             IpAddr::V6(a) => (a.to_bits(), 128),
@@ -61,7 +61,7 @@
 
 /// Certificate and key of the doors that speak TLS, as PEM files.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tls {
+pub struct TlsSettings {
     pub certificate: PathBuf,
     pub key: PathBuf,
     /// Clients must show a certificate of one of these.
@@ -83,7 +83,7 @@
     /// Of this dispatcher's registration.
     pub lease_s: i64,
     /// Longest wait for a call that is no stream.
-    pub patience_us: u64,
+    pub call_timeout_us: u64,
     /// Longest wait for the lists before the doors open with what is known from before.
     pub start_wait_us: u64,
     /// The promise that a purge is in force here so long after its write was acknowledged, whatever happens; 0: none is given.
@@ -92,28 +92,28 @@
 
 /// Connections to members.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Upstream {
+pub struct UpstreamSettings {
     /// Members are named by ids of their own, and their addresses are the shell's: one may come back under another id.
-    pub by_id: bool,
-    pub connect_us: u64,
+    pub endpoints_have_ids: bool,
+    pub connect_timeout_us: u64,
     pub max_streams: usize,
     /// Unused connections are closed after this.
-    pub idle_us: u64,
+    pub idle_timeout_us: u64,
     /// A member that says who it is gets nothing on a new connection before that, for so long.
-    pub hello_us: u64,
+    pub hello_timeout_us: u64,
     /// Local address of connections to members.
     pub bind: Option<IpAddr>,
     /// Nothing has come on a connection for so long, though answers are awaited: it is asked for a sign of life.
-    pub quiet_ping_us: u64,
+    pub ping_when_awaiting_us: u64,
     /// ... though none are; 0: never.
-    pub idle_ping_us: u64,
+    pub ping_when_idle_us: u64,
     /// Without a sign for so long it is closed.
     pub ping_timeout_us: u64,
 }
 
 /// A class as the door needs it; the module's view stands in `EdgeSettings::router`.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ClassSpec {
+pub struct ClassSettings {
     pub name: String,
     /// HTTP paths that begin so are of this class; the longest prefix counts.
     pub path_prefix: Option<String>,
@@ -125,21 +125,21 @@
 
 /// All of a dispatcher's settings.
 #[derive(Clone, Debug)]
-pub struct EdgeSettings {
+pub struct DispatcherSettings {
     pub name: String,
     pub router: RouterSettings,
     pub zones: Vec<String>,
-    pub classes: Vec<ClassSpec>,
-    pub listen: Listen,
-    pub tls: Option<Tls>,
+    pub classes: Vec<ClassSettings>,
+    pub listen: ListenSettings,
+    pub tls: Option<TlsSettings>,
     pub etcd: Option<EtcdSettings>,
-    pub upstream: Upstream,
+    pub upstream: UpstreamSettings,
     /// Time kept back from the client's deadline for the answer's way to it.
     pub answer_slack_us: u64,
     /// Segments of an HTTP path that name an object's group for purges.
     pub group_segments: usize,
     pub state_file: Option<PathBuf>,
-    pub members: Vec<MemberSpec>,
+    pub endpoints: Vec<EndpointSpec>,
     /// Requests that may be open at once.
     pub max_requests: usize,
     /// Bytes of bodies that may be held, read from one side and not yet taken by the other, before new requests are refused.
@@ -148,9 +148,9 @@
 
 const MINUTE: f64 = 60_000.0;
 
-pub(crate) fn read(r: &mut Reader) -> Option<EdgeSettings> {
+pub(crate) fn read(r: &mut Reader) -> Option<DispatcherSettings> {
     let name = r.value("dispatcher", "name", "dispatcher".to_owned(), "a name");
-    let zone_name = r.must(
+    let zone_name = r.required(
         "dispatcher",
         "zone",
         String::new(),
@@ -161,7 +161,7 @@
         .and_then(|text| match text.parse() {
             Ok(n) => Some(n),
             Err(_) => {
-                r.complain(
+                r.report(
                     "dispatcher",
                     "number",
                     &format!("{text:?} is not a whole number"),
@@ -171,7 +171,7 @@
         });
     let routers = r.number("dispatcher", "count", 1, 1, 100_000);
     if me.is_some_and(|me| me >= routers) {
-        r.complain(
+        r.report(
             "dispatcher",
             "number",
             "numbers count from 0 and lie below count",
@@ -202,7 +202,7 @@
         .position(|z| *z == zone_name)
         .unwrap_or_else(|| {
             if !zone_name.is_empty() {
-                r.complain(
+                r.report(
                     "dispatcher",
                     "zone",
                     &format!("{zone_name:?} is none of the [zone …] sections"),
@@ -211,14 +211,15 @@
             0
         });
 
-    let mut classes: Vec<ClassSpec> = Vec::new();
+    let mut classes: Vec<ClassSettings> = Vec::new();
     let mut router_classes = Vec::new();
     for name in r.named("class") {
         let (spec, class) = class(r, name);
-        let taken = |c: &&ClassSpec| c.path_prefix.is_some() && c.path_prefix == spec.path_prefix;
+        let taken =
+            |c: &&ClassSettings| c.path_prefix.is_some() && c.path_prefix == spec.path_prefix;
         if let Some(twin) = classes.iter().find(taken).map(|c| c.name.clone()) {
             let section = format!("class {}", spec.name);
-            r.complain(
+            r.report(
                 &section,
                 "path_prefix",
                 &format!("class {twin} has the same"),
@@ -228,21 +229,21 @@
         router_classes.push(class);
     }
     if classes.is_empty() {
-        r.complain("class NAME", "", "no class: at least one section is needed");
+        r.report("class NAME", "", "no class: at least one section is needed");
     }
 
     let listen = listen(r);
     let tls = tls(r, &listen);
     let etcd = etcd(r);
-    let upstream = Upstream {
-        by_id: false,
-        connect_us: r.ms("upstream", "connect_timeout_ms", 250.0, 1.0, MINUTE),
+    let upstream = UpstreamSettings {
+        endpoints_have_ids: false,
+        connect_timeout_us: r.ms("upstream", "connect_timeout_ms", 250.0, 1.0, MINUTE),
         max_streams: r.number("upstream", "max_streams", 1024, 1, 1_000_000),
-        idle_us: r.ms("upstream", "idle_ms", MINUTE, 100.0, 60.0 * MINUTE),
-        hello_us: r.ms("upstream", "hello_timeout_ms", 100.0, 0.0, 10_000.0),
+        idle_timeout_us: r.ms("upstream", "idle_ms", MINUTE, 100.0, 60.0 * MINUTE),
+        hello_timeout_us: r.ms("upstream", "hello_timeout_ms", 100.0, 0.0, 10_000.0),
         bind: optional(r, "upstream", "bind", "an IP address"),
-        quiet_ping_us: r.ms("upstream", "quiet_ping_ms", 2_000.0, 10.0, MINUTE),
-        idle_ping_us: r.ms("upstream", "idle_ping_ms", 15_000.0, 0.0, 60.0 * MINUTE),
+        ping_when_awaiting_us: r.ms("upstream", "quiet_ping_ms", 2_000.0, 10.0, MINUTE),
+        ping_when_idle_us: r.ms("upstream", "idle_ping_ms", 15_000.0, 0.0, 60.0 * MINUTE),
         ping_timeout_us: r.ms("upstream", "ping_timeout_ms", 1_000.0, 10.0, MINUTE),
     };
     let members = members::read(r, &zones);
@@ -297,7 +298,7 @@
         purge_horizon: r.ms("fleet", "purge_done_ms", 6000.0, 0.0, 60.0 * MINUTE),
     };
     let group_segments = r.number("http", "group_segments", 2, 1, 16);
-    Some(EdgeSettings {
+    Some(DispatcherSettings {
         name,
         router,
         zones,
@@ -309,7 +310,7 @@
         answer_slack_us,
         group_segments,
         state_file,
-        members,
+        endpoints: members,
         max_requests,
         buffer_bytes,
     })
@@ -325,13 +326,13 @@
     match text.parse() {
         Ok(value) => Some(value),
         Err(_) => {
-            r.complain(section, key, &format!("{text:?} is not {what}"));
+            r.report(section, key, &format!("{text:?} is not {what}"));
             None
         }
     }
 }
 
-fn listen(r: &mut Reader) -> Listen {
+fn listen(r: &mut Reader) -> ListenSettings {
     let mut address = |key: &str| {
         optional(
             r,
@@ -347,7 +348,7 @@
         .iter()
         .all(Option::is_none)
     {
-        r.complain(
+        r.report(
             "listen",
             "",
             "neither http, framed, https nor framed_tls: no client could come",
@@ -357,7 +358,7 @@
     let soft = (max_connections - max_connections / 10).max(1);
     let soft_connections = r.number("listen", "soft_connections", soft, 1, 10_000_000);
     if soft_connections > max_connections {
-        r.complain("listen", "soft_connections", "more than max_connections");
+        r.report("listen", "soft_connections", "more than max_connections");
     }
     let address_connections = r.number(
         "listen",
@@ -371,7 +372,7 @@
         .into_iter()
         .filter_map(|name| network(r, name, max_connections))
         .collect();
-    Listen {
+    ListenSettings {
         http,
         framed,
         https,
@@ -382,13 +383,14 @@
         soft_connections,
         address_connections,
         max_streams: r.number("listen", "max_streams", 256, 1, 100_000),
-        idle_us: r.ms("listen", "idle_ms", MINUTE, 10.0, 60.0 * MINUTE),
-        head_us: r.ms("listen", "head_timeout_ms", 5_000.0, 10.0, 10.0 * MINUTE),
-        drain_us: r.ms("listen", "drain_ms", 10_000.0, 0.0, 10.0 * MINUTE),
-        least_pace: (r.number("listen", "least_pace_kb_per_s", 1.0, 0.0, 1e6) * 1024.0) as u64,
+        idle_timeout_us: r.ms("listen", "idle_ms", MINUTE, 10.0, 60.0 * MINUTE),
+        head_timeout_us: r.ms("listen", "head_timeout_ms", 5_000.0, 10.0, 10.0 * MINUTE),
+        drain_timeout_us: r.ms("listen", "drain_ms", 10_000.0, 0.0, 10.0 * MINUTE),
+        min_client_bytes_per_s: (r.number("listen", "least_pace_kb_per_s", 1.0, 0.0, 1e6) * 1024.0)
+            as u64,
         pace_window_us: r.ms("listen", "pace_window_ms", 15_000.0, 100.0, 10.0 * MINUTE),
         client_lease_us: r.ms("listen", "client_lease_ms", 400.0, 20.0, MINUTE),
-        networks,
+        network_quotas: networks,
     }
 }
 
@@ -403,7 +405,7 @@
         .iter()
         .find(|e| !e.starts_with("http://") && !e.starts_with("https://"))
     {
-        r.complain(
+        r.report(
             "etcd",
             "endpoints",
             &format!("{bad:?} is not http://ADDRESS:PORT or https://ADDRESS:PORT"),
@@ -416,7 +418,7 @@
         "what keys begin with",
     );
     if prefix.ends_with('/') || prefix.is_empty() {
-        r.complain(
+        r.report(
             "etcd",
             "prefix",
             "keys begin with it and /v1/: it is not empty and ends with no /",
@@ -430,7 +432,7 @@
     let (authority, certificate, key) = (file("authority"), file("certificate"), file("key"));
     let password = file("password_file");
     if certificate.is_some() != key.is_some() {
-        r.complain(
+        r.report(
             "etcd",
             if key.is_none() { "key" } else { "certificate" },
             "missing: both or none",
@@ -443,14 +445,14 @@
         } else {
             "password_file"
         };
-        r.complain("etcd", missing, "missing: both or none");
+        r.report("etcd", missing, "missing: both or none");
     }
     let lease_s = r.number("etcd", "lease_s", 5, 2, 600);
     let patience_us = r.ms("etcd", "timeout_ms", 1_000.0, 10.0, MINUTE);
     let start_wait_us = r.ms("etcd", "start_wait_ms", 2_000.0, 0.0, MINUTE);
     let purge_within_us = r.ms("etcd", "purge_within_ms", 0.0, 0.0, MINUTE);
     if (1..300_000).contains(&purge_within_us) {
-        r.complain(
+        r.report(
             "etcd",
             "purge_within_ms",
             "0 for no promise, or at least 300",
@@ -458,7 +460,7 @@
     }
     if endpoints.is_empty() {
         if r.has("etcd") {
-            r.complain(
+            r.report(
                 "etcd",
                 "endpoints",
                 "missing, such as http://127.0.0.1:2379",
@@ -474,13 +476,13 @@
         identity,
         user,
         lease_s,
-        patience_us,
+        call_timeout_us: patience_us,
         start_wait_us,
         purge_within_us,
     })
 }
 
-fn tls(r: &mut Reader, listen: &Listen) -> Option<Tls> {
+fn tls(r: &mut Reader, listen: &ListenSettings) -> Option<TlsSettings> {
     let mut file = |key: &str| {
         r.text("tls", key)
             .filter(|t| !t.is_empty())
@@ -491,18 +493,18 @@
     let wanted = [("https", listen.https), ("framed_tls", listen.framed_tls)];
     let door = wanted.iter().find(|(_, at)| at.is_some());
     match (certificate, key, door) {
-        (Some(certificate), Some(key), _) => Some(Tls {
+        (Some(certificate), Some(key), _) => Some(TlsSettings {
             certificate,
             key,
             client_authority,
         }),
         (None, None, None) if client_authority.is_none() => None,
         (None, None, Some((door, _))) => {
-            r.complain("listen", door, "needs certificate and key in [tls]");
+            r.report("listen", door, "needs certificate and key in [tls]");
             None
         }
         (certificate, _, _) => {
-            r.complain(
+            r.report(
                 "tls",
                 if certificate.is_none() {
                     "certificate"
@@ -516,10 +518,10 @@
     }
 }
 
-fn network(r: &mut Reader, name: String, most: usize) -> Option<Network> {
+fn network(r: &mut Reader, name: String, most: usize) -> Option<NetworkQuota> {
     let section = format!("network {name}");
     let connections = r.number(&section, "connections", most, 1, 10_000_000);
-    let text = r.must(
+    let text = r.required(
         &section,
         "prefix",
         String::new(),
@@ -533,14 +535,14 @@
     };
     let found = read();
     if found.is_none() && !text.is_empty() {
-        r.complain(
+        r.report(
             &section,
             "prefix",
             &format!("{text:?} is no address with its leading bits, such as 10.20.0.0/16"),
         );
     }
     let (address, bits) = found?;
-    Some(Network {
+    Some(NetworkQuota {
         name,
         address,
         bits,
@@ -548,16 +550,16 @@
     })
 }
 
-fn class(r: &mut Reader, name: String) -> (ClassSpec, RequestClass) {
+fn class(r: &mut Reader, name: String) -> (ClassSettings, RequestClass) {
     let section = format!("class {name}");
     let path_prefix = r.text(&section, "path_prefix").filter(|p| !p.is_empty());
     if path_prefix.as_ref().is_some_and(|p| !p.starts_with('/')) {
-        r.complain(&section, "path_prefix", "a path begins with /");
+        r.report(&section, "path_prefix", "a path begins with /");
     }
     let deadline_us = r.ms(&section, "deadline_ms", 2_500.0, 10.0, 60.0 * MINUTE);
     let aim = r.ms(&section, "aim_ms", 300.0, 1.0, 60.0 * MINUTE);
     if aim > deadline_us {
-        r.complain(&section, "aim_ms", "later than deadline_ms");
+        r.report(&section, "aim_ms", "later than deadline_ms");
     }
     let group = r.choice(
         &section,
@@ -589,14 +591,14 @@
     let uncacheable = r.flag(&section, "uncacheable", false);
     if uncacheable && path_prefix.is_some() {
         // HTTP at the door is GET and HEAD, which say that they change nothing.
-        r.complain(
+        r.report(
             &section,
             "path_prefix",
             "uncacheable classes come by the framed protocol only",
         );
     }
     if !uncacheable && repeat != Idempotency::Idempotent {
-        r.complain(
+        r.report(
             &section,
             "repeat",
             "what may be kept is safe to repeat; set uncacheable = yes",
@@ -612,7 +614,7 @@
         stale_if_error: r.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
     };
     if class.stale_if_error > 0 && class.fresh_for == 0 {
-        r.complain(
+        r.report(
             &section,
             "grace_ms",
             "without fresh_ms a copy never grows old",
@@ -620,7 +622,7 @@
     }
     let purge_exempt = r.flag(&section, "purge_exempt", false);
     (
-        ClassSpec {
+        ClassSettings {
             name,
             path_prefix,
             deadline_us,
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -15,7 +15,10 @@
 #[test]
 fn the_commented_example_is_right_and_says_what_it_says() {
     let s = parse("edge.ini", EXAMPLE).unwrap_or_else(|e| panic!("{e}"));
-    assert_eq!((s.members.len(), s.classes.len(), s.router.zone), (4, 3, 1));
+    assert_eq!(
+        (s.endpoints.len(), s.classes.len(), s.router.zone),
+        (4, 3, 1)
+    );
     assert_eq!(s.router.classes[1].fresh_for, 12_000_000);
     assert_eq!(s.router.parent_slow_start.initial_share, 0.062);
     assert!(matches!(
@@ -116,7 +119,7 @@
     let s =
         pointspindle_config::parse_cache("cache.ini", example).unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
-        (s.classes.len(), s.places, s.store.unwrap().segment),
+        (s.classes.len(), s.max_fills, s.store.unwrap().segment),
         (3, 64, 64 << 20)
     );
     let gateway = example.replace("role = cache ", "role = origin ");
--- a/crates/dispatcher/src/admission.rs
+++ b/crates/dispatcher/src/admission.rs
@@ -9,7 +9,7 @@
 //!
 //! Kept: one entry for each open connection and one count for each address that has any, dropped with the connection.
 use pointspindle::Micros;
-use pointspindle_config::Network;
+use pointspindle_config::NetworkQuota;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
@@ -27,7 +27,7 @@
     /// Of one client address.
     pub per_address: usize,
     /// Of addresses together; the first that holds an address counts.
-    pub networks: Vec<Network>,
+    pub networks: Vec<NetworkQuota>,
 }
 
 pub type ConnectionId = u64;
@@ -90,7 +90,11 @@
     /// A client has connected; and which connections to close.
     pub fn arrive(&mut self, now: Micros, address: IpAddr) -> (Verdict, Vec<ConnectionId>) {
         let mut close = Vec::new();
-        let network = self.limits.networks.iter().position(|n| n.holds(address));
+        let network = self
+            .limits
+            .networks
+            .iter()
+            .position(|n| n.contains(address));
         let of_address = self
             .by_address
             .get(&address)
@@ -275,7 +279,11 @@
             .map(|_| Share::default())
             .collect();
         for (id, c) in &mut self.open {
-            c.network = self.limits.networks.iter().position(|n| n.holds(c.address));
+            c.network = self
+                .limits
+                .networks
+                .iter()
+                .position(|n| n.contains(c.address));
             let Some(share) = c.network.and_then(|n| self.by_network.get_mut(n)) else {
                 continue;
             };
@@ -440,8 +448,8 @@
         );
     }
 
-    fn network(name: &str, prefix: [u8; 4], bits: u8, connections: usize) -> Network {
-        Network {
+    fn network(name: &str, prefix: [u8; 4], bits: u8, connections: usize) -> NetworkQuota {
+        NetworkQuota {
             name: name.into(),
             address: IpAddr::from(prefix),
             bits,
@@ -484,7 +492,7 @@
         // Lowered while it is used: idle ones go, busy ones stay.
         let lower = networks
             .into_iter()
-            .map(|n| Network {
+            .map(|n| NetworkQuota {
                 connections: 1,
                 ..n
             })
--- a/crates/dispatcher/src/core/hold.rs
+++ b/crates/dispatcher/src/core/hold.rs
@@ -7,7 +7,7 @@
 //!
 //! Kept: one moment. Owed at the end of a lease: nothing; attempts that began under it end as they would.
 use pointspindle::Micros;
-use pointspindle_config::EdgeSettings;
+use pointspindle_config::DispatcherSettings;
 
 #[derive(Debug)]
 pub struct Hold {
@@ -21,7 +21,7 @@
 
 impl Hold {
     /// None: nothing is promised.
-    pub fn of(settings: &EdgeSettings) -> Option<Self> {
+    pub fn of(settings: &DispatcherSettings) -> Option<Self> {
         let within = settings.etcd.as_ref().map_or(0, |e| e.purge_within_us);
         let exempt = settings.classes.iter().map(|c| c.purge_exempt).collect();
         (within > 0).then_some(Self {
--- a/crates/dispatcher/src/core/list.rs
+++ b/crates/dispatcher/src/core/list.rs
@@ -1,7 +1,9 @@
 //! The member list in force: numbers, addresses, and when each process started by this dispatcher's clock.
 use pointspindle::*;
 use pointspindle_config::Role;
-use pointspindle_protocol::{HelloHead, ListForm, ListHead, MemberLine, WireState};
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, HelloHead, WireEndpointState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Lines of gone members are dropped after this: a member back sooner in the same start must keep the same
@@ -30,7 +32,7 @@
 
 #[derive(Debug)]
 struct Line {
-    line: MemberLine,
+    line: EndpointRecord,
     /// By this dispatcher's clock; 0: long ago.
     started: Micros,
     gone: Option<Micros>,
@@ -84,17 +86,17 @@
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.lines
             .get(&id)
-            .is_some_and(|l| l.gone.is_none() && l.line.state() == WireState::Ready)
+            .is_some_and(|l| l.gone.is_none() && l.line.state() == WireEndpointState::Ready)
     }
 
     /// Judges an update. One of the past is left out; of one after a gap every line is newer than what is
     /// known, so all are taken (a drain must not wait for the list), but the whole list stays wanted.
-    pub fn take(&mut self, now: Micros, head: ListHead) -> (Option<Event>, ListNews) {
+    pub fn take(&mut self, now: Micros, head: EndpointListHead) -> (Option<Event>, ListNews) {
         let update = match head.form() {
-            ListForm::Full => ListUpdate::Full,
-            ListForm::Cached => ListUpdate::Cached,
-            ListForm::Failed => ListUpdate::Failed,
-            ListForm::Delta | ListForm::Unspecified => ListUpdate::Delta,
+            EndpointListForm::Full => ListUpdate::Full,
+            EndpointListForm::Cached => ListUpdate::Cached,
+            EndpointListForm::Failed => ListUpdate::Failed,
+            EndpointListForm::Delta | EndpointListForm::Unspecified => ListUpdate::Delta,
         };
         let mut bad = Vec::new();
         let mut wanted = None;
@@ -134,7 +136,7 @@
             }
         }
         let mut entries = Vec::new();
-        for line in head.members {
+        for line in head.endpoints {
             match self.entry(now, &line) {
                 Ok(entry) => {
                     let (started, gone) = (
@@ -187,18 +189,18 @@
             .started_ago_us
             .map_or(0, |ago| now.saturating_sub(ago).max(1));
         let started = match before {
-            Some(p) if p.identity == hello.process => p.started,
+            Some(p) if p.identity == hello.incarnation => p.started,
             Some(p) => told.max(p.heard),
             None => told,
         };
         line.process = Some(Process {
-            identity: hello.process,
+            identity: hello.incarnation,
             started,
             heard: now,
         });
         Some(Hello {
             started,
-            replaced: before.is_some_and(|p| p.identity != hello.process),
+            replaced: before.is_some_and(|p| p.identity != hello.incarnation),
         })
     }
 
@@ -209,21 +211,25 @@
         }
     }
 
-    fn entry(&self, now: Micros, line: &MemberLine) -> Result<EndpointEntry, String> {
+    fn entry(&self, now: Micros, line: &EndpointRecord) -> Result<EndpointEntry, String> {
         let id = EndpointId::named(&line.address);
         if !self.by_id && line.address.parse::<std::net::SocketAddr>().is_err() {
             return Err("not an address and port".into());
         }
         let zone = self.zones.iter().position(|z| *z == line.zone);
-        let role = Role::of(&line.kind).ok_or_else(|| format!("unknown kind {:?}", line.kind))?;
+        let role =
+            Role::from_name(&line.kind).ok_or_else(|| format!("unknown kind {:?}", line.kind))?;
         let state = match line.state() {
-            WireState::Ready => EndpointState::Ready,
-            WireState::Draining => EndpointState::Draining,
-            WireState::Gone => EndpointState::Gone,
-            WireState::Unspecified => return Err("no state".into()),
+            WireEndpointState::Ready => EndpointState::Ready,
+            WireEndpointState::Draining => EndpointState::Draining,
+            WireEndpointState::Gone => EndpointState::Gone,
+            WireEndpointState::Unspecified => return Err("no state".into()),
         };
         // The same start keeps the moment that it was first given: told ages jitter.
-        let known = self.lines.get(&id).filter(|l| l.line.start == line.start);
+        let known = self
+            .lines
+            .get(&id)
+            .filter(|l| l.line.incarnation == line.incarnation);
         let started = match (known, line.started_ago_us) {
             (Some(known), _) => known.started,
             (None, Some(ago)) => now.saturating_sub(ago).max(1),
@@ -242,16 +248,16 @@
     }
 
     /// The whole list in force, as it would be told now.
-    pub fn whole(&self, now: Micros) -> ListHead {
+    pub fn whole(&self, now: Micros) -> EndpointListHead {
         let listed = self.lines.values().filter(|l| l.gone.is_none());
-        let line = |l: &Line| MemberLine {
+        let line = |l: &Line| EndpointRecord {
             started_ago_us: (l.started > 0).then(|| now.saturating_sub(l.started)),
             ..l.line.clone()
         };
-        ListHead {
-            form: ListForm::Full as i32,
+        EndpointListHead {
+            form: EndpointListForm::Full as i32,
             seq: self.seq,
-            members: listed.map(line).collect(),
+            endpoints: listed.map(line).collect(),
         }
     }
 }
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -17,8 +17,10 @@
 use hold::Hold;
 use list::MemberList;
 use pointspindle::*;
-use pointspindle_config::{EdgeSettings, Role};
-use pointspindle_protocol::{HelloHead, LeaseHead, ListHead, PurgeHead, WireNote, WireStatus};
+use pointspindle_config::{DispatcherSettings, Role};
+use pointspindle_protocol::{
+    EndpointListHead, HelloHead, LeaseHead, PurgeHead, WireCacheStatus, WireStatus,
+};
 use purges::PurgeLog;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use timers::Timers;
@@ -49,7 +51,7 @@
     /// The member said so, with an error frame.
     Told {
         status: WireStatus,
-        note: WireNote,
+        note: WireCacheStatus,
         may_have_run: bool,
     },
     /// No connection; nothing was sent.
@@ -69,7 +71,7 @@
     Head {
         request: u64,
         attempt: u32,
-        note: WireNote,
+        note: WireCacheStatus,
         size: Option<u64>,
     },
     Ended {
@@ -81,7 +83,7 @@
     Gone(u64),
     /// The process ends: every open request whose answer is not being passed on gets its final answer now.
     GiveUpAll,
-    Members(ListHead),
+    Members(EndpointListHead),
     Purge(PurgeHead),
     /// A member's word of its process, first on each connection to it. Tell it before anything else of that
     /// connection, and end what waits to be sent on it with [`AttemptEnd::NotSent`] where [`Output::Hello`] says that
@@ -167,7 +169,7 @@
     member: EndpointId,
     sent: Micros,
     due: Micros,
-    note: WireNote,
+    note: WireCacheStatus,
     kb: Option<f64>,
     source: Option<EndpointId>,
     /// What the answer may be, as of the purges told so far; see [`Core::begin`].
@@ -243,10 +245,10 @@
 }
 
 impl Core {
-    pub fn new(settings: &EdgeSettings, seed: u64) -> Self {
+    pub fn new(settings: &DispatcherSettings, seed: u64) -> Self {
         Self {
             router: Router::new(settings.router.clone(), seed),
-            list: MemberList::new(&settings.zones, settings.upstream.by_id),
+            list: MemberList::new(&settings.zones, settings.upstream.endpoints_have_ids),
             purges: PurgeLog::new(settings.router.purge_horizon),
             answer_slack: settings.answer_slack_us,
             asks: Asks::default(),
@@ -286,7 +288,7 @@
         self.list.seq()
     }
 
-    pub fn members(&self, now: Micros) -> ListHead {
+    pub fn members(&self, now: Micros) -> EndpointListHead {
         self.list.whole(now)
     }
 
@@ -303,7 +305,7 @@
     /// Members, purges and dispatchers that are kept.
     pub fn kept(&mut self, now: Micros) -> (usize, usize, usize) {
         (
-            self.list.whole(now).members.len(),
+            self.list.whole(now).endpoints.len(),
             self.purges.recent(now).len(),
             self.peers.len(),
         )
@@ -383,7 +385,7 @@
                     } => {
                         // A status that promises more than the frame's own word is not believed.
                         let status = match status {
-                            WireStatus::Full if !may_have_run => AttemptStatus::Rejected,
+                            WireStatus::Rejected if !may_have_run => AttemptStatus::Rejected,
                             WireStatus::Miss if !may_have_run => AttemptStatus::Miss,
                             WireStatus::Unspecified if !may_have_run => AttemptStatus::NotSent,
                             _ => AttemptStatus::Error,
@@ -453,9 +455,12 @@
             }
             Input::Lease { member, lease } => {
                 // Longer than a minute is no lease of a warm-up.
-                let (work, lasts) = (lease.work_us as f64 / 1e6, lease.for_us.min(LONGEST_LEASE));
+                let (work, lasts) = (
+                    lease.work_us as f64 / 1e6,
+                    lease.duration_us.min(LONGEST_LEASE),
+                );
                 let member = EndpointId::named(&member);
-                self.asks.told(member, lease.by_asking);
+                self.asks.told(member, lease.on_request);
                 self.drive(
                     now,
                     Event::Lease {
@@ -465,7 +470,8 @@
                     },
                     out,
                 );
-                if let Some(waiting) = lease.answers.then(|| self.asks.answered(member)).flatten() {
+                if let Some(waiting) = lease.in_reply.then(|| self.asks.answered(member)).flatten()
+                {
                     self.timers
                         .cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
                     self.drive(now, Event::Request(waiting.go_on(now)), out);
@@ -682,7 +688,7 @@
         request: u64,
         attempt: u32,
         status: AttemptStatus,
-        note: Option<WireNote>,
+        note: Option<WireCacheStatus>,
         out: &mut Vec<Output>,
     ) {
         if !self.is_out(request, attempt) {
@@ -716,7 +722,7 @@
         now: Micros,
         request: u64,
         status: AttemptStatus,
-        note: Option<WireNote>,
+        note: Option<WireCacheStatus>,
     ) -> Option<Event> {
         let open = self.open.get_mut(&request)?;
         let attempt = open.out.take()?;
@@ -822,7 +828,7 @@
             member,
             sent: now,
             due,
-            note: WireNote::Untold,
+            note: WireCacheStatus::Unreported,
             kb: None,
             source: from,
             age: fetch.as_ref().map_or(0, |f| f.max_age),
@@ -890,18 +896,18 @@
     }
 }
 
-fn note_of(note: WireNote) -> CacheStatus {
+fn note_of(note: WireCacheStatus) -> CacheStatus {
     match note {
-        WireNote::Untold => CacheStatus::Unreported,
-        WireNote::Hit => CacheStatus::Hit,
-        WireNote::Filled => CacheStatus::Filled,
-        WireNote::FilledByOrigin => CacheStatus::FilledByOrigin,
-        WireNote::Joined => CacheStatus::Coalesced,
-        WireNote::Old => CacheStatus::Stale,
-        WireNote::SourceRefused => CacheStatus::SourceRejected,
-        WireNote::SourceUnreachable => CacheStatus::SourceUnreachable,
-        WireNote::SourceLacks => CacheStatus::SourceMiss,
-        WireNote::NoFillPlace => CacheStatus::FillLimitReached,
-        WireNote::OriginFailed => CacheStatus::OriginFailed,
+        WireCacheStatus::Unreported => CacheStatus::Unreported,
+        WireCacheStatus::Hit => CacheStatus::Hit,
+        WireCacheStatus::Filled => CacheStatus::Filled,
+        WireCacheStatus::FilledByOrigin => CacheStatus::FilledByOrigin,
+        WireCacheStatus::Coalesced => CacheStatus::Coalesced,
+        WireCacheStatus::Stale => CacheStatus::Stale,
+        WireCacheStatus::SourceRejected => CacheStatus::SourceRejected,
+        WireCacheStatus::SourceUnreachable => CacheStatus::SourceUnreachable,
+        WireCacheStatus::SourceMiss => CacheStatus::SourceMiss,
+        WireCacheStatus::FillLimitReached => CacheStatus::FillLimitReached,
+        WireCacheStatus::OriginFailed => CacheStatus::OriginFailed,
     }
 }
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -1,7 +1,7 @@
 //! What a dispatcher keeps over a restart, and the form of its file: one line (magic, version, checksum, length)
 //! and a JSON text. A file that is torn or not ours is told from one that is absent, and never half believed.
 use pointspindle_clock::BootMoment;
-use pointspindle_protocol::{ListForm, ListHead, MemberLine, PurgeHead};
+use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
@@ -60,15 +60,15 @@
 }
 
 impl Snapshot {
-    pub fn new(list: ListHead, purges: Vec<PurgeHead>) -> Self {
-        let member = |m: MemberLine| KeptMember {
+    pub fn new(list: EndpointListHead, purges: Vec<PurgeHead>) -> Self {
+        let member = |m: EndpointRecord| KeptMember {
             address: m.address,
             state: m.state,
             weight: m.weight,
             zone: m.zone,
             kind: m.kind,
             cell: m.cell,
-            start: m.start,
+            start: m.incarnation,
             started_ago_us: m.started_ago_us,
         };
         let purge = |p: PurgeHead| KeptPurge {
@@ -80,7 +80,7 @@
             saved_unix_ms: 0,
             saved: None,
             seq: list.seq,
-            members: list.members.into_iter().map(member).collect(),
+            members: list.endpoints.into_iter().map(member).collect(),
             purges: purges.into_iter().map(purge).collect(),
         }
     }
@@ -134,16 +134,16 @@
 
     /// As told after a restart. Where the machine was booted in between, or does not tell that it was not, nobody knows for how
     /// long: purges and starts count as young as they were, which only forbids more copies and spares members.
-    pub fn told(&self, now: Option<&BootMoment>) -> (ListHead, Vec<PurgeHead>) {
+    pub fn told(&self, now: Option<&BootMoment>) -> (EndpointListHead, Vec<PurgeHead>) {
         let since_us = now.and_then(|now| self.span_until(now)).unwrap_or_default();
-        let member = |m: &KeptMember| MemberLine {
+        let member = |m: &KeptMember| EndpointRecord {
             address: m.address.clone(),
             state: m.state,
             weight: m.weight,
             zone: m.zone.clone(),
             kind: m.kind.clone(),
             cell: m.cell,
-            start: m.start,
+            incarnation: m.start,
             started_ago_us: m.started_ago_us.map(|ago| ago.saturating_add(since_us)),
         };
         let purge = |p: &KeptPurge| PurgeHead {
@@ -153,10 +153,10 @@
             seq: 0,
         };
         let members = self.members.iter().map(member).collect();
-        let list = ListHead {
-            form: ListForm::Cached as i32,
+        let list = EndpointListHead {
+            form: EndpointListForm::Cached as i32,
             seq: self.seq,
-            members,
+            endpoints: members,
         };
         (list, self.purges.iter().map(purge).collect())
     }
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -3,11 +3,12 @@
 use crate::source::Teller;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Line, Link, LinkOptions};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Socket};
 use std::time::Instant;
 
-pub(crate) async fn serve(door: Door, socket: Line) {
-    let (link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions { max_streams: 1 });
+pub(crate) async fn serve(door: Door, socket: Socket) {
+    let (link, mut incoming) =
+        FramedConnection::start(socket, Side::Answerer, ConnectionOptions { max_streams: 1 });
     let teller = Teller {
         ears: None,
         hub: door.hub.clone(),
@@ -19,14 +20,14 @@
         };
         let answer = match inbound {
             None => break,
-            Some(Inbound::Control(Frame::Members(head)))
-                if head.form() == ListForm::Unspecified =>
+            Some(Inbound::Control(Frame::EndpointList(head)))
+                if head.form() == EndpointListForm::Unspecified =>
             {
-                Frame::Members(teller.list())
+                Frame::EndpointList(teller.list())
             }
-            Some(Inbound::Control(Frame::Members(head))) => {
+            Some(Inbound::Control(Frame::EndpointList(head))) => {
                 let seq = head.seq;
-                tracing::info!(form = ?head.form(), seq, lines = head.members.len(), "member list");
+                tracing::info!(form = ?head.form(), seq, lines = head.endpoints.len(), "member list");
                 let news = teller.members(head);
                 let trouble = news
                     .wanted
@@ -34,7 +35,10 @@
                     .chain(news.bad)
                     .collect::<Vec<_>>()
                     .join("; ");
-                Frame::Ack(AckHead { seq, trouble })
+                Frame::Ack(AckHead {
+                    seq,
+                    rejection: trouble,
+                })
             }
             Some(Inbound::Control(Frame::Purge(head))) => {
                 let (seq, told) = (head.seq, Instant::now());
@@ -46,7 +50,7 @@
                     .observe(told.elapsed().as_secs_f64());
                 Frame::Ack(AckHead {
                     seq,
-                    trouble: String::new(),
+                    rejection: String::new(),
                 })
             }
             Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => Frame::Probe(ProbeHead {
--- a/crates/dispatcher/src/net/desk.rs
+++ b/crates/dispatcher/src/net/desk.rs
@@ -7,9 +7,9 @@
 use crate::core::{Ask, AttemptEnd, Begin, Core, FetchOrder, Input, ListNews, Output};
 use bytes::Bytes;
 use pointspindle::Micros;
-use pointspindle_config::EdgeSettings;
-use pointspindle_protocol::{HelloHead, ListHead, PurgeHead, RequestHead};
-use pointspindle_transport::{Meter, Part};
+use pointspindle_config::DispatcherSettings;
+use pointspindle_protocol::{EndpointListHead, HelloHead, PurgeHead, RequestHead};
+use pointspindle_transport::{BufferMeter, ResponsePart};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -54,9 +54,9 @@
 impl Begin {
     /// Puts what holds now into a request that was worded when it was ordered.
     pub fn word(&self, request: &mut RequestHead) {
-        request.left_us = self.left;
+        request.time_left_us = self.left;
         if let Some(fetch) = &mut request.fetch {
-            (fetch.age_us, fetch.join) = (self.age, self.join);
+            (fetch.max_age_us, fetch.coalesce) = (self.age, self.join);
         }
     }
 }
@@ -64,9 +64,9 @@
 /// A request under way at a member. Dropped before its end it is given up there.
 pub trait Calling: Send {
     /// The next part; none after the end.
-    fn next(&mut self) -> impl std::future::Future<Output = Option<Part>> + Send;
+    fn next(&mut self) -> impl std::future::Future<Output = Option<ResponsePart>> + Send;
     /// The next part if it is there already.
-    fn try_next(&mut self) -> Option<Part>;
+    fn try_next(&mut self) -> Option<ResponsePart>;
 }
 
 /// What a request's task is to do; the core's outputs without the request's number.
@@ -118,10 +118,10 @@
     timer: Notify,
     idle: Notify,
     pub(crate) dirty: Notify,
-    pub settings: Arc<EdgeSettings>,
+    pub settings: Arc<DispatcherSettings>,
     pub(crate) metrics: Metrics,
     /// What all connections hold of bodies.
-    pub meter: Meter,
+    pub meter: BufferMeter,
     budget: Budget,
     /// Whether a source has told that its view is current.
     pub(crate) view: watch::Sender<bool>,
@@ -133,7 +133,11 @@
 
 impl<S: MemberSide> Desk<S> {
     /// `side` is given the meter that all connections share.
-    pub fn new(settings: Arc<EdgeSettings>, seed: u64, side: impl FnOnce(&Meter) -> S) -> Self {
+    pub fn new(
+        settings: Arc<DispatcherSettings>,
+        seed: u64,
+        side: impl FnOnce(&BufferMeter) -> S,
+    ) -> Self {
         let core = Core::new(&settings, seed);
         let dice = StdRng::seed_from_u64(seed);
         let locked = Locked {
@@ -145,7 +149,7 @@
             dice,
         };
         let budget = Budget::new(settings.max_requests, settings.buffer_bytes);
-        let meter = Meter::new(budget.crowded);
+        let meter = BufferMeter::new(budget.crowded);
         Self {
             locked: Mutex::new(locked),
             born: Instant::now(),
@@ -189,7 +193,7 @@
     pub fn open(&self, ask: Ask) -> Result<(u64, mpsc::UnboundedReceiver<Order>), Micros> {
         let (sender, orders) = mpsc::unbounded_channel();
         let mut locked = self.lock();
-        let (open, held) = (locked.orders.len(), self.meter.held());
+        let (open, held) = (locked.orders.len(), self.meter.buffered_bytes());
         if let Verdict::Refuse { come_back } = self.budget.judge(open, held, || locked.dice.gen()) {
             return Err(come_back);
         }
@@ -256,7 +260,7 @@
         self.handle(self.lock(), input);
     }
 
-    pub fn members(&self, head: ListHead) -> ListNews {
+    pub fn members(&self, head: EndpointListHead) -> ListNews {
         let news = self.handle(self.lock(), Input::Members(head));
         let news = news
             .list
@@ -288,7 +292,7 @@
         self.lock().core.list_seq()
     }
 
-    pub fn list(&self) -> ListHead {
+    pub fn list(&self) -> EndpointListHead {
         let now = self.now();
         self.lock().core.members(now)
     }
--- a/crates/dispatcher/src/net/door_framed.rs
+++ b/crates/dispatcher/src/net/door_framed.rs
@@ -8,7 +8,7 @@
 use pointspindle::Micros;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Line, Link, LinkOptions, Responder};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Responder, Socket};
 use prometheus_client::metrics::counter::Counter;
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,17 +20,18 @@
 /// A call whose name finds no room comes back after this.
 const FULL_COME_BACK: Micros = 1_000_000;
 
-pub(crate) async fn serve(door: Door, socket: Line, seat: Seat) {
+pub(crate) async fn serve(door: Door, socket: Socket, seat: Seat) {
     let listen = &door.hub.settings.listen;
-    let options = LinkOptions {
+    let options = ConnectionOptions {
         max_streams: listen.max_streams,
     };
     let meter = door.hub.meter.clone();
-    let (link, mut incoming) = Link::start_metered(socket, Side::Answerer, options, meter);
+    let (link, mut incoming) =
+        FramedConnection::start_metered(socket, Side::Answerer, options, meter);
     let lease = Duration::from_micros(listen.client_lease_us);
     let lease_us = Some(listen.client_lease_us);
-    link.say(Frame::Hello(HelloHead {
-        process: door.hub.side.pool.process,
+    link.push_control(Frame::Hello(HelloHead {
+        incarnation: door.hub.side.pool.process,
         lease_us,
         ..Default::default()
     }));
@@ -54,7 +55,7 @@
                 break;
             }
             _ = tokio::time::sleep(lease / 4), if keeps_lease && !requests.is_empty() => {
-                if link.quiet_for() > lease {
+                if link.time_since_last_frame() > lease {
                     door.hub.metrics.lost_clients.inc();
                     link.abort("no sign of life");
                 }
@@ -107,7 +108,7 @@
     }
     link.close("the connection is done with");
     // The last answers are on their way when they are written, not when they are queued.
-    link.written().await;
+    link.flushed().await;
 }
 
 async fn answer(door: Door, mut head: RequestHead, responder: Responder) {
@@ -118,10 +119,10 @@
         return end(responder, WireStatus::Failed, false, None, detail).await;
     };
     let most = settings.classes[class].deadline_us;
-    let left = if head.left_us == 0 {
+    let left = if head.time_left_us == 0 {
         most
     } else {
-        head.left_us.min(most)
+        head.time_left_us.min(most)
     };
     let ask = Ask {
         class,
@@ -132,7 +133,7 @@
         size: head.size,
     };
     head.fetch = None;
-    let call = std::mem::take(&mut head.call);
+    let call = std::mem::take(&mut head.call_id);
     let mut tried = None;
     if !call.is_empty() {
         match enter(&door, &call).await {
@@ -168,7 +169,10 @@
         ..ask
     };
     // Credit comes in halves of a window: less than one is no sign of slowness.
-    let (least, window) = (settings.listen.least_pace, settings.listen.pace_window_us);
+    let (least, window) = (
+        settings.listen.min_client_bytes_per_s,
+        settings.listen.pace_window_us,
+    );
     let one = (u64::from(streams::STREAM_WINDOW) * 1_000_000)
         .checked_div(least)
         .unwrap_or(0);
@@ -241,7 +245,7 @@
 /// What was sent of an answer, as long as it is small.
 #[derive(Default)]
 struct Keeping {
-    head: Option<AnswerHead>,
+    head: Option<ResponseHead>,
     body: Vec<Bytes>,
     bytes: usize,
     ended: bool,
@@ -314,14 +318,14 @@
         };
         match &self.superseded {
             Some(superseded) => tokio::select! {
-                _ = responder.gone() => {}
+                _ = responder.cancelled() => {}
                 _ = superseded.notified() => {}
             },
-            None => responder.gone().await,
+            None => responder.cancelled().await,
         }
     }
 
-    async fn head(&mut self, head: &AnswerHead) -> Result<(), ClientGone> {
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientGone> {
         if let Some(kept) = &mut self.kept {
             kept.head = Some(head.clone());
         }
--- a/crates/dispatcher/src/net/door_http.rs
+++ b/crates/dispatcher/src/net/door_http.rs
@@ -6,10 +6,10 @@
 use crate::pace::{Pace, PaceRule};
 use bytes::{Buf, Bytes, BytesMut};
 use pointspindle::{Micros, ObjectId};
-use pointspindle_config::EdgeSettings;
+use pointspindle_config::DispatcherSettings;
 use pointspindle_protocol::http::*;
-use pointspindle_protocol::{AnswerHead, RequestHead, WireNote};
-use pointspindle_transport::{Line, Reader, WriteHalf};
+use pointspindle_protocol::{RequestHead, ResponseHead, WireCacheStatus};
+use pointspindle_transport::{FrameReader, Socket, WriteHalf};
 use prometheus_client::metrics::counter::Counter;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -22,9 +22,9 @@
 /// Time to write an error answer to a client that may not read.
 const LAST_WORDS: Duration = Duration::from_secs(1);
 
-pub(crate) async fn serve(door: Door, socket: Line, seat: Seat) {
+pub(crate) async fn serve(door: Door, socket: Socket, seat: Seat) {
     let (read, write) = socket.split();
-    let requests = Reader::new(read, RequestCodec);
+    let requests = FrameReader::new(read, RequestCodec);
     let mut client = HttpClient {
         requests,
         next: None,
@@ -37,7 +37,7 @@
         body_allowed: true,
         begun: false,
         rule: PaceRule {
-            least: door.hub.settings.listen.least_pace,
+            least: door.hub.settings.listen.min_client_bytes_per_s,
             window: door.hub.settings.listen.pace_window_us,
         },
         pace: None,
@@ -65,7 +65,7 @@
 
 /// One request and its answer; false: the connection is of no more use.
 async fn turn(door: &Door, seat: &Seat, client: &mut HttpClient) -> bool {
-    let head = Duration::from_micros(door.hub.settings.listen.head_us);
+    let head = Duration::from_micros(door.hub.settings.listen.head_timeout_us);
     let request = match client.next.take() {
         Some(request) => *request,
         // From its first byte on a head has so long to be complete.
@@ -111,8 +111,8 @@
 }
 
 /// An HTTP request in the dispatcher's terms: class by the longest prefix, group by the path's first segments.
-fn asked(settings: &EdgeSettings, request: &HttpRequest) -> Option<Asked> {
-    let prefix = |c: &pointspindle_config::ClassSpec| {
+fn asked(settings: &DispatcherSettings, request: &HttpRequest) -> Option<Asked> {
+    let prefix = |c: &pointspindle_config::ClassSettings| {
         c.path_prefix
             .clone()
             .filter(|p| request.path.starts_with(p))
@@ -172,7 +172,7 @@
 }
 
 struct HttpClient {
-    requests: Reader<RequestCodec>,
+    requests: FrameReader<RequestCodec>,
     /// A request that came while another was being answered: one at most, the rest waits in the socket.
     next: Option<Box<Result<HttpRequest, HttpError>>>,
     gone: bool,
@@ -231,7 +231,7 @@
     async fn short(&mut self, status: u16, text: &str, mut fields: Vec<(&'static str, String)>) {
         fields.push(("content-type", "text/plain; charset=utf-8".into()));
         let length = Some(text.len() as u64);
-        HttpAnswer {
+        HttpResponse {
             status,
             length,
             close: self.close,
@@ -287,21 +287,21 @@
     async fn gone(&mut self) {
         if self.next.is_some() {
             // Reading further would have to buffer without bound: its end is looked for behind what is not read.
-            return self.requests.left().await;
+            return self.requests.peer_closed().await;
         }
         if !self.gone {
             match self.requests.next().await {
                 Some(Err(e)) if e.status() == 0 => self.gone = true,
                 Some(request) => {
                     self.next = Some(Box::new(request));
-                    self.requests.left().await
+                    self.requests.peer_closed().await
                 }
                 None => self.gone = true,
             }
         }
     }
 
-    async fn head(&mut self, head: &AnswerHead) -> Result<(), ClientGone> {
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientGone> {
         let mut fields = vec![("cache-status", cache_status(head))];
         fields.push(("age", (head.age_us / 1_000_000).to_string()));
         if !head.validator.is_empty() {
@@ -311,10 +311,10 @@
             fields.push(("content-type", head.content_type.clone()));
         }
         fields.push(("accept-ranges", "bytes".into()));
-        let code = if head.code == 0 {
+        let code = if head.origin_status == 0 {
             200
         } else {
-            head.code as u16
+            head.origin_status as u16
         };
         let (status, length) = match (head.not_modified, head.unsatisfiable, head.range_first) {
             (true, ..) => (304, Some(0)),
@@ -322,7 +322,7 @@
             (_, _, Some(_)) => (206, head.size),
             _ => (code, head.size),
         };
-        match (status, head.range_first, head.size, head.whole_size) {
+        match (status, head.range_first, head.size, head.complete_size) {
             (416, _, _, Some(whole)) => fields.push(("content-range", format!("bytes */{whole}"))),
             (206, Some(first), Some(size), Some(whole)) if size > 0 => {
                 fields.push((
@@ -335,7 +335,7 @@
         self.begun = false;
         self.chunked = length.is_none();
         self.body_allowed = self.method == Method::Get && !matches!(status, 304 | 416);
-        HttpAnswer {
+        HttpResponse {
             status,
             length,
             close: self.close,
@@ -419,17 +419,17 @@
 }
 
 /// RFC 9211: how the answer came about at the cache.
-fn cache_status(head: &AnswerHead) -> String {
+fn cache_status(head: &ResponseHead) -> String {
     let ttl = head
         .fresh_left_us
         .map(|left| format!("; ttl={}", left / 1_000_000))
         .unwrap_or_default();
-    match head.note() {
-        WireNote::Hit => format!("pointspindle; hit{ttl}"),
-        WireNote::Old => "pointspindle; hit; detail=old".into(),
-        WireNote::Joined => format!("pointspindle; fwd=miss; collapsed{ttl}"),
-        WireNote::FilledByOrigin => format!("pointspindle; fwd=miss; detail=origin{ttl}"),
-        WireNote::Filled => format!("pointspindle; fwd=miss{ttl}"),
+    match head.cache_status() {
+        WireCacheStatus::Hit => format!("pointspindle; hit{ttl}"),
+        WireCacheStatus::Stale => "pointspindle; hit; detail=old".into(),
+        WireCacheStatus::Coalesced => format!("pointspindle; fwd=miss; collapsed{ttl}"),
+        WireCacheStatus::FilledByOrigin => format!("pointspindle; fwd=miss; detail=origin{ttl}"),
+        WireCacheStatus::Filled => format!("pointspindle; fwd=miss{ttl}"),
         _ => "pointspindle".into(),
     }
 }
--- a/crates/dispatcher/src/net/exchange.rs
+++ b/crates/dispatcher/src/net/exchange.rs
@@ -6,8 +6,8 @@
 use crate::core::{Ask, AttemptEnd, Input};
 use bytes::Bytes;
 use pointspindle::Micros;
-use pointspindle_protocol::{AnswerHead, FetchHead, RequestHead};
-use pointspindle_transport::{CallEnd, Part};
+use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
+use pointspindle_transport::{CallEnd, ResponsePart};
 use std::sync::Arc;
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
     /// The answer's head. May be held back until [`ClientSide::flush`].
     fn head(
         &mut self,
-        head: &AnswerHead,
+        head: &ResponseHead,
     ) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
     fn data(
         &mut self,
@@ -158,7 +158,7 @@
     /// None while connecting.
     call: Option<C>,
     /// Held until the core says whether the answer is passed on.
-    head: Option<AnswerHead>,
+    head: Option<ResponseHead>,
 }
 
 struct Exchange<'a, S: MemberSide> {
@@ -174,7 +174,7 @@
 
 /// What became of the attempts.
 enum Got<C> {
-    Answer(u32, C, AnswerHead),
+    Answer(u32, C, ResponseHead),
     Refused(Option<Micros>),
     Failed,
     ClientGone,
@@ -197,14 +197,14 @@
 
 impl Progress {
     /// None: nothing tells which version it is, or where its end is.
-    fn of(head: &AnswerHead) -> Option<Self> {
+    fn of(head: &ResponseHead) -> Option<Self> {
         let strong = !head.validator.is_empty() && !head.validator.starts_with("W/");
         let size = head
             .size
-            .filter(|_| strong && head.code == 0 && !head.not_modified)?;
+            .filter(|_| strong && head.origin_status == 0 && !head.not_modified)?;
         let first = head.range_first.unwrap_or(0);
         let whole = match head.range_first {
-            Some(_) => head.whole_size?,
+            Some(_) => head.complete_size?,
             None => size,
         };
         Some(Self {
@@ -217,8 +217,8 @@
     }
 
     /// Whether an answer is what is left: of the same version, from the next byte to the end.
-    fn fits(&self, head: &AnswerHead) -> bool {
-        let span = (head.range_first, head.size, head.whole_size);
+    fn fits(&self, head: &ResponseHead) -> bool {
+        let span = (head.range_first, head.size, head.complete_size);
         head.validator == self.validator
             && span
                 == (
@@ -241,7 +241,7 @@
     Order(Option<Order>),
     Gone,
     Call(Result<C, AttemptEnd>),
-    Part(Part),
+    Part(ResponsePart),
 }
 
 impl<S: MemberSide> Exchange<'_, S> {
@@ -377,16 +377,16 @@
                     tracing::debug!(attempt, member, ?fetch, "attempt");
                     let fetch = fetch.map(|f| FetchHead {
                         source: f.source.unwrap_or_default(),
-                        keep: f.keep as u32,
-                        age_us: f.age,
-                        join: f.join,
-                        held_only: f.held_only,
-                        renew: f.renew,
+                        retention_rank: f.keep as u32,
+                        max_age_us: f.age,
+                        coalesce: f.join,
+                        only_if_cached: f.held_only,
+                        revalidate: f.renew,
                     });
                     let template = self.asked.template.clone();
                     let request = RequestHead {
                         fetch,
-                        left_us: timeout,
+                        time_left_us: timeout,
                         attempt: self.made + attempt,
                         ..template
                     };
@@ -429,12 +429,14 @@
                     }
                 }
                 Step::Call(Err(end)) => self.ended(current.take(), end),
-                Step::Part(Part::Head(head)) => {
+                Step::Part(ResponsePart::Head(head)) => {
                     if let Some(attempt) = &mut current {
-                        let (note, number) = (head.note(), attempt.ticket.attempt);
+                        let (note, number) = (head.cache_status(), attempt.ticket.attempt);
                         tracing::debug!(attempt = number, ?note, "answer");
                         // What is not sent says nothing of what sending costs.
-                        let size = head.size.filter(|_| !head.not_modified && head.code == 0);
+                        let size = head
+                            .size
+                            .filter(|_| !head.not_modified && head.origin_status == 0);
                         attempt.head = Some(head);
                         self.hub.tell(Input::Head {
                             request: self.closing.id,
@@ -444,8 +446,8 @@
                         });
                     }
                 }
-                Step::Part(Part::Data(_)) => {}
-                Step::Part(Part::End(end)) => self.ended(current.take(), attempt_end(end)),
+                Step::Part(ResponsePart::Data(_)) => {}
+                Step::Part(ResponsePart::End(end)) => self.ended(current.take(), attempt_end(end)),
             }
         }
     }
@@ -471,7 +473,7 @@
         client: &mut C,
         attempt: u32,
         mut call: S::Call,
-        head: Option<AnswerHead>,
+        head: Option<ResponseHead>,
         progress: &mut Option<Progress>,
     ) -> Passed {
         // Bytes that the client still misses: one that has them all may leave before the member's end comes.
@@ -515,7 +517,7 @@
                 }
             };
             match part {
-                Some(Part::Data(data)) => {
+                Some(ResponsePart::Data(data)) => {
                     let bytes = data.len() as u64;
                     missing = missing.map(|left: u64| left.saturating_sub(bytes));
                     let written = tokio::select! {
@@ -537,7 +539,7 @@
                         }
                     }
                 }
-                Some(Part::End(CallEnd::Complete(_))) => {
+                Some(ResponsePart::End(CallEnd::Complete(_))) => {
                     let ended = client.end().await;
                     let request = self.closing.id;
                     self.hub.tell(Input::Ended {
@@ -551,7 +553,7 @@
                         Fate::ClientGone
                     });
                 }
-                Some(Part::End(end)) => {
+                Some(ResponsePart::End(end)) => {
                     let (request, end) = (self.closing.id, attempt_end(end));
                     self.hub.tell(Input::Ended {
                         request,
@@ -560,7 +562,7 @@
                     });
                     return Passed::Broke;
                 }
-                Some(Part::Head(_)) => {}
+                Some(ResponsePart::Head(_)) => {}
                 None => return Passed::Broke,
             }
         }
@@ -600,7 +602,7 @@
         CallEnd::NotSent => AttemptEnd::NotSent,
         CallEnd::Error(e) => AttemptEnd::Told {
             status: e.status(),
-            note: e.note(),
+            note: e.cache_status(),
             may_have_run: e.may_have_run,
         },
     }
--- a/crates/dispatcher/src/net/keeper.rs
+++ b/crates/dispatcher/src/net/keeper.rs
@@ -1,9 +1,9 @@
 //! The doors' connections: [`crate::admission`] behind a lock, and the way of its word to each connection's task.
 use crate::admission::{Admission, ConnectionId, Limits, Verdict};
 use pointspindle::Micros;
-use pointspindle_protocol::http::HttpAnswer;
+use pointspindle_protocol::http::HttpResponse;
 use pointspindle_protocol::streams::Side;
-use pointspindle_transport::{AcceptFailure, Line, Link, LinkOptions};
+use pointspindle_transport::{AcceptFailure, ConnectionOptions, FramedConnection, Socket};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -113,7 +113,7 @@
     }
 
     /// Says when to come back, and closes. In a crowd, only closes.
-    pub(crate) async fn turn_away(&self, line: Line, speaks: Speaks, come_back: Micros) {
+    pub(crate) async fn turn_away(&self, line: Socket, speaks: Speaks, come_back: Micros) {
         let Ok(_place) = self.turning.try_acquire() else {
             return;
         };
@@ -130,7 +130,7 @@
                         ("content-type", "text/plain; charset=utf-8".to_owned()),
                     ];
                     let length = Some(text.len() as u64);
-                    HttpAnswer {
+                    HttpResponse {
                         status: 503,
                         length,
                         close: true,
@@ -154,11 +154,14 @@
                     }
                 }
                 Speaks::Framed => {
-                    let (link, _incoming) =
-                        Link::start(line, Side::Answerer, LinkOptions { max_streams: 1 });
+                    let (link, _incoming) = FramedConnection::start(
+                        line,
+                        Side::Answerer,
+                        ConnectionOptions { max_streams: 1 },
+                    );
                     link.go_away(&format!("too many connections; come back after {ms} ms"));
                     link.close("turned away");
-                    link.written().await;
+                    link.flushed().await;
                 }
             }
         };
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -1,9 +1,9 @@
 //! Figures of a running dispatcher, scraped as text.
 use super::exchange::Fate;
 use super::Door;
-use pointspindle_config::{ClassSpec, EdgeSettings};
-use pointspindle_protocol::http::HttpAnswer;
-use pointspindle_transport::Line;
+use pointspindle_config::{ClassSettings, DispatcherSettings};
+use pointspindle_protocol::http::HttpResponse;
+use pointspindle_transport::Socket;
 use prometheus_client::encoding::{text, EncodeLabelSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -73,7 +73,7 @@
 }
 
 impl Metrics {
-    pub fn new(settings: &EdgeSettings) -> Self {
+    pub fn new(settings: &DispatcherSettings) -> Self {
         let mut all = Registry::with_prefix("pointspindle");
         let (requests, attempts) = (Family::<ClassEnd, Counter>::default(), Family::default());
         let first = Family::<ClassOnly, _, _>::new_with_constructor(seconds as fn() -> Histogram);
@@ -207,7 +207,7 @@
             s,
             purge_lag.clone(),
         );
-        let by_class = |c: &ClassSpec| {
+        let by_class = |c: &ClassSettings| {
             let class = c.name.clone();
             let end = |fate: Fate| ClassEnd {
                 class: class.clone(),
@@ -280,7 +280,7 @@
 }
 
 /// One scrape a connection; whatever is asked for, the answer is the text.
-pub(crate) async fn serve(door: Door, line: Line) {
+pub(crate) async fn serve(door: Door, line: Socket) {
     let (read, write) = line.split();
     let mut asked = bytes::BytesMut::with_capacity(2048);
     let read = tokio::time::timeout(Duration::from_secs(2), read.read_buf(&mut asked)).await;
@@ -291,7 +291,7 @@
     let kind = "application/openmetrics-text; version=1.0.0; charset=utf-8".to_owned();
     let fields = vec![("content-type", kind)];
     let mut out = bytes::BytesMut::new();
-    HttpAnswer {
+    HttpResponse {
         status: 200,
         length: Some(text.len() as u64),
         close: true,
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -15,10 +15,12 @@
 
 use crate::admission::Limits;
 use keeper::{Keeper, Seat, Speaks};
-use pointspindle_config::EdgeSettings;
-use pointspindle_protocol::{ListForm, ListHead, MemberLine, WireState};
-use pointspindle_transport::tls::{Files, Identity, TlsError};
-use pointspindle_transport::{Line, Listener, Net};
+use pointspindle_config::DispatcherSettings;
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
+};
+use pointspindle_transport::tls::{CertificateFiles, Identity, TlsError};
+use pointspindle_transport::{Listener, Network, Socket};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -65,7 +67,7 @@
 /// A dispatcher that knows its state file and does not listen yet: so that it can hear of drains and purges first.
 #[derive(Debug)]
 pub struct Prepared {
-    net: Net,
+    net: Network,
     hub: Arc<Hub>,
     wished: tokio::sync::mpsc::UnboundedReceiver<upstream::Wish>,
     helpers: JoinSet<()>,
@@ -73,11 +75,11 @@
 
 impl Prepared {
     /// Reads the state file, and takes the static list if there is no state.
-    pub async fn new(net: Net, settings: EdgeSettings, seed: u64) -> Self {
+    pub async fn new(net: Network, settings: DispatcherSettings, seed: u64) -> Self {
         let settings = Arc::new(settings);
         let (hub, wished) = Hub::framed(settings.clone(), seed, net.clone());
         let hub = Arc::new(hub);
-        if !saver::restore(&hub).await && !settings.members.is_empty() {
+        if !saver::restore(&hub).await && !settings.endpoints.is_empty() {
             hub.members(static_list(&settings));
         }
         Self {
@@ -135,8 +137,8 @@
         } = self;
         let settings = hub.settings.clone();
         let mut doors = JoinSet::new();
-        let tls = |t: &pointspindle_config::Tls| {
-            let files = Files {
+        let tls = |t: &pointspindle_config::TlsSettings| {
+            let files = CertificateFiles {
                 certificate: t.certificate.clone(),
                 key: t.key.clone(),
             };
@@ -153,9 +155,9 @@
             hard,
             soft,
             per_address,
-            networks: l.networks.clone(),
+            networks: l.network_quotas.clone(),
         });
-        helpers.spawn(keeper::expire(keeper.clone(), l.idle_us));
+        helpers.spawn(keeper::expire(keeper.clone(), l.idle_timeout_us));
         let door = Door {
             hub: hub.clone(),
             keeper,
@@ -284,12 +286,16 @@
     }
 
     /// Reads the state file, takes the static list if there is no state, and listens.
-    pub async fn start(settings: EdgeSettings, seed: u64) -> Result<Self, StartError> {
-        Self::start_on(Net::Tcp, settings, seed).await
+    pub async fn start(settings: DispatcherSettings, seed: u64) -> Result<Self, StartError> {
+        Self::start_on(Network::Tcp, settings, seed).await
     }
 
     /// ... on another network than the machine's own.
-    pub async fn start_on(net: Net, settings: EdgeSettings, seed: u64) -> Result<Self, StartError> {
+    pub async fn start_on(
+        net: Network,
+        settings: DispatcherSettings,
+        seed: u64,
+    ) -> Result<Self, StartError> {
         Prepared::new(net, settings, seed).await.open().await
     }
 
@@ -307,7 +313,7 @@
     /// Takes nothing new, answers what was accepted, and ends. True if all was answered in time.
     pub async fn stop(mut self) -> bool {
         let _ = self.stop.send(true);
-        let longest = Duration::from_micros(self.hub.settings.listen.drain_us);
+        let longest = Duration::from_micros(self.hub.settings.listen.drain_timeout_us);
         // A door ends with its last connection, and that with its last answer written.
         let drained = async {
             self.hub.drained().await;
@@ -322,27 +328,27 @@
     }
 }
 
-fn static_list(settings: &EdgeSettings) -> ListHead {
-    let line = |m: &pointspindle_config::MemberSpec| MemberLine {
+fn static_list(settings: &DispatcherSettings) -> EndpointListHead {
+    let line = |m: &pointspindle_config::EndpointSpec| EndpointRecord {
         address: m.address.clone(),
-        state: WireState::Ready as i32,
+        state: WireEndpointState::Ready as i32,
         weight: m.weight,
         zone: m.zone.clone(),
-        kind: m.role.word().into(),
+        kind: m.role.name().into(),
         cell: m.cell,
-        start: 0,
+        incarnation: 0,
         started_ago_us: None,
     };
-    let members = settings.members.iter().map(line).collect();
-    ListHead {
-        form: ListForm::Full as i32,
+    let members = settings.endpoints.iter().map(line).collect();
+    EndpointListHead {
+        form: EndpointListForm::Full as i32,
         seq: 0,
-        members,
+        endpoints: members,
     }
 }
 
 async fn listen(
-    net: &Net,
+    net: &Network,
     what: &'static str,
     wanted: Option<SocketAddr>,
     bound: &mut Option<SocketAddr>,
@@ -381,14 +387,14 @@
     }
 
     /// The connection as the protocols want it: after the handshake, where there is one.
-    async fn opened(&self, line: Line) -> Option<Line> {
+    async fn opened(&self, line: Socket) -> Option<Socket> {
         let (identity, socket) = match (&self.identity, line) {
             (None, line) => return Some(line),
-            (Some(identity), Line::Tcp(socket)) => (identity, socket),
+            (Some(identity), Socket::Tcp(socket)) => (identity, socket),
             // The simulated network carries no TLS.
             (Some(_), _) => return None,
         };
-        let longest = Duration::from_micros(self.hub.settings.listen.head_us);
+        let longest = Duration::from_micros(self.hub.settings.listen.head_timeout_us);
         let opened = tokio::time::timeout(longest, identity.accept(socket)).await;
         let why = match opened {
             Ok(Ok(line)) => return Some(line),
@@ -408,7 +414,7 @@
 /// Accepts until told to stop; each connection is a task with a seat, and who gets none is told when to come back.
 async fn accept<F, Fut>(mut listener: Listener, door: Door, speaks: Speaks, serve: F)
 where
-    F: Fn(Door, Line, Seat) -> Fut + Clone + Send + 'static,
+    F: Fn(Door, Socket, Seat) -> Fut + Clone + Send + 'static,
     Fut: std::future::Future<Output = ()> + Send + 'static,
 {
     let mut connections = JoinSet::new();
@@ -445,10 +451,10 @@
     door: &Door,
     speaks: Speaks,
     serve: &F,
-    line: Line,
+    line: Socket,
     peer: SocketAddr,
 ) where
-    F: Fn(Door, Line, Seat) -> Fut + Clone + Send + 'static,
+    F: Fn(Door, Socket, Seat) -> Fut + Clone + Send + 'static,
     Fut: std::future::Future<Output = ()> + Send + 'static,
 {
     let keeper = door.keeper.clone();
@@ -489,7 +495,7 @@
     use super::*;
 
     /// What a door's task of one connection is given; the sender keeps the dispatcher from stopping.
-    pub(crate) async fn arrival(door: &str) -> (Door, Line, Seat, watch::Sender<bool>) {
+    pub(crate) async fn arrival(door: &str) -> (Door, Socket, Seat, watch::Sender<bool>) {
         let text = format!(
             "[dispatcher]\nzone = b\n[listen]\n{door} = 127.0.0.1:0\n[class page]\npath_prefix = /\n"
         );
@@ -503,11 +509,14 @@
             networks: Vec::new(),
         };
         let (hub, keeper) = (
-            Arc::new(Hub::framed(settings, 1, Net::Tcp).0),
+            Arc::new(Hub::framed(settings, 1, Network::Tcp).0),
             Keeper::new(limits),
         );
-        let listener = Net::Tcp.listen(([127, 0, 0, 1], 0).into()).await.unwrap();
-        let socket = Net::Tcp
+        let listener = Network::Tcp
+            .listen(([127, 0, 0, 1], 0).into())
+            .await
+            .unwrap();
+        let socket = Network::Tcp
             .connect(None, listener.local_addr().unwrap())
             .await
             .unwrap();
--- a/crates/dispatcher/src/net/saver.rs
+++ b/crates/dispatcher/src/net/saver.rs
@@ -28,14 +28,14 @@
             let (list, purges) = snapshot.told(BootMoment::now().as_ref());
             tracing::info!(
                 file = shown,
-                members = list.members.len(),
+                members = list.endpoints.len(),
                 purges = purges.len(),
                 "state read"
             );
             for purge in purges {
                 hub.purge(purge);
             }
-            let any = !list.members.is_empty();
+            let any = !list.endpoints.is_empty();
             if any {
                 hub.members(list);
             }
--- a/crates/dispatcher/src/net/tries.rs
+++ b/crates/dispatcher/src/net/tries.rs
@@ -2,7 +2,7 @@
 use crate::keys::{Begin, Keys, KeysRule, Ticket};
 use bytes::Bytes;
 use pointspindle::Micros;
-use pointspindle_protocol::AnswerHead;
+use pointspindle_protocol::ResponseHead;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::{oneshot, Notify};
@@ -18,7 +18,7 @@
 /// A whole answer, to be given again.
 #[derive(Clone, Debug)]
 pub(crate) struct Kept {
-    pub head: AnswerHead,
+    pub head: ResponseHead,
     pub body: Vec<Bytes>,
 }
 
--- a/crates/dispatcher/src/net/upstream.rs
+++ b/crates/dispatcher/src/net/upstream.rs
@@ -7,11 +7,12 @@
 use crate::redial::{Dial, Redial};
 use bytes::Bytes;
 use pointspindle::Micros;
-use pointspindle_config::{EdgeSettings, Upstream};
+use pointspindle_config::{DispatcherSettings, UpstreamSettings};
 use pointspindle_protocol::streams::Side;
-use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WantHead};
+use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WorkRequestHead};
 use pointspindle_transport::{
-    Call, ConnectFailure, Inbound, Line, Link, LinkError, LinkOptions, Meter, Net, Part,
+    BufferMeter, Call, ConnectFailure, ConnectionError, ConnectionOptions, FramedConnection,
+    Inbound, Network, ResponsePart, Socket,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -48,15 +49,15 @@
 impl Hub {
     /// ... and what is wished of members ([`carry_out`]).
     pub fn framed(
-        settings: Arc<EdgeSettings>,
+        settings: Arc<DispatcherSettings>,
         seed: u64,
-        net: Net,
+        net: Network,
     ) -> (Self, mpsc::UnboundedReceiver<Wish>) {
         let (wishes, wished) = mpsc::unbounded_channel();
         // As many again as may run: those that are remembered.
         let tries = Tries::new(2 * settings.max_requests);
         let upstream = settings.upstream.clone();
-        let side = |meter: &Meter| Framed {
+        let side = |meter: &BufferMeter| Framed {
             pool: Pool::new(upstream, seed, meter.clone(), net),
             wishes,
             tries,
@@ -102,8 +103,8 @@
                     desk.begin(ticket)?.word(&mut request);
                     Some(request.clone())
                 };
-                link.call_when(Box::new(word)).map_err(|e| match e {
-                    LinkError::NoStream(_) => AttemptEnd::NotSent,
+                link.call_deferred(Box::new(word)).map_err(|e| match e {
+                    ConnectionError::NoStream(_) => AttemptEnd::NotSent,
                     _ => AttemptEnd::ConnectFailed,
                 })
             }
@@ -120,11 +121,11 @@
 }
 
 impl Calling for Call {
-    async fn next(&mut self) -> Option<Part> {
+    async fn next(&mut self) -> Option<ResponsePart> {
         Call::next(self).await
     }
 
-    fn try_next(&mut self) -> Option<Part> {
+    fn try_next(&mut self) -> Option<ResponsePart> {
         Call::try_next(self)
     }
 }
@@ -134,7 +135,7 @@
     Connecting,
     /// Open; `replaced`: another process than before answers, and what waited was meant for the old one.
     Ready {
-        link: Link,
+        link: FramedConnection,
         replaced: bool,
     },
     Failed(String),
@@ -162,7 +163,7 @@
 /// Forgets an address when its connection has ended or failed.
 #[derive(Clone, Debug)]
 pub(crate) struct Pool {
-    settings: Upstream,
+    settings: UpstreamSettings,
     entries: Arc<Mutex<HashMap<String, Entry>>>,
     /// Addresses that said hello on their last connection, and when: a new one is used after its hello. Forgotten with
     /// [`GREETED_KEPT`], or when the connection brings none.
@@ -170,8 +171,8 @@
     /// Addresses that broke or could not be reached; forgotten a minute after the last word.
     redials: Arc<Mutex<HashMap<String, Redial>>>,
     dice: Arc<Mutex<StdRng>>,
-    meter: Meter,
-    net: Net,
+    meter: BufferMeter,
+    net: Network,
     born: Instant,
     /// This process, to members.
     pub process: u64,
@@ -183,7 +184,7 @@
 const GREETED_KEPT: Duration = Duration::from_secs(600);
 
 impl Pool {
-    pub fn new(settings: Upstream, seed: u64, meter: Meter, net: Net) -> Self {
+    pub fn new(settings: UpstreamSettings, seed: u64, meter: BufferMeter, net: Network) -> Self {
         let process = std::hash::RandomState::new().build_hasher().finish().max(1);
         // Its own: dispatchers that are given the same seed must not come back together.
         let dice = Arc::new(Mutex::new(StdRng::seed_from_u64(seed ^ process)));
@@ -234,7 +235,7 @@
 
     /// The connection to an address, shared with whoever else waits for it. Safe to drop while waiting: the
     /// connecting goes on for the others.
-    pub async fn link(&self, hub: &Arc<Hub>, address: &str) -> Result<Link, NoLink> {
+    pub async fn link(&self, hub: &Arc<Hub>, address: &str) -> Result<FramedConnection, NoLink> {
         let (mut slot, waited) = {
             let mut entries = self.entries();
             match entries.get_mut(address) {
@@ -286,7 +287,7 @@
     fn is_spent(&self, slot: &Slot) -> bool {
         match slot {
             Slot::Connecting => false,
-            Slot::Ready { link, .. } => !link.takes_calls(),
+            Slot::Ready { link, .. } => !link.accepts_calls(),
             Slot::Failed(_) | Slot::LocalShortage => true,
         }
     }
@@ -296,7 +297,7 @@
         let entries = self.entries();
         let slot = entries.get(address).map(|entry| entry.slot.borrow());
         if let Some(Slot::Ready { link, .. }) = slot.as_deref() {
-            link.say(Frame::Want(WantHead { work_us }));
+            link.push_control(Frame::WorkRequest(WorkRequestHead { work_us }));
         }
     }
 
@@ -307,11 +308,11 @@
     /// Closes connections that nobody has used for long or that carry nothing any more, and forgets those that are spent.
     /// How many gave no sign of life.
     fn sweep(&self) -> u64 {
-        let idle = Duration::from_micros(self.settings.idle_us);
+        let idle = Duration::from_micros(self.settings.idle_timeout_us);
         let s = &self.settings;
         let rule = HealthRule {
-            quiet: s.quiet_ping_us,
-            idle: s.idle_ping_us,
+            quiet: s.ping_when_awaiting_us,
+            idle: s.ping_when_idle_us,
             answer: s.ping_timeout_us,
         };
         let now = self.now();
@@ -332,11 +333,11 @@
             if !greeted.contains_key(address) {
                 return true;
             }
-            let heard = now.saturating_sub(link.quiet_for().as_micros() as Micros);
+            let heard = now.saturating_sub(link.time_since_last_frame().as_micros() as Micros);
             match entry.health.look(&rule, now, heard, link.open_streams() > 0) {
                 Verdict::Fine => true,
                 Verdict::Probe => {
-                    link.say(Frame::Probe(ProbeHead { token: now, ..Default::default() }));
+                    link.push_control(Frame::Probe(ProbeHead { token: now, ..Default::default() }));
                     true
                 }
                 Verdict::Dead => {
@@ -358,11 +359,11 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    async fn socket(&self, address: &str) -> Result<Line, ConnectFailure> {
+    async fn socket(&self, address: &str) -> Result<Socket, ConnectFailure> {
         let invalid =
             |e| ConnectFailure::Peer(std::io::Error::new(std::io::ErrorKind::InvalidInput, e));
         let target: SocketAddr = address.parse().map_err(invalid)?;
-        let longest = Duration::from_micros(self.settings.connect_us);
+        let longest = Duration::from_micros(self.settings.connect_timeout_us);
         self.net
             .connect_within(self.settings.bind, target, longest)
             .await
@@ -385,17 +386,18 @@
             return;
         }
     };
-    let options = LinkOptions {
+    let options = ConnectionOptions {
         max_streams: pool.settings.max_streams,
     };
     let meter = pool.meter.clone();
-    let (link, mut incoming) = Link::start_metered(socket, Side::Caller, options, meter);
+    let (link, mut incoming) =
+        FramedConnection::start_metered(socket, Side::Caller, options, meter);
     // So that a member which warms up knows whom to lease its work to.
     let own = HelloHead {
-        process: pool.process,
+        incarnation: pool.process,
         started_ago_us: None,
         dispatcher: true,
-        asks: true,
+        requests_work: true,
         lease_us: None,
     };
     let _ = link.control(Frame::Hello(own)).await;
@@ -403,7 +405,7 @@
     if pool.greeted().contains_key(&address) {
         // It will say who it is: nothing goes out before that, or a process that has just started would get what was
         // decided for the one before. One that says nothing in time is as one that never did.
-        let wait = Duration::from_micros(pool.settings.hello_us);
+        let wait = Duration::from_micros(pool.settings.hello_timeout_us);
         match tokio::time::timeout(wait, incoming.next()).await {
             // Cut before its hello: that is no word of not saying any. The next connection waits for it too.
             Ok(None) => return failed("cut before its hello".into()),
@@ -426,7 +428,7 @@
     while let Some(inbound) = incoming.next().await {
         heard(&hub, &address, inbound);
     }
-    if link.broke() {
+    if link.ended_unexpectedly() {
         let (now, dice) = (pool.now(), pool.roll());
         pool.redials()
             .entry(address.clone())
@@ -509,7 +511,7 @@
         hub.metrics
             .purges_proven
             .set(hub.is_proven().map_or(-1, i64::from));
-        hub.metrics.buffered.set(hub.meter.held() as i64);
+        hub.metrics.buffered.set(hub.meter.buffered_bytes() as i64);
         hub.metrics.known_calls.set(hub.side.tries.known() as i64);
         hub.metrics
             .members_connected
--- a/crates/dispatcher/src/source.rs
+++ b/crates/dispatcher/src/source.rs
@@ -3,7 +3,7 @@
 use crate::net::Hub;
 use crate::peers::Roster;
 use pointspindle::Micros;
-use pointspindle_protocol::{ListHead, PurgeHead};
+use pointspindle_protocol::{EndpointListHead, PurgeHead};
 use std::sync::Arc;
 
 /// Tells a dispatcher what it learns, for as long as that runs.
@@ -14,7 +14,7 @@
 /// What has just come into force: for who measures a source.
 #[derive(Clone, Copy, Debug)]
 pub enum Told<'a> {
-    Members(&'a ListHead),
+    Members(&'a EndpointListHead),
     Purge(&'a PurgeHead),
     View(bool),
 }
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn members(&self, head: ListHead) -> ListNews {
+    pub fn members(&self, head: EndpointListHead) -> ListNews {
         let heard = self.ears.is_some().then(|| head.clone());
         let news = self.hub.members(head);
         if let Some(head) = &heard {
@@ -97,7 +97,7 @@
     }
 
     /// The whole list in force.
-    pub fn list(&self) -> ListHead {
+    pub fn list(&self) -> EndpointListHead {
         self.hub.list()
     }
 }
--- a/crates/dispatcher/tests/core.rs
+++ b/crates/dispatcher/tests/core.rs
@@ -31,9 +31,9 @@
     now: u64,
 }
 
-fn line(address: &str, kind: &str, state: WireState) -> MemberLine {
+fn line(address: &str, kind: &str, state: WireEndpointState) -> EndpointRecord {
     let zone = if kind == "cache" { "branch" } else { "hub" };
-    MemberLine {
+    EndpointRecord {
         address: address.into(),
         state: state as i32,
         weight: 8.0,
@@ -43,8 +43,8 @@
     }
 }
 
-fn fleet() -> Vec<MemberLine> {
-    let ready = WireState::Ready;
+fn fleet() -> Vec<EndpointRecord> {
+    let ready = WireEndpointState::Ready;
     vec![
         line("127.0.0.1:1", "cache", ready),
         line("127.0.0.1:2", "cache", ready),
@@ -60,7 +60,7 @@
             core: Core::new(&settings, 1),
             now: T0,
         };
-        stage.list(ListForm::Full, 1, fleet());
+        stage.list(EndpointListForm::Full, 1, fleet());
         stage
     }
 
@@ -70,11 +70,16 @@
         out
     }
 
-    fn list(&mut self, form: ListForm, seq: u64, members: Vec<MemberLine>) -> Option<String> {
-        let out = self.tell(Input::Members(ListHead {
+    fn list(
+        &mut self,
+        form: EndpointListForm,
+        seq: u64,
+        members: Vec<EndpointRecord>,
+    ) -> Option<String> {
+        let out = self.tell(Input::Members(EndpointListHead {
             form: form as i32,
             seq,
-            members,
+            endpoints: members,
         }));
         out.into_iter().find_map(|o| {
             if let Output::List(news) = o {
@@ -145,7 +150,7 @@
         let head = Input::Head {
             request: 1,
             attempt,
-            note: WireNote::Hit,
+            note: WireCacheStatus::Hit,
             size: None,
         };
         if answer_first {
@@ -194,7 +199,7 @@
         finals(&stage.tell(Input::Head {
             request: 1,
             attempt,
-            note: WireNote::Hit,
+            note: WireCacheStatus::Hit,
             size: None
         })),
         1
@@ -215,16 +220,16 @@
 fn an_answer_under_way_at_a_member_that_is_given_up_is_broken_off() {
     let mut stage = Stage::new();
     stage.list(
-        ListForm::Delta,
+        EndpointListForm::Delta,
         2,
-        vec![line("127.0.0.1:2", "cache", WireState::Gone)],
+        vec![line("127.0.0.1:2", "cache", WireEndpointState::Gone)],
     );
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     stage.now += MS;
     stage.tell(Input::Head {
         request: 1,
         attempt,
-        note: WireNote::Hit,
+        note: WireCacheStatus::Hit,
         size: None,
     });
     stage.now += MS;
@@ -253,7 +258,7 @@
     stage.tell(Input::Head {
         request: 1,
         attempt,
-        note: WireNote::Hit,
+        note: WireCacheStatus::Hit,
         size: None,
     });
     let out = stage.tell(Input::Gone(1));
@@ -279,8 +284,8 @@
     });
     let (attempt, ..) = sent(&out).expect("nothing ran: sent again");
     let told = AttemptEnd::Told {
-        status: WireStatus::Full,
-        note: WireNote::Untold,
+        status: WireStatus::Rejected,
+        note: WireCacheStatus::Unreported,
         may_have_run: true,
     };
     let out = stage.tell(Input::Ended {
@@ -299,8 +304,8 @@
 #[test]
 fn a_delta_after_a_gap_is_used_and_the_whole_list_asked_for() {
     let mut stage = Stage::new();
-    let drain = line("127.0.0.1:1", "cache", WireState::Draining);
-    let wanted = stage.list(ListForm::Delta, 5, vec![drain.clone()]);
+    let drain = line("127.0.0.1:1", "cache", WireEndpointState::Draining);
+    let wanted = stage.list(EndpointListForm::Delta, 5, vec![drain.clone()]);
     assert!(wanted.is_some());
     for id in 1..=6 {
         let (_, member, _) = sent(&stage.ask(id, 0)).unwrap();
@@ -308,12 +313,12 @@
     }
     // One from the past must not bring it back.
     stage.list(
-        ListForm::Delta,
+        EndpointListForm::Delta,
         4,
-        vec![line("127.0.0.1:1", "cache", WireState::Ready)],
+        vec![line("127.0.0.1:1", "cache", WireEndpointState::Ready)],
     );
     assert_eq!(sent(&stage.ask(40, 0)).unwrap().1, "127.0.0.1:2");
-    assert_eq!(stage.list(ListForm::Full, 9, vec![drain]), None);
+    assert_eq!(stage.list(EndpointListForm::Full, 9, vec![drain]), None);
     assert_eq!(stage.core.list_seq(), 9);
 }
 
@@ -346,24 +351,24 @@
 #[test]
 fn a_member_is_the_same_process_while_its_start_is() {
     let mut stage = Stage::new();
-    let cold = |start, ago| MemberLine {
-        start,
+    let cold = |start, ago| EndpointRecord {
+        incarnation: start,
         started_ago_us: Some(ago),
-        ..line("127.0.0.1:1", "cache", WireState::Ready)
+        ..line("127.0.0.1:1", "cache", WireEndpointState::Ready)
     };
-    stage.list(ListForm::Delta, 2, vec![cold(1, 500 * MS)]);
+    stage.list(EndpointListForm::Delta, 2, vec![cold(1, 500 * MS)]);
     stage.now += 1_000 * MS;
-    stage.list(ListForm::Delta, 3, vec![cold(1, 1_700 * MS)]);
+    stage.list(EndpointListForm::Delta, 3, vec![cold(1, 1_700 * MS)]);
     let ago = |stage: &mut Stage| {
         let list = stage.core.members(stage.now);
-        list.members
+        list.endpoints
             .iter()
             .find(|m| m.address == "127.0.0.1:1")
             .unwrap()
             .started_ago_us
     };
     assert_eq!(ago(&mut stage), Some(1_500 * MS), "as first told");
-    stage.list(ListForm::Delta, 4, vec![cold(2, 100 * MS)]);
+    stage.list(EndpointListForm::Delta, 4, vec![cold(2, 100 * MS)]);
     assert_eq!(ago(&mut stage), Some(100 * MS), "another start");
 }
 
@@ -394,8 +399,8 @@
             |now: Option<BootMoment>| Snapshot::from_bytes(&bytes).unwrap().told(now.as_ref());
         let (list, purges) = after(Some(moment("one", 3_000)));
         assert_eq!(
-            (list.form(), list.members.len(), list.seq),
-            (ListForm::Cached, 4, 1)
+            (list.form(), list.endpoints.len(), list.seq),
+            (EndpointListForm::Cached, 4, 1)
         );
         assert_eq!(purges[0].age_us, 2_005 * MS);
         // Where it is not known for how long, a purge counts as young as it was, never as older than it is.
@@ -458,7 +463,7 @@
 
 fn hello(stage: &mut Stage, process: u64, ago: Option<u64>) -> bool {
     let hello = HelloHead {
-        process,
+        incarnation: process,
         started_ago_us: ago,
         ..Default::default()
     };
@@ -487,7 +492,7 @@
         stage.tell(Input::Head {
             request: *id,
             attempt: 0,
-            note: WireNote::Hit,
+            note: WireCacheStatus::Hit,
             size: None,
         });
         stage.tell(Input::Ended {
@@ -505,12 +510,12 @@
         core: Core::new(&settings, 1),
         now: T0,
     };
-    let ready = WireState::Ready;
+    let ready = WireEndpointState::Ready;
     let lines = vec![
         line("127.0.0.1:1", "cache", ready),
         line("127.0.0.1:9", "origin", ready),
     ];
-    stage.list(ListForm::Full, 1, lines);
+    stage.list(EndpointListForm::Full, 1, lines);
     stage.to(T0 + 120_000 * MS);
     stage
 }
@@ -531,12 +536,12 @@
     let cold = given(&mut stage, 200);
     assert!(cold < warm / 2, "{cold} of {warm}");
     // Told before the restart, come after it.
-    let old = MemberLine {
-        start: 1,
+    let old = EndpointRecord {
+        incarnation: 1,
         started_ago_us: Some(300_000 * MS),
-        ..line("127.0.0.1:1", "cache", WireState::Ready)
+        ..line("127.0.0.1:1", "cache", WireEndpointState::Ready)
     };
-    stage.list(ListForm::Delta, 2, vec![old]);
+    stage.list(EndpointListForm::Delta, 2, vec![old]);
     stage.now += 3_000 * MS;
     let still = given(&mut stage, 300);
     assert!(still < warm / 2, "{still} of {warm}");
@@ -547,7 +552,7 @@
     let mut stage = alone();
     let warm = given(&mut stage, 100);
     let hello = HelloHead {
-        process: 3,
+        incarnation: 3,
         started_ago_us: Some(0),
         ..Default::default()
     };
@@ -562,9 +567,9 @@
 fn lease(work_ms: u64, by_asking: bool, answers: bool) -> Input {
     let lease = LeaseHead {
         work_us: work_ms * MS,
-        for_us: 125 * MS,
-        by_asking,
-        answers,
+        duration_us: 125 * MS,
+        on_request: by_asking,
+        in_reply: answers,
     };
     Input::Lease {
         member: "127.0.0.1:1".into(),
@@ -616,7 +621,7 @@
     stage.tell(Input::Head {
         request: 1,
         attempt: 0,
-        note: WireNote::Hit,
+        note: WireCacheStatus::Hit,
         size: None,
     });
     stage.tell(Input::Ended {
@@ -655,7 +660,11 @@
 #[test]
 fn an_attempt_begins_only_if_all_still_allows_it() {
     let delta = |seq, address: &str, kind: &str, state| {
-        (ListForm::Delta, seq, vec![line(address, kind, state)])
+        (
+            EndpointListForm::Delta,
+            seq,
+            vec![line(address, kind, state)],
+        )
     };
     // The client leaves.
     let mut stage = Stage::new();
@@ -664,7 +673,7 @@
     stage.tell(Input::Gone(1));
     assert_eq!(stage.core.begin(T0, 1, attempt), None);
     // The member, or the source of its fill, drains or is gone: it goes elsewhere, and the first one is over.
-    for state in [WireState::Draining, WireState::Gone] {
+    for state in [WireEndpointState::Draining, WireEndpointState::Gone] {
         for of_source in [false, true] {
             let mut stage = Stage::new();
             let (attempt, member, fetch) = sent(&stage.ask(1, 0)).unwrap();
