--- a/crates/dispatcher/tests/state.rs
+++ b/crates/dispatcher/tests/state.rs
@@ -3,8 +3,10 @@
 use pointspindle_config::parse;
 use pointspindle_dispatcher::core::state::Snapshot;
 use pointspindle_dispatcher::{Prepared, Source, Teller};
-use pointspindle_protocol::{ListForm, ListHead, MemberLine, PurgeHead, WireState};
-use pointspindle_transport::Net;
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead, WireEndpointState,
+};
+use pointspindle_transport::Network;
 use std::path::Path;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -12,7 +14,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 const MEMBER: &str = "127.0.0.1:9";
 
-fn settings(state: &Path) -> pointspindle_config::EdgeSettings {
+fn settings(state: &Path) -> pointspindle_config::DispatcherSettings {
     let text = format!(
         "[dispatcher]\nzone = b\nstate_file = {}\n[listen]\nhttp = 127.0.0.1:0\ndrain_ms = 100\n[zone b]\ndispatchers = 1\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 4000\n",
@@ -21,8 +23,8 @@
     parse("test", &text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn list(form: ListForm, seq: u64, state: WireState) -> ListHead {
-    let line = MemberLine {
+fn list(form: EndpointListForm, seq: u64, state: WireEndpointState) -> EndpointListHead {
+    let line = EndpointRecord {
         address: MEMBER.into(),
         state: state as i32,
         weight: 8.0,
@@ -30,16 +32,16 @@
         kind: "cache".into(),
         ..Default::default()
     };
-    ListHead {
+    EndpointListHead {
         form: form as i32,
         seq,
-        members: vec![line],
+        endpoints: vec![line],
     }
 }
 
 /// Tells one list, then hands the way into the dispatcher to the test.
 struct Once {
-    list: ListHead,
+    list: EndpointListHead,
     hand: oneshot::Sender<Teller>,
 }
 
@@ -56,12 +58,15 @@
 async fn what_a_source_has_told_before_the_doors_open_stays_in_force() {
     let folder = tempfile::tempdir().unwrap();
     let state = folder.path().join("edge.state");
-    let before = Snapshot::new(list(ListForm::Full, 7, WireState::Ready), Vec::new());
+    let before = Snapshot::new(
+        list(EndpointListForm::Full, 7, WireEndpointState::Ready),
+        Vec::new(),
+    );
     std::fs::write(&state, before.to_bytes(1, None)).unwrap();
-    let mut prepared = Prepared::new(Net::Tcp, settings(&state), 1).await;
+    let mut prepared = Prepared::new(Network::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
     prepared.follow(Once {
-        list: list(ListForm::Full, 9, WireState::Draining),
+        list: list(EndpointListForm::Full, 9, WireEndpointState::Draining),
         hand,
     });
     assert!(prepared.heard(PATIENCE).await);
@@ -69,8 +74,8 @@
     let dispatcher = prepared.open().await.unwrap();
     let now = teller.list();
     assert_eq!(
-        (now.seq, now.members[0].state()),
-        (9, WireState::Draining),
+        (now.seq, now.endpoints[0].state()),
+        (9, WireEndpointState::Draining),
         "the older list is told over it"
     );
     dispatcher.stop().await;
@@ -83,10 +88,10 @@
     let (place, away) = (folder.path().join("state"), folder.path().join("away"));
     std::fs::create_dir(&place).unwrap();
     let state = place.join("edge.state");
-    let mut prepared = Prepared::new(Net::Tcp, settings(&state), 1).await;
+    let mut prepared = Prepared::new(Network::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
     prepared.follow(Once {
-        list: list(ListForm::Full, 9, WireState::Ready),
+        list: list(EndpointListForm::Full, 9, WireEndpointState::Ready),
         hand,
     });
     let teller = teller.await.unwrap();
--- a/crates/dispatcher/tests/upstream.rs
+++ b/crates/dispatcher/tests/upstream.rs
@@ -4,7 +4,7 @@
 use pointspindle_dispatcher::Dispatcher;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Link, LinkOptions};
+use pointspindle_transport::{ConnectionOptions, FramedConnection};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -83,7 +83,7 @@
     async fn hello(&mut self, process: u64) {
         let started_ago_us = Some(60_000_000);
         self.say(Frame::Hello(HelloHead {
-            process,
+            incarnation: process,
             started_ago_us,
             ..Default::default()
         }))
@@ -123,9 +123,9 @@
     }
 
     async fn answer(&mut self, id: u32) {
-        let head = AnswerHead {
+        let head = ResponseHead {
             size: Some(2),
-            note: WireNote::Hit as i32,
+            cache_status: WireCacheStatus::Hit as i32,
             ..Default::default()
         };
         self.say(Frame::Head(id, head)).await;
@@ -197,7 +197,7 @@
     for _ in 0..3 {
         let mut cut = Member::accept(&listener).await;
         let whole = cut.bytes(Frame::Hello(HelloHead {
-            process: 2,
+            incarnation: 2,
             ..Default::default()
         }));
         cut.socket
@@ -246,7 +246,7 @@
     member
         .say(Frame::Head(
             id,
-            AnswerHead {
+            ResponseHead {
                 size: Some(1 << 30),
                 ..Default::default()
             },
@@ -289,9 +289,9 @@
         let mut member = Member::accept(&listener).await;
         member.hello(1).await;
         let id = member.asked().await;
-        let head = AnswerHead {
+        let head = ResponseHead {
             size: Some(100),
-            note: WireNote::Hit as i32,
+            cache_status: WireCacheStatus::Hit as i32,
             ..Default::default()
         };
         let mut both = member.bytes(Frame::Head(id, head));
@@ -342,10 +342,10 @@
             asked = b.request() => (asked, b, a, two),
         };
         assert_eq!(asked.range, "");
-        let head = AnswerHead {
+        let head = ResponseHead {
             size: Some(10),
             validator: "\"v1\"".into(),
-            note: WireNote::Hit as i32,
+            cache_status: WireCacheStatus::Hit as i32,
             ..Default::default()
         };
         dies.say(Frame::Head(id, head.clone())).await;
@@ -357,10 +357,10 @@
             (asked.range.as_str(), asked.if_range.as_str()),
             ("bytes=4-9", "\"v1\"")
         );
-        let rest = AnswerHead {
+        let rest = ResponseHead {
             size: Some(6),
             range_first: Some(4),
-            whole_size: Some(10),
+            complete_size: Some(10),
             validator: second.into(),
             ..head
         };
@@ -484,8 +484,11 @@
         .unwrap();
     let bound = dispatcher.bound();
     let socket = TcpStream::connect(bound.framed.unwrap()).await.unwrap();
-    let (clients, _incoming) =
-        Link::start(socket, Side::Caller, LinkOptions { max_streams: 4_000 });
+    let (clients, _incoming) = FramedConnection::start(
+        socket,
+        Side::Caller,
+        ConnectionOptions { max_streams: 4_000 },
+    );
     let long = "x".repeat(12_000);
     let ask = |n: usize| RequestHead {
         object: format!("/page/{n}/{long}"),
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -11,7 +11,7 @@
 //!
 //! An ID is the writer's, never used again. Fields that are not known are skipped, so records may grow; another form of one is
 //! another version in the key.
-use pointspindle_protocol::{MemberLine, PurgeHead, WireState};
+use pointspindle_protocol::{EndpointRecord, PurgeHead, WireEndpointState};
 use serde::{Deserialize, Serialize};
 
 /// Between the operator's prefix and what this version holds.
@@ -134,26 +134,26 @@
 
 impl MemberRecord {
     /// As a dispatcher's list has it; none of a record: gone.
-    pub fn line(record: Option<&Self>, address: &str, wall_ms: u64) -> MemberLine {
+    pub fn line(record: Option<&Self>, address: &str, wall_ms: u64) -> EndpointRecord {
         let Some(r) = record else {
-            return MemberLine {
+            return EndpointRecord {
                 address: address.to_owned(),
-                state: WireState::Gone as i32,
+                state: WireEndpointState::Gone as i32,
                 ..Default::default()
             };
         };
         let state = match r.state {
-            State::Ready => WireState::Ready,
-            State::Draining => WireState::Draining,
+            State::Ready => WireEndpointState::Ready,
+            State::Draining => WireEndpointState::Draining,
         };
-        MemberLine {
+        EndpointRecord {
             address: address.to_owned(),
             state: state as i32,
             weight: r.weight,
             zone: r.zone.clone(),
             kind: r.kind.clone(),
             cell: r.cell,
-            start: r.start,
+            incarnation: r.start,
             started_ago_us: r
                 .started_unix_ms
                 .map(|at| wall_ms.saturating_sub(at).saturating_mul(1_000)),
--- a/crates/etcd/src/layout/tests.rs
+++ b/crates/etcd/src/layout/tests.rs
@@ -33,6 +33,9 @@
         MemberRecord::line(Some(&record), "a", 4_000).started_ago_us,
         Some(0)
     );
-    assert_eq!(MemberRecord::line(None, "a", 0).state(), WireState::Gone);
+    assert_eq!(
+        MemberRecord::line(None, "a", 0).state(),
+        WireEndpointState::Gone
+    );
     assert_eq!(purge(b"k", b"{\"group\":7}").unwrap().head().age_us, 0);
 }
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -4,7 +4,7 @@
 use crate::layout::DispatcherRecord;
 use crate::watcher::{Output, Rule, View, Watcher};
 use crate::writer::{self, Kept};
-use pointspindle_config::EdgeSettings;
+use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::{Source, Teller};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 impl EtcdSource {
     /// As a dispatcher's settings say; none where they say nothing of etcd.
-    pub fn of(settings: &EdgeSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
+    pub fn of(settings: &DispatcherSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
         let Some(e) = &settings.etcd else {
             return Ok(None);
         };
@@ -35,7 +35,7 @@
             user: e.user.clone(),
         };
         Ok(Some(Self {
-            etcd: Etcd::new(&access, Duration::from_micros(e.patience_us))?,
+            etcd: Etcd::new(&access, Duration::from_micros(e.call_timeout_us))?,
             prefix: e.prefix.clone(),
             name: settings.name.clone(),
             zone: settings.zones[settings.router.zone].clone(),
@@ -83,7 +83,7 @@
 fn tell(teller: &Teller, output: Output) {
     match output {
         Output::Members(head) => {
-            tracing::info!(form = ?head.form(), lines = head.members.len(), "etcd: member list");
+            tracing::info!(form = ?head.form(), lines = head.endpoints.len(), "etcd: member list");
             teller.members(head);
         }
         Output::Purge(head) => {
--- a/crates/etcd/src/watcher.rs
+++ b/crates/etcd/src/watcher.rs
@@ -16,7 +16,7 @@
 //!
 //! Kept: a line for each member, the last revision of each purge that is still written there.
 use crate::layout::{self, DispatcherRecord, MemberRecord, Name};
-use pointspindle_protocol::{ListForm, ListHead, PurgeHead};
+use pointspindle_protocol::{EndpointListForm, EndpointListHead, PurgeHead};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -109,7 +109,7 @@
     },
     /// Give up what was asked and is not answered.
     Hang,
-    Members(ListHead),
+    Members(EndpointListHead),
     Purge(PurgeHead),
     /// All dispatchers that are registered, by name.
     Dispatchers(BTreeMap<String, DispatcherRecord>),
@@ -469,10 +469,10 @@
             .iter()
             .map(|(a, r)| MemberRecord::line(Some(r), a, wall_ms))
             .collect();
-        out.push(Output::Members(ListHead {
-            form: ListForm::Full as i32,
+        out.push(Output::Members(EndpointListHead {
+            form: EndpointListForm::Full as i32,
             seq: self.seq,
-            members: lines,
+            endpoints: lines,
         }));
         self.whole(now, out);
         self.watch(now, out);
@@ -537,10 +537,10 @@
         if !lines.is_empty() {
             self.seq += 1;
             let members = lines.into_values().collect();
-            out.push(Output::Members(ListHead {
-                form: ListForm::Delta as i32,
+            out.push(Output::Members(EndpointListHead {
+                form: EndpointListForm::Delta as i32,
                 seq: self.seq,
-                members,
+                endpoints: members,
             }));
         }
     }
--- a/crates/etcd/tests/history.rs
+++ b/crates/etcd/tests/history.rs
@@ -3,7 +3,7 @@
 //! without a gap being told; a list as a dispatcher has it is the view.
 use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::*;
-use pointspindle_protocol::{ListForm, WireState};
+use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -126,12 +126,12 @@
                 Output::AskProgress => {}
                 Output::Hang => self.cut(),
                 Output::Members(head) => {
-                    if head.form() == ListForm::Full {
+                    if head.form() == EndpointListForm::Full {
                         self.list.clear();
                     }
-                    for line in head.members {
+                    for line in head.endpoints {
                         match line.state() {
-                            WireState::Gone => drop(self.list.remove(&line.address)),
+                            WireEndpointState::Gone => drop(self.list.remove(&line.address)),
                             _ => drop(self.list.insert(line.address, line.state)),
                         }
                     }
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -26,19 +26,19 @@
         &parse("test", SETTINGS).unwrap_or_else(|e| panic!("{e}")),
         1,
     );
-    let line = |address: &str, kind: &str| MemberLine {
+    let line = |address: &str, kind: &str| EndpointRecord {
         address: address.into(),
-        state: WireState::Ready as i32,
+        state: WireEndpointState::Ready as i32,
         weight: 5_000.0,
         zone: "b".into(),
         kind: kind.into(),
         ..Default::default()
     };
     let members = vec![line("127.0.0.1:2", "cache"), line("127.0.0.1:9", "origin")];
-    let list = ListHead {
-        form: ListForm::Full as i32,
+    let list = EndpointListHead {
+        form: EndpointListForm::Full as i32,
         seq: 1,
-        members,
+        endpoints: members,
     };
     core.handle(now, Told::Members(list), &mut Vec::new());
     core
--- a/crates/lab/src/audit/sums.rs
+++ b/crates/lab/src/audit/sums.rs
@@ -158,7 +158,7 @@
                     at.second = (sight.at, HashMap::new());
                 }
                 *at.second.1.entry(*by).or_default() += 1;
-                let of = roles.entry(role.word()).or_default();
+                let of = roles.entry(role.name()).or_default();
                 raise(&mut of.under_way, host, weight, sight.at, &at.by);
                 raise(&mut of.attempts, host, weight, sight.at, &at.second.1);
                 if at
@@ -333,7 +333,7 @@
             }
         }
     };
-    for of in sums.roles.iter().filter(|of| of.role == Role::Cache.word()) {
+    for of in sums.roles.iter().filter(|of| of.role == Role::Cache.name()) {
         let peak = &of.under_way;
         let detail = format!(
             "{} had {} under way from {} dispatchers, {:.2} for a unit of its weight",
--- a/crates/lab/src/book.rs
+++ b/crates/lab/src/book.rs
@@ -7,7 +7,9 @@
 use crate::scenario::script::Listed;
 use crate::scenario::{stream, RulesDay};
 use pointspindle::Micros;
-use pointspindle_protocol::{ListForm, ListHead, MemberLine, WireState};
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
+};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -198,7 +200,7 @@
 
 /// A list update as it is sent and as it is seen; `hidden`: only claimed to have been sent.
 pub struct Update {
-    pub head: ListHead,
+    pub head: EndpointListHead,
     pub saw: Saw,
     pub hidden: bool,
 }
@@ -206,7 +208,7 @@
 /// Words a list update for a dispatcher. `member` tells kind, zone and weight; plants of control act here.
 pub fn update<'a>(
     dispatcher: usize,
-    form: ListForm,
+    form: EndpointListForm,
     seq: u64,
     lines: &[Line],
     now: Micros,
@@ -221,7 +223,7 @@
             .map(|l| l.address.clone())
             .collect()
     };
-    let whole = form == ListForm::Full;
+    let whole = form == EndpointListForm::Full;
     let starts = lines
         .iter()
         .filter(|l| l.listed == Listed::Ready)
@@ -239,29 +241,29 @@
     let line = |l: &Line| {
         let (kind, zone, weight) = member(l.host).unwrap_or_default();
         let state = match l.listed {
-            Listed::Ready => WireState::Ready,
-            Listed::Draining => WireState::Draining,
-            Listed::Gone => WireState::Gone,
+            Listed::Ready => WireEndpointState::Ready,
+            Listed::Draining => WireEndpointState::Draining,
+            Listed::Gone => WireEndpointState::Gone,
         };
         // Hides a cold start.
         let started = l.started.filter(|_| plant != Some(Plant::Cold));
-        MemberLine {
+        EndpointRecord {
             address: l.address.clone(),
             state: state as i32,
             weight,
             zone: zone.into(),
             kind: kind.into(),
             cell: 0,
-            start: l.start,
+            incarnation: l.start,
             started_ago_us: started.map(|at| now.saturating_sub(at)),
         }
     };
     let members = lines.iter().map(line).collect();
     Update {
-        head: ListHead {
+        head: EndpointListHead {
             form: form as i32,
             seq,
-            members,
+            endpoints: members,
         },
         saw,
         hidden,
--- a/crates/lab/src/day/by_etcd.rs
+++ b/crates/lab/src/day/by_etcd.rs
@@ -11,7 +11,7 @@
 use pointspindle::ObjectId;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
-use pointspindle_protocol::ListForm;
+use pointspindle_protocol::EndpointListForm;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -115,7 +115,7 @@
             .map(drop)
     }
 
-    fn saw_lines(&self, dispatcher: usize, form: ListForm, lines: &[Line]) {
+    fn saw_lines(&self, dispatcher: usize, form: EndpointListForm, lines: &[Line]) {
         let nobody = |_| None;
         self.recorder.saw(
             book::update(
@@ -139,7 +139,11 @@
                     self.lines.push(line.clone());
                     let written = self.write(&line).await;
                     for dispatcher in 0..self.dispatchers {
-                        self.saw_lines(dispatcher, ListForm::Delta, std::slice::from_ref(&line));
+                        self.saw_lines(
+                            dispatcher,
+                            EndpointListForm::Delta,
+                            std::slice::from_ref(&line),
+                        );
                     }
                     if let Err(e) = written {
                         tracing::error!(error = %e, "a member cannot be written");
@@ -166,7 +170,7 @@
                 News::Up {
                     dispatcher, done, ..
                 } => {
-                    self.saw_lines(dispatcher, ListForm::Full, &self.lines);
+                    self.saw_lines(dispatcher, EndpointListForm::Full, &self.lines);
                     let _ = done.send(());
                 }
                 News::Down { .. } | News::Delay { .. } => {}
--- a/crates/lab/src/day/clients.rs
+++ b/crates/lab/src/day/clients.rs
@@ -4,10 +4,10 @@
 use crate::record::{End, Recorder, Saw, TryId};
 use crate::scenario::{Call, ClassDay, Effect, Scenario};
 use pointspindle::Micros;
-use pointspindle_protocol::http::HttpPiece;
+use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
-use pointspindle_protocol::{RequestHead, WireNote, WireStatus};
-use pointspindle_transport::{CallEnd, Link, LinkOptions, Net, Part};
+use pointspindle_protocol::{RequestHead, WireCacheStatus, WireStatus};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Network, ResponsePart};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,14 +22,14 @@
     pub http: SocketAddr,
     pub framed: SocketAddr,
     pub pool: HttpPool,
-    pub link: tokio::sync::Mutex<Option<Link>>,
+    pub link: tokio::sync::Mutex<Option<FramedConnection>>,
 }
 
 pub struct Clients {
     pub scenario: Scenario,
     pub recorder: Recorder,
     pub targets: Vec<Target>,
-    pub net: Net,
+    pub net: Network,
 }
 
 impl Clients {
@@ -108,22 +108,25 @@
         );
     }
 
-    async fn link(&self, target: &Target) -> Option<Link> {
+    async fn link(&self, target: &Target) -> Option<FramedConnection> {
         let mut held = target.link.lock().await;
-        if let Some(link) = held.as_ref().filter(|link| link.takes_calls()) {
+        if let Some(link) = held.as_ref().filter(|link| link.accepts_calls()) {
             return Some(link.clone());
         }
         let socket = tokio::time::timeout(CONNECT, self.net.connect(None, target.framed))
             .await
             .ok()?
             .ok()?;
-        let (link, mut incoming) =
-            Link::start(socket, Side::Caller, LinkOptions { max_streams: 4096 });
+        let (link, mut incoming) = FramedConnection::start(
+            socket,
+            Side::Caller,
+            ConnectionOptions { max_streams: 4096 },
+        );
         let (watched, recorder, dispatcher) = (link.clone(), self.recorder.clone(), target.number);
         tokio::spawn(async move {
             while incoming.next().await.is_some() {}
             watched.closed().await;
-            if watched.why_closed().contains("comes after its end") {
+            if watched.close_reason().contains("comes after its end") {
                 recorder.saw(Saw::Stray { dispatcher });
             }
         });
@@ -144,10 +147,10 @@
             part: call.part,
             group: call.group,
             class: class.name.clone(),
-            left_us: class.deadline,
+            time_left_us: class.deadline,
             size: self.scenario.sizes_told.then_some(call.size),
             trace: id.trace(),
-            key: if class.effect == Effect::Safe {
+            idempotency_key: if class.effect == Effect::Safe {
                 String::new()
             } else {
                 id.trace()
@@ -161,12 +164,12 @@
         let (mut old, mut size) = (false, None);
         while let Some(part) = answer.next().await {
             match part {
-                Part::Head(head) => {
-                    old = head.note() == WireNote::Old;
+                ResponsePart::Head(head) => {
+                    old = head.cache_status() == WireCacheStatus::Stale;
                     size = head.size;
                 }
-                Part::Data(data) => checker.take(&data),
-                Part::End(CallEnd::Complete(_)) => {
+                ResponsePart::Data(data) => checker.take(&data),
+                ResponsePart::End(CallEnd::Complete(_)) => {
                     let (bytes, version) = checker.finish();
                     let version = version.filter(|_| size.is_none_or(|size| size == bytes));
                     return Some(End::Served {
@@ -175,14 +178,14 @@
                         old,
                     });
                 }
-                Part::End(CallEnd::Error(e)) if e.status() == WireStatus::Refused => {
+                ResponsePart::End(CallEnd::Error(e)) if e.status() == WireStatus::Refused => {
                     return Some(End::Refused {
                         come_back: e.retry_after_us,
                     });
                 }
-                Part::End(CallEnd::Error(_)) if size.is_some() => return Some(End::Broken),
-                Part::End(CallEnd::Error(_)) => return Some(End::Failed),
-                Part::End(CallEnd::Broken(_) | CallEnd::NotSent) => return Some(End::Lost),
+                ResponsePart::End(CallEnd::Error(_)) if size.is_some() => return Some(End::Broken),
+                ResponsePart::End(CallEnd::Error(_)) => return Some(End::Failed),
+                ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => return Some(End::Lost),
             }
         }
         Some(End::Lost)
@@ -207,7 +210,7 @@
         let (mut status, mut old, mut come_back, mut keep) = (0, false, None, false);
         loop {
             match connection.next().await {
-                Some(Ok(HttpPiece::Head {
+                Some(Ok(HttpEvent::Head {
                     status: told,
                     fields,
                     keep_alive,
@@ -224,9 +227,9 @@
                         .and_then(|v| v.parse::<u64>().ok())
                         .map(|ms| ms * 1_000);
                 }
-                Some(Ok(HttpPiece::Data(data))) if status == 200 => checker.take(&data),
-                Some(Ok(HttpPiece::Data(_))) => {}
-                Some(Ok(HttpPiece::End)) => {
+                Some(Ok(HttpEvent::Data(data))) if status == 200 => checker.take(&data),
+                Some(Ok(HttpEvent::Data(_))) => {}
+                Some(Ok(HttpEvent::End)) => {
                     if keep {
                         target.pool.give_back(connection);
                     }
--- a/crates/lab/src/day/control.rs
+++ b/crates/lab/src/day/control.rs
@@ -6,7 +6,7 @@
 use pointspindle::{Micros, ObjectId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Link, LinkOptions, Net};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Network};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,12 +41,12 @@
     /// By member: role and zone, for list lines.
     pub members: HashMap<usize, (String, String, f64)>,
     pub plant: Option<Plant>,
-    pub net: Net,
+    pub net: Network,
 }
 
 impl Control {
     pub async fn run(mut self, mut news: mpsc::UnboundedReceiver<News>) {
-        let mut links: HashMap<usize, Link> = HashMap::new();
+        let mut links: HashMap<usize, FramedConnection> = HashMap::new();
         let mut waiting: HashMap<usize, oneshot::Sender<()>> = HashMap::new();
         loop {
             let now = self.recorder.now();
@@ -91,7 +91,7 @@
                         continue;
                     };
                     let (link, mut incoming) =
-                        Link::start(socket, Side::Caller, LinkOptions::default());
+                        FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
                     tokio::spawn(async move { while incoming.next().await.is_some() {} });
                     links.insert(dispatcher, link);
                     waiting.insert(dispatcher, done);
@@ -101,7 +101,7 @@
         }
     }
 
-    async fn tell(&mut self, dispatcher: usize, link: &Link, told: Told) {
+    async fn tell(&mut self, dispatcher: usize, link: &FramedConnection, told: Told) {
         let now = self.recorder.now();
         let (frame, saw, hidden) = match told {
             Told::Purge { object, group, at } => {
@@ -126,8 +126,12 @@
                     false,
                 )
             }
-            Told::Delta(seq, lines) => self.list(dispatcher, ListForm::Delta, seq, lines, now),
-            Told::Full(seq, lines) => self.list(dispatcher, ListForm::Full, seq, lines, now),
+            Told::Delta(seq, lines) => {
+                self.list(dispatcher, EndpointListForm::Delta, seq, lines, now)
+            }
+            Told::Full(seq, lines) => {
+                self.list(dispatcher, EndpointListForm::Full, seq, lines, now)
+            }
         };
         // Seen as told before it can take effect.
         self.recorder.saw(saw);
@@ -139,7 +143,7 @@
     fn list(
         &self,
         dispatcher: usize,
-        form: ListForm,
+        form: EndpointListForm,
         seq: u64,
         lines: Vec<Line>,
         now: Micros,
@@ -149,6 +153,6 @@
             Some((kind.as_str(), zone.as_str(), *weight))
         };
         let told = book::update(dispatcher, form, seq, &lines, now, self.plant, member);
-        (Frame::Members(told.head), told.saw, told.hidden)
+        (Frame::EndpointList(told.head), told.saw, told.hidden)
     }
 }
--- a/crates/lab/src/day/http_client.rs
+++ b/crates/lab/src/day/http_client.rs
@@ -1,6 +1,6 @@
 //! A client's HTTP connections to one dispatcher.
-use pointspindle_protocol::http::{HttpPiece, ResponseCodec};
-use pointspindle_transport::{Idle, Line, Net, Reader, WriteHalf};
+use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
+use pointspindle_transport::{FrameReader, IdleState, Network, Socket, WriteHalf};
 use std::net::SocketAddr;
 use std::sync::Mutex;
 
@@ -8,7 +8,7 @@
 const KEPT: usize = 64;
 
 pub struct Connection {
-    read: Reader<ResponseCodec>,
+    read: FrameReader<ResponseCodec>,
     write: WriteHalf,
 }
 
@@ -19,15 +19,19 @@
 
 impl HttpPool {
     /// A connection, and how many were found with bytes on them that nobody had asked for.
-    pub async fn take(&self, net: &Net, to: SocketAddr) -> (std::io::Result<Connection>, usize) {
+    pub async fn take(
+        &self,
+        net: &Network,
+        to: SocketAddr,
+    ) -> (std::io::Result<Connection>, usize) {
         let mut strays = 0;
         loop {
             let idle = self.idle.lock().unwrap_or_else(|p| p.into_inner()).pop();
             let Some(connection) = idle else { break };
             match connection.read.idle() {
-                Idle::Quiet => return (Ok(connection), strays),
-                Idle::Closed => {}
-                Idle::Stray => strays += 1,
+                IdleState::Quiet => return (Ok(connection), strays),
+                IdleState::Closed => {}
+                IdleState::Stray => strays += 1,
             }
         }
         (net.connect(None, to).await.map(Connection::over), strays)
@@ -42,10 +46,10 @@
 }
 
 impl Connection {
-    pub fn over(line: impl Into<Line>) -> Self {
+    pub fn over(line: impl Into<Socket>) -> Self {
         let (read, write) = line.into().split();
         Self {
-            read: Reader::new(read, ResponseCodec::new(false)),
+            read: FrameReader::new(read, ResponseCodec::new(false)),
             write,
         }
     }
@@ -58,7 +62,7 @@
     }
 
     /// The next piece of the answer; none: the connection ended where it may.
-    pub async fn next(&mut self) -> Option<Result<HttpPiece, String>> {
+    pub async fn next(&mut self) -> Option<Result<HttpEvent, String>> {
         self.read
             .next()
             .await
--- a/crates/lab/src/day/mod.rs
+++ b/crates/lab/src/day/mod.rs
@@ -20,8 +20,8 @@
 use clients::{Clients, Target};
 use control::{Control, News};
 use pointspindle::{Micros, ObjectId};
-use pointspindle_transport::simulated::SimNet;
-use pointspindle_transport::Net;
+use pointspindle_transport::simulated::SimulatedNetwork;
+use pointspindle_transport::Network;
 use process::{source_ip, Process};
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -148,7 +148,7 @@
         .start_paused(true)
         .build()?;
     runtime.block_on(async {
-        let net = SimNet::new(scenario.weather, stream(scenario.seed, "network"));
+        let net = SimulatedNetwork::new(scenario.weather, stream(scenario.seed, "network"));
         play(
             scenario,
             &Rig::Shell(net),
@@ -164,14 +164,14 @@
 enum Rig<'a> {
     /// The dispatcher's binary, and the stand-in etcd from which they learn of lists and purges, if so.
     Processes(&'a Path, Option<Flapping>),
-    Shell(SimNet),
+    Shell(SimulatedNetwork),
 }
 
 impl Rig<'_> {
-    fn net(&self) -> Net {
+    fn net(&self) -> Network {
         match self {
-            Self::Processes(..) => Net::Tcp,
-            Self::Shell(net) => Net::Simulated(net.clone()),
+            Self::Processes(..) => Network::Tcp,
+            Self::Shell(net) => Network::Simulated(net.clone()),
         }
     }
 
@@ -333,7 +333,7 @@
         book.rename(0, relay.to_string());
     }
     let zones = scenario.zones();
-    let line = |h: &HostSpec| (h.role.word().to_owned(), zones[h.zone].clone(), h.weight);
+    let line = |h: &HostSpec| (h.role.name().to_owned(), zones[h.zone].clone(), h.weight);
     let members = all
         .iter()
         .enumerate()
@@ -623,7 +623,7 @@
                 });
                 for dispatcher in 0..processes.len() {
                     if *parted {
-                        net.part(source_ip(dispatcher), at.ip());
+                        net.partition(source_ip(dispatcher), at.ip());
                     } else {
                         net.heal(source_ip(dispatcher), at.ip());
                     }
--- a/crates/lab/src/day/relay.rs
+++ b/crates/lab/src/day/relay.rs
@@ -2,7 +2,7 @@
 use crate::record::Recorder;
 use pointspindle::Micros;
 use pointspindle_protocol::streams::Side;
-use pointspindle_transport::{CallEnd, Inbound, Link, LinkOptions, Part};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Inbound, ResponsePart};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -100,8 +100,10 @@
     let onward = TcpSocket::new_v4()?;
     onward.bind(SocketAddr::new(peer.ip(), 0))?;
     let onward = onward.connect(to).await?;
-    let (_link, mut incoming) = Link::start(socket, Side::Answerer, LinkOptions::default());
-    let (member, mut words) = Link::start(onward, Side::Caller, LinkOptions::default());
+    let (_link, mut incoming) =
+        FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
+    let (member, mut words) =
+        FramedConnection::start(onward, Side::Caller, ConnectionOptions::default());
     tokio::spawn(async move { while words.next().await.is_some() {} });
     while let Some(inbound) = incoming.next().await {
         let Inbound::Request(head, mut responder) = inbound else {
@@ -115,16 +117,16 @@
             loop {
                 let part = tokio::select! {
                     part = first.next() => part,
-                    _ = responder.gone() => return,
+                    _ = responder.cancelled() => return,
                 };
                 let passed = match part {
-                    Some(Part::Head(head)) => responder.head(head).await,
-                    Some(Part::Data(data)) => responder.data(data).await,
-                    Some(Part::End(CallEnd::Complete(end))) => {
+                    Some(ResponsePart::Head(head)) => responder.head(head).await,
+                    Some(ResponsePart::Data(data)) => responder.data(data).await,
+                    Some(ResponsePart::End(CallEnd::Complete(end))) => {
                         let _ = responder.end(end.load).await;
                         return;
                     }
-                    Some(Part::End(CallEnd::Error(error))) => {
+                    Some(ResponsePart::End(CallEnd::Error(error))) => {
                         let _ = responder.error(error).await;
                         return;
                     }
--- a/crates/lab/src/day/task.rs
+++ b/crates/lab/src/day/task.rs
@@ -4,8 +4,8 @@
 use super::RigError;
 use crate::scenario::Scenario;
 use pointspindle_dispatcher::Dispatcher;
-use pointspindle_transport::simulated::SimNet;
-use pointspindle_transport::Net;
+use pointspindle_transport::simulated::SimulatedNetwork;
+use pointspindle_transport::Network;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
@@ -18,13 +18,13 @@
 pub struct Task {
     number: usize,
     folder: PathBuf,
-    net: SimNet,
+    net: SimulatedNetwork,
     doors: Doors,
-    up: Option<(Dispatcher, SimNet)>,
+    up: Option<(Dispatcher, SimulatedNetwork)>,
 }
 
 impl Task {
-    pub fn new(net: SimNet, folder: &Path, number: usize) -> Self {
+    pub fn new(net: SimulatedNetwork, folder: &Path, number: usize) -> Self {
         let any = SocketAddr::new(listen_ip(number), 0);
         let doors = Doors {
             http: any,
@@ -52,9 +52,9 @@
             .join(format!("dispatcher-{}.state", self.number));
         let text = ini(scenario, self.number, &self.doors, &bind, &state, None);
         let settings = pointspindle_config::parse("settings", &text).map_err(|e| self.failed(e))?;
-        let life = self.net.life();
+        let life = self.net.incarnation();
         let seed = scenario.seed ^ self.number as u64;
-        let started = Dispatcher::start_on(Net::Simulated(life.clone()), settings, seed).await;
+        let started = Dispatcher::start_on(Network::Simulated(life.clone()), settings, seed).await;
         let dispatcher = started.map_err(|e| self.failed(e))?;
         let bound = dispatcher.bound();
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
--- a/crates/lab/src/demo.rs
+++ b/crates/lab/src/demo.rs
@@ -3,7 +3,7 @@
 use crate::model::*;
 use crate::record::Recorder;
 use crate::sockets::{Stage, StageOptions};
-use pointspindle_protocol::MemberLine;
+use pointspindle_protocol::EndpointRecord;
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
 pub const SAMPLES: [(&str, usize, u64); 5] = [
@@ -58,7 +58,7 @@
 pub async fn start(
     class_names: [&str; 2],
     zones: [&str; 2],
-) -> std::io::Result<(Stage, Vec<MemberLine>)> {
+) -> std::io::Result<(Stage, Vec<EndpointRecord>)> {
     let mut hosts = Vec::new();
     for (role, zone, weight) in [
         (Role::Cache, 1, 8.0),
@@ -95,12 +95,12 @@
             .find(|(name, ..)| *name == &*w.object)
             .map(|s| s.2)
     };
-    let line = |h: &HostSpec| MemberLine {
+    let line = |h: &HostSpec| EndpointRecord {
         address: h.address.clone(),
-        state: pointspindle_protocol::WireState::Ready as i32,
+        state: pointspindle_protocol::WireEndpointState::Ready as i32,
         weight: h.weight,
         zone: zones[h.zone].into(),
-        kind: h.role.word().into(),
+        kind: h.role.name().into(),
         ..Default::default()
     };
     let lines = hosts.iter().map(line).collect();
--- a/crates/lab/src/idle.rs
+++ b/crates/lab/src/idle.rs
@@ -5,10 +5,10 @@
 //! process number is known can be measured, so that a plain one can stand beside the dispatcher in the same run.
 use crate::day::http_client::Connection;
 use hdrhistogram::Histogram;
-use pointspindle_protocol::http::HttpPiece;
+use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::RequestHead;
-use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
 use serde::{Deserialize, Serialize};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -80,7 +80,7 @@
 /// A connection that was used once, and how many bytes of program and kernel it costs is what is asked.
 enum Held {
     Http(Connection),
-    Framed(Link),
+    Framed(FramedConnection),
 }
 
 impl Held {
@@ -94,21 +94,22 @@
                 .ok_or_else(unserved);
         };
         let socket = connect(n, *to).await?;
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         let (object, class) = (plan.path.clone(), class.clone());
         let head = RequestHead {
             object,
             class,
-            left_us: 10_000_000,
+            time_left_us: 10_000_000,
             ..Default::default()
         };
         for _ in 0..TRIES {
             let mut call = link.call(head.clone()).map_err(std::io::Error::other)?;
             while let Some(part) = call.next().await {
                 match part {
-                    Part::End(CallEnd::Complete(_)) => return Ok(Self::Framed(link)),
-                    Part::End(_) => break,
+                    ResponsePart::End(CallEnd::Complete(_)) => return Ok(Self::Framed(link)),
+                    ResponsePart::End(_) => break,
                     _ => {}
                 }
             }
@@ -133,9 +134,9 @@
     let mut well = false;
     loop {
         match connection.next().await {
-            Some(Ok(HttpPiece::Head { status, .. })) => well = status == 200,
-            Some(Ok(HttpPiece::Data(_))) => {}
-            Some(Ok(HttpPiece::End)) => return well,
+            Some(Ok(HttpEvent::Head { status, .. })) => well = status == 200,
+            Some(Ok(HttpEvent::Data(_))) => {}
+            Some(Ok(HttpEvent::End)) => return well,
             _ => return false,
         }
     }
--- a/crates/lab/src/model/host.rs
+++ b/crates/lab/src/model/host.rs
@@ -149,9 +149,9 @@
             self.report = (
                 now,
                 LoadReport {
-                    util,
-                    hits: self.hits,
-                    link,
+                    utilization: util,
+                    hit_ratio: self.hits,
+                    link_utilization: link,
                 },
             );
         }
--- a/crates/lab/src/model/mod.rs
+++ b/crates/lab/src/model/mod.rs
@@ -16,7 +16,7 @@
 pub use world::{Catalogue, World};
 
 use pointspindle::Micros;
-use pointspindle_protocol::{LoadReport, WireNote, WireStatus};
+use pointspindle_protocol::{LoadReport, WireCacheStatus, WireStatus};
 use std::sync::Arc;
 
 pub use pointspindle_config::Role;
@@ -139,7 +139,7 @@
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Answer {
-    pub note: WireNote,
+    pub note: WireCacheStatus,
     pub copy: Copy,
     pub age: Micros,
     pub fresh_left: Option<Micros>,
@@ -156,7 +156,7 @@
     Complete,
     Told {
         status: WireStatus,
-        note: WireNote,
+        note: WireCacheStatus,
     },
     /// Not reached, or the connection broke.
     Unreachable,
@@ -243,7 +243,7 @@
         host: HostId,
         job: JobId,
         status: WireStatus,
-        note: WireNote,
+        note: WireCacheStatus,
         may_have_run: bool,
         load: LoadReport,
     },
--- a/crates/lab/src/model/world/fills.rs
+++ b/crates/lab/src/model/world/fills.rs
@@ -29,9 +29,9 @@
                     .filling
                     .contains_key(&(wanted.number, wanted.part));
                 let note = if under_way {
-                    WireNote::Joined
+                    WireCacheStatus::Coalesced
                 } else {
-                    WireNote::Untold
+                    WireCacheStatus::Unreported
                 };
                 self.reject(now, h, job, WireStatus::Miss, note, false, out);
             }
@@ -44,8 +44,8 @@
                     now,
                     h,
                     job,
-                    WireStatus::Full,
-                    WireNote::NoFillPlace,
+                    WireStatus::Rejected,
+                    WireCacheStatus::FillLimitReached,
                     false,
                     out,
                 );
@@ -200,12 +200,16 @@
         self.refresh_link(zone);
         for (n, job) in waiting.into_iter().enumerate() {
             let note = match (n, head.note, self.source_is_origin(h, fill)) {
-                (1.., ..) => WireNote::Joined,
+                (1.., ..) => WireCacheStatus::Coalesced,
                 (_, _, true)
-                | (_, WireNote::Filled | WireNote::FilledByOrigin | WireNote::Joined, _) => {
-                    WireNote::FilledByOrigin
-                }
-                _ => WireNote::Filled,
+                | (
+                    _,
+                    WireCacheStatus::Filled
+                    | WireCacheStatus::FilledByOrigin
+                    | WireCacheStatus::Coalesced,
+                    _,
+                ) => WireCacheStatus::FilledByOrigin,
+                _ => WireCacheStatus::Filled,
             };
             self.serve_from_fill(now, h, fill, job, &head, note, out);
         }
@@ -230,7 +234,7 @@
         fill: FillId,
         job: JobId,
         head: &Answer,
-        note: WireNote,
+        note: WireCacheStatus,
         out: &mut Vec<Out>,
     ) {
         let Some(found) = self.hosts[h].jobs.remove(&job) else {
@@ -295,7 +299,7 @@
         now: Micros,
         h: HostId,
         fill: FillId,
-        told: Option<(WireStatus, WireNote)>,
+        told: Option<(WireStatus, WireCacheStatus)>,
         out: &mut Vec<Out>,
     ) {
         let origin = self.source_is_origin(h, fill);
@@ -340,17 +344,21 @@
             });
         }
         let (status, note, ran) = match told {
-            Some((WireStatus::Full, _)) => (WireStatus::Full, WireNote::SourceRefused, false),
-            Some((WireStatus::Miss, _)) => (WireStatus::Miss, WireNote::SourceLacks, false),
+            Some((WireStatus::Rejected, _)) => {
+                (WireStatus::Rejected, WireCacheStatus::SourceRejected, false)
+            }
+            Some((WireStatus::Miss, _)) => (WireStatus::Miss, WireCacheStatus::SourceMiss, false),
             Some((
                 _,
-                WireNote::SourceRefused | WireNote::SourceUnreachable | WireNote::OriginFailed,
-            )) => (WireStatus::Error, WireNote::OriginFailed, true),
-            _ => (WireStatus::Error, WireNote::SourceUnreachable, true),
+                WireCacheStatus::SourceRejected
+                | WireCacheStatus::SourceUnreachable
+                | WireCacheStatus::OriginFailed,
+            )) => (WireStatus::Error, WireCacheStatus::OriginFailed, true),
+            _ => (WireStatus::Error, WireCacheStatus::SourceUnreachable, true),
         };
         // A parent whose origin turned it away says so as a failure of the origin, not as its own lack of room.
         let (status, note) = match (parent && origin, note) {
-            (true, WireNote::SourceRefused) => (WireStatus::Error, note),
+            (true, WireCacheStatus::SourceRejected) => (WireStatus::Error, note),
             _ => (status, note),
         };
         for job in found.waiting {
--- a/crates/lab/src/model/world/mod.rs
+++ b/crates/lab/src/model/world/mod.rs
@@ -379,14 +379,38 @@
         let host = &self.hosts[h];
         let faults = &host.faults;
         if now < faults.refuse {
-            return self.reject(now, h, job, WireStatus::Full, WireNote::Untold, false, out);
+            return self.reject(
+                now,
+                h,
+                job,
+                WireStatus::Rejected,
+                WireCacheStatus::Unreported,
+                false,
+                out,
+            );
         }
         let (err, lose) = (faults.err, faults.lose);
         if now < err.1 && self.rng.gen::<f64>() < err.0 {
-            return self.reject(now, h, job, WireStatus::Error, WireNote::Untold, true, out);
+            return self.reject(
+                now,
+                h,
+                job,
+                WireStatus::Error,
+                WireCacheStatus::Unreported,
+                true,
+                out,
+            );
         }
         if host.busy >= host.spec.places && host.queue.len() >= host.spec.queue {
-            return self.reject(now, h, job, WireStatus::Full, WireNote::Untold, false, out);
+            return self.reject(
+                now,
+                h,
+                job,
+                WireStatus::Rejected,
+                WireCacheStatus::Unreported,
+                false,
+                out,
+            );
         }
         if now < lose.1 && self.rng.gen::<f64>() < lose.0 {
             let lost = Job {
@@ -447,7 +471,11 @@
         host.store.touch(key, rank);
         host.hits = host.hits * 0.98 + 0.02;
         let old = fresh > 0 && age > fresh;
-        let note = if old { WireNote::Old } else { WireNote::Hit };
+        let note = if old {
+            WireCacheStatus::Stale
+        } else {
+            WireCacheStatus::Hit
+        };
         let renew = wanted.renew && fresh > 0 && age as f64 > RENEW_FROM * fresh as f64;
         let behind = renew.then(|| wanted.clone());
         let answer = self.answer(now, h, note, copy, &wanted);
@@ -477,7 +505,7 @@
         &mut self,
         now: Micros,
         h: HostId,
-        note: WireNote,
+        note: WireCacheStatus,
         copy: Copy,
         wanted: &Wanted,
     ) -> Answer {
@@ -531,7 +559,7 @@
                     },
                 );
                 if let Some(head) = head {
-                    self.serve_from_fill(now, h, fill, job, &head, WireNote::Joined, out);
+                    self.serve_from_fill(now, h, fill, job, &head, WireCacheStatus::Coalesced, out);
                 }
                 return;
             }
@@ -703,7 +731,7 @@
         h: HostId,
         job: JobId,
         status: WireStatus,
-        note: WireNote,
+        note: WireCacheStatus,
         may_have_run: bool,
         out: &mut Vec<Out>,
     ) {
@@ -791,7 +819,7 @@
             size: 0,
             birth: now,
         });
-        let mut answer = self.answer(now, h, WireNote::Hit, copy, &wanted);
+        let mut answer = self.answer(now, h, WireCacheStatus::Hit, copy, &wanted);
         answer.code = code;
         self.admit(now, h, job, wanted, answer, None, out);
     }
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -8,7 +8,7 @@
 pub mod slopes;
 pub mod steps;
 
-use pointspindle_config::{Complaints, Reader};
+use pointspindle_config::{ConfigErrors, Reader};
 use serde::{Deserialize, Serialize};
 
 /// The fleet ahead, its budgets, and the shape of the run.
@@ -43,17 +43,17 @@
 /// More than this in one process or fleet is no rehearsal on one machine.
 const MOST: usize = 100_000;
 
-pub fn read(name: &str, text: &str) -> Result<Target, Complaints> {
+pub fn read(name: &str, text: &str) -> Result<Target, ConfigErrors> {
     let mut r = Reader::new(name, text)?;
     let target = Target {
-        dispatchers: r.must(
+        dispatchers: r.required(
             "target",
             "dispatchers",
             0usize,
             "how many dispatchers there will be",
         ),
         sites: r.number("target", "sites", 1, 1, MOST),
-        hosts: r.must(
+        hosts: r.required(
             "target",
             "hosts",
             0usize,
@@ -81,7 +81,7 @@
     };
     for (key, count) in [("dispatchers", target.dispatchers), ("hosts", target.hosts)] {
         if count == 0 || count > MOST {
-            r.complain("target", key, &format!("{count} is not within 1 to {MOST}"));
+            r.report("target", key, &format!("{count} is not within 1 to {MOST}"));
         }
     }
     r.finish()?;
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -9,7 +9,7 @@
 use pointspindle_dispatcher::{Ears, Hollow, Items, Prepared, Told};
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::EtcdSource;
-use pointspindle_transport::Net;
+use pointspindle_transport::Network;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -247,7 +247,7 @@
     let source = EtcdSource::of(&settings, seed)
         .map_err(|e| e.to_string())?
         .ok_or("no control store")?;
-    let prepared = Prepared::new(Net::Tcp, settings, seed).await;
+    let prepared = Prepared::new(Network::Tcp, settings, seed).await;
     let ears: Ears = Arc::new(move |told| {
         let now = now_us();
         let mut ear = lock(&ear);
@@ -258,8 +258,8 @@
                 }
             }
             // A change writes its moment as the member's start.
-            Told::Members(head) if head.members.len() == 1 => {
-                let at = head.members[0].start;
+            Told::Members(head) if head.endpoints.len() == 1 => {
+                let at = head.endpoints[0].incarnation;
                 if at > 1_000_000_000_000_000 {
                     let _ = ear.changes.record(now.saturating_sub(at).max(1));
                 }
@@ -304,7 +304,7 @@
         let mut settings =
             parse_cache("hollow", &host_settings(number)).map_err(|e| e.to_string())?;
         settings.store = None;
-        let host = Host::start(settings, Net::Tcp)
+        let host = Host::start(settings, Network::Tcp)
             .await
             .map_err(|e| e.to_string())?;
         listed.push((host.bound().framed.to_string(), record(number, sites)));
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -13,8 +13,8 @@
 use crate::model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::Ledger;
-use pointspindle_config::Complaints;
-use pointspindle_transport::simulated::Weather;
+use pointspindle_config::ConfigErrors;
+use pointspindle_transport::simulated::NetworkConditions;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -159,7 +159,7 @@
     pub told_alone: bool,
     pub classes: Vec<ClassDay>,
     /// Of the simulated network of `lab run --shell`.
-    pub weather: Weather,
+    pub weather: NetworkConditions,
     pub troubles: Vec<script::Trouble>,
 }
 
@@ -201,19 +201,23 @@
 }
 
 /// Reads and checks a scenario; `seed` in place of the file's.
-pub fn load(path: &Path, seed: Option<u64>) -> Result<Scenario, Complaints> {
+pub fn load(path: &Path, seed: Option<u64>) -> Result<Scenario, ConfigErrors> {
     load_with(path, seed, &[])
 }
 
 /// ... and `sets` in place of its own values.
-pub fn load_with(path: &Path, seed: Option<u64>, sets: &[Change]) -> Result<Scenario, Complaints> {
+pub fn load_with(
+    path: &Path,
+    seed: Option<u64>,
+    sets: &[Change],
+) -> Result<Scenario, ConfigErrors> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|e| Complaints::one(&name, 0, "", &format!("cannot be read: {e}")))?;
+        .map_err(|e| ConfigErrors::single(&name, 0, "", &format!("cannot be read: {e}")))?;
     parse_with(&name, &text, seed, sets)
 }
 
-pub fn parse(name: &str, text: &str, seed: Option<u64>) -> Result<Scenario, Complaints> {
+pub fn parse(name: &str, text: &str, seed: Option<u64>) -> Result<Scenario, ConfigErrors> {
     parse_with(name, text, seed, &[])
 }
 
@@ -222,7 +226,7 @@
     text: &str,
     seed: Option<u64>,
     sets: &[Change],
-) -> Result<Scenario, Complaints> {
+) -> Result<Scenario, ConfigErrors> {
     let mut scenario = read::read(name, text, seed, sets)?;
     let calls = Traffic::draw(&scenario).calls;
     for (n, class) in scenario.classes.iter_mut().enumerate() {
--- a/crates/lab/src/scenario/read.rs
+++ b/crates/lab/src/scenario/read.rs
@@ -19,11 +19,11 @@
         };
         let (Ok(a), Ok(b)) = (a.trim().parse::<f64>(), b.trim().parse::<f64>()) else {
             self.reader
-                .complain(section, key, "not a range of two numbers, such as 2..5");
+                .report(section, key, "not a range of two numbers, such as 2..5");
             return default;
         };
         if !(a <= b && a >= least && b <= most) {
-            self.reader.complain(
+            self.reader.report(
                 section,
                 key,
                 &format!("not a range within {least} to {most}"),
@@ -58,7 +58,7 @@
     text: &str,
     seed: Option<u64>,
     sets: &[Change],
-) -> Result<Scenario, Complaints> {
+) -> Result<Scenario, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     for set in sets {
         reader.set(&set.section, &set.key, &set.value);
@@ -69,7 +69,7 @@
     let about = d.reader.text("day", "about").unwrap_or_default();
     if about.is_empty() {
         d.reader
-            .complain("day", "about", "missing: one line on what is rehearsed");
+            .report("day", "about", "missing: one line on what is rehearsed");
     }
     let seconds = d.num("day", "seconds", 45.0, 2.0, 3_600.0);
     let rate = d.num("day", "rate", 90.0, 0.1, 1e6);
@@ -134,7 +134,7 @@
             others: d.share("sums", "others", 0.0),
         },
         classes: classes(&mut d),
-        weather: Weather {
+        weather: NetworkConditions {
             latency: Duration::from_micros(d.ms("network", "latency_ms", 0.2)),
             jitter: Duration::from_micros(d.ms("network", "jitter_ms", 0.1)),
             loss: d.share("network", "loss", 0.0),
@@ -166,7 +166,7 @@
         let b = d.num("rules", &format!("{key}_most_ms"), most, 0.0, 6e5);
         if b < a {
             d.reader
-                .complain("rules", &format!("{key}_most_ms"), "less than the least");
+                .report("rules", &format!("{key}_most_ms"), "less than the least");
         }
         ((a * 1e3) as Micros, (b.max(a) * 1e3) as Micros)
     };
@@ -283,7 +283,7 @@
     }
     if classes.is_empty() {
         d.reader
-            .complain("class NAME", "", "no class: nobody asks for anything");
+            .report("class NAME", "", "no class: nobody asks for anything");
     }
     classes
 }
@@ -294,7 +294,7 @@
         let s = format!("trouble {name}");
         let Some(kind) = d.reader.text(&s, "kind").and_then(|k| Kind::of(&k)) else {
             let words: Vec<&str> = Kind::WORDS.iter().map(|(w, _)| *w).collect();
-            d.reader.complain(
+            d.reader.report(
                 &s,
                 "kind",
                 &format!("missing or none of {}", words.join(", ")),
@@ -306,7 +306,7 @@
         let zone = zone.and_then(|z| {
             let found = zones.iter().position(|known| *known == z);
             if found.is_none() {
-                d.reader.complain(
+                d.reader.report(
                     &s,
                     "zone",
                     &format!("{z:?} is none of {}", zones.join(", ")),
@@ -321,7 +321,7 @@
             .and_then(|t| match t.parse::<usize>() {
                 Ok(n) => Some(n),
                 Err(_) => {
-                    d.reader.complain(&s, "number", "not a whole number");
+                    d.reader.report(&s, "number", "not a whole number");
                     None
                 }
             });
@@ -335,12 +335,11 @@
         let ways = d.reader.choice(&s, "ways", Ways::WORDS[0].1, &Ways::WORDS);
         let told = d.reader.flag(&s, "told", true);
         if kind.strikes_site() && kind.needs_fleet() && zone.is_none() {
-            d.reader
-                .complain(&s, "zone", "missing: which site is struck");
+            d.reader.report(&s, "zone", "missing: which site is struck");
         }
         let at = d.s(&s, "at_s", 5.0);
         if at >= scenario.length() {
-            d.reader.complain(&s, "at_s", "after the end of the day");
+            d.reader.report(&s, "at_s", "after the end of the day");
         }
         troubles.push(Trouble {
             at,
--- a/crates/lab/src/sockets/fills.rs
+++ b/crates/lab/src/sockets/fills.rs
@@ -4,8 +4,8 @@
 use crate::content::Checker;
 use crate::model::{Answer, Copy, FillId, HostId, In, SourceEnd, Wanted};
 use pointspindle::Micros;
-use pointspindle_protocol::AnswerHead;
-use pointspindle_transport::{CallEnd, Part};
+use pointspindle_protocol::ResponseHead;
+use pointspindle_transport::{CallEnd, ResponsePart};
 
 /// Longest wait that a fill tells its source; the world gives up earlier by itself.
 const LEFT_US: u64 = 10_000_000;
@@ -34,13 +34,13 @@
     let mut bodyless = false;
     while let Some(part) = call.next().await {
         match part {
-            Part::Head(head) => {
-                bodyless = head.not_modified || head.code != 0 || head.size == Some(0);
+            ResponsePart::Head(head) => {
+                bodyless = head.not_modified || head.origin_status != 0 || head.size == Some(0);
                 let answer = answer(asked, &head, wanted);
                 stage.tell(In::SourceHead { host, fill, answer });
             }
-            Part::Data(data) => checker.take(&data),
-            Part::End(CallEnd::Complete(_)) => {
+            ResponsePart::Data(data) => checker.take(&data),
+            ResponsePart::End(CallEnd::Complete(_)) => {
                 // A copy with a wrong byte is no copy.
                 let right = bodyless || checker.finish().1.is_some();
                 return if right {
@@ -49,13 +49,13 @@
                     SourceEnd::Unreachable
                 };
             }
-            Part::End(CallEnd::Error(e)) => {
+            ResponsePart::End(CallEnd::Error(e)) => {
                 return SourceEnd::Told {
                     status: e.status(),
-                    note: e.note(),
+                    note: e.cache_status(),
                 };
             }
-            Part::End(CallEnd::Broken(_) | CallEnd::NotSent) => break,
+            ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => break,
         }
     }
     SourceEnd::Unreachable
@@ -63,12 +63,12 @@
 
 /// The copy counts as no younger than the question (RFC 9111, 4.2.3): its source may have taken it, and told its age,
 /// long before the head came here, and a purge may lie in between.
-fn answer(asked: Micros, head: &AnswerHead, wanted: &Wanted) -> Answer {
+fn answer(asked: Micros, head: &ResponseHead, wanted: &Wanted) -> Answer {
     let version = words::version(&head.validator)
         .or(wanted.holds)
         .unwrap_or(0);
     Answer {
-        note: head.note(),
+        note: head.cache_status(),
         copy: Copy {
             version,
             size: head.size.unwrap_or(0),
@@ -78,10 +78,10 @@
         fresh_left: head.fresh_left_us,
         not_modified: head.not_modified,
         load: head.load.unwrap_or_default(),
-        code: if head.code == 0 {
+        code: if head.origin_status == 0 {
             200
         } else {
-            head.code as u16
+            head.origin_status as u16
         },
     }
 }
--- a/crates/lab/src/sockets/member.rs
+++ b/crates/lab/src/sockets/member.rs
@@ -6,7 +6,9 @@
 use crate::record::{Left, Saw, TryId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{Inbound, Line, Link, LinkOptions, Listener, Responder};
+use pointspindle_transport::{
+    ConnectionOptions, FramedConnection, Inbound, Listener, Responder, Socket,
+};
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
 use tokio::time::Instant;
@@ -24,7 +26,7 @@
 }
 
 /// Closes its connection also when its task is aborted.
-struct Closing(Link);
+struct Closing(FramedConnection);
 
 impl Drop for Closing {
     fn drop(&mut self) {
@@ -47,7 +49,7 @@
     }
 }
 
-async fn connection(stage: Stage, host: HostId, socket: Line, peer: SocketAddr) {
+async fn connection(stage: Stage, host: HostId, socket: Socket, peer: SocketAddr) {
     let by = stage.inner().options.dispatchers.get(&peer.ip()).copied();
     let address = stage.address_of(host);
     let socket = match stage.behind_walls(host, by, socket).await {
@@ -56,8 +58,11 @@
             return tracing::warn!(host, error = %e, "a connection could not be put behind the cut")
         }
     };
-    let (link, mut incoming) =
-        Link::start(socket, Side::Answerer, LinkOptions { max_streams: 8192 });
+    let (link, mut incoming) = FramedConnection::start(
+        socket,
+        Side::Answerer,
+        ConnectionOptions { max_streams: 8192 },
+    );
     let link = Closing(link);
     if let Some(hello) = stage.hello(host) {
         let _ = link.0.control(Frame::Hello(hello)).await;
@@ -92,12 +97,12 @@
                 let _ = link.0.control(echo).await;
             }
             Inbound::Control(Frame::Hello(hello)) if hello.dispatcher && user.user.is_none() => {
-                if let Some((number, lease)) = stage.join(host, &link.0, hello.asks) {
+                if let Some((number, lease)) = stage.join(host, &link.0, hello.requests_work) {
                     user.user = Some(number);
                     let _ = link.0.control(Frame::Lease(lease)).await;
                 }
             }
-            Inbound::Control(Frame::Want(want)) => {
+            Inbound::Control(Frame::WorkRequest(want)) => {
                 if let Some(user) = user.user {
                     let _ = link
                         .0
@@ -149,10 +154,10 @@
     (by, user): (Option<usize>, Option<u64>),
     asked: RequestHead,
     mut responder: Responder,
-    link: Link,
+    link: FramedConnection,
 ) {
     // A way that was cut off for a while brings a request and its cancel together: nothing of it is begun.
-    if responder.is_gone() {
+    if responder.is_cancelled() {
         return;
     }
     let came = Instant::now();
@@ -189,7 +194,7 @@
     loop {
         let word = tokio::select! {
             biased;
-            _ = responder.gone() => {
+            _ = responder.cancelled() => {
                 leaving.how = Left::Cancelled;
                 return;
             }
@@ -248,7 +253,7 @@
                 leaving.how = Left::Answered;
                 let error = ErrorHead {
                     status: status as i32,
-                    note: note as i32,
+                    cache_status: note as i32,
                     may_have_run: ran,
                     load: Some(load),
                     elapsed_us: came.elapsed().as_micros() as u64,
@@ -259,13 +264,13 @@
             }
             Some(Word::Cut) => {
                 leaving.cancel = false;
-                responder.leave_silent();
+                responder.abandon();
                 link.close("cut by the script");
                 return;
             }
             Some(Word::Down) | None => {
                 leaving.cancel = false;
-                responder.leave_silent();
+                responder.abandon();
                 return;
             }
         }
@@ -276,7 +281,7 @@
     responder: &mut Responder,
     body: Body,
     cut: Cut,
-) -> Result<(), pointspindle_transport::LinkError> {
+) -> Result<(), pointspindle_transport::ConnectionError> {
     let mut at = cut.from;
     while at < cut.from + cut.len {
         let len = PIECE.min(cut.from + cut.len - at);
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -9,7 +9,7 @@
 use pointspindle_cache_host::lease::{Grant, Ledger, UserId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead, LeaseHead};
-use pointspindle_transport::{Line, Link, LinkOptions, Net};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Network, Socket};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -31,7 +31,7 @@
     pub deaf_to_age: HashSet<String>,
     /// Members say who they are on each connection, and lease out their warm-up.
     pub hello: Option<Ledgers>,
-    pub net: Net,
+    pub net: Network,
     /// Cuts between sites, and each dispatcher's site; none: no day with cuts.
     pub walls: Option<(Walls, Vec<usize>)>,
 }
@@ -55,7 +55,7 @@
     Finish,
     Reject {
         status: pointspindle_protocol::WireStatus,
-        note: pointspindle_protocol::WireNote,
+        note: pointspindle_protocol::WireCacheStatus,
         ran: bool,
         load: pointspindle_protocol::LoadReport,
     },
@@ -71,7 +71,7 @@
     next: JobId,
     out: Vec<Out>,
     /// Of members that warm up, with the connections that keep to leases.
-    ledgers: HashMap<HostId, (Ledger, HashMap<UserId, Link>)>,
+    ledgers: HashMap<HostId, (Ledger, HashMap<UserId, FramedConnection>)>,
     next_user: UserId,
 }
 
@@ -87,7 +87,7 @@
     pub recorder: Recorder,
     pub classes: Vec<ClassModel>,
     pub options: StageOptions,
-    links: tokio::sync::Mutex<HashMap<(HostId, String), Link>>,
+    links: tokio::sync::Mutex<HashMap<(HostId, String), FramedConnection>>,
 }
 
 impl std::fmt::Debug for Stage {
@@ -289,7 +289,7 @@
         // Numbers of starts are small and alike at all members: an identity is not.
         let process = stream(start, &self.address_of(host)).max(1);
         self.inner.options.hello.is_some().then_some(HelloHead {
-            process,
+            incarnation: process,
             started_ago_us,
             ..Default::default()
         })
@@ -299,7 +299,7 @@
     pub(crate) fn join(
         &self,
         host: HostId,
-        link: &Link,
+        link: &FramedConnection,
         asks: bool,
     ) -> Option<(UserId, LeaseHead)> {
         let mut locked = self.lock();
@@ -318,12 +318,12 @@
             Some((ledger, _)) => lease(&ledger.ask(now, user, work_us as f64 / 1e6)),
             None => LeaseHead {
                 work_us,
-                for_us: 1_000_000,
+                duration_us: 1_000_000,
                 ..Default::default()
             },
         };
         LeaseHead {
-            answers: true,
+            in_reply: true,
             ..given
         }
     }
@@ -405,8 +405,8 @@
         &self,
         host: HostId,
         by: Option<usize>,
-        socket: Line,
-    ) -> std::io::Result<Line> {
+        socket: Socket,
+    ) -> std::io::Result<Socket> {
         let Some((walls, sites)) = &self.inner.options.walls else {
             return Ok(socket);
         };
@@ -418,10 +418,14 @@
     }
 
     /// A member's connection to a source; opened when needed.
-    pub(crate) async fn link(&self, host: HostId, source: &str) -> std::io::Result<Link> {
+    pub(crate) async fn link(
+        &self,
+        host: HostId,
+        source: &str,
+    ) -> std::io::Result<FramedConnection> {
         let key = (host, source.to_owned());
         let mut links = self.inner.links.lock().await;
-        if let Some(link) = links.get(&key).filter(|link| link.takes_calls()) {
+        if let Some(link) = links.get(&key).filter(|link| link.accepts_calls()) {
             return Ok(link.clone());
         }
         let target: SocketAddr = source.parse().map_err(std::io::Error::other)?;
@@ -438,7 +442,8 @@
                 socket = walls.between(socket, there, here).await?;
             }
         }
-        let (link, mut incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+        let (link, mut incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         links.retain(|_, link| !link.is_closed());
         links.insert(key, link.clone());
@@ -468,7 +473,7 @@
                 return;
             }
             let told = |g: Grant| Some((links.get(&g.user)?.clone(), lease(&g)));
-            let grants: Vec<(Link, LeaseHead)> =
+            let grants: Vec<(FramedConnection, LeaseHead)> =
                 ledger.turn(now).into_iter().filter_map(told).collect();
             (grants, ledger.slot_length())
         };
--- a/crates/lab/src/sockets/wall.rs
+++ b/crates/lab/src/sockets/wall.rs
@@ -3,7 +3,7 @@
 //! As with packets that are lost on the way: connections stay open, what was sent arrives once the way is open again. New
 //! connections are taken by the system all the same; nothing comes over them.
 use crate::scenario::script::Ways;
-use pointspindle_transport::Line;
+use pointspindle_transport::Socket;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -51,8 +51,13 @@
     }
 
     /// A connection between two zones, with this end's part of it behind the walls.
-    pub async fn between(&self, line: Line, there: usize, here: usize) -> std::io::Result<Line> {
-        let Line::Tcp(outer) = line else {
+    pub async fn between(
+        &self,
+        line: Socket,
+        there: usize,
+        here: usize,
+    ) -> std::io::Result<Socket> {
+        let Socket::Tcp(outer) = line else {
             return Ok(line);
         };
         let listener = TcpListener::bind("127.0.0.1:0").await?;
--- a/crates/lab/src/sockets/words.rs
+++ b/crates/lab/src/sockets/words.rs
@@ -2,8 +2,8 @@
 use crate::model::{Answer, ClassModel, Wanted};
 use pointspindle::ObjectId;
 use pointspindle_cache_host::lease::Grant;
-use pointspindle_protocol::range::{Applied, Range};
-use pointspindle_protocol::{AnswerHead, FetchHead, LeaseHead, RequestHead};
+use pointspindle_protocol::range::{Range, ResolvedRange};
+use pointspindle_protocol::{FetchHead, LeaseHead, RequestHead, ResponseHead};
 use std::sync::Arc;
 
 pub fn validator(version: u64) -> String {
@@ -23,7 +23,8 @@
 pub fn wanted(head: &RequestHead, classes: &[ClassModel]) -> Wanted {
     let fetch = head.fetch.clone().unwrap_or_default();
     // A plain look and a fetch without a source want what is held.
-    let held_only = fetch.held_only || (head.fetch.is_none() && head.key.is_empty());
+    let held_only =
+        fetch.only_if_cached || (head.fetch.is_none() && head.idempotency_key.is_empty());
     Wanted {
         object: Arc::from(head.object.as_str()),
         number: ObjectId::named(&head.object).0,
@@ -34,13 +35,13 @@
             .position(|c| c.name == head.class)
             .unwrap_or(usize::MAX),
         source: (!fetch.source.is_empty()).then_some(fetch.source),
-        keep: fetch.keep as u8,
-        age: fetch.age_us,
-        join: fetch.join,
+        keep: fetch.retention_rank as u8,
+        age: fetch.max_age_us,
+        join: fetch.coalesce,
         held_only,
-        renew: fetch.renew,
+        renew: fetch.revalidate,
         holds: version(&head.if_none_match),
-        key: Arc::from(head.key.as_str()),
+        key: Arc::from(head.idempotency_key.as_str()),
         trace: Arc::from(head.trace.as_str()),
         attempt: head.attempt,
     }
@@ -50,11 +51,11 @@
 pub fn request(wanted: &Wanted, classes: &[ClassModel], left_us: u64) -> RequestHead {
     let fetch = FetchHead {
         source: String::new(),
-        keep: wanted.keep as u32,
-        age_us: wanted.age,
-        join: wanted.join,
-        held_only: wanted.held_only,
-        renew: false,
+        retention_rank: wanted.keep as u32,
+        max_age_us: wanted.age,
+        coalesce: wanted.join,
+        only_if_cached: wanted.held_only,
+        revalidate: false,
     };
     RequestHead {
         object: wanted.object.to_string(),
@@ -64,11 +65,11 @@
             .get(wanted.class)
             .map(|c| c.name.clone())
             .unwrap_or_default(),
-        left_us,
+        time_left_us: left_us,
         fetch: Some(fetch),
         trace: wanted.trace.to_string(),
         attempt: wanted.attempt,
-        key: wanted.key.to_string(),
+        idempotency_key: wanted.key.to_string(),
         if_none_match: wanted.holds.map(validator).unwrap_or_default(),
         ..Default::default()
     }
@@ -79,9 +80,9 @@
     let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.by_asking);
     LeaseHead {
         work_us,
-        for_us: grant.lasts,
-        by_asking,
-        answers: false,
+        duration_us: grant.lasts,
+        on_request: by_asking,
+        in_reply: false,
     }
 }
 
@@ -93,7 +94,7 @@
 }
 
 /// The head of an answer, with the range that was asked for applied.
-pub fn head(answer: &Answer, asked: &RequestHead, elapsed_us: u64) -> (AnswerHead, Cut) {
+pub fn head(answer: &Answer, asked: &RequestHead, elapsed_us: u64) -> (ResponseHead, Cut) {
     let whole = answer.copy.size;
     let validator = validator(answer.copy.version);
     let range_wanted =
@@ -102,8 +103,8 @@
         .then(|| Range::parse(&asked.range))
         .flatten()
         .map(|r| r.apply(whole));
-    let mut head = AnswerHead {
-        note: answer.note as i32,
+    let mut head = ResponseHead {
+        cache_status: answer.note as i32,
         size: Some(whole),
         age_us: answer.age,
         validator,
@@ -112,7 +113,7 @@
         elapsed_us,
         load: Some(answer.load),
         fresh_left_us: answer.fresh_left,
-        code: if answer.code == 200 {
+        origin_status: if answer.code == 200 {
             0
         } else {
             answer.code as u32
@@ -124,19 +125,19 @@
         len: whole,
     };
     match range {
-        Some(Applied::Part(first, last)) if !answer.not_modified => {
+        Some(ResolvedRange::Part(first, last)) if !answer.not_modified => {
             cut = Cut {
                 from: first,
                 len: last + 1 - first,
             };
             head.size = Some(cut.len);
             head.range_first = Some(first);
-            head.whole_size = Some(whole);
+            head.complete_size = Some(whole);
         }
-        Some(Applied::Unsatisfiable) if !answer.not_modified => {
+        Some(ResolvedRange::Unsatisfiable) if !answer.not_modified => {
             cut.len = 0;
             head.size = Some(0);
-            head.whole_size = Some(whole);
+            head.complete_size = Some(whole);
             head.unsatisfiable = true;
         }
         _ => {}
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -75,7 +75,7 @@
             self.dispatchers[dispatcher].met.insert(host, start);
             let ago = started.map(|at| (EPOCH + self.now).saturating_sub(at));
             let hello = HelloHead {
-                process: start,
+                incarnation: start,
                 started_ago_us: ago,
                 ..Default::default()
             };
@@ -140,12 +140,12 @@
             Some(ledger) => lease(&ledger.ask(self.now, dispatcher as u64, work_us as f64 / 1e6)),
             None => LeaseHead {
                 work_us,
-                for_us: 1_000_000,
+                duration_us: 1_000_000,
                 ..Default::default()
             },
         };
         let lease = LeaseHead {
-            answers: true,
+            in_reply: true,
             ..given
         };
         let way = self.s.way(
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -13,7 +13,7 @@
 use crate::scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
 use pointspindle::{Micros, ObjectId};
 use pointspindle_cache_host::lease::Ledger;
-use pointspindle_config::EdgeSettings;
+use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::core::{AttemptEnd, Begin};
 use pointspindle_dispatcher::{Ask, Core, Input, Output};
 use pointspindle_protocol::*;
@@ -77,7 +77,7 @@
     Finish,
     Reject {
         status: WireStatus,
-        note: WireNote,
+        note: WireCacheStatus,
         ran: bool,
     },
     Broken,
@@ -88,7 +88,7 @@
     core: Core,
     pub(super) life: u32,
     pub(super) up: bool,
-    settings: EdgeSettings,
+    settings: DispatcherSettings,
     next: u64,
     /// Open requests and whose they are.
     pub(super) open: HashMap<u64, TryId>,
@@ -163,7 +163,7 @@
         let zones = s.zones();
         let line = |h: &HostSpec| {
             (
-                h.role.word().to_owned(),
+                h.role.name().to_owned(),
                 zones[h.zone].clone(),
                 h.weight,
                 h.zone,
@@ -905,7 +905,7 @@
                 if d.life != life {
                     return;
                 }
-                let old = answer.note == WireNote::Old;
+                let old = answer.note == WireCacheStatus::Stale;
                 d.heads
                     .insert(request, (answer.copy.version, answer.copy.size, old));
                 let (note, size) = (answer.note, Some(answer.copy.size));
@@ -1013,8 +1013,8 @@
                 };
                 (Input::Purge(head), saw, false)
             }
-            Told::Delta(seq, lines) => self.list(n, ListForm::Delta, seq, &lines),
-            Told::Full(seq, lines) => self.list(n, ListForm::Full, seq, &lines),
+            Told::Delta(seq, lines) => self.list(n, EndpointListForm::Delta, seq, &lines),
+            Told::Full(seq, lines) => self.list(n, EndpointListForm::Full, seq, &lines),
         };
         self.saw(saw);
         if !hidden {
@@ -1025,7 +1025,7 @@
     fn list(
         &self,
         dispatcher: usize,
-        form: ListForm,
+        form: EndpointListForm,
         seq: u64,
         lines: &[Line],
     ) -> (Input, Saw, bool) {
--- a/crates/lab/tests/etcd.rs
+++ b/crates/lab/tests/etcd.rs
@@ -4,7 +4,7 @@
 use pointspindle_etcd::proto::RangeRequest;
 use pointspindle_etcd::{feed, writer, Access, Etcd, EtcdError, Output, Rule, View, Watcher};
 use pointspindle_lab::etcd::StandIn;
-use pointspindle_protocol::{ListForm, WireState};
+use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 
 #[derive(Default)]
 struct Heard {
-    list: BTreeMap<String, WireState>,
+    list: BTreeMap<String, WireEndpointState>,
     /// With the moment of the word.
     purges: BTreeMap<String, Instant>,
     gaps: Vec<Instant>,
@@ -40,12 +40,12 @@
         let mut heard = ears.lock().unwrap();
         match output {
             Output::Members(head) => {
-                if head.form() == ListForm::Full {
+                if head.form() == EndpointListForm::Full {
                     heard.list.clear();
                 }
-                for line in head.members {
+                for line in head.endpoints {
                     match line.state() {
-                        WireState::Gone => drop(heard.list.remove(&line.address)),
+                        WireEndpointState::Gone => drop(heard.list.remove(&line.address)),
                         state => drop(heard.list.insert(line.address, state)),
                     }
                 }
@@ -62,7 +62,7 @@
 }
 
 /// The members as the store has them.
-fn truth(stand_in: &StandIn) -> BTreeMap<String, WireState> {
+fn truth(stand_in: &StandIn) -> BTreeMap<String, WireEndpointState> {
     let key = layout::member_key(PREFIX, "").into_bytes();
     let range_end = pointspindle_etcd::client::after(&key);
     let read = stand_in
@@ -82,9 +82,9 @@
         (
             address,
             if record.state == State::Ready {
-                WireState::Ready
+                WireEndpointState::Ready
             } else {
-                WireState::Draining
+                WireEndpointState::Draining
             },
         )
     };
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -5,7 +5,7 @@
 use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
 use pointspindle_lab::etcd::StandIn;
 use pointspindle_lab::scale::parts::{dispatcher_settings, record, PREFIX};
-use pointspindle_transport::Net;
+use pointspindle_transport::Network;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -28,7 +28,7 @@
         let settings = parse("test", &dispatcher_settings(&at, number, 3, 0.0))
             .unwrap_or_else(|e| panic!("{e}"));
         let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
-        async move { (Prepared::new(Net::Tcp, settings, 1).await, source) }
+        async move { (Prepared::new(Network::Tcp, settings, 1).await, source) }
     };
     let (mut real, source) = prepare(0).await;
     real.follow(source);
--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -1,7 +1,7 @@
 //! The model of members: fills that are joined, die, or are crossed by a purge; an origin that tips over.
 use pointspindle_lab::model::cold::ColdSpec;
 use pointspindle_lab::model::*;
-use pointspindle_protocol::WireNote;
+use pointspindle_protocol::WireCacheStatus;
 use std::sync::Arc;
 
 const MS: u64 = 1_000;
@@ -195,7 +195,7 @@
 /// A source's answer to a fill, with this copy.
 fn filled(copy: Copy) -> Answer {
     Answer {
-        note: WireNote::Filled,
+        note: WireCacheStatus::Filled,
         copy,
         age: 0,
         fresh_left: None,
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -6,18 +6,19 @@
 use pointspindle_lab::sockets::{Stage, StageOptions};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{FetchHead, RequestHead};
-use pointspindle_transport::{CallEnd, Link, LinkOptions, Part};
+use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
 use std::time::Duration;
 
 const OBJECT: &str = "/page/a";
 
 async fn version(cache: &str, source: &str, age_us: u64) -> u64 {
     let socket = tokio::net::TcpStream::connect(cache).await.unwrap();
-    let (link, _incoming) = Link::start(socket, Side::Caller, LinkOptions::default());
+    let (link, _incoming) =
+        FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     let fetch = FetchHead {
         source: source.into(),
-        keep: 1,
-        age_us,
+        retention_rank: 1,
+        max_age_us: age_us,
         ..Default::default()
     };
     let head = RequestHead {
@@ -30,9 +31,11 @@
     let mut checker = Checker::new(pointspindle::ObjectId::named(OBJECT).0, 0);
     loop {
         match call.next().await.unwrap() {
-            Part::Head(_) => {}
-            Part::Data(data) => checker.take(&data),
-            Part::End(CallEnd::Complete(_)) => return checker.finish().1.expect("its own bytes"),
+            ResponsePart::Head(_) => {}
+            ResponsePart::Data(data) => checker.take(&data),
+            ResponsePart::End(CallEnd::Complete(_)) => {
+                return checker.finish().1.expect("its own bytes")
+            }
             other => panic!("{other:?}"),
         }
     }
--- a/crates/platform/src/board.rs
+++ b/crates/platform/src/board.rs
@@ -12,7 +12,9 @@
 use pointspindle_clock::WallClock;
 use pointspindle_dispatcher::core::Input;
 use pointspindle_platform_protocol::board::{Host, Known, Notice, Sse, SseCodec};
-use pointspindle_protocol::{ListForm, ListHead, MemberLine, PurgeHead, WireState};
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead, WireEndpointState,
+};
 use pointspindle_transport::{SteadyRead, SteadyWrite};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -157,9 +159,9 @@
         let mut members = Vec::new();
         for host in hosts {
             let state = match host.health.as_str() {
-                "Ready" => WireState::Ready,
-                "Terminating" => WireState::Draining,
-                "Gone" => WireState::Gone,
+                "Ready" => WireEndpointState::Ready,
+                "Terminating" => WireEndpointState::Draining,
+                "Gone" => WireEndpointState::Gone,
                 other => {
                     tracing::warn!(host = host.host, state = other, "a state that is not known");
                     continue;
@@ -168,7 +170,7 @@
             let role = self.shape.role(&host.class);
             match host.dial.parse::<SocketAddr>() {
                 Ok(dial) => {
-                    let gone = state == WireState::Gone;
+                    let gone = state == WireEndpointState::Gone;
                     self.desk.side.listed(Listed {
                         id: host.host.clone(),
                         dial,
@@ -177,20 +179,20 @@
                     });
                 }
                 // One that is gone may have none; any other cannot be sent to.
-                Err(_) if state == WireState::Gone => {}
+                Err(_) if state == WireEndpointState::Gone => {}
                 Err(e) => {
                     tracing::warn!(host = host.host, error = %e, "a host without an address");
                     continue;
                 }
             }
-            members.push(MemberLine {
+            members.push(EndpointRecord {
                 address: host.host,
                 state: state as i32,
                 weight: host.share,
                 zone: host.site,
-                kind: role.word().to_owned(),
+                kind: role.name().to_owned(),
                 cell: host.block,
-                start: host.born_ms as u64,
+                incarnation: host.born_ms as u64,
                 started_ago_us: (host.born_ms > 0.0)
                     .then(|| micros(self.clock.age_of_ms(host.born_ms))),
             });
@@ -198,15 +200,15 @@
         // Numbered here: events come in order and once, so nothing is missing between two lists.
         self.lists += 1;
         let form = if whole {
-            ListForm::Full
+            EndpointListForm::Full
         } else {
-            ListForm::Delta
+            EndpointListForm::Delta
         };
         let ids: Vec<String> = members.iter().map(|m| m.address.clone()).collect();
-        self.desk.members(ListHead {
+        self.desk.members(EndpointListHead {
             form: form as i32,
             seq: self.lists,
-            members,
+            endpoints: members,
         });
         self.desk.side.told(ids.iter().map(String::as_str));
     }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -15,7 +15,7 @@
 use futures_util::StreamExt;
 use pointspindle_dispatcher::health::Health;
 use pointspindle_platform_protocol::lines::{self, Answer, AnswerCodec, LineError, Word};
-use pointspindle_transport::{Meter, SteadyRead};
+use pointspindle_transport::{BufferMeter, SteadyRead};
 use std::collections::{HashMap, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io;
@@ -419,7 +419,7 @@
     }
 
     /// Moves bytes until the connection ends. Why it did; none: it was closed from here.
-    pub async fn run(self: Arc<Self>, socket: TcpStream, meter: Meter) -> Option<String> {
+    pub async fn run(self: Arc<Self>, socket: TcpStream, meter: BufferMeter) -> Option<String> {
         let (read, write) = socket.into_split();
         let codec = Watched {
             codec: AnswerCodec::default(),
@@ -485,7 +485,7 @@
 
 /// What one connection holds of an answer that is not whole, on the meter of all.
 struct Held {
-    meter: Meter,
+    meter: BufferMeter,
     bytes: usize,
 }
 
@@ -519,7 +519,7 @@
 
 struct Kept {
     body: Bytes,
-    meter: Meter,
+    meter: BufferMeter,
 }
 
 impl AsRef<[u8]> for Kept {
@@ -707,7 +707,7 @@
             .unwrap();
         let (peer, _) = listener.accept().await.unwrap();
         let connection = Connection::new();
-        let task = tokio::spawn(connection.clone().run(socket, Meter::default()));
+        let task = tokio::spawn(connection.clone().run(socket, BufferMeter::default()));
         (connection, peer, task)
     }
 
--- a/crates/platform/src/front/mod.rs
+++ b/crates/platform/src/front/mod.rs
@@ -8,7 +8,7 @@
 use crate::upstream::PlatformDesk;
 use pointspindle_dispatcher::net::keeper::{Keeper, Seat};
 use pointspindle_dispatcher::net::QUEUE_FAILURES;
-use pointspindle_transport::{Line, Listener};
+use pointspindle_transport::{Listener, Socket};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -61,8 +61,8 @@
     }
 
     /// Serves a new connection. Without a place for it, it is closed without a word: descriptors are what runs out.
-    fn take_in(&self, sessions: &mut JoinSet<()>, line: Line, peer: SocketAddr) {
-        let Line::Tcp(socket) = line else { return };
+    fn take_in(&self, sessions: &mut JoinSet<()>, line: Socket, peer: SocketAddr) {
+        let Socket::Tcp(socket) = line else { return };
         if let Ok(seat) = self.keeper.arrive(peer.ip()) {
             sessions.spawn(serve(self.clone(), socket, seat));
         }
--- a/crates/platform/src/front/reply.rs
+++ b/crates/platform/src/front/reply.rs
@@ -4,7 +4,7 @@
 use pointspindle::Micros;
 use pointspindle_dispatcher::net::exchange::{ClientGone, ClientSide};
 use pointspindle_platform_protocol::fastcgi;
-use pointspindle_protocol::AnswerHead;
+use pointspindle_protocol::ResponseHead;
 use pointspindle_transport::SteadyWrite;
 use std::fmt::Write;
 use std::io::{ErrorKind, IoSlice};
@@ -92,7 +92,7 @@
     pub out: ReplySender,
     /// Cancelled by an abort, or with the connection.
     pub gone: CancellationToken,
-    pub head: Option<AnswerHead>,
+    pub head: Option<ResponseHead>,
     pub body: Vec<Bytes>,
 }
 
@@ -107,7 +107,7 @@
         self.gone.cancelled().await;
     }
 
-    async fn head(&mut self, head: &AnswerHead) -> Result<(), ClientGone> {
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientGone> {
         self.head = Some(head.clone());
         Ok(())
     }
--- a/crates/platform/src/front/session.rs
+++ b/crates/platform/src/front/session.rs
@@ -177,7 +177,7 @@
 impl Session {
     /// Reads until the connection is over.
     async fn read(&mut self, records: &mut Records, seat: &Seat) -> End {
-        let head = Duration::from_micros(self.front.shape.edge.listen.head_us);
+        let head = Duration::from_micros(self.front.shape.edge.listen.head_timeout_us);
         let mut phase = self.front.phase.clone();
         let unfinished = tokio::time::sleep(head);
         tokio::pin!(unfinished);
@@ -472,7 +472,7 @@
         group: asked.group,
         class: front.shape.classes[asked.class].name.clone(),
         trace: asked.txn,
-        key: asked.key,
+        idempotency_key: asked.key,
         if_none_match: asked.got,
         ..Default::default()
     };
--- a/crates/platform/src/life.rs
+++ b/crates/platform/src/life.rs
@@ -16,7 +16,7 @@
 use pointspindle_dispatcher::net::desk::{run_timers, Desk};
 use pointspindle_dispatcher::net::keeper::{expire, Keeper};
 use pointspindle_platform_protocol::start::{self, StartError};
-use pointspindle_transport::Net;
+use pointspindle_transport::Network;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex};
@@ -102,12 +102,12 @@
         per_address: l.address_connections,
         networks: Vec::new(),
     });
-    helpers.spawn(expire(keeper.clone(), l.idle_us));
+    helpers.spawn(expire(keeper.clone(), l.idle_timeout_us));
     let (phase, is_phase) = watch::channel(Phase::Serving);
     let (close, is_closed) = watch::channel(false);
     helpers.spawn(stalls::watch(stalls.clone()));
     let front = Front::new(desk.clone(), shape.clone(), keeper, is_phase, stalls);
-    let listener = Net::Tcp.listen(address).await;
+    let listener = Network::Tcp.listen(address).await;
     let listener = listener.map_err(|source| RunError::Listen { address, source })?;
     let mut door = tokio::spawn(accept(listener, front, is_closed));
     tracing::info!(name = start.name, %address, last = lock(&taken).last(), "dispatcher listens");
@@ -185,7 +185,7 @@
         let (connections, members) = desk.side.count();
         tracing::info!(
             open = desk.open_requests(),
-            held = desk.meter.held(),
+            held = desk.meter.buffered_bytes(),
             connections,
             members,
             ended = %desk.figures(),
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,5 +1,7 @@
 //! The start configuration as the settings of a dispatcher: limits become bounds, names become numbers.
-use pointspindle_config::{ClassSpec, EdgeSettings, Listen, Role, Upstream};
+use pointspindle_config::{
+    ClassSettings, DispatcherSettings, ListenSettings, Role, UpstreamSettings,
+};
 use pointspindle_platform_protocol::asked::ClassForm;
 use pointspindle_platform_protocol::settings::{settings, told};
 use pointspindle_platform_protocol::start::Start;
@@ -24,7 +26,7 @@
 pub struct Shape {
     /// Where clients connect.
     pub listen: SocketAddr,
-    pub edge: EdgeSettings,
+    pub edge: DispatcherSettings,
     pub classes: Vec<ClassForm>,
     /// Role of each kind of the settings, by name.
     pub kinds: Vec<(String, Role)>,
@@ -99,7 +101,7 @@
                 write: router.classes[i].uncacheable,
                 deadline_ms: deadline_us / 1_000,
             });
-            specs.push(ClassSpec {
+            specs.push(ClassSettings {
                 name,
                 path_prefix: None,
                 deadline_us,
@@ -120,11 +122,11 @@
         // The platform's clients hold a third of the descriptors at most; newcomers need a place beside those who leave.
         let clients = limits.sockets * 2 / 5;
         let members = limits.sockets - clients - OWN_SOCKETS;
-        let edge = EdgeSettings {
+        let edge = DispatcherSettings {
             name: start.name.clone(),
             zones,
             classes: specs,
-            listen: Listen {
+            listen: ListenSettings {
                 http: None,
                 framed: None,
                 https: None,
@@ -135,32 +137,32 @@
                 soft_connections: clients - clients / 10,
                 address_connections: clients,
                 max_streams: pointspindle_platform_protocol::requests::OPEN_MOST,
-                idle_us: IDLE_US,
-                head_us: HEAD_US,
-                drain_us: 60_000_000,
-                least_pace: 0,
+                idle_timeout_us: IDLE_US,
+                head_timeout_us: HEAD_US,
+                drain_timeout_us: 60_000_000,
+                min_client_bytes_per_s: 0,
                 pace_window_us: 0,
                 client_lease_us: 0,
-                networks: Vec::new(),
+                network_quotas: Vec::new(),
             },
             tls: None,
             etcd: None,
-            upstream: Upstream {
-                by_id: true,
-                connect_us,
+            upstream: UpstreamSettings {
+                endpoints_have_ids: true,
+                connect_timeout_us: connect_us,
                 max_streams,
                 // Before the members close them: a request that crosses a close is lost time.
-                idle_us: idle_us / 2,
-                hello_us: 0,
+                idle_timeout_us: idle_us / 2,
+                hello_timeout_us: 0,
                 bind: None,
-                quiet_ping_us: QUIET_US,
-                idle_ping_us: 0,
+                ping_when_awaiting_us: QUIET_US,
+                ping_when_idle_us: 0,
                 ping_timeout_us: SIGN_US,
             },
             answer_slack_us: ANSWER_SLACK_US,
             group_segments: 1,
             state_file: None,
-            members: Vec::new(),
+            endpoints: Vec::new(),
             max_requests: (limits.memory_mb as usize * REQUESTS_PER_MB).min(max_open),
             // A quarter for answers; the rest for the program, its tables and buffers.
             buffer_bytes: limits.memory_mb * 1024 * 1024 / 4,
--- a/crates/platform/src/upstream.rs
+++ b/crates/platform/src/upstream.rs
@@ -13,14 +13,16 @@
 use crate::stalls::Stalls;
 use bytes::{Bytes, BytesMut};
 use pointspindle::Micros;
-use pointspindle_config::{Role, Upstream};
+use pointspindle_config::{Role, UpstreamSettings};
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::health::{HealthRule, Verdict};
 use pointspindle_dispatcher::net::desk::{Calling, Desk, MemberSide, Ticket};
 use pointspindle_dispatcher::redial::{Dial, Redial};
 use pointspindle_platform_protocol::lines::{Answer, Pull, Word};
-use pointspindle_protocol::{AnswerHead, EndHead, ErrorHead, RequestHead, WireNote, WireStatus};
-use pointspindle_transport::{CallEnd, ConnectFailure, Line, Meter, Net, Part};
+use pointspindle_protocol::{
+    EndHead, ErrorHead, RequestHead, ResponseHead, WireCacheStatus, WireStatus,
+};
+use pointspindle_transport::{BufferMeter, CallEnd, ConnectFailure, Network, ResponsePart, Socket};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::{BTreeMap, HashSet};
@@ -97,10 +99,10 @@
 #[derive(Debug)]
 pub struct Lines {
     locked: Mutex<Locked>,
-    settings: Upstream,
+    settings: UpstreamSettings,
     most: usize,
     each: usize,
-    meter: Meter,
+    meter: BufferMeter,
     born: Instant,
     stalls: Arc<Stalls>,
     /// Members to connect to though no request goes there yet ([`meet_all`]).
@@ -119,7 +121,7 @@
 impl Lines {
     pub fn new(
         shape: &Shape,
-        meter: &Meter,
+        meter: &BufferMeter,
         stalls: Arc<Stalls>,
     ) -> (Self, mpsc::UnboundedReceiver<String>) {
         let (meet, meetings) = mpsc::unbounded_channel();
@@ -290,12 +292,12 @@
     fn sweep(&self) {
         let s = &self.settings;
         let rule = HealthRule {
-            quiet: s.quiet_ping_us,
-            idle: s.idle_ping_us,
+            quiet: s.ping_when_awaiting_us,
+            idle: s.ping_when_idle_us,
             answer: s.ping_timeout_us,
         };
         let (now, micros) = (Instant::now(), self.micros(Instant::now()));
-        let idle = Duration::from_micros(s.idle_us);
+        let idle = Duration::from_micros(s.idle_timeout_us);
         let patience = Duration::from_micros(s.ping_timeout_us);
         let mut locked = self.lock();
         for (id, member) in &mut locked.members {
@@ -344,11 +346,11 @@
         .get(&id)
         .filter(|m| !m.gone)
         .map(|m| m.dial);
-    let longest = Duration::from_micros(lines.settings.connect_us);
+    let longest = Duration::from_micros(lines.settings.connect_timeout_us);
     let made = match dial {
         // The member is gone.
         None => None,
-        Some(dial) => Some(Net::Tcp.connect_within(None, dial, longest).await),
+        Some(dial) => Some(Network::Tcp.connect_within(None, dial, longest).await),
     };
     let connection = Connection::new();
     {
@@ -371,7 +373,7 @@
         }
     }
     let socket = match made {
-        Some(Ok(Line::Tcp(socket))) => socket,
+        Some(Ok(Socket::Tcp(socket))) => socket,
         Some(Err(why)) => return tracing::debug!(member = id, %why, "no connection"),
         _ => return,
     };
@@ -456,10 +458,10 @@
     let fetch = request.fetch.as_ref();
     // The core's ages are in microseconds. Rounded down no copy is too old; 0 would say something else.
     let age = fetch.map_or(0, |f| {
-        if f.age_us == 0 {
+        if f.max_age_us == 0 {
             0
         } else {
-            (f.age_us / 1_000).max(1)
+            (f.max_age_us / 1_000).max(1)
         }
     });
     let pull = Pull {
@@ -467,14 +469,14 @@
         class: &request.class,
         object: &request.object,
         part: request.part,
-        wait_ms: (request.left_us / 1_000).max(1),
-        key: &request.key,
+        wait_ms: (request.time_left_us / 1_000).max(1),
+        key: &request.idempotency_key,
         source: fetch.map_or("", |f| &f.source),
-        keep: fetch.map_or(0, |f| f.keep),
+        keep: fetch.map_or(0, |f| f.retention_rank),
         age_ms: age,
-        merge: fetch.is_some_and(|f| f.join),
-        local: fetch.is_some_and(|f| f.held_only),
-        revalidate: fetch.is_some_and(|f| f.renew),
+        merge: fetch.is_some_and(|f| f.coalesce),
+        local: fetch.is_some_and(|f| f.only_if_cached),
+        revalidate: fetch.is_some_and(|f| f.revalidate),
         tag: &request.if_none_match,
         body,
     };
@@ -490,12 +492,12 @@
     /// Of the client's copy, as it was passed on.
     tag: String,
     /// What is still to be told, last first.
-    rest: Vec<Part>,
+    rest: Vec<ResponsePart>,
     answered: bool,
 }
 
 impl Calling for LineCall {
-    async fn next(&mut self) -> Option<Part> {
+    async fn next(&mut self) -> Option<ResponsePart> {
         if !self.answered {
             let answer = self.placed.answer().await;
             self.answered = true;
@@ -504,57 +506,68 @@
         self.rest.pop()
     }
 
-    fn try_next(&mut self) -> Option<Part> {
+    fn try_next(&mut self) -> Option<ResponsePart> {
         self.rest.pop()
     }
 }
 
 /// The parts of an answer, last first.
-fn parts(answer: Result<Answer, Lost>, tag: &str) -> Vec<Part> {
+fn parts(answer: Result<Answer, Lost>, tag: &str) -> Vec<ResponsePart> {
     let answer = match answer {
         Ok(answer) => answer,
         Err(Lost::Broken) => {
-            return vec![Part::End(CallEnd::Broken(
+            return vec![ResponsePart::End(CallEnd::Broken(
                 "the connection broke".to_owned(),
             ))]
         }
-        Err(Lost::NotSent) => return vec![error(WireStatus::Unspecified, false, WireNote::Untold)],
+        Err(Lost::NotSent) => {
+            return vec![error(
+                WireStatus::Unspecified,
+                false,
+                WireCacheStatus::Unreported,
+            )]
+        }
     };
-    let note = WireNote::try_from(i32::from(answer.note)).unwrap_or(WireNote::Untold);
+    let note =
+        WireCacheStatus::try_from(i32::from(answer.note)).unwrap_or(WireCacheStatus::Unreported);
     let not_modified = match answer.word {
         Word::Served => false,
         // Only a copy that the member has named is the one that the client holds.
         Word::StillGood if !tag.is_empty() && answer.tag == tag => true,
         Word::StillGood => return vec![error(WireStatus::Error, true, note)],
         Word::NotHere => return vec![error(WireStatus::Miss, false, note)],
-        Word::Overload => return vec![error(WireStatus::Full, false, note)],
+        Word::Overload => return vec![error(WireStatus::Rejected, false, note)],
         Word::Crashed => return vec![error(WireStatus::Error, true, note)],
         Word::Nobody | Word::Green => return vec![error(WireStatus::Unspecified, false, note)],
     };
     let bytes = answer.body.len() as u64;
     let size = (!not_modified).then_some(bytes);
-    let head = AnswerHead {
-        note: note as i32,
+    let head = ResponseHead {
+        cache_status: note as i32,
         size,
         validator: answer.tag,
         not_modified,
         ..Default::default()
     };
-    let end = Part::End(CallEnd::Complete(EndHead { bytes, load: None }));
+    let end = ResponsePart::End(CallEnd::Complete(EndHead { bytes, load: None }));
     if not_modified || answer.body.is_empty() {
-        return vec![end, Part::Head(head)];
+        return vec![end, ResponsePart::Head(head)];
     }
-    vec![end, Part::Data(answer.body), Part::Head(head)]
+    vec![
+        end,
+        ResponsePart::Data(answer.body),
+        ResponsePart::Head(head),
+    ]
 }
 
-fn error(status: WireStatus, may_have_run: bool, note: WireNote) -> Part {
+fn error(status: WireStatus, may_have_run: bool, note: WireCacheStatus) -> ResponsePart {
     let head = ErrorHead {
         status: status as i32,
-        note: note as i32,
+        cache_status: note as i32,
         may_have_run,
         ..Default::default()
     };
-    Part::End(CallEnd::Error(head))
+    ResponsePart::End(CallEnd::Error(head))
 }
 
 #[cfg(test)]
--- a/crates/platform/src/upstream/tests.rs
+++ b/crates/platform/src/upstream/tests.rs
@@ -12,7 +12,8 @@
     )
     .unwrap();
     let shape = Shape::new(&start).unwrap();
-    let (lines, _meetings) = Lines::new(&shape, &Meter::default(), Stalls::new(Instant::now()));
+    let (lines, _meetings) =
+        Lines::new(&shape, &BufferMeter::default(), Stalls::new(Instant::now()));
     let dial: SocketAddr = ([127, 0, 0, 1], 9).into();
     for n in 0..100_000 {
         let listed = |n: u32, gone| Listed {
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
     Request(u32, RequestHead),
-    Head(u32, AnswerHead),
+    Head(u32, ResponseHead),
     Data(u32, Bytes),
     End(u32, EndHead),
     Error(u32, ErrorHead),
@@ -36,7 +36,7 @@
     /// The receiver may send so many more bytes of body; stream 0: on the connection.
     Credit(u32, u32),
     GoAway(GoAwayHead),
-    Members(ListHead),
+    EndpointList(EndpointListHead),
     Purge(PurgeHead),
     Ack(AckHead),
     Probe(ProbeHead),
@@ -45,7 +45,7 @@
     /// What a member that warms up takes from this connection for a while.
     Lease(LeaseHead),
     /// Asks such a member for work.
-    Want(WantHead),
+    WorkRequest(WorkRequestHead),
     /// Of a later minor version: skipped.
     Unknown(u8),
 }
@@ -105,14 +105,14 @@
 }
 
 /// A decoder that may know how much it waits for.
-pub trait Wants: Decoder {
+pub trait ReadSizeHint: Decoder {
     /// After a decode without a frame: bytes worth reading at once, where the frame's length is known.
     fn wanted(&self) -> Option<usize> {
         None
     }
 }
 
-impl Wants for FrameCodec {
+impl ReadSizeHint for FrameCodec {
     fn wanted(&self) -> Option<usize> {
         self.wanted
     }
@@ -204,13 +204,13 @@
             Frame::Credit(stream, u32::from_be_bytes(four))
         }
         kind::GO_AWAY => Frame::GoAway(message(payload).map_err(bad)?),
-        kind::MEMBERS => Frame::Members(message(payload).map_err(bad)?),
+        kind::MEMBERS => Frame::EndpointList(message(payload).map_err(bad)?),
         kind::PURGE => Frame::Purge(message(payload).map_err(bad)?),
         kind::ACK => Frame::Ack(message(payload).map_err(bad)?),
         kind::PROBE => Frame::Probe(message(payload).map_err(bad)?),
         kind::HELLO => Frame::Hello(message(payload).map_err(bad)?),
         kind::LEASE => Frame::Lease(message(payload).map_err(bad)?),
-        kind::WANT => Frame::Want(message(payload).map_err(bad)?),
+        kind::WANT => Frame::WorkRequest(message(payload).map_err(bad)?),
         other => Frame::Unknown(other),
     })
 }
@@ -267,13 +267,13 @@
             Frame::Error(s, m) => put(kind::ERROR, *s, m),
             Frame::Cancel(s, m) => put(kind::CANCEL, *s, m),
             Frame::GoAway(m) => put(kind::GO_AWAY, 0, m),
-            Frame::Members(m) => put(kind::MEMBERS, 0, m),
+            Frame::EndpointList(m) => put(kind::MEMBERS, 0, m),
             Frame::Purge(m) => put(kind::PURGE, 0, m),
             Frame::Ack(m) => put(kind::ACK, 0, m),
             Frame::Probe(m) => put(kind::PROBE, 0, m),
             Frame::Hello(m) => put(kind::HELLO, 0, m),
             Frame::Lease(m) => put(kind::LEASE, 0, m),
-            Frame::Want(m) => put(kind::WANT, 0, m),
+            Frame::WorkRequest(m) => put(kind::WANT, 0, m),
             Frame::Data(s, data) => {
                 head(kind::DATA, *s, data.len(), dst)?;
                 dst.put_slice(data);
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -76,7 +76,7 @@
 #[derive(Debug, Default)]
 pub struct RequestCodec;
 
-impl crate::Wants for RequestCodec {}
+impl crate::ReadSizeHint for RequestCodec {}
 
 impl Decoder for RequestCodec {
     type Item = HttpRequest;
@@ -216,7 +216,7 @@
 
 /// The head of an answer, to be written.
 #[derive(Clone, Debug)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     pub status: u16,
     /// None: the length is not known and chunks follow (or, to HTTP/1.0, the connection's end).
     pub length: Option<u64>,
@@ -245,7 +245,7 @@
     }
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// Writes the head. Control characters in values would end a line early and are left out.
     pub fn write(&self, dst: &mut BytesMut) {
         use std::fmt::Write;
@@ -284,7 +284,7 @@
 
 /// What a client reads.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HttpPiece {
+pub enum HttpEvent {
     Head {
         status: u16,
         fields: Vec<(String, String)>,
@@ -301,7 +301,7 @@
     state: Reading,
 }
 
-impl crate::Wants for ResponseCodec {}
+impl crate::ReadSizeHint for ResponseCodec {}
 
 #[derive(Debug, Default, PartialEq)]
 enum Reading {
@@ -316,16 +316,16 @@
 }
 
 impl Decoder for ResponseCodec {
-    type Item = HttpPiece;
+    type Item = HttpEvent;
     type Error = HttpError;
 
-    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HttpPiece>, HttpError> {
+    fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HttpEvent>, HttpError> {
         loop {
             match self.state {
                 Reading::Head => return self.head(src),
                 Reading::Length(0) => {
                     self.state = Reading::Head;
-                    return Ok(Some(HttpPiece::End));
+                    return Ok(Some(HttpEvent::End));
                 }
                 Reading::Length(left) | Reading::Chunk(left) if src.is_empty() && left > 0 => {
                     return Ok(None);
@@ -333,13 +333,13 @@
                 Reading::Length(left) => {
                     let data = src.split_to(src.len().min(left as usize)).freeze();
                     self.state = Reading::Length(left - data.len() as u64);
-                    return Ok(Some(HttpPiece::Data(data)));
+                    return Ok(Some(HttpEvent::Data(data)));
                 }
                 Reading::Chunk(0) => self.state = Reading::ChunkEnd,
                 Reading::Chunk(left) => {
                     let data = src.split_to(src.len().min(left as usize)).freeze();
                     self.state = Reading::Chunk(left - data.len() as u64);
-                    return Ok(Some(HttpPiece::Data(data)));
+                    return Ok(Some(HttpEvent::Data(data)));
                 }
                 Reading::ChunkEnd => {
                     if src.len() < 2 {
@@ -378,22 +378,22 @@
                     }
                     src.advance(2);
                     self.state = Reading::Head;
-                    return Ok(Some(HttpPiece::End));
+                    return Ok(Some(HttpEvent::End));
                 }
                 Reading::ToClose if src.is_empty() => return Ok(None),
-                Reading::ToClose => return Ok(Some(HttpPiece::Data(src.split().freeze()))),
+                Reading::ToClose => return Ok(Some(HttpEvent::Data(src.split().freeze()))),
             }
         }
     }
 
-    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<HttpPiece>, HttpError> {
+    fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<HttpEvent>, HttpError> {
         if let Some(piece) = self.decode(src)? {
             return Ok(Some(piece));
         }
         match self.state {
             Reading::ToClose => {
                 self.state = Reading::Head;
-                Ok(Some(HttpPiece::End))
+                Ok(Some(HttpEvent::End))
             }
             Reading::Head if src.is_empty() => Ok(None),
             _ => Err(HttpError::Malformed(
@@ -412,7 +412,7 @@
         }
     }
 
-    fn head(&mut self, src: &mut BytesMut) -> Result<Option<HttpPiece>, HttpError> {
+    fn head(&mut self, src: &mut BytesMut) -> Result<Option<HttpEvent>, HttpError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Response::new(&mut fields);
         let len = match parsed.parse(src) {
@@ -462,7 +462,7 @@
             _ => Reading::ToClose,
         };
         src.advance(len);
-        Ok(Some(HttpPiece::Head {
+        Ok(Some(HttpEvent::Head {
             status,
             fields,
             keep_alive,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -14,5 +14,5 @@
 pub mod range;
 pub mod streams;
 
-pub use frame::{Frame, FrameCodec, FrameError, Wants, MAX_DATA, MAX_HEAD};
+pub use frame::{Frame, FrameCodec, FrameError, ReadSizeHint, MAX_DATA, MAX_HEAD};
 pub use messages::*;
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -12,7 +12,7 @@
     /// It was tried and went wrong; it may have run.
     Error = 1,
     /// Turned away for want of room; nothing ran.
-    Full = 2,
+    Rejected = 2,
     /// Nothing suitable is held and no fill was asked for; nothing ran.
     Miss = 3,
     /// A dispatcher's final answer: refused; a retry is harmless.
@@ -24,17 +24,17 @@
 /// How an answer came about, or why its fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum WireNote {
-    Untold = 0,
+pub enum WireCacheStatus {
+    Unreported = 0,
     Hit = 1,
     Filled = 2,
     FilledByOrigin = 3,
-    Joined = 4,
-    Old = 5,
-    SourceRefused = 6,
+    Coalesced = 4,
+    Stale = 5,
+    SourceRejected = 6,
     SourceUnreachable = 7,
-    SourceLacks = 8,
-    NoFillPlace = 9,
+    SourceMiss = 8,
+    FillLimitReached = 9,
     OriginFailed = 10,
 }
 
@@ -46,16 +46,16 @@
     pub source: String,
     /// 0 passes the object through, 1 to 3 is the rank at which the copy is kept.
     #[prost(uint32, tag = "2")]
-    pub keep: u32,
+    pub retention_rank: u32,
     /// Oldest copy that will do; 0: the receiver's fresh time for the class.
     #[prost(uint64, tag = "3")]
-    pub age_us: u64,
+    pub max_age_us: u64,
     #[prost(bool, tag = "4")]
-    pub join: bool,
+    pub coalesce: bool,
     #[prost(bool, tag = "5")]
-    pub held_only: bool,
+    pub only_if_cached: bool,
     #[prost(bool, tag = "6")]
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// A request: from a client, from a dispatcher to a cache, or from a cache to its source.
@@ -72,7 +72,7 @@
     pub class: String,
     /// Time left before the asker gives up.
     #[prost(uint64, tag = "5")]
-    pub left_us: u64,
+    pub time_left_us: u64,
     /// Size of the answer, where known.
     #[prost(uint64, optional, tag = "6")]
     pub size: Option<u64>,
@@ -86,7 +86,7 @@
     pub attempt: u32,
     /// The key of a keyed request; empty otherwise.
     #[prost(string, tag = "10")]
-    pub key: String,
+    pub idempotency_key: String,
     /// Only the head of the answer is wanted.
     #[prost(bool, tag = "11")]
     pub head_only: bool,
@@ -102,7 +102,7 @@
     /// A client's name for its call, the same on each try of it and never used for another: a dispatcher ends the try
     /// before it first. Not passed on. Empty: it is not tried again. Since minor version 2.
     #[prost(string, tag = "15")]
-    pub call: String,
+    pub call_id: String,
 }
 
 /// What members tell of their load.
@@ -110,20 +110,20 @@
 pub struct LoadReport {
     /// Share of its cores that are busy.
     #[prost(double, tag = "1")]
-    pub util: f64,
+    pub utilization: f64,
     /// Recent share of hits.
     #[prost(double, tag = "2")]
-    pub hits: f64,
+    pub hit_ratio: f64,
     /// How full the link of its location is; of a parent, the fetches that it has out.
     #[prost(double, tag = "3")]
-    pub link: f64,
+    pub link_utilization: f64,
 }
 
 /// The head of an answer that has (or describes) a body.
 #[derive(Clone, PartialEq, Message)]
-pub struct AnswerHead {
-    #[prost(enumeration = "WireNote", tag = "1")]
-    pub note: i32,
+pub struct ResponseHead {
+    #[prost(enumeration = "WireCacheStatus", tag = "1")]
+    pub cache_status: i32,
     /// Length of the body that follows, where known.
     #[prost(uint64, optional, tag = "2")]
     pub size: Option<u64>,
@@ -141,7 +141,7 @@
     #[prost(uint64, optional, tag = "7")]
     pub range_first: Option<u64>,
     #[prost(uint64, optional, tag = "8")]
-    pub whole_size: Option<u64>,
+    pub complete_size: Option<u64>,
     /// The range asked for lies outside; no body follows.
     #[prost(bool, tag = "9")]
     pub unsatisfiable: bool,
@@ -155,7 +155,7 @@
     pub fresh_left_us: Option<u64>,
     /// What the origin made of it, as an HTTP status; 0: 200.
     #[prost(uint32, tag = "13")]
-    pub code: u32,
+    pub origin_status: u32,
 }
 
 /// The end of a complete answer.
@@ -173,8 +173,8 @@
 pub struct ErrorHead {
     #[prost(enumeration = "WireStatus", tag = "1")]
     pub status: i32,
-    #[prost(enumeration = "WireNote", tag = "2")]
-    pub note: i32,
+    #[prost(enumeration = "WireCacheStatus", tag = "2")]
+    pub cache_status: i32,
     /// Whether the work may have run.
     #[prost(bool, tag = "3")]
     pub may_have_run: bool,
@@ -207,7 +207,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum ListForm {
+pub enum EndpointListForm {
     Unspecified = 0,
     Delta = 1,
     Full = 2,
@@ -217,7 +217,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum WireState {
+pub enum WireEndpointState {
     Unspecified = 0,
     Ready = 1,
     Draining = 2,
@@ -226,11 +226,11 @@
 
 /// One member of the fleet.
 #[derive(Clone, PartialEq, Message)]
-pub struct MemberLine {
+pub struct EndpointRecord {
     /// Host and port; also its name: the same at every dispatcher.
     #[prost(string, tag = "1")]
     pub address: String,
-    #[prost(enumeration = "WireState", tag = "2")]
+    #[prost(enumeration = "WireEndpointState", tag = "2")]
     pub state: i32,
     #[prost(double, tag = "3")]
     pub weight: f64,
@@ -242,7 +242,7 @@
     pub cell: u64,
     /// Which start of the member this is; another number: another process in its place.
     #[prost(uint64, tag = "7")]
-    pub start: u64,
+    pub incarnation: u64,
     /// How long ago it started; absent: long ago.
     #[prost(uint64, optional, tag = "8")]
     pub started_ago_us: Option<u64>,
@@ -250,14 +250,14 @@
 
 /// News of the member list.
 #[derive(Clone, PartialEq, Message)]
-pub struct ListHead {
-    #[prost(enumeration = "ListForm", tag = "1")]
+pub struct EndpointListHead {
+    #[prost(enumeration = "EndpointListForm", tag = "1")]
     pub form: i32,
     /// Grows by one with each update; a delta applies to the list numbered one less.
     #[prost(uint64, tag = "2")]
     pub seq: u64,
     #[prost(message, repeated, tag = "3")]
-    pub members: Vec<MemberLine>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// An object, or without one every object of the group, was purged.
@@ -280,7 +280,7 @@
     pub seq: u64,
     /// Why it is not in force; the sender should tell the whole list.
     #[prost(string, tag = "2")]
-    pub trouble: String,
+    pub rejection: String,
 }
 
 /// A probe and its echo.
@@ -300,7 +300,7 @@
 pub struct HelloHead {
     /// Drawn anew at each start of the process; never 0.
     #[prost(uint64, tag = "1")]
-    pub process: u64,
+    pub incarnation: u64,
     /// How long ago it started; absent: it does not say.
     #[prost(uint64, optional, tag = "2")]
     pub started_ago_us: Option<u64>,
@@ -309,7 +309,7 @@
     pub dispatcher: bool,
     /// ... and asks for work (WANT) where it is given so.
     #[prost(bool, tag = "4")]
-    pub asks: bool,
+    pub requests_work: bool,
     /// Said by a dispatcher to its clients: what it runs for one that gives no sign of life for so long is cancelled. Said
     /// by a client, in answer: it gives one four times as often while it waits.
     #[prost(uint64, optional, tag = "5")]
@@ -325,18 +325,18 @@
     pub work_us: u64,
     /// It lapses after this.
     #[prost(uint64, tag = "2")]
-    pub for_us: u64,
+    pub duration_us: u64,
     /// Too many share the member's work for parts that are of use: it is given to who asks for it, with WANT.
     #[prost(bool, tag = "3")]
-    pub by_asking: bool,
+    pub on_request: bool,
     /// This one answers a WANT.
     #[prost(bool, tag = "4")]
-    pub answers: bool,
+    pub in_reply: bool,
 }
 
 /// Asks a member that warms up for work, for a request that is there now. Answered with LEASE. Since minor version 2.
 #[derive(Clone, Copy, PartialEq, Message)]
-pub struct WantHead {
+pub struct WorkRequestHead {
     #[prost(uint64, tag = "1")]
     pub work_us: u64,
 }
--- a/crates/protocol/src/range.rs
+++ b/crates/protocol/src/range.rs
@@ -11,7 +11,7 @@
 
 /// A range applied to a size.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum ResolvedRange {
     /// First and last byte, inclusive.
     Part(u64, u64),
     Unsatisfiable,
@@ -40,13 +40,15 @@
         }
     }
 
-    pub fn apply(self, size: u64) -> Applied {
+    pub fn apply(self, size: u64) -> ResolvedRange {
         match self {
-            Self::From(first, _) if first >= size => Applied::Unsatisfiable,
-            Self::From(first, last) => Applied::Part(first, last.unwrap_or(u64::MAX).min(size - 1)),
-            Self::Suffix(0) => Applied::Unsatisfiable,
-            Self::Suffix(_) if size == 0 => Applied::Unsatisfiable,
-            Self::Suffix(n) => Applied::Part(size.saturating_sub(n), size - 1),
+            Self::From(first, _) if first >= size => ResolvedRange::Unsatisfiable,
+            Self::From(first, last) => {
+                ResolvedRange::Part(first, last.unwrap_or(u64::MAX).min(size - 1))
+            }
+            Self::Suffix(0) => ResolvedRange::Unsatisfiable,
+            Self::Suffix(_) if size == 0 => ResolvedRange::Unsatisfiable,
+            Self::Suffix(n) => ResolvedRange::Part(size.saturating_sub(n), size - 1),
         }
     }
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -16,15 +16,15 @@
 fn request(object: &str) -> RequestHead {
     let fetch = FetchHead {
         source: "10.0.0.1:80".into(),
-        keep: 2,
-        age_us: 7,
-        renew: true,
+        retention_rank: 2,
+        max_age_us: 7,
+        revalidate: true,
         ..Default::default()
     };
     RequestHead {
         object: object.into(),
         part: 3,
-        left_us: 900_000,
+        time_left_us: 900_000,
         fetch: Some(fetch),
         ..Default::default()
     }
@@ -36,7 +36,7 @@
         Frame::Request(1, request("a")),
         Frame::Head(
             1,
-            AnswerHead {
+            ResponseHead {
                 size: Some(3),
                 validator: "v1".into(),
                 ..Default::default()
@@ -48,9 +48,9 @@
             EndHead {
                 bytes: 3,
                 load: Some(LoadReport {
-                    util: 0.5,
-                    hits: 0.25,
-                    link: 1.0,
+                    utilization: 0.5,
+                    hit_ratio: 0.25,
+                    link_utilization: 1.0,
                 }),
             },
         ),
@@ -63,9 +63,9 @@
             },
         ),
         Frame::Credit(0, 77),
-        Frame::Members(ListHead {
+        Frame::EndpointList(EndpointListHead {
             seq: 4,
-            members: vec![MemberLine::default()],
+            endpoints: vec![EndpointRecord::default()],
             ..Default::default()
         }),
         Frame::Purge(PurgeHead {
@@ -73,16 +73,16 @@
             ..Default::default()
         }),
         Frame::Hello(HelloHead {
-            process: 9,
+            incarnation: 9,
             started_ago_us: Some(1),
             ..Default::default()
         }),
-        Frame::Want(WantHead { work_us: 7 }),
+        Frame::WorkRequest(WorkRequestHead { work_us: 7 }),
         Frame::Lease(LeaseHead {
             work_us: 400_000,
-            for_us: 125_000,
-            by_asking: true,
-            answers: true,
+            duration_us: 125_000,
+            on_request: true,
+            in_reply: true,
         }),
     ];
     let whole = bytes_of(&sent);
@@ -177,7 +177,7 @@
         Err(StreamError::OutOfOrder(id, "data before the head"))
     );
     caller
-        .receive(Frame::Head(id, AnswerHead::default()))
+        .receive(Frame::Head(id, ResponseHead::default()))
         .unwrap();
     caller.receive(data(10)).unwrap();
     let short = Frame::End(
@@ -190,7 +190,7 @@
     assert!(caller.receive(short).is_err(), "a silently short answer");
     let done = caller.call().unwrap();
     caller
-        .receive(Frame::Head(done, AnswerHead::default()))
+        .receive(Frame::Head(done, ResponseHead::default()))
         .unwrap();
     caller
         .receive(Frame::End(done, EndHead::default()))
@@ -199,13 +199,13 @@
     assert_eq!(twice, Err(StreamError::AfterEnd(done)), "a second end");
     let left = caller.call().unwrap();
     caller.close(left);
-    let late = caller.receive(Frame::Head(left, AnswerHead::default()));
+    let late = caller.receive(Frame::Head(left, ResponseHead::default()));
     assert_eq!(
         late,
         Ok(Received::Ignored { body: 0 }),
         "an answer that crossed our cancel"
     );
-    let stray = Frame::Head(99, AnswerHead::default());
+    let stray = Frame::Head(99, ResponseHead::default());
     assert!(matches!(
         caller.receive(stray),
         Err(StreamError::OutOfOrder(99, _))
@@ -218,7 +218,7 @@
     let (slow, quick) = (caller.call().unwrap(), caller.call().unwrap());
     for id in [slow, quick] {
         caller
-            .receive(Frame::Head(id, AnswerHead::default()))
+            .receive(Frame::Head(id, ResponseHead::default()))
             .unwrap();
     }
     let chunk = Bytes::from(vec![0; MAX_DATA]);
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 as it should be, and as smugglers and floods send it.
 use bytes::BytesMut;
 use pointspindle_protocol::http::*;
-use pointspindle_protocol::range::{Applied, Range};
+use pointspindle_protocol::range::{Range, ResolvedRange};
 use tokio_util::codec::Decoder;
 
 fn read(text: &str) -> Result<Option<HttpRequest>, HttpError> {
@@ -72,7 +72,7 @@
     );
 }
 
-fn pieces(text: &str, head_only: bool) -> Result<Vec<HttpPiece>, HttpError> {
+fn pieces(text: &str, head_only: bool) -> Result<Vec<HttpEvent>, HttpError> {
     let mut codec = ResponseCodec::new(head_only);
     let mut src = BytesMut::from(text);
     let mut out = vec![];
@@ -90,7 +90,7 @@
         .unwrap()
         .into_iter()
         .filter_map(|p| {
-            if let HttpPiece::Data(d) = p {
+            if let HttpEvent::Data(d) = p {
                 Some(d.to_vec())
             } else {
                 None
@@ -117,14 +117,14 @@
 fn a_written_head_reads_back_and_no_value_breaks_out_of_its_line() {
     let fields = vec![("age", "3".to_owned()), ("x", "a\r\nevil: 1".to_owned())];
     let mut dst = BytesMut::new();
-    HttpAnswer {
+    HttpResponse {
         status: 200,
         length: Some(0),
         close: true,
         fields,
     }
     .write(&mut dst);
-    let HttpPiece::Head {
+    let HttpEvent::Head {
         status,
         fields,
         keep_alive,
@@ -140,27 +140,27 @@
 fn ranges_follow_rfc_9110() {
     assert_eq!(
         Range::parse("bytes=0-99").unwrap().apply(50),
-        Applied::Part(0, 49)
+        ResolvedRange::Part(0, 49)
     );
     assert_eq!(
         Range::parse("bytes=-10").unwrap().apply(50),
-        Applied::Part(40, 49)
+        ResolvedRange::Part(40, 49)
     );
     assert_eq!(
         Range::parse("bytes=-99").unwrap().apply(50),
-        Applied::Part(0, 49)
+        ResolvedRange::Part(0, 49)
     );
     assert_eq!(
         Range::parse("bytes=49-").unwrap().apply(50),
-        Applied::Part(49, 49)
+        ResolvedRange::Part(49, 49)
     );
     assert_eq!(
         Range::parse("bytes=50-").unwrap().apply(50),
-        Applied::Unsatisfiable
+        ResolvedRange::Unsatisfiable
     );
     assert_eq!(
         Range::parse("bytes=-0").unwrap().apply(50),
-        Applied::Unsatisfiable
+        ResolvedRange::Unsatisfiable
     );
     for ignored in [
         "bytes=5-4",
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -25,7 +25,7 @@
         source: std::io::Error,
     },
     #[error("{0}")]
-    Scenario(#[from] pointspindle_config::Complaints),
+    Scenario(#[from] pointspindle_config::ConfigErrors),
     #[error("{0}")]
     Run(String),
     #[error("{path} is not a run that this program can read: {why}")]
--- a/crates/report/src/record.rs
+++ b/crates/report/src/record.rs
@@ -243,7 +243,7 @@
                 places.insert(host, (out.len(), *weight));
                 out.push(Host {
                     address: host.clone(),
-                    role: role.word().into(),
+                    role: role.name().into(),
                     zone: zones.get(*zone).cloned().unwrap_or_default(),
                     load: vec![0.0; count],
                     fell: Vec::new(),
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -134,7 +134,7 @@
                 self.places.insert(host.clone(), self.hosts.len());
                 self.hosts.push(HostView {
                     address: host.clone(),
-                    role: role.word(),
+                    role: role.name(),
                     zone: self.zones.get(*zone).cloned().unwrap_or_default(),
                     state: HostState::Up,
                     weight: *weight,
--- a/crates/transport/src/accept.rs
+++ b/crates/transport/src/accept.rs
@@ -1,5 +1,5 @@
 //! What a failed `accept` says, and what is left in a listener's queue when it is to close.
-use crate::line::{Line, Listener};
+use crate::line::{Listener, Socket};
 use std::io::{Error, Result};
 use std::net::SocketAddr;
 
@@ -42,7 +42,7 @@
 impl Listener {
     /// The next connection that waits in the queue; none: it is empty. For a listener that is to close: a connection in its
     /// queue would be reset, with the request that may have been written on it.
-    pub async fn waiting(&mut self) -> Option<Result<(Line, SocketAddr)>> {
+    pub async fn waiting(&mut self) -> Option<Result<(Socket, SocketAddr)>> {
         // The runtime looks at its sockets meanwhile: what has come by now is seen.
         tokio::task::yield_now().await;
         tokio::select! {
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -2,7 +2,7 @@
 use crate::credit::Credit;
 use crate::tasks::Shared;
 use crate::writer::When;
-use crate::LinkError;
+use crate::ConnectionError;
 use bytes::Bytes;
 use pointspindle_protocol::streams::{CROWDED_WINDOW, STREAM_WINDOW};
 use pointspindle_protocol::*;
@@ -11,8 +11,8 @@
 
 /// What comes back on a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Part {
-    Head(AnswerHead),
+pub enum ResponsePart {
+    Head(ResponseHead),
     Data(Bytes),
     End(CallEnd),
 }
@@ -33,7 +33,7 @@
 pub struct Call {
     pub(crate) id: u32,
     pub(crate) shared: Arc<Shared>,
-    pub(crate) parts: mpsc::UnboundedReceiver<Box<Part>>,
+    pub(crate) parts: mpsc::UnboundedReceiver<Box<ResponsePart>>,
     pub(crate) ended: bool,
     /// Bytes taken whose credit has not been given back yet.
     pub(crate) taken: u32,
@@ -41,18 +41,19 @@
 
 impl Call {
     /// The next part; none after the end.
-    pub async fn next(&mut self) -> Option<Part> {
+    pub async fn next(&mut self) -> Option<ResponsePart> {
         if self.ended {
             return None;
         }
         let part = self.parts.recv().await;
         let part = part.map(|part| *part);
-        let part = part.unwrap_or_else(|| Part::End(CallEnd::Broken(self.shared.why_closed())));
+        let part =
+            part.unwrap_or_else(|| ResponsePart::End(CallEnd::Broken(self.shared.why_closed())));
         Some(self.noted(part))
     }
 
     /// The next part if it is there already.
-    pub fn try_next(&mut self) -> Option<Part> {
+    pub fn try_next(&mut self) -> Option<ResponsePart> {
         if self.ended {
             return None;
         }
@@ -60,11 +61,11 @@
         Some(self.noted(part))
     }
 
-    fn noted(&mut self, part: Part) -> Part {
+    fn noted(&mut self, part: ResponsePart) -> ResponsePart {
         match &part {
-            Part::Data(data) => self.took(data.len() as u32),
-            Part::End(_) => self.ended = true,
-            Part::Head(_) => {}
+            ResponsePart::Data(data) => self.took(data.len() as u32),
+            ResponsePart::End(_) => self.ended = true,
+            ResponsePart::Head(_) => {}
         }
         part
     }
@@ -92,7 +93,7 @@
     fn drop(&mut self) {
         self.shared.forget(self.id);
         while let Ok(part) = self.parts.try_recv() {
-            if let Part::Data(data) = *part {
+            if let ResponsePart::Data(data) = *part {
                 self.shared.meter.sub(data.len());
             }
         }
@@ -117,24 +118,24 @@
 
 impl Responder {
     /// Returns when the peer has cancelled or the connection is gone.
-    pub async fn gone(&self) {
+    pub async fn cancelled(&self) {
         let mut gone = self.gone.clone();
         let _ = gone.wait_for(|gone| *gone).await;
     }
 
-    pub fn is_gone(&self) -> bool {
+    pub fn is_cancelled(&self) -> bool {
         *self.gone.borrow()
     }
 
-    pub async fn head(&mut self, head: AnswerHead) -> Result<(), LinkError> {
+    pub async fn head(&mut self, head: ResponseHead) -> Result<(), ConnectionError> {
         self.send(Frame::Head(self.id, head), When::WithNext).await
     }
 
     /// Sends bytes of the body, waiting for credit. Cancel-safe only between calls.
-    pub async fn data(&mut self, mut data: Bytes) -> Result<(), LinkError> {
+    pub async fn data(&mut self, mut data: Bytes) -> Result<(), ConnectionError> {
         while !data.is_empty() {
             let want = data.len().min(MAX_DATA) as u32;
-            let closed = || LinkError::Cancelled(self.shared.why_closed());
+            let closed = || ConnectionError::Cancelled(self.shared.why_closed());
             let got = self.credit.take(want).await.ok_or_else(closed)?;
             let mut left = got;
             while left > 0 {
@@ -155,7 +156,7 @@
     }
 
     /// The complete end.
-    pub async fn end(mut self, load: Option<LoadReport>) -> Result<(), LinkError> {
+    pub async fn end(mut self, load: Option<LoadReport>) -> Result<(), ConnectionError> {
         self.ended = true;
         let bytes = self.sent;
         self.send(Frame::End(self.id, EndHead { bytes, load }), When::Now)
@@ -163,19 +164,19 @@
     }
 
     /// The other end, before or after the head.
-    pub async fn error(mut self, error: ErrorHead) -> Result<(), LinkError> {
+    pub async fn error(mut self, error: ErrorHead) -> Result<(), ConnectionError> {
         self.ended = true;
         self.send(Frame::Error(self.id, error), When::Now).await
     }
 
     /// Leaves the stream without a word, as a process that hangs would. For stand-ins.
-    pub fn leave_silent(mut self) {
+    pub fn abandon(mut self) {
         self.ended = true;
     }
 
-    async fn send(&self, frame: Frame, when: When) -> Result<(), LinkError> {
-        if self.is_gone() {
-            return Err(LinkError::Cancelled(self.shared.why_closed()));
+    async fn send(&self, frame: Frame, when: When) -> Result<(), ConnectionError> {
+        if self.is_cancelled() {
+            return Err(ConnectionError::Cancelled(self.shared.why_closed()));
         }
         self.shared.send(frame, when).await
     }
@@ -184,7 +185,7 @@
 impl Drop for Responder {
     fn drop(&mut self) {
         self.shared.forget(self.id);
-        if !self.ended && !self.is_gone() {
+        if !self.ended && !self.is_cancelled() {
             let detail = "dropped unanswered".to_owned();
             let error = ErrorHead {
                 status: WireStatus::Error as i32,
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -1,5 +1,5 @@
 //! Connecting, with the local machine's shortages told from the peer's.
-use crate::line::{Line, Net};
+use crate::line::{Network, Socket};
 use std::io::Error;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -49,14 +49,14 @@
     )
 }
 
-impl Net {
+impl Network {
     /// Connects within a time. What the local machine is short of for a moment is waited for.
     pub async fn connect_within(
         &self,
         from: Option<IpAddr>,
         to: SocketAddr,
         longest: Duration,
-    ) -> Result<Line, ConnectFailure> {
+    ) -> Result<Socket, ConnectFailure> {
         let deadline = Instant::now() + longest;
         let mut pause = AGAIN;
         loop {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -22,18 +22,18 @@
 mod writer;
 
 pub use accept::AcceptFailure;
-pub use call::{Call, CallEnd, Part, Responder};
+pub use call::{Call, CallEnd, Responder, ResponsePart};
 pub use connect::ConnectFailure;
-pub use line::{Line, Listener, Net, ReadHalf, WriteHalf};
-pub use meter::Meter;
-pub use reader::{Idle, Reader};
+pub use line::{Listener, Network, ReadHalf, Socket, WriteHalf};
+pub use meter::BufferMeter;
+pub use reader::{FrameReader, IdleState};
 pub use steady::{SteadyRead, SteadyWrite};
-pub use tasks::{Inbound, Incoming, Link, LinkOptions};
-pub use writer::Wording;
+pub use tasks::{ConnectionOptions, FramedConnection, Inbound, Incoming};
+pub use writer::DeferredRequest;
 
 /// Why nothing could be sent, or nothing more will come.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
-pub enum LinkError {
+pub enum ConnectionError {
     /// Nothing was sent.
     #[error("the connection is closed: {0}")]
     Closed(String),
--- a/crates/transport/src/line.rs
+++ b/crates/transport/src/line.rs
@@ -2,7 +2,9 @@
 //!
 //! Both halves are used by looking: wait until there may be something, then try. An idle connection so needs no buffer, and
 //! whoever has a frame can write it at once on its own task.
-use crate::simulated::{SimListener, SimNet, SimRead, SimWrite};
+use crate::simulated::{
+    SimulatedListener, SimulatedNetwork, SimulatedReadHalf, SimulatedWriteHalf,
+};
 use crate::tls::{Tls, TlsWrite};
 use bytes::{Buf, BufMut};
 use std::io::{ErrorKind, IoSlice, Result};
@@ -20,13 +22,13 @@
 pub(crate) const PIECES: usize = 32;
 
 #[derive(Debug)]
-pub enum Line {
+pub enum Socket {
     Tcp(TcpStream),
     Tls(Arc<Tls>),
-    Simulated(SimRead, SimWrite),
+    Simulated(SimulatedReadHalf, SimulatedWriteHalf),
 }
 
-impl From<TcpStream> for Line {
+impl From<TcpStream> for Socket {
     fn from(socket: TcpStream) -> Self {
         Self::Tcp(socket)
     }
@@ -36,7 +38,7 @@
 pub enum ReadHalf {
     Tcp(OwnedReadHalf),
     Tls(Arc<Tls>),
-    Simulated(SimRead),
+    Simulated(SimulatedReadHalf),
 }
 
 /// Dropped, it ends this direction.
@@ -44,10 +46,10 @@
 pub enum WriteHalf {
     Tcp(OwnedWriteHalf),
     Tls(TlsWrite),
-    Simulated(SimWrite),
+    Simulated(SimulatedWriteHalf),
 }
 
-impl Line {
+impl Socket {
     /// Both halves; small pieces are sent at once from now on.
     pub fn split(self) -> (ReadHalf, WriteHalf) {
         match self {
@@ -79,12 +81,12 @@
 
     /// Returns when the peer has ended its direction or the connection broke, though bytes before that are not read yet. It
     /// looks every [`LEAVING_LOOK`] while there are such bytes. Safe to drop while waiting.
-    pub async fn left(&self) -> Result<()> {
+    pub async fn peer_closed(&self) -> Result<()> {
         let socket = match self {
             Self::Tcp(half) => half.as_ref(),
             Self::Tls(tls) => tls.socket(),
             Self::Simulated(half) => {
-                half.left().await;
+                half.peer_closed().await;
                 return Ok(());
             }
         };
@@ -194,21 +196,21 @@
 
 /// Where connections come from and go to.
 #[derive(Clone, Debug, Default)]
-pub enum Net {
+pub enum Network {
     #[default]
     Tcp,
-    Simulated(SimNet),
+    Simulated(SimulatedNetwork),
 }
 
 #[derive(Debug)]
 pub enum Listener {
     Tcp(TcpListener),
-    Simulated(SimListener),
+    Simulated(SimulatedListener),
 }
 
-impl Net {
+impl Network {
     /// Connects, from a local address if one is given.
-    pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Line> {
+    pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Socket> {
         match self {
             Self::Tcp => {
                 let socket = if to.is_ipv4() {
@@ -219,7 +221,7 @@
                 if let Some(ip) = from {
                     socket.bind(SocketAddr::new(ip, 0))?;
                 }
-                Ok(Line::Tcp(socket.connect(to).await?))
+                Ok(Socket::Tcp(socket.connect(to).await?))
             }
             Self::Simulated(net) => net.connect(from, to).await,
         }
@@ -252,7 +254,7 @@
 
 impl Listener {
     /// The next connection and where it comes from. Safe to drop while waiting.
-    pub async fn accept(&mut self) -> Result<(Line, SocketAddr)> {
+    pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
         match self {
             Self::Tcp(listener) => listener
                 .accept()
--- a/crates/transport/src/meter.rs
+++ b/crates/transport/src/meter.rs
@@ -8,19 +8,19 @@
 /// [`Meter::is_crowded`]: up to the number of open streams times
 /// [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW). Whoever opens streams bounds that number.
 #[derive(Clone, Debug)]
-pub struct Meter {
+pub struct BufferMeter {
     held: Arc<AtomicU64>,
     crowded: u64,
 }
 
-impl Default for Meter {
+impl Default for BufferMeter {
     /// Counts and never finds it crowded.
     fn default() -> Self {
         Self::new(u64::MAX)
     }
 }
 
-impl Meter {
+impl BufferMeter {
     /// From `crowded` bytes on streams get small windows.
     pub fn new(crowded: u64) -> Self {
         Self {
@@ -29,12 +29,12 @@
         }
     }
 
-    pub fn held(&self) -> u64 {
+    pub fn buffered_bytes(&self) -> u64 {
         self.held.load(Ordering::Relaxed)
     }
 
     pub fn is_crowded(&self) -> bool {
-        self.held() >= self.crowded
+        self.buffered_bytes() >= self.crowded
     }
 
     pub fn add(&self, bytes: usize) {
--- a/crates/transport/src/reader.rs
+++ b/crates/transport/src/reader.rs
@@ -1,7 +1,7 @@
 //! The receiving half of a connection: reads as large as the connection has shown to need, and no buffer while it is idle.
 use crate::line::ReadHalf;
 use bytes::{BufMut, BytesMut};
-use pointspindle_protocol::Wants;
+use pointspindle_protocol::ReadSizeHint;
 
 /// A read asks for so many bytes at first and at least, and at most: doubled when one is filled, halved when one is not
 /// filled to a quarter.
@@ -15,7 +15,7 @@
 
 /// What a codec makes of a socket's bytes. Frames are handed out of the buffer they were read into.
 #[derive(Debug)]
-pub struct Reader<D> {
+pub struct FrameReader<D> {
     socket: ReadHalf,
     codec: D,
     buffer: BytesMut,
@@ -26,14 +26,14 @@
 
 /// What an idle connection has brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idle {
+pub enum IdleState {
     Quiet,
     Closed,
     /// Bytes that nobody asked for.
     Stray,
 }
 
-impl<D: Wants> Reader<D>
+impl<D: ReadSizeHint> FrameReader<D>
 where
     D::Error: From<std::io::Error>,
 {
@@ -58,21 +58,21 @@
     }
 
     /// What has come on a connection on which nothing is asked. Looking takes a byte: use it only where any byte is one too many.
-    pub fn idle(&self) -> Idle {
+    pub fn idle(&self) -> IdleState {
         if !self.buffer.is_empty() {
-            return Idle::Stray;
+            return IdleState::Stray;
         }
         match self.socket.try_read_buf(&mut &mut [0; 1][..]) {
-            Ok(0) => Idle::Closed,
-            Ok(_) => Idle::Stray,
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => Idle::Quiet,
-            Err(_) => Idle::Closed,
+            Ok(0) => IdleState::Closed,
+            Ok(_) => IdleState::Stray,
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => IdleState::Quiet,
+            Err(_) => IdleState::Closed,
         }
     }
 
     /// Returns when the peer has left, though what it sent before is not read yet: for who holds its reading back.
-    pub async fn left(&self) {
-        let _ = self.socket.left().await;
+    pub async fn peer_closed(&self) {
+        let _ = self.socket.peer_closed().await;
     }
 
     /// Waits, without a buffer, until there is something to read.
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -7,7 +7,7 @@
 //!
 //! Kept: a direction's unread bytes, at most [`WINDOW`]; a listener's queue; a way for each pair of addresses that ever
 //! spoke (a simulation has few).
-use crate::line::{Line, LEAVING_LOOK};
+use crate::line::{Socket, LEAVING_LOOK};
 use bytes::{Buf, Bytes, BytesMut};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
 
 /// How a network behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// One way.
     pub latency: Duration,
     /// Up to so much more, drawn for each piece.
@@ -40,7 +40,7 @@
     pub resend: Duration,
 }
 
-impl Default for Weather {
+impl Default for NetworkConditions {
     fn default() -> Self {
         Self {
             latency: Duration::from_micros(200),
@@ -66,9 +66,9 @@
 
 #[derive(Debug)]
 struct Inner {
-    weather: Weather,
+    weather: NetworkConditions,
     dice: StdRng,
-    listeners: BTreeMap<SocketAddr, mpsc::Sender<(Line, SocketAddr)>>,
+    listeners: BTreeMap<SocketAddr, mpsc::Sender<(Socket, SocketAddr)>>,
     roads: BTreeMap<(IpAddr, IpAddr), Arc<Road>>,
     ways: Vec<(IpAddr, IpAddr, Weak<Way>)>,
     sweep_at: usize,
@@ -77,12 +77,12 @@
 
 /// Clones are the same network, seen from the same process.
 #[derive(Clone, Debug)]
-pub struct SimNet(Arc<Mutex<Inner>>, Arc<AtomicBool>);
+pub struct SimulatedNetwork(Arc<Mutex<Inner>>, Arc<AtomicBool>);
 
 /// One direction of a connection.
 #[derive(Debug)]
 struct Way {
-    net: SimNet,
+    net: SimulatedNetwork,
     road: Arc<Road>,
     state: Mutex<WayState>,
 }
@@ -104,20 +104,20 @@
 }
 
 #[derive(Debug)]
-pub struct SimRead(Arc<Way>);
+pub struct SimulatedReadHalf(Arc<Way>);
 
 #[derive(Debug)]
-pub struct SimWrite(Arc<Way>);
+pub struct SimulatedWriteHalf(Arc<Way>);
 
 #[derive(Debug)]
-pub struct SimListener {
-    net: SimNet,
+pub struct SimulatedListener {
+    net: SimulatedNetwork,
     at: SocketAddr,
-    queue: mpsc::Receiver<(Line, SocketAddr)>,
+    queue: mpsc::Receiver<(Socket, SocketAddr)>,
 }
 
-impl SimNet {
-    pub fn new(weather: Weather, seed: u64) -> Self {
+impl SimulatedNetwork {
+    pub fn new(weather: NetworkConditions, seed: u64) -> Self {
         let dice = StdRng::seed_from_u64(seed);
         let (listeners, roads, ways) = Default::default();
         let inner = Inner {
@@ -133,7 +133,7 @@
     }
 
     /// The same network as another process sees it.
-    pub fn life(&self) -> Self {
+    pub fn incarnation(&self) -> Self {
         Self(self.0.clone(), Arc::new(AtomicBool::new(true)))
     }
 
@@ -144,7 +144,7 @@
 
     fn delay(&self) -> Duration {
         let mut net = lock(&self.0);
-        let Weather {
+        let NetworkConditions {
             latency,
             jitter,
             loss,
@@ -163,7 +163,7 @@
     }
 
     /// From now on nothing passes between these two, and neither is told.
-    pub fn part(&self, a: IpAddr, b: IpAddr) {
+    pub fn partition(&self, a: IpAddr, b: IpAddr) {
         self.road(a, b).parted.store(true, Ordering::SeqCst);
     }
 
@@ -193,7 +193,7 @@
             .collect()
     }
 
-    pub fn listen(&self, mut at: SocketAddr) -> Result<SimListener> {
+    pub fn listen(&self, mut at: SocketAddr) -> Result<SimulatedListener> {
         let mut net = lock(&self.0);
         while at.port() == 0 {
             net.port = net.port.wrapping_add(1).max(20_000);
@@ -208,7 +208,7 @@
         let (sender, queue) = mpsc::channel(BACKLOG);
         net.listeners.insert(at, sender);
         drop(net);
-        Ok(SimListener {
+        Ok(SimulatedListener {
             net: self.clone(),
             at,
             queue,
@@ -216,7 +216,7 @@
     }
 
     /// Waits for as long as the way is parted: whoever connects brings a time-out.
-    pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Line> {
+    pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Socket> {
         let from = from.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
         let road = self.road(from, to.ip());
         tokio::time::sleep(self.delay() + self.delay()).await;
@@ -249,10 +249,13 @@
                 net.ways.retain(|w| w.2.strong_count() > 0);
                 net.sweep_at = 256.max(2 * net.ways.len());
             }
-            let here = Line::Simulated(SimRead(back.clone()), SimWrite(out.clone()));
+            let here = Socket::Simulated(
+                SimulatedReadHalf(back.clone()),
+                SimulatedWriteHalf(out.clone()),
+            );
             (
                 here,
-                Line::Simulated(SimRead(out), SimWrite(back)),
+                Socket::Simulated(SimulatedReadHalf(out), SimulatedWriteHalf(back)),
                 from,
                 listener,
             )
@@ -268,8 +271,8 @@
     }
 }
 
-impl SimListener {
-    pub async fn accept(&mut self) -> Result<(Line, SocketAddr)> {
+impl SimulatedListener {
+    pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
         self.queue
             .recv()
             .await
@@ -281,7 +284,7 @@
     }
 }
 
-impl Drop for SimListener {
+impl Drop for SimulatedListener {
     fn drop(&mut self) {
         lock(&self.net.0).listeners.remove(&self.at);
     }
@@ -346,13 +349,13 @@
     }
 }
 
-impl SimRead {
+impl SimulatedReadHalf {
     pub async fn readable(&self) {
         std::future::poll_fn(|cx| lock(&self.0.state).poll_readable(self.0.parted(), cx)).await;
     }
 
     /// Returns when the peer has ended its direction, though bytes before that are not read yet.
-    pub async fn left(&self) {
+    pub async fn peer_closed(&self) {
         loop {
             let parted = self.0.parted();
             let left = {
@@ -395,14 +398,14 @@
     }
 }
 
-impl Drop for SimRead {
+impl Drop for SimulatedReadHalf {
     fn drop(&mut self) {
         lock(&self.0.state).reader_gone = true;
         self.0.wake();
     }
 }
 
-impl SimWrite {
+impl SimulatedWriteHalf {
     pub async fn writable(&self) {
         std::future::poll_fn(|cx| {
             let mut state = lock(&self.0.state);
@@ -463,7 +466,7 @@
     }
 }
 
-impl Drop for SimWrite {
+impl Drop for SimulatedWriteHalf {
     fn drop(&mut self) {
         self.0.end();
     }
--- a/crates/transport/src/simulated/tests.rs
+++ b/crates/transport/src/simulated/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-async fn pair(net: &SimNet) -> (Line, Line) {
+async fn pair(net: &SimulatedNetwork) -> (Socket, Socket) {
     let at: SocketAddr = "10.0.0.1:80".parse().unwrap();
     let mut listener = net.listen(at).unwrap();
     let from = "10.0.0.2".parse().unwrap();
@@ -11,11 +11,11 @@
 /// Loss makes pieces late and never changes their order; a parted way is silent and loses nothing.
 #[tokio::test(start_paused = true)]
 async fn bytes_come_late_in_order_and_after_a_parting() {
-    let weather = Weather {
+    let weather = NetworkConditions {
         loss: 0.3,
-        ..Weather::default()
+        ..NetworkConditions::default()
     };
-    let net = SimNet::new(weather, 7);
+    let net = SimulatedNetwork::new(weather, 7);
     let (here, there) = pair(&net).await;
     let ((_keep, write), (read, _back)) = (here.split(), there.split());
     let (a, b) = ("10.0.0.1".parse().unwrap(), "10.0.0.2".parse().unwrap());
@@ -28,7 +28,7 @@
     while got.len() < 128 {
         read.read_buf(&mut got).await.unwrap();
     }
-    net.part(a, b);
+    net.partition(a, b);
     let waited = tokio::time::timeout(Duration::from_secs(60), read.read_buf(&mut got)).await;
     assert!(
         waited.is_err(),
@@ -43,7 +43,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_cut_is_seen_by_both_ends_and_nobody_listens_after_the_listener() {
-    let net = SimNet::new(Weather::default(), 1);
+    let net = SimulatedNetwork::new(NetworkConditions::default(), 1);
     let (here, there) = pair(&net).await;
     let ((read, _w), (_r, write)) = (here.split(), there.split());
     net.cut("10.0.0.2".parse().unwrap());
--- a/crates/transport/src/tasks.rs
+++ b/crates/transport/src/tasks.rs
@@ -1,11 +1,11 @@
 //! The tasks of a connection and what they share with its handles.
-use crate::call::{Call, CallEnd, Part, Responder};
+use crate::call::{Call, CallEnd, Responder, ResponsePart};
 use crate::credit::Credit;
-use crate::line::Line;
-use crate::meter::Meter;
-use crate::reader::Reader;
-use crate::writer::{Unsent, When, Wording, Writer};
-use crate::LinkError;
+use crate::line::Socket;
+use crate::meter::BufferMeter;
+use crate::reader::FrameReader;
+use crate::writer::{DeferredRequest, Unsent, When, Writer};
+use crate::ConnectionError;
 use pointspindle_protocol::streams::*;
 use pointspindle_protocol::*;
 use std::collections::HashMap;
@@ -19,11 +19,11 @@
 const INCOMING_QUEUE: usize = 64;
 
 #[derive(Clone, Copy, Debug)]
-pub struct LinkOptions {
+pub struct ConnectionOptions {
     pub max_streams: usize,
 }
 
-impl Default for LinkOptions {
+impl Default for ConnectionOptions {
     fn default() -> Self {
         Self {
             max_streams: MAX_STREAMS,
@@ -35,7 +35,7 @@
 #[derive(Debug)]
 enum Entry {
     /// Boxed: a channel allocates room for dozens at once, and most streams see three.
-    Call(mpsc::UnboundedSender<Box<Part>>),
+    Call(mpsc::UnboundedSender<Box<ResponsePart>>),
     Answer {
         credit: Arc<Credit>,
         gone: watch::Sender<bool>,
@@ -61,7 +61,7 @@
     closed: watch::Sender<bool>,
     /// Nothing more is written, nor waits for it.
     written: watch::Sender<bool>,
-    pub(crate) meter: Meter,
+    pub(crate) meter: BufferMeter,
     born: Instant,
     /// When the peer's last frame came, in milliseconds since the start.
     heard_ms: AtomicU64,
@@ -80,10 +80,10 @@
         self.writer.flush();
     }
 
-    pub(crate) async fn send(&self, frame: Frame, when: When) -> Result<(), LinkError> {
+    pub(crate) async fn send(&self, frame: Frame, when: When) -> Result<(), ConnectionError> {
         let sent = self.writer.send(frame, when).await;
         sent.then_some(())
-            .ok_or_else(|| LinkError::Closed(self.why_closed()))
+            .ok_or_else(|| ConnectionError::Closed(self.why_closed()))
     }
 
     /// Takes a request back of which nothing has gone out; false: its first byte has.
@@ -131,7 +131,8 @@
         for entry in entries.into_values() {
             match entry {
                 Entry::Call(parts) => {
-                    let _ = parts.send(Box::new(Part::End(CallEnd::Broken(why.to_owned()))));
+                    let _ =
+                        parts.send(Box::new(ResponsePart::End(CallEnd::Broken(why.to_owned()))));
                 }
                 Entry::Answer { credit, gone } => {
                     credit.close();
@@ -172,22 +173,26 @@
 
 /// A handle of a connection; it closes when [`Link::close`] is called or the peer leaves.
 #[derive(Clone, Debug)]
-pub struct Link {
+pub struct FramedConnection {
     shared: Arc<Shared>,
 }
 
-impl Link {
+impl FramedConnection {
     /// Takes a connection over.
-    pub fn start(socket: impl Into<Line>, side: Side, options: LinkOptions) -> (Self, Incoming) {
-        Self::start_metered(socket, side, options, Meter::default())
+    pub fn start(
+        socket: impl Into<Socket>,
+        side: Side,
+        options: ConnectionOptions,
+    ) -> (Self, Incoming) {
+        Self::start_metered(socket, side, options, BufferMeter::default())
     }
 
     /// ... and counts what it holds of bodies on a meter that other connections share.
     pub fn start_metered(
-        socket: impl Into<Line>,
+        socket: impl Into<Socket>,
         side: Side,
-        options: LinkOptions,
-        meter: Meter,
+        options: ConnectionOptions,
+        meter: BufferMeter,
     ) -> (Self, Incoming) {
         let (read, write) = socket.into().split();
         let (incoming, taken) = mpsc::channel(INCOMING_QUEUE);
@@ -210,32 +215,32 @@
             heard_ms: AtomicU64::new(0),
         });
         tokio::spawn(write_all(shared.clone()));
-        let frames = Reader::new(read, FrameCodec::default());
+        let frames = FrameReader::new(read, FrameCodec::default());
         tokio::spawn(read_all(frames, incoming, shared.clone()));
         (Self { shared }, Incoming { queue: taken })
     }
 
     /// Sends a request. An error, and [`CallEnd::NotSent`], mean that nothing was sent.
-    pub fn call(&self, request: RequestHead) -> Result<Call, LinkError> {
-        self.call_when(Box::new(move || Some(request.clone())))
+    pub fn call(&self, request: RequestHead) -> Result<Call, ConnectionError> {
+        self.call_deferred(Box::new(move || Some(request.clone())))
     }
 
     /// Sends a request that is worded when the socket takes its first byte, under the connection's lock: the wording must not
     /// come back to this connection. Given up before that, or where it says that it may not begin, nothing of it goes out.
-    pub fn call_when(&self, word: Wording) -> Result<Call, LinkError> {
+    pub fn call_deferred(&self, word: DeferredRequest) -> Result<Call, ConnectionError> {
         let (sender, parts) = mpsc::unbounded_channel();
         let id = {
             let mut table = self.shared.table();
             if let Some(why) = &table.closed {
-                return Err(LinkError::Closed(why.clone()));
+                return Err(ConnectionError::Closed(why.clone()));
             }
             if table.going_away {
-                return Err(LinkError::Closed("the peer goes away".into()));
+                return Err(ConnectionError::Closed("the peer goes away".into()));
             }
             let id = table
                 .streams
                 .call()
-                .ok_or(LinkError::NoStream(self.shared.most))?;
+                .ok_or(ConnectionError::NoStream(self.shared.most))?;
             table.entries.insert(id, Entry::Call(sender.clone()));
             // Under the lock: requests reach the writer in the order of their numbers.
             if !self.shared.writer.put_request(Unsent {
@@ -245,7 +250,7 @@
             }) {
                 table.streams.close(id);
                 table.entries.remove(&id);
-                return Err(LinkError::Closed("it closes".into()));
+                return Err(ConnectionError::Closed("it closes".into()));
             }
             id
         };
@@ -260,7 +265,7 @@
     }
 
     /// Sends a control frame.
-    pub async fn control(&self, frame: Frame) -> Result<(), LinkError> {
+    pub async fn control(&self, frame: Frame) -> Result<(), ConnectionError> {
         self.shared.send(frame, When::Now).await
     }
 
@@ -287,19 +292,19 @@
     }
 
     /// It ended, and neither side had said so before.
-    pub fn broke(&self) -> bool {
+    pub fn ended_unexpectedly(&self) -> bool {
         let table = self.shared.table();
         table.closed.is_some() && !table.ours && !table.going_away
     }
 
     /// How long ago the peer's last frame came, or the connection was made.
-    pub fn quiet_for(&self) -> Duration {
+    pub fn time_since_last_frame(&self) -> Duration {
         let heard = Duration::from_millis(self.shared.heard_ms.load(Ordering::Relaxed));
         self.shared.born.elapsed().saturating_sub(heard)
     }
 
     /// Sends a control frame that is small and rare, without waiting for room.
-    pub fn say(&self, frame: Frame) {
+    pub fn push_control(&self, frame: Frame) {
         self.shared.push(frame);
     }
 
@@ -308,13 +313,13 @@
     }
 
     /// Neither closed nor about to be: calls may go out on it.
-    pub fn takes_calls(&self) -> bool {
+    pub fn accepts_calls(&self) -> bool {
         let table = self.shared.table();
         table.closed.is_none() && !table.going_away
     }
 
     /// Why it closed, once it has.
-    pub fn why_closed(&self) -> String {
+    pub fn close_reason(&self) -> String {
         self.shared.why_closed()
     }
 
@@ -323,7 +328,7 @@
     }
 
     /// Returns when all that was queued has been written, or cannot be any more. Call after [`Link::close`].
-    pub async fn written(&self) {
+    pub async fn flushed(&self) {
         let mut written = self.shared.written.subscribe();
         let _ = written.wait_for(|written| *written).await;
     }
@@ -343,7 +348,7 @@
 }
 
 async fn read_all(
-    mut frames: Reader<FrameCodec>,
+    mut frames: FrameReader<FrameCodec>,
     incoming: mpsc::Sender<Box<Inbound>>,
     shared: Arc<Shared>,
 ) {
@@ -406,10 +411,10 @@
         Ok(Received::Stream { id, frame, closed }) => {
             let mut table = shared.table();
             let part = match frame {
-                Frame::Head(_, head) => Part::Head(head),
-                Frame::Data(_, data) => Part::Data(data),
-                Frame::End(_, end) => Part::End(CallEnd::Complete(end)),
-                Frame::Error(_, error) => Part::End(CallEnd::Error(error)),
+                Frame::Head(_, head) => ResponsePart::Head(head),
+                Frame::Data(_, data) => ResponsePart::Data(data),
+                Frame::End(_, end) => ResponsePart::End(CallEnd::Complete(end)),
+                Frame::Error(_, error) => ResponsePart::End(CallEnd::Error(error)),
                 Frame::Cancel(..) => {
                     if let Some(Entry::Answer { credit, gone }) = table.entries.remove(&id) {
                         credit.close();
@@ -420,7 +425,7 @@
                 _ => return Ok(()),
             };
             if let Some(Entry::Call(parts)) = table.entries.get(&id) {
-                let bytes = if let Part::Data(data) = &part {
+                let bytes = if let ResponsePart::Data(data) = &part {
                     data.len()
                 } else {
                     0
@@ -461,7 +466,7 @@
         // Too many streams is the client's haste, not a broken peer: that one stream is turned away.
         Err(StreamError::TooMany(most)) => {
             let error = ErrorHead {
-                status: WireStatus::Full as i32,
+                status: WireStatus::Rejected as i32,
                 detail: format!("{most} streams are open on this connection"),
                 ..Default::default()
             };
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -3,7 +3,7 @@
 //! No task and no buffer of ours: what the socket does not take of a record is rustls's, and a task that lives only while the
 //! socket is full writes it on. Keys and certificates come from PEM files and are read again by [`Identity::reload`];
 //! connections that stand keep what they have.
-use crate::line::Line;
+use crate::line::Socket;
 use rustls::pki_types::pem::PemObject;
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::server::WebPkiClientVerifier;
@@ -35,13 +35,13 @@
 
 /// Files of one side's certificate.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Files {
+pub struct CertificateFiles {
     /// PEM: the certificate, then those that lead to its authority.
     pub certificate: PathBuf,
     pub key: PathBuf,
 }
 
-impl Files {
+impl CertificateFiles {
     fn read(
         &self,
     ) -> std::result::Result<(Vec<CertificateDer<'static>>, PrivateKeyDer<'static>), TlsError> {
@@ -79,7 +79,7 @@
 /// A server's certificate, and whom it lets in.
 #[derive(Debug)]
 pub struct Identity {
-    files: Files,
+    files: CertificateFiles,
     /// Clients must show a certificate of these authorities.
     client_authority: Option<PathBuf>,
     held: Mutex<Arc<ServerConfig>>,
@@ -87,7 +87,7 @@
 
 impl Identity {
     pub fn load(
-        files: Files,
+        files: CertificateFiles,
         client_authority: Option<PathBuf>,
     ) -> std::result::Result<Self, TlsError> {
         let held = Mutex::new(server(&files, client_authority.as_deref())?);
@@ -109,7 +109,7 @@
     }
 
     /// The server's side of a handshake. The caller brings the time-out.
-    pub async fn accept(&self, socket: TcpStream) -> Result<Line> {
+    pub async fn accept(&self, socket: TcpStream) -> Result<Socket> {
         let config = self
             .held
             .lock()
@@ -121,7 +121,7 @@
 }
 
 fn server(
-    files: &Files,
+    files: &CertificateFiles,
     authority: Option<&Path>,
 ) -> std::result::Result<Arc<ServerConfig>, TlsError> {
     let (chain, key) = files.read()?;
@@ -142,13 +142,16 @@
 
 /// Whom a client trusts, and who it says it is.
 #[derive(Clone, Debug)]
-pub struct Trust {
+pub struct TrustAnchors {
     config: Arc<ClientConfig>,
 }
 
-impl Trust {
+impl TrustAnchors {
     /// `authority`: PEM of those whose certificates are believed.
-    pub fn load(authority: &Path, own: Option<&Files>) -> std::result::Result<Self, TlsError> {
+    pub fn load(
+        authority: &Path,
+        own: Option<&CertificateFiles>,
+    ) -> std::result::Result<Self, TlsError> {
         let builder = ClientConfig::builder().with_root_certificates(authorities(authority)?);
         let config = match own {
             Some(files) => {
@@ -164,7 +167,7 @@
     }
 
     /// The client's side of a handshake with whoever has the name, an address or a host's. The caller brings the time-out.
-    pub async fn connect(&self, socket: TcpStream, name: &str) -> Result<Line> {
+    pub async fn connect(&self, socket: TcpStream, name: &str) -> Result<Socket> {
         let name = ServerName::try_from(name.to_owned())
             .map_err(|e| Error::new(ErrorKind::InvalidInput, e))?;
         let connection = ClientConnection::new(self.config.clone(), name).map_err(Error::other)?;
@@ -173,15 +176,15 @@
 }
 
 /// The socket, as rustls wants it.
-struct Socket<'a>(&'a TcpStream);
+struct TcpAdapter<'a>(&'a TcpStream);
 
-impl Read for Socket<'_> {
+impl Read for TcpAdapter<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> Result<usize> {
         self.0.try_read(buffer)
     }
 }
 
-impl Write for Socket<'_> {
+impl Write for TcpAdapter<'_> {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         self.0.try_write(bytes)
     }
@@ -224,7 +227,7 @@
     }
 }
 
-async fn shake(socket: TcpStream, connection: Connection) -> Result<Line> {
+async fn shake(socket: TcpStream, connection: Connection) -> Result<Socket> {
     let _ = socket.set_nodelay(true);
     let state = State {
         connection,
@@ -246,7 +249,7 @@
             }
             if !state.connection.is_handshaking() {
                 drop(state);
-                return Ok(Line::Tls(tls));
+                return Ok(Socket::Tls(tls));
             }
         }
         tls.socket.readable().await?;
@@ -276,7 +279,7 @@
 
     /// Takes what the socket has and opens it.
     fn pull(self: &Arc<Self>, state: &mut State) -> Result<usize> {
-        let read = state.connection.read_tls(&mut Socket(&self.socket))?;
+        let read = state.connection.read_tls(&mut TcpAdapter(&self.socket))?;
         let opened = state.connection.process_new_packets();
         // Also after an error: the peer is told why.
         self.push(state);
@@ -298,7 +301,7 @@
     /// False: the socket is full.
     fn flush(&self, state: &mut State) -> bool {
         while state.broken.is_none() && state.connection.wants_write() {
-            match state.connection.write_tls(&mut Socket(&self.socket)) {
+            match state.connection.write_tls(&mut TcpAdapter(&self.socket)) {
                 Ok(0) => state.broken = Some(ErrorKind::WriteZero),
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return false,
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -10,9 +10,9 @@
 //! when the connection ends, never began, and its call is told so.
 //!
 //! An idle connection holds no buffer and no queue.
-use crate::call::{CallEnd, Part};
+use crate::call::{CallEnd, ResponsePart};
 use crate::line::{WriteHalf, PIECES};
-use crate::meter::Meter;
+use crate::meter::BufferMeter;
 use bytes::{Buf, Bytes, BytesMut};
 use pointspindle_protocol::{Frame, FrameCodec, FrameError, RequestHead};
 use std::collections::VecDeque;
@@ -35,14 +35,14 @@
 
 /// Words a request at the moment of its first byte; none: it is not to begin any more. Asked again where the socket took
 /// nothing after all.
-pub type Wording = Box<dyn FnMut() -> Option<RequestHead> + Send>;
+pub type DeferredRequest = Box<dyn FnMut() -> Option<RequestHead> + Send>;
 
 /// A request none of whose bytes has gone out. Who ends it like this tells its call ([`Unsent::never_began`]), unless that is what gave
 /// it up.
 pub(crate) struct Unsent {
     pub id: u32,
-    pub word: Wording,
-    pub parts: mpsc::UnboundedSender<Box<Part>>,
+    pub word: DeferredRequest,
+    pub parts: mpsc::UnboundedSender<Box<ResponsePart>>,
 }
 
 impl std::fmt::Debug for Unsent {
@@ -55,7 +55,9 @@
 
 impl Unsent {
     fn never_began(self) {
-        let _ = self.parts.send(Box::new(Part::End(CallEnd::NotSent)));
+        let _ = self
+            .parts
+            .send(Box::new(ResponsePart::End(CallEnd::NotSent)));
     }
 }
 
@@ -240,7 +242,7 @@
     }
 
     /// Tells the meter what waits.
-    fn settle(&mut self, meter: &Meter) {
+    fn settle(&mut self, meter: &BufferMeter) {
         match self.waiting.checked_sub(self.counted) {
             Some(more) => meter.add(more),
             None => meter.sub(self.counted - self.waiting),
@@ -259,7 +261,7 @@
 pub(crate) struct Writer {
     state: Mutex<State>,
     socket: WriteHalf,
-    meter: Meter,
+    meter: BufferMeter,
     /// For the task: something waits, or the connection closes.
     work: Notify,
     /// For senders: there is room again, or will never be.
@@ -275,7 +277,7 @@
 }
 
 impl Writer {
-    pub fn new(socket: WriteHalf, meter: Meter) -> Self {
+    pub fn new(socket: WriteHalf, meter: BufferMeter) -> Self {
         Self {
             state: Mutex::default(),
             socket,
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/link.rs
@@ -17,10 +17,11 @@
     (here.unwrap(), there.unwrap().0)
 }
 
-async fn pair() -> (Link, Link, Incoming) {
+async fn pair() -> (FramedConnection, FramedConnection, Incoming) {
     let (here, there) = sockets().await;
-    let (caller, _) = Link::start(here, Side::Caller, LinkOptions::default());
-    let (answerer, incoming) = Link::start(there, Side::Answerer, LinkOptions::default());
+    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
+    let (answerer, incoming) =
+        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
     (caller, answerer, incoming)
 }
 
@@ -42,9 +43,9 @@
     let mut bytes = 0;
     while let Some(part) = call.next().await {
         match part {
-            Part::Head(_) => {}
-            Part::Data(data) => bytes += data.len(),
-            Part::End(end) => return (bytes, Some(end)),
+            ResponsePart::Head(_) => {}
+            ResponsePart::Data(data) => bytes += data.len(),
+            ResponsePart::End(end) => return (bytes, Some(end)),
         }
     }
     (bytes, None)
@@ -56,13 +57,13 @@
     let (caller, _answerer, mut incoming) = pair().await;
     let slow = caller.call(ask("slow")).unwrap();
     let (_, mut stalled) = next_request(&mut incoming).await;
-    stalled.head(AnswerHead::default()).await.unwrap();
+    stalled.head(ResponseHead::default()).await.unwrap();
     let sending = tokio::spawn(async move { stalled.data(Bytes::from(vec![0; 4 << 20])).await });
     for n in 0..20 {
         let mut quick = caller.call(ask(&format!("quick {n}"))).unwrap();
         let (_, mut responder) = next_request(&mut incoming).await;
         tokio::spawn(async move {
-            responder.head(AnswerHead::default()).await.unwrap();
+            responder.head(ResponseHead::default()).await.unwrap();
             responder.data(Bytes::from(vec![0; 1 << 20])).await.unwrap();
             responder.end(None).await.unwrap();
         });
@@ -83,7 +84,8 @@
 #[tokio::test]
 async fn a_request_begins_with_its_first_byte_and_not_before() {
     let (here, mut there) = sockets().await;
-    let (caller, _) = Link::start(here, Side::Caller, LinkOptions { max_streams: 4_000 });
+    let (caller, _) =
+        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 4_000 });
     let asked = Arc::new(AtomicUsize::new(0));
     let word = |object: String, may: bool| {
         let asked = asked.clone();
@@ -99,7 +101,7 @@
         let before = asked.load(Ordering::SeqCst);
         out.push(
             caller
-                .call_when(word(format!("first {}", out.len()), true))
+                .call_deferred(word(format!("first {}", out.len()), true))
                 .unwrap(),
         );
         if asked.load(Ordering::SeqCst) == before {
@@ -107,11 +109,11 @@
         }
     }
     assert!(out.len() < 3_000, "the socket is full at some time");
-    let given_up = caller.call_when(word("given up".into(), true)).unwrap();
+    let given_up = caller.call_deferred(word("given up".into(), true)).unwrap();
     let mut not_any_more = caller
-        .call_when(word("not any more".into(), false))
+        .call_deferred(word("not any more".into(), false))
         .unwrap();
-    let mut good = caller.call_when(word("good".into(), true)).unwrap();
+    let mut good = caller.call_deferred(word("good".into(), true)).unwrap();
     drop(given_up);
     // Read on until the good one has come: it stood behind the others.
     let mut seen = Vec::new();
@@ -131,12 +133,15 @@
         "{seen:?}"
     );
     assert_eq!(seen.len(), out.len() + 1, "all others went out");
-    assert_eq!(not_any_more.next().await, Some(Part::End(CallEnd::NotSent)));
+    assert_eq!(
+        not_any_more.next().await,
+        Some(ResponsePart::End(CallEnd::NotSent))
+    );
     // Full again, and then the end.
     let mut last = Vec::new();
     loop {
         let before = asked.load(Ordering::SeqCst);
-        last.push(caller.call_when(word("last".into(), true)).unwrap());
+        last.push(caller.call_deferred(word("last".into(), true)).unwrap());
         if asked.load(Ordering::SeqCst) == before {
             break;
         }
@@ -147,14 +152,17 @@
         ends.push(call.next().await);
     }
     assert!(
-        matches!(ends[0], Some(Part::End(CallEnd::Broken(_)))),
+        matches!(ends[0], Some(ResponsePart::End(CallEnd::Broken(_)))),
         "it went out: {:?}",
         ends[0]
     );
-    assert_eq!(ends.last(), Some(&Some(Part::End(CallEnd::NotSent))));
+    assert_eq!(
+        ends.last(),
+        Some(&Some(ResponsePart::End(CallEnd::NotSent)))
+    );
     assert!(matches!(
         good.next().await,
-        Some(Part::End(CallEnd::Broken(_)))
+        Some(ResponsePart::End(CallEnd::Broken(_)))
     ));
 }
 
@@ -164,7 +172,7 @@
     let call = caller.call(ask("a")).unwrap();
     let (_, responder) = next_request(&mut incoming).await;
     drop(call);
-    responder.gone().await;
+    responder.cancelled().await;
     drop(responder);
     let mut call = caller.call(ask("b")).unwrap();
     let (_, responder) = next_request(&mut incoming).await;
@@ -185,9 +193,13 @@
 #[tokio::test]
 async fn a_thousand_streams_at_once_get_an_answer_each() {
     let (here, there) = sockets().await;
-    let (caller, _) = Link::start(here, Side::Caller, LinkOptions { max_streams: 2_000 });
-    let (_answerer, mut incoming) =
-        Link::start(there, Side::Answerer, LinkOptions { max_streams: 100 });
+    let (caller, _) =
+        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 2_000 });
+    let (_answerer, mut incoming) = FramedConnection::start(
+        there,
+        Side::Answerer,
+        ConnectionOptions { max_streams: 100 },
+    );
     let calls: Vec<Call> = (0..1_000)
         .map(|n| caller.call(ask(&n.to_string())).unwrap())
         .collect();
@@ -202,7 +214,7 @@
             continue;
         }
         match body(&mut call).await.1 {
-            Some(CallEnd::Error(e)) if e.status() == WireStatus::Full && !e.may_have_run => {
+            Some(CallEnd::Error(e)) if e.status() == WireStatus::Rejected && !e.may_have_run => {
                 full += 1
             }
             other => panic!("{n}: {other:?}"),
@@ -211,7 +223,7 @@
     assert_eq!(full, 900);
     for responder in accepted {
         let mut responder = responder;
-        responder.head(AnswerHead::default()).await.unwrap();
+        responder.head(ResponseHead::default()).await.unwrap();
         responder.end(None).await.unwrap();
     }
     for call in &mut first {
@@ -222,7 +234,7 @@
 /// The peer speaks frames by hand.
 async fn against(frames: Vec<Frame>) -> (Option<CallEnd>, String) {
     let (here, there) = sockets().await;
-    let (caller, _) = Link::start(here, Side::Caller, LinkOptions::default());
+    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
     let mut call = caller.call(ask("a")).unwrap();
     let mut peer = Framed::new(there, FrameCodec::default());
     assert!(matches!(peer.next().await, Some(Ok(Frame::Request(1, _)))));
@@ -234,12 +246,12 @@
     tokio::time::timeout(Duration::from_secs(5), caller.closed())
         .await
         .expect("it closes");
-    (end, caller.why_closed())
+    (end, caller.close_reason())
 }
 
 #[tokio::test]
 async fn a_peer_that_breaks_the_protocol_ends_the_connection_and_never_a_call_well() {
-    let head = || Frame::Head(1, AnswerHead::default());
+    let head = || Frame::Head(1, ResponseHead::default());
     let data = |n: usize| Frame::Data(1, Bytes::from(vec![0; n]));
     let end = |bytes| Frame::End(1, EndHead { bytes, load: None });
     for (frames, why) in [
@@ -247,7 +259,7 @@
         (vec![data(5)], "data before the head"),
         (vec![head(), head()], "a second head"),
         (
-            vec![Frame::Head(7, AnswerHead::default())],
+            vec![Frame::Head(7, ResponseHead::default())],
             "nothing that was asked",
         ),
         (vec![Frame::Request(2, ask("b"))], "only the other side"),
@@ -269,13 +281,14 @@
 async fn garbage_in_place_of_the_preface_is_no_request() {
     use tokio::io::AsyncWriteExt;
     let (mut here, there) = sockets().await;
-    let (answerer, mut incoming) = Link::start(there, Side::Answerer, LinkOptions::default());
+    let (answerer, mut incoming) =
+        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
     here.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
     assert!(incoming.next().await.is_none());
     assert!(
-        answerer.why_closed().contains("preface"),
+        answerer.close_reason().contains("preface"),
         "{}",
-        answerer.why_closed()
+        answerer.close_reason()
     );
 }
 
@@ -286,19 +299,20 @@
     // Just made known to the runtime, which has not looked yet whether it takes bytes.
     let here = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     here.set_nonblocking(true).unwrap();
-    let (caller, _) = Link::start(
+    let (caller, _) = FramedConnection::start(
         TcpStream::from_std(here).unwrap(),
         Side::Caller,
-        LinkOptions::default(),
+        ConnectionOptions::default(),
     );
     let mut call = caller.call(ask("first")).unwrap();
     let (there, _) = listener.accept().await.unwrap();
-    let (_answerer, mut incoming) = Link::start(there, Side::Answerer, LinkOptions::default());
+    let (_answerer, mut incoming) =
+        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
     let (head, responder) = next_request(&mut incoming).await;
     assert_eq!(head.object, "first");
     responder.error(ErrorHead::default()).await.unwrap();
     assert!(matches!(
         call.next().await,
-        Some(Part::End(CallEnd::Error(_)))
+        Some(ResponsePart::End(CallEnd::Error(_)))
     ));
 }
--- a/crates/transport/tests/path.rs
+++ b/crates/transport/tests/path.rs
@@ -33,9 +33,9 @@
     let mut body = BytesMut::new();
     while let Some(part) = call.next().await {
         match part {
-            Part::Head(_) => {}
-            Part::Data(data) => body.extend_from_slice(&data),
-            Part::End(end) => return (body, Some(end)),
+            ResponsePart::Head(_) => {}
+            ResponsePart::Data(data) => body.extend_from_slice(&data),
+            ResponsePart::End(end) => return (body, Some(end)),
         }
     }
     (body, None)
@@ -48,7 +48,8 @@
     for seed in 1..=4_u64 {
         println!("seed {seed}");
         let (here, mut peer) = sockets().await;
-        let (link, _incoming) = Link::start(here, Side::Caller, LinkOptions::default());
+        let (link, _incoming) =
+            FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
         let mut calls: Vec<Call> = sizes
             .iter()
             .map(|n| link.call(ask(&n.to_string())).unwrap())
@@ -60,7 +61,7 @@
             let id = n as u32 + 1;
             put(Frame::Head(
                 id,
-                AnswerHead {
+                ResponseHead {
                     size: Some(*size as u64),
                     ..Default::default()
                 },
@@ -104,14 +105,15 @@
 #[tokio::test]
 async fn answers_are_whole_and_in_order_when_many_send_at_once() {
     let (here, there) = sockets().await;
-    let (caller, _) = Link::start(here, Side::Caller, LinkOptions::default());
-    let (_answerer, mut incoming) = Link::start(there, Side::Answerer, LinkOptions::default());
+    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
+    let (_answerer, mut incoming) =
+        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
     tokio::spawn(async move {
         while let Some(Inbound::Request(head, mut responder)) = incoming.next().await {
             tokio::spawn(async move {
                 let size: usize = head.object.parse().unwrap();
                 responder
-                    .head(AnswerHead {
+                    .head(ResponseHead {
                         size: Some(size as u64),
                         ..Default::default()
                     })
@@ -143,7 +145,8 @@
 #[tokio::test]
 async fn a_peer_that_stops_reading_bounds_what_waits_for_it() {
     let (here, mut peer) = sockets().await;
-    let (link, _incoming) = Link::start(here, Side::Caller, LinkOptions::default());
+    let (link, _incoming) =
+        FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
     const FRAMES: u64 = 2_000;
     let probe = |token| {
         Frame::Probe(ProbeHead {
@@ -200,18 +203,23 @@
 #[tokio::test]
 async fn bytes_are_counted_over_connections_and_a_crowd_has_small_windows() {
     // Always a crowd.
-    let crowd = Meter::new(0);
+    let crowd = BufferMeter::new(0);
     let mut links = Vec::new();
     for _ in 0..2 {
         let (here, there) = sockets().await;
-        let (link, incoming) =
-            Link::start_metered(here, Side::Caller, LinkOptions::default(), crowd.clone());
-        let (answerer, mut asked) = Link::start(there, Side::Answerer, LinkOptions::default());
+        let (link, incoming) = FramedConnection::start_metered(
+            here,
+            Side::Caller,
+            ConnectionOptions::default(),
+            crowd.clone(),
+        );
+        let (answerer, mut asked) =
+            FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
         tokio::spawn(async move {
             let _answerer = answerer;
             while let Some(Inbound::Request(_, mut responder)) = asked.next().await {
                 tokio::spawn(async move {
-                    let _ = responder.head(AnswerHead::default()).await;
+                    let _ = responder.head(ResponseHead::default()).await;
                     if responder.data(content(3 << 20)).await.is_ok() {
                         let _ = responder.end(None).await;
                     }
@@ -233,27 +241,27 @@
     // Half a megabyte taken, then nothing more.
     let mut taken = 0;
     while taken < 512 * 1024 {
-        if let Some(Part::Data(data)) = stopped.next().await {
+        if let Some(ResponsePart::Data(data)) = stopped.next().await {
             taken += data.len();
         }
     }
     // All that may come has come when the peer's credit is used up.
     let most = u64::from(CROWDED_WINDOW) * 3 / 2;
     tokio::time::timeout(Duration::from_secs(10), async {
-        while crowd.held() < u64::from(CROWDED_WINDOW) / 2 {
+        while crowd.buffered_bytes() < u64::from(CROWDED_WINDOW) / 2 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     })
     .await
     .expect("it reads ahead");
     assert!(
-        crowd.held() <= most,
+        crowd.buffered_bytes() <= most,
         "{} bytes held by one that stopped",
-        crowd.held()
+        crowd.buffered_bytes()
     );
     drop(stopped);
     tokio::time::timeout(Duration::from_secs(10), async {
-        while crowd.held() > 0 {
+        while crowd.buffered_bytes() > 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     })
@@ -266,7 +274,11 @@
 async fn what_a_given_up_connection_still_held_never_reaches_its_peer() {
     for given_up in [false, true] {
         let (socket, mut peer) = sockets().await;
-        let (link, incoming) = Link::start(socket, Side::Caller, LinkOptions { max_streams: 8192 });
+        let (link, incoming) = FramedConnection::start(
+            socket,
+            Side::Caller,
+            ConnectionOptions { max_streams: 8192 },
+        );
         let trace = "t".repeat(1_000);
         let head = || RequestHead {
             object: "/a".into(),
@@ -280,7 +292,7 @@
         } else {
             link.close("done");
         }
-        link.written().await;
+        link.flushed().await;
         drop((calls, link, incoming));
         let mut got = Vec::new();
         let read = tokio::time::timeout(Duration::from_secs(10), peer.read_to_end(&mut got));
