--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -113,20 +113,17 @@
             };
             router.handle(now, Event::Request(request), &mut actions);
             let sent = actions.iter().find_map(|a| {
-                if let Action::Send {
-                    endpoint: member, ..
-                } = a
-                {
-                    Some(*member)
+                if let Action::Send { endpoint, .. } = a {
+                    Some(*endpoint)
                 } else {
                     None
                 }
             });
-            let Some(member) = sent else { continue };
+            let Some(endpoint) = sent else { continue };
             let outcome = AttemptOutcome {
                 request: RequestId(id),
                 attempt: 0,
-                endpoint: member,
+                endpoint,
                 status: AttemptStatus::Ok,
                 cache_status: CacheStatus::Hit,
                 elapsed: 10_000,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,7 +1,7 @@
 //! `pointspindle serve`.
 use crate::Failure;
 use pointspindle_config::DispatcherSettings;
-use pointspindle_dispatcher::{Bound, Prepared};
+use pointspindle_dispatcher::{BoundAddresses, PreparedDispatcher};
 use pointspindle_etcd::EtcdSource;
 use pointspindle_lab::demo;
 use pointspindle_protocol::EndpointRecord;
@@ -39,10 +39,13 @@
     };
     let source = EtcdSource::of(&settings, seed)?;
     let wait = settings.etcd.as_ref().map_or(0, |e| e.start_wait_us);
-    let mut prepared = Prepared::new(Network::Tcp, settings, seed).await;
+    let mut prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
     if let Some(source) = source {
         prepared.follow(source);
-        if !prepared.heard(Duration::from_micros(wait)).await {
+        if !prepared
+            .wait_until_current(Duration::from_micros(wait))
+            .await
+        {
             tracing::warn!(
                 "etcd does not answer; the doors open with the lists that are known from before"
             );
@@ -50,10 +53,10 @@
     }
     let dispatcher = prepared.open().await?;
     if let Some(file) = &arguments.ready_file {
-        write_whole(file, &serde_json::to_vec(dispatcher.bound())?)?;
+        write_whole(file, &serde_json::to_vec(dispatcher.bound_addresses())?)?;
     }
     if fleet.is_some() {
-        try_it(dispatcher.bound());
+        try_it(dispatcher.bound_addresses());
     }
     loop {
         tokio::select! {
@@ -119,7 +122,7 @@
     members.iter().enumerate().map(section).collect()
 }
 
-fn try_it(bound: &Bound) {
+fn try_it(bound: &BoundAddresses) {
     let Some(http) = bound.http else { return };
     println!("a dispatcher, two cache hosts, a parent and an origin run here. Try:");
     for (path, ..) in demo::SAMPLES {
--- a/crates/client/tests/cuts.rs
+++ b/crates/client/tests/cuts.rs
@@ -243,9 +243,9 @@
     let mut doors = Vec::new();
     for (n, d) in [&one, &two].into_iter().enumerate() {
         let to = if framed {
-            d.bound().framed
+            d.bound_addresses().framed
         } else {
-            d.bound().http
+            d.bound_addresses().http
         };
         doors.push(relay(to.unwrap(), seed + 10 + n as u64, cuts.clone()).await);
     }
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -3,7 +3,7 @@
 use pointspindle_client::{
     CertificateFiles, Client, Outcome, Piece, Request, RetryRules, TrustAnchors,
 };
-use pointspindle_dispatcher::{Bound, Dispatcher};
+use pointspindle_dispatcher::{BoundAddresses, Dispatcher};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
@@ -121,7 +121,7 @@
     Dispatcher::start(settings, 1).await.unwrap()
 }
 
-fn client(bound: &Bound, framed: bool, trust: TrustAnchors) -> Client {
+fn client(bound: &BoundAddresses, framed: bool, trust: TrustAnchors) -> Client {
     let rules = RetryRules {
         most: 1,
         ..RetryRules::default()
@@ -151,7 +151,7 @@
     let edge = dispatcher(&authority.sign("edge", |_| {}), None).await;
     let trust = TrustAnchors::load(&authority.file(), None).unwrap();
     for framed in [true, false] {
-        let client = client(edge.bound(), framed, trust.clone());
+        let client = client(edge.bound_addresses(), framed, trust.clone());
         assert_eq!(
             get(&client, "/small").await,
             (Outcome::Served, Bytes::from("small")),
@@ -197,7 +197,7 @@
     for (files, reason) in cases {
         let edge = dispatcher(&files, None).await;
         for framed in [true, false] {
-            let client = client(edge.bound(), framed, trust.clone());
+            let client = client(edge.bound_addresses(), framed, trust.clone());
             assert_ne!(get(&client, "/small").await.0, Outcome::Served, "{reason}");
             let told = client.last_trouble().unwrap_or_default();
             assert!(
@@ -211,7 +211,7 @@
     let (own, strange) = (ours.sign("desk", |_| {}), foreign.sign("desk", |_| {}));
     for (shown, served) in [(None, false), (Some(&strange), false), (Some(&own), true)] {
         let client = client(
-            edge.bound(),
+            edge.bound_addresses(),
             true,
             TrustAnchors::load(&ours.file(), shown).unwrap(),
         );
@@ -242,12 +242,12 @@
     let files = first.sign("edge", |_| {});
     let edge = dispatcher(&files, None).await;
     let old = client(
-        edge.bound(),
+        edge.bound_addresses(),
         true,
         TrustAnchors::load(&first.file(), None).unwrap(),
     );
     let new = client(
-        edge.bound(),
+        edge.bound_addresses(),
         true,
         TrustAnchors::load(&second.file(), None).unwrap(),
     );
--- a/crates/dispatcher/src/core/list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -12,13 +12,13 @@
 
 /// What became of an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListNews {
+pub struct EndpointListChange {
     /// Number of the list in force.
     pub seq: u64,
     /// Why the whole list is needed; none: nothing is missing.
-    pub wanted: Option<String>,
+    pub resync_reason: Option<String>,
     /// Lines that could not be read, with the reason.
-    pub bad: Vec<String>,
+    pub rejected_records: Vec<String>,
 }
 
 /// What became of a hello.
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug)]
-pub struct MemberList {
+pub struct EndpointList {
     zones: Vec<String>,
     /// Names are ids, not addresses.
     by_id: bool,
@@ -59,7 +59,7 @@
     newest: u64,
 }
 
-impl MemberList {
+impl EndpointList {
     pub fn new(zones: &[String], by_id: bool) -> Self {
         Self {
             by_id,
@@ -91,7 +91,11 @@
 
     /// Judges an update. One of the past is left out; of one after a gap every line is newer than what is
     /// known, so all are taken (a drain must not wait for the list), but the whole list stays wanted.
-    pub fn take(&mut self, now: Micros, head: EndpointListHead) -> (Option<Event>, ListNews) {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        head: EndpointListHead,
+    ) -> (Option<Event>, EndpointListChange) {
         let update = match head.form() {
             EndpointListForm::Full => ListUpdate::Full,
             EndpointListForm::Cached => ListUpdate::Cached,
@@ -109,20 +113,20 @@
                 };
                 return (
                     Some(event),
-                    ListNews {
+                    EndpointListChange {
                         seq: self.seq,
-                        wanted,
-                        bad,
+                        resync_reason: wanted,
+                        rejected_records: bad,
                     },
                 );
             }
             ListUpdate::Delta if head.seq <= self.newest => {
                 return (
                     None,
-                    ListNews {
+                    EndpointListChange {
                         seq: self.seq,
-                        wanted,
-                        bad,
+                        resync_reason: wanted,
+                        rejected_records: bad,
                     },
                 );
             }
@@ -170,10 +174,10 @@
             .retain(|_, l| l.gone.is_none_or(|at| now < at + KEEP_GONE));
         (
             Some(Event::EndpointList { update, entries }),
-            ListNews {
+            EndpointListChange {
                 seq: self.seq,
-                wanted,
-                bad,
+                resync_reason: wanted,
+                rejected_records: bad,
             },
         )
     }
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -5,40 +5,40 @@
 //!
 //! Kept: an entry for each open request, dropped with its last attempt's end; two timers for each at most; a
 //! line for each listed member, dropped a minute after it is gone; purges until no older copy can be left.
-mod asks;
-mod hold;
-mod list;
-mod purges;
+mod endpoint_list;
+mod purge_lease;
+mod purge_log;
 pub mod state;
 mod timers;
+mod work_requests;
 
-use crate::peers::{Counts, Peers, Roster};
-use asks::Asks;
-use hold::Hold;
-use list::MemberList;
+use crate::dispatcher_registry::{DispatcherRegistry, FleetCounts, Roster};
+use endpoint_list::EndpointList;
 use pointspindle::*;
 use pointspindle_config::{DispatcherSettings, Role};
 use pointspindle_protocol::{
     EndpointListHead, HelloHead, LeaseHead, PurgeHead, WireCacheStatus, WireStatus,
 };
-use purges::PurgeLog;
+use purge_lease::Hold;
+use purge_log::PurgeLog;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use timers::Timers;
+use work_requests::Asks;
 
-pub use list::ListNews;
+pub use endpoint_list::EndpointListChange;
 
 /// Longest lease that is believed.
 const LONGEST_LEASE: Micros = 60_000_000;
 
 /// A client's request as the door tells it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     pub class: usize,
     pub object: String,
     pub part: u64,
     pub group: u64,
     /// Time that the client still waits.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Bytes of the answer, where told.
     pub size: Option<u64>,
 }
@@ -49,9 +49,9 @@
     /// The whole answer has come.
     Complete,
     /// The member said so, with an error frame.
-    Told {
+    ErrorReported {
         status: WireStatus,
-        note: WireCacheStatus,
+        cache_status: WireCacheStatus,
         may_have_run: bool,
     },
     /// No connection; nothing was sent.
@@ -66,50 +66,50 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// The number is the shell's own, never used before.
-    Request(u64, Ask),
+    Request(u64, ClientRequest),
     /// The head of an attempt's answer has come; nothing of it has been passed on yet.
-    Head {
+    ResponseStarted {
         request: u64,
         attempt: u32,
-        note: WireCacheStatus,
+        cache_status: WireCacheStatus,
         size: Option<u64>,
     },
-    Ended {
+    AttemptEnded {
         request: u64,
         attempt: u32,
         end: AttemptEnd,
     },
     /// The client has left, or its answer is finished with an error on its side.
-    Gone(u64),
+    ClientDisconnected(u64),
     /// The process ends: every open request whose answer is not being passed on gets its final answer now.
-    GiveUpAll,
-    Members(EndpointListHead),
+    FinishAll,
+    EndpointList(EndpointListHead),
     Purge(PurgeHead),
     /// A member's word of its process, first on each connection to it. Tell it before anything else of that
-    /// connection, and end what waits to be sent on it with [`AttemptEnd::NotSent`] where [`Output::Hello`] says that
+    /// connection, and end what waits to be sent on it with [`AttemptEnd::NotSent`] where [`Output::HelloApplied`] says that
     /// the process is another one: it was meant for the one before.
     Hello {
-        member: String,
+        endpoint: String,
         hello: HelloHead,
     },
     /// What a member that warms up takes from this dispatcher.
     Lease {
-        member: String,
+        endpoint: String,
         lease: LeaseHead,
     },
     /// Purges may have been missed, nobody knows which: every copy from before now counts as purged.
-    Missed,
+    UpdatesMissed,
     /// Which dispatchers are registered.
     Roster(Roster),
     /// This dispatcher's registration was kept, so long ago for so long.
-    Kept {
+    RegistrationRenewed {
         ago: Micros,
-        lasts: Micros,
+        duration: Micros,
     },
     /// Whether lists, purges and the roster are as new as they should be.
-    View(bool),
+    SourceFreshness(bool),
     /// All purges that were acknowledged up to so long ago are in force here ([`hold`]).
-    Proven {
+    PurgesConfirmed {
         ago: Micros,
     },
     /// Time has passed.
@@ -118,13 +118,13 @@
 
 /// Where a miss is filled from, with the source by address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct FetchOrder {
+pub struct AddressedFetch {
     pub source: Option<String>,
-    pub keep: u8,
-    pub age: Micros,
-    pub join: bool,
-    pub held_only: bool,
-    pub renew: bool,
+    pub retention_rank: u8,
+    pub max_age: Micros,
+    pub coalesce: bool,
+    pub only_if_cached: bool,
+    pub revalidate: bool,
 }
 
 /// What the shell is to do.
@@ -133,40 +133,40 @@
     Send {
         request: u64,
         attempt: u32,
-        member: String,
+        endpoint: String,
         timeout: Micros,
-        fetch: Option<FetchOrder>,
+        fetch: Option<AddressedFetch>,
     },
     /// Cancel at the member; nothing of this attempt is told any more.
-    Abort { request: u64, attempt: u32 },
+    CancelAttempt { request: u64, attempt: u32 },
     /// Pass the answer on from its head.
-    Commit { request: u64, attempt: u32 },
+    ForwardResponse { request: u64, attempt: u32 },
     /// Final: a retry is harmless.
-    Refuse {
+    Reject {
         request: u64,
         retry_after: Option<Micros>,
     },
     /// Final: no promise.
     Fail { request: u64 },
     /// Final, after the head was passed on: the answer stays incomplete and the client must see that.
-    Break { request: u64 },
-    /// The list in force, after [`Input::Members`].
-    List(ListNews),
+    AbortResponse { request: u64 },
+    /// The list in force, after [`Input::EndpointList`].
+    EndpointListApplied(EndpointListChange),
     /// After [`Input::Hello`]: whether another process was at that address before.
-    Hello { replaced: bool },
+    HelloApplied { replaced: bool },
     /// Ask a member for work, on its connection; its answer is an [`Input::Lease`].
-    Want { member: String, work_us: u64 },
+    RequestWork { endpoint: String, work_us: u64 },
     /// Connect to a member, so that it can say who it is and what it takes, though no request goes there yet.
-    Meet { member: String },
+    Connect { endpoint: String },
 }
 
-/// Counts of how attempts ended, for metrics; told with [`Core::take_ends`].
-pub type Ends = BTreeMap<&'static str, u64>;
+/// Counts of how attempts ended, for metrics; told with [`Core::take_attempt_counts`].
+pub type AttemptCounts = BTreeMap<&'static str, u64>;
 
 #[derive(Debug)]
 struct Attempt {
     number: u32,
-    member: EndpointId,
+    endpoint: EndpointId,
     sent: Micros,
     due: Micros,
     note: WireCacheStatus,
@@ -194,7 +194,7 @@
 
 /// What holds for an attempt at the moment of its first byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begin {
+pub struct AttemptTerms {
     /// Time that is left for it.
     pub left: Micros,
     /// The oldest copy that will do; 0: the class's own word.
@@ -223,12 +223,12 @@
 #[derive(Debug)]
 pub struct Core {
     router: Router,
-    list: MemberList,
+    list: EndpointList,
     purges: PurgeLog,
     answer_slack: Micros,
     asks: Asks,
-    peers: Peers,
-    counts: Option<Counts>,
+    peers: DispatcherRegistry,
+    counts: Option<FleetCounts>,
     /// When the counts have to be looked at again.
     count_at: Option<Micros>,
     /// Since when purges may have been missed, and the groups that were purged for it since: as many as are asked for before no
@@ -241,18 +241,18 @@
     open: BTreeMap<u64, Open>,
     timers: Timers,
     actions: Vec<Action>,
-    ends: Ends,
+    ends: AttemptCounts,
 }
 
 impl Core {
     pub fn new(settings: &DispatcherSettings, seed: u64) -> Self {
         Self {
             router: Router::new(settings.router.clone(), seed),
-            list: MemberList::new(&settings.zones, settings.upstream.endpoints_have_ids),
+            list: EndpointList::new(&settings.zones, settings.upstream.endpoints_have_ids),
             purges: PurgeLog::new(settings.router.purge_horizon),
             answer_slack: settings.answer_slack_us,
             asks: Asks::default(),
-            peers: Peers::new(
+            peers: DispatcherRegistry::new(
                 &settings.name,
                 &settings.zones[settings.router.zone],
                 settings
@@ -270,7 +270,7 @@
             open: BTreeMap::new(),
             timers: Timers::default(),
             actions: Vec::new(),
-            ends: Ends::new(),
+            ends: AttemptCounts::new(),
         }
     }
 
@@ -284,26 +284,26 @@
     }
 
     /// Number of the list in force; 0: none yet.
-    pub fn list_seq(&self) -> u64 {
+    pub fn endpoint_list_seq(&self) -> u64 {
         self.list.seq()
     }
 
-    pub fn members(&self, now: Micros) -> EndpointListHead {
+    pub fn endpoint_list(&self, now: Micros) -> EndpointListHead {
         self.list.whole(now)
     }
 
     /// How attempts ended since this was last asked.
-    pub fn take_ends(&mut self) -> Ends {
+    pub fn take_attempt_counts(&mut self) -> AttemptCounts {
         std::mem::take(&mut self.ends)
     }
 
     /// Whether purges are proven to be known, where that is promised.
-    pub fn is_proven(&self, now: Micros) -> Option<bool> {
+    pub fn purges_confirmed(&self, now: Micros) -> Option<bool> {
         self.hold.as_ref().map(|h| h.is_proven(now))
     }
 
     /// Members, purges and dispatchers that are kept.
-    pub fn kept(&mut self, now: Micros) -> (usize, usize, usize) {
+    pub fn state_counts(&mut self, now: Micros) -> (usize, usize, usize) {
         (
             self.list.whole(now).endpoints.len(),
             self.purges.recent(now).len(),
@@ -340,7 +340,7 @@
                     object,
                     part: ask.part,
                     group: ask.group,
-                    time_left: ask.left.saturating_sub(self.answer_slack),
+                    time_left: ask.time_left.saturating_sub(self.answer_slack),
                     size_kb: ask.size.map(|bytes| bytes as f64 / 1024.0),
                 };
                 self.purge_if_missed(now, ask.group, out);
@@ -348,10 +348,10 @@
                     self.drive(now, Event::Request(request), out);
                 }
             }
-            Input::Head {
+            Input::ResponseStarted {
                 request,
                 attempt,
-                note,
+                cache_status: note,
                 size,
             } => {
                 let Some(open) = self.open.get_mut(&request).filter(|o| !o.done) else {
@@ -362,13 +362,13 @@
                 };
                 sent.note = note;
                 sent.kb = size.map(|bytes| bytes as f64 / 1024.0);
-                let member = sent.member;
-                self.list.heard(now, member);
+                let endpoint = sent.endpoint;
+                self.list.heard(now, endpoint);
                 open.committed = true;
-                out.push(Output::Commit { request, attempt });
-                self.drive(now, Event::ResponseStarted(member), out);
+                out.push(Output::ForwardResponse { request, attempt });
+                self.drive(now, Event::ResponseStarted(endpoint), out);
             }
-            Input::Ended {
+            Input::AttemptEnded {
                 request,
                 attempt,
                 end,
@@ -378,9 +378,9 @@
                     AttemptEnd::ConnectFailed => (AttemptStatus::ConnectFailed, None),
                     AttemptEnd::NotSent => (AttemptStatus::NotSent, None),
                     AttemptEnd::Broken => (AttemptStatus::Reset, None),
-                    AttemptEnd::Told {
+                    AttemptEnd::ErrorReported {
                         status,
-                        note,
+                        cache_status: note,
                         may_have_run,
                     } => {
                         // A status that promises more than the frame's own word is not believed.
@@ -395,7 +395,7 @@
                 };
                 self.attempt_over(now, request, attempt, status, note, out);
             }
-            Input::Gone(request) => {
+            Input::ClientDisconnected(request) => {
                 let Some(open) = self.open.get_mut(&request) else {
                     return;
                 };
@@ -408,15 +408,15 @@
                 }
                 self.forget_if_over(request);
             }
-            Input::GiveUpAll => self.give_up_all(now, out),
-            Input::Members(head) => {
+            Input::FinishAll => self.give_up_all(now, out),
+            Input::EndpointList(head) => {
                 let (event, news) = self.list.take(now, head);
-                out.push(Output::List(news));
+                out.push(Output::EndpointListApplied(news));
                 if let Some(event) = event {
                     self.meet(&event, out);
                     self.drive(now, event, out);
                     let list = &self.list;
-                    self.asks.keep(|member| list.address(member).is_some());
+                    self.asks.keep(|endpoint| list.address(endpoint).is_some());
                 }
             }
             Input::Purge(head) => {
@@ -436,10 +436,10 @@
                     out,
                 );
             }
-            Input::Hello { member, hello } => {
-                let id = EndpointId::named(&member);
+            Input::Hello { endpoint, hello } => {
+                let id = EndpointId::named(&endpoint);
                 let found = self.list.hello(now, id, &hello);
-                out.push(Output::Hello {
+                out.push(Output::HelloApplied {
                     replaced: found.is_some_and(|h| h.replaced),
                 });
                 if let Some(found) = found {
@@ -453,31 +453,34 @@
                     );
                 }
             }
-            Input::Lease { member, lease } => {
+            Input::Lease { endpoint, lease } => {
                 // Longer than a minute is no lease of a warm-up.
                 let (work, lasts) = (
                     lease.work_us as f64 / 1e6,
                     lease.duration_us.min(LONGEST_LEASE),
                 );
-                let member = EndpointId::named(&member);
-                self.asks.told(member, lease.on_request);
+                let endpoint = EndpointId::named(&endpoint);
+                self.asks.told(endpoint, lease.on_request);
                 self.drive(
                     now,
                     Event::Lease {
-                        endpoint: member,
+                        endpoint,
                         work_s: work,
                         duration: lasts,
                     },
                     out,
                 );
-                if let Some(waiting) = lease.in_reply.then(|| self.asks.answered(member)).flatten()
+                if let Some(waiting) = lease
+                    .in_reply
+                    .then(|| self.asks.answered(endpoint))
+                    .flatten()
                 {
                     self.timers
                         .cancel(waiting.due, timers::Timer::Ask(waiting.request.id.0));
                     self.drive(now, Event::Request(waiting.go_on(now)), out);
                 }
             }
-            Input::Missed => {
+            Input::UpdatesMissed => {
                 self.missed = Some((now, BTreeSet::new()));
                 self.tighten(0, |_| true);
             }
@@ -485,15 +488,18 @@
                 self.peers.roster(now, roster);
                 self.count(now);
             }
-            Input::Kept { ago, lasts } => {
+            Input::RegistrationRenewed {
+                ago,
+                duration: lasts,
+            } => {
                 self.peers.kept(now.saturating_sub(ago), lasts);
                 self.count(now);
             }
-            Input::View(current) => {
+            Input::SourceFreshness(current) => {
                 self.peers.view(current);
                 self.count(now);
             }
-            Input::Proven { ago } => {
+            Input::PurgesConfirmed { ago } => {
                 if let Some(hold) = &mut self.hold {
                     hold.proven(now.saturating_sub(ago));
                 }
@@ -507,7 +513,7 @@
     /// the source of its fill be drained or gone, or its object be purged. None: nothing of it goes out, and it ends as [`AttemptEnd::NotSent`].
     ///
     /// Owed after a yes: the attempt's end. After a no: that end, where the request is still open.
-    pub fn begin(&mut self, now: Micros, request: u64, attempt: u32) -> Option<Begin> {
+    pub fn begin(&mut self, now: Micros, request: u64, attempt: u32) -> Option<AttemptTerms> {
         if !self.may_begin(now, request, attempt) {
             return None;
         }
@@ -520,7 +526,7 @@
         }
         ordered.begun = true;
         let (age, join) = (ordered.age, ordered.join);
-        Some(Begin {
+        Some(AttemptTerms {
             left: ordered.due - now,
             age,
             join,
@@ -539,7 +545,7 @@
         let ready = |id| self.list.is_ready(id);
         self.router.may_begin(now, RequestId(request))
             && now < ordered.due
-            && ready(ordered.member)
+            && ready(ordered.endpoint)
             && ordered.source.is_none_or(ready)
     }
 
@@ -579,7 +585,7 @@
                 timers::Timer::Peers => {}
                 timers::Timer::Attempt(request, attempt) => {
                     if self.is_out(request, attempt) {
-                        out.push(Output::Abort { request, attempt });
+                        out.push(Output::CancelAttempt { request, attempt });
                         self.attempt_over(now, request, attempt, AttemptStatus::Timeout, None, out);
                     }
                 }
@@ -591,7 +597,8 @@
     fn count(&mut self, now: Micros) {
         let counts = self.peers.counts(now);
         if let Some(c) = counts.filter(|_| counts != self.counts) {
-            self.router.set_fleet_position(c.here, c.all, c.me, c.cold);
+            self.router
+                .set_fleet_position(c.in_zone, c.total, c.index, c.takes_warm_up_budget);
             self.counts = counts;
         }
         if let Some(at) = self.count_at.take() {
@@ -640,19 +647,19 @@
             .any()
             .then(|| self.router.warm_up_shortfall(now, request))
             .flatten();
-        let Some((member, work)) = short else {
+        let Some((endpoint, work)) = short else {
             return false;
         };
-        let Some(address) = self.list.address(member) else {
+        let Some(address) = self.list.address(endpoint) else {
             return false;
         };
-        let Some(due) = self.asks.wait(now, member, request) else {
+        let Some(due) = self.asks.wait(now, endpoint, request) else {
             return false;
         };
         self.timers.set(due, timers::Timer::Ask(request.id.0));
         // Rounded up: what is given is compared with what it costs.
-        out.push(Output::Want {
-            member: address,
+        out.push(Output::RequestWork {
+            endpoint: address,
             work_us: (work * 1e6) as u64 + 1,
         });
         true
@@ -671,7 +678,7 @@
             .iter()
             .filter(cache)
             .filter_map(|e| self.list.address(e.id));
-        out.extend(caches.map(|member| Output::Meet { member }));
+        out.extend(caches.map(|endpoint| Output::Connect { endpoint }));
     }
 
     fn is_out(&self, request: u64, attempt: u32) -> bool {
@@ -712,7 +719,7 @@
         };
         if open.committed && !open.done {
             open.done = true;
-            out.push(Output::Break { request });
+            out.push(Output::AbortResponse { request });
         }
     }
 
@@ -741,7 +748,7 @@
         Some(Event::Outcome(AttemptOutcome {
             request: RequestId(request),
             attempt: attempt.number,
-            endpoint: attempt.member,
+            endpoint: attempt.endpoint,
             status,
             cache_status: note_of(note.unwrap_or(attempt.note)),
             elapsed: now.saturating_sub(attempt.sent),
@@ -760,15 +767,15 @@
                 match action {
                     Action::Send {
                         request,
-                        endpoint: member,
+                        endpoint,
                         timeout,
                         fetch,
                     } => {
-                        events.extend(self.send(now, request.0, member, timeout, fetch, out));
+                        events.extend(self.send(now, request.0, endpoint, timeout, fetch, out));
                     }
                     Action::Cancel { request, attempt } => {
                         if self.is_out(request.0, attempt) {
-                            out.push(Output::Abort {
+                            out.push(Output::CancelAttempt {
                                 request: request.0,
                                 attempt,
                             });
@@ -787,7 +794,7 @@
                         retry_after,
                     } => {
                         if self.finish(request.0) {
-                            out.push(Output::Refuse {
+                            out.push(Output::Reject {
                                 request: request.0,
                                 retry_after,
                             });
@@ -811,7 +818,7 @@
         &mut self,
         now: Micros,
         request: u64,
-        member: EndpointId,
+        endpoint: EndpointId,
         timeout: Micros,
         fetch: Option<FetchDirective>,
         out: &mut Vec<Output>,
@@ -822,10 +829,10 @@
         let from = fetch
             .as_ref()
             .map(|f| f.source)
-            .filter(|source| *source != member);
+            .filter(|source| *source != endpoint);
         open.out = Some(Attempt {
             number,
-            member,
+            endpoint,
             sent: now,
             due,
             note: WireCacheStatus::Unreported,
@@ -835,7 +842,7 @@
             join: fetch.as_ref().is_some_and(|f| f.coalesce),
             begun: false,
         });
-        let address = self.list.address(member);
+        let address = self.list.address(endpoint);
         let source = from.map(|source| self.list.address(source));
         // A member that the list no longer names, as receiver or source: nothing was sent.
         let (Some(address), None | Some(Some(_))) = (address, &source) else {
@@ -843,18 +850,18 @@
         };
         self.timers
             .set(due, timers::Timer::Attempt(request, number));
-        let fetch = fetch.map(|f| FetchOrder {
+        let fetch = fetch.map(|f| AddressedFetch {
             source: source.flatten(),
-            keep: f.retention_rank,
-            age: f.max_age,
-            join: f.coalesce,
-            held_only: f.only_if_cached,
-            renew: f.revalidate,
+            retention_rank: f.retention_rank,
+            max_age: f.max_age,
+            coalesce: f.coalesce,
+            only_if_cached: f.only_if_cached,
+            revalidate: f.revalidate,
         });
         out.push(Output::Send {
             request,
             attempt: number,
-            member: address,
+            endpoint: address,
             timeout,
             fetch,
         });
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -11,7 +11,7 @@
 pub const MAX_FILE: u64 = 32 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct KeptMember {
+struct StoredEndpoint {
     address: String,
     state: i32,
     weight: f64,
@@ -45,7 +45,8 @@
     #[serde(default)]
     saved: Option<SavedAt>,
     seq: u64,
-    members: Vec<KeptMember>,
+    #[serde(rename = "members")]
+    endpoints: Vec<StoredEndpoint>,
     purges: Vec<KeptPurge>,
 }
 
@@ -61,7 +62,7 @@
 
 impl Snapshot {
     pub fn new(list: EndpointListHead, purges: Vec<PurgeHead>) -> Self {
-        let member = |m: EndpointRecord| KeptMember {
+        let endpoint = |m: EndpointRecord| StoredEndpoint {
             address: m.address,
             state: m.state,
             weight: m.weight,
@@ -80,7 +81,7 @@
             saved_unix_ms: 0,
             saved: None,
             seq: list.seq,
-            members: list.endpoints.into_iter().map(member).collect(),
+            endpoints: list.endpoints.into_iter().map(endpoint).collect(),
             purges: purges.into_iter().map(purge).collect(),
         }
     }
@@ -136,7 +137,7 @@
     /// long: purges and starts count as young as they were, which only forbids more copies and spares members.
     pub fn told(&self, now: Option<&BootMoment>) -> (EndpointListHead, Vec<PurgeHead>) {
         let since_us = now.and_then(|now| self.span_until(now)).unwrap_or_default();
-        let member = |m: &KeptMember| EndpointRecord {
+        let endpoint = |m: &StoredEndpoint| EndpointRecord {
             address: m.address.clone(),
             state: m.state,
             weight: m.weight,
@@ -152,11 +153,11 @@
             age_us: p.age_us.saturating_add(since_us),
             seq: 0,
         };
-        let members = self.members.iter().map(member).collect();
+        let endpoints = self.endpoints.iter().map(endpoint).collect();
         let list = EndpointListHead {
             form: EndpointListForm::Cached as i32,
             seq: self.seq,
-            endpoints: members,
+            endpoints,
         };
         (list, self.purges.iter().map(purge).collect())
     }
--- a/crates/dispatcher/src/core/asks.rs
+++ b/crates/dispatcher/src/core/work_requests.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct Waiting {
     pub request: Request,
-    member: EndpointId,
+    endpoint: EndpointId,
     since: Micros,
     pub due: Micros,
 }
@@ -45,11 +45,11 @@
 
 impl Asks {
     /// How a member gives, by its last word.
-    pub fn told(&mut self, member: EndpointId, by_asking: bool) {
+    pub fn told(&mut self, endpoint: EndpointId, by_asking: bool) {
         if by_asking {
-            self.giving.insert(member);
+            self.giving.insert(endpoint);
         } else {
-            self.giving.remove(&member);
+            self.giving.remove(&endpoint);
         }
     }
 
@@ -63,9 +63,9 @@
     }
 
     /// Has it wait, if its member gives by asking; until when.
-    pub fn wait(&mut self, now: Micros, member: EndpointId, request: &Request) -> Option<Micros> {
-        let queue = self.queues.get(&member).map_or(0, VecDeque::len);
-        if !self.giving.contains(&member) || queue >= MOST {
+    pub fn wait(&mut self, now: Micros, endpoint: EndpointId, request: &Request) -> Option<Micros> {
+        let queue = self.queues.get(&endpoint).map_or(0, VecDeque::len);
+        if !self.giving.contains(&endpoint) || queue >= MOST {
             return None;
         }
         let due = now + LONGEST;
@@ -74,19 +74,19 @@
             id,
             Waiting {
                 request,
-                member,
+                endpoint,
                 since: now,
                 due,
             },
         );
-        self.queues.entry(member).or_default().push_back(id);
+        self.queues.entry(endpoint).or_default().push_back(id);
         Some(due)
     }
 
     /// The member has answered: the one that asked first goes on. An answer that comes too late serves the next, which
     /// asked for as much.
-    pub fn answered(&mut self, member: EndpointId) -> Option<Waiting> {
-        let first = self.queues.get(&member)?.front().copied()?;
+    pub fn answered(&mut self, endpoint: EndpointId) -> Option<Waiting> {
+        let first = self.queues.get(&endpoint)?.front().copied()?;
         self.take(first)
     }
 
@@ -99,10 +99,10 @@
     /// It waits no longer, whatever for.
     pub fn take(&mut self, request: u64) -> Option<Waiting> {
         let found = self.waiting.remove(&request)?;
-        if let Some(queue) = self.queues.get_mut(&found.member) {
+        if let Some(queue) = self.queues.get_mut(&found.endpoint) {
             queue.retain(|id| *id != request);
             if queue.is_empty() {
-                self.queues.remove(&found.member);
+                self.queues.remove(&found.endpoint);
             }
         }
         Some(found)
--- a/crates/dispatcher/src/peers.rs
+++ b/crates/dispatcher/src/dispatcher_registry.rs
@@ -24,18 +24,18 @@
 
 /// What holds for this dispatcher now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Counts {
+pub struct FleetCounts {
     /// In its own zone, and in all.
-    pub here: u32,
-    pub all: u32,
+    pub in_zone: u32,
+    pub total: u32,
     /// Its place among all; none: not agreed on now.
-    pub me: Option<u32>,
+    pub index: Option<u32>,
     /// It takes its part of cold budgets.
-    pub cold: bool,
+    pub takes_warm_up_budget: bool,
 }
 
 #[derive(Debug)]
-pub struct Peers {
+pub struct DispatcherRegistry {
     name: String,
     zone: String,
     /// What changes takes effect after this.
@@ -51,7 +51,7 @@
     current: bool,
 }
 
-impl Peers {
+impl DispatcherRegistry {
     /// `window`: the longest window of a cold budget.
     pub fn new(name: &str, zone: &str, window: Micros) -> Self {
         Self {
@@ -108,7 +108,7 @@
     }
 
     /// None: no roster has ever been told, and the settings' counts hold.
-    pub fn counts(&self, now: Micros) -> Option<Counts> {
+    pub fn counts(&self, now: Micros) -> Option<FleetCounts> {
         let roster = self.roster.as_ref()?;
         let (mut here, mut all) = self.sizes(roster);
         for (_, h, a) in self.larger.iter().filter(|(until, ..)| now < *until) {
@@ -121,11 +121,11 @@
             .keys()
             .position(|name| *name == self.name)
             .map(|n| n as u32);
-        Some(Counts {
-            here: here.max(1),
-            all: all.max(1),
-            me: place.filter(|_| cold && settled),
-            cold,
+        Some(FleetCounts {
+            in_zone: here.max(1),
+            total: all.max(1),
+            index: place.filter(|_| cold && settled),
+            takes_warm_up_budget: cold,
         })
     }
 
--- a/crates/dispatcher/src/peers/tests.rs
+++ b/crates/dispatcher/src/dispatcher_registry/tests.rs
@@ -7,7 +7,7 @@
 
 /// One dispatcher of the play: when its key was written, and when it was last kept.
 struct One {
-    peers: Peers,
+    peers: DispatcherRegistry,
     lag: Micros,
     kept: Option<Micros>,
     /// It neither runs nor keeps its lease until then.
@@ -28,7 +28,8 @@
             now += dice.gen_range(1_000..60_000);
             match dice.gen_range(0..40) {
                 0 if all.len() < 12 => {
-                    let peers = Peers::new(&format!("d{}", dice.gen::<u16>()), "b", WINDOW);
+                    let peers =
+                        DispatcherRegistry::new(&format!("d{}", dice.gen::<u16>()), "b", WINDOW);
                     all.push(One {
                         peers,
                         lag: 0,
@@ -73,12 +74,12 @@
                 one.peers.view(true);
                 one.peers.roster(now, seen.1.clone());
                 let counts = one.peers.counts(now).unwrap();
-                if counts.cold {
-                    sum += 1.0 / f64::from(counts.here);
+                if counts.takes_warm_up_budget {
+                    sum += 1.0 / f64::from(counts.in_zone);
                     taken += 1;
                 }
                 // A cold parent that is one dispatcher's: the first of all.
-                owners += u32::from(counts.me == Some(0));
+                owners += u32::from(counts.index == Some(0));
             }
             assert!(sum <= 1.0 + 1e-9, "seed {seed}: {sum} of a budget at {now}");
             assert!(
@@ -93,7 +94,7 @@
 
 #[test]
 fn a_lease_without_word_a_stale_view_and_a_newcomer_take_nothing() {
-    let mut peers = Peers::new("a", "b", WINDOW);
+    let mut peers = DispatcherRegistry::new("a", "b", WINDOW);
     assert_eq!(peers.counts(5), None, "nothing was told: the settings hold");
     let roster = |names: &[&str]| {
         names
@@ -106,43 +107,43 @@
     peers.roster(0, roster(&["a"]));
     assert_eq!(
         peers.counts(0),
-        Some(Counts {
-            here: 1,
-            all: 1,
-            me: None,
-            cold: false
+        Some(FleetCounts {
+            in_zone: 1,
+            total: 1,
+            index: None,
+            takes_warm_up_budget: false
         })
     );
     let settled = HOLD + WINDOW;
     assert_eq!(peers.next(0), Some(settled));
     assert_eq!(
         peers.counts(settled),
-        Some(Counts {
-            here: 1,
-            all: 1,
-            me: Some(0),
-            cold: true
+        Some(FleetCounts {
+            in_zone: 1,
+            total: 1,
+            index: Some(0),
+            takes_warm_up_budget: true
         })
     );
     // Another one: counted at once, and forgotten late.
     peers.roster(settled, roster(&["a", "c"]));
     assert_eq!(
         peers.counts(settled),
-        Some(Counts {
-            here: 2,
-            all: 2,
-            me: None,
-            cold: true
+        Some(FleetCounts {
+            in_zone: 2,
+            total: 2,
+            index: None,
+            takes_warm_up_budget: true
         })
     );
     peers.roster(settled + 1, roster(&["a"]));
-    assert_eq!(peers.counts(settled + 2).unwrap().here, 2);
-    assert_eq!(peers.counts(3 * settled).unwrap().here, 1);
+    assert_eq!(peers.counts(settled + 2).unwrap().in_zone, 2);
+    assert_eq!(peers.counts(3 * settled).unwrap().in_zone, 1);
     peers.view(false);
-    assert!(!peers.counts(3 * settled).unwrap().cold);
+    assert!(!peers.counts(3 * settled).unwrap().takes_warm_up_budget);
     peers.view(true);
     assert!(
-        !peers.counts(20 * LEASE).unwrap().cold,
+        !peers.counts(20 * LEASE).unwrap().takes_warm_up_budget,
         "two thirds of the lease are over"
     );
 }
--- a/crates/dispatcher/src/health.rs
+++ b/crates/dispatcher/src/keep_alive.rs
@@ -8,7 +8,7 @@
 use pointspindle::Micros;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HealthRule {
+pub struct KeepAliveRule {
     /// Nothing has come for so long though something is awaited: probe.
     pub quiet: Micros,
     /// ... though nothing is awaited; 0: never.
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum KeepAliveVerdict {
     Fine,
     Probe,
     Dead,
@@ -26,34 +26,34 @@
 
 /// What is kept of a connection: when it was last asked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Health {
+pub struct KeepAlive {
     asked: Option<Micros>,
 }
 
-impl Health {
+impl KeepAlive {
     /// `heard`: when the last frame came; `awaited`: streams are open.
-    pub fn look(
+    pub fn check(
         &mut self,
-        rule: &HealthRule,
+        rule: &KeepAliveRule,
         now: Micros,
         heard: Micros,
         awaited: bool,
-    ) -> Verdict {
+    ) -> KeepAliveVerdict {
         if let Some(asked) = self.asked {
             if heard >= asked {
                 self.asked = None;
             } else if now >= asked + rule.answer {
-                return Verdict::Dead;
+                return KeepAliveVerdict::Dead;
             } else {
-                return Verdict::Fine;
+                return KeepAliveVerdict::Fine;
             }
         }
         let after = if awaited { rule.quiet } else { rule.idle };
         if after == 0 || now < heard + after {
-            return Verdict::Fine;
+            return KeepAliveVerdict::Fine;
         }
         self.asked = Some(now);
-        Verdict::Probe
+        KeepAliveVerdict::Probe
     }
 }
 
@@ -61,7 +61,7 @@
 mod tests {
     use super::*;
 
-    const RULE: HealthRule = HealthRule {
+    const RULE: KeepAliveRule = KeepAliveRule {
         quiet: 2_000,
         idle: 15_000,
         answer: 1_000,
@@ -69,44 +69,44 @@
 
     #[test]
     fn a_quiet_connection_is_asked_once_and_dead_only_without_any_answer() {
-        let mut h = Health::default();
-        assert_eq!(h.look(&RULE, 1_999, 0, true), Verdict::Fine);
-        assert_eq!(h.look(&RULE, 2_000, 0, true), Verdict::Probe);
+        let mut h = KeepAlive::default();
+        assert_eq!(h.check(&RULE, 1_999, 0, true), KeepAliveVerdict::Fine);
+        assert_eq!(h.check(&RULE, 2_000, 0, true), KeepAliveVerdict::Probe);
         assert_eq!(
-            h.look(&RULE, 2_999, 0, true),
-            Verdict::Fine,
+            h.check(&RULE, 2_999, 0, true),
+            KeepAliveVerdict::Fine,
             "asked, and still in time"
         );
         let mut answered = h;
         assert_eq!(
-            answered.look(&RULE, 3_000, 2_900, true),
-            Verdict::Fine,
+            answered.check(&RULE, 3_000, 2_900, true),
+            KeepAliveVerdict::Fine,
             "a frame of any kind came"
         );
         assert_eq!(
-            answered.look(&RULE, 4_900, 2_900, true),
-            Verdict::Probe,
+            answered.check(&RULE, 4_900, 2_900, true),
+            KeepAliveVerdict::Probe,
             "quiet again"
         );
-        assert_eq!(h.look(&RULE, 3_000, 0, true), Verdict::Dead);
+        assert_eq!(h.check(&RULE, 3_000, 0, true), KeepAliveVerdict::Dead);
     }
 
     #[test]
     fn where_nothing_is_awaited_it_is_asked_rarely_or_never() {
-        let mut h = Health::default();
-        assert_eq!(h.look(&RULE, 14_999, 0, false), Verdict::Fine);
-        assert_eq!(h.look(&RULE, 15_000, 0, false), Verdict::Probe);
-        let mut never = Health::default();
+        let mut h = KeepAlive::default();
+        assert_eq!(h.check(&RULE, 14_999, 0, false), KeepAliveVerdict::Fine);
+        assert_eq!(h.check(&RULE, 15_000, 0, false), KeepAliveVerdict::Probe);
+        let mut never = KeepAlive::default();
         assert_eq!(
-            never.look(&HealthRule { idle: 0, ..RULE }, 10_000_000, 0, false),
-            Verdict::Fine
+            never.check(&KeepAliveRule { idle: 0, ..RULE }, 10_000_000, 0, false),
+            KeepAliveVerdict::Fine
         );
     }
 
     /// Looks may come late (a stopped process, a jump of the clock): that is no silence of the peer after a probe.
     #[test]
     fn a_late_look_asks_before_it_judges() {
-        let mut h = Health::default();
-        assert_eq!(h.look(&RULE, 60_000_000, 0, true), Verdict::Probe);
+        let mut h = KeepAlive::default();
+        assert_eq!(h.check(&RULE, 60_000_000, 0, true), KeepAliveVerdict::Probe);
     }
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -8,16 +8,18 @@
 #![forbid(unsafe_code)]
 
 pub mod admission;
-pub mod budget;
+pub mod call_deduplication;
+pub mod client_pace;
+pub mod control_source;
 pub mod core;
-pub mod health;
-pub mod keys;
+pub mod dispatcher_registry;
+pub mod keep_alive;
 pub mod net;
-pub mod pace;
-pub mod peers;
-pub mod redial;
-pub mod source;
+pub mod reconnect_backoff;
+pub mod request_budget;
 
-pub use crate::core::{Ask, Core, Input, Output};
-pub use net::{Bound, Dispatcher, Hollow, Items, Prepared, StartError};
-pub use source::{Ears, Source, Teller, Told};
+pub use crate::core::{ClientRequest, Core, Input, Output};
+pub use control_source::{ControlObserver, ControlSink, ControlSource, ControlUpdate};
+pub use net::{
+    BoundAddresses, Dispatcher, HollowDispatcher, PreparedDispatcher, StartError, StateCounts,
+};
--- a/crates/dispatcher/src/net/tries.rs
+++ b/crates/dispatcher/src/net/call_attempts.rs
@@ -1,5 +1,5 @@
-//! Tries of clients' calls: [`crate::keys`] behind a lock, and the way of its word to each try's task.
-use crate::keys::{Begin, Keys, KeysRule, Ticket};
+//! Tries of clients' calls: [`crate::call_deduplication`] behind a lock, and the way of its word to each try's task.
+use crate::call_deduplication::{Begin, Keys, KeysRule, Ticket};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::ResponseHead;
--- a/crates/dispatcher/src/net/upstream.rs
+++ b/crates/dispatcher/src/net/connection_pool.rs
@@ -1,10 +1,10 @@
 //! Connections to members: one for each address, opened when first needed, closed when unused or when they carry nothing
-//! any more ([`crate::health`]), opened again each in its own time ([`crate::redial`]).
-use super::desk::{Calling, Desk, MemberSide, Ticket};
-use super::tries::Tries;
+//! any more ([`crate::keep_alive`]), opened again each in its own time ([`crate::reconnect_backoff`]).
+use super::call_attempts::Tries;
+use super::core_handle::{AttemptId, CoreHandle, EndpointTransport, UpstreamCall};
 use crate::core::{AttemptEnd, Input};
-use crate::health::{Health, HealthRule, Verdict};
-use crate::redial::{Dial, Redial};
+use crate::keep_alive::{KeepAlive, KeepAliveRule, KeepAliveVerdict};
+use crate::reconnect_backoff::{ConnectDecision, ReconnectBackoff};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::{DispatcherSettings, UpstreamSettings};
@@ -26,38 +26,38 @@
 use tokio::time::Instant;
 
 /// A dispatcher whose members speak the framed protocol.
-pub(crate) type Hub = Desk<Framed>;
+pub(crate) type FramedCore = CoreHandle<FramedTransport>;
 
 #[derive(Debug)]
-pub(crate) struct Framed {
+pub(crate) struct FramedTransport {
     pub pool: Pool,
     /// What the core wishes of members beside requests ([`carry_out`]). Not done at once: it wishes under its lock, which a
     /// connection's writer takes for each request that begins.
-    wishes: mpsc::UnboundedSender<Wish>,
+    wishes: mpsc::UnboundedSender<EndpointIntent>,
     pub tries: Arc<Tries>,
 }
 
 /// Of a member, though no request goes there.
 #[derive(Debug)]
-pub(crate) enum Wish {
+pub(crate) enum EndpointIntent {
     /// A connection, so that it can say who it is.
     Meet(String),
     /// Work from one that gives it by asking.
     Want(String, u64),
 }
 
-impl Hub {
+impl FramedCore {
     /// ... and what is wished of members ([`carry_out`]).
     pub fn framed(
         settings: Arc<DispatcherSettings>,
         seed: u64,
         net: Network,
-    ) -> (Self, mpsc::UnboundedReceiver<Wish>) {
+    ) -> (Self, mpsc::UnboundedReceiver<EndpointIntent>) {
         let (wishes, wished) = mpsc::unbounded_channel();
         // As many again as may run: those that are remembered.
         let tries = Tries::new(2 * settings.max_requests);
         let upstream = settings.upstream.clone();
-        let side = |meter: &BufferMeter| Framed {
+        let side = |meter: &BufferMeter| FramedTransport {
             pool: Pool::new(upstream, seed, meter.clone(), net),
             wishes,
             tries,
@@ -66,32 +66,32 @@
     }
 }
 
-impl Hub {
-    pub(crate) fn items(&self) -> super::Items {
-        let (members, purges, dispatchers) = self.kept();
-        super::Items {
-            members,
+impl FramedCore {
+    pub(crate) fn items(&self) -> super::StateCounts {
+        let (endpoints, purges, dispatchers) = self.state_counts();
+        super::StateCounts {
+            endpoints,
             purges,
             dispatchers,
-            connections: self.side.pool.count(),
+            connections: self.transport.pool.count(),
         }
     }
 }
 
-impl MemberSide for Framed {
+impl EndpointTransport for FramedTransport {
     type Call = Call;
 
     /// Requests of the framed protocol have no body.
     async fn call(
-        hub: &Arc<Hub>,
-        ticket: Ticket,
-        member: &str,
+        hub: &Arc<FramedCore>,
+        ticket: AttemptId,
+        endpoint: &str,
         mut request: RequestHead,
         _body: &Bytes,
     ) -> Result<Call, AttemptEnd> {
-        match hub.side.pool.link(hub, member).await {
+        match hub.transport.pool.link(hub, endpoint).await {
             Err(NoLink::Failed(why)) => {
-                tracing::debug!(member, why, "no connection");
+                tracing::debug!(endpoint, why, "no connection");
                 Err(AttemptEnd::ConnectFailed)
             }
             // Decided for a process that is gone: decided anew, with what the new one has said.
@@ -100,7 +100,7 @@
                 let desk = hub.clone();
                 // Asked again wherever the socket takes its first byte: it may be full now.
                 let word = move || {
-                    desk.begin(ticket)?.word(&mut request);
+                    desk.begin_attempt(ticket)?.word(&mut request);
                     Some(request.clone())
                 };
                 link.call_deferred(Box::new(word)).map_err(|e| match e {
@@ -111,16 +111,18 @@
         }
     }
 
-    fn meet(&self, member: String) {
-        let _ = self.wishes.send(Wish::Meet(member));
+    fn connect(&self, endpoint: String) {
+        let _ = self.wishes.send(EndpointIntent::Meet(endpoint));
     }
 
-    fn want(&self, member: &str, work_us: u64) {
-        let _ = self.wishes.send(Wish::Want(member.to_owned(), work_us));
+    fn request_work(&self, endpoint: &str, work_us: u64) {
+        let _ = self
+            .wishes
+            .send(EndpointIntent::Want(endpoint.to_owned(), work_us));
     }
 }
 
-impl Calling for Call {
+impl UpstreamCall for Call {
     async fn next(&mut self) -> Option<ResponsePart> {
         Call::next(self).await
     }
@@ -157,7 +159,7 @@
 struct Entry {
     slot: watch::Receiver<Slot>,
     used: Instant,
-    health: Health,
+    health: KeepAlive,
 }
 
 /// Forgets an address when its connection has ended or failed.
@@ -169,7 +171,7 @@
     /// [`GREETED_KEPT`], or when the connection brings none.
     greeted: Arc<Mutex<HashMap<String, Instant>>>,
     /// Addresses that broke or could not be reached; forgotten a minute after the last word.
-    redials: Arc<Mutex<HashMap<String, Redial>>>,
+    redials: Arc<Mutex<HashMap<String, ReconnectBackoff>>>,
     dice: Arc<Mutex<StdRng>>,
     meter: BufferMeter,
     net: Network,
@@ -206,7 +208,7 @@
         self.born.elapsed().as_micros() as Micros
     }
 
-    fn redials(&self) -> MutexGuard<'_, HashMap<String, Redial>> {
+    fn redials(&self) -> MutexGuard<'_, HashMap<String, ReconnectBackoff>> {
         self.redials
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -224,7 +226,7 @@
         self.redials()
             .entry(address.to_owned())
             .or_default()
-            .failed(now, dice);
+            .connect_failed(now, dice);
     }
 
     fn entries(&self) -> MutexGuard<'_, HashMap<String, Entry>> {
@@ -235,7 +237,11 @@
 
     /// The connection to an address, shared with whoever else waits for it. Safe to drop while waiting: the
     /// connecting goes on for the others.
-    pub async fn link(&self, hub: &Arc<Hub>, address: &str) -> Result<FramedConnection, NoLink> {
+    pub async fn link(
+        &self,
+        hub: &Arc<FramedCore>,
+        address: &str,
+    ) -> Result<FramedConnection, NoLink> {
         let (mut slot, waited) = {
             let mut entries = self.entries();
             match entries.get_mut(address) {
@@ -249,11 +255,11 @@
                     let wait = match self
                         .redials()
                         .get(address)
-                        .map_or(Dial::Now, |r| r.dial(now))
+                        .map_or(ConnectDecision::Now, |r| r.decide(now))
                     {
-                        Dial::Now => 0,
-                        Dial::In(wait) => wait,
-                        Dial::NotFor(wait) => {
+                        ConnectDecision::Now => 0,
+                        ConnectDecision::After(wait) => wait,
+                        ConnectDecision::RejectFor(wait) => {
                             let ms = wait.div_ceil(1_000);
                             return Err(NoLink::Failed(format!(
                                 "it failed lately; next try in {ms} ms"
@@ -264,7 +270,7 @@
                     let entry = Entry {
                         slot: slot.clone(),
                         used: Instant::now(),
-                        health: Health::default(),
+                        health: KeepAlive::default(),
                     };
                     entries.insert(address.to_owned(), entry);
                     tokio::spawn(connect(hub.clone(), address.to_owned(), sender, wait));
@@ -310,7 +316,7 @@
     fn sweep(&self) -> u64 {
         let idle = Duration::from_micros(self.settings.idle_timeout_us);
         let s = &self.settings;
-        let rule = HealthRule {
+        let rule = KeepAliveRule {
             quiet: s.ping_when_awaiting_us,
             idle: s.ping_when_idle_us,
             answer: s.ping_timeout_us,
@@ -334,14 +340,14 @@
                 return true;
             }
             let heard = now.saturating_sub(link.time_since_last_frame().as_micros() as Micros);
-            match entry.health.look(&rule, now, heard, link.open_streams() > 0) {
-                Verdict::Fine => true,
-                Verdict::Probe => {
+            match entry.health.check(&rule, now, heard, link.open_streams() > 0) {
+                KeepAliveVerdict::Fine => true,
+                KeepAliveVerdict::Probe => {
                     link.push_control(Frame::Probe(ProbeHead { token: now, ..Default::default() }));
                     true
                 }
-                Verdict::Dead => {
-                    tracing::warn!(member = %address, "no sign of life on the connection; closing it");
+                KeepAliveVerdict::Dead => {
+                    tracing::warn!(endpoint = %address, "no sign of life on the connection; closing it");
                     link.abort("no sign of life");
                     dead += 1;
                     false
@@ -370,8 +376,8 @@
     }
 }
 
-async fn connect(hub: Arc<Hub>, address: String, sender: watch::Sender<Slot>, wait: Micros) {
-    let pool = &hub.side.pool;
+async fn connect(hub: Arc<FramedCore>, address: String, sender: watch::Sender<Slot>, wait: Micros) {
+    let pool = &hub.transport.pool;
     tokio::time::sleep(Duration::from_micros(wait)).await;
     let failed = |why: String| {
         pool.failed(&address);
@@ -381,7 +387,7 @@
         Ok(socket) => socket,
         Err(e) if e.is_of_peer() => return failed(e.to_string()),
         Err(e) => {
-            tracing::warn!(member = address, error = %e, "no connection");
+            tracing::warn!(endpoint = address, error = %e, "no connection");
             sender.send_replace(Slot::LocalShortage);
             return;
         }
@@ -433,9 +439,9 @@
         pool.redials()
             .entry(address.clone())
             .or_default()
-            .broke(now, dice);
+            .connection_lost(now, dice);
         if pool.greeted().contains_key(&address) {
-            hub.side.meet(address);
+            hub.transport.connect(address);
         }
     } else {
         pool.redials().remove(&address);
@@ -444,12 +450,12 @@
 
 /// Members ask nothing of a dispatcher; a go-away is noted by the link itself. True for the hello of another process
 /// than was there before.
-fn heard(hub: &Arc<Hub>, address: &str, inbound: Inbound) -> bool {
+fn heard(hub: &Arc<FramedCore>, address: &str, inbound: Inbound) -> bool {
     match inbound {
         Inbound::Control(Frame::Hello(hello)) => greet(hub, address, hello),
         Inbound::Control(Frame::Lease(lease)) => {
-            hub.tell(Input::Lease {
-                member: address.to_owned(),
+            hub.apply(Input::Lease {
+                endpoint: address.to_owned(),
                 lease,
             });
             false
@@ -459,15 +465,15 @@
 }
 
 /// True if another process was there before.
-fn greet(hub: &Arc<Hub>, address: &str, hello: HelloHead) -> bool {
-    hub.side
+fn greet(hub: &Arc<FramedCore>, address: &str, hello: HelloHead) -> bool {
+    hub.transport
         .pool
         .greeted()
         .insert(address.to_owned(), Instant::now());
-    let replaced = hub.hello(address, hello);
+    let replaced = hub.apply_hello(address, hello);
     if replaced {
         tracing::info!(
-            member = address,
+            endpoint = address,
             ago_us = hello.started_ago_us,
             "member has restarted, by its own word"
         );
@@ -480,22 +486,25 @@
 
 /// Carries out what the core wishes beside requests. It connects to members whose word is wanted: one that said hello and whose connection broke
 /// may be another process now, and only it can say what it takes; and one that is told to have started.
-pub(crate) async fn carry_out(hub: Arc<Hub>, mut wished: mpsc::UnboundedReceiver<Wish>) {
+pub(crate) async fn carry_out(
+    hub: Arc<FramedCore>,
+    mut wished: mpsc::UnboundedReceiver<EndpointIntent>,
+) {
     let mut meetings = JoinSet::new();
     while let Some(wish) = wished.recv().await {
         while meetings.try_join_next().is_some() {}
         let address = match wish {
-            Wish::Meet(address) => address,
-            Wish::Want(address, work_us) => {
-                hub.side.pool.want(&address, work_us);
+            EndpointIntent::Meet(address) => address,
+            EndpointIntent::Want(address, work_us) => {
+                hub.transport.pool.want(&address, work_us);
                 continue;
             }
         };
         let hub = hub.clone();
         meetings.spawn(async move {
             let met = async {
-                while let Err(NoLink::Failed(_)) = hub.side.pool.link(&hub, &address).await {
-                    let pause = 25.0 * (0.5 + hub.side.pool.roll());
+                while let Err(NoLink::Failed(_)) = hub.transport.pool.link(&hub, &address).await {
+                    let pause = 25.0 * (0.5 + hub.transport.pool.roll());
                     tokio::time::sleep(Duration::from_secs_f64(pause / 1e3)).await;
                 }
             };
@@ -504,17 +513,21 @@
     }
 }
 
-pub(crate) async fn sweep(hub: Arc<Hub>) {
+pub(crate) async fn sweep(hub: Arc<FramedCore>) {
     loop {
         tokio::time::sleep(LOOK).await;
-        hub.metrics.dead_connections.inc_by(hub.side.pool.sweep());
+        hub.metrics
+            .dead_connections
+            .inc_by(hub.transport.pool.sweep());
         hub.metrics
             .purges_proven
-            .set(hub.is_proven().map_or(-1, i64::from));
+            .set(hub.purges_confirmed().map_or(-1, i64::from));
         hub.metrics.buffered.set(hub.meter.buffered_bytes() as i64);
-        hub.metrics.known_calls.set(hub.side.tries.known() as i64);
+        hub.metrics
+            .known_calls
+            .set(hub.transport.tries.known() as i64);
         hub.metrics
             .members_connected
-            .set(hub.side.pool.count() as i64);
+            .set(hub.transport.pool.count() as i64);
     }
 }
--- a/crates/dispatcher/src/net/keeper.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -28,7 +28,7 @@
 }
 
 #[derive(Debug)]
-pub struct Keeper {
+pub struct ConnectionRegistry {
     locked: Mutex<Locked>,
     born: Instant,
     turning: Semaphore,
@@ -36,8 +36,8 @@
 
 /// A connection's place; given back when it is dropped.
 #[derive(Debug)]
-pub struct Seat {
-    keeper: Arc<Keeper>,
+pub struct ConnectionPermit {
+    keeper: Arc<ConnectionRegistry>,
     id: ConnectionId,
     told: Arc<Notify>,
 }
@@ -49,7 +49,7 @@
     Framed,
 }
 
-impl Keeper {
+impl ConnectionRegistry {
     pub fn new(limits: Limits) -> Arc<Self> {
         let locked = Locked {
             admission: Admission::new(limits),
@@ -73,7 +73,7 @@
         self.born.elapsed().as_micros() as Micros
     }
 
-    pub fn arrive(self: &Arc<Self>, address: IpAddr) -> Result<Seat, Micros> {
+    pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<ConnectionPermit, Micros> {
         let mut locked = self.lock();
         let (verdict, close) = locked.admission.arrive(self.now(), address);
         locked.tell(&close);
@@ -81,7 +81,7 @@
             Verdict::Take(id) => {
                 let told = Arc::new(Notify::new());
                 locked.told.insert(id, told.clone());
-                Ok(Seat {
+                Ok(ConnectionPermit {
                     keeper: self.clone(),
                     id,
                     told,
@@ -175,7 +175,7 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Closes connections that have been idle for too long.
-pub async fn expire(keeper: Arc<Keeper>, idle_us: Micros) {
+pub async fn expire(keeper: Arc<ConnectionRegistry>, idle_us: Micros) {
     loop {
         let (now, next) = {
             let mut locked = keeper.lock();
@@ -203,7 +203,7 @@
     }
 }
 
-impl Seat {
+impl ConnectionPermit {
     pub fn busy(&self) {
         self.keeper.lock().admission.busy(self.id);
     }
@@ -214,12 +214,12 @@
     }
 
     /// Returns when this connection, being idle, is to make room. Safe to drop while waiting.
-    pub async fn told_to_close(&self) {
+    pub async fn close_requested(&self) {
         self.told.notified().await;
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let mut locked = self.keeper.lock();
         locked.admission.closed(self.id);
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -1,15 +1,15 @@
 //! The operators' door: member lists and purges, acknowledged once they are in force.
-use super::Door;
-use crate::source::Teller;
+use super::FrontendContext;
+use crate::control_source::ControlSink;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Socket};
 use std::time::Instant;
 
-pub(crate) async fn serve(door: Door, socket: Socket) {
+pub(crate) async fn serve(door: FrontendContext, socket: Socket) {
     let (link, mut incoming) =
         FramedConnection::start(socket, Side::Answerer, ConnectionOptions { max_streams: 1 });
-    let teller = Teller {
+    let teller = ControlSink {
         ears: None,
         hub: door.hub.clone(),
     };
@@ -23,16 +23,16 @@
             Some(Inbound::Control(Frame::EndpointList(head)))
                 if head.form() == EndpointListForm::Unspecified =>
             {
-                Frame::EndpointList(teller.list())
+                Frame::EndpointList(teller.endpoint_list())
             }
             Some(Inbound::Control(Frame::EndpointList(head))) => {
                 let seq = head.seq;
                 tracing::info!(form = ?head.form(), seq, lines = head.endpoints.len(), "member list");
-                let news = teller.members(head);
+                let news = teller.apply_endpoint_list(head);
                 let trouble = news
-                    .wanted
+                    .resync_reason
                     .into_iter()
-                    .chain(news.bad)
+                    .chain(news.rejected_records)
                     .collect::<Vec<_>>()
                     .join("; ");
                 Frame::Ack(AckHead {
@@ -43,7 +43,7 @@
             Some(Inbound::Control(Frame::Purge(head))) => {
                 let (seq, told) = (head.seq, Instant::now());
                 tracing::info!(object = ?head.object, group = head.group, seq, "purge");
-                teller.purge(head);
+                teller.apply_purge(head);
                 door.hub
                     .metrics
                     .purge_lag
--- a/crates/dispatcher/src/net/desk.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -3,8 +3,11 @@
 //! A [`Desk`] is tied to no protocol: what speaks to members is its [`MemberSide`]. The framed protocol is one, the platform's
 //! (a package of its own) another.
 use super::metrics::Metrics;
-use crate::budget::{Budget, Verdict};
-use crate::core::{Ask, AttemptEnd, Begin, Core, FetchOrder, Input, ListNews, Output};
+use crate::core::{
+    AddressedFetch, AttemptEnd, AttemptTerms, ClientRequest, Core, EndpointListChange, Input,
+    Output,
+};
+use crate::request_budget::{RequestBudget, Verdict};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::DispatcherSettings;
@@ -23,35 +26,35 @@
 const EPOCH: Micros = 1_000_000_000_000;
 
 /// The members' side of a dispatcher: connections to them in one protocol.
-pub trait MemberSide: std::fmt::Debug + Send + Sync + Sized + 'static {
-    type Call: Calling;
+pub trait EndpointTransport: std::fmt::Debug + Send + Sync + Sized + 'static {
+    type Call: UpstreamCall;
 
     /// Sends a request, once [`Desk::begin`] says that it may begin: asked right before the first byte, after every wait
     /// for a connection or a place on it. The future may be dropped at any time; what was sent is then given up at the
     /// member.
     fn call(
-        desk: &Arc<Desk<Self>>,
-        ticket: Ticket,
-        member: &str,
+        desk: &Arc<CoreHandle<Self>>,
+        ticket: AttemptId,
+        endpoint: &str,
         request: RequestHead,
         body: &Bytes,
     ) -> impl std::future::Future<Output = Result<Self::Call, AttemptEnd>> + Send;
 
     /// A member's word is wanted though no request goes there.
-    fn meet(&self, member: String);
+    fn connect(&self, endpoint: String);
 
     /// Asks a member for work. Where the protocol has no word for that nobody gives by asking.
-    fn want(&self, _member: &str, _work_us: u64) {}
+    fn request_work(&self, _member: &str, _work_us: u64) {}
 }
 
 /// An attempt, as the core knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ticket {
+pub struct AttemptId {
     pub request: u64,
     pub attempt: u32,
 }
 
-impl Begin {
+impl AttemptTerms {
     /// Puts what holds now into a request that was worded when it was ordered.
     pub fn word(&self, request: &mut RequestHead) {
         request.time_left_us = self.left;
@@ -62,7 +65,7 @@
 }
 
 /// A request under way at a member. Dropped before its end it is given up there.
-pub trait Calling: Send {
+pub trait UpstreamCall: Send {
     /// The next part; none after the end.
     fn next(&mut self) -> impl std::future::Future<Output = Option<ResponsePart>> + Send;
     /// The next part if it is there already.
@@ -71,30 +74,30 @@
 
 /// What a request's task is to do; the core's outputs without the request's number.
 #[derive(Debug)]
-pub enum Order {
+pub enum RequestCommand {
     Send {
         attempt: u32,
-        member: String,
+        endpoint: String,
         timeout: Micros,
-        fetch: Option<FetchOrder>,
+        fetch: Option<AddressedFetch>,
     },
-    Abort {
+    CancelAttempt {
         attempt: u32,
     },
-    Commit {
+    ForwardResponse {
         attempt: u32,
     },
-    Refuse {
+    Reject {
         retry_after: Option<Micros>,
     },
     Fail,
-    Break,
+    AbortResponse,
 }
 
 #[derive(Debug)]
 struct Locked {
     core: Core,
-    orders: HashMap<u64, mpsc::UnboundedSender<Order>>,
+    orders: HashMap<u64, mpsc::UnboundedSender<RequestCommand>>,
     out: Vec<Output>,
     /// When the timer task wakes by itself.
     armed: Option<Micros>,
@@ -105,14 +108,14 @@
 /// What the core answers an input with, beside orders.
 #[derive(Debug, Default)]
 struct News {
-    list: Option<ListNews>,
+    list: Option<EndpointListChange>,
     /// Another process was at the address of a hello before.
     replaced: bool,
 }
 
 /// One dispatcher's core, for all tasks of its shell.
 #[derive(Debug)]
-pub struct Desk<S> {
+pub struct CoreHandle<S> {
     locked: Mutex<Locked>,
     born: Instant,
     timer: Notify,
@@ -122,16 +125,16 @@
     pub(crate) metrics: Metrics,
     /// What all connections hold of bodies.
     pub meter: BufferMeter,
-    budget: Budget,
+    budget: RequestBudget,
     /// Whether a source has told that its view is current.
     pub(crate) view: watch::Sender<bool>,
-    /// Older copies have been held back since the last proof ([`Input::Proven`]).
+    /// Older copies have been held back since the last proof ([`Input::PurgesConfirmed`]).
     holding: AtomicBool,
     /// Connections to members.
-    pub side: S,
+    pub transport: S,
 }
 
-impl<S: MemberSide> Desk<S> {
+impl<S: EndpointTransport> CoreHandle<S> {
     /// `side` is given the meter that all connections share.
     pub fn new(
         settings: Arc<DispatcherSettings>,
@@ -148,7 +151,7 @@
             next: 0,
             dice,
         };
-        let budget = Budget::new(settings.max_requests, settings.buffer_bytes);
+        let budget = RequestBudget::new(settings.max_requests, settings.buffer_bytes);
         let meter = BufferMeter::new(budget.crowded);
         Self {
             locked: Mutex::new(locked),
@@ -156,7 +159,7 @@
             timer: Notify::new(),
             idle: Notify::new(),
             dirty: Notify::new(),
-            side: side(&meter),
+            transport: side(&meter),
             meter,
             budget,
             view: watch::channel(false).0,
@@ -190,7 +193,10 @@
     }
 
     /// Opens a request; or when its client may come back, if as much is under way as may be.
-    pub fn open(&self, ask: Ask) -> Result<(u64, mpsc::UnboundedReceiver<Order>), Micros> {
+    pub fn open_request(
+        &self,
+        ask: ClientRequest,
+    ) -> Result<(u64, mpsc::UnboundedReceiver<RequestCommand>), Micros> {
         let (sender, orders) = mpsc::unbounded_channel();
         let mut locked = self.lock();
         let (open, held) = (locked.orders.len(), self.meter.buffered_bytes());
@@ -206,7 +212,7 @@
     }
 
     /// Whether an attempt may begin, right before its first byte ([`Core::begin`]).
-    pub fn begin(&self, ticket: Ticket) -> Option<Begin> {
+    pub fn begin_attempt(&self, ticket: AttemptId) -> Option<AttemptTerms> {
         let mut locked = self.lock();
         // No clock is read ahead of the lock: the core's time never runs backwards.
         let now = self.now();
@@ -225,21 +231,21 @@
     }
 
     /// All purges that were acknowledged up to so long ago are in force.
-    pub fn proven(&self, ago: Micros) {
-        self.tell(Input::Proven { ago });
+    pub fn confirm_purges(&self, ago: Micros) {
+        self.apply(Input::PurgesConfirmed { ago });
         if self.holding.swap(false, Ordering::Relaxed) {
             tracing::info!("purges are proven to be known again; copies are used as ever");
         }
     }
 
     /// Whether purges are proven to be known, where that is promised.
-    pub fn is_proven(&self) -> Option<bool> {
+    pub fn purges_confirmed(&self) -> Option<bool> {
         let now = self.now();
-        self.lock().core.is_proven(now)
+        self.lock().core.purges_confirmed(now)
     }
 
     /// Whether an attempt that still waits may begin at all.
-    pub fn may_begin(&self, ticket: Ticket) -> bool {
+    pub fn may_begin(&self, ticket: AttemptId) -> bool {
         let now = self.now();
         self.lock()
             .core
@@ -247,7 +253,7 @@
     }
 
     /// The request's task is done with it, however it ended.
-    pub fn close(&self, id: u64) {
+    pub fn close_request(&self, id: u64) {
         let mut locked = self.lock();
         locked.orders.remove(&id);
         self.metrics.open.set(locked.orders.len() as i64);
@@ -256,17 +262,17 @@
         }
     }
 
-    pub fn tell(&self, input: Input) {
+    pub fn apply(&self, input: Input) {
         self.handle(self.lock(), input);
     }
 
-    pub fn members(&self, head: EndpointListHead) -> ListNews {
-        let news = self.handle(self.lock(), Input::Members(head));
+    pub fn apply_endpoint_list(&self, head: EndpointListHead) -> EndpointListChange {
+        let news = self.handle(self.lock(), Input::EndpointList(head));
         let news = news
             .list
             .expect("a list update always tells what became of it");
         self.metrics.list.set(news.seq as i64);
-        for bad in &news.bad {
+        for bad in &news.rejected_records {
             tracing::warn!(line = %bad, "a line of the member list is not used");
         }
         self.dirty.notify_one();
@@ -274,33 +280,33 @@
     }
 
     /// True if another process was at this address before.
-    pub fn hello(&self, member: &str, hello: HelloHead) -> bool {
+    pub fn apply_hello(&self, endpoint: &str, hello: HelloHead) -> bool {
         let input = Input::Hello {
-            member: member.to_owned(),
+            endpoint: endpoint.to_owned(),
             hello,
         };
         self.handle(self.lock(), input).replaced
     }
 
-    pub fn purge(&self, head: PurgeHead) {
-        self.tell(Input::Purge(head));
+    pub fn apply_purge(&self, head: PurgeHead) {
+        self.apply(Input::Purge(head));
         self.dirty.notify_one();
     }
 
     /// Number of the list in force; 0: none yet.
-    pub fn list_seq(&self) -> u64 {
-        self.lock().core.list_seq()
+    pub fn endpoint_list_seq(&self) -> u64 {
+        self.lock().core.endpoint_list_seq()
     }
 
-    pub fn list(&self) -> EndpointListHead {
+    pub fn endpoint_list(&self) -> EndpointListHead {
         let now = self.now();
-        self.lock().core.members(now)
+        self.lock().core.endpoint_list(now)
     }
 
     /// Members, purges and dispatchers that are kept.
-    pub fn kept(&self) -> (usize, usize, usize) {
+    pub fn state_counts(&self) -> (usize, usize, usize) {
         let now = self.now();
-        self.lock().core.kept(now)
+        self.lock().core.state_counts(now)
     }
 
     pub fn snapshot(&self) -> crate::core::state::Snapshot {
@@ -309,7 +315,7 @@
     }
 
     /// Ends of requests and attempts so far, in a line for the log.
-    pub fn figures(&self) -> String {
+    pub fn counters_line(&self) -> String {
         let text = self.metrics.text();
         let counts = text
             .lines()
@@ -349,39 +355,43 @@
                 Output::Send {
                     request,
                     attempt,
-                    member,
+                    endpoint,
                     timeout,
                     fetch,
                 } => (
                     request,
-                    Order::Send {
+                    RequestCommand::Send {
                         attempt,
-                        member,
+                        endpoint,
                         timeout,
                         fetch,
                     },
                 ),
-                Output::Abort { request, attempt } => (request, Order::Abort { attempt }),
-                Output::Commit { request, attempt } => (request, Order::Commit { attempt }),
-                Output::Refuse {
+                Output::CancelAttempt { request, attempt } => {
+                    (request, RequestCommand::CancelAttempt { attempt })
+                }
+                Output::ForwardResponse { request, attempt } => {
+                    (request, RequestCommand::ForwardResponse { attempt })
+                }
+                Output::Reject {
                     request,
                     retry_after,
-                } => (request, Order::Refuse { retry_after }),
-                Output::Fail { request } => (request, Order::Fail),
-                Output::Break { request } => (request, Order::Break),
-                Output::Hello { replaced } => {
+                } => (request, RequestCommand::Reject { retry_after }),
+                Output::Fail { request } => (request, RequestCommand::Fail),
+                Output::AbortResponse { request } => (request, RequestCommand::AbortResponse),
+                Output::HelloApplied { replaced } => {
                     news.replaced = replaced;
                     continue;
                 }
-                Output::Want { member, work_us } => {
-                    self.side.want(&member, work_us);
+                Output::RequestWork { endpoint, work_us } => {
+                    self.transport.request_work(&endpoint, work_us);
                     continue;
                 }
-                Output::Meet { member } => {
-                    self.side.meet(member);
+                Output::Connect { endpoint } => {
+                    self.transport.connect(endpoint);
                     continue;
                 }
-                Output::List(told) => {
+                Output::EndpointListApplied(told) => {
                     news.list = Some(told);
                     continue;
                 }
@@ -391,7 +401,7 @@
             }
         }
         locked.out = out;
-        for (end, count) in locked.core.take_ends() {
+        for (end, count) in locked.core.take_attempt_counts() {
             self.metrics.attempt_ended(end, count);
         }
         let next = locked.core.next_timer();
@@ -404,7 +414,7 @@
 }
 
 /// Ticks the core when its next timer is due.
-pub async fn run_timers<S: MemberSide>(hub: Arc<Desk<S>>) {
+pub async fn run_timers<S: EndpointTransport>(hub: Arc<CoreHandle<S>>) {
     loop {
         let next = {
             let mut locked = hub.lock();
@@ -416,7 +426,7 @@
             Some(at) => {
                 let wait = Duration::from_micros(at.saturating_sub(hub.now()));
                 tokio::select! {
-                    _ = tokio::time::sleep(wait) => hub.tell(Input::Tick),
+                    _ = tokio::time::sleep(wait) => hub.apply(Input::Tick),
                     _ = hub.timer.notified() => {}
                 }
             }
--- a/crates/dispatcher/src/net/exchange.rs
+++ b/crates/dispatcher/src/net/exchange.rs
@@ -2,8 +2,8 @@
 //!
 //! Held for a transfer: at most one stream window of unread body from the member, one chunk in hand, and what
 //! the client's connection has buffered. A client that reads slowly stops its own stream at the member.
-use super::desk::{Calling, Desk, MemberSide, Order, Ticket};
-use crate::core::{Ask, AttemptEnd, Input};
+use super::core_handle::{AttemptId, CoreHandle, EndpointTransport, RequestCommand, UpstreamCall};
+use crate::core::{AttemptEnd, ClientRequest, Input};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
@@ -14,87 +14,88 @@
 
 /// The client has left, or its connection is of no more use.
 #[derive(Debug)]
-pub struct ClientGone;
+pub struct ClientDisconnected;
 
 /// The client's side of a request. Each final method is the last one called, and only one of them is.
-pub trait ClientSide: Send {
+pub trait ClientStream: Send {
     /// Returns when the client has left.
-    fn gone(&mut self) -> impl std::future::Future<Output = ()> + Send;
+    fn disconnected(&mut self) -> impl std::future::Future<Output = ()> + Send;
     /// The answer's head. May be held back until [`ClientSide::flush`].
     fn head(
         &mut self,
         head: &ResponseHead,
-    ) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
+    ) -> impl std::future::Future<Output = Result<(), ClientDisconnected>> + Send;
     fn data(
         &mut self,
         data: Bytes,
-    ) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
-    fn flush(&mut self) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
+    ) -> impl std::future::Future<Output = Result<(), ClientDisconnected>> + Send;
+    fn flush(&mut self)
+        -> impl std::future::Future<Output = Result<(), ClientDisconnected>> + Send;
     /// Final: the answer is complete.
-    fn end(&mut self) -> impl std::future::Future<Output = Result<(), ClientGone>> + Send;
+    fn end(&mut self) -> impl std::future::Future<Output = Result<(), ClientDisconnected>> + Send;
     /// Final: refused, with the time after which to come back.
-    fn refuse(&mut self, after: Option<Micros>) -> impl std::future::Future<Output = ()> + Send;
+    fn reject(&mut self, after: Option<Micros>) -> impl std::future::Future<Output = ()> + Send;
     /// Final: failed, nothing of an answer was sent.
     fn fail(&mut self) -> impl std::future::Future<Output = ()> + Send;
     /// Final: failed after the head; must differ from a complete answer.
-    fn break_off(&mut self) -> impl std::future::Future<Output = ()> + Send;
+    fn abort(&mut self) -> impl std::future::Future<Output = ()> + Send;
 }
 
 /// A request as it goes to members, without what the core adds.
 #[derive(Clone, Debug)]
-pub struct Asked {
-    pub ask: Ask,
-    pub template: RequestHead,
+pub struct IncomingRequest {
+    pub request: ClientRequest,
+    pub head_template: RequestHead,
     /// Of a write, where the protocol has one.
     pub body: Bytes,
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     Served,
-    Refused,
+    Rejected,
     Failed,
     /// Failed after the head.
     Broken,
-    ClientGone,
+    ClientDisconnected,
 }
 
-impl Fate {
+impl RequestOutcome {
     pub const ALL: [Self; 5] = [
         Self::Served,
-        Self::Refused,
+        Self::Rejected,
         Self::Failed,
         Self::Broken,
-        Self::ClientGone,
+        Self::ClientDisconnected,
     ];
 
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
-            Self::Refused => "refused",
+            Self::Rejected => "refused",
             Self::Failed => "failed",
             Self::Broken => "broken_off",
-            Self::ClientGone => "client_gone",
+            Self::ClientDisconnected => "client_gone",
         }
     }
 }
 
 /// Runs a request to its end. The number is taken off the table on every way out, a panic's included.
-pub async fn run<S: MemberSide, C: ClientSide>(
-    hub: &Arc<Desk<S>>,
-    asked: Asked,
+pub async fn run<S: EndpointTransport, C: ClientStream>(
+    hub: &Arc<CoreHandle<S>>,
+    asked: IncomingRequest,
     client: &mut C,
-) -> Fate {
+) -> RequestOutcome {
     let began = Instant::now();
-    let class = asked.ask.class;
-    let (id, orders) = match hub.open(asked.ask.clone()) {
+    let class = asked.request.class;
+    let (id, orders) = match hub.open_request(asked.request.clone()) {
         Ok(open) => open,
         Err(come_back) => {
             // No room: nothing of this request was told to anybody.
             let router = &hub.settings.router;
             client
-                .refuse(
+                .reject(
                     router
                         .retry_after
                         .then_some(come_back.min(router.max_retry_after)),
@@ -102,8 +103,8 @@
                 .await;
             hub.metrics.no_room.inc();
             hub.metrics
-                .request_ended(class, Fate::Refused, began.elapsed());
-            return Fate::Refused;
+                .request_ended(class, RequestOutcome::Rejected, began.elapsed());
+            return RequestOutcome::Rejected;
         }
     };
     let closing = Closing { hub, id };
@@ -117,21 +118,21 @@
         made: 0,
     };
     let fate = exchange.run(client).await;
-    if matches!(fate, Fate::ClientGone) {
-        hub.tell(Input::Gone(exchange.closing.id));
+    if matches!(fate, RequestOutcome::ClientDisconnected) {
+        hub.apply(Input::ClientDisconnected(exchange.closing.id));
     }
     drop(exchange);
     hub.metrics.request_ended(class, fate, began.elapsed());
     match fate {
-        Fate::Served => {
+        RequestOutcome::Served => {
             tracing::debug!(
-                fate = fate.word(),
+                fate = fate.as_str(),
                 us = began.elapsed().as_micros() as u64,
                 "request ended"
             )
         }
         _ => tracing::info!(
-            fate = fate.word(),
+            fate = fate.as_str(),
             us = began.elapsed().as_micros() as u64,
             "request ended"
         ),
@@ -139,21 +140,21 @@
     fate
 }
 
-struct Closing<'a, S: MemberSide> {
-    hub: &'a Arc<Desk<S>>,
+struct Closing<'a, S: EndpointTransport> {
+    hub: &'a Arc<CoreHandle<S>>,
     id: u64,
 }
 
-impl<S: MemberSide> Drop for Closing<'_, S> {
+impl<S: EndpointTransport> Drop for Closing<'_, S> {
     fn drop(&mut self) {
-        self.hub.close(self.id);
+        self.hub.close_request(self.id);
     }
 }
 
 /// An attempt under way.
 struct Attempt<C> {
-    ticket: Ticket,
-    member: String,
+    ticket: AttemptId,
+    endpoint: String,
     request: RequestHead,
     /// None while connecting.
     call: Option<C>,
@@ -161,12 +162,12 @@
     head: Option<ResponseHead>,
 }
 
-struct Exchange<'a, S: MemberSide> {
-    hub: &'a Arc<Desk<S>>,
+struct Exchange<'a, S: EndpointTransport> {
+    hub: &'a Arc<CoreHandle<S>>,
     closing: Closing<'a, S>,
     class: usize,
-    asked: Asked,
-    orders: UnboundedReceiver<Order>,
+    asked: IncomingRequest,
+    orders: UnboundedReceiver<RequestCommand>,
     began: Instant,
     /// Attempts of what was asked before a resumption: numbers go on, as members see them.
     made: u32,
@@ -177,7 +178,7 @@
     Answer(u32, C, ResponseHead),
     Refused(Option<Micros>),
     Failed,
-    ClientGone,
+    ClientDisconnected,
 }
 
 /// How far an answer has been passed on, for what is left of it to be had elsewhere.
@@ -231,36 +232,37 @@
 
 /// How passing an answer on ended.
 enum Passed {
-    Fate(Fate),
+    Fate(RequestOutcome),
     /// The member's side broke; nothing of it is under way any more.
     Broke,
 }
 
 /// What happened while waiting for the head.
 enum Step<C> {
-    Order(Option<Order>),
+    Order(Option<RequestCommand>),
     Gone,
     Call(Result<C, AttemptEnd>),
     Part(ResponsePart),
 }
 
-impl<S: MemberSide> Exchange<'_, S> {
-    async fn run<C: ClientSide>(&mut self, client: &mut C) -> Fate {
+impl<S: EndpointTransport> Exchange<'_, S> {
+    async fn run<C: ClientStream>(&mut self, client: &mut C) -> RequestOutcome {
         let (mut attempt, mut call, head) = match self.attempts(client).await {
             Got::Answer(attempt, call, head) => (attempt, call, head),
             Got::Refused(retry_after) => {
-                client.refuse(retry_after).await;
-                return Fate::Refused;
+                client.reject(retry_after).await;
+                return RequestOutcome::Rejected;
             }
             Got::Failed => {
                 client.fail().await;
-                return Fate::Failed;
+                return RequestOutcome::Failed;
             }
-            Got::ClientGone => return Fate::ClientGone,
+            Got::ClientDisconnected => return RequestOutcome::ClientDisconnected,
         };
         // Work that runs is not asked for in parts.
         let safe = !self.hub.settings.router.classes[self.class].uncacheable;
-        let mut progress = Progress::of(&head).filter(|_| safe && !self.asked.template.head_only);
+        let mut progress =
+            Progress::of(&head).filter(|_| safe && !self.asked.head_template.head_only);
         let mut first = Some(head);
         loop {
             match self
@@ -272,10 +274,10 @@
             }
             (attempt, call) = match self.resume(client, &mut progress).await {
                 Got::Answer(attempt, call, _) => (attempt, call),
-                Got::ClientGone => return Fate::ClientGone,
+                Got::ClientDisconnected => return RequestOutcome::ClientDisconnected,
                 Got::Refused(_) | Got::Failed => {
-                    client.break_off().await;
-                    return Fate::Broken;
+                    client.abort().await;
+                    return RequestOutcome::Broken;
                 }
             };
         }
@@ -283,13 +285,13 @@
 
     /// What is left of an answer that broke, from elsewhere: a request of its own to the module, for the bytes from the next one on and
     /// under the same validator. The broken attempt is over by now, so no two are under way.
-    async fn resume<C: ClientSide>(
+    async fn resume<C: ClientStream>(
         &mut self,
         client: &mut C,
         progress: &mut Option<Progress>,
     ) -> Got<S::Call> {
         let waited = self.began.elapsed().as_micros() as Micros;
-        let left = self.asked.ask.left.saturating_sub(waited);
+        let left = self.asked.request.time_left.saturating_sub(waited);
         let Some(progress) = progress
             .as_mut()
             .filter(|p| p.resumed < RESUMED && p.next < p.end)
@@ -301,19 +303,19 @@
             return Got::Failed;
         }
         progress.resumed += 1;
-        self.hub.close(self.closing.id);
-        let Ok((id, orders)) = self.hub.open(Ask {
-            left,
-            ..self.asked.ask.clone()
+        self.hub.close_request(self.closing.id);
+        let Ok((id, orders)) = self.hub.open_request(ClientRequest {
+            time_left: left,
+            ..self.asked.request.clone()
         }) else {
             return Got::Failed;
         };
         self.made += self.hub.settings.router.max_attempts;
         self.closing = Closing { hub: self.hub, id };
         self.orders = orders;
-        self.asked.template.range = format!("bytes={}-{}", progress.next, progress.end - 1);
-        self.asked.template.if_range = progress.validator.clone();
-        self.asked.template.if_none_match = String::new();
+        self.asked.head_template.range = format!("bytes={}-{}", progress.next, progress.end - 1);
+        self.asked.head_template.if_range = progress.validator.clone();
+        self.asked.head_template.if_none_match = String::new();
         match self.attempts(client).await {
             Got::Answer(attempt, call, head) if progress.fits(&head) => {
                 self.hub.metrics.resumed.inc();
@@ -333,7 +335,7 @@
                     first = head.range_first,
                     "what is left is not had"
                 );
-                self.hub.tell(Input::Gone(self.closing.id));
+                self.hub.apply(Input::ClientDisconnected(self.closing.id));
                 Got::Failed
             }
             other => {
@@ -348,7 +350,7 @@
     }
 
     /// The attempts, as the core orders them, until one of them answers.
-    async fn attempts<C: ClientSide>(&mut self, client: &mut C) -> Got<S::Call> {
+    async fn attempts<C: ClientStream>(&mut self, client: &mut C) -> Got<S::Call> {
         let mut current: Option<Attempt<S::Call>> = None;
         loop {
             let step = tokio::select! {
@@ -356,57 +358,57 @@
                 // Orders first: an answer that comes with its own abort is not passed on. Then the client's leaving: nothing
                 // is sent on for who is not there.
                 order = self.orders.recv() => Step::Order(order),
-                _ = client.gone() => Step::Gone,
+                _ = client.disconnected() => Step::Gone,
                 step = progress(self.hub, &self.asked.body, &mut current) => step,
             };
             match step {
-                Step::Gone => return Got::ClientGone,
+                Step::Gone => return Got::ClientDisconnected,
                 Step::Order(None) => {
                     // Nobody will say any more what is to become of it; the client is there and is owed an end.
                     tracing::error!("a request's orders ended without a final one");
                     drop(current.take());
-                    self.hub.tell(Input::Gone(self.closing.id));
+                    self.hub.apply(Input::ClientDisconnected(self.closing.id));
                     return Got::Failed;
                 }
-                Step::Order(Some(Order::Send {
+                Step::Order(Some(RequestCommand::Send {
                     attempt,
-                    member,
+                    endpoint,
                     timeout,
                     fetch,
                 })) => {
-                    tracing::debug!(attempt, member, ?fetch, "attempt");
+                    tracing::debug!(attempt, endpoint, ?fetch, "attempt");
                     let fetch = fetch.map(|f| FetchHead {
                         source: f.source.unwrap_or_default(),
-                        retention_rank: f.keep as u32,
-                        max_age_us: f.age,
-                        coalesce: f.join,
-                        only_if_cached: f.held_only,
-                        revalidate: f.renew,
+                        retention_rank: f.retention_rank as u32,
+                        max_age_us: f.max_age,
+                        coalesce: f.coalesce,
+                        only_if_cached: f.only_if_cached,
+                        revalidate: f.revalidate,
                     });
-                    let template = self.asked.template.clone();
+                    let template = self.asked.head_template.clone();
                     let request = RequestHead {
                         fetch,
                         time_left_us: timeout,
                         attempt: self.made + attempt,
                         ..template
                     };
-                    let ticket = Ticket {
+                    let ticket = AttemptId {
                         request: self.closing.id,
                         attempt,
                     };
                     current = Some(Attempt {
                         ticket,
-                        member,
+                        endpoint,
                         request,
                         call: None,
                         head: None,
                     });
                 }
-                Step::Order(Some(Order::Abort { attempt })) => {
+                Step::Order(Some(RequestCommand::CancelAttempt { attempt })) => {
                     // Dropping the call tells the member; the next attempt goes out after that.
                     current = current.filter(|a| a.ticket.attempt != attempt);
                 }
-                Step::Order(Some(Order::Commit { attempt })) => {
+                Step::Order(Some(RequestCommand::ForwardResponse { attempt })) => {
                     let Some(found) = current.take().filter(|a| a.ticket.attempt == attempt) else {
                         continue;
                     };
@@ -415,11 +417,11 @@
                     };
                     return Got::Answer(attempt, call, head);
                 }
-                Step::Order(Some(Order::Refuse { retry_after })) => {
+                Step::Order(Some(RequestCommand::Reject { retry_after })) => {
                     drop(current.take());
                     return Got::Refused(retry_after);
                 }
-                Step::Order(Some(Order::Fail | Order::Break)) => {
+                Step::Order(Some(RequestCommand::Fail | RequestCommand::AbortResponse)) => {
                     drop(current.take());
                     return Got::Failed;
                 }
@@ -438,10 +440,10 @@
                             .size
                             .filter(|_| !head.not_modified && head.origin_status == 0);
                         attempt.head = Some(head);
-                        self.hub.tell(Input::Head {
+                        self.hub.apply(Input::ResponseStarted {
                             request: self.closing.id,
                             attempt: number,
-                            note,
+                            cache_status: note,
                             size,
                         });
                     }
@@ -454,12 +456,12 @@
 
     fn ended(&self, attempt: Option<Attempt<S::Call>>, end: AttemptEnd) {
         let Some(attempt) = attempt else { return };
-        let Ticket {
+        let AttemptId {
             request,
             attempt: number,
         } = attempt.ticket;
-        tracing::debug!(attempt = number, member = %attempt.member, ?end, "attempt ended");
-        self.hub.tell(Input::Ended {
+        tracing::debug!(attempt = number, endpoint = %attempt.endpoint, ?end, "attempt ended");
+        self.hub.apply(Input::AttemptEnded {
             request,
             attempt: number,
             end,
@@ -468,7 +470,7 @@
 
     /// The answer streams: from here on it is complete, or goes on from elsewhere, or is broken off. `head`: none where it was passed on
     /// before.
-    async fn pass_on<C: ClientSide>(
+    async fn pass_on<C: ClientStream>(
         &mut self,
         client: &mut C,
         attempt: u32,
@@ -489,10 +491,13 @@
             };
             match passed_on {
                 None => return Passed::Broke,
-                Some(Err(ClientGone)) => return Passed::Fate(Fate::ClientGone),
+                Some(Err(ClientDisconnected)) => {
+                    return Passed::Fate(RequestOutcome::ClientDisconnected)
+                }
                 Some(Ok(())) => {}
             }
-            let bodyless = head.not_modified || head.unsatisfiable || self.asked.template.head_only;
+            let bodyless =
+                head.not_modified || head.unsatisfiable || self.asked.head_template.head_only;
             missing = if bodyless { Some(0) } else { head.size };
         }
         loop {
@@ -503,7 +508,7 @@
                         client.flush().await?;
                         tokio::select! {
                             part = call.next() => Ok(part),
-                            _ = client.gone(), if missing != Some(0) => Err(ClientGone),
+                            _ = client.disconnected(), if missing != Some(0) => Err(ClientDisconnected),
                         }
                     };
                     tokio::select! {
@@ -511,7 +516,7 @@
                         _ = self.orders.recv() => return Passed::Broke,
                         part = wait => match part {
                             Ok(part) => part,
-                            Err(ClientGone) => return Passed::Fate(Fate::ClientGone),
+                            Err(ClientDisconnected) => return Passed::Fate(RequestOutcome::ClientDisconnected),
                         },
                     }
                 }
@@ -531,7 +536,9 @@
                                 progress.next += bytes;
                             }
                         }
-                        Some(Err(ClientGone)) => return Passed::Fate(Fate::ClientGone),
+                        Some(Err(ClientDisconnected)) => {
+                            return Passed::Fate(RequestOutcome::ClientDisconnected)
+                        }
                         None => {
                             // How much of this piece went out is not known: nothing can follow it.
                             *progress = None;
@@ -542,20 +549,20 @@
                 Some(ResponsePart::End(CallEnd::Complete(_))) => {
                     let ended = client.end().await;
                     let request = self.closing.id;
-                    self.hub.tell(Input::Ended {
+                    self.hub.apply(Input::AttemptEnded {
                         request,
                         attempt,
                         end: AttemptEnd::Complete,
                     });
                     return Passed::Fate(if ended.is_ok() {
-                        Fate::Served
+                        RequestOutcome::Served
                     } else {
-                        Fate::ClientGone
+                        RequestOutcome::ClientDisconnected
                     });
                 }
                 Some(ResponsePart::End(end)) => {
                     let (request, end) = (self.closing.id, attempt_end(end));
-                    self.hub.tell(Input::Ended {
+                    self.hub.apply(Input::AttemptEnded {
                         request,
                         attempt,
                         end,
@@ -570,8 +577,8 @@
 }
 
 /// Brings the current attempt one step on; waits for ever where there is none, or its head is held.
-async fn progress<S: MemberSide>(
-    hub: &Arc<Desk<S>>,
+async fn progress<S: EndpointTransport>(
+    hub: &Arc<CoreHandle<S>>,
     body: &Bytes,
     current: &mut Option<Attempt<S::Call>>,
 ) -> Step<S::Call> {
@@ -587,10 +594,10 @@
         Some(Attempt {
             ticket,
             call: None,
-            member,
+            endpoint,
             request,
             ..
-        }) => Step::Call(S::call(hub, *ticket, member, request.clone(), body).await),
+        }) => Step::Call(S::call(hub, *ticket, endpoint, request.clone(), body).await),
         _ => std::future::pending().await,
     }
 }
@@ -600,9 +607,9 @@
         CallEnd::Complete(_) => AttemptEnd::Complete,
         CallEnd::Broken(_) => AttemptEnd::Broken,
         CallEnd::NotSent => AttemptEnd::NotSent,
-        CallEnd::Error(e) => AttemptEnd::Told {
+        CallEnd::Error(e) => AttemptEnd::ErrorReported {
             status: e.status(),
-            note: e.cache_status(),
+            cache_status: e.cache_status(),
             may_have_run: e.may_have_run,
         },
     }
--- a/crates/dispatcher/src/net/door_framed.rs
+++ b/crates/dispatcher/src/net/framed_frontend.rs
@@ -1,9 +1,9 @@
 //! Clients on the framed protocol.
-use super::exchange::{self, Asked, ClientGone, ClientSide, Fate};
-use super::tries::{Begun, Kept, Try, KEPT_ANSWER};
-use super::{Door, Seat};
-use crate::core::Ask;
-use crate::pace::{Pace, PaceRule};
+use super::call_attempts::{Begun, Kept, Try, KEPT_ANSWER};
+use super::exchange::{self, ClientDisconnected, ClientStream, IncomingRequest, RequestOutcome};
+use super::{ConnectionPermit, FrontendContext};
+use crate::client_pace::{Pace, PaceRule};
+use crate::core::ClientRequest;
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::streams::Side;
@@ -20,7 +20,7 @@
 /// A call whose name finds no room comes back after this.
 const FULL_COME_BACK: Micros = 1_000_000;
 
-pub(crate) async fn serve(door: Door, socket: Socket, seat: Seat) {
+pub(crate) async fn serve(door: FrontendContext, socket: Socket, seat: ConnectionPermit) {
     let listen = &door.hub.settings.listen;
     let options = ConnectionOptions {
         max_streams: listen.max_streams,
@@ -31,7 +31,7 @@
     let lease = Duration::from_micros(listen.client_lease_us);
     let lease_us = Some(listen.client_lease_us);
     link.push_control(Frame::Hello(HelloHead {
-        incarnation: door.hub.side.pool.process,
+        incarnation: door.hub.transport.pool.process,
         lease_us,
         ..Default::default()
     }));
@@ -50,7 +50,7 @@
                 }
                 continue;
             }
-            _ = seat.told_to_close(), if requests.is_empty() => {
+            _ = seat.close_requested(), if requests.is_empty() => {
                 full = true;
                 break;
             }
@@ -111,7 +111,7 @@
     link.flushed().await;
 }
 
-async fn answer(door: Door, mut head: RequestHead, responder: Responder) {
+async fn answer(door: FrontendContext, mut head: RequestHead, responder: Responder) {
     let came = Instant::now();
     let settings = &door.hub.settings;
     let Some(class) = settings.classes.iter().position(|c| c.name == head.class) else {
@@ -124,12 +124,12 @@
     } else {
         head.time_left_us.min(most)
     };
-    let ask = Ask {
+    let ask = ClientRequest {
         class,
         object: head.object.clone(),
         part: head.part,
         group: head.group,
-        left,
+        time_left: left,
         size: head.size,
     };
     head.fetch = None;
@@ -164,8 +164,8 @@
         }
     }
     let waited = came.elapsed().as_micros() as Micros;
-    let ask = Ask {
-        left: ask.left.saturating_sub(waited),
+    let ask = ClientRequest {
+        time_left: ask.time_left.saturating_sub(waited),
         ..ask
     };
     // Credit comes in halves of a window: less than one is no sign of slowness.
@@ -194,15 +194,15 @@
     };
     let fate = exchange::run(
         &door.hub,
-        Asked {
-            ask,
-            template: head,
+        IncomingRequest {
+            request: ask,
+            head_template: head,
             body: Bytes::new(),
         },
         &mut client,
     )
     .await;
-    if let (Some(tried), Some(kept), Fate::Served | Fate::ClientGone) =
+    if let (Some(tried), Some(kept), RequestOutcome::Served | RequestOutcome::ClientDisconnected) =
         (&mut tried, client.kept, fate)
     {
         if let Some(kept) = kept.whole() {
@@ -218,8 +218,8 @@
 
 /// Has a try's turn come; the tries of the same call before it are ended first. An error: when to come back, or that it
 /// was tried again itself.
-async fn enter(door: &Door, call: &str) -> Result<Entered, Option<Micros>> {
-    match door.hub.side.tries.begin(call) {
+async fn enter(door: &FrontendContext, call: &str) -> Result<Entered, Option<Micros>> {
+    match door.hub.transport.tries.begin(call) {
         Begun::Full => Err(Some(FULL_COME_BACK)),
         Begun::Answered(kept) => Ok(Entered::Answered(kept)),
         Begun::Run(mut tried) => match tried.turn().await {
@@ -300,8 +300,8 @@
 }
 
 impl FramedClient {
-    fn open(&mut self) -> Result<&mut Responder, ClientGone> {
-        self.responder.as_mut().ok_or(ClientGone)
+    fn open(&mut self) -> Result<&mut Responder, ClientDisconnected> {
+        self.responder.as_mut().ok_or(ClientDisconnected)
     }
 
     async fn finish(&mut self, status: WireStatus, ran: bool, after: Option<Micros>, why: &str) {
@@ -311,8 +311,8 @@
     }
 }
 
-impl ClientSide for FramedClient {
-    async fn gone(&mut self) {
+impl ClientStream for FramedClient {
+    async fn disconnected(&mut self) {
         let Some(responder) = &self.responder else {
             return std::future::pending().await;
         };
@@ -325,17 +325,17 @@
         }
     }
 
-    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientGone> {
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientDisconnected> {
         if let Some(kept) = &mut self.kept {
             kept.head = Some(head.clone());
         }
         self.open()?
             .head(head.clone())
             .await
-            .map_err(|_| ClientGone)
+            .map_err(|_| ClientDisconnected)
     }
 
-    async fn data(&mut self, data: Bytes) -> Result<(), ClientGone> {
+    async fn data(&mut self, data: Bytes) -> Result<(), ClientDisconnected> {
         if let Some(kept) = &mut self.kept {
             kept.data(&data);
         }
@@ -350,31 +350,32 @@
         let sent = match superseded {
             Some(superseded) => tokio::select! {
                 sent = sending => sent,
-                _ = superseded.notified() => return Err(ClientGone),
+                _ = superseded.notified() => return Err(ClientDisconnected),
             },
             None => sending.await,
         };
         let taken = if sent.is_ok() { bytes } else { 0 };
         if !self.pace.took(taken, began.elapsed().as_micros() as u64) {
             self.slow.inc();
-            return Err(ClientGone);
+            return Err(ClientDisconnected);
         }
-        sent.map_err(|_| ClientGone)?.map_err(|_| ClientGone)
+        sent.map_err(|_| ClientDisconnected)?
+            .map_err(|_| ClientDisconnected)
     }
 
-    async fn flush(&mut self) -> Result<(), ClientGone> {
+    async fn flush(&mut self) -> Result<(), ClientDisconnected> {
         Ok(())
     }
 
-    async fn end(&mut self) -> Result<(), ClientGone> {
+    async fn end(&mut self) -> Result<(), ClientDisconnected> {
         if let Some(kept) = &mut self.kept {
             kept.ended = true;
         }
-        let responder = self.responder.take().ok_or(ClientGone)?;
-        responder.end(None).await.map_err(|_| ClientGone)
+        let responder = self.responder.take().ok_or(ClientDisconnected)?;
+        responder.end(None).await.map_err(|_| ClientDisconnected)
     }
 
-    async fn refuse(&mut self, after: Option<Micros>) {
+    async fn reject(&mut self, after: Option<Micros>) {
         self.finish(
             WireStatus::Refused,
             false,
@@ -389,7 +390,7 @@
             .await;
     }
 
-    async fn break_off(&mut self) {
+    async fn abort(&mut self) {
         self.finish(WireStatus::Failed, true, None, "the answer broke off")
             .await;
     }
--- a/crates/dispatcher/src/net/door_http.rs
+++ b/crates/dispatcher/src/net/http_frontend.rs
@@ -1,9 +1,9 @@
 //! Clients on HTTP/1.1: GET and HEAD, answered in order, with `Age`, `Cache-Status` (RFC 9211), `Proxy-Status`
 //! (RFC 9209) and `Retry-After`.
-use super::exchange::{self, Asked, ClientGone, ClientSide, Fate};
-use super::{Door, Seat};
-use crate::core::Ask;
-use crate::pace::{Pace, PaceRule};
+use super::exchange::{self, ClientDisconnected, ClientStream, IncomingRequest, RequestOutcome};
+use super::{ConnectionPermit, FrontendContext};
+use crate::client_pace::{Pace, PaceRule};
+use crate::core::ClientRequest;
 use bytes::{Buf, Bytes, BytesMut};
 use pointspindle::{Micros, ObjectId};
 use pointspindle_config::DispatcherSettings;
@@ -22,7 +22,7 @@
 /// Time to write an error answer to a client that may not read.
 const LAST_WORDS: Duration = Duration::from_secs(1);
 
-pub(crate) async fn serve(door: Door, socket: Socket, seat: Seat) {
+pub(crate) async fn serve(door: FrontendContext, socket: Socket, seat: ConnectionPermit) {
     let (read, write) = socket.split();
     let requests = FrameReader::new(read, RequestCodec);
     let mut client = HttpClient {
@@ -49,7 +49,7 @@
                 // First: a request that has come is answered, though its connection is to make room.
                 biased;
                 came = client.requests.readable() => came,
-                _ = seat.told_to_close() => return,
+                _ = seat.close_requested() => return,
                 _ = door.stopped() => return,
             };
             if came.is_err() {
@@ -64,7 +64,7 @@
 }
 
 /// One request and its answer; false: the connection is of no more use.
-async fn turn(door: &Door, seat: &Seat, client: &mut HttpClient) -> bool {
+async fn turn(door: &FrontendContext, seat: &ConnectionPermit, client: &mut HttpClient) -> bool {
     let head = Duration::from_micros(door.hub.settings.listen.head_timeout_us);
     let request = match client.next.take() {
         Some(request) => *request,
@@ -91,7 +91,12 @@
     );
     let fate = answer(door, request, client).instrument(span).await;
     client.pace = None;
-    if client.close || matches!(fate, Some(Fate::Broken | Fate::ClientGone)) {
+    if client.close
+        || matches!(
+            fate,
+            Some(RequestOutcome::Broken | RequestOutcome::ClientDisconnected)
+        )
+    {
         client.write.shutdown();
         return false;
     }
@@ -99,7 +104,11 @@
     true
 }
 
-async fn answer(door: &Door, request: HttpRequest, client: &mut HttpClient) -> Option<Fate> {
+async fn answer(
+    door: &FrontendContext,
+    request: HttpRequest,
+    client: &mut HttpClient,
+) -> Option<RequestOutcome> {
     let settings = &door.hub.settings;
     let Some(asked) = asked(settings, &request) else {
         client
@@ -111,7 +120,7 @@
 }
 
 /// An HTTP request in the dispatcher's terms: class by the longest prefix, group by the path's first segments.
-fn asked(settings: &DispatcherSettings, request: &HttpRequest) -> Option<Asked> {
+fn asked(settings: &DispatcherSettings, request: &HttpRequest) -> Option<IncomingRequest> {
     let prefix = |c: &pointspindle_config::ClassSettings| {
         c.path_prefix
             .clone()
@@ -137,12 +146,12 @@
     let left = request
         .deadline_ms
         .map_or(most, |ms| ms.saturating_mul(1000).min(most));
-    let ask = Ask {
+    let ask = ClientRequest {
         class,
         object: object.clone(),
         part,
         group,
-        left,
+        time_left: left,
         size: None,
     };
     let template = RequestHead {
@@ -157,9 +166,9 @@
         if_range: request.if_range.clone().unwrap_or_default(),
         ..Default::default()
     };
-    Some(Asked {
-        ask,
-        template,
+    Some(IncomingRequest {
+        request: ask,
+        head_template: template,
         body: Bytes::new(),
     })
 }
@@ -192,7 +201,7 @@
 
 impl HttpClient {
     /// Writes what was gathered. Dropped while waiting, what is left of it is still there.
-    async fn write_out(&mut self) -> Result<(), ClientGone> {
+    async fn write_out(&mut self) -> Result<(), ClientDisconnected> {
         while !self.out.is_empty() {
             self.begun = true;
             let Self {
@@ -212,7 +221,10 @@
     }
 
     /// Writes it all, while the client takes it fast enough.
-    async fn write_paced(&mut self, bytes: &mut (impl Buf + Send)) -> Result<(), ClientGone> {
+    async fn write_paced(
+        &mut self,
+        bytes: &mut (impl Buf + Send),
+    ) -> Result<(), ClientDisconnected> {
         self.begun = true;
         while bytes.has_remaining() {
             let Self {
@@ -266,25 +278,25 @@
     pace: &mut Option<Box<Pace>>,
     rule: PaceRule,
     slow: &Counter,
-) -> Result<(), ClientGone> {
+) -> Result<(), ClientDisconnected> {
     let pace = pace.get_or_insert_with(|| Box::new(Pace::new(rule)));
     let patience = pace.patience().map_or(Duration::MAX, Duration::from_micros);
     let began = Instant::now();
     let taken = match tokio::time::timeout(patience, write.write_buf(bytes)).await {
-        Ok(Ok(0) | Err(_)) => return Err(ClientGone),
+        Ok(Ok(0) | Err(_)) => return Err(ClientDisconnected),
         Ok(Ok(taken)) => taken as u64,
         Err(_) => 0,
     };
     if !pace.took(taken, began.elapsed().as_micros() as u64) {
         slow.inc();
         tracing::info!("the client takes too little of its answer");
-        return Err(ClientGone);
+        return Err(ClientDisconnected);
     }
     Ok(())
 }
 
-impl ClientSide for HttpClient {
-    async fn gone(&mut self) {
+impl ClientStream for HttpClient {
+    async fn disconnected(&mut self) {
         if self.next.is_some() {
             // Reading further would have to buffer without bound: its end is looked for behind what is not read.
             return self.requests.peer_closed().await;
@@ -301,7 +313,7 @@
         }
     }
 
-    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientGone> {
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientDisconnected> {
         let mut fields = vec![("cache-status", cache_status(head))];
         fields.push(("age", (head.age_us / 1_000_000).to_string()));
         if !head.validator.is_empty() {
@@ -345,7 +357,7 @@
         Ok(())
     }
 
-    async fn data(&mut self, data: Bytes) -> Result<(), ClientGone> {
+    async fn data(&mut self, data: Bytes) -> Result<(), ClientDisconnected> {
         if !self.body_allowed {
             return Ok(());
         }
@@ -367,21 +379,21 @@
         Ok(())
     }
 
-    async fn flush(&mut self) -> Result<(), ClientGone> {
+    async fn flush(&mut self) -> Result<(), ClientDisconnected> {
         if self.out.is_empty() {
             return Ok(());
         }
         self.write_out().await
     }
 
-    async fn end(&mut self) -> Result<(), ClientGone> {
+    async fn end(&mut self) -> Result<(), ClientDisconnected> {
         if self.chunked && self.body_allowed {
             write_chunk(&[], &mut self.out);
         }
         self.write_out().await
     }
 
-    async fn refuse(&mut self, after: Option<Micros>) {
+    async fn reject(&mut self, after: Option<Micros>) {
         let ms = after.unwrap_or(0).div_ceil(1_000);
         let fields = vec![
             ("retry-after", ms.div_ceil(1_000).max(1).to_string()),
@@ -409,7 +421,7 @@
 
     /// What has been written stays short of its length, or without its last chunk: the client sees a cut. Where the head still
     /// waits here it is not sent: a connection that ended without a word would be no answer.
-    async fn break_off(&mut self) {
+    async fn abort(&mut self) {
         self.out.clear();
         self.close = true;
         if !self.begun {
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -1,6 +1,6 @@
 //! Figures of a running dispatcher, scraped as text.
-use super::exchange::Fate;
-use super::Door;
+use super::exchange::RequestOutcome;
+use super::FrontendContext;
 use pointspindle_config::{ClassSettings, DispatcherSettings};
 use pointspindle_protocol::http::HttpResponse;
 use pointspindle_transport::Socket;
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct ByClass {
     /// By [`Fate`].
-    ends: [Counter; Fate::ALL.len()],
+    ends: [Counter; RequestOutcome::ALL.len()],
     first: Histogram,
     last: Histogram,
 }
@@ -209,15 +209,15 @@
         );
         let by_class = |c: &ClassSettings| {
             let class = c.name.clone();
-            let end = |fate: Fate| ClassEnd {
+            let end = |fate: RequestOutcome| ClassEnd {
                 class: class.clone(),
-                outcome: fate.word(),
+                outcome: fate.as_str(),
             };
             let only = ClassOnly {
                 class: class.clone(),
             };
             ByClass {
-                ends: Fate::ALL.map(|fate| requests.get_or_create(&end(fate)).clone()),
+                ends: RequestOutcome::ALL.map(|fate| requests.get_or_create(&end(fate)).clone()),
                 first: first.get_or_create(&only).clone(),
                 last: last.get_or_create(&only).clone(),
             }
@@ -252,7 +252,7 @@
         }
     }
 
-    pub fn request_ended(&self, class: usize, fate: Fate, took: Duration) {
+    pub fn request_ended(&self, class: usize, fate: RequestOutcome, took: Duration) {
         let Some(class) = self.by_class.get(class) else {
             return;
         };
@@ -280,7 +280,7 @@
 }
 
 /// One scrape a connection; whatever is asked for, the answer is the text.
-pub(crate) async fn serve(door: Door, line: Socket) {
+pub(crate) async fn serve(door: FrontendContext, line: Socket) {
     let (read, write) = line.split();
     let mut asked = bytes::BytesMut::with_capacity(2048);
     let read = tokio::time::timeout(Duration::from_secs(2), read.read_buf(&mut asked)).await;
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -2,19 +2,20 @@
 //!
 //! Each request is a task ([`exchange`]) that carries the core's orders out; the core sits behind one lock that is
 //! held for an event's handling and never over an await.
+mod call_attempts;
+mod connection_pool;
+pub mod connection_registry;
 mod control;
-pub mod desk;
-mod door_framed;
-mod door_http;
+pub mod core_handle;
 pub mod exchange;
-pub mod keeper;
+mod framed_frontend;
+mod http_frontend;
 mod metrics;
-mod saver;
-mod tries;
-mod upstream;
+mod state_file;
 
 use crate::admission::Limits;
-use keeper::{Keeper, Seat, Speaks};
+pub(crate) use connection_pool::FramedCore;
+use connection_registry::{ConnectionPermit, ConnectionRegistry, Speaks};
 use pointspindle_config::DispatcherSettings;
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
@@ -26,11 +27,10 @@
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::task::JoinSet;
-pub(crate) use upstream::Hub;
 
 /// Where it listens, with the ports that were given.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
-pub struct Bound {
+pub struct BoundAddresses {
     pub http: Option<SocketAddr>,
     pub framed: Option<SocketAddr>,
     #[serde(default)]
@@ -56,8 +56,8 @@
 /// A running dispatcher.
 #[derive(Debug)]
 pub struct Dispatcher {
-    hub: Arc<Hub>,
-    bound: Bound,
+    hub: Arc<FramedCore>,
+    bound: BoundAddresses,
     stop: watch::Sender<bool>,
     doors: JoinSet<()>,
     helpers: JoinSet<()>,
@@ -66,21 +66,21 @@
 
 /// A dispatcher that knows its state file and does not listen yet: so that it can hear of drains and purges first.
 #[derive(Debug)]
-pub struct Prepared {
+pub struct PreparedDispatcher {
     net: Network,
-    hub: Arc<Hub>,
-    wished: tokio::sync::mpsc::UnboundedReceiver<upstream::Wish>,
+    hub: Arc<FramedCore>,
+    wished: tokio::sync::mpsc::UnboundedReceiver<connection_pool::EndpointIntent>,
     helpers: JoinSet<()>,
 }
 
-impl Prepared {
+impl PreparedDispatcher {
     /// Reads the state file, and takes the static list if there is no state.
     pub async fn new(net: Network, settings: DispatcherSettings, seed: u64) -> Self {
         let settings = Arc::new(settings);
-        let (hub, wished) = Hub::framed(settings.clone(), seed, net.clone());
+        let (hub, wished) = FramedCore::framed(settings.clone(), seed, net.clone());
         let hub = Arc::new(hub);
-        if !saver::restore(&hub).await && !settings.endpoints.is_empty() {
-            hub.members(static_list(&settings));
+        if !state_file::restore(&hub).await && !settings.endpoints.is_empty() {
+            hub.apply_endpoint_list(static_list(&settings));
         }
         Self {
             net,
@@ -91,8 +91,8 @@
     }
 
     /// Lists, purges and counts come from this source too, for as long as the dispatcher runs.
-    pub fn follow(&mut self, source: impl crate::source::Source) {
-        let teller = crate::source::Teller {
+    pub fn follow(&mut self, source: impl crate::control_source::ControlSource) {
+        let teller = crate::control_source::ControlSink {
             hub: self.hub.clone(),
             ears: None,
         };
@@ -101,27 +101,31 @@
 
     /// The dispatcher without its doors: registration, list, purges, counts, connections to members and state file, all as ever.
     /// For rehearsals of many on one machine; `ears` hear what has come into force.
-    pub fn hollow(self, source: impl crate::source::Source, ears: crate::source::Ears) -> Hollow {
+    pub fn into_hollow(
+        self,
+        source: impl crate::control_source::ControlSource,
+        ears: crate::control_source::ControlObserver,
+    ) -> HollowDispatcher {
         let Self {
             hub,
             wished,
             mut helpers,
             ..
         } = self;
-        let teller = crate::source::Teller {
+        let teller = crate::control_source::ControlSink {
             hub: hub.clone(),
             ears: Some(ears),
         };
         helpers.spawn(source.run(teller));
         follow_up(&hub, wished, &mut helpers);
-        Hollow {
+        HollowDispatcher {
             hub,
             _helpers: helpers,
         }
     }
 
     /// Waits for the source's view to be current. False: it was not in time.
-    pub async fn heard(&self, longest: Duration) -> bool {
+    pub async fn wait_until_current(&self, longest: Duration) -> bool {
         let mut view = self.hub.view.subscribe();
         let heard = tokio::time::timeout(longest, view.wait_for(|current| *current)).await;
         matches!(heard, Ok(Ok(_)))
@@ -146,25 +150,28 @@
         };
         let identity = settings.tls.as_ref().map(tls).transpose()?.map(Arc::new);
         let (stop, stopping) = watch::channel(false);
-        let mut bound = Bound::default();
+        let mut bound = BoundAddresses::default();
         let l = &settings.listen;
         // One set of places for both doors: descriptors are what runs out.
         let (hard, soft) = (l.max_connections, l.soft_connections);
         let per_address = l.address_connections;
-        let keeper = Keeper::new(Limits {
+        let keeper = ConnectionRegistry::new(Limits {
             hard,
             soft,
             per_address,
             networks: l.network_quotas.clone(),
         });
-        helpers.spawn(keeper::expire(keeper.clone(), l.idle_timeout_us));
-        let door = Door {
+        helpers.spawn(connection_registry::expire(
+            keeper.clone(),
+            l.idle_timeout_us,
+        ));
+        let door = FrontendContext {
             hub: hub.clone(),
             keeper,
             stopping: stopping.clone(),
             identity: None,
         };
-        let sealed = Door {
+        let sealed = FrontendContext {
             identity: identity.clone(),
             ..door.clone()
         };
@@ -173,35 +180,45 @@
                 listener,
                 door.clone(),
                 Speaks::Http,
-                door_http::serve,
+                http_frontend::serve,
             ));
         }
         if let Some(listener) = listen(&net, "framed", l.framed, &mut bound.framed).await? {
-            doors.spawn(accept(listener, door, Speaks::Framed, door_framed::serve));
+            doors.spawn(accept(
+                listener,
+                door,
+                Speaks::Framed,
+                framed_frontend::serve,
+            ));
         }
         if let Some(listener) = listen(&net, "https", l.https, &mut bound.https).await? {
             doors.spawn(accept(
                 listener,
                 sealed.clone(),
                 Speaks::Http,
-                door_http::serve,
+                http_frontend::serve,
             ));
         }
         if let Some(listener) =
             listen(&net, "framed_tls", l.framed_tls, &mut bound.framed_tls).await?
         {
-            doors.spawn(accept(listener, sealed, Speaks::Framed, door_framed::serve));
+            doors.spawn(accept(
+                listener,
+                sealed,
+                Speaks::Framed,
+                framed_frontend::serve,
+            ));
         }
         // Operators get places of their own: a full door must not lock them out.
         let operators = || {
-            Keeper::new(Limits {
+            ConnectionRegistry::new(Limits {
                 hard: 64,
                 soft: 64,
                 per_address: 64,
                 networks: Vec::new(),
             })
         };
-        let operators = || Door {
+        let operators = || FrontendContext {
             hub: hub.clone(),
             keeper: operators(),
             stopping: stopping.clone(),
@@ -246,42 +263,43 @@
 
 /// What goes on beside the doors.
 fn follow_up(
-    hub: &Arc<Hub>,
-    wished: tokio::sync::mpsc::UnboundedReceiver<upstream::Wish>,
+    hub: &Arc<FramedCore>,
+    wished: tokio::sync::mpsc::UnboundedReceiver<connection_pool::EndpointIntent>,
     helpers: &mut JoinSet<()>,
 ) {
-    helpers.spawn(desk::run_timers(hub.clone()));
-    helpers.spawn(upstream::sweep(hub.clone()));
-    helpers.spawn(upstream::carry_out(hub.clone(), wished));
+    helpers.spawn(core_handle::run_timers(hub.clone()));
+    helpers.spawn(connection_pool::sweep(hub.clone()));
+    helpers.spawn(connection_pool::carry_out(hub.clone(), wished));
     if hub.settings.state_file.is_some() {
-        helpers.spawn(saver::run(hub.clone()));
+        helpers.spawn(state_file::run(hub.clone()));
     }
 }
 
 /// A dispatcher without doors ([`Prepared::hollow`]); it ends when it is dropped.
 #[derive(Debug)]
-pub struct Hollow {
-    hub: Arc<Hub>,
+pub struct HollowDispatcher {
+    hub: Arc<FramedCore>,
     _helpers: JoinSet<()>,
 }
 
 /// How much a dispatcher keeps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Items {
-    pub members: usize,
+pub struct StateCounts {
+    #[serde(rename = "members")]
+    pub endpoints: usize,
     pub purges: usize,
     pub dispatchers: usize,
     pub connections: usize,
 }
 
-impl Hollow {
-    pub fn items(&self) -> Items {
+impl HollowDispatcher {
+    pub fn state_counts(&self) -> StateCounts {
         self.hub.items()
     }
 }
 
 impl Dispatcher {
-    pub fn items(&self) -> Items {
+    pub fn state_counts(&self) -> StateCounts {
         self.hub.items()
     }
 
@@ -296,10 +314,13 @@
         settings: DispatcherSettings,
         seed: u64,
     ) -> Result<Self, StartError> {
-        Prepared::new(net, settings, seed).await.open().await
+        PreparedDispatcher::new(net, settings, seed)
+            .await
+            .open()
+            .await
     }
 
-    pub fn bound(&self) -> &Bound {
+    pub fn bound_addresses(&self) -> &BoundAddresses {
         &self.bound
     }
 
@@ -321,7 +342,7 @@
         };
         let drained = tokio::time::timeout(longest, drained).await.is_ok();
         tracing::info!(drained, left = self.hub.open_requests(), "dispatcher stops");
-        saver::save_at_the_end(&self.hub).await;
+        state_file::save_at_the_end(&self.hub).await;
         self.doors.shutdown().await;
         self.helpers.shutdown().await;
         drained
@@ -339,11 +360,11 @@
         incarnation: 0,
         started_ago_us: None,
     };
-    let members = settings.endpoints.iter().map(line).collect();
+    let endpoints = settings.endpoints.iter().map(line).collect();
     EndpointListHead {
         form: EndpointListForm::Full as i32,
         seq: 0,
-        endpoints: members,
+        endpoints,
     }
 }
 
@@ -371,15 +392,15 @@
 
 /// What a door's connections share.
 #[derive(Clone)]
-pub(crate) struct Door {
-    pub hub: Arc<Hub>,
-    keeper: Arc<Keeper>,
+pub(crate) struct FrontendContext {
+    pub hub: Arc<FramedCore>,
+    keeper: Arc<ConnectionRegistry>,
     pub stopping: watch::Receiver<bool>,
     /// Who comes in here speaks TLS.
     identity: Option<Arc<Identity>>,
 }
 
-impl Door {
+impl FrontendContext {
     /// Returns when the dispatcher takes nothing new.
     pub async fn stopped(&self) {
         let mut stopping = self.stopping.clone();
@@ -412,9 +433,9 @@
 }
 
 /// Accepts until told to stop; each connection is a task with a seat, and who gets none is told when to come back.
-async fn accept<F, Fut>(mut listener: Listener, door: Door, speaks: Speaks, serve: F)
+async fn accept<F, Fut>(mut listener: Listener, door: FrontendContext, speaks: Speaks, serve: F)
 where
-    F: Fn(Door, Socket, Seat) -> Fut + Clone + Send + 'static,
+    F: Fn(FrontendContext, Socket, ConnectionPermit) -> Fut + Clone + Send + 'static,
     Fut: std::future::Future<Output = ()> + Send + 'static,
 {
     let mut connections = JoinSet::new();
@@ -448,17 +469,17 @@
 /// Gives a new connection a seat and a task, or turns it away.
 fn take_in<F, Fut>(
     connections: &mut JoinSet<()>,
-    door: &Door,
+    door: &FrontendContext,
     speaks: Speaks,
     serve: &F,
     line: Socket,
     peer: SocketAddr,
 ) where
-    F: Fn(Door, Socket, Seat) -> Fut + Clone + Send + 'static,
+    F: Fn(FrontendContext, Socket, ConnectionPermit) -> Fut + Clone + Send + 'static,
     Fut: std::future::Future<Output = ()> + Send + 'static,
 {
     let keeper = door.keeper.clone();
-    match keeper.arrive(peer.ip()) {
+    match keeper.admit(peer.ip()) {
         Ok(seat) if door.identity.is_none() => {
             door.hub.metrics.connections.inc();
             let (served, hub) = (serve(door.clone(), line, seat), door.hub.clone());
@@ -495,7 +516,14 @@
     use super::*;
 
     /// What a door's task of one connection is given; the sender keeps the dispatcher from stopping.
-    pub(crate) async fn arrival(door: &str) -> (Door, Socket, Seat, watch::Sender<bool>) {
+    pub(crate) async fn arrival(
+        door: &str,
+    ) -> (
+        FrontendContext,
+        Socket,
+        ConnectionPermit,
+        watch::Sender<bool>,
+    ) {
         let text = format!(
             "[dispatcher]\nzone = b\n[listen]\n{door} = 127.0.0.1:0\n[class page]\npath_prefix = /\n"
         );
@@ -509,8 +537,8 @@
             networks: Vec::new(),
         };
         let (hub, keeper) = (
-            Arc::new(Hub::framed(settings, 1, Network::Tcp).0),
-            Keeper::new(limits),
+            Arc::new(FramedCore::framed(settings, 1, Network::Tcp).0),
+            ConnectionRegistry::new(limits),
         );
         let listener = Network::Tcp
             .listen(([127, 0, 0, 1], 0).into())
@@ -521,10 +549,10 @@
             .await
             .unwrap();
         let seat = keeper
-            .arrive([127, 0, 0, 1].into())
+            .admit([127, 0, 0, 1].into())
             .unwrap_or_else(|_| panic!("a free seat"));
         (
-            Door {
+            FrontendContext {
                 hub,
                 keeper,
                 stopping,
--- a/crates/dispatcher/src/net/saver.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -1,5 +1,5 @@
 //! The state file: written whole beside its place, synced, renamed; read once at the start.
-use super::upstream::Hub;
+use super::connection_pool::FramedCore;
 use crate::core::state::{Snapshot, MAX_FILE};
 use pointspindle_clock::{stamp_ms, BootMoment};
 use std::io::{Read, Write};
@@ -17,7 +17,7 @@
 const LAST_TRIES: u32 = 5;
 
 /// Tells the hub what an earlier run left; false if there is nothing to tell.
-pub(crate) async fn restore(hub: &Arc<Hub>) -> bool {
+pub(crate) async fn restore(hub: &Arc<FramedCore>) -> bool {
     let Some(path) = hub.settings.state_file.clone() else {
         return false;
     };
@@ -28,16 +28,16 @@
             let (list, purges) = snapshot.told(BootMoment::now().as_ref());
             tracing::info!(
                 file = shown,
-                members = list.endpoints.len(),
+                endpoints = list.endpoints.len(),
                 purges = purges.len(),
                 "state read"
             );
             for purge in purges {
-                hub.purge(purge);
+                hub.apply_purge(purge);
             }
             let any = !list.endpoints.is_empty();
             if any {
-                hub.members(list);
+                hub.apply_endpoint_list(list);
             }
             any
         }
@@ -84,7 +84,7 @@
 }
 
 /// Writes what holds now; false: the old file stays.
-async fn save(hub: &Arc<Hub>) -> bool {
+async fn save(hub: &Arc<FramedCore>) -> bool {
     let Some(path) = hub.settings.state_file.clone() else {
         return true;
     };
@@ -98,7 +98,7 @@
 }
 
 /// The last writing of a process.
-pub(crate) async fn save_at_the_end(hub: &Arc<Hub>) {
+pub(crate) async fn save_at_the_end(hub: &Arc<FramedCore>) {
     let mut pause = AGAIN;
     for _ in 1..LAST_TRIES {
         if save(hub).await {
@@ -111,7 +111,7 @@
 }
 
 /// Writes the file after each change, one at a time, and again until what could not be written is.
-pub(crate) async fn run(hub: Arc<Hub>) {
+pub(crate) async fn run(hub: Arc<FramedCore>) {
     loop {
         hub.dirty.notified().await;
         let mut pause = AGAIN;
--- a/crates/dispatcher/src/redial.rs
+++ b/crates/dispatcher/src/reconnect_backoff.rs
@@ -15,31 +15,31 @@
 const KEPT: Micros = 60_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dial {
+pub enum ConnectDecision {
     Now,
     /// After this; whoever wants it waits.
-    In(Micros),
+    After(Micros),
     /// Not for this long; whoever wants it goes elsewhere.
-    NotFor(Micros),
+    RejectFor(Micros),
 }
 
 /// What is kept of an address that broke or failed.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Redial {
+pub struct ReconnectBackoff {
     failures: u32,
     not_before: Micros,
     said: Micros,
 }
 
-impl Redial {
+impl ReconnectBackoff {
     /// The connection ended without a word. `dice`: from 0 to 1, drawn anew.
-    pub fn broke(&mut self, now: Micros, dice: f64) {
+    pub fn connection_lost(&mut self, now: Micros, dice: f64) {
         self.failures = 0;
         self.wait(now, BROKE as f64 * dice);
     }
 
     /// It could not be made.
-    pub fn failed(&mut self, now: Micros, dice: f64) {
+    pub fn connect_failed(&mut self, now: Micros, dice: f64) {
         let pause = (FIRST << self.failures.min(16)).min(MOST);
         self.failures += 1;
         self.wait(now, pause as f64 * (0.5 + dice));
@@ -49,11 +49,11 @@
         (self.said, self.not_before) = (now, now + pause as Micros);
     }
 
-    pub fn dial(&self, now: Micros) -> Dial {
+    pub fn decide(&self, now: Micros) -> ConnectDecision {
         match (self.not_before.saturating_sub(now), self.failures) {
-            (0, _) => Dial::Now,
-            (wait, 0) => Dial::In(wait),
-            (wait, _) => Dial::NotFor(wait),
+            (0, _) => ConnectDecision::Now,
+            (wait, 0) => ConnectDecision::After(wait),
+            (wait, _) => ConnectDecision::RejectFor(wait),
         }
     }
 
@@ -69,15 +69,15 @@
 
     #[test]
     fn failures_wait_longer_each_and_never_beyond_the_most() {
-        let mut r = Redial::default();
-        assert_eq!(r.dial(0), Dial::Now);
+        let mut r = ReconnectBackoff::default();
+        assert_eq!(r.decide(0), ConnectDecision::Now);
         let mut waits = vec![];
         for _ in 0..40 {
-            r.failed(1_000, 0.5);
-            let Dial::NotFor(wait) = r.dial(1_000) else {
-                panic!("{:?}", r.dial(1_000))
+            r.connect_failed(1_000, 0.5);
+            let ConnectDecision::RejectFor(wait) = r.decide(1_000) else {
+                panic!("{:?}", r.decide(1_000))
             };
-            assert_eq!(r.dial(1_000 + wait), Dial::Now);
+            assert_eq!(r.decide(1_000 + wait), ConnectDecision::Now);
             waits.push(wait);
         }
         assert_eq!(waits[..4], [FIRST, 2 * FIRST, 4 * FIRST, 8 * FIRST]);
@@ -88,11 +88,11 @@
     #[test]
     fn those_that_broke_together_come_back_apart() {
         let at = |dice: f64| {
-            let mut r = Redial::default();
-            r.broke(0, dice);
-            match r.dial(0) {
-                Dial::In(wait) => wait,
-                Dial::Now => 0,
+            let mut r = ReconnectBackoff::default();
+            r.connection_lost(0, dice);
+            match r.decide(0) {
+                ConnectDecision::After(wait) => wait,
+                ConnectDecision::Now => 0,
                 other => panic!("{other:?}: a break is no failure"),
             }
         };
@@ -105,12 +105,12 @@
 
     #[test]
     fn a_connection_made_in_between_forgives_the_failures() {
-        let mut r = Redial::default();
-        (0..5).for_each(|_| r.failed(0, 1.0));
-        r.broke(10, 0.0);
-        assert_eq!(r.dial(10), Dial::Now);
-        r.failed(20, 0.5);
-        assert_eq!(r.dial(20), Dial::NotFor(FIRST));
+        let mut r = ReconnectBackoff::default();
+        (0..5).for_each(|_| r.connect_failed(0, 1.0));
+        r.connection_lost(10, 0.0);
+        assert_eq!(r.decide(10), ConnectDecision::Now);
+        r.connect_failed(20, 0.5);
+        assert_eq!(r.decide(20), ConnectDecision::RejectFor(FIRST));
         assert!(!r.is_old(20 + KEPT - 1) && r.is_old(20 + KEPT));
     }
 }
--- a/crates/dispatcher/src/budget.rs
+++ b/crates/dispatcher/src/request_budget.rs
@@ -10,7 +10,7 @@
 const COME_BACK: Micros = 500_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct RequestBudget {
     pub requests: usize,
     pub crowded: u64,
     pub full: u64,
@@ -22,7 +22,7 @@
     Refuse { come_back: Micros },
 }
 
-impl Budget {
+impl RequestBudget {
     /// Half of the bytes that may be held is a crowd.
     pub fn new(requests: usize, full: u64) -> Self {
         Self {
@@ -49,7 +49,7 @@
 
     #[test]
     fn either_bound_refuses_and_nobody_is_told_to_come_back_at_once_or_together() {
-        let b = Budget::new(10, 1_000);
+        let b = RequestBudget::new(10, 1_000);
         assert_eq!(b.judge(9, 999, || 0.9), Verdict::Take);
         for (open, held) in [(10, 0), (0, 1_000), (11, 2_000)] {
             let come_back = |dice| match b.judge(open, held, || dice) {
--- a/crates/dispatcher/tests/core.rs
+++ b/crates/dispatcher/tests/core.rs
@@ -1,7 +1,7 @@
 //! The core without sockets: what must hold whatever the moment.
 use pointspindle_config::parse;
-use pointspindle_dispatcher::core::{AttemptEnd, FetchOrder};
-use pointspindle_dispatcher::{Ask, Core, Input, Output};
+use pointspindle_dispatcher::core::{AddressedFetch, AttemptEnd};
+use pointspindle_dispatcher::{ClientRequest, Core, Input, Output};
 use pointspindle_protocol::*;
 
 const MS: u64 = 1_000;
@@ -74,16 +74,16 @@
         &mut self,
         form: EndpointListForm,
         seq: u64,
-        members: Vec<EndpointRecord>,
+        endpoints: Vec<EndpointRecord>,
     ) -> Option<String> {
-        let out = self.tell(Input::Members(EndpointListHead {
+        let out = self.tell(Input::EndpointList(EndpointListHead {
             form: form as i32,
             seq,
-            endpoints: members,
+            endpoints,
         }));
         out.into_iter().find_map(|o| {
-            if let Output::List(news) = o {
-                news.wanted
+            if let Output::EndpointListApplied(news) = o {
+                news.resync_reason
             } else {
                 None
             }
@@ -92,11 +92,11 @@
 
     fn ask(&mut self, id: u64, class: usize) -> Vec<Output> {
         let object = format!("/video/{id}");
-        let ask = Ask {
+        let ask = ClientRequest {
             class,
             object,
             group: 3,
-            left: 2_000 * MS,
+            time_left: 2_000 * MS,
             ..Default::default()
         };
         self.tell(Input::Request(id, ask))
@@ -114,14 +114,14 @@
     }
 }
 
-fn sent(out: &[Output]) -> Option<(u32, String, Option<FetchOrder>)> {
+fn sent(out: &[Output]) -> Option<(u32, String, Option<AddressedFetch>)> {
     out.iter().find_map(|o| match o {
         Output::Send {
             attempt,
-            member,
+            endpoint,
             fetch,
             ..
-        } => Some((*attempt, member.clone(), fetch.clone())),
+        } => Some((*attempt, endpoint.clone(), fetch.clone())),
         _ => None,
     })
 }
@@ -130,10 +130,10 @@
     let is_final = |o: &&Output| {
         matches!(
             o,
-            Output::Refuse { .. }
+            Output::Reject { .. }
                 | Output::Fail { .. }
-                | Output::Break { .. }
-                | Output::Commit { .. }
+                | Output::AbortResponse { .. }
+                | Output::ForwardResponse { .. }
         )
     };
     out.iter().filter(is_final).count()
@@ -147,15 +147,15 @@
         let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
         let mut out = stage.to(T0 + 1_979 * MS);
         stage.now = T0 + 1_980 * MS;
-        let head = Input::Head {
+        let head = Input::ResponseStarted {
             request: 1,
             attempt,
-            note: WireCacheStatus::Hit,
+            cache_status: WireCacheStatus::Hit,
             size: None,
         };
         if answer_first {
             out.extend(stage.tell(head));
-            out.extend(stage.tell(Input::Ended {
+            out.extend(stage.tell(Input::AttemptEnded {
                 request: 1,
                 attempt,
                 end: AttemptEnd::Complete,
@@ -164,7 +164,7 @@
         } else {
             out.extend(stage.tell(Input::Tick));
             out.extend(stage.tell(head));
-            out.extend(stage.tell(Input::Ended {
+            out.extend(stage.tell(Input::AttemptEnded {
                 request: 1,
                 attempt,
                 end: AttemptEnd::Complete,
@@ -172,7 +172,7 @@
         }
         assert_eq!(finals(&out), 1, "answer first: {answer_first}: {out:?}");
         assert_eq!(
-            matches!(out.last(), Some(Output::Commit { .. })),
+            matches!(out.last(), Some(Output::ForwardResponse { .. })),
             answer_first
         );
         assert_eq!(stage.core.open_requests(), 0);
@@ -196,20 +196,20 @@
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     assert_eq!(
-        finals(&stage.tell(Input::Head {
+        finals(&stage.tell(Input::ResponseStarted {
             request: 1,
             attempt,
-            note: WireCacheStatus::Hit,
+            cache_status: WireCacheStatus::Hit,
             size: None
         })),
         1
     );
-    let out = stage.tell(Input::Ended {
+    let out = stage.tell(Input::AttemptEnded {
         request: 1,
         attempt,
         end: AttemptEnd::Broken,
     });
-    assert_eq!(out, [Output::Break { request: 1 }]);
+    assert_eq!(out, [Output::AbortResponse { request: 1 }]);
     let late = stage.to(T0 + 3_000 * MS);
     assert!(late.is_empty(), "{late:?}");
 }
@@ -226,10 +226,10 @@
     );
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     stage.now += MS;
-    stage.tell(Input::Head {
+    stage.tell(Input::ResponseStarted {
         request: 1,
         attempt,
-        note: WireCacheStatus::Hit,
+        cache_status: WireCacheStatus::Hit,
         size: None,
     });
     stage.now += MS;
@@ -240,13 +240,13 @@
     let given_up = out
         .iter()
         .position(|o| {
-            *o == Output::Abort {
+            *o == Output::CancelAttempt {
                 request: 1,
                 attempt,
             }
         })
         .expect("given up");
-    assert_eq!(out[given_up + 1], Output::Break { request: 1 });
+    assert_eq!(out[given_up + 1], Output::AbortResponse { request: 1 });
     stage.to(T0 + 3_000 * MS);
     assert_eq!(stage.core.open_requests(), 0);
 }
@@ -255,16 +255,16 @@
 fn a_client_that_leaves_while_its_answer_streams_ends_the_attempt_and_nothing_follows() {
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
-    stage.tell(Input::Head {
+    stage.tell(Input::ResponseStarted {
         request: 1,
         attempt,
-        note: WireCacheStatus::Hit,
+        cache_status: WireCacheStatus::Hit,
         size: None,
     });
-    let out = stage.tell(Input::Gone(1));
+    let out = stage.tell(Input::ClientDisconnected(1));
     assert_eq!(
         out,
-        [Output::Abort {
+        [Output::CancelAttempt {
             request: 1,
             attempt
         }]
@@ -277,18 +277,18 @@
 fn an_unsafe_request_goes_on_only_when_nothing_ran() {
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 1)).unwrap();
-    let out = stage.tell(Input::Ended {
+    let out = stage.tell(Input::AttemptEnded {
         request: 1,
         attempt,
         end: AttemptEnd::ConnectFailed,
     });
     let (attempt, ..) = sent(&out).expect("nothing ran: sent again");
-    let told = AttemptEnd::Told {
+    let told = AttemptEnd::ErrorReported {
         status: WireStatus::Rejected,
-        note: WireCacheStatus::Unreported,
+        cache_status: WireCacheStatus::Unreported,
         may_have_run: true,
     };
-    let out = stage.tell(Input::Ended {
+    let out = stage.tell(Input::AttemptEnded {
         request: 1,
         attempt,
         end: told,
@@ -308,8 +308,8 @@
     let wanted = stage.list(EndpointListForm::Delta, 5, vec![drain.clone()]);
     assert!(wanted.is_some());
     for id in 1..=6 {
-        let (_, member, _) = sent(&stage.ask(id, 0)).unwrap();
-        assert_eq!(member, "127.0.0.1:2");
+        let (_, endpoint, _) = sent(&stage.ask(id, 0)).unwrap();
+        assert_eq!(endpoint, "127.0.0.1:2");
     }
     // One from the past must not bring it back.
     stage.list(
@@ -319,14 +319,14 @@
     );
     assert_eq!(sent(&stage.ask(40, 0)).unwrap().1, "127.0.0.1:2");
     assert_eq!(stage.list(EndpointListForm::Full, 9, vec![drain]), None);
-    assert_eq!(stage.core.list_seq(), 9);
+    assert_eq!(stage.core.endpoint_list_seq(), 9);
 }
 
 #[test]
 fn a_purge_for_an_object_under_way_binds_the_next_attempt() {
     let mut stage = Stage::new();
     let (attempt, _, fetch) = sent(&stage.ask(1, 0)).unwrap();
-    assert_eq!(fetch.unwrap().age, 0, "good until purged");
+    assert_eq!(fetch.unwrap().max_age, 0, "good until purged");
     stage.tell(Input::Purge(PurgeHead {
         object: None,
         group: 3,
@@ -334,7 +334,7 @@
         seq: 1,
     }));
     stage.now += 10 * MS;
-    let out = stage.tell(Input::Ended {
+    let out = stage.tell(Input::AttemptEnded {
         request: 1,
         attempt,
         end: AttemptEnd::ConnectFailed,
@@ -342,7 +342,7 @@
     let (_, _, fetch) = sent(&out).unwrap();
     let fetch = fetch.unwrap();
     assert!(
-        (1..=40 * MS).contains(&fetch.age) && !fetch.join,
+        (1..=40 * MS).contains(&fetch.max_age) && !fetch.coalesce,
         "{fetch:?}"
     );
 }
@@ -360,7 +360,7 @@
     stage.now += 1_000 * MS;
     stage.list(EndpointListForm::Delta, 3, vec![cold(1, 1_700 * MS)]);
     let ago = |stage: &mut Stage| {
-        let list = stage.core.members(stage.now);
+        let list = stage.core.endpoint_list(stage.now);
         list.endpoints
             .iter()
             .find(|m| m.address == "127.0.0.1:1")
@@ -468,20 +468,20 @@
         ..Default::default()
     };
     let out = stage.tell(Input::Hello {
-        member: "127.0.0.1:1".into(),
+        endpoint: "127.0.0.1:1".into(),
         hello,
     });
-    matches!(out[..], [Output::Hello { replaced: true }])
+    matches!(out[..], [Output::HelloApplied { replaced: true }])
 }
 
 /// Requests that the only cache host is given at once; the rest are refused.
 fn given(stage: &mut Stage, from: u64) -> usize {
     let ask = |stage: &mut Stage, id: u64| {
         let size = Some(6_000_000);
-        let ask = Ask {
+        let ask = ClientRequest {
             class: 0,
             object: format!("/video/{id}"),
-            left: 2_000 * MS,
+            time_left: 2_000 * MS,
             size,
             ..Default::default()
         };
@@ -489,13 +489,13 @@
     };
     let took: Vec<u64> = (from..from + 60).filter(|id| ask(stage, *id)).collect();
     for id in &took {
-        stage.tell(Input::Head {
+        stage.tell(Input::ResponseStarted {
             request: *id,
             attempt: 0,
-            note: WireCacheStatus::Hit,
+            cache_status: WireCacheStatus::Hit,
             size: None,
         });
-        stage.tell(Input::Ended {
+        stage.tell(Input::AttemptEnded {
             request: *id,
             attempt: 0,
             end: AttemptEnd::Complete,
@@ -557,7 +557,7 @@
         ..Default::default()
     };
     stage.tell(Input::Hello {
-        member: "127.0.0.1:77".into(),
+        endpoint: "127.0.0.1:77".into(),
         hello,
     });
     stage.now += 5_000 * MS;
@@ -572,7 +572,7 @@
         in_reply: answers,
     };
     Input::Lease {
-        member: "127.0.0.1:1".into(),
+        endpoint: "127.0.0.1:1".into(),
         lease,
     }
 }
@@ -587,10 +587,10 @@
     stage.now += 3_000 * MS;
     stage.tell(lease(0, true, false));
     let ask = |stage: &mut Stage, id: u64| {
-        let ask = Ask {
+        let ask = ClientRequest {
             class: 0,
             object: format!("/video/{id}"),
-            left: 2_000 * MS,
+            time_left: 2_000 * MS,
             size: Some(6_000),
             ..Default::default()
         };
@@ -598,7 +598,7 @@
     };
     let wanted = |out: &[Output]| {
         out.iter()
-            .filter(|o| matches!(o, Output::Want { .. }))
+            .filter(|o| matches!(o, Output::RequestWork { .. }))
             .count()
     };
     let out = ask(&mut stage, 1);
@@ -607,7 +607,7 @@
         (1, None, 0),
         "{out:?}"
     );
-    let Some(Output::Want { work_us, .. }) = out.first() else {
+    let Some(Output::RequestWork { work_us, .. }) = out.first() else {
         panic!("{out:?}")
     };
     let work_ms = work_us.div_ceil(MS);
@@ -618,13 +618,13 @@
         Some("127.0.0.1:1".into()),
         "given: {out:?}"
     );
-    stage.tell(Input::Head {
+    stage.tell(Input::ResponseStarted {
         request: 1,
         attempt: 0,
-        note: WireCacheStatus::Hit,
+        cache_status: WireCacheStatus::Hit,
         size: None,
     });
-    stage.tell(Input::Ended {
+    stage.tell(Input::AttemptEnded {
         request: 1,
         attempt: 0,
         end: AttemptEnd::Complete,
@@ -639,7 +639,7 @@
     );
 
     ask(&mut stage, 3);
-    assert_eq!(wanted(&stage.tell(Input::Gone(3))), 0);
+    assert_eq!(wanted(&stage.tell(Input::ClientDisconnected(3))), 0);
     let next = stage.now + 20 * MS;
     let out = ask(&mut stage, 4);
     assert_eq!(wanted(&out), 1);
@@ -670,29 +670,29 @@
     let mut stage = Stage::new();
     let (attempt, ..) = sent(&stage.ask(1, 0)).unwrap();
     assert!(stage.core.may_begin(T0, 1, attempt));
-    stage.tell(Input::Gone(1));
+    stage.tell(Input::ClientDisconnected(1));
     assert_eq!(stage.core.begin(T0, 1, attempt), None);
     // The member, or the source of its fill, drains or is gone: it goes elsewhere, and the first one is over.
     for state in [WireEndpointState::Draining, WireEndpointState::Gone] {
         for of_source in [false, true] {
             let mut stage = Stage::new();
-            let (attempt, member, fetch) = sent(&stage.ask(1, 0)).unwrap();
+            let (attempt, endpoint, fetch) = sent(&stage.ask(1, 0)).unwrap();
             let source = fetch
                 .and_then(|f| f.source)
                 .expect("a fill names its source");
             let (struck, kind) = if of_source {
                 (source, "parent")
             } else {
-                (member, "cache")
+                (endpoint, "cache")
             };
-            let (form, seq, members) = delta(2, &struck, kind, state);
-            stage.list(form, seq, members);
+            let (form, seq, endpoints) = delta(2, &struck, kind, state);
+            stage.list(form, seq, endpoints);
             assert_eq!(
                 stage.core.begin(T0, 1, attempt),
                 None,
                 "{state:?}, source: {of_source}"
             );
-            let out = stage.tell(Input::Ended {
+            let out = stage.tell(Input::AttemptEnded {
                 request: 1,
                 attempt,
                 end: AttemptEnd::NotSent,
@@ -723,13 +723,13 @@
         let out = stage.to(T0 + 2_000 * MS);
         assert_eq!(out.contains(&Output::Fail { request: 1 }), began, "{out:?}");
         assert_eq!(
-            out.iter().any(|o| matches!(o, Output::Refuse { .. })),
+            out.iter().any(|o| matches!(o, Output::Reject { .. })),
             !began,
             "{out:?}"
         );
         // A member to which nothing could be written in time counts as one that was not reached.
         let end = if began { "timeout" } else { "connect_failed" };
-        assert_eq!(stage.core.take_ends().get(end), Some(&1));
+        assert_eq!(stage.core.take_attempt_counts().get(end), Some(&1));
     }
 }
 
@@ -787,7 +787,7 @@
         };
         s.core.handle(s.now + n, Input::Purge(head), &mut out);
         if n % 1_000 == 0 {
-            most = most.max(s.core.kept(s.now + n).1);
+            most = most.max(s.core.state_counts(s.now + n).1);
         }
         out.clear();
     }
@@ -808,8 +808,8 @@
         s.core.handle(s.now, Input::Roster(roster), &mut out);
         out.clear();
     }
-    assert_eq!(s.core.kept(s.now).2, 50);
+    assert_eq!(s.core.state_counts(s.now).2, 50);
     // What could still be older than a purge is gone after a while, and so is the purge.
     s.now += 600_000 * MS;
-    assert_eq!(s.core.kept(s.now).1, 0);
+    assert_eq!(s.core.state_counts(s.now).1, 0);
 }
--- a/crates/dispatcher/tests/doors.rs
+++ b/crates/dispatcher/tests/doors.rs
@@ -23,10 +23,10 @@
 }
 
 async fn start(limits: &str) -> Dispatcher {
-    let member = mute().await;
+    let endpoint = mute().await;
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\nframed = 127.0.0.1:0\ndrain_ms = 100\n{limits}\n\
-         [zone b]\ndispatchers = 1\n[member one]\naddress = {member}\nkind = cache\nzone = b\nweight = 50\n\
+         [zone b]\ndispatchers = 1\n[member one]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 4000\n"
     );
     let settings = parse("test", &text).unwrap_or_else(|e| panic!("{e}"));
@@ -68,7 +68,7 @@
 #[tokio::test]
 async fn over_the_soft_limit_the_longest_idle_connection_makes_room() {
     let dispatcher = start("max_connections = 8\nsoft_connections = 3").await;
-    let at = dispatcher.bound().http.unwrap();
+    let at = dispatcher.bound_addresses().http.unwrap();
     let mut held = Vec::new();
     for _ in 0..3 {
         let mut socket = connect(at).await;
@@ -89,8 +89,8 @@
 async fn full_of_requests_under_way_newcomers_are_told_when_to_come_back() {
     let dispatcher = start("max_connections = 3\nsoft_connections = 3").await;
     let (http, framed) = (
-        dispatcher.bound().http.unwrap(),
-        dispatcher.bound().framed.unwrap(),
+        dispatcher.bound_addresses().http.unwrap(),
+        dispatcher.bound_addresses().framed.unwrap(),
     );
     let mut held = Vec::new();
     for n in 0..3 {
@@ -133,7 +133,7 @@
 #[tokio::test]
 async fn one_address_with_many_connections_leaves_room_for_others() {
     let dispatcher = start("max_connections = 100\naddress_connections = 2").await;
-    let at = dispatcher.bound().http.unwrap();
+    let at = dispatcher.bound_addresses().http.unwrap();
     let mut mine = Vec::new();
     for _ in 0..2 {
         let mut socket = connect(at).await;
@@ -162,8 +162,8 @@
 async fn a_connection_idle_for_too_long_is_closed_and_one_in_use_is_not() {
     let dispatcher = start("idle_ms = 1000").await;
     let (http, framed) = (
-        dispatcher.bound().http.unwrap(),
-        dispatcher.bound().framed.unwrap(),
+        dispatcher.bound_addresses().http.unwrap(),
+        dispatcher.bound_addresses().framed.unwrap(),
     );
     let (idle, mut used) = (connect(http).await, connect(http).await);
     // Speaks the protocol, and asks for nothing but echoes: as idle as the other.
@@ -199,7 +199,7 @@
 #[tokio::test]
 async fn what_waits_in_the_queue_of_a_door_that_closes_is_answered() {
     let dispatcher = start("").await;
-    let at = dispatcher.bound().http.unwrap();
+    let at = dispatcher.bound_addresses().http.unwrap();
     // Blocking, on the runtime's one thread: none of them is accepted meanwhile.
     let queued: Vec<std::net::TcpStream> = (0..16)
         .map(|_| {
--- a/crates/dispatcher/tests/state.rs
+++ b/crates/dispatcher/tests/state.rs
@@ -2,7 +2,7 @@
 //! be written for a while is written later.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::core::state::Snapshot;
-use pointspindle_dispatcher::{Prepared, Source, Teller};
+use pointspindle_dispatcher::{ControlSink, ControlSource, PreparedDispatcher};
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead, WireEndpointState,
 };
@@ -42,13 +42,13 @@
 /// Tells one list, then hands the way into the dispatcher to the test.
 struct Once {
     list: EndpointListHead,
-    hand: oneshot::Sender<Teller>,
+    hand: oneshot::Sender<ControlSink>,
 }
 
-impl Source for Once {
-    async fn run(self, teller: Teller) {
-        teller.members(self.list);
-        teller.view(true);
+impl ControlSource for Once {
+    async fn run(self, teller: ControlSink) {
+        teller.apply_endpoint_list(self.list);
+        teller.set_current(true);
         let _ = self.hand.send(teller);
     }
 }
@@ -63,16 +63,16 @@
         Vec::new(),
     );
     std::fs::write(&state, before.to_bytes(1, None)).unwrap();
-    let mut prepared = Prepared::new(Network::Tcp, settings(&state), 1).await;
+    let mut prepared = PreparedDispatcher::new(Network::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
     prepared.follow(Once {
         list: list(EndpointListForm::Full, 9, WireEndpointState::Draining),
         hand,
     });
-    assert!(prepared.heard(PATIENCE).await);
+    assert!(prepared.wait_until_current(PATIENCE).await);
     let teller = teller.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
-    let now = teller.list();
+    let now = teller.endpoint_list();
     assert_eq!(
         (now.seq, now.endpoints[0].state()),
         (9, WireEndpointState::Draining),
@@ -88,7 +88,7 @@
     let (place, away) = (folder.path().join("state"), folder.path().join("away"));
     std::fs::create_dir(&place).unwrap();
     let state = place.join("edge.state");
-    let mut prepared = Prepared::new(Network::Tcp, settings(&state), 1).await;
+    let mut prepared = PreparedDispatcher::new(Network::Tcp, settings(&state), 1).await;
     let (hand, teller) = oneshot::channel();
     prepared.follow(Once {
         list: list(EndpointListForm::Full, 9, WireEndpointState::Ready),
@@ -114,12 +114,12 @@
         age_us: 0,
         seq: 0,
     };
-    teller.purge(object("/page/1"));
+    teller.apply_purge(object("/page/1"));
     tokio::time::timeout(PATIENCE, holds(1))
         .await
         .expect("the first purge is written");
     std::fs::rename(&place, &away).unwrap();
-    teller.purge(object("/page/2"));
+    teller.apply_purge(object("/page/2"));
     // Time for a try that fails; one that comes later finds the folder again.
     tokio::time::sleep(Duration::from_millis(300)).await;
     std::fs::rename(&away, &place).unwrap();
--- a/crates/dispatcher/tests/upstream.rs
+++ b/crates/dispatcher/tests/upstream.rs
@@ -14,11 +14,11 @@
 
 const PATIENCE: Duration = Duration::from_secs(10);
 
-async fn start(member: SocketAddr, upstream: &str) -> Dispatcher {
+async fn start(endpoint: SocketAddr, upstream: &str) -> Dispatcher {
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\nmetrics = 127.0.0.1:0\ndrain_ms = 100\n\
          [upstream]\n{upstream}\n[zone b]\ndispatchers = 1\n\
-         [member one]\naddress = {member}\nkind = cache\nzone = b\nweight = 50\n\
+         [member one]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 4000\n"
     );
     let settings = parse("test", &text).unwrap_or_else(|e| panic!("{e}"));
@@ -151,7 +151,7 @@
         "quiet_ping_ms = 400\nping_timeout_ms = 400",
     )
     .await;
-    let http = dispatcher.bound().http.unwrap();
+    let http = dispatcher.bound_addresses().http.unwrap();
     let first = tokio::spawn(get(http, "/page/1"));
     let mut old = Member::accept(&listener).await;
     old.hello(1).await;
@@ -171,7 +171,7 @@
         asked_old += matches!(frame, Frame::Request(..)) as usize;
     }
     assert_eq!(asked_old, 1, "one attempt, and the connection is closed");
-    let metrics = get(dispatcher.bound().metrics.unwrap(), "/").await;
+    let metrics = get(dispatcher.bound_addresses().metrics.unwrap(), "/").await;
     assert!(
         metrics.contains("pointspindle_dead_member_connections_total 1"),
         "{metrics}"
@@ -184,7 +184,7 @@
 async fn nothing_is_sent_on_a_connection_whose_hello_was_cut() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dispatcher = start(listener.local_addr().unwrap(), "hello_timeout_ms = 5000").await;
-    let http = dispatcher.bound().http.unwrap();
+    let http = dispatcher.bound_addresses().http.unwrap();
     let first = tokio::spawn(get(http, "/page/1"));
     let mut one = Member::accept(&listener).await;
     one.hello(1).await;
@@ -224,26 +224,26 @@
 #[tokio::test]
 async fn a_client_that_trickles_is_given_up_and_its_attempt_cancelled() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let member = listener.local_addr().unwrap();
+    let endpoint = listener.local_addr().unwrap();
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\ndrain_ms = 100\nleast_pace_kb_per_s = 64\n\
          pace_window_ms = 300\n[zone b]\ndispatchers = 1\n\
-         [member one]\naddress = {member}\nkind = cache\nzone = b\nweight = 50\n\
+         [member one]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 60000\naim_ms = 50000\n"
     );
     let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
         .await
         .unwrap();
-    let mut client = TcpStream::connect(dispatcher.bound().http.unwrap())
+    let mut client = TcpStream::connect(dispatcher.bound_addresses().http.unwrap())
         .await
         .unwrap();
     client
         .write_all(b"GET /page/1 HTTP/1.1\r\nHost: a\r\n\r\n")
         .await
         .unwrap();
-    let mut member = Member::accept(&listener).await;
-    let id = member.asked().await;
-    member
+    let mut endpoint = Member::accept(&listener).await;
+    let id = endpoint.asked().await;
+    endpoint
         .say(Frame::Head(
             id,
             ResponseHead {
@@ -256,11 +256,13 @@
     let cancelled = loop {
         // As much as the credit of the stream allows, so that the client is what is waited for.
         if sent < 4 {
-            member.say(Frame::Data(id, vec![0; MAX_DATA].into())).await;
+            endpoint
+                .say(Frame::Data(id, vec![0; MAX_DATA].into()))
+                .await;
             sent += 1;
             continue;
         }
-        match member.hear().await {
+        match endpoint.hear().await {
             Some(Frame::Credit(stream, _)) if stream == id => sent -= 2,
             Some(Frame::Cancel(stream, _)) => break stream,
             Some(_) => {}
@@ -283,31 +285,31 @@
 async fn a_member_that_breaks_behind_its_head_leaves_an_answer_not_silence() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dispatcher = start(listener.local_addr().unwrap(), "").await;
-    let http = dispatcher.bound().http.unwrap();
+    let http = dispatcher.bound_addresses().http.unwrap();
     for n in 0..20 {
         let asking = tokio::spawn(async move { get(http, &format!("/page/{n}")).await });
-        let mut member = Member::accept(&listener).await;
-        member.hello(1).await;
-        let id = member.asked().await;
+        let mut endpoint = Member::accept(&listener).await;
+        endpoint.hello(1).await;
+        let id = endpoint.asked().await;
         let head = ResponseHead {
             size: Some(100),
             cache_status: WireCacheStatus::Hit as i32,
             ..Default::default()
         };
-        let mut both = member.bytes(Frame::Head(id, head));
+        let mut both = endpoint.bytes(Frame::Head(id, head));
         let error = ErrorHead {
             status: WireStatus::Failed as i32,
             may_have_run: true,
             ..Default::default()
         };
-        both.extend_from_slice(&member.bytes(Frame::Error(id, error)));
-        member.socket.write_all(&both).await.unwrap();
+        both.extend_from_slice(&endpoint.bytes(Frame::Error(id, error)));
+        endpoint.socket.write_all(&both).await.unwrap();
         let told = asking.await.unwrap();
         assert!(
             told.starts_with("HTTP/1.1 502") || told.starts_with("HTTP/1.1 200"),
             "{n}: {told:?}"
         );
-        drop(member);
+        drop(endpoint);
     }
 }
 
@@ -331,7 +333,7 @@
         );
         let settings = parse("test", &text).unwrap_or_else(|e| panic!("{e}"));
         let dispatcher = Dispatcher::start(settings, 1).await.unwrap();
-        let http = dispatcher.bound().http.unwrap();
+        let http = dispatcher.bound_addresses().http.unwrap();
         let asking = tokio::spawn(async move { get(http, "/page/1").await });
         let (mut a, mut b) = (Member::accept(&one).await, Member::accept(&two).await);
         a.hello(1).await;
@@ -405,15 +407,15 @@
         let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
             .await
             .unwrap();
-        let mut client = TcpStream::connect(dispatcher.bound().http.unwrap())
+        let mut client = TcpStream::connect(dispatcher.bound_addresses().http.unwrap())
             .await
             .unwrap();
         let asked: String = (0..31)
             .map(|n| format!("GET /page/{n} HTTP/1.1\r\nHost: a\r\n\r\n"))
             .collect();
         client.write_all(asked.as_bytes()).await.unwrap();
-        let mut member = Member::accept(&listener).await;
-        let id = member.asked().await;
+        let mut endpoint = Member::accept(&listener).await;
+        let id = endpoint.asked().await;
         let held = match leaves {
             Leaves::Close => None,
             Leaves::Reset => {
@@ -431,7 +433,7 @@
             drop(client);
         }
         let cancelled = loop {
-            match member
+            match endpoint
                 .hear()
                 .await
                 .expect("the connection to the member stays")
@@ -439,7 +441,7 @@
                 Frame::Cancel(stream, _) => break stream,
                 Frame::Request(..) => panic!("{leaves:?}: sent on for a client that has left"),
                 Frame::Probe(p) if !p.echo => {
-                    member
+                    endpoint
                         .say(Frame::Probe(ProbeHead { echo: true, ..p }))
                         .await
                 }
@@ -448,13 +450,16 @@
         };
         assert_eq!(cancelled, id, "{leaves:?}");
         // What is asked by who is there comes next, and nothing in between.
-        let last = tokio::spawn(get(dispatcher.bound().http.unwrap(), "/page/last"));
-        let (id, head) = member.request().await;
+        let last = tokio::spawn(get(
+            dispatcher.bound_addresses().http.unwrap(),
+            "/page/last",
+        ));
+        let (id, head) = endpoint.request().await;
         assert_eq!(
             head.object, "/page/last",
             "{leaves:?}: sent on for a client that has left"
         );
-        member.answer(id).await;
+        endpoint.answer(id).await;
         assert!(last.await.unwrap().starts_with("HTTP/1.1 200"));
         dispatcher.stop().await;
     }
@@ -482,7 +487,7 @@
     let dispatcher = Dispatcher::start(parse("test", &text).unwrap(), 1)
         .await
         .unwrap();
-    let bound = dispatcher.bound();
+    let bound = dispatcher.bound_addresses();
     let socket = TcpStream::connect(bound.framed.unwrap()).await.unwrap();
     let (clients, _incoming) = FramedConnection::start(
         socket,
@@ -506,7 +511,7 @@
     };
     // All are placed: whatever still comes goes behind them.
     until(async || under_way(&get(metrics, "/").await) == MANY).await;
-    let mut member = Member::accept(&listener).await;
+    let mut endpoint = Member::accept(&listener).await;
     // Every second one leaves while nothing is read; that is known once none of them is open any more.
     let stay: Vec<_> = calls.into_iter().step_by(2).collect();
     until(async || under_way(&get(metrics, "/").await) == stay.len()).await;
@@ -519,7 +524,7 @@
             .iter()
             .any(|(id, n)| gone(*n) && !cancelled.contains(id))
     {
-        match member.hear().await.expect("the connection stays") {
+        match endpoint.hear().await.expect("the connection stays") {
             Frame::Request(id, head) => {
                 let n: usize = head.object.split('/').nth(2).unwrap().parse().unwrap();
                 begun.push((id, n));
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -5,7 +5,7 @@
 use crate::watcher::{Output, Rule, View, Watcher};
 use crate::writer::{self, Kept};
 use pointspindle_config::DispatcherSettings;
-use pointspindle_dispatcher::{Source, Teller};
+use pointspindle_dispatcher::{ControlSink, ControlSource};
 use std::time::Duration;
 
 #[derive(Debug)]
@@ -51,8 +51,8 @@
     }
 }
 
-impl Source for EtcdSource {
-    async fn run(self, teller: Teller) {
+impl ControlSource for EtcdSource {
+    async fn run(self, teller: ControlSink) {
         let record = DispatcherRecord {
             zone: self.zone,
             purge_within_ms: self.purge_within_ms,
@@ -66,7 +66,7 @@
             self.lease_s,
             move |kept, took| {
                 if let Kept::Until(lasts) = kept {
-                    told.kept(took.as_micros() as u64, lasts.as_micros() as u64);
+                    told.registration_renewed(took.as_micros() as u64, lasts.as_micros() as u64);
                 }
                 true
             },
@@ -80,15 +80,15 @@
     }
 }
 
-fn tell(teller: &Teller, output: Output) {
+fn tell(teller: &ControlSink, output: Output) {
     match output {
         Output::Members(head) => {
             tracing::info!(form = ?head.form(), lines = head.endpoints.len(), "etcd: member list");
-            teller.members(head);
+            teller.apply_endpoint_list(head);
         }
         Output::Purge(head) => {
             tracing::info!(object = ?head.object, group = head.group, "etcd: purge");
-            teller.purge(head);
+            teller.apply_purge(head);
         }
         Output::Dispatchers(all) => {
             tracing::info!(dispatchers = all.len(), "etcd: dispatchers");
@@ -107,19 +107,19 @@
                 lost_s,
                 "etcd: history is lost; everything counts as purged now"
             );
-            teller.missed();
+            teller.updates_missed();
         }
         Output::Bad(bad) => {
             tracing::warn!(%bad, "etcd: a key cannot be used");
-            teller.bad();
+            teller.count_unusable();
         }
         Output::View(view) => {
             if view == View::Stale {
                 tracing::warn!("etcd: the view is stale; lists and purges stay as they are, cold budgets are not taken from");
             }
-            teller.view(view == View::Current);
+            teller.set_current(view == View::Current);
         }
-        Output::Proven { ago } => teller.proven(ago),
+        Output::Proven { ago } => teller.confirm_purges(ago),
         Output::AskMark { .. } => {}
         Output::AskSnapshot | Output::AskWatch { .. } | Output::AskProgress | Output::Hang => {}
     }
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -2,7 +2,7 @@
 //! Of a purge acknowledged at t, no attempt that begins at t + promise or later may use a copy from before t, unless the purge is known
 //! here (and then the decisions see to it).
 use pointspindle_config::parse;
-use pointspindle_dispatcher::{Ask, Core, Input as Told, Output as Order};
+use pointspindle_dispatcher::{ClientRequest, Core, Input as Told, Output as Order};
 use pointspindle_etcd::layout::purge_key;
 use pointspindle_etcd::watcher::{Change, Header, Input, KeyValue, Output, Rule, Watcher};
 use pointspindle_protocol::*;
@@ -40,18 +40,18 @@
         seq: 1,
         endpoints: members,
     };
-    core.handle(now, Told::Members(list), &mut Vec::new());
+    core.handle(now, Told::EndpointList(list), &mut Vec::new());
     core
 }
 
 /// Begins an attempt for a request of this class; how old its copy may be, and whether it was held back.
 fn begin(core: &mut Core, now: u64, id: u64, class: usize) -> Option<(u64, bool)> {
     let mut out = Vec::new();
-    let ask = Ask {
+    let ask = ClientRequest {
         class,
         object: format!("/o/{id}"),
         group: 1,
-        left: 2_000_000,
+        time_left: 2_000_000,
         ..Default::default()
     };
     core.handle(now, Told::Request(id, ask), &mut out);
@@ -62,7 +62,7 @@
         _ => None,
     })?;
     let terms = core.begin(now, id, attempt);
-    core.handle(now, Told::Gone(id), &mut out);
+    core.handle(now, Told::ClientDisconnected(id), &mut out);
     terms.map(|t| (t.age, t.held))
 }
 
@@ -73,7 +73,7 @@
     assert!(held(&mut core, T0, 1, 0), "nothing is proven at the start");
     assert_eq!(begin(&mut core, T0, 2, 0), Some((PROMISE / 2, true)));
     assert!(!held(&mut core, T0, 3, 1), "the operator's word by class");
-    core.handle(T0, Told::Proven { ago: 100 * MS }, &mut Vec::new());
+    core.handle(T0, Told::PurgesConfirmed { ago: 100 * MS }, &mut Vec::new());
     assert!(!held(&mut core, T0 + 649 * MS, 4, 0));
     assert!(
         held(&mut core, T0 + 650 * MS, 5, 0),
@@ -82,11 +82,15 @@
     // An older proof that comes late takes nothing back and gives nothing.
     core.handle(
         T0 + 660 * MS,
-        Told::Proven { ago: 800 * MS },
+        Told::PurgesConfirmed { ago: 800 * MS },
         &mut Vec::new(),
     );
     assert!(held(&mut core, T0 + 660 * MS, 6, 0));
-    core.handle(T0 + 700 * MS, Told::Proven { ago: 0 }, &mut Vec::new());
+    core.handle(
+        T0 + 700 * MS,
+        Told::PurgesConfirmed { ago: 0 },
+        &mut Vec::new(),
+    );
     assert!(!held(&mut core, T0 + 700 * MS, 7, 0));
     // Stood still for ten seconds, and goes on with a request before anything else is told.
     assert!(held(&mut core, T0 + 10_700 * MS, 8, 0));
@@ -360,7 +364,7 @@
                 Output::Proven { ago } => {
                     let ago = if self.lies { 0 } else { ago };
                     self.core
-                        .handle(self.now, Told::Proven { ago }, &mut Vec::new());
+                        .handle(self.now, Told::PurgesConfirmed { ago }, &mut Vec::new());
                 }
                 Output::AskMark { asked } => {
                     // Read when it reaches the store; its answer takes its own way back.
--- a/crates/lab/src/day/task.rs
+++ b/crates/lab/src/day/task.rs
@@ -56,7 +56,7 @@
         let seed = scenario.seed ^ self.number as u64;
         let started = Dispatcher::start_on(Network::Simulated(life.clone()), settings, seed).await;
         let dispatcher = started.map_err(|e| self.failed(e))?;
-        let bound = dispatcher.bound();
+        let bound = dispatcher.bound_addresses();
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
             (bound.http, bound.framed, bound.control, bound.metrics)
         {
--- a/crates/lab/src/etcd/measure.rs
+++ b/crates/lab/src/etcd/measure.rs
@@ -86,7 +86,7 @@
             let mut ears = ears.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
             match output {
                 Output::Purge(head) => {
-                    drop(ears.purges.insert(head.object.unwrap_or_default(), now))
+                    ears.purges.insert(head.object.unwrap_or_default(), now);
                 }
                 Output::Gap { first: false, .. } => ears.gaps.push(now),
                 Output::Members(_) => ears.lists.push(now),
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -6,7 +6,9 @@
 use pointspindle_cache_host::Host;
 use pointspindle_clock::stamp_ms;
 use pointspindle_config::{parse, parse_cache};
-use pointspindle_dispatcher::{Ears, Hollow, Items, Prepared, Told};
+use pointspindle_dispatcher::{
+    ControlObserver, ControlUpdate, HollowDispatcher, PreparedDispatcher, StateCounts,
+};
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::EtcdSource;
 use pointspindle_transport::Network;
@@ -74,7 +76,7 @@
     /// From writing to in force, by milliseconds and how many; of purges and of list changes.
     pub purges: Vec<(u64, u64)>,
     pub changes: Vec<(u64, u64)>,
-    pub items: Items,
+    pub items: StateCounts,
 }
 
 /// Microseconds since 1970: all processes are on one machine.
@@ -222,9 +224,9 @@
             ear.purges.clear();
             ear.changes.clear();
         }
-        let mut items = Items::default();
-        for of in hollow.iter().map(Hollow::items) {
-            items.members += of.members;
+        let mut items = StateCounts::default();
+        for of in hollow.iter().map(HollowDispatcher::state_counts) {
+            items.endpoints += of.endpoints;
             items.purges += of.purges;
             items.dispatchers += of.dispatchers;
             items.connections += of.connections;
@@ -241,31 +243,35 @@
 }
 
 /// One hollow dispatcher: the program's own control code, and an ear for what comes into force.
-async fn hollow_one(settings: &str, number: usize, ear: Arc<Mutex<Ear>>) -> Result<Hollow, String> {
+async fn hollow_one(
+    settings: &str,
+    number: usize,
+    ear: Arc<Mutex<Ear>>,
+) -> Result<HollowDispatcher, String> {
     let settings = parse("hollow", settings).map_err(|e| e.to_string())?;
     let seed = number as u64 + 1;
     let source = EtcdSource::of(&settings, seed)
         .map_err(|e| e.to_string())?
         .ok_or("no control store")?;
-    let prepared = Prepared::new(Network::Tcp, settings, seed).await;
-    let ears: Ears = Arc::new(move |told| {
+    let prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
+    let ears: ControlObserver = Arc::new(move |told| {
         let now = now_us();
         let mut ear = lock(&ear);
         match told {
-            Told::Purge(head) => {
+            ControlUpdate::Purge(head) => {
                 if let Some(at) = head.object.as_deref().and_then(written_us) {
                     let _ = ear.purges.record(now.saturating_sub(at).max(1));
                 }
             }
             // A change writes its moment as the member's start.
-            Told::Members(head) if head.endpoints.len() == 1 => {
+            ControlUpdate::EndpointList(head) if head.endpoints.len() == 1 => {
                 let at = head.endpoints[0].incarnation;
                 if at > 1_000_000_000_000_000 {
                     let _ = ear.changes.record(now.saturating_sub(at).max(1));
                 }
             }
-            Told::Members(_) => {}
-            Told::View(current) => {
+            ControlUpdate::EndpointList(_) => {}
+            ControlUpdate::Freshness(current) => {
                 ear.current.insert(number, current);
                 if current && ear.first.insert(number, true).is_none() {
                     let ready = ear.began.elapsed().as_secs_f64() * 1e3;
@@ -274,7 +280,7 @@
             }
         }
     });
-    Ok(prepared.hollow(source, ears))
+    Ok(prepared.into_hollow(source, ears))
 }
 
 /// A hollow cache host's settings: all of a host's but a store.
--- a/crates/lab/src/scale/steps.rs
+++ b/crates/lab/src/scale/steps.rs
@@ -4,7 +4,7 @@
 use super::Target;
 use crate::etcd::traffic::Figures;
 use crate::idle::usage;
-use pointspindle_dispatcher::Items;
+use pointspindle_dispatcher::StateCounts;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
 use pointspindle_etcd::{writer, Access, Etcd};
 use serde::{Deserialize, Serialize};
@@ -70,7 +70,7 @@
     /// Until every view was current (again), in milliseconds; none: not asked for.
     pub whole_ms: Option<f64>,
     /// What one dispatcher keeps, on the mean.
-    pub items: Items,
+    pub items: StateCounts,
 }
 
 /// One size.
@@ -382,7 +382,7 @@
                 longest_ms: at(1.0),
             }
         };
-        let mean = |of: fn(&Items) -> usize| {
+        let mean = |of: fn(&StateCounts) -> usize| {
             heard.iter().map(|h| of(&h.items)).sum::<usize>() / (count.max(1) as usize)
         };
         Ok(Phase {
@@ -395,8 +395,8 @@
             purges: purges.map(|written| lag(written, |h| &h.purges)),
             changes: changes.map(|written| lag(written, |h| &h.changes)),
             whole_ms: None,
-            items: Items {
-                members: mean(|i| i.members),
+            items: StateCounts {
+                endpoints: mean(|i| i.endpoints),
                 purges: mean(|i| i.purges),
                 dispatchers: mean(|i| i.dispatchers),
                 connections: mean(|i| i.connections),
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -45,7 +45,7 @@
             self.links.close(job);
             self.tell_core(
                 dispatcher,
-                Input::Ended {
+                Input::AttemptEnded {
                     request,
                     attempt,
                     end: AttemptEnd::NotSent,
@@ -83,7 +83,7 @@
             self.tell_core(
                 dispatcher,
                 Input::Hello {
-                    member: member.clone(),
+                    endpoint: member.clone(),
                     hello,
                 },
             );
@@ -95,7 +95,7 @@
                 self.tell_core(
                     dispatcher,
                     Input::Lease {
-                        member,
+                        endpoint: member,
                         lease: lease(&grant),
                     },
                 );
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -14,8 +14,8 @@
 use pointspindle::{Micros, ObjectId};
 use pointspindle_cache_host::lease::Ledger;
 use pointspindle_config::DispatcherSettings;
-use pointspindle_dispatcher::core::{AttemptEnd, Begin};
-use pointspindle_dispatcher::{Ask, Core, Input, Output};
+use pointspindle_dispatcher::core::{AttemptEnd, AttemptTerms};
+use pointspindle_dispatcher::{ClientRequest, Core, Input, Output};
 use pointspindle_protocol::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -374,7 +374,13 @@
             } => {
                 if self.dispatchers[dispatcher].life == life {
                     let member = self.address(host);
-                    self.tell_core(dispatcher, Input::Lease { member, lease });
+                    self.tell_core(
+                        dispatcher,
+                        Input::Lease {
+                            endpoint: member,
+                            lease,
+                        },
+                    );
                 }
             }
         }
@@ -432,12 +438,12 @@
         let call = &self.calls[id.call as usize];
         // HTTP tells no sizes.
         let size = (self.s.sizes_told && !call.http).then_some(call.size);
-        let ask = Ask {
+        let ask = ClientRequest {
             class: call.class,
             object: call.object.clone(),
             part: call.part,
             group: call.group,
-            left: self.s.classes[call.class].deadline,
+            time_left: self.s.classes[call.class].deadline,
             size,
         };
         self.tell_core(dispatcher, Input::Request(request, ask));
@@ -449,7 +455,7 @@
             self.dispatchers[waiting.dispatcher]
                 .passing
                 .remove(&request);
-            self.tell_core(waiting.dispatcher, Input::Gone(request));
+            self.tell_core(waiting.dispatcher, Input::ClientDisconnected(request));
         }
     }
 
@@ -510,7 +516,7 @@
     }
 
     /// As a shell asks, right before an attempt's first byte.
-    pub(super) fn begin(&mut self, n: usize, request: u64, attempt: u32) -> Option<Begin> {
+    pub(super) fn begin(&mut self, n: usize, request: u64, attempt: u32) -> Option<AttemptTerms> {
         self.dispatchers[n]
             .core
             .begin(EPOCH + self.now, request, attempt)
@@ -522,7 +528,7 @@
             Output::Send {
                 request,
                 attempt,
-                member,
+                endpoint: member,
                 fetch,
                 ..
             } => {
@@ -536,7 +542,7 @@
                 if !waits && self.begin(n, request, attempt).is_none() {
                     return self.tell_core(
                         n,
-                        Input::Ended {
+                        Input::AttemptEnded {
                             request,
                             attempt,
                             end: AttemptEnd::NotSent,
@@ -552,13 +558,13 @@
                 };
                 let call = &self.calls[id.call as usize];
                 let plain = fetch.is_none();
-                let fetch = fetch.unwrap_or(pointspindle_dispatcher::core::FetchOrder {
+                let fetch = fetch.unwrap_or(pointspindle_dispatcher::core::AddressedFetch {
                     source: None,
-                    keep: 0,
-                    age: 0,
-                    join: false,
-                    held_only: true,
-                    renew: false,
+                    retention_rank: 0,
+                    max_age: 0,
+                    coalesce: false,
+                    only_if_cached: true,
+                    revalidate: false,
                 });
                 let safe = self.s.classes[call.class].effect == Effect::Safe;
                 let wanted = Wanted {
@@ -568,15 +574,15 @@
                     group: call.group,
                     class: call.class,
                     source: fetch.source,
-                    keep: fetch.keep,
+                    keep: fetch.retention_rank,
                     age: if self.plant == Some(Plant::Purge) {
                         u64::MAX / 2
                     } else {
-                        fetch.age
+                        fetch.max_age
                     },
-                    join: fetch.join,
-                    held_only: fetch.held_only && (safe || !plain),
-                    renew: fetch.renew,
+                    join: fetch.coalesce,
+                    held_only: fetch.only_if_cached && (safe || !plain),
+                    renew: fetch.revalidate,
                     holds: None,
                     key: Arc::from(if safe { String::new() } else { id.trace() }),
                     trace: Arc::from(id.trace()),
@@ -592,18 +598,18 @@
                     self.queue.plan(self.now + way, Event::Arrive(job, wanted));
                 }
             }
-            Output::Abort { request, attempt } => {
+            Output::CancelAttempt { request, attempt } => {
                 if let Some(job) = self.links.of_attempt(n, life, request, attempt) {
                     self.cancel(job);
                 }
             }
-            Output::Commit { request, .. } => {
+            Output::ForwardResponse { request, .. } => {
                 let d = &mut self.dispatchers[n];
                 if let Some(head) = d.heads.remove(&request) {
                     d.passing.insert(request, head);
                 }
             }
-            Output::Refuse {
+            Output::Reject {
                 request,
                 retry_after,
             } => {
@@ -616,10 +622,13 @@
                 );
             }
             Output::Fail { request } => self.answer(n, request, End::Failed),
-            Output::Break { request } => self.answer(n, request, End::Broken),
-            Output::List(_) => {}
-            Output::Hello { .. } => {}
-            Output::Want { member, work_us } => {
+            Output::AbortResponse { request } => self.answer(n, request, End::Broken),
+            Output::EndpointListApplied(_) => {}
+            Output::HelloApplied { .. } => {}
+            Output::RequestWork {
+                endpoint: member,
+                work_us,
+            } => {
                 let Some(host) = self.world.host_of(&member) else {
                     return;
                 };
@@ -636,7 +645,7 @@
                     },
                 );
             }
-            Output::Meet { member } => {
+            Output::Connect { endpoint: member } => {
                 if let Some(host) = self.world.host_of(&member) {
                     self.plan_meeting(n, host, 0);
                 }
@@ -911,10 +920,10 @@
                 let (note, size) = (answer.note, Some(answer.copy.size));
                 self.tell_core(
                     dispatcher,
-                    Input::Head {
+                    Input::ResponseStarted {
                         request,
                         attempt,
-                        note,
+                        cache_status: note,
                         size,
                     },
                 );
@@ -946,9 +955,9 @@
                 }
                 let end = match ending {
                     Ending::Finish => AttemptEnd::Complete,
-                    Ending::Reject { status, note, ran } => AttemptEnd::Told {
+                    Ending::Reject { status, note, ran } => AttemptEnd::ErrorReported {
                         status,
-                        note,
+                        cache_status: note,
                         may_have_run: ran,
                     },
                     Ending::Broken => AttemptEnd::Broken,
@@ -968,7 +977,7 @@
                 }
                 self.tell_core(
                     dispatcher,
-                    Input::Ended {
+                    Input::AttemptEnded {
                         request,
                         attempt,
                         end,
@@ -1034,7 +1043,7 @@
             Some((kind.as_str(), zone.as_str(), *weight))
         };
         let told = book::update(dispatcher, form, seq, lines, self.now, self.plant, member);
-        (Input::Members(told.head), told.saw, told.hidden)
+        (Input::EndpointList(told.head), told.saw, told.hidden)
     }
 
     fn step(&mut self, n: usize) {
--- a/crates/lab/tests/hollow.rs
+++ b/crates/lab/tests/hollow.rs
@@ -1,6 +1,6 @@
 //! Hollow is not fake: after the same script a hollow dispatcher keeps what a real one keeps.
 use pointspindle_config::parse;
-use pointspindle_dispatcher::{Items, Prepared};
+use pointspindle_dispatcher::{PreparedDispatcher, StateCounts};
 use pointspindle_etcd::layout::PurgeRecord;
 use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
 use pointspindle_lab::etcd::StandIn;
@@ -28,13 +28,18 @@
         let settings = parse("test", &dispatcher_settings(&at, number, 3, 0.0))
             .unwrap_or_else(|e| panic!("{e}"));
         let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
-        async move { (Prepared::new(Network::Tcp, settings, 1).await, source) }
+        async move {
+            (
+                PreparedDispatcher::new(Network::Tcp, settings, 1).await,
+                source,
+            )
+        }
     };
     let (mut real, source) = prepare(0).await;
     real.follow(source);
     let real = real.open().await.unwrap();
     let (hollow, source) = prepare(1).await;
-    let hollow = hollow.hollow(source, Arc::new(|_| {}));
+    let hollow = hollow.into_hollow(source, Arc::new(|_| {}));
     for n in 0..12 {
         let address = format!("127.0.0.1:{}", 9 + n);
         writer::member(&etcd, PREFIX, &address, |_| Ok(Some(record(n, 3))))
@@ -51,17 +56,22 @@
     writer::member(&etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
         .await
         .unwrap();
-    let kept = |i: Items| (i.members, i.purges, i.dispatchers);
+    let kept = |i: StateCounts| (i.endpoints, i.purges, i.dispatchers);
     let same = async {
         // The one that was taken away is remembered as gone for a while, by both.
-        while kept(real.items()) != kept(hollow.items())
-            || kept(real.items()).1 != 40
-            || real.items().dispatchers != 2
+        while kept(real.state_counts()) != kept(hollow.state_counts())
+            || kept(real.state_counts()).1 != 40
+            || real.state_counts().dispatchers != 2
         {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
     let there = timeout(PATIENCE, same).await;
-    assert!(there.is_ok(), "{:?} and {:?}", real.items(), hollow.items());
+    assert!(
+        there.is_ok(),
+        "{:?} and {:?}",
+        real.state_counts(),
+        hollow.state_counts()
+    );
     real.stop().await;
 }
