--- /dev/null
+++ b/tests/architecture_page.rs
@@ -0,0 +1,58 @@
+//! The architecture page names files and functions; each of them has to exist.
+use std::path::Path;
+
+/// The text between each pair of backquotes.
+fn quoted(page: &str) -> impl Iterator<Item = &str> {
+    page.split('`').skip(1).step_by(2)
+}
+
+/// Whether the source defines this function or type.
+fn defines(source: &str, name: &str) -> bool {
+    ["fn", "struct", "enum", "trait", "type", "const"]
+        .iter()
+        .any(|keyword| {
+            source.match_indices(&format!("{keyword} {name}")).any(|(at, found)| {
+                let next = source[at + found.len()..].chars().next();
+                !next.is_some_and(|c| c.is_alphanumeric() || c == '_')
+            })
+        })
+}
+
+/// What is wrong with a reference such as `crates/x/src/y.rs` or `crates/x/src/y.rs::function`; none: nothing.
+fn fault(root: &Path, reference: &str) -> Option<String> {
+    let (path, name) = match reference.split_once("::") {
+        Some((path, name)) => (path, Some(name)),
+        None => (reference, None),
+    };
+    if !path.contains('/') || path.contains(' ') {
+        return None;
+    }
+    let Ok(metadata) = std::fs::metadata(root.join(path)) else {
+        return Some(format!("{path} does not exist"));
+    };
+    let name = name?;
+    if !metadata.is_file() {
+        return Some(format!("{path} is not a file"));
+    }
+    let source = std::fs::read_to_string(root.join(path)).expect("a source file is text");
+    (!defines(&source, name)).then(|| format!("{path} does not define {name}"))
+}
+
+#[test]
+fn architecture_page_names_only_files_and_functions_that_exist() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let page = std::fs::read_to_string(root.join("docs/ARCHITECTURE.md")).expect("the page exists");
+    let faults: Vec<String> = quoted(&page).filter_map(|text| fault(root, text)).collect();
+    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    let functions = quoted(&page).filter(|text| text.contains(".rs::")).count();
+    assert!(functions > 0, "the page names no function");
+}
+
+#[test]
+fn missing_file_or_function_is_found() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    assert!(fault(root, "src/lib.rs").is_none());
+    assert!(fault(root, "src/nowhere.rs").is_some());
+    assert!(fault(root, "src/lib.rs::no_such_function").is_some());
+    assert!(fault(root, "tests/architecture_page.rs::fault").is_none());
+}
