--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -1,28 +1,35 @@
-//! Moments that a later process on the same machine can measure from.
+//! Moments since the machine's boot, which a later process on the same machine can compare with its own.
 use std::time::Duration;
 
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+/// The kernel draws a new identifier at each boot.
+const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 
-/// A moment of the machine's clock since its boot, which no step of the wall clock moves and which runs on while the machine
-/// sleeps.
+/// A moment on the machine's boot clock. Steps of the wall clock do not move it, and it advances while the machine is
+/// suspended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootMoment {
-    /// Which boot it was.
+    /// Identifier of the boot.
     pub boot: String,
-    /// Time since then.
+    /// Time since that boot.
     pub since: Duration,
 }
 
 impl BootMoment {
-    /// None: the system does not tell which boot this is.
+    /// The current moment; `None` if the system does not expose an identifier of its boot.
     pub fn now() -> Option<Self> {
-        let boot = std::fs::read_to_string(BOOT_ID).ok()?.trim().to_owned();
-        let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-        let since = Duration::new(at.tv_sec.try_into().ok()?, at.tv_nsec.try_into().ok()?);
+        let boot = std::fs::read_to_string(BOOT_ID_PATH)
+            .ok()?
+            .trim()
+            .to_owned();
+        let since_boot = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+        let since = Duration::new(
+            since_boot.tv_sec.try_into().ok()?,
+            since_boot.tv_nsec.try_into().ok()?,
+        );
         Some(Self { boot, since })
     }
 
-    /// The span up to a later moment; none: the machine was booted in between, and nobody knows.
+    /// The span up to a later moment; `None` if the machine was booted in between, so that the span is unknown.
     pub fn until(&self, later: &Self) -> Option<Duration> {
         (self.boot == later.boot)
             .then(|| later.since.checked_sub(self.since))
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -1,38 +1,39 @@
+//! Ages under steps of the wall clock, and spans within one boot.
 use super::*;
 
-const HOUR: u64 = 3_600;
-const START: u64 = 1_764_576_000;
+const HOUR_S: u64 = 3_600;
+const START_UNIX_S: u64 = 1_764_576_000;
 
 fn clock() -> WallClock {
     WallClock {
-        at_start: Duration::from_secs(START),
+        at_start: Duration::from_secs(START_UNIX_S),
         started: Instant::now(),
     }
 }
 
 /// `elapsed` seconds after the start, with a wall clock that is off by `step` seconds.
-fn reading(elapsed: u64, step: i64) -> Reading {
-    let wall = (START + elapsed).saturating_add_signed(step);
-    Reading {
+fn reading(elapsed: u64, step: i64) -> ClockReading {
+    let wall = (START_UNIX_S + elapsed).saturating_add_signed(step);
+    ClockReading {
         wall: Duration::from_secs(wall),
         elapsed: Duration::from_secs(elapsed),
     }
 }
 
 /// The age, in seconds, of something that happened `at` seconds after the start.
-fn age(at: i64, now: Reading) -> u64 {
+fn age(at: i64, now: ClockReading) -> u64 {
     clock()
-        .age_at(now, (START.saturating_add_signed(at) * 1_000) as f64)
+        .age_at(now, (START_UNIX_S.saturating_add_signed(at) * 1_000) as f64)
         .as_secs()
 }
 
 #[test]
-fn a_step_makes_nothing_older() {
-    for step in [1, 5, HOUR as i64] {
+fn age_after_wall_clock_step_is_never_longer() {
+    for step in [1, 5, HOUR_S as i64] {
         assert_eq!(age(10, reading(12, step)), 2, "{step} s forward");
     }
     // Backward it may count as younger, which is the safe side.
-    for step in [-1, -5, -(HOUR as i64)] {
+    for step in [-1, -5, -(HOUR_S as i64)] {
         assert!(age(10, reading(12, step)) <= 2, "{step} s backward");
     }
     assert_eq!(age(10, reading(12, 0)), 2);
@@ -45,36 +46,41 @@
 }
 
 #[test]
-fn a_clock_that_is_set_right_after_the_start_makes_nothing_older() {
+fn age_after_clock_correction_is_never_longer() {
     // It was an hour ahead at the start; what happens now is stamped with the right time.
     let ahead = WallClock {
-        at_start: Duration::from_secs(START + HOUR),
+        at_start: Duration::from_secs(START_UNIX_S + HOUR_S),
         started: Instant::now(),
     };
     let now = reading(12, 0);
     assert_eq!(
-        ahead.age_at(now, ((START + 10) * 1_000) as f64).as_secs(),
+        ahead
+            .age_at(now, ((START_UNIX_S + 10) * 1_000) as f64)
+            .as_secs(),
         2
     );
 }
 
 #[test]
-fn steady_time_and_steps_are_told_apart() {
-    assert_eq!(clock().steady_at(reading(7, 5_000)).as_secs(), START + 7);
+fn steady_time_ignores_steps_and_step_is_reported() {
+    assert_eq!(
+        clock().steady_at(reading(7, 5_000)).as_secs(),
+        START_UNIX_S + 7
+    );
     assert_eq!(clock().step_at(reading(7, 0)), None);
     assert_eq!(clock().step_at(reading(7, -3)), Some(-3_000));
 }
 
 #[test]
-fn what_is_no_moment_is_long_ago_and_the_far_future_is_now() {
+fn age_of_invalid_moment_is_longest_and_future_is_zero() {
     for odd in [f64::NAN, -1.0, f64::NEG_INFINITY] {
-        assert!(clock().age_at(reading(1, 0), odd).as_secs() >= START);
+        assert!(clock().age_at(reading(1, 0), odd).as_secs() >= START_UNIX_S);
     }
     assert_eq!(clock().age_at(reading(1, 0), 9e15), Duration::ZERO);
 }
 
 #[test]
-fn spans_between_processes_are_known_within_one_boot() {
+fn span_between_boot_moments_requires_same_boot() {
     let first = BootMoment::now().expect("a Linux machine");
     let second = BootMoment::now().unwrap();
     assert!(first
