--- /dev/null
+++ b/crates/config/src/dispatcher/etcd.rs
@@ -0,0 +1,121 @@
+//! The `[etcd]` section: endpoint lists and purges from etcd.
+use super::MINUTE_MS;
+use crate::reader::Reader;
+use std::path::PathBuf;
+
+const SECTION: &str = "etcd";
+/// A purge cannot be promised to be in force sooner than this.
+const MIN_PURGE_WITHIN_US: u64 = 300_000;
+
+/// Source of endpoint lists, purges and the number of dispatchers.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct EtcdSettings {
+    /// URLs of the etcd members; at least one.
+    pub endpoints: Vec<String>,
+    /// Keys begin with this, then `/v1/`. Not empty, and does not end with `/`.
+    pub prefix: String,
+    /// PEM file of the authority that signed the etcd members' certificates.
+    pub authority: Option<PathBuf>,
+    /// The dispatcher's own certificate and key, as PEM files.
+    pub identity: Option<(PathBuf, PathBuf)>,
+    /// User, and the file with the password on its first line.
+    pub user: Option<(String, PathBuf)>,
+    /// Lease of this dispatcher's registration.
+    pub lease_s: i64,
+    /// Longest wait for a unary call.
+    pub call_timeout_us: u64,
+    /// Longest wait for the lists before the listeners open with the state of the previous run.
+    pub start_wait_us: u64,
+    /// Time after which an acknowledged purge is guaranteed to be in force here; 0: no guarantee.
+    pub purge_within_us: u64,
+}
+
+/// Files and user with which the dispatcher authenticates.
+struct Credentials {
+    authority: Option<PathBuf>,
+    identity: Option<(PathBuf, PathBuf)>,
+    user: Option<(String, PathBuf)>,
+}
+
+pub(super) fn read(reader: &mut Reader) -> Option<EtcdSettings> {
+    let endpoints = read_endpoints(reader);
+    let prefix = read_prefix(reader);
+    let credentials = read_credentials(reader);
+    let lease_s = reader.number(SECTION, "lease_s", 5, 2, 600);
+    let call_timeout_us = reader.ms(SECTION, "timeout_ms", 1_000.0, 10.0, MINUTE_MS);
+    let start_wait_us = reader.ms(SECTION, "start_wait_ms", 2_000.0, 0.0, MINUTE_MS);
+    let purge_within_us = reader.ms(SECTION, "purge_within_ms", 0.0, 0.0, MINUTE_MS);
+    if (1..MIN_PURGE_WITHIN_US).contains(&purge_within_us) {
+        let reason = "0 for no promise, or at least 300";
+        reader.report(SECTION, "purge_within_ms", reason);
+    }
+    if endpoints.is_empty() {
+        if reader.has(SECTION) {
+            let reason = "missing, such as http://127.0.0.1:2379";
+            reader.report(SECTION, "endpoints", reason);
+        }
+        return None;
+    }
+    Some(EtcdSettings {
+        endpoints,
+        prefix,
+        authority: credentials.authority,
+        identity: credentials.identity,
+        user: credentials.user,
+        lease_s,
+        call_timeout_us,
+        start_wait_us,
+        purge_within_us,
+    })
+}
+
+fn read_endpoints(reader: &mut Reader) -> Vec<String> {
+    let text = reader.text(SECTION, "endpoints").unwrap_or_default();
+    let endpoints: Vec<String> = text
+        .split(',')
+        .map(|endpoint| endpoint.trim().to_owned())
+        .filter(|endpoint| !endpoint.is_empty())
+        .collect();
+    let is_url =
+        |endpoint: &str| endpoint.starts_with("http://") || endpoint.starts_with("https://");
+    if let Some(invalid) = endpoints.iter().find(|endpoint| !is_url(endpoint)) {
+        let reason = format!("{invalid:?} is not http://ADDRESS:PORT or https://ADDRESS:PORT");
+        reader.report(SECTION, "endpoints", &reason);
+    }
+    endpoints
+}
+
+fn read_prefix(reader: &mut Reader) -> String {
+    let default = "/pointspindle".to_owned();
+    let prefix = reader.value(SECTION, "prefix", default, "what keys begin with");
+    if prefix.ends_with('/') || prefix.is_empty() {
+        let reason = "keys begin with it and /v1/: it is not empty and ends with no /";
+        reader.report(SECTION, "prefix", reason);
+    }
+    prefix
+}
+
+fn read_credentials(reader: &mut Reader) -> Credentials {
+    let authority = reader.path(SECTION, "authority");
+    let certificate = reader.path(SECTION, "certificate");
+    let key = reader.path(SECTION, "key");
+    let password_file = reader.path(SECTION, "password_file");
+    if certificate.is_some() != key.is_some() {
+        let missing = if key.is_none() { "key" } else { "certificate" };
+        reader.report(SECTION, missing, "missing: both or none");
+    }
+    let user = reader.non_empty_text(SECTION, "user");
+    if user.is_some() != password_file.is_some() {
+        let missing = if user.is_none() {
+            "user"
+        } else {
+            "password_file"
+        };
+        reader.report(SECTION, missing, "missing: both or none");
+    }
+    Credentials {
+        authority,
+        identity: certificate.zip(key),
+        user: user.zip(password_file),
+    }
+}
--- /dev/null
+++ b/crates/config/src/dispatcher/network_quota.rs
@@ -0,0 +1,88 @@
+//! The `[network NAME]` sections: quotas of connections for networks of clients.
+use crate::reader::Reader;
+use std::net::IpAddr;
+
+const PREFIX_EXAMPLE: &str = "such as 10.20.0.0/16";
+
+/// Client addresses that share a quota of connections, such as those of one branch.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct NetworkQuota {
+    /// Name in logs and metrics.
+    pub name: String,
+    /// An address of the network.
+    pub address: IpAddr,
+    /// Leading bits of the address that identify the network.
+    pub bits: u8,
+    /// Connections that the network may have at once.
+    pub connections: usize,
+}
+
+impl NetworkQuota {
+    /// Whether an address belongs to the network. An IPv4-mapped IPv6 address counts as IPv4.
+    pub fn contains(&self, address: IpAddr) -> bool {
+        let own = AddressBits::of(self.address);
+        let other = AddressBits::of(address);
+        let differing = own.bits ^ other.bits;
+        own.width == other.width
+            && (self.bits == 0 || differing.leading_zeros() >= u32::from(self.bits))
+    }
+}
+
+/// An address as a number, aligned to the most significant bit.
+struct AddressBits {
+    bits: u128,
+    width: u8,
+}
+
+impl AddressBits {
+    fn of(address: IpAddr) -> Self {
+        match address.to_canonical() {
+            IpAddr::V4(v4) => Self {
+                bits: u128::from(v4.to_bits()) << 96,
+                width: 32,
+            },
+            IpAddr::V6(v6) => Self {
+                bits: v6.to_bits(),
+                width: 128,
+            },
+        }
+    }
+}
+
+/// Reads every `[network NAME]` section in the order of the file.
+pub(super) fn read(reader: &mut Reader, max_connections: usize) -> Vec<NetworkQuota> {
+    reader
+        .named("network")
+        .into_iter()
+        .filter_map(|name| read_network(reader, name, max_connections))
+        .collect()
+}
+
+fn read_network(reader: &mut Reader, name: String, max_connections: usize) -> Option<NetworkQuota> {
+    let section = format!("network {name}");
+    let connections = reader.number(&section, "connections", max_connections, 1, 10_000_000);
+    let expected = format!("addresses, {PREFIX_EXAMPLE}");
+    let text = reader.required(&section, "prefix", String::new(), &expected);
+    let Some((address, bits)) = parse_prefix(&text) else {
+        if !text.is_empty() {
+            let reason = format!("{text:?} is no address with its leading bits, {PREFIX_EXAMPLE}");
+            reader.report(&section, "prefix", &reason);
+        }
+        return None;
+    };
+    Some(NetworkQuota {
+        name,
+        address,
+        bits,
+        connections,
+    })
+}
+
+/// Parses `ADDRESS/BITS`.
+fn parse_prefix(text: &str) -> Option<(IpAddr, u8)> {
+    let (address, bits) = text.split_once('/')?;
+    let address: IpAddr = address.trim().parse().ok()?;
+    let bits: u8 = bits.trim().parse().ok()?;
+    let max_bits = if address.is_ipv4() { 32 } else { 128 };
+    (bits <= max_bits).then_some((address, bits))
+}
--- /dev/null
+++ b/crates/config/src/dispatcher/upstream.rs
@@ -0,0 +1,44 @@
+//! The `[upstream]` section: connections to endpoints.
+use super::{HOUR_MS, MINUTE_MS};
+use crate::reader::Reader;
+use std::net::IpAddr;
+
+const SECTION: &str = "upstream";
+
+/// Connections to endpoints.
+#[derive(Clone, Debug, PartialEq)]
+pub struct UpstreamSettings {
+    /// Endpoints are identified by ids of their own rather than by their addresses: an address may return under another id.
+    /// Not read from the file.
+    pub endpoints_have_ids: bool,
+    /// Longest wait for a connection to be established.
+    pub connect_timeout_us: u64,
+    /// Streams that may be open at once on a connection.
+    pub max_streams: usize,
+    /// Unused connections are closed after this.
+    pub idle_timeout_us: u64,
+    /// Longest wait for the hello frame of an endpoint that sends one; no request is sent on a new connection before it.
+    pub hello_timeout_us: u64,
+    /// Local address of connections to endpoints.
+    pub bind: Option<IpAddr>,
+    /// A ping is sent if nothing was received for this long while responses are outstanding.
+    pub ping_when_awaiting_us: u64,
+    /// A ping is sent if nothing was received for this long while no response is outstanding; 0: never.
+    pub ping_when_idle_us: u64,
+    /// A connection is closed if nothing was received for this long after a ping.
+    pub ping_timeout_us: u64,
+}
+
+pub(super) fn read(reader: &mut Reader) -> UpstreamSettings {
+    UpstreamSettings {
+        endpoints_have_ids: false,
+        connect_timeout_us: reader.ms(SECTION, "connect_timeout_ms", 250.0, 1.0, MINUTE_MS),
+        max_streams: reader.number(SECTION, "max_streams", 1024, 1, 1_000_000),
+        idle_timeout_us: reader.ms(SECTION, "idle_ms", MINUTE_MS, 100.0, HOUR_MS),
+        hello_timeout_us: reader.ms(SECTION, "hello_timeout_ms", 100.0, 0.0, 10_000.0),
+        bind: reader.optional(SECTION, "bind", "an IP address"),
+        ping_when_awaiting_us: reader.ms(SECTION, "quiet_ping_ms", 2_000.0, 10.0, MINUTE_MS),
+        ping_when_idle_us: reader.ms(SECTION, "idle_ping_ms", 15_000.0, 0.0, HOUR_MS),
+        ping_timeout_us: reader.ms(SECTION, "ping_timeout_ms", 1_000.0, 10.0, MINUTE_MS),
+    }
+}
--- /dev/null
+++ b/crates/config/src/dispatcher/zones.rs
@@ -0,0 +1,40 @@
+//! The `[zone NAME]` sections.
+use crate::reader::Reader;
+use pointspindle::Zone;
+
+/// The zones of the fleet. Without any `[zone …]` section, the dispatcher's own zone is the only one.
+pub(super) struct Zones {
+    /// Names, by the decision module's zone number.
+    pub(super) names: Vec<String>,
+    /// The decision module's view, by zone number.
+    pub(super) fleet: Vec<Zone>,
+    /// Number of the dispatcher's own zone.
+    pub(super) own: usize,
+}
+
+pub(super) fn read(reader: &mut Reader, own_zone: &str, dispatchers: u32) -> Zones {
+    let mut names = reader.named("zone");
+    let mut fleet: Vec<Zone> = names.iter().map(|name| read_zone(reader, name)).collect();
+    if names.is_empty() && !own_zone.is_empty() {
+        names.push(own_zone.to_owned());
+        fleet.push(Zone {
+            routers: dispatchers,
+        });
+    }
+    let own = names.iter().position(|name| name == own_zone);
+    if own.is_none() && !own_zone.is_empty() {
+        let reason = format!("{own_zone:?} is none of the [zone …] sections");
+        reader.report("dispatcher", "zone", &reason);
+    }
+    Zones {
+        names,
+        fleet,
+        own: own.unwrap_or(0),
+    }
+}
+
+fn read_zone(reader: &mut Reader, name: &str) -> Zone {
+    Zone {
+        routers: reader.number(&format!("zone {name}"), "dispatchers", 0, 0, 100_000),
+    }
+}
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,50 +1,61 @@
-//! Settings of a dispatcher as INI, one section a concern, every complaint with file, line, key and reason.
+//! Settings of a dispatcher and of a cache host as INI: one section per concern, every error with file, line, key and
+//! reason.
 //!
-//! [`load`] reads a file; nothing starts with a wrong one. `examples/edge.ini` shows every key.
+//! [`load`] and [`load_cache`] read a file and fail if anything in it is wrong. `examples/edge.ini` and
+//! `examples/cache.ini` show every key.
 #![forbid(unsafe_code)]
+#![warn(missing_docs, missing_debug_implementations)]
 
-mod cache;
-mod members;
+mod cache_host;
+mod dispatcher;
+mod document;
+mod endpoints;
+mod error;
 mod reader;
-mod schema;
+mod slow_start;
 
-pub use cache::{CacheClass, CacheHostSettings, OriginSettings, StoreSettings};
-pub use members::{EndpointSpec, Role};
-pub use reader::{ConfigError, ConfigErrors, Reader};
-pub use schema::{
+pub use cache_host::{CacheClass, CacheHostSettings, OriginSettings, StoreSettings};
+pub use dispatcher::{
     ClassSettings, DispatcherSettings, EtcdSettings, ListenSettings, NetworkQuota, TlsSettings,
     UpstreamSettings,
 };
+pub use endpoints::{EndpointSpec, Role};
+pub use error::{ConfigError, ConfigErrors};
+pub use reader::Reader;
 
 use std::path::Path;
 
 /// Reads and checks the settings of a dispatcher.
 pub fn load(path: &Path) -> Result<DispatcherSettings, ConfigErrors> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| ConfigErrors::single(&name, 0, "", &format!("cannot be read: {e}")))?;
-    parse(&name, &text)
+    parse(&file_name(path), &read_file(path)?)
 }
 
 /// Reads and checks the settings of a cache host.
 pub fn load_cache(path: &Path) -> Result<CacheHostSettings, ConfigErrors> {
-    let name = path.display().to_string();
-    let text = std::fs::read_to_string(path)
-        .map_err(|e| ConfigErrors::single(&name, 0, "", &format!("cannot be read: {e}")))?;
-    parse_cache(&name, &text)
+    parse_cache(&file_name(path), &read_file(path)?)
 }
 
+/// Reads and checks a cache host's settings from a text; `name` stands for the file in errors.
 pub fn parse_cache(name: &str, text: &str) -> Result<CacheHostSettings, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
-    let settings = cache::read(&mut reader);
+    let settings = cache_host::read(&mut reader);
     reader.finish()?;
-    settings.ok_or_else(|| ConfigErrors::single(name, 0, "", "nothing to start with"))
+    Ok(settings)
 }
 
-/// Reads and checks settings from a text; `name` stands in complaints.
+/// Reads and checks a dispatcher's settings from a text; `name` stands for the file in errors.
 pub fn parse(name: &str, text: &str) -> Result<DispatcherSettings, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
-    let settings = schema::read(&mut reader);
+    let settings = dispatcher::read(&mut reader);
     reader.finish()?;
-    settings.ok_or_else(|| ConfigErrors::single(name, 0, "", "nothing to start with"))
+    Ok(settings)
+}
+
+fn file_name(path: &Path) -> String {
+    path.display().to_string()
+}
+
+fn read_file(path: &Path) -> Result<String, ConfigErrors> {
+    std::fs::read_to_string(path)
+        .map_err(|error| ConfigErrors::unreadable(&file_name(path), &error))
 }
--- /dev/null
+++ b/crates/config/src/slow_start.rs
@@ -0,0 +1,13 @@
+//! The `[cold …]` sections: how much an endpoint with a cold cache may be given.
+use crate::reader::Reader;
+use pointspindle::SlowStartRule;
+
+/// Reads one section of slow-start settings.
+pub(crate) fn read(reader: &mut Reader, section: &str) -> SlowStartRule {
+    SlowStartRule {
+        initial_share: reader.number(section, "start_share", 0.2, 0.0, 1.0),
+        ramp: reader.ms(section, "warm_within_ms", 20_000.0, 0.0, 3_600_000.0),
+        overload_factor: reader.number(section, "multiple", 2.0, 0.1, 1000.0),
+        overload_window: reader.ms(section, "window_ms", 1_000.0, 1.0, 600_000.0),
+    }
+}
