--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,12 +1,14 @@
 //! The protocols of the edge, without I/O.
 //!
 //! * [`frame`]: the framed, multiplexed main protocol as a [`tokio_util::codec`]. `docs/protocol.md` specifies it.
-//! * [`messages`]: what its frame heads carry; unknown fields are skipped, so heads may grow.
+//! * [`messages`]: the payloads of its frames; unknown fields are skipped, so that messages may grow.
 //! * [`streams`]: which frames a peer may send on which stream, and how many bytes (the credit).
-//! * [`http`]: HTTP/1.1 requests and answers beside it, over `httparse`.
+//! * [`http`]: HTTP/1.1 requests and responses, over `httparse`.
+//! * [`range`]: byte ranges, for both.
 //!
-//! Every length that comes from a peer is limited; the limits stand as constants with their reason.
+//! Every length that a peer sends is limited by a constant.
 #![forbid(unsafe_code)]
+#![warn(missing_docs, missing_debug_implementations)]
 
 pub mod frame;
 pub mod http;
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! The framed codec against what a broken or hostile peer may send.
+//! The framed codec and the checks of streams against broken or hostile peers.
 use bytes::{BufMut, Bytes, BytesMut};
 use pointspindle_protocol::streams::*;
 use pointspindle_protocol::*;
@@ -30,9 +30,8 @@
     }
 }
 
-#[test]
-fn frames_come_out_as_they_went_in_however_the_bytes_are_cut() {
-    let sent = vec![
+fn sample_frames() -> Vec<Frame> {
+    vec![
         Frame::Request(1, request("a")),
         Frame::Head(
             1,
@@ -84,24 +83,31 @@
             on_request: true,
             in_reply: true,
         }),
-    ];
-    let whole = bytes_of(&sent);
-    for step in [1, 2, 7, 64, whole.len()] {
-        let (mut codec, mut src, mut got) = (FrameCodec::default(), BytesMut::new(), vec![]);
-        for piece in whole.chunks(step) {
+    ]
+}
+
+#[test]
+fn frames_decode_as_encoded_for_any_chunk_size() {
+    let sent = sample_frames();
+    let encoded = bytes_of(&sent);
+    for step in [1, 2, 7, 64, encoded.len()] {
+        let mut codec = FrameCodec::default();
+        let mut src = BytesMut::new();
+        let mut decoded = vec![];
+        for piece in encoded.chunks(step) {
             src.extend_from_slice(piece);
             while let Some(frame) = codec.decode(&mut src).unwrap() {
-                got.push(frame);
+                decoded.push(frame);
             }
         }
-        assert_eq!(got, sent, "cut every {step} bytes");
+        assert_eq!(decoded, sent, "chunks of {step} bytes");
     }
 }
 
 #[test]
-fn a_later_peer_may_add_fields_and_frames() {
+fn unknown_fields_and_frame_types_are_skipped() {
     let mut raw = BytesMut::from(&pointspindle_protocol::frame::PREFACE[..]);
-    // A frame type of a later minor version, then a cancel with a field (tag 15) that is not known here.
+    // A frame type of a later minor version, then a cancel with a field (tag 15) that is not known answerer.
     raw.put_slice(&[0, 0, 0, 2, 200, 0, 0, 0, 0, 9, 9]);
     raw.put_slice(&[0, 0, 0, 5, 6, 0, 0, 0, 1, 10, 1, b'x', 120, 1]);
     let mut codec = FrameCodec::default();
@@ -111,12 +117,12 @@
 }
 
 #[test]
-fn what_is_not_the_protocol_is_told_from_what_is_cut_short() {
+fn invalid_preface_long_frame_and_truncated_frame_are_distinct_errors() {
     let mut codec = FrameCodec::default();
     let mut http = BytesMut::from("GE");
     assert!(
         matches!(codec.decode(&mut http), Err(FrameError::Preface(_))),
-        "two bytes are enough to tell"
+        "two bytes are enough"
     );
     let mut later = BytesMut::from(&b"PSPN\x02\0\0\0"[..]);
     assert!(matches!(
@@ -126,17 +132,17 @@
     let mut long = bytes_of(&[]);
     long.put_slice(&pointspindle_protocol::frame::PREFACE);
     long.put_slice(&[0, 1, 0, 1, 3, 0, 0, 0, 1]);
-    let told = FrameCodec::default().decode(&mut long);
+    let decoded = FrameCodec::default().decode(&mut long);
     assert!(
         matches!(
-            told,
+            decoded,
             Err(FrameError::TooLong {
                 kind: 3,
                 len: 65537,
                 ..
             })
         ),
-        "{told:?}"
+        "{decoded:?}"
     );
     let mut cut = bytes_of(&[Frame::Request(1, request("a"))]);
     cut.truncate(cut.len() - 1);
@@ -147,30 +153,33 @@
 }
 
 #[test]
-fn a_peer_that_breaks_the_order_of_a_stream_is_found() {
-    let mut here = Streams::new(Side::Answerer, 2);
-    assert!(here.receive(Frame::Request(5, request("a"))).is_ok());
+fn requests_with_used_number_or_above_limit_are_errors() {
+    let mut answerer = Streams::new(Side::Answerer, 2);
+    assert!(answerer.receive(Frame::Request(5, request("a"))).is_ok());
     assert_eq!(
-        here.receive(Frame::Request(5, request("a"))),
+        answerer.receive(Frame::Request(5, request("a"))),
         Err(StreamError::Reused(5))
     );
     assert_eq!(
-        here.receive(Frame::Request(4, request("a"))),
+        answerer.receive(Frame::Request(4, request("a"))),
         Err(StreamError::Reused(4))
     );
-    assert!(here.receive(Frame::Request(6, request("a"))).is_ok());
+    assert!(answerer.receive(Frame::Request(6, request("a"))).is_ok());
     assert_eq!(
-        here.receive(Frame::Request(7, request("a"))),
-        Err(StreamError::TooMany(2))
+        answerer.receive(Frame::Request(7, request("a"))),
+        Err(StreamError::TooManyStreams(2))
     );
-    here.close(5);
+    answerer.close(5);
     assert!(
-        here.receive(Frame::Request(8, request("a"))).is_ok(),
-        "an answered stream makes room"
+        answerer.receive(Frame::Request(8, request("a"))).is_ok(),
+        "a closed stream frees its place"
     );
+}
 
+#[test]
+fn response_frames_out_of_order_are_errors() {
     let mut caller = Streams::new(Side::Caller, 3);
-    let id = caller.call().unwrap();
+    let id = caller.open_call().unwrap();
     let data = |n: usize| Frame::Data(id, Bytes::from(vec![0; n]));
     assert_eq!(
         caller.receive(data(1)),
@@ -187,8 +196,13 @@
             load: None,
         },
     );
-    assert!(caller.receive(short).is_err(), "a silently short answer");
-    let done = caller.call().unwrap();
+    assert!(caller.receive(short).is_err(), "a silently short response");
+}
+
+#[test]
+fn response_after_end_is_error_and_after_cancel_ignored() {
+    let mut caller = Streams::new(Side::Caller, 3);
+    let done = caller.open_call().unwrap();
     caller
         .receive(Frame::Head(done, ResponseHead::default()))
         .unwrap();
@@ -197,13 +211,13 @@
         .unwrap();
     let twice = caller.receive(Frame::End(done, EndHead::default()));
     assert_eq!(twice, Err(StreamError::AfterEnd(done)), "a second end");
-    let left = caller.call().unwrap();
+    let left = caller.open_call().unwrap();
     caller.close(left);
     let late = caller.receive(Frame::Head(left, ResponseHead::default()));
     assert_eq!(
         late,
         Ok(Received::Ignored { body: 0 }),
-        "an answer that crossed our cancel"
+        "a response that crossed the cancel"
     );
     let stray = Frame::Head(99, ResponseHead::default());
     assert!(matches!(
@@ -213,9 +227,10 @@
 }
 
 #[test]
-fn credit_that_is_not_given_back_stops_one_stream_and_not_the_connection() {
+fn exhausted_stream_credit_stalls_only_that_stream() {
     let mut caller = Streams::new(Side::Caller, 8);
-    let (slow, quick) = (caller.call().unwrap(), caller.call().unwrap());
+    let slow = caller.open_call().unwrap();
+    let quick = caller.open_call().unwrap();
     for id in [slow, quick] {
         caller
             .receive(Frame::Head(id, ResponseHead::default()))
@@ -224,12 +239,12 @@
     let chunk = Bytes::from(vec![0; MAX_DATA]);
     for _ in 0..STREAM_WINDOW as usize / MAX_DATA {
         caller.receive(Frame::Data(slow, chunk.clone())).unwrap();
-        caller.give_back_connection(MAX_DATA as u32);
+        caller.return_connection_credit(MAX_DATA as u32);
     }
     for _ in 0..100 {
         caller.receive(Frame::Data(quick, chunk.clone())).unwrap();
-        caller.give_back_connection(MAX_DATA as u32);
-        assert!(caller.give_back(quick, MAX_DATA as u32));
+        caller.return_connection_credit(MAX_DATA as u32);
+        assert!(caller.return_credit(quick, MAX_DATA as u32));
     }
     let over = caller.receive(Frame::Data(slow, Bytes::from_static(b"x")));
     assert_eq!(over, Err(StreamError::OverCredit(slow, 1)));
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,19 +1,19 @@
-//! HTTP/1.1 as it should be, and as smugglers and floods send it.
+//! HTTP/1.1 messages: valid ones, ambiguous ones (request smuggling) and oversized ones.
 use bytes::BytesMut;
 use pointspindle_protocol::http::*;
 use pointspindle_protocol::range::{Range, ResolvedRange};
 use tokio_util::codec::Decoder;
 
-fn read(text: &str) -> Result<Option<HttpRequest>, HttpError> {
+fn decode(text: &str) -> Result<Option<HttpRequest>, HttpError> {
     RequestCodec.decode(&mut BytesMut::from(text))
 }
 
 fn status(text: &str) -> u16 {
-    read(text).expect_err(text).status()
+    decode(text).expect_err(text).status()
 }
 
 #[test]
-fn pipelined_requests_come_out_one_by_one() {
+fn pipelined_requests_are_decoded_one_by_one() {
     let mut src = BytesMut::from(
         "GET /a?part=2 HTTP/1.1\r\nHost: x\r\nRange: bytes=0-9\r\n\r\nHEAD http://x/b HTTP/1.1\r\nhost: x\r\nConnection: close\r\n\r\nGET /c",
     );
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn shapes_that_two_readers_would_read_differently_are_refused() {
+fn ambiguous_requests_are_rejected_with_their_status() {
     let with = |fields: &str| format!("GET /a HTTP/1.1\r\nHost: x\r\n{fields}\r\n\r\n");
     assert_eq!(
         status(&with("Content-Length: 4\r\nTransfer-Encoding: chunked")),
@@ -53,11 +53,11 @@
     assert_eq!(status("GET /a HTTP/1.1\r\n\r\n"), 400, "no host");
     assert_eq!(status("POST /a HTTP/1.1\r\nHost: x\r\n\r\n"), 501);
     assert_eq!(status("GET /a HTTP/2.0\r\nHost: x\r\n\r\n"), 505);
-    assert!(read(&with("Content-Length: 0")).unwrap().is_some());
+    assert!(decode(&with("Content-Length: 0")).unwrap().is_some());
 }
 
 #[test]
-fn floods_of_fields_and_endless_heads_are_cut_off() {
+fn oversized_heads_and_targets_are_rejected() {
     let many = "a: b\r\n".repeat(MAX_FIELDS + 1);
     assert_eq!(status(&format!("GET / HTTP/1.1\r\nHost: x\r\n{many}")), 431);
     let long = "x".repeat(MAX_HTTP_HEAD);
@@ -72,7 +72,7 @@
     );
 }
 
-fn pieces(text: &str, head_only: bool) -> Result<Vec<HttpEvent>, HttpError> {
+fn events(text: &str, head_only: bool) -> Result<Vec<HttpEvent>, HttpError> {
     let mut codec = ResponseCodec::new(head_only);
     let mut src = BytesMut::from(text);
     let mut out = vec![];
@@ -83,10 +83,10 @@
 }
 
 #[test]
-fn answers_end_where_they_say_and_a_short_one_is_an_error() {
+fn response_ends_at_its_length_and_short_one_is_error() {
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-    let body: Vec<u8> = pieces(chunked, false)
+    let body: Vec<u8> = events(chunked, false)
         .unwrap()
         .into_iter()
         .filter_map(|p| {
@@ -100,21 +100,21 @@
         .collect();
     assert_eq!(body, b"abcde");
     assert!(
-        pieces(&chunked[..chunked.len() - 5], false).is_err(),
+        events(&chunked[..chunked.len() - 5], false).is_err(),
         "no last chunk"
     );
-    assert!(pieces(&chunked.replace("3\r\n", "z\r\n"), false).is_err());
-    assert!(pieces(&chunked.replace("3\r\nabc", "2\r\nabc"), false).is_err());
-    assert!(pieces("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false).is_err());
-    let head = pieces("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).unwrap();
+    assert!(events(&chunked.replace("3\r\n", "z\r\n"), false).is_err());
+    assert!(events(&chunked.replace("3\r\nabc", "2\r\nabc"), false).is_err());
+    assert!(events("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false).is_err());
+    let head = events("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).unwrap();
     assert_eq!(head.len(), 2, "a HEAD answer has a length and no body");
     let both =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert!(pieces(both, false).is_err());
+    assert!(events(both, false).is_err());
 }
 
 #[test]
-fn a_written_head_reads_back_and_no_value_breaks_out_of_its_line() {
+fn written_response_head_decodes_without_injected_fields() {
     let fields = vec![("age", "3".to_owned()), ("x", "a\r\nevil: 1".to_owned())];
     let mut dst = BytesMut::new();
     HttpResponse {
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn ranges_follow_rfc_9110() {
+fn byte_ranges_follow_rfc_9110() {
     assert_eq!(
         Range::parse("bytes=0-99").unwrap().apply(50),
         ResolvedRange::Part(0, 49)
--- a/crates/transport/src/reader.rs
+++ b/crates/transport/src/reader.rs
@@ -105,7 +105,10 @@
                 return self.fail(e.into());
             }
             // A known frame is read in one go, whatever the connection has shown.
-            let known = self.codec.wanted().filter(|_| !self.buffer.is_empty());
+            let known = self
+                .codec
+                .read_size_hint()
+                .filter(|_| !self.buffer.is_empty());
             let room = known.unwrap_or(self.size).min(MOST_KNOWN);
             self.buffer.reserve(room);
             match self
--- a/crates/transport/src/tasks.rs
+++ b/crates/transport/src/tasks.rs
@@ -103,7 +103,7 @@
     }
 
     pub(crate) fn give_back(&self, id: u32, taken: u32) {
-        if self.table().streams.give_back(id, taken) {
+        if self.table().streams.return_credit(id, taken) {
             self.push(Frame::Credit(id, taken));
         }
     }
@@ -239,7 +239,7 @@
             }
             let id = table
                 .streams
-                .call()
+                .open_call()
                 .ok_or(ConnectionError::NoStream(self.shared.most))?;
             table.entries.insert(id, Entry::Call(sender.clone()));
             // Under the lock: requests reach the writer in the order of their numbers.
@@ -376,7 +376,7 @@
         }
         unsorted += body;
         if unsorted >= CONNECTION_WINDOW / 4 {
-            shared.table().streams.give_back_connection(unsorted);
+            shared.table().streams.return_connection_credit(unsorted);
             shared.push(Frame::Credit(0, unsorted));
             unsorted = 0;
         }
@@ -464,7 +464,7 @@
         }
         Ok(Received::Ignored { .. }) => Ok(()),
         // Too many streams is the client's haste, not a broken peer: that one stream is turned away.
-        Err(StreamError::TooMany(most)) => {
+        Err(StreamError::TooManyStreams(most)) => {
             let error = ErrorHead {
                 status: WireStatus::Rejected as i32,
                 detail: format!("{most} streams are open on this connection"),
