--- a/crates/transport/src/accept/tests.rs
+++ b/crates/transport/src/accept/tests.rs
@@ -1,7 +1,9 @@
+//! Classification of accept errors, and draining of the accept queue.
 use super::*;
+use crate::network::Network;
 
 #[test]
-fn each_error_concerns_a_connection_the_process_or_the_machine() {
+fn accept_error_is_classified_by_its_number() {
     let of = |number| AcceptFailure::of(&Error::from_raw_os_error(number));
     for number in [
         libc::ECONNABORTED,
@@ -21,3 +23,25 @@
         AcceptFailure::Shortage
     );
 }
+
+#[tokio::test]
+async fn drained_queue_serves_every_waiting_connection_then_refuses() {
+    let local: SocketAddr = "127.0.0.1:0".parse().unwrap();
+    let listener = Network::Tcp.listen(local).await.unwrap();
+    let address = listener.local_addr().unwrap();
+    let mut clients = Vec::new();
+    for _ in 0..3 {
+        clients.push(Network::Tcp.connect(None, address).await.unwrap());
+    }
+    let mut served = Vec::new();
+    let no_pause = |error: Error| async move { panic!("accept failed: {error}") };
+    listener
+        .drain_accept_queue(0, |socket, _| served.push(socket), no_pause)
+        .await;
+    assert_eq!(served.len(), clients.len());
+    let refused = Network::Tcp.connect(None, address).await;
+    assert_eq!(
+        refused.unwrap_err().kind(),
+        std::io::ErrorKind::ConnectionRefused
+    );
+}
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -1,24 +1,25 @@
-//! Connecting, with the local machine's shortages told from the peer's.
-use crate::line::{Network, Socket};
+//! Connecting within a time, with failures of the local machine kept apart from those of the peer.
+use crate::network::Network;
+use crate::socket::Socket;
 use std::io::Error;
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After a shortage of the local machine a connection is tried again after this, then twice as long each time.
-const AGAIN: Duration = Duration::from_millis(5);
-const AGAIN_MOST: Duration = Duration::from_millis(100);
+/// Pause before the first retry after a shortage of the local machine; doubled for each further one.
+const MIN_RETRY_PAUSE: Duration = Duration::from_millis(5);
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why there is no connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// This machine had no descriptor, memory, port or route for it, in all the time that there was: no word about the peer.
+    /// The local machine lacked a descriptor, memory, a port or a route for all of the time: nothing is known of the peer.
     #[error("the local machine cannot connect: {0}")]
     Local(Error),
     /// The peer refuses, or cannot be reached.
     #[error(transparent)]
     Peer(Error),
-    /// Nothing was heard of the peer.
+    /// The peer did not answer.
     #[error("no connection in time")]
     NotInTime,
 }
@@ -30,7 +31,7 @@
     }
 }
 
-/// Whether a failed `socket`, `bind` or `connect` tells of the local machine alone.
+/// Whether a failed `socket`, `bind` or `connect` concerns the local machine alone.
 fn is_local(error: &Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -50,29 +51,31 @@
 }
 
 impl Network {
-    /// Connects within a time. What the local machine is short of for a moment is waited for.
+    /// Connects within a time, from a local address if one is given. Shortages of the local machine are retried.
     pub async fn connect_within(
         &self,
         from: Option<IpAddr>,
         to: SocketAddr,
-        longest: Duration,
+        timeout: Duration,
     ) -> Result<Socket, ConnectFailure> {
-        let deadline = Instant::now() + longest;
-        let mut pause = AGAIN;
+        let deadline = Instant::now() + timeout;
+        let mut pause = MIN_RETRY_PAUSE;
         loop {
-            match tokio::time::timeout_at(deadline, self.connect(from, to)).await {
-                Ok(Ok(line)) => return Ok(line),
-                Ok(Err(e)) if !is_local(&e) => return Err(ConnectFailure::Peer(e)),
-                Ok(Err(e)) if Instant::now() + pause >= deadline => {
-                    return Err(ConnectFailure::Local(e))
-                }
-                Ok(Err(e)) => {
-                    tracing::debug!(error = %e, %to, "the local machine cannot connect yet");
-                    tokio::time::sleep(pause).await;
-                    pause = (pause * 2).min(AGAIN_MOST);
-                }
+            let connected = tokio::time::timeout_at(deadline, self.connect(from, to)).await;
+            let error = match connected {
+                Ok(Ok(socket)) => return Ok(socket),
+                Ok(Err(error)) => error,
                 Err(_) => return Err(ConnectFailure::NotInTime),
+            };
+            if !is_local(&error) {
+                return Err(ConnectFailure::Peer(error));
             }
+            if Instant::now() + pause >= deadline {
+                return Err(ConnectFailure::Local(error));
+            }
+            tracing::debug!(%error, %to, "the local machine cannot connect yet");
+            tokio::time::sleep(pause).await;
+            pause = (pause * 2).min(MAX_RETRY_PAUSE);
         }
     }
 }
--- /dev/null
+++ b/crates/transport/src/connection/receive.rs
@@ -0,0 +1,152 @@
+//! The reader's task of a connection.
+use super::shared::Shared;
+use super::Inbound;
+use crate::frame_reader::FrameReader;
+use crate::writer::SendTime;
+use crate::ConnectionError;
+use pointspindle_protocol::streams::*;
+use pointspindle_protocol::*;
+use std::sync::Arc;
+use tokio::sync::mpsc;
+
+/// Delivered bytes after which the connection's credit is returned.
+const CREDIT_RETURN_AT: u32 = CONNECTION_WINDOW / 4;
+
+/// Why the reader's task closes the connection.
+#[derive(Debug, thiserror::Error)]
+enum ReceiveError {
+    #[error("the peer closed the connection")]
+    PeerClosed,
+    #[error(transparent)]
+    Frame(#[from] FrameError),
+    #[error(transparent)]
+    Stream(#[from] StreamError),
+    #[error(transparent)]
+    Connection(#[from] ConnectionError),
+    /// The owner has dropped [`super::Incoming`].
+    #[error("nobody takes requests here")]
+    RequestsNotTaken,
+    #[error("nobody takes control frames here")]
+    ControlNotTaken,
+}
+
+/// Receives frames until the connection closes, and closes it at an error.
+pub(super) async fn run(
+    mut frames: FrameReader<FrameCodec>,
+    incoming: mpsc::Sender<Box<Inbound>>,
+    shared: Arc<Shared>,
+) {
+    let mut closed = shared.closed.subscribe();
+    let mut receiver = Receiver {
+        incoming,
+        shared: shared.clone(),
+        unreturned_credit: 0,
+    };
+    loop {
+        // A frame that was received is processed completely, also after the connection has closed.
+        let frame = tokio::select! {
+            frame = frames.next() => frame,
+            _ = closed.wait_for(|closed| *closed) => return,
+        };
+        if let Err(error) = receiver.receive(frame).await {
+            return shared.close(&error.to_string());
+        }
+    }
+}
+
+/// Passes received frames to where they belong.
+struct Receiver {
+    incoming: mpsc::Sender<Box<Inbound>>,
+    shared: Arc<Shared>,
+    /// Delivered bytes for which the connection's credit has not been returned yet.
+    unreturned_credit: u32,
+}
+
+impl Receiver {
+    async fn receive(
+        &mut self,
+        frame: Option<Result<Frame, FrameError>>,
+    ) -> Result<(), ReceiveError> {
+        let frame = frame.ok_or(ReceiveError::PeerClosed)??;
+        self.shared.record_frame();
+        let body = match &frame {
+            Frame::Data(_, data) => data.len() as u32,
+            _ => 0,
+        };
+        self.process(frame).await?;
+        self.unreturned_credit += body;
+        if self.unreturned_credit >= CREDIT_RETURN_AT {
+            self.shared.return_connection_credit(self.unreturned_credit);
+            self.unreturned_credit = 0;
+        }
+        Ok(())
+    }
+
+    async fn process(&self, frame: Frame) -> Result<(), ReceiveError> {
+        let request_id = match &frame {
+            Frame::Request(id, _) => Some(*id),
+            _ => None,
+        };
+        let received = self.shared.table().streams.receive(frame);
+        match (received, request_id) {
+            (Ok(Received::Stream { id, frame, closed }), _) => {
+                self.process_stream_frame(id, frame, closed).await
+            }
+            (Ok(Received::Control(frame)), _) => self.process_control(frame).await,
+            (Ok(Received::Credit { id, more }), _) => {
+                if !self.shared.grant_credit(id, more) {
+                    return Err(StreamError::CreditTooLarge(id).into());
+                }
+                Ok(())
+            }
+            (Ok(Received::Ignored { .. }), _) => Ok(()),
+            (Err(StreamError::TooManyStreams(max)), Some(id)) => self.reject_request(id, max).await,
+            (Err(error), _) => Err(error.into()),
+        }
+    }
+
+    async fn process_stream_frame(
+        &self,
+        id: u32,
+        frame: Frame,
+        closed: bool,
+    ) -> Result<(), ReceiveError> {
+        let Frame::Request(_, head) = frame else {
+            self.shared.deliver(id, frame, closed);
+            return Ok(());
+        };
+        let responder = self.shared.open_responder(id);
+        self.pass_on(
+            Inbound::Request(head, responder),
+            ReceiveError::RequestsNotTaken,
+        )
+        .await
+    }
+
+    async fn process_control(&self, frame: Frame) -> Result<(), ReceiveError> {
+        if matches!(frame, Frame::GoAway(_)) {
+            self.shared.table().peer_going_away = true;
+        }
+        self.pass_on(Inbound::Control(frame), ReceiveError::ControlNotTaken)
+            .await
+    }
+
+    /// Waits while the owner is behind: the peer then waits for its socket, and no queue grows.
+    async fn pass_on(&self, inbound: Inbound, error: ReceiveError) -> Result<(), ReceiveError> {
+        let sent = self.incoming.send(Box::new(inbound)).await;
+        sent.map_err(|_| error)
+    }
+
+    /// Answers a request above the limit of streams: one request is rejected, the connection stays.
+    async fn reject_request(&self, id: u32, max_streams: usize) -> Result<(), ReceiveError> {
+        let error = ErrorHead {
+            status: WireStatus::Rejected as i32,
+            detail: format!("{max_streams} streams are open on this connection"),
+            ..Default::default()
+        };
+        self.shared
+            .send(Frame::Error(id, error), SendTime::Now)
+            .await?;
+        Ok(())
+    }
+}
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,46 +1,50 @@
 //! One framed connection as a pair of tokio tasks, for either end of it.
 //!
-//! A reader task judges frames with [`pointspindle_protocol::streams`] and hands them to their streams; a writer
-//! task does what the socket did not take when the frame's own sender wrote it. Bodies are sent under credit: a sender
-//! waits for its stream's, then for the connection's, then for room at the writer.
+//! A reader task checks frames with [`pointspindle_protocol::streams`] and passes them to their streams; a writer task writes
+//! what the socket did not accept when the frame's own sender wrote it. Bodies are sent under credit: a sender waits for its
+//! stream's credit, then for the connection's, then for space in the writer's queue.
 //!
-//! Kept for each stream: an entry in one table and an unread buffer of at most
-//! [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW) bytes; both are forgotten when its handle is dropped.
+//! State of each stream: an entry in one table and an unread buffer of at most
+//! [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW) bytes; both are released when its handle is dropped.
 #![forbid(unsafe_code)]
+#![warn(missing_docs, missing_debug_implementations)]
 
 mod accept;
+mod buffer_meter;
 mod call;
 mod connect;
+mod connection;
 mod credit;
-mod line;
-mod meter;
-mod reader;
+mod frame_reader;
+mod lock;
+mod network;
+mod retrying_io;
 pub mod simulated;
-mod steady;
-mod tasks;
+mod socket;
 pub mod tls;
 mod writer;
 
 pub use accept::AcceptFailure;
+pub use buffer_meter::BufferMeter;
 pub use call::{Call, CallEnd, Responder, ResponsePart};
 pub use connect::ConnectFailure;
-pub use line::{Listener, Network, ReadHalf, Socket, WriteHalf};
-pub use meter::BufferMeter;
-pub use reader::{FrameReader, IdleState};
-pub use steady::{SteadyRead, SteadyWrite};
-pub use tasks::{ConnectionOptions, FramedConnection, Inbound, Incoming};
+pub use connection::{ConnectionOptions, FramedConnection, Inbound, Incoming};
+pub use frame_reader::{FrameReader, IdleState};
+pub use network::{Listener, Network};
+pub use retrying_io::{SteadyRead, SteadyWrite};
+pub use socket::{ReadHalf, Socket, WriteHalf};
 pub use writer::DeferredRequest;
 
-/// Why nothing could be sent, or nothing more will come.
+/// Why a frame could not be sent.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConnectionError {
-    /// Nothing was sent.
+    /// The connection has closed; nothing was sent.
     #[error("the connection is closed: {0}")]
     Closed(String),
-    /// Nothing was sent.
+    /// Too many streams are open; nothing was sent.
     #[error("all {0} streams of the connection are in use")]
     NoStream(usize),
-    /// The peer wants nothing more of this stream.
+    /// The peer has cancelled the stream.
     #[error("the peer has cancelled: {0}")]
     Cancelled(String),
 }
--- a/crates/transport/src/steady.rs
+++ b/crates/transport/src/retrying_io.rs
@@ -1,8 +1,8 @@
-//! Halves of a TCP connection that take no short or interrupted call for its end.
+//! Halves of a TCP connection that retry interrupted calls and calls that found the socket not ready.
 //!
-//! tokio's own reads and writes wait for the next event of the socket once a call has moved fewer bytes than asked for, and
-//! hand an interrupted call on as an error. Here a short call is followed by another one, until the socket says that it has or
-//! takes nothing more, and an interrupted one is made again.
+//! tokio's own reads and writes wait for the next event of the socket once a call has moved fewer bytes than requested, and
+//! pass an interrupted call on as an error. Here a short call is followed by another one, until the socket has or takes
+//! nothing more, and an interrupted call is repeated.
 use socket2::SockRef;
 use std::io::{ErrorKind, IoSlice, Read, Result};
 use std::pin::Pin;
@@ -10,29 +10,31 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 
-/// The reading half.
+/// The reading half of a TCP connection.
 #[derive(Debug)]
 pub struct SteadyRead {
     half: OwnedReadHalf,
 }
 
-/// The writing half; the direction is shut down when it is dropped.
+/// The writing half of a TCP connection; dropping it shuts the direction down.
 #[derive(Debug)]
 pub struct SteadyWrite {
     half: OwnedWriteHalf,
 }
 
-/// Whether a call is to be made again at once, or when the socket is ready.
-fn again(error: &std::io::Error) -> bool {
+/// Whether a call is to be repeated, at once or when the socket is ready.
+fn is_retried(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
 impl SteadyRead {
+    /// Wraps tokio's half.
     pub fn new(half: OwnedReadHalf) -> Self {
         Self { half }
     }
 
-    /// Reads what is there in this moment, whatever the runtime knows of the socket; none: nothing is. Zero: the peer has closed.
+    /// Reads what the socket holds now, regardless of its readiness as the runtime knows it. `None`: nothing is there; zero: the
+    /// peer has closed its direction.
     pub fn read_now(&self, buffer: &mut [u8]) -> Result<Option<usize>> {
         let socket = SockRef::from(self.half.as_ref());
         loop {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Nothing more is written from here: the peer sees the end at once.
+    /// Shuts the writing direction down: the peer sees the end at once.
     pub fn shut_down_writing(&self) -> Result<()> {
         SockRef::from(self.half.as_ref()).shutdown(std::net::Shutdown::Write)
     }
@@ -64,7 +66,7 @@
                     buffer.advance(read);
                     return Poll::Ready(Ok(()));
                 }
-                Err(e) if again(&e) => {}
+                Err(e) if is_retried(&e) => {}
                 Err(e) => return Poll::Ready(Err(e)),
             }
         }
@@ -72,16 +74,21 @@
 }
 
 impl SteadyWrite {
+    /// Wraps tokio's half.
     pub fn new(half: OwnedWriteHalf) -> Self {
         Self { half }
     }
 
-    /// Writes some of `pieces`.
-    fn poll_some(&self, context: &mut Context<'_>, pieces: &[IoSlice<'_>]) -> Poll<Result<usize>> {
+    /// Writes a part of `pieces`.
+    fn poll_write_part(
+        &self,
+        context: &mut Context<'_>,
+        pieces: &[IoSlice<'_>],
+    ) -> Poll<Result<usize>> {
         loop {
             ready!(self.half.as_ref().poll_write_ready(context))?;
             match self.half.try_write_vectored(pieces) {
-                Err(e) if again(&e) => {}
+                Err(e) if is_retried(&e) => {}
                 done => return Poll::Ready(done),
             }
         }
@@ -94,7 +101,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<Result<usize>> {
-        self.poll_some(context, &[IoSlice::new(bytes)])
+        self.poll_write_part(context, &[IoSlice::new(bytes)])
     }
 
     fn poll_write_vectored(
@@ -102,7 +109,7 @@
         context: &mut Context<'_>,
         pieces: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.poll_some(context, pieces)
+        self.poll_write_part(context, pieces)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -1,42 +1,51 @@
-//! A network in memory, on tokio's clock: under a paused clock a day of the real shell takes as long as its work.
+//! A network in memory, on tokio's clock: under a paused clock a simulated day takes only as long as its computation.
 //!
-//! Each connection is two directions of a stream. What is written arrives after the way's latency, later when a segment is
-//! lost (it is sent again, as TCP does, and what follows waits for it), in order within its direction; connections overtake each
-//! other. A parted way delivers nothing, in neither direction, and tells nobody: after it is healed, what was sent arrives. A cut is
-//! seen at once by both ends.
+//! Each connection has two directions. What is written arrives after the latency of the link, later if a segment is lost (it
+//! is retransmitted as by TCP, and later segments wait for it), in order within its direction; connections overtake each
+//! other. A partitioned link delivers nothing in either direction and reports no error: after it is healed, what was sent
+//! arrives. A cut is seen at once by both ends.
 //!
-//! Kept: a direction's unread bytes, at most [`WINDOW`]; a listener's queue; a way for each pair of addresses that ever
-//! spoke (a simulation has few).
-use crate::line::{Socket, LEAVING_LOOK};
-use bytes::{Buf, Bytes, BytesMut};
+//! State: a direction's unread bytes, at most [`WINDOW`](direction::WINDOW); a listener's queue, at most [`BACKLOG`]; a link
+//! for each pair of addresses that ever communicated, which is never forgotten (a simulation has few).
+mod direction;
+mod halves;
+mod link;
+mod listener;
+
+pub use halves::{SimulatedReadHalf, SimulatedWriteHalf};
+pub use listener::SimulatedListener;
+
+use crate::lock::lock;
+use crate::socket::Socket;
+use direction::Direction;
+use link::Link;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use std::collections::{BTreeMap, VecDeque};
-use std::future::Future;
-use std::io::{Error, ErrorKind, IoSlice, Result};
+use std::collections::BTreeMap;
+use std::io::{Error, ErrorKind, Result};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
-use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, Weak};
-use std::task::{Context, Poll, Waker};
+use std::sync::{Arc, Mutex, Weak};
 use std::time::Duration;
-use tokio::sync::{mpsc, Notify};
-use tokio::time::{Instant, Sleep};
+use tokio::sync::mpsc;
 
-/// Bytes that a direction holds before its writer waits: a socket's two buffers.
-const WINDOW: usize = 256 * 1024;
 /// Connections that wait to be accepted; more are refused.
 const BACKLOG: usize = 1024;
+/// Ports below this are never assigned.
+const MIN_ASSIGNED_PORT: u16 = 20_000;
+/// Closed directions are removed when there are more entries than this, and than twice those left by the last removal.
+const MIN_SWEEP: usize = 256;
 
 /// How a network behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkConditions {
-    /// One way.
+    /// Time that a segment takes in one direction.
     pub latency: Duration,
-    /// Up to so much more, drawn for each piece.
+    /// Upper bound of an additional time, drawn for each segment.
     pub jitter: Duration,
-    /// Share of pieces that have to be sent again, and how much later they then arrive.
+    /// Share of segments that are lost and retransmitted.
     pub loss: f64,
+    /// Additional time of a retransmitted segment.
     pub resend: Duration,
 }
 
@@ -51,425 +60,203 @@
     }
 }
 
-fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex
-        .lock()
-        .unwrap_or_else(|poisoned| poisoned.into_inner())
-}
-
-/// Between two addresses.
-#[derive(Debug, Default)]
-struct Road {
-    parted: AtomicBool,
-    healed: Notify,
+/// One direction of a connection, by its addresses.
+#[derive(Debug)]
+struct DirectionEntry {
+    from: IpAddr,
+    to: IpAddr,
+    direction: Weak<Direction>,
 }
 
 #[derive(Debug)]
-struct Inner {
-    weather: NetworkConditions,
-    dice: StdRng,
+struct NetworkState {
+    conditions: NetworkConditions,
+    rng: StdRng,
     listeners: BTreeMap<SocketAddr, mpsc::Sender<(Socket, SocketAddr)>>,
-    roads: BTreeMap<(IpAddr, IpAddr), Arc<Road>>,
-    ways: Vec<(IpAddr, IpAddr, Weak<Way>)>,
-    sweep_at: usize,
-    port: u16,
+    /// By the lower and the higher address.
+    links: BTreeMap<(IpAddr, IpAddr), Arc<Link>>,
+    directions: Vec<DirectionEntry>,
+    /// Number of entries above which closed directions are removed.
+    sweep_above: usize,
+    last_port: u16,
 }
 
-/// Clones are the same network, seen from the same process.
-#[derive(Clone, Debug)]
-pub struct SimulatedNetwork(Arc<Mutex<Inner>>, Arc<AtomicBool>);
+impl NetworkState {
+    fn assign_port(&mut self) -> u16 {
+        self.last_port = self.last_port.wrapping_add(1).max(MIN_ASSIGNED_PORT);
+        self.last_port
+    }
 
-/// One direction of a connection.
-#[derive(Debug)]
-struct Way {
-    net: SimulatedNetwork,
-    road: Arc<Road>,
-    state: Mutex<WayState>,
-}
+    fn add_direction(&mut self, from: IpAddr, to: IpAddr, direction: &Arc<Direction>) {
+        let direction = Arc::downgrade(direction);
+        self.directions.push(DirectionEntry {
+            from,
+            to,
+            direction,
+        });
+    }
 
-#[derive(Debug, Default)]
-struct WayState {
-    /// With the time of their arrival, which never goes back.
-    pieces: VecDeque<(Instant, Bytes)>,
-    held: usize,
-    end: Option<Instant>,
-    reader_gone: bool,
-    cut: bool,
-    /// The writer has taken back what was not delivered; seen when the way is open.
-    aborted: bool,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
-    /// Wakes the reader when the first piece arrives.
-    alarm: Option<Pin<Box<Sleep>>>,
+    fn sweep_closed_directions(&mut self) {
+        if self.directions.len() > self.sweep_above {
+            self.directions
+                .retain(|entry| entry.direction.strong_count() > 0);
+            self.sweep_above = MIN_SWEEP.max(2 * self.directions.len());
+        }
+    }
 }
 
-#[derive(Debug)]
-pub struct SimulatedReadHalf(Arc<Way>);
-
-#[derive(Debug)]
-pub struct SimulatedWriteHalf(Arc<Way>);
-
-#[derive(Debug)]
-pub struct SimulatedListener {
-    net: SimulatedNetwork,
-    at: SocketAddr,
-    queue: mpsc::Receiver<(Socket, SocketAddr)>,
+/// A simulated network as one process sees it; clones are the same network and process.
+#[derive(Clone, Debug)]
+pub struct SimulatedNetwork {
+    state: Arc<Mutex<NetworkState>>,
+    process_runs: Arc<AtomicBool>,
 }
 
 impl SimulatedNetwork {
-    pub fn new(weather: NetworkConditions, seed: u64) -> Self {
-        let dice = StdRng::seed_from_u64(seed);
-        let (listeners, roads, ways) = Default::default();
-        let inner = Inner {
-            weather,
-            dice,
-            listeners,
-            roads,
-            ways,
-            sweep_at: 256,
-            port: 20_000,
+    /// An empty network; equal seeds give equal delays.
+    pub fn new(conditions: NetworkConditions, seed: u64) -> Self {
+        let state = NetworkState {
+            conditions,
+            rng: StdRng::seed_from_u64(seed),
+            listeners: BTreeMap::new(),
+            links: BTreeMap::new(),
+            directions: Vec::new(),
+            sweep_above: MIN_SWEEP,
+            last_port: MIN_ASSIGNED_PORT,
         };
-        Self(Arc::new(Mutex::new(inner)), Arc::new(AtomicBool::new(true)))
+        Self {
+            state: Arc::new(Mutex::new(state)),
+            process_runs: Arc::new(AtomicBool::new(true)),
+        }
     }
 
     /// The same network as another process sees it.
     pub fn incarnation(&self) -> Self {
-        Self(self.0.clone(), Arc::new(AtomicBool::new(true)))
+        Self {
+            state: self.state.clone(),
+            process_runs: Arc::new(AtomicBool::new(true)),
+        }
     }
 
-    /// This process is over: what is left of its tasks connects to nobody any more.
+    /// Ends this process: what is left of its tasks can no longer connect.
     pub fn end(&self) {
-        self.1.store(false, Ordering::SeqCst);
+        self.process_runs.store(false, Ordering::SeqCst);
     }
 
+    /// The time that the next segment takes.
     fn delay(&self) -> Duration {
-        let mut net = lock(&self.0);
-        let NetworkConditions {
-            latency,
-            jitter,
-            loss,
-            resend,
-        } = net.weather;
-        let resent = loss > 0.0 && net.dice.gen_bool(loss.min(1.0));
-        latency + jitter.mul_f64(net.dice.gen()) + if resent { resend } else { Duration::ZERO }
+        let mut state = lock(&self.state);
+        let conditions = state.conditions;
+        let lost = conditions.loss > 0.0 && state.rng.gen_bool(conditions.loss.min(1.0));
+        let jitter = conditions.jitter.mul_f64(state.rng.gen());
+        let retransmission = if lost {
+            conditions.resend
+        } else {
+            Duration::ZERO
+        };
+        conditions.latency + jitter + retransmission
     }
 
-    fn road(&self, a: IpAddr, b: IpAddr) -> Arc<Road> {
-        lock(&self.0)
-            .roads
-            .entry((a.min(b), a.max(b)))
-            .or_default()
-            .clone()
+    fn link(&self, a: IpAddr, b: IpAddr) -> Arc<Link> {
+        let mut state = lock(&self.state);
+        let link = state.links.entry((a.min(b), a.max(b))).or_default();
+        link.clone()
     }
 
-    /// From now on nothing passes between these two, and neither is told.
+    /// From now on nothing is delivered between two addresses, without an error at either.
     pub fn partition(&self, a: IpAddr, b: IpAddr) {
-        self.road(a, b).parted.store(true, Ordering::SeqCst);
+        self.link(a, b).partition();
     }
 
+    /// Ends a partition: what was sent meanwhile is delivered.
     pub fn heal(&self, a: IpAddr, b: IpAddr) {
-        let road = self.road(a, b);
-        road.parted.store(false, Ordering::SeqCst);
-        road.healed.notify_waiters();
-        for way in self.ways(|x, y| (x, y) == (a, b) || (x, y) == (b, a)) {
-            way.wake();
+        self.link(a, b).heal();
+        let is_between = |from, to| (from, to) == (a, b) || (from, to) == (b, a);
+        for direction in self.open_directions(is_between) {
+            direction.wake();
         }
     }
 
-    /// Every connection of this address breaks.
+    /// Breaks every connection of an address.
     pub fn cut(&self, address: IpAddr) {
-        for way in self.ways(|a, b| a == address || b == address) {
-            lock(&way.state).cut = true;
-            way.wake();
+        for direction in self.open_directions(|from, to| from == address || to == address) {
+            direction.cut();
         }
     }
 
-    fn ways(&self, fits: impl Fn(IpAddr, IpAddr) -> bool) -> Vec<Arc<Way>> {
-        let net = lock(&self.0);
-        net.ways
+    fn open_directions(&self, matches: impl Fn(IpAddr, IpAddr) -> bool) -> Vec<Arc<Direction>> {
+        let state = lock(&self.state);
+        state
+            .directions
             .iter()
-            .filter(|w| fits(w.0, w.1))
-            .filter_map(|w| w.2.upgrade())
+            .filter(|entry| matches(entry.from, entry.to))
+            .filter_map(|entry| entry.direction.upgrade())
             .collect()
     }
 
-    pub fn listen(&self, mut at: SocketAddr) -> Result<SimulatedListener> {
-        let mut net = lock(&self.0);
-        while at.port() == 0 {
-            net.port = net.port.wrapping_add(1).max(20_000);
-            let free = SocketAddr::new(at.ip(), net.port);
-            if !net.listeners.contains_key(&free) {
-                at = free;
+    /// Listens at an address; port 0 stands for any free port.
+    pub fn listen(&self, mut address: SocketAddr) -> Result<SimulatedListener> {
+        let mut state = lock(&self.state);
+        while address.port() == 0 {
+            let candidate = SocketAddr::new(address.ip(), state.assign_port());
+            if !state.listeners.contains_key(&candidate) {
+                address = candidate;
             }
         }
-        if net.listeners.contains_key(&at) {
-            return Err(Error::new(ErrorKind::AddrInUse, format!("{at} is in use")));
+        if state.listeners.contains_key(&address) {
+            let reason = format!("{address} is in use");
+            return Err(Error::new(ErrorKind::AddrInUse, reason));
         }
         let (sender, queue) = mpsc::channel(BACKLOG);
-        net.listeners.insert(at, sender);
-        drop(net);
-        Ok(SimulatedListener {
-            net: self.clone(),
-            at,
-            queue,
-        })
+        state.listeners.insert(address, sender);
+        drop(state);
+        Ok(SimulatedListener::new(self.clone(), address, queue))
     }
 
-    /// Waits for as long as the way is parted: whoever connects brings a time-out.
+    /// Connects. Waits for as long as the link is partitioned: the caller brings a time-out.
     pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Socket> {
         let from = from.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
-        let road = self.road(from, to.ip());
-        tokio::time::sleep(self.delay() + self.delay()).await;
-        loop {
-            let healed = road.healed.notified();
-            if !road.parted.load(Ordering::SeqCst) {
-                break;
-            }
-            healed.await;
-        }
-        if !self.1.load(Ordering::SeqCst) {
+        let link = self.link(from, to.ip());
+        let round_trip = self.delay() + self.delay();
+        tokio::time::sleep(round_trip).await;
+        link.wait_until_open().await;
+        if !self.process_runs.load(Ordering::SeqCst) {
             return Err(Error::new(ErrorKind::NotConnected, "this process is over"));
         }
-        let (here, there, from, listener) = {
-            let mut net = lock(&self.0);
-            net.port = net.port.wrapping_add(1).max(20_000);
-            let from = SocketAddr::new(from, net.port);
-            let listener = net.listeners.get(&to).cloned();
-            let way = || {
-                Arc::new(Way {
-                    net: self.clone(),
-                    road: road.clone(),
-                    state: Mutex::default(),
-                })
-            };
-            let (out, back) = (way(), way());
-            net.ways.push((from.ip(), to.ip(), Arc::downgrade(&out)));
-            net.ways.push((to.ip(), from.ip(), Arc::downgrade(&back)));
-            if net.ways.len() > net.sweep_at {
-                net.ways.retain(|w| w.2.strong_count() > 0);
-                net.sweep_at = 256.max(2 * net.ways.len());
-            }
-            let here = Socket::Simulated(
-                SimulatedReadHalf(back.clone()),
-                SimulatedWriteHalf(out.clone()),
-            );
-            (
-                here,
-                Socket::Simulated(SimulatedReadHalf(out), SimulatedWriteHalf(back)),
-                from,
-                listener,
-            )
-        };
-        let taken = listener.map(|l| l.try_send((there, from)).is_ok());
-        match taken {
-            Some(true) => Ok(here),
-            _ => Err(Error::new(
-                ErrorKind::ConnectionRefused,
-                format!("nobody listens at {to}"),
-            )),
-        }
-    }
-}
-
-impl SimulatedListener {
-    pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
-        self.queue
-            .recv()
-            .await
-            .ok_or_else(|| ErrorKind::NotConnected.into())
-    }
-
-    pub fn at(&self) -> SocketAddr {
-        self.at
-    }
-}
-
-impl Drop for SimulatedListener {
-    fn drop(&mut self) {
-        lock(&self.net.0).listeners.remove(&self.at);
-    }
-}
-
-impl Way {
-    fn wake(&self) {
-        let (reader, writer) = {
-            let mut state = lock(&self.state);
-            (state.reader.take(), state.writer.take())
-        };
-        for waker in [reader, writer].into_iter().flatten() {
-            waker.wake();
+        let handshake = self.handshake(from, to, link);
+        let accepted = handshake
+            .listener
+            .is_some_and(|queue| queue.try_send((handshake.server, handshake.from)).is_ok());
+        if !accepted {
+            let reason = format!("nobody listens at {to}");
+            return Err(Error::new(ErrorKind::ConnectionRefused, reason));
         }
+        Ok(handshake.client)
     }
 
-    fn parted(&self) -> bool {
-        self.road.parted.load(Ordering::SeqCst)
-    }
-
-    fn end(&self) {
-        let at = Instant::now() + self.net.delay();
-        {
-            let mut state = lock(&self.state);
-            let last = state.pieces.back().map_or(at, |p| p.0);
-            state.end.get_or_insert(at.max(last));
+    fn handshake(&self, from: IpAddr, to: SocketAddr, link: Arc<Link>) -> Handshake {
+        let mut state = lock(&self.state);
+        let from = SocketAddr::new(from, state.assign_port());
+        let request = Arc::new(Direction::new(self.clone(), link.clone()));
+        let response = Arc::new(Direction::new(self.clone(), link));
+        state.add_direction(from.ip(), to.ip(), &request);
+        state.add_direction(to.ip(), from.ip(), &response);
+        state.sweep_closed_directions();
+        Handshake {
+            client: halves::socket(response.clone(), request.clone()),
+            server: halves::socket(request, response),
+            from,
+            listener: state.listeners.get(&to).cloned(),
         }
-        self.wake();
     }
 }
 
-impl WayState {
-    /// When the reader has something to look at.
-    fn due(&self) -> Option<Instant> {
-        self.pieces.front().map(|p| p.0).or(self.end)
-    }
-
-    fn is_cut(&self, parted: bool) -> bool {
-        self.cut || (self.aborted && !parted)
-    }
-
-    fn poll_readable(&mut self, parted: bool, cx: &mut Context<'_>) -> Poll<()> {
-        if self.is_cut(parted) {
-            return Poll::Ready(());
-        }
-        self.reader = Some(cx.waker().clone());
-        let Some(due) = self.due().filter(|_| !parted) else {
-            self.alarm = None;
-            return Poll::Pending;
-        };
-        if due <= Instant::now() {
-            self.alarm = None;
-            return Poll::Ready(());
-        }
-        let alarm = self
-            .alarm
-            .get_or_insert_with(|| Box::pin(tokio::time::sleep_until(due)));
-        if alarm.deadline() != due {
-            alarm.as_mut().reset(due);
-        }
-        alarm.as_mut().poll(cx)
-    }
-}
-
-impl SimulatedReadHalf {
-    pub async fn readable(&self) {
-        std::future::poll_fn(|cx| lock(&self.0.state).poll_readable(self.0.parted(), cx)).await;
-    }
-
-    /// Returns when the peer has ended its direction, though bytes before that are not read yet.
-    pub async fn peer_closed(&self) {
-        loop {
-            let parted = self.0.parted();
-            let left = {
-                let state = lock(&self.0.state);
-                let ended = state.end.is_some_and(|at| at <= Instant::now());
-                state.is_cut(parted) || (ended && !parted)
-            };
-            if left {
-                return;
-            }
-            tokio::time::sleep(LEAVING_LOOK).await;
-        }
-    }
-
-    pub fn try_read(&self, put: &mut dyn FnMut(&[u8]) -> usize) -> Result<usize> {
-        let parted = self.0.parted();
-        let (taken, writer) = {
-            let mut state = lock(&self.0.state);
-            if state.is_cut(parted) {
-                return Err(ErrorKind::ConnectionReset.into());
-            }
-            if parted || state.due().is_none_or(|due| due > Instant::now()) {
-                return Err(ErrorKind::WouldBlock.into());
-            }
-            let Some((_, piece)) = state.pieces.front_mut() else {
-                return Ok(0);
-            };
-            let taken = put(piece);
-            piece.advance(taken);
-            if piece.is_empty() {
-                state.pieces.pop_front();
-            }
-            state.held -= taken;
-            (taken, state.writer.take())
-        };
-        if let Some(writer) = writer {
-            writer.wake();
-        }
-        Ok(taken)
-    }
-}
-
-impl Drop for SimulatedReadHalf {
-    fn drop(&mut self) {
-        lock(&self.0.state).reader_gone = true;
-        self.0.wake();
-    }
-}
-
-impl SimulatedWriteHalf {
-    pub async fn writable(&self) {
-        std::future::poll_fn(|cx| {
-            let mut state = lock(&self.0.state);
-            if state.cut || state.reader_gone || state.held < WINDOW {
-                return Poll::Ready(());
-            }
-            state.writer = Some(cx.waker().clone());
-            Poll::Pending
-        })
-        .await;
-    }
-
-    pub fn try_write(&self, slices: &[IoSlice<'_>]) -> Result<usize> {
-        let at = Instant::now() + self.0.net.delay();
-        let (taken, reader) = {
-            let mut state = lock(&self.0.state);
-            if state.cut || state.end.is_some() {
-                return Err(ErrorKind::BrokenPipe.into());
-            }
-            // A peer that has closed answers with a reset.
-            if state.reader_gone {
-                return Err(ErrorKind::ConnectionReset.into());
-            }
-            let room = WINDOW.saturating_sub(state.held);
-            if room == 0 {
-                return Err(ErrorKind::WouldBlock.into());
-            }
-            let mut piece = BytesMut::new();
-            for slice in slices {
-                let some = slice.len().min(room - piece.len());
-                piece.extend_from_slice(&slice[..some]);
-            }
-            let taken = piece.len();
-            if taken > 0 {
-                let last = state.pieces.back().map_or(at, |p| p.0);
-                state.pieces.push_back((at.max(last), piece.freeze()));
-                state.held += taken;
-            }
-            (taken, state.reader.take())
-        };
-        if let Some(reader) = reader {
-            reader.wake();
-        }
-        Ok(taken)
-    }
-
-    pub fn shutdown(&self) {
-        self.0.end();
-    }
-
-    pub fn abort(&self) {
-        {
-            let mut state = lock(&self.0.state);
-            state.pieces.clear();
-            (state.held, state.aborted) = (0, true);
-        }
-        self.0.wake();
-    }
-}
-
-impl Drop for SimulatedWriteHalf {
-    fn drop(&mut self) {
-        self.0.end();
-    }
+/// Both ends of a new connection, and the queue of the listener that may accept it.
+struct Handshake {
+    client: Socket,
+    server: Socket,
+    from: SocketAddr,
+    listener: Option<mpsc::Sender<(Socket, SocketAddr)>>,
 }
 
 #[cfg(test)]
--- /dev/null
+++ b/crates/transport/src/simulated/listener.rs
@@ -0,0 +1,46 @@
+//! A listener of the simulated network.
+use super::SimulatedNetwork;
+use crate::lock::lock;
+use crate::socket::Socket;
+use std::io::{ErrorKind, Result};
+use std::net::SocketAddr;
+use tokio::sync::mpsc;
+
+/// Accepts connections at an address, which is free again when the listener is dropped.
+#[derive(Debug)]
+pub struct SimulatedListener {
+    network: SimulatedNetwork,
+    address: SocketAddr,
+    queue: mpsc::Receiver<(Socket, SocketAddr)>,
+}
+
+impl SimulatedListener {
+    pub(super) fn new(
+        network: SimulatedNetwork,
+        address: SocketAddr,
+        queue: mpsc::Receiver<(Socket, SocketAddr)>,
+    ) -> Self {
+        Self {
+            network,
+            address,
+            queue,
+        }
+    }
+
+    /// The next connection and its peer's address. Cancel-safe.
+    pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
+        let accepted = self.queue.recv().await;
+        accepted.ok_or_else(|| ErrorKind::NotConnected.into())
+    }
+
+    /// The address, with the assigned port.
+    pub fn at(&self) -> SocketAddr {
+        self.address
+    }
+}
+
+impl Drop for SimulatedListener {
+    fn drop(&mut self) {
+        lock(&self.network.state).listeners.remove(&self.address);
+    }
+}
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -1,429 +1,205 @@
-//! The sending half of a connection: who has a frame writes it, at once, on its own task. The writer's task only does what
-//! the socket did not take, and the closing.
+//! The sending half of a connection: a task that has a frame writes it at once. The writer's own task only writes what the
+//! socket did not accept, and closes the connection.
 //!
-//! Frames gather while the socket is full, and where their sender says that more follows (a head before its body): then one
-//! write takes them together. Bodies of some size stay where they lie and go out by vectored writes. What waits is bounded
-//! by [`MOST`] for whoever can wait; what cannot (requests, cancels, credit) is small and rare.
+//! Frames gather while the socket is full, and where their sender announces that more follows (a head before its body): one
+//! write then takes them together. Large bodies are not copied and are sent by vectored writes. Queued bytes are bounded by
+//! [`MAX_QUEUED`] for senders that can wait; frames that cannot (requests, cancels, credit) are small and rare.
 //!
-//! A request is worded right before its first byte, when the socket takes bytes: whoever asked is asked then whether it may
-//! still begin, and until then nothing of it is in any buffer. What is given up before that ([`Writer::withdraw`]), or waits
-//! when the connection ends, never began, and its call is told so.
+//! A request is composed right before its first byte, when the socket accepts bytes: its owner then decides whether it may
+//! still begin, and until then no part of it is in any buffer. A request that is withdrawn before ([`Writer::withdraw`]), or
+//! still queued when the connection ends, was never sent, and its call ends so.
 //!
 //! An idle connection holds no buffer and no queue.
-use crate::call::{CallEnd, ResponsePart};
-use crate::line::{WriteHalf, PIECES};
-use crate::meter::BufferMeter;
-use bytes::{Buf, Bytes, BytesMut};
-use pointspindle_protocol::{Frame, FrameCodec, FrameError, RequestHead};
-use std::collections::VecDeque;
-use std::io::IoSlice;
-use std::sync::{Mutex, MutexGuard};
-use std::time::Duration;
-use tokio::sync::{mpsc, Notify};
-use tokio_util::codec::Encoder;
-
-/// Bytes that may wait for the socket before senders wait.
-const MOST: usize = 256 * 1024;
-/// With so much gathered it is written though more is to follow.
-const WRITE_FROM: usize = 64 * 1024;
-/// Bodies of at least this size are not copied on their way to the socket.
-const IN_PLACE: usize = 8 * 1024;
-/// A larger buffer is given back once it is empty.
-const KEPT_BUFFER: usize = 1024;
-/// Longest time for what still waits when a connection is closed here.
-const LAST_WORDS: Duration = Duration::from_secs(1);
-
-/// Words a request at the moment of its first byte; none: it is not to begin any more. Asked again where the socket took
-/// nothing after all.
-pub type DeferredRequest = Box<dyn FnMut() -> Option<RequestHead> + Send>;
-
-/// A request none of whose bytes has gone out. Who ends it like this tells its call ([`Unsent::never_began`]), unless that is what gave
-/// it up.
-pub(crate) struct Unsent {
-    pub id: u32,
-    pub word: DeferredRequest,
-    pub parts: mpsc::UnboundedSender<Box<ResponsePart>>,
-}
+mod queue;
 
-impl std::fmt::Debug for Unsent {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("Unsent")
-            .field("id", &self.id)
-            .finish_non_exhaustive()
-    }
-}
+pub use queue::DeferredRequest;
+pub(crate) use queue::QueuedRequest;
 
-impl Unsent {
-    fn never_began(self) {
-        let _ = self
-            .parts
-            .send(Box::new(ResponsePart::End(CallEnd::NotSent)));
-    }
-}
-
-#[derive(Debug)]
-enum Piece {
-    Bytes(Bytes),
-    Request(Unsent),
-}
-
-#[derive(Debug, Default)]
-struct State {
-    codec: FrameCodec,
-    /// In order: pieces that stay as they are and requests that are not worded yet, then what is being gathered.
-    pieces: VecDeque<Piece>,
-    /// How many of the pieces are requests.
-    unsent: usize,
-    tail: BytesMut,
-    /// Bytes of both, and how many of them the meter knows of.
-    waiting: usize,
-    counted: usize,
-    /// The socket is full: the task writes on when it takes more.
-    full: bool,
-    closing: bool,
-    /// Nothing more goes out, and why.
-    dead: Option<String>,
-}
-
-impl State {
-    fn put(&mut self, frame: Frame) -> Result<(), FrameError> {
-        let before = self.tail.len();
-        match frame {
-            Frame::Data(stream, body) if body.len() >= IN_PLACE => {
-                self.codec
-                    .encode_data_head(stream, body.len(), &mut self.tail)?;
-                self.waiting += self.tail.len() - before + body.len();
-                let head = self.tail.split().freeze();
-                self.pieces.extend([Piece::Bytes(head), Piece::Bytes(body)]);
-            }
-            frame => {
-                self.codec.encode(frame, &mut self.tail)?;
-                self.waiting += self.tail.len() - before;
-            }
-        }
-        Ok(())
-    }
-
-    /// Behind all that waits.
-    fn put_request(&mut self, request: Unsent) {
-        if !self.tail.is_empty() {
-            self.pieces
-                .push_back(Piece::Bytes(self.tail.split().freeze()));
-        }
-        self.pieces.push_back(Piece::Request(request));
-        self.unsent += 1;
-    }
-
-    fn is_empty(&self) -> bool {
-        self.waiting == 0 && self.unsent == 0
-    }
-
-    /// Words the request that is next and writes its first bytes; false: the socket took none, it waits unworded.
-    fn begin(&mut self, mut request: Unsent, socket: &WriteHalf) -> bool {
-        self.unsent -= 1;
-        let Some(head) = (request.word)() else {
-            request.never_began();
-            return true;
-        };
-        let mut bytes = BytesMut::new();
-        // If none of it goes out, nothing is encoded: the preface, too, is still to be sent.
-        let before = self.codec.clone();
-        if let Err(e) = self
-            .codec
-            .encode(Frame::Request(request.id, head), &mut bytes)
-        {
-            self.die(&e.to_string());
-            return true;
-        }
-        match socket.try_write_vectored(&[IoSlice::new(&bytes)]) {
-            Ok(0) => self.die("the socket takes nothing more"),
-            Ok(written) => {
-                bytes.advance(written);
-                self.waiting += bytes.len();
-                if !bytes.is_empty() {
-                    self.pieces.push_front(Piece::Bytes(bytes.freeze()));
-                }
-            }
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                self.codec = before;
-                self.pieces.push_front(Piece::Request(request));
-                self.unsent += 1;
-                return false;
-            }
-            Err(e) => self.die(&e.to_string()),
-        }
-        true
-    }
-
-    /// Takes a request back of which nothing has gone out; false: its first byte has.
-    fn withdraw(&mut self, id: u32) -> bool {
-        let found = self
-            .pieces
-            .iter()
-            .position(|p| matches!(p, Piece::Request(r) if r.id == id));
-        self.unsent -= found.is_some() as usize;
-        found.and_then(|at| self.pieces.remove(at)).is_some()
-    }
-
-    /// What never began is told so.
-    fn drop_unsent(&mut self) {
-        self.unsent = 0;
-        for piece in std::mem::take(&mut self.pieces) {
-            match piece {
-                Piece::Request(request) => request.never_began(),
-                bytes => self.pieces.push_back(bytes),
-            }
-        }
-    }
-
-    /// Writes what the socket takes.
-    fn flush(&mut self, socket: &WriteHalf) {
-        while !self.is_empty() && self.dead.is_none() {
-            if let Some(Piece::Request(_)) = self.pieces.front() {
-                let Some(Piece::Request(request)) = self.pieces.pop_front() else {
-                    continue;
-                };
-                if !self.begin(request, socket) {
-                    self.full = true;
-                    return;
-                }
-                continue;
-            }
-            let mut slices = [IoSlice::new(&[]); PIECES];
-            // As far as the next request, which is worded when it is first.
-            let bytes = |p: &Piece| matches!(p, Piece::Bytes(_));
-            let whole = self.unsent == 0;
-            let ready = self.pieces.iter().take_while(|p| bytes(p));
-            let ready = ready.filter_map(|p| {
-                if let Piece::Bytes(b) = p {
-                    Some(&b[..])
-                } else {
-                    None
-                }
-            });
-            let all = ready.chain(whole.then_some(&self.tail[..]));
-            let mut count = 0;
-            for (slice, piece) in slices.iter_mut().zip(all.filter(|p| !p.is_empty())) {
-                *slice = IoSlice::new(piece);
-                count += 1;
-            }
-            match socket.try_write_vectored(&slices[..count]) {
-                Ok(0) => self.die("the socket takes nothing more"),
-                Ok(written) => self.took(written),
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
-                    self.full = true;
-                    return;
-                }
-                Err(e) => self.die(&e.to_string()),
-            }
-        }
-        self.full = false;
-        if self.tail.capacity() > KEPT_BUFFER {
-            // A burst must not stay with a connection that may idle for long.
-            self.tail = BytesMut::new();
-        }
-    }
-
-    fn took(&mut self, mut written: usize) {
-        self.waiting -= written;
-        while let Some(Piece::Bytes(piece)) = self.pieces.front_mut() {
-            let some = written.min(piece.len());
-            piece.advance(some);
-            written -= some;
-            if !piece.is_empty() {
-                return;
-            }
-            self.pieces.pop_front();
-        }
-        self.tail.advance(written);
-        if self.pieces.is_empty() {
-            self.pieces = VecDeque::new();
-        }
-    }
-
-    /// Tells the meter what waits.
-    fn settle(&mut self, meter: &BufferMeter) {
-        match self.waiting.checked_sub(self.counted) {
-            Some(more) => meter.add(more),
-            None => meter.sub(self.counted - self.waiting),
-        }
-        self.counted = self.waiting;
-    }
+use crate::buffer_meter::BufferMeter;
+use crate::lock::lock;
+use crate::socket::WriteHalf;
+use pointspindle_protocol::Frame;
+use queue::SendQueue;
+use std::sync::{Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::sync::Notify;
 
-    fn die(&mut self, why: &str) {
-        self.dead = Some(why.to_owned());
-        self.drop_unsent();
-        (self.pieces, self.tail, self.waiting) = (VecDeque::new(), BytesMut::new(), 0);
-    }
-}
+/// Queued bytes from which senders wait.
+const MAX_QUEUED: usize = 256 * 1024;
+/// Queued bytes that are written although more follows.
+const WRITE_AT: usize = 64 * 1024;
+/// Longest time to write what is queued when this side closes the connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The sending half of a connection, shared by its senders and the writer's task.
 #[derive(Debug)]
 pub(crate) struct Writer {
-    state: Mutex<State>,
+    queue: Mutex<SendQueue>,
     socket: WriteHalf,
     meter: BufferMeter,
-    /// For the task: something waits, or the connection closes.
+    /// For the task: something is queued, or the connection closes.
     work: Notify,
-    /// For senders: there is room again, or will never be.
-    room: Notify,
+    /// For senders: there is space again, or will never be.
+    space: Notify,
 }
 
-/// When a frame goes out.
+/// When a frame is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum When {
+pub(crate) enum SendTime {
     Now,
-    /// With what follows at once; else as soon as the writer's task has its turn.
+    /// With the frame that follows at once; otherwise as soon as the writer's task runs.
     WithNext,
 }
 
 impl Writer {
     pub fn new(socket: WriteHalf, meter: BufferMeter) -> Self {
         Self {
-            state: Mutex::default(),
+            queue: Mutex::default(),
             socket,
             meter,
             work: Notify::new(),
-            room: Notify::new(),
+            space: Notify::new(),
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
-        self.state
-            .lock()
-            .unwrap_or_else(|poisoned| poisoned.into_inner())
+    fn queue(&self) -> MutexGuard<'_, SendQueue> {
+        lock(&self.queue)
     }
 
-    /// Gathers a frame that cannot wait; [`Writer::flush`] sends it. False if the connection closes.
+    /// Queues a frame without waiting; [`Writer::flush`] sends it. False if the connection closes.
     pub fn put(&self, frame: Frame) -> bool {
-        let mut state = self.state();
-        if state.dead.is_some() || state.closing {
+        let mut queue = self.queue();
+        if !queue.is_open() {
             return false;
         }
-        if let Err(e) = state.put(frame) {
-            state.die(&e.to_string());
-        }
-        state.dead.is_none()
+        queue.put(frame);
+        queue.failure().is_none()
     }
 
-    /// Queues a request; [`Writer::flush`] words and sends it. False if the connection closes.
-    pub fn put_request(&self, request: Unsent) -> bool {
-        let mut state = self.state();
-        let open = state.dead.is_none() && !state.closing;
+    /// Queues a request; [`Writer::flush`] composes and sends it. False if the connection closes.
+    pub fn put_request(&self, request: QueuedRequest) -> bool {
+        let mut queue = self.queue();
+        let open = queue.is_open();
         if open {
-            state.put_request(request);
+            queue.put_request(request);
         }
         open
     }
 
-    /// Takes a request back of which nothing has gone out; false: its first byte has.
+    /// Removes a request of which nothing was sent; false if its first byte was.
     pub fn withdraw(&self, id: u32) -> bool {
-        self.state().withdraw(id)
+        self.queue().withdraw(id)
     }
 
-    /// The connection ends: what never began is told so, and does not.
+    /// Ends every request of which nothing was sent.
     pub fn drop_unsent(&self) {
-        self.state().drop_unsent();
+        self.queue().drop_unsent();
     }
 
+    /// Writes what the socket accepts; the task continues with the rest.
     pub fn flush(&self) {
-        let mut state = self.state();
-        if !state.full {
-            state.flush(&self.socket);
+        let mut queue = self.queue();
+        if !queue.is_socket_full() {
+            queue.flush(&self.socket);
         }
-        state.settle(&self.meter);
-        // Left over, or broken: the task goes on with it.
-        if state.full || state.dead.is_some() {
+        queue.update_meter(&self.meter);
+        if queue.is_socket_full() || queue.failure().is_some() {
             self.work.notify_one();
         }
     }
 
-    /// Gathers a frame, waiting for room, and writes. False if the connection closes.
-    pub async fn send(&self, frame: Frame, when: When) -> bool {
+    /// Queues a frame, waiting for space, and writes it. False if the connection closes.
+    pub async fn send(&self, frame: Frame, time: SendTime) -> bool {
         loop {
-            // Before the look, so that room made in between is not missed.
-            let room = self.room.notified();
+            // Registered before the check, so that space made in between is not missed.
+            let space = self.space.notified();
             {
-                let mut state = self.state();
-                if state.dead.is_some() || state.closing {
+                let mut queue = self.queue();
+                if !queue.is_open() {
                     return false;
                 }
-                if state.waiting < MOST {
-                    if let Err(e) = state.put(frame) {
-                        state.die(&e.to_string());
-                    }
-                    if !state.full && (when == When::Now || state.waiting >= WRITE_FROM) {
-                        state.flush(&self.socket);
-                    }
-                    state.settle(&self.meter);
-                    if state.waiting > 0 || state.dead.is_some() {
-                        self.work.notify_one();
-                    }
-                    return state.dead.is_none();
+                if queue.queued_bytes() < MAX_QUEUED {
+                    self.put_and_write(&mut queue, frame, time);
+                    return queue.failure().is_none();
                 }
             }
-            room.await;
+            space.await;
+        }
+    }
+
+    fn put_and_write(&self, queue: &mut SendQueue, frame: Frame, time: SendTime) {
+        queue.put(frame);
+        let is_due = time == SendTime::Now || queue.queued_bytes() >= WRITE_AT;
+        if is_due && !queue.is_socket_full() {
+            queue.flush(&self.socket);
+        }
+        queue.update_meter(&self.meter);
+        if queue.queued_bytes() > 0 || queue.failure().is_some() {
+            self.work.notify_one();
         }
     }
 
-    /// Takes nothing more; what waits still goes out, for a while.
+    /// Accepts nothing more; what is queued is still written, for [`CLOSE_TIMEOUT`].
     pub fn close(&self) {
-        self.state().closing = true;
+        self.queue().close();
         self.work.notify_one();
-        self.room.notify_waiters();
+        self.space.notify_waiters();
     }
 
-    /// Nothing that the peer does not have by now reaches it any more.
+    /// Discards what is queued, and what the peer has not received yet.
     pub fn abort(&self) {
-        self.state().die("given up");
+        self.queue().fail("given up");
         self.socket.abort();
         self.close();
     }
 
-    /// The writer's task; ends with the connection and tells why it broke, if it did.
+    /// The writer's task. Ends with the connection and returns why writing failed, if it did.
     pub async fn run(&self) -> Option<String> {
-        let open = async {
-            while !self.state().closing {
-                self.work.notified().await;
-                if let Some(why) = self.write_out().await {
-                    return Some(why);
-                }
-            }
-            None
-        };
-        let mut why = open.await;
-        if why.is_none() {
+        let mut failure = self.write_until_closing().await;
+        if failure.is_none() {
             // A peer that reads nothing gets no more time than this.
-            why = tokio::time::timeout(LAST_WORDS, self.write_out())
+            failure = tokio::time::timeout(CLOSE_TIMEOUT, self.write_queue())
                 .await
                 .unwrap_or(None);
         }
         {
-            let mut state = self.state();
-            state.closing = true;
-            state.die("closed");
-            state.settle(&self.meter);
+            let mut queue = self.queue();
+            queue.close();
+            queue.fail("closed");
+            queue.update_meter(&self.meter);
         }
-        self.room.notify_waiters();
+        self.space.notify_waiters();
         self.socket.shutdown();
-        why
+        failure
+    }
+
+    async fn write_until_closing(&self) -> Option<String> {
+        while !self.queue().is_closing() {
+            self.work.notified().await;
+            let failure = self.write_queue().await;
+            if failure.is_some() {
+                return failure;
+            }
+        }
+        None
     }
 
-    /// Until nothing waits; why it broke, if it did.
-    async fn write_out(&self) -> Option<String> {
+    /// Writes until nothing is queued; returns why writing failed, if it did.
+    async fn write_queue(&self) -> Option<String> {
         loop {
             {
-                let mut state = self.state();
-                state.flush(&self.socket);
-                state.settle(&self.meter);
-                if state.waiting < MOST {
-                    self.room.notify_waiters();
+                let mut queue = self.queue();
+                queue.flush(&self.socket);
+                queue.update_meter(&self.meter);
+                if queue.queued_bytes() < MAX_QUEUED {
+                    self.space.notify_waiters();
                 }
-                if state.dead.is_some() || state.is_empty() {
-                    return state.dead.clone();
+                if queue.failure().is_some() || queue.is_empty() {
+                    return queue.failure().map(str::to_owned);
                 }
             }
-            if let Err(e) = self.socket.writable().await {
-                return Some(e.to_string());
+            if let Err(error) = self.socket.writable().await {
+                return Some(error.to_string());
             }
         }
     }
