--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -10,10 +10,11 @@
 //! still queued when the connection ends, was never sent, and its call ends so.
 //!
 //! An idle connection holds no buffer and no queue.
+mod pieces;
 mod queue;
 
-pub use queue::DeferredRequest;
-pub(crate) use queue::QueuedRequest;
+pub use pieces::DeferredRequest;
+pub(crate) use pieces::QueuedRequest;
 
 use crate::buffer_meter::BufferMeter;
 use crate::lock::lock;
@@ -52,6 +53,7 @@
 }
 
 impl Writer {
+    /// The state before the connection's first frame.
     pub fn new(socket: WriteHalf, meter: BufferMeter) -> Self {
         Self {
             queue: Mutex::default(),
--- a/crates/transport/src/writer/queue.rs
+++ b/crates/transport/src/writer/queue.rs
@@ -1,12 +1,10 @@
 //! What waits for a connection's socket, and its writing.
+use super::pieces::{Pieces, QueuedRequest};
 use crate::buffer_meter::BufferMeter;
-use crate::call::{CallEnd, ResponsePart};
 use crate::socket::{WriteHalf, MAX_SLICES};
-use bytes::{Buf, Bytes, BytesMut};
-use pointspindle_protocol::{Frame, FrameCodec, FrameError, RequestHead};
-use std::collections::VecDeque;
+use bytes::{Buf, BytesMut};
+use pointspindle_protocol::{Frame, FrameCodec, FrameError};
 use std::io::{ErrorKind, IoSlice};
-use tokio::sync::mpsc;
 use tokio_util::codec::Encoder;
 
 /// Bodies of at least this size are not copied on their way to the socket.
@@ -14,48 +12,6 @@
 /// A larger buffer is released once it is empty.
 const MAX_IDLE_BUFFER: usize = 1024;
 
-/// Composes a request at the moment of its first byte; `None` if it must no longer begin. Called again if the socket did not
-/// accept any byte.
-pub type DeferredRequest = Box<dyn FnMut() -> Option<RequestHead> + Send>;
-
-/// A request of which nothing was sent. Whoever removes it from the queue ends its call ([`QueuedRequest::end_unsent`]),
-/// unless the call itself withdrew it.
-pub(crate) struct QueuedRequest {
-    pub id: u32,
-    pub compose: DeferredRequest,
-    pub parts: mpsc::UnboundedSender<Box<ResponsePart>>,
-}
-
-impl std::fmt::Debug for QueuedRequest {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.debug_struct("QueuedRequest")
-            .field("id", &self.id)
-            .finish_non_exhaustive()
-    }
-}
-
-impl QueuedRequest {
-    fn end_unsent(self) {
-        let end = ResponsePart::End(CallEnd::NotSent);
-        let _ = self.parts.send(Box::new(end));
-    }
-}
-
-#[derive(Debug)]
-enum Piece {
-    Bytes(Bytes),
-    Request(QueuedRequest),
-}
-
-impl Piece {
-    fn bytes(&self) -> Option<&[u8]> {
-        match self {
-            Self::Bytes(bytes) => Some(bytes),
-            Self::Request(_) => None,
-        }
-    }
-}
-
 /// Whether the socket accepted bytes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
@@ -67,9 +23,7 @@
 #[derive(Debug, Default)]
 pub(super) struct SendQueue {
     codec: FrameCodec,
-    pieces: VecDeque<Piece>,
-    /// Requests among the pieces.
-    unsent_requests: usize,
+    pieces: Pieces,
     /// Encoded frames that are being gathered.
     tail: BytesMut,
     /// Encoded bytes of the pieces and the tail.
@@ -98,7 +52,7 @@
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.queued_bytes == 0 && self.unsent_requests == 0
+        self.queued_bytes == 0 && !self.pieces.has_requests()
     }
 
     pub(super) fn queued_bytes(&self) -> usize {
@@ -118,7 +72,7 @@
     pub(super) fn fail(&mut self, reason: &str) {
         self.failure = Some(reason.to_owned());
         self.drop_unsent();
-        self.pieces = VecDeque::new();
+        self.pieces = Pieces::default();
         self.tail = BytesMut::new();
         self.queued_bytes = 0;
     }
@@ -138,7 +92,7 @@
                     .encode_data_head(stream, body.len(), &mut self.tail)?;
                 self.queued_bytes += self.tail.len() - before + body.len();
                 self.move_tail_to_pieces();
-                self.pieces.push_back(Piece::Bytes(body));
+                self.pieces.push_bytes(body);
             }
             frame => {
                 self.codec.encode(frame, &mut self.tail)?;
@@ -153,42 +107,28 @@
         if !self.tail.is_empty() {
             self.move_tail_to_pieces();
         }
-        self.pieces.push_back(Piece::Request(request));
-        self.unsent_requests += 1;
+        self.pieces.push_request(request);
     }
 
     fn move_tail_to_pieces(&mut self) {
         let encoded = self.tail.split().freeze();
-        self.pieces.push_back(Piece::Bytes(encoded));
+        self.pieces.push_bytes(encoded);
     }
 
     /// Removes a request of which nothing was sent; false if its first byte was.
     pub(super) fn withdraw(&mut self, id: u32) -> bool {
-        let is_request =
-            |piece: &Piece| matches!(piece, Piece::Request(request) if request.id == id);
-        let Some(at) = self.pieces.iter().position(is_request) else {
-            return false;
-        };
-        self.pieces.remove(at);
-        self.unsent_requests -= 1;
-        true
+        self.pieces.remove_request(id)
     }
 
     /// Removes every request of which nothing was sent and ends its call.
     pub(super) fn drop_unsent(&mut self) {
-        self.unsent_requests = 0;
-        for piece in std::mem::take(&mut self.pieces) {
-            match piece {
-                Piece::Request(request) => request.end_unsent(),
-                bytes => self.pieces.push_back(bytes),
-            }
-        }
+        self.pieces.end_requests();
     }
 
     /// Writes what the socket accepts.
     pub(super) fn flush(&mut self, socket: &WriteHalf) {
         while !self.is_empty() && self.failure.is_none() {
-            let progress = match self.pop_front_request() {
+            let progress = match self.pieces.pop_front_request() {
                 Some(request) => self.start(request, socket),
                 None => self.write_bytes(socket),
             };
@@ -204,19 +144,6 @@
         }
     }
 
-    fn pop_front_request(&mut self) -> Option<QueuedRequest> {
-        match self.pieces.pop_front()? {
-            Piece::Request(request) => {
-                self.unsent_requests -= 1;
-                Some(request)
-            }
-            bytes => {
-                self.pieces.push_front(bytes);
-                None
-            }
-        }
-    }
-
     /// Composes a request and writes its first bytes; if the socket accepts none, the request is queued again uncomposed.
     fn start(&mut self, mut request: QueuedRequest, socket: &WriteHalf) -> Progress {
         let Some(head) = (request.compose)() else {
@@ -239,13 +166,12 @@
                 bytes.advance(written);
                 self.queued_bytes += bytes.len();
                 if !bytes.is_empty() {
-                    self.pieces.push_front(Piece::Bytes(bytes.freeze()));
+                    self.pieces.push_front_bytes(bytes.freeze());
                 }
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.codec = codec_before;
-                self.pieces.push_front(Piece::Request(request));
-                self.unsent_requests += 1;
+                self.pieces.push_front_request(request);
                 return Progress::SocketFull;
             }
             Err(error) => self.fail(&error.to_string()),
@@ -268,11 +194,10 @@
 
     /// Fills slices with the encoded bytes up to the next request; returns how many it filled.
     fn gather<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
-        let tail = (self.unsent_requests == 0).then_some(&self.tail[..]);
+        let tail = (!self.pieces.has_requests()).then_some(&self.tail[..]);
         let encoded = self
             .pieces
-            .iter()
-            .map_while(Piece::bytes)
+            .leading_bytes()
             .chain(tail)
             .filter(|bytes| !bytes.is_empty());
         let mut count = 0;
@@ -283,21 +208,10 @@
         count
     }
 
-    fn remove_written(&mut self, mut written: usize) {
+    fn remove_written(&mut self, written: usize) {
         self.queued_bytes -= written;
-        while let Some(Piece::Bytes(piece)) = self.pieces.front_mut() {
-            let part = written.min(piece.len());
-            piece.advance(part);
-            written -= part;
-            if !piece.is_empty() {
-                return;
-            }
-            self.pieces.pop_front();
-        }
-        self.tail.advance(written);
-        if self.pieces.is_empty() {
-            self.pieces = VecDeque::new();
-        }
+        let written_of_tail = self.pieces.remove_written(written);
+        self.tail.advance(written_of_tail);
     }
 
     /// Counts the change of the queued bytes since the last call.
--- a/crates/transport/tests/path.rs
+++ b/crates/transport/tests/body_transfer.rs
@@ -1,4 +1,4 @@
-//! Bytes on their way: cut anywhere, of awkward sizes, to a peer that reads slowly or stops.
+//! Bodies in transfer: any segmentation, sizes at the limits, a peer that reads slowly or stops.
 use bytes::{Bytes, BytesMut};
 use pointspindle_protocol::streams::*;
 use pointspindle_protocol::*;
@@ -15,7 +15,7 @@
     (here.unwrap(), there.unwrap().0)
 }
 
-fn ask(object: &str) -> RequestHead {
+fn request(object: &str) -> RequestHead {
     RequestHead {
         object: object.into(),
         ..Default::default()
@@ -29,7 +29,7 @@
         .into()
 }
 
-async fn whole(call: &mut Call) -> (BytesMut, Option<CallEnd>) {
+async fn complete_response(call: &mut Call) -> (BytesMut, Option<CallEnd>) {
     let mut body = BytesMut::new();
     while let Some(part) = call.next().await {
         match part {
@@ -41,18 +41,18 @@
     (body, None)
 }
 
-/// Sizes about a frame's most, and bodies of one byte a frame, in reads cut as a small generator likes.
+/// Sizes around the limit of a frame, and a body in frames of one byte, in segments of random size.
 #[tokio::test]
-async fn any_cutting_of_the_bytes_gives_the_same_answers() {
+async fn responses_are_equal_for_any_segmentation() {
     let sizes = [0, 1, 8_191, 8_192, 65_535, 65_536, 65_537, 200_000];
     for seed in 1..=4_u64 {
         println!("seed {seed}");
         let (here, mut peer) = sockets().await;
-        let (link, _incoming) =
+        let (caller, _incoming) =
             FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
         let mut calls: Vec<Call> = sizes
             .iter()
-            .map(|n| link.call(ask(&n.to_string())).unwrap())
+            .map(|n| caller.call(request(&n.to_string())).unwrap())
             .collect();
         let mut bytes = BytesMut::new();
         let mut codec = FrameCodec::default();
@@ -79,13 +79,14 @@
             ));
         }
         let writing = tokio::spawn(async move {
-            let (mut dice, mut at) = (seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), 0);
+            let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let mut at = 0;
             while at < bytes.len() {
-                dice ^= dice << 13;
-                dice ^= dice >> 7;
-                dice ^= dice << 17;
-                let most = [3, 700, 9_000, 90_000][(dice >> 60) as usize % 4];
-                let step = (1 + (dice >> 20) as usize % most).min(bytes.len() - at);
+                rng ^= rng << 13;
+                rng ^= rng >> 7;
+                rng ^= rng << 17;
+                let max_step = [3, 700, 9_000, 90_000][(rng >> 60) as usize % 4];
+                let step = (1 + (rng >> 20) as usize % max_step).min(bytes.len() - at);
                 peer.write_all(&bytes[at..at + step]).await.unwrap();
                 at += step;
                 tokio::task::yield_now().await;
@@ -93,7 +94,7 @@
             peer
         });
         for (call, size) in calls.iter_mut().zip(sizes) {
-            let (body, end) = whole(call).await;
+            let (body, end) = complete_response(call).await;
             assert!(body == content(size), "{size}: {} bytes came", body.len());
             assert!(matches!(end, Some(CallEnd::Complete(_))), "{size}: {end:?}");
         }
@@ -101,9 +102,9 @@
     }
 }
 
-/// The same through both halves: heads, bodies and ends written by their senders, some while the socket is full.
+/// Heads, bodies and ends of many streams, some written while the socket is full.
 #[tokio::test]
-async fn answers_are_whole_and_in_order_when_many_send_at_once() {
+async fn concurrent_responses_are_complete_and_in_order() {
     let (here, there) = sockets().await;
     let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
     let (_answerer, mut incoming) =
@@ -127,9 +128,9 @@
     let mut reading = tokio::task::JoinSet::new();
     for n in 0..48 {
         let size = [0, 1, 500, 65_536, 65_537, 900_000][n % 6];
-        let mut call = caller.call(ask(&size.to_string())).unwrap();
+        let mut call = caller.call(request(&size.to_string())).unwrap();
         reading.spawn(async move {
-            let (body, end) = whole(&mut call).await;
+            let (body, end) = complete_response(&mut call).await;
             assert!(
                 body == content(size) && matches!(end, Some(CallEnd::Complete(_))),
                 "{size}: {end:?}"
@@ -141,11 +142,11 @@
     }
 }
 
-/// A peer that stops reading holds the sender up, not memory; once it reads again everything comes.
+/// A peer that stops reading blocks the sender instead of growing its queue; once it reads again, everything arrives.
 #[tokio::test]
-async fn a_peer_that_stops_reading_bounds_what_waits_for_it() {
+async fn stalled_peer_bounds_the_sender_until_it_reads() {
     let (here, mut peer) = sockets().await;
-    let (link, _incoming) =
+    let (caller, _incoming) =
         FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
     const FRAMES: u64 = 2_000;
     let probe = |token| {
@@ -156,8 +157,8 @@
         })
     };
     let sent = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
-    let (counted, sender) = (sent.clone(), link.clone());
-    // Each of some 16 KB: far more than socket buffers and the writer's bound together.
+    let (counted, sender) = (sent.clone(), caller.clone());
+    // Frames of 16 KB: in total far more than the socket buffers and the writer's limit.
     let big = |token| {
         Frame::Purge(PurgeHead {
             object: Some("x".repeat(16_000)),
@@ -172,7 +173,7 @@
         }
         sender.control(probe(7)).await.unwrap();
     });
-    // Until nothing moves any more.
+    // Until no further frame is accepted.
     let mut last = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -184,7 +185,7 @@
     }
     assert!(
         last < FRAMES,
-        "all {FRAMES} frames were taken though nobody reads"
+        "all {FRAMES} frames were accepted although the peer reads nothing"
     );
     let mut bytes = 0;
     let mut buffer = vec![0; 1 << 20];
@@ -198,43 +199,53 @@
         .expect("it goes on");
 }
 
-/// Held over all connections is what was read and not yet taken, and it goes down by whatever way it goes. In a crowd the
-/// windows are small: a reader that stops holds a quarter, and one that goes on is never stalled.
+/// A caller on a meter, and an answerer that sends 3 MiB for each request.
+async fn metered_connection(meter: &BufferMeter) -> (FramedConnection, Incoming) {
+    let (here, there) = sockets().await;
+    let options = ConnectionOptions::default();
+    let caller = FramedConnection::start_metered(here, Side::Caller, options, meter.clone());
+    let (answerer, mut requests) = FramedConnection::start(there, Side::Answerer, options);
+    tokio::spawn(async move {
+        let _answerer = answerer;
+        while let Some(Inbound::Request(_, mut responder)) = requests.next().await {
+            tokio::spawn(async move {
+                let _ = responder.head(ResponseHead::default()).await;
+                if responder.data(content(3 << 20)).await.is_ok() {
+                    let _ = responder.end(None).await;
+                }
+            });
+        }
+    });
+    caller
+}
+
+async fn wait_for_buffered(meter: &BufferMeter, expected: impl Fn(u64) -> bool, reason: &str) {
+    tokio::time::timeout(Duration::from_secs(10), async {
+        while !expected(meter.buffered_bytes()) {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+    })
+    .await
+    .expect(reason);
+}
+
+/// The meter counts what was read and not yet taken over all connections, and discounts it however it is released. While
+/// memory is short the windows are small: a reader that stops buffers a quarter, and one that continues is never stalled.
 #[tokio::test]
-async fn bytes_are_counted_over_connections_and_a_crowd_has_small_windows() {
-    // Always a crowd.
-    let crowd = BufferMeter::new(0);
-    let mut links = Vec::new();
-    for _ in 0..2 {
-        let (here, there) = sockets().await;
-        let (link, incoming) = FramedConnection::start_metered(
-            here,
-            Side::Caller,
-            ConnectionOptions::default(),
-            crowd.clone(),
-        );
-        let (answerer, mut asked) =
-            FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
-        tokio::spawn(async move {
-            let _answerer = answerer;
-            while let Some(Inbound::Request(_, mut responder)) = asked.next().await {
-                tokio::spawn(async move {
-                    let _ = responder.head(ResponseHead::default()).await;
-                    if responder.data(content(3 << 20)).await.is_ok() {
-                        let _ = responder.end(None).await;
-                    }
-                });
-            }
-        });
-        links.push((link, incoming));
-    }
-    let mut calls: Vec<Call> = links
+async fn buffered_bytes_are_metered_and_crowded_windows_are_small() {
+    // Always above the threshold.
+    let meter = BufferMeter::new(0);
+    let connections = [
+        metered_connection(&meter).await,
+        metered_connection(&meter).await,
+    ];
+    let mut calls: Vec<Call> = connections
         .iter()
-        .map(|(link, _)| link.call(ask("large")).unwrap())
+        .map(|(caller, _)| caller.call(request("large")).unwrap())
         .collect();
-    let mut stopped = links[0].0.call(ask("large")).unwrap();
+    let mut stopped = connections[0].0.call(request("large")).unwrap();
     for call in &mut calls {
-        let (body, end) = whole(call).await;
+        let (body, end) = complete_response(call).await;
         assert_eq!(body.len(), 3 << 20);
         assert!(matches!(end, Some(CallEnd::Complete(_))), "{end:?}");
     }
@@ -245,36 +256,29 @@
             taken += data.len();
         }
     }
-    // All that may come has come when the peer's credit is used up.
-    let most = u64::from(CROWDED_WINDOW) * 3 / 2;
-    tokio::time::timeout(Duration::from_secs(10), async {
-        while crowd.buffered_bytes() < u64::from(CROWDED_WINDOW) / 2 {
-            tokio::time::sleep(Duration::from_millis(1)).await;
-        }
-    })
-    .await
-    .expect("it reads ahead");
+    // Everything that may arrive has arrived when the peer's credit is used up.
+    let crowded_window = u64::from(CROWDED_WINDOW);
+    wait_for_buffered(
+        &meter,
+        |bytes| bytes >= crowded_window / 2,
+        "it reads ahead",
+    )
+    .await;
     assert!(
-        crowd.buffered_bytes() <= most,
-        "{} bytes held by one that stopped",
-        crowd.buffered_bytes()
+        meter.buffered_bytes() <= crowded_window * 3 / 2,
+        "{} bytes buffered by one that stopped",
+        meter.buffered_bytes()
     );
     drop(stopped);
-    tokio::time::timeout(Duration::from_secs(10), async {
-        while crowd.buffered_bytes() > 0 {
-            tokio::time::sleep(Duration::from_millis(1)).await;
-        }
-    })
-    .await
-    .expect("what was dropped unread is given back");
+    wait_for_buffered(&meter, |bytes| bytes == 0, "unread bytes are discounted").await;
 }
 
-/// A peer that was cut off, not dead, reads on later: what was given up meanwhile may run elsewhere by then, and must not reach it.
+/// A peer that was only unreachable reads on later: what was given up meanwhile may run elsewhere and must not reach it.
 #[tokio::test]
-async fn what_a_given_up_connection_still_held_never_reaches_its_peer() {
-    for given_up in [false, true] {
+async fn aborted_connection_never_delivers_queued_requests() {
+    for aborted in [false, true] {
         let (socket, mut peer) = sockets().await;
-        let (link, incoming) = FramedConnection::start(
+        let (caller, incoming) = FramedConnection::start(
             socket,
             Side::Caller,
             ConnectionOptions { max_streams: 8192 },
@@ -285,18 +289,18 @@
             trace: trace.clone(),
             ..Default::default()
         };
-        // More than the buffers of both kernels take, so that some of it waits on this side.
-        let calls: Vec<_> = (0..8_000).map(|_| link.call(head()).unwrap()).collect();
-        if given_up {
-            link.abort("no sign of life");
+        // More than the buffers of both sockets hold, so that some of it is queued on this side.
+        let calls: Vec<_> = (0..8_000).map(|_| caller.call(head()).unwrap()).collect();
+        if aborted {
+            caller.abort("no sign of life");
         } else {
-            link.close("done");
+            caller.close("done");
         }
-        link.flushed().await;
-        drop((calls, link, incoming));
+        caller.flushed().await;
+        drop((calls, caller, incoming));
         let mut got = Vec::new();
         let read = tokio::time::timeout(Duration::from_secs(10), peer.read_to_end(&mut got));
         let reset = read.await.expect("it ends").is_err();
-        assert_eq!(reset, given_up, "{} bytes came", got.len());
+        assert_eq!(reset, aborted, "{} bytes came", got.len());
     }
 }
--- a/crates/transport/tests/link.rs
+++ b/crates/transport/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Two ends of a connection over a real socket, and one end against a peer that breaks the rules.
+//! Both ends of a connection over a real socket, and one end against a peer that violates the protocol.
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use pointspindle_protocol::streams::*;
@@ -25,7 +25,7 @@
     (caller, answerer, incoming)
 }
 
-fn ask(object: &str) -> RequestHead {
+fn request(object: &str) -> RequestHead {
     RequestHead {
         object: object.into(),
         ..Default::default()
@@ -51,16 +51,16 @@
     (bytes, None)
 }
 
-/// Credit that is never given back stops the stream of the one who reads nothing, and nobody else's.
+/// Credit that is never returned stalls the stream of the reader that reads nothing, and no other.
 #[tokio::test]
-async fn one_slow_reader_holds_up_nobody_else() {
+async fn slow_reader_stalls_only_its_own_stream() {
     let (caller, _answerer, mut incoming) = pair().await;
-    let slow = caller.call(ask("slow")).unwrap();
+    let slow = caller.call(request("slow")).unwrap();
     let (_, mut stalled) = next_request(&mut incoming).await;
     stalled.head(ResponseHead::default()).await.unwrap();
     let sending = tokio::spawn(async move { stalled.data(Bytes::from(vec![0; 4 << 20])).await });
     for n in 0..20 {
-        let mut quick = caller.call(ask(&format!("quick {n}"))).unwrap();
+        let mut quick = caller.call(request(&format!("quick {n}"))).unwrap();
         let (_, mut responder) = next_request(&mut incoming).await;
         tokio::spawn(async move {
             responder.head(ResponseHead::default()).await.unwrap();
@@ -75,106 +75,121 @@
     drop(slow);
     assert!(
         sending.await.unwrap().is_err(),
-        "the cancel reaches the one who waits for credit"
+        "the cancel reaches the sender that waits for credit"
     );
 }
 
-/// Requests whose first byte the socket has not taken: given up they never go out, those that may not begin any more do
-/// not, and at the connection's end the rest is told as not sent; only what went out is told as broken.
-#[tokio::test]
-async fn a_request_begins_with_its_first_byte_and_not_before() {
-    let (here, mut there) = sockets().await;
-    let (caller, _) =
-        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 4_000 });
-    let asked = Arc::new(AtomicUsize::new(0));
-    let word = |object: String, may: bool| {
-        let asked = asked.clone();
-        let head = ask(&format!("{object}/{}", "x".repeat(12_000)));
+/// Makes deferred requests of 12 KB and counts how often any of them was composed.
+#[derive(Default)]
+struct Composer {
+    composed: Arc<AtomicUsize>,
+}
+
+impl Composer {
+    fn composed(&self) -> usize {
+        self.composed.load(Ordering::SeqCst)
+    }
+
+    fn request(&self, name: &str, may_begin: bool) -> DeferredRequest {
+        let composed = self.composed.clone();
+        let head = request(&format!("{name}/{}", "x".repeat(12_000)));
         Box::new(move || {
-            asked.fetch_add(1, Ordering::SeqCst);
-            may.then(|| head.clone())
+            composed.fetch_add(1, Ordering::SeqCst);
+            may_begin.then(|| head.clone())
         })
-    };
-    // Until nothing more is taken: the last one is asked again at each room, and none of it is out.
-    let mut out = Vec::new();
-    while asked.load(Ordering::SeqCst) <= out.len() && out.len() < 3_000 {
-        let before = asked.load(Ordering::SeqCst);
-        out.push(
-            caller
-                .call_deferred(word(format!("first {}", out.len()), true))
-                .unwrap(),
-        );
-        if asked.load(Ordering::SeqCst) == before {
-            break;
+    }
+
+    /// Calls until the socket is full: the last request is not composed at once, or composed again later.
+    fn fill_socket(&self, caller: &FramedConnection) -> Vec<Call> {
+        let mut calls = Vec::new();
+        while self.composed() <= calls.len() && calls.len() < 3_000 {
+            let before = self.composed();
+            let name = format!("first {}", calls.len());
+            calls.push(caller.call_deferred(self.request(&name, true)).unwrap());
+            if self.composed() == before {
+                break;
+            }
+        }
+        assert!(calls.len() < 3_000, "the socket is full at some time");
+        calls
+    }
+
+    /// Calls on a full socket until a request is not composed at once.
+    fn fill_socket_again(&self, caller: &FramedConnection) -> Vec<Call> {
+        let mut calls = Vec::new();
+        loop {
+            let before = self.composed();
+            calls.push(caller.call_deferred(self.request("last", true)).unwrap());
+            if self.composed() == before {
+                return calls;
+            }
         }
     }
-    assert!(out.len() < 3_000, "the socket is full at some time");
-    let given_up = caller.call_deferred(word("given up".into(), true)).unwrap();
-    let mut not_any_more = caller
-        .call_deferred(word("not any more".into(), false))
-        .unwrap();
-    let mut good = caller.call_deferred(word("good".into(), true)).unwrap();
-    drop(given_up);
-    // Read on until the good one has come: it stood behind the others.
-    let mut seen = Vec::new();
-    let mut frames = Framed::new(&mut there, FrameCodec::default());
-    loop {
+}
+
+/// Reads requests up to one of a name; returns the names of all.
+async fn read_requests_until(peer: &mut TcpStream, last: &str) -> Vec<String> {
+    let mut names = Vec::new();
+    let mut frames = Framed::new(peer, FrameCodec::default());
+    while names.last().is_none_or(|name| name != last) {
         let frame = frames.next().await.expect("open").unwrap();
         if let Frame::Request(_, head) = frame {
-            let object = head.object.split('/').next().unwrap().to_owned();
-            seen.push(object);
-            if seen.last().is_some_and(|o| o == "good") {
-                break;
-            }
+            names.push(head.object.split('/').next().unwrap().to_owned());
         }
     }
+    names
+}
+
+/// Requests whose first byte the socket has not accepted: withdrawn ones are never sent, those that may no longer begin are
+/// not either, and at the connection's end the rest ends as not sent; only what was sent ends as broken.
+#[tokio::test]
+async fn request_is_composed_at_its_first_byte_or_never_sent() {
+    let (here, mut there) = sockets().await;
+    let (caller, _) =
+        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 4_000 });
+    let composer = Composer::default();
+    let first = composer.fill_socket(&caller);
+    let call = |name, may_begin| {
+        let request = composer.request(name, may_begin);
+        caller.call_deferred(request).unwrap()
+    };
+    let withdrawn = call("withdrawn", true);
+    let mut expired = call("expired", false);
+    let mut good = call("good", true);
+    drop(withdrawn);
+    let received = read_requests_until(&mut there, "good").await;
     assert!(
-        !seen.iter().any(|o| o == "given up" || o == "not any more"),
-        "{seen:?}"
-    );
-    assert_eq!(seen.len(), out.len() + 1, "all others went out");
-    assert_eq!(
-        not_any_more.next().await,
-        Some(ResponsePart::End(CallEnd::NotSent))
+        !received
+            .iter()
+            .any(|name| name == "withdrawn" || name == "expired"),
+        "{received:?}"
     );
-    // Full again, and then the end.
-    let mut last = Vec::new();
-    loop {
-        let before = asked.load(Ordering::SeqCst);
-        last.push(caller.call_deferred(word("last".into(), true)).unwrap());
-        if asked.load(Ordering::SeqCst) == before {
-            break;
-        }
-    }
+    assert_eq!(received.len(), first.len() + 1, "all others were sent");
+    let not_sent = Some(ResponsePart::End(CallEnd::NotSent));
+    assert_eq!(expired.next().await, not_sent);
+
+    let mut last = composer.fill_socket_again(&caller);
     caller.close("test");
     let mut ends = Vec::new();
     for call in &mut last {
         ends.push(call.next().await);
     }
-    assert!(
-        matches!(ends[0], Some(ResponsePart::End(CallEnd::Broken(_)))),
-        "it went out: {:?}",
-        ends[0]
-    );
-    assert_eq!(
-        ends.last(),
-        Some(&Some(ResponsePart::End(CallEnd::NotSent)))
-    );
-    assert!(matches!(
-        good.next().await,
-        Some(ResponsePart::End(CallEnd::Broken(_)))
-    ));
+    let is_broken =
+        |end: &Option<ResponsePart>| matches!(end, Some(ResponsePart::End(CallEnd::Broken(_))));
+    assert!(is_broken(&ends[0]), "it was sent: {:?}", ends[0]);
+    assert_eq!(ends.last(), Some(&not_sent));
+    assert!(is_broken(&good.next().await));
 }
 
 #[tokio::test]
-async fn a_dropped_call_is_cancelled_and_a_dropped_responder_says_it_may_have_run() {
+async fn dropped_call_cancels_and_dropped_responder_reports_possible_run() {
     let (caller, answerer, mut incoming) = pair().await;
-    let call = caller.call(ask("a")).unwrap();
+    let call = caller.call(request("a")).unwrap();
     let (_, responder) = next_request(&mut incoming).await;
     drop(call);
     responder.cancelled().await;
     drop(responder);
-    let mut call = caller.call(ask("b")).unwrap();
+    let mut call = caller.call(request("b")).unwrap();
     let (_, responder) = next_request(&mut incoming).await;
     drop(responder);
     match body(&mut call).await.1 {
@@ -185,13 +200,13 @@
     assert_eq!(
         (caller.open_streams(), answerer.open_streams()),
         (0, 0),
-        "nothing is kept of either"
+        "no stream remains at either end"
     );
 }
 
-/// A client in haste: what is over the limit is turned away one by one, the connection and the others live.
+/// Requests above the limit are rejected; the connection and the other streams continue.
 #[tokio::test]
-async fn a_thousand_streams_at_once_get_an_answer_each() {
+async fn requests_above_stream_limit_are_rejected_one_by_one() {
     let (here, there) = sockets().await;
     let (caller, _) =
         FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 2_000 });
@@ -201,13 +216,14 @@
         ConnectionOptions { max_streams: 100 },
     );
     let calls: Vec<Call> = (0..1_000)
-        .map(|n| caller.call(ask(&n.to_string())).unwrap())
+        .map(|n| caller.call(request(&n.to_string())).unwrap())
         .collect();
     let mut accepted = vec![];
     for _ in 0..100 {
         accepted.push(next_request(&mut incoming).await.1);
     }
-    let (mut full, mut first) = (0, vec![]);
+    let mut rejected = 0;
+    let mut first = vec![];
     for (n, mut call) in calls.into_iter().enumerate() {
         if n < 100 {
             first.push(call);
@@ -215,12 +231,12 @@
         }
         match body(&mut call).await.1 {
             Some(CallEnd::Error(e)) if e.status() == WireStatus::Rejected && !e.may_have_run => {
-                full += 1
+                rejected += 1
             }
             other => panic!("{n}: {other:?}"),
         }
     }
-    assert_eq!(full, 900);
+    assert_eq!(rejected, 900);
     for responder in accepted {
         let mut responder = responder;
         responder.head(ResponseHead::default()).await.unwrap();
@@ -231,11 +247,11 @@
     }
 }
 
-/// The peer speaks frames by hand.
+/// A call against a peer that answers with the given frames; returns the call's end and the reason of the close.
 async fn against(frames: Vec<Frame>) -> (Option<CallEnd>, String) {
     let (here, there) = sockets().await;
     let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
-    let mut call = caller.call(ask("a")).unwrap();
+    let mut call = caller.call(request("a")).unwrap();
     let mut peer = Framed::new(there, FrameCodec::default());
     assert!(matches!(peer.next().await, Some(Ok(Frame::Request(1, _)))));
     for frame in frames {
@@ -250,11 +266,11 @@
 }
 
 #[tokio::test]
-async fn a_peer_that_breaks_the_protocol_ends_the_connection_and_never_a_call_well() {
+async fn protocol_violation_closes_connection_and_breaks_the_call() {
     let head = || Frame::Head(1, ResponseHead::default());
     let data = |n: usize| Frame::Data(1, Bytes::from(vec![0; n]));
     let end = |bytes| Frame::End(1, EndHead { bytes, load: None });
-    for (frames, why) in [
+    for (frames, expected) in [
         (vec![head(), data(5), end(6)], "counts other bytes"),
         (vec![data(5)], "data before the head"),
         (vec![head(), head()], "a second head"),
@@ -262,23 +278,26 @@
             vec![Frame::Head(7, ResponseHead::default())],
             "nothing that was asked",
         ),
-        (vec![Frame::Request(2, ask("b"))], "only the other side"),
+        (vec![Frame::Request(2, request("b"))], "only the other side"),
         (vec![head(), data(5)], "the peer closed"),
     ] {
-        let (got, told) = against(frames).await;
-        assert!(matches!(got, Some(CallEnd::Broken(_))), "{why}: {got:?}");
-        assert!(told.contains(why), "{told:?} is not {why:?}");
+        let (got, reason) = against(frames).await;
+        assert!(
+            matches!(got, Some(CallEnd::Broken(_))),
+            "{expected}: {got:?}"
+        );
+        assert!(reason.contains(expected), "{reason:?} is not {expected:?}");
     }
-    let (got, told) = against(vec![head(), end(0), end(0)]).await;
+    let (got, reason) = against(vec![head(), end(0), end(0)]).await;
     assert!(
         matches!(got, Some(CallEnd::Complete(_))),
         "the first end counts"
     );
-    assert!(told.contains("after its end"), "{told}");
+    assert!(reason.contains("after its end"), "{reason}");
 }
 
 #[tokio::test]
-async fn garbage_in_place_of_the_preface_is_no_request() {
+async fn invalid_preface_closes_connection_without_request() {
     use tokio::io::AsyncWriteExt;
     let (mut here, there) = sockets().await;
     let (answerer, mut incoming) =
@@ -292,11 +311,11 @@
     );
 }
 
-/// The very first request finds a socket that takes nothing yet: it goes out later, behind the preface all the same.
+/// The first request finds a socket that accepts nothing yet: it is sent later, still behind the preface.
 #[tokio::test]
-async fn a_first_request_that_has_to_wait_goes_out_behind_the_preface() {
+async fn delayed_first_request_is_sent_behind_the_preface() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    // Just made known to the runtime, which has not looked yet whether it takes bytes.
+    // Registered with the runtime only now, which does not know its readiness yet.
     let here = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     here.set_nonblocking(true).unwrap();
     let (caller, _) = FramedConnection::start(
@@ -304,7 +323,7 @@
         Side::Caller,
         ConnectionOptions::default(),
     );
-    let mut call = caller.call(ask("first")).unwrap();
+    let mut call = caller.call(request("first")).unwrap();
     let (there, _) = listener.accept().await.unwrap();
     let (_answerer, mut incoming) =
         FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
