--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -598,7 +598,12 @@
         let counts = self.peers.counts(now);
         if let Some(c) = counts.filter(|_| counts != self.counts) {
             self.router
-                .set_fleet_position(c.in_zone, c.total, c.index, c.takes_warm_up_budget);
+                .set_fleet_position(FleetPosition {
+                    routers_in_zone: c.in_zone,
+                    routers_total: c.total,
+                    router_index: c.index,
+                    takes_warm_up_budget: c.takes_warm_up_budget,
+                });
             self.counts = counts;
         }
         if let Some(at) = self.count_at.take() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! The decisions of a traffic router for a two-tier cache.
 //!
-//! A [`Router`] is told what happens ([`Event`]) and says what to do ([`Action`]): which cache gets a request,
-//! where a miss is filled from, how old a copy may be, and what follows a failure. It does no input or output,
-//! reads no clock and shares nothing: the same settings, seed and events give the same actions.
+//! A [`Router`] turns events ([`Event`]) into actions ([`Action`]): which cache gets a request, where a miss is
+//! filled from, how old a copy may be, and what follows a failure. It does no I/O, reads no clock and shares
+//! nothing: the same settings, seed and events give the same actions.
 //!
-//! The design is *stale on upstream error*: every cacheable copy is kept, accepted up to its fresh time and
-//! renewed cheaply after it; when a fill from the tier above fails, the held copy answers within the grace,
+//! The design is *stale-if-error*: every cacheable copy is cached, accepted up to its fresh time and revalidated
+//! after it; when a fill from the tier above fails, the cached copy is served within the stale-if-error time, but
 //! never one older than a purge. See `docs/design.md`.
 //!
 //! ```
@@ -56,10 +56,22 @@
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_debug_implementations)]
+#![warn(missing_docs)]
 
-mod interface;
-mod logic;
-mod roles;
+mod action;
+mod event;
+mod ids;
+mod router;
+mod settings;
 
-pub use interface::*;
-pub use logic::Router;
+pub use action::{Action, FetchDirective};
+pub use event::{
+    AttemptOutcome, AttemptStatus, CacheStatus, EndpointEntry, EndpointState, Event, ListUpdate,
+    Request,
+};
+pub use ids::{EndpointId, Micros, ObjectId, RequestId};
+pub use router::Router;
+pub use settings::{
+    CacheStatusDetail, FleetPosition, Idempotency, KeyScope, RequestClass, RouterSettings,
+    Siblings, SlowStartRule, Weights, Zone,
+};
--- /dev/null
+++ b/src/router/attempts.rs
@@ -0,0 +1,159 @@
+//! The life of a request: its next attempt, its wait, and its final response.
+use super::fill_source::{Diversion, FillPlan};
+use super::requests::{Attempt, OpenRequest};
+use super::retry::{client_may_repeat, client_retry_after, may_retry};
+use super::{Choice, Route, Router, CHECK_INTERVAL};
+use crate::action::Action;
+use crate::event::Request;
+use crate::ids::{EndpointId, Micros, RequestId};
+
+impl Router {
+    pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        let id = request.id;
+        let Some(class) = self.settings.classes.get(request.class) else {
+            return actions.push(Action::Reject {
+                request: id,
+                retry_after: None,
+            });
+        };
+        let priority_weight = class.priority_weight;
+        self.transfer_times
+            .learn_from_request(request.class, request.size_kb);
+        let transfer_s = self.transfer_times.seconds(request.class, request.size_kb);
+        self.recent_demand.record(priority_weight, transfer_s);
+        self.requests.insert(id, OpenRequest::new(now, request));
+        self.proceed(now, id, actions);
+    }
+
+    /// Makes the next attempt of a request with none in flight, lets it wait, or finishes it.
+    pub(super) fn proceed(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id) else {
+            return;
+        };
+        let choice = if !self.has_attempts_left(now, request) || !self.may_retry(now, request) {
+            Choice::Finish
+        } else if now < request.backoff_until {
+            Choice::Wait
+        } else {
+            self.choose(now, request)
+        };
+        match choice {
+            Choice::Send(route) => self.send(now, id, route, actions),
+            Choice::Wait => self.requests.start_waiting(id),
+            Choice::Finish => self.finish(id, actions),
+        }
+    }
+
+    /// Attempts and time.
+    pub(super) fn has_attempts_left(&self, now: Micros, request: &OpenRequest) -> bool {
+        request.attempts_sent < self.settings.max_attempts
+            && now + CHECK_INTERVAL < request.deadline
+    }
+
+    /// Whether an attempt that had to wait since its `Send` action may still begin.
+    pub fn may_begin(&self, now: Micros, id: RequestId) -> bool {
+        self.requests
+            .get(id)
+            .is_some_and(|request| !request.closed && self.may_retry(now, request))
+    }
+
+    fn may_retry(&self, now: Micros, request: &OpenRequest) -> bool {
+        let idempotency = self.settings.classes[request.request.class].idempotency;
+        may_retry(now, request.first_run, idempotency)
+    }
+
+    /// Final response: rejected where the client may repeat the request, else failed.
+    pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id).filter(|request| !request.closed) else {
+            return;
+        };
+        let idempotency = self.settings.classes[request.request.class].idempotency;
+        let retry_after = self
+            .settings
+            .retry_after
+            .then_some(client_retry_after(self.settings.max_retry_after));
+        actions.push(if client_may_repeat(request, idempotency) {
+            Action::Reject {
+                request: id,
+                retry_after,
+            }
+        } else {
+            Action::Fail { request: id }
+        });
+        self.close(id, actions);
+    }
+
+    pub(super) fn close(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        self.requests.close(id, self.settings.may_cancel, actions);
+    }
+
+    pub(super) fn send(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        route: Route,
+        actions: &mut Vec<Action>,
+    ) {
+        let diversion = Diversion {
+            from_source: self.draw_diversion(now, route.source),
+            from_origin: self.draw_diversion(now, self.endpoints.origin()),
+        };
+        self.requests.stop_waiting(id);
+        let Some(open) = self.requests.get(id) else {
+            return;
+        };
+        let plan = self.plan_fill(now, &open.request, route, diversion);
+        let fetch = self.fetch_directive(now, &open.request, plan);
+        let timeout = open.deadline - now;
+        self.account_for_attempt(now, id, route.endpoint, plan);
+        self.record_attempt(now, id, route.endpoint, plan);
+        actions.push(Action::Send {
+            request: id,
+            endpoint: route.endpoint,
+            timeout,
+            fetch,
+        });
+    }
+
+    /// Adds an attempt to the load of its endpoint and of its source, and charges their warm-up budgets.
+    fn account_for_attempt(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        endpoint: EndpointId,
+        plan: FillPlan,
+    ) {
+        let Some(open) = self.requests.get(id) else {
+            return;
+        };
+        let size_kb = open.request.size_kb.unwrap_or(1.0);
+        let work_s = self.transfer_times.budget_cost(open.request.class);
+        let window = self.slow_start.charge_window();
+        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
+            endpoint.load.add_request(size_kb, plan.cached_only);
+            endpoint.warm_up.charge(now, id, work_s, window);
+        }
+        let upstream = plan.source.filter(|source| *source != endpoint);
+        if let Some(source) = upstream.and_then(|source| self.endpoints.get_mut(source)) {
+            source.load.fills += 1;
+            source.warm_up.charge(now, id, work_s, window);
+        }
+    }
+
+    fn record_attempt(&mut self, now: Micros, id: RequestId, endpoint: EndpointId, plan: FillPlan) {
+        let Some(open) = self.requests.get_mut(id) else {
+            return;
+        };
+        open.in_flight.push(Attempt {
+            number: open.attempts_sent,
+            endpoint,
+            source: plan.source,
+            sent_at: now,
+            cancelled: None,
+            cached_only: plan.cached_only,
+        });
+        open.attempts_sent += 1;
+        open.cached_only_tried |= plan.cached_only;
+        open.origin_spared |= plan.origin_spared;
+    }
+}
--- /dev/null
+++ b/src/router/fault_attribution.rs
@@ -0,0 +1,200 @@
+//! Fault attribution: which endpoint a failed attempt counts against.
+use super::outcome::{EndedAttempt, Fault};
+use super::outlier::{Severity, SCORE_STEP};
+use super::{Router, MS};
+use crate::event::{AttemptStatus, CacheStatus};
+use crate::ids::{EndpointId, Micros};
+use crate::settings::CacheStatusDetail;
+
+/// A rejection that takes longer than this came from beyond the caches of the zone.
+const LONGEST_LOCAL_REJECTION: Micros = 5 * MS;
+/// Where the cache status is not reported most responses are hits, which say little of the source.
+const UNREPORTED_SCORE_STEP: f64 = SCORE_STEP / 4.0;
+
+impl Router {
+    /// Records the outcome at the endpoint and its source, and says whose fault it was.
+    pub(super) fn attribute_fault(&mut self, now: Micros, ended: &EndedAttempt) -> Fault {
+        let (attempt, status) = (&ended.attempt, ended.outcome.status);
+        let (endpoint, source) = (attempt.endpoint, attempt.upstream());
+        let answered_meanwhile = self
+            .endpoints
+            .get(endpoint)
+            .is_some_and(|endpoint| endpoint.presence.last_answer_at() >= attempt.sent_at);
+        self.record_presence(now, endpoint, status);
+        match (status, ended.outcome.cache_status) {
+            (AttemptStatus::Ok, cache_status) => {
+                self.record_response(endpoint, source, cache_status);
+                Fault::None
+            }
+            (AttemptStatus::Miss, _) if attempt.cached_only => Fault::None,
+            (_, CacheStatus::SourceMiss) | (AttemptStatus::Miss, _) => Fault::Source,
+            (
+                _,
+                CacheStatus::SourceRejected
+                | CacheStatus::SourceUnreachable
+                | CacheStatus::OriginFailed,
+            ) => {
+                self.record_reported_source_failure(now, ended);
+                Fault::Source
+            }
+            _ if self.is_presumed_source_failure(ended) => {
+                self.record_presumed_source_failure(now, ended);
+                Fault::Source
+            }
+            (AttemptStatus::Rejected, _) | (_, CacheStatus::FillLimitReached) => Fault::Endpoint,
+            (AttemptStatus::ConnectFailed, _) => {
+                self.record_refused_connection(now, endpoint, attempt.sent_at);
+                Fault::Endpoint
+            }
+            // The cache answers other requests: it lost this one or its source is slow.
+            (AttemptStatus::Timeout, _) if answered_meanwhile => {
+                self.record_slow_source(now, source);
+                Fault::Source
+            }
+            // A dead process refuses the next connection; the network breaks connections of every endpoint alike.
+            (AttemptStatus::Reset, _) => {
+                self.record_failure(now, endpoint, Severity::Ambiguous);
+                Fault::Endpoint
+            }
+            (AttemptStatus::Error | AttemptStatus::Timeout, _) => {
+                self.record_failure(now, endpoint, Severity::Ordinary);
+                Fault::Endpoint
+            }
+            (AttemptStatus::Cancelled, _) => attempt.cancelled.unwrap_or(Fault::Endpoint),
+            (AttemptStatus::NotSent, _) => Fault::None,
+        }
+    }
+
+    /// Any message of the endpoint shows that a process is there.
+    fn record_presence(&mut self, now: Micros, id: EndpointId, status: AttemptStatus) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        match status {
+            AttemptStatus::Timeout
+            | AttemptStatus::Cancelled
+            | AttemptStatus::NotSent
+            | AttemptStatus::ConnectFailed => {}
+            AttemptStatus::Reset => endpoint.presence.connection_reset(now),
+            AttemptStatus::Ok
+            | AttemptStatus::Error
+            | AttemptStatus::Rejected
+            | AttemptStatus::Miss => endpoint.presence.answered(now),
+        }
+    }
+
+    /// Credits a response to the cache and to whoever filled it.
+    fn record_response(
+        &mut self,
+        cache: EndpointId,
+        source: Option<EndpointId>,
+        cache_status: CacheStatus,
+    ) {
+        self.record_success(cache, SCORE_STEP);
+        let Some(source) = source else {
+            return;
+        };
+        match cache_status {
+            CacheStatus::FilledByOrigin => {
+                if let Some(origin) = self.endpoints.origin() {
+                    self.record_success(origin, SCORE_STEP);
+                }
+                self.record_success(source, SCORE_STEP);
+            }
+            CacheStatus::Filled => self.record_success(source, SCORE_STEP),
+            CacheStatus::Unreported => self.record_success(source, UNREPORTED_SCORE_STEP),
+            _ => {}
+        }
+    }
+
+    /// The cache reports that its source, or the origin behind it, failed.
+    fn record_reported_source_failure(&mut self, now: Micros, ended: &EndedAttempt) {
+        let cache_status = ended.outcome.cache_status;
+        let origin = self
+            .endpoints
+            .origin()
+            .filter(|_| cache_status == CacheStatus::OriginFailed);
+        let Some(source) = origin.or(ended.attempt.upstream()) else {
+            return;
+        };
+        let severity = match cache_status {
+            CacheStatus::SourceUnreachable if ended.outcome.status == AttemptStatus::Error => {
+                Severity::Interrupted
+            }
+            CacheStatus::SourceUnreachable => Severity::Unreachable,
+            _ => Severity::Ordinary,
+        };
+        self.record_source_failure(now, source, severity);
+    }
+
+    /// Where no cache status is reported, an error or a slow rejection counts against the named source.
+    fn is_presumed_source_failure(&self, ended: &EndedAttempt) -> bool {
+        let outcome = &ended.outcome;
+        let may_be_source = match outcome.status {
+            AttemptStatus::Error => true,
+            AttemptStatus::Rejected => outcome.elapsed > LONGEST_LOCAL_REJECTION,
+            _ => false,
+        };
+        may_be_source
+            && outcome.cache_status == CacheStatus::Unreported
+            && ended.attempt.upstream().is_some()
+            && self.settings.cache_status_detail == CacheStatusDetail::None
+    }
+
+    fn record_presumed_source_failure(&mut self, now: Micros, ended: &EndedAttempt) {
+        if let Some(source) = ended.attempt.upstream() {
+            self.record_source_failure(now, source, Severity::Ordinary);
+        }
+        if ended.outcome.status == AttemptStatus::Error {
+            self.record_failure(now, ended.attempt.endpoint, Severity::Ordinary);
+        }
+    }
+
+    fn record_source_failure(&mut self, now: Micros, source: EndpointId, severity: Severity) {
+        self.record_failure(now, source, severity);
+        if let Some(source) = self.endpoints.get_mut(source) {
+            source.health.source_failed_at = Some(now);
+        }
+    }
+
+    fn record_refused_connection(&mut self, now: Micros, id: EndpointId, sent_at: Micros) {
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            let other_requests_in_flight = endpoint.load.requests > 0;
+            if !other_requests_in_flight {
+                endpoint.presence.refused(sent_at, now);
+            }
+        }
+        self.record_failure(now, id, Severity::Unreachable);
+    }
+
+    /// Some of the fills go past a source that may be slow.
+    fn record_slow_source(&mut self, now: Micros, source: Option<EndpointId>) {
+        self.adapt_traffic_share(source, true);
+        if let Some(source) = source {
+            self.record_failure(now, source, Severity::Ambiguous);
+        }
+    }
+
+    fn record_success(&mut self, id: EndpointId, step: f64) {
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.health.record_success(step);
+        }
+    }
+
+    pub(super) fn record_failure(&mut self, now: Micros, id: EndpointId, severity: Severity) {
+        let random = self.random.next();
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let recent_transfer_s = self.recent_demand.mean_transfer_s();
+        let probe_interval = self.slow_start.probe_interval(
+            endpoint,
+            &self.fleet,
+            &self.transfer_times,
+            recent_transfer_s,
+        );
+        endpoint
+            .health
+            .record_failure(now, severity, probe_interval, random);
+    }
+}
--- /dev/null
+++ b/src/router/fill_source.rs
@@ -0,0 +1,198 @@
+//! Where a miss is filled from (parent, sibling or origin), and how old a copy may be: stale-if-error.
+use super::copy_locations::CopyKey;
+use super::endpoints::Endpoint;
+use super::placement::PlacementLoad;
+use super::requests::OpenRequest;
+use super::roles::Role;
+use super::{Route, Router, MS};
+use crate::action::FetchDirective;
+use crate::event::Request;
+use crate::ids::{EndpointId, Micros};
+use crate::settings::{RequestClass, Siblings};
+
+/// After a source failed, requests that are filled from it accept stale copies for this long.
+const STALE_WINDOW: Micros = 10_000 * MS;
+/// A timely fill raises the traffic share of its source by this share, a late or rejected one lowers it.
+const TRAFFIC_SHARE_STEP: f64 = 0.5;
+/// Lowest traffic share: enough fills to find out when the source has recovered.
+const MIN_TRAFFIC_SHARE: f64 = 0.04;
+
+/// Share of the fills from a parent or the origin that go there; the others are diverted.
+///
+/// Invariant: between `MIN_TRAFFIC_SHARE` and 1. Forgotten with its endpoint.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct TrafficShare {
+    share: f64,
+}
+
+impl Default for TrafficShare {
+    fn default() -> Self {
+        Self { share: 1.0 }
+    }
+}
+
+impl TrafficShare {
+    pub(super) fn adapt(&mut self, late: bool) {
+        let factor = if late {
+            1.0 - TRAFFIC_SHARE_STEP
+        } else {
+            1.0 + TRAFFIC_SHARE_STEP
+        };
+        self.share = (self.share * factor).clamp(MIN_TRAFFIC_SHARE, 1.0);
+    }
+
+    /// Whether a fill is diverted, by a uniform random number.
+    fn diverts(&self, random: f64) -> bool {
+        random >= self.share
+    }
+}
+
+/// Which of the sources of a fill are to be avoided for now.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Diversion {
+    pub(super) from_source: bool,
+    pub(super) from_origin: bool,
+}
+
+/// Where an attempt is filled from.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct FillPlan {
+    /// The endpoint itself: answered from cached copies only.
+    pub(super) source: Option<EndpointId>,
+    pub(super) cached_only: bool,
+    /// The source is not to fetch from the origin.
+    pub(super) origin_spared: bool,
+}
+
+impl Router {
+    /// Drawn for each fill, so that the traffic shares of all routers add up.
+    pub(super) fn draw_diversion(&mut self, now: Micros, id: Option<EndpointId>) -> bool {
+        let random = self.random.next_unit();
+        id.and_then(|id| self.endpoints.get(id))
+            .is_some_and(|endpoint| {
+                endpoint.fill_share.diverts(random) || !endpoint.is_healthy(now)
+            })
+    }
+
+    /// Replaces the source of a route where it is to be avoided: a parent by the origin, the origin by the copies
+    /// that the parent has cached, or by those of the endpoint.
+    pub(super) fn plan_fill(
+        &self,
+        now: Micros,
+        request: &Request,
+        route: Route,
+        diversion: Diversion,
+    ) -> FillPlan {
+        let uncacheable = self.settings.classes[request.class].uncacheable;
+        let fills_from_above = !uncacheable
+            && route
+                .source
+                .and_then(|source| self.endpoints.get(source))
+                .is_some_and(|source| source.role != Role::Cache);
+        let source_diverted = diversion.from_source && fills_from_above;
+        let origin_spared = diversion.from_origin && fills_from_above;
+        let origin = self.endpoints.origin();
+        let origin_accepts = origin
+            .and_then(|id| self.endpoints.get(id))
+            .is_some_and(|origin| self.accepts_new_requests(now, origin, request.class));
+        let source = match route.source {
+            Some(_) if origin_spared && route.source == origin => Some(route.endpoint),
+            Some(_) if source_diverted && !origin_spared && origin_accepts => origin,
+            source => source,
+        };
+        FillPlan {
+            source,
+            cached_only: source == Some(route.endpoint) && !uncacheable,
+            origin_spared,
+        }
+    }
+
+    pub(super) fn fetch_directive(
+        &self,
+        now: Micros,
+        request: &Request,
+        plan: FillPlan,
+    ) -> Option<FetchDirective> {
+        let class = &self.settings.classes[request.class];
+        let purge_age = self.purges.max_age(now, request);
+        let source = plan.source?;
+        let stores_no_copy = class.uncacheable || plan.cached_only;
+        let accepts_stale =
+            plan.cached_only || plan.origin_spared || self.failed_recently(now, source);
+        Some(FetchDirective {
+            source,
+            retention_rank: if stores_no_copy {
+                0
+            } else {
+                self.copy_locations.retention_rank(CopyKey::of(request))
+            },
+            max_age: max_age(class, accepts_stale, purge_age),
+            // A fill begun before a purge would return the purged copy.
+            coalesce: self.settings.coalesces_fills && purge_age.is_none() && !class.uncacheable,
+            only_if_cached: plan.origin_spared && !plan.cached_only,
+            revalidate: class.fresh_for > 0 && !plan.cached_only && !plan.origin_spared,
+        })
+    }
+
+    fn failed_recently(&self, now: Micros, source: EndpointId) -> bool {
+        self.endpoints
+            .get(source)
+            .and_then(|source| source.health.source_failed_at)
+            .is_some_and(|failed_at| now < failed_at + STALE_WINDOW)
+    }
+
+    /// A sibling that served the copy last, for a request whose cache is another one: the fill stays within the
+    /// zone.
+    pub(super) fn sibling_source(
+        &self,
+        now: Micros,
+        request: &OpenRequest,
+        cache: EndpointId,
+    ) -> Option<EndpointId> {
+        let id = self
+            .copy_locations
+            .last_server(CopyKey::of(&request.request))?;
+        let sibling = self.endpoints.get(id)?;
+        let allowed = self.settings.siblings != Siblings::None && sibling.role == Role::Cache;
+        let usable = id != cache && !request.excluded.contains(&id) && sibling.is_healthy(now);
+        let purged = self.purges.max_age(now, &request.request).is_some();
+        (allowed
+            && usable
+            && !purged
+            && self.accepts_new_requests(now, sibling, request.request.class))
+        .then_some(id)
+    }
+
+    /// The parent in the rendezvous order of the copy, then the origin, then a parent that is ejected.
+    pub(super) fn upstream_source(&self, now: Micros, request: &OpenRequest) -> Option<EndpointId> {
+        let key = CopyKey::of(&request.request).placement_key();
+        let placement = self.placement();
+        let pick = |from: &[&Endpoint]| placement.pick(key, from, PlacementLoad::of_source);
+        let parents = self.eligible(now, request, Role::Parent);
+        let healthy_parents: Vec<&Endpoint> = parents
+            .iter()
+            .filter(|parent| parent.is_healthy(now))
+            .copied()
+            .collect();
+        let origin = self
+            .eligible(now, request, Role::Origin)
+            .into_iter()
+            .find(|origin| origin.is_healthy(now))
+            .map(|origin| origin.entry.id);
+        pick(&healthy_parents).or(origin).or_else(|| pick(&parents))
+    }
+}
+
+/// The oldest copy that a request accepts. Age 0 means the fresh time of the class, so a purge gives at least 1.
+fn max_age(class: &RequestClass, accepts_stale: bool, purge_age: Option<Micros>) -> Micros {
+    let class_age = if accepts_stale && class.fresh_for > 0 {
+        class.fresh_for + class.stale_if_error
+    } else {
+        class.fresh_for
+    };
+    match purge_age {
+        Some(age) if class_age == 0 => age.max(1),
+        Some(age) => age.clamp(1, class_age),
+        None => class_age,
+    }
+}
--- /dev/null
+++ b/src/router/mod.rs
@@ -0,0 +1,164 @@
+//! The router: events in, actions out.
+//!
+//! [`Router::handle`] passes each event to the module of its concern. The state types (`endpoints`, `requests`,
+//! `purge_log`, ...) know only their own state; the decisions that combine them are in `selection`, `fill_source`,
+//! `pass_through`, `attempts`, `outcome`, `fault_attribution` and `silent_endpoints`.
+mod attempts;
+mod concurrency_limit;
+mod copy_locations;
+mod endpoints;
+mod fault_attribution;
+mod fill_source;
+mod fleet;
+mod latency;
+mod outcome;
+mod outlier;
+mod pass_through;
+mod placement;
+mod presence;
+mod priority;
+mod purge_log;
+mod random;
+mod requests;
+mod retry;
+mod roles;
+mod selection;
+mod silent_endpoints;
+mod slow_start;
+
+use crate::action::Action;
+use crate::event::{EndpointEntry, Event, ListUpdate};
+use crate::ids::{EndpointId, Micros};
+use crate::settings::{FleetPosition, RouterSettings};
+use concurrency_limit::ConcurrencyLimit;
+use copy_locations::CopyLocations;
+use endpoints::Endpoints;
+use fleet::Fleet;
+use latency::{Slowness, TransferTimes};
+use priority::RecentDemand;
+use purge_log::PurgeLog;
+use random::Random;
+use requests::OpenRequests;
+use selection::{Choice, Route};
+use slow_start::{Lease, SlowStart};
+
+/// One millisecond.
+const MS: Micros = 1_000;
+/// Open requests are checked this often: short against any latency objective.
+const CHECK_INTERVAL: Micros = 25 * MS;
+/// The checks of several routers are spread over this share of the interval.
+const CHECK_JITTER: Micros = CHECK_INTERVAL / 8;
+
+/// The decisions of one router. See [`Router::handle`].
+///
+/// Invariant: a timer is set while any request is open. Everything else is bounded and forgotten by the state
+/// types, as their documentation says.
+#[derive(Debug)]
+pub struct Router {
+    settings: RouterSettings,
+    random: Random,
+    fleet: Fleet,
+    slow_start: SlowStart,
+    endpoints: Endpoints,
+    requests: OpenRequests,
+    timer_is_set: bool,
+    transfer_times: TransferTimes,
+    /// Usual slowness of the caches of this zone.
+    zone_slowness: Slowness,
+    recent_demand: RecentDemand,
+    /// Limit that timely fills set for all caches together.
+    fill_limit: ConcurrencyLimit,
+    purges: PurgeLog,
+    copy_locations: CopyLocations,
+}
+
+impl Router {
+    /// A router that knows nothing yet but its settings. The seed determines its random numbers.
+    pub fn new(settings: RouterSettings, seed: u64) -> Self {
+        Self {
+            random: Random::new(seed),
+            fleet: Fleet::new(&settings),
+            slow_start: SlowStart::new(&settings),
+            endpoints: Endpoints::default(),
+            requests: OpenRequests::default(),
+            timer_is_set: false,
+            transfer_times: TransferTimes::new(&settings),
+            zone_slowness: Slowness::default(),
+            recent_demand: RecentDemand::default(),
+            fill_limit: ConcurrencyLimit::of_fills(),
+            purges: PurgeLog::new(settings.purge_horizon),
+            copy_locations: CopyLocations::default(),
+            settings,
+        }
+    }
+
+    /// Updates how many routers there are and which one this is.
+    pub fn set_fleet_position(&mut self, position: FleetPosition) {
+        self.fleet.reposition(position);
+    }
+
+    /// Handles one event and appends the actions that follow from it. `now` never runs backwards.
+    pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        self.slow_start.note_running(now);
+        match event {
+            Event::EndpointList { update, entries } => {
+                self.on_endpoint_list(now, update, entries);
+            }
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::ResponseStarted(id) => self.on_response_started(now, id),
+            Event::Hello {
+                endpoint,
+                started_at,
+            } => self.endpoints.apply_hello(now, endpoint, started_at),
+            Event::Lease {
+                endpoint,
+                work_s,
+                duration,
+            } => {
+                let lease = Lease {
+                    remaining_work_s: work_s,
+                    granted_at: now,
+                    duration,
+                };
+                self.endpoints.grant_lease(endpoint, lease);
+            }
+            Event::Outcome(outcome) => self.on_outcome(now, outcome, actions),
+            Event::ClientDisconnected(id) => self.close(id, actions),
+            Event::FinishNow(id) => self.finish(id, actions),
+            Event::Timer(_) => self.on_timer(now, actions),
+            Event::Purge { object, group, age } => self.purges.record(now, object, group, age),
+        }
+        self.set_timer(actions);
+    }
+
+    fn on_endpoint_list(&mut self, now: Micros, update: ListUpdate, entries: Vec<EndpointEntry>) {
+        self.endpoints.apply_update(update, entries, &self.settings);
+        self.endpoints
+            .remove_gone(now, || self.requests.first_run_endpoints());
+    }
+
+    fn on_response_started(&mut self, now: Micros, id: EndpointId) {
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.presence.answered(now);
+        }
+    }
+
+    fn on_timer(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.timer_is_set = false;
+        self.eject_silent_endpoints(now, actions);
+        for id in self.requests.take_waiting() {
+            self.proceed(now, id, actions);
+        }
+    }
+
+    fn set_timer(&mut self, actions: &mut Vec<Action>) {
+        if self.timer_is_set || self.requests.is_empty() {
+            return;
+        }
+        self.timer_is_set = true;
+        actions.push(Action::SetTimer {
+            after: CHECK_INTERVAL + self.random.next() % CHECK_JITTER,
+            token: 0,
+        });
+    }
+}
--- /dev/null
+++ b/src/router/outcome.rs
@@ -0,0 +1,264 @@
+//! Outcomes of attempts: what is learned from them, and how the request goes on.
+use super::copy_locations::CopyKey;
+use super::latency::ResponseTiming;
+use super::requests::{Attempt, FirstRun, OpenRequest};
+use super::retry::{is_rejected_too_often, rejection_backoff};
+use super::{Route, Router};
+use crate::action::Action;
+use crate::event::{AttemptOutcome, AttemptStatus, CacheStatus};
+use crate::ids::{EndpointId, Micros};
+
+/// Where the fault of a failed attempt lies.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Fault {
+    None,
+    /// The endpoint that it was sent to.
+    Endpoint,
+    /// The source of its fill.
+    Source,
+}
+
+/// An attempt that ended, with what the request knew of it.
+#[derive(Debug)]
+pub(super) struct EndedAttempt {
+    pub(super) attempt: Attempt,
+    pub(super) outcome: AttemptOutcome,
+    class: usize,
+    copy: CopyKey,
+    request_size_kb: Option<f64>,
+    request_closed: bool,
+}
+
+impl EndedAttempt {
+    /// Ends the attempt that an outcome belongs to and notes on the request what follows from it.
+    fn take(request: &mut OpenRequest, outcome: AttemptOutcome) -> Option<Self> {
+        let attempt = request.take_attempt(outcome.attempt)?;
+        let ended = Self {
+            class: request.request.class,
+            copy: CopyKey::of(&request.request),
+            request_size_kb: request.request.size_kb,
+            request_closed: request.closed || outcome.request_closed,
+            attempt,
+            outcome,
+        };
+        if ended.may_have_run() && request.first_run.is_none() {
+            request.first_run = Some(FirstRun {
+                sent_at: ended.attempt.sent_at,
+                endpoint: ended.attempt.endpoint,
+            });
+        }
+        request.rejections += u32::from(ended.lacked_capacity());
+        request.origin_spared |= ended.outcome.cache_status == CacheStatus::OriginFailed;
+        Some(ended)
+    }
+
+    /// It never reached the endpoint.
+    fn was_not_sent(&self) -> bool {
+        matches!(
+            self.outcome.status,
+            AttemptStatus::ConnectFailed | AttemptStatus::NotSent
+        )
+    }
+
+    fn may_have_run(&self) -> bool {
+        let nothing_ran = matches!(
+            self.outcome.status,
+            AttemptStatus::Rejected | AttemptStatus::Miss
+        );
+        !self.was_not_sent() && !nothing_ran
+    }
+
+    fn lacked_capacity(&self) -> bool {
+        self.outcome.status == AttemptStatus::Rejected
+            || self.outcome.cache_status == CacheStatus::FillLimitReached
+    }
+
+    /// Served from a copy of the cache, as far as reported.
+    fn was_cached(&self) -> bool {
+        matches!(
+            self.outcome.cache_status,
+            CacheStatus::Hit | CacheStatus::Stale | CacheStatus::Unreported
+        )
+    }
+}
+
+impl Router {
+    pub(super) fn on_outcome(
+        &mut self,
+        now: Micros,
+        outcome: AttemptOutcome,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(outcome.request) else {
+            return;
+        };
+        let Some(ended) = EndedAttempt::take(request, outcome) else {
+            return;
+        };
+        let size_kb = ended.outcome.size_kb.or(ended.request_size_kb);
+        let size_kb = self.transfer_times.usable_size(size_kb);
+        let timing = ResponseTiming {
+            elapsed: ended.outcome.elapsed,
+            transfer_s: self.transfer_times.seconds(ended.class, size_kb),
+            size_known: size_kb.is_some(),
+        };
+        self.release_load(&ended);
+        if ended.outcome.status == AttemptStatus::Ok {
+            self.learn_from_response(&ended, timing);
+        }
+        self.adapt_limits(&ended, timing);
+        let fault = self.attribute_fault(now, &ended);
+        self.follow_up(now, &ended, fault, actions);
+    }
+
+    /// Takes the attempt off the load of its endpoint and source, and refunds warm-up work that was not done.
+    fn release_load(&mut self, ended: &EndedAttempt) {
+        let (attempt, request) = (&ended.attempt, ended.outcome.request);
+        let was_not_sent = ended.was_not_sent();
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            let size_kb = ended.request_size_kb.unwrap_or(1.0);
+            endpoint.load.remove_request(size_kb, attempt.cached_only);
+            if was_not_sent {
+                endpoint.warm_up.refund(attempt.sent_at, request);
+            }
+        }
+        let source = attempt.upstream();
+        if let Some(source) = source.and_then(|source| self.endpoints.get_mut(source)) {
+            source.load.fills = source.load.fills.saturating_sub(1);
+            let never_reached_source =
+                was_not_sent || ended.outcome.cache_status == CacheStatus::Hit;
+            if never_reached_source {
+                source.warm_up.refund(attempt.sent_at, request);
+            }
+        }
+    }
+
+    fn learn_from_response(&mut self, ended: &EndedAttempt, timing: ResponseTiming) {
+        let endpoint = ended.attempt.endpoint;
+        self.copy_locations.record(ended.copy, endpoint);
+        let class = &self.settings.classes[ended.class];
+        if ended.was_cached() && !class.uncacheable {
+            let log_slowness = timing.log_slowness();
+            self.zone_slowness.observe_in_zone(log_slowness);
+            if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
+                endpoint.health.slowness.observe_at_cache(log_slowness);
+            }
+        }
+        if ended.request_size_kb.is_some() {
+            return;
+        }
+        // Without a size only fast hits are learned from: slow ones would raise what counts as late. They leave
+        // large objects out, so they are not used where other responses report sizes.
+        let is_fast = timing.elapsed <= class.latency_objective;
+        if timing.size_known {
+            self.transfer_times.learn(ended.class, timing.transfer_s);
+        } else if ended.was_cached() && is_fast && !self.transfer_times.sizes_reported() {
+            let elapsed_s = timing.elapsed as f64 / 1e6;
+            self.transfer_times.learn(ended.class, elapsed_s);
+        }
+    }
+
+    /// Adapts the limit of what made the response late or timely: the origin, the source, the link into the zone,
+    /// or the cache. An attempt without a response says nothing about it.
+    fn adapt_limits(&mut self, ended: &EndedAttempt, timing: ResponseTiming) {
+        let status = ended.outcome.status;
+        let source = ended.attempt.upstream();
+        let late = timing.is_late(&self.settings.classes[ended.class], status);
+        match (status, ended.outcome.cache_status) {
+            (AttemptStatus::Miss | AttemptStatus::Cancelled | AttemptStatus::Timeout, _) => {}
+            _ if ended.was_not_sent() => {}
+            (AttemptStatus::Ok, CacheStatus::FilledByOrigin) | (_, CacheStatus::OriginFailed)
+                if source.is_some() =>
+            {
+                self.adapt_traffic_share(self.endpoints.origin(), late);
+            }
+            (_, CacheStatus::SourceRejected) => self.adapt_traffic_share(source, true),
+            (AttemptStatus::Ok, CacheStatus::Filled | CacheStatus::Coalesced) => {
+                self.fill_limit.adapt(late, 1.0);
+                self.adapt_traffic_share(source, late);
+            }
+            _ => self.adapt_concurrency_limit(ended.attempt.endpoint, late),
+        }
+    }
+
+    pub(super) fn adapt_traffic_share(&mut self, id: Option<EndpointId>, late: bool) {
+        if let Some(endpoint) = id.and_then(|id| self.endpoints.get_mut(id)) {
+            endpoint.fill_share.adapt(late);
+        }
+    }
+
+    fn adapt_concurrency_limit(&mut self, id: EndpointId, late: bool) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        let limit = &mut endpoint.concurrency_limit;
+        if late || limit.is_used(endpoint.load.requests, &self.fleet) {
+            limit.adapt(late, endpoint.entry.weight);
+        }
+    }
+
+    /// The next step of the request: nothing, its final response, a cached-only attempt or another attempt.
+    fn follow_up(
+        &mut self,
+        now: Micros,
+        ended: &EndedAttempt,
+        fault: Fault,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = ended.outcome.request;
+        if ended.request_closed {
+            return self.close(id, actions);
+        }
+        let Some(request) = self.requests.get_mut(id) else {
+            return;
+        };
+        if !request.in_flight.is_empty() {
+            return;
+        }
+        exclude_faulty(request, &ended.attempt, fault);
+        let failed_repeatedly = fault != Fault::None && request.attempts_sent > 1;
+        let uncacheable = self.settings.classes[ended.class].uncacheable;
+        if uncacheable && (ended.lacked_capacity() || failed_repeatedly) {
+            request.backoff_until = now + rejection_backoff(request.rejections);
+            request.excluded.clear();
+        } else if is_rejected_too_often(request.rejections) {
+            return self.finish(id, actions);
+        }
+        if self.may_serve_stale(now, ended, fault) {
+            let route = Route::cached_only(ended.attempt.endpoint);
+            return self.send(now, id, route, actions);
+        }
+        self.proceed(now, id, actions);
+    }
+
+    /// Stale-if-error: a failed fill is answered from the copy of the same cache.
+    fn may_serve_stale(&self, now: Micros, ended: &EndedAttempt, fault: Fault) -> bool {
+        let class = &self.settings.classes[ended.class];
+        let fill_failed =
+            fault == Fault::Source && ended.outcome.cache_status != CacheStatus::SourceMiss;
+        let class_allows = class.fresh_for > 0 && class.stale_if_error > 0;
+        let Some(request) = self.requests.get(ended.outcome.request) else {
+            return false;
+        };
+        fill_failed
+            && class_allows
+            && !request.cached_only_tried
+            && self.has_attempts_left(now, request)
+            && self
+                .endpoints
+                .get(ended.attempt.endpoint)
+                .is_some_and(|cache| self.accepts_new_requests(now, cache, ended.class))
+    }
+}
+
+/// The request avoids the endpoint that failed it.
+fn exclude_faulty(request: &mut OpenRequest, attempt: &Attempt, fault: Fault) {
+    match fault {
+        Fault::None => {}
+        Fault::Endpoint => request.excluded.push(attempt.endpoint),
+        Fault::Source => {
+            let source = attempt.upstream().unwrap_or(attempt.endpoint);
+            request.excluded.push(source);
+        }
+    }
+}
--- /dev/null
+++ b/src/router/pass_through.rs
@@ -0,0 +1,61 @@
+//! Uncacheable classes, which run at the origin.
+use super::endpoints::Endpoint;
+use super::placement::PlacementLoad;
+use super::requests::OpenRequest;
+use super::roles::Role;
+use super::{Choice, Route, Router};
+use crate::ids::{EndpointId, Micros};
+
+impl Router {
+    /// Forwards to the origin directly where that is allowed, else through a cache that names it as the source.
+    pub(super) fn choose_pass_through(&self, now: Micros, request: &OpenRequest) -> Choice {
+        let origin = self
+            .eligible(now, request, Role::Origin)
+            .first()
+            .map(|origin| origin.entry.id);
+        let parent = self.pick_healthy(now, request, Role::Parent);
+        let route = if self.settings.direct_forwarding {
+            let direct = origin.map(|endpoint| Route {
+                endpoint,
+                source: None,
+            });
+            direct.or_else(|| parent.map(|parent| self.route_through_parent(now, request, parent)))
+        } else {
+            let cache = self.pick_healthy(now, request, Role::Cache);
+            cache
+                .zip(origin.or(parent))
+                .map(|(endpoint, source)| Route {
+                    endpoint,
+                    source: Some(source),
+                })
+        };
+        route.map_or(Choice::Wait, Choice::Send)
+    }
+
+    /// A parent that is its own source fetches from nowhere.
+    fn route_through_parent(
+        &self,
+        now: Micros,
+        request: &OpenRequest,
+        parent: EndpointId,
+    ) -> Route {
+        let origin = self
+            .endpoints
+            .with_role(Role::Origin)
+            .find(|origin| self.accepts_new_requests(now, origin, request.request.class));
+        Route {
+            endpoint: parent,
+            source: Some(origin.map_or(parent, |origin| origin.entry.id)),
+        }
+    }
+
+    fn pick_healthy(&self, now: Micros, request: &OpenRequest, role: Role) -> Option<EndpointId> {
+        let mut candidates: Vec<&Endpoint> = self.eligible(now, request, role);
+        candidates.retain(|endpoint| endpoint.is_healthy(now));
+        self.placement().pick(
+            request.request.object.0,
+            &candidates,
+            PlacementLoad::of_both,
+        )
+    }
+}
--- /dev/null
+++ b/src/router/requests.rs
@@ -0,0 +1,155 @@
+//! Open requests and their attempts.
+use super::outcome::Fault;
+use crate::action::Action;
+use crate::event::Request;
+use crate::ids::{EndpointId, Micros, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// An attempt in flight.
+#[derive(Debug, Clone)]
+pub(super) struct Attempt {
+    pub(super) number: u32,
+    pub(super) endpoint: EndpointId,
+    /// Source of a fill; the endpoint itself where the attempt is answered from cached copies only.
+    pub(super) source: Option<EndpointId>,
+    pub(super) sent_at: Micros,
+    /// Cancelled, and whose fault that was.
+    pub(super) cancelled: Option<Fault>,
+    /// Answered from cached copies only, within the stale-if-error time.
+    pub(super) cached_only: bool,
+}
+
+impl Attempt {
+    /// The source of a fill, if that is another endpoint.
+    pub(super) fn upstream(&self) -> Option<EndpointId> {
+        self.source.filter(|source| *source != self.endpoint)
+    }
+}
+
+/// The first attempt of a request that may have run.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct FirstRun {
+    pub(super) sent_at: Micros,
+    pub(super) endpoint: EndpointId,
+}
+
+/// A request without a final response, or with attempts in flight.
+///
+/// Forgotten when it has its final response and its last attempt has ended.
+#[derive(Debug, Clone, Default)]
+pub(super) struct OpenRequest {
+    pub(super) request: Request,
+    pub(super) deadline: Micros,
+    pub(super) attempts_sent: u32,
+    pub(super) in_flight: Vec<Attempt>,
+    /// Caches and sources that failed this request.
+    pub(super) excluded: Vec<EndpointId>,
+    pub(super) cached_only_tried: bool,
+    /// Rejections for lack of capacity.
+    pub(super) rejections: u32,
+    /// The origin is spared: a source was asked for its cached copies only, or the origin has failed.
+    pub(super) origin_spared: bool,
+    /// No attempt before this, after a rejection.
+    pub(super) backoff_until: Micros,
+    pub(super) first_run: Option<FirstRun>,
+    /// It has its final response; the attempts in flight are only accounted for.
+    pub(super) closed: bool,
+}
+
+impl OpenRequest {
+    pub(super) fn new(now: Micros, request: Request) -> Self {
+        Self {
+            deadline: now + request.time_left,
+            request,
+            ..Self::default()
+        }
+    }
+
+    /// Ends an attempt in flight.
+    pub(super) fn take_attempt(&mut self, number: u32) -> Option<Attempt> {
+        let index = self
+            .in_flight
+            .iter()
+            .position(|attempt| attempt.number == number)?;
+        Some(self.in_flight.swap_remove(index))
+    }
+}
+
+/// All open requests, in the order of their ids.
+///
+/// Invariant: a waiting request is open and has no attempt in flight. It stops waiting with its next attempt, its
+/// final response, or the next timer, which checks it again.
+#[derive(Debug, Default)]
+pub(super) struct OpenRequests {
+    by_id: BTreeMap<RequestId, OpenRequest>,
+    waiting: BTreeSet<RequestId>,
+}
+
+impl OpenRequests {
+    pub(super) fn is_empty(&self) -> bool {
+        self.by_id.is_empty()
+    }
+
+    pub(super) fn insert(&mut self, id: RequestId, request: OpenRequest) {
+        self.by_id.insert(id, request);
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest> {
+        self.by_id.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &OpenRequest> {
+        self.by_id.values()
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (RequestId, &mut OpenRequest)> {
+        self.by_id.iter_mut().map(|(id, request)| (*id, request))
+    }
+
+    /// Checks a request again at the next timer.
+    pub(super) fn start_waiting(&mut self, id: RequestId) {
+        self.waiting.insert(id);
+    }
+
+    pub(super) fn stop_waiting(&mut self, id: RequestId) {
+        self.waiting.remove(&id);
+    }
+
+    pub(super) fn take_waiting(&mut self) -> BTreeSet<RequestId> {
+        std::mem::take(&mut self.waiting)
+    }
+
+    /// Endpoints that an open request may have run at.
+    pub(super) fn first_run_endpoints(&self) -> BTreeSet<EndpointId> {
+        self.by_id
+            .values()
+            .filter_map(|request| request.first_run)
+            .map(|first_run| first_run.endpoint)
+            .collect()
+    }
+
+    /// Sends nothing further for a request; its attempts in flight are cancelled where that is possible.
+    pub(super) fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
+        self.waiting.remove(&id);
+        let Some(request) = self.by_id.get_mut(&id) else {
+            return;
+        };
+        request.closed = true;
+        for attempt in &mut request.in_flight {
+            if may_cancel && attempt.cancelled.is_none() {
+                attempt.cancelled = Some(Fault::None);
+                actions.push(Action::Cancel {
+                    request: id,
+                    attempt: attempt.number,
+                });
+            }
+        }
+        if request.in_flight.is_empty() {
+            self.by_id.remove(&id);
+        }
+    }
+}
--- /dev/null
+++ b/src/router/roles.rs
@@ -0,0 +1,71 @@
+//! Endpoints by role, so that a selection visits only those it may use and not the caches of other zones.
+use crate::event::EndpointEntry;
+use crate::ids::EndpointId;
+use crate::settings::RouterSettings;
+use std::collections::BTreeSet;
+
+/// What an endpoint is to this router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Role {
+    /// A cache of the router's own zone.
+    Cache,
+    Parent,
+    Origin,
+    /// A cache of another zone: nothing is sent there.
+    OtherZone,
+}
+
+impl Role {
+    pub(super) fn of(entry: &EndpointEntry, settings: &RouterSettings) -> Self {
+        match Some(entry.kind) {
+            kind if kind == settings.origin_kind => Self::Origin,
+            kind if kind == settings.parent_kind => Self::Parent,
+            _ if entry.zone == settings.zone => Self::Cache,
+            _ => Self::OtherZone,
+        }
+    }
+}
+
+/// Endpoint ids by role, each set in their order.
+///
+/// Invariant: an endpoint is in the set of its role alone; caches of other zones are in none. Forgotten with the
+/// endpoint.
+#[derive(Debug, Default)]
+pub(super) struct Roles {
+    caches: BTreeSet<EndpointId>,
+    parents: BTreeSet<EndpointId>,
+    origins: BTreeSet<EndpointId>,
+}
+
+impl Roles {
+    /// Sets the role of an endpoint, new or known.
+    pub(super) fn assign(&mut self, id: EndpointId, role: Role) {
+        self.forget(id);
+        match role {
+            Role::Cache => self.caches.insert(id),
+            Role::Parent => self.parents.insert(id),
+            Role::Origin => self.origins.insert(id),
+            Role::OtherZone => false,
+        };
+    }
+
+    pub(super) fn forget(&mut self, id: EndpointId) {
+        for ids in [&mut self.caches, &mut self.parents, &mut self.origins] {
+            ids.remove(&id);
+        }
+    }
+
+    /// Empty for the caches of other zones: they are never selected.
+    pub(super) fn with_role(&self, role: Role) -> impl Iterator<Item = EndpointId> + '_ {
+        let ids = match role {
+            Role::Cache => Some(&self.caches),
+            Role::Parent => Some(&self.parents),
+            Role::Origin => Some(&self.origins),
+            Role::OtherZone => None,
+        };
+        ids.into_iter().flatten().copied()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/router/selection.rs
@@ -0,0 +1,190 @@
+//! Selection: the cache and the source for the next attempt of a request.
+use super::concurrency_limit::{accepts_cached_only, cache_has_capacity, zone_has_capacity};
+use super::copy_locations::CopyKey;
+use super::endpoints::Endpoint;
+use super::placement::{Placement, PlacementLoad};
+use super::requests::OpenRequest;
+use super::retry::is_in_key_scope;
+use super::roles::Role;
+use super::Router;
+use crate::event::Request;
+use crate::ids::{EndpointId, Micros};
+
+/// Where an attempt goes and what a miss is filled from.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Route {
+    pub(super) endpoint: EndpointId,
+    /// The endpoint itself: a cached-only attempt, answered from its copies within the stale-if-error time.
+    pub(super) source: Option<EndpointId>,
+}
+
+impl Route {
+    pub(super) fn cached_only(endpoint: EndpointId) -> Self {
+        Self {
+            endpoint,
+            source: Some(endpoint),
+        }
+    }
+}
+
+/// What to do with a request that has no attempt in flight.
+#[derive(Debug, Clone, Copy)]
+pub(super) enum Choice {
+    Send(Route),
+    /// Check again at the next timer.
+    Wait,
+    /// Give the final response.
+    Finish,
+}
+
+impl Router {
+    pub(super) fn choose(&self, now: Micros, request: &OpenRequest) -> Choice {
+        if self.settings.classes[request.request.class].uncacheable {
+            return self.choose_pass_through(now, request);
+        }
+        let mut caches = self.eligible(now, request, Role::Cache);
+        prefer_healthy(now, &mut caches);
+        match self.pick_with_capacity(&request.request, &caches) {
+            Some(cache) => self.choose_source(now, request, cache),
+            None => self.choose_cached_only(request, caches),
+        }
+    }
+
+    fn pick_with_capacity(&self, request: &Request, caches: &[&Endpoint]) -> Option<EndpointId> {
+        let stretch = self.limit_stretch(request);
+        let zone_admits = zone_has_capacity(caches, self.fill_limit, stretch, &self.fleet);
+        let admitting: Vec<&Endpoint> = caches
+            .iter()
+            .filter(|cache| zone_admits && cache_has_capacity(cache, stretch, &self.fleet))
+            .copied()
+            .collect();
+        let key = CopyKey::of(request).placement_key();
+        self.placement()
+            .pick(key, &admitting, PlacementLoad::of_cache)
+    }
+
+    fn limit_stretch(&self, request: &Request) -> f64 {
+        let priority_weight = self.settings.classes[request.class].priority_weight;
+        let transfer_s = self.transfer_times.seconds(request.class, request.size_kb);
+        self.recent_demand
+            .limit_stretch(priority_weight, transfer_s)
+    }
+
+    fn choose_source(&self, now: Micros, request: &OpenRequest, cache: EndpointId) -> Choice {
+        let source = self
+            .sibling_source(now, request, cache)
+            .or_else(|| self.upstream_source(now, request));
+        // While the origin fails one source is asked for its cached copies: misses do not add to the origin's
+        // load, and uncacheable requests keep their capacity.
+        match source.filter(|_| !request.origin_spared) {
+            Some(source) => Choice::Send(Route {
+                endpoint: cache,
+                source: Some(source),
+            }),
+            None if request.cached_only_tried || request.origin_spared => Choice::Finish,
+            None => Choice::Send(Route::cached_only(cache)),
+        }
+    }
+
+    /// Without capacity for what may need a fill a cached copy can still be served; a miss returns at once.
+    fn choose_cached_only(&self, request: &OpenRequest, mut caches: Vec<&Endpoint>) -> Choice {
+        caches.retain(|cache| accepts_cached_only(cache, &self.fleet));
+        let copy = CopyKey::of(&request.request);
+        let last_server = self
+            .copy_locations
+            .last_server(copy)
+            .filter(|id| caches.iter().any(|cache| cache.entry.id == *id));
+        let cache = last_server.or_else(|| {
+            self.placement()
+                .pick(copy.placement_key(), &caches, PlacementLoad::ignored)
+        });
+        cache
+            .filter(|_| !request.cached_only_tried)
+            .map_or(Choice::Finish, |cache| {
+                Choice::Send(Route::cached_only(cache))
+            })
+    }
+
+    /// Endpoints of a role that accept the request and have not failed it.
+    pub(super) fn eligible(
+        &self,
+        now: Micros,
+        request: &OpenRequest,
+        role: Role,
+    ) -> Vec<&Endpoint> {
+        let class = request.request.class;
+        let idempotency = self.settings.classes[class].idempotency;
+        self.endpoints
+            .with_role(role)
+            .filter(|endpoint| {
+                self.accepts_new_requests(now, endpoint, class)
+                    && is_in_key_scope(request.first_run, idempotency, endpoint, &self.endpoints)
+                    && !request.excluded.contains(&endpoint.entry.id)
+            })
+            .collect()
+    }
+
+    /// Neither draining nor gone, and its warm-up budget allows one more request.
+    pub(super) fn accepts_new_requests(
+        &self,
+        now: Micros,
+        endpoint: &Endpoint,
+        class: usize,
+    ) -> bool {
+        endpoint.is_ready() && self.warm_up_budget_allows(now, endpoint, class)
+    }
+
+    pub(super) fn warm_up_budget_allows(
+        &self,
+        now: Micros,
+        endpoint: &Endpoint,
+        class: usize,
+    ) -> bool {
+        let (fleet, times) = (&self.fleet, &self.transfer_times);
+        self.slow_start
+            .warm_up_budget_allows(now, endpoint, class, fleet, times)
+    }
+
+    pub(super) fn placement(&self) -> Placement<'_> {
+        Placement {
+            fleet: &self.fleet,
+            weights: self.settings.weights,
+            zone_slowness: self.zone_slowness,
+        }
+    }
+
+    /// The cache where a request would go, and the work it lacks, if that cache grants leases for its warm-up and
+    /// none is left.
+    pub fn warm_up_shortfall(&self, now: Micros, request: &Request) -> Option<(EndpointId, f64)> {
+        let class = self.settings.classes.get(request.class)?;
+        if class.uncacheable {
+            return None;
+        }
+        let ready: Vec<&Endpoint> = self
+            .endpoints
+            .with_role(Role::Cache)
+            .filter(|cache| cache.is_ready() && cache.is_healthy(now))
+            .collect();
+        let key = CopyKey::of(request).placement_key();
+        let home = self
+            .placement()
+            .pick(key, &ready, PlacementLoad::of_cache)
+            .and_then(|id| self.endpoints.get(id))?;
+        let is_short = home.warm_up.lease.is_some()
+            && class.priority_weight > 0.0
+            && !self.warm_up_budget_allows(now, home, request.class);
+        is_short.then(|| {
+            let work_s = self.transfer_times.budget_cost(request.class);
+            (home.entry.id, work_s)
+        })
+    }
+}
+
+/// Leaves ejected caches out, unless they are most of the zone: the fault is not theirs alone then, and some of
+/// them respond.
+fn prefer_healthy(now: Micros, caches: &mut Vec<&Endpoint>) {
+    let healthy = caches.iter().filter(|cache| cache.is_healthy(now)).count();
+    if 2 * healthy >= caches.len() {
+        caches.retain(|cache| cache.is_healthy(now));
+    }
+}
--- /dev/null
+++ b/src/router/silent_endpoints.rs
@@ -0,0 +1,82 @@
+//! Detection of silent endpoints: they accept requests and respond to none.
+use super::outcome::Fault;
+use super::outlier::Severity;
+use super::requests::Attempt;
+use super::{Router, MS};
+use crate::action::Action;
+use crate::event::Request;
+use crate::ids::{EndpointId, Micros};
+use crate::settings::Idempotency;
+use std::collections::BTreeMap;
+
+/// A response is overdue after this plus `OVERDUE_STRETCH` times its transfer time.
+const OVERDUE_AFTER: Micros = 300 * MS;
+const OVERDUE_STRETCH: f64 = 2.0;
+/// Overdue responses at an endpoint that has not answered since they were sent: it is silent.
+const SILENT_AFTER_OVERDUE: usize = 2;
+
+impl Router {
+    /// Ejects silent endpoints and cancels their attempts, which are retried elsewhere. Sources are not judged
+    /// like this: a saturated link looks the same.
+    pub(super) fn eject_silent_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for (id, overdue) in self.count_overdue(now) {
+            let is_probed = self
+                .endpoints
+                .get(id)
+                .is_some_and(|endpoint| endpoint.health.is_suspect());
+            if overdue >= SILENT_AFTER_OVERDUE || is_probed {
+                if let Some(endpoint) = self.endpoints.get_mut(id) {
+                    endpoint.presence.mark_silent();
+                }
+                self.record_failure(now, id, Severity::Unreachable);
+                self.cancel_attempts_at(id, actions);
+            }
+        }
+    }
+
+    fn count_overdue(&self, now: Micros) -> BTreeMap<EndpointId, usize> {
+        let mut overdue = BTreeMap::new();
+        for open in self.requests.iter() {
+            for attempt in &open.in_flight {
+                if attempt.cancelled.is_none() && self.is_overdue(now, &open.request, attempt) {
+                    *overdue.entry(attempt.endpoint).or_default() += 1;
+                }
+            }
+        }
+        overdue
+    }
+
+    /// The response should have begun, and the endpoint has not answered anything since the attempt was sent.
+    fn is_overdue(&self, now: Micros, request: &Request, attempt: &Attempt) -> bool {
+        let transfer_s = self.transfer_times.seconds(request.class, request.size_kb);
+        let due_at =
+            attempt.sent_at + OVERDUE_AFTER + (OVERDUE_STRETCH * 1e6 * transfer_s) as Micros;
+        let last_answer_at = self
+            .endpoints
+            .get(attempt.endpoint)
+            .map_or(now, |endpoint| endpoint.presence.last_answer_at());
+        now > due_at && last_answer_at < attempt.sent_at
+    }
+
+    /// Cancels the attempts at an endpoint, but for those that could not be retried.
+    fn cancel_attempts_at(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
+        if !self.settings.may_cancel {
+            return;
+        }
+        for (request_id, open) in self.requests.iter_mut() {
+            let class = &self.settings.classes[open.request.class];
+            if class.idempotency == Idempotency::NotIdempotent {
+                continue;
+            }
+            for attempt in &mut open.in_flight {
+                if attempt.cancelled.is_none() && attempt.endpoint == id {
+                    attempt.cancelled = Some(Fault::Endpoint);
+                    actions.push(Action::Cancel {
+                        request: request_id,
+                        attempt: attempt.number,
+                    });
+                }
+            }
+        }
+    }
+}
--- a/tests/long.rs
+++ b/tests/long.rs
@@ -52,8 +52,8 @@
             stage.end(sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
         }
     }
-    let marked = |stage: &Stage| {
-        !format!("{:?}", stage.router).contains("held_until: 0, pace: 0.0, failed_at: None }, out: 0, out_kb: 0.0, looks: 0, fills: 0, heard: 0, limit: 12.0, spent: [], gone: Some")
+    let has_ejection = |stage: &Stage| {
+        format!("{:?}", stage.router).contains("ejections: 1")
     };
     stage.update(vec![EndpointEntry {
         state: EndpointState::Gone,
@@ -62,14 +62,14 @@
     stage.now += 5 * S;
     stage.update(vec![]);
     assert!(
-        format!("{:?}", stage.router).contains("gone: Some"),
+        format!("{:?}", stage.router).contains("gone_since: Some"),
         "still remembered after five seconds"
     );
-    assert!(marked(&stage), "with its mark");
+    assert!(has_ejection(&stage), "with its ejection");
     stage.now += 60 * S;
     stage.update(vec![]);
     assert!(
-        !format!("{:?}", stage.router).contains("gone: Some"),
+        !format!("{:?}", stage.router).contains("gone_since: Some"),
         "forgotten after a minute"
     );
 }
