--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -56,7 +56,7 @@
     pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) warm_up: WarmUpAccount,
     pub(super) fill_share: TrafficShare,
-    gone_since: Option<Micros>,
+    departed_at: Option<Micros>,
 }
 
 impl Endpoint {
@@ -69,7 +69,7 @@
             concurrency_limit: ConcurrencyLimit::of_cache(entry.weight),
             warm_up: WarmUpAccount::default(),
             fill_share: TrafficShare::default(),
-            gone_since: None,
+            departed_at: None,
             entry,
         }
     }
@@ -95,7 +95,7 @@
     }
 
     fn may_be_removed(&self, now: Micros) -> bool {
-        self.load.is_idle() && self.gone_since.is_some_and(|at| now >= at + REMOVAL_DELAY)
+        self.load.is_idle() && self.departed_at.is_some_and(|at| now >= at + REMOVAL_DELAY)
     }
 }
 
@@ -138,14 +138,14 @@
         settings: &RouterSettings,
     ) {
         if matches!(update, ListUpdate::Full | ListUpdate::Cached) {
-            self.mark_absent_gone(&entries);
+            self.mark_absent_departed(&entries);
         }
         for entry in entries {
             self.apply_entry(entry, settings);
         }
     }
 
-    fn mark_absent_gone(&mut self, entries: &[EndpointEntry]) {
+    fn mark_absent_departed(&mut self, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for endpoint in self.by_id.values_mut() {
             if !listed.contains(&endpoint.entry.id) {
@@ -190,15 +190,15 @@
     }
 
     /// Removes endpoints that left long ago, but for those that an open request may have run at.
-    pub(super) fn remove_gone(
+    pub(super) fn remove_departed(
         &mut self,
         now: Micros,
         referenced: impl FnOnce() -> BTreeSet<EndpointId>,
     ) {
         for endpoint in self.by_id.values_mut() {
-            let since = endpoint.gone_since.unwrap_or(now);
-            let is_gone = endpoint.entry.state == EndpointState::Gone;
-            endpoint.gone_since = is_gone.then_some(since);
+            let departed_at = endpoint.departed_at.unwrap_or(now);
+            let has_departed = endpoint.entry.state == EndpointState::Gone;
+            endpoint.departed_at = has_departed.then_some(departed_at);
         }
         if !self.by_id.values().any(|e| e.may_be_removed(now)) {
             return;
--- a/src/router/fault_attribution.rs
+++ b/src/router/fault_attribution.rs
@@ -1,6 +1,7 @@
 //! Fault attribution: which endpoint a failed attempt counts against.
 use super::outcome::{EndedAttempt, Fault};
 use super::outlier::{Severity, SCORE_STEP};
+use super::requests::Attempt;
 use super::{Router, MS};
 use crate::event::{AttemptStatus, CacheStatus};
 use crate::ids::{EndpointId, Micros};
@@ -14,16 +15,13 @@
 impl Router {
     /// Records the outcome at the endpoint and its source, and says whose fault it was.
     pub(super) fn attribute_fault(&mut self, now: Micros, ended: &EndedAttempt) -> Fault {
-        let (attempt, status) = (&ended.attempt, ended.outcome.status);
-        let (endpoint, source) = (attempt.endpoint, attempt.upstream());
-        let answered_meanwhile = self
-            .endpoints
-            .get(endpoint)
-            .is_some_and(|endpoint| endpoint.presence.last_answer_at() >= attempt.sent_at);
-        self.record_presence(now, endpoint, status);
+        let attempt = &ended.attempt;
+        let status = ended.outcome.status;
+        let answered_meanwhile = self.answered_since(attempt.endpoint, attempt.sent_at);
+        self.record_presence(now, attempt.endpoint, status);
         match (status, ended.outcome.cache_status) {
             (AttemptStatus::Ok, cache_status) => {
-                self.record_response(endpoint, source, cache_status);
+                self.record_response(attempt, cache_status);
                 Fault::None
             }
             (AttemptStatus::Miss, _) if attempt.cached_only => Fault::None,
@@ -41,30 +39,50 @@
                 self.record_presumed_source_failure(now, ended);
                 Fault::Source
             }
-            (AttemptStatus::Rejected, _) | (_, CacheStatus::FillLimitReached) => Fault::Endpoint,
-            (AttemptStatus::ConnectFailed, _) => {
-                self.record_refused_connection(now, endpoint, attempt.sent_at);
+            (_, CacheStatus::FillLimitReached) => Fault::Endpoint,
+            _ => self.attribute_by_status(now, attempt, status, answered_meanwhile),
+        }
+    }
+
+    /// The fault of an attempt whose cache status says nothing about it.
+    fn attribute_by_status(
+        &mut self,
+        now: Micros,
+        attempt: &Attempt,
+        status: AttemptStatus,
+        answered_meanwhile: bool,
+    ) -> Fault {
+        match status {
+            AttemptStatus::Ok | AttemptStatus::Miss | AttemptStatus::NotSent => Fault::None,
+            AttemptStatus::Rejected => Fault::Endpoint,
+            AttemptStatus::Cancelled => attempt.cancelled.unwrap_or(Fault::Endpoint),
+            AttemptStatus::ConnectFailed => {
+                self.record_refused_connection(now, attempt);
                 Fault::Endpoint
             }
             // The cache answers other requests: it lost this one or its source is slow.
-            (AttemptStatus::Timeout, _) if answered_meanwhile => {
-                self.record_slow_source(now, source);
+            AttemptStatus::Timeout if answered_meanwhile => {
+                self.record_slow_source(now, attempt.upstream());
                 Fault::Source
             }
             // A dead process refuses the next connection; the network breaks connections of every endpoint alike.
-            (AttemptStatus::Reset, _) => {
-                self.record_failure(now, endpoint, Severity::Ambiguous);
+            AttemptStatus::Reset => {
+                self.record_failure(now, attempt.endpoint, Severity::Ambiguous);
                 Fault::Endpoint
             }
-            (AttemptStatus::Error | AttemptStatus::Timeout, _) => {
-                self.record_failure(now, endpoint, Severity::Ordinary);
+            AttemptStatus::Error | AttemptStatus::Timeout => {
+                self.record_failure(now, attempt.endpoint, Severity::Ordinary);
                 Fault::Endpoint
             }
-            (AttemptStatus::Cancelled, _) => attempt.cancelled.unwrap_or(Fault::Endpoint),
-            (AttemptStatus::NotSent, _) => Fault::None,
         }
     }
 
+    fn answered_since(&self, id: EndpointId, sent_at: Micros) -> bool {
+        self.endpoints
+            .get(id)
+            .is_some_and(|endpoint| endpoint.presence.last_answer_at() >= sent_at)
+    }
+
     /// Any message of the endpoint shows that a process is there.
     fn record_presence(&mut self, now: Micros, id: EndpointId, status: AttemptStatus) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
@@ -84,14 +102,9 @@
     }
 
     /// Credits a response to the cache and to whoever filled it.
-    fn record_response(
-        &mut self,
-        cache: EndpointId,
-        source: Option<EndpointId>,
-        cache_status: CacheStatus,
-    ) {
-        self.record_success(cache, SCORE_STEP);
-        let Some(source) = source else {
+    fn record_response(&mut self, attempt: &Attempt, cache_status: CacheStatus) {
+        self.record_success(attempt.endpoint, SCORE_STEP);
+        let Some(source) = attempt.upstream() else {
             return;
         };
         match cache_status {
@@ -157,14 +170,14 @@
         }
     }
 
-    fn record_refused_connection(&mut self, now: Micros, id: EndpointId, sent_at: Micros) {
-        if let Some(endpoint) = self.endpoints.get_mut(id) {
+    fn record_refused_connection(&mut self, now: Micros, attempt: &Attempt) {
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             let other_requests_in_flight = endpoint.load.requests > 0;
             if !other_requests_in_flight {
-                endpoint.presence.refused(sent_at, now);
+                endpoint.presence.refused(attempt.sent_at, now);
             }
         }
-        self.record_failure(now, id, Severity::Unreachable);
+        self.record_failure(now, attempt.endpoint, Severity::Unreachable);
     }
 
     /// Some of the fills go past a source that may be slow.
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -134,7 +134,7 @@
     fn on_endpoint_list(&mut self, now: Micros, update: ListUpdate, entries: Vec<EndpointEntry>) {
         self.endpoints.apply_update(update, entries, &self.settings);
         self.endpoints
-            .remove_gone(now, || self.requests.first_run_endpoints());
+            .remove_departed(now, || self.requests.first_run_endpoints());
     }
 
     fn on_response_started(&mut self, now: Micros, id: EndpointId) {
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -113,7 +113,8 @@
 
     /// Takes the attempt off the load of its endpoint and source, and refunds warm-up work that was not done.
     fn release_load(&mut self, ended: &EndedAttempt) {
-        let (attempt, request) = (&ended.attempt, ended.outcome.request);
+        let attempt = &ended.attempt;
+        let request = ended.outcome.request;
         let was_not_sent = ended.was_not_sent();
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             let size_kb = ended.request_size_kb.unwrap_or(1.0);
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -140,7 +140,8 @@
         endpoint: &Endpoint,
         class: usize,
     ) -> bool {
-        let (fleet, times) = (&self.fleet, &self.transfer_times);
+        let fleet = &self.fleet;
+        let times = &self.transfer_times;
         self.slow_start
             .warm_up_budget_allows(now, endpoint, class, fleet, times)
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! A small stage for the tests: one location of three caches, two parents and the origin.
+//! Test fixture: a router of a zone with three caches, two parents and the origin.
 #![allow(dead_code)]
 use pointspindle::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// Late enough that a router's own start and old member starts are long past.
+/// Late enough that endpoints that started at 0 are long warm.
 pub const T0: Micros = 1_000 * S;
 
 pub const VIDEO: usize = 0;
@@ -12,15 +12,20 @@
 pub const KEYED: usize = 2;
 pub const UNSAFE: usize = 3;
 
-fn class(repeat: Idempotency, fresh: Micros, grace: Micros, uncacheable: bool) -> RequestClass {
+fn class(
+    idempotency: Idempotency,
+    fresh_for: Micros,
+    stale_if_error: Micros,
+    uncacheable: bool,
+) -> RequestClass {
     RequestClass {
         latency_objective: 300 * MS,
         objective_stretch: 2.0,
         priority_weight: 1.0,
-        idempotency: repeat,
+        idempotency,
         uncacheable,
-        fresh_for: fresh,
-        stale_if_error: grace,
+        fresh_for,
+        stale_if_error,
     }
 }
 
@@ -93,7 +98,7 @@
 
 /// One attempt that a router made.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct SentAttempt {
     pub request: RequestId,
     pub attempt: u32,
     pub endpoint: EndpointId,
@@ -101,24 +106,24 @@
     pub fetch: Option<FetchDirective>,
 }
 
-impl Sent {
+impl SentAttempt {
     pub fn fetch(&self) -> &FetchDirective {
-        self.fetch.as_ref().expect("a fetch, not a plain look")
+        self.fetch.as_ref().expect("a fetch directive")
     }
     pub fn source(&self) -> EndpointId {
         self.fetch().source
     }
 }
 
-pub struct Stage {
+pub struct RouterFixture {
     pub router: Router,
     pub now: Micros,
-    pub last: Vec<Action>,
+    pub last_actions: Vec<Action>,
     next: u64,
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
-impl Stage {
+impl RouterFixture {
     pub fn with(settings: RouterSettings, endpoints: Vec<EndpointEntry>) -> Self {
         Self::seeded(1, settings, endpoints)
     }
@@ -127,11 +132,11 @@
         let mut stage = Self {
             router,
             now: T0,
-            last: vec![],
+            last_actions: vec![],
             next: 0,
             attempts: Default::default(),
         };
-        stage.tell(Event::EndpointList {
+        stage.handle(Event::EndpointList {
             update: ListUpdate::Cached,
             entries: endpoints,
         });
@@ -140,12 +145,12 @@
     pub fn new() -> Self {
         Self::with(settings(), fleet())
     }
-    /// Tells the router and returns the attempts it made.
-    pub fn tell(&mut self, event: Event) -> Vec<Sent> {
-        self.last.clear();
-        self.router.handle(self.now, event, &mut self.last);
+    /// Handles an event and returns the attempts that the router made.
+    pub fn handle(&mut self, event: Event) -> Vec<SentAttempt> {
+        self.last_actions.clear();
+        self.router.handle(self.now, event, &mut self.last_actions);
         let mut sent = vec![];
-        for action in &self.last {
+        for action in &self.last_actions {
             if let Action::Send {
                 request,
                 endpoint,
@@ -155,7 +160,7 @@
             {
                 let n = self.attempts.entry(*request).or_default();
                 let (attempt, fetch) = (*n, fetch.clone());
-                sent.push(Sent {
+                sent.push(SentAttempt {
                     request: *request,
                     attempt,
                     endpoint: *endpoint,
@@ -167,13 +172,13 @@
         }
         sent
     }
-    pub fn wait(&mut self, by: Micros) -> Vec<Sent> {
+    pub fn advance(&mut self, by: Micros) -> Vec<SentAttempt> {
         self.now += by;
-        self.tell(Event::Timer(0))
+        self.handle(Event::Timer(0))
     }
-    pub fn ask(&mut self, class: usize, object: &str) -> Vec<Sent> {
+    pub fn request(&mut self, class: usize, object: &str) -> Vec<SentAttempt> {
         self.next += 1;
-        self.tell(Event::Request(Request {
+        self.handle(Event::Request(Request {
             id: RequestId(self.next),
             class,
             object: ObjectId::named(object),
@@ -183,35 +188,40 @@
             size_kb: Some(300.0),
         }))
     }
-    pub fn end(&mut self, sent: &Sent, status: AttemptStatus, note: CacheStatus) -> Vec<Sent> {
-        self.end_after(sent, status, note, 50 * MS)
+    pub fn complete(
+        &mut self,
+        sent: &SentAttempt,
+        status: AttemptStatus,
+        cache_status: CacheStatus,
+    ) -> Vec<SentAttempt> {
+        self.complete_after(sent, status, cache_status, 50 * MS)
     }
-    pub fn end_after(
+    pub fn complete_after(
         &mut self,
-        sent: &Sent,
+        sent: &SentAttempt,
         status: AttemptStatus,
-        note: CacheStatus,
+        cache_status: CacheStatus,
         elapsed: Micros,
-    ) -> Vec<Sent> {
-        self.tell(Event::Outcome(AttemptOutcome {
+    ) -> Vec<SentAttempt> {
+        self.handle(Event::Outcome(AttemptOutcome {
             request: sent.request,
             attempt: sent.attempt,
             endpoint: sent.endpoint,
             status,
-            cache_status: note,
+            cache_status,
             elapsed,
             size_kb: None,
             request_closed: status == AttemptStatus::Ok,
         }))
     }
     pub fn update(&mut self, entries: Vec<EndpointEntry>) {
-        self.tell(Event::EndpointList {
+        self.handle(Event::EndpointList {
             update: ListUpdate::Delta,
             entries,
         });
     }
-    pub fn finals(&self) -> Vec<&Action> {
-        self.last
+    pub fn final_responses(&self) -> Vec<&Action> {
+        self.last_actions
             .iter()
             .filter(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }))
             .collect()
--- /dev/null
+++ b/tests/endpoint_list.rs
@@ -0,0 +1,103 @@
+//! The endpoint list: draining, removal and replacement.
+mod common;
+use common::*;
+use pointspindle::*;
+
+#[test]
+fn draining_cache_gets_no_new_requests() {
+    let mut s = RouterFixture::new();
+    let home = s.request(VIDEO, "a").remove(0).endpoint;
+    let mut departing = fleet().into_iter().find(|e| e.id == home).unwrap();
+    departing.state = EndpointState::Draining;
+    s.update(vec![departing]);
+    for i in 0..50 {
+        assert!(s
+            .request(VIDEO, &format!("o{i}"))
+            .iter()
+            .all(|sent| sent.endpoint != home));
+    }
+}
+
+#[test]
+fn parent_that_left_is_no_fill_source() {
+    let mut s = RouterFixture::new();
+    let parent = s.request(VIDEO, "a").remove(0).source();
+    let mut departing = fleet().into_iter().find(|e| e.id == parent).unwrap();
+    departing.state = EndpointState::Gone;
+    s.update(vec![departing]);
+    for i in 0..50 {
+        assert!(s
+            .request(VIDEO, &format!("o{i}"))
+            .iter()
+            .all(|sent| sent.source() != parent));
+    }
+}
+
+#[test]
+fn endpoint_absent_from_a_full_list_has_left() {
+    let mut s = RouterFixture::new();
+    let home = s.request(VIDEO, "a").remove(0).endpoint;
+    let rest = fleet().into_iter().filter(|e| e.id != home).collect();
+    s.handle(Event::EndpointList {
+        update: ListUpdate::Full,
+        entries: rest,
+    });
+    assert_ne!(s.request(VIDEO, "a")[0].endpoint, home);
+}
+
+#[test]
+fn caches_of_other_zones_are_never_selected() {
+    let mut endpoints = fleet();
+    for i in 0..4000 {
+        let mut far = entry(&format!("far{i}"), i % 2);
+        far.zone = 2 + i % 90;
+        endpoints.push(far);
+    }
+    let mut s = RouterFixture::with(settings(), endpoints);
+    let sent = s.request(VIDEO, "a").remove(0);
+    assert!(
+        ["c1", "c2", "c3"]
+            .map(EndpointId::named)
+            .contains(&sent.endpoint),
+        "a cache of the own zone"
+    );
+}
+
+#[test]
+fn replaced_caches_are_used_at_once() {
+    let mut s = RouterFixture::new();
+    s.now += 3 * S;
+    let stuck = s.request(VIDEO, "a").remove(0);
+    let mut batch: Vec<EndpointEntry> = fleet().into_iter().filter(|e| e.kind == 0).collect();
+    batch
+        .iter_mut()
+        .for_each(|e| e.state = EndpointState::Draining);
+    for name in ["n1", "n2", "n3"] {
+        let mut new = entry(name, 0);
+        (new.started_at, new.weight) = (s.now, 60.0);
+        batch.push(new);
+    }
+    s.update(batch);
+    let next = s
+        .complete(&stuck, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
+    assert!(
+        ["n1", "n2", "n3"]
+            .map(EndpointId::named)
+            .contains(&next.endpoint),
+        "replacements are used at once"
+    );
+}
+
+#[test]
+fn reset_request_of_a_draining_cache_is_retried_elsewhere() {
+    let mut s = RouterFixture::new();
+    let sent = s.request(PAGE, "a").remove(0);
+    let mut dying = fleet().into_iter().find(|e| e.id == sent.endpoint).unwrap();
+    dying.state = EndpointState::Draining;
+    s.update(vec![dying]);
+    let next = s
+        .complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
+        .remove(0);
+    assert_ne!(next.endpoint, sent.endpoint);
+}
--- a/tests/sums.rs
+++ b/tests/fleet_sums.rs
@@ -1,27 +1,27 @@
-//! What many routers do together: each decides alone, the sum is held against what a member can bear.
+//! Sums over many routers: each decides alone, and together they stay within what an endpoint can bear.
 mod common;
 use common::*;
 use pointspindle::*;
 
-/// A jam of the origin keeps itself up: what it answers late is asked for again, by everybody. Shares of many routers,
-/// summed: nearly nothing goes on to it while answers are late, all of it soon after it is well, and one bad answer in
-/// five moves little.
+/// An overloaded origin stays overloaded by the retries of its late responses. The sum of many routers' traffic shares is
+/// nearly zero while responses are late, complete soon after the recovery, and little changed by one late response in
+/// five.
 #[test]
-fn fills_for_a_jammed_origin_fall_for_the_sum_of_routers_and_come_back() {
-    let mut routers: Vec<Stage> = (0..30)
-        .map(|seed| Stage::seeded(seed, settings(), fleet()))
+fn traffic_share_of_a_late_origin_falls_and_recovers() {
+    let mut routers: Vec<RouterFixture> = (0..30)
+        .map(|seed| RouterFixture::seeded(seed, settings(), fleet()))
         .collect();
     let mut round = |name: &str, answers: usize, bad: fn(usize) -> bool| {
         let mut passed = vec![0; answers];
         for (r, s) in routers.iter_mut().enumerate() {
             for (i, passed) in passed.iter_mut().enumerate() {
-                let sent = s.ask(VIDEO, &format!("{name}-{i}")).remove(0);
+                let sent = s.request(VIDEO, &format!("{name}-{i}")).remove(0);
                 if sent.fetch().only_if_cached {
-                    s.end(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss);
+                    s.complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss);
                 } else {
                     *passed += 1;
                     let elapsed = if bad(r + i) { 2 * S } else { 50 * MS };
-                    s.end_after(
+                    s.complete_after(
                         &sent,
                         AttemptStatus::Ok,
                         CacheStatus::FilledByOrigin,
@@ -38,26 +38,26 @@
     assert!(round("well", 150, |_| false) > all * 9 / 10);
 }
 
-/// What a parent answers late is asked of the origin, by as many as it answers in time, and comes back.
+/// Fills that a parent answers late are diverted to the origin, and return after the recovery.
 #[test]
-fn fills_leave_a_parent_that_is_late_for_the_origin_and_come_back() {
+fn traffic_share_of_a_late_parent_falls_and_recovers() {
     let only = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
-    let mut routers: Vec<Stage> = (0..30)
-        .map(|seed| Stage::seeded(seed, settings(), only.clone()))
+    let mut routers: Vec<RouterFixture> = (0..30)
+        .map(|seed| RouterFixture::seeded(seed, settings(), only.clone()))
         .collect();
     let mut round = |name: &str, answers: usize, late: bool| {
         let mut straight = 0;
         for s in &mut routers {
             for i in 0..answers {
-                let sent = s.ask(VIDEO, &format!("{name}-{i}")).remove(0);
+                let sent = s.request(VIDEO, &format!("{name}-{i}")).remove(0);
                 if sent.source() == EndpointId::named("origin") {
                     straight += (i >= answers - 10) as usize;
-                    s.end(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
+                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
                 } else if sent.source() == EndpointId::named("p1") {
                     let elapsed = if late { 2 * S } else { 50 * MS };
-                    s.end_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
+                    s.complete_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
                 } else {
-                    s.end(&sent, AttemptStatus::Miss, CacheStatus::Unreported);
+                    s.complete(&sent, AttemptStatus::Miss, CacheStatus::Unreported);
                 }
             }
         }
@@ -69,53 +69,54 @@
     assert!(round("again", 300, false) < all / 10);
 }
 
-/// A parent goes, and nobody is told when a cold one is in its place: the trials of 300 routers in any two seconds have
-/// to be within what that one bears, though each has waited for it as long as the others.
+/// A parent fails, and no list reports when a new incarnation is in its place: the probes of 300 routers in any two
+/// seconds have to be within its warm-up budget, though all routers have waited equally long.
 #[test]
-fn trials_of_a_parent_that_is_gone_add_up_to_less_than_a_cold_one_bears() {
-    let told = RouterSettings {
+fn probes_of_an_unreachable_parent_stay_within_its_warm_up_budget() {
+    let shared_settings = RouterSettings {
         routers: 300,
         zones: vec![Zone { routers: 0 }, Zone { routers: 6 }],
         ..settings()
     };
     let seeded = |me: u32| {
-        Stage::seeded(
+        RouterFixture::seeded(
             me.into(),
             RouterSettings {
                 router_index: Some(me),
-                ..told.clone()
+                ..shared_settings.clone()
             },
             fleet(),
         )
     };
-    let mut routers: Vec<Stage> = (0..300).map(seeded).collect();
-    let gone = EndpointId::named("p1");
+    let mut routers: Vec<RouterFixture> = (0..300).map(seeded).collect();
+    let unreachable = EndpointId::named("p1");
     let mut trials = Vec::new();
     for half in 0..240 {
         let mut now = 0;
         for s in &mut routers {
             s.now += S / 2;
             for i in 0..4 {
-                let mut sent = s.ask(VIDEO, &format!("v{half}-{i}"));
+                let mut sent = s.request(VIDEO, &format!("v{half}-{i}"));
                 while let Some(one) = sent.pop() {
-                    let lost = one.source() == gone;
+                    let lost = one.source() == unreachable;
                     now += lost as u32;
-                    let (status, note) = (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
-                    let (status, note) = if lost {
-                        (status, note)
+                    let (status, cache_status) =
+                        (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
+                    let (status, cache_status) = if lost {
+                        (status, cache_status)
                     } else {
                         (AttemptStatus::Ok, CacheStatus::Filled)
                     };
-                    sent = s.end(&one, status, note);
+                    sent = s.complete(&one, status, cache_status);
                 }
             }
         }
         trials.push(now);
     }
-    let rule = told.parent_slow_start;
+    let rule = shared_settings.parent_slow_start;
     let bears = rule.overload_factor * rule.initial_share * 6.0 * rule.overload_window as f64 / 1e6;
-    let seconds = 300.0 / told.stream_kb_per_s;
-    // The first ten seconds are spent on finding it gone.
+    let seconds = 300.0 / shared_settings.stream_kb_per_s;
+    // The failure is detected within the first ten seconds.
     let worst = trials[20..]
         .windows(4)
         .map(|w| w.iter().sum::<u32>())
@@ -128,39 +129,43 @@
     );
 }
 
-/// However many routers share it and whatever is told of cold members, a hold ends: the origin, which is never cold, and a
-/// parent of whose cold start nothing is told are tried again within seconds.
+/// However many routers share it an ejection ends: the origin, which needs no slow start, and a parent without a
+/// slow-start rule are probed again within seconds.
 #[test]
-fn a_long_hold_is_for_what_may_come_back_cold_only() {
-    let untold = SlowStartRule {
+fn endpoint_without_slow_start_is_probed_within_seconds() {
+    let without_slow_start = SlowStartRule {
         initial_share: 0.0,
         ramp: 0,
         overload_factor: 0.0,
         overload_window: 0,
     };
     let zones = vec![Zone { routers: 0 }, Zone { routers: 300 }];
-    let told = RouterSettings {
+    let shared_settings = RouterSettings {
         routers: 300,
         zones,
-        parent_slow_start: untold,
+        parent_slow_start: without_slow_start,
         ..settings()
     };
     for (name, kind) in [("p1", 1), ("origin", 2)] {
-        let mut s = Stage::with(told.clone(), vec![entry("c1", 0), entry(name, kind)]);
+        let mut s = RouterFixture::with(
+            shared_settings.clone(),
+            vec![entry("c1", 0), entry(name, kind)],
+        );
         let mut tries = Vec::new();
         for half in 0..60 {
             s.now += S / 2;
-            let mut sent = s.ask(VIDEO, &format!("{half}"));
+            let mut sent = s.request(VIDEO, &format!("{half}"));
             while let Some(one) = sent.pop() {
                 let lost = one.source() == EndpointId::named(name);
                 tries.extend(lost.then_some(half));
-                let (status, note) = (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
-                let (status, note) = if lost {
-                    (status, note)
+                let (status, cache_status) =
+                    (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
+                let (status, cache_status) = if lost {
+                    (status, cache_status)
                 } else {
                     (AttemptStatus::Miss, CacheStatus::Unreported)
                 };
-                sent = s.end(&one, status, note);
+                sent = s.complete(&one, status, cache_status);
             }
         }
         let longest = tries.windows(2).map(|w| w[1] - w[0]).max().expect("tries");
@@ -175,31 +180,31 @@
     }
 }
 
-/// A parent that leaves every second fill without an answer is not down, and no mark of few answers ever holds it off: its
-/// part falls all the same, at the sum of all routers, and an answer lost here and there moves little.
+/// A parent that leaves every second fill without a response is not down, and its failure score never ejects it. Its
+/// traffic share falls all the same, in the sum of all routers; a response lost now and then changes little.
 #[test]
-fn fills_that_get_no_answer_in_their_time_count_against_the_source() {
+fn fill_timeouts_lower_the_traffic_share_of_the_source() {
     let only = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
     let straight = |every: usize| {
         let mut count = 0;
         for seed in 0..30 {
-            let mut s = Stage::seeded(seed, settings(), only.clone());
+            let mut s = RouterFixture::seeded(seed, settings(), only.clone());
             for i in 0..60 {
-                let sent = s.ask(VIDEO, &format!("v-{i}")).remove(0);
+                let sent = s.request(VIDEO, &format!("v-{i}")).remove(0);
                 if sent.source() == EndpointId::named("origin") {
                     count += (i >= 40) as usize;
-                    s.end(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
+                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
                     continue;
                 }
                 if i % every != 0 {
-                    s.end(&sent, AttemptStatus::Ok, CacheStatus::Filled);
+                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::Filled);
                     continue;
                 }
-                // The cache answers others meanwhile: it is not what is silent.
+                // The cache answers other requests meanwhile, so it is not silent.
                 s.now += 100 * MS;
-                let other = s.ask(VIDEO, &format!("other-{i}")).remove(0);
-                s.end(&other, AttemptStatus::Ok, CacheStatus::Hit);
-                s.end_after(
+                let other = s.request(VIDEO, &format!("other-{i}")).remove(0);
+                s.complete(&other, AttemptStatus::Ok, CacheStatus::Hit);
+                s.complete_after(
                     &sent,
                     AttemptStatus::Timeout,
                     CacheStatus::Unreported,
--- a/tests/random.rs
+++ b/tests/random_events.rs
@@ -4,27 +4,27 @@
 use pointspindle::*;
 use std::collections::BTreeMap;
 
-struct Dice(u64);
-impl Dice {
-    fn roll(&mut self, sides: u64) -> u64 {
+struct Random(u64);
+impl Random {
+    fn below(&mut self, limit: u64) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
         self.0 ^= self.0 << 17;
-        self.0 % sides
+        self.0 % limit
     }
 }
 
 #[derive(Default)]
-struct Watch {
+struct TrackedRequest {
     deadline: Micros,
     class: usize,
-    out: BTreeMap<u32, (EndpointId, Micros)>,
+    in_flight: BTreeMap<u32, (EndpointId, Micros)>,
     sent: u32,
     ran: bool,
     finished: bool,
 }
 
-const STATUS: [AttemptStatus; 9] = [
+const STATUSES: [AttemptStatus; 9] = [
     AttemptStatus::Ok,
     AttemptStatus::Error,
     AttemptStatus::Rejected,
@@ -35,7 +35,7 @@
     AttemptStatus::NotSent,
     AttemptStatus::Miss,
 ];
-const NOTE: [CacheStatus; 5] = [
+const CACHE_STATUSES: [CacheStatus; 5] = [
     CacheStatus::Unreported,
     CacheStatus::SourceUnreachable,
     CacheStatus::SourceMiss,
@@ -43,9 +43,9 @@
     CacheStatus::OriginFailed,
 ];
 
-/// Plays one seed and returns every action, checking the rules as it goes.
-fn play(seed: u64) -> Vec<(Micros, Action)> {
-    let mut dice = Dice(seed * 7919 + 1);
+/// Runs one seed and returns every action, checking the invariants after each event.
+fn run_random_events(seed: u64) -> Vec<(Micros, Action)> {
+    let mut random = Random(seed * 7919 + 1);
     let mut set = settings();
     set.direct_forwarding = seed.is_multiple_of(2);
     (set.routers, set.router_index) =
@@ -57,22 +57,24 @@
         CacheStatusDetail::None,
     ][(seed % 3) as usize];
     let (mut router, mut now, mut log) = (Router::new(set.clone(), seed), T0, vec![]);
-    let mut watch: BTreeMap<RequestId, Watch> = BTreeMap::new();
-    let mut away: Vec<EndpointId> = vec![];
+    let mut tracked: BTreeMap<RequestId, TrackedRequest> = BTreeMap::new();
+    let mut unavailable: Vec<EndpointId> = vec![];
     let mut timers: Vec<Micros> = vec![];
     for step in 0..3000 {
-        // Time stands still until everything that is due has been told.
-        let waiting = watch.values().any(|w| w.out.values().any(|o| now >= o.1))
+        // The clock stands still until every event that is due has been handled.
+        let waiting = tracked
+            .values()
+            .any(|w| w.in_flight.values().any(|o| now >= o.1))
             || timers.iter().any(|t| *t <= now);
-        now += if waiting { 0 } else { dice.roll(8) * MS };
-        let due = watch
+        now += if waiting { 0 } else { random.below(8) * MS };
+        let due = tracked
             .iter()
-            .flat_map(|(id, w)| w.out.iter().map(|(n, o)| (*id, *n, o.0, o.1)));
+            .flat_map(|(id, w)| w.in_flight.iter().map(|(n, o)| (*id, *n, o.0, o.1)));
         let due = due.collect::<Vec<_>>();
         let late = due.iter().find(|d| now >= d.3).copied();
         let event = if let Some((id, attempt, endpoint, _)) = late {
-            end(
-                &mut watch,
+            complete(
+                &mut tracked,
                 id,
                 attempt,
                 endpoint,
@@ -83,21 +85,21 @@
             timers.swap_remove(i);
             Event::Timer(0)
         } else {
-            match dice.roll(10) {
+            match random.below(10) {
                 0 => {
                     let names = ["c1", "c2", "c3", "p1", "p2", "origin"];
-                    let i = dice.roll(6) as usize;
+                    let i = random.below(6) as usize;
                     let mut e = entry(names[i], [0, 0, 0, 1, 1, 2][i]);
-                    e.weight = dice.roll(3) as f64 * 3.0;
-                    e.started_at = if dice.roll(3) == 0 { now } else { 0 };
+                    e.weight = random.below(3) as f64 * 3.0;
+                    e.started_at = if random.below(3) == 0 { now } else { 0 };
                     e.state = [
                         EndpointState::Ready,
                         EndpointState::Draining,
                         EndpointState::Gone,
-                    ][dice.roll(3) as usize];
-                    away.retain(|m| *m != e.id);
+                    ][random.below(3) as usize];
+                    unavailable.retain(|m| *m != e.id);
                     if e.state != EndpointState::Ready {
-                        away.push(e.id);
+                        unavailable.push(e.id);
                     }
                     Event::EndpointList {
                         update: ListUpdate::Delta,
@@ -106,44 +108,44 @@
                 }
                 1 => Event::Purge {
                     object: None,
-                    group: dice.roll(3),
-                    age: dice.roll(3) * 50 * MS,
+                    group: random.below(3),
+                    age: random.below(3) * 50 * MS,
                 },
-                2 if !watch.is_empty() => {
-                    let id = *watch
+                2 if !tracked.is_empty() => {
+                    let id = *tracked
                         .keys()
-                        .nth(dice.roll(watch.len() as u64) as usize)
+                        .nth(random.below(tracked.len() as u64) as usize)
                         .unwrap();
-                    watch.get_mut(&id).unwrap().finished = true;
+                    tracked.get_mut(&id).unwrap().finished = true;
                     Event::ClientDisconnected(id)
                 }
                 3..=6 if !due.is_empty() => {
-                    let (id, attempt, endpoint, _) = due[dice.roll(due.len() as u64) as usize];
-                    let status = STATUS[dice.roll(9) as usize];
-                    let note = if status == AttemptStatus::Ok {
+                    let (id, attempt, endpoint, _) = due[random.below(due.len() as u64) as usize];
+                    let status = STATUSES[random.below(9) as usize];
+                    let cache_status = if status == AttemptStatus::Ok {
                         CacheStatus::Filled
                     } else {
-                        NOTE[dice.roll(5) as usize]
+                        CACHE_STATUSES[random.below(5) as usize]
                     };
-                    end(&mut watch, id, attempt, endpoint, status, note)
+                    complete(&mut tracked, id, attempt, endpoint, status, cache_status)
                 }
                 _ => {
                     let (id, class, left) = (
                         RequestId(step),
-                        dice.roll(4) as usize,
-                        dice.roll(30) * 100 * MS + 50 * MS,
+                        random.below(4) as usize,
+                        random.below(30) * 100 * MS + 50 * MS,
                     );
-                    watch.insert(
+                    tracked.insert(
                         id,
-                        Watch {
+                        TrackedRequest {
                             deadline: now + left,
                             class,
                             ..Default::default()
                         },
                     );
-                    let object = ObjectId(dice.roll(20));
-                    let kb = (dice.roll(2) == 0).then_some(300.0);
-                    let (part, group) = (dice.roll(3), dice.roll(3));
+                    let object = ObjectId(random.below(20));
+                    let kb = (random.below(2) == 0).then_some(300.0);
+                    let (part, group) = (random.below(3), random.below(3));
                     Event::Request(Request {
                         id,
                         class,
@@ -166,9 +168,9 @@
                     timeout,
                     fetch,
                 } => {
-                    let w = watch.get_mut(request).expect("a known request");
+                    let w = tracked.get_mut(request).expect("a known request");
                     assert!(
-                        !w.finished && w.out.is_empty() && w.sent < set.max_attempts,
+                        !w.finished && w.in_flight.is_empty() && w.sent < set.max_attempts,
                         "seed {seed}: {action:?}"
                     );
                     assert!(now + timeout <= w.deadline && *timeout > 0);
@@ -177,12 +179,15 @@
                         "seed {seed}: an unsafe repeat"
                     );
                     let source = fetch.as_ref().map(|f| f.source);
-                    assert!(!away.contains(endpoint) && !source.is_some_and(|s| away.contains(&s)));
-                    w.out.insert(w.sent, (*endpoint, now + timeout));
+                    assert!(
+                        !unavailable.contains(endpoint)
+                            && !source.is_some_and(|s| unavailable.contains(&s))
+                    );
+                    w.in_flight.insert(w.sent, (*endpoint, now + timeout));
                     w.sent += 1;
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
-                    let w = watch.get_mut(request).unwrap();
+                    let w = tracked.get_mut(request).unwrap();
                     assert!(!w.finished, "seed {seed}: two final answers");
                     let refused = matches!(action, Action::Reject { .. });
                     assert!(!(refused && w.ran && w.class == common::UNSAFE));
@@ -193,25 +198,25 @@
             }
             log.push((now, action));
         }
-        for (id, w) in &watch {
-            let overdue = !w.finished && w.out.is_empty() && now > w.deadline + 8 * MS;
+        for (id, w) in &tracked {
+            let overdue = !w.finished && w.in_flight.is_empty() && now > w.deadline + 8 * MS;
             assert!(!overdue, "seed {seed}: {id:?} got no answer");
         }
-        watch.retain(|_, w| !w.finished || !w.out.is_empty() || now < w.deadline + S);
+        tracked.retain(|_, w| !w.finished || !w.in_flight.is_empty() || now < w.deadline + S);
     }
     log
 }
 
-fn end(
-    watch: &mut BTreeMap<RequestId, Watch>,
+fn complete(
+    tracked: &mut BTreeMap<RequestId, TrackedRequest>,
     id: RequestId,
     attempt: u32,
     endpoint: EndpointId,
     status: AttemptStatus,
-    note: CacheStatus,
+    cache_status: CacheStatus,
 ) -> Event {
-    let w = watch.get_mut(&id).unwrap();
-    w.out.remove(&attempt);
+    let w = tracked.get_mut(&id).unwrap();
+    w.in_flight.remove(&attempt);
     w.finished |= status == AttemptStatus::Ok;
     w.ran |= !matches!(
         status,
@@ -225,7 +230,7 @@
         attempt,
         endpoint,
         status,
-        cache_status: note,
+        cache_status,
         elapsed: 40 * MS,
         size_kb: None,
         request_closed: w.finished,
@@ -233,15 +238,15 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_comes() {
+fn invariants_hold_under_random_events() {
     for seed in 1..=18 {
-        assert!(play(seed).len() > 500);
+        assert!(run_random_events(seed).len() > 500);
     }
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_and_seed_give_the_same_actions() {
     for seed in 1..=3 {
-        assert_eq!(play(seed), play(seed));
+        assert_eq!(run_random_events(seed), run_random_events(seed));
     }
 }
--- a/tests/long.rs
+++ b/tests/retention.rs
@@ -1,10 +1,10 @@
-//! A router in service for months: what is gone is forgotten, and nothing that still counts is.
+//! Retention: a router that runs for months forgets what is obsolete, and nothing that is still in use.
 mod common;
 use common::*;
 use pointspindle::*;
 
-/// A deploy in waves would do the same: twenty new caches, the twenty before them gone.
-fn deploy(stage: &mut Stage, number: usize) {
+/// Twenty new caches replace the twenty before them.
+fn deploy(stage: &mut RouterFixture, number: usize) {
     let of = |n: usize| (0..20).map(move |i| entry(&format!("d{n}-{i}"), 0));
     let mut entries: Vec<EndpointEntry> = of(number).collect();
     if number > 0 {
@@ -17,14 +17,14 @@
     stage.now += 120 * S;
 }
 
-fn stage() -> Stage {
+fn stage() -> RouterFixture {
     let upper = [("p1", 1), ("p2", 1), ("origin", 2)].map(|(n, k)| entry(n, k));
-    Stage::with(settings(), upper.to_vec())
+    RouterFixture::with(settings(), upper.to_vec())
 }
 
-/// Each choice looks at every member: after 400 deploys a request once cost forty times as much.
+/// A selection visits every endpoint, so forgotten ones must not add to its cost.
 #[test]
-fn members_of_past_deploys_are_forgotten() {
+fn endpoints_of_past_deploys_are_forgotten() {
     let mut stage = stage();
     for number in 0..3 {
         deploy(&mut stage, number);
@@ -38,23 +38,22 @@
         after_all < after_three + after_three / 10,
         "{after_three} bytes grew to {after_all}"
     );
-    let sent = stage.ask(PAGE, "a");
+    let sent = stage.request(PAGE, "a");
     assert!(sent[0].endpoint != EndpointId::named("d0-0") && sent.len() == 1);
 }
 
-/// A list that flaps must not whitewash a member: its hold outlives a short absence.
+/// A flapping list must not reset an endpoint's health.
 #[test]
-fn a_member_back_soon_under_its_number_finds_its_standing() {
-    let mut stage = Stage::new();
+fn ejection_outlives_a_short_absence_from_the_list() {
+    let mut stage = RouterFixture::new();
     for n in 0..6 {
-        let sent = stage.ask(PAGE, &format!("o{n}"));
+        let sent = stage.request(PAGE, &format!("o{n}"));
         if let Some(sent) = sent.iter().find(|s| s.endpoint == EndpointId::named("c1")) {
-            stage.end(sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
+            stage.complete(sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
         }
     }
-    let has_ejection = |stage: &Stage| {
-        format!("{:?}", stage.router).contains("ejections: 1")
-    };
+    let has_ejection =
+        |stage: &RouterFixture| format!("{:?}", stage.router).contains("ejections: 1");
     stage.update(vec![EndpointEntry {
         state: EndpointState::Gone,
         ..entry("c1", 0)
@@ -62,30 +61,30 @@
     stage.now += 5 * S;
     stage.update(vec![]);
     assert!(
-        format!("{:?}", stage.router).contains("gone_since: Some"),
+        format!("{:?}", stage.router).contains("departed_at: Some"),
         "still remembered after five seconds"
     );
     assert!(has_ejection(&stage), "with its ejection");
     stage.now += 60 * S;
     stage.update(vec![]);
     assert!(
-        !format!("{:?}", stage.router).contains("gone_since: Some"),
+        !format!("{:?}", stage.router).contains("departed_at: Some"),
         "forgotten after a minute"
     );
 }
 
-/// A keyed request that may have run at a member that left is resent within its cell only: the cell must
-/// stay known while the request is open.
+/// A request with an idempotency key that may have run at an endpoint that left is retried within its cell only: the
+/// cell must stay known while the request is open.
 #[test]
-fn a_gone_member_that_an_open_request_ran_at_is_kept() {
+fn endpoint_of_an_open_first_run_is_not_forgotten() {
     let mut set = settings();
     set.classes[KEYED].idempotency = Idempotency::WithKey {
         scope: KeyScope::Cell,
         window: 600 * S,
     };
     set.direct_forwarding = false;
-    let mut stage = Stage::with(set, fleet());
-    let sent = stage.tell(Event::Request(Request {
+    let mut stage = RouterFixture::with(set, fleet());
+    let sent = stage.handle(Event::Request(Request {
         id: RequestId(900),
         class: KEYED,
         object: ObjectId::named("k"),
@@ -100,26 +99,26 @@
         ..entry(n, 0)
     };
     stage.update(["c1", "c2", "c3"].map(left).to_vec());
-    stage.end(&first, AttemptStatus::Reset, CacheStatus::Unreported);
+    stage.complete(&first, AttemptStatus::Reset, CacheStatus::Unreported);
     stage.now += 100 * S;
     stage.update(vec![]);
     stage.update(vec![entry("c9", 0)]);
-    let again = stage.wait(MS);
+    let again = stage.advance(MS);
     assert_eq!(
         again.len(),
         1,
         "resent to a newcomer of the zone: {:?}",
-        stage.last
+        stage.last_actions
     );
     assert_eq!(again[0].endpoint, EndpointId::named("c9"));
 }
 
-/// Ten thousand purges in a few seconds: looked through now and then, not at each, and gone afterwards.
+/// Ten thousand purges in a few seconds are compacted now and then and forgotten afterwards.
 #[test]
-fn purges_are_forgotten_once_no_older_copy_can_be_left() {
-    let mut stage = Stage::new();
+fn purge_log_is_compacted_after_the_purge_horizon() {
+    let mut stage = RouterFixture::new();
     for n in 0..10_000 {
-        stage.tell(Event::Purge {
+        stage.handle(Event::Purge {
             object: Some(ObjectId(n)),
             group: 0,
             age: 0,
@@ -129,14 +128,14 @@
     let full = format!("{:?}", stage.router).len();
     stage.now += 60 * S;
     for n in 0..20_000 {
-        stage.tell(Event::Purge {
+        stage.handle(Event::Purge {
             object: Some(ObjectId(1_000_000 + n % 10)),
             group: 0,
             age: 0,
         });
     }
     for n in 0..9_000 {
-        stage.tell(Event::Purge {
+        stage.handle(Event::Purge {
             object: Some(ObjectId(2_000_000 + n)),
             group: 0,
             age: 0,
