--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -1,4 +1,4 @@
-//! What a decision costs after many deploys: each brings twenty new caches and takes the twenty before away.
+//! Time of a request after many deploys, each of which replaces twenty caches.
 //!
 //! `cargo bench --bench deploys`
 use pointspindle::*;
@@ -20,7 +20,7 @@
 }
 
 fn settings() -> RouterSettings {
-    let cold = SlowStartRule {
+    let slow_start = SlowStartRule {
         initial_share: 0.2,
         ramp: 10 * S,
         overload_factor: 2.0,
@@ -53,88 +53,102 @@
         max_retry_after: S,
         max_attempts: 6,
         stream_kb_per_s: 6000.0,
-        cache_slow_start: cold,
-        parent_slow_start: cold,
+        cache_slow_start: slow_start,
+        parent_slow_start: slow_start,
         purge_horizon: 6 * S,
     }
 }
 
+/// A router with the clock and the request numbers of the run.
+struct Bench {
+    router: Router,
+    actions: Vec<Action>,
+    now: Micros,
+    last_request: u64,
+}
+
+impl Bench {
+    fn update(&mut self, update: ListUpdate, entries: Vec<EndpointEntry>) {
+        let event = Event::EndpointList { update, entries };
+        self.router.handle(self.now, event, &mut self.actions);
+    }
+
+    /// Twenty new caches replace the twenty of the deploy before.
+    fn deploy(&mut self, deploy: usize) {
+        let caches =
+            |deploy: usize, state| (0..20).map(move |n| entry(&format!("d{deploy}-{n}"), 0, state));
+        let mut entries: Vec<EndpointEntry> = caches(deploy, EndpointState::Ready).collect();
+        if let Some(before) = deploy.checked_sub(1) {
+            entries.extend(caches(before, EndpointState::Gone));
+        }
+        self.update(ListUpdate::Delta, entries);
+        self.now += 120 * S;
+    }
+
+    /// Sends a request and reports its outcome.
+    fn request(&mut self, object: ObjectId) {
+        self.last_request += 1;
+        self.now += 1_000;
+        self.actions.clear();
+        let id = RequestId(self.last_request);
+        let request = Request {
+            id,
+            class: 0,
+            object,
+            part: 0,
+            group: 0,
+            time_left: 3 * S,
+            size_kb: Some(60.0),
+        };
+        self.router
+            .handle(self.now, Event::Request(request), &mut self.actions);
+        let sent_to = self.actions.iter().find_map(|action| match action {
+            Action::Send { endpoint, .. } => Some(*endpoint),
+            _ => None,
+        });
+        if let Some(endpoint) = sent_to {
+            self.complete(id, endpoint);
+        }
+    }
+
+    fn complete(&mut self, request: RequestId, endpoint: EndpointId) {
+        let outcome = AttemptOutcome {
+            request,
+            attempt: 0,
+            endpoint,
+            status: AttemptStatus::Ok,
+            cache_status: CacheStatus::Hit,
+            elapsed: 10_000,
+            size_kb: None,
+            request_closed: true,
+        };
+        self.router
+            .handle(self.now, Event::Outcome(outcome), &mut self.actions);
+    }
+}
+
 fn main() {
-    let mut router = Router::new(settings(), 1);
-    let mut actions = Vec::new();
-    let mut now = 1_000 * S;
-    let upper = [("p1", 1), ("p2", 1), ("origin", 2)];
-    let entries = upper
-        .map(|(n, k)| entry(n, k, EndpointState::Ready))
-        .to_vec();
-    router.handle(
-        now,
-        Event::EndpointList {
-            update: ListUpdate::Full,
-            entries,
-        },
-        &mut actions,
-    );
-    let mut id = 0;
+    const REQUESTS: u32 = 20_000;
+    let mut bench = Bench {
+        router: Router::new(settings(), 1),
+        actions: Vec::new(),
+        now: 1_000 * S,
+        last_request: 0,
+    };
+    let upstream = [("p1", 1), ("p2", 1), ("origin", 2)]
+        .map(|(name, kind)| entry(name, kind, EndpointState::Ready));
+    bench.update(ListUpdate::Full, upstream.to_vec());
     println!("| deploys | us a request, with its outcome |\n| --- | --- |");
     for deploy in 0..=1_000_usize {
-        let of = |d: usize, state| (0..20).map(move |n| entry(&format!("d{d}-{n}"), 0, state));
-        let mut entries: Vec<EndpointEntry> = of(deploy, EndpointState::Ready).collect();
-        if let Some(before) = deploy.checked_sub(1) {
-            entries.extend(of(before, EndpointState::Gone));
-        }
-        router.handle(
-            now,
-            Event::EndpointList {
-                update: ListUpdate::Delta,
-                entries,
-            },
-            &mut actions,
-        );
-        now += 120 * S;
+        bench.deploy(deploy);
         if ![1, 10, 100, 400, 1_000].contains(&deploy) {
             continue;
         }
-        const REQUESTS: u32 = 20_000;
         let began = Instant::now();
         for n in 0..REQUESTS {
-            id += 1;
-            now += 1_000;
-            actions.clear();
-            let object = ObjectId(u64::from(n % 500));
-            let request = Request {
-                id: RequestId(id),
-                class: 0,
-                object,
-                part: 0,
-                group: 0,
-                time_left: 3 * S,
-                size_kb: Some(60.0),
-            };
-            router.handle(now, Event::Request(request), &mut actions);
-            let sent = actions.iter().find_map(|a| {
-                if let Action::Send { endpoint, .. } = a {
-                    Some(*endpoint)
-                } else {
-                    None
-                }
-            });
-            let Some(endpoint) = sent else { continue };
-            let outcome = AttemptOutcome {
-                request: RequestId(id),
-                attempt: 0,
-                endpoint,
-                status: AttemptStatus::Ok,
-                cache_status: CacheStatus::Hit,
-                elapsed: 10_000,
-                size_kb: None,
-                request_closed: true,
-            };
-            router.handle(now, Event::Outcome(outcome), &mut actions);
+            bench.request(ObjectId(u64::from(n % 500)));
         }
-        println!(
-            "| {deploy} | {:.2} |",
-            began.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS)
-        );
+        let us = began.elapsed().as_secs_f64() * 1e6 / f64::from(REQUESTS);
+        println!("| {deploy} | {us:.2} |");
     }
 }
