--- /dev/null
+++ b/crates/platform/src/connection/metered_codec.rs
@@ -0,0 +1,95 @@
+//! Decodes responses, accounts for their bytes, and reports whatever arrives to the connection.
+use super::Connection;
+use bytes::{Bytes, BytesMut};
+use pointspindle_platform_protocol::line_protocol::{CacheResponse, CacheResponseCodec, LineError};
+use pointspindle_transport::BufferMeter;
+use std::sync::Arc;
+use tokio_util::codec::Decoder;
+
+/// A response codec that meters what it holds; bytes of incomplete responses are reported too.
+pub(super) struct MeteredCodec {
+    codec: CacheResponseCodec,
+    connection: Arc<Connection>,
+    incomplete: IncompleteBody,
+}
+
+impl MeteredCodec {
+    pub fn new(connection: Arc<Connection>, meter: BufferMeter) -> Self {
+        Self {
+            codec: CacheResponseCodec::default(),
+            connection,
+            incomplete: IncompleteBody { meter, bytes: 0 },
+        }
+    }
+}
+
+impl Decoder for MeteredCodec {
+    type Item = CacheResponse;
+    type Error = LineError;
+
+    fn decode(&mut self, from: &mut BytesMut) -> Result<Option<CacheResponse>, LineError> {
+        let has_bytes = !from.is_empty();
+        let mut response = self.codec.decode(from)?;
+        if has_bytes {
+            self.connection
+                .bytes_received(self.codec.incomplete_response_id());
+        }
+        self.incomplete.set(self.codec.incomplete_body_bytes());
+        if let Some(response) = &mut response {
+            let body = std::mem::take(&mut response.body);
+            response.body = metered(body, &self.incomplete.meter);
+        }
+        Ok(response)
+    }
+}
+
+/// What a connection holds of an incomplete response, on the meter of all connections.
+struct IncompleteBody {
+    meter: BufferMeter,
+    bytes: usize,
+}
+
+impl IncompleteBody {
+    fn set(&mut self, bytes: usize) {
+        if bytes != self.bytes {
+            self.meter.sub(self.bytes);
+            self.meter.add(bytes);
+            self.bytes = bytes;
+        }
+    }
+}
+
+impl Drop for IncompleteBody {
+    fn drop(&mut self) {
+        self.meter.sub(self.bytes);
+    }
+}
+
+/// A complete body, on the meter until its last reference is dropped.
+fn metered(body: Bytes, meter: &BufferMeter) -> Bytes {
+    if body.is_empty() {
+        return body;
+    }
+    meter.add(body.len());
+    Bytes::from_owner(MeteredBody {
+        body,
+        meter: meter.clone(),
+    })
+}
+
+struct MeteredBody {
+    body: Bytes,
+    meter: BufferMeter,
+}
+
+impl AsRef<[u8]> for MeteredBody {
+    fn as_ref(&self) -> &[u8] {
+        &self.body
+    }
+}
+
+impl Drop for MeteredBody {
+    fn drop(&mut self) {
+        self.meter.sub(self.body.len());
+    }
+}
--- /dev/null
+++ b/crates/platform/src/connection/tests.rs
@@ -0,0 +1,199 @@
+use super::state::MAX_ENDED_IDS;
+use super::*;
+
+fn queued(connection: &Connection) -> Vec<String> {
+    connection.lock().write_queue.queued()
+}
+
+fn send(connection: &Arc<Connection>, id: &str) -> InFlightRequest {
+    let line = Bytes::from(format!("PULL {id}"));
+    connection
+        .send(id, Box::new(move || Some(line.clone())))
+        .expect("it is open")
+}
+
+/// Counts everything queued as written.
+fn write_all(connection: &Connection) {
+    while connection.prepare_write() {
+        let mut state = connection.lock();
+        let unsent = state.write_queue.unsent().len();
+        state.bytes_sent(unsent);
+    }
+}
+
+fn response(id: &str) -> CacheResponse {
+    CacheResponse {
+        id: id.into(),
+        status: ResponseStatus::Served,
+        cache_status_code: 1,
+        validator: String::new(),
+        produced_at_unix_ms: 0,
+        fill_wait_ms: 0,
+        body: Bytes::new(),
+    }
+}
+
+#[tokio::test]
+async fn connection_end_reports_whether_each_request_may_have_run() {
+    let connection = Connection::new();
+    let mut written = send(&connection, "a");
+    let mut answered = send(&connection, "b");
+    write_all(&connection);
+    let mut unwritten = send(&connection, "c");
+    connection.handle_response(response("b"));
+    connection.lock().end();
+    assert_eq!(written.written().await, Ok(()));
+    assert_eq!(written.response().await, Err(RequestLoss::ConnectionBroken));
+    assert_eq!(
+        answered.response().await.map(|a| a.id),
+        Ok("b".to_owned()),
+        "its response came before the end"
+    );
+    assert_eq!(unwritten.written().await, Err(RequestLoss::NotSent));
+    assert!(connection.send("d", Box::new(|| None)).is_none());
+}
+
+#[tokio::test]
+async fn dropped_request_unsent_is_removed_and_sent_is_cancelled() {
+    let connection = Connection::new();
+    drop(send(&connection, "a"));
+    assert!(queued(&connection).is_empty() && connection.in_flight_if_available("a", 1) == Some(0));
+    let request = send(&connection, "b");
+    write_all(&connection);
+    drop(request);
+    assert_eq!(queued(&connection), ["KILL b\r\n"]);
+    assert_eq!(
+        connection.in_flight_if_available("b", 9),
+        None,
+        "a response that crossed the cancellation would be taken for the new one"
+    );
+    // The response arrives now, and a duplicate: nobody awaits them.
+    connection.handle_response(response("b"));
+    connection.handle_response(response("b"));
+    assert_eq!(connection.in_flight_if_available("c", 9), Some(0));
+}
+
+/// A long-lived connection holds what is in flight, and the last ids that ended.
+#[tokio::test]
+async fn connection_many_finished_requests_retains_bounded_state() {
+    let connection = Connection::new();
+    for n in 0..100_000 {
+        let id = format!("{n:016x}");
+        let mut request = send(&connection, &id);
+        write_all(&connection);
+        if n % 2 == 0 {
+            connection.handle_response(response(&id));
+            assert!(request.response().await.is_ok());
+        }
+    }
+    let mut state = connection.lock();
+    state.write_queue.clear();
+    assert!(state.in_flight.is_empty() && state.ended_ids.len() <= MAX_ENDED_IDS);
+}
+
+/// A connection that runs, and its other end, which reads nothing yet.
+async fn running_connection() -> (
+    Arc<Connection>,
+    TcpStream,
+    tokio::task::JoinHandle<Option<String>>,
+) {
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let socket = TcpStream::connect(listener.local_addr().unwrap())
+        .await
+        .unwrap();
+    socket2::SockRef::from(&socket)
+        .set_send_buffer_size(4_096)
+        .unwrap();
+    let (peer, _) = listener.accept().await.unwrap();
+    let connection = Connection::new();
+    let task = tokio::spawn(connection.clone().run(socket, BufferMeter::default()));
+    (connection, peer, task)
+}
+
+/// An endpoint that reads nothing: what is queued behind a request is not encoded before that one is sent, and not at
+/// all once dropped. A request that is dropped in the middle of its bytes is never complete at the endpoint.
+#[tokio::test]
+async fn request_is_encoded_only_when_its_first_byte_is_writable() {
+    let (connection, mut peer, task) = running_connection().await;
+    let encoded = Arc::new(Mutex::new(Vec::new()));
+    let send = |id: &str, bytes: usize| {
+        let line = Bytes::from(vec![b'x'; bytes]);
+        let encoded = encoded.clone();
+        let name = id.to_owned();
+        let encode = move || {
+            encoded.lock().unwrap().push(name.clone());
+            Some(line.clone())
+        };
+        connection.send(id, Box::new(encode)).expect("it is open")
+    };
+    let large_bytes = 8 << 20;
+    let large = send("large", large_bytes);
+    // It has begun, and the socket takes no more.
+    loop {
+        let unsent_bytes = connection.lock().write_queue.unsent().len();
+        if unsent_bytes > 0 && unsent_bytes < large_bytes {
+            break;
+        }
+        tokio::task::yield_now().await;
+    }
+    let dropped = send("dropped", 1);
+    let mut queued = send("queued", 1);
+    for _ in 0..100 {
+        tokio::task::yield_now().await;
+    }
+    assert_eq!(*encoded.lock().unwrap(), ["large"]);
+    drop(dropped);
+    assert!(connection.in_flight_if_available("new", 9).is_some());
+    drop(large);
+    assert_eq!(
+        connection.in_flight_if_available("new", 9),
+        None,
+        "nothing new behind the rest of a cancelled request"
+    );
+    assert!(
+        !connection.close_if_unusable(Duration::from_secs(60), Duration::from_secs(60)),
+        "its rest may still be sent"
+    );
+    assert!(connection.close_if_unusable(Duration::from_secs(60), Duration::ZERO));
+    assert_eq!(task.await.unwrap(), None);
+    assert_eq!(queued.written().await, Err(RequestLoss::NotSent));
+    let mut received = Vec::new();
+    let _ = tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut received).await;
+    assert!(received.len() < large_bytes, "never complete there");
+    assert_eq!(*encoded.lock().unwrap(), ["large"]);
+}
+
+/// Where the endpoint takes the rest after all, a cancellation follows and the connection stays usable.
+#[tokio::test]
+async fn request_dropped_mid_write_is_followed_by_cancellation() {
+    let (connection, peer, _task) = running_connection().await;
+    let line = Bytes::from([vec![b'x'; 8 << 20], b"\r\n".to_vec()].concat());
+    let large = connection
+        .send("large", Box::new(move || Some(line.clone())))
+        .unwrap();
+    while connection.lock().write_queue.unsent().is_empty() {
+        tokio::task::yield_now().await;
+    }
+    drop(large);
+    let mut next = connection
+        .send(
+            "next",
+            Box::new(|| Some(Bytes::from_static(b"PULL next\r\n"))),
+        )
+        .unwrap();
+    let mut lines = FramedRead::new(peer, tokio_util::codec::LinesCodec::new());
+    assert_eq!(lines.next().await.unwrap().unwrap().len(), 8 << 20);
+    assert_eq!(lines.next().await.unwrap().unwrap(), "KILL large");
+    assert_eq!(lines.next().await.unwrap().unwrap(), "PULL next");
+    assert_eq!(next.written().await, Ok(()));
+}
+
+#[tokio::test]
+async fn close_if_idle_closes_idle_connection_and_keeps_busy_one() {
+    let connection = Connection::new();
+    let request = send(&connection, "a");
+    assert!(!connection.close_if_idle() && connection.in_flight_if_available("b", 9) == Some(1));
+    drop(request);
+    assert!(connection.close_if_idle() && connection.in_flight_if_available("b", 9).is_none());
+    assert!(connection.send("b", Box::new(|| None)).is_none());
+}
--- a/crates/platform/src/connection_pool/tests.rs
+++ b/crates/platform/src/connection_pool/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use pointspindle_platform_protocol::start_config::StartConfig;
 
-/// Hosts are replaced without end, by new ids at the same addresses: those that are gone are forgotten.
+/// Endpoints are replaced without end, by new ids at the same address.
 #[test]
-fn members_that_are_gone_are_forgotten() {
+fn endpoints_gone_without_connections_are_forgotten() {
     let start: StartConfig = serde_json::from_str(
         r#"{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2",
             "limits":{"cores":1,"memory_mb":32,"sockets":256},
@@ -11,26 +11,35 @@
             "FamilyInfo":{},"Classes":[{"Name":"page","DeadlineMs":1000,"Repeat":"idempotent"}]}}"#,
     )
     .unwrap();
-    let shape = Shape::new(&start).unwrap();
-    let (lines, _meetings) =
-        Lines::new(&shape, &BufferMeter::default(), Stalls::new(Instant::now()));
-    let dial: SocketAddr = ([127, 0, 0, 1], 9).into();
+    let settings = PlatformSettings::new(&start).unwrap();
+    let (connect_requests, _receiver) = mpsc::unbounded_channel();
+    let pool = ConnectionPool::new(
+        &settings,
+        &BufferMeter::default(),
+        PauseDetector::new(Instant::now()),
+        connect_requests,
+    );
+    let address: SocketAddr = ([127, 0, 0, 1], 9).into();
     for n in 0..100_000 {
-        let listed = |n: u32, gone| Listed {
+        let endpoint = |n: u32, is_gone| EndpointAddress {
             id: format!("s-{n}"),
-            dial,
+            address,
             role: Role::Cache,
-            gone,
+            is_gone,
         };
-        lines.listed(listed(n, false));
-        lines.listed(listed(n.saturating_sub(3), n > 3));
+        pool.update_endpoint(endpoint(n, false));
+        pool.update_endpoint(endpoint(n.saturating_sub(3), n > 3));
         if n % 1_000 == 0 {
-            lines.sweep();
+            pool.maintain();
         }
     }
-    lines.sweep();
-    assert!(lines.count().1 <= 4, "{:?}", lines.count());
-    lines.only(&[]);
-    lines.sweep();
-    assert_eq!(lines.count(), (0, 0));
+    pool.maintain();
+    assert!(pool.counts().endpoints <= 4, "{:?}", pool.counts());
+    pool.retain_only(&[]);
+    pool.maintain();
+    let empty = PoolCounts {
+        connections: 0,
+        endpoints: 0,
+    };
+    assert_eq!(pool.counts(), empty);
 }
--- /dev/null
+++ b/crates/platform/src/frontend/client_stream.rs
@@ -0,0 +1,89 @@
+//! A FastCGI client as the core's exchange sees it: its response is assembled completely and handed to the writer.
+use super::response_writer::{HttpStatus, Outgoing, ResponseSender};
+use bytes::Bytes;
+use pointspindle::Micros;
+use pointspindle_dispatcher::net::exchange::{ClientDisconnected, ClientStream};
+use pointspindle_protocol::ResponseHead;
+use tokio_util::sync::CancellationToken;
+
+const MICROS_PER_MILLI: Micros = 1_000;
+
+/// The client's end of one request.
+pub(super) struct FastCgiClient {
+    /// Number of the request.
+    pub id: u16,
+    pub responses: ResponseSender,
+    /// Cancelled when the client aborts the request, or with the session.
+    pub cancelled: CancellationToken,
+    head: Option<ResponseHead>,
+    body: Vec<Bytes>,
+}
+
+impl FastCgiClient {
+    pub fn new(id: u16, responses: ResponseSender, cancelled: CancellationToken) -> Self {
+        Self {
+            id,
+            responses,
+            cancelled,
+            head: None,
+            body: Vec::new(),
+        }
+    }
+
+    fn send(&self, outgoing: Outgoing) -> Result<(), ClientDisconnected> {
+        if self.responses.send(outgoing) {
+            Ok(())
+        } else {
+            Err(ClientDisconnected)
+        }
+    }
+}
+
+impl ClientStream for FastCgiClient {
+    async fn disconnected(&mut self) {
+        self.cancelled.cancelled().await;
+    }
+
+    async fn head(&mut self, head: &ResponseHead) -> Result<(), ClientDisconnected> {
+        self.head = Some(head.clone());
+        Ok(())
+    }
+
+    async fn data(&mut self, data: Bytes) -> Result<(), ClientDisconnected> {
+        self.body.push(data);
+        Ok(())
+    }
+
+    async fn flush(&mut self) -> Result<(), ClientDisconnected> {
+        Ok(())
+    }
+
+    async fn end(&mut self) -> Result<(), ClientDisconnected> {
+        let not_modified = self.head.take().is_some_and(|head| head.not_modified);
+        // Nearly always one piece.
+        let body = match self.body.len() {
+            0 | 1 => self.body.pop().unwrap_or_default(),
+            _ => Bytes::from(self.body.concat()),
+        };
+        let fields = if not_modified { "X-Ok304: 1\r\n" } else { "" };
+        self.send(Outgoing::response(self.id, HttpStatus::Ok, fields, body))
+    }
+
+    async fn reject(&mut self, retry_after: Option<Micros>) {
+        let fields = match retry_after {
+            Some(after) => format!("X-Throttle-Ms: {}\r\n", after.div_ceil(MICROS_PER_MILLI)),
+            None => String::new(),
+        };
+        let status = HttpStatus::ServiceUnavailable;
+        let _ = self.send(Outgoing::response(self.id, status, &fields, Bytes::new()));
+    }
+
+    async fn fail(&mut self) {
+        let _ = self.send(Outgoing::empty_response(self.id, HttpStatus::BadGateway));
+    }
+
+    /// No byte of the response is sent yet, so it can still fail.
+    async fn abort(&mut self) {
+        self.fail().await;
+    }
+}
--- /dev/null
+++ b/crates/platform/src/frontend/mod.rs
@@ -0,0 +1,121 @@
+//! The FastCGI frontend: the listener, and what all client connections share. Each connection is a [`session`].
+mod client_stream;
+mod request_task;
+mod response_writer;
+mod session;
+mod session_input;
+
+use crate::connection_pool::PlatformCore;
+use crate::pause_detector::PauseDetector;
+use crate::settings::PlatformSettings;
+use crate::shutdown::ShutdownPhase;
+use pointspindle_dispatcher::net::connection_registry::{ConnectionPermit, ConnectionRegistry};
+use pointspindle_dispatcher::net::QUEUE_FAILURES;
+use pointspindle_transport::{Listener, Socket};
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::task::JoinSet;
+
+/// The platform's bound on what is in transit when a connection is closed: it has arrived by then, or is sent again.
+const TRANSIT_TIME: Duration = Duration::from_millis(50);
+
+/// What all client connections share.
+#[derive(Clone)]
+pub struct Frontend {
+    core: Arc<PlatformCore>,
+    settings: Arc<PlatformSettings>,
+    registry: Arc<ConnectionRegistry>,
+    phase: watch::Receiver<ShutdownPhase>,
+    pause_detector: Arc<PauseDetector>,
+    /// Transaction ids of the requests in flight, from all connections.
+    transactions: Arc<Mutex<HashSet<String>>>,
+}
+
+impl Frontend {
+    /// A frontend without connections.
+    pub(crate) fn new(
+        core: Arc<PlatformCore>,
+        settings: Arc<PlatformSettings>,
+        registry: Arc<ConnectionRegistry>,
+        phase: watch::Receiver<ShutdownPhase>,
+        pause_detector: Arc<PauseDetector>,
+    ) -> Self {
+        Self {
+            core,
+            settings,
+            registry,
+            phase,
+            pause_detector,
+            transactions: Arc::default(),
+        }
+    }
+
+    fn transactions(&self) -> MutexGuard<'_, HashSet<String>> {
+        lock_transactions(&self.transactions)
+    }
+
+    fn phase(&self) -> ShutdownPhase {
+        *self.phase.borrow()
+    }
+
+    /// Serves a new connection. Beyond the connection limit it is closed at once, without a response.
+    fn serve(&self, sessions: &mut JoinSet<()>, socket: Socket, peer: SocketAddr) {
+        let Socket::Tcp(socket) = socket else { return };
+        if let Ok(permit) = self.registry.admit(peer.ip()) {
+            sessions.spawn(serve_session(self.clone(), socket, permit));
+        }
+    }
+}
+
+fn lock_transactions(transactions: &Mutex<HashSet<String>>) -> MutexGuard<'_, HashSet<String>> {
+    transactions
+        .lock()
+        .unwrap_or_else(|poisoned| poisoned.into_inner())
+}
+
+async fn serve_session(frontend: Frontend, socket: TcpStream, permit: ConnectionPermit) {
+    let _ = socket.set_nodelay(true);
+    session::run(frontend, socket, &permit).await;
+}
+
+/// Accepts connections until the listener is to close, or until the dispatcher shuts down and has had no connection for a
+/// while; returns when the last connection has ended.
+pub async fn accept(mut listener: Listener, frontend: Frontend, mut close: watch::Receiver<bool>) {
+    let mut sessions = JoinSet::new();
+    loop {
+        let is_unused = sessions.is_empty() && frontend.phase() > ShutdownPhase::Serving;
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            _ = sessions.join_next(), if !sessions.is_empty() => continue,
+            _ = close.wait_for(|close| *close) => break,
+            // A request that crossed the last close is retried on a new connection.
+            () = tokio::time::sleep(TRANSIT_TIME), if is_unused => break,
+        };
+        match accepted {
+            Ok((socket, peer)) => frontend.serve(&mut sessions, socket, peer),
+            Err(error) => frontend.registry.accept_failed(error).await,
+        }
+    }
+    accept_queued(&mut listener, &frontend, &mut sessions).await;
+    drop(listener);
+    while sessions.join_next().await.is_some() {}
+}
+
+/// Serves the connections in the listener's queue: the system has accepted them, with the requests sent on them.
+async fn accept_queued(listener: &mut Listener, frontend: &Frontend, sessions: &mut JoinSet<()>) {
+    let mut failures = 0;
+    while let Some(accepted) = listener.waiting().await {
+        match accepted {
+            Ok((socket, peer)) => frontend.serve(sessions, socket, peer),
+            Err(_) if failures == QUEUE_FAILURES => return,
+            Err(error) => {
+                failures += 1;
+                frontend.registry.accept_failed(error).await;
+            }
+        }
+    }
+}
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,18 +1,20 @@
 //! The dispatcher on the operators' platform.
 //!
-//! Clients come by FastCGI ([`front`]), cache hosts are spoken to by lines ([`connection_pool`]), lists and purges come from the
-//! notice board ([`board`]); [`life`] starts, reloads and stops. In between stands the same core as everywhere: a
-//! request is an [`pointspindle_dispatcher::net::exchange`], its orders come from the [`pointspindle_dispatcher::net::core_handle::Desk`], and
-//! every decision from the module.
+//! Clients connect by FastCGI ([`frontend`]); cache hosts are reached over the line protocol ([`connection_pool`]);
+//! endpoint lists and purges arrive on the discovery stream ([`endpoint_discovery`]); [`lifecycle`] starts, reloads and
+//! shuts down. In between stands the same core as in every dispatcher: a request is a
+//! [`pointspindle_dispatcher::net::exchange`], its commands come from the
+//! [`pointspindle_dispatcher::net::core_handle::CoreHandle`], and every decision from the decision module.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-pub mod board;
 mod connection;
 pub mod connection_pool;
-pub mod front;
-pub mod life;
+pub mod endpoint_discovery;
+pub mod frontend;
+pub mod lifecycle;
+mod pause_detector;
 pub mod settings;
 mod shutdown;
-mod stalls;
 
-pub use life::{run, RunError};
+pub use lifecycle::{run, RunError};
--- /dev/null
+++ b/crates/platform/src/lifecycle.rs
@@ -0,0 +1,255 @@
+//! Start, configuration reload, graceful shutdown.
+//!
+//! After SIGTERM, requests in flight, and those that come for a while on open connections, on new ones and from the
+//! listener's queue, are served; then each connection finishes what it has, rejects what still comes, and closes
+//! ([`crate::frontend`]). All that is open has its final response before the process may be killed ([`crate::shutdown`]);
+//! it ends with its last connection. Discovery and configuration reloads go on to the end: attempts are still made.
+use crate::connection_pool::{connect_requested, run_maintenance, ConnectionPool, PlatformCore};
+use crate::endpoint_discovery::{lock, stream, DiscoveryState};
+use crate::frontend::{accept, Frontend};
+use crate::pause_detector::{run_ticks, PauseDetector};
+use crate::settings::{PlatformSettings, PlatformSettingsError};
+use crate::shutdown::{ShutdownPhase, ShutdownSchedule};
+use pointspindle_clock::WallClock;
+use pointspindle_config::ListenSettings;
+use pointspindle_dispatcher::admission::Limits;
+use pointspindle_dispatcher::core::Input;
+use pointspindle_dispatcher::net::connection_registry::{expire, ConnectionRegistry};
+use pointspindle_dispatcher::net::core_handle::{run_timers, CoreHandle};
+use pointspindle_platform_protocol::start_config::{self, StartConfig, StartConfigError};
+use pointspindle_transport::Network;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinSet;
+use tokio::time::Instant;
+
+/// Backoff between reads of a configuration that cannot be used: it may be half written.
+const MIN_RELOAD_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_RELOAD_BACKOFF: Duration = Duration::from_secs(1);
+const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// Variable that overrides the listen address.
+const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
+
+/// Why a dispatcher could not be started.
+#[derive(Debug, thiserror::Error)]
+pub enum RunError {
+    /// The start configuration cannot be read.
+    #[error(transparent)]
+    StartConfig(#[from] StartConfigError),
+    /// The start configuration cannot be used.
+    #[error("{file}: {source}")]
+    Settings {
+        /// Path of the configuration.
+        file: String,
+        /// What is wrong with it.
+        source: PlatformSettingsError,
+    },
+    /// The listen address that overrides the configuration's is not one.
+    #[error("{name}: {value:?} is not an address and port")]
+    Address {
+        /// Where it comes from.
+        name: &'static str,
+        /// What it is.
+        value: String,
+    },
+    /// The listener cannot be opened.
+    #[error("cannot listen on {address}: {source}")]
+    Listen {
+        /// The listen address.
+        address: SocketAddr,
+        /// What the system says.
+        source: std::io::Error,
+    },
+    /// The system refused something else.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
+/// Runs a dispatcher until SIGTERM, and returns once all requests have their response. `listen` overrides the
+/// configuration's address.
+pub async fn run(file: PathBuf, listen: Option<String>) -> Result<(), RunError> {
+    let clock = WallClock::start();
+    let Signals {
+        mut terminate,
+        hangup,
+        mut interrupt,
+    } = Signals::register()?;
+    let start = start_config::read(&file)?;
+    let settings = Arc::new(platform_settings(&file, &start)?);
+    let address = listen_address(listen, &settings)?;
+    let pause_detector = PauseDetector::new(Instant::now());
+    let (connect_requests, requested) = mpsc::unbounded_channel();
+    let core = new_core(&settings, &pause_detector, connect_requests);
+    let mut background = JoinSet::new();
+    background.spawn(run_timers(core.clone()));
+    background.spawn(run_maintenance(core.clone()));
+    background.spawn(log_status(core.clone(), clock));
+    background.spawn(connect_requested(core.clone(), requested));
+
+    // Draining endpoints and purges are known before the first request.
+    let mut discovery = DiscoveryState::new(core.clone(), settings.clone(), clock);
+    discovery.apply_known_state(start.known_state);
+    let discovery = Arc::new(Mutex::new(discovery));
+    let (discovery_address, address_changes) = watch::channel(start.discovery_address);
+    background.spawn(stream::follow(discovery.clone(), address_changes));
+    background.spawn(reload(file, hangup, discovery.clone(), discovery_address));
+
+    let registry = connection_registry(&settings.dispatcher.listen);
+    let idle_timeout_us = settings.dispatcher.listen.idle_timeout_us;
+    background.spawn(expire(registry.clone(), idle_timeout_us));
+    background.spawn(run_ticks(pause_detector.clone()));
+    let (phase, phase_changes) = watch::channel(ShutdownPhase::Serving);
+    let (close_listener, listener_close) = watch::channel(false);
+    let frontend = Frontend::new(
+        core.clone(),
+        settings.clone(),
+        registry,
+        phase_changes,
+        pause_detector,
+    );
+    let listener = Network::Tcp.listen(address).await;
+    let listener = listener.map_err(|source| RunError::Listen { address, source })?;
+    let mut accept_task = tokio::spawn(accept(listener, frontend, listener_close));
+    let revision = lock(&discovery).last_revision();
+    tracing::info!(name = start.name, %address, revision, "dispatcher listens");
+
+    tokio::select! {
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
+    }
+    tracing::info!(open = core.open_requests(), "stopping");
+    let schedule = ShutdownSchedule::new(settings.longest_deadline());
+    tokio::select! {
+        _ = &mut accept_task => {}
+        () = follow_schedule(schedule, &core, &phase, &close_listener) => {}
+    }
+    tracing::info!("stopped");
+    Ok(())
+}
+
+struct Signals {
+    terminate: Signal,
+    hangup: Signal,
+    interrupt: Signal,
+}
+
+impl Signals {
+    fn register() -> std::io::Result<Self> {
+        Ok(Self {
+            terminate: signal(SignalKind::terminate())?,
+            hangup: signal(SignalKind::hangup())?,
+            interrupt: signal(SignalKind::interrupt())?,
+        })
+    }
+}
+
+fn platform_settings(file: &Path, start: &StartConfig) -> Result<PlatformSettings, RunError> {
+    PlatformSettings::new(start).map_err(|source| RunError::Settings {
+        file: file.display().to_string(),
+        source,
+    })
+}
+
+fn listen_address(
+    listen: Option<String>,
+    settings: &PlatformSettings,
+) -> Result<SocketAddr, RunError> {
+    let Some(value) = listen else {
+        return Ok(settings.listen);
+    };
+    value.parse().map_err(|_| RunError::Address {
+        name: LISTEN_VARIABLE,
+        value,
+    })
+}
+
+fn new_core(
+    settings: &PlatformSettings,
+    pause_detector: &Arc<PauseDetector>,
+    connect_requests: mpsc::UnboundedSender<String>,
+) -> Arc<PlatformCore> {
+    let dispatcher = Arc::new(settings.dispatcher.clone());
+    Arc::new(CoreHandle::new(dispatcher, settings.seed, |meter| {
+        ConnectionPool::new(settings, meter, pause_detector.clone(), connect_requests)
+    }))
+}
+
+fn connection_registry(listen: &ListenSettings) -> Arc<ConnectionRegistry> {
+    ConnectionRegistry::new(Limits {
+        hard: listen.max_connections,
+        soft: listen.soft_connections,
+        per_address: listen.address_connections,
+        networks: Vec::new(),
+    })
+}
+
+/// Carries out a shutdown schedule that begins now; never returns.
+async fn follow_schedule(
+    schedule: ShutdownSchedule,
+    core: &PlatformCore,
+    phase: &watch::Sender<ShutdownPhase>,
+    close_listener: &watch::Sender<bool>,
+) {
+    let started = Instant::now();
+    tokio::time::sleep_until(started + schedule.reject_at).await;
+    phase.send_replace(ShutdownPhase::Rejecting);
+    tokio::time::sleep_until(started + schedule.finish_at).await;
+    core.apply(Input::FinishAll);
+    phase.send_replace(ShutdownPhase::Finishing);
+    tokio::time::sleep_until(started + schedule.close_listener_at).await;
+    close_listener.send_replace(true);
+    std::future::pending().await
+}
+
+/// Reloads the configuration at each SIGHUP, as soon as it can be used.
+async fn reload(
+    file: PathBuf,
+    mut hangup: Signal,
+    discovery: Arc<Mutex<DiscoveryState>>,
+    discovery_address: watch::Sender<String>,
+) {
+    while hangup.recv().await.is_some() {
+        let mut backoff = MIN_RELOAD_BACKOFF;
+        loop {
+            match start_config::read(&file) {
+                Ok(new) => {
+                    tracing::info!(discovery = new.discovery_address, "configuration reloaded");
+                    lock(&discovery).apply_known_state(new.known_state);
+                    discovery_address.send_replace(new.discovery_address);
+                    break;
+                }
+                Err(error) if backoff == MIN_RELOAD_BACKOFF => {
+                    tracing::error!(%error, "configuration not reloaded yet; the old one stays in force");
+                }
+                Err(_) => {}
+            }
+            tokio::select! {
+                _ = hangup.recv() => {}
+                () = tokio::time::sleep(backoff) => {}
+            }
+            backoff = (backoff * 2).min(MAX_RELOAD_BACKOFF);
+        }
+    }
+}
+
+async fn log_status(core: Arc<PlatformCore>, clock: WallClock) {
+    loop {
+        tokio::time::sleep(STATUS_LOG_INTERVAL).await;
+        if let Some(step_ms) = clock.step_ms() {
+            tracing::warn!(step_ms, "the wall clock has been stepped since the start");
+        }
+        let pool = core.transport.counts();
+        tracing::info!(
+            open_requests = core.open_requests(),
+            buffered_bytes = core.meter.buffered_bytes(),
+            connections = pool.connections,
+            endpoints = pool.endpoints,
+            ended = %core.counters_line(),
+            "status"
+        );
+    }
+}
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,189 +1,307 @@
-//! The start configuration as the settings of a dispatcher: limits become bounds, names become numbers.
+//! The start configuration as the settings of a dispatcher: resource limits become bounds, kinds become roles.
+use pointspindle::RouterSettings;
 use pointspindle_config::{
     ClassSettings, DispatcherSettings, ListenSettings, Role, UpstreamSettings,
 };
 use pointspindle_platform_protocol::client_request::ClassRules;
+use pointspindle_platform_protocol::request_assembly::MAX_OPEN_REQUESTS;
 use pointspindle_platform_protocol::settings::{
-    micros_or_zero, router_settings, UpstreamLimitsDocument,
+    micros_or_zero, router_settings, SettingsDocument, SettingsError, UpstreamLimitsDocument,
 };
-use pointspindle_platform_protocol::start_config::StartConfig;
-use std::net::SocketAddr;
-
-/// Time kept back from a client's deadline for the answer's way to it.
-const ANSWER_SLACK_US: u64 = 15_000;
-/// Clients close what they do not use for longer than this by themselves; what stays is kept for nobody.
-const IDLE_US: u64 = 6_000_000;
-/// A newcomer has said something whole by then, or its place is wanted by others.
-const HEAD_US: u64 = 2_000_000;
-/// Connections to members: silent for so long though answers are awaited, they are asked for a sign of life.
-const QUIET_US: u64 = 1_000_000;
-const SIGN_US: u64 = 700_000;
-/// Descriptors that are neither clients' nor members': listener, notice boards, logs, the runtime's own.
-const OWN_SOCKETS: usize = 24;
-/// Open requests for each MB of the memory limit: a request's own state takes some KB, its answer is counted apart.
+use pointspindle_platform_protocol::start_config::{ResourceLimits, StartConfig};
+use std::net::{AddrParseError, SocketAddr};
+use std::time::Duration;
+
+/// Reserved of a client's deadline for the response's way to it.
+const RESPONSE_SLACK_US: u64 = 15_000;
+/// Clients close what they do not use for longer than this by themselves.
+const CLIENT_IDLE_TIMEOUT_US: u64 = 6_000_000;
+/// A client has sent a complete request by then.
+const REQUEST_HEAD_TIMEOUT_US: u64 = 2_000_000;
+/// An endpoint connection that is silent for this time while responses are awaited is sent a health check.
+const HEALTH_CHECK_AFTER_US: u64 = 1_000_000;
+const HEALTH_CHECK_TIMEOUT_US: u64 = 700_000;
+const DRAIN_TIMEOUT_US: u64 = 60_000_000;
+/// Bounds of the connect time-out.
+const MIN_CONNECT_TIMEOUT_US: u64 = 50_000;
+const MAX_CONNECT_TIMEOUT_US: u64 = 5_000_000;
+/// The shortest time after which endpoints are taken to close idle connections.
+const MIN_ENDPOINT_IDLE_TIMEOUT_US: u64 = 2_000_000;
+/// Requests on an endpoint connection where the settings do not say.
+const DEFAULT_MAX_STREAMS: usize = 32;
+/// Descriptors that are neither clients' nor endpoints': listener, discovery, logs, the runtime's own.
+const RESERVED_SOCKETS: usize = 24;
+/// Open requests per MB of the memory limit: a request's own state takes some KB, its response is metered apart.
 const REQUESTS_PER_MB: usize = 16;
+const MIN_SOCKETS: usize = 64;
+const MIN_MEMORY_MB: u64 = 16;
+const BYTES_PER_MB: u64 = 1024 * 1024;
+/// Part of the memory limit for responses; the rest is for the program, its tables and buffers.
+const RESPONSE_MEMORY_DIVISOR: u64 = 4;
+/// Part of the endpoint connections that one endpoint may have.
+const ENDPOINT_SHARE_DIVISOR: usize = 4;
 
-/// What the platform's shell needs besides the dispatcher's settings.
+/// What the platform's shell needs, with the dispatcher's settings.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct PlatformSettings {
     /// Where clients connect.
     pub listen: SocketAddr,
-    pub edge: DispatcherSettings,
+    /// Settings of the dispatcher's core.
+    pub dispatcher: DispatcherSettings,
+    /// Rules of the request classes, by index.
     pub classes: Vec<ClassRules>,
-    /// Role of each kind of the settings, by name.
-    pub kinds: Vec<(String, Role)>,
-    /// Connections to members, all together, and to one.
-    pub member_connections: usize,
-    pub connections_each: usize,
+    /// Role of each kind of endpoint.
+    pub kinds: Vec<KindRole>,
+    /// Connections to all endpoints.
+    pub max_connections: usize,
+    /// Connections to one endpoint.
+    pub max_connections_per_endpoint: usize,
+    /// Seed of the dispatcher's random numbers.
     pub seed: u64,
 }
 
-#[derive(Debug, thiserror::Error)]
-pub enum ShapeError {
-    #[error("{key}: {why}")]
-    Key { key: &'static str, why: String },
+/// The role of a kind of endpoint.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct KindRole {
+    /// Name of the kind.
+    pub kind: String,
+    /// What its endpoints serve.
+    pub role: Role,
 }
 
-fn wrong(key: &'static str, why: impl Into<String>) -> ShapeError {
-    ShapeError::Key {
-        key,
-        why: why.into(),
-    }
+/// Why a start configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum PlatformSettingsError {
+    /// The router's settings cannot be used.
+    #[error("settings: {0}")]
+    Router(SettingsError),
+    /// The dispatcher's zone is not in the list of zones.
+    #[error("settings.Zone: {zone} is none of the {zones} zones")]
+    UnknownZone {
+        /// Index of the dispatcher's zone.
+        zone: usize,
+        /// Number of zones.
+        zones: usize,
+    },
+    /// The listen address is not an address and port.
+    #[error("listen: {value:?}: {error}")]
+    InvalidListenAddress {
+        /// What the configuration holds.
+        value: String,
+        /// What is wrong with it.
+        error: AddrParseError,
+    },
+    /// The resource limits are too small.
+    #[error("limits: at least {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are needed")]
+    LimitsTooSmall,
+    /// A request class has no name.
+    #[error("settings.Classes: one without Name")]
+    UnnamedClass,
+    /// There is no request class.
+    #[error("settings.Classes: no class")]
+    NoClasses,
 }
 
-impl Shape {
-    pub fn new(start: &StartConfig) -> Result<Self, ShapeError> {
-        let c = &start.settings;
-        let mut router = router_settings(c).map_err(|why| wrong("settings", why.to_string()))?;
-        let zones = c.zones.clone().unwrap_or_default();
-        if router.zone >= zones.len() {
-            let why = format!("{} is none of the {} zones", router.zone, zones.len());
-            return Err(wrong("settings.Zone", why));
-        }
-        let listen: SocketAddr = start
-            .listen
-            .parse()
-            .map_err(|e| wrong("listen", format!("{:?}: {e}", start.listen)))?;
+impl PlatformSettings {
+    /// Translates and checks the start configuration.
+    pub fn new(start: &StartConfig) -> Result<Self, PlatformSettingsError> {
+        let document = &start.settings;
         let limits = start.limits;
-        if limits.sockets < 64 || limits.memory_mb < 16 {
-            return Err(wrong("limits", "at least 64 sockets and 16 MB are needed"));
-        }
-        let kind = |i: usize| match i {
-            i if Some(i) == router.parent_kind => Role::Parent,
-            i if Some(i) == router.origin_kind => Role::Origin,
-            _ => Role::Cache,
-        };
-        let kinds = c
-            .kinds
-            .iter()
-            .flatten()
-            .enumerate()
-            .map(|(i, k)| (k.clone(), kind(i)))
-            .collect();
-        // From here on kinds are told by their role.
-        router.parent_kind = router.parent_kind.map(|_| Role::Parent.kind());
-        router.origin_kind = router.origin_kind.map(|_| Role::Origin.kind());
-        // Answers tell their size by their bytes: the pace is reckoned in bytes on the connection as well, which the
-        // settings' KB need not be. Without it sizes say nothing.
-        router.stream_kb_per_s = start.response_bytes_per_s / 1024.0;
-        let mut forms = Vec::new();
-        let mut specs = Vec::new();
-        for (i, class) in c.classes.iter().flatten().enumerate() {
-            let name = class
-                .name
-                .clone()
-                .ok_or_else(|| wrong("settings.Classes", "one without Name"))?;
-            let deadline_us = micros_or_zero(class.deadline_ms);
-            forms.push(ClassRules {
-                name: name.clone(),
-                requires_key: matches!(
-                    router.classes[i].idempotency,
-                    pointspindle::Idempotency::WithKey { .. }
-                ),
-                is_write: router.classes[i].uncacheable,
-                deadline_ms: deadline_us / 1_000,
-            });
-            specs.push(ClassSettings {
-                name,
-                path_prefix: None,
-                deadline_us,
-                purge_exempt: false,
-            });
-        }
-        if forms.is_empty() {
-            return Err(wrong("settings.Classes", "no class"));
-        }
-        let a = c.upstream_limits.as_ref();
-        let allowed = |f: fn(&UpstreamLimitsDocument) -> Option<f64>| a.and_then(f);
-        let connect_us = micros_or_zero(allowed(|a| a.connect_timeout_ms)).clamp(50_000, 5_000_000);
-        let idle_us = micros_or_zero(allowed(|a| a.idle_timeout_ms)).max(2_000_000);
-        let max_streams = a.and_then(|a| a.max_streams).unwrap_or(32).max(1);
-        let max_open = a.and_then(|a| a.max_open_requests).unwrap_or(usize::MAX);
-        // The platform's clients hold a third of the descriptors at most; newcomers need a place beside those who leave.
-        let clients = limits.sockets * 2 / 5;
-        let endpoints = limits.sockets - clients - OWN_SOCKETS;
-        let edge = DispatcherSettings {
-            name: start.name.clone(),
-            zones,
-            classes: specs,
-            listen: ListenSettings {
-                http: None,
-                framed: None,
-                https: None,
-                framed_tls: None,
-                control: None,
-                metrics: None,
-                max_connections: clients,
-                soft_connections: clients - clients / 10,
-                address_connections: clients,
-                max_streams: pointspindle_platform_protocol::request_assembly::MAX_OPEN_REQUESTS,
-                idle_timeout_us: IDLE_US,
-                head_timeout_us: HEAD_US,
-                drain_timeout_us: 60_000_000,
-                min_client_bytes_per_s: 0,
-                pace_window_us: 0,
-                client_lease_us: 0,
-                network_quotas: Vec::new(),
-            },
-            tls: None,
-            etcd: None,
-            upstream: UpstreamSettings {
-                endpoints_have_ids: true,
-                connect_timeout_us: connect_us,
-                max_streams,
-                // Before the members close them: a request that crosses a close is lost time.
-                idle_timeout_us: idle_us / 2,
-                hello_timeout_us: 0,
-                bind: None,
-                ping_when_awaiting_us: QUIET_US,
-                ping_when_idle_us: 0,
-                ping_timeout_us: SIGN_US,
-            },
-            answer_slack_us: ANSWER_SLACK_US,
-            group_segments: 1,
-            state_file: None,
-            endpoints: Vec::new(),
-            max_requests: (limits.memory_mb as usize * REQUESTS_PER_MB).min(max_open),
-            // A quarter for answers; the rest for the program, its tables and buffers.
-            buffer_bytes: limits.memory_mb * 1024 * 1024 / 4,
-            router,
-        };
+        let mut router = router_settings(document).map_err(PlatformSettingsError::Router)?;
+        check_zone(&router, document)?;
+        let listen = listen_address(start)?;
+        check_limits(limits)?;
+        let kinds = kind_roles(&router, document);
+        adapt_router(&mut router, start);
+        let classes = class_rules(&router, document)?;
+        // The platform's clients hold a third of the descriptors at most; new ones need a place beside those that close.
+        let max_clients = limits.sockets * 2 / 5;
+        let max_connections = limits.sockets - max_clients - RESERVED_SOCKETS;
         Ok(Self {
             listen,
-            edge,
-            classes: forms,
+            dispatcher: dispatcher_settings(start, router, &classes, max_clients),
+            classes,
             kinds,
-            member_connections: endpoints,
-            connections_each: (endpoints / 4).max(1),
+            max_connections,
+            max_connections_per_endpoint: (max_connections / ENDPOINT_SHARE_DIVISOR).max(1),
             seed: u64::from_str_radix(&start.seed, 16).unwrap_or_default(),
         })
     }
 
-    /// Role of a kind by its name; a name that the settings do not have is a cache's.
+    /// Role of a kind by its name; a kind that the settings do not have is a cache's.
     pub fn role(&self, kind: &str) -> Role {
         self.kinds
             .iter()
-            .find(|(name, _)| name == kind)
-            .map_or(Role::Cache, |(_, role)| *role)
+            .find(|known| known.kind == kind)
+            .map_or(Role::Cache, |known| known.role)
+    }
+
+    /// The longest that a request of any class may take.
+    pub fn longest_deadline(&self) -> Duration {
+        let deadlines = self.dispatcher.classes.iter().map(|c| c.deadline_us);
+        Duration::from_micros(deadlines.max().unwrap_or_default())
+    }
+}
+
+fn check_zone(
+    router: &RouterSettings,
+    document: &SettingsDocument,
+) -> Result<(), PlatformSettingsError> {
+    let zones = document.zones.as_ref().map_or(0, Vec::len);
+    let zone = router.zone;
+    if zone >= zones {
+        return Err(PlatformSettingsError::UnknownZone { zone, zones });
+    }
+    Ok(())
+}
+
+fn listen_address(start: &StartConfig) -> Result<SocketAddr, PlatformSettingsError> {
+    let value = &start.listen;
+    value
+        .parse()
+        .map_err(|error| PlatformSettingsError::InvalidListenAddress {
+            value: value.clone(),
+            error,
+        })
+}
+
+fn check_limits(limits: ResourceLimits) -> Result<(), PlatformSettingsError> {
+    if limits.sockets < MIN_SOCKETS || limits.memory_mb < MIN_MEMORY_MB {
+        return Err(PlatformSettingsError::LimitsTooSmall);
+    }
+    Ok(())
+}
+
+/// The roles of the document's kinds, by the indices that the document gives to parent and origin.
+fn kind_roles(router: &RouterSettings, document: &SettingsDocument) -> Vec<KindRole> {
+    let role = |index: usize| match Some(index) {
+        kind if kind == router.parent_kind => Role::Parent,
+        kind if kind == router.origin_kind => Role::Origin,
+        _ => Role::Cache,
+    };
+    let kinds = document.kinds.iter().flatten().enumerate();
+    kinds
+        .map(|(index, kind)| KindRole {
+            kind: kind.clone(),
+            role: role(index),
+        })
+        .collect()
+}
+
+/// Replaces what the dispatcher numbers and measures in its own way.
+fn adapt_router(router: &mut RouterSettings, start: &StartConfig) {
+    // The dispatcher numbers kinds by their role.
+    router.parent_kind = router.parent_kind.map(|_| Role::Parent.kind());
+    router.origin_kind = router.origin_kind.map(|_| Role::Origin.kind());
+    // Responses are measured in bytes on the connection, which the settings' KB need not be.
+    router.stream_kb_per_s = start.response_bytes_per_s / 1024.0;
+}
+
+fn class_rules(
+    router: &RouterSettings,
+    document: &SettingsDocument,
+) -> Result<Vec<ClassRules>, PlatformSettingsError> {
+    let mut rules = Vec::new();
+    for (index, class) in document.classes.iter().flatten().enumerate() {
+        let name = class.name.clone();
+        rules.push(ClassRules {
+            name: name.ok_or(PlatformSettingsError::UnnamedClass)?,
+            requires_key: matches!(
+                router.classes[index].idempotency,
+                pointspindle::Idempotency::WithKey { .. }
+            ),
+            is_write: router.classes[index].uncacheable,
+            deadline_ms: micros_or_zero(class.deadline_ms) / 1_000,
+        });
+    }
+    if rules.is_empty() {
+        return Err(PlatformSettingsError::NoClasses);
+    }
+    Ok(rules)
+}
+
+fn class_settings(document: &SettingsDocument, classes: &[ClassRules]) -> Vec<ClassSettings> {
+    let documents = document.classes.iter().flatten();
+    documents
+        .zip(classes)
+        .map(|(class, rules)| ClassSettings {
+            name: rules.name.clone(),
+            path_prefix: None,
+            deadline_us: micros_or_zero(class.deadline_ms),
+            purge_exempt: false,
+        })
+        .collect()
+}
+
+fn dispatcher_settings(
+    start: &StartConfig,
+    router: RouterSettings,
+    classes: &[ClassRules],
+    max_clients: usize,
+) -> DispatcherSettings {
+    let document = &start.settings;
+    let memory_mb = start.limits.memory_mb;
+    let max_open_requests = document
+        .upstream_limits
+        .as_ref()
+        .and_then(|limits| limits.max_open_requests)
+        .unwrap_or(usize::MAX);
+    DispatcherSettings {
+        name: start.name.clone(),
+        zones: document.zones.clone().unwrap_or_default(),
+        classes: class_settings(document, classes),
+        listen: listen_settings(max_clients),
+        tls: None,
+        etcd: None,
+        upstream: upstream_settings(document.upstream_limits.as_ref()),
+        answer_slack_us: RESPONSE_SLACK_US,
+        group_segments: 1,
+        state_file: None,
+        endpoints: Vec::new(),
+        max_requests: (memory_mb as usize * REQUESTS_PER_MB).min(max_open_requests),
+        buffer_bytes: memory_mb * BYTES_PER_MB / RESPONSE_MEMORY_DIVISOR,
+        router,
+    }
+}
+
+fn listen_settings(max_clients: usize) -> ListenSettings {
+    ListenSettings {
+        http: None,
+        framed: None,
+        https: None,
+        framed_tls: None,
+        control: None,
+        metrics: None,
+        max_connections: max_clients,
+        soft_connections: max_clients - max_clients / 10,
+        address_connections: max_clients,
+        max_streams: MAX_OPEN_REQUESTS,
+        idle_timeout_us: CLIENT_IDLE_TIMEOUT_US,
+        head_timeout_us: REQUEST_HEAD_TIMEOUT_US,
+        drain_timeout_us: DRAIN_TIMEOUT_US,
+        min_client_bytes_per_s: 0,
+        pace_window_us: 0,
+        client_lease_us: 0,
+        network_quotas: Vec::new(),
+    }
+}
+
+fn upstream_settings(limits: Option<&UpstreamLimitsDocument>) -> UpstreamSettings {
+    let connect_timeout_us = micros_or_zero(limits.and_then(|l| l.connect_timeout_ms));
+    let endpoint_idle_timeout_us =
+        micros_or_zero(limits.and_then(|l| l.idle_timeout_ms)).max(MIN_ENDPOINT_IDLE_TIMEOUT_US);
+    let max_streams = limits.and_then(|l| l.max_streams);
+    UpstreamSettings {
+        endpoints_have_ids: true,
+        connect_timeout_us: connect_timeout_us
+            .clamp(MIN_CONNECT_TIMEOUT_US, MAX_CONNECT_TIMEOUT_US),
+        max_streams: max_streams.unwrap_or(DEFAULT_MAX_STREAMS).max(1),
+        // Before the endpoints close them: a request that crosses a close is lost time.
+        idle_timeout_us: endpoint_idle_timeout_us / 2,
+        hello_timeout_us: 0,
+        bind: None,
+        ping_when_awaiting_us: HEALTH_CHECK_AFTER_US,
+        ping_when_idle_us: 0,
+        ping_timeout_us: HEALTH_CHECK_TIMEOUT_US,
     }
 }
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,49 +1,53 @@
-//! When a dispatcher that is told to end does what: a function of the longest deadline of its settings.
+//! The schedule of a graceful shutdown, a function of the longest deadline of the settings.
 //!
-//! The process may be killed as early as the longest deadline, counted as [`DEADLINE_MOST`] at most, plus [`KILL_AFTER`] after
-//! SIGTERM; clients use open connections until then. Whatever is read has its answer before.
+//! The process may be killed as early as the longest deadline, counted as [`MAX_DEADLINE`] at most, plus [`KILL_DELAY`]
+//! after SIGTERM; clients use open connections until then. Every request that is read has its response before.
 use std::time::Duration;
 
-const DEADLINE_MOST: Duration = Duration::from_secs(3);
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// Requests are served on for so long where the kill leaves the time: those that are to come have come by then.
-const SERVE_ON: Duration = Duration::from_millis(700);
-/// Kept before the kill for the last answers to be written, also by a process that gets half a core, and for the connections to
-/// close.
-const LAST_ANSWERS: Duration = Duration::from_millis(100);
-/// Kept before that for connections with nothing open: they close in this time.
-const LAST_REQUESTS: Duration = Duration::from_millis(50);
-/// A request that crossed a close is sent again on a new connection: the listener closes so long before the kill.
-const LISTENER: Duration = Duration::from_millis(50);
+const MAX_DEADLINE: Duration = Duration::from_secs(3);
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Requests are served for this time where the kill permits: clients have moved on by then.
+const SERVING_TIME: Duration = Duration::from_millis(700);
+/// Reserved before the kill for the last responses to be written, also by a process that gets half a core, and for the
+/// connections to close.
+const LAST_RESPONSES_TIME: Duration = Duration::from_millis(100);
+/// Reserved before that for idle connections to close.
+const IDLE_CLOSE_TIME: Duration = Duration::from_millis(50);
+/// The listener closes this long before the kill: a request that crossed a close is retried on a new connection.
+const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(50);
 
-/// How far a shutdown is.
+/// Progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// Requests are served.
     #[default]
     Serving,
-    /// New requests are refused, and connections with nothing open are closed.
-    Refusing,
-    /// Nothing is open any more, and what is not whole by now is refused.
-    Ending,
+    /// New requests are rejected, and idle connections are closed.
+    Rejecting,
+    /// No request is open any more, and incomplete ones are rejected.
+    Finishing,
 }
 
-/// Spans from SIGTERM.
+/// Times from SIGTERM on at which the phases begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Schedule {
-    pub refuse: Duration,
-    pub end: Duration,
-    pub close_listener: Duration,
+pub struct ShutdownSchedule {
+    /// Begin of [`ShutdownPhase::Rejecting`].
+    pub reject_at: Duration,
+    /// Begin of [`ShutdownPhase::Finishing`].
+    pub finish_at: Duration,
+    /// The listener closes.
+    pub close_listener_at: Duration,
 }
 
-impl Schedule {
+impl ShutdownSchedule {
+    /// The schedule for the longest deadline of the settings.
     pub fn new(longest_deadline: Duration) -> Self {
-        let kill = longest_deadline.min(DEADLINE_MOST) + KILL_AFTER;
-        let end = kill - LAST_ANSWERS;
+        let kill = longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
+        let finish_at = kill - LAST_RESPONSES_TIME;
         Self {
-            refuse: SERVE_ON.min(end - LAST_REQUESTS),
-            end,
-            close_listener: kill - LISTENER,
+            reject_at: SERVING_TIME.min(finish_at - IDLE_CLOSE_TIME),
+            finish_at,
+            close_listener_at: kill - LISTENER_CLOSE_MARGIN,
         }
     }
 }
