--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -7,15 +7,29 @@
 /// Each field names its key.
 macro_rules! settings_documents {
     ($($(#[doc = $doc:literal])* $name:ident {
-        required { $($(#[doc = $required_doc:literal])* $required:ident = $required_key:literal: $required_type:ty),* $(,)? }
-        optional { $($(#[doc = $optional_doc:literal])* $optional:ident = $optional_key:literal: $optional_type:ty),* $(,)? }
+        required { $(
+            $(#[doc = $required_doc:literal])*
+            $required:ident = $required_key:literal: $required_type:ty
+        ),* $(,)? }
+        optional { $(
+            $(#[doc = $optional_doc:literal])*
+            $optional:ident = $optional_key:literal: $optional_type:ty
+        ),* $(,)? }
     })*) => {
         $(
             $(#[doc = $doc])*
             #[derive(Debug, Deserialize)]
             pub struct $name {
-                $($(#[doc = $required_doc])* #[serde(rename = $required_key)] pub $required: $required_type,)*
-                $($(#[doc = $optional_doc])* #[serde(default, rename = $optional_key)] pub $optional: Option<$optional_type>,)*
+                $(
+                    $(#[doc = $required_doc])*
+                    #[serde(rename = $required_key)]
+                    pub $required: $required_type,
+                )*
+                $(
+                    $(#[doc = $optional_doc])*
+                    #[serde(default, rename = $optional_key)]
+                    pub $optional: Option<$optional_type>,
+                )*
             }
         )*
     };
--- a/crates/platform/src/connection/metered_codec.rs
+++ b/crates/platform/src/connection/metered_codec.rs
@@ -14,6 +14,7 @@
 }
 
 impl MeteredCodec {
+    /// A codec for one connection.
     pub fn new(connection: Arc<Connection>, meter: BufferMeter) -> Self {
         Self {
             codec: CacheResponseCodec::default(),
--- a/crates/platform/src/connection/state.rs
+++ b/crates/platform/src/connection/state.rs
@@ -57,17 +57,21 @@
 pub(super) struct ConnectionState {
     /// It takes new requests.
     pub is_open: bool,
+    /// Requests by id.
     pub in_flight: HashMap<String, Pending>,
     pub write_queue: WriteQueue,
     /// Hashes of ids that ended; an id that collides with one of them is sent over another connection.
     pub ended_ids: VecDeque<u64>,
     incoming: Option<IncomingResponse>,
+    /// When bytes last arrived, or were first awaited.
     pub last_received: Instant,
+    /// When a request was last queued or completed.
     pub last_used: Instant,
     pub keep_alive: KeepAlive,
 }
 
 impl ConnectionState {
+    /// An open connection without requests.
     pub fn new(now: Instant) -> Self {
         Self {
             is_open: true,
@@ -89,6 +93,7 @@
             .map(|incoming| incoming.since)
     }
 
+    /// Requests in flight, if this one could be sent now.
     pub fn in_flight_if_available(&self, id: &str, max_streams: usize) -> Option<usize> {
         let in_flight = self.in_flight.len();
         let is_available = self.is_open
@@ -166,6 +171,7 @@
         self.write_queue.is_next_a_request() && self.in_flight.values().all(|p| !p.is_written())
     }
 
+    /// Bytes have arrived, of which the last ones belong to this incomplete response.
     pub fn bytes_received(&mut self, incomplete_response_id: Option<&str>, now: Instant) {
         self.last_received = now;
         let known_id = self.incoming.as_ref().map(|incoming| incoming.id.as_str());
--- a/crates/platform/src/connection/write_queue.rs
+++ b/crates/platform/src/connection/write_queue.rs
@@ -42,14 +42,17 @@
 }
 
 impl WriteQueue {
+    /// Queues a request.
     pub fn push_request(&mut self, id: String, encode: RequestEncoder) {
         self.queue.push_back(QueuedWrite::Request { id, encode });
     }
 
+    /// Queues the bytes of a control.
     pub fn push_control(&mut self, bytes: Bytes) {
         self.queue.push_back(QueuedWrite::Control(bytes));
     }
 
+    /// Whether anything is to be written.
     pub fn has_writes(&self) -> bool {
         self.current.is_some() || !self.queue.is_empty()
     }
@@ -152,6 +155,7 @@
             .and_then(|current| current.cancelled_at)
     }
 
+    /// Drops everything.
     pub fn clear(&mut self) {
         self.queue.clear();
         self.current = None;
--- a/crates/platform/src/connection_pool/endpoint.rs
+++ b/crates/platform/src/connection_pool/endpoint.rs
@@ -32,6 +32,7 @@
 }
 
 impl Endpoint {
+    /// An endpoint without connections.
     pub fn new(address: SocketAddr, is_gone: bool) -> Self {
         Self {
             address,
--- a/crates/platform/src/frontend/client_stream.rs
+++ b/crates/platform/src/frontend/client_stream.rs
@@ -20,6 +20,7 @@
 }
 
 impl FastCgiClient {
+    /// The client of a request that begins.
     pub fn new(id: u16, responses: ResponseSender, cancelled: CancellationToken) -> Self {
         Self {
             id,
--- a/crates/platform/src/frontend/mod.rs
+++ b/crates/platform/src/frontend/mod.rs
@@ -4,6 +4,7 @@
 mod response_writer;
 mod session;
 mod session_input;
+mod session_plan;
 
 use crate::connection_pool::PlatformCore;
 use crate::pause_detector::PauseDetector;
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -13,7 +13,8 @@
 use super::request_task::{self, TransactionGuard};
 use super::response_writer::{response_channel, HttpStatus, Outgoing, ResponseSender};
 use super::session_input::{ImmediateInput, InputEvent, InputMode, SessionInput};
-use super::{Frontend, TRANSIT_TIME};
+use super::session_plan::{sleep_until, SessionDeadlines, SessionStatus, WaitPlan};
+use super::Frontend;
 use crate::shutdown::ShutdownPhase;
 use bytes::Bytes;
 use pointspindle_dispatcher::net::connection_registry::ConnectionPermit;
@@ -40,9 +41,6 @@
 const MAX_UNWRITTEN_RESPONSES: usize = 256;
 /// Time for the client to take the last responses once its session is over, and for what it still sends to be read.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which input is awaited on an idle session shortly before the process ends: also on a new one, on which a
-/// request is retried that crossed a close.
-const FINAL_INPUT_TIME: Duration = Duration::from_millis(20);
 /// Times that input keeps a session open which was due to close.
 const MAX_CLOSE_DELAYS: usize = 256;
 
@@ -124,25 +122,6 @@
     Session(#[from] SessionError),
 }
 
-/// What a session waits for, and when it is closed: decided before each wait.
-struct WaitPlan {
-    has_open_requests: bool,
-    /// No complete request is open.
-    nothing_owed: bool,
-    /// It closes once nothing is owed, and nothing is.
-    is_leaving: bool,
-    /// When it closes; none: not yet, or the rest of an incomplete request may still come.
-    close_at: Option<Instant>,
-    /// A complete request is awaited until then.
-    complete_by: Option<Instant>,
-}
-
-impl WaitPlan {
-    fn is_close_due(&self) -> bool {
-        self.close_at.is_some_and(|at| Instant::now() >= at)
-    }
-}
-
 /// What a session sees.
 enum SessionEvent {
     Input(InputEvent),
@@ -169,15 +148,15 @@
     mode: InputMode,
     /// It is closed once nothing is open.
     is_finishing: bool,
-    /// Set when it was first due to close with nothing open: it closes by then, whatever the client sends.
-    close_at: Option<Instant>,
-    /// Times that input has kept it open since.
+    deadlines: SessionDeadlines,
+    /// Times that input has kept it open when it was due to close.
     close_delays: usize,
-    complete_by: Option<Instant>,
 }
 
 impl Session {
     fn new(frontend: Frontend, requests: Arc<SessionRequests>, responses: ResponseSender) -> Self {
+        let head_timeout_us = frontend.settings.dispatcher.listen.head_timeout_us;
+        let head_timeout = Duration::from_micros(head_timeout_us);
         Self {
             frontend,
             requests,
@@ -188,9 +167,8 @@
             has_received_request: false,
             mode: InputMode::Accepting,
             is_finishing: false,
-            close_at: None,
+            deadlines: SessionDeadlines::new(head_timeout),
             close_delays: 0,
-            complete_by: None,
         }
     }
 
@@ -241,40 +219,14 @@
             let requests = self.requests.lock();
             (requests.open(), requests.incomplete())
         };
-        let awaits_complete = incomplete > 0 || !self.has_received_request;
-        self.complete_by = awaits_complete.then(|| self.complete_by());
-        let nothing_owed = open == incomplete;
-        let is_shutting_down = self.frontend.phase() > ShutdownPhase::Serving;
-        let is_leaving = nothing_owed && (self.is_finishing || is_shutting_down);
-        let may_close = incomplete == 0 || self.mode != InputMode::Accepting;
-        let close_at = is_leaving.then(|| self.close_at());
-        WaitPlan {
-            has_open_requests: open > 0,
-            nothing_owed,
-            is_leaving,
-            close_at: close_at.filter(|_| may_close),
-            complete_by: self.complete_by,
-        }
-    }
-
-    /// When a complete request must have come: counted from when it was first awaited.
-    fn complete_by(&self) -> Instant {
-        let timeout_us = self.frontend.settings.dispatcher.listen.head_timeout_us;
-        self.complete_by
-            .unwrap_or_else(|| Instant::now() + Duration::from_micros(timeout_us))
-    }
-
-    /// When a session with nothing open is closed: what was in transit when that was decided is served first.
-    fn close_at(&mut self) -> Instant {
-        let transit_time = match self.frontend.phase() {
-            _ if self.mode == InputMode::Discarding => Duration::ZERO,
-            ShutdownPhase::Finishing => FINAL_INPUT_TIME,
-            ShutdownPhase::Serving | ShutdownPhase::Rejecting => TRANSIT_TIME,
-        };
-        let at = Instant::now() + transit_time;
-        let earliest = self.close_at.map_or(at, |earlier| earlier.min(at));
-        self.close_at = Some(earliest);
-        earliest
+        self.deadlines.plan(SessionStatus {
+            open,
+            incomplete,
+            has_received_request: self.has_received_request,
+            is_finishing: self.is_finishing,
+            mode: self.mode,
+            phase: self.frontend.phase(),
+        })
     }
 
     /// Handles what was seen. Returns how the session ends, if it does.
@@ -327,7 +279,7 @@
             ImmediateInput::Nothing | ImmediateInput::Discarded => {}
         }
         if self.responses.unwritten() == 0 {
-            input.shut_down_writing();
+            input.close_write_half();
         }
         Some(SessionEnd::Closed)
     }
@@ -483,11 +435,3 @@
         tokio::spawn(task.instrument(span));
     }
 }
-
-/// Sleeps until then; without a time for ever.
-async fn sleep_until(at: Option<Instant>) {
-    match at {
-        Some(at) => tokio::time::sleep_until(at).await,
-        None => std::future::pending().await,
-    }
-}
--- a/crates/platform/src/frontend/session_input.rs
+++ b/crates/platform/src/frontend/session_input.rs
@@ -47,6 +47,7 @@
 }
 
 impl SessionInput {
+    /// The input of a new session.
     pub fn new(socket: SteadyRead) -> Self {
         Self {
             records: FramedRead::with_capacity(socket, RecordCodec, READ_BUFFER_BYTES),
@@ -94,7 +95,7 @@
     }
 
     /// Sends the end of the connection to the client, which may still send.
-    pub fn shut_down_writing(&self) {
+    pub fn close_write_half(&self) {
         let _ = self.records.get_ref().shut_down_writing();
     }
 
