--- a/crates/dispatcher/src/net/call_attempts.rs
+++ b/crates/dispatcher/src/net/call_attempts.rs
@@ -1,4 +1,4 @@
-//! Tries of clients' calls: [`crate::call_deduplication`] behind a lock, and the way of its word to each try's task.
+//! Attempts of clients' calls: [`crate::call_deduplication`] behind a lock, and the notification of each attempt's task.
 use crate::call_deduplication::{Begin, Keys, KeysRule, Ticket};
 use bytes::Bytes;
 use pointspindle::Micros;
@@ -8,148 +8,179 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// A call is remembered for so long after its end, for a client that lost its answer.
-const KEEP: Micros = 2_000_000;
-/// All answers kept together.
-const ANSWERS: usize = 8 * 1024 * 1024;
-/// Largest answer that is kept.
-pub(crate) const KEPT_ANSWER: usize = 16 * 1024;
+/// A call is remembered for so long after its end, for a client that lost its response.
+const CALL_RETENTION_US: Micros = 2_000_000;
+/// All cached responses together.
+const MAX_CACHED_BYTES: usize = 8 * 1024 * 1024;
+/// Largest response that is cached.
+pub(super) const MAX_CACHED_RESPONSE_BYTES: usize = 16 * 1024;
+/// What a cached response costs beside its body.
+const CACHED_RESPONSE_OVERHEAD_BYTES: usize = 256;
 
-/// A whole answer, to be given again.
+/// A complete response, to be given again.
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(super) struct CachedResponse {
     pub head: ResponseHead,
     pub body: Vec<Bytes>,
 }
 
+impl CachedResponse {
+    fn size_bytes(&self) -> usize {
+        let body: usize = self.body.iter().map(Bytes::len).sum();
+        body + CACHED_RESPONSE_OVERHEAD_BYTES
+    }
+}
+
+/// How an attempt's task is notified.
 #[derive(Debug)]
-struct Locked {
-    keys: Keys<Kept>,
-    next: Ticket,
-    /// Of tries that run or wait: how they are told to end, and that it is their turn.
-    told: HashMap<Ticket, (Arc<Notify>, Option<oneshot::Sender<()>>)>,
+struct AttemptSignals {
+    superseded: Arc<Notify>,
+    /// Of an attempt that waits for the ones before it.
+    turn: Option<oneshot::Sender<()>>,
 }
 
 #[derive(Debug)]
-pub(crate) struct Tries {
-    locked: Mutex<Locked>,
-    born: Instant,
+struct CallTable {
+    keys: Keys<CachedResponse>,
+    last_ticket: Ticket,
+    /// Of attempts that run or wait; removed with their end.
+    signals: HashMap<Ticket, AttemptSignals>,
 }
 
-/// A try's place; given back with its end.
-pub(crate) struct Try {
-    tries: Arc<Tries>,
+/// The calls of all clients, shared by their connections.
+#[derive(Debug)]
+pub(super) struct CallAttempts {
+    table: Mutex<CallTable>,
+    started_at: Instant,
+}
+
+/// One attempt of a call. Dropped, it has ended: the next attempt of the call begins, and a response given to
+/// [`CallAttempt::cache`] is remembered.
+pub(super) struct CallAttempt {
+    attempts: Arc<CallAttempts>,
     call: String,
     ticket: Ticket,
-    /// Told that the call has been tried again.
+    /// Notified when the client has made another attempt of the call.
     pub superseded: Arc<Notify>,
     turn: Option<oneshot::Receiver<()>>,
-    answer: Option<Kept>,
+    response: Option<CachedResponse>,
 }
 
-pub(crate) enum Begun {
-    Run(Try),
-    Answered(Kept),
+/// Whether an attempt of a call may begin.
+pub(super) enum AttemptAdmission {
+    /// It may, once [`CallAttempt::wait_for_turn`] returns.
+    Admitted(CallAttempt),
+    /// The call has been answered with this response.
+    Answered(CachedResponse),
+    /// Too many calls are known.
     Full,
 }
 
-impl Tries {
-    pub fn new(most: usize) -> Arc<Self> {
+/// The client has made another attempt of the call; nothing of this one was begun.
+#[derive(Debug, thiserror::Error)]
+#[error("superseded by a later attempt of the call")]
+pub(super) struct Superseded;
+
+impl CallAttempts {
+    /// A table of at most so many calls.
+    pub fn new(max_calls: usize) -> Arc<Self> {
         let keys = Keys::new(KeysRule {
-            most,
-            keep: KEEP,
-            answer_bytes: ANSWERS,
+            most: max_calls,
+            keep: CALL_RETENTION_US,
+            answer_bytes: MAX_CACHED_BYTES,
         });
-        let locked = Locked {
+        let table = CallTable {
             keys,
-            next: 0,
-            told: HashMap::new(),
+            last_ticket: 0,
+            signals: HashMap::new(),
         };
         Arc::new(Self {
-            locked: Mutex::new(locked),
-            born: Instant::now(),
+            table: Mutex::new(table),
+            started_at: Instant::now(),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.locked
+    fn lock(&self) -> MutexGuard<'_, CallTable> {
+        self.table
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Micros {
-        self.born.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    pub fn known(&self) -> usize {
+    /// Calls that run or are remembered.
+    pub fn known_calls(&self) -> usize {
         self.lock().keys.len()
     }
 
-    pub fn begin(self: &Arc<Self>, call: &str) -> Begun {
-        let mut locked = self.lock();
-        locked.next += 1;
-        let ticket = locked.next;
-        let turn = match locked.keys.begin(self.now(), call, ticket) {
-            Begin::Answered(kept) => return Begun::Answered(kept),
-            Begin::Full => return Begun::Full,
+    /// An attempt of a call has arrived; the attempts of the same call before it are notified to end.
+    pub fn begin(self: &Arc<Self>, call: &str) -> AttemptAdmission {
+        let mut table = self.lock();
+        table.last_ticket += 1;
+        let ticket = table.last_ticket;
+        let turn = match table.keys.begin(self.now(), call, ticket) {
+            Begin::Answered(response) => return AttemptAdmission::Answered(response),
+            Begin::Full => return AttemptAdmission::Full,
             Begin::Run => None,
-            Begin::After(end) => {
-                for (told, _) in end.iter().filter_map(|t| locked.told.get(t)) {
-                    told.notify_one();
+            Begin::After(earlier) => {
+                for signals in earlier.iter().filter_map(|t| table.signals.get(t)) {
+                    signals.superseded.notify_one();
                 }
                 Some(oneshot::channel())
             }
         };
         let superseded = Arc::new(Notify::new());
-        let (sender, turn) = turn.unzip();
-        locked.told.insert(ticket, (superseded.clone(), sender));
-        let (tries, call) = (self.clone(), call.to_owned());
-        Begun::Run(Try {
-            tries,
-            call,
+        let (turn_sender, turn) = turn.unzip();
+        let signals = AttemptSignals {
+            superseded: superseded.clone(),
+            turn: turn_sender,
+        };
+        table.signals.insert(ticket, signals);
+        AttemptAdmission::Admitted(CallAttempt {
+            attempts: self.clone(),
+            call: call.to_owned(),
             ticket,
             superseded,
             turn,
-            answer: None,
+            response: None,
         })
     }
 }
 
-impl Try {
-    /// Returns when the tries before it are over: what was kept of the call, if it was answered meanwhile. An error: it
-    /// was tried again itself.
-    pub async fn turn(&mut self) -> Result<Option<Kept>, ()> {
+impl CallAttempt {
+    /// Returns when the attempts before it have ended: the cached response, if the call was answered meanwhile.
+    pub async fn wait_for_turn(&mut self) -> Result<Option<CachedResponse>, Superseded> {
         let Some(turn) = self.turn.take() else {
             return Ok(None);
         };
         tokio::select! {
-            turn = turn => turn.map_err(|_| ())?,
-            _ = self.superseded.notified() => return Err(()),
+            turn = turn => turn.map_err(|_| Superseded)?,
+            _ = self.superseded.notified() => return Err(Superseded),
         }
-        Ok(self.tries.lock().keys.answered(&self.call))
+        Ok(self.attempts.lock().keys.answered(&self.call))
     }
 
-    /// The answer was whole: kept for a client that lost it.
-    pub fn keep(&mut self, answer: Kept) {
-        self.answer = Some(answer);
+    /// The response was complete: it is remembered for a client that lost it.
+    pub fn cache(&mut self, response: CachedResponse) {
+        self.response = Some(response);
     }
 }
 
-impl Drop for Try {
+impl Drop for CallAttempt {
     fn drop(&mut self) {
-        let mut locked = self.tries.lock();
-        locked.told.remove(&self.ticket);
-        let answer = self.answer.take().map(|kept| {
-            let size = kept.body.iter().map(Bytes::len).sum::<usize>() + 256;
-            (kept, size)
+        let mut table = self.attempts.lock();
+        table.signals.remove(&self.ticket);
+        let response = self.response.take().map(|response| {
+            let size = response.size_bytes();
+            (response, size)
         });
-        let next = locked
-            .keys
-            .over(self.tries.now(), &self.call, self.ticket, answer);
-        if let Some((_, turn)) = next.and_then(|next| locked.told.get_mut(&next)) {
-            if let Some(turn) = turn.take() {
-                let _ = turn.send(());
-            }
+        let now = self.attempts.now();
+        let next = table.keys.over(now, &self.call, self.ticket, response);
+        let next_signals = next.and_then(|next| table.signals.get_mut(&next));
+        if let Some(turn) = next_signals.and_then(|signals| signals.turn.take()) {
+            let _ = turn.send(());
         }
     }
 }
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -1,9 +1,8 @@
-//! The doors' connections: [`crate::admission`] behind a lock, and the way of its word to each connection's task.
+//! The client connections of a process: [`crate::admission`] behind a lock, and the notification of each connection's task.
+use super::connection_rejection::ConnectionRejection;
 use crate::admission::{Admission, ConnectionId, Limits, Verdict};
 use pointspindle::Micros;
-use pointspindle_protocol::http::HttpResponse;
-use pointspindle_protocol::streams::Side;
-use pointspindle_transport::{AcceptFailure, ConnectionOptions, FramedConnection, Socket};
+use pointspindle_transport::{AcceptFailure, Socket};
 use std::collections::HashMap;
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,218 +10,166 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 
-/// Newcomers that are being turned away at once; more are dropped without a word.
-const TURNING: usize = 64;
-/// Idle connections that make room when descriptors have run out.
-const ROOM: usize = 16;
-/// After a shortage a connection is accepted again so much later: what was told to close has closed, and nothing spins.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Time and bytes for a turned-away client to take its answer.
-const LAST_WORDS: Duration = Duration::from_secs(1);
-const UNREAD: usize = 16 * 1024;
+/// Connections whose rejection is being sent at once; more are dropped without a reply.
+const MAX_CONCURRENT_REJECTIONS: usize = 64;
+/// Idle connections that are closed when descriptors have run out.
+const CLOSED_ON_DESCRIPTOR_SHORTAGE: usize = 16;
+/// Pause in accepting after a shortage, in which the connections that were notified close.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// Expired connections notified under one lock; requests under way have their turn before the next batch.
+const EXPIRY_BATCH: usize = 256;
+/// Least time between two expiry checks, each of which takes the lock.
+const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
-struct Locked {
+struct AdmissionState {
     admission: Admission,
-    told: HashMap<ConnectionId, Arc<Notify>>,
+    /// One entry for each permit, removed when it is dropped.
+    closing: HashMap<ConnectionId, Arc<Notify>>,
 }
 
+impl AdmissionState {
+    fn notify_closing(&self, ids: &[ConnectionId]) {
+        for closing in ids.iter().filter_map(|id| self.closing.get(id)) {
+            closing.notify_one();
+        }
+    }
+}
+
+/// Admits connections and keeps count of them. One is shared by all listeners with a common limit.
 #[derive(Debug)]
 pub struct ConnectionRegistry {
-    locked: Mutex<Locked>,
-    born: Instant,
-    turning: Semaphore,
+    state: Mutex<AdmissionState>,
+    started_at: Instant,
+    rejections: Semaphore,
 }
 
-/// A connection's place; given back when it is dropped.
+/// The right to hold a connection; given back when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit {
-    keeper: Arc<ConnectionRegistry>,
+    registry: Arc<ConnectionRegistry>,
     id: ConnectionId,
-    told: Arc<Notify>,
-}
-
-/// How a door speaks to who is turned away.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Speaks {
-    Http,
-    Framed,
+    closing: Arc<Notify>,
 }
 
 impl ConnectionRegistry {
+    /// A registry without connections.
     pub fn new(limits: Limits) -> Arc<Self> {
-        let locked = Locked {
+        let state = AdmissionState {
             admission: Admission::new(limits),
-            told: HashMap::new(),
+            closing: HashMap::new(),
         };
-        let turning = Semaphore::new(TURNING);
         Arc::new(Self {
-            locked: Mutex::new(locked),
-            born: Instant::now(),
-            turning,
+            state: Mutex::new(state),
+            started_at: Instant::now(),
+            rejections: Semaphore::new(MAX_CONCURRENT_REJECTIONS),
         })
     }
 
-    fn lock(&self) -> MutexGuard<'_, Locked> {
-        self.locked
+    fn lock(&self) -> MutexGuard<'_, AdmissionState> {
+        self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn now(&self) -> Micros {
-        self.born.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
+    /// A permit for a new connection, or the time after which its client may reconnect.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<ConnectionPermit, Micros> {
-        let mut locked = self.lock();
-        let (verdict, close) = locked.admission.arrive(self.now(), address);
-        locked.tell(&close);
+        let mut state = self.lock();
+        let (verdict, close) = state.admission.arrive(self.now(), address);
+        state.notify_closing(&close);
         match verdict {
             Verdict::Take(id) => {
-                let told = Arc::new(Notify::new());
-                locked.told.insert(id, told.clone());
+                let closing = Arc::new(Notify::new());
+                state.closing.insert(id, closing.clone());
                 Ok(ConnectionPermit {
-                    keeper: self.clone(),
+                    registry: self.clone(),
                     id,
-                    told,
+                    closing,
                 })
             }
             Verdict::TurnAway { come_back } => Err(come_back),
         }
     }
 
-    /// A connection could not be accepted. Where this process has no descriptor left, idle connections make room; what the
-    /// machine is short of, or one connection that died in the queue, says nothing of them. Returns when to accept again.
+    /// A connection could not be accepted. Where this process has no descriptor left, idle connections are closed; what the
+    /// machine is short of, or one connection that died in the queue, is no reason for that. Returns when to accept again.
     pub async fn accept_failed(&self, error: std::io::Error) {
-        let failure = AcceptFailure::of(&error);
-        let closing = match failure {
-            AcceptFailure::Connection | AcceptFailure::Shortage => 0,
-            AcceptFailure::Descriptors => {
-                let mut locked = self.lock();
-                let close = locked.admission.make_room(ROOM);
-                locked.tell(&close);
-                close.len()
+        let closing = match AcceptFailure::of(&error) {
+            AcceptFailure::Connection => {
+                tracing::debug!(%error, "a connection died before it was accepted");
+                return tokio::task::yield_now().await;
             }
+            AcceptFailure::Shortage => 0,
+            AcceptFailure::Descriptors => self.close_idle(CLOSED_ON_DESCRIPTOR_SHORTAGE),
         };
-        if failure == AcceptFailure::Connection {
-            tracing::debug!(%error, "a connection died before it was accepted");
-            return tokio::task::yield_now().await;
-        }
         tracing::warn!(%error, closing, "accept failed");
-        tokio::time::sleep(ACCEPT_PAUSE).await;
+        tokio::time::sleep(ACCEPT_BACKOFF).await;
+    }
+
+    /// Notifies up to `count` idle connections to close; returns how many.
+    fn close_idle(&self, count: usize) -> usize {
+        let mut state = self.lock();
+        let close = state.admission.make_room(count);
+        state.notify_closing(&close);
+        close.len()
     }
 
-    /// Says when to come back, and closes. In a crowd, only closes.
-    pub(crate) async fn turn_away(&self, line: Socket, speaks: Speaks, come_back: Micros) {
-        let Ok(_place) = self.turning.try_acquire() else {
+    /// Sends a rejection and closes the connection; only closes where many are being rejected.
+    pub(super) async fn reject(&self, socket: Socket, rejection: ConnectionRejection) {
+        let Ok(_sending) = self.rejections.try_acquire() else {
             return;
         };
-        let ms = come_back.div_ceil(1_000);
-        let words = async {
-            match speaks {
-                Speaks::Http => {
-                    let text = "refused: too many connections\n";
-                    let mut out = bytes::BytesMut::new();
-                    let fields = vec![
-                        ("retry-after", ms.div_ceil(1_000).max(1).to_string()),
-                        ("x-come-back-ms", ms.to_string()),
-                        ("x-outcome", "refused".to_owned()),
-                        ("content-type", "text/plain; charset=utf-8".to_owned()),
-                    ];
-                    let length = Some(text.len() as u64);
-                    HttpResponse {
-                        status: 503,
-                        length,
-                        close: true,
-                        fields,
-                    }
-                    .write(&mut out);
-                    out.extend_from_slice(text.as_bytes());
-                    let (read, write) = line.split();
-                    if write.write_all(&out).await.is_err() {
-                        return;
-                    }
-                    write.shutdown();
-                    // A close with bytes unread would take the answer back.
-                    let (mut left, mut buffer) = (UNREAD, bytes::BytesMut::with_capacity(1024));
-                    while let Ok(taken @ 1..) = read.read_buf(&mut buffer).await {
-                        buffer.clear();
-                        left = left.saturating_sub(taken);
-                        if left == 0 {
-                            return;
-                        }
-                    }
-                }
-                Speaks::Framed => {
-                    let (link, _incoming) = FramedConnection::start(
-                        line,
-                        Side::Answerer,
-                        ConnectionOptions { max_streams: 1 },
-                    );
-                    link.go_away(&format!("too many connections; come back after {ms} ms"));
-                    link.close("turned away");
-                    link.flushed().await;
-                }
-            }
-        };
-        let _ = tokio::time::timeout(LAST_WORDS, words).await;
+        rejection.send(socket).await;
     }
 }
 
-/// Idle connections told to close at once; requests that are under way have their turn before the next slice.
-const SLICE: usize = 256;
-/// Least time between two looks: time-outs are whole seconds, and a look costs a lock.
-const LOOK: Duration = Duration::from_millis(50);
-
 /// Closes connections that have been idle for too long.
-pub async fn expire(keeper: Arc<ConnectionRegistry>, idle_us: Micros) {
+pub async fn expire(registry: Arc<ConnectionRegistry>, idle_us: Micros) {
     loop {
         let (now, next) = {
-            let mut locked = keeper.lock();
-            let now = keeper.now();
-            let close = locked.admission.expire(now, idle_us, SLICE);
-            locked.tell(&close);
-            (now, locked.admission.next_expiry(idle_us))
+            let mut state = registry.lock();
+            let now = registry.now();
+            let close = state.admission.expire(now, idle_us, EXPIRY_BATCH);
+            state.notify_closing(&close);
+            (now, state.admission.next_expiry(idle_us))
         };
         match next {
             Some(at) if at <= now => tokio::task::yield_now().await,
-            // One that arrives later expires later than that.
+            // A connection that becomes idle later expires later than this.
             at => {
                 let wait = Duration::from_micros(at.unwrap_or(now + idle_us).saturating_sub(now));
-                tokio::time::sleep(wait.max(LOOK)).await;
+                tokio::time::sleep(wait.max(MIN_EXPIRY_INTERVAL)).await;
             }
         }
     }
 }
 
-impl Locked {
-    fn tell(&self, close: &[ConnectionId]) {
-        for told in close.iter().filter_map(|id| self.told.get(id)) {
-            told.notify_one();
-        }
-    }
-}
-
 impl ConnectionPermit {
+    /// A request is under way on the connection: it is not closed for another.
     pub fn busy(&self) {
-        self.keeper.lock().admission.busy(self.id);
+        self.registry.lock().admission.busy(self.id);
     }
 
+    /// No request is under way on the connection.
     pub fn idle(&self) {
-        let now = self.keeper.now();
-        self.keeper.lock().admission.idle(now, self.id);
+        let now = self.registry.now();
+        self.registry.lock().admission.idle(now, self.id);
     }
 
-    /// Returns when this connection, being idle, is to make room. Safe to drop while waiting.
+    /// Returns when this connection, being idle, is to close. Safe to drop while waiting.
     pub async fn close_requested(&self) {
-        self.told.notified().await;
+        self.closing.notified().await;
     }
 }
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        let mut locked = self.keeper.lock();
-        locked.admission.closed(self.id);
-        locked.told.remove(&self.id);
+        let mut state = self.registry.lock();
+        state.admission.closed(self.id);
+        state.closing.remove(&self.id);
     }
 }
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -1,76 +1,88 @@
-//! The operators' door: member lists and purges, acknowledged once they are in force.
-use super::FrontendContext;
+//! The operators' listener: endpoint lists and purges, acknowledged once they are in force.
+use super::connection_registry::ConnectionPermit;
+use super::frontend_context::FrontendContext;
 use crate::control_source::ControlSink;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
-use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Socket};
+use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound, Responder, Socket};
 use std::time::Instant;
 
-pub(crate) async fn serve(door: FrontendContext, socket: Socket) {
-    let (link, mut incoming) =
-        FramedConnection::start(socket, Side::Answerer, ConnectionOptions { max_streams: 1 });
-    let teller = ControlSink {
+/// Serves one operator's connection until it closes or the dispatcher stops.
+pub(super) async fn serve(context: FrontendContext, socket: Socket, _permit: ConnectionPermit) {
+    let options = ConnectionOptions { max_streams: 1 };
+    let (connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let sink = ControlSink {
         ears: None,
-        hub: door.hub.clone(),
+        hub: context.core.clone(),
     };
     loop {
         let inbound = tokio::select! {
             inbound = incoming.next() => inbound,
-            _ = door.stopped() => None,
+            _ = context.stopped() => None,
         };
-        let answer = match inbound {
+        let reply = match inbound {
             None => break,
-            Some(Inbound::Control(Frame::EndpointList(head)))
-                if head.form() == EndpointListForm::Unspecified =>
-            {
-                Frame::EndpointList(teller.endpoint_list())
-            }
-            Some(Inbound::Control(Frame::EndpointList(head))) => {
-                let seq = head.seq;
-                tracing::info!(form = ?head.form(), seq, lines = head.endpoints.len(), "member list");
-                let news = teller.apply_endpoint_list(head);
-                let trouble = news
-                    .resync_reason
-                    .into_iter()
-                    .chain(news.rejected_records)
-                    .collect::<Vec<_>>()
-                    .join("; ");
-                Frame::Ack(AckHead {
-                    seq,
-                    rejection: trouble,
-                })
-            }
-            Some(Inbound::Control(Frame::Purge(head))) => {
-                let (seq, told) = (head.seq, Instant::now());
-                tracing::info!(object = ?head.object, group = head.group, seq, "purge");
-                teller.apply_purge(head);
-                door.hub
-                    .metrics
-                    .purge_lag
-                    .observe(told.elapsed().as_secs_f64());
-                Frame::Ack(AckHead {
-                    seq,
-                    rejection: String::new(),
-                })
-            }
-            Some(Inbound::Control(Frame::Probe(probe))) if !probe.echo => Frame::Probe(ProbeHead {
-                echo: true,
-                ..probe
-            }),
-            Some(Inbound::Control(_)) => continue,
+            Some(Inbound::Control(frame)) => reply_to(frame, &sink, &context),
             Some(Inbound::Request(_, responder)) => {
-                let error = ErrorHead {
-                    status: WireStatus::Refused as i32,
-                    detail: "this door takes lists and purges, not requests".into(),
-                    ..Default::default()
-                };
-                let _ = responder.error(error).await;
-                continue;
+                reject_request(responder).await;
+                None
             }
         };
-        if link.control(answer).await.is_err() {
+        let Some(reply) = reply else { continue };
+        if connection.control(reply).await.is_err() {
             break;
         }
     }
-    link.close("the control connection is done with");
+    connection.close("the control connection is done with");
+}
+
+/// Applies a control frame; its reply, if it has one.
+fn reply_to(frame: Frame, sink: &ControlSink, context: &FrontendContext) -> Option<Frame> {
+    match frame {
+        Frame::EndpointList(head) if head.form() == EndpointListForm::Unspecified => {
+            Some(Frame::EndpointList(sink.endpoint_list()))
+        }
+        Frame::EndpointList(head) => Some(apply_endpoint_list(head, sink)),
+        Frame::Purge(head) => Some(apply_purge(head, sink, context)),
+        Frame::Probe(probe) if !probe.echo => Some(Frame::Probe(ProbeHead {
+            echo: true,
+            ..probe
+        })),
+        _ => None,
+    }
+}
+
+fn apply_endpoint_list(head: EndpointListHead, sink: &ControlSink) -> Frame {
+    let seq = head.seq;
+    tracing::info!(form = ?head.form(), seq, lines = head.endpoints.len(), "member list");
+    let change = sink.apply_endpoint_list(head);
+    let rejection = change
+        .resync_reason
+        .into_iter()
+        .chain(change.rejected_records)
+        .collect::<Vec<_>>()
+        .join("; ");
+    Frame::Ack(AckHead { seq, rejection })
+}
+
+fn apply_purge(head: PurgeHead, sink: &ControlSink, context: &FrontendContext) -> Frame {
+    let seq = head.seq;
+    let received_at = Instant::now();
+    tracing::info!(object = ?head.object, group = head.group, seq, "purge");
+    sink.apply_purge(head);
+    let lag = received_at.elapsed();
+    context.core.metrics.purge_lag.observe(lag.as_secs_f64());
+    Frame::Ack(AckHead {
+        seq,
+        rejection: String::new(),
+    })
+}
+
+async fn reject_request(responder: Responder) {
+    let error = ErrorHead {
+        status: WireStatus::Refused as i32,
+        detail: "this door takes lists and purges, not requests".into(),
+        ..Default::default()
+    };
+    let _ = responder.error(error).await;
 }
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -1,7 +1,7 @@
-//! The core behind a lock, the clock, and the way of its orders to the requests' tasks.
+//! The core behind a lock, its clock and timers, and the delivery of its commands to the requests' tasks.
 //!
-//! A [`Desk`] is tied to no protocol: what speaks to members is its [`MemberSide`]. The framed protocol is one, the platform's
-//! (a package of its own) another.
+//! A [`CoreHandle`] is tied to no protocol: requests reach endpoints through its [`EndpointTransport`]. The framed protocol
+//! is one; the platform's, in a package of its own, is another.
 use super::metrics::Metrics;
 use crate::core::{
     AddressedFetch, AttemptEnd, AttemptTerms, ClientRequest, Core, EndpointListChange, Input,
@@ -22,93 +22,101 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// The core's clock starts here and not at 0, so that members may have started before the dispatcher.
-const EPOCH: Micros = 1_000_000_000_000;
+/// The core's clock starts here and not at 0, so that endpoints may have started before the dispatcher.
+const CLOCK_START_US: Micros = 1_000_000_000_000;
+/// Longest time between two checks whether all requests have ended.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The members' side of a dispatcher: connections to them in one protocol.
+/// Connections to endpoints, in one protocol.
 pub trait EndpointTransport: std::fmt::Debug + Send + Sync + Sized + 'static {
+    /// A request under way.
     type Call: UpstreamCall;
 
-    /// Sends a request, once [`Desk::begin`] says that it may begin: asked right before the first byte, after every wait
-    /// for a connection or a place on it. The future may be dropped at any time; what was sent is then given up at the
-    /// member.
+    /// Sends a request once [`CoreHandle::begin_attempt`] permits it, which is called right before the first byte, after
+    /// every wait for a connection or a stream on it. The future may be dropped at any time; what was sent is then
+    /// cancelled at the endpoint.
     fn call(
-        desk: &Arc<CoreHandle<Self>>,
-        ticket: AttemptId,
+        core: &Arc<CoreHandle<Self>>,
+        attempt: AttemptId,
         endpoint: &str,
         request: RequestHead,
         body: &Bytes,
     ) -> impl std::future::Future<Output = Result<Self::Call, AttemptEnd>> + Send;
 
-    /// A member's word is wanted though no request goes there.
+    /// Opens a connection that no request needs, so that the endpoint can say hello. Must not block.
     fn connect(&self, endpoint: String);
 
-    /// Asks a member for work. Where the protocol has no word for that nobody gives by asking.
-    fn request_work(&self, _member: &str, _work_us: u64) {}
+    /// Requests work from an endpoint that leases its capacity. Nothing where the protocol has no such request. Must not block.
+    fn request_work(&self, _endpoint: &str, _work_us: u64) {}
 }
 
 /// An attempt, as the core knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
+    /// The request's number at the core.
     pub request: u64,
+    /// The attempt's number within the request.
     pub attempt: u32,
 }
 
 impl AttemptTerms {
-    /// Puts what holds now into a request that was worded when it was ordered.
+    /// Puts the present time budget and age limits into a request head that was made when the core decided the attempt.
     pub fn word(&self, request: &mut RequestHead) {
         request.time_left_us = self.left;
         if let Some(fetch) = &mut request.fetch {
-            (fetch.max_age_us, fetch.coalesce) = (self.age, self.join);
+            fetch.max_age_us = self.age;
+            fetch.coalesce = self.join;
         }
     }
 }
 
-/// A request under way at a member. Dropped before its end it is given up there.
+/// A request under way at an endpoint. Dropped before its end it is cancelled there.
 pub trait UpstreamCall: Send {
-    /// The next part; none after the end.
+    /// The next part of the response; none after the end.
     fn next(&mut self) -> impl std::future::Future<Output = Option<ResponsePart>> + Send;
-    /// The next part if it is there already.
+    /// The next part, if it has arrived already.
     fn try_next(&mut self) -> Option<ResponsePart>;
 }
 
 /// What a request's task is to do; the core's outputs without the request's number.
 #[derive(Debug)]
 pub enum RequestCommand {
+    /// Make an attempt at an endpoint.
     Send {
         attempt: u32,
         endpoint: String,
         timeout: Micros,
         fetch: Option<AddressedFetch>,
     },
-    CancelAttempt {
-        attempt: u32,
-    },
-    ForwardResponse {
-        attempt: u32,
-    },
-    Reject {
-        retry_after: Option<Micros>,
-    },
+    /// Cancel an attempt; the request goes on.
+    CancelAttempt { attempt: u32 },
+    /// Forward the attempt's response to the client.
+    ForwardResponse { attempt: u32 },
+    /// Final: shed the request.
+    Reject { retry_after: Option<Micros> },
+    /// Final: no attempt has answered.
     Fail,
+    /// Final: cut the response that is being forwarded.
     AbortResponse,
 }
 
 #[derive(Debug)]
-struct Locked {
+struct CoreState {
     core: Core,
-    orders: HashMap<u64, mpsc::UnboundedSender<RequestCommand>>,
-    out: Vec<Output>,
+    /// One entry for each open request, removed by [`CoreHandle::close_request`].
+    commands: HashMap<u64, mpsc::UnboundedSender<RequestCommand>>,
+    /// Empty between inputs; kept for its capacity.
+    outputs: Vec<Output>,
     /// When the timer task wakes by itself.
-    armed: Option<Micros>,
-    next: u64,
-    dice: StdRng,
+    timer_set_to: Option<Micros>,
+    last_request: u64,
+    rng: StdRng,
 }
 
-/// What the core answers an input with, beside orders.
+/// What the core reports of an input, beside commands.
 #[derive(Debug, Default)]
-struct News {
-    list: Option<EndpointListChange>,
+struct InputEffects {
+    endpoint_list: Option<EndpointListChange>,
     /// Another process was at the address of a hello before.
     replaced: bool,
 }
@@ -116,170 +124,199 @@
 /// One dispatcher's core, for all tasks of its shell.
 #[derive(Debug)]
 pub struct CoreHandle<S> {
-    locked: Mutex<Locked>,
-    born: Instant,
-    timer: Notify,
+    state: Mutex<CoreState>,
+    started_at: Instant,
+    /// The next timer is due earlier than the timer task knows.
+    timer_changed: Notify,
+    /// The last open request has closed.
     idle: Notify,
+    /// The state file is out of date.
     pub(crate) dirty: Notify,
+    /// The settings that the core was made with.
     pub settings: Arc<DispatcherSettings>,
     pub(crate) metrics: Metrics,
-    /// What all connections hold of bodies.
+    /// Bytes of bodies that all connections buffer.
     pub meter: BufferMeter,
     budget: RequestBudget,
-    /// Whether a source has told that its view is current.
+    /// Whether the control source reports that its view is current.
     pub(crate) view: watch::Sender<bool>,
-    /// Older copies have been held back since the last proof ([`Input::PurgesConfirmed`]).
-    holding: AtomicBool,
-    /// Connections to members.
+    /// Cached copies have been withheld since the last confirmation ([`Input::PurgesConfirmed`]).
+    withholding_copies: AtomicBool,
+    /// Connections to endpoints.
     pub transport: S,
 }
 
+/// Requests.
 impl<S: EndpointTransport> CoreHandle<S> {
-    /// `side` is given the meter that all connections share.
+    /// A core in its initial state. `transport` is given the meter that all connections share.
     pub fn new(
         settings: Arc<DispatcherSettings>,
         seed: u64,
-        side: impl FnOnce(&BufferMeter) -> S,
+        transport: impl FnOnce(&BufferMeter) -> S,
     ) -> Self {
         let core = Core::new(&settings, seed);
-        let dice = StdRng::seed_from_u64(seed);
-        let locked = Locked {
+        let state = CoreState {
             core,
-            orders: HashMap::new(),
-            out: Vec::new(),
-            armed: None,
-            next: 0,
-            dice,
+            commands: HashMap::new(),
+            outputs: Vec::new(),
+            timer_set_to: None,
+            last_request: 0,
+            rng: StdRng::seed_from_u64(seed),
         };
         let budget = RequestBudget::new(settings.max_requests, settings.buffer_bytes);
         let meter = BufferMeter::new(budget.crowded);
         Self {
-            locked: Mutex::new(locked),
-            born: Instant::now(),
-            timer: Notify::new(),
+            state: Mutex::new(state),
+            started_at: Instant::now(),
+            timer_changed: Notify::new(),
             idle: Notify::new(),
             dirty: Notify::new(),
-            transport: side(&meter),
+            transport: transport(&meter),
             meter,
             budget,
             view: watch::channel(false).0,
-            holding: AtomicBool::new(false),
+            withholding_copies: AtomicBool::new(false),
             metrics: Metrics::new(&settings),
             settings,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Locked> {
-        match self.locked.try_lock() {
-            Ok(locked) => return locked,
+    fn lock(&self) -> MutexGuard<'_, CoreState> {
+        match self.state.try_lock() {
+            Ok(state) => return state,
             Err(std::sync::TryLockError::Poisoned(poisoned)) => return poisoned.into_inner(),
             Err(std::sync::TryLockError::WouldBlock) => {}
         }
-        // Only those who wait pay for the clock.
-        let began = std::time::Instant::now();
-        let locked = self
-            .locked
+        // The clock is read only where the lock is contended.
+        let wait_started = std::time::Instant::now();
+        let state = self
+            .state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        self.metrics.lock_waits.inc();
+        self.metrics.core_lock_waits.inc();
         self.metrics
-            .lock_wait_us
-            .inc_by(began.elapsed().as_micros() as u64);
-        locked
+            .core_lock_wait_us
+            .inc_by(wait_started.elapsed().as_micros() as u64);
+        state
     }
 
     fn now(&self) -> Micros {
-        EPOCH + self.born.elapsed().as_micros() as Micros
+        CLOCK_START_US + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Opens a request; or when its client may come back, if as much is under way as may be.
+    /// Opens a request; or, over the request budget, the time after which its client may retry. Who opens it owes a
+    /// [`CoreHandle::close_request`].
     pub fn open_request(
         &self,
-        ask: ClientRequest,
+        request: ClientRequest,
     ) -> Result<(u64, mpsc::UnboundedReceiver<RequestCommand>), Micros> {
-        let (sender, orders) = mpsc::unbounded_channel();
-        let mut locked = self.lock();
-        let (open, held) = (locked.orders.len(), self.meter.buffered_bytes());
-        if let Verdict::Refuse { come_back } = self.budget.judge(open, held, || locked.dice.gen()) {
+        let (sender, commands) = mpsc::unbounded_channel();
+        let mut state = self.lock();
+        let open = state.commands.len();
+        let buffered = self.meter.buffered_bytes();
+        let verdict = self.budget.judge(open, buffered, || state.rng.gen());
+        if let Verdict::Refuse { come_back } = verdict {
             return Err(come_back);
         }
-        locked.next += 1;
-        let id = locked.next;
-        locked.orders.insert(id, sender);
-        self.metrics.open.set(locked.orders.len() as i64);
-        self.handle(locked, Input::Request(id, ask));
-        Ok((id, orders))
+        state.last_request += 1;
+        let id = state.last_request;
+        state.commands.insert(id, sender);
+        self.metrics.open_requests.set(state.commands.len() as i64);
+        self.handle(state, Input::Request(id, request));
+        Ok((id, commands))
     }
 
-    /// Whether an attempt may begin, right before its first byte ([`Core::begin`]).
-    pub fn begin_attempt(&self, ticket: AttemptId) -> Option<AttemptTerms> {
-        let mut locked = self.lock();
-        // No clock is read ahead of the lock: the core's time never runs backwards.
+    /// The present terms of an attempt, right before its first byte ([`Core::begin`]); none if it may not begin any more.
+    pub fn begin_attempt(&self, attempt: AttemptId) -> Option<AttemptTerms> {
+        let mut state = self.lock();
+        // The clock is read under the lock: the core's time never runs backwards.
         let now = self.now();
-        let begin = locked.core.begin(now, ticket.request, ticket.attempt);
-        let Some(terms) = &begin else {
-            self.metrics.not_begun.inc();
+        let terms = state.core.begin(now, attempt.request, attempt.attempt);
+        let Some(terms) = terms else {
+            self.metrics.attempts_not_begun.inc();
             return None;
         };
         if terms.held {
-            self.metrics.held_back.inc();
-            if !self.holding.swap(true, Ordering::Relaxed) {
-                tracing::warn!("purges cannot be proven to be known; older copies are held back");
+            self.metrics.attempts_held_back.inc();
+            if !self.withholding_copies.swap(true, Ordering::Relaxed) {
+                tracing::warn!("purges are not confirmed; cached copies are withheld");
             }
         }
-        begin
-    }
-
-    /// All purges that were acknowledged up to so long ago are in force.
-    pub fn confirm_purges(&self, ago: Micros) {
-        self.apply(Input::PurgesConfirmed { ago });
-        if self.holding.swap(false, Ordering::Relaxed) {
-            tracing::info!("purges are proven to be known again; copies are used as ever");
-        }
+        Some(terms)
     }
 
-    /// Whether purges are proven to be known, where that is promised.
-    pub fn purges_confirmed(&self) -> Option<bool> {
-        let now = self.now();
-        self.lock().core.purges_confirmed(now)
-    }
-
-    /// Whether an attempt that still waits may begin at all.
-    pub fn may_begin(&self, ticket: AttemptId) -> bool {
+    /// Whether an attempt that still waits may begin.
+    pub fn may_begin(&self, attempt: AttemptId) -> bool {
         let now = self.now();
         self.lock()
             .core
-            .may_begin(now, ticket.request, ticket.attempt)
+            .may_begin(now, attempt.request, attempt.attempt)
     }
 
-    /// The request's task is done with it, however it ended.
+    /// The request's task has ended, with whatever outcome.
     pub fn close_request(&self, id: u64) {
-        let mut locked = self.lock();
-        locked.orders.remove(&id);
-        self.metrics.open.set(locked.orders.len() as i64);
-        if locked.orders.is_empty() {
+        let mut state = self.lock();
+        state.commands.remove(&id);
+        self.metrics.open_requests.set(state.commands.len() as i64);
+        if state.commands.is_empty() {
             self.idle.notify_waiters();
         }
     }
 
+    /// Requests without a final response.
+    pub fn open_requests(&self) -> usize {
+        self.lock().commands.len()
+    }
+
+    /// Returns when no request is open.
+    pub async fn drained(&self) {
+        loop {
+            let idle = self.idle.notified();
+            if self.open_requests() == 0 {
+                return;
+            }
+            // The timeout covers a close between the check and the wait.
+            let _ = tokio::time::timeout(DRAIN_CHECK_INTERVAL, idle).await;
+        }
+    }
+}
+
+/// Control inputs and reports.
+impl<S: EndpointTransport> CoreHandle<S> {
+    /// All purges that were acknowledged up to `ago` ago are in force.
+    pub fn confirm_purges(&self, ago: Micros) {
+        self.apply(Input::PurgesConfirmed { ago });
+        if self.withholding_copies.swap(false, Ordering::Relaxed) {
+            tracing::info!("purges are confirmed again; cached copies are used");
+        }
+    }
+
+    /// Whether purges are confirmed to be known; none where that is not promised.
+    pub fn purges_confirmed(&self) -> Option<bool> {
+        let now = self.now();
+        self.lock().core.purges_confirmed(now)
+    }
+
+    /// Applies an input and sends the commands that follow from it.
     pub fn apply(&self, input: Input) {
         self.handle(self.lock(), input);
     }
 
+    /// Applies an endpoint list or a change of one.
     pub fn apply_endpoint_list(&self, head: EndpointListHead) -> EndpointListChange {
-        let news = self.handle(self.lock(), Input::EndpointList(head));
-        let news = news
-            .list
-            .expect("a list update always tells what became of it");
-        self.metrics.list.set(news.seq as i64);
-        for bad in &news.rejected_records {
-            tracing::warn!(line = %bad, "a line of the member list is not used");
+        let effects = self.handle(self.lock(), Input::EndpointList(head));
+        let change = effects
+            .endpoint_list
+            .expect("an endpoint list input always reports its change");
+        self.metrics.endpoint_list_version.set(change.seq as i64);
+        for rejected in &change.rejected_records {
+            tracing::warn!(line = %rejected, "a record of the endpoint list is not used");
         }
         self.dirty.notify_one();
-        news
+        change
     }
 
-    /// True if another process was at this address before.
+    /// Applies an endpoint's hello. True if another process was at this address before.
     pub fn apply_hello(&self, endpoint: &str, hello: HelloHead) -> bool {
         let input = Input::Hello {
             endpoint: endpoint.to_owned(),
@@ -288,146 +325,133 @@
         self.handle(self.lock(), input).replaced
     }
 
+    /// Applies a purge; it is in force on return.
     pub fn apply_purge(&self, head: PurgeHead) {
         self.apply(Input::Purge(head));
         self.dirty.notify_one();
     }
 
-    /// Number of the list in force; 0: none yet.
+    /// Version of the endpoint list in force; 0: none yet.
     pub fn endpoint_list_seq(&self) -> u64 {
         self.lock().core.endpoint_list_seq()
     }
 
+    /// The endpoint list in force.
     pub fn endpoint_list(&self) -> EndpointListHead {
         let now = self.now();
         self.lock().core.endpoint_list(now)
     }
 
-    /// Members, purges and dispatchers that are kept.
+    /// How many endpoints, purges and dispatchers the core's state holds.
     pub fn state_counts(&self) -> (usize, usize, usize) {
         let now = self.now();
         self.lock().core.state_counts(now)
     }
 
+    /// What the state file holds.
     pub fn snapshot(&self) -> crate::core::state::Snapshot {
         let now = self.now();
         self.lock().core.snapshot(now)
     }
 
-    /// Ends of requests and attempts so far, in a line for the log.
+    /// Outcomes of requests and attempts so far, in a line for the log.
     pub fn counters_line(&self) -> String {
         let text = self.metrics.text();
         let counts = text
             .lines()
-            .filter(|l| l.contains("s_total{") && !l.ends_with(" 0"));
-        let short = |l: &str| {
-            l.trim_start_matches("pointspindle_")
+            .filter(|line| line.contains("s_total{") && !line.ends_with(" 0"));
+        let short = |line: &str| {
+            line.trim_start_matches("pointspindle_")
                 .replace("_total", "")
                 .replace('"', "")
         };
         counts.map(short).collect::<Vec<_>>().join(" ")
     }
 
-    pub fn open_requests(&self) -> usize {
-        self.lock().orders.len()
-    }
-
-    /// Returns when no request is open.
-    pub async fn drained(&self) {
-        loop {
-            let idle = self.idle.notified();
-            if self.open_requests() == 0 {
-                return;
-            }
-            // Notified only at the very end; the time is a net for a close between check and wait.
-            let _ = tokio::time::timeout(Duration::from_millis(50), idle).await;
+    /// Handles an input and sends its commands, under the lock so that their order is the core's.
+    fn handle(&self, mut state: MutexGuard<'_, CoreState>, input: Input) -> InputEffects {
+        let now = self.now();
+        let mut outputs = std::mem::take(&mut state.outputs);
+        state.core.handle(now, input, &mut outputs);
+        let mut effects = InputEffects::default();
+        for output in outputs.drain(..) {
+            self.carry_out(&state, output, &mut effects);
+        }
+        state.outputs = outputs;
+        for (outcome, count) in state.core.take_attempt_counts() {
+            self.metrics.attempt_ended(outcome, count);
+        }
+        let next_timer = state.core.next_timer();
+        if next_timer.is_some_and(|at| state.timer_set_to.is_none_or(|set_to| at < set_to)) {
+            state.timer_set_to = next_timer;
+            self.timer_changed.notify_one();
         }
+        effects
     }
 
-    /// Handles an input and hands the orders out, under the lock so that their order is the core's.
-    fn handle(&self, mut locked: MutexGuard<'_, Locked>, input: Input) -> News {
-        let now = self.now();
-        let mut out = std::mem::take(&mut locked.out);
-        locked.core.handle(now, input, &mut out);
-        let mut news = News::default();
-        for output in out.drain(..) {
-            let (id, order) = match output {
-                Output::Send {
-                    request,
+    fn carry_out(&self, state: &CoreState, output: Output, effects: &mut InputEffects) {
+        let (request, command) = match output {
+            Output::Send {
+                request,
+                attempt,
+                endpoint,
+                timeout,
+                fetch,
+            } => {
+                let command = RequestCommand::Send {
                     attempt,
                     endpoint,
                     timeout,
                     fetch,
-                } => (
-                    request,
-                    RequestCommand::Send {
-                        attempt,
-                        endpoint,
-                        timeout,
-                        fetch,
-                    },
-                ),
-                Output::CancelAttempt { request, attempt } => {
-                    (request, RequestCommand::CancelAttempt { attempt })
-                }
-                Output::ForwardResponse { request, attempt } => {
-                    (request, RequestCommand::ForwardResponse { attempt })
-                }
-                Output::Reject {
-                    request,
-                    retry_after,
-                } => (request, RequestCommand::Reject { retry_after }),
-                Output::Fail { request } => (request, RequestCommand::Fail),
-                Output::AbortResponse { request } => (request, RequestCommand::AbortResponse),
-                Output::HelloApplied { replaced } => {
-                    news.replaced = replaced;
-                    continue;
-                }
-                Output::RequestWork { endpoint, work_us } => {
-                    self.transport.request_work(&endpoint, work_us);
-                    continue;
-                }
-                Output::Connect { endpoint } => {
-                    self.transport.connect(endpoint);
-                    continue;
-                }
-                Output::EndpointListApplied(told) => {
-                    news.list = Some(told);
-                    continue;
-                }
-            };
-            if let Some(orders) = locked.orders.get(&id) {
-                let _ = orders.send(order);
+                };
+                (request, command)
             }
+            Output::CancelAttempt { request, attempt } => {
+                (request, RequestCommand::CancelAttempt { attempt })
+            }
+            Output::ForwardResponse { request, attempt } => {
+                (request, RequestCommand::ForwardResponse { attempt })
+            }
+            Output::Reject {
+                request,
+                retry_after,
+            } => (request, RequestCommand::Reject { retry_after }),
+            Output::Fail { request } => (request, RequestCommand::Fail),
+            Output::AbortResponse { request } => (request, RequestCommand::AbortResponse),
+            Output::HelloApplied { replaced } => {
+                effects.replaced = replaced;
+                return;
+            }
+            Output::EndpointListApplied(change) => {
+                effects.endpoint_list = Some(change);
+                return;
+            }
+            Output::RequestWork { endpoint, work_us } => {
+                return self.transport.request_work(&endpoint, work_us);
+            }
+            Output::Connect { endpoint } => return self.transport.connect(endpoint),
+        };
+        if let Some(commands) = state.commands.get(&request) {
+            let _ = commands.send(command);
         }
-        locked.out = out;
-        for (end, count) in locked.core.take_attempt_counts() {
-            self.metrics.attempt_ended(end, count);
-        }
-        let next = locked.core.next_timer();
-        if next.is_some_and(|at| locked.armed.is_none_or(|armed| at < armed)) {
-            locked.armed = next;
-            self.timer.notify_one();
-        }
-        news
     }
 }
 
 /// Ticks the core when its next timer is due.
-pub async fn run_timers<S: EndpointTransport>(hub: Arc<CoreHandle<S>>) {
+pub async fn run_timers<S: EndpointTransport>(core: Arc<CoreHandle<S>>) {
     loop {
         let next = {
-            let mut locked = hub.lock();
-            locked.armed = locked.core.next_timer();
-            locked.armed
+            let mut state = core.lock();
+            state.timer_set_to = state.core.next_timer();
+            state.timer_set_to
         };
         match next {
-            None => hub.timer.notified().await,
+            None => core.timer_changed.notified().await,
             Some(at) => {
-                let wait = Duration::from_micros(at.saturating_sub(hub.now()));
+                let wait = Duration::from_micros(at.saturating_sub(core.now()));
                 tokio::select! {
-                    _ = tokio::time::sleep(wait) => hub.apply(Input::Tick),
-                    _ = hub.timer.notified() => {}
+                    _ = tokio::time::sleep(wait) => core.apply(Input::Tick),
+                    _ = core.timer_changed.notified() => {}
                 }
             }
         }
--- /dev/null
+++ b/crates/dispatcher/src/net/dispatcher.rs
@@ -0,0 +1,265 @@
+//! A dispatcher's life: prepared, listening, stopped by a graceful shutdown.
+use super::connection_registry::{self, ConnectionRegistry};
+use super::framed_transport::{self, EndpointIntent};
+use super::frontend_context::FrontendContext;
+use super::listeners::{self, BoundAddresses, ClientContexts, StartError};
+use super::{core_handle, state_file, FramedCore, StateCounts};
+use crate::admission::Limits;
+use crate::control_source::{ControlObserver, ControlSink, ControlSource};
+use pointspindle_config::{DispatcherSettings, EndpointSpec, ListenSettings, TlsSettings};
+use pointspindle_protocol::{
+    EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
+};
+use pointspindle_transport::tls::{CertificateFiles, Identity, TlsError};
+use pointspindle_transport::Network;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::{mpsc, watch};
+use tokio::task::JoinSet;
+
+/// A dispatcher that has read its state file and does not listen yet, so that it can learn of drains and purges first.
+#[derive(Debug)]
+pub struct PreparedDispatcher {
+    network: Network,
+    core: Arc<FramedCore>,
+    endpoint_intents: mpsc::UnboundedReceiver<EndpointIntent>,
+    background_tasks: JoinSet<()>,
+}
+
+impl PreparedDispatcher {
+    /// Reads the state file, and takes the static endpoint list if there is no state.
+    pub async fn new(network: Network, settings: DispatcherSettings, seed: u64) -> Self {
+        let settings = Arc::new(settings);
+        let (core, endpoint_intents) = FramedCore::framed(settings.clone(), seed, network.clone());
+        let core = Arc::new(core);
+        if !state_file::restore(&core).await && !settings.endpoints.is_empty() {
+            core.apply_endpoint_list(static_endpoint_list(&settings));
+        }
+        Self {
+            network,
+            core,
+            endpoint_intents,
+            background_tasks: JoinSet::new(),
+        }
+    }
+
+    /// Takes endpoint lists, purges and dispatcher counts from this source too, for as long as the dispatcher runs.
+    pub fn follow(&mut self, source: impl ControlSource) {
+        let sink = ControlSink {
+            hub: self.core.clone(),
+            ears: None,
+        };
+        self.background_tasks.spawn(source.run(sink));
+    }
+
+    /// The dispatcher without listeners; all its control code runs as in production. For scale tests with many
+    /// dispatchers on one machine. The observer is called with each update once it is in force.
+    pub fn into_hollow(
+        self,
+        source: impl ControlSource,
+        observer: ControlObserver,
+    ) -> HollowDispatcher {
+        let Self {
+            core,
+            endpoint_intents,
+            mut background_tasks,
+            ..
+        } = self;
+        let sink = ControlSink {
+            hub: core.clone(),
+            ears: Some(observer),
+        };
+        background_tasks.spawn(source.run(sink));
+        spawn_background_tasks(&core, endpoint_intents, &mut background_tasks);
+        HollowDispatcher {
+            core,
+            _background_tasks: background_tasks,
+        }
+    }
+
+    /// Waits until the source's view is current. False if it was not within the timeout.
+    pub async fn wait_until_current(&self, timeout: Duration) -> bool {
+        let mut view = self.core.view.subscribe();
+        let current = tokio::time::timeout(timeout, view.wait_for(|current| *current)).await;
+        matches!(current, Ok(Ok(_)))
+    }
+
+    /// Binds the listeners and accepts connections.
+    pub async fn open(self) -> Result<Dispatcher, StartError> {
+        let Self {
+            network,
+            core,
+            endpoint_intents,
+            mut background_tasks,
+        } = self;
+        let settings = core.settings.clone();
+        let identity = settings.tls.as_ref().map(load_identity).transpose()?;
+        let identity = identity.map(Arc::new);
+        let (stop, stopping) = watch::channel(false);
+        // One registry for all client listeners: they share the process's descriptors.
+        let registry = ConnectionRegistry::new(connection_limits(&settings.listen));
+        background_tasks.spawn(connection_registry::expire(
+            registry.clone(),
+            settings.listen.idle_timeout_us,
+        ));
+        let plain = FrontendContext {
+            core: core.clone(),
+            registry,
+            stopping,
+            identity: None,
+        };
+        let tls = FrontendContext {
+            identity: identity.clone(),
+            ..plain.clone()
+        };
+        let clients = ClientContexts { plain, tls };
+        let mut listeners = JoinSet::new();
+        let bound =
+            listeners::open_all(&network, &settings.listen, clients, &mut listeners).await?;
+        spawn_background_tasks(&core, endpoint_intents, &mut background_tasks);
+        tracing::info!(name = %settings.name, ?bound, "dispatcher listens");
+        Ok(Dispatcher {
+            core,
+            bound,
+            stop,
+            listeners,
+            background_tasks,
+            identity,
+        })
+    }
+}
+
+/// A dispatcher without listeners ([`PreparedDispatcher::into_hollow`]); it ends when it is dropped.
+#[derive(Debug)]
+pub struct HollowDispatcher {
+    core: Arc<FramedCore>,
+    _background_tasks: JoinSet<()>,
+}
+
+impl HollowDispatcher {
+    /// Sizes of its state.
+    pub fn state_counts(&self) -> StateCounts {
+        self.core.all_state_counts()
+    }
+}
+
+/// A running dispatcher. Dropped without [`Dispatcher::stop`] it abandons all its requests.
+#[derive(Debug)]
+pub struct Dispatcher {
+    core: Arc<FramedCore>,
+    bound: BoundAddresses,
+    stop: watch::Sender<bool>,
+    listeners: JoinSet<()>,
+    background_tasks: JoinSet<()>,
+    identity: Option<Arc<Identity>>,
+}
+
+impl Dispatcher {
+    /// Sizes of its state.
+    pub fn state_counts(&self) -> StateCounts {
+        self.core.all_state_counts()
+    }
+
+    /// Reads the state file, takes the static endpoint list if there is no state, and listens.
+    pub async fn start(settings: DispatcherSettings, seed: u64) -> Result<Self, StartError> {
+        Self::start_on(Network::Tcp, settings, seed).await
+    }
+
+    /// As [`Dispatcher::start`], on another network than the machine's own.
+    pub async fn start_on(
+        network: Network,
+        settings: DispatcherSettings,
+        seed: u64,
+    ) -> Result<Self, StartError> {
+        PreparedDispatcher::new(network, settings, seed)
+            .await
+            .open()
+            .await
+    }
+
+    /// The addresses it listens on.
+    pub fn bound_addresses(&self) -> &BoundAddresses {
+        &self.bound
+    }
+
+    /// Reads certificates and keys again, for connections from now on; after an error the old ones stay in use.
+    pub fn reload_tls(&self) -> Result<(), TlsError> {
+        self.identity
+            .as_ref()
+            .map_or(Ok(()), |identity| identity.reload())
+    }
+
+    /// Graceful shutdown: accepts nothing new, answers what was accepted, and ends. True if every request was answered
+    /// before the drain timeout; otherwise clients of the remaining ones see their connections cut.
+    pub async fn stop(mut self) -> bool {
+        let _ = self.stop.send(true);
+        let timeout = Duration::from_micros(self.core.settings.listen.drain_timeout_us);
+        // A listener's task ends with its last connection, and that with its last response written.
+        let drain = async {
+            self.core.drained().await;
+            while self.listeners.join_next().await.is_some() {}
+        };
+        let drained = tokio::time::timeout(timeout, drain).await.is_ok();
+        let left = self.core.open_requests();
+        tracing::info!(drained, left, "dispatcher stops");
+        state_file::save_before_exit(&self.core).await;
+        self.listeners.shutdown().await;
+        self.background_tasks.shutdown().await;
+        drained
+    }
+}
+
+/// Spawns what runs beside the listeners.
+fn spawn_background_tasks(
+    core: &Arc<FramedCore>,
+    endpoint_intents: mpsc::UnboundedReceiver<EndpointIntent>,
+    tasks: &mut JoinSet<()>,
+) {
+    tasks.spawn(core_handle::run_timers(core.clone()));
+    tasks.spawn(framed_transport::run_sweeps(core.clone()));
+    tasks.spawn(framed_transport::run_endpoint_intents(
+        core.clone(),
+        endpoint_intents,
+    ));
+    if core.settings.state_file.is_some() {
+        tasks.spawn(state_file::run(core.clone()));
+    }
+}
+
+fn connection_limits(settings: &ListenSettings) -> Limits {
+    Limits {
+        hard: settings.max_connections,
+        soft: settings.soft_connections,
+        per_address: settings.address_connections,
+        networks: settings.network_quotas.clone(),
+    }
+}
+
+fn load_identity(settings: &TlsSettings) -> Result<Identity, TlsError> {
+    let files = CertificateFiles {
+        certificate: settings.certificate.clone(),
+        key: settings.key.clone(),
+    };
+    Identity::load(files, settings.client_authority.clone())
+}
+
+fn static_endpoint_list(settings: &DispatcherSettings) -> EndpointListHead {
+    EndpointListHead {
+        form: EndpointListForm::Full as i32,
+        seq: 0,
+        endpoints: settings.endpoints.iter().map(endpoint_record).collect(),
+    }
+}
+
+fn endpoint_record(endpoint: &EndpointSpec) -> EndpointRecord {
+    EndpointRecord {
+        address: endpoint.address.clone(),
+        state: WireEndpointState::Ready as i32,
+        weight: endpoint.weight,
+        zone: endpoint.zone.clone(),
+        kind: endpoint.role.name().into(),
+        cell: endpoint.cell,
+        incarnation: 0,
+        started_ago_us: None,
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -0,0 +1,170 @@
+//! Clients on the framed protocol: one session for each connection, whose requests run side by side.
+mod client;
+mod request;
+#[cfg(test)]
+mod tests;
+
+use super::connection_registry::ConnectionPermit;
+use super::frontend_context::FrontendContext;
+use pointspindle_protocol::streams::Side;
+use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead};
+use pointspindle_transport::{
+    ConnectionOptions, FramedConnection, Inbound, Incoming, Responder, Socket,
+};
+use std::time::Duration;
+use tokio::task::JoinSet;
+use tracing::Instrument;
+
+/// Time for requests that a client sent before it received the go-away.
+const GO_AWAY_GRACE: Duration = Duration::from_millis(100);
+/// Checks for signs of life within one lease of the client.
+const LEASE_CHECKS: u32 = 4;
+
+/// Serves one client's connection to its end.
+pub(super) async fn serve(context: FrontendContext, socket: Socket, permit: ConnectionPermit) {
+    let settings = &context.core.settings.listen;
+    let options = ConnectionOptions {
+        max_streams: settings.max_streams,
+    };
+    let meter = context.core.meter.clone();
+    let lease_us = settings.client_lease_us;
+    let (connection, incoming) =
+        FramedConnection::start_metered(socket, Side::Answerer, options, meter);
+    connection.push_control(Frame::Hello(HelloHead {
+        incarnation: context.core.transport.pool.process,
+        lease_us: Some(lease_us),
+        ..Default::default()
+    }));
+    let mut session = Session {
+        context,
+        permit,
+        connection,
+        incoming,
+        lease: Duration::from_micros(lease_us),
+        renews_lease: false,
+        requests: JoinSet::new(),
+    };
+    let end = session.serve_requests().await;
+    if session.context.is_stopping() || matches!(end, SessionEnd::CloseRequested) {
+        // Boxed, so that an open connection does not hold the memory of its end.
+        Box::pin(session.go_away(end)).await;
+    }
+    session.connection.close("the connection is done with");
+    // The last responses are on their way when they are written, not when they are queued.
+    session.connection.flushed().await;
+}
+
+/// Why a session takes no further requests.
+#[derive(Clone, Copy)]
+enum SessionEnd {
+    /// The connection is closed, or the dispatcher stops.
+    Closed,
+    /// The connection was idle for too long, or is closed for another.
+    CloseRequested,
+}
+
+/// One connection of a client. At its end the responses under way are still owed where it announced the close.
+struct Session {
+    context: FrontendContext,
+    permit: ConnectionPermit,
+    connection: FramedConnection,
+    incoming: Incoming,
+    lease: Duration,
+    /// Whether the client gives signs of life while it waits.
+    renews_lease: bool,
+    requests: JoinSet<()>,
+}
+
+impl Session {
+    async fn serve_requests(&mut self) -> SessionEnd {
+        loop {
+            let active = !self.requests.is_empty();
+            let inbound = tokio::select! {
+                // First: a request that has arrived is answered, though its connection is to close.
+                biased;
+                inbound = self.incoming.next() => inbound,
+                _ = self.requests.join_next(), if active => {
+                    self.request_ended();
+                    continue;
+                }
+                _ = self.permit.close_requested(), if !active => return SessionEnd::CloseRequested,
+                _ = tokio::time::sleep(self.lease / LEASE_CHECKS), if self.renews_lease && active => {
+                    self.check_lease();
+                    continue;
+                }
+                _ = self.context.stopped() => return SessionEnd::Closed,
+            };
+            match inbound {
+                None => return SessionEnd::Closed,
+                Some(Inbound::Control(frame)) => {
+                    let Some(reply) = self.handle_control(frame) else {
+                        continue;
+                    };
+                    if self.connection.control(reply).await.is_err() {
+                        return SessionEnd::Closed;
+                    }
+                }
+                Some(Inbound::Request(head, responder)) => self.start_request(head, responder),
+            }
+        }
+    }
+
+    fn request_ended(&self) {
+        if self.requests.is_empty() {
+            self.permit.idle();
+        }
+    }
+
+    /// The reply to a control frame, if it has one. Endpoint lists and purges are taken at the control listener only. A probe
+    /// does not count as use: a client that sends nothing else is idle.
+    fn handle_control(&mut self, frame: Frame) -> Option<Frame> {
+        match frame {
+            Frame::Probe(probe) if !probe.echo => Some(Frame::Probe(ProbeHead {
+                echo: true,
+                ..probe
+            })),
+            Frame::Hello(hello) => {
+                self.renews_lease = hello.lease_us.is_some();
+                None
+            }
+            _ => None,
+        }
+    }
+
+    fn start_request(&mut self, head: RequestHead, responder: Responder) {
+        let span = tracing::info_span!(
+            "request",
+            class = %head.class,
+            object = %head.object,
+            part = head.part,
+            trace = %head.trace
+        );
+        self.permit.busy();
+        self.requests
+            .spawn(request::answer(self.context.clone(), head, responder).instrument(span));
+    }
+
+    fn check_lease(&self) {
+        if self.connection.time_since_last_frame() > self.lease {
+            self.context.core.metrics.lost_clients.inc();
+            self.connection.abort("no sign of life");
+        }
+    }
+
+    /// Announces the close, and answers all requests that were sent before the client received the announcement.
+    async fn go_away(&mut self, end: SessionEnd) {
+        self.connection.go_away(match end {
+            SessionEnd::CloseRequested => "idle for too long, or its place is wanted",
+            SessionEnd::Closed => "the dispatcher stops",
+        });
+        while let Ok(Some(inbound)) =
+            tokio::time::timeout(GO_AWAY_GRACE, self.incoming.next()).await
+        {
+            if let Inbound::Request(head, responder) = inbound {
+                self.requests
+                    .spawn(request::answer(self.context.clone(), head, responder));
+            }
+        }
+        while self.requests.join_next().await.is_some() {}
+    }
+}
--- a/crates/dispatcher/src/net/http_frontend.rs
+++ b/crates/dispatcher/src/net/http_frontend.rs
@@ -1,7 +1,8 @@
 //! Clients on HTTP/1.1: GET and HEAD, answered in order, with `Age`, `Cache-Status` (RFC 9211), `Proxy-Status`
 //! (RFC 9209) and `Retry-After`.
+use super::connection_registry::ConnectionPermit;
 use super::exchange::{self, ClientDisconnected, ClientStream, IncomingRequest, RequestOutcome};
-use super::{ConnectionPermit, FrontendContext};
+use super::frontend_context::FrontendContext;
 use crate::client_pace::{Pace, PaceRule};
 use crate::core::ClientRequest;
 use bytes::{Buf, Bytes, BytesMut};
@@ -22,7 +23,7 @@
 /// Time to write an error answer to a client that may not read.
 const LAST_WORDS: Duration = Duration::from_secs(1);
 
-pub(crate) async fn serve(door: FrontendContext, socket: Socket, seat: ConnectionPermit) {
+pub(crate) async fn serve(context: FrontendContext, socket: Socket, permit: ConnectionPermit) {
     let (read, write) = socket.split();
     let requests = FrameReader::new(read, RequestCodec);
     let mut client = HttpClient {
@@ -37,11 +38,11 @@
         body_allowed: true,
         begun: false,
         rule: PaceRule {
-            least: door.hub.settings.listen.min_client_bytes_per_s,
-            window: door.hub.settings.listen.pace_window_us,
+            least: context.core.settings.listen.min_client_bytes_per_s,
+            window: context.core.settings.listen.pace_window_us,
         },
         pace: None,
-        slow: door.hub.metrics.slow_clients.clone(),
+        slow: context.core.metrics.slow_clients.clone(),
     };
     loop {
         if client.next.is_none() && client.requests.is_empty() {
@@ -49,23 +50,27 @@
                 // First: a request that has come is answered, though its connection is to make room.
                 biased;
                 came = client.requests.readable() => came,
-                _ = seat.close_requested() => return,
-                _ = door.stopped() => return,
+                _ = permit.close_requested() => return,
+                _ = context.stopped() => return,
             };
             if came.is_err() {
                 return;
             }
         }
-        // Boxed, as all that only an active connection needs: an idle one is its socket, its seat and little more.
-        if !Box::pin(turn(&door, &seat, &mut client)).await {
+        // Boxed, as all that only an active connection needs: an idle one is its socket, its permit and little more.
+        if !Box::pin(turn(&context, &permit, &mut client)).await {
             return;
         }
     }
 }
 
 /// One request and its answer; false: the connection is of no more use.
-async fn turn(door: &FrontendContext, seat: &ConnectionPermit, client: &mut HttpClient) -> bool {
-    let head = Duration::from_micros(door.hub.settings.listen.head_timeout_us);
+async fn turn(
+    context: &FrontendContext,
+    permit: &ConnectionPermit,
+    client: &mut HttpClient,
+) -> bool {
+    let head = Duration::from_micros(context.core.settings.listen.head_timeout_us);
     let request = match client.next.take() {
         Some(request) => *request,
         // From its first byte on a head has so long to be complete.
@@ -81,15 +86,15 @@
         Err(e) if e.status() == 0 => return false,
         Err(e) => return client.complain(e.status(), &e.to_string()).await,
     };
-    seat.busy();
+    permit.busy();
     client.method = request.method;
-    client.close = !request.keep_alive || door.is_stopping();
+    client.close = !request.keep_alive || context.is_stopping();
     let span = tracing::info_span!(
         "request",
         path = %request.path,
         trace = request.trace.as_deref().unwrap_or_default()
     );
-    let fate = answer(door, request, client).instrument(span).await;
+    let fate = answer(context, request, client).instrument(span).await;
     client.pace = None;
     if client.close
         || matches!(
@@ -100,23 +105,23 @@
         client.write.shutdown();
         return false;
     }
-    seat.idle();
+    permit.idle();
     true
 }
 
 async fn answer(
-    door: &FrontendContext,
+    context: &FrontendContext,
     request: HttpRequest,
     client: &mut HttpClient,
 ) -> Option<RequestOutcome> {
-    let settings = &door.hub.settings;
+    let settings = &context.core.settings;
     let Some(asked) = asked(settings, &request) else {
         client
             .short(404, &format!("no class serves {}\n", request.path), vec![])
             .await;
         return None;
     };
-    Some(exchange::run(&door.hub, asked, client).await)
+    Some(exchange::run(&context.core, asked, client).await)
 }
 
 /// An HTTP request in the dispatcher's terms: class by the longest prefix, group by the path's first segments.
--- a/crates/dispatcher/src/net/http_frontend/tests.rs
+++ b/crates/dispatcher/src/net/http_frontend/tests.rs
@@ -1,9 +1,12 @@
-/// What a hundred thousand idle connections cost is this, a task's head, a socket's registration and a seat. Guards
-/// against a state of the active connection (a head's time-out, an answer) finding its way into the idle one.
+use crate::net::test_support::accepted_connection;
+
+/// What a hundred thousand idle connections cost is this, a task's header, a socket's registration and a permit. Guards
+/// against state of the active connection (a head's time-out, a response) finding its way into the idle one.
 #[tokio::test]
-async fn an_idle_connection_is_its_socket_and_little_more() {
-    let (door, socket, seat, _stop) = super::super::tests::arrival("http").await;
-    let size = std::mem::size_of_val(&super::serve(door, socket, seat));
+async fn idle_http_connection_holds_little_beyond_its_socket() {
+    let accepted = accepted_connection("http").await;
+    let serving = super::serve(accepted.context, accepted.socket, accepted.permit);
+    let size = std::mem::size_of_val(&serving);
     println!("{size} bytes");
     assert!(size <= 1024, "{size} bytes");
     let client = std::mem::size_of::<super::HttpClient>();
--- /dev/null
+++ b/crates/dispatcher/src/net/listeners.rs
@@ -0,0 +1,257 @@
+//! Listeners: bound addresses, the accept loop, and admission of each connection.
+//!
+//! A listener that closes still serves what waits in its accept queue: those connections were accepted by the system, with
+//! the requests that are written on them.
+use super::connection_registry::{ConnectionPermit, ConnectionRegistry};
+use super::connection_rejection::{ClientProtocol, ConnectionRejection};
+use super::frontend_context::FrontendContext;
+use super::{control, framed_frontend, http_frontend, metrics_frontend};
+use crate::admission::Limits;
+use pointspindle_config::ListenSettings;
+use pointspindle_transport::tls::TlsError;
+use pointspindle_transport::{Listener, Network, Socket};
+use std::future::Future;
+use std::net::SocketAddr;
+use tokio::task::JoinSet;
+
+/// Failures of `accept` after which a closing listener abandons what may still wait in its queue.
+pub const QUEUE_FAILURES: usize = 16;
+
+/// Connections to each of the operators' listeners.
+const OPERATOR_CONNECTIONS: usize = 64;
+
+/// The addresses that a dispatcher listens on, with the ports that the system assigned.
+#[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
+pub struct BoundAddresses {
+    /// Clients on HTTP/1.1.
+    pub http: Option<SocketAddr>,
+    /// Clients on the framed protocol.
+    pub framed: Option<SocketAddr>,
+    /// Clients on HTTP/1.1 over TLS.
+    #[serde(default)]
+    pub https: Option<SocketAddr>,
+    /// Clients on the framed protocol over TLS.
+    #[serde(default)]
+    pub framed_tls: Option<SocketAddr>,
+    /// Operators' endpoint lists and purges.
+    pub control: Option<SocketAddr>,
+    /// Metrics as text.
+    pub metrics: Option<SocketAddr>,
+}
+
+/// Why a dispatcher could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// An address could not be bound.
+    #[error("cannot listen on {address} ({what}): {source}")]
+    Listen {
+        /// The listener's setting.
+        what: &'static str,
+        /// The address that was to be bound.
+        address: SocketAddr,
+        /// What the system reported.
+        source: std::io::Error,
+    },
+    /// A certificate or key could not be used.
+    #[error("TLS: {0}")]
+    Tls(#[from] TlsError),
+}
+
+/// What each client listener serves its connections with.
+pub(super) struct ClientContexts {
+    pub plain: FrontendContext,
+    pub tls: FrontendContext,
+}
+
+/// Binds all listeners of the settings; each accepts on a task of `tasks` until the dispatcher stops.
+pub(super) async fn open_all(
+    network: &Network,
+    settings: &ListenSettings,
+    clients: ClientContexts,
+    tasks: &mut JoinSet<()>,
+) -> Result<BoundAddresses, StartError> {
+    let ClientContexts { plain, tls } = clients;
+    let control_context = operator_context(&plain);
+    let metrics_context = operator_context(&plain);
+    let mut bound = BoundAddresses::default();
+    if let Some((listener, address)) = listen(network, "http", settings.http).await? {
+        bound.http = Some(address);
+        let serve = http_frontend::serve;
+        tasks.spawn(accept(listener, plain.clone(), ClientProtocol::Http, serve));
+    }
+    if let Some((listener, address)) = listen(network, "framed", settings.framed).await? {
+        bound.framed = Some(address);
+        let serve = framed_frontend::serve;
+        tasks.spawn(accept(listener, plain, ClientProtocol::Framed, serve));
+    }
+    if let Some((listener, address)) = listen(network, "https", settings.https).await? {
+        bound.https = Some(address);
+        let serve = http_frontend::serve;
+        tasks.spawn(accept(listener, tls.clone(), ClientProtocol::Http, serve));
+    }
+    if let Some((listener, address)) = listen(network, "framed_tls", settings.framed_tls).await? {
+        bound.framed_tls = Some(address);
+        let serve = framed_frontend::serve;
+        tasks.spawn(accept(listener, tls, ClientProtocol::Framed, serve));
+    }
+    if let Some((listener, address)) = listen(network, "control", settings.control).await? {
+        bound.control = Some(address);
+        let serve = control::serve;
+        tasks.spawn(accept(
+            listener,
+            control_context,
+            ClientProtocol::Framed,
+            serve,
+        ));
+    }
+    if let Some((listener, address)) = listen(network, "metrics", settings.metrics).await? {
+        bound.metrics = Some(address);
+        let serve = metrics_frontend::serve;
+        tasks.spawn(accept(
+            listener,
+            metrics_context,
+            ClientProtocol::Http,
+            serve,
+        ));
+    }
+    Ok(bound)
+}
+
+/// Operators get a connection limit of their own: clients that use theirs up must not lock them out.
+fn operator_context(client: &FrontendContext) -> FrontendContext {
+    let registry = ConnectionRegistry::new(Limits {
+        hard: OPERATOR_CONNECTIONS,
+        soft: OPERATOR_CONNECTIONS,
+        per_address: OPERATOR_CONNECTIONS,
+        networks: Vec::new(),
+    });
+    FrontendContext {
+        registry,
+        identity: None,
+        ..client.clone()
+    }
+}
+
+async fn listen(
+    network: &Network,
+    what: &'static str,
+    address: Option<SocketAddr>,
+) -> Result<Option<(Listener, SocketAddr)>, StartError> {
+    let Some(address) = address else {
+        return Ok(None);
+    };
+    let failed = |source| StartError::Listen {
+        what,
+        address,
+        source,
+    };
+    let listener = network.listen(address).await.map_err(failed)?;
+    let bound = listener.local_addr().map_err(failed)?;
+    Ok(Some((listener, bound)))
+}
+
+/// Accepts until the dispatcher stops, then drains the accept queue; returns when the last connection has ended.
+async fn accept<F, Fut>(
+    mut listener: Listener,
+    context: FrontendContext,
+    protocol: ClientProtocol,
+    serve: F,
+) where
+    F: Fn(FrontendContext, Socket, ConnectionPermit) -> Fut + Clone + Send + 'static,
+    Fut: Future<Output = ()> + Send + 'static,
+{
+    let mut connections = ListenerConnections {
+        context,
+        protocol,
+        serve,
+        tasks: JoinSet::new(),
+    };
+    loop {
+        let accepted = tokio::select! {
+            accepted = listener.accept() => accepted,
+            _ = connections.context.stopped() => break,
+        };
+        while connections.tasks.try_join_next().is_some() {}
+        match accepted {
+            Ok((socket, peer)) => connections.admit(socket, peer),
+            Err(e) => connections.context.registry.accept_failed(e).await,
+        }
+    }
+    connections.drain_accept_queue(&mut listener).await;
+    drop(listener);
+    while connections.tasks.join_next().await.is_some() {}
+}
+
+/// The connections of one listener, each a task.
+struct ListenerConnections<F> {
+    context: FrontendContext,
+    protocol: ClientProtocol,
+    serve: F,
+    tasks: JoinSet<()>,
+}
+
+impl<F, Fut> ListenerConnections<F>
+where
+    F: Fn(FrontendContext, Socket, ConnectionPermit) -> Fut + Clone + Send + 'static,
+    Fut: Future<Output = ()> + Send + 'static,
+{
+    async fn drain_accept_queue(&mut self, listener: &mut Listener) {
+        let mut failures = 0;
+        while let Some(accepted) = listener.waiting().await {
+            match accepted {
+                Ok((socket, peer)) => self.admit(socket, peer),
+                Err(_) if failures == QUEUE_FAILURES => break,
+                Err(e) => {
+                    failures += 1;
+                    self.context.registry.accept_failed(e).await;
+                }
+            }
+        }
+    }
+
+    /// Serves a new connection if there is a permit for it, or rejects it.
+    fn admit(&mut self, socket: Socket, peer: SocketAddr) {
+        match self.context.registry.admit(peer.ip()) {
+            Ok(permit) if self.context.identity.is_none() => self.serve_plain(socket, permit),
+            Ok(permit) => self.serve_tls(socket, permit),
+            Err(retry_after) => {
+                self.context.core.metrics.rejected_connections.inc();
+                // A TLS client reads no reply before a handshake, and that costs more than a rejection may.
+                if self.context.identity.is_none() {
+                    let registry = self.context.registry.clone();
+                    let rejection = ConnectionRejection {
+                        protocol: self.protocol,
+                        retry_after,
+                    };
+                    self.tasks
+                        .spawn(async move { registry.reject(socket, rejection).await });
+                }
+            }
+        }
+    }
+
+    fn serve_plain(&mut self, socket: Socket, permit: ConnectionPermit) {
+        let core = self.context.core.clone();
+        core.metrics.connections.inc();
+        let served = (self.serve)(self.context.clone(), socket, permit);
+        self.tasks.spawn(async move {
+            served.await;
+            core.metrics.connections.dec();
+        });
+    }
+
+    fn serve_tls(&mut self, socket: Socket, permit: ConnectionPermit) {
+        let context = self.context.clone();
+        let serve = self.serve.clone();
+        context.core.metrics.connections.inc();
+        self.tasks.spawn(async move {
+            // Boxed, so that an established connection does not hold the memory of its handshake.
+            let handshake = Box::pin(context.complete_handshake(socket)).await;
+            let core = context.core.clone();
+            if let Some(socket) = handshake {
+                serve(context, socket, permit).await;
+            }
+            core.metrics.connections.dec();
+        });
+    }
+}
