--- a/crates/dispatcher/src/net/exchange/resumption.rs
+++ b/crates/dispatcher/src/net/exchange/resumption.rs
@@ -43,10 +43,12 @@
         })
     }
 
+    /// Bytes that the client still lacks.
     pub fn missing_bytes(&self) -> u64 {
         self.end - self.next
     }
 
+    /// The client was sent so many more bytes.
     pub fn add_delivered(&mut self, bytes: u64) {
         self.next += bytes;
     }
--- a/crates/dispatcher/src/net/http_frontend/tests.rs
+++ b/crates/dispatcher/src/net/http_frontend/tests.rs
@@ -9,6 +9,6 @@
     let size = std::mem::size_of_val(&serving);
     println!("{size} bytes");
     assert!(size <= 1024, "{size} bytes");
-    let client = std::mem::size_of::<super::HttpClient>();
+    let client = std::mem::size_of::<super::client::HttpClient>();
     assert!(client <= 320, "{client} bytes");
 }
