--- /dev/null
+++ b/crates/dispatcher/src/core/control_events.rs
@@ -0,0 +1,154 @@
+//! Inputs of the control plane: endpoint lists, purges, endpoints' hellos and leases, and the fleet's size.
+use super::timers::Timer;
+use super::{Core, Output};
+use pointspindle::{EndpointEntry, EndpointId, EndpointState, Event, Micros, ObjectId};
+use pointspindle_config::Role;
+use pointspindle_protocol::{EndpointListHead, HelloHead, LeaseHead, PurgeHead};
+
+/// Longest lease that is accepted: slow start has no longer ones.
+const MAX_LEASE_US: Micros = 60_000_000;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+impl Core {
+    pub(super) fn on_endpoint_list(
+        &mut self,
+        now: Micros,
+        head: EndpointListHead,
+        outputs: &mut Vec<Output>,
+    ) {
+        let update = self.endpoints.apply(now, head);
+        outputs.push(Output::EndpointListApplied(update.change));
+        let Some(event) = update.event else {
+            return;
+        };
+        if let Event::EndpointList { entries, .. } = &event {
+            self.connect_caches(entries, outputs);
+        }
+        self.drive(now, event, outputs);
+        let endpoints = &self.endpoints;
+        self.work_requests
+            .retain(|endpoint| endpoints.address(endpoint).is_some());
+    }
+
+    /// Connects to the ready caches of the own zone before a request is sent there. Otherwise all dispatchers would send
+    /// their first requests to a new cache before its hello and its lease have arrived.
+    fn connect_caches(&self, entries: &[EndpointEntry], outputs: &mut Vec<Output>) {
+        let is_own_cache = |entry: &&EndpointEntry| {
+            entry.state == EndpointState::Ready
+                && entry.zone == self.zone
+                && entry.kind == Role::Cache.kind()
+        };
+        let addresses = entries
+            .iter()
+            .filter(is_own_cache)
+            .filter_map(|entry| self.endpoints.address(entry.id));
+        outputs.extend(addresses.map(|endpoint| Output::Connect { endpoint }));
+    }
+
+    pub(super) fn on_purge(&mut self, now: Micros, head: PurgeHead, outputs: &mut Vec<Output>) {
+        let object = head.object.as_deref().map(ObjectId::named);
+        self.purges.add(now, &head);
+        self.requests
+            .limit_copy_age(head.age_us, |request| match object {
+                Some(object) => request.object == object,
+                None => request.group == head.group,
+            });
+        let event = Event::Purge {
+            object,
+            group: head.group,
+            age: head.age_us,
+        };
+        self.drive(now, event, outputs);
+    }
+
+    pub(super) fn on_updates_missed(&mut self, now: Micros) {
+        self.missed_updates.record(now);
+        self.requests.limit_copy_age(0, |_| true);
+    }
+
+    /// Purges a group whose purges may have been missed, as of the end of the gap.
+    pub(super) fn purge_if_missed(&mut self, now: Micros, group: u64, outputs: &mut Vec<Output>) {
+        let Some(age) = self.missed_updates.claim_purge(now, group) else {
+            return;
+        };
+        let head = PurgeHead {
+            object: None,
+            group,
+            age_us: age,
+            seq: 0,
+        };
+        self.purges.add(now, &head);
+        let event = Event::Purge {
+            object: None,
+            group,
+            age,
+        };
+        self.drive(now, event, outputs);
+    }
+
+    pub(super) fn on_purges_confirmed(&mut self, proven_at: Micros) {
+        if let Some(lease) = &mut self.purge_lease {
+            lease.renew(proven_at);
+        }
+    }
+
+    pub(super) fn on_hello(
+        &mut self,
+        now: Micros,
+        endpoint: &str,
+        hello: &HelloHead,
+        outputs: &mut Vec<Output>,
+    ) {
+        let id = EndpointId::named(endpoint);
+        let change = self.endpoints.apply_hello(now, id, hello);
+        outputs.push(Output::HelloApplied {
+            replaced: change.is_some_and(|change| change.is_replacement),
+        });
+        let Some(change) = change else {
+            return;
+        };
+        let event = Event::Hello {
+            endpoint: id,
+            started_at: change.started_at,
+        };
+        self.drive(now, event, outputs);
+    }
+
+    pub(super) fn on_lease(
+        &mut self,
+        now: Micros,
+        endpoint: &str,
+        lease: &LeaseHead,
+        outputs: &mut Vec<Output>,
+    ) {
+        let endpoint = EndpointId::named(endpoint);
+        self.work_requests
+            .set_on_request(endpoint, lease.on_request);
+        let event = Event::Lease {
+            endpoint,
+            work_s: lease.work_us as f64 / MICROS_PER_SECOND,
+            duration: lease.duration_us.min(MAX_LEASE_US),
+        };
+        self.drive(now, event, outputs);
+        if !lease.in_reply {
+            return;
+        }
+        if let Some(waiting) = self.work_requests.take_next(endpoint) {
+            let timer = Timer::WorkRequest(waiting.request.id.0);
+            self.timers.cancel(waiting.deadline, timer);
+            self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+        }
+    }
+
+    /// Notifies the router of the fleet counts, where they have changed.
+    pub(super) fn update_fleet_counts(&mut self, now: Micros) {
+        if let Some(counts) = self.fleet.refresh(now, &mut self.timers) {
+            self.router.set_fleet_position(
+                counts.in_zone,
+                counts.total,
+                counts.index,
+                counts.takes_warm_up_budget,
+            );
+        }
+    }
+}
--- a/crates/dispatcher/src/core/endpoint_list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The member list in force: numbers, addresses, and when each process started by this dispatcher's clock.
+//! The endpoint list in force: ids, addresses, and when each endpoint's process started by this dispatcher's clock.
 use pointspindle::*;
 use pointspindle_config::Role;
 use pointspindle_protocol::{
@@ -6,67 +6,86 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lines of gone members are dropped after this: a member back sooner in the same start must keep the same
+/// Slots of removed endpoints are retained this long: an endpoint that returns in the same incarnation must keep its
 /// starting time, or the router would take it for another process.
-const KEEP_GONE: Micros = 60_000_000;
+const REMOVED_ENDPOINT_RETENTION_US: Micros = 60_000_000;
 
-/// What became of an update.
+/// The effect of a list update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointListChange {
-    /// Number of the list in force.
+    /// Sequence number of the list in force.
     pub seq: u64,
-    /// Why the whole list is needed; none: nothing is missing.
+    /// Why the full list is needed; none: nothing is missing.
     pub resync_reason: Option<String>,
-    /// Lines that could not be read, with the reason.
+    /// Records that were not usable, with the reason.
     pub rejected_records: Vec<String>,
 }
 
-/// What became of a hello.
+/// A list update with the router's part of it.
+pub(super) struct AppliedUpdate {
+    /// None: the update was outdated.
+    pub event: Option<Event>,
+    pub change: EndpointListChange,
+}
+
+/// The effect of an endpoint's hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hello {
-    /// By this dispatcher's clock; 0: long ago.
-    pub started: Micros,
+pub(super) struct IncarnationChange {
+    /// When the process started, by this dispatcher's clock; 0: long ago.
+    pub started_at: Micros,
     /// Another process was there before.
-    pub replaced: bool,
+    pub is_replacement: bool,
 }
 
 #[derive(Debug)]
-struct Line {
-    line: EndpointRecord,
-    /// By this dispatcher's clock; 0: long ago.
-    started: Micros,
-    gone: Option<Micros>,
-    /// Its process by its own word, when that started, and when it was last heard.
-    process: Option<Process>,
+struct EndpointSlot {
+    record: EndpointRecord,
+    /// When the listed process started, by this dispatcher's clock; 0: long ago.
+    started_at: Micros,
+    /// Since when it is no longer listed.
+    removed_at: Option<Micros>,
+    /// The process by its own hello, if it has sent one.
+    incarnation: Option<Incarnation>,
+}
+
+impl EndpointSlot {
+    fn is_listed(&self) -> bool {
+        self.removed_at.is_none()
+    }
 }
 
+/// A process, as it announced itself.
 #[derive(Clone, Copy, Debug)]
-struct Process {
-    identity: u64,
-    /// 0: long ago.
-    started: Micros,
-    heard: Micros,
+struct Incarnation {
+    id: u64,
+    /// By this dispatcher's clock; 0: long ago.
+    started_at: Micros,
+    last_seen: Micros,
 }
 
+/// Endpoints by id.
+///
+/// Invariant: `seq <= newest_seq`, and they differ only while an update is missing. Bound: one slot for each listed
+/// endpoint, and for each one removed within [`REMOVED_ENDPOINT_RETENTION_US`] before the latest update.
 #[derive(Debug)]
-pub struct EndpointList {
+pub(super) struct EndpointList {
     zones: Vec<String>,
-    /// Names are ids, not addresses.
-    by_id: bool,
-    lines: BTreeMap<EndpointId, Line>,
-    /// The last number up to which nothing is missing, and the newest seen.
+    /// Names are ids and need not be socket addresses.
+    names_are_ids: bool,
+    slots: BTreeMap<EndpointId, EndpointSlot>,
+    /// The latest sequence number up to which no update is missing.
     seq: u64,
-    newest: u64,
+    newest_seq: u64,
 }
 
 impl EndpointList {
-    pub fn new(zones: &[String], by_id: bool) -> Self {
+    pub fn new(zones: &[String], names_are_ids: bool) -> Self {
         Self {
-            by_id,
+            names_are_ids,
             zones: zones.to_vec(),
-            lines: BTreeMap::new(),
+            slots: BTreeMap::new(),
             seq: 0,
-            newest: 0,
+            newest_seq: 0,
         }
     }
 
@@ -74,194 +93,215 @@
         self.seq
     }
 
-    /// Where to send to; none for a member that is gone or was never listed.
+    /// Address of a listed endpoint.
     pub fn address(&self, id: EndpointId) -> Option<String> {
-        self.lines
+        self.slots
             .get(&id)
-            .filter(|l| l.gone.is_none())
-            .map(|l| l.line.address.clone())
+            .filter(|slot| slot.is_listed())
+            .map(|slot| slot.record.address.clone())
     }
 
-    /// Whether anything may be sent there, or filled from there.
+    /// Whether requests may be sent to the endpoint, or fills made from it.
     pub fn is_ready(&self, id: EndpointId) -> bool {
-        self.lines
+        self.slots
             .get(&id)
-            .is_some_and(|l| l.gone.is_none() && l.line.state() == WireEndpointState::Ready)
+            .is_some_and(|slot| slot.is_listed() && slot.record.state() == WireEndpointState::Ready)
     }
 
-    /// Judges an update. One of the past is left out; of one after a gap every line is newer than what is
-    /// known, so all are taken (a drain must not wait for the list), but the whole list stays wanted.
-    pub fn take(
-        &mut self,
-        now: Micros,
-        head: EndpointListHead,
-    ) -> (Option<Event>, EndpointListChange) {
-        let update = match head.form() {
-            EndpointListForm::Full => ListUpdate::Full,
-            EndpointListForm::Cached => ListUpdate::Cached,
-            EndpointListForm::Failed => ListUpdate::Failed,
-            EndpointListForm::Delta | EndpointListForm::Unspecified => ListUpdate::Delta,
-        };
-        let mut bad = Vec::new();
-        let mut wanted = None;
-        match update {
-            ListUpdate::Full | ListUpdate::Cached => (self.seq, self.newest) = (head.seq, head.seq),
-            ListUpdate::Failed => {
-                let event = Event::EndpointList {
-                    update,
-                    entries: Vec::new(),
-                };
-                return (
-                    Some(event),
-                    EndpointListChange {
-                        seq: self.seq,
-                        resync_reason: wanted,
-                        rejected_records: bad,
-                    },
-                );
-            }
-            ListUpdate::Delta if head.seq <= self.newest => {
-                return (
-                    None,
-                    EndpointListChange {
-                        seq: self.seq,
-                        resync_reason: wanted,
-                        rejected_records: bad,
-                    },
-                );
-            }
-            ListUpdate::Delta => {
-                self.newest = head.seq;
-                if head.seq == self.seq + 1 {
-                    self.seq = head.seq;
-                } else {
-                    wanted = Some(format!("delta {} came after list {}", head.seq, self.seq));
-                }
-            }
+    /// Applies an update. An outdated delta is ignored. After a gap the records of a delta are still newer than what is
+    /// known, so they are applied (a drain must not wait for the full list), and the full list is requested.
+    pub fn apply(&mut self, now: Micros, head: EndpointListHead) -> AppliedUpdate {
+        let update = list_update(head.form());
+        if update == ListUpdate::Delta && head.seq <= self.newest_seq {
+            return AppliedUpdate {
+                event: None,
+                change: self.change(None, Vec::new()),
+            };
         }
+        if update == ListUpdate::Failed {
+            let entries = Vec::new();
+            return AppliedUpdate {
+                event: Some(Event::EndpointList { update, entries }),
+                change: self.change(None, Vec::new()),
+            };
+        }
+        let resync_reason = self.advance_sequence(update == ListUpdate::Delta, head.seq);
         let mut entries = Vec::new();
-        for line in head.endpoints {
-            match self.entry(now, &line) {
+        let mut rejected_records = Vec::new();
+        for record in head.endpoints {
+            match self.entry(now, &record) {
                 Ok(entry) => {
-                    let (started, gone) = (
-                        entry.started_at,
-                        (entry.state == EndpointState::Gone).then_some(now),
-                    );
-                    let process = self.lines.get(&entry.id).and_then(|l| l.process);
-                    self.lines.insert(
-                        entry.id,
-                        Line {
-                            line,
-                            started,
-                            gone,
-                            process,
-                        },
-                    );
+                    self.store(now, &entry, record);
                     entries.push(entry);
                 }
-                Err(reason) => bad.push(format!("{}: {reason}", line.address)),
+                Err(reason) => rejected_records.push(format!("{}: {reason}", record.address)),
             }
         }
         if update != ListUpdate::Delta {
-            let listed: BTreeSet<EndpointId> = entries.iter().map(|e| e.id).collect();
-            for (id, line) in &mut self.lines {
-                if !listed.contains(id) {
-                    line.gone.get_or_insert(now);
-                }
+            self.remove_unlisted(now, &entries);
+        }
+        self.forget_removed(now);
+        AppliedUpdate {
+            event: Some(Event::EndpointList { update, entries }),
+            change: self.change(resync_reason, rejected_records),
+        }
+    }
+
+    fn change(
+        &self,
+        resync_reason: Option<String>,
+        rejected_records: Vec<String>,
+    ) -> EndpointListChange {
+        EndpointListChange {
+            seq: self.seq,
+            resync_reason,
+            rejected_records,
+        }
+    }
+
+    /// Moves on to an update's sequence number; why the full list is needed, if an update before it is missing.
+    fn advance_sequence(&mut self, is_delta: bool, seq: u64) -> Option<String> {
+        self.newest_seq = seq;
+        if is_delta && seq != self.seq + 1 {
+            return Some(format!("delta {seq} came after list {}", self.seq));
+        }
+        self.seq = seq;
+        None
+    }
+
+    fn store(&mut self, now: Micros, entry: &EndpointEntry, record: EndpointRecord) {
+        let incarnation = self.slots.get(&entry.id).and_then(|slot| slot.incarnation);
+        let slot = EndpointSlot {
+            record,
+            started_at: entry.started_at,
+            removed_at: (entry.state == EndpointState::Gone).then_some(now),
+            incarnation,
+        };
+        self.slots.insert(entry.id, slot);
+    }
+
+    /// Marks all endpoints as removed that a full list does not contain.
+    fn remove_unlisted(&mut self, now: Micros, entries: &[EndpointEntry]) {
+        let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
+        for (id, slot) in &mut self.slots {
+            if !listed.contains(id) {
+                slot.removed_at.get_or_insert(now);
             }
         }
-        self.lines
-            .retain(|_, l| l.gone.is_none_or(|at| now < at + KEEP_GONE));
-        (
-            Some(Event::EndpointList { update, entries }),
-            EndpointListChange {
-                seq: self.seq,
-                resync_reason: wanted,
-                rejected_records: bad,
-            },
-        )
     }
 
-    /// A member's word of its process; when that started by this clock, or none for who is not listed.
+    fn forget_removed(&mut self, now: Micros) {
+        self.slots.retain(|_, slot| {
+            slot.removed_at
+                .is_none_or(|at| now < at + REMOVED_ENDPOINT_RETENTION_US)
+        });
+    }
+
+    /// Applies an endpoint's hello; none for an endpoint that is not listed.
     ///
-    /// The same process keeps the moment that it was first given: told ages jitter. Another one in its place cannot
-    /// have begun before the old one was last heard, whatever its clock says.
-    pub fn hello(&mut self, now: Micros, id: EndpointId, hello: &HelloHead) -> Option<Hello> {
-        let line = self.lines.get_mut(&id).filter(|l| l.gone.is_none())?;
-        let before = line.process;
-        let told = hello
-            .started_ago_us
-            .map_or(0, |ago| now.saturating_sub(ago).max(1));
-        let started = match before {
-            Some(p) if p.identity == hello.incarnation => p.started,
-            Some(p) => told.max(p.heard),
-            None => told,
+    /// The same process keeps the starting time that was computed first, since reported ages jitter. Another process cannot
+    /// have started before the previous one was last seen, whatever its clock says.
+    pub fn apply_hello(
+        &mut self,
+        now: Micros,
+        id: EndpointId,
+        hello: &HelloHead,
+    ) -> Option<IncarnationChange> {
+        let slot = self.slots.get_mut(&id).filter(|slot| slot.is_listed())?;
+        let previous = slot.incarnation;
+        let reported = moment_of(now, hello.started_ago_us);
+        let started_at = match previous {
+            Some(process) if process.id == hello.incarnation => process.started_at,
+            Some(process) => reported.max(process.last_seen),
+            None => reported,
         };
-        line.process = Some(Process {
-            identity: hello.incarnation,
-            started,
-            heard: now,
+        slot.incarnation = Some(Incarnation {
+            id: hello.incarnation,
+            started_at,
+            last_seen: now,
         });
-        Some(Hello {
-            started,
-            replaced: before.is_some_and(|p| p.identity != hello.incarnation),
+        Some(IncarnationChange {
+            started_at,
+            is_replacement: previous.is_some_and(|process| process.id != hello.incarnation),
         })
     }
 
-    /// Word from a member: its process still runs.
-    pub fn heard(&mut self, now: Micros, id: EndpointId) {
-        if let Some(process) = self.lines.get_mut(&id).and_then(|l| l.process.as_mut()) {
-            process.heard = now;
+    /// A response of the endpoint has arrived: its process is still running.
+    pub fn mark_seen(&mut self, now: Micros, id: EndpointId) {
+        let slot = self.slots.get_mut(&id);
+        if let Some(process) = slot.and_then(|slot| slot.incarnation.as_mut()) {
+            process.last_seen = now;
         }
     }
 
-    fn entry(&self, now: Micros, line: &EndpointRecord) -> Result<EndpointEntry, String> {
-        let id = EndpointId::named(&line.address);
-        if !self.by_id && line.address.parse::<std::net::SocketAddr>().is_err() {
+    /// Translates a record for the router; why not, if it is unusable.
+    fn entry(&self, now: Micros, record: &EndpointRecord) -> Result<EndpointEntry, String> {
+        let id = EndpointId::named(&record.address);
+        if !self.names_are_ids && record.address.parse::<std::net::SocketAddr>().is_err() {
             return Err("not an address and port".into());
         }
-        let zone = self.zones.iter().position(|z| *z == line.zone);
-        let role =
-            Role::from_name(&line.kind).ok_or_else(|| format!("unknown kind {:?}", line.kind))?;
-        let state = match line.state() {
+        let zone = self.zones.iter().position(|zone| *zone == record.zone);
+        let role = Role::from_name(&record.kind)
+            .ok_or_else(|| format!("unknown kind {:?}", record.kind))?;
+        let state = match record.state() {
             WireEndpointState::Ready => EndpointState::Ready,
             WireEndpointState::Draining => EndpointState::Draining,
             WireEndpointState::Gone => EndpointState::Gone,
             WireEndpointState::Unspecified => return Err("no state".into()),
         };
-        // The same start keeps the moment that it was first given: told ages jitter.
-        let known = self
-            .lines
-            .get(&id)
-            .filter(|l| l.line.incarnation == line.incarnation);
-        let started = match (known, line.started_ago_us) {
-            (Some(known), _) => known.started,
-            (None, Some(ago)) => now.saturating_sub(ago).max(1),
-            (None, None) => 0,
-        };
         Ok(EndpointEntry {
             id,
             state,
-            weight: line.weight,
-            // A zone that is not in the settings is nobody's here: its caches are not used, parents are.
+            weight: record.weight,
+            // A zone that is not in the settings is no dispatcher's here: its caches are not used, its parents are.
             zone: zone.unwrap_or(self.zones.len()),
             kind: role.kind(),
-            cell: line.cell,
-            started_at: started,
+            cell: record.cell,
+            started_at: self.started_at(now, id, record),
         })
     }
 
-    /// The whole list in force, as it would be told now.
-    pub fn whole(&self, now: Micros) -> EndpointListHead {
-        let listed = self.lines.values().filter(|l| l.gone.is_none());
-        let line = |l: &Line| EndpointRecord {
-            started_ago_us: (l.started > 0).then(|| now.saturating_sub(l.started)),
-            ..l.line.clone()
+    /// The same incarnation keeps the starting time that was computed first, since reported ages jitter.
+    fn started_at(&self, now: Micros, id: EndpointId, record: &EndpointRecord) -> Micros {
+        self.slots
+            .get(&id)
+            .filter(|slot| slot.record.incarnation == record.incarnation)
+            .map_or_else(
+                || moment_of(now, record.started_ago_us),
+                |slot| slot.started_at,
+            )
+    }
+
+    /// Number of listed endpoints.
+    pub fn listed_count(&self) -> usize {
+        self.slots.values().filter(|slot| slot.is_listed()).count()
+    }
+
+    /// The list in force as a full list, with ages as of now.
+    pub fn to_full_list(&self, now: Micros) -> EndpointListHead {
+        let record = |slot: &EndpointSlot| EndpointRecord {
+            started_ago_us: (slot.started_at > 0).then(|| now.saturating_sub(slot.started_at)),
+            ..slot.record.clone()
         };
+        let listed = self.slots.values().filter(|slot| slot.is_listed());
         EndpointListHead {
             form: EndpointListForm::Full as i32,
             seq: self.seq,
-            endpoints: listed.map(line).collect(),
+            endpoints: listed.map(record).collect(),
         }
     }
 }
+
+/// The moment of an age, by this dispatcher's clock; 0: long ago.
+fn moment_of(now: Micros, ago: Option<Micros>) -> Micros {
+    ago.map_or(0, |ago| now.saturating_sub(ago).max(1))
+}
+
+fn list_update(form: EndpointListForm) -> ListUpdate {
+    match form {
+        EndpointListForm::Full => ListUpdate::Full,
+        EndpointListForm::Cached => ListUpdate::Cached,
+        EndpointListForm::Failed => ListUpdate::Failed,
+        EndpointListForm::Delta | EndpointListForm::Unspecified => ListUpdate::Delta,
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/core/input.rs
@@ -0,0 +1,116 @@
+//! Events that the shell reports to the core.
+use crate::dispatcher_registry::Roster;
+use pointspindle::Micros;
+use pointspindle_protocol::{
+    EndpointListHead, HelloHead, LeaseHead, PurgeHead, WireCacheStatus, WireStatus,
+};
+
+/// A client's request as decoded by a frontend.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ClientRequest {
+    /// Index of the request's class in the settings.
+    pub class: usize,
+    /// Name of the requested object.
+    pub object: String,
+    /// Part of the object, for objects that are stored in parts.
+    pub part: u64,
+    /// Purge group of the object.
+    pub group: u64,
+    /// Remaining time until the client's deadline.
+    pub time_left: Micros,
+    /// Size of the response in bytes, where it is known in advance.
+    pub size: Option<u64>,
+}
+
+/// How an attempt ended, as observed by the shell.
+#[derive(Clone, Debug, PartialEq)]
+pub enum AttemptEnd {
+    /// The complete response was received.
+    Complete,
+    /// The endpoint reported an error.
+    ErrorReported {
+        /// Status of the error frame.
+        status: WireStatus,
+        /// What the endpoint's cache did.
+        cache_status: WireCacheStatus,
+        /// Whether the request may have been executed.
+        may_have_run: bool,
+    },
+    /// No connection could be made; nothing was sent.
+    ConnectFailed,
+    /// Nothing was sent: the connection had no free stream, or [`Core::begin`](super::Core::begin) denied the attempt.
+    NotSent,
+    /// The connection broke; the request may have been executed.
+    Broken,
+}
+
+/// An event for [`Core::handle`](super::Core::handle).
+#[derive(Clone, Debug, PartialEq)]
+pub enum Input {
+    /// A new request. The shell chooses its number and never uses one twice.
+    Request(u64, ClientRequest),
+    /// The response head of an attempt has arrived; nothing of the response has been forwarded yet.
+    ResponseStarted {
+        /// Number of the request.
+        request: u64,
+        /// Number of the attempt within the request.
+        attempt: u32,
+        /// What the endpoint's cache did.
+        cache_status: WireCacheStatus,
+        /// Size of the response in bytes, where the head states it.
+        size: Option<u64>,
+    },
+    /// An attempt is over.
+    AttemptEnded {
+        /// Number of the request.
+        request: u64,
+        /// Number of the attempt within the request.
+        attempt: u32,
+        /// How the attempt ended.
+        end: AttemptEnd,
+    },
+    /// The client has disconnected, or its response ended with an error on the client's side.
+    ClientDisconnected(u64),
+    /// The process terminates: every request whose response is not being forwarded yet gets its final response now.
+    FinishAll,
+    /// A full endpoint list or a delta.
+    EndpointList(EndpointListHead),
+    /// An object or a group was purged.
+    Purge(PurgeHead),
+    /// An endpoint's first message on a connection: which process it is. It precedes everything else of that connection.
+    /// Where [`Output::HelloApplied`](super::Output::HelloApplied) reports a replaced process, the shell ends whatever still
+    /// waits to be sent on the connection with [`AttemptEnd::NotSent`]: it was meant for the previous process.
+    Hello {
+        /// Address or id of the endpoint.
+        endpoint: String,
+        /// The endpoint's message.
+        hello: HelloHead,
+    },
+    /// The work that an endpoint in slow start grants to this dispatcher.
+    Lease {
+        /// Address or id of the endpoint.
+        endpoint: String,
+        /// The granted work.
+        lease: LeaseHead,
+    },
+    /// An unknown set of purges may have been missed: every copy from before now counts as purged.
+    UpdatesMissed,
+    /// The set of registered dispatchers.
+    Roster(Roster),
+    /// This dispatcher's registration was renewed.
+    RegistrationRenewed {
+        /// Time since the renewal.
+        ago: Micros,
+        /// Duration of the registration's lease, from the renewal on.
+        duration: Micros,
+    },
+    /// Whether endpoint lists, purges and the roster are as current as they should be.
+    SourceFreshness(bool),
+    /// All purges that were acknowledged up to a moment are in force here.
+    PurgesConfirmed {
+        /// Time since that moment.
+        ago: Micros,
+    },
+    /// Time has passed.
+    Tick,
+}
--- a/crates/dispatcher/src/core/purge_lease.rs
+++ b/crates/dispatcher/src/core/purge_lease.rs
@@ -1,47 +1,49 @@
-//! The promise that a purge is in force within a time of its write's acknowledgement, kept by whoever cannot know of it.
+//! The promise that a purge is in force within a given time after its write was acknowledged, also where this dispatcher
+//! cannot know of it.
 //!
-//! A source proves now and then that all purges which were acknowledged before some moment are in force here. The proof is a lease: for
-//! half of the promised time from that moment copies are used as ever. Without one, none is used that is older than the other half:
-//! whatever a purge could have struck is renewed at its source. So, of a purge acknowledged at t and any moment from t + promise on:
-//! with a proof the proof began after t, so the purge is known; without one a copy that is used was made after t.
-//!
-//! Kept: one moment. Owed at the end of a lease: nothing; attempts that began under it end as they would.
+//! From time to time the control source proves that all purges acknowledged before some moment are in force here. The proof
+//! is a lease: for half of the promised time from that moment copies are used without restriction. Without a lease no copy
+//! older than the other half is used, so whatever a purge could have affected is revalidated at its source. Therefore, for a
+//! purge acknowledged at t and any moment from t + promise on: with a lease its proof is from after t, so the purge is
+//! known; without one a copy that is used was made after t.
 use pointspindle::Micros;
 use pointspindle_config::DispatcherSettings;
 
+/// The purge lease. Bound: one moment. Nothing is owed when it expires: attempts that began under it end as they would.
 #[derive(Debug)]
-pub struct Hold {
+pub(super) struct PurgeLease {
     /// Half of the promised time.
-    half: Micros,
-    /// All purges acknowledged before this are in force here; none: nothing is proven yet.
-    proven: Option<Micros>,
-    /// By class: the operator's word that older copies are served all the same.
-    exempt: Vec<bool>,
+    duration: Micros,
+    /// All purges acknowledged before this moment are in force here; none: nothing is proven yet.
+    proven_at: Option<Micros>,
+    /// By class: older copies are served without a lease too.
+    exempt_classes: Vec<bool>,
 }
 
-impl Hold {
-    /// None: nothing is promised.
-    pub fn of(settings: &DispatcherSettings) -> Option<Self> {
-        let within = settings.etcd.as_ref().map_or(0, |e| e.purge_within_us);
-        let exempt = settings.classes.iter().map(|c| c.purge_exempt).collect();
-        (within > 0).then_some(Self {
-            half: within / 2,
-            proven: None,
-            exempt,
+impl PurgeLease {
+    /// None: the settings promise nothing.
+    pub fn from_settings(settings: &DispatcherSettings) -> Option<Self> {
+        let promised = settings.etcd.as_ref().map_or(0, |e| e.purge_within_us);
+        let exempt_classes = settings.classes.iter().map(|c| c.purge_exempt).collect();
+        (promised > 0).then_some(Self {
+            duration: promised / 2,
+            proven_at: None,
+            exempt_classes,
         })
     }
 
-    pub fn proven(&mut self, at: Micros) {
-        self.proven = self.proven.max(Some(at));
+    /// All purges acknowledged before `proven_at` are in force.
+    pub fn renew(&mut self, proven_at: Micros) {
+        self.proven_at = self.proven_at.max(Some(proven_at));
     }
 
-    pub fn is_proven(&self, now: Micros) -> bool {
-        self.proven.is_some_and(|at| now < at + self.half)
+    pub fn is_valid(&self, now: Micros) -> bool {
+        self.proven_at.is_some_and(|at| now < at + self.duration)
     }
 
-    /// The oldest copy that may be used now; none: any.
-    pub fn limit(&self, now: Micros, class: usize) -> Option<Micros> {
-        let held = !self.is_proven(now) && !self.exempt.get(class).copied().unwrap_or(false);
-        held.then_some(self.half)
+    /// Age of the oldest copy that may be used now; none: no limit.
+    pub fn max_copy_age(&self, now: Micros, class: usize) -> Option<Micros> {
+        let is_exempt = self.exempt_classes.get(class).copied().unwrap_or(false);
+        (!is_exempt && !self.is_valid(now)).then_some(self.duration)
     }
 }
--- a/crates/dispatcher/src/core/purge_log.rs
+++ b/crates/dispatcher/src/core/purge_log.rs
@@ -1,71 +1,76 @@
-//! Purges that copies may still be older than, for the state file. What they do to requests is the router's.
+//! Purges that copies may still be older than, for the state file. The router applies purges to requests.
 use pointspindle::Micros;
 use pointspindle_protocol::PurgeHead;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Purges kept one by one; beyond this they are kept by group, which purges more but never less.
-const MOST: usize = 16 * 1024;
-/// Kept this much longer than told, for clocks and restarts.
-const MARGIN: Micros = 1_000_000;
+/// Purges that are recorded one by one. Beyond this they are merged by group, which purges more but never less.
+const MAX_PURGES: usize = 16 * 1024;
+/// Added to the purge horizon, for clocks and restarts.
+const RETENTION_MARGIN_US: Micros = 1_000_000;
 
 #[derive(Debug)]
 struct Purge {
     at: Micros,
+    /// None: all objects of the group.
     object: Option<String>,
     group: u64,
 }
 
+/// Recent purges. Bound: [`MAX_PURGES`], or one for each group if there are more groups. A purge is forgotten when no copy
+/// from before it can be left.
 #[derive(Debug)]
-pub struct PurgeLog {
-    keep: Micros,
+pub(super) struct PurgeLog {
+    retention: Micros,
     purges: VecDeque<Purge>,
 }
 
 impl PurgeLog {
-    pub fn new(purge_done: Micros) -> Self {
+    pub fn new(purge_horizon: Micros) -> Self {
         Self {
-            keep: purge_done + MARGIN,
+            retention: purge_horizon + RETENTION_MARGIN_US,
             purges: VecDeque::new(),
         }
     }
 
     pub fn add(&mut self, now: Micros, head: &PurgeHead) {
-        self.forget(now);
-        let at = now.saturating_sub(head.age_us);
+        self.remove_expired(now);
         self.purges.push_back(Purge {
-            at,
+            at: now.saturating_sub(head.age_us),
             object: head.object.clone(),
             group: head.group,
         });
-        if self.purges.len() > MOST {
-            let mut groups: BTreeMap<u64, Micros> = BTreeMap::new();
-            for purge in &self.purges {
-                let newest = groups.entry(purge.group).or_default();
-                *newest = purge.at.max(*newest);
-            }
-            self.purges = groups
-                .into_iter()
-                .map(|(group, at)| Purge {
-                    at,
-                    object: None,
-                    group,
-                })
-                .collect();
+        if self.purges.len() > MAX_PURGES {
+            self.merge_by_group();
+        }
+    }
+
+    /// Replaces the purges of each group by one of the whole group, as of the newest.
+    fn merge_by_group(&mut self) {
+        let mut groups: BTreeMap<u64, Micros> = BTreeMap::new();
+        for purge in &self.purges {
+            let newest = groups.entry(purge.group).or_default();
+            *newest = purge.at.max(*newest);
         }
+        let of_group = |(group, at)| Purge {
+            at,
+            object: None,
+            group,
+        };
+        self.purges = groups.into_iter().map(of_group).collect();
     }
 
-    fn forget(&mut self, now: Micros) {
-        let keep = self.keep;
-        self.purges.retain(|p| now < p.at + keep);
+    fn remove_expired(&mut self, now: Micros) {
+        let retention = self.retention;
+        self.purges.retain(|purge| now < purge.at + retention);
     }
 
-    /// Those that still matter, with their age.
+    /// The purges that still matter, with their age.
     pub fn recent(&mut self, now: Micros) -> Vec<PurgeHead> {
-        self.forget(now);
-        let head = |p: &Purge| PurgeHead {
-            object: p.object.clone(),
-            group: p.group,
-            age_us: now.saturating_sub(p.at),
+        self.remove_expired(now);
+        let head = |purge: &Purge| PurgeHead {
+            object: purge.object.clone(),
+            group: purge.group,
+            age_us: now.saturating_sub(purge.at),
             seq: 0,
         };
         self.purges.iter().map(head).collect()
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -1,5 +1,5 @@
-//! What a dispatcher keeps over a restart, and the form of its file: one line (magic, version, checksum, length)
-//! and a JSON text. A file that is torn or not ours is told from one that is absent, and never half believed.
+//! The state that survives a restart, and the format of its file: one line (magic, version, checksum, length) and a JSON
+//! text. A damaged or foreign file is distinguished from an absent one, and never read in part.
 use pointspindle_clock::BootMoment;
 use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead};
 use serde::{Deserialize, Serialize};
@@ -7,7 +7,9 @@
 
 const MAGIC: &str = "pointspindle-state";
 const VERSION: u32 = 1;
-/// A longer file is not ours: a list frame is shorter than this.
+/// Bytes within which the first line must end.
+const MAX_HEADER_BYTES: usize = 128;
+/// A longer file was not written by this program: an endpoint list's frame is shorter.
 pub const MAX_FILE: u64 = 32 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -18,17 +20,73 @@
     zone: String,
     kind: String,
     cell: u64,
-    start: u64,
+    #[serde(rename = "start")]
+    incarnation: u64,
     started_ago_us: Option<u64>,
 }
 
+impl From<EndpointRecord> for StoredEndpoint {
+    fn from(record: EndpointRecord) -> Self {
+        Self {
+            address: record.address,
+            state: record.state,
+            weight: record.weight,
+            zone: record.zone,
+            kind: record.kind,
+            cell: record.cell,
+            incarnation: record.incarnation,
+            started_ago_us: record.started_ago_us,
+        }
+    }
+}
+
+impl StoredEndpoint {
+    /// The record with its age grown by `elapsed_us`.
+    fn restore(&self, elapsed_us: u64) -> EndpointRecord {
+        EndpointRecord {
+            address: self.address.clone(),
+            state: self.state,
+            weight: self.weight,
+            zone: self.zone.clone(),
+            kind: self.kind.clone(),
+            cell: self.cell,
+            incarnation: self.incarnation,
+            started_ago_us: self
+                .started_ago_us
+                .map(|ago| ago.saturating_add(elapsed_us)),
+        }
+    }
+}
+
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct KeptPurge {
+struct StoredPurge {
     object: Option<String>,
     group: u64,
     age_us: u64,
 }
 
+impl From<PurgeHead> for StoredPurge {
+    fn from(purge: PurgeHead) -> Self {
+        Self {
+            object: purge.object,
+            group: purge.group,
+            age_us: purge.age_us,
+        }
+    }
+}
+
+impl StoredPurge {
+    /// The purge with its age grown by `elapsed_us`.
+    fn restore(&self, elapsed_us: u64) -> PurgeHead {
+        PurgeHead {
+            object: self.object.clone(),
+            group: self.group,
+            age_us: self.age_us.saturating_add(elapsed_us),
+            seq: 0,
+        }
+    }
+}
+
 /// A moment within one boot of the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct SavedAt {
@@ -36,83 +94,99 @@
     since_boot_us: u64,
 }
 
-/// The list in force and the recent purges, at a moment.
+impl SavedAt {
+    fn new(moment: &BootMoment) -> Self {
+        Self {
+            boot: moment.boot.clone(),
+            since_boot_us: moment.since.as_micros() as u64,
+        }
+    }
+
+    /// Time until `now`; none across a reboot.
+    fn elapsed_us(&self, now: &BootMoment) -> Option<u64> {
+        let saved = BootMoment {
+            boot: self.boot.clone(),
+            since: Duration::from_micros(self.since_boot_us),
+        };
+        let elapsed = saved.until(now)?;
+        Some(elapsed.as_micros() as u64)
+    }
+}
+
+/// The endpoint list in force and the recent purges, at a moment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Wall clock at which ages were right, milliseconds since 1970: for people, and for programs of before the next field.
+    /// Wall clock of the moment, in milliseconds since 1970: for operators, and for older programs that do not know `saved`.
     saved_unix_ms: u64,
-    /// The same moment by the machine's clock since its boot, which no step moves.
+    /// The same moment by the clock since the machine's boot, which is never stepped.
     #[serde(default)]
     saved: Option<SavedAt>,
     seq: u64,
     #[serde(rename = "members")]
     endpoints: Vec<StoredEndpoint>,
-    purges: Vec<KeptPurge>,
+    purges: Vec<StoredPurge>,
+}
+
+/// A snapshot's content with ages as of its restoration.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RestoredState {
+    /// The endpoint list, marked as cached.
+    pub endpoint_list: EndpointListHead,
+    /// The purges that were recent when the snapshot was taken.
+    pub purges: Vec<PurgeHead>,
 }
 
+/// Why a state file is unusable.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum StateError {
+    /// The file does not begin with a state file's first line.
     #[error("not a state file of this program")]
     Foreign,
+    /// The file has another format version.
     #[error("state file of version {0}; this program writes {VERSION}")]
     Version(u32),
+    /// The file is truncated or damaged.
     #[error("torn: {0}")]
     Torn(String),
 }
 
 impl Snapshot {
+    /// A snapshot of a list and purges whose ages are as of now.
     pub fn new(list: EndpointListHead, purges: Vec<PurgeHead>) -> Self {
-        let endpoint = |m: EndpointRecord| StoredEndpoint {
-            address: m.address,
-            state: m.state,
-            weight: m.weight,
-            zone: m.zone,
-            kind: m.kind,
-            cell: m.cell,
-            start: m.incarnation,
-            started_ago_us: m.started_ago_us,
-        };
-        let purge = |p: PurgeHead| KeptPurge {
-            object: p.object,
-            group: p.group,
-            age_us: p.age_us,
-        };
         Self {
             saved_unix_ms: 0,
             saved: None,
             seq: list.seq,
-            endpoints: list.endpoints.into_iter().map(endpoint).collect(),
-            purges: purges.into_iter().map(purge).collect(),
+            endpoints: list.endpoints.into_iter().map(Into::into).collect(),
+            purges: purges.into_iter().map(Into::into).collect(),
         }
     }
 
-    /// The file's bytes, with both clocks of now.
+    /// The file's content, stamped with both clocks.
     pub fn to_bytes(&self, unix_ms: u64, now: Option<&BootMoment>) -> Vec<u8> {
-        let saved = now.map(|now| SavedAt {
-            boot: now.boot.clone(),
-            since_boot_us: now.since.as_micros() as u64,
-        });
         let stamped = Self {
             saved_unix_ms: unix_ms,
-            saved,
+            saved: now.map(SavedAt::new),
             ..self.clone()
         };
         let text = serde_json::to_vec(&stamped).expect("plain data is always JSON");
-        let sum = crc32fast::hash(&text);
-        let mut out = format!("{MAGIC} {VERSION} {sum:08x} {}\n", text.len()).into_bytes();
-        out.extend(text);
-        out
+        let checksum = crc32fast::hash(&text);
+        let header = format!("{MAGIC} {VERSION} {checksum:08x} {}\n", text.len());
+        let mut bytes = header.into_bytes();
+        bytes.extend(text);
+        bytes
     }
 
+    /// Parses a file's content.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
-        let line_end = bytes
+        let header_end = bytes
             .iter()
-            .take(128)
-            .position(|b| *b == b'\n')
+            .take(MAX_HEADER_BYTES)
+            .position(|byte| *byte == b'\n')
             .ok_or(StateError::Foreign)?;
-        let line = std::str::from_utf8(&bytes[..line_end]).map_err(|_| StateError::Foreign)?;
-        let words: Vec<&str> = line.split(' ').collect();
-        let [MAGIC, version, sum, len] = words[..] else {
+        let header = std::str::from_utf8(&bytes[..header_end]).map_err(|_| StateError::Foreign)?;
+        let fields: Vec<&str> = header.split(' ').collect();
+        let [MAGIC, version, checksum, length] = fields[..] else {
             return Err(StateError::Foreign);
         };
         match version.parse() {
@@ -120,56 +194,33 @@
             Ok(other) => return Err(StateError::Version(other)),
             Err(_) => return Err(StateError::Foreign),
         }
-        let text = &bytes[line_end + 1..];
-        if len.parse() != Ok(text.len()) {
-            return Err(StateError::Torn(format!(
-                "{} bytes, {len} were written",
-                text.len()
-            )));
+        let text = &bytes[header_end + 1..];
+        if length.parse() != Ok(text.len()) {
+            let reason = format!("{} bytes, {length} were written", text.len());
+            return Err(StateError::Torn(reason));
         }
-        if u32::from_str_radix(sum, 16) != Ok(crc32fast::hash(text)) {
+        if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(text)) {
             return Err(StateError::Torn("the checksum does not fit".into()));
         }
-        serde_json::from_slice(text).map_err(|e| StateError::Torn(e.to_string()))
-    }
-
-    /// As told after a restart. Where the machine was booted in between, or does not tell that it was not, nobody knows for how
-    /// long: purges and starts count as young as they were, which only forbids more copies and spares members.
-    pub fn told(&self, now: Option<&BootMoment>) -> (EndpointListHead, Vec<PurgeHead>) {
-        let since_us = now.and_then(|now| self.span_until(now)).unwrap_or_default();
-        let endpoint = |m: &StoredEndpoint| EndpointRecord {
-            address: m.address.clone(),
-            state: m.state,
-            weight: m.weight,
-            zone: m.zone.clone(),
-            kind: m.kind.clone(),
-            cell: m.cell,
-            incarnation: m.start,
-            started_ago_us: m.started_ago_us.map(|ago| ago.saturating_add(since_us)),
-        };
-        let purge = |p: &KeptPurge| PurgeHead {
-            object: p.object.clone(),
-            group: p.group,
-            age_us: p.age_us.saturating_add(since_us),
-            seq: 0,
-        };
-        let endpoints = self.endpoints.iter().map(endpoint).collect();
-        let list = EndpointListHead {
-            form: EndpointListForm::Cached as i32,
-            seq: self.seq,
-            endpoints,
-        };
-        (list, self.purges.iter().map(purge).collect())
+        serde_json::from_slice(text).map_err(|error| StateError::Torn(error.to_string()))
     }
 
-    fn span_until(&self, now: &BootMoment) -> Option<u64> {
-        let saved = self.saved.as_ref()?;
-        let since = Duration::from_micros(saved.since_boot_us);
-        let span = BootMoment {
-            boot: saved.boot.clone(),
-            since,
+    /// The state after a restart. If the machine was rebooted in between, or may have been, the elapsed time is unknown: the
+    /// ages of purges and of processes then do not grow, which only excludes more copies and sends less work.
+    pub fn restore(&self, now: Option<&BootMoment>) -> RestoredState {
+        let saved = self.saved.as_ref();
+        let elapsed_us = saved
+            .zip(now)
+            .and_then(|(saved, now)| saved.elapsed_us(now))
+            .unwrap_or_default();
+        let endpoints = self.endpoints.iter();
+        RestoredState {
+            endpoint_list: EndpointListHead {
+                form: EndpointListForm::Cached as i32,
+                seq: self.seq,
+                endpoints: endpoints.map(|e| e.restore(elapsed_us)).collect(),
+            },
+            purges: self.purges.iter().map(|p| p.restore(elapsed_us)).collect(),
         }
-        .until(now)?;
-        Some(span.as_micros() as u64)
     }
 }
--- a/crates/dispatcher/src/core/timers.rs
+++ b/crates/dispatcher/src/core/timers.rs
@@ -1,41 +1,44 @@
-//! Timers of the core, by time and then in the order in which they were set.
+//! Timers of the core, ordered by time and then by kind.
 use pointspindle::Micros;
 use std::collections::BTreeSet;
 
+/// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Timer {
-    /// A wish of the router, with its token.
+pub(super) enum Timer {
+    /// Requested by the router, with its token.
     Router(u64),
-    /// A request has waited long enough for a member's word.
-    Ask(u64),
-    /// The counts of dispatchers change.
-    Peers,
-    /// Time-out of an attempt of a request.
-    Attempt(u64, u32),
+    /// A request has waited long enough for an endpoint's lease.
+    WorkRequest(u64),
+    /// The fleet counts change.
+    FleetCounts,
+    /// An attempt's deadline.
+    Attempt { request: u64, attempt: u32 },
 }
 
-/// At most one for each open attempt and a few of the router's and of the peers'.
+/// Pending timers. Bound: one for each open attempt, one for each request that waits for a lease, one for the fleet counts,
+/// and those of the router. A timer is forgotten when it fires or is cancelled.
 #[derive(Debug, Default)]
-pub struct Timers {
-    set: BTreeSet<(Micros, Timer)>,
+pub(super) struct Timers {
+    pending: BTreeSet<(Micros, Timer)>,
 }
 
 impl Timers {
     pub fn set(&mut self, at: Micros, timer: Timer) {
-        self.set.insert((at, timer));
+        self.pending.insert((at, timer));
     }
 
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
-        self.set.remove(&(at, timer));
+        self.pending.remove(&(at, timer));
     }
 
+    /// When the next timer fires.
     pub fn next(&self) -> Option<Micros> {
-        self.set.first().map(|(at, _)| *at)
+        self.pending.first().map(|(at, _)| *at)
     }
 
-    /// The next timer whose time has come.
-    pub fn due(&mut self, now: Micros) -> Option<Timer> {
-        self.set.first().filter(|(at, _)| *at <= now)?;
-        self.set.pop_first().map(|(_, timer)| timer)
+    /// Removes the next timer that is due.
+    pub fn pop_due(&mut self, now: Micros) -> Option<Timer> {
+        self.pending.first().filter(|(at, _)| *at <= now)?;
+        self.pending.pop_first().map(|(_, timer)| timer)
     }
 }
--- a/crates/dispatcher/src/net/connection_pool.rs
+++ b/crates/dispatcher/src/net/connection_pool.rs
@@ -68,11 +68,11 @@
 
 impl FramedCore {
     pub(crate) fn items(&self) -> super::StateCounts {
-        let (endpoints, purges, dispatchers) = self.state_counts();
+        let counts = self.state_counts();
         super::StateCounts {
-            endpoints,
-            purges,
-            dispatchers,
+            endpoints: counts.endpoints,
+            purges: counts.purges,
+            dispatchers: counts.dispatchers,
             connections: self.transport.pool.count(),
         }
     }
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -304,7 +304,7 @@
     }
 
     /// Members, purges and dispatchers that are kept.
-    pub fn state_counts(&self) -> (usize, usize, usize) {
+    pub fn state_counts(&self) -> crate::core::CoreStateCounts {
         let now = self.now();
         self.lock().core.state_counts(now)
     }
--- a/crates/dispatcher/src/net/state_file.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -25,7 +25,9 @@
     let read = tokio::task::spawn_blocking(move || read(&path)).await;
     match read {
         Ok(Ok(Some(snapshot))) => {
-            let (list, purges) = snapshot.told(BootMoment::now().as_ref());
+            let state = snapshot.restore(BootMoment::now().as_ref());
+            let list = state.endpoint_list;
+            let purges = state.purges;
             tracing::info!(
                 file = shown,
                 endpoints = list.endpoints.len(),
