--- a/crates/dispatcher/tests/state.rs
+++ b/crates/dispatcher/tests/state.rs
@@ -1,5 +1,5 @@
-//! The state file over restarts and troubles of its folder: what it holds is never told over what is newer, and what could not
-//! be written for a while is written later.
+//! The state file across restarts and failures of its directory: its content never replaces what is newer, and a failed
+//! write is retried.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::core::state::Snapshot;
 use pointspindle_dispatcher::{ControlSink, ControlSource, PreparedDispatcher};
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const MEMBER: &str = "127.0.0.1:9";
+const TIMEOUT: Duration = Duration::from_secs(10);
+const ENDPOINT: &str = "127.0.0.1:9";
 
 fn settings(state: &Path) -> pointspindle_config::DispatcherSettings {
     let text = format!(
@@ -24,8 +24,8 @@
 }
 
 fn list(form: EndpointListForm, seq: u64, state: WireEndpointState) -> EndpointListHead {
-    let line = EndpointRecord {
-        address: MEMBER.into(),
+    let endpoint = EndpointRecord {
+        address: ENDPOINT.into(),
         state: state as i32,
         weight: 8.0,
         zone: "b".into(),
@@ -35,96 +35,100 @@
     EndpointListHead {
         form: form as i32,
         seq,
-        endpoints: vec![line],
+        endpoints: vec![endpoint],
     }
 }
 
-/// Tells one list, then hands the way into the dispatcher to the test.
-struct Once {
+/// Applies one list, then passes its sink to the test.
+struct SingleListSource {
     list: EndpointListHead,
-    hand: oneshot::Sender<ControlSink>,
+    sink: oneshot::Sender<ControlSink>,
 }
 
-impl ControlSource for Once {
-    async fn run(self, teller: ControlSink) {
-        teller.apply_endpoint_list(self.list);
-        teller.set_current(true);
-        let _ = self.hand.send(teller);
+impl ControlSource for SingleListSource {
+    async fn run(self, sink: ControlSink) {
+        sink.apply_endpoint_list(self.list);
+        sink.set_current(true);
+        let _ = self.sink.send(sink);
     }
 }
 
-/// The member was ready when the file was written, and drains by the source's word.
+/// The endpoint was ready when the file was written, and is draining according to the source.
 #[tokio::test]
-async fn what_a_source_has_told_before_the_doors_open_stays_in_force() {
-    let folder = tempfile::tempdir().unwrap();
-    let state = folder.path().join("edge.state");
+async fn source_list_before_listeners_open_is_not_replaced_by_state_file() {
+    let directory = tempfile::tempdir().unwrap();
+    let state = directory.path().join("edge.state");
     let before = Snapshot::new(
         list(EndpointListForm::Full, 7, WireEndpointState::Ready),
         Vec::new(),
     );
     std::fs::write(&state, before.to_bytes(1, None)).unwrap();
     let mut prepared = PreparedDispatcher::new(Network::Tcp, settings(&state), 1).await;
-    let (hand, teller) = oneshot::channel();
-    prepared.follow(Once {
+    let (sender, sink) = oneshot::channel();
+    prepared.follow(SingleListSource {
         list: list(EndpointListForm::Full, 9, WireEndpointState::Draining),
-        hand,
+        sink: sender,
     });
-    assert!(prepared.wait_until_current(PATIENCE).await);
-    let teller = teller.await.unwrap();
+    assert!(prepared.wait_until_current(TIMEOUT).await);
+    let sink = sink.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
-    let now = teller.endpoint_list();
+    let now = sink.endpoint_list();
     assert_eq!(
         (now.seq, now.endpoints[0].state()),
         (9, WireEndpointState::Draining),
-        "the older list is told over it"
+        "the older list replaced it"
     );
     dispatcher.stop().await;
 }
 
-/// Its folder is gone for a while: a purge that was told meanwhile is in the file later, with nothing else told.
+/// Returns when the state file contains this number of purges.
+async fn purges_written(state: &Path, count: usize) {
+    let is_written = || {
+        let bytes = std::fs::read(state).unwrap_or_default();
+        let snapshot = Snapshot::from_bytes(&bytes).ok();
+        snapshot.is_some_and(|snapshot| snapshot.restore(None).purges.len() == count)
+    };
+    while !is_written() {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
+}
+
+fn object_purge(object: &str) -> PurgeHead {
+    PurgeHead {
+        object: Some(object.into()),
+        group: 1,
+        age_us: 0,
+        seq: 0,
+    }
+}
+
+/// The directory is missing for a while: a purge applied meanwhile is written later, without another update.
 #[tokio::test]
-async fn a_state_that_could_not_be_written_is_written_later() {
-    let folder = tempfile::tempdir().unwrap();
-    let (place, away) = (folder.path().join("state"), folder.path().join("away"));
+async fn state_that_could_not_be_written_is_written_later() {
+    let directory = tempfile::tempdir().unwrap();
+    let place = directory.path().join("state");
+    let away = directory.path().join("away");
     std::fs::create_dir(&place).unwrap();
     let state = place.join("edge.state");
     let mut prepared = PreparedDispatcher::new(Network::Tcp, settings(&state), 1).await;
-    let (hand, teller) = oneshot::channel();
-    prepared.follow(Once {
+    let (sender, sink) = oneshot::channel();
+    prepared.follow(SingleListSource {
         list: list(EndpointListForm::Full, 9, WireEndpointState::Ready),
-        hand,
+        sink: sender,
     });
-    let teller = teller.await.unwrap();
+    let sink = sink.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
-    let holds = |purges: usize| {
-        let state = state.clone();
-        async move {
-            let held = || {
-                let read = Snapshot::from_bytes(&std::fs::read(&state).unwrap_or_default()).ok();
-                read.is_some_and(|s| s.restore(None).purges.len() == purges)
-            };
-            while !held() {
-                tokio::time::sleep(Duration::from_millis(10)).await;
-            }
-        }
-    };
-    let object = |name: &str| PurgeHead {
-        object: Some(name.into()),
-        group: 1,
-        age_us: 0,
-        seq: 0,
-    };
-    teller.apply_purge(object("/page/1"));
-    tokio::time::timeout(PATIENCE, holds(1))
+    sink.apply_purge(object_purge("/page/1"));
+    tokio::time::timeout(TIMEOUT, purges_written(&state, 1))
         .await
         .expect("the first purge is written");
     std::fs::rename(&place, &away).unwrap();
-    teller.apply_purge(object("/page/2"));
-    // Time for a try that fails; one that comes later finds the folder again.
+    sink.apply_purge(object_purge("/page/2"));
+    // Time for a write that fails; a later one finds the directory again.
     tokio::time::sleep(Duration::from_millis(300)).await;
     std::fs::rename(&away, &place).unwrap();
-    tokio::time::timeout(PATIENCE, holds(2))
+    tokio::time::timeout(TIMEOUT, purges_written(&state, 2))
         .await
-        .expect("the second purge is written in the end");
+        .expect("the second purge is written eventually");
     dispatcher.stop().await;
 }
