--- a/crates/dispatcher/src/admission/tests.rs
+++ b/crates/dispatcher/src/admission/tests.rs
@@ -168,67 +168,55 @@
     }
 }
 
-/// A network with very many connections does not use the quotas of others, whichever addresses it connects from.
-#[test]
-fn network_over_quota_does_not_affect_other_networks() {
-    let networks = vec![
-        network("one", [127, 1, 0, 0], 16, 2),
-        network("all", [127, 0, 0, 0], 8, 3),
-    ];
-    let mut admission = Admission::new(Limits {
+/// Two overlapping networks, of which the first that contains an address counts.
+fn network_limits(first_quota: usize, second_quota: usize) -> Limits {
+    Limits {
         hard: 100,
         soft: 100,
         per_address: 100,
-        networks: networks.clone(),
-    });
-    let arrive = |admission: &mut Admission, now, ip: [u8; 4]| match admission
-        .arrive(now, IpAddr::from(ip))
-    {
-        Arrival {
-            decision: AdmissionDecision::Admit(id),
-            close,
-        } => Some((id, close)),
-        _ => None,
-    };
-    let (first, _) = arrive(&mut admission, 0, [127, 1, 0, 1]).unwrap();
-    let (second, _) = arrive(&mut admission, 1, [127, 1, 7, 1]).unwrap();
-    let (third, close) = arrive(&mut admission, 2, [127, 1, 9, 9]).unwrap();
+        networks: vec![
+            network("one", [127, 1, 0, 0], 16, first_quota),
+            network("all", [127, 0, 0, 0], 8, second_quota),
+        ],
+    }
+}
+
+/// The new connection and those that are closed for it; none if it is rejected.
+fn try_admit(
+    admission: &mut Admission,
+    now: Micros,
+    address: [u8; 4],
+) -> Option<(ConnectionId, Vec<ConnectionId>)> {
+    let arrival = admission.arrive(now, IpAddr::from(address));
+    match arrival.decision {
+        AdmissionDecision::Admit(id) => Some((id, arrival.close)),
+        AdmissionDecision::Reject { .. } => None,
+    }
+}
+
+/// A network with very many connections does not use the quotas of others, whichever addresses it connects from.
+#[test]
+fn network_over_quota_does_not_affect_other_networks() {
+    let mut admission = Admission::new(network_limits(2, 3));
+    let (first, _) = try_admit(&mut admission, 0, [127, 1, 0, 1]).unwrap();
+    let (second, _) = try_admit(&mut admission, 1, [127, 1, 7, 1]).unwrap();
+    let (third, close) = try_admit(&mut admission, 2, [127, 1, 9, 9]).unwrap();
     assert_eq!(close, [first], "its own longest idle one is closed");
     admission.closed(first);
     admission.busy(second);
     admission.busy(third);
-    assert_eq!(
-        arrive(&mut admission, 3, [127, 1, 0, 1]),
-        None,
-        "all of its own are busy"
-    );
-    let (other, close) = arrive(&mut admission, 4, [127, 2, 0, 1]).unwrap();
+    let rejected = try_admit(&mut admission, 3, [127, 1, 0, 1]);
+    assert_eq!(rejected, None, "all of its own are busy");
+    let (other, close) = try_admit(&mut admission, 4, [127, 2, 0, 1]).unwrap();
     assert!(close.is_empty(), "another network is not affected");
     admission.idle(5, second);
     // Lowered while it is in use: idle ones are closed, busy ones stay.
-    let lower = networks
-        .into_iter()
-        .map(|n| NetworkQuota {
-            connections: 1,
-            ..n
-        })
-        .collect();
-    assert_eq!(
-        admission.limit(Limits {
-            hard: 100,
-            soft: 100,
-            per_address: 100,
-            networks: lower
-        }),
-        [second]
-    );
-    [second, third, other]
-        .into_iter()
-        .for_each(|id| admission.closed(id));
-    assert!(admission
-        .by_network
-        .iter()
-        .all(|n| n.open == 0 && n.idle.is_empty()));
+    assert_eq!(admission.limit(network_limits(1, 1)), [second]);
+    for id in [second, third, other] {
+        admission.closed(id);
+    }
+    let mut quotas = admission.by_network.iter();
+    assert!(quotas.all(|quota| quota.open == 0 && quota.idle.is_empty()));
 }
 
 /// Many connections that became idle at once are closed in slices; one that is used in between stays open.
--- a/crates/dispatcher/src/call_deduplication.rs
+++ b/crates/dispatcher/src/call_deduplication.rs
@@ -65,7 +65,7 @@
 ///
 /// Invariant: each ended call has an entry of its end's moment in `ended`; `response_bytes` is the size of all remembered
 /// responses. Bound: [`CallRegistryLimits`]; with too many calls a new one is refused, and no running call is forgotten for
-/// it. A call is forgotten after [`CallRegistryLimits::retention`]. For each attempt that is told to run, now or later, its
+/// it. A call is forgotten after [`CallRegistryLimits::retention`]. For each attempt that may run, now or later, its
 /// end is owed once.
 #[derive(Debug)]
 pub struct CallRegistry<R> {
--- a/crates/dispatcher/src/core/attempt.rs
+++ b/crates/dispatcher/src/core/attempt.rs
@@ -37,6 +37,7 @@
 }
 
 impl Attempt {
+    /// An attempt that has not begun.
     pub fn new(
         number: u32,
         endpoint: EndpointId,
@@ -92,6 +93,7 @@
 }
 
 impl EndReport {
+    /// An end without a cache status of its own.
     pub fn new(status: AttemptStatus) -> Self {
         Self {
             status,
--- a/crates/dispatcher/src/core/client_events.rs
+++ b/crates/dispatcher/src/core/client_events.rs
@@ -1,12 +1,11 @@
 //! Inputs of one request: its arrival, its attempts' progress, its client's disconnect, and its timers.
 use super::attempt::{AttemptTerms, EndReport};
 use super::timers::Timer;
-use super::{ClientRequest, Core, Output};
+use super::work_requests::WaitingRequest;
+use super::{ClientRequest, Core, Output, MICROS_PER_SECOND};
 use pointspindle::{AttemptStatus, Event, Micros, ObjectId, Request, RequestId};
 use pointspindle_protocol::WireCacheStatus;
 
-const MICROS_PER_SECOND: f64 = 1e6;
-
 impl Core {
     pub(super) fn on_request(
         &mut self,
@@ -59,6 +58,18 @@
         true
     }
 
+    /// Lets the router decide about a request that no longer waits for a lease.
+    pub(super) fn resume_waiting(
+        &mut self,
+        now: Micros,
+        waiting: WaitingRequest,
+        outputs: &mut Vec<Output>,
+    ) {
+        let timer = Timer::WorkRequest(waiting.request.id.0);
+        self.timers.cancel(waiting.deadline, timer);
+        self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+    }
+
     pub(super) fn on_response_started(
         &mut self,
         now: Micros,
@@ -132,9 +143,7 @@
     pub(super) fn finish_all(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         // The router does not know the requests that wait for a lease yet.
         for waiting in self.work_requests.take_all() {
-            let timer = Timer::WorkRequest(waiting.request.id.0);
-            self.timers.cancel(waiting.deadline, timer);
-            self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+            self.resume_waiting(now, waiting, outputs);
         }
         for number in self.requests.unanswered() {
             self.drive(now, Event::FinishNow(RequestId(number)), outputs);
@@ -147,7 +156,7 @@
                 Timer::Router(token) => self.drive(now, Event::Timer(token), outputs),
                 Timer::WorkRequest(request) => {
                     if let Some(waiting) = self.work_requests.take(request) {
-                        self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+                        self.resume_waiting(now, waiting, outputs);
                     }
                 }
                 // Each input refreshes the counts if they are due.
--- a/crates/dispatcher/src/core/control_events.rs
+++ b/crates/dispatcher/src/core/control_events.rs
@@ -1,13 +1,12 @@
 //! Inputs of the control plane: endpoint lists, purges, endpoints' hellos and leases, and the fleet's size.
-use super::timers::Timer;
-use super::{Core, Output};
+use super::{Core, Output, MICROS_PER_SECOND};
+use crate::dispatcher_registry::Roster;
 use pointspindle::{EndpointEntry, EndpointId, EndpointState, Event, Micros, ObjectId};
 use pointspindle_config::Role;
 use pointspindle_protocol::{EndpointListHead, HelloHead, LeaseHead, PurgeHead};
 
 /// Longest lease that is accepted: slow start has no longer ones.
 const MAX_LEASE_US: Micros = 60_000_000;
-const MICROS_PER_SECOND: f64 = 1e6;
 
 impl Core {
     pub(super) fn on_endpoint_list(
@@ -134,12 +133,30 @@
             return;
         }
         if let Some(waiting) = self.work_requests.take_next(endpoint) {
-            let timer = Timer::WorkRequest(waiting.request.id.0);
-            self.timers.cancel(waiting.deadline, timer);
-            self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+            self.resume_waiting(now, waiting, outputs);
         }
     }
 
+    pub(super) fn on_roster(&mut self, now: Micros, roster: Roster) {
+        self.fleet.set_roster(now, roster);
+        self.update_fleet_counts(now);
+    }
+
+    pub(super) fn on_registration_renewed(
+        &mut self,
+        now: Micros,
+        renewed_at: Micros,
+        duration: Micros,
+    ) {
+        self.fleet.registration_renewed(renewed_at, duration);
+        self.update_fleet_counts(now);
+    }
+
+    pub(super) fn on_source_freshness(&mut self, now: Micros, is_current: bool) {
+        self.fleet.set_view_current(is_current);
+        self.update_fleet_counts(now);
+    }
+
     /// Notifies the router of the fleet counts, where they have changed.
     pub(super) fn update_fleet_counts(&mut self, now: Micros) {
         if let Some(counts) = self.fleet.refresh(now, &mut self.timers) {
--- a/crates/dispatcher/src/core/endpoint_list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -79,6 +79,7 @@
 }
 
 impl EndpointList {
+    /// No endpoints; `zones` are the settings' zones in their order.
     pub fn new(zones: &[String], names_are_ids: bool) -> Self {
         Self {
             names_are_ids,
@@ -89,6 +90,7 @@
         }
     }
 
+    /// Sequence number of the list in force; 0: none yet.
     pub fn seq(&self) -> u64 {
         self.seq
     }
--- a/crates/dispatcher/src/core/fleet.rs
+++ b/crates/dispatcher/src/core/fleet.rs
@@ -16,6 +16,7 @@
 }
 
 impl Fleet {
+    /// No roster yet: the router uses the settings' counts.
     pub fn new(settings: &DispatcherSettings) -> Self {
         let router = &settings.router;
         let longest_window = router
@@ -33,18 +34,22 @@
         }
     }
 
+    /// Number of registered dispatchers.
     pub fn dispatcher_count(&self) -> usize {
         self.registry.len()
     }
 
+    /// Sets the registered dispatchers.
     pub fn set_roster(&mut self, now: Micros, roster: Roster) {
         self.registry.set_roster(now, roster);
     }
 
+    /// This dispatcher's registration was renewed.
     pub fn registration_renewed(&mut self, renewed_at: Micros, duration: Micros) {
         self.registry.registration_renewed(renewed_at, duration);
     }
 
+    /// Whether the control source's view is current.
     pub fn set_view_current(&mut self, is_current: bool) {
         self.registry.set_view_current(is_current);
     }
--- a/crates/dispatcher/src/core/missed_updates.rs
+++ b/crates/dispatcher/src/core/missed_updates.rs
@@ -20,6 +20,7 @@
 }
 
 impl MissedUpdates {
+    /// No gap. `purge_horizon`: when no copy from before a purge can be left.
     pub fn new(purge_horizon: Micros) -> Self {
         Self {
             purge_horizon,
@@ -46,3 +47,6 @@
         gap.purged_groups.insert(group).then_some(age)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -39,6 +39,8 @@
 pub use input::{AttemptEnd, ClientRequest, Input};
 pub use output::{AddressedFetch, Output};
 
+const MICROS_PER_SECOND: f64 = 1e6;
+
 /// Ended attempts by the label of their status, for metrics; see [`Core::take_attempt_counts`].
 pub type AttemptCounts = BTreeMap<&'static str, u64>;
 
@@ -171,19 +173,11 @@
             Input::Hello { endpoint, hello } => self.on_hello(now, &endpoint, &hello, outputs),
             Input::Lease { endpoint, lease } => self.on_lease(now, &endpoint, &lease, outputs),
             Input::UpdatesMissed => self.on_updates_missed(now),
-            Input::Roster(roster) => {
-                self.fleet.set_roster(now, roster);
-                self.update_fleet_counts(now);
-            }
+            Input::Roster(roster) => self.on_roster(now, roster),
             Input::RegistrationRenewed { ago, duration } => {
-                self.fleet
-                    .registration_renewed(now.saturating_sub(ago), duration);
-                self.update_fleet_counts(now);
-            }
-            Input::SourceFreshness(is_current) => {
-                self.fleet.set_view_current(is_current);
-                self.update_fleet_counts(now);
+                self.on_registration_renewed(now, now.saturating_sub(ago), duration)
             }
+            Input::SourceFreshness(is_current) => self.on_source_freshness(now, is_current),
             Input::PurgesConfirmed { ago } => self.on_purges_confirmed(now.saturating_sub(ago)),
             Input::Tick => self.on_tick(now, outputs),
         }
--- a/crates/dispatcher/src/core/purge_lease.rs
+++ b/crates/dispatcher/src/core/purge_lease.rs
@@ -37,6 +37,7 @@
         self.proven_at = self.proven_at.max(Some(proven_at));
     }
 
+    /// Whether copies may be used without restriction.
     pub fn is_valid(&self, now: Micros) -> bool {
         self.proven_at.is_some_and(|at| now < at + self.duration)
     }
@@ -47,3 +48,6 @@
         (!is_exempt && !self.is_valid(now)).then_some(self.duration)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/core/purge_log.rs
+++ b/crates/dispatcher/src/core/purge_log.rs
@@ -25,6 +25,7 @@
 }
 
 impl PurgeLog {
+    /// No purges. `purge_horizon`: when no copy from before a purge can be left.
     pub fn new(purge_horizon: Micros) -> Self {
         Self {
             retention: purge_horizon + RETENTION_MARGIN_US,
@@ -32,6 +33,7 @@
         }
     }
 
+    /// Records a purge.
     pub fn add(&mut self, now: Micros, head: &PurgeHead) {
         self.remove_expired(now);
         self.purges.push_back(Purge {
--- a/crates/dispatcher/src/core/request_table.rs
+++ b/crates/dispatcher/src/core/request_table.rs
@@ -9,6 +9,7 @@
 /// At most one attempt is in flight. After the response has been committed no other attempt may follow.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
+    /// Index of the request's class in the settings.
     pub class: usize,
     pub object: ObjectId,
     pub group: u64,
@@ -61,6 +62,7 @@
 }
 
 impl RequestTable {
+    /// Adds a request without attempts.
     pub fn insert(&mut self, number: u64, request: &ClientRequest) {
         let open = OpenRequest {
             class: request.class,
@@ -74,6 +76,7 @@
         self.requests.insert(number, open);
     }
 
+    /// The request, done or not.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&number)
     }
@@ -109,6 +112,7 @@
             .collect()
     }
 
+    /// Whether this attempt is in flight.
     pub fn is_in_flight(&self, number: u64, attempt: u32) -> bool {
         self.requests
             .get(&number)
--- a/crates/dispatcher/src/core/timers.rs
+++ b/crates/dispatcher/src/core/timers.rs
@@ -23,10 +23,12 @@
 }
 
 impl Timers {
+    /// Sets a timer; the same timer at the same time counts once.
     pub fn set(&mut self, at: Micros, timer: Timer) {
         self.pending.insert((at, timer));
     }
 
+    /// Cancels a timer; without effect if it has fired.
     pub fn cancel(&mut self, at: Micros, timer: Timer) {
         self.pending.remove(&(at, timer));
     }
--- a/crates/dispatcher/src/core/work_requests.rs
+++ b/crates/dispatcher/src/core/work_requests.rs
@@ -86,7 +86,7 @@
     }
 
     /// Removes the endpoint's longest waiting request, for a reply. A reply that comes after its request's deadline serves
-    /// the next request, which asked for as much work.
+    /// the next request, which requested as much work.
     pub fn take_next(&mut self, endpoint: EndpointId) -> Option<WaitingRequest> {
         let first = self.queues.get(&endpoint)?.front().copied()?;
         self.take(first)
--- a/crates/dispatcher/src/dispatcher_registry/tests.rs
+++ b/crates/dispatcher/src/dispatcher_registry/tests.rs
@@ -151,50 +151,35 @@
     }
 }
 
+fn roster(names: &[&str]) -> Roster {
+    let entry = |name: &&str| (name.to_string(), "b".to_owned());
+    names.iter().map(entry).collect()
+}
+
+/// Counts of a fleet that is in one zone.
+fn counts(total: u32, index: Option<u32>, takes_warm_up_budget: bool) -> Option<FleetCounts> {
+    Some(FleetCounts {
+        in_zone: total,
+        total,
+        index,
+        takes_warm_up_budget,
+    })
+}
+
 #[test]
 fn expired_lease_stale_view_or_recent_join_takes_no_budget() {
     let mut registry = DispatcherRegistry::new("a", "b", WINDOW);
     assert_eq!(registry.counts(5), None, "no roster: the settings hold");
-    let roster = |names: &[&str]| {
-        names
-            .iter()
-            .map(|n| (n.to_string(), "b".to_string()))
-            .collect::<Roster>()
-    };
     registry.set_view_current(true);
     registry.registration_renewed(0, 30 * LEASE);
     registry.set_roster(0, roster(&["a"]));
-    assert_eq!(
-        registry.counts(0),
-        Some(FleetCounts {
-            in_zone: 1,
-            total: 1,
-            index: None,
-            takes_warm_up_budget: false
-        })
-    );
+    assert_eq!(registry.counts(0), counts(1, None, false));
     let settled = PROPAGATION_DELAY_US + WINDOW;
     assert_eq!(registry.next_change(0), Some(settled));
-    assert_eq!(
-        registry.counts(settled),
-        Some(FleetCounts {
-            in_zone: 1,
-            total: 1,
-            index: Some(0),
-            takes_warm_up_budget: true
-        })
-    );
+    assert_eq!(registry.counts(settled), counts(1, Some(0), true));
     // Another one: counted at once, and no longer counted late.
     registry.set_roster(settled, roster(&["a", "c"]));
-    assert_eq!(
-        registry.counts(settled),
-        Some(FleetCounts {
-            in_zone: 2,
-            total: 2,
-            index: None,
-            takes_warm_up_budget: true
-        })
-    );
+    assert_eq!(registry.counts(settled), counts(2, None, true));
     registry.set_roster(settled + 1, roster(&["a"]));
     assert_eq!(registry.counts(settled + 2).unwrap().in_zone, 2);
     assert_eq!(registry.counts(3 * settled).unwrap().in_zone, 1);
