--- a/crates/dispatcher/src/net/call_attempts.rs
+++ b/crates/dispatcher/src/net/call_attempts.rs
@@ -1,5 +1,7 @@
 //! Attempts of clients' calls: [`crate::call_deduplication`] behind a lock, and the notification of each attempt's task.
-use crate::call_deduplication::{Begin, Keys, KeysRule, Ticket};
+use crate::call_deduplication::{
+    CallAttemptId, CallDecision, CallRegistry, CallRegistryLimits, SizedResponse,
+};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::ResponseHead;
@@ -41,10 +43,10 @@
 
 #[derive(Debug)]
 struct CallTable {
-    keys: Keys<CachedResponse>,
-    last_ticket: Ticket,
+    calls: CallRegistry<CachedResponse>,
+    last_attempt_id: CallAttemptId,
     /// Of attempts that run or wait; removed with their end.
-    signals: HashMap<Ticket, AttemptSignals>,
+    signals: HashMap<CallAttemptId, AttemptSignals>,
 }
 
 /// The calls of all clients, shared by their connections.
@@ -59,7 +61,7 @@
 pub(super) struct CallAttempt {
     attempts: Arc<CallAttempts>,
     call: String,
-    ticket: Ticket,
+    id: CallAttemptId,
     /// Notified when the client has made another attempt of the call.
     pub superseded: Arc<Notify>,
     turn: Option<oneshot::Receiver<()>>,
@@ -84,14 +86,14 @@
 impl CallAttempts {
     /// A table of at most so many calls.
     pub fn new(max_calls: usize) -> Arc<Self> {
-        let keys = Keys::new(KeysRule {
-            most: max_calls,
-            keep: CALL_RETENTION_US,
-            answer_bytes: MAX_CACHED_BYTES,
+        let calls = CallRegistry::new(CallRegistryLimits {
+            max_calls,
+            retention: CALL_RETENTION_US,
+            max_response_bytes: MAX_CACHED_BYTES,
         });
         let table = CallTable {
-            keys,
-            last_ticket: 0,
+            calls,
+            last_attempt_id: 0,
             signals: HashMap::new(),
         };
         Arc::new(Self {
@@ -112,20 +114,20 @@
 
     /// Calls that run or are remembered.
     pub fn known_calls(&self) -> usize {
-        self.lock().keys.len()
+        self.lock().calls.len()
     }
 
     /// An attempt of a call has arrived; the attempts of the same call before it are notified to end.
     pub fn begin(self: &Arc<Self>, call: &str) -> AttemptAdmission {
         let mut table = self.lock();
-        table.last_ticket += 1;
-        let ticket = table.last_ticket;
-        let turn = match table.keys.begin(self.now(), call, ticket) {
-            Begin::Answered(response) => return AttemptAdmission::Answered(response),
-            Begin::Full => return AttemptAdmission::Full,
-            Begin::Run => None,
-            Begin::After(earlier) => {
-                for signals in earlier.iter().filter_map(|t| table.signals.get(t)) {
+        table.last_attempt_id += 1;
+        let id = table.last_attempt_id;
+        let turn = match table.calls.begin(self.now(), call, id) {
+            CallDecision::Answered(response) => return AttemptAdmission::Answered(response),
+            CallDecision::Full => return AttemptAdmission::Full,
+            CallDecision::Run => None,
+            CallDecision::RunAfter(earlier) => {
+                for signals in earlier.iter().filter_map(|id| table.signals.get(id)) {
                     signals.superseded.notify_one();
                 }
                 Some(oneshot::channel())
@@ -137,11 +139,11 @@
             superseded: superseded.clone(),
             turn: turn_sender,
         };
-        table.signals.insert(ticket, signals);
+        table.signals.insert(id, signals);
         AttemptAdmission::Admitted(CallAttempt {
             attempts: self.clone(),
             call: call.to_owned(),
-            ticket,
+            id,
             superseded,
             turn,
             response: None,
@@ -159,7 +161,7 @@
             turn = turn => turn.map_err(|_| Superseded)?,
             _ = self.superseded.notified() => return Err(Superseded),
         }
-        Ok(self.attempts.lock().keys.answered(&self.call))
+        Ok(self.attempts.lock().calls.remembered_response(&self.call))
     }
 
     /// The response was complete: it is remembered for a client that lost it.
@@ -171,13 +173,13 @@
 impl Drop for CallAttempt {
     fn drop(&mut self) {
         let mut table = self.attempts.lock();
-        table.signals.remove(&self.ticket);
-        let response = self.response.take().map(|response| {
-            let size = response.size_bytes();
-            (response, size)
+        table.signals.remove(&self.id);
+        let response = self.response.take().map(|response| SizedResponse {
+            bytes: response.size_bytes(),
+            response,
         });
         let now = self.attempts.now();
-        let next = table.keys.over(now, &self.call, self.ticket, response);
+        let next = table.calls.end(now, &self.call, self.id, response);
         let next_signals = next.and_then(|next| table.signals.get_mut(&next));
         if let Some(turn) = next_signals.and_then(|signals| signals.turn.take()) {
             let _ = turn.send(());
--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -255,15 +255,15 @@
         let last_frame_at = now.saturating_sub(since_last_frame);
         let rule = self.keep_alive_rule();
         match entry.health.check(&rule, now, last_frame_at, active) {
-            KeepAliveVerdict::Fine => SweepVerdict::Keep,
-            KeepAliveVerdict::Probe => {
+            KeepAliveVerdict::Healthy => SweepVerdict::Keep,
+            KeepAliveVerdict::SendPing => {
                 connection.push_control(Frame::Probe(ProbeHead {
                     token: now,
                     ..Default::default()
                 }));
                 SweepVerdict::Keep
             }
-            KeepAliveVerdict::Dead => {
+            KeepAliveVerdict::Close => {
                 connection.abort("no sign of life");
                 SweepVerdict::Dead
             }
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -1,6 +1,6 @@
 //! The client connections of a process: [`crate::admission`] behind a lock, and the notification of each connection's task.
 use super::connection_rejection::ConnectionRejection;
-use crate::admission::{Admission, ConnectionId, Limits, Verdict};
+use crate::admission::{Admission, AdmissionDecision, ConnectionId, Limits};
 use pointspindle::Micros;
 use pointspindle_transport::{AcceptFailure, Socket};
 use std::collections::HashMap;
@@ -79,10 +79,10 @@
     /// A permit for a new connection, or the time after which its client may reconnect.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<ConnectionPermit, Micros> {
         let mut state = self.lock();
-        let (verdict, close) = state.admission.arrive(self.now(), address);
-        state.notify_closing(&close);
-        match verdict {
-            Verdict::Take(id) => {
+        let arrival = state.admission.arrive(self.now(), address);
+        state.notify_closing(&arrival.close);
+        match arrival.decision {
+            AdmissionDecision::Admit(id) => {
                 let closing = Arc::new(Notify::new());
                 state.closing.insert(id, closing.clone());
                 Ok(ConnectionPermit {
@@ -91,7 +91,7 @@
                     closing,
                 })
             }
-            Verdict::TurnAway { come_back } => Err(come_back),
+            AdmissionDecision::Reject { retry_after } => Err(retry_after),
         }
     }
 
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -4,10 +4,10 @@
 //! is one; the platform's, in a package of its own, is another.
 use super::metrics::Metrics;
 use crate::core::{
-    AddressedFetch, AttemptEnd, AttemptTerms, ClientRequest, Core, EndpointListChange, Input,
-    Output,
+    AddressedFetch, AttemptEnd, AttemptTerms, ClientRequest, Core, CoreStateCounts,
+    EndpointListChange, Input, Output,
 };
-use crate::request_budget::{RequestBudget, Verdict};
+use crate::request_budget::{BudgetDecision, RequestBudget};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::DispatcherSettings;
@@ -214,9 +214,9 @@
         let mut state = self.lock();
         let open = state.commands.len();
         let buffered = self.meter.buffered_bytes();
-        let verdict = self.budget.judge(open, buffered, || state.rng.gen());
-        if let Verdict::Refuse { come_back } = verdict {
-            return Err(come_back);
+        let decision = self.budget.decide(open, buffered, || state.rng.gen());
+        if let BudgetDecision::Reject { retry_after } = decision {
+            return Err(retry_after);
         }
         state.last_request += 1;
         let id = state.last_request;
@@ -343,7 +343,7 @@
     }
 
     /// How many endpoints, purges and dispatchers the core's state holds.
-    pub fn state_counts(&self) -> (usize, usize, usize) {
+    pub fn state_counts(&self) -> CoreStateCounts {
         let now = self.now();
         self.lock().core.state_counts(now)
     }
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -63,11 +63,11 @@
 
     /// Sizes of the core's state and of the connection pool.
     pub fn all_state_counts(&self) -> StateCounts {
-        let (endpoints, purges, dispatchers) = self.state_counts();
+        let counts = self.state_counts();
         StateCounts {
-            endpoints,
-            purges,
-            dispatchers,
+            endpoints: counts.endpoints,
+            purges: counts.purges,
+            dispatchers: counts.dispatchers,
             connections: self.transport.pool.count(),
         }
     }
--- a/crates/dispatcher/src/net/state_file.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -43,7 +43,9 @@
 
 /// Applies a snapshot; false if it has no endpoints.
 fn apply(core: &FramedCore, file: &str, snapshot: &Snapshot) -> bool {
-    let (list, purges) = snapshot.told(BootMoment::now().as_ref());
+    let state = snapshot.restore(BootMoment::now().as_ref());
+    let list = state.endpoint_list;
+    let purges = state.purges;
     tracing::info!(
         file,
         endpoints = list.endpoints.len(),
--- a/crates/platform/src/connection_pool/maintenance.rs
+++ b/crates/platform/src/connection_pool/maintenance.rs
@@ -86,9 +86,9 @@
         let verdict =
             connection.check_keep_alive(&pass.keep_alive, pass.now_us, |at| self.micros(at));
         match verdict {
-            KeepAliveVerdict::Fine => {}
-            KeepAliveVerdict::Probe => connection.send_health_check(),
-            KeepAliveVerdict::Dead => {
+            KeepAliveVerdict::Healthy => {}
+            KeepAliveVerdict::SendPing => connection.send_health_check(),
+            KeepAliveVerdict::Close => {
                 tracing::info!(
                     endpoint = id,
                     "endpoint connection closed: no keep-alive reply"
--- a/tests/architecture_page.rs
+++ b/tests/architecture_page.rs
@@ -11,10 +11,12 @@
     ["fn", "struct", "enum", "trait", "type", "const"]
         .iter()
         .any(|keyword| {
-            source.match_indices(&format!("{keyword} {name}")).any(|(at, found)| {
-                let next = source[at + found.len()..].chars().next();
-                !next.is_some_and(|c| c.is_alphanumeric() || c == '_')
-            })
+            source
+                .match_indices(&format!("{keyword} {name}"))
+                .any(|(at, found)| {
+                    let next = source[at + found.len()..].chars().next();
+                    !next.is_some_and(|c| c.is_alphanumeric() || c == '_')
+                })
         })
 }
 
