--- a/src/router/attempts.rs
+++ b/src/router/attempts.rs
@@ -95,7 +95,7 @@
         actions: &mut Vec<Action>,
     ) {
         let diversion = Diversion {
-            from_source: self.draw_diversion(now, route.source),
+            from_source: self.draw_diversion(now, route.upstream()),
             from_origin: self.draw_diversion(now, self.endpoints.origin()),
         };
         self.requests.stop_waiting(id);
@@ -103,10 +103,12 @@
             return;
         };
         let plan = self.plan_fill(now, &open.request, route, diversion);
-        let fetch = self.fetch_directive(now, &open.request, plan);
+        let fetch = self.fetch_directive(now, &open.request, route.endpoint, plan);
         let timeout = open.deadline - now;
-        self.account_for_attempt(now, id, route.endpoint, plan);
-        self.record_attempt(now, id, route.endpoint, plan);
+        let Some(attempt) = self.record_attempt(now, id, route.endpoint, plan) else {
+            return;
+        };
+        self.account_for_attempt(id, &attempt);
         actions.push(Action::Send {
             request: id,
             endpoint: route.endpoint,
@@ -115,45 +117,44 @@
         });
     }
 
-    /// Adds an attempt to the load of its endpoint and of its source, and charges their warm-up budgets.
-    fn account_for_attempt(
+    fn record_attempt(
         &mut self,
         now: Micros,
         id: RequestId,
         endpoint: EndpointId,
         plan: FillPlan,
-    ) {
+    ) -> Option<Attempt> {
+        let open = self.requests.get_mut(id)?;
+        let attempt = Attempt {
+            number: open.attempts_sent,
+            endpoint,
+            source: plan.source,
+            sent_at: now,
+            cancelled: None,
+        };
+        open.in_flight.push(attempt.clone());
+        open.attempts_sent += 1;
+        open.cached_only_tried |= attempt.is_cached_only();
+        open.origin_spared |= plan.origin_spared;
+        Some(attempt)
+    }
+
+    /// Adds an attempt to the load of its endpoint and of its source, and charges their warm-up budgets.
+    fn account_for_attempt(&mut self, id: RequestId, attempt: &Attempt) {
         let Some(open) = self.requests.get(id) else {
             return;
         };
         let size_kb = open.request.size_kb.unwrap_or(1.0);
         let work_s = self.transfer_times.budget_cost(open.request.class);
         let window = self.slow_start.charge_window();
-        if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
-            endpoint.load.add_request(size_kb, plan.cached_only);
-            endpoint.warm_up.charge(now, id, work_s, window);
+        if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
+            endpoint.load.add_request(size_kb, attempt.is_cached_only());
+            endpoint.warm_up.charge(attempt.sent_at, id, work_s, window);
         }
-        let upstream = plan.source.filter(|source| *source != endpoint);
-        if let Some(source) = upstream.and_then(|source| self.endpoints.get_mut(source)) {
+        let source = attempt.upstream();
+        if let Some(source) = source.and_then(|source| self.endpoints.get_mut(source)) {
             source.load.fills += 1;
-            source.warm_up.charge(now, id, work_s, window);
+            source.warm_up.charge(attempt.sent_at, id, work_s, window);
         }
     }
-
-    fn record_attempt(&mut self, now: Micros, id: RequestId, endpoint: EndpointId, plan: FillPlan) {
-        let Some(open) = self.requests.get_mut(id) else {
-            return;
-        };
-        open.in_flight.push(Attempt {
-            number: open.attempts_sent,
-            endpoint,
-            source: plan.source,
-            sent_at: now,
-            cancelled: None,
-            cached_only: plan.cached_only,
-        });
-        open.attempts_sent += 1;
-        open.cached_only_tried |= plan.cached_only;
-        open.origin_spared |= plan.origin_spared;
-    }
 }
--- a/src/router/fault_attribution.rs
+++ b/src/router/fault_attribution.rs
@@ -24,7 +24,7 @@
                 self.record_response(attempt, cache_status);
                 Fault::None
             }
-            (AttemptStatus::Miss, _) if attempt.cached_only => Fault::None,
+            (AttemptStatus::Miss, _) if attempt.is_cached_only() => Fault::None,
             (_, CacheStatus::SourceMiss) | (AttemptStatus::Miss, _) => Fault::Source,
             (
                 _,
--- a/src/router/fill_source.rs
+++ b/src/router/fill_source.rs
@@ -17,6 +17,27 @@
 /// Lowest traffic share: enough fills to find out when the source has recovered.
 const MIN_TRAFFIC_SHARE: f64 = 0.04;
 
+/// Where an endpoint gets what it has not cached.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum FillSource {
+    /// Nothing is to be filled: the request runs at the endpoint.
+    Forwarded,
+    /// Not filled: the cache answers from its copies, within the stale-if-error time.
+    CachedOnly,
+    /// Filled from this endpoint. A parent that fills an uncacheable request from itself fetches from nowhere.
+    Endpoint(EndpointId),
+}
+
+impl FillSource {
+    /// The source, if that is another endpoint than the one that is filled.
+    pub(super) fn upstream_of(self, endpoint: EndpointId) -> Option<EndpointId> {
+        match self {
+            Self::Endpoint(source) if source != endpoint => Some(source),
+            _ => None,
+        }
+    }
+}
+
 /// Share of the fills from a parent or the origin that go there; the others are diverted.
 ///
 /// Invariant: between `MIN_TRAFFIC_SHARE` and 1. Forgotten with its endpoint.
@@ -57,9 +78,7 @@
 /// Where an attempt is filled from.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FillPlan {
-    /// The endpoint itself: answered from cached copies only.
-    pub(super) source: Option<EndpointId>,
-    pub(super) cached_only: bool,
+    pub(super) source: FillSource,
     /// The source is not to fetch from the origin.
     pub(super) origin_spared: bool,
 }
@@ -86,23 +105,24 @@
         let uncacheable = self.settings.classes[request.class].uncacheable;
         let fills_from_above = !uncacheable
             && route
-                .source
+                .upstream()
                 .and_then(|source| self.endpoints.get(source))
                 .is_some_and(|source| source.role != Role::Cache);
         let source_diverted = diversion.from_source && fills_from_above;
         let origin_spared = diversion.from_origin && fills_from_above;
         let origin = self.endpoints.origin();
-        let origin_accepts = origin
+        let accepting_origin = origin
             .and_then(|id| self.endpoints.get(id))
-            .is_some_and(|origin| self.accepts_new_requests(now, origin, request.class));
-        let source = match route.source {
-            Some(_) if origin_spared && route.source == origin => Some(route.endpoint),
-            Some(_) if source_diverted && !origin_spared && origin_accepts => origin,
-            source => source,
+            .filter(|origin| self.accepts_new_requests(now, origin, request.class));
+        let source = match accepting_origin {
+            _ if origin_spared && route.upstream() == origin => FillSource::CachedOnly,
+            Some(origin) if source_diverted && !origin_spared => {
+                FillSource::Endpoint(origin.entry.id)
+            }
+            _ => route.source,
         };
         FillPlan {
             source,
-            cached_only: source == Some(route.endpoint) && !uncacheable,
             origin_spared,
         }
     }
@@ -111,14 +131,19 @@
         &self,
         now: Micros,
         request: &Request,
+        endpoint: EndpointId,
         plan: FillPlan,
     ) -> Option<FetchDirective> {
         let class = &self.settings.classes[request.class];
         let purge_age = self.purges.max_age(now, request);
-        let source = plan.source?;
-        let stores_no_copy = class.uncacheable || plan.cached_only;
-        let accepts_stale =
-            plan.cached_only || plan.origin_spared || self.failed_recently(now, source);
+        let cached_only = plan.source == FillSource::CachedOnly;
+        let source = match plan.source {
+            FillSource::Forwarded => return None,
+            FillSource::CachedOnly => endpoint,
+            FillSource::Endpoint(source) => source,
+        };
+        let stores_no_copy = class.uncacheable || cached_only;
+        let accepts_stale = cached_only || plan.origin_spared || self.failed_recently(now, source);
         Some(FetchDirective {
             source,
             retention_rank: if stores_no_copy {
@@ -127,10 +152,10 @@
                 self.copy_locations.retention_rank(CopyKey::of(request))
             },
             max_age: max_age(class, accepts_stale, purge_age),
-            // A fill begun before a purge would return the purged copy.
+            // Request coalescing. A fill begun before a purge would return the purged copy.
             coalesce: self.settings.coalesces_fills && purge_age.is_none() && !class.uncacheable,
-            only_if_cached: plan.origin_spared && !plan.cached_only,
-            revalidate: class.fresh_for > 0 && !plan.cached_only && !plan.origin_spared,
+            only_if_cached: plan.origin_spared && !cached_only,
+            revalidate: class.fresh_for > 0 && !cached_only && !plan.origin_spared,
         })
     }
 
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -118,7 +118,9 @@
         let was_not_sent = ended.was_not_sent();
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             let size_kb = ended.request_size_kb.unwrap_or(1.0);
-            endpoint.load.remove_request(size_kb, attempt.cached_only);
+            endpoint
+                .load
+                .remove_request(size_kb, attempt.is_cached_only());
             if was_not_sent {
                 endpoint.warm_up.refund(attempt.sent_at, request);
             }
--- a/src/router/pass_through.rs
+++ b/src/router/pass_through.rs
@@ -1,5 +1,6 @@
 //! Uncacheable classes, which run at the origin.
 use super::endpoints::Endpoint;
+use super::fill_source::FillSource;
 use super::placement::PlacementLoad;
 use super::requests::OpenRequest;
 use super::roles::Role;
@@ -17,7 +18,7 @@
         let route = if self.settings.direct_forwarding {
             let direct = origin.map(|endpoint| Route {
                 endpoint,
-                source: None,
+                source: FillSource::Forwarded,
             });
             direct.or_else(|| parent.map(|parent| self.route_through_parent(now, request, parent)))
         } else {
@@ -26,7 +27,7 @@
                 .zip(origin.or(parent))
                 .map(|(endpoint, source)| Route {
                     endpoint,
-                    source: Some(source),
+                    source: FillSource::Endpoint(source),
                 })
         };
         route.map_or(Choice::Wait, Choice::Send)
@@ -45,7 +46,7 @@
             .find(|origin| self.accepts_new_requests(now, origin, request.request.class));
         Route {
             endpoint: parent,
-            source: Some(origin.map_or(parent, |origin| origin.entry.id)),
+            source: FillSource::Endpoint(origin.map_or(parent, |origin| origin.entry.id)),
         }
     }
 
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -1,4 +1,5 @@
 //! Open requests and their attempts.
+use super::fill_source::FillSource;
 use super::outcome::Fault;
 use crate::action::Action;
 use crate::event::Request;
@@ -10,19 +11,21 @@
 pub(super) struct Attempt {
     pub(super) number: u32,
     pub(super) endpoint: EndpointId,
-    /// Source of a fill; the endpoint itself where the attempt is answered from cached copies only.
-    pub(super) source: Option<EndpointId>,
+    pub(super) source: FillSource,
     pub(super) sent_at: Micros,
     /// Cancelled, and whose fault that was.
     pub(super) cancelled: Option<Fault>,
-    /// Answered from cached copies only, within the stale-if-error time.
-    pub(super) cached_only: bool,
 }
 
 impl Attempt {
     /// The source of a fill, if that is another endpoint.
     pub(super) fn upstream(&self) -> Option<EndpointId> {
-        self.source.filter(|source| *source != self.endpoint)
+        self.source.upstream_of(self.endpoint)
+    }
+
+    /// Answered from cached copies only, within the stale-if-error time.
+    pub(super) fn is_cached_only(&self) -> bool {
+        self.source == FillSource::CachedOnly
     }
 }
 
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -2,6 +2,7 @@
 use super::concurrency_limit::{accepts_cached_only, cache_has_capacity, zone_has_capacity};
 use super::copy_locations::CopyKey;
 use super::endpoints::Endpoint;
+use super::fill_source::FillSource;
 use super::placement::{Placement, PlacementLoad};
 use super::requests::OpenRequest;
 use super::retry::is_in_key_scope;
@@ -14,17 +15,21 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Route {
     pub(super) endpoint: EndpointId,
-    /// The endpoint itself: a cached-only attempt, answered from its copies within the stale-if-error time.
-    pub(super) source: Option<EndpointId>,
+    pub(super) source: FillSource,
 }
 
 impl Route {
     pub(super) fn cached_only(endpoint: EndpointId) -> Self {
         Self {
             endpoint,
-            source: Some(endpoint),
+            source: FillSource::CachedOnly,
         }
     }
+
+    /// The source of a fill, if that is another endpoint.
+    pub(super) fn upstream(&self) -> Option<EndpointId> {
+        self.source.upstream_of(self.endpoint)
+    }
 }
 
 /// What to do with a request that has no attempt in flight.
@@ -79,7 +84,7 @@
         match source.filter(|_| !request.origin_spared) {
             Some(source) => Choice::Send(Route {
                 endpoint: cache,
-                source: Some(source),
+                source: FillSource::Endpoint(source),
             }),
             None if request.cached_only_tried || request.origin_spared => Choice::Finish,
             None => Choice::Send(Route::cached_only(cache)),
