--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -9,7 +9,7 @@
 use crate::ids::{EndpointId, Micros};
 
 /// Where the fault of a failed attempt lies.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     None,
     /// The endpoint that it was sent to.
