--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -5,8 +5,8 @@
 //! other. A partitioned link delivers nothing in either direction and reports no error: after it is healed, what was sent
 //! arrives. A cut is seen at once by both ends.
 //!
-//! State: a direction's unread bytes, at most [`WINDOW`](direction::WINDOW); a listener's queue, at most [`BACKLOG`]; a link
-//! for each pair of addresses that ever communicated, which is never forgotten (a simulation has few).
+//! State: a direction's unread bytes, at most 256 KiB; a listener's queue, at most 1024 connections; a link for each pair of
+//! addresses that ever communicated, which is never forgotten (a simulation has few).
 mod direction;
 mod halves;
 mod link;
--- a/crates/transport/tests/body_transfer.rs
+++ b/crates/transport/tests/body_transfer.rs
@@ -41,58 +41,61 @@
     (body, None)
 }
 
+/// The responses of a peer, one for each size on streams from 1; the body of 8191 bytes is in frames of one byte.
+fn encoded_responses(sizes: &[usize]) -> BytesMut {
+    let mut bytes = BytesMut::new();
+    let mut codec = FrameCodec::default();
+    let mut put = |frame| codec.encode(frame, &mut bytes).unwrap();
+    for (id, size) in (1..).zip(sizes) {
+        let head = ResponseHead {
+            size: Some(*size as u64),
+            ..Default::default()
+        };
+        put(Frame::Head(id, head));
+        let frame_size = if *size == 8_191 { 1 } else { MAX_DATA };
+        for part in content(*size).chunks(frame_size) {
+            put(Frame::Data(id, Bytes::copy_from_slice(part)));
+        }
+        let end = EndHead {
+            bytes: *size as u64,
+            load: None,
+        };
+        put(Frame::End(id, end));
+    }
+    bytes
+}
+
+/// Writes bytes in segments of random size; returns the socket, so that it stays open.
+async fn write_segments(mut peer: TcpStream, bytes: BytesMut, seed: u64) -> TcpStream {
+    let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let mut at = 0;
+    while at < bytes.len() {
+        rng ^= rng << 13;
+        rng ^= rng >> 7;
+        rng ^= rng << 17;
+        let max_step = [3, 700, 9_000, 90_000][(rng >> 60) as usize % 4];
+        let step = (1 + (rng >> 20) as usize % max_step).min(bytes.len() - at);
+        peer.write_all(&bytes[at..at + step]).await.unwrap();
+        at += step;
+        tokio::task::yield_now().await;
+    }
+    peer
+}
+
 /// Sizes around the limit of a frame, and a body in frames of one byte, in segments of random size.
 #[tokio::test]
 async fn responses_are_equal_for_any_segmentation() {
     let sizes = [0, 1, 8_191, 8_192, 65_535, 65_536, 65_537, 200_000];
     for seed in 1..=4_u64 {
         println!("seed {seed}");
-        let (here, mut peer) = sockets().await;
+        let (here, peer) = sockets().await;
         let (caller, _incoming) =
             FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
         let mut calls: Vec<Call> = sizes
             .iter()
-            .map(|n| caller.call(request(&n.to_string())).unwrap())
+            .map(|size| caller.call(request(&size.to_string())).unwrap())
             .collect();
-        let mut bytes = BytesMut::new();
-        let mut codec = FrameCodec::default();
-        let mut put = |frame| codec.encode(frame, &mut bytes).unwrap();
-        for (n, size) in sizes.iter().enumerate() {
-            let id = n as u32 + 1;
-            put(Frame::Head(
-                id,
-                ResponseHead {
-                    size: Some(*size as u64),
-                    ..Default::default()
-                },
-            ));
-            let piece = if *size == 8_191 { 1 } else { MAX_DATA };
-            for part in content(*size).chunks(piece) {
-                put(Frame::Data(id, Bytes::copy_from_slice(part)));
-            }
-            put(Frame::End(
-                id,
-                EndHead {
-                    bytes: *size as u64,
-                    load: None,
-                },
-            ));
-        }
-        let writing = tokio::spawn(async move {
-            let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let mut at = 0;
-            while at < bytes.len() {
-                rng ^= rng << 13;
-                rng ^= rng >> 7;
-                rng ^= rng << 17;
-                let max_step = [3, 700, 9_000, 90_000][(rng >> 60) as usize % 4];
-                let step = (1 + (rng >> 20) as usize % max_step).min(bytes.len() - at);
-                peer.write_all(&bytes[at..at + step]).await.unwrap();
-                at += step;
-                tokio::task::yield_now().await;
-            }
-            peer
-        });
+        let writing = tokio::spawn(write_segments(peer, encoded_responses(&sizes), seed));
         for (call, size) in calls.iter_mut().zip(sizes) {
             let (body, end) = complete_response(call).await;
             assert!(body == content(size), "{size}: {} bytes came", body.len());
