--- a/crates/cache-host/src/net/answer.rs
+++ b/crates/cache-host/src/net/answer.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::Role;
-use pointspindle_protocol::http::names_validator;
+use pointspindle_protocol::http::matches_validator;
 use pointspindle_protocol::range::{Range, ResolvedRange};
 use pointspindle_protocol::*;
 use pointspindle_store::{Fill, Found, Key, Meta};
@@ -582,7 +582,8 @@
         len: whole.unwrap_or(u64::MAX),
         known: whole.is_some(),
     };
-    let same = !head.validator.is_empty() && names_validator(&asked.if_none_match, &head.validator);
+    let same =
+        !head.validator.is_empty() && matches_validator(&asked.if_none_match, &head.validator);
     if same && head.origin_status == 0 {
         head.not_modified = true;
     }
--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -130,11 +130,11 @@
         }
         let failed = |at: SocketAddr| move |e| HostError::Listen(at, e);
         let framed = net
-            .listen_again(settings.framed)
+            .listen_reusing_address(settings.framed)
             .await
             .map_err(failed(settings.framed))?;
         let control = match settings.control {
-            Some(at) => Some(net.listen_again(at).await.map_err(failed(at))?),
+            Some(at) => Some(net.listen_reusing_address(at).await.map_err(failed(at))?),
             None => None,
         };
         let at = framed.local_addr().map_err(failed(settings.framed))?;
--- a/crates/cache-host/tests/service.rs
+++ b/crates/cache-host/tests/service.rs
@@ -118,7 +118,7 @@
          {store}{origin}{more}[class video]\n[class page]\nfresh_ms = 5000\n[class enrol]\nuncacheable = yes\n"
     );
     let settings =
-        pointspindle_config::parse_cache("test", &text).unwrap_or_else(|e| panic!("{e}"));
+        pointspindle_config::parse_cache_host("test", &text).unwrap_or_else(|e| panic!("{e}"));
     Host::start(settings, Network::Tcp)
         .await
         .unwrap_or_else(|e| panic!("{e}"))
--- a/crates/cli/src/cache.rs
+++ b/crates/cli/src/cache.rs
@@ -20,7 +20,7 @@
 pub async fn run(a: Arguments) -> Result<(), Failure> {
     descriptors();
     let mut stop = signal(SignalKind::terminate())?;
-    let host = Host::start(pointspindle_config::load_cache(&a.file)?, Network::Tcp).await?;
+    let host = Host::start(pointspindle_config::load_cache_host(&a.file)?, Network::Tcp).await?;
     if let Some(file) = &a.ready_file {
         write_whole(file, &serde_json::to_vec(&host.bound())?)?;
     }
--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -161,7 +161,7 @@
     record.weight = weight.unwrap_or(record.weight);
     if cold {
         record.start += 1;
-        record.started_unix_ms = Some(pointspindle_clock::stamp_ms());
+        record.started_unix_ms = Some(pointspindle_clock::wall_clock_unix_ms());
     }
     Ok(Some(record))
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -101,7 +101,7 @@
 }
 
 /// The wall clock now, in milliseconds since 1970: for timestamps that other machines read.
-pub fn stamp_ms() -> u64 {
+pub fn wall_clock_unix_ms() -> u64 {
     wall_clock_now().as_millis() as u64
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings of a dispatcher and of a cache host as INI: one section per concern, every error with file, line, key and
 //! reason.
 //!
-//! [`load`] and [`load_cache`] read a file and fail if anything in it is wrong. `examples/edge.ini` and
+//! [`load`] and [`load_cache_host`] read a file and fail if anything in it is wrong. `examples/edge.ini` and
 //! `examples/cache.ini` show every key.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, missing_debug_implementations)]
@@ -31,12 +31,12 @@
 }
 
 /// Reads and checks the settings of a cache host.
-pub fn load_cache(path: &Path) -> Result<CacheHostSettings, ConfigErrors> {
-    parse_cache(&file_name(path), &read_file(path)?)
+pub fn load_cache_host(path: &Path) -> Result<CacheHostSettings, ConfigErrors> {
+    parse_cache_host(&file_name(path), &read_file(path)?)
 }
 
 /// Reads and checks a cache host's settings from a text; `name` stands for the file in errors.
-pub fn parse_cache(name: &str, text: &str) -> Result<CacheHostSettings, ConfigErrors> {
+pub fn parse_cache_host(name: &str, text: &str) -> Result<CacheHostSettings, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     let settings = cache_host::read(&mut reader);
     reader.finish()?;
--- a/crates/config/tests/settings_errors.rs
+++ b/crates/config/tests/settings_errors.rs
@@ -128,8 +128,8 @@
 #[test]
 fn cache_host_example_is_accepted_and_gateway_without_origin_rejected() {
     let example = include_str!("../../../examples/cache.ini");
-    let settings =
-        pointspindle_config::parse_cache("cache.ini", example).unwrap_or_else(|e| panic!("{e}"));
+    let settings = pointspindle_config::parse_cache_host("cache.ini", example)
+        .unwrap_or_else(|e| panic!("{e}"));
     assert_eq!(
         (
             settings.classes.len(),
@@ -139,7 +139,7 @@
         (3, 64, 64 << 20)
     );
     let gateway = example.replace("role = cache ", "role = origin ");
-    let errors = pointspindle_config::parse_cache("cache.ini", &gateway)
+    let errors = pointspindle_config::parse_cache_host("cache.ini", &gateway)
         .unwrap_err()
         .to_string();
     assert!(
--- a/crates/dispatcher/src/net/state_file.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -1,7 +1,7 @@
 //! The state file: written to a temporary file beside it, synced, renamed; read once at the start.
 use super::framed_transport::FramedCore;
 use crate::core::state::{Snapshot, StateError, MAX_FILE};
-use pointspindle_clock::{stamp_ms, BootMoment};
+use pointspindle_clock::{wall_clock_unix_ms, BootMoment};
 use std::io::{ErrorKind, Read, Write};
 use std::path::Path;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     temporary.push(".new");
     let temporary = Path::new(&temporary);
     let mut file = std::fs::File::create(temporary)?;
-    let bytes = snapshot.to_bytes(stamp_ms(), BootMoment::now().as_ref());
+    let bytes = snapshot.to_bytes(wall_clock_unix_ms(), BootMoment::now().as_ref());
     file.write_all(&bytes)?;
     file.sync_all()?;
     std::fs::rename(temporary, path)?;
--- a/crates/lab/src/day/by_etcd.rs
+++ b/crates/lab/src/day/by_etcd.rs
@@ -108,7 +108,7 @@
             cell: 0,
             start: line.start,
             started_unix_ms: ago
-                .map(|ago| pointspindle_clock::stamp_ms().saturating_sub(ago / 1_000)),
+                .map(|ago| pointspindle_clock::wall_clock_unix_ms().saturating_sub(ago / 1_000)),
         });
         writer::member(&self.etcd, PREFIX, &line.address, |_| Ok(record.clone()))
             .await
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -4,8 +4,8 @@
 use crate::etcd::StandIn;
 use hdrhistogram::Histogram;
 use pointspindle_cache_host::Host;
-use pointspindle_clock::stamp_ms;
-use pointspindle_config::{parse, parse_cache};
+use pointspindle_clock::wall_clock_unix_ms;
+use pointspindle_config::{parse, parse_cache_host};
 use pointspindle_dispatcher::{
     ControlObserver, ControlUpdate, HollowDispatcher, PreparedDispatcher, StateCounts,
 };
@@ -299,7 +299,7 @@
         kind: "cache".into(),
         cell: number as u64,
         start: 1,
-        started_unix_ms: Some(stamp_ms().saturating_sub(600_000)),
+        started_unix_ms: Some(wall_clock_unix_ms().saturating_sub(600_000)),
     }
 }
 
@@ -308,7 +308,7 @@
     let mut listed = Vec::new();
     for number in first..first + count {
         let mut settings =
-            parse_cache("hollow", &host_settings(number)).map_err(|e| e.to_string())?;
+            parse_cache_host("hollow", &host_settings(number)).map_err(|e| e.to_string())?;
         settings.store = None;
         let host = Host::start(settings, Network::Tcp)
             .await
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -386,7 +386,7 @@
             .map_err(std::io::Error::other)?;
         let mut tries = 0;
         let listener = loop {
-            match self.inner.options.net.listen_again(address).await {
+            match self.inner.options.net.listen_reusing_address(address).await {
                 Ok(listener) => break listener,
                 Err(e) if tries >= 50 => return Err(e),
                 Err(_) => {
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -26,7 +26,7 @@
 use pointspindle::Micros;
 use pointspindle_dispatcher::keep_alive::{KeepAliveRule, KeepAliveVerdict};
 use pointspindle_platform_protocol::line_protocol::{self, CacheResponse, ResponseStatus};
-use pointspindle_transport::{BufferMeter, SteadyRead};
+use pointspindle_transport::{BufferMeter, RetryingReadHalf};
 use state::ConnectionState;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -216,7 +216,7 @@
     pub async fn run(self: Arc<Self>, socket: TcpStream, meter: BufferMeter) -> Option<String> {
         let (read, write) = socket.into_split();
         let codec = MeteredCodec::new(self.clone(), meter);
-        let read = SteadyRead::new(read);
+        let read = RetryingReadHalf::new(read);
         let mut responses = FramedRead::with_capacity(read, codec, READ_BUFFER_BYTES);
         let mut has_yielded = false;
         let reason = loop {
--- a/crates/platform/src/endpoint_discovery/stream.rs
+++ b/crates/platform/src/endpoint_discovery/stream.rs
@@ -9,7 +9,7 @@
 use pointspindle_platform_protocol::discovery::{
     DiscoveryEvent, ServerSentEvent, ServerSentEventCodec, ServerSentEventError,
 };
-use pointspindle_transport::{SteadyRead, SteadyWrite};
+use pointspindle_transport::{RetryingReadHalf, RetryingWriteHalf};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -156,7 +156,7 @@
         .await
         .map_err(StreamError::Connect)?;
     let (read, write) = socket.into_split();
-    let io = tokio::io::join(SteadyRead::new(read), SteadyWrite::new(write));
+    let io = tokio::io::join(RetryingReadHalf::new(read), RetryingWriteHalf::new(write));
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(io)).await?;
     let connection = AbortOnDrop(tokio::spawn(async move {
         let _ = connection.await;
--- a/crates/platform/src/frontend/response_writer.rs
+++ b/crates/platform/src/frontend/response_writer.rs
@@ -2,7 +2,7 @@
 use super::session::SessionRequests;
 use bytes::{Bytes, BytesMut};
 use pointspindle_platform_protocol::fastcgi::{self, ProtocolStatus};
-use pointspindle_transport::SteadyWrite;
+use pointspindle_transport::RetryingWriteHalf;
 use std::io::{ErrorKind, IoSlice};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -130,7 +130,7 @@
 
 impl ResponseWriter {
     /// Writes until all senders are dropped, or the client takes nothing.
-    pub async fn run(mut self, mut socket: SteadyWrite, requests: Arc<SessionRequests>) {
+    pub async fn run(mut self, mut socket: RetryingWriteHalf, requests: Arc<SessionRequests>) {
         while let Some(outgoing) = self.queue.recv().await {
             let write = write_all(&mut socket, outgoing.pieces);
             let written = tokio::time::timeout(WRITE_TIMEOUT, write).await;
@@ -146,7 +146,7 @@
     }
 }
 
-async fn write_all(socket: &mut SteadyWrite, pieces: Vec<Bytes>) -> std::io::Result<()> {
+async fn write_all(socket: &mut RetryingWriteHalf, pieces: Vec<Bytes>) -> std::io::Result<()> {
     let mut slices: Vec<IoSlice<'_>> = pieces.iter().map(|p| IoSlice::new(p)).collect();
     let mut unsent = &mut slices[..];
     while !unsent.is_empty() {
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -25,7 +25,7 @@
 use pointspindle_platform_protocol::request_assembly::{
     InvalidRequest, RecordOutcome, RequestAssembler, SessionError,
 };
-use pointspindle_transport::{SteadyRead, SteadyWrite};
+use pointspindle_transport::{RetryingReadHalf, RetryingWriteHalf};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -71,9 +71,9 @@
     let (read, write) = socket.into_split();
     let requests = Arc::new(SessionRequests::default());
     let (responses, writer) = response_channel();
-    let writer = writer.run(SteadyWrite::new(write), requests.clone());
+    let writer = writer.run(RetryingWriteHalf::new(write), requests.clone());
     let mut writer = tokio::spawn(writer);
-    let mut input = SessionInput::new(SteadyRead::new(read));
+    let mut input = SessionInput::new(RetryingReadHalf::new(read));
     let mut session = Session::new(frontend, requests, responses);
     let end = session.serve(&mut input, permit).await;
     session.cancelled.cancel();
--- a/crates/platform/src/frontend/session_input.rs
+++ b/crates/platform/src/frontend/session_input.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use futures_util::StreamExt;
 use pointspindle_platform_protocol::fastcgi::{Record, RecordCodec, RecordError};
-use pointspindle_transport::SteadyRead;
+use pointspindle_transport::RetryingReadHalf;
 use tokio::io::AsyncReadExt;
 use tokio_util::codec::{Decoder, FramedRead};
 
@@ -43,12 +43,12 @@
 
 /// See the module's documentation.
 pub(super) struct SessionInput {
-    records: FramedRead<SteadyRead, RecordCodec>,
+    records: FramedRead<RetryingReadHalf, RecordCodec>,
 }
 
 impl SessionInput {
     /// The input of a new session.
-    pub fn new(socket: SteadyRead) -> Self {
+    pub fn new(socket: RetryingReadHalf) -> Self {
         Self {
             records: FramedRead::with_capacity(socket, RecordCodec, READ_BUFFER_BYTES),
         }
@@ -96,7 +96,7 @@
 
     /// Sends the end of the connection to the client, which may still send.
     pub fn close_write_half(&self) {
-        let _ = self.records.get_ref().shut_down_writing();
+        let _ = self.records.get_ref().shutdown_write();
     }
 
     /// Discards input until the client has closed, or has sent nothing for a while.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -62,7 +62,7 @@
 }
 
 /// Whether a list of validators (`If-None-Match`) contains this one; compared weakly (RFC 9110, 13.1.2).
-pub fn names_validator(list: &str, validator: &str) -> bool {
+pub fn matches_validator(list: &str, validator: &str) -> bool {
     let opaque_tag = |validator: &str| {
         validator
             .trim()
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -172,5 +172,5 @@
     ] {
         assert_eq!(Range::parse(ignored), None, "{ignored}");
     }
-    assert!(names_validator("W/\"a\", \"b\"", "\"a\"") && !names_validator("\"c\"", "\"a\""));
+    assert!(matches_validator("W/\"a\", \"b\"", "\"a\"") && !matches_validator("\"c\"", "\"a\""));
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -31,7 +31,7 @@
 pub use connection::{ConnectionOptions, FramedConnection, Inbound, Incoming};
 pub use frame_reader::{FrameReader, IdleState};
 pub use network::{Listener, Network};
-pub use retrying_io::{SteadyRead, SteadyWrite};
+pub use retrying_io::{RetryingReadHalf, RetryingWriteHalf};
 pub use socket::{ReadHalf, Socket, WriteHalf};
 pub use writer::DeferredRequest;
 
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -51,7 +51,7 @@
     }
 
     /// Listens at an address that another process may just have released (`SO_REUSEADDR`).
-    pub async fn listen_again(&self, address: SocketAddr) -> Result<Listener> {
+    pub async fn listen_reusing_address(&self, address: SocketAddr) -> Result<Listener> {
         match self {
             Self::Tcp => {
                 let socket = tcp_socket(address)?;
--- a/crates/transport/src/retrying_io.rs
+++ b/crates/transport/src/retrying_io.rs
@@ -12,13 +12,13 @@
 
 /// The reading half of a TCP connection.
 #[derive(Debug)]
-pub struct SteadyRead {
+pub struct RetryingReadHalf {
     half: OwnedReadHalf,
 }
 
 /// The writing half of a TCP connection; dropping it shuts the direction down.
 #[derive(Debug)]
-pub struct SteadyWrite {
+pub struct RetryingWriteHalf {
     half: OwnedWriteHalf,
 }
 
@@ -27,7 +27,7 @@
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
-impl SteadyRead {
+impl RetryingReadHalf {
     /// Wraps tokio's half.
     pub fn new(half: OwnedReadHalf) -> Self {
         Self { half }
@@ -48,12 +48,12 @@
     }
 
     /// Shuts the writing direction down: the peer sees the end at once.
-    pub fn shut_down_writing(&self) -> Result<()> {
+    pub fn shutdown_write(&self) -> Result<()> {
         SockRef::from(self.half.as_ref()).shutdown(std::net::Shutdown::Write)
     }
 }
 
-impl AsyncRead for SteadyRead {
+impl AsyncRead for RetryingReadHalf {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -73,7 +73,7 @@
     }
 }
 
-impl SteadyWrite {
+impl RetryingWriteHalf {
     /// Wraps tokio's half.
     pub fn new(half: OwnedWriteHalf) -> Self {
         Self { half }
@@ -95,7 +95,7 @@
     }
 }
 
-impl AsyncWrite for SteadyWrite {
+impl AsyncWrite for RetryingWriteHalf {
     fn poll_write(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -8,11 +8,11 @@
 //! State: a direction's unread bytes, at most 256 KiB; a listener's queue, at most 1024 connections; a link for each pair of
 //! addresses that ever communicated, which is never forgotten (a simulation has few).
 mod direction;
-mod halves;
+mod half;
 mod link;
 mod listener;
 
-pub use halves::{SimulatedReadHalf, SimulatedWriteHalf};
+pub use half::{SimulatedReadHalf, SimulatedWriteHalf};
 pub use listener::SimulatedListener;
 
 use crate::lock::lock;
@@ -243,8 +243,8 @@
         state.add_direction(to.ip(), from.ip(), &response);
         state.sweep_closed_directions();
         Handshake {
-            client: halves::socket(response.clone(), request.clone()),
-            server: halves::socket(request, response),
+            client: half::socket(response.clone(), request.clone()),
+            server: half::socket(request, response),
             from,
             listener: state.listeners.get(&to).cloned(),
         }
--- a/crates/transport/src/writer/pieces.rs
+++ b/crates/transport/src/writer/pieces.rs
@@ -61,18 +61,18 @@
     }
 
     /// Puts the rest of a started request in front.
-    pub(super) fn push_front_bytes(&mut self, bytes: Bytes) {
+    pub(super) fn prepend_bytes(&mut self, bytes: Bytes) {
         self.pieces.push_front(Piece::Bytes(bytes));
     }
 
     /// Puts a request that was not started back in front.
-    pub(super) fn push_front_request(&mut self, request: QueuedRequest) {
+    pub(super) fn prepend_request(&mut self, request: QueuedRequest) {
         self.pieces.push_front(Piece::Request(request));
         self.requests += 1;
     }
 
     /// Removes the first piece if it is a request.
-    pub(super) fn pop_front_request(&mut self) -> Option<QueuedRequest> {
+    pub(super) fn take_first_request(&mut self) -> Option<QueuedRequest> {
         match self.pieces.pop_front()? {
             Piece::Request(request) => {
                 self.requests -= 1;
--- a/crates/transport/src/writer/queue.rs
+++ b/crates/transport/src/writer/queue.rs
@@ -128,7 +128,7 @@
     /// Writes what the socket accepts.
     pub(super) fn flush(&mut self, socket: &WriteHalf) {
         while !self.is_empty() && self.failure.is_none() {
-            let progress = match self.pieces.pop_front_request() {
+            let progress = match self.pieces.take_first_request() {
                 Some(request) => self.start(request, socket),
                 None => self.write_bytes(socket),
             };
@@ -166,12 +166,12 @@
                 bytes.advance(written);
                 self.queued_bytes += bytes.len();
                 if !bytes.is_empty() {
-                    self.pieces.push_front_bytes(bytes.freeze());
+                    self.pieces.prepend_bytes(bytes.freeze());
                 }
             }
             Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 self.codec = codec_before;
-                self.pieces.push_front_request(request);
+                self.pieces.prepend_request(request);
                 return Progress::SocketFull;
             }
             Err(error) => self.fail(&error.to_string()),
