--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -14,6 +14,7 @@
 use pointspindle_store::{Folder, Key, Meta, Options, Stats, Store, StoreError, What};
 use pointspindle_transport::{
     AcceptFailure, ConnectionOptions, FramedConnection, Inbound, Listener, Network, Socket,
+    MAX_ACCEPT_QUEUE_FAILURES,
 };
 use sources::Sources;
 use std::collections::HashMap;
@@ -29,8 +30,6 @@
 const EPOCH: Micros = 1_000_000_000_000;
 /// After a shortage a connection is accepted again so much later.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Failures of `accept` that a closing listener goes past before what may still wait there is given up.
-const QUEUE_FAILURES: usize = 16;
 /// Share by which one answer moves the share of hits that is told.
 const HIT_STEP: f64 = 0.02;
 
@@ -394,21 +393,14 @@
         }
     }
     // What waits in the queue was accepted by the system, with the requests that are written on it.
-    let mut failures = 0;
-    while let Some(accepted) = listener.waiting().await {
-        match accepted {
-            Ok(_) if connections.len() >= most => {}
-            Ok((line, _)) => {
-                connections.spawn(serve(shared.clone(), line, stop.clone(), operators));
-            }
-            Err(_) if failures == QUEUE_FAILURES => break,
-            Err(e) => {
-                failures += 1;
-                accept_failed(e).await;
-            }
+    let serve_queued = |socket, _peer| {
+        if connections.len() < most {
+            connections.spawn(serve(shared.clone(), socket, stop.clone(), operators));
         }
-    }
-    drop(listener);
+    };
+    listener
+        .drain_accept_queue(MAX_ACCEPT_QUEUE_FAILURES, serve_queued, accept_failed)
+        .await;
     while connections.join_next().await.is_some() {}
 }
 
--- a/crates/dispatcher/src/net/listeners.rs
+++ b/crates/dispatcher/src/net/listeners.rs
@@ -9,14 +9,11 @@
 use crate::admission::Limits;
 use pointspindle_config::ListenSettings;
 use pointspindle_transport::tls::TlsError;
-use pointspindle_transport::{Listener, Network, Socket};
+use pointspindle_transport::{Listener, Network, Socket, MAX_ACCEPT_QUEUE_FAILURES};
 use std::future::Future;
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
 
-/// Failures of `accept` after which a closing listener abandons what may still wait in its queue.
-pub const QUEUE_FAILURES: usize = 16;
-
 /// Connections to each of the operators' listeners.
 const OPERATOR_CONNECTIONS: usize = 64;
 
@@ -177,8 +174,7 @@
             Err(e) => connections.context.registry.accept_failed(e).await,
         }
     }
-    connections.drain_accept_queue(&mut listener).await;
-    drop(listener);
+    connections.drain_accept_queue(listener).await;
     while connections.tasks.join_next().await.is_some() {}
 }
 
@@ -195,18 +191,13 @@
     F: Fn(FrontendContext, Socket, ConnectionPermit) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = ()> + Send + 'static,
 {
-    async fn drain_accept_queue(&mut self, listener: &mut Listener) {
-        let mut failures = 0;
-        while let Some(accepted) = listener.waiting().await {
-            match accepted {
-                Ok((socket, peer)) => self.admit(socket, peer),
-                Err(_) if failures == QUEUE_FAILURES => break,
-                Err(e) => {
-                    failures += 1;
-                    self.context.registry.accept_failed(e).await;
-                }
-            }
-        }
+    async fn drain_accept_queue(&mut self, listener: Listener) {
+        let registry = self.context.registry.clone();
+        let serve = |socket, peer| self.admit(socket, peer);
+        let pause = |error| registry.accept_failed(error);
+        listener
+            .drain_accept_queue(MAX_ACCEPT_QUEUE_FAILURES, serve, pause)
+            .await;
     }
 
     /// Serves a new connection if there is a permit for it, or rejects it.
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -25,5 +25,5 @@
 
 pub use dispatcher::{Dispatcher, HollowDispatcher, PreparedDispatcher};
 pub(crate) use framed_transport::FramedCore;
-pub use listeners::{BoundAddresses, StartError, QUEUE_FAILURES};
+pub use listeners::{BoundAddresses, StartError};
 pub use state_counts::StateCounts;
--- a/crates/platform/src/frontend/mod.rs
+++ b/crates/platform/src/frontend/mod.rs
@@ -11,8 +11,7 @@
 use crate::settings::PlatformSettings;
 use crate::shutdown::ShutdownPhase;
 use pointspindle_dispatcher::net::connection_registry::{ConnectionPermit, ConnectionRegistry};
-use pointspindle_dispatcher::net::QUEUE_FAILURES;
-use pointspindle_transport::{Listener, Socket};
+use pointspindle_transport::{Listener, Socket, MAX_ACCEPT_QUEUE_FAILURES};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -101,22 +100,12 @@
             Err(error) => frontend.registry.accept_failed(error).await,
         }
     }
-    accept_queued(&mut listener, &frontend, &mut sessions).await;
-    drop(listener);
+    // The system has accepted the connections in the queue, with the requests sent on them.
+    let registry = frontend.registry.clone();
+    let serve = |socket, peer| frontend.serve(&mut sessions, socket, peer);
+    let pause = |error| registry.accept_failed(error);
+    listener
+        .drain_accept_queue(MAX_ACCEPT_QUEUE_FAILURES, serve, pause)
+        .await;
     while sessions.join_next().await.is_some() {}
 }
-
-/// Serves the connections in the listener's queue: the system has accepted them, with the requests sent on them.
-async fn accept_queued(listener: &mut Listener, frontend: &Frontend, sessions: &mut JoinSet<()>) {
-    let mut failures = 0;
-    while let Some(accepted) = listener.waiting().await {
-        match accepted {
-            Ok((socket, peer)) => frontend.serve(sessions, socket, peer),
-            Err(_) if failures == QUEUE_FAILURES => return,
-            Err(error) => {
-                failures += 1;
-                frontend.registry.accept_failed(error).await;
-            }
-        }
-    }
-}
--- a/crates/transport/src/accept.rs
+++ b/crates/transport/src/accept.rs
@@ -5,6 +5,9 @@
 use std::io::{Error, Result};
 use std::net::SocketAddr;
 
+/// Failures of `accept` after which a closing listener gives up the rest of its queue.
+pub const MAX_ACCEPT_QUEUE_FAILURES: usize = 16;
+
 /// What a failed `accept` concerns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
@@ -44,7 +47,7 @@
 impl Listener {
     /// The next connection in the accept queue; `None` if it is empty. For a listener that is about to close: a connection
     /// left in its queue would be reset, with the request that may have been written on it.
-    pub async fn waiting(&mut self) -> Option<Result<(Socket, SocketAddr)>> {
+    pub async fn next_in_accept_queue(&mut self) -> Option<Result<(Socket, SocketAddr)>> {
         // Lets the runtime poll its sockets, so that connections made by now are seen.
         tokio::task::yield_now().await;
         tokio::select! {
@@ -67,7 +70,7 @@
         P: Future<Output = ()>,
     {
         let mut failures = 0;
-        while let Some(accepted) = self.waiting().await {
+        while let Some(accepted) = self.next_in_accept_queue().await {
             match accepted {
                 Ok((socket, peer)) => serve(socket, peer),
                 Err(_) if failures == max_failures => break,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -24,7 +24,7 @@
 pub mod tls;
 mod writer;
 
-pub use accept::AcceptFailure;
+pub use accept::{AcceptFailure, MAX_ACCEPT_QUEUE_FAILURES};
 pub use buffer_meter::BufferMeter;
 pub use call::{Call, CallEnd, Responder, ResponsePart};
 pub use connect::ConnectFailure;
