--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -597,13 +597,12 @@
     fn count(&mut self, now: Micros) {
         let counts = self.peers.counts(now);
         if let Some(c) = counts.filter(|_| counts != self.counts) {
-            self.router
-                .set_fleet_position(FleetPosition {
-                    routers_in_zone: c.in_zone,
-                    routers_total: c.total,
-                    router_index: c.index,
-                    takes_warm_up_budget: c.takes_warm_up_budget,
-                });
+            self.router.set_fleet_position(FleetPosition {
+                routers_in_zone: c.in_zone,
+                routers_total: c.total,
+                router_index: c.index,
+                takes_warm_up_budget: c.takes_warm_up_budget,
+            });
             self.counts = counts;
         }
         if let Some(at) = self.count_at.take() {
