--- a/crates/platform-protocol/src/line_protocol.rs
+++ b/crates/platform-protocol/src/line_protocol.rs
@@ -106,8 +106,8 @@
     Overloaded,
     /// The request may have run and failed.
     Failed,
-    /// No endpoint took the request.
-    Unreachable,
+    /// The request was cancelled: no response is awaited.
+    Cancelled,
     /// The reply to a health check.
     HealthCheckReply,
 }
@@ -120,7 +120,7 @@
             "not_here" => Self::NotCached,
             "overload" => Self::Overloaded,
             "crashed" => Self::Failed,
-            "nobody" => Self::Unreachable,
+            "nobody" => Self::Cancelled,
             "green" => Self::HealthCheckReply,
             _ => return None,
         })
--- a/crates/platform/src/connection_pool/call.rs
+++ b/crates/platform/src/connection_pool/call.rs
@@ -129,7 +129,7 @@
         ResponseStatus::NotModified | ResponseStatus::Failed => error(WireStatus::Error, true),
         ResponseStatus::NotCached => error(WireStatus::Miss, false),
         ResponseStatus::Overloaded => error(WireStatus::Rejected, false),
-        ResponseStatus::Unreachable | ResponseStatus::HealthCheckReply => {
+        ResponseStatus::Cancelled | ResponseStatus::HealthCheckReply => {
             error(WireStatus::Unspecified, false)
         }
     }
