--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -2,12 +2,11 @@
 //! ([`crate::keep_alive`]), opened again with a backoff for each address ([`crate::reconnect_backoff`]).
 mod connect;
 
-use super::framed_transport::FramedCore;
 use crate::keep_alive::{KeepAlive, KeepAliveRule, KeepAliveVerdict};
 use crate::reconnect_backoff::{ConnectDecision, ReconnectBackoff};
 use pointspindle::Micros;
 use pointspindle_config::UpstreamSettings;
-use pointspindle_protocol::{Frame, ProbeHead, WorkRequestHead};
+use pointspindle_protocol::{Frame, HelloHead, LeaseHead, ProbeHead, WorkRequestHead};
 use pointspindle_transport::{BufferMeter, FramedConnection, Network};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -21,6 +20,16 @@
 /// An address without a connection for so long is no longer expected to say hello.
 const GREETING_RETENTION: Duration = Duration::from_secs(600);
 
+/// What the pool's connections report to its owner, and need of it.
+pub(super) trait ConnectionEvents: Send + Sync + 'static {
+    /// An endpoint said hello. True if another process was at its address before.
+    fn hello_received(&self, endpoint: &str, hello: HelloHead) -> bool;
+    /// An endpoint leased capacity to this dispatcher.
+    fn lease_received(&self, endpoint: &str, lease: LeaseHead);
+    /// The connection to an endpoint that says hello was lost: it is to be connected to again.
+    fn connection_lost(&self, endpoint: String);
+}
+
 #[derive(Clone, Debug)]
 enum ConnectionState {
     Connecting,
@@ -127,12 +136,12 @@
 
     /// The connection to an address, shared with all who wait for it. Safe to drop while waiting: connecting goes on for
     /// the others.
-    pub async fn connection(
+    pub(super) async fn connection<E: ConnectionEvents>(
         &self,
-        core: &Arc<FramedCore>,
+        events: &Arc<E>,
         address: &str,
     ) -> Result<FramedConnection, NoConnection> {
-        let (mut state, waited) = self.current_or_new(core, address)?;
+        let (mut state, waited) = self.current_or_new(events, address)?;
         let state = state
             .wait_for(|state| !matches!(state, ConnectionState::Connecting))
             .await;
@@ -148,9 +157,9 @@
     }
 
     /// The state of the address's connection, started where there is none; and whether it is still being opened.
-    fn current_or_new(
+    fn current_or_new<E: ConnectionEvents>(
         &self,
-        core: &Arc<FramedCore>,
+        events: &Arc<E>,
         address: &str,
     ) -> Result<(watch::Receiver<ConnectionState>, bool), NoConnection> {
         let mut entries = self.entries();
@@ -169,8 +178,12 @@
             health: KeepAlive::default(),
         };
         entries.insert(address.to_owned(), entry);
-        let task = connect::run(core.clone(), address.to_owned(), sender, delay);
-        tokio::spawn(task);
+        let connect = connect::Connect {
+            pool: self.clone(),
+            events: events.clone(),
+            address: address.to_owned(),
+        };
+        tokio::spawn(connect.run(sender, delay));
         Ok((state, true))
     }
 
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -1,12 +1,12 @@
 //! Endpoints on the framed protocol: the core's transport over a [`ConnectionPool`].
 use super::call_attempts::CallAttempts;
-use super::connection_pool::{ConnectionPool, NoConnection};
+use super::connection_pool::{ConnectionEvents, ConnectionPool, NoConnection};
 use super::core_handle::{AttemptId, CoreHandle, EndpointTransport, UpstreamCall};
 use super::StateCounts;
-use crate::core::AttemptEnd;
+use crate::core::{AttemptEnd, Input};
 use bytes::Bytes;
 use pointspindle_config::DispatcherSettings;
-use pointspindle_protocol::RequestHead;
+use pointspindle_protocol::{HelloHead, LeaseHead, RequestHead};
 use pointspindle_transport::{BufferMeter, Call, ConnectionError, Network, ResponsePart};
 use std::sync::Arc;
 use std::time::Duration;
@@ -121,6 +121,23 @@
     }
 }
 
+impl ConnectionEvents for FramedCore {
+    fn hello_received(&self, endpoint: &str, hello: HelloHead) -> bool {
+        self.apply_hello(endpoint, hello)
+    }
+
+    fn lease_received(&self, endpoint: &str, lease: LeaseHead) {
+        self.apply(Input::Lease {
+            endpoint: endpoint.to_owned(),
+            lease,
+        });
+    }
+
+    fn connection_lost(&self, endpoint: String) {
+        self.transport.connect(endpoint);
+    }
+}
+
 impl UpstreamCall for Call {
     async fn next(&mut self) -> Option<ResponsePart> {
         Call::next(self).await
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -107,13 +107,13 @@
     Histogram::new(exponential_buckets(0.000_01, 4.0, 10))
 }
 
-const NOT_BEGUN_HELP: &str =
+const ATTEMPTS_NOT_BEGUN_HELP: &str =
     "Attempts held back right before their first byte: client, time, member or source gone meanwhile";
-const HELD_BACK_HELP: &str =
+const ATTEMPTS_HELD_BACK_HELP: &str =
     "Attempts that used no older copy, since purges could not be proven to be known";
-const PURGES_PROVEN_HELP: &str =
+const PURGES_CONFIRMED_HELP: &str =
     "Purges are proven to be known (1) or not (0); -1: that is not promised";
-const NO_ROOM_HELP: &str = "Requests refused because as much is under way as may be";
+const REQUESTS_OVER_BUDGET_HELP: &str = "Requests refused because as much is under way as may be";
 const SLOW_CLIENTS_HELP: &str = "Answers given up because the client took too little";
 const BUFFERED_HELP: &str = "Bytes of bodies read and not yet taken, as last looked at";
 const LOCK_WAITS_HELP: &str = "Times that somebody waited for the core";
@@ -126,7 +126,7 @@
 const TLS_FAILED_HELP: &str = "TLS handshakes that came to nothing";
 const SOURCE_CURRENT_HELP: &str = "1: lists and purges are as new as they should be";
 const SOURCE_GAPS_HELP: &str = "Times that purges may have been missed";
-const SOURCE_BAD_HELP: &str = "Keys of the source that could not be used";
+const SOURCE_REJECTED_KEYS_HELP: &str = "Keys of the source that could not be used";
 const PURGE_LAG_HELP: &str = "From a purge's frame to its being in force";
 
 impl Metrics {
@@ -145,10 +145,10 @@
             attempts,
             open_requests: register.gauge("open_requests", "Requests without a final answer"),
             connections: register.gauge("connections", "Connections at all doors"),
-            attempts_not_begun: register.counter("not_begun", NOT_BEGUN_HELP),
-            attempts_held_back: register.counter("held_back", HELD_BACK_HELP),
-            purges_confirmed: register.gauge("purges_proven", PURGES_PROVEN_HELP),
-            requests_over_budget: register.counter("no_room", NO_ROOM_HELP),
+            attempts_not_begun: register.counter("not_begun", ATTEMPTS_NOT_BEGUN_HELP),
+            attempts_held_back: register.counter("held_back", ATTEMPTS_HELD_BACK_HELP),
+            purges_confirmed: register.gauge("purges_proven", PURGES_CONFIRMED_HELP),
+            requests_over_budget: register.counter("no_room", REQUESTS_OVER_BUDGET_HELP),
             slow_clients: register.counter("slow_clients", SLOW_CLIENTS_HELP),
             buffered_bytes: register.gauge("buffered_bytes", BUFFERED_HELP),
             core_lock_waits: register.counter("core_lock_waits", LOCK_WAITS_HELP),
@@ -159,7 +159,7 @@
             tls_failed: register.counter("tls_failed", TLS_FAILED_HELP),
             source_current: register.gauge("source_current", SOURCE_CURRENT_HELP),
             source_gaps: register.counter("source_gaps", SOURCE_GAPS_HELP),
-            source_bad: register.counter("source_bad", SOURCE_BAD_HELP),
+            source_bad: register.counter("source_bad", SOURCE_REJECTED_KEYS_HELP),
             peers: register.gauge("peers", "Dispatchers that are registered"),
             resumed_responses: register.counter("resumed", "Answers that went on from another member"),
             rejected_connections: register.counter("turned_away", "Connections turned away for want of a place"),
