--- a/crates/cli/tests/platform/soak/judge.rs
+++ b/crates/cli/tests/platform/soak/judge.rs
@@ -20,6 +20,8 @@
 const PURGE_GRACE: Duration = ms(500);
 /// Copies from before a purge are gone everywhere.
 const PURGE_DONE: Duration = ms(6_000);
+/// How long before a pull a purge is planted: within `PURGE_DONE`, after any delay of a board.
+const PLANTED_PURGE_AGE: Duration = ms(5_000);
 /// What a board that is down or silent would have told counts as told so long after that began.
 const TOLD_AT_THE_LATEST: Duration = ms(4_000);
 
@@ -347,10 +349,18 @@
         true
     });
     plant(Clause::Purges, &|b| {
-        let Some(pull) = b.pulls.iter().find(|p| p.txn == page).cloned() else {
+        // A pull with a cap below the age of the planted purge keeps that purge: nothing would be wrong with it.
+        let serves_older_copies = |p: &Pull| p.cap == 0 || ms(p.cap) > PLANTED_PURGE_AGE + SLACK;
+        let is_page = |p: &Pull| served.contains(&p.txn) && b.asked[&p.txn].class == Class::Page;
+        let pull = b
+            .pulls
+            .iter()
+            .find(|p| is_page(p) && serves_older_copies(p));
+        let Some(pull) = pull.cloned() else {
             return false;
         };
-        let (object, at) = (b.asked[&page].object, pull.at - ms(5_000));
+        let object = b.asked[&pull.txn].object;
+        let at = pull.at - PLANTED_PURGE_AGE;
         b.told.push((at, Told::Purged { object, at }));
         true
     });
