--- a/src/router/attempts.rs
+++ b/src/router/attempts.rs
@@ -95,7 +95,7 @@
         actions: &mut Vec<Action>,
     ) {
         let diversion = Diversion {
-            from_source: self.draw_diversion(now, route.upstream()),
+            from_source: self.draw_diversion(now, route.fetched_from()),
             from_origin: self.draw_diversion(now, self.endpoints.origin()),
         };
         self.requests.stop_waiting(id);
--- a/src/router/fill_source.rs
+++ b/src/router/fill_source.rs
@@ -105,7 +105,7 @@
         let uncacheable = self.settings.classes[request.class].uncacheable;
         let fills_from_above = !uncacheable
             && route
-                .upstream()
+                .fetched_from()
                 .and_then(|source| self.endpoints.get(source))
                 .is_some_and(|source| source.role != Role::Cache);
         let source_diverted = diversion.from_source && fills_from_above;
@@ -115,9 +115,13 @@
             .and_then(|id| self.endpoints.get(id))
             .filter(|origin| self.accepts_new_requests(now, origin, request.class));
         let source = match accepting_origin {
-            _ if origin_spared && route.upstream() == origin => FillSource::CachedOnly,
+            _ if origin_spared && route.fetched_from() == origin => FillSource::CachedOnly,
             Some(origin) if source_diverted && !origin_spared => {
-                FillSource::Endpoint(origin.entry.id)
+                if origin.entry.id == route.endpoint {
+                    FillSource::CachedOnly
+                } else {
+                    FillSource::Endpoint(origin.entry.id)
+                }
             }
             _ => route.source,
         };
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -26,9 +26,14 @@
         }
     }
 
-    /// The source of a fill, if that is another endpoint.
-    pub(super) fn upstream(&self) -> Option<EndpointId> {
-        self.source.upstream_of(self.endpoint)
+    /// Where a miss would be fetched from; a cached-only attempt names its own endpoint, which may have changed its
+    /// role since it was chosen.
+    pub(super) fn fetched_from(&self) -> Option<EndpointId> {
+        match self.source {
+            FillSource::Forwarded => None,
+            FillSource::CachedOnly => Some(self.endpoint),
+            FillSource::Endpoint(source) => Some(source),
+        }
     }
 }
 
