--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -1,7 +1,7 @@
 //! Lists and purges through etcd, from the command line.
 use crate::Failure;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
-use pointspindle_etcd::{feed, writer, Access, Etcd, Output, Rule, View, Watcher};
+use pointspindle_etcd::{feed, writer, Access, Etcd, Output, WatcherSettings, View, Watcher};
 use pointspindle_lab::etcd::measure::{measure, Plan};
 use pointspindle_protocol::{EndpointListForm, EndpointRecord};
 use std::collections::BTreeMap;
@@ -89,11 +89,11 @@
     /// Shows the view as dispatchers see it, once or for as long as it is looked at.
     pub async fn show(&self, go_on: bool) -> Result<(), Failure> {
         let etcd = self.open()?;
-        let watcher = Watcher::new(&self.prefix, Rule::default(), 0, std::process::id() as u64);
+        let watcher = Watcher::new(&self.prefix, WatcherSettings::default(), 0, std::process::id() as u64);
         let mut shown: BTreeMap<String, EndpointRecord> = BTreeMap::new();
         let followed = feed::run(etcd, self.prefix.clone(), watcher, move |output| {
             match output {
-                Output::Members(head) => {
+                Output::EndpointList(head) => {
                     if head.form() == EndpointListForm::Full {
                         shown.clear();
                     }
@@ -114,10 +114,10 @@
                         all.keys().cloned().collect::<Vec<_>>().join(", ")
                     )
                 }
-                Output::Gap { first: false, .. } => {
+                Output::UpdatesMissed { initial: false, .. } => {
                     println!("history is lost: everything counts as purged")
                 }
-                Output::Bad(bad) => println!("not used: {bad}"),
+                Output::InvalidKey(error) => println!("not used: {error}"),
                 Output::View(View::Stale) => println!("the view is stale"),
                 Output::View(View::Current) => println!("the view is current"),
                 _ => {}
--- a/crates/etcd/src/feed.rs
+++ b/crates/etcd/src/feed.rs
@@ -1,275 +1,198 @@
-//! Carries a [`Watcher`]'s wishes out against etcd and hands on what comes of them.
+//! Runs a [`Watcher`] against etcd and passes its updates on.
 //!
-//! One question at a time: a snapshot or a watch, each a task that is aborted when the watcher gives it up. What an aborted one
-//! had still said is not listened to.
-use crate::client::{after, Etcd, EtcdError};
+//! At most one snapshot read or watch is in flight, as a task that is aborted when it is replaced or cancelled; responses that it
+//! had queued by then are dropped. Reads of the purge mark run beside it, and end by the client's time-out.
+mod requests;
+
+use crate::client::Etcd;
 use crate::layout;
-use crate::proto::{
-    self, watch_request, WatchCreateRequest, WatchProgressRequest, WatchRequest, WatchResponse,
-};
-use crate::watcher::{Change, Header, Input, KeyValue, Micros, Output, Revision, Watcher};
-use futures_util::StreamExt;
+use crate::proto::{watch_request, WatchProgressRequest, WatchRequest};
+use crate::watcher::{Input, Micros, Output, Revision, Watcher};
 use pointspindle_clock::WallClock;
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Answers to questions beside the one under way: never given up with it.
-const BESIDE: u64 = u64::MAX;
-/// Answers of etcd that wait to be handled; the stream waits beyond that.
-const QUEUE: usize = 64;
+/// Responses that are queued for the watcher; a stream is not read further while the queue is full.
+const RESPONSE_QUEUE: usize = 64;
+/// Progress requests that are queued for a watch; further ones are dropped.
+const PROGRESS_QUEUE: usize = 4;
+
+/// The request that a response belongs to.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Origin {
+    /// The snapshot read or watch of this number; void once another one was started or it was cancelled.
+    Request(u64),
+    /// A read of the purge mark.
+    PurgeMarkRead,
+}
+
+/// A response of etcd on its way to the watcher.
+struct Response {
+    origin: Origin,
+    input: Input,
+}
 
-struct Asked {
-    number: u64,
+/// Aborts its task when dropped.
+struct RequestInFlight {
     task: AbortHandle,
-    /// Of a watch: where requests for progress go.
-    progress: Option<mpsc::Sender<WatchRequest>>,
+    /// Where progress requests of a watch go.
+    progress_requests: Option<mpsc::Sender<WatchRequest>>,
 }
 
-impl Drop for Asked {
+impl Drop for RequestInFlight {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Runs until `tell` says that nobody listens any more (false). `prefix` as in [`layout`].
+/// The requests of one watcher.
+struct RequestRunner {
+    etcd: Etcd,
+    watched_prefix: String,
+    purge_mark_key: String,
+    responses: mpsc::Sender<Response>,
+    in_flight: Option<RequestInFlight>,
+    /// Number of the last request, or of its cancellation.
+    request_number: u64,
+}
+
+/// Runs until `on_update` returns false. `prefix` as in [`layout`].
 pub async fn run(
     etcd: Etcd,
     prefix: String,
     mut watcher: Watcher,
-    mut tell: impl FnMut(Output) -> bool,
+    mut on_update: impl FnMut(Output) -> bool,
 ) {
-    let (born, clock) = (Instant::now(), WallClock::start());
-    let (sender, mut said) = mpsc::channel(QUEUE);
-    let mut asked: Option<Asked> = None;
-    let mut number = 0;
-    let watched = layout::watched(&prefix);
+    let started_at = Instant::now();
+    let now = || started_at.elapsed().as_micros() as Micros;
+    let wall_clock = WallClock::start();
+    let (sender, mut responses) = mpsc::channel(RESPONSE_QUEUE);
+    let mut requests = RequestRunner::new(etcd, &prefix, sender);
     loop {
-        let wait = Duration::from_micros(
-            watcher
-                .next()
-                .saturating_sub(born.elapsed().as_micros() as Micros),
-        );
-        let input = tokio::select! {
-            said = said.recv() => said,
-            () = tokio::time::sleep(wait) => Some((number, Input::Tick)),
+        let wait = Duration::from_micros(watcher.next().saturating_sub(now()));
+        let response = tokio::select! {
+            response = responses.recv() => response,
+            () = tokio::time::sleep(wait) => Some(requests.tick()),
         };
-        // Never: a sender is kept here.
-        let Some((of, input)) = input else { return };
-        if of != number && of != BESIDE {
+        // The runner holds a sender, so the channel does not close.
+        let Some(response) = response else { return };
+        if !requests.is_valid(response.origin) {
             continue;
         }
-        let mut out = Vec::new();
-        watcher.handle(
-            born.elapsed().as_micros() as Micros,
-            clock.earlier_ms(),
-            input,
-            &mut out,
-        );
-        for output in out {
-            match output {
-                Output::AskSnapshot => {
-                    number += 1;
-                    let task = snapshot(etcd.clone(), watched.clone(), number, sender.clone());
-                    asked = Some(Asked {
-                        number,
-                        task: tokio::spawn(task).abort_handle(),
-                        progress: None,
-                    });
-                }
-                Output::AskWatch { from } => {
-                    number += 1;
-                    let (progress, requests) = mpsc::channel(4);
-                    let task = watch(
-                        etcd.clone(),
-                        watched.clone(),
-                        from,
-                        requests,
-                        number,
-                        sender.clone(),
-                    );
-                    let task = tokio::spawn(task).abort_handle();
-                    asked = Some(Asked {
-                        number,
-                        task,
-                        progress: Some(progress),
-                    });
-                }
-                Output::AskProgress => {
-                    let progress = asked
-                        .as_ref()
-                        .filter(|a| a.number == number)
-                        .and_then(|a| a.progress.as_ref());
-                    if let Some(progress) = progress {
-                        let request = watch_request::Request::Progress(WatchProgressRequest {});
-                        let _ = progress.try_send(WatchRequest {
-                            request: Some(request),
-                        });
-                    }
-                }
-                Output::AskMark { asked } => {
-                    tokio::spawn(mark(
-                        etcd.clone(),
-                        layout::purge_mark(&prefix),
-                        asked,
-                        sender.clone(),
-                    ));
-                }
-                Output::Hang => {
-                    number += 1;
-                    asked = None;
-                }
-                told => {
-                    if !tell(told) {
-                        return;
-                    }
-                }
+        let mut outputs = Vec::new();
+        watcher.handle(now(), wall_clock.earlier_ms(), response.input, &mut outputs);
+        for output in outputs {
+            let Some(update) = requests.carry_out(output) else {
+                continue;
+            };
+            if !on_update(update) {
+                return;
             }
         }
     }
 }
 
-fn header(h: Option<proto::ResponseHeader>) -> Header {
-    let h = h.unwrap_or_default();
-    Header {
-        cluster: h.cluster_id,
-        revision: h.revision,
+impl RequestRunner {
+    fn new(etcd: Etcd, prefix: &str, responses: mpsc::Sender<Response>) -> Self {
+        Self {
+            etcd,
+            watched_prefix: layout::watched(prefix),
+            purge_mark_key: layout::purge_mark(prefix),
+            responses,
+            in_flight: None,
+            request_number: 0,
+        }
     }
-}
-
-/// Ends with its call's own patience.
-async fn mark(etcd: Etcd, key: String, asked: Micros, said: mpsc::Sender<(u64, Input)>) {
-    let read = etcd
-        .range(proto::RangeRequest {
-            key: key.into_bytes(),
-            ..Default::default()
-        })
-        .await;
-    let told = |r: proto::RangeResponse| {
-        let cluster = header(r.header).cluster;
-        (cluster, r.kvs.first().map_or(0, |kv| kv.mod_revision))
-    };
-    let read = read
-        .map(told)
-        .map_err(|e| tracing::debug!(error = %e, "etcd: the purges' mark is not read"));
-    let _ = said
-        .send((
-            BESIDE,
-            Input::Mark {
-                asked,
-                read: read.ok(),
-            },
-        ))
-        .await;
-}
 
-async fn snapshot(etcd: Etcd, prefix: String, number: u64, said: mpsc::Sender<(u64, Input)>) {
-    let input = match etcd.snapshot(&prefix).await {
-        Ok(read) => {
-            let key = |kv: proto::KeyValue| KeyValue {
-                key: kv.key,
-                value: kv.value,
-                mod_revision: kv.mod_revision,
-            };
-            Input::Snapshot {
-                header: header(Some(read.header)),
-                keys: read.keys.into_iter().map(key).collect(),
-            }
+    fn tick(&self) -> Response {
+        Response {
+            origin: Origin::Request(self.request_number),
+            input: Input::Tick,
         }
-        Err(e) => {
-            tracing::warn!(error = %e, "etcd: no snapshot");
-            Input::Broken
+    }
+
+    /// False for a response of a request that was replaced or cancelled.
+    fn is_valid(&self, origin: Origin) -> bool {
+        match origin {
+            Origin::Request(number) => number == self.request_number,
+            Origin::PurgeMarkRead => true,
         }
-    };
-    let _ = said.send((number, input)).await;
-}
+    }
 
-async fn watch(
-    etcd: Etcd,
-    prefix: String,
-    from: Revision,
-    progress: mpsc::Receiver<WatchRequest>,
-    number: u64,
-    said: mpsc::Sender<(u64, Input)>,
-) {
-    let create = WatchCreateRequest {
-        range_end: after(prefix.as_bytes()),
-        key: prefix.into_bytes(),
-        start_revision: from,
-        progress_notify: true,
-        fragment: true,
-        ..Default::default()
-    };
-    let create = WatchRequest {
-        request: Some(watch_request::Request::Create(create)),
-    };
-    let more = futures_util::stream::unfold(progress, |mut progress| async move {
-        progress.recv().await.map(|request| (request, progress))
-    });
-    let requests = futures_util::stream::once(async move { create }).chain(more);
-    let (at, why) = match etcd.watch(requests).await {
-        Ok((at, mut answers)) => loop {
-            let why = match answers.message().await {
-                Ok(Some(answer)) => match input(answer) {
-                    Ok(input) => {
-                        let lost = input == Input::Compacted;
-                        if said.send((number, input)).await.is_err() || lost {
-                            return;
-                        }
-                        continue;
-                    }
-                    Err(why) => why,
-                },
-                Ok(None) => "the stream ended".to_owned(),
-                Err(status) => status.to_string(),
-            };
-            break (at, why);
-        },
-        Err((_, EtcdError::Compacted)) => {
-            let _ = said.send((number, Input::Compacted)).await;
-            return;
+    /// Carries out requests; returns any other output.
+    fn carry_out(&mut self, output: Output) -> Option<Output> {
+        match output {
+            Output::ReadSnapshot => self.read_snapshot(),
+            Output::StartWatch { from } => self.start_watch(from),
+            Output::RequestProgress => self.request_progress(),
+            Output::ReadPurgeMark { requested_at } => self.read_purge_mark(requested_at),
+            Output::CancelRequest => self.cancel(),
+            update => return Some(update),
         }
-        Err((at, e)) => (at, e.to_string()),
-    };
-    tracing::info!(why, "etcd: the watch broke");
-    etcd.turn_away(at);
-    let _ = said.send((number, Input::Broken)).await;
-}
+        None
+    }
+
+    fn next_origin(&mut self) -> Origin {
+        self.request_number += 1;
+        Origin::Request(self.request_number)
+    }
 
-/// An answer of a watch in the watcher's terms; or why the watch is over.
-fn input(answer: WatchResponse) -> Result<Input, String> {
-    let header = header(answer.header);
-    if answer.compact_revision > 0 {
-        return Ok(Input::Compacted);
+    fn read_snapshot(&mut self) {
+        let origin = self.next_origin();
+        let task = requests::read_snapshot(
+            self.etcd.clone(),
+            self.watched_prefix.clone(),
+            origin,
+            self.responses.clone(),
+        );
+        self.in_flight = Some(RequestInFlight {
+            task: tokio::spawn(task).abort_handle(),
+            progress_requests: None,
+        });
     }
-    if answer.canceled {
-        return Err(format!("cancelled by etcd: {}", answer.cancel_reason));
+
+    fn start_watch(&mut self, from: Revision) {
+        let origin = self.next_origin();
+        let (progress_sender, progress_requests) = mpsc::channel(PROGRESS_QUEUE);
+        let watch = requests::WatchTask {
+            etcd: self.etcd.clone(),
+            prefix: self.watched_prefix.clone(),
+            from,
+            origin,
+            responses: self.responses.clone(),
+        };
+        self.in_flight = Some(RequestInFlight {
+            task: tokio::spawn(watch.run(progress_requests)).abort_handle(),
+            progress_requests: Some(progress_sender),
+        });
     }
-    if answer.created {
-        return Ok(Input::Created { header });
+
+    fn request_progress(&self) {
+        let progress_requests = self
+            .in_flight
+            .as_ref()
+            .and_then(|request| request.progress_requests.as_ref());
+        if let Some(sender) = progress_requests {
+            let request = watch_request::Request::Progress(WatchProgressRequest {});
+            let _ = sender.try_send(WatchRequest {
+                request: Some(request),
+            });
+        }
+    }
+
+    fn read_purge_mark(&self, requested_at: Micros) {
+        tokio::spawn(requests::read_purge_mark(
+            self.etcd.clone(),
+            self.purge_mark_key.clone(),
+            requested_at,
+            self.responses.clone(),
+        ));
     }
-    if answer.events.is_empty() && !answer.fragment {
-        return Ok(Input::Progress { header });
+
+    fn cancel(&mut self) {
+        self.request_number += 1;
+        self.in_flight = None;
     }
-    let change = |event: proto::Event| {
-        let kv = event.kv?;
-        Some(match event.r#type {
-            1 => Change::Delete {
-                key: kv.key,
-                mod_revision: kv.mod_revision,
-            },
-            _ => Change::Put(KeyValue {
-                key: kv.key,
-                value: kv.value,
-                mod_revision: kv.mod_revision,
-            }),
-        })
-    };
-    let changes = answer.events.into_iter().filter_map(change).collect();
-    Ok(Input::News {
-        header,
-        changes,
-        fragment: answer.fragment,
-    })
 }
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -2,167 +2,196 @@
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `members/ADDRESS` | a [`MemberRecord`]; deleted: gone |
-//! | `dispatchers/NAME` | a [`DispatcherRecord`], under a lease that the dispatcher keeps |
-//! | `purges/ID` | a [`PurgeRecord`]; the writer attaches a lease of at least a minute, after which no older copy is left anywhere |
+//! | `members/ADDRESS` | a [`MemberRecord`]; deleted when the endpoint is removed |
+//! | `dispatchers/NAME` | a [`DispatcherRecord`], under a lease that the dispatcher renews |
+//! | `purges/ID` | a [`PurgeRecord`], under a lease of at least a minute, after which no older copy is left anywhere |
 //!
-//! Beside them, outside what is watched, `PREFIX/marks/v1/purge` is written with each purge, in the same transaction: its last revision
-//! is that of the last purge, so one read of it proves whether all that was acknowledged is known.
+//! The purge mark, `PREFIX/marks/v1/purge`, is not under the watched prefix. It is written with each purge, in the same
+//! transaction, so its revision is that of the last purge.
 //!
-//! An ID is the writer's, never used again. Fields that are not known are skipped, so records may grow; another form of one is
-//! another version in the key.
+//! An ID is chosen by the writer and never used again. Unknown fields are skipped, so records may grow; an incompatible form
+//! needs another version in the key.
 use pointspindle_protocol::{EndpointRecord, PurgeHead, WireEndpointState};
 use serde::{Deserialize, Serialize};
 
-/// Between the operator's prefix and what this version holds.
+/// Separates the operator's prefix from the keys of this version.
 pub const VERSION: &str = "/v1/";
 
+/// State of an endpoint as its operator has set it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
+    /// Takes new requests.
     Ready,
+    /// Finishes requests in flight and takes no new ones.
     Draining,
 }
 
+/// The stored record of an endpoint, under `members/`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
+    /// Ready or draining.
     pub state: State,
-    /// Transfers at full pace that its link carries.
+    /// Concurrent transfers at full speed that its network link carries.
     pub weight: f64,
+    /// Zone of the endpoint.
     pub zone: String,
     /// `cache`, `parent` or `origin`.
     pub kind: String,
+    /// Cell of the endpoint.
     #[serde(default)]
     pub cell: u64,
-    /// Which start of the member this is; another number: another process in its place.
+    /// Incarnation: changes whenever the process is started anew.
     #[serde(default)]
     pub start: u64,
-    /// When that was, by the writer's clock: milliseconds since 1970. Absent: long ago.
+    /// When it was started, by the writer's clock, in milliseconds since 1970; absent: long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_unix_ms: Option<u64>,
 }
 
-/// A dispatcher that runs.
+/// The stored registration of a dispatcher, under `dispatchers/`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DispatcherRecord {
+    /// Zone of the dispatcher.
     pub zone: String,
-    /// It promises that a purge is in force there within so long, whatever happens. Absent: it promises nothing.
+    /// Longest time until an acknowledged purge is in force there; absent: not promised.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub purge_within_ms: Option<u64>,
 }
 
+/// The stored record of a purge, under `purges/`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PurgeRecord {
-    /// Absent: all of the group.
+    /// The purged object; absent: all objects of the group.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<String>,
+    /// Group of the object.
     pub group: u64,
 }
 
-/// What a key is about.
+/// What a key names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Name {
+pub enum KeyName {
+    /// An endpoint, by address.
     Member(String),
+    /// A dispatcher, by name.
     Dispatcher(String),
+    /// A purge, by id.
     Purge(String),
 }
 
+/// A key or value that is not of this layout.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadKey {
+pub enum LayoutError {
+    /// The key has another form.
     #[error("{0}: not a key of this layout")]
-    Foreign(String),
+    UnknownKey(String),
+    /// The value is not the JSON record that the key requires.
     #[error("{key}: {reason}")]
-    Value { key: String, reason: String },
+    InvalidValue {
+        /// The whole key.
+        key: String,
+        /// The parser's message.
+        reason: String,
+    },
 }
 
-/// The prefix that is watched: one for all, so that one revision holds for all.
+/// The watched prefix. It covers all records, so that one revision holds for all of them.
 pub fn watched(prefix: &str) -> String {
     format!("{prefix}{VERSION}")
 }
 
+/// Key of an endpoint's record.
 pub fn member_key(prefix: &str, address: &str) -> String {
     format!("{prefix}{VERSION}members/{address}")
 }
 
+/// Key of a dispatcher's registration.
 pub fn dispatcher_key(prefix: &str, name: &str) -> String {
     format!("{prefix}{VERSION}dispatchers/{name}")
 }
 
-/// Where each purge leaves its revision.
+/// The purge mark, whose revision is that of the last purge.
 pub fn purge_mark(prefix: &str) -> String {
     format!("{prefix}/marks{VERSION}purge")
 }
 
+/// Key of a purge.
 pub fn purge_key(prefix: &str, id: &str) -> String {
     format!("{prefix}{VERSION}purges/{id}")
 }
 
-/// Reads a key; none for what another subsystem of this version may keep beside.
-pub fn name(prefix: &str, key: &[u8]) -> Result<Option<Name>, BadKey> {
+/// Parses a key under the watched prefix; none for kinds of keys that other programs may add.
+pub fn name(prefix: &str, key: &[u8]) -> Result<Option<KeyName>, LayoutError> {
     let text = String::from_utf8_lossy(key).into_owned();
-    let Some(rest) = text.strip_prefix(&watched(prefix)) else {
-        return Err(BadKey::Foreign(text));
+    let Some(suffix) = text.strip_prefix(&watched(prefix)) else {
+        return Err(LayoutError::UnknownKey(text));
     };
-    match rest.split_once('/') {
-        Some((_, "")) | None => Err(BadKey::Foreign(text)),
-        Some(("members", address)) => Ok(Some(Name::Member(address.to_owned()))),
-        Some(("dispatchers", name)) => Ok(Some(Name::Dispatcher(name.to_owned()))),
-        Some(("purges", id)) => Ok(Some(Name::Purge(id.to_owned()))),
+    match suffix.split_once('/') {
+        Some((_, "")) | None => Err(LayoutError::UnknownKey(text)),
+        Some(("members", address)) => Ok(Some(KeyName::Member(address.to_owned()))),
+        Some(("dispatchers", name)) => Ok(Some(KeyName::Dispatcher(name.to_owned()))),
+        Some(("purges", id)) => Ok(Some(KeyName::Purge(id.to_owned()))),
         Some(_) => Ok(None),
     }
 }
 
-fn value<'a, T: Deserialize<'a>>(key: &[u8], bytes: &'a [u8]) -> Result<T, BadKey> {
-    let bad = |e: serde_json::Error| BadKey::Value {
+fn parse_json<'a, T: Deserialize<'a>>(key: &[u8], bytes: &'a [u8]) -> Result<T, LayoutError> {
+    serde_json::from_slice(bytes).map_err(|error| LayoutError::InvalidValue {
         key: String::from_utf8_lossy(key).into_owned(),
-        reason: e.to_string(),
-    };
-    serde_json::from_slice(bytes).map_err(bad)
+        reason: error.to_string(),
+    })
 }
 
-pub fn member(key: &[u8], bytes: &[u8]) -> Result<MemberRecord, BadKey> {
-    value(key, bytes)
+/// Parses an endpoint's record.
+pub fn member(key: &[u8], bytes: &[u8]) -> Result<MemberRecord, LayoutError> {
+    parse_json(key, bytes)
 }
 
-pub fn dispatcher(key: &[u8], bytes: &[u8]) -> Result<DispatcherRecord, BadKey> {
-    value(key, bytes)
+/// Parses a dispatcher's registration.
+pub fn dispatcher(key: &[u8], bytes: &[u8]) -> Result<DispatcherRecord, LayoutError> {
+    parse_json(key, bytes)
 }
 
-pub fn purge(key: &[u8], bytes: &[u8]) -> Result<PurgeRecord, BadKey> {
-    value(key, bytes)
+/// Parses a purge.
+pub fn purge(key: &[u8], bytes: &[u8]) -> Result<PurgeRecord, LayoutError> {
+    parse_json(key, bytes)
 }
 
 impl MemberRecord {
-    /// As a dispatcher's list has it; none of a record: gone.
-    pub fn line(record: Option<&Self>, address: &str, wall_ms: u64) -> EndpointRecord {
-        let Some(r) = record else {
-            return EndpointRecord {
-                address: address.to_owned(),
-                state: WireEndpointState::Gone as i32,
-                ..Default::default()
-            };
-        };
-        let state = match r.state {
+    /// The endpoint list's record of this endpoint. A start time in the future counts as now.
+    pub fn to_endpoint(&self, address: &str, wall_ms: u64) -> EndpointRecord {
+        let state = match self.state {
             State::Ready => WireEndpointState::Ready,
             State::Draining => WireEndpointState::Draining,
         };
+        let started_ago_us = self
+            .started_unix_ms
+            .map(|started_ms| wall_ms.saturating_sub(started_ms).saturating_mul(1_000));
         EndpointRecord {
             address: address.to_owned(),
             state: state as i32,
-            weight: r.weight,
-            zone: r.zone.clone(),
-            kind: r.kind.clone(),
-            cell: r.cell,
-            incarnation: r.start,
-            started_ago_us: r
-                .started_unix_ms
-                .map(|at| wall_ms.saturating_sub(at).saturating_mul(1_000)),
+            weight: self.weight,
+            zone: self.zone.clone(),
+            kind: self.kind.clone(),
+            cell: self.cell,
+            incarnation: self.start,
+            started_ago_us,
         }
     }
 }
 
+/// The endpoint list's record of an endpoint whose key was deleted.
+pub fn removed_endpoint(address: &str) -> EndpointRecord {
+    EndpointRecord {
+        address: address.to_owned(),
+        state: WireEndpointState::Gone as i32,
+        ..Default::default()
+    }
+}
+
 impl PurgeRecord {
-    /// As if it had happened just now: older than it is would spare copies from before it.
+    /// The purge with age zero: an age greater than the true one would spare copies from before the purge.
     pub fn head(&self) -> PurgeHead {
         PurgeHead {
             object: self.object.clone(),
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,13 +1,15 @@
-//! Member lists, drains and purges through etcd's watch API.
+//! Endpoint lists, draining, purges and dispatcher registrations through etcd's watch API.
 //!
-//! * [`layout`]: which keys hold what, versioned; values as JSON.
-//! * [`watcher`]: turns snapshots and watch events into list updates and purges, each once and in order, over broken streams,
-//!   compaction and lost history. No I/O, no clock: the owner asks etcd what it is told to ask and hands the answers in.
+//! * [`layout`]: the keys and their values, versioned JSON records.
+//! * [`watcher`]: turns snapshots and watch events into endpoint lists and purges, in order and once each, across broken
+//!   streams, compaction and lost history. No I/O, no clock.
+//! * [`client`]: etcd's v3 API over gRPC; [`proto`]: its messages.
+//! * [`feed`]: runs a watcher against a client.
+//! * [`writer`]: transactions of operators and dispatchers.
 //!
-//! * [`client`]: the v3 API over gRPC, [`feed`]: a watcher against it, [`writer`]: what operators and dispatchers write.
-//!
-//! What travels is `pointspindle_protocol`'s, so a dispatcher takes it like the word of its control connection.
+//! The updates are messages of `pointspindle_protocol`, as a control connection delivers them.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod client;
 pub mod feed;
@@ -19,4 +21,6 @@
 
 pub use client::{Access, Etcd, EtcdError};
 pub use source::EtcdSource;
-pub use watcher::{Change, Header, Input, KeyValue, Output, Revision, Rule, View, Watcher};
+pub use watcher::{
+    Header, Input, KeyValue, Output, Revision, View, WatchEvent, Watcher, WatcherSettings,
+};
--- a/crates/etcd/src/proto.rs
+++ b/crates/etcd/src/proto.rs
@@ -1,7 +1,9 @@
-//! Messages of etcd's v3 API, as far as they are used here: field numbers and types as in its published definitions
-//! (`etcdserverpb/rpc.proto`, `mvccpb/kv.proto`). Fields that are left out are skipped by either side.
+//! Messages of etcd's v3 API, as far as they are used here, with the names, field numbers and types of its published definitions
+//! (`etcdserverpb/rpc.proto`, `mvccpb/kv.proto`), which document the fields. Omitted fields are skipped by either side.
+#![allow(missing_docs)]
 use prost::{Enumeration, Message, Oneof};
 
+/// Kind of a watch event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum EventType {
@@ -9,6 +11,7 @@
     Delete = 1,
 }
 
+/// Relation that a comparison requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum CompareResult {
@@ -18,6 +21,7 @@
     NotEqual = 3,
 }
 
+/// Property of a key that is compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum CompareTarget {
@@ -28,7 +32,7 @@
     Lease = 4,
 }
 
-/// Of every answer: which cluster and member gave it, and the store's revision then.
+/// Of every response: the cluster and node that sent it, and the store's revision at that time.
 #[derive(Clone, PartialEq, Message)]
 pub struct ResponseHeader {
     #[prost(uint64, tag = "1")]
@@ -58,7 +62,7 @@
     pub lease: i64,
 }
 
-/// A change that a watch tells.
+/// A change of a key, delivered by a watch.
 #[derive(Clone, PartialEq, Message)]
 pub struct Event {
     #[prost(enumeration = "EventType", tag = "1")]
@@ -88,6 +92,7 @@
     pub count_only: bool,
 }
 
+/// The keys found; `more` if the limit has cut them off.
 #[derive(Clone, PartialEq, Message)]
 pub struct RangeResponse {
     #[prost(message, optional, tag = "1")]
@@ -100,6 +105,7 @@
     pub count: i64,
 }
 
+/// Writes a key, under a lease unless `lease` is 0.
 #[derive(Clone, PartialEq, Message)]
 pub struct PutRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -112,6 +118,7 @@
     pub prev_kv: bool,
 }
 
+/// Response to a put.
 #[derive(Clone, PartialEq, Message)]
 pub struct PutResponse {
     #[prost(message, optional, tag = "1")]
@@ -120,6 +127,7 @@
     pub prev_kv: Option<KeyValue>,
 }
 
+/// Deletes the keys from `key` up to, not including, `range_end`; only `key` if that is empty.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeleteRangeRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -130,6 +138,7 @@
     pub prev_kv: bool,
 }
 
+/// Response to a deletion.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeleteRangeResponse {
     #[prost(message, optional, tag = "1")]
@@ -140,7 +149,7 @@
     pub prev_kvs: Vec<KeyValue>,
 }
 
-/// A condition of a transaction: `target` of `key` stands to the value so.
+/// A comparison of a transaction: the `target` of `key` with the value.
 #[derive(Clone, PartialEq, Message)]
 pub struct Compare {
     #[prost(enumeration = "CompareResult", tag = "1")]
@@ -153,12 +162,14 @@
     pub target_union: Option<compare::TargetUnion>,
 }
 
+/// One operation of a transaction.
 #[derive(Clone, PartialEq, Message)]
 pub struct RequestOp {
     #[prost(oneof = "request_op::Request", tags = "1, 2, 3")]
     pub request: Option<request_op::Request>,
 }
 
+/// The response to one operation of a transaction.
 #[derive(Clone, PartialEq, Message)]
 pub struct ResponseOp {
     #[prost(oneof = "response_op::Response", tags = "1, 2, 3")]
@@ -176,6 +187,7 @@
     pub failure: Vec<RequestOp>,
 }
 
+/// Response to a transaction; `succeeded` if every comparison held.
 #[derive(Clone, PartialEq, Message)]
 pub struct TxnResponse {
     #[prost(message, optional, tag = "1")]
@@ -186,6 +198,7 @@
     pub responses: Vec<ResponseOp>,
 }
 
+/// Discards the history before a revision.
 #[derive(Clone, PartialEq, Message)]
 pub struct CompactionRequest {
     #[prost(int64, tag = "1")]
@@ -194,18 +207,21 @@
     pub physical: bool,
 }
 
+/// Response to a compaction.
 #[derive(Clone, PartialEq, Message)]
 pub struct CompactionResponse {
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
 
+/// A message to a watch stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchRequest {
     #[prost(oneof = "watch_request::Request", tags = "1, 2, 3")]
     pub request: Option<watch_request::Request>,
 }
 
+/// Starts a watch of a range at `start_revision` (0: now).
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchCreateRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -224,16 +240,19 @@
     pub fragment: bool,
 }
 
+/// Cancels a watch of the stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchCancelRequest {
     #[prost(int64, tag = "1")]
     pub watch_id: i64,
 }
 
+/// Requests a progress notification.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchProgressRequest {}
 
-/// `fragment`: more of the same revisions follows. `compact_revision`: the watch began before what is left of history.
+/// A message of a watch stream. `fragment`: more events of the same revisions follow. `compact_revision`: not 0 if the start
+/// revision has been compacted away.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchResponse {
     #[prost(message, optional, tag = "1")]
@@ -254,7 +273,7 @@
     pub events: Vec<Event>,
 }
 
-/// Seconds.
+/// Requests a lease, `ttl` in seconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseGrantRequest {
     #[prost(int64, tag = "1")]
@@ -263,6 +282,7 @@
     pub id: i64,
 }
 
+/// The granted lease, `ttl` in seconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseGrantResponse {
     #[prost(message, optional, tag = "1")]
@@ -275,25 +295,28 @@
     pub error: String,
 }
 
+/// Revokes a lease and deletes its keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRevokeRequest {
     #[prost(int64, tag = "1")]
     pub id: i64,
 }
 
+/// Response to a revocation.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseRevokeResponse {
     #[prost(message, optional, tag = "1")]
     pub header: Option<ResponseHeader>,
 }
 
+/// Renews a lease.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseKeepAliveRequest {
     #[prost(int64, tag = "1")]
     pub id: i64,
 }
 
-/// `ttl` 0: the lease is gone.
+/// The renewed lease; `ttl` 0: it has expired.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseKeepAliveResponse {
     #[prost(message, optional, tag = "1")]
@@ -304,6 +327,7 @@
     pub ttl: i64,
 }
 
+/// Logs a user in.
 #[derive(Clone, PartialEq, Message)]
 pub struct AuthenticateRequest {
     #[prost(string, tag = "1")]
@@ -312,6 +336,7 @@
     pub password: String,
 }
 
+/// The token for the metadata of later calls.
 #[derive(Clone, PartialEq, Message)]
 pub struct AuthenticateResponse {
     #[prost(message, optional, tag = "1")]
@@ -320,9 +345,11 @@
     pub token: String,
 }
 
+/// The `oneof` of [`Compare`].
 pub mod compare {
     use super::*;
 
+    /// The value to compare with.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum TargetUnion {
         #[prost(int64, tag = "4")]
@@ -338,9 +365,11 @@
     }
 }
 
+/// The `oneof` of [`RequestOp`].
 pub mod request_op {
     use super::*;
 
+    /// The request.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Request {
         #[prost(message, tag = "1")]
@@ -352,9 +381,11 @@
     }
 }
 
+/// The `oneof` of [`ResponseOp`].
 pub mod response_op {
     use super::*;
 
+    /// The response.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Response {
         #[prost(message, tag = "1")]
@@ -366,9 +397,11 @@
     }
 }
 
+/// The `oneof` of [`WatchRequest`].
 pub mod watch_request {
     use super::*;
 
+    /// The request.
     #[derive(Clone, PartialEq, Oneof)]
     pub enum Request {
         #[prost(message, tag = "1")]
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -1,126 +1,140 @@
-//! A dispatcher's source: follows the prefix, keeps the dispatcher registered, and counts the others.
+//! The control source that reads endpoint lists and purges from etcd and keeps the dispatcher registered there.
 use crate::client::{Access, Etcd, EtcdError};
 use crate::feed;
 use crate::layout::DispatcherRecord;
-use crate::watcher::{Output, Rule, View, Watcher};
-use crate::writer::{self, Kept};
+use crate::watcher::{Output, View, Watcher, WatcherSettings};
+use crate::writer::{self, RegistrationState};
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::{ControlSink, ControlSource};
 use std::time::Duration;
 
+/// Purge mark reads in one purge promise. The lease that a read renews lasts half the promise, so one lost response does not
+/// end it.
+const CONFIRMATIONS_PER_PURGE_PROMISE: u64 = 6;
+
+/// A dispatcher's connection to etcd: watches the prefix, keeps the dispatcher registered under a lease, and counts the other
+/// registered dispatchers. Ends with its task; the registration then expires with its lease.
 #[derive(Debug)]
 pub struct EtcdSource {
+    /// Client of the cluster.
     pub etcd: Etcd,
+    /// The operator's prefix of all keys.
     pub prefix: String,
+    /// Name of this dispatcher.
     pub name: String,
+    /// Zone of this dispatcher.
     pub zone: String,
-    /// Seconds of the registration's lease.
+    /// Time to live of the registration's lease, in seconds.
     pub lease_s: i64,
-    pub rule: Rule,
-    /// What this dispatcher promises of purges, in milliseconds; none: nothing.
+    /// Time-outs and intervals of the watch.
+    pub watcher_settings: WatcherSettings,
+    /// Longest time until a purge is in force in this dispatcher, in milliseconds; none: not promised.
     pub purge_within_ms: Option<u64>,
+    /// Seed of the backoff's jitter.
     pub seed: u64,
 }
 
 impl EtcdSource {
-    /// As a dispatcher's settings say; none where they say nothing of etcd.
+    /// The source that the settings configure; none if they have no `[etcd]` section.
     pub fn of(settings: &DispatcherSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
-        let Some(e) = &settings.etcd else {
+        let Some(etcd) = &settings.etcd else {
             return Ok(None);
         };
         let access = Access {
-            endpoints: e.endpoints.clone(),
-            authority: e.authority.clone(),
-            identity: e.identity.clone(),
-            user: e.user.clone(),
+            endpoints: etcd.endpoints.clone(),
+            authority: etcd.authority.clone(),
+            identity: etcd.identity.clone(),
+            user: etcd.user.clone(),
+        };
+        let watcher_settings = WatcherSettings {
+            purge_confirmation_interval_us: etcd.purge_within_us / CONFIRMATIONS_PER_PURGE_PROMISE,
+            ..WatcherSettings::default()
         };
         Ok(Some(Self {
-            etcd: Etcd::new(&access, Duration::from_micros(e.call_timeout_us))?,
-            prefix: e.prefix.clone(),
+            etcd: Etcd::new(&access, Duration::from_micros(etcd.call_timeout_us))?,
+            prefix: etcd.prefix.clone(),
             name: settings.name.clone(),
             zone: settings.zones[settings.router.zone].clone(),
-            lease_s: e.lease_s,
-            // The proof is a lease of half of the promise: renewed often enough that one lost answer does not end it.
-            rule: Rule {
-                prove_every: e.purge_within_us / 6,
-                ..Rule::default()
-            },
-            purge_within_ms: (e.purge_within_us > 0).then_some(e.purge_within_us / 1_000),
+            lease_s: etcd.lease_s,
+            watcher_settings,
+            purge_within_ms: (etcd.purge_within_us > 0).then_some(etcd.purge_within_us / 1_000),
             seed,
         }))
     }
 }
 
 impl ControlSource for EtcdSource {
-    async fn run(self, teller: ControlSink) {
+    async fn run(self, sink: ControlSink) {
         let record = DispatcherRecord {
             zone: self.zone,
             purge_within_ms: self.purge_within_ms,
         };
-        let told = teller.clone();
-        let registered = writer::register(
+        let registration_sink = sink.clone();
+        let registration = writer::register(
             self.etcd.clone(),
             self.prefix.clone(),
             self.name,
             record,
             self.lease_s,
-            move |kept, took| {
-                if let Kept::Until(lasts) = kept {
-                    told.registration_renewed(took.as_micros() as u64, lasts.as_micros() as u64);
+            move |state, round_trip| {
+                if let RegistrationState::Renewed { ttl } = state {
+                    let round_trip_us = round_trip.as_micros() as u64;
+                    registration_sink.registration_renewed(round_trip_us, ttl.as_micros() as u64);
                 }
                 true
             },
         );
-        let watcher = Watcher::new(&self.prefix, self.rule, 0, self.seed);
-        let followed = feed::run(self.etcd, self.prefix, watcher, move |output| {
-            tell(&teller, output);
+        let watcher = Watcher::new(&self.prefix, self.watcher_settings, 0, self.seed);
+        let feed = feed::run(self.etcd, self.prefix, watcher, move |update| {
+            apply_update(&sink, update);
             true
         });
-        tokio::join!(registered, followed);
+        tokio::join!(registration, feed);
     }
 }
 
-fn tell(teller: &ControlSink, output: Output) {
-    match output {
-        Output::Members(head) => {
-            tracing::info!(form = ?head.form(), lines = head.endpoints.len(), "etcd: member list");
-            teller.apply_endpoint_list(head);
+fn apply_update(sink: &ControlSink, update: Output) {
+    match update {
+        Output::EndpointList(head) => {
+            let endpoints = head.endpoints.len();
+            tracing::info!(form = ?head.form(), endpoints, "etcd: endpoint list");
+            sink.apply_endpoint_list(head);
         }
         Output::Purge(head) => {
             tracing::info!(object = ?head.object, group = head.group, "etcd: purge");
-            teller.apply_purge(head);
+            sink.apply_purge(head);
         }
-        Output::Dispatchers(all) => {
-            tracing::info!(dispatchers = all.len(), "etcd: dispatchers");
-            teller.roster(
-                all.into_iter()
-                    .map(|(name, record)| (name, record.zone))
-                    .collect(),
-            );
+        Output::Dispatchers(dispatchers) => {
+            tracing::info!(dispatchers = dispatchers.len(), "etcd: dispatchers");
+            let zones = dispatchers
+                .into_iter()
+                .map(|(name, record)| (name, record.zone));
+            sink.roster(zones.collect());
         }
-        // Purges live for a minute, so the first snapshot holds all that copies may still be older than. Purging everything at each
-        // start of a dispatcher would have the origin pay for every deploy.
-        Output::Gap { first: true, .. } => {}
-        Output::Gap { age_us, .. } => {
-            let lost_s = age_us as f64 / 1e6;
-            tracing::warn!(
-                lost_s,
-                "etcd: history is lost; everything counts as purged now"
-            );
-            teller.updates_missed();
+        // Stored purges cover the age of any copy, so the first snapshot has all that matter. Purging everything at each start
+        // would send the load of every deployment to the origin.
+        Output::UpdatesMissed { initial: true, .. } => {}
+        Output::UpdatesMissed { age_us, .. } => {
+            let missed_s = age_us as f64 / 1e6;
+            tracing::warn!(missed_s, "etcd: history lost, everything counts as purged");
+            sink.updates_missed();
         }
-        Output::Bad(bad) => {
-            tracing::warn!(%bad, "etcd: a key cannot be used");
-            teller.count_unusable();
+        Output::InvalidKey(error) => {
+            tracing::warn!(%error, "etcd: invalid key skipped");
+            sink.count_unusable();
         }
         Output::View(view) => {
             if view == View::Stale {
-                tracing::warn!("etcd: the view is stale; lists and purges stay as they are, cold budgets are not taken from");
+                tracing::warn!("etcd: view is stale, endpoint list and purges stay as they are");
             }
-            teller.set_current(view == View::Current);
+            sink.set_current(view == View::Current);
         }
-        Output::Proven { ago } => teller.confirm_purges(ago),
-        Output::AskMark { .. } => {}
-        Output::AskSnapshot | Output::AskWatch { .. } | Output::AskProgress | Output::Hang => {}
+        Output::PurgesConfirmed { ago } => sink.confirm_purges(ago),
+        // Requests, which the feed carries out.
+        Output::ReadSnapshot
+        | Output::StartWatch { .. }
+        | Output::RequestProgress
+        | Output::ReadPurgeMark { .. }
+        | Output::CancelRequest => {}
     }
 }
--- /dev/null
+++ b/crates/etcd/src/watcher/mod.rs
@@ -0,0 +1,275 @@
+//! The watcher: keeps a view of the watched prefix by a snapshot and a watch from its revision on. No I/O, no clock.
+//!
+//! The owner passes etcd's responses to [`Watcher::handle`], carries out the [`Output`]s in order, and passes [`Input::Tick`] at
+//! [`Watcher::next`] or soon after.
+//!
+//! **The view equals the store at [`Watcher::revision`]**: events are applied in order, once each, in whole revisions. A stream that
+//! fails is resumed from the next revision; fragments of an incomplete revision are dropped and delivered again. Where history is
+//! lost (compaction, a restored cluster, another cluster), a new snapshot replaces the view and [`Output::UpdatesMissed`] reports
+//! how long purges may have been missed: the safe response is to treat everything as purged.
+//!
+//! [`Output::PurgesConfirmed`] needs a linearizable read beside the watch: see `purge_confirmation`.
+mod message;
+mod purge_confirmation;
+mod request_state;
+mod settings;
+mod store_view;
+
+pub use message::{Header, Input, KeyValue, Output, View, WatchEvent};
+pub use settings::WatcherSettings;
+
+use crate::layout::MemberRecord;
+use purge_confirmation::PurgeConfirmation;
+use request_state::{Phase, RequestState};
+use std::collections::BTreeMap;
+use store_view::StoreView;
+
+/// Microseconds, of a clock that the owner chooses.
+pub type Micros = u64;
+/// A revision of etcd's store.
+pub type Revision = i64;
+
+/// The state machine from an empty view through a snapshot and its watch to a current one, and back.
+///
+/// State is bounded by the stored endpoints and dispatchers and by the fragments of one revision. Dropping it owes nothing: the
+/// owner cancels the request in flight.
+#[derive(Debug)]
+pub struct Watcher {
+    settings: WatcherSettings,
+    store: StoreView,
+    request: RequestState,
+    purge_confirmation: PurgeConfirmation,
+    /// Revisions between the view and the next snapshot may be missing.
+    history_lost: bool,
+    /// When the view was last known to be complete.
+    complete_at: Micros,
+    freshness: View,
+}
+
+impl Watcher {
+    /// Starts without a view; `seed` is for the jitter of backoffs.
+    pub fn new(prefix: &str, settings: WatcherSettings, now: Micros, seed: u64) -> Self {
+        Self {
+            settings,
+            store: StoreView::new(prefix),
+            request: RequestState::new(now, seed),
+            purge_confirmation: PurgeConfirmation::new(
+                settings.purge_confirmation_interval_us,
+                now,
+            ),
+            history_lost: false,
+            complete_at: now,
+            freshness: View::Unknown,
+        }
+    }
+
+    /// The revision of the view; 0: there is none.
+    pub fn revision(&self) -> Revision {
+        self.store.revision()
+    }
+
+    /// The endpoints of the view, by address.
+    pub fn members(&self) -> &BTreeMap<String, MemberRecord> {
+        self.store.endpoints()
+    }
+
+    /// Freshness of the view.
+    pub fn view(&self) -> View {
+        self.freshness
+    }
+
+    /// When [`Input::Tick`] is next due.
+    pub fn next(&self) -> Micros {
+        let mut next = self.request.next_deadline(&self.settings);
+        if self.freshness == View::Current {
+            next = next.min(self.stale_at());
+        }
+        match self.purge_confirmation.next_deadline() {
+            Some(deadline) => next.min(deadline),
+            None => next,
+        }
+    }
+
+    fn stale_at(&self) -> Micros {
+        self.complete_at + self.settings.stale_after_us
+    }
+
+    /// Handles a response or a tick. `wall_ms`: milliseconds since 1970, only to turn start times of endpoints into ages; where the
+    /// wall clock was stepped, the reading that makes endpoints younger.
+    pub fn handle(&mut self, now: Micros, wall_ms: u64, input: Input, out: &mut Vec<Output>) {
+        if !matches!(input, Input::Tick | Input::PurgeMarkRead { .. }) {
+            self.request.record_response(now);
+        }
+        match input {
+            Input::Snapshot { header, keys } => {
+                self.handle_snapshot(now, wall_ms, header, keys, out)
+            }
+            Input::WatchCreated { header } => self.handle_watch_created(now, header, out),
+            Input::WatchEvents {
+                header,
+                events,
+                fragment,
+            } => {
+                if self.accepts_watch_response(now, header, out) {
+                    self.request.fragments.extend(events);
+                    if !fragment {
+                        self.apply_fragments(now, wall_ms, header, out);
+                    }
+                }
+            }
+            Input::Progress { header } => self.handle_progress(now, header, out),
+            Input::Compacted => self.handle_lost_history(now, out),
+            Input::Failed => self.request.back_off(now, &self.settings),
+            Input::PurgeMarkRead { requested_at, mark } => {
+                self.purge_confirmation.handle_response(requested_at, mark)
+            }
+            Input::Tick => self.handle_tick(now, out),
+        }
+        self.purge_confirmation
+            .confirm(now, &self.store, self.history_lost, out);
+        self.purge_confirmation.request_read(now, out);
+    }
+
+    fn handle_snapshot(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        header: Header,
+        keys: Vec<KeyValue>,
+        out: &mut Vec<Output>,
+    ) {
+        if self.request.phase != Phase::ReadingSnapshot {
+            return;
+        }
+        let initial = self.store.is_empty();
+        let other_history = !initial && !self.store.is_continued_by(header);
+        let known_revision = if other_history { 0 } else { self.revision() };
+        let records = self.store.parse_snapshot(keys, known_revision, out);
+        // Also before the first snapshot: purges that were written and have expired since the start are not in it.
+        if self.history_lost || other_history || initial {
+            self.report_missed_updates(now, initial, out);
+        }
+        self.history_lost = false;
+        self.store.replace(header, records, wall_ms, out);
+        self.mark_complete(now, out);
+        self.start_watch(now, out);
+    }
+
+    /// Includes responses that may have been in flight when the view was last complete.
+    fn report_missed_updates(&self, now: Micros, initial: bool, out: &mut Vec<Output>) {
+        let since = self
+            .complete_at
+            .saturating_sub(self.settings.response_timeout_us);
+        out.push(Output::UpdatesMissed {
+            age_us: now.saturating_sub(since),
+            initial,
+        });
+    }
+
+    fn handle_watch_created(&mut self, now: Micros, header: Header, out: &mut Vec<Output>) {
+        if self.request.phase == Phase::OpeningWatch {
+            self.request.watch_established();
+            self.check_history(now, header, out);
+        }
+    }
+
+    /// Applies the received events, which end with a whole revision. The view is complete only if it has reached the store's
+    /// revision; otherwise a later progress notification shows it.
+    fn apply_fragments(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        header: Header,
+        out: &mut Vec<Output>,
+    ) {
+        let events = std::mem::take(&mut self.request.fragments);
+        self.store.apply(events, wall_ms, out);
+        if self.revision() >= header.revision {
+            self.mark_complete(now, out);
+        }
+    }
+
+    /// Between two fragments the view is not complete, whatever the header's revision.
+    fn handle_progress(&mut self, now: Micros, header: Header, out: &mut Vec<Output>) {
+        if self.accepts_watch_response(now, header, out) && self.request.fragments.is_empty() {
+            self.store.advance_to(header.revision);
+            self.mark_complete(now, out);
+        }
+    }
+
+    fn accepts_watch_response(
+        &mut self,
+        now: Micros,
+        header: Header,
+        out: &mut Vec<Output>,
+    ) -> bool {
+        self.request.phase == Phase::Watching && self.check_history(now, header, out)
+    }
+
+    /// Whether the response continues the history of the view; if not, the view is read anew.
+    fn check_history(&mut self, now: Micros, header: Header, out: &mut Vec<Output>) -> bool {
+        let continued = self.store.is_continued_by(header);
+        if !continued {
+            self.handle_lost_history(now, out);
+        }
+        continued
+    }
+
+    fn handle_lost_history(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.request.fragments.clear();
+        self.history_lost = true;
+        if self.request.is_watch() {
+            out.push(Output::CancelRequest);
+            self.read_snapshot(now, out);
+        }
+    }
+
+    fn read_snapshot(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.request.start(Phase::ReadingSnapshot, now);
+        out.push(Output::ReadSnapshot);
+    }
+
+    fn start_watch(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.request.start(Phase::OpeningWatch, now);
+        out.push(Output::StartWatch {
+            from: self.revision() + 1,
+        });
+    }
+
+    fn handle_tick(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if let Phase::Backoff { until } = self.request.phase {
+            if now >= until {
+                self.send_request(now, out);
+            }
+        } else if self.request.has_timed_out(now, &self.settings) {
+            out.push(Output::CancelRequest);
+            self.request.back_off(now, &self.settings);
+        } else if self.request.take_progress_due(now, &self.settings) {
+            out.push(Output::RequestProgress);
+        }
+        if self.freshness == View::Current && now >= self.stale_at() {
+            self.set_freshness(View::Stale, out);
+        }
+    }
+
+    fn send_request(&mut self, now: Micros, out: &mut Vec<Output>) {
+        if self.history_lost || self.store.is_empty() {
+            self.read_snapshot(now, out);
+        } else {
+            self.start_watch(now, out);
+        }
+    }
+
+    /// The view is known to equal the store as of now.
+    fn mark_complete(&mut self, now: Micros, out: &mut Vec<Output>) {
+        self.complete_at = now;
+        self.set_freshness(View::Current, out);
+    }
+
+    fn set_freshness(&mut self, freshness: View, out: &mut Vec<Output>) {
+        if self.freshness != freshness {
+            self.freshness = freshness;
+            out.push(Output::View(freshness));
+        }
+    }
+}
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -1,26 +1,34 @@
-//! Writes of operators and dispatchers, each one transaction: a change is made on what was read, or not at all.
-use crate::client::{Etcd, EtcdError};
-use crate::layout::{self, DispatcherRecord, MemberRecord, PurgeRecord};
+//! Transactions of operators and dispatchers. Each changes what was read, or nothing.
+use crate::client::{Etcd, EtcdError, Lease};
+use crate::layout::{self, DispatcherRecord, LayoutError, MemberRecord, PurgeRecord};
 use crate::proto::*;
 use rand::Rng;
 use std::time::Duration;
 
-/// Times that a change is made anew because somebody else was quicker.
-const TRIES: usize = 20;
-/// A purge's key lives for so long: older copies are nowhere left then.
+/// Attempts of one change under concurrent changes by others.
+const MAX_ATTEMPTS: usize = 20;
+/// Renewals of the registration in the life of its lease.
+const RENEWALS_PER_LEASE: u32 = 4;
+/// Attempts per renewal interval while the registration is lost.
+const RETRIES_PER_RENEWAL_INTERVAL: u32 = 4;
+/// Lease of a purge's key: no copy from before the purge is older.
 pub const PURGE_SECONDS: i64 = 60;
 
+/// Why a change was not made.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
+    /// The call failed; a write may have been done.
     #[error(transparent)]
     Etcd(#[from] EtcdError),
+    /// The stored record cannot be parsed.
     #[error(transparent)]
-    Value(#[from] layout::BadKey),
-    #[error("{0}: changed by others {TRIES} times while it was to be changed")]
-    Crowded(String),
-    /// The caller's own reason, from the change.
+    Layout(#[from] LayoutError),
+    /// Others changed the key before each attempt.
+    #[error("{0}: changed by others in {MAX_ATTEMPTS} attempts")]
+    Conflict(String),
+    /// The caller's change rejected the stored record, for this reason.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
 }
 
 fn put(key: String, value: Vec<u8>, lease: i64) -> RequestOp {
@@ -35,13 +43,13 @@
     }
 }
 
-/// A key's last change is still this one; 0: it does not exist.
-fn unchanged(key: &str, revision: i64) -> Compare {
-    Compare {
-        result: CompareResult::Equal as i32,
-        target: CompareTarget::Mod as i32,
-        key: key.as_bytes().to_vec(),
-        target_union: Some(compare::TargetUnion::ModRevision(revision)),
+fn delete(key: String) -> RequestOp {
+    let delete = DeleteRangeRequest {
+        key: key.into_bytes(),
+        ..Default::default()
+    };
+    RequestOp {
+        request: Some(request_op::Request::DeleteRange(delete)),
     }
 }
 
@@ -49,7 +57,33 @@
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-/// Changes a member's record: `change` gets what is there and says what is to be; none: it is taken away. The revision.
+/// Commits the operations if the key was last changed at `mod_revision` (0: it does not exist). The revision of the commit; none
+/// if the key was changed.
+async fn commit_if_unchanged(
+    etcd: &Etcd,
+    key: &str,
+    mod_revision: i64,
+    operations: Vec<RequestOp>,
+) -> Result<Option<i64>, EtcdError> {
+    let unchanged = Compare {
+        result: CompareResult::Equal as i32,
+        target: CompareTarget::Mod as i32,
+        key: key.as_bytes().to_vec(),
+        target_union: Some(compare::TargetUnion::ModRevision(mod_revision)),
+    };
+    let response = etcd
+        .txn(TxnRequest {
+            compare: vec![unchanged],
+            success: operations,
+            failure: vec![],
+        })
+        .await?;
+    let revision = response.header.unwrap_or_default().revision;
+    Ok(response.succeeded.then_some(revision))
+}
+
+/// Changes an endpoint's record and returns the revision. `change` maps the stored record to the new one; none: no such key, or
+/// delete it. It is called anew after each concurrent change.
 pub async fn member(
     etcd: &Etcd,
     prefix: &str,
@@ -57,182 +91,193 @@
     change: impl Fn(Option<MemberRecord>) -> Result<Option<MemberRecord>, String>,
 ) -> Result<i64, WriteError> {
     let key = layout::member_key(prefix, address);
-    for _ in 0..TRIES {
-        let read = etcd
-            .range(RangeRequest {
-                key: key.clone().into_bytes(),
-                ..Default::default()
-            })
-            .await?;
-        let known = read.kvs.first();
-        let record = known
+    for _ in 0..MAX_ATTEMPTS {
+        let request = RangeRequest {
+            key: key.clone().into_bytes(),
+            ..Default::default()
+        };
+        let stored = etcd.range(request).await?.kvs.into_iter().next();
+        let record = stored
+            .as_ref()
             .map(|kv| layout::member(&kv.key, &kv.value))
             .transpose()?;
-        let operation = match change(record).map_err(WriteError::Refused)? {
+        let operation = match change(record).map_err(WriteError::Rejected)? {
             Some(record) => put(key.clone(), json(&record), 0),
-            None => {
-                let delete = DeleteRangeRequest {
-                    key: key.clone().into_bytes(),
-                    ..Default::default()
-                };
-                RequestOp {
-                    request: Some(request_op::Request::DeleteRange(delete)),
-                }
-            }
+            None => delete(key.clone()),
         };
-        let compare = vec![unchanged(&key, known.map_or(0, |kv| kv.mod_revision))];
-        let done = etcd
-            .txn(TxnRequest {
-                compare,
-                success: vec![operation],
-                failure: vec![],
-            })
-            .await?;
-        if done.succeeded {
-            return Ok(done.header.unwrap_or_default().revision);
+        let mod_revision = stored.map_or(0, |kv| kv.mod_revision);
+        let committed = commit_if_unchanged(etcd, &key, mod_revision, vec![operation]).await?;
+        if let Some(revision) = committed {
+            return Ok(revision);
         }
     }
-    Err(WriteError::Crowded(key))
+    Err(WriteError::Conflict(key))
 }
 
-/// Writes a purge under a lease of its own. Asked again after a failure it writes another one: twice purged is purged. The revision.
+/// Writes a purge under a lease of its own and returns the revision. Repeating it after an error is harmless: it writes another
+/// purge of the same objects.
 pub async fn purge(etcd: &Etcd, prefix: &str, record: &PurgeRecord) -> Result<i64, WriteError> {
-    let (lease, _) = etcd.grant(PURGE_SECONDS).await?;
-    for _ in 0..TRIES {
-        let key = layout::purge_key(
-            prefix,
-            &format!("{:032x}", rand::thread_rng().gen::<u128>()),
-        );
-        let mark = put(layout::purge_mark(prefix), Vec::new(), 0);
-        let (compare, success) = (
-            vec![unchanged(&key, 0)],
-            vec![put(key, json(record), lease), mark],
-        );
-        let done = etcd
-            .txn(TxnRequest {
-                compare,
-                success,
-                failure: vec![],
-            })
-            .await?;
-        if done.succeeded {
-            return Ok(done.header.unwrap_or_default().revision);
+    let lease = etcd.grant(PURGE_SECONDS).await?.id;
+    for _ in 0..MAX_ATTEMPTS {
+        let id = format!("{:032x}", rand::thread_rng().gen::<u128>());
+        let key = layout::purge_key(prefix, &id);
+        let operations = vec![
+            put(key.clone(), json(record), lease),
+            put(layout::purge_mark(prefix), Vec::new(), 0),
+        ];
+        if let Some(revision) = commit_if_unchanged(etcd, &key, 0, operations).await? {
+            return Ok(revision);
         }
     }
-    Err(WriteError::Crowded(layout::watched(prefix)))
+    Err(WriteError::Conflict(layout::watched(prefix)))
 }
 
-/// What the dispatchers that are registered promise of a purge.
+/// Within what time a purge is in force in the registered dispatchers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Promise {
+    /// Number of registered dispatchers.
     pub dispatchers: usize,
-    /// The longest time that one of them promises.
+    /// The longest time that one of them promises, in milliseconds.
     pub within_ms: u64,
-    /// Those that promise nothing.
+    /// Names of those that promise none.
     pub without: Vec<String>,
 }
 
+/// Reads the purge promises of the registered dispatchers.
 pub async fn promise(etcd: &Etcd, prefix: &str) -> Result<Promise, WriteError> {
-    let from = layout::dispatcher_key(prefix, "");
-    let read = etcd.snapshot(&from).await?;
+    let key_prefix = layout::dispatcher_key(prefix, "");
+    let snapshot = etcd.snapshot(&key_prefix).await?;
     let mut promise = Promise {
-        dispatchers: read.keys.len(),
+        dispatchers: snapshot.keys.len(),
         ..Promise::default()
     };
-    for kv in read.keys {
-        let name = String::from_utf8_lossy(&kv.key[from.len().min(kv.key.len())..]).into_owned();
+    for kv in snapshot.keys {
         match layout::dispatcher(&kv.key, &kv.value)?.purge_within_ms {
             Some(ms) => promise.within_ms = promise.within_ms.max(ms),
-            None => promise.without.push(name),
+            None => {
+                let name = &kv.key[key_prefix.len().min(kv.key.len())..];
+                promise
+                    .without
+                    .push(String::from_utf8_lossy(name).into_owned());
+            }
         }
     }
     Ok(promise)
 }
 
-/// What a dispatcher hears of its registration.
+/// The result of a renewal of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
-    /// The key stands until so long after the question was asked.
-    Until(Duration),
-    /// It stands no more, or nobody could say.
+pub enum RegistrationState {
+    /// The key exists.
+    Renewed {
+        /// Time to live of its lease, counted from the request.
+        ttl: Duration,
+    },
+    /// The lease has expired, or the renewal failed.
     Lost,
 }
 
-/// Keeps a dispatcher's key under a lease, for as long as `tell` returns true. `tell` gets each word with the time that it took to
-/// come. The key is written anew where it is gone: after a lost lease, or a restored cluster.
+/// Keeps a dispatcher's key under a lease of `lease_s` seconds until `on_renewal` returns false; then the lease is revoked.
+/// `on_renewal` receives the result and the duration of each renewal. A missing key is written anew: after an expired lease, or
+/// after the cluster was restored.
 pub async fn register(
     etcd: Etcd,
     prefix: String,
     name: String,
     record: DispatcherRecord,
-    seconds: i64,
-    mut tell: impl FnMut(Kept, Duration) -> bool,
+    lease_s: i64,
+    mut on_renewal: impl FnMut(RegistrationState, Duration) -> bool,
 ) {
-    let every = Duration::from_secs_f64(seconds as f64 / 4.0);
-    let mut lease = None;
+    let renewal_interval = Duration::from_secs_f64(lease_s as f64 / f64::from(RENEWALS_PER_LEASE));
+    let mut registration = Registration {
+        key: layout::dispatcher_key(&prefix, &name),
+        etcd,
+        record,
+        lease_s,
+        lease: None,
+    };
     loop {
-        let asked = tokio::time::Instant::now();
-        let kept = match lease {
-            Some(id) => keep(&etcd, &prefix, &name, &record, id).await,
-            None => match etcd.grant(seconds).await {
-                Ok((id, _)) => keep(&etcd, &prefix, &name, &record, id).await,
-                Err(e) => Err(e),
-            },
+        let requested_at = tokio::time::Instant::now();
+        let state = registration.renew().await;
+        if !on_renewal(state, requested_at.elapsed()) {
+            return registration.revoke().await;
+        }
+        let pause = match registration.lease {
+            Some(_) => renewal_interval,
+            None => renewal_interval / RETRIES_PER_RENEWAL_INTERVAL,
         };
-        let told = match kept {
-            Ok((id, ttl)) if ttl > 0 => {
-                lease = Some(id);
-                Kept::Until(Duration::from_secs(ttl as u64))
+        tokio::time::sleep(pause.saturating_sub(requested_at.elapsed())).await;
+    }
+}
+
+/// A dispatcher's key and the lease that it is under.
+struct Registration {
+    etcd: Etcd,
+    key: String,
+    record: DispatcherRecord,
+    lease_s: i64,
+    /// None before the first renewal and after the lease is lost.
+    lease: Option<i64>,
+}
+
+impl Registration {
+    async fn renew(&mut self) -> RegistrationState {
+        match self.try_renew().await {
+            Ok(lease) if lease.ttl_s > 0 => {
+                self.lease = Some(lease.id);
+                RegistrationState::Renewed {
+                    ttl: Duration::from_secs(lease.ttl_s as u64),
+                }
             }
             Ok(_) => {
-                lease = None;
-                Kept::Lost
+                self.lease = None;
+                RegistrationState::Lost
             }
-            Err(e) => {
-                tracing::warn!(error = %e, "etcd: the registration is not kept");
-                // Also a cluster that does not know the lease: the next round makes another one.
-                lease = lease.filter(|_| !matches!(&e, EtcdError::Call { status, .. } if status.code() == tonic::Code::NotFound));
-                Kept::Lost
+            Err(error) => {
+                tracing::warn!(%error, "etcd: registration not renewed");
+                // A restored cluster does not know the lease.
+                if error.is_not_found() {
+                    self.lease = None;
+                }
+                RegistrationState::Lost
             }
+        }
+    }
+
+    async fn try_renew(&self) -> Result<Lease, EtcdError> {
+        let id = match self.lease {
+            Some(id) => id,
+            None => self.etcd.grant(self.lease_s).await?.id,
         };
-        if !tell(told, asked.elapsed()) {
-            if let Some(id) = lease {
-                // Told to go: others need not wait for the lease's end.
-                let _ = etcd.revoke(id).await;
-            }
-            return;
+        let ttl_s = self.etcd.keep_alive(id).await?;
+        if ttl_s > 0 {
+            self.write_key(id).await?;
         }
-        // At once after a lost one.
-        let pause = if lease.is_some() { every } else { every / 4 };
-        tokio::time::sleep(pause.saturating_sub(asked.elapsed())).await;
+        Ok(Lease { id, ttl_s })
     }
-}
 
-/// Keeps the lease, and sees to it that the key is there and under this lease: somebody may have taken it away, or a process of the
-/// same name that is gone has left its own. The lease and the seconds that it has.
-async fn keep(
-    etcd: &Etcd,
-    prefix: &str,
-    name: &str,
-    record: &DispatcherRecord,
-    id: i64,
-) -> Result<(i64, i64), EtcdError> {
-    let ttl = etcd.keep_alive(id).await?;
-    if ttl > 0 {
-        let key = layout::dispatcher_key(prefix, name);
-        let held = Compare {
+    /// Writes the key unless it is under this lease: it may have been deleted, or left under the lease of an earlier process.
+    async fn write_key(&self, lease: i64) -> Result<(), EtcdError> {
+        let is_under_lease = Compare {
             result: CompareResult::Equal as i32,
             target: CompareTarget::Lease as i32,
-            key: key.clone().into_bytes(),
-            target_union: Some(compare::TargetUnion::Lease(id)),
+            key: self.key.clone().into_bytes(),
+            target_union: Some(compare::TargetUnion::Lease(lease)),
         };
-        let write = vec![put(key, json(record), id)];
-        etcd.txn(TxnRequest {
-            compare: vec![held],
-            success: vec![],
-            failure: write,
-        })
-        .await?;
+        self.etcd
+            .txn(TxnRequest {
+                compare: vec![is_under_lease],
+                success: vec![],
+                failure: vec![put(self.key.clone(), json(&self.record), lease)],
+            })
+            .await
+            .map(drop)
+    }
+
+    /// Removes the key at once, rather than when the lease expires.
+    async fn revoke(&self) {
+        if let Some(id) = self.lease {
+            let _ = self.etcd.revoke(id).await;
+        }
     }
-    Ok((id, ttl))
 }
--- a/crates/etcd/tests/history.rs
+++ b/crates/etcd/tests/history.rs
@@ -17,7 +17,7 @@
 struct Truth {
     /// The keys at each revision, from 1 on.
     states: Vec<Keys>,
-    log: Vec<Vec<Change>>,
+    log: Vec<Vec<WatchEvent>>,
     compacted: Revision,
 }
 
@@ -38,14 +38,14 @@
             match value {
                 Some(value) => {
                     keys.insert(key.clone(), (value.clone(), revision));
-                    changes.push(Change::Put(KeyValue {
+                    changes.push(WatchEvent::Put(KeyValue {
                         key,
                         value,
                         mod_revision: revision,
                     }));
                 }
                 None if keys.remove(&key).is_some() => {
-                    changes.push(Change::Delete {
+                    changes.push(WatchEvent::Delete {
                         key,
                         mod_revision: revision,
                     });
@@ -67,7 +67,7 @@
     reading: bool,
     /// The open stream: the next revision that it sends, and fragments on their way.
     stream: Option<(Revision, bool)>,
-    fragments: Vec<Vec<Change>>,
+    fragments: Vec<Vec<WatchEvent>>,
     /// Which history the view is of.
     epoch: usize,
     /// Purges written: history, revision, object, when; taken off when they are told.
@@ -88,7 +88,7 @@
         Self {
             dice: StdRng::seed_from_u64(seed),
             truths: vec![first],
-            watcher: Watcher::new(PREFIX, Rule::default(), 1_000_000, seed),
+            watcher: Watcher::new(PREFIX, WatcherSettings::default(), 1_000_000, seed),
             now: 1_000_000,
             reading: false,
             stream: None,
@@ -112,20 +112,20 @@
             .handle(self.now, 1_700_000_000_000, input, &mut out);
         for output in out {
             match output {
-                Output::AskSnapshot => {
+                Output::ReadSnapshot => {
                     assert!(
                         !self.reading && self.stream.is_none(),
                         "one thing is asked at a time"
                     );
                     self.reading = true;
                 }
-                Output::AskWatch { from } => {
+                Output::StartWatch { from } => {
                     assert!(self.stream.is_none(), "two watches");
                     self.stream = Some((from, false));
                 }
-                Output::AskProgress => {}
-                Output::Hang => self.cut(),
-                Output::Members(head) => {
+                Output::RequestProgress => {}
+                Output::CancelRequest => self.cut(),
+                Output::EndpointList(head) => {
                     if head.form() == EndpointListForm::Full {
                         self.list.clear();
                     }
@@ -137,18 +137,18 @@
                     }
                 }
                 Output::Purge(head) => self.told.push(head.object.unwrap()),
-                Output::Gap { age_us, .. } => {
+                Output::UpdatesMissed { age_us, .. } => {
                     self.counts[3] += 1;
                     let since = self.now - age_us;
                     // Whatever was purged in the gap counts as told.
                     self.written.retain(|(.., at)| *at < since);
                 }
-                Output::Bad(e) => {
+                Output::InvalidKey(e) => {
                     assert!(e.to_string().contains("members/odd"), "{e}");
                     self.bad += 1;
                 }
                 Output::View(_) | Output::Dispatchers(_) => {}
-                Output::AskMark { .. } | Output::Proven { .. } => {
+                Output::ReadPurgeMark { .. } | Output::PurgesConfirmed { .. } => {
                     unreachable!("nothing is to be proven here")
                 }
             }
@@ -207,7 +207,7 @@
                 if self.reading || self.stream.is_some() {
                     self.counts[0] += 1;
                     self.cut();
-                    self.tell(Input::Broken);
+                    self.tell(Input::Failed);
                 }
             }
             80..=83 => {
@@ -228,7 +228,7 @@
                 self.truths.push(other);
                 self.counts[2] += 1;
                 self.cut();
-                self.tell(Input::Broken);
+                self.tell(Input::Failed);
             }
             _ => {
                 let next = self.watcher.next();
@@ -331,13 +331,13 @@
                 return self.tell(Input::Compacted);
             }
             self.stream = Some((from, true));
-            return self.tell(Input::Created { header });
+            return self.tell(Input::WatchCreated { header });
         }
-        if let Some(changes) = (!self.fragments.is_empty()).then(|| self.fragments.remove(0)) {
+        if let Some(events) = (!self.fragments.is_empty()).then(|| self.fragments.remove(0)) {
             let fragment = !self.fragments.is_empty();
-            return self.tell(Input::News {
+            return self.tell(Input::WatchEvents {
                 header,
-                changes,
+                events,
                 fragment,
             });
         }
@@ -346,23 +346,23 @@
         }
         // Some revisions at once, whole; cut into fragments now and then.
         let to = self.dice.gen_range(from..=revision);
-        let changes: Vec<Change> = (from..=to)
+        let events: Vec<WatchEvent> = (from..=to)
             .flat_map(|r| self.truth().log[r as usize - 1].clone())
             .collect();
         self.stream = Some((to + 1, true));
-        if changes.len() > 1 && self.dice.gen::<f64>() < 0.3 {
-            let at = self.dice.gen_range(1..changes.len());
-            let (first, second) = changes.split_at(at);
+        if events.len() > 1 && self.dice.gen::<f64>() < 0.3 {
+            let at = self.dice.gen_range(1..events.len());
+            let (first, second) = events.split_at(at);
             self.fragments = vec![second.to_vec()];
-            self.tell(Input::News {
+            self.tell(Input::WatchEvents {
                 header,
-                changes: first.to_vec(),
+                events: first.to_vec(),
                 fragment: true,
             });
         } else {
-            self.tell(Input::News {
+            self.tell(Input::WatchEvents {
                 header,
-                changes,
+                events,
                 fragment: false,
             });
         }
@@ -413,7 +413,7 @@
 /// The stream is there and says nothing: found within the rule's time, and the view is stale before a drain can be late.
 #[test]
 fn a_silent_watch_is_asked_given_up_and_the_view_is_told_to_be_stale() {
-    let rule = Rule::default();
+    let rule = WatcherSettings::default();
     let mut w = Watcher::new(PREFIX, rule, 0, 1);
     let mut out = vec![];
     let header = Header {
@@ -430,9 +430,9 @@
         },
         &mut out,
     );
-    w.handle(20, 0, Input::Created { header }, &mut out);
+    w.handle(20, 0, Input::WatchCreated { header }, &mut out);
     assert!(
-        out.contains(&Output::View(View::Current)) && out.contains(&Output::AskWatch { from: 6 })
+        out.contains(&Output::View(View::Current)) && out.contains(&Output::StartWatch { from: 6 })
     );
     let (mut asked, mut hung, mut stale) = (None, None, None);
     let mut now = 20;
@@ -442,8 +442,8 @@
         w.handle(now, 0, Input::Tick, &mut out);
         for output in out {
             match output {
-                Output::AskProgress => drop(asked.get_or_insert(now)),
-                Output::Hang => drop(hung.get_or_insert(now)),
+                Output::RequestProgress => drop(asked.get_or_insert(now)),
+                Output::CancelRequest => drop(hung.get_or_insert(now)),
                 Output::View(View::Stale) => stale = Some(now),
                 _ => {}
             }
@@ -456,14 +456,14 @@
 #[test]
 fn asking_again_waits_longer_each_time_and_apart() {
     let first = |seed| {
-        let mut w = Watcher::new(PREFIX, Rule::default(), 0, seed);
+        let mut w = Watcher::new(PREFIX, WatcherSettings::default(), 0, seed);
         let mut waits = vec![];
         let mut now = 0;
         for _ in 0..12 {
             let mut out = vec![];
             w.handle(now, 0, Input::Tick, &mut out);
-            assert_eq!(out, [Output::AskSnapshot]);
-            w.handle(now, 0, Input::Broken, &mut out);
+            assert_eq!(out, [Output::ReadSnapshot]);
+            w.handle(now, 0, Input::Failed, &mut out);
             waits.push(w.next() - now);
             now = w.next();
         }
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -2,9 +2,11 @@
 //! Of a purge acknowledged at t, no attempt that begins at t + promise or later may use a copy from before t, unless the purge is known
 //! here (and then the decisions see to it).
 use pointspindle_config::parse;
-use pointspindle_dispatcher::{ClientRequest, Core, Input as Told, Output as Order};
+use pointspindle_dispatcher::{ClientRequest, Core, Input as CoreInput, Output as CoreOutput};
 use pointspindle_etcd::layout::purge_key;
-use pointspindle_etcd::watcher::{Change, Header, Input, KeyValue, Output, Rule, Watcher};
+use pointspindle_etcd::watcher::{
+    Header, Input, KeyValue, Output, WatchEvent, Watcher, WatcherSettings,
+};
 use pointspindle_protocol::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -40,7 +42,7 @@
         seq: 1,
         endpoints: members,
     };
-    core.handle(now, Told::EndpointList(list), &mut Vec::new());
+    core.handle(now, CoreInput::EndpointList(list), &mut Vec::new());
     core
 }
 
@@ -54,15 +56,15 @@
         time_left: 2_000_000,
         ..Default::default()
     };
-    core.handle(now, Told::Request(id, ask), &mut out);
+    core.handle(now, CoreInput::Request(id, ask), &mut out);
     let attempt = out.iter().find_map(|o| match o {
-        Order::Send {
+        CoreOutput::Send {
             request, attempt, ..
         } if *request == id => Some(*attempt),
         _ => None,
     })?;
     let terms = core.begin(now, id, attempt);
-    core.handle(now, Told::ClientDisconnected(id), &mut out);
+    core.handle(now, CoreInput::ClientDisconnected(id), &mut out);
     terms.map(|t| (t.age, t.held))
 }
 
@@ -73,7 +75,11 @@
     assert!(held(&mut core, T0, 1, 0), "nothing is proven at the start");
     assert_eq!(begin(&mut core, T0, 2, 0), Some((PROMISE / 2, true)));
     assert!(!held(&mut core, T0, 3, 1), "the operator's word by class");
-    core.handle(T0, Told::PurgesConfirmed { ago: 100 * MS }, &mut Vec::new());
+    core.handle(
+        T0,
+        CoreInput::PurgesConfirmed { ago: 100 * MS },
+        &mut Vec::new(),
+    );
     assert!(!held(&mut core, T0 + 649 * MS, 4, 0));
     assert!(
         held(&mut core, T0 + 650 * MS, 5, 0),
@@ -82,13 +88,13 @@
     // An older proof that comes late takes nothing back and gives nothing.
     core.handle(
         T0 + 660 * MS,
-        Told::PurgesConfirmed { ago: 800 * MS },
+        CoreInput::PurgesConfirmed { ago: 800 * MS },
         &mut Vec::new(),
     );
     assert!(held(&mut core, T0 + 660 * MS, 6, 0));
     core.handle(
         T0 + 700 * MS,
-        Told::PurgesConfirmed { ago: 0 },
+        CoreInput::PurgesConfirmed { ago: 0 },
         &mut Vec::new(),
     );
     assert!(!held(&mut core, T0 + 700 * MS, 7, 0));
@@ -96,10 +102,10 @@
     assert!(held(&mut core, T0 + 10_700 * MS, 8, 0));
 }
 
-fn rule() -> Rule {
-    Rule {
-        prove_every: PROMISE / 6,
-        ..Rule::default()
+fn rule() -> WatcherSettings {
+    WatcherSettings {
+        purge_confirmation_interval_us: PROMISE / 6,
+        ..WatcherSettings::default()
     }
 }
 
@@ -118,7 +124,7 @@
     };
     let proven = |out: &[Output]| {
         out.iter().find_map(|o| {
-            if let Output::Proven { ago } = o {
+            if let Output::PurgesConfirmed { ago } = o {
                 Some(*ago)
             } else {
                 None
@@ -126,15 +132,15 @@
         })
     };
     let asked = tell(&mut w, 0, Input::Tick);
-    assert!(asked.contains(&Output::AskMark { asked: 0 }));
+    assert!(asked.contains(&Output::ReadPurgeMark { requested_at: 0 }));
     // Before anything is known nothing is proven.
     assert_eq!(
         proven(&tell(
             &mut w,
             5,
-            Input::Mark {
-                asked: 0,
-                read: Some((1, 7))
+            Input::PurgeMarkRead {
+                requested_at: 0,
+                mark: Some((1, 7))
             }
         )),
         None
@@ -147,13 +153,13 @@
             keys: vec![],
         },
     );
-    tell(&mut w, 20, Input::Created { header: header(5) });
+    tell(&mut w, 20, Input::WatchCreated { header: header(5) });
     assert_eq!(
         proven(&tell(&mut w, 30, Input::Tick)),
         None,
         "the purge of revision 7 is not in the view"
     );
-    let purge = Change::Put(KeyValue {
+    let purge = WatchEvent::Put(KeyValue {
         key: purge_key(PREFIX, "a").into_bytes(),
         value: br#"{"group":1}"#.to_vec(),
         mod_revision: 7,
@@ -161,9 +167,9 @@
     let told = tell(
         &mut w,
         40,
-        Input::News {
+        Input::WatchEvents {
             header: header(7),
-            changes: vec![purge],
+            events: vec![purge],
             fragment: false,
         },
     );
@@ -173,21 +179,29 @@
         .expect("the purge");
     let proof_at = told
         .iter()
-        .position(|o| matches!(o, Output::Proven { ago: 40 }))
+        .position(|o| matches!(o, Output::PurgesConfirmed { ago: 40 }))
         .expect("the proof");
     assert!(purge_at < proof_at, "in force before it is said to be");
     // A question that was given up: its late answer is none to the next one.
-    let second = rule().prove_every;
-    assert!(tell(&mut w, second, Input::Tick).contains(&Output::AskMark { asked: second }));
-    let third = second + 3 * rule().prove_every;
-    assert!(tell(&mut w, third, Input::Tick).contains(&Output::AskMark { asked: third }));
+    let second = rule().purge_confirmation_interval_us;
+    assert!(
+        tell(&mut w, second, Input::Tick).contains(&Output::ReadPurgeMark {
+            requested_at: second
+        })
+    );
+    let third = second + 3 * rule().purge_confirmation_interval_us;
+    assert!(
+        tell(&mut w, third, Input::Tick).contains(&Output::ReadPurgeMark {
+            requested_at: third
+        })
+    );
     assert_eq!(
         proven(&tell(
             &mut w,
             third + 1,
-            Input::Mark {
-                asked: second,
-                read: Some((1, 7))
+            Input::PurgeMarkRead {
+                requested_at: second,
+                mark: Some((1, 7))
             }
         )),
         None
@@ -196,9 +210,9 @@
         proven(&tell(
             &mut w,
             third + 2,
-            Input::Mark {
-                asked: third,
-                read: Some((2, 7))
+            Input::PurgeMarkRead {
+                requested_at: third,
+                mark: Some((2, 7))
             }
         )),
         None,
@@ -212,9 +226,9 @@
         tell(
             &mut w,
             now,
-            Input::Mark {
-                asked: now,
-                read: Some((1, 7)),
+            Input::PurgeMarkRead {
+                requested_at: now,
+                mark: Some((1, 7)),
             },
         );
     }
@@ -259,7 +273,7 @@
             },
             &mut out,
         );
-        watcher.handle(now, 0, Input::Created { header }, &mut out);
+        watcher.handle(now, 0, Input::WatchCreated { header }, &mut out);
         Self {
             dice: StdRng::seed_from_u64(seed),
             now,
@@ -325,9 +339,9 @@
                 cluster: 1,
                 revision,
             };
-            self.tell(Input::News {
+            self.tell(Input::WatchEvents {
                 header,
-                changes: vec![Change::Put(put)],
+                events: vec![WatchEvent::Put(put)],
                 fragment: false,
             });
         }
@@ -359,14 +373,17 @@
                 Output::Purge(head) => {
                     self.known += 1;
                     self.core
-                        .handle(self.now, Told::Purge(head), &mut Vec::new());
+                        .handle(self.now, CoreInput::Purge(head), &mut Vec::new());
                 }
-                Output::Proven { ago } => {
+                Output::PurgesConfirmed { ago } => {
                     let ago = if self.lies { 0 } else { ago };
-                    self.core
-                        .handle(self.now, Told::PurgesConfirmed { ago }, &mut Vec::new());
+                    self.core.handle(
+                        self.now,
+                        CoreInput::PurgesConfirmed { ago },
+                        &mut Vec::new(),
+                    );
                 }
-                Output::AskMark { asked } => {
+                Output::ReadPurgeMark { requested_at } => {
                     // Read when it reaches the store; its answer takes its own way back.
                     let reached = self.way(self.cut_up);
                     let written = self.purges.iter().filter(|at| **at <= reached).count() as i64;
@@ -378,9 +395,9 @@
                     };
                     self.answers.push((
                         comes,
-                        Input::Mark {
-                            asked,
-                            read: Some((1, revision)),
+                        Input::PurgeMarkRead {
+                            requested_at,
+                            mark: Some((1, revision)),
                         },
                     ));
                 }
--- a/crates/lab/src/etcd/measure.rs
+++ b/crates/lab/src/etcd/measure.rs
@@ -3,7 +3,7 @@
 use hdrhistogram::Histogram;
 use pointspindle_etcd::layout::{purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::proto::*;
-use pointspindle_etcd::{feed, writer, Access, Etcd, Output, Rule, View, Watcher};
+use pointspindle_etcd::{feed, writer, Access, Etcd, Output, WatcherSettings, View, Watcher};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -76,9 +76,9 @@
         // Each with a connection of its own, as a dispatcher's.
         let etcd = Etcd::new(&access(&endpoint), patience).map_err(|e| e.to_string())?;
         // A large view takes longer to read than silence is suffered.
-        let rule = Rule {
-            silent: 10_000_000,
-            ..Rule::default()
+        let rule = WatcherSettings {
+            response_timeout_us: 10_000_000,
+            ..WatcherSettings::default()
         };
         let watcher = Watcher::new(PREFIX, rule, 0, plan.seed + n as u64);
         tokio::spawn(feed::run(etcd, PREFIX.to_owned(), watcher, move |output| {
@@ -88,8 +88,8 @@
                 Output::Purge(head) => {
                     ears.purges.insert(head.object.unwrap_or_default(), now);
                 }
-                Output::Gap { first: false, .. } => ears.gaps.push(now),
-                Output::Members(_) => ears.lists.push(now),
+                Output::UpdatesMissed { initial: false, .. } => ears.gaps.push(now),
+                Output::EndpointList(_) => ears.lists.push(now),
                 Output::View(View::Current) => ears.current = Some(now),
                 _ => {}
             }
--- a/crates/lab/tests/etcd.rs
+++ b/crates/lab/tests/etcd.rs
@@ -2,7 +2,7 @@
 //! falls silent and is away: whenever it is well again, the list as told is the truth and no purge was missed without a gap told.
 use pointspindle_etcd::layout::{self, DispatcherRecord, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::proto::RangeRequest;
-use pointspindle_etcd::{feed, writer, Access, Etcd, EtcdError, Output, Rule, View, Watcher};
+use pointspindle_etcd::{feed, writer, Access, Etcd, EtcdError, Output, WatcherSettings, View, Watcher};
 use pointspindle_lab::etcd::StandIn;
 use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
@@ -35,11 +35,11 @@
 fn follow(etcd: Etcd, seed: u64) -> Arc<Mutex<Heard>> {
     let heard = Arc::new(Mutex::new(Heard::default()));
     let ears = heard.clone();
-    let watcher = Watcher::new(PREFIX, Rule::default(), 0, seed);
+    let watcher = Watcher::new(PREFIX, WatcherSettings::default(), 0, seed);
     tokio::spawn(feed::run(etcd, PREFIX.into(), watcher, move |output| {
         let mut heard = ears.lock().unwrap();
         match output {
-            Output::Members(head) => {
+            Output::EndpointList(head) => {
                 if head.form() == EndpointListForm::Full {
                     heard.list.clear();
                 }
@@ -51,7 +51,7 @@
                 }
             }
             Output::Purge(head) => drop(heard.purges.insert(head.object.unwrap(), Instant::now())),
-            Output::Gap { .. } => heard.gaps.push(Instant::now()),
+            Output::UpdatesMissed { .. } => heard.gaps.push(Instant::now()),
             Output::Dispatchers(all) => heard.dispatchers = all.into_keys().collect(),
             Output::View(view) => heard.view = Some(view),
             _ => {}
@@ -64,7 +64,7 @@
 /// The members as the store has them.
 fn truth(stand_in: &StandIn) -> BTreeMap<String, WireEndpointState> {
     let key = layout::member_key(PREFIX, "").into_bytes();
-    let range_end = pointspindle_etcd::client::after(&key);
+    let range_end = pointspindle_etcd::client::prefix_end(&key);
     let read = stand_in
         .look(|s| {
             s.range(&RangeRequest {
@@ -75,7 +75,7 @@
         })
         .unwrap();
     let line = |kv: &pointspindle_etcd::proto::KeyValue| {
-        let Ok(Some(layout::Name::Member(address))) = layout::name(PREFIX, &kv.key) else {
+        let Ok(Some(layout::KeyName::Member(address))) = layout::name(PREFIX, &kv.key) else {
             panic!()
         };
         let record = layout::member(&kv.key, &kv.value).unwrap();
