--- a/crates/etcd/src/feed.rs
+++ b/crates/etcd/src/feed.rs
@@ -98,8 +98,8 @@
     fn new(etcd: Etcd, prefix: &str, responses: mpsc::Sender<Response>) -> Self {
         Self {
             etcd,
-            watched_prefix: layout::watched(prefix),
-            purge_mark_key: layout::purge_mark(prefix),
+            watched_prefix: layout::watched_prefix(prefix),
+            purge_mark_key: layout::purge_mark_key(prefix),
             responses,
             in_flight: None,
             request_number: 0,
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -97,7 +97,7 @@
 }
 
 /// The watched prefix. It covers all records, so that one revision holds for all of them.
-pub fn watched(prefix: &str) -> String {
+pub fn watched_prefix(prefix: &str) -> String {
     format!("{prefix}{VERSION}")
 }
 
@@ -112,7 +112,7 @@
 }
 
 /// The purge mark, whose revision is that of the last purge.
-pub fn purge_mark(prefix: &str) -> String {
+pub fn purge_mark_key(prefix: &str) -> String {
     format!("{prefix}/marks{VERSION}purge")
 }
 
@@ -122,9 +122,9 @@
 }
 
 /// Parses a key under the watched prefix; none for kinds of keys that other programs may add.
-pub fn name(prefix: &str, key: &[u8]) -> Result<Option<KeyName>, LayoutError> {
+pub fn parse_key(prefix: &str, key: &[u8]) -> Result<Option<KeyName>, LayoutError> {
     let text = String::from_utf8_lossy(key).into_owned();
-    let Some(suffix) = text.strip_prefix(&watched(prefix)) else {
+    let Some(suffix) = text.strip_prefix(&watched_prefix(prefix)) else {
         return Err(LayoutError::UnknownKey(text));
     };
     match suffix.split_once('/') {
@@ -144,17 +144,17 @@
 }
 
 /// Parses an endpoint's record.
-pub fn member(key: &[u8], bytes: &[u8]) -> Result<MemberRecord, LayoutError> {
+pub fn parse_member(key: &[u8], bytes: &[u8]) -> Result<MemberRecord, LayoutError> {
     parse_json(key, bytes)
 }
 
 /// Parses a dispatcher's registration.
-pub fn dispatcher(key: &[u8], bytes: &[u8]) -> Result<DispatcherRecord, LayoutError> {
+pub fn parse_dispatcher(key: &[u8], bytes: &[u8]) -> Result<DispatcherRecord, LayoutError> {
     parse_json(key, bytes)
 }
 
 /// Parses a purge.
-pub fn purge(key: &[u8], bytes: &[u8]) -> Result<PurgeRecord, LayoutError> {
+pub fn parse_purge(key: &[u8], bytes: &[u8]) -> Result<PurgeRecord, LayoutError> {
     parse_json(key, bytes)
 }
 
--- a/crates/etcd/src/layout/tests.rs
+++ b/crates/etcd/src/layout/tests.rs
@@ -3,16 +3,16 @@
 #[test]
 fn unknown_key_or_invalid_value_error_names_the_key() {
     assert_eq!(
-        name("/edge", b"/edge/v1/members/10.0.0.7:9000"),
+        parse_key("/edge", b"/edge/v1/members/10.0.0.7:9000"),
         Ok(Some(KeyName::Member("10.0.0.7:9000".into())))
     );
-    assert_eq!(name("/edge", b"/edge/v1/settings/x"), Ok(None));
-    assert!(name("/edge", b"/other/v1/members/a")
+    assert_eq!(parse_key("/edge", b"/edge/v1/settings/x"), Ok(None));
+    assert!(parse_key("/edge", b"/other/v1/members/a")
         .unwrap_err()
         .to_string()
         .contains("/other/v1/members/a"));
-    assert!(name("/edge", b"/edge/v1/members/").is_err());
-    let error = member(b"/edge/v1/members/a", b"{\"state\":\"redy\"}")
+    assert!(parse_key("/edge", b"/edge/v1/members/").is_err());
+    let error = parse_member(b"/edge/v1/members/a", b"{\"state\":\"redy\"}")
         .unwrap_err()
         .to_string();
     assert!(
@@ -24,12 +24,15 @@
 #[test]
 fn record_with_unknown_field_or_future_start_is_accepted() {
     let extended = br#"{"state":"draining","weight":5,"zone":"b","kind":"cache","colour":"blue","started_unix_ms":5000}"#;
-    let record = member(b"k", extended).unwrap();
+    let record = parse_member(b"k", extended).unwrap();
     assert_eq!(
         record.to_endpoint("a", 7_000).started_ago_us,
         Some(2_000_000)
     );
     assert_eq!(record.to_endpoint("a", 4_000).started_ago_us, Some(0));
     assert_eq!(removed_endpoint("a").state(), WireEndpointState::Gone);
-    assert_eq!(purge(b"k", b"{\"group\":7}").unwrap().head().age_us, 0);
+    assert_eq!(
+        parse_purge(b"k", b"{\"group\":7}").unwrap().head().age_us,
+        0
+    );
 }
--- a/crates/etcd/src/watcher/mod.rs
+++ b/crates/etcd/src/watcher/mod.rs
@@ -68,7 +68,7 @@
     }
 
     /// The endpoints of the view, by address.
-    pub fn members(&self) -> &BTreeMap<String, MemberRecord> {
+    pub fn endpoints(&self) -> &BTreeMap<String, MemberRecord> {
         self.store.endpoints()
     }
 
--- a/crates/etcd/src/watcher/store_view.rs
+++ b/crates/etcd/src/watcher/store_view.rs
@@ -183,7 +183,7 @@
     }
 
     fn apply_delete(&mut self, key: &[u8], update: &mut PendingUpdate) -> Result<(), LayoutError> {
-        match layout::name(&self.prefix, key)? {
+        match layout::parse_key(&self.prefix, key)? {
             Some(KeyName::Member(address)) => {
                 self.endpoints.remove(&address);
                 let removed = layout::removed_endpoint(&address);
@@ -213,17 +213,19 @@
     }
 
     fn parse_record(&self, kv: &KeyValue) -> Result<Option<StoredRecord>, LayoutError> {
-        let Some(name) = layout::name(&self.prefix, &kv.key)? else {
+        let Some(name) = layout::parse_key(&self.prefix, &kv.key)? else {
             return Ok(None);
         };
         let record = match name {
             KeyName::Member(address) => {
-                StoredRecord::Endpoint(address, layout::member(&kv.key, &kv.value)?)
+                StoredRecord::Endpoint(address, layout::parse_member(&kv.key, &kv.value)?)
             }
             KeyName::Dispatcher(name) => {
-                StoredRecord::Dispatcher(name, layout::dispatcher(&kv.key, &kv.value)?)
+                StoredRecord::Dispatcher(name, layout::parse_dispatcher(&kv.key, &kv.value)?)
+            }
+            KeyName::Purge(_) => {
+                StoredRecord::Purge(layout::parse_purge(&kv.key, &kv.value)?.head())
             }
-            KeyName::Purge(_) => StoredRecord::Purge(layout::purge(&kv.key, &kv.value)?.head()),
         };
         Ok(Some(record))
     }
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -99,7 +99,7 @@
         let stored = etcd.range(request).await?.kvs.into_iter().next();
         let record = stored
             .as_ref()
-            .map(|kv| layout::member(&kv.key, &kv.value))
+            .map(|kv| layout::parse_member(&kv.key, &kv.value))
             .transpose()?;
         let operation = match change(record).map_err(WriteError::Rejected)? {
             Some(record) => put(key.clone(), json(&record), 0),
@@ -123,13 +123,13 @@
         let key = layout::purge_key(prefix, &id);
         let operations = vec![
             put(key.clone(), json(record), lease),
-            put(layout::purge_mark(prefix), Vec::new(), 0),
+            put(layout::purge_mark_key(prefix), Vec::new(), 0),
         ];
         if let Some(revision) = commit_if_unchanged(etcd, &key, 0, operations).await? {
             return Ok(revision);
         }
     }
-    Err(WriteError::Conflict(layout::watched(prefix)))
+    Err(WriteError::Conflict(layout::watched_prefix(prefix)))
 }
 
 /// Within what time a purge is in force in the registered dispatchers.
@@ -152,7 +152,7 @@
         ..Promise::default()
     };
     for kv in snapshot.keys {
-        match layout::dispatcher(&kv.key, &kv.value)?.purge_within_ms {
+        match layout::parse_dispatcher(&kv.key, &kv.value)?.purge_within_ms {
             Some(ms) => promise.within_ms = promise.within_ms.max(ms),
             None => {
                 let name = &kv.key[key_prefix.len().min(kv.key.len())..];
--- a/crates/etcd/tests/history/main.rs
+++ b/crates/etcd/tests/history/main.rs
@@ -137,9 +137,9 @@
             })
             .filter(|a| a != "odd")
             .collect();
-        let viewed: Vec<String> = self.watcher.members().keys().cloned().collect();
+        let viewed: Vec<String> = self.watcher.endpoints().keys().cloned().collect();
         assert_eq!(viewed, members, "at revision {revision}");
-        for (address, record) in self.watcher.members() {
+        for (address, record) in self.watcher.endpoints() {
             let stored: MemberRecord =
                 serde_json::from_slice(&keys[member_key(PREFIX, address).as_bytes()].0).unwrap();
             assert_eq!(*record, stored);
--- a/crates/lab/tests/etcd.rs
+++ b/crates/lab/tests/etcd.rs
@@ -77,10 +77,10 @@
         })
         .unwrap();
     let line = |kv: &pointspindle_etcd::proto::KeyValue| {
-        let Ok(Some(layout::KeyName::Member(address))) = layout::name(PREFIX, &kv.key) else {
+        let Ok(Some(layout::KeyName::Member(address))) = layout::parse_key(PREFIX, &kv.key) else {
             panic!()
         };
-        let record = layout::member(&kv.key, &kv.value).unwrap();
+        let record = layout::parse_member(&kv.key, &kv.value).unwrap();
         (
             address,
             if record.state == State::Ready {
