--- a/crates/lab/src/scale/capacity.rs
+++ b/crates/lab/src/scale/capacity.rs
@@ -50,7 +50,7 @@
     }
 }
 
-const CONTROL: &str = "`etcd/watcher.rs`, `edge/net`; `cli/tests/scale.rs`";
+const CONTROL: &str = "`etcd/watcher/`, `dispatcher/net`; `cli/tests/scale.rs`";
 const STORE: &str = "stand-in `lab/etcd`; `cli/tests/scale.rs`";
 
 fn roles(t: &Target) -> Vec<(&'static str, Vec<Row>)> {
@@ -68,7 +68,7 @@
                 run("bytes heard, at the target's purges", "purges/dispatcher bytes in", "KB/s", kb, CONTROL),
                 run("bytes heard, at ten times those", "purges x10/dispatcher bytes in", "KB/s", kb, CONTROL),
                 run("bytes said, at rest", "rest/dispatcher bytes out", "KB/s", kb, CONTROL),
-                run("connections to cache hosts", "rest/dispatcher connections to hosts", "", None, "`edge/net/upstream.rs`"),
+                run("connections to cache hosts", "rest/dispatcher connections to hosts", "", None, "`dispatcher/net/connection_pool/`"),
                 open("bytes by hellos, leases and probes", "`link`, `host/lease.rs`"),
                 open("processor a request, a list line; bytes a member, a purge, a connection, an open request", "`docs/results.md` has the request's"),
             ],
@@ -84,8 +84,8 @@
                 run("bytes out, at the target's purges", "purges/store bytes out", "KB/s", None, STORE),
                 run("messages about leases, at rest", "rest/lease kept messages", "1/s", None, "`etcd/writer.rs`"),
                 run("messages about registrations, at rest", "rest/registration messages", "1/s", None, "`etcd/writer.rs`"),
-                run("messages about progress, at rest", "rest/progress messages", "1/s", None, "`etcd/watcher.rs`"),
-                run("messages about the purges' mark, at rest", "rest/read messages", "1/s", None, "`etcd/watcher.rs`"),
+                run("messages about progress, at rest", "rest/progress messages", "1/s", None, "`etcd/watcher/`"),
+                run("messages about the purges' mark, at rest", "rest/read messages", "1/s", None, "`etcd/watcher/`"),
                 open("four machines: quorum, disk, a machine lost", "-"),
             ],
         ),
@@ -111,7 +111,7 @@
                 Row {
                     what: "purge in force everywhere, also where nobody can be told".into(),
                     known: Known::Held("within `purge_within_ms` of its acknowledgement, by each process's own holding back"),
-                    by: "`edge/core/hold.rs`, `etcd/watcher.rs`; `etcd/tests/promise.rs`, `cli/tests/purge_promise.rs`",
+                    by: "`dispatcher/core/purge_lease.rs`, `etcd/watcher/`; `etcd/tests/promise.rs`, `cli/tests/purge_promise.rs`",
                 },
                 open("change of configuration in force: **missing: no way to the fleet but a file and a restart**", "-"),
             ],
