--- a/crates/dispatcher/src/admission.rs
+++ b/crates/dispatcher/src/admission.rs
@@ -20,7 +20,7 @@
 
 /// Limits on open connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Limits {
+pub struct ConnectionLimits {
     /// All connections.
     pub hard: usize,
     /// Over this many, idle ones are closed.
@@ -31,7 +31,7 @@
     pub networks: Vec<NetworkQuota>,
 }
 
-impl Limits {
+impl ConnectionLimits {
     /// Index of the network that an address counts in.
     fn network_of(&self, address: IpAddr) -> Option<usize> {
         self.networks
@@ -120,7 +120,7 @@
 /// are removed by [`Admission::closed`], which is owed once for each admitted connection.
 #[derive(Debug)]
 pub struct Admission {
-    limits: Limits,
+    limits: ConnectionLimits,
     last_id: ConnectionId,
     open: BTreeMap<ConnectionId, Connection>,
     by_address: HashMap<IpAddr, QuotaUsage>,
@@ -132,7 +132,7 @@
 
 impl Admission {
     /// No connections yet.
-    pub fn new(limits: Limits) -> Self {
+    pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             by_network: unused_quotas(&limits),
             limits,
@@ -282,7 +282,7 @@
     }
 
     /// Closes up to `count` idle connections, whatever the limits: the process has no descriptors left.
-    pub fn make_room(&mut self, count: usize) -> Vec<ConnectionId> {
+    pub fn close_idle(&mut self, count: usize) -> Vec<ConnectionId> {
         let longest_idle: Vec<IdleConnection> = self.idle.iter().take(count).copied().collect();
         let mut close = Vec::new();
         for idle in longest_idle {
@@ -293,7 +293,7 @@
 
     /// A request has begun on a connection. If the connection was chosen to be closed at the same moment, the request is
     /// still answered, and the connection closes afterwards.
-    pub fn busy(&mut self, id: ConnectionId) {
+    pub fn mark_busy(&mut self, id: ConnectionId) {
         let Some(connection) = self.open.get_mut(&id) else {
             return;
         };
@@ -304,7 +304,7 @@
     }
 
     /// The last request in flight on a connection has ended.
-    pub fn idle(&mut self, now: Micros, id: ConnectionId) {
+    pub fn mark_idle(&mut self, now: Micros, id: ConnectionId) {
         let connection = self.open.get_mut(&id);
         let Some(connection) = connection.filter(|connection| connection.idle_since.is_none())
         else {
@@ -335,7 +335,7 @@
     }
 
     /// Sets other limits, and closes idle connections over them.
-    pub fn limit(&mut self, limits: Limits) -> Vec<ConnectionId> {
+    pub fn set_limits(&mut self, limits: ConnectionLimits) -> Vec<ConnectionId> {
         self.limits = limits;
         self.recount_networks();
         let mut close = Vec::new();
@@ -377,7 +377,7 @@
     }
 }
 
-fn unused_quotas(limits: &Limits) -> Vec<QuotaUsage> {
+fn unused_quotas(limits: &ConnectionLimits) -> Vec<QuotaUsage> {
     let networks = limits.networks.iter();
     networks.map(|_| QuotaUsage::default()).collect()
 }
--- a/crates/dispatcher/src/admission/tests.rs
+++ b/crates/dispatcher/src/admission/tests.rs
@@ -1,7 +1,7 @@
 //! Which connections are admitted, rejected and closed.
 use super::*;
 
-const LIMITS: Limits = Limits {
+const LIMITS: ConnectionLimits = ConnectionLimits {
     hard: 10,
     soft: 6,
     per_address: 4,
@@ -32,8 +32,8 @@
     let ids: Vec<ConnectionId> = (0..6)
         .map(|n| admit(&mut admission, n, n as u8).0)
         .collect();
-    admission.busy(ids[0]);
-    admission.idle(100, ids[1]);
+    admission.mark_busy(ids[0]);
+    admission.mark_idle(100, ids[1]);
     let (_, close) = admit(&mut admission, 200, 50);
     assert_eq!(
         close,
@@ -42,7 +42,7 @@
     );
     admission.closed(ids[1]);
     for id in &ids[2..] {
-        admission.busy(*id);
+        admission.mark_busy(*id);
     }
     let (last, close) = admit(&mut admission, 300, 51);
     assert!(
@@ -56,10 +56,10 @@
 
 #[test]
 fn hard_limit_reached_rejects_with_growing_retry_after() {
-    let mut admission = Admission::new(Limits { soft: 10, ..LIMITS });
+    let mut admission = Admission::new(ConnectionLimits { soft: 10, ..LIMITS });
     for n in 0..10 {
         let (id, _) = admit(&mut admission, 0, n);
-        admission.busy(id);
+        admission.mark_busy(id);
     }
     let retry_after = |admission: &mut Admission| match admission.arrive(5, address(99)) {
         Arrival {
@@ -80,7 +80,7 @@
 
 #[test]
 fn address_over_quota_closes_only_its_own_idle_connections() {
-    let mut admission = Admission::new(Limits {
+    let mut admission = Admission::new(ConnectionLimits {
         hard: 100,
         soft: 100,
         per_address: 3,
@@ -95,9 +95,9 @@
         "not {other}, which has been idle for longer"
     );
     admission.closed(ids[0]);
-    admission.busy(ids[1]);
-    admission.busy(ids[2]);
-    admission.busy(newest);
+    admission.mark_busy(ids[1]);
+    admission.mark_busy(ids[2]);
+    admission.mark_busy(newest);
     let arrival = admission.arrive(20, address(1));
     assert!(
         matches!(arrival.decision, AdmissionDecision::Reject { .. }) && arrival.close.is_empty(),
@@ -109,7 +109,7 @@
 /// closed, and it is not chosen twice.
 #[test]
 fn request_on_closing_connection_is_not_chosen_again() {
-    let mut admission = Admission::new(Limits {
+    let mut admission = Admission::new(ConnectionLimits {
         hard: 10,
         soft: 1,
         per_address: 10,
@@ -118,8 +118,8 @@
     let (first, _) = admit(&mut admission, 0, 1);
     let (_, close) = admit(&mut admission, 1, 2);
     assert_eq!(close, [first]);
-    admission.busy(first);
-    admission.idle(2, first);
+    admission.mark_busy(first);
+    admission.mark_idle(2, first);
     assert!(!admit(&mut admission, 3, 3).1.contains(&first));
     assert_eq!(admission.open_count(), 3);
     admission.closed(first);
@@ -132,9 +132,9 @@
     let ids: Vec<ConnectionId> = (0..6)
         .map(|n| admit(&mut admission, n, n as u8).0)
         .collect();
-    admission.busy(ids[5]);
+    admission.mark_busy(ids[5]);
     assert_eq!(
-        admission.limit(Limits {
+        admission.set_limits(ConnectionLimits {
             hard: 3,
             soft: 2,
             per_address: 1,
@@ -143,7 +143,7 @@
         ids[..4]
     );
     assert_eq!(
-        admission.make_room(10),
+        admission.close_idle(10),
         [ids[4]],
         "the last idle one; the busy one stays"
     );
@@ -169,8 +169,8 @@
 }
 
 /// Two overlapping networks, of which the first that contains an address counts.
-fn network_limits(first_quota: usize, second_quota: usize) -> Limits {
-    Limits {
+fn network_limits(first_quota: usize, second_quota: usize) -> ConnectionLimits {
+    ConnectionLimits {
         hard: 100,
         soft: 100,
         per_address: 100,
@@ -203,15 +203,15 @@
     let (third, close) = try_admit(&mut admission, 2, [127, 1, 9, 9]).unwrap();
     assert_eq!(close, [first], "its own longest idle one is closed");
     admission.closed(first);
-    admission.busy(second);
-    admission.busy(third);
+    admission.mark_busy(second);
+    admission.mark_busy(third);
     let rejected = try_admit(&mut admission, 3, [127, 1, 0, 1]);
     assert_eq!(rejected, None, "all of its own are busy");
     let (other, close) = try_admit(&mut admission, 4, [127, 2, 0, 1]).unwrap();
     assert!(close.is_empty(), "another network is not affected");
-    admission.idle(5, second);
+    admission.mark_idle(5, second);
     // Lowered while it is in use: idle ones are closed, busy ones stay.
-    assert_eq!(admission.limit(network_limits(1, 1)), [second]);
+    assert_eq!(admission.set_limits(network_limits(1, 1)), [second]);
     for id in [second, third, other] {
         admission.closed(id);
     }
@@ -222,7 +222,7 @@
 /// Many connections that became idle at once are closed in slices; one that is used in between stays open.
 #[test]
 fn idle_timeout_closes_longest_idle_first_in_slices() {
-    let mut admission = Admission::new(Limits {
+    let mut admission = Admission::new(ConnectionLimits {
         hard: 200_000,
         soft: 200_000,
         per_address: 200_000,
@@ -234,8 +234,8 @@
     assert_eq!(admission.next_expiry(1_000), Some(1_007));
     assert!(admission.expire(1_006, 1_000, 256).is_empty());
     let used = ids[50_000];
-    admission.busy(used);
-    admission.idle(900, used);
+    admission.mark_busy(used);
+    admission.mark_idle(900, used);
     let mut expired = vec![];
     loop {
         let slice = admission.expire(1_007, 1_000, 256);
--- a/crates/dispatcher/src/client_pace.rs
+++ b/crates/dispatcher/src/client_pace.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PaceRule {
     /// Bytes per second; 0: no minimum.
-    pub least: u64,
+    pub min_bytes_per_s: u64,
     /// Waiting time over which the pace is measured; the first window is a grace period.
     pub window: Micros,
 }
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Longest wait before [`Pace::took`] should be called with the bytes read so far; none: no limit.
-    pub fn patience(&self) -> Option<Micros> {
-        (self.rule.least > 0).then(|| self.rule.window.saturating_sub(self.waited).max(1))
+    /// Longest wait before [`Pace::record_read`] should be called with the bytes read so far; none: no limit.
+    pub fn max_wait(&self) -> Option<Micros> {
+        (self.rule.min_bytes_per_s > 0).then(|| self.rule.window.saturating_sub(self.waited).max(1))
     }
 
     /// The client read `bytes` after a wait of `waited`. Returns whether it is fast enough.
-    pub fn took(&mut self, bytes: u64, waited: Micros) -> bool {
-        if self.rule.least == 0 {
+    pub fn record_read(&mut self, bytes: u64, waited: Micros) -> bool {
+        if self.rule.min_bytes_per_s == 0 {
             return true;
         }
         self.waited += waited;
@@ -48,7 +48,7 @@
         if self.waited < self.rule.window {
             return true;
         }
-        let required_bytes = self.rule.least as f64 * self.waited as f64 / 1e6;
+        let required_bytes = self.rule.min_bytes_per_s as f64 * self.waited as f64 / 1e6;
         let is_fast_enough = self.bytes_read as f64 >= required_bytes;
         self.waited = 0;
         self.bytes_read = 0;
--- a/crates/dispatcher/src/client_pace/tests.rs
+++ b/crates/dispatcher/src/client_pace/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 const RULE: PaceRule = PaceRule {
-    least: 1_000,
+    min_bytes_per_s: 1_000,
     window: 2_000_000,
 };
 
@@ -12,8 +12,8 @@
     let mut trickle = Pace::new(RULE);
     let mut rejected_at = None;
     for n in 0..100 {
-        assert!(honest.took(150, 100_000), "1,500 bytes a second");
-        if rejected_at.is_none() && !trickle.took(10, 100_000) {
+        assert!(honest.record_read(150, 100_000), "1,500 bytes a second");
+        if rejected_at.is_none() && !trickle.record_read(10, 100_000) {
             rejected_at = Some(n);
         }
     }
@@ -24,15 +24,26 @@
 #[test]
 fn short_pause_is_tolerated_and_window_long_one_is_not() {
     let mut pace = Pace::new(RULE);
-    assert!(pace.took(10_000, 10_000) && pace.took(0, 1_900_000) && pace.took(500, 100_000));
-    assert!(!pace.took(0, 2_000_000));
+    assert!(
+        pace.record_read(10_000, 10_000)
+            && pace.record_read(0, 1_900_000)
+            && pace.record_read(500, 100_000)
+    );
+    assert!(!pace.record_read(0, 2_000_000));
 }
 
 /// A slow endpoint is not a slow client: without a wait for the client no time counts.
 #[test]
 fn time_without_waiting_for_client_does_not_count() {
     let mut pace = Pace::new(RULE);
-    assert!((0..10_000).all(|_| pace.took(1, 0)));
-    assert_eq!(pace.patience(), Some(2_000_000));
-    assert_eq!(Pace::new(PaceRule { least: 0, ..RULE }).patience(), None);
+    assert!((0..10_000).all(|_| pace.record_read(1, 0)));
+    assert_eq!(pace.max_wait(), Some(2_000_000));
+    assert_eq!(
+        Pace::new(PaceRule {
+            min_bytes_per_s: 0,
+            ..RULE
+        })
+        .max_wait(),
+        None
+    );
 }
--- a/crates/dispatcher/src/control_source.rs
+++ b/crates/dispatcher/src/control_source.rs
@@ -30,29 +30,29 @@
 /// A source's access to its dispatcher. An update is in force when the method that applies it returns.
 #[derive(Clone)]
 pub struct ControlSink {
-    pub(crate) hub: Arc<FramedCore>,
-    pub(crate) ears: Option<ControlObserver>,
+    pub(crate) core: Arc<FramedCore>,
+    pub(crate) observer: Option<ControlObserver>,
 }
 
 impl std::fmt::Debug for ControlSink {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("ControlSink")
-            .field("hub", &self.hub)
+            .field("core", &self.core)
             .finish_non_exhaustive()
     }
 }
 
 impl ControlSink {
     fn notify_observer(&self, update: ControlUpdate<'_>) {
-        if let Some(observer) = &self.ears {
+        if let Some(observer) = &self.observer {
             observer(update);
         }
     }
 
     /// Applies a full endpoint list or a delta.
     pub fn apply_endpoint_list(&self, head: EndpointListHead) -> EndpointListChange {
-        let observed = self.ears.is_some().then(|| head.clone());
-        let change = self.hub.apply_endpoint_list(head);
+        let observed = self.observer.is_some().then(|| head.clone());
+        let change = self.core.apply_endpoint_list(head);
         if let Some(head) = &observed {
             self.notify_observer(ControlUpdate::EndpointList(head));
         }
@@ -61,8 +61,8 @@
 
     /// Applies a purge.
     pub fn apply_purge(&self, head: PurgeHead) {
-        let observed = self.ears.is_some().then(|| head.clone());
-        self.hub.apply_purge(head);
+        let observed = self.observer.is_some().then(|| head.clone());
+        self.core.apply_purge(head);
         if let Some(head) = &observed {
             self.notify_observer(ControlUpdate::Purge(head));
         }
@@ -70,41 +70,42 @@
 
     /// An unknown set of purges may have been missed: every copy from before now counts as purged.
     pub fn updates_missed(&self) {
-        self.hub.metrics.source_gaps.inc();
-        self.hub.apply(Input::UpdatesMissed);
+        self.core.metrics.source_gaps.inc();
+        self.core.apply(Input::UpdatesMissed);
     }
 
     /// Sets the registered dispatchers.
     pub fn roster(&self, roster: Roster) {
-        self.hub.metrics.peers.set(roster.len() as i64);
-        self.hub.apply(Input::Roster(roster));
+        self.core.metrics.peers.set(roster.len() as i64);
+        self.core.apply(Input::Roster(roster));
     }
 
     /// This dispatcher's own registration was renewed `ago` ago, for `duration`.
     pub fn registration_renewed(&self, ago: Micros, duration: Micros) {
-        self.hub.apply(Input::RegistrationRenewed { ago, duration });
+        self.core
+            .apply(Input::RegistrationRenewed { ago, duration });
     }
 
     /// Whether the applied updates are as current as they should be.
     pub fn set_current(&self, current: bool) {
-        self.hub.metrics.source_current.set(current.into());
-        self.hub.apply(Input::SourceFreshness(current));
-        self.hub.view.send_replace(current);
+        self.core.metrics.source_current.set(current.into());
+        self.core.apply(Input::SourceFreshness(current));
+        self.core.view.send_replace(current);
         self.notify_observer(ControlUpdate::Freshness(current));
     }
 
     /// All purges that were acknowledged up to `ago` ago are in force.
     pub fn confirm_purges(&self, ago: Micros) {
-        self.hub.confirm_purges(ago);
+        self.core.confirm_purges(ago);
     }
 
     /// Counts an update of the source that was not usable.
     pub fn count_unusable(&self) {
-        self.hub.metrics.source_bad.inc();
+        self.core.metrics.source_bad.inc();
     }
 
     /// The endpoint list in force.
     pub fn endpoint_list(&self) -> EndpointListHead {
-        self.hub.endpoint_list()
+        self.core.endpoint_list()
     }
 }
--- a/crates/dispatcher/src/core/attempt.rs
+++ b/crates/dispatcher/src/core/attempt.rs
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTerms {
     /// Remaining time of the attempt.
-    pub left: Micros,
+    pub time_left: Micros,
     /// Age of the oldest acceptable copy; 0: the limit of the request's class.
-    pub age: Micros,
+    pub max_copy_age: Micros,
     /// The attempt may join a fill that is in progress.
-    pub join: bool,
+    pub may_coalesce: bool,
     /// The age is limited because the purge lease has expired.
-    pub held: bool,
+    pub limited_by_purge_lease: bool,
 }
 
 /// An attempt in flight. Created when it is ordered; removed when it ends, is cancelled or times out. Its end is owed to the
--- a/crates/dispatcher/src/core/client_events.rs
+++ b/crates/dispatcher/src/core/client_events.rs
@@ -202,10 +202,10 @@
         }
         ordered.has_begun = true;
         Some(AttemptTerms {
-            left: ordered.deadline - now,
-            age: ordered.max_copy_age,
-            join: ordered.may_coalesce,
-            held: age_limit.is_some(),
+            time_left: ordered.deadline - now,
+            max_copy_age: ordered.max_copy_age,
+            may_coalesce: ordered.may_coalesce,
+            limited_by_purge_lease: age_limit.is_some(),
         })
     }
 
--- a/crates/dispatcher/src/keep_alive.rs
+++ b/crates/dispatcher/src/keep_alive.rs
@@ -11,11 +11,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepAliveRule {
     /// Silence after which a ping is sent while a response is pending.
-    pub quiet: Micros,
+    pub ping_when_awaiting: Micros,
     /// Silence after which a ping is sent on an idle connection; 0: never.
-    pub idle: Micros,
+    pub ping_when_idle: Micros,
     /// Silence after a ping after which the connection is dead.
-    pub answer: Micros,
+    pub ping_timeout: Micros,
 }
 
 /// What to do with a connection now.
@@ -48,16 +48,16 @@
         if let Some(sent_at) = self.ping_sent_at {
             if last_seen >= sent_at {
                 self.ping_sent_at = None;
-            } else if now >= sent_at + rule.answer {
+            } else if now >= sent_at + rule.ping_timeout {
                 return KeepAliveVerdict::Close;
             } else {
                 return KeepAliveVerdict::Healthy;
             }
         }
         let max_silence = if is_response_pending {
-            rule.quiet
+            rule.ping_when_awaiting
         } else {
-            rule.idle
+            rule.ping_when_idle
         };
         if max_silence == 0 || now < last_seen + max_silence {
             return KeepAliveVerdict::Healthy;
--- a/crates/dispatcher/src/keep_alive/tests.rs
+++ b/crates/dispatcher/src/keep_alive/tests.rs
@@ -2,9 +2,9 @@
 use super::*;
 
 const RULE: KeepAliveRule = KeepAliveRule {
-    quiet: 2_000,
-    idle: 15_000,
-    answer: 1_000,
+    ping_when_awaiting: 2_000,
+    ping_when_idle: 15_000,
+    ping_timeout: 1_000,
 };
 
 #[test]
@@ -53,7 +53,15 @@
     );
     let mut never = KeepAlive::default();
     assert_eq!(
-        never.check(&KeepAliveRule { idle: 0, ..RULE }, 10_000_000, 0, false),
+        never.check(
+            &KeepAliveRule {
+                ping_when_idle: 0,
+                ..RULE
+            },
+            10_000_000,
+            0,
+            false
+        ),
         KeepAliveVerdict::Healthy
     );
 }
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -14,6 +14,7 @@
 //!
 //! Endpoint lists, purges and fleet counts come from a [`control_source`].
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod admission;
 pub mod call_deduplication;
--- a/crates/dispatcher/src/net/connection_pool/connect.rs
+++ b/crates/dispatcher/src/net/connection_pool/connect.rs
@@ -29,7 +29,7 @@
         tokio::time::sleep(delay).await;
         let socket = match open_socket(&self.pool, &self.address).await {
             Ok(socket) => socket,
-            Err(e) if e.is_of_peer() => return self.failed(&state, e.to_string()),
+            Err(e) if e.is_peer_failure() => return self.failed(&state, e.to_string()),
             Err(e) => {
                 tracing::warn!(endpoint = self.address, error = %e, "no connection");
                 state.send_replace(ConnectionState::LocalShortage);
--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -242,7 +242,8 @@
             verdict == SweepVerdict::Keep
         });
         greeted.retain(|_, at| at.elapsed() < GREETING_RETENTION);
-        self.backoffs().retain(|_, backoff| !backoff.is_old(now));
+        self.backoffs()
+            .retain(|_, backoff| !backoff.is_expired(now));
         dead
     }
 
@@ -285,9 +286,9 @@
 
     fn keep_alive_rule(&self) -> KeepAliveRule {
         KeepAliveRule {
-            quiet: self.settings.ping_when_awaiting_us,
-            idle: self.settings.ping_when_idle_us,
-            answer: self.settings.ping_timeout_us,
+            ping_when_awaiting: self.settings.ping_when_awaiting_us,
+            ping_when_idle: self.settings.ping_when_idle_us,
+            ping_timeout: self.settings.ping_timeout_us,
         }
     }
 }
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -1,6 +1,6 @@
 //! The client connections of a process: [`crate::admission`] behind a lock, and the notification of each connection's task.
 use super::connection_rejection::ConnectionRejection;
-use crate::admission::{Admission, AdmissionDecision, ConnectionId, Limits};
+use crate::admission::{Admission, AdmissionDecision, ConnectionId, ConnectionLimits};
 use pointspindle::Micros;
 use pointspindle_transport::{AcceptFailure, Socket};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
 
 impl ConnectionRegistry {
     /// A registry without connections.
-    pub fn new(limits: Limits) -> Arc<Self> {
+    pub fn new(limits: ConnectionLimits) -> Arc<Self> {
         let state = AdmissionState {
             admission: Admission::new(limits),
             closing: HashMap::new(),
@@ -113,7 +113,7 @@
     /// Notifies up to `count` idle connections to close; returns how many.
     fn close_idle(&self, count: usize) -> usize {
         let mut state = self.lock();
-        let close = state.admission.make_room(count);
+        let close = state.admission.close_idle(count);
         state.notify_closing(&close);
         close.len()
     }
@@ -128,7 +128,7 @@
 }
 
 /// Closes connections that have been idle for too long.
-pub async fn expire(registry: Arc<ConnectionRegistry>, idle_us: Micros) {
+pub async fn close_idle_connections(registry: Arc<ConnectionRegistry>, idle_us: Micros) {
     loop {
         let (now, next) = {
             let mut state = registry.lock();
@@ -151,13 +151,13 @@
 impl ConnectionPermit {
     /// A request is under way on the connection: it is not closed for another.
     pub fn busy(&self) {
-        self.registry.lock().admission.busy(self.id);
+        self.registry.lock().admission.mark_busy(self.id);
     }
 
     /// No request is under way on the connection.
     pub fn idle(&self) {
         let now = self.registry.now();
-        self.registry.lock().admission.idle(now, self.id);
+        self.registry.lock().admission.mark_idle(now, self.id);
     }
 
     /// Returns when this connection, being idle, is to close. Safe to drop while waiting.
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -12,8 +12,8 @@
     let options = ConnectionOptions { max_streams: 1 };
     let (connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
     let sink = ControlSink {
-        ears: None,
-        hub: context.core.clone(),
+        observer: None,
+        core: context.core.clone(),
     };
     loop {
         let inbound = tokio::select! {
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -61,11 +61,11 @@
 
 impl AttemptTerms {
     /// Puts the present time budget and age limits into a request head that was made when the core decided the attempt.
-    pub fn word(&self, request: &mut RequestHead) {
-        request.time_left_us = self.left;
+    pub fn apply_to(&self, request: &mut RequestHead) {
+        request.time_left_us = self.time_left;
         if let Some(fetch) = &mut request.fetch {
-            fetch.max_age_us = self.age;
-            fetch.coalesce = self.join;
+            fetch.max_age_us = self.max_copy_age;
+            fetch.coalesce = self.may_coalesce;
         }
     }
 }
@@ -83,17 +83,30 @@
 pub enum RequestCommand {
     /// Make an attempt at an endpoint.
     Send {
+        /// Number of the attempt within the request.
         attempt: u32,
+        /// Address or id of the endpoint.
         endpoint: String,
+        /// Time until the attempt is cancelled.
         timeout: Micros,
+        /// What a cache does on a miss; none: the request is forwarded as it is.
         fetch: Option<AddressedFetch>,
     },
     /// Cancel an attempt; the request goes on.
-    CancelAttempt { attempt: u32 },
+    CancelAttempt {
+        /// Number of the attempt within the request.
+        attempt: u32,
+    },
     /// Forward the attempt's response to the client.
-    ForwardResponse { attempt: u32 },
+    ForwardResponse {
+        /// Number of the attempt within the request.
+        attempt: u32,
+    },
     /// Final: shed the request.
-    Reject { retry_after: Option<Micros> },
+    Reject {
+        /// Time after which the client may retry, where it is notified of one.
+        retry_after: Option<Micros>,
+    },
     /// Final: no attempt has answered.
     Fail,
     /// Final: cut the response that is being forwarded.
@@ -164,7 +177,7 @@
             rng: StdRng::seed_from_u64(seed),
         };
         let budget = RequestBudget::new(settings.max_requests, settings.buffer_bytes);
-        let meter = BufferMeter::new(budget.crowded);
+        let meter = BufferMeter::new(budget.crowded_bytes);
         Self {
             state: Mutex::new(state),
             started_at: Instant::now(),
@@ -236,7 +249,7 @@
             self.metrics.attempts_not_begun.inc();
             return None;
         };
-        if terms.held {
+        if terms.limited_by_purge_lease {
             self.metrics.attempts_held_back.inc();
             if !self.withholding_copies.swap(true, Ordering::Relaxed) {
                 tracing::warn!("purges are not confirmed; cached copies are withheld");
--- a/crates/dispatcher/src/net/dispatcher.rs
+++ b/crates/dispatcher/src/net/dispatcher.rs
@@ -4,7 +4,7 @@
 use super::frontend_context::FrontendContext;
 use super::listeners::{self, BoundAddresses, ClientContexts, StartError};
 use super::{core_handle, state_file, FramedCore, StateCounts};
-use crate::admission::Limits;
+use crate::admission::ConnectionLimits;
 use crate::control_source::{ControlObserver, ControlSink, ControlSource};
 use pointspindle_config::{DispatcherSettings, EndpointSpec, ListenSettings, TlsSettings};
 use pointspindle_protocol::{
@@ -46,8 +46,8 @@
     /// Takes endpoint lists, purges and dispatcher counts from this source too, for as long as the dispatcher runs.
     pub fn follow(&mut self, source: impl ControlSource) {
         let sink = ControlSink {
-            hub: self.core.clone(),
-            ears: None,
+            core: self.core.clone(),
+            observer: None,
         };
         self.background_tasks.spawn(source.run(sink));
     }
@@ -66,8 +66,8 @@
             ..
         } = self;
         let sink = ControlSink {
-            hub: core.clone(),
-            ears: Some(observer),
+            core: core.clone(),
+            observer: Some(observer),
         };
         background_tasks.spawn(source.run(sink));
         spawn_background_tasks(&core, endpoint_intents, &mut background_tasks);
@@ -98,7 +98,7 @@
         let (stop, stopping) = watch::channel(false);
         // One registry for all client listeners: they share the process's descriptors.
         let registry = ConnectionRegistry::new(connection_limits(&settings.listen));
-        background_tasks.spawn(connection_registry::expire(
+        background_tasks.spawn(connection_registry::close_idle_connections(
             registry.clone(),
             settings.listen.idle_timeout_us,
         ));
@@ -226,8 +226,8 @@
     }
 }
 
-fn connection_limits(settings: &ListenSettings) -> Limits {
-    Limits {
+fn connection_limits(settings: &ListenSettings) -> ConnectionLimits {
+    ConnectionLimits {
         hard: settings.max_connections,
         soft: settings.soft_connections,
         per_address: settings.address_connections,
--- a/crates/dispatcher/src/net/framed_frontend/client.rs
+++ b/crates/dispatcher/src/net/framed_frontend/client.rs
@@ -109,7 +109,7 @@
         }
         let bytes = data.len() as u64;
         let superseded = self.superseded.clone();
-        let patience = self.pace.patience();
+        let patience = self.pace.max_wait();
         let timeout = patience.map_or(Duration::MAX, Duration::from_micros);
         let started_at = Instant::now();
         let sending = tokio::time::timeout(timeout, self.open_responder()?.data(data));
@@ -122,7 +122,7 @@
         };
         let taken = if sent.is_ok() { bytes } else { 0 };
         let took = started_at.elapsed().as_micros() as Micros;
-        if !self.pace.took(taken, took) {
+        if !self.pace.record_read(taken, took) {
             self.slow_clients.inc();
             return Err(ClientDisconnected);
         }
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -98,7 +98,7 @@
         let core = core.clone();
         // Called again wherever the socket takes its first byte: it may be full now.
         let begin = move || {
-            core.begin_attempt(attempt)?.word(&mut request);
+            core.begin_attempt(attempt)?.apply_to(&mut request);
             Some(request.clone())
         };
         connection
--- a/crates/dispatcher/src/net/http_frontend/client.rs
+++ b/crates/dispatcher/src/net/http_frontend/client.rs
@@ -59,7 +59,7 @@
             body_allowed: true,
             response_started: false,
             pace_rule: PaceRule {
-                least: settings.min_client_bytes_per_s,
+                min_bytes_per_s: settings.min_client_bytes_per_s,
                 window: settings.pace_window_us,
             },
             pace: None,
@@ -195,14 +195,14 @@
     ) -> Result<(), ClientDisconnected> {
         let rule = self.rule;
         let pace = self.pace.get_or_insert_with(|| Box::new(Pace::new(rule)));
-        let timeout = pace.patience().map_or(Duration::MAX, Duration::from_micros);
+        let timeout = pace.max_wait().map_or(Duration::MAX, Duration::from_micros);
         let started_at = Instant::now();
         let taken = match tokio::time::timeout(timeout, self.write.write_buf(bytes)).await {
             Ok(Ok(0) | Err(_)) => return Err(ClientDisconnected),
             Ok(Ok(taken)) => taken as u64,
             Err(_) => 0,
         };
-        if !pace.took(taken, started_at.elapsed().as_micros() as Micros) {
+        if !pace.record_read(taken, started_at.elapsed().as_micros() as Micros) {
             self.slow_clients.inc();
             tracing::info!("client too slow: response given up");
             return Err(ClientDisconnected);
--- a/crates/dispatcher/src/net/listeners.rs
+++ b/crates/dispatcher/src/net/listeners.rs
@@ -6,7 +6,7 @@
 use super::connection_rejection::{ClientProtocol, ConnectionRejection};
 use super::frontend_context::FrontendContext;
 use super::{control, framed_frontend, http_frontend, metrics_frontend};
-use crate::admission::Limits;
+use crate::admission::ConnectionLimits;
 use pointspindle_config::ListenSettings;
 use pointspindle_transport::tls::TlsError;
 use pointspindle_transport::{Listener, Network, Socket, MAX_ACCEPT_QUEUE_FAILURES};
@@ -116,7 +116,7 @@
 
 /// Operators get a connection limit of their own: clients that use theirs up must not lock them out.
 fn operator_context(client: &FrontendContext) -> FrontendContext {
-    let registry = ConnectionRegistry::new(Limits {
+    let registry = ConnectionRegistry::new(ConnectionLimits {
         hard: OPERATOR_CONNECTIONS,
         soft: OPERATOR_CONNECTIONS,
         per_address: OPERATOR_CONNECTIONS,
--- a/crates/dispatcher/src/net/test_support.rs
+++ b/crates/dispatcher/src/net/test_support.rs
@@ -2,7 +2,7 @@
 use super::connection_registry::{ConnectionPermit, ConnectionRegistry};
 use super::frontend_context::FrontendContext;
 use super::FramedCore;
-use crate::admission::Limits;
+use crate::admission::ConnectionLimits;
 use pointspindle_transport::{Network, Socket};
 use std::sync::Arc;
 use tokio::sync::watch;
@@ -23,7 +23,7 @@
     );
     let settings = pointspindle_config::parse("test", &text).unwrap_or_else(|e| panic!("{e}"));
     let (stop, stopping) = watch::channel(false);
-    let registry = ConnectionRegistry::new(Limits {
+    let registry = ConnectionRegistry::new(ConnectionLimits {
         hard: 1,
         soft: 1,
         per_address: 1,
--- a/crates/dispatcher/src/reconnect_backoff.rs
+++ b/crates/dispatcher/src/reconnect_backoff.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whether the address may be forgotten.
-    pub fn is_old(&self, now: Micros) -> bool {
+    pub fn is_expired(&self, now: Micros) -> bool {
         now >= self.updated_at + RETENTION_US
     }
 }
--- a/crates/dispatcher/src/reconnect_backoff/tests.rs
+++ b/crates/dispatcher/src/reconnect_backoff/tests.rs
@@ -56,5 +56,5 @@
         backoff.decide(20),
         ConnectDecision::RejectFor(INITIAL_BACKOFF_US)
     );
-    assert!(!backoff.is_old(20 + RETENTION_US - 1) && backoff.is_old(20 + RETENTION_US));
+    assert!(!backoff.is_expired(20 + RETENTION_US - 1) && backoff.is_expired(20 + RETENTION_US));
 }
--- a/crates/dispatcher/src/request_budget.rs
+++ b/crates/dispatcher/src/request_budget.rs
@@ -1,8 +1,8 @@
 //! Whether a new request may begin while many are in flight: a decision without I/O.
 //!
 //! Memory is bounded in three steps. Every stream has a window, so a slow reader stops its own stream. From
-//! [`RequestBudget::crowded`] buffered bytes on, over all connections, windows shrink to a quarter: back-pressure reaches the
-//! endpoints. From [`RequestBudget::full`] on, and with [`RequestBudget::requests`] open, new requests are rejected with a
+//! [`RequestBudget::crowded_bytes`] buffered bytes on, over all connections, windows shrink to a quarter: back-pressure reaches the
+//! endpoints. From [`RequestBudget::max_buffered_bytes`] on, and with [`RequestBudget::max_requests`] open, new requests are rejected with a
 //! Retry-After; admitted requests continue. An open request can only grow by its windows, so nothing begins that could not
 //! be buffered.
 use pointspindle::Micros;
@@ -14,11 +14,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestBudget {
     /// Open requests.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Buffered bytes from which on windows shrink.
-    pub crowded: u64,
+    pub crowded_bytes: u64,
     /// Buffered bytes from which on new requests are rejected.
-    pub full: u64,
+    pub max_buffered_bytes: u64,
 }
 
 /// Whether a new request may begin.
@@ -37,9 +37,9 @@
     /// Windows shrink from half of the bytes on.
     pub fn new(requests: usize, full: u64) -> Self {
         Self {
-            requests,
-            crowded: full / 2,
-            full,
+            max_requests: requests,
+            crowded_bytes: full / 2,
+            max_buffered_bytes: full,
         }
     }
 
@@ -50,7 +50,7 @@
         buffered_bytes: u64,
         random: impl FnOnce() -> f64,
     ) -> BudgetDecision {
-        if open_requests < self.requests && buffered_bytes < self.full {
+        if open_requests < self.max_requests && buffered_bytes < self.max_buffered_bytes {
             return BudgetDecision::Admit;
         }
         let spread = MIN_RETRY_AFTER_US as f64 * random().clamp(0.0, 1.0);
--- a/crates/dispatcher/tests/core/attempt_begin.rs
+++ b/crates/dispatcher/tests/core/attempt_begin.rs
@@ -56,7 +56,7 @@
     let attempt = harness.sent_request(1, VIDEO).number;
     let late = harness.core.begin(START + 1_000 * MS, 1, attempt);
     assert_eq!(
-        late.map(|terms| terms.left),
+        late.map(|terms| terms.time_left),
         Some(980 * MS),
         "less time is left by then"
     );
@@ -108,16 +108,16 @@
 fn purge_before_first_byte_limits_copy_age() {
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, VIDEO).number;
-    let unlimited = harness.core.begin(START, 1, attempt).unwrap().age;
+    let unlimited = harness.core.begin(START, 1, attempt).unwrap().max_copy_age;
     assert_eq!(
-        terms_after_purge(Some("/video/2")).age,
+        terms_after_purge(Some("/video/2")).max_copy_age,
         unlimited,
         "another object's purge"
     );
     for object in [Some("/video/1"), None] {
         let terms = terms_after_purge(object);
         assert!(
-            terms.age > 0 && terms.age <= 7 * MS && !terms.join,
+            terms.max_copy_age > 0 && terms.max_copy_age <= 7 * MS && !terms.may_coalesce,
             "{terms:?} ({unlimited} before)"
         );
     }
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -68,7 +68,7 @@
     })?;
     let terms = core.begin(now, id, attempt);
     core.handle(now, CoreInput::ClientDisconnected(id), &mut out);
-    terms.map(|t| (t.age, t.held))
+    terms.map(|t| (t.max_copy_age, t.limited_by_purge_lease))
 }
 
 #[test]
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -57,11 +57,11 @@
         let age = if planted {
             wanted.age
         } else {
-            wanted.age.min(begin.age)
+            wanted.age.min(begin.max_copy_age)
         };
         let wanted = Wanted {
             age,
-            join: begin.join,
+            join: begin.may_coalesce,
             ..wanted
         };
         let way = self.way_of(&found.owner, host);
--- a/crates/platform/src/connection_pool/call.rs
+++ b/crates/platform/src/connection_pool/call.rs
@@ -44,7 +44,7 @@
         let encoder_core = core.clone();
         let body = body.clone();
         let encode = Box::new(move || {
-            encoder_core.begin_attempt(attempt)?.word(&mut request);
+            encoder_core.begin_attempt(attempt)?.apply_to(&mut request);
             Some(encode_request(&request, &body))
         });
         let mut request = connection
--- a/crates/platform/src/connection_pool/connector.rs
+++ b/crates/platform/src/connection_pool/connector.rs
@@ -84,7 +84,7 @@
         endpoint.had_local_shortage = matches!(result, Some(Err(ConnectFailure::Local(_))));
         match result {
             Some(Ok(_)) => endpoint.connections.push(connection.clone()),
-            Some(Err(error)) if error.is_of_peer() => endpoint
+            Some(Err(error)) if error.is_peer_failure() => endpoint
                 .backoff
                 .connect_failed(self.micros(Instant::now()), jitter),
             Some(Err(_)) | None => {}
--- a/crates/platform/src/connection_pool/maintenance.rs
+++ b/crates/platform/src/connection_pool/maintenance.rs
@@ -73,9 +73,9 @@
             now,
             now_us: self.micros(now),
             keep_alive: KeepAliveRule {
-                quiet: settings.ping_when_awaiting_us,
-                idle: settings.ping_when_idle_us,
-                answer: settings.ping_timeout_us,
+                ping_when_awaiting: settings.ping_when_awaiting_us,
+                ping_when_idle: settings.ping_when_idle_us,
+                ping_timeout: settings.ping_timeout_us,
             },
             idle_timeout: Duration::from_micros(settings.idle_timeout_us),
             unawaited_response_timeout: Duration::from_micros(settings.ping_timeout_us),
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -12,9 +12,11 @@
 use crate::shutdown::{ShutdownPhase, ShutdownSchedule};
 use pointspindle_clock::WallClock;
 use pointspindle_config::ListenSettings;
-use pointspindle_dispatcher::admission::Limits;
+use pointspindle_dispatcher::admission::ConnectionLimits;
 use pointspindle_dispatcher::core::Input;
-use pointspindle_dispatcher::net::connection_registry::{expire, ConnectionRegistry};
+use pointspindle_dispatcher::net::connection_registry::{
+    close_idle_connections, ConnectionRegistry,
+};
 use pointspindle_dispatcher::net::core_handle::{run_timers, CoreHandle};
 use pointspindle_platform_protocol::start_config::{self, StartConfig, StartConfigError};
 use pointspindle_transport::Network;
@@ -100,7 +102,7 @@
 
     let registry = connection_registry(&settings.dispatcher.listen);
     let idle_timeout_us = settings.dispatcher.listen.idle_timeout_us;
-    background.spawn(expire(registry.clone(), idle_timeout_us));
+    background.spawn(close_idle_connections(registry.clone(), idle_timeout_us));
     background.spawn(run_ticks(pause_detector.clone()));
     let (phase, phase_changes) = watch::channel(ShutdownPhase::Serving);
     let (close_listener, listener_close) = watch::channel(false);
@@ -179,7 +181,7 @@
 }
 
 fn connection_registry(listen: &ListenSettings) -> Arc<ConnectionRegistry> {
-    ConnectionRegistry::new(Limits {
+    ConnectionRegistry::new(ConnectionLimits {
         hard: listen.max_connections,
         soft: listen.soft_connections,
         per_address: listen.address_connections,
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -26,7 +26,7 @@
 
 impl ConnectFailure {
     /// Whether it says something of the peer.
-    pub fn is_of_peer(&self) -> bool {
+    pub fn is_peer_failure(&self) -> bool {
         !matches!(self, Self::Local(_))
     }
 }
