--- a/crates/dispatcher/src/net/framed_frontend/request.rs
+++ b/crates/dispatcher/src/net/framed_frontend/request.rs
@@ -89,7 +89,7 @@
         .checked_div(min_bytes_per_s)
         .unwrap_or(0);
     Pace::new(PaceRule {
-        min_bytes_per_s: min_bytes_per_s,
+        min_bytes_per_s,
         window: settings.pace_window_us.max(time_for_stream_window),
     })
 }
