--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -1,131 +1,172 @@
-//! What is wrong with a folder, and what it holds: reads only, also while another process writes.
+//! Consistency check of a store folder. It only reads, so it may run while another process writes.
 use crate::disk::Disk;
-use crate::index::Index;
-use crate::record::{Commit, Key, Word, HEAD};
+use crate::index::{Entry, Index};
+use crate::record::{BlockLocation, Commit, Key, Meta, Record, RECORD_HEADER_BYTES};
 use crate::recover::{read_all, Recovery};
-use crate::segments;
+use crate::segments::{self, LocatedRecord};
+use std::io::Result;
 
-/// A copy as [`Report::copies`] lists it.
+/// A live copy, as [`Report::copies`] lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Copy {
+    /// Its key in the index.
     pub key: Key,
-    pub meta: crate::record::Meta,
+    /// Metadata from its commit record.
+    pub meta: Meta,
+    /// Number of blocks of its body.
     pub blocks: usize,
 }
 
+/// Result of [`check`].
 #[derive(Debug, Default)]
 pub struct Report {
+    /// Segment files.
     pub segments: u64,
+    /// Bytes of the segment files.
     pub bytes: u64,
-    /// Records by kind: blocks are those that held copies refer to.
+    /// Commit records, superseded ones included.
     pub commits: u64,
+    /// Purge records.
     pub purges: u64,
+    /// Blocks whose checksum was compared: those that live copies refer to.
     pub blocks: u64,
+    /// Live copies, by key.
     pub copies: Vec<Copy>,
-    /// What is wrong, each with its place.
+    /// Faults, each with its file and position.
     pub wrong: Vec<String>,
 }
 
-/// Looks at all of it. `blocks`: every byte of every held copy is read and its checksum compared.
-pub fn check(disk: &dyn Disk, blocks: bool) -> std::io::Result<Report> {
+/// Checks every segment, summary and commit record of the folder. With `blocks`, every byte of every live copy is read as well and
+/// its checksum compared.
+pub fn check(disk: &dyn Disk, blocks: bool) -> Result<Report> {
     let mut report = Report::default();
     let mut recovery = Recovery::new(disk)?;
     let newest = recovery.newest();
-    let mut index = Index::default();
     let names = disk.list()?;
-    for name in names
-        .iter()
-        .filter(|n| segments::number_of(n).is_none() && !n.ends_with(".sum"))
-    {
-        report.wrong.push(format!("{name}: not a file of a store"));
-    }
+    check_file_names(&names, &mut report);
     for number in names.iter().filter_map(|n| segments::number_of(n)) {
-        report.segments += 1;
-        let file = disk.open(&segments::segment_name(number))?;
-        report.bytes += file.len()?;
-        let Some(scan) = segments::scan(number, &*file)? else {
-            report.wrong.push(format!(
-                "{}: no segment's head",
-                segments::segment_name(number)
-            ));
-            continue;
-        };
-        if scan.broken {
-            let (name, end) = (segments::segment_name(number), scan.end);
-            let torn = if number == newest {
-                " (the end that a crash tears, if nobody is writing)"
-            } else {
-                ""
-            };
-            report.wrong.push(format!(
-                "{name}: no record in order from byte {end} on{torn}"
-            ));
-        }
-        for spoken in &scan.spoken {
-            match spoken.word {
-                Word::Commit(_) => report.commits += 1,
-                Word::Purge(_) => report.purges += 1,
-                _ => {}
-            }
-        }
-        if let Ok(summary) = disk.open(&segments::summary_name(number)) {
-            let read = segments::read_summary(number, &read_all(&*summary)?);
-            let (name, same) = (
-                segments::summary_name(number),
-                read.as_ref().map(|(_, s)| *s == scan.spoken),
-            );
-            match same {
-                Some(true) => {}
-                Some(false) => report
-                    .wrong
-                    .push(format!("{name}: tells other records than the segment")),
-                None => report
-                    .wrong
-                    .push(format!("{name}: not a summary of the segment")),
-            }
-        }
+        check_segment(disk, number, newest, &mut report)?;
     }
+    let mut index = Index::default();
     while recovery.peek(disk, &mut index)? {}
     report.wrong.extend(recovery.doubts.iter().cloned());
     for key in index.keys() {
-        let Some(entry) = index.get(&key) else {
-            continue;
-        };
-        let read = |segment: u32, offset: u32, len: u32| -> std::io::Result<Vec<u8>> {
-            let mut bytes = vec![0; len as usize];
-            disk.open(&segments::segment_name(segment))?
-                .read_at(u64::from(offset), &mut bytes)?;
-            Ok(bytes)
+        if let Some(entry) = index.get(&key) {
+            check_copy(disk, key, entry, blocks, &mut report)?;
+        }
+    }
+    Ok(report)
+}
+
+fn check_file_names(names: &[String], report: &mut Report) {
+    for name in names {
+        let is_segment = segments::number_of(name).is_some();
+        if !is_segment && !name.ends_with(".sum") {
+            report.wrong.push(format!("{name}: not a file of a store"));
+        }
+    }
+}
+
+fn check_segment(disk: &dyn Disk, number: u32, newest: u32, report: &mut Report) -> Result<()> {
+    let name = segments::segment_name(number);
+    report.segments += 1;
+    let file = disk.open(&name)?;
+    report.bytes += file.len()?;
+    let Some(scan) = segments::scan(number, &*file)? else {
+        report.wrong.push(format!("{name}: no segment's head"));
+        return Ok(());
+    };
+    if scan.broken {
+        let torn = if number == newest {
+            " (the end that a crash tears, if nobody is writing)"
+        } else {
+            ""
         };
-        let (segment, offset, len) = entry.commit;
-        let commit = read(segment, offset, len)?;
-        let Some(meta) = prost::Message::decode(&commit[HEAD..])
-            .ok()
-            .and_then(|c: Commit| c.meta)
-        else {
+        let end = scan.end;
+        report.wrong.push(format!(
+            "{name}: no record in order from byte {end} on{torn}"
+        ));
+    }
+    for located in &scan.located {
+        match located.log_record {
+            Record::Commit(_) => report.commits += 1,
+            Record::Purge(_) => report.purges += 1,
+            _ => {}
+        }
+    }
+    check_summary(disk, number, &scan.located, report)
+}
+
+/// A segment without a summary is in order: recovery scans it.
+fn check_summary(
+    disk: &dyn Disk,
+    number: u32,
+    located: &[LocatedRecord],
+    report: &mut Report,
+) -> Result<()> {
+    let name = segments::summary_name(number);
+    let Ok(summary) = disk.open(&name) else {
+        return Ok(());
+    };
+    match segments::read_summary(number, &read_all(&*summary)?) {
+        Some((_, records)) if records == located => {}
+        Some(_) => report
+            .wrong
+            .push(format!("{name}: tells other records than the segment")),
+        None => report
+            .wrong
+            .push(format!("{name}: not a summary of the segment")),
+    }
+    Ok(())
+}
+
+fn check_copy(
+    disk: &dyn Disk,
+    key: Key,
+    entry: &Entry,
+    blocks: bool,
+    report: &mut Report,
+) -> Result<()> {
+    let (segment, offset, len) = entry.commit;
+    let record = read_at(disk, segment, offset, len)?;
+    let commit: Option<Commit> = prost::Message::decode(&record[RECORD_HEADER_BYTES..]).ok();
+    let Some(meta) = commit.and_then(|commit| commit.meta) else {
+        report.wrong.push(format!(
+            "{}: byte {offset} is not the commit it was",
+            segments::segment_name(segment)
+        ));
+        return Ok(());
+    };
+    if blocks {
+        check_blocks(disk, &meta.object, &entry.locations, report);
+    }
+    report.copies.push(Copy {
+        key,
+        meta,
+        blocks: entry.locations.len(),
+    });
+    Ok(())
+}
+
+fn check_blocks(disk: &dyn Disk, object: &str, locations: &[BlockLocation], report: &mut Report) {
+    for (block, location) in locations.iter().enumerate() {
+        report.blocks += 1;
+        let payload_offset = location.offset + RECORD_HEADER_BYTES as u32;
+        let intact = read_at(disk, location.segment, payload_offset, location.len)
+            .is_ok_and(|bytes| crc32fast::hash(&bytes) == location.crc);
+        if !intact {
+            let name = segments::segment_name(location.segment);
+            let offset = location.offset;
             report.wrong.push(format!(
-                "{}: byte {offset} is not the commit it was",
-                segments::segment_name(segment)
+                "{name}: block {block} of {object} at byte {offset} is not what was written"
             ));
-            continue;
-        };
-        for (n, place) in entry.places.iter().enumerate().filter(|_| blocks) {
-            report.blocks += 1;
-            let right = read(place.segment, place.offset + HEAD as u32, place.len)
-                .is_ok_and(|bytes| crc32fast::hash(&bytes) == place.crc);
-            if !right {
-                let name = segments::segment_name(place.segment);
-                report.wrong.push(format!(
-                    "{name}: block {n} of {} at byte {} is not what was written",
-                    meta.object, place.offset
-                ));
-            }
         }
-        report.copies.push(Copy {
-            key,
-            meta,
-            blocks: entry.places.len(),
-        });
     }
-    Ok(report)
+}
+
+fn read_at(disk: &dyn Disk, segment: u32, offset: u32, len: u32) -> Result<Vec<u8>> {
+    let mut bytes = vec![0; len as usize];
+    disk.open(&segments::segment_name(segment))?
+        .read_at(u64::from(offset), &mut bytes)?;
+    Ok(bytes)
 }
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -2,7 +2,7 @@
 //!
 //! Kept: an entry for each held copy, in one map by key and in three orders (rank and use, group, segment). Some 300 bytes a copy of one
 //! block, 16 more for each further one.
-use crate::record::{Key, Place};
+use crate::record::{BlockLocation, Key};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// A held copy.
@@ -17,13 +17,13 @@
     pub seq: u64,
     /// Where its commit stands, and how long that record is.
     pub commit: (u32, u32, u32),
-    pub places: Box<[Place]>,
+    pub locations: Box<[BlockLocation]>,
     used: u64,
 }
 
 /// What segments hold.
 #[derive(Clone, Debug, Default)]
-pub struct Share {
+pub struct SegmentUsage {
     /// Bytes of records that still matter.
     pub live: u64,
     pub keys: HashSet<Key>,
@@ -37,7 +37,7 @@
     groups: HashMap<u64, HashSet<Key>>,
     /// All parts and variants of an object.
     objects: BTreeSet<Key>,
-    shares: BTreeMap<u32, Share>,
+    segment_usage: BTreeMap<u32, SegmentUsage>,
     ticks: u64,
     live: u64,
 }
@@ -52,9 +52,9 @@
         rank: u32,
         seq: u64,
         commit: (u32, u32, u32),
-        places: Vec<Place>,
+        locations: Vec<BlockLocation>,
     ) -> Self {
-        let places = places.into_boxed_slice();
+        let locations = locations.into_boxed_slice();
         Self {
             group,
             size,
@@ -63,17 +63,19 @@
             rank,
             seq,
             commit,
-            places,
+            locations,
             used: 0,
         }
     }
 
     /// Bytes on disk by segment.
     fn bytes(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
-        let blocks = self
-            .places
-            .iter()
-            .map(|p| (p.segment, u64::from(p.len) + crate::record::HEAD as u64));
+        let blocks = self.locations.iter().map(|p| {
+            (
+                p.segment,
+                u64::from(p.len) + crate::record::RECORD_HEADER_BYTES as u64,
+            )
+        });
         blocks.chain([(self.commit.0, u64::from(self.commit.2))])
     }
 }
@@ -118,9 +120,9 @@
             }
         };
         for (segment, bytes) in entry.bytes() {
-            let share = self.shares.entry(segment).or_default();
-            share.live += bytes;
-            share.keys.insert(key);
+            let usage = self.segment_usage.entry(segment).or_default();
+            usage.live += bytes;
+            usage.keys.insert(key);
             self.live += bytes;
         }
         self.order.insert((entry.rank, entry.used, key));
@@ -140,9 +142,9 @@
             }
         }
         for (segment, bytes) in entry.bytes() {
-            if let Some(share) = self.shares.get_mut(&segment) {
-                share.live -= bytes;
-                share.keys.remove(key);
+            if let Some(usage) = self.segment_usage.get_mut(&segment) {
+                usage.live -= bytes;
+                usage.keys.remove(key);
             }
             self.live -= bytes;
         }
@@ -150,7 +152,7 @@
     }
 
     /// Who goes first; where room is wanted for a copy of `rank`, nobody above it.
-    pub fn first_to_go(&self, rank: Option<u32>) -> Option<Key> {
+    pub fn eviction_candidate(&self, rank: Option<u32>) -> Option<Key> {
         self.order
             .first()
             .filter(|(r, ..)| rank.is_none_or(|rank| *r <= rank))
@@ -181,20 +183,28 @@
         self.objects.iter().copied().collect()
     }
 
-    pub fn share(&self, segment: u32) -> Share {
-        self.shares.get(&segment).cloned().unwrap_or_default()
+    pub fn usage(&self, segment: u32) -> SegmentUsage {
+        self.segment_usage
+            .get(&segment)
+            .cloned()
+            .unwrap_or_default()
     }
 
     pub fn live_in(&self, segment: u32) -> u64 {
-        self.shares.get(&segment).map_or(0, |s| s.live)
+        self.segment_usage.get(&segment).map_or(0, |s| s.live)
     }
 
     /// One of those who have something in a segment.
-    pub fn one_in(&self, segment: u32) -> Option<Key> {
-        self.shares.get(&segment)?.keys.iter().next().copied()
+    pub fn any_key_in(&self, segment: u32) -> Option<Key> {
+        self.segment_usage
+            .get(&segment)?
+            .keys
+            .iter()
+            .next()
+            .copied()
     }
 
     pub fn forget_segment(&mut self, segment: u32) {
-        self.shares.remove(&segment);
+        self.segment_usage.remove(&segment);
     }
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -13,18 +13,18 @@
 //! A block's payload is bytes of a body. The others are protocol buffers.
 use prost::Message;
 
-pub const HEAD: usize = 28;
+pub const RECORD_HEADER_BYTES: usize = 28;
 const MAGIC: [u8; 4] = *b"PSR1";
 /// Longest payload: a commit of so many blocks, or a block.
-pub const MOST: usize = 4 * 1024 * 1024;
+pub const MAX_PAYLOAD_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     Block,
     Commit,
     Purge,
-    Gone,
-    Roster,
+    Tombstone,
+    Manifest,
 }
 
 impl Kind {
@@ -32,8 +32,8 @@
         (1, Self::Block),
         (2, Self::Commit),
         (3, Self::Purge),
-        (4, Self::Gone),
-        (5, Self::Roster),
+        (4, Self::Tombstone),
+        (5, Self::Manifest),
     ];
 
     fn of(byte: u8) -> Option<Self> {
@@ -52,7 +52,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct RecordHeader {
     pub kind: Kind,
     pub len: u32,
     pub seq: u64,
@@ -121,7 +121,7 @@
 
 /// Where a block stands: the offset is its record's.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Place {
+pub struct BlockLocation {
     #[prost(uint32, tag = "1")]
     pub segment: u32,
     #[prost(uint32, tag = "2")]
@@ -137,14 +137,14 @@
     #[prost(message, optional, tag = "1")]
     pub meta: Option<Meta>,
     #[prost(message, repeated, tag = "2")]
-    pub places: Vec<Place>,
+    pub locations: Vec<BlockLocation>,
 }
 
-/// Strikes commits numbered up to `strikes`: of one object, of a group, or all.
+/// Strikes commits numbered up to `up_to_seq`: of one object, of a group, or all.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Purge {
     #[prost(uint64, tag = "1")]
-    pub strikes: u64,
+    pub up_to_seq: u64,
     /// The object's number, in halves; with `of_object`.
     #[prost(fixed64, tag = "2")]
     pub object_low: u64,
@@ -169,11 +169,11 @@
     }
 }
 
-/// One copy was evicted or found wrong: its commits numbered up to `strikes`.
+/// One copy was evicted or found wrong: its commits numbered up to `up_to_seq`.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
-pub struct Gone {
+pub struct Tombstone {
     #[prost(uint64, tag = "1")]
-    pub strikes: u64,
+    pub up_to_seq: u64,
     #[prost(fixed64, tag = "2")]
     pub object_low: u64,
     #[prost(fixed64, tag = "3")]
@@ -184,11 +184,11 @@
     pub variant: u64,
 }
 
-impl Gone {
-    pub fn new(key: Key, strikes: u64) -> Self {
+impl Tombstone {
+    pub fn new(key: Key, up_to_seq: u64) -> Self {
         let (object_low, object_high) = (key.object as u64, (key.object >> 64) as u64);
         Self {
-            strikes,
+            up_to_seq,
             object_low,
             object_high,
             part: key.part,
@@ -208,27 +208,27 @@
 
 /// The older segments that are needed from here on: one of them that is missing held what nobody knows.
 #[derive(Clone, PartialEq, Eq, Message)]
-pub struct Roster {
+pub struct Manifest {
     #[prost(uint32, repeated, tag = "1")]
     pub segments: Vec<u32>,
 }
 
 /// A record but a block, as recovery and summaries have it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Word {
+pub enum Record {
     Commit(Commit),
     Purge(Purge),
-    Gone(Gone),
-    Roster(Roster),
+    Tombstone(Tombstone),
+    Manifest(Manifest),
 }
 
-impl Word {
+impl Record {
     pub fn kind(&self) -> Kind {
         match self {
             Self::Commit(_) => Kind::Commit,
             Self::Purge(_) => Kind::Purge,
-            Self::Gone(_) => Kind::Gone,
-            Self::Roster(_) => Kind::Roster,
+            Self::Tombstone(_) => Kind::Tombstone,
+            Self::Manifest(_) => Kind::Manifest,
         }
     }
 
@@ -236,8 +236,8 @@
         match self {
             Self::Commit(c) => c.encode_to_vec(),
             Self::Purge(p) => p.encode_to_vec(),
-            Self::Gone(g) => g.encode_to_vec(),
-            Self::Roster(r) => r.encode_to_vec(),
+            Self::Tombstone(g) => g.encode_to_vec(),
+            Self::Manifest(r) => r.encode_to_vec(),
         }
     }
 
@@ -249,15 +249,15 @@
                 .filter(|c| c.meta.is_some())
                 .map(Self::Commit),
             Kind::Purge => Purge::decode(payload).ok().map(Self::Purge),
-            Kind::Gone => Gone::decode(payload).ok().map(Self::Gone),
-            Kind::Roster => Roster::decode(payload).ok().map(Self::Roster),
+            Kind::Tombstone => Tombstone::decode(payload).ok().map(Self::Tombstone),
+            Kind::Manifest => Manifest::decode(payload).ok().map(Self::Manifest),
         }
     }
 }
 
 /// A whole record.
 pub fn encode(segment: u32, kind: Kind, seq: u64, payload: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(HEAD + payload.len());
+    let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + payload.len());
     out.extend_from_slice(&MAGIC);
     out.extend_from_slice(&[kind.byte(), 0, 0, 0]);
     out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -277,19 +277,19 @@
 }
 
 /// A head of that segment; none if it is not one.
-pub fn decode_head(segment: u32, bytes: &[u8]) -> Option<Head> {
-    let bytes: &[u8; HEAD] = bytes.get(..HEAD)?.try_into().ok()?;
-    let word =
+pub fn decode_header(segment: u32, bytes: &[u8]) -> Option<RecordHeader> {
+    let bytes: &[u8; RECORD_HEADER_BYTES] = bytes.get(..RECORD_HEADER_BYTES)?.try_into().ok()?;
+    let log_record =
         |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-    if bytes[..4] != MAGIC || word(24) != head_crc(bytes, segment) {
+    if bytes[..4] != MAGIC || log_record(24) != head_crc(bytes, segment) {
         return None;
     }
-    let seq = u64::from(word(12)) | u64::from(word(16)) << 32;
-    let head = Head {
+    let seq = u64::from(log_record(12)) | u64::from(log_record(16)) << 32;
+    let head = RecordHeader {
         kind: Kind::of(bytes[4])?,
-        len: word(8),
+        len: log_record(8),
         seq,
-        crc: word(20),
+        crc: log_record(20),
     };
-    (head.len as usize <= MOST).then_some(head)
+    (head.len as usize <= MAX_PAYLOAD_BYTES).then_some(head)
 }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -2,38 +2,38 @@
 //! everything that could strike it has been read before it.
 use crate::disk::{Disk, DiskFile};
 use crate::index::{Entry, Index};
-use crate::record::{Commit, Gone, Key, Purge, Word};
-use crate::segments::{self, Scan, Spoken};
+use crate::record::{Commit, Key, Purge, Record, Tombstone};
+use crate::segments::{self, LocatedRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::io::Result;
 use std::sync::Arc;
 
 /// What purges and evictions strike: commits numbered up to so much.
 #[derive(Debug, Default)]
-pub struct Struck {
+pub struct Invalidations {
     pub all: u64,
     objects: HashMap<u128, u64>,
     groups: HashMap<u64, u64>,
     keys: HashMap<Key, u64>,
 }
 
-impl Struck {
-    pub fn purge(&mut self, p: &Purge) {
-        let strikes = match (p.of_object, p.of_group) {
+impl Invalidations {
+    pub fn add_purge(&mut self, p: &Purge) {
+        let up_to_seq = match (p.of_object, p.of_group) {
             (true, _) => self.objects.entry(p.object()).or_default(),
             (_, true) => self.groups.entry(p.group).or_default(),
             _ => &mut self.all,
         };
-        *strikes = p.strikes.max(*strikes);
+        *up_to_seq = p.up_to_seq.max(*up_to_seq);
     }
 
-    pub fn gone(&mut self, g: &Gone) {
-        let strikes = self.keys.entry(g.key()).or_default();
-        *strikes = g.strikes.max(*strikes);
+    pub fn add_tombstone(&mut self, g: &Tombstone) {
+        let up_to_seq = self.keys.entry(g.key()).or_default();
+        *up_to_seq = g.up_to_seq.max(*up_to_seq);
     }
 
-    pub fn strikes(&self, key: &Key, group: u64, seq: u64) -> bool {
-        let of = |found: Option<&u64>| found.is_some_and(|strikes| seq <= *strikes);
+    pub fn covers(&self, key: &Key, group: u64, seq: u64) -> bool {
+        let of = |found: Option<&u64>| found.is_some_and(|up_to_seq| seq <= *up_to_seq);
         seq <= self.all
             || of(self.objects.get(&key.object))
             || of(self.groups.get(&group))
@@ -42,20 +42,28 @@
 }
 
 /// A segment as recovery leaves it.
-pub struct Recovered {
+pub struct RecoveredSegment {
     pub number: u32,
     pub file: Arc<dyn DiskFile>,
     pub len: u32,
     /// Purges and evictions that older segments may still need, with where they stand.
-    pub strikes: Vec<(u32, Word)>,
+    pub invalidation_records: Vec<(u32, Record)>,
     /// Not summed up yet: its records.
-    pub unsummed: Option<Vec<u8>>,
+    pub unsummarized_records: Option<Vec<u8>>,
     pub last_seq: u64,
 }
 
+/// Records of a segment as read from its summary or by a scan.
+struct SegmentContents {
+    len: u32,
+    located: Vec<LocatedRecord>,
+    /// Summary payload that is still to be written; none if the summary is on disk or there is nothing to summarize.
+    unsummarized_records: Option<Vec<u8>>,
+}
+
 /// What became of one segment.
 pub enum Step {
-    Found(Recovered),
+    RecoveredSegment(RecoveredSegment),
     /// Begun and never written: removed.
     Empty(u32),
 }
@@ -65,16 +73,16 @@
     pending: Vec<u32>,
     newest: u32,
     lens: BTreeMap<u32, u64>,
-    /// Keys of which a newer commit was found, struck or not.
-    seen: HashSet<Key>,
-    pub struck: Struck,
+    /// Keys of which a newer commit was found, invalidations or not.
+    newer_keys: HashSet<Key>,
+    pub invalidations: Invalidations,
     /// By the newest roster: who must be there.
     needed: Option<BTreeSet<u32>>,
     /// What had to be given up because it could not be known, for people.
     pub doubts: Vec<String>,
     /// Commits up to this number count as purged for it: to be written down, or what is in doubt would come back once the segment that
     /// raised it is cleaned away.
-    doubted: Option<u64>,
+    unrecoverable_up_to: Option<u64>,
     /// The lowest number in what was read so far.
     lowest: Option<u64>,
     pub newest_ms: u64,
@@ -97,11 +105,11 @@
             pending,
             newest,
             lens,
-            seen: HashSet::new(),
-            struck: Struck::default(),
+            newer_keys: HashSet::new(),
+            invalidations: Invalidations::default(),
             needed: None,
             doubts: Vec::new(),
-            doubted: None,
+            unrecoverable_up_to: None,
             lowest: None,
             newest_ms: 0,
         })
@@ -120,17 +128,17 @@
     }
 
     /// `last`: the highest number in the segment in doubt.
-    fn doubt(&mut self, why: String, last: u64) {
+    fn invalidate_older(&mut self, why: String, last: u64) {
         tracing::warn!(why, "store: what is older counts as purged");
         self.doubts.push(why);
-        self.struck.all = u64::MAX;
-        let strikes = self.lowest.map_or(last, |lowest| lowest.saturating_sub(1));
-        self.doubted = Some(strikes.max(self.doubted.unwrap_or(0)));
+        self.invalidations.all = u64::MAX;
+        let up_to_seq = self.lowest.map_or(last, |lowest| lowest.saturating_sub(1));
+        self.unrecoverable_up_to = Some(up_to_seq.max(self.unrecoverable_up_to.unwrap_or(0)));
     }
 
     /// What has to be written down before anything else.
-    pub fn take_doubted(&mut self) -> Option<u64> {
-        self.doubted.take()
+    pub fn take_unrecoverable_up_to(&mut self) -> Option<u64> {
+        self.unrecoverable_up_to.take()
     }
 
     /// Numbers of segments that are still to be read.
@@ -152,101 +160,126 @@
         let Some(number) = self.pending.pop() else {
             return Ok(None);
         };
+        self.check_missing_segments(number);
+        let file = disk.open(&segments::segment_name(number))?;
+        let Some(contents) = self.read_contents(disk, number, &*file)? else {
+            if change {
+                disk.remove(&segments::segment_name(number))?;
+            }
+            return Ok(Some(Step::Empty(number)));
+        };
+        let seqs = contents.located.iter().map(|record| record.seq);
+        let last_seq = seqs.clone().max().unwrap_or(0);
+        let lowest = seqs.min();
+        self.lowest = [self.lowest, lowest].into_iter().flatten().min();
+        let invalidation_records = self.take(number, contents.located, index);
+        if let Some(needed) = &mut self.needed {
+            needed.remove(&number);
+        }
+        Ok(Some(Step::RecoveredSegment(RecoveredSegment {
+            number,
+            file,
+            len: contents.len,
+            invalidation_records,
+            unsummarized_records: contents.unsummarized_records,
+            last_seq,
+        })))
+    }
+
+    /// Compares the next segment to be read with the newest manifest: a number skipped in between is a lost segment.
+    fn check_missing_segments(&mut self, number: u32) {
         let missing = self
             .needed
             .as_ref()
             .and_then(|n| n.range(number + 1..).next_back().copied());
         if let Some(missing) = missing {
             self.needed = None;
-            self.doubt(
+            self.invalidate_older(
                 format!("segment {missing} is missing, and purges may have stood in it"),
                 0,
             );
         }
-        let file = disk.open(&segments::segment_name(number))?;
+    }
+
+    /// Records of a segment, from its summary or else by a scan. None: the newest segment was created and never written.
+    fn read_contents(
+        &mut self,
+        disk: &dyn Disk,
+        number: u32,
+        file: &dyn DiskFile,
+    ) -> Result<Option<SegmentContents>> {
         let summary = disk
             .open(&segments::summary_name(number))
             .ok()
-            .and_then(|f| read_all(&*f).ok());
-        let summed = summary.and_then(|bytes| segments::read_summary(number, &bytes));
-        let (len, spoken, unsummed) = match summed {
-            Some((len, spoken)) => (len, spoken, None),
-            None => match segments::scan(number, &*file)? {
-                Some(Scan {
-                    mut spoken,
-                    records,
-                    end,
-                    broken,
-                    behind,
-                    last_seq,
-                }) => {
-                    spoken.extend(behind);
-                    if broken && number != self.newest {
-                        self.doubt(
-                            format!("segment {number} cannot be read from byte {end} on"),
-                            last_seq,
-                        );
-                    }
-                    (end, spoken, Some(records))
-                }
-                // The last one begun may never have been written.
-                None if number == self.newest => {
-                    if change {
-                        disk.remove(&segments::segment_name(number))?;
-                    }
-                    return Ok(Some(Step::Empty(number)));
-                }
-                None => {
-                    self.doubt(format!("segment {number} has no head"), 0);
-                    (segments::SEGMENT_HEAD as u32, Vec::new(), None)
-                }
-            },
+            .and_then(|f| read_all(&*f).ok())
+            .and_then(|bytes| segments::read_summary(number, &bytes));
+        if let Some((len, located)) = summary {
+            return Ok(Some(SegmentContents {
+                len,
+                located,
+                unsummarized_records: None,
+            }));
+        }
+        let Some(scan) = segments::scan(number, file)? else {
+            if number == self.newest {
+                return Ok(None);
+            }
+            self.invalidate_older(format!("segment {number} has no head"), 0);
+            return Ok(Some(SegmentContents {
+                len: segments::SEGMENT_HEADER_BYTES as u32,
+                located: Vec::new(),
+                unsummarized_records: None,
+            }));
         };
-        let last_seq = spoken.iter().map(|s| s.seq).max().unwrap_or(0);
-        let lowest = spoken.iter().map(|s| s.seq).min();
-        self.lowest = [self.lowest, lowest].into_iter().flatten().min();
-        let strikes = self.take(number, spoken, index);
-        if let Some(needed) = &mut self.needed {
-            needed.remove(&number);
+        if scan.broken && number != self.newest {
+            let end = scan.end;
+            self.invalidate_older(
+                format!("segment {number} cannot be read from byte {end} on"),
+                scan.last_seq,
+            );
         }
-        Ok(Some(Step::Found(Recovered {
-            number,
-            file,
-            len,
-            strikes,
-            unsummed,
-            last_seq,
-        })))
+        let mut located = scan.located;
+        located.extend(scan.after_break);
+        Ok(Some(SegmentContents {
+            len: scan.end,
+            located,
+            unsummarized_records: Some(scan.records),
+        }))
     }
 
     /// Records of a segment, the last one first.
-    fn take(&mut self, number: u32, spoken: Vec<Spoken>, index: &mut Index) -> Vec<(u32, Word)> {
-        let mut strikes = Vec::new();
-        for Spoken {
+    fn take(
+        &mut self,
+        number: u32,
+        located: Vec<LocatedRecord>,
+        index: &mut Index,
+    ) -> Vec<(u32, Record)> {
+        let mut invalidation_records = Vec::new();
+        for LocatedRecord {
             seq,
             offset,
             len,
-            word,
-        } in spoken.into_iter().rev()
+            log_record,
+        } in located.into_iter().rev()
         {
-            match &word {
-                Word::Commit(commit) => self.commit(number, seq, (offset, len), commit, index),
-                Word::Purge(p) => {
-                    self.struck.purge(p);
-                    strikes.push((offset, word));
+            match &log_record {
+                Record::Commit(commit) => self.commit(number, seq, (offset, len), commit, index),
+                Record::Purge(p) => {
+                    self.invalidations.add_purge(p);
+                    invalidation_records.push((offset, log_record));
                 }
-                Word::Gone(g) => {
-                    self.struck.gone(g);
-                    strikes.push((offset, word));
+                Record::Tombstone(g) => {
+                    self.invalidations.add_tombstone(g);
+                    invalidation_records.push((offset, log_record));
                 }
-                Word::Roster(r) => {
+                Record::Manifest(r) => {
                     self.needed
                         .get_or_insert_with(|| r.segments.iter().copied().collect());
                 }
             }
         }
-        strikes.reverse();
-        strikes
+        invalidation_records.reverse();
+        invalidation_records
     }
 
     fn commit(
@@ -261,14 +294,15 @@
         let key = meta.key();
         self.newest_ms = self.newest_ms.max(meta.stored_ms);
         // Whatever stands in the index by now is newer: found before, or made meanwhile.
-        if !self.seen.insert(key) || index.get(&key).is_some() {
+        if !self.newer_keys.insert(key) || index.get(&key).is_some() {
             return;
         }
-        let there = |p: &crate::record::Place| {
-            let end = u64::from(p.offset) + u64::from(p.len) + crate::record::HEAD as u64;
+        let there = |p: &crate::record::BlockLocation| {
+            let end =
+                u64::from(p.offset) + u64::from(p.len) + crate::record::RECORD_HEADER_BYTES as u64;
             self.lens.get(&p.segment).is_some_and(|len| end <= *len)
         };
-        if self.struck.strikes(&key, meta.group, seq) || !commit.places.iter().all(there) {
+        if self.invalidations.covers(&key, meta.group, seq) || !commit.locations.iter().all(there) {
             return;
         }
         let entry = Entry::new(
@@ -279,7 +313,7 @@
             meta.rank,
             seq,
             (number, at.0, at.1),
-            commit.places.clone(),
+            commit.locations.clone(),
         );
         index.insert(key, entry, true);
     }
--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -4,9 +4,9 @@
 //! summary is written beside it: 24 bytes as above with `PSPNSUM1` and the length of the segment in place of the 0s' half (see
 //! [`summary`]), then all its records but blocks, each behind its offset in the segment (4), then 4 bytes of CRC-32 over everything before.
 //! A segment without a summary is read through.
-use crate::record::{self, Kind, Word, HEAD};
+use crate::record::{self, Kind, Record, RECORD_HEADER_BYTES};
 
-pub const SEGMENT_HEAD: usize = 24;
+pub const SEGMENT_HEADER_BYTES: usize = 24;
 const SEGMENT: [u8; 8] = *b"PSPNSEG1";
 const SUMMARY: [u8; 8] = *b"PSPNSUM1";
 
@@ -26,8 +26,8 @@
         .ok()
 }
 
-fn head(magic: [u8; 8], number: u32, extra: u32) -> [u8; SEGMENT_HEAD] {
-    let mut out = [0; SEGMENT_HEAD];
+fn head(magic: [u8; 8], number: u32, extra: u32) -> [u8; SEGMENT_HEADER_BYTES] {
+    let mut out = [0; SEGMENT_HEADER_BYTES];
     out[..8].copy_from_slice(&magic);
     out[8..16].copy_from_slice(&u64::from(number).to_le_bytes());
     out[16..20].copy_from_slice(&extra.to_le_bytes());
@@ -36,7 +36,7 @@
     out
 }
 
-pub fn segment_head(number: u32) -> [u8; SEGMENT_HEAD] {
+pub fn segment_header(number: u32) -> [u8; SEGMENT_HEADER_BYTES] {
     head(SEGMENT, number, 0)
 }
 
@@ -51,51 +51,51 @@
 
 /// A record that was found: its number, where it stands and how long it is.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spoken {
+pub struct LocatedRecord {
     pub seq: u64,
     /// Offset within the segment.
     pub offset: u32,
     pub len: u32,
-    pub word: Word,
+    pub log_record: Record,
 }
 
 /// Reads a summary: the segment's length and its records, in their order.
-pub fn read_summary(number: u32, bytes: &[u8]) -> Option<(u32, Vec<Spoken>)> {
+pub fn read_summary(number: u32, bytes: &[u8]) -> Option<(u32, Vec<LocatedRecord>)> {
     let (body, crc) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
-    if crc32fast::hash(body).to_le_bytes() != *crc || body.len() < SEGMENT_HEAD {
+    if crc32fast::hash(body).to_le_bytes() != *crc || body.len() < SEGMENT_HEADER_BYTES {
         return None;
     }
     let len = u32::from_le_bytes([body[16], body[17], body[18], body[19]]);
-    if body[..SEGMENT_HEAD] != head(SUMMARY, number, len) {
+    if body[..SEGMENT_HEADER_BYTES] != head(SUMMARY, number, len) {
         return None;
     }
-    let mut spoken = Vec::new();
-    let mut rest = &body[SEGMENT_HEAD..];
+    let mut located = Vec::new();
+    let mut rest = &body[SEGMENT_HEADER_BYTES..];
     while !rest.is_empty() {
         let (offset, record) = rest.split_at_checked(4)?;
         let offset = u32::from_le_bytes(offset.try_into().ok()?);
-        let head = record::decode_head(number, record)?;
-        let payload = record.get(HEAD..HEAD + head.len as usize)?;
+        let head = record::decode_header(number, record)?;
+        let payload = record.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + head.len as usize)?;
         if crc32fast::hash(payload) != head.crc {
             return None;
         }
-        let word = Word::read(head.kind, payload)?;
-        spoken.push(Spoken {
+        let log_record = Record::read(head.kind, payload)?;
+        located.push(LocatedRecord {
             seq: head.seq,
             offset,
-            len: HEAD as u32 + head.len,
-            word,
+            len: RECORD_HEADER_BYTES as u32 + head.len,
+            log_record,
         });
-        rest = &record[HEAD + head.len as usize..];
+        rest = &record[RECORD_HEADER_BYTES + head.len as usize..];
     }
-    Some((len, spoken))
+    Some((len, located))
 }
 
 /// What reading a segment through found.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scan {
-    pub spoken: Vec<Spoken>,
-    /// The records of [`Scan::spoken`] as a summary has them.
+    pub located: Vec<LocatedRecord>,
+    /// The records of [`Scan::located`] as a summary has them.
     pub records: Vec<u8>,
     /// Up to here everything is in order.
     pub end: u32,
@@ -103,51 +103,55 @@
     pub last_seq: u64,
     /// Bytes follow that are no record.
     pub broken: bool,
-    /// Purges and evictions that stand behind the break. They are also in [`Scan::records`], not in [`Scan::spoken`]: after a crash
+    /// Purges and evictions that stand behind the break. They are also in [`Scan::records`], not in [`Scan::located`]: after a crash
     /// nobody had been told of them, after a flipped bit somebody may have been; to heed them is right for both.
-    pub behind: Vec<Spoken>,
+    pub after_break: Vec<LocatedRecord>,
 }
 
 /// Reads a segment through, every block's checksum included; stops where a record is not in order.
 pub fn scan(number: u32, file: &dyn crate::disk::DiskFile) -> std::io::Result<Option<Scan>> {
     let len = file.len()?;
-    let mut first = [0; SEGMENT_HEAD];
-    if len < SEGMENT_HEAD as u64 {
+    let mut first = [0; SEGMENT_HEADER_BYTES];
+    if len < SEGMENT_HEADER_BYTES as u64 {
         return Ok(None);
     }
     file.read_at(0, &mut first)?;
-    if first != segment_head(number) {
+    if first != segment_header(number) {
         return Ok(None);
     }
     let mut found = Scan {
-        end: SEGMENT_HEAD as u32,
+        end: SEGMENT_HEADER_BYTES as u32,
         ..Scan::default()
     };
-    let (mut at, mut head, mut payload) = (SEGMENT_HEAD as u64, [0; HEAD], Vec::new());
-    while at + HEAD as u64 <= len {
+    let (mut at, mut head, mut payload) = (
+        SEGMENT_HEADER_BYTES as u64,
+        [0; RECORD_HEADER_BYTES],
+        Vec::new(),
+    );
+    while at + RECORD_HEADER_BYTES as u64 <= len {
         file.read_at(at, &mut head)?;
-        let Some(h) = record::decode_head(number, &head) else {
+        let Some(h) = record::decode_header(number, &head) else {
             break;
         };
-        let end = at + HEAD as u64 + u64::from(h.len);
+        let end = at + RECORD_HEADER_BYTES as u64 + u64::from(h.len);
         if end > len {
             break;
         }
         payload.resize(h.len as usize, 0);
-        file.read_at(at + HEAD as u64, &mut payload)?;
+        file.read_at(at + RECORD_HEADER_BYTES as u64, &mut payload)?;
         if crc32fast::hash(&payload) != h.crc {
             break;
         }
         if h.kind != Kind::Block {
-            let Some(word) = Word::read(h.kind, &payload) else {
+            let Some(log_record) = Record::read(h.kind, &payload) else {
                 break;
             };
-            let (offset, len) = (at as u32, HEAD as u32 + h.len);
-            found.spoken.push(Spoken {
+            let (offset, len) = (at as u32, RECORD_HEADER_BYTES as u32 + h.len);
+            found.located.push(LocatedRecord {
                 seq: h.seq,
                 offset,
                 len,
-                word,
+                log_record,
             });
             found.records.extend_from_slice(&offset.to_le_bytes());
             found.records.extend_from_slice(&head);
@@ -158,13 +162,13 @@
     }
     found.broken = at < len;
     if found.broken {
-        behind(number, file, at, len, &mut found)?;
+        scan_after_break(number, file, at, len, &mut found)?;
     }
     Ok(Some(found))
 }
 
 /// Looks through what follows a break, byte by byte, for purges and evictions that can still be read.
-fn behind(
+fn scan_after_break(
     number: u32,
     file: &dyn crate::disk::DiskFile,
     from: u64,
@@ -174,25 +178,25 @@
     let mut rest = vec![0; (len - from) as usize];
     file.read_at(from, &mut rest)?;
     let mut at = 0;
-    while at + HEAD <= rest.len() {
-        let Some(h) = record::decode_head(number, &rest[at..]) else {
+    while at + RECORD_HEADER_BYTES <= rest.len() {
+        let Some(h) = record::decode_header(number, &rest[at..]) else {
             at += 1;
             continue;
         };
-        let end = at + HEAD + h.len as usize;
+        let end = at + RECORD_HEADER_BYTES + h.len as usize;
         let payload = rest
-            .get(at + HEAD..end)
+            .get(at + RECORD_HEADER_BYTES..end)
             .filter(|p| crc32fast::hash(p) == h.crc);
-        let word = payload.and_then(|p| Word::read(h.kind, p));
-        if let Some(word @ (Word::Purge(_) | Word::Gone(_))) = word {
+        let log_record = payload.and_then(|p| Record::read(h.kind, p));
+        if let Some(log_record @ (Record::Purge(_) | Record::Tombstone(_))) = log_record {
             let offset = (from as usize + at) as u32;
             found.records.extend_from_slice(&offset.to_le_bytes());
             found.records.extend_from_slice(&rest[at..end]);
-            found.behind.push(Spoken {
+            found.after_break.push(LocatedRecord {
                 seq: h.seq,
                 offset,
                 len: (end - at) as u32,
-                word,
+                log_record,
             });
         }
         found.last_seq = found.last_seq.max(h.seq);
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,7 +1,7 @@
 //! A disk in memory that loses power on demand: what was not synced is lost in part and in any order, as a real one may.
 //!
 //! Writes are kept in pieces of [`PAGE`] bytes until they are synced; a crash keeps each of them or not. Names are kept in the order in
-//! which they were made, up to some point. Faults: power lost at the nth operation from now (in the middle of a write, too), no room, a sync
+//! which they were made, up to some point. Faults: power lost at the nth operation from now (in the middle of a write, too), no capacity, a sync
 //! that fails, and flipped bits.
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 }
 
 #[derive(Clone, Debug)]
-enum Naming {
+enum NameChange {
     Create(String, usize),
     Remove(String),
     Rename(String, String),
@@ -35,11 +35,11 @@
     files: Vec<Content>,
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
-    namings: Vec<Naming>,
+    name_changes: Vec<NameChange>,
     /// Operations until power is lost; none: it is not.
-    fuse: Option<u64>,
+    operations_until_power_loss: Option<u64>,
     /// Bytes that all files may hold together.
-    room: Option<usize>,
+    capacity: Option<usize>,
     /// Syncs that fail.
     bad_syncs: u32,
     /// Truncations that fail.
@@ -53,15 +53,15 @@
 
 struct SimFile(SimDisk, usize);
 
-fn power() -> Error {
+fn power_lost() -> Error {
     Error::other("power is lost")
 }
 
-fn apply(names: &mut BTreeMap<String, usize>, naming: &Naming) {
+fn apply(names: &mut BTreeMap<String, usize>, naming: &NameChange) {
     match naming {
-        Naming::Create(name, file) => drop(names.insert(name.clone(), *file)),
-        Naming::Remove(name) => drop(names.remove(name)),
-        Naming::Rename(from, to) => {
+        NameChange::Create(name, file) => drop(names.insert(name.clone(), *file)),
+        NameChange::Remove(name) => drop(names.remove(name)),
+        NameChange::Rename(from, to) => {
             if let Some(file) = names.remove(from) {
                 names.insert(to.clone(), file);
             }
@@ -78,15 +78,15 @@
 
     /// Power is lost at the nth operation that changes something, from now.
     pub fn lose_power_in(&self, operations: u64) {
-        self.lock().fuse = Some(operations);
+        self.lock().operations_until_power_loss = Some(operations);
     }
 
     pub fn is_dead(&self) -> bool {
         self.lock().dead
     }
 
-    pub fn room(&self, bytes: Option<usize>) {
-        self.lock().room = bytes;
+    pub fn capacity(&self, bytes: Option<usize>) {
+        self.lock().capacity = bytes;
     }
 
     pub fn fail_syncs(&self, count: u32) {
@@ -126,7 +126,7 @@
     pub fn after_crash(&self, mut keep: impl FnMut() -> bool) -> Self {
         let state = self.lock();
         let mut names = state.durable_names.clone();
-        for naming in &state.namings {
+        for naming in &state.name_changes {
             // In order, as a journal has them.
             if !keep() {
                 break;
@@ -165,21 +165,21 @@
     /// Before each operation: false when power is lost now.
     fn live(&mut self) -> Result<()> {
         if self.dead {
-            return Err(power());
+            return Err(power_lost());
         }
-        if let Some(fuse) = &mut self.fuse {
-            if *fuse == 0 {
+        if let Some(operations_until_power_loss) = &mut self.operations_until_power_loss {
+            if *operations_until_power_loss == 0 {
                 self.dead = true;
-                return Err(power());
+                return Err(power_lost());
             }
-            *fuse -= 1;
+            *operations_until_power_loss -= 1;
         }
         Ok(())
     }
 
-    fn named(&mut self, naming: Naming) {
+    fn change_name(&mut self, naming: NameChange) {
         apply(&mut self.names, &naming);
-        self.namings.push(naming);
+        self.name_changes.push(naming);
     }
 }
 
@@ -187,7 +187,7 @@
     fn list(&self) -> Result<Vec<String>> {
         let state = self.lock();
         if state.dead {
-            return Err(power());
+            return Err(power_lost());
         }
         Ok(state.names.keys().cloned().collect())
     }
@@ -200,14 +200,14 @@
         }
         let file = state.files.len();
         state.files.push(Content::default());
-        state.named(Naming::Create(name.to_owned(), file));
+        state.change_name(NameChange::Create(name.to_owned(), file));
         Ok(Arc::new(SimFile(self.clone(), file)))
     }
 
     fn open(&self, name: &str) -> Result<Arc<dyn DiskFile>> {
         let state = self.lock();
         if state.dead {
-            return Err(power());
+            return Err(power_lost());
         }
         let file = state.names.get(name).copied().ok_or(ErrorKind::NotFound)?;
         Ok(Arc::new(SimFile(self.clone(), file)))
@@ -219,7 +219,7 @@
         if !state.names.contains_key(name) {
             return Err(ErrorKind::NotFound.into());
         }
-        state.named(Naming::Remove(name.to_owned()));
+        state.change_name(NameChange::Remove(name.to_owned()));
         Ok(())
     }
 
@@ -229,7 +229,7 @@
         if !state.names.contains_key(from) {
             return Err(ErrorKind::NotFound.into());
         }
-        state.named(Naming::Rename(from.to_owned(), to.to_owned()));
+        state.change_name(NameChange::Rename(from.to_owned(), to.to_owned()));
         Ok(())
     }
 
@@ -237,7 +237,7 @@
         let mut state = self.lock();
         state.live()?;
         state.durable_names = state.names.clone();
-        state.namings.clear();
+        state.name_changes.clear();
         Ok(())
     }
 }
@@ -255,7 +255,10 @@
                 .map(|f| state.files[*f].now.len())
                 .sum();
             let more = (offset + bytes.len()).saturating_sub(state.files[self.1].now.len());
-            if state.room.is_some_and(|room| used + more > room) {
+            if state
+                .capacity
+                .is_some_and(|capacity| used + more > capacity)
+            {
                 return Err(ErrorKind::StorageFull.into());
             }
         }
@@ -278,7 +281,7 @@
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()> {
         let state = self.0.lock();
         if state.dead {
-            return Err(power());
+            return Err(power_lost());
         }
         let offset = offset as usize;
         let from = state.files[self.1]
--- /dev/null
+++ b/crates/store/src/store/clock.rs
@@ -0,0 +1,23 @@
+//! The store's monotonic wall clock.
+
+/// Never goes back, also over restarts.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct Clock {
+    ahead_ms: u64,
+    last_ms: u64,
+}
+
+impl Clock {
+    pub(super) fn now(&mut self, wall_ms: u64) -> u64 {
+        self.last_ms = self.last_ms.max(wall_ms + self.ahead_ms);
+        self.last_ms
+    }
+
+    /// Records were written at this time: a clock that was set back since goes on from there.
+    pub(super) fn advance_to(&mut self, at_ms: u64, wall_ms: u64) {
+        if at_ms > wall_ms + self.ahead_ms {
+            self.ahead_ms = at_ms - wall_ms;
+        }
+        self.last_ms = self.last_ms.max(at_ms);
+    }
+}
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -7,7 +7,7 @@
     pub(super) meta: Meta,
     pub(super) begun: u64,
     pub(super) buffer: BytesMut,
-    pub(super) places: Vec<Place>,
+    pub(super) locations: Vec<BlockLocation>,
     pub(super) size: u64,
     pub(super) over: bool,
 }
@@ -46,19 +46,19 @@
         let store = self.store.clone();
         let mut inner = store.inner();
         let written = store
-            .room(
+            .ensure_capacity(
                 &mut inner,
-                (HEAD + self.buffer.len()) as u64,
+                (RECORD_HEADER_BYTES + self.buffer.len()) as u64,
                 self.meta.rank,
             )
             .and_then(|()| store.write(&mut inner, Kind::Block, &self.buffer));
         match written {
-            Ok(place) => {
-                if let Some(segment) = inner.segments.get_mut(&place.segment) {
+            Ok(location) => {
+                if let Some(segment) = inner.segments.get_mut(&location.segment) {
                     segment.pins += 1;
                 }
                 inner.stats.taken_bytes += self.buffer.len() as u64;
-                self.places.push(place);
+                self.locations.push(location);
                 self.buffer.clear();
                 Ok(())
             }
@@ -75,8 +75,8 @@
             return;
         }
         inner.fills.remove(&self.begun);
-        for place in &self.places {
-            if let Some(segment) = inner.segments.get_mut(&place.segment) {
+        for location in &self.locations {
+            if let Some(segment) = inner.segments.get_mut(&location.segment) {
                 segment.pins = segment.pins.saturating_sub(1);
             }
         }
@@ -98,7 +98,7 @@
             });
         }
         let key = self.meta.key();
-        let struck = inner.purges.iter().any(|(seq, p)| {
+        let invalidated = inner.purges.iter().any(|(seq, p)| {
             *seq >= self.begun
                 && match (p.of_object, p.of_group) {
                     (true, _) => p.object() == key.object,
@@ -106,17 +106,17 @@
                     _ => true,
                 }
         });
-        if struck {
+        if invalidated {
             return Err(StoreError::Purged);
         }
         // A failed sync may have taken some of it away.
-        let there = |p: &Place| {
+        let there = |p: &BlockLocation| {
             inner
                 .segments
                 .get(&p.segment)
-                .is_some_and(|s| p.offset + p.len + HEAD as u32 <= s.len)
+                .is_some_and(|s| p.offset + p.len + RECORD_HEADER_BYTES as u32 <= s.len)
         };
-        if !self.places.iter().all(there) {
+        if !self.locations.iter().all(there) {
             return Err(StoreError::Disk(std::io::Error::other(
                 "a sync failed while it was filled",
             )));
@@ -127,9 +127,9 @@
             stored_ms,
             ..std::mem::take(&mut self.meta)
         };
-        let places = self.places.clone();
-        store.room(&mut inner, 1_024 + 32 * places.len() as u64, meta.rank)?;
-        store.commit(&mut inner, meta, places)
+        let locations = self.locations.clone();
+        store.ensure_capacity(&mut inner, 1_024 + 32 * locations.len() as u64, meta.rank)?;
+        store.commit(&mut inner, meta, locations)
     }
 }
 
--- a/crates/store/src/store/found.rs
+++ b/crates/store/src/store/found.rs
@@ -7,7 +7,7 @@
     pub seq: u64,
     pub(super) store: Store,
     pub(super) key: Key,
-    pub(super) places: Box<[Place]>,
+    pub(super) locations: Box<[BlockLocation]>,
     pub(super) files: BTreeMap<u32, Arc<dyn DiskFile>>,
 }
 
@@ -19,41 +19,138 @@
 
 impl Found {
     pub fn blocks(&self) -> usize {
-        self.places.len()
+        self.locations.len()
     }
 
     /// A block, if it is in memory.
     pub fn in_memory(&self, block: usize) -> Option<Bytes> {
-        let place = self.places.get(block)?;
-        self.store.0.memory.get(&(place.segment, place.offset))
+        let location = self.locations.get(block)?;
+        self.store
+            .0
+            .memory
+            .get(&(location.segment, location.offset))
     }
 
     /// A block of the body, in order; from memory, or from disk with its checksum found right.
     pub fn read(&self, block: usize) -> Result<Bytes, ReadError> {
-        let place = self.places.get(block).ok_or(ReadError::None(block))?;
+        let location = self.locations.get(block).ok_or(ReadError::None(block))?;
         let shared = &self.store.0;
-        if let Some(bytes) = shared.memory.get(&(place.segment, place.offset)) {
+        if let Some(bytes) = shared.memory.get(&(location.segment, location.offset)) {
             self.store.inner().stats.memory_reads += 1;
             return Ok(bytes);
         }
         let file = self
             .files
-            .get(&place.segment)
+            .get(&location.segment)
             .ok_or(ReadError::None(block))?;
-        let mut bytes = vec![0; place.len as usize];
-        if let Err(e) = file.read_at(u64::from(place.offset) + HEAD as u64, &mut bytes) {
-            self.store.lose(&self.key, self.seq);
+        let mut bytes = vec![0; location.len as usize];
+        if let Err(e) = file.read_at(
+            u64::from(location.offset) + RECORD_HEADER_BYTES as u64,
+            &mut bytes,
+        ) {
+            self.store.discard_corrupt(&self.key, self.seq);
             return Err(ReadError::Disk(block, e));
         }
-        if crc32fast::hash(&bytes) != place.crc {
-            self.store.lose(&self.key, self.seq);
+        if crc32fast::hash(&bytes) != location.crc {
+            self.store.discard_corrupt(&self.key, self.seq);
             return Err(ReadError::Wrong(block));
         }
         let bytes = Bytes::from(bytes);
         shared
             .memory
-            .insert((place.segment, place.offset), bytes.clone());
+            .insert((location.segment, location.offset), bytes.clone());
         self.store.inner().stats.disk_reads += 1;
         Ok(bytes)
     }
 }
+
+impl Store {
+    /// The copy, if it is held and that is known by now.
+    pub fn get(&self, key: &Key) -> Option<Found> {
+        let (entry, files) = {
+            let mut inner = self.inner();
+            let entry = inner.index.touch(key)?.clone();
+            let wanted = entry
+                .locations
+                .iter()
+                .map(|p| p.segment)
+                .chain([entry.commit.0]);
+            let file = |n: u32| Some((n, inner.segments.get(&n)?.file.clone()));
+            let files: Option<BTreeMap<u32, Arc<dyn DiskFile>>> = wanted.map(file).collect();
+            if files.is_none() && inner.recovery.is_some() {
+                // Some of it stands in a segment that is still to be read.
+                return None;
+            }
+            (entry, files)
+        };
+        let found = files.and_then(|files| {
+            let (segment, offset, len) = entry.commit;
+            let commit = read_record(&**files.get(&segment)?, segment, offset, len)?;
+            let meta = Commit::decode(&commit[..])
+                .ok()?
+                .meta
+                .filter(|m| m.key() == *key)?;
+            let (seq, locations) = (entry.seq, entry.locations.clone());
+            Some(Found {
+                meta,
+                seq,
+                store: self.clone(),
+                key: *key,
+                locations,
+                files,
+            })
+        });
+        if found.is_none() {
+            self.discard_corrupt(key, entry.seq);
+        }
+        found
+    }
+
+    /// A copy is not what it should be.
+    pub(super) fn discard_corrupt(&self, key: &Key, seq: u64) {
+        let mut inner = self.inner();
+        if inner.index.get(key).is_some_and(|e| e.seq == seq) {
+            inner.index.remove(key);
+            inner.stats.lost += 1;
+            self.write_tombstone(&mut inner, *key, seq);
+        }
+    }
+
+    /// The held copy was confirmed: new times, the same bytes. False: it is not the one that is held any more.
+    pub fn renew(&self, found: &Found, meta: Meta, wall_ms: u64) -> Result<bool, StoreError> {
+        let mut inner = self.inner();
+        let Some(entry) = inner
+            .index
+            .get(&found.key)
+            .filter(|e| e.seq == found.seq)
+            .cloned()
+        else {
+            return Ok(false);
+        };
+        let stored_ms = inner.clock.now(wall_ms);
+        let meta = Meta {
+            size: entry.size,
+            stored_ms,
+            ..meta
+        };
+        if meta.key() != found.key {
+            return Ok(false);
+        }
+        self.commit(&mut inner, meta, entry.locations.to_vec())?;
+        Ok(true)
+    }
+}
+
+/// A record's payload, if it is what was written.
+pub(super) fn read_record(
+    file: &dyn DiskFile,
+    segment: u32,
+    offset: u32,
+    len: u32,
+) -> Option<Vec<u8>> {
+    let mut bytes = vec![0; len as usize];
+    file.read_at(u64::from(offset), &mut bytes).ok()?;
+    let head = record::decode_header(segment, &bytes)?;
+    let payload = bytes.split_off(RECORD_HEADER_BYTES);
+    (head.len as usize == payload.len() && crc32fast::hash(&payload) == head.crc).then_some(payload)
+}
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -2,15 +2,21 @@
 use super::*;
 
 impl Store {
-    pub(super) fn append(&self, inner: &mut Inner, word: &Word) -> Result<Place, StoreError> {
-        let (kind, payload) = (word.kind(), word.payload());
-        let place = self.write(inner, kind, &payload)?;
-        if let Word::Purge(_) | Word::Gone(_) = word {
-            if let Some(segment) = inner.segments.get_mut(&place.segment) {
-                segment.strikes.push((place.offset, word.clone()));
+    pub(super) fn append(
+        &self,
+        inner: &mut Inner,
+        log_record: &Record,
+    ) -> Result<BlockLocation, StoreError> {
+        let (kind, payload) = (log_record.kind(), log_record.payload());
+        let location = self.write(inner, kind, &payload)?;
+        if let Record::Purge(_) | Record::Tombstone(_) = log_record {
+            if let Some(segment) = inner.segments.get_mut(&location.segment) {
+                segment
+                    .invalidation_records
+                    .push((location.offset, log_record.clone()));
             }
         }
-        Ok(place)
+        Ok(location)
     }
 
     pub(super) fn write(
@@ -18,11 +24,12 @@
         inner: &mut Inner,
         kind: Kind,
         payload: &[u8],
-    ) -> Result<Place, StoreError> {
-        self.cut_ends(inner)?;
-        let need = (HEAD + payload.len()) as u32;
-        let full =
-            |s: &Segment| s.len + need > self.0.options.segment && s.len > SEGMENT_HEAD as u32;
+    ) -> Result<BlockLocation, StoreError> {
+        self.retry_truncations(inner)?;
+        let need = (RECORD_HEADER_BYTES + payload.len()) as u32;
+        let full = |s: &Segment| {
+            s.len + need > self.0.options.segment && s.len > SEGMENT_HEADER_BYTES as u32
+        };
         if inner
             .active
             .and_then(|n| inner.segments.get(&n))
@@ -43,7 +50,7 @@
         number: u32,
         kind: Kind,
         payload: &[u8],
-    ) -> Result<Place, StoreError> {
+    ) -> Result<BlockLocation, StoreError> {
         inner.seq += 1;
         let bytes = record::encode(number, kind, inner.seq, payload);
         let Some(segment) = inner.segments.get_mut(&number) else {
@@ -54,7 +61,7 @@
             // What was written of it must not stand before what comes next.
             if let Err(again) = segment.file.truncate(u64::from(offset)) {
                 tracing::error!(segment = number, error = %again, "store: a failed write cannot be taken back yet");
-                inner.uncut.push(Uncut {
+                inner.pending_truncations.push(PendingTruncation {
                     segment: number,
                     at: offset,
                     records: None,
@@ -69,7 +76,7 @@
             inner.records.extend_from_slice(&bytes);
             inner.record_ends.push((segment.len, inner.records.len()));
         }
-        Ok(Place {
+        Ok(BlockLocation {
             segment: number,
             offset,
             len: payload.len() as u32,
@@ -82,14 +89,14 @@
         let name = segments::segment_name(number);
         let file = self.0.disk.create(&name)?;
         let begun = file
-            .write_at(0, &segments::segment_head(number))
+            .write_at(0, &segments::segment_header(number))
             .and_then(|()| self.0.disk.sync_names());
         if let Err(e) = begun {
             let _ = self.0.disk.remove(&name);
             return Err(e.into());
         }
         inner.next_segment += 1;
-        let len = SEGMENT_HEAD as u32;
+        let len = SEGMENT_HEADER_BYTES as u32;
         let needed = inner
             .segments
             .keys()
@@ -103,12 +110,12 @@
                 len,
                 synced: 0,
                 pins: 0,
-                strikes: Vec::new(),
+                invalidation_records: Vec::new(),
             },
         );
         (inner.active, inner.records, inner.record_ends) = (Some(number), Vec::new(), Vec::new());
-        let roster = Word::Roster(Roster { segments: needed });
-        self.put(inner, number, Kind::Roster, &roster.payload())?;
+        let roster = Record::Manifest(Manifest { segments: needed });
+        self.put(inner, number, Kind::Manifest, &roster.payload())?;
         Ok(number)
     }
 
@@ -125,96 +132,70 @@
         match synced {
             Ok(()) => segment.synced = len,
             Err(e) => {
-                self.distrust(inner, number);
+                self.discard_unsynced(inner, number);
                 return Err(e.into());
             }
         }
         let records = std::mem::take(&mut inner.records);
         inner.active = None;
-        self.sum_up(number, len, &records);
+        self.write_summary(number, len, &records);
         Ok(())
     }
 
-    /// A sync failed: nothing written since the last good one is trusted. The segment ends there.
-    pub(super) fn distrust(&self, inner: &mut Inner, number: u32) {
+    /// After a failed fsync nothing written since the last good one can be relied on, since the kernel may have dropped the dirty
+    /// pages: the segment is truncated there, and copies with data beyond are dropped from the index. Purges and tombstones among
+    /// the discarded records, and a tombstone for each dropped copy, are owed: they are deferred to the next write.
+    pub(super) fn discard_unsynced(&self, inner: &mut Inner, number: u32) {
         let Some(segment) = inner.segments.get_mut(&number) else {
             return;
         };
-        let good = segment.synced.max(SEGMENT_HEAD as u32);
+        let good = segment.synced.max(SEGMENT_HEADER_BYTES as u32);
         if segment.len <= good {
             return;
         }
         segment.len = good;
-        let (kept, lost) = segment
-            .strikes
-            .drain(..)
-            .partition(|(offset, _)| *offset < good);
-        segment.strikes = kept;
-        let lost: Vec<(u32, Word)> = lost;
-        inner.owed.extend(lost.into_iter().map(|(_, word)| word));
-        let Some(segment) = inner.segments.get_mut(&number) else {
-            return;
-        };
+        let records = std::mem::take(&mut segment.invalidation_records);
+        let (durable, lost): (Vec<_>, Vec<_>) =
+            records.into_iter().partition(|(offset, _)| *offset < good);
+        segment.invalidation_records = durable;
+        let lost_records = lost.into_iter().map(|(_, record)| record);
+        inner.deferred_records.extend(lost_records);
         let truncated = segment.file.truncate(u64::from(good)).is_ok();
         tracing::error!(
             segment = number,
             from = good,
-            "store: a sync failed; what was written since is not trusted"
+            "store: fsync failed; records written since the last fsync are discarded"
         );
-        let lost: Vec<Key> = inner.index.share(number).keys.into_iter().collect();
-        for key in lost {
-            let beyond = |segment: u32, offset: u32| segment == number && offset >= good;
-            let wrong = inner.index.get(&key).is_some_and(|e| {
-                beyond(e.commit.0, e.commit.1)
-                    || e.places.iter().any(|p| beyond(p.segment, p.offset))
-            });
-            if wrong {
-                // Not written here: the segment that would take it may be the one that fails.
-                let seq = inner.index.remove(&key).map_or(0, |e| e.seq);
-                inner.owed.push(Word::Gone(Gone::new(key, seq)));
-                inner.stats.lost += 1;
-            }
-        }
-        if inner.active == Some(number) {
-            let kept = inner
-                .record_ends
-                .iter()
-                .rev()
-                .find(|(end, _)| *end <= good)
-                .map_or(0, |(_, at)| *at);
-            let records = inner.records[..kept].to_vec();
+        drop_copies_beyond(inner, number, good);
+        let records = (inner.active == Some(number)).then(|| {
             inner.active = None;
-            if truncated {
-                return self.sum_up(number, good, &records);
-            }
-            inner.uncut.push(Uncut {
+            active_records_up_to(inner, good)
+        });
+        if !truncated {
+            inner.pending_truncations.push(PendingTruncation {
                 segment: number,
                 at: good,
-                records: Some(records),
-            });
-        } else if !truncated {
-            inner.uncut.push(Uncut {
-                segment: number,
-                at: good,
-                records: None,
+                records,
             });
+        } else if let Some(records) = records {
+            self.write_summary(number, good, &records);
         }
     }
 
     /// Takes back what could not be taken back so far: what was written of it must not stand before what comes next.
-    fn cut_ends(&self, inner: &mut Inner) -> Result<(), StoreError> {
-        while let Some(Uncut {
+    fn retry_truncations(&self, inner: &mut Inner) -> Result<(), StoreError> {
+        while let Some(PendingTruncation {
             segment: number,
             at,
             records,
-        }) = inner.uncut.pop()
+        }) = inner.pending_truncations.pop()
         {
             // Cleaned meanwhile: its file is gone with its end.
             let Some(segment) = inner.segments.get(&number) else {
                 continue;
             };
             if let Err(e) = segment.file.truncate(u64::from(at)) {
-                inner.uncut.push(Uncut {
+                inner.pending_truncations.push(PendingTruncation {
                     segment: number,
                     at,
                     records,
@@ -224,7 +205,7 @@
                 )));
             }
             if let Some(records) = records {
-                self.sum_up(number, at, &records);
+                self.write_summary(number, at, &records);
             }
         }
         Ok(())
@@ -261,7 +242,7 @@
                 Ok(())
             }
             Err(e) => {
-                self.distrust(&mut inner, number);
+                self.discard_unsynced(&mut inner, number);
                 Err(e.into())
             }
         }
@@ -271,23 +252,54 @@
         &self,
         inner: &mut Inner,
         meta: Meta,
-        places: Vec<Place>,
+        locations: Vec<BlockLocation>,
     ) -> Result<(), StoreError> {
         let commit = Commit {
             meta: Some(meta),
-            places,
+            locations,
         };
         let at = self.write(inner, Kind::Commit, &commit.encode_to_vec())?;
-        let (Some(meta), places) = (commit.meta, commit.places) else {
+        let (Some(meta), locations) = (commit.meta, commit.locations) else {
             return Ok(());
         };
         let key = meta.key();
-        let record = (at.segment, at.offset, at.len + HEAD as u32);
+        let record = (at.segment, at.offset, at.len + RECORD_HEADER_BYTES as u32);
         let (born, fresh, rank) = (meta.born_ms, meta.fresh_until_ms, meta.rank);
         let entry = Entry::new(
-            meta.group, meta.size, born, fresh, rank, inner.seq, record, places,
+            meta.group, meta.size, born, fresh, rank, inner.seq, record, locations,
         );
         inner.index.insert(key, entry, false);
         Ok(())
     }
 }
+
+/// Removes copies from the index that have a record in the segment at or beyond `good`.
+fn drop_copies_beyond(inner: &mut Inner, number: u32, good: u32) {
+    let beyond = |segment: u32, offset: u32| segment == number && offset >= good;
+    let candidates = inner.index.usage(number).keys;
+    for key in candidates {
+        let is_lost = inner.index.get(&key).is_some_and(|entry| {
+            let (segment, offset, _) = entry.commit;
+            let mut locations = entry.locations.iter();
+            beyond(segment, offset) || locations.any(|l| beyond(l.segment, l.offset))
+        });
+        if is_lost {
+            // Deferred: the segment that would take the tombstone may be the one that fails.
+            let seq = inner.index.remove(&key).map_or(0, |entry| entry.seq);
+            let tombstone = Tombstone::new(key, seq);
+            inner.deferred_records.push(Record::Tombstone(tombstone));
+            inner.stats.lost += 1;
+        }
+    }
+}
+
+/// Records of the active segment that end at or before `good`, as its summary has them.
+fn active_records_up_to(inner: &Inner, good: u32) -> Vec<u8> {
+    let len = inner
+        .record_ends
+        .iter()
+        .rev()
+        .find(|(end, _)| *end <= good)
+        .map_or(0, |(_, len)| *len);
+    inner.records[..len].to_vec()
+}
--- /dev/null
+++ b/crates/store/tests/common/mod.rs
@@ -0,0 +1,33 @@
+//! Options, metadata and bodies that the tests of the store share.
+#![allow(dead_code)]
+
+use pointspindle_store::{Meta, Options};
+
+/// Small segments, so that a few objects fill the store.
+pub const OPTIONS: Options = Options {
+    capacity: 900_000,
+    segment: 96 * 1024,
+    block: 8 * 1024,
+    memory: 64 * 1024,
+};
+/// Objects that a test stores.
+pub const OBJECTS: u64 = 24;
+/// Purge groups that the objects are spread over.
+pub const GROUPS: u64 = 4;
+
+/// Metadata of a numbered object.
+pub fn meta(object: u64, rank: u32) -> Meta {
+    Meta {
+        object: format!("/o/{object}"),
+        group: object % GROUPS,
+        rank,
+        ..Meta::default()
+    }
+}
+
+/// Body of an object's version; its length and every line depend on both.
+pub fn body(object: u64, version: u64) -> Vec<u8> {
+    let len = (object * 7_919 + version * 104_729) % 40_000;
+    let line = format!("{object}/{version};");
+    line.bytes().cycle().take(len as usize).collect()
+}
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,5 +1,8 @@
 //! Power lost at any operation, in the middle of a write too, thousands of times: no torn object is given out, nothing from before an
 //! acknowledged purge comes back, and what is given out is a version that was committed.
+mod common;
+
+use common::{body, meta, GROUPS, OBJECTS, OPTIONS};
 use pointspindle_store::sim::SimDisk;
 use pointspindle_store::*;
 use rand::rngs::StdRng;
@@ -7,31 +10,6 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-const OPTIONS: Options = Options {
-    capacity: 900_000,
-    segment: 96 * 1024,
-    block: 8 * 1024,
-    memory: 64 * 1024,
-};
-const OBJECTS: u64 = 24;
-const GROUPS: u64 = 4;
-
-fn meta(object: u64, rank: u32) -> Meta {
-    Meta {
-        object: format!("/o/{object}"),
-        group: object % GROUPS,
-        rank,
-        ..Meta::default()
-    }
-}
-
-/// Bytes of a version: its number is in every line, and its length its own.
-fn body(object: u64, version: u64) -> Vec<u8> {
-    let len = (object * 7_919 + version * 104_729) % 40_000;
-    let line = format!("{object}/{version};");
-    line.bytes().cycle().take(len as usize).collect()
-}
-
 /// What may be there: by object, versions that were committed, with the number of the last purge before each began.
 #[derive(Default)]
 struct Model {
@@ -241,7 +219,7 @@
 }
 
 #[test]
-fn power_lost_anywhere_tears_nothing_and_undoes_no_purge() {
+fn power_loss_anywhere_keeps_copies_intact_and_purges_durable() {
     let (mut done, mut checked, mut held, mut seed) = (0, 0, 0, 0);
     while done < crashes() {
         seed += 1;
@@ -299,7 +277,7 @@
 
 /// Without the sync of a purge, or its record, the same play must find a copy that came back.
 #[test]
-fn what_stood_before_a_purge_is_there_without_it() {
+fn unpurged_synced_copy_after_power_loss_is_recovered() {
     let disk = SimDisk::default();
     let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
     for (object, purged) in [(1, false), (2, true)] {
@@ -316,242 +294,3 @@
     assert!(after.get(&meta(1, 1).key()).is_some(), "synced, so held");
     assert!(after.get(&meta(2, 1).key()).is_none(), "purged, so gone");
 }
-
-/// A disk that forgets: a flipped bit anywhere is never given out, and costs the copies that it touches.
-#[test]
-fn a_flipped_bit_is_never_given_out() {
-    let (mut lost, mut kept) = (0, 0);
-    for seed in 0..60 {
-        let mut dice = StdRng::seed_from_u64(seed);
-        let disk = SimDisk::default();
-        let options = Options {
-            memory: 0,
-            ..OPTIONS
-        };
-        let store = Store::open(Arc::new(disk.clone()), options, 1_000).unwrap();
-        for object in 0..OBJECTS {
-            let mut fill = store.begin(meta(object, 1));
-            fill.write(&body(object, 3)).unwrap();
-            fill.commit(1_000).unwrap();
-        }
-        store.purge(&What::Object("/o/1".into())).unwrap();
-        if dice.gen() {
-            store.close().unwrap();
-        }
-        let names: Vec<String> = Disk::list(&disk).unwrap();
-        let name = &names[dice.gen_range(0..names.len())];
-        assert!(disk.flip(name, dice.gen_range(0..disk.len_of(name))));
-        // Alive, and after a restart.
-        let again = Store::open(Arc::new(disk.after_crash(|| true)), options, 1_000).unwrap();
-        again.recover_all(1_000).unwrap();
-        for store in [store, again] {
-            for object in 0..OBJECTS {
-                let Some(found) = store.get(&meta(object, 1).key()) else {
-                    continue;
-                };
-                assert_ne!(object, 1, "seed {seed}: purged");
-                let read: Result<Vec<_>, _> = (0..found.blocks()).map(|n| found.read(n)).collect();
-                match read {
-                    Ok(blocks) => {
-                        assert!(
-                            blocks.concat() == body(object, 3),
-                            "seed {seed}: /o/{object}"
-                        );
-                        kept += 1;
-                    }
-                    Err(_) => {
-                        lost += 1;
-                        assert!(store.get(&meta(object, 1).key()).is_none(), "held no more");
-                    }
-                }
-            }
-        }
-        let report = check::check(&disk, true).unwrap();
-        assert!(
-            !report.wrong.is_empty(),
-            "seed {seed}: a flip in {name} that the check does not see"
-        );
-    }
-    println!("{kept} read, {lost} told as wrong");
-    assert!(lost > 0 && kept > 1_000);
-}
-
-#[test]
-fn a_missing_segment_may_have_held_a_purge() {
-    let disk = SimDisk::default();
-    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
-    let fill = |object: u64| {
-        let mut fill = store.begin(meta(object, 1));
-        fill.write(&body(object, 3)).unwrap();
-        fill.commit(1_000).unwrap();
-    };
-    fill(2);
-    store.close().unwrap();
-    store.purge(&What::Object("/o/2".into())).unwrap();
-    store.close().unwrap();
-    fill(5);
-    store.close().unwrap();
-    let names: Vec<String> = Disk::list(&disk)
-        .unwrap()
-        .into_iter()
-        .filter(|n| n.ends_with(".log"))
-        .collect();
-    assert_eq!(names.len(), 3);
-    for end in ["log", "sum"] {
-        Disk::remove(&disk, &names[1].replace("log", end)).unwrap();
-    }
-    let store = Store::open(Arc::new(disk.after_crash(|| true)), OPTIONS, 1_000).unwrap();
-    while store.recover(1_000).unwrap() {}
-    assert!(
-        store.get(&meta(5, 1).key()).is_some(),
-        "newer than what is missing"
-    );
-    assert!(
-        store.get(&meta(2, 1).key()).is_none(),
-        "older: it may have been purged, and was"
-    );
-}
-
-/// Lowest rank first, then the least recently used; a low rank never takes a high one's place. Bounded, however long it goes on.
-#[test]
-fn room_is_made_by_rank_and_use_within_the_capacity() {
-    let disk = SimDisk::default();
-    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
-    let fill = |object: String, rank: u32| {
-        let mut fill = store.begin(Meta {
-            object,
-            rank,
-            ..Meta::default()
-        });
-        fill.write(&[7; 10_000]).and_then(|()| fill.commit(1_000))
-    };
-    for n in 0..20 {
-        fill(format!("/high/{n}"), 3).unwrap();
-        fill(format!("/mid/{n}"), 2).unwrap();
-    }
-    let held = |object: String| {
-        store
-            .get(
-                &Meta {
-                    object,
-                    ..Meta::default()
-                }
-                .key(),
-            )
-            .is_some()
-    };
-    for n in 0..2_000 {
-        fill(format!("/low/{n}"), 1).unwrap();
-        assert!(held("/mid/0".into()), "used all the time");
-        assert!(
-            store.stats().disk_bytes <= OPTIONS.capacity,
-            "{:?}",
-            store.stats()
-        );
-    }
-    assert!(
-        (0..20).all(|n| held(format!("/high/{n}")) && held(format!("/mid/{n}"))),
-        "{:?}",
-        store.stats()
-    );
-    // Higher ranks push lower ones out, and among equals the least used goes first.
-    for n in 0..70 {
-        let _ = fill(format!("/higher/{n}"), 3);
-    }
-    let mids = (0..20).filter(|n| held(format!("/mid/{n}"))).count();
-    assert!(
-        mids < 20 && !(0..2_000).any(|n| held(format!("/low/{n}"))),
-        "{mids}: {:?}",
-        store.stats()
-    );
-    let s = store.stats();
-    let files: usize = Disk::list(&disk)
-        .unwrap()
-        .iter()
-        .map(|n| disk.len_of(n))
-        .sum();
-    println!(
-        "{s:?}, {files} bytes of files, amplification {:.2}",
-        s.written_bytes as f64 / s.taken_bytes as f64
-    );
-    assert!(files as u64 <= OPTIONS.capacity * 11 / 10);
-    assert!(matches!(fill("/late".into(), 0), Err(StoreError::NoRoom)) || held("/late".into()));
-}
-
-#[test]
-fn a_full_disk_and_a_second_process_are_told() {
-    let disk = SimDisk::default();
-    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
-    let mut fill = store.begin(meta(1, 1));
-    fill.write(&[1; 30_000]).unwrap();
-    fill.commit(1_000).unwrap();
-    disk.room(Some(40_000));
-    let mut fill = store.begin(meta(2, 1));
-    let failed = (0..10).find_map(|_| fill.write(&[2; 8_192]).err());
-    assert!(matches!(failed, Some(StoreError::Disk(_))), "{failed:?}");
-    drop(fill);
-    assert!(
-        store.get(&meta(1, 1).key()).is_some(),
-        "what is held is still given out"
-    );
-    // A purge is kept whatever the disk says of room, and what it strikes is gone.
-    let _ = store.purge(&What::Object("/o/1".into()));
-    assert!(store.get(&meta(1, 1).key()).is_none());
-
-    let folder = tempfile::tempdir().unwrap();
-    let first = Folder::lock(folder.path()).unwrap();
-    let told = Folder::lock(folder.path()).unwrap_err().to_string();
-    assert!(told.contains("another process has it"), "{told}");
-    assert!(Folder::look(folder.path()).is_ok());
-    drop(first);
-    Folder::lock(folder.path()).unwrap();
-}
-
-/// Neither a write nor taking it back works for a while (no room, then errors of the disk): once the disk works again the store
-/// does, and what it took meanwhile is held, now and after a restart.
-#[test]
-fn a_disk_that_recovers_is_written_to_again() {
-    let key = |object: u64| meta(object, 1).key();
-    for sync_fails in [false, true] {
-        let disk = SimDisk::default();
-        let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
-        let fill = |store: &Store, object: u64| {
-            let mut fill = store.begin(meta(object, 1));
-            fill.write(&[object as u8; 30_000])
-                .and_then(|()| fill.commit(1_000))
-        };
-        fill(&store, 1).unwrap();
-        store.sync().unwrap();
-        disk.fail_truncates(3);
-        if sync_fails {
-            fill(&store, 2).unwrap();
-            disk.fail_syncs(1);
-            assert!(store.sync().is_err());
-        } else {
-            disk.room(Some(40_000));
-            assert!(fill(&store, 2).is_err());
-            disk.room(None);
-        }
-        for n in 0..2 {
-            assert!(
-                fill(&store, 3).is_err(),
-                "try {n}: it cannot be taken back yet"
-            );
-            assert!(
-                store.get(&key(1)).is_some(),
-                "what is held is still given out"
-            );
-        }
-        fill(&store, 3).unwrap_or_else(|e| panic!("the disk works again: {e}"));
-        store.purge(&What::Object("/o/1".into())).unwrap();
-        store.sync().unwrap();
-        for store in [
-            store,
-            Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 2_000).unwrap(),
-        ] {
-            store.recover_all(2_000).unwrap();
-            let held = [1, 2, 3].map(|object| store.get(&key(object)).is_some());
-            assert_eq!(held, [false, false, true], "a sync failed: {sync_fails}");
-        }
-    }
-}
--- /dev/null
+++ b/crates/store/tests/faults.rs
@@ -0,0 +1,248 @@
+//! Behaviour under faults of the disk, and eviction when the store is full.
+mod common;
+
+use common::{body, meta, OBJECTS, OPTIONS};
+use pointspindle_store::sim::SimDisk;
+use pointspindle_store::*;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use std::sync::Arc;
+
+/// A flipped bit anywhere on disk is never served; it costs only the copies that it touches.
+#[test]
+fn flipped_bit_on_disk_is_never_served() {
+    let mut lost = 0;
+    let mut served = 0;
+    for seed in 0..60 {
+        let mut dice = StdRng::seed_from_u64(seed);
+        let disk = SimDisk::default();
+        let options = Options {
+            memory: 0,
+            ..OPTIONS
+        };
+        let store = Store::open(Arc::new(disk.clone()), options, 1_000).unwrap();
+        for object in 0..OBJECTS {
+            let mut fill = store.begin(meta(object, 1));
+            fill.write(&body(object, 3)).unwrap();
+            fill.commit(1_000).unwrap();
+        }
+        store.purge(&What::Object("/o/1".into())).unwrap();
+        if dice.gen() {
+            store.close().unwrap();
+        }
+        let names: Vec<String> = Disk::list(&disk).unwrap();
+        let name = &names[dice.gen_range(0..names.len())];
+        assert!(disk.flip(name, dice.gen_range(0..disk.len_of(name))));
+        // Alive, and after a restart.
+        let again = Store::open(Arc::new(disk.after_crash(|| true)), options, 1_000).unwrap();
+        again.recover_all(1_000).unwrap();
+        for store in [store, again] {
+            for object in 0..OBJECTS {
+                let Some(found) = store.get(&meta(object, 1).key()) else {
+                    continue;
+                };
+                assert_ne!(object, 1, "seed {seed}: purged");
+                let read: Result<Vec<_>, _> = (0..found.blocks()).map(|n| found.read(n)).collect();
+                match read {
+                    Ok(blocks) => {
+                        assert!(
+                            blocks.concat() == body(object, 3),
+                            "seed {seed}: /o/{object}"
+                        );
+                        served += 1;
+                    }
+                    Err(_) => {
+                        lost += 1;
+                        assert!(store.get(&meta(object, 1).key()).is_none(), "held no more");
+                    }
+                }
+            }
+        }
+        let report = check::check(&disk, true).unwrap();
+        assert!(
+            !report.wrong.is_empty(),
+            "seed {seed}: a flip in {name} that the check does not see"
+        );
+    }
+    println!("{served} read, {lost} reported as corrupt");
+    assert!(lost > 0 && served > 1_000);
+}
+
+#[test]
+fn missing_segment_invalidates_older_copies() {
+    let disk = SimDisk::default();
+    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
+    let fill = |object: u64| {
+        let mut fill = store.begin(meta(object, 1));
+        fill.write(&body(object, 3)).unwrap();
+        fill.commit(1_000).unwrap();
+    };
+    fill(2);
+    store.close().unwrap();
+    store.purge(&What::Object("/o/2".into())).unwrap();
+    store.close().unwrap();
+    fill(5);
+    store.close().unwrap();
+    let names: Vec<String> = Disk::list(&disk)
+        .unwrap()
+        .into_iter()
+        .filter(|n| n.ends_with(".log"))
+        .collect();
+    assert_eq!(names.len(), 3);
+    for end in ["log", "sum"] {
+        Disk::remove(&disk, &names[1].replace("log", end)).unwrap();
+    }
+    let store = Store::open(Arc::new(disk.after_crash(|| true)), OPTIONS, 1_000).unwrap();
+    while store.recover(1_000).unwrap() {}
+    assert!(
+        store.get(&meta(5, 1).key()).is_some(),
+        "newer than what is missing"
+    );
+    assert!(
+        store.get(&meta(2, 1).key()).is_none(),
+        "older: it may have been purged, and was"
+    );
+}
+
+fn fill_ranked(store: &Store, object: String, rank: u32) -> Result<(), StoreError> {
+    let mut fill = store.begin(Meta {
+        object,
+        rank,
+        ..Meta::default()
+    });
+    fill.write(&[7; 10_000]).and_then(|()| fill.commit(1_000))
+}
+
+fn is_cached(store: &Store, object: String) -> bool {
+    let meta = Meta {
+        object,
+        ..Meta::default()
+    };
+    store.get(&meta.key()).is_some()
+}
+
+/// Eviction takes the lowest rank first, then the least recently used; a low rank never evicts a high one.
+#[test]
+fn full_store_evicts_by_rank_then_recency_within_capacity() {
+    let disk = SimDisk::default();
+    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
+    let fill = |object: String, rank: u32| fill_ranked(&store, object, rank);
+    for n in 0..20 {
+        fill(format!("/high/{n}"), 3).unwrap();
+        fill(format!("/mid/{n}"), 2).unwrap();
+    }
+    let held = |object: String| is_cached(&store, object);
+    for n in 0..2_000 {
+        fill(format!("/low/{n}"), 1).unwrap();
+        assert!(held("/mid/0".into()), "used all the time");
+        assert!(
+            store.stats().disk_bytes <= OPTIONS.capacity,
+            "{:?}",
+            store.stats()
+        );
+    }
+    assert!(
+        (0..20).all(|n| held(format!("/high/{n}")) && held(format!("/mid/{n}"))),
+        "{:?}",
+        store.stats()
+    );
+    // Higher ranks push lower ones out, and among equals the least used goes first.
+    for n in 0..70 {
+        let _ = fill(format!("/higher/{n}"), 3);
+    }
+    let mids = (0..20).filter(|n| held(format!("/mid/{n}"))).count();
+    assert!(
+        mids < 20 && !(0..2_000).any(|n| held(format!("/low/{n}"))),
+        "{mids}: {:?}",
+        store.stats()
+    );
+    let s = store.stats();
+    let files: usize = Disk::list(&disk)
+        .unwrap()
+        .iter()
+        .map(|n| disk.len_of(n))
+        .sum();
+    println!(
+        "{s:?}, {files} bytes of files, amplification {:.2}",
+        s.written_bytes as f64 / s.taken_bytes as f64
+    );
+    assert!(files as u64 <= OPTIONS.capacity * 11 / 10);
+    assert!(matches!(fill("/late".into(), 0), Err(StoreError::NoRoom)) || held("/late".into()));
+}
+
+#[test]
+fn full_disk_and_second_process_are_reported() {
+    let disk = SimDisk::default();
+    let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
+    let mut fill = store.begin(meta(1, 1));
+    fill.write(&[1; 30_000]).unwrap();
+    fill.commit(1_000).unwrap();
+    disk.capacity(Some(40_000));
+    let mut fill = store.begin(meta(2, 1));
+    let failed = (0..10).find_map(|_| fill.write(&[2; 8_192]).err());
+    assert!(matches!(failed, Some(StoreError::Disk(_))), "{failed:?}");
+    drop(fill);
+    assert!(
+        store.get(&meta(1, 1).key()).is_some(),
+        "what is held is still given out"
+    );
+    // A purge is kept whatever the disk says of room, and what it strikes is gone.
+    let _ = store.purge(&What::Object("/o/1".into()));
+    assert!(store.get(&meta(1, 1).key()).is_none());
+
+    let folder = tempfile::tempdir().unwrap();
+    let first = Folder::lock(folder.path()).unwrap();
+    let error = Folder::lock(folder.path()).unwrap_err().to_string();
+    assert!(error.contains("another process has it"), "{error}");
+    assert!(Folder::look(folder.path()).is_ok());
+    drop(first);
+    Folder::lock(folder.path()).unwrap();
+}
+
+/// Writes, fsyncs and truncations fail for a while: once the disk works again the store accepts writes, and they survive a restart.
+#[test]
+fn recovered_disk_accepts_writes_again() {
+    let key = |object: u64| meta(object, 1).key();
+    for sync_fails in [false, true] {
+        let disk = SimDisk::default();
+        let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
+        let fill = |store: &Store, object: u64| {
+            let mut fill = store.begin(meta(object, 1));
+            fill.write(&[object as u8; 30_000])
+                .and_then(|()| fill.commit(1_000))
+        };
+        fill(&store, 1).unwrap();
+        store.sync().unwrap();
+        disk.fail_truncates(3);
+        if sync_fails {
+            fill(&store, 2).unwrap();
+            disk.fail_syncs(1);
+            assert!(store.sync().is_err());
+        } else {
+            disk.capacity(Some(40_000));
+            assert!(fill(&store, 2).is_err());
+            disk.capacity(None);
+        }
+        for n in 0..2 {
+            assert!(
+                fill(&store, 3).is_err(),
+                "try {n}: it cannot be taken back yet"
+            );
+            assert!(
+                store.get(&key(1)).is_some(),
+                "what is held is still given out"
+            );
+        }
+        fill(&store, 3).unwrap_or_else(|e| panic!("the disk works again: {e}"));
+        store.purge(&What::Object("/o/1".into())).unwrap();
+        store.sync().unwrap();
+        for store in [
+            store,
+            Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 2_000).unwrap(),
+        ] {
+            store.recover_all(2_000).unwrap();
+            let held = [1, 2, 3].map(|object| store.get(&key(object)).is_some());
+            assert_eq!(held, [false, false, true], "a sync failed: {sync_fails}");
+        }
+    }
+}
