--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -2,7 +2,7 @@
 //!
 //! Kept: an entry for each held copy, in one map by key and in three orders (rank and use, group, segment). Some 300 bytes a copy of one
 //! block, 16 more for each further one.
-use crate::record::{BlockLocation, Key};
+use crate::record::{BlockLocation, Key, Meta};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
 /// A held copy.
@@ -43,27 +43,22 @@
 }
 
 impl Entry {
-    #[allow(clippy::too_many_arguments)]
+    /// An entry for a commit record with the sequence number `seq`, not used yet.
     pub fn new(
-        group: u64,
-        size: u64,
-        born_ms: u64,
-        fresh_until_ms: u64,
-        rank: u32,
+        meta: &Meta,
         seq: u64,
         commit: (u32, u32, u32),
         locations: Vec<BlockLocation>,
     ) -> Self {
-        let locations = locations.into_boxed_slice();
         Self {
-            group,
-            size,
-            born_ms,
-            fresh_until_ms,
-            rank,
+            group: meta.group,
+            size: meta.size,
+            born_ms: meta.born_ms,
+            fresh_until_ms: meta.fresh_until_ms,
+            rank: meta.rank,
             seq,
             commit,
-            locations,
+            locations: locations.into_boxed_slice(),
             used: 0,
         }
     }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,22 +1,23 @@
 //! A crash-safe store of cached objects on disk.
 //!
-//! A log of segments. Bodies are blocks with a checksum each, in the order of their coming; a commit record names an object and
-//! its blocks; purges and evictions are records too. The index is in memory and made from the records, newest segment first.
+//! The store is a log of segments. Bodies are written as blocks with a checksum each; a commit record names an object and its blocks;
+//! purges and tombstones (evictions) are records too. The index is in memory and is recovered from the records, newest segment first.
 //!
-//! **What is promised**
-//! * A byte is given out only after the checksum of its block was found right.
-//! * [`Store::purge`] returns when the purge is on disk: nothing that it struck is given out again, after any crash.
-//! * What was not synced when a crash came may be lost, whole objects at a time; it is never given out in part or mixed.
-//! * After a restart the index holds what the records prove. What cannot be known (a record that cannot be read where a purge may
-//!   have stood) counts as purged.
-//! * Who is evicted: the lowest rank first, then the least recently used; never a higher rank for a lower.
+//! **Guarantees**
+//! * A block is served only after its checksum was verified.
+//! * When [`Store::purge`] returns, the purge is durable: a copy that it covers is not served again, after any crash.
+//! * Copies that were not synced before a crash may be lost, each as a whole; none is served in part or mixed with another.
+//! * After a restart the index holds what the records prove. If a record that may have been a purge cannot be read, all older copies
+//!   count as purged.
+//! * Eviction takes the lowest rank first, then the least recently used; a higher rank is never evicted for a lower one.
 //!
-//! The format is in `docs/design/store.md`. Not async: reads and writes are the caller's thread's, purges wait for a sync.
+//! The format is described in `docs/design/store.md`. The store is synchronous: reads, writes and fsyncs block the calling thread.
 //!
-//! * [`disk`]: the few things that are asked of a file system; [`sim::SimDisk`] is one in memory that loses power on demand.
-//! * [`record`]: records to bytes and back. [`index`]: keys, ranks and space, without I/O. [`recover`]: records to the index.
-//! * [`check`]: what is wrong with a folder, alive or dead.
+//! * [`disk`]: the file system operations that the store needs; [`sim::SimDisk`] is an in-memory disk with fault injection.
+//! * [`record`]: codec of the records. [`index`]: keys, ranks and live bytes, without I/O. [`recover`]: from records to the index.
+//! * [`check`]: consistency check of a folder, also while it is in use.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod check;
 pub mod disk;
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -186,11 +186,10 @@
 
 impl Tombstone {
     pub fn new(key: Key, up_to_seq: u64) -> Self {
-        let (object_low, object_high) = (key.object as u64, (key.object >> 64) as u64);
         Self {
             up_to_seq,
-            object_low,
-            object_high,
+            object_low: key.object as u64,
+            object_high: (key.object >> 64) as u64,
             part: key.part,
             variant: key.variant,
         }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -305,16 +305,8 @@
         if self.invalidations.covers(&key, meta.group, seq) || !commit.locations.iter().all(there) {
             return;
         }
-        let entry = Entry::new(
-            meta.group,
-            meta.size,
-            meta.born_ms,
-            meta.fresh_until_ms,
-            meta.rank,
-            seq,
-            (number, at.0, at.1),
-            commit.locations.clone(),
-        );
+        let record = (number, at.0, at.1);
+        let entry = Entry::new(meta, seq, record, commit.locations.clone());
         index.insert(key, entry, true);
     }
 }
--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -4,16 +4,21 @@
 //! summary is written beside it: 24 bytes as above with `PSPNSUM1` and the length of the segment in place of the 0s' half (see
 //! [`summary`]), then all its records but blocks, each behind its offset in the segment (4), then 4 bytes of CRC-32 over everything before.
 //! A segment without a summary is read through.
-use crate::record::{self, Kind, Record, RECORD_HEADER_BYTES};
+use crate::disk::DiskFile;
+use crate::record::{self, Kind, Record, RecordHeader, RECORD_HEADER_BYTES};
+use std::io::Result;
 
+/// Length of the header of a segment or summary file.
 pub const SEGMENT_HEADER_BYTES: usize = 24;
 const SEGMENT: [u8; 8] = *b"PSPNSEG1";
 const SUMMARY: [u8; 8] = *b"PSPNSUM1";
 
+/// File name of a segment.
 pub fn segment_name(number: u32) -> String {
     format!("segment-{number:010}.log")
 }
 
+/// File name of a segment's summary.
 pub fn summary_name(number: u32) -> String {
     format!("segment-{number:010}.sum")
 }
@@ -36,6 +41,7 @@
     out
 }
 
+/// Header of a segment file.
 pub fn segment_header(number: u32) -> [u8; SEGMENT_HEADER_BYTES] {
     head(SEGMENT, number, 0)
 }
@@ -49,7 +55,7 @@
     out
 }
 
-/// A record that was found: its number, where it stands and how long it is.
+/// A record with its sequence number and position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocatedRecord {
     pub seq: u64,
@@ -91,25 +97,25 @@
     Some((len, located))
 }
 
-/// What reading a segment through found.
+/// Result of [`scan`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scan {
     pub located: Vec<LocatedRecord>,
     /// The records of [`Scan::located`] as a summary has them.
     pub records: Vec<u8>,
-    /// Up to here everything is in order.
+    /// Offset up to which all records are intact.
     pub end: u32,
     /// The highest number seen.
     pub last_seq: u64,
-    /// Bytes follow that are no record.
+    /// Bytes that are not an intact record follow [`Scan::end`].
     pub broken: bool,
-    /// Purges and evictions that stand behind the break. They are also in [`Scan::records`], not in [`Scan::located`]: after a crash
-    /// nobody had been told of them, after a flipped bit somebody may have been; to heed them is right for both.
+    /// Purges and tombstones after the break. They are also in [`Scan::records`], but not in [`Scan::located`]. After a flipped bit
+    /// they may have been acknowledged, after a crash they were not: applying them is correct in both cases.
     pub after_break: Vec<LocatedRecord>,
 }
 
-/// Reads a segment through, every block's checksum included; stops where a record is not in order.
-pub fn scan(number: u32, file: &dyn crate::disk::DiskFile) -> std::io::Result<Option<Scan>> {
+/// Reads a segment up to the first record that is not intact, checking every checksum. None: the file has no segment header.
+pub fn scan(number: u32, file: &dyn DiskFile) -> Result<Option<Scan>> {
     let len = file.len()?;
     let mut first = [0; SEGMENT_HEADER_BYTES];
     if len < SEGMENT_HEADER_BYTES as u64 {
@@ -123,42 +129,12 @@
         end: SEGMENT_HEADER_BYTES as u32,
         ..Scan::default()
     };
-    let (mut at, mut head, mut payload) = (
-        SEGMENT_HEADER_BYTES as u64,
-        [0; RECORD_HEADER_BYTES],
-        Vec::new(),
-    );
-    while at + RECORD_HEADER_BYTES as u64 <= len {
-        file.read_at(at, &mut head)?;
-        let Some(h) = record::decode_header(number, &head) else {
-            break;
-        };
-        let end = at + RECORD_HEADER_BYTES as u64 + u64::from(h.len);
-        if end > len {
-            break;
-        }
-        payload.resize(h.len as usize, 0);
-        file.read_at(at + RECORD_HEADER_BYTES as u64, &mut payload)?;
-        if crc32fast::hash(&payload) != h.crc {
-            break;
-        }
-        if h.kind != Kind::Block {
-            let Some(log_record) = Record::read(h.kind, &payload) else {
-                break;
-            };
-            let (offset, len) = (at as u32, RECORD_HEADER_BYTES as u32 + h.len);
-            found.located.push(LocatedRecord {
-                seq: h.seq,
-                offset,
-                len,
-                log_record,
-            });
-            found.records.extend_from_slice(&offset.to_le_bytes());
-            found.records.extend_from_slice(&head);
-            found.records.extend_from_slice(&payload);
-        }
-        found.last_seq = found.last_seq.max(h.seq);
-        (at, found.end) = (end, end as u32);
+    let mut at = SEGMENT_HEADER_BYTES as u64;
+    let mut payload = Vec::new();
+    while let Some(header) = scan_record(number, file, at, len, &mut payload, &mut found)? {
+        at += RECORD_HEADER_BYTES as u64 + u64::from(header.len);
+        found.end = at as u32;
+        found.last_seq = found.last_seq.max(header.seq);
     }
     found.broken = at < len;
     if found.broken {
@@ -167,14 +143,60 @@
     Ok(Some(found))
 }
 
-/// Looks through what follows a break, byte by byte, for purges and evictions that can still be read.
+/// Reads the record at `at` and adds it to `found` unless it is a block. None: no intact record begins there. `payload` is a
+/// buffer, reused from one record to the next.
+fn scan_record(
+    number: u32,
+    file: &dyn DiskFile,
+    at: u64,
+    len: u64,
+    payload: &mut Vec<u8>,
+    found: &mut Scan,
+) -> Result<Option<RecordHeader>> {
+    let payload_at = at + RECORD_HEADER_BYTES as u64;
+    if payload_at > len {
+        return Ok(None);
+    }
+    let mut head = [0; RECORD_HEADER_BYTES];
+    file.read_at(at, &mut head)?;
+    let Some(header) = record::decode_header(number, &head) else {
+        return Ok(None);
+    };
+    if payload_at + u64::from(header.len) > len {
+        return Ok(None);
+    }
+    payload.resize(header.len as usize, 0);
+    file.read_at(payload_at, payload)?;
+    if crc32fast::hash(payload) != header.crc {
+        return Ok(None);
+    }
+    if header.kind == Kind::Block {
+        return Ok(Some(header));
+    }
+    let Some(log_record) = Record::read(header.kind, payload) else {
+        return Ok(None);
+    };
+    let offset = at as u32;
+    found.located.push(LocatedRecord {
+        seq: header.seq,
+        offset,
+        len: RECORD_HEADER_BYTES as u32 + header.len,
+        log_record,
+    });
+    found.records.extend_from_slice(&offset.to_le_bytes());
+    found.records.extend_from_slice(&head);
+    found.records.extend_from_slice(payload);
+    Ok(Some(header))
+}
+
+/// Searches the bytes after a break for intact purges and tombstones.
 fn scan_after_break(
     number: u32,
-    file: &dyn crate::disk::DiskFile,
+    file: &dyn DiskFile,
     from: u64,
     len: u64,
     found: &mut Scan,
-) -> std::io::Result<()> {
+) -> Result<()> {
     let mut rest = vec![0; (len - from) as usize];
     file.read_at(from, &mut rest)?;
     let mut at = 0;
--- a/crates/store/src/store/clock.rs
+++ b/crates/store/src/store/clock.rs
@@ -1,6 +1,6 @@
 //! The store's monotonic wall clock.
 
-/// Never goes back, also over restarts.
+/// Milliseconds since 1970 that never go back, not even over restarts: if the wall clock is set back, the clock runs ahead of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Clock {
     ahead_ms: u64,
@@ -13,7 +13,7 @@
         self.last_ms
     }
 
-    /// Records were written at this time: a clock that was set back since goes on from there.
+    /// Accounts for a record written at `at_ms`: later times are not before it.
     pub(super) fn advance_to(&mut self, at_ms: u64, wall_ms: u64) {
         if at_ms > wall_ms + self.ahead_ms {
             self.ahead_ms = at_ms - wall_ms;
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -1,7 +1,8 @@
-//! A copy on its way in.
+//! Fills: writing a new copy.
 use super::*;
 
-/// A copy on its way in. Dropped, it never was.
+/// A copy that is being written. Its blocks are pinned, and purges are remembered for it, until it is committed or dropped; dropped
+/// before the commit, it leaves no trace but dead blocks.
 pub struct Fill {
     pub(super) store: Store,
     pub(super) meta: Meta,
@@ -19,12 +20,12 @@
 }
 
 impl Fill {
-    /// What is known of the copy by now; before its first byte.
+    /// Replaces the metadata; to be called before the first byte is written.
     pub fn describe(&mut self, meta: Meta) {
         self.meta = meta;
     }
 
-    /// More of the body. After an error nothing is kept of it.
+    /// Appends to the body. After an error the fill is over and cannot be committed.
     pub fn write(&mut self, mut bytes: &[u8]) -> Result<(), StoreError> {
         let block = self.store.0.options.block as usize;
         while !bytes.is_empty() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Nothing of it is pinned any more, and purges are not kept for it.
+    /// Unpins the blocks and stops remembering purges for this fill.
     fn end(&mut self, inner: &mut Inner) {
         if std::mem::replace(&mut self.over, true) {
             return;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// The copy is whole: it is held from now on. It may be lost by a crash until the next sync.
+    /// Completes the copy and adds it to the index. Until the next sync a crash may lose it.
     pub fn commit(mut self, wall_ms: u64) -> Result<(), StoreError> {
         self.flush()?;
         let store = self.store.clone();
@@ -109,7 +110,7 @@
         if invalidated {
             return Err(StoreError::Purged);
         }
-        // A failed sync may have taken some of it away.
+        // A failed fsync may have discarded some of its blocks.
         let there = |p: &BlockLocation| {
             inner
                 .segments
--- a/crates/store/src/store/found.rs
+++ b/crates/store/src/store/found.rs
@@ -1,9 +1,12 @@
-//! A held copy on its way out.
+//! Reading: lookup of a copy, its blocks, and its renewal.
 use super::*;
 
-/// A held copy, to be read. It can be read to its end whatever becomes of it in the store meanwhile.
+/// A stored copy, open for reading. It holds its segment files open, so it can be read to the end even if it is purged, evicted or
+/// moved meanwhile.
 pub struct Found {
+    /// Metadata from its commit record.
     pub meta: Meta,
+    /// Sequence number of its commit record.
     pub seq: u64,
     pub(super) store: Store,
     pub(super) key: Key,
@@ -18,11 +21,12 @@
 }
 
 impl Found {
+    /// Number of blocks of the body.
     pub fn blocks(&self) -> usize {
         self.locations.len()
     }
 
-    /// A block, if it is in memory.
+    /// A block, if it is cached in memory.
     pub fn in_memory(&self, block: usize) -> Option<Bytes> {
         let location = self.locations.get(block)?;
         self.store
@@ -31,7 +35,8 @@
             .get(&(location.segment, location.offset))
     }
 
-    /// A block of the body, in order; from memory, or from disk with its checksum found right.
+    /// A block of the body, from memory, or from disk after its checksum was verified. A copy with a block that cannot be read is
+    /// removed from the index.
     pub fn read(&self, block: usize) -> Result<Bytes, ReadError> {
         let location = self.locations.get(block).ok_or(ReadError::None(block))?;
         let shared = &self.store.0;
@@ -65,7 +70,7 @@
 }
 
 impl Store {
-    /// The copy, if it is held and that is known by now.
+    /// The copy, if it is stored and its segments have been recovered. Counts as a use for eviction.
     pub fn get(&self, key: &Key) -> Option<Found> {
         let (entry, files) = {
             let mut inner = self.inner();
@@ -78,7 +83,7 @@
             let file = |n: u32| Some((n, inner.segments.get(&n)?.file.clone()));
             let files: Option<BTreeMap<u32, Arc<dyn DiskFile>>> = wanted.map(file).collect();
             if files.is_none() && inner.recovery.is_some() {
-                // Some of it stands in a segment that is still to be read.
+                // A segment that it needs has not been recovered yet.
                 return None;
             }
             (entry, files)
@@ -90,13 +95,12 @@
                 .ok()?
                 .meta
                 .filter(|m| m.key() == *key)?;
-            let (seq, locations) = (entry.seq, entry.locations.clone());
             Some(Found {
                 meta,
-                seq,
+                seq: entry.seq,
                 store: self.clone(),
                 key: *key,
-                locations,
+                locations: entry.locations.clone(),
                 files,
             })
         });
@@ -106,7 +110,7 @@
         found
     }
 
-    /// A copy is not what it should be.
+    /// Removes a copy that could not be read, unless it was replaced meanwhile.
     pub(super) fn discard_corrupt(&self, key: &Key, seq: u64) {
         let mut inner = self.inner();
         if inner.index.get(key).is_some_and(|e| e.seq == seq) {
@@ -116,7 +120,7 @@
         }
     }
 
-    /// The held copy was confirmed: new times, the same bytes. False: it is not the one that is held any more.
+    /// Replaces the metadata of a copy that was revalidated, keeping its blocks. False: the copy was replaced or removed meanwhile.
     pub fn renew(&self, found: &Found, meta: Meta, wall_ms: u64) -> Result<bool, StoreError> {
         let mut inner = self.inner();
         let Some(entry) = inner
@@ -141,7 +145,7 @@
     }
 }
 
-/// A record's payload, if it is what was written.
+/// A record's payload, if header and checksum are intact.
 pub(super) fn read_record(
     file: &dyn DiskFile,
     segment: u32,
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,4 +1,6 @@
-//! The store: one writer behind a lock, readers beside it.
+//! The store: one writer behind a lock; readers take the lock only to look up a copy.
+//!
+//! [`Store`] is implemented by concern: `recovery`, `found` (reads), `fill`, `purge`, `space` (eviction and cleaning), `write`.
 mod clock;
 mod error;
 mod fill;
@@ -34,63 +36,73 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Live bytes are kept below this share of the room, so that cleaning finds segments worth cleaning.
+/// Limit of live bytes as a fraction of the usable capacity, so that segment cleaning always finds dead bytes.
 const MAX_LIVE_FRACTION: f64 = 0.85;
-/// A segment that is live to more than this is not worth cleaning.
+/// Segments with a higher fraction of live bytes are not cleaned.
 const MAX_CLEANABLE_LIVE_FRACTION: f64 = 0.97;
-/// Purges and evictions that may be carried on however few copies there are.
+/// Purges and tombstones allowed in the log regardless of the number of copies, before its oldest segment is rewritten.
 const MIN_INVALIDATIONS_FOR_REWRITE: usize = 256;
-/// Bytes that a write moves out of segments for each byte of its own, at most, while there is room enough.
+/// Limit of cleaning work per written byte while capacity is left.
 const MAX_CLEANED_BYTES_PER_WRITTEN_BYTE: u64 = 2;
 
+/// A segment on disk, open for reading; the active one also for writing.
 struct Segment {
     file: Arc<dyn DiskFile>,
+    /// End of the last record.
     len: u32,
+    /// Durable up to this offset.
     synced: u32,
-    /// Blocks of fills that are not committed yet.
+    /// Blocks of open fills; a pinned segment is not cleaned.
     pins: u32,
-    /// Purges and evictions, with where they stand.
+    /// Purges and tombstones with their offsets, ascending.
     invalidation_records: Vec<(u32, Record)>,
 }
 
-/// A segment whose end is not trusted and could not be truncated so far. Forgotten once it is.
+/// A truncation that failed and is still owed. Forgotten once it succeeds or the segment is removed.
 struct PendingTruncation {
     segment: u32,
     at: u32,
-    /// Of one that is not written to any more: its records, for the summary that is owed with the cut.
+    /// For a segment that is no longer active: its records, for the summary owed after the truncation.
     records: Option<Vec<u8>>,
 }
 
+/// State under the writer lock.
 struct Inner {
     index: Index,
     segments: BTreeMap<u32, Segment>,
     active: Option<u32>,
     next_segment: u32,
-    /// Of the active segment, for its summary; with their ends in the segment.
+    /// Records of the active segment but blocks, for its summary.
     records: Vec<u8>,
+    /// For each of `records`: its end in the segment, and its end in `records`.
     record_ends: Vec<(u32, usize)>,
+    /// Last sequence number used.
     seq: u64,
+    /// None once recovery is complete.
     recovery: Option<Recovery>,
-    /// Purges since the oldest open fill began.
+    /// Purges since the oldest open fill began, by sequence number.
     purges: Vec<(u64, Purge)>,
+    /// Sequence numbers at which the open fills began.
     fills: BTreeSet<u64>,
-    /// Purges and evictions that the disk did not take, or lost: to be written before a segment goes, or older commits of what they struck
-    /// would come back.
+    /// Purges and tombstones owed because their write failed or was lost. They are written before any segment is removed; otherwise
+    /// older commits that they cover would be recovered after a restart.
     deferred_records: Vec<Record>,
     /// The segment that is being cleaned.
     victim: Option<u32>,
-    /// Ends that are still to be taken back; until then nothing is written.
+    /// Owed truncations; nothing is written before they have succeeded.
     pending_truncations: Vec<PendingTruncation>,
     clock: Clock,
     stats: Stats,
 }
 
+/// State shared by all clones of a [`Store`] and its readers.
 struct Shared {
     disk: Arc<dyn Disk>,
     options: Options,
     inner: Mutex<Inner>,
-    /// One sync at a time: one that succeeds after one that failed proves nothing.
+    /// Serializes fsyncs: one that succeeds after one that failed proves nothing about the earlier writes.
     syncing: Mutex<()>,
+    /// Verified blocks by segment and offset.
     memory: Cache<(u32, u32), Bytes, BlockWeight>,
 }
 
@@ -103,7 +115,7 @@
     }
 }
 
-/// Clones are the same store.
+/// Handle of an open store; clones share it.
 #[derive(Clone)]
 pub struct Store(Arc<Shared>);
 
@@ -124,26 +136,26 @@
         lock(&self.0.inner)
     }
 
-    /// Begins a fill. Its copy takes the place of the one that is held when it is committed.
+    /// Begins a fill. On commit its copy replaces the stored one of the same key.
     pub fn begin(&self, meta: Meta) -> Fill {
         let mut inner = self.inner();
-        // A number of its own, so that a purge is before or after it.
+        // A sequence number of its own orders the fill against purges.
         inner.seq += 1;
         let begun = inner.seq;
         inner.fills.insert(begun);
         drop(inner);
-        let (buffer, locations) = (BytesMut::new(), Vec::new());
         Fill {
             store: self.clone(),
             meta,
             begun,
-            buffer,
-            locations,
+            buffer: BytesMut::new(),
+            locations: Vec::new(),
             size: 0,
             over: false,
         }
     }
 
+    /// Makes everything written so far durable.
     pub fn sync(&self) -> Result<(), StoreError> {
         let upto = {
             let inner = self.inner();
@@ -154,13 +166,14 @@
         upto.map_or(Ok(()), |(number, len)| self.sync_upto(number, len))
     }
 
-    /// Everything is synced and summed up: the next start reads summaries only.
+    /// Syncs and seals the active segment, so that the next start reads only summaries.
     pub fn close(&self) -> Result<(), StoreError> {
         self.sync()?;
         let mut inner = self.inner();
         self.seal(&mut inner)
     }
 
+    /// A snapshot of the counters and gauges.
     pub fn stats(&self) -> Stats {
         let inner = self.inner();
         let mut s = inner.stats;
@@ -172,11 +185,12 @@
         s
     }
 
+    /// Keys of all copies in the index, ascending.
     pub fn keys(&self) -> Vec<Key> {
         self.inner().index.keys()
     }
 
-    /// Milliseconds since 1970 by the store's clock.
+    /// Milliseconds since 1970 by the store's clock, which never goes back.
     pub fn now_ms(&self, wall_ms: u64) -> u64 {
         self.inner().clock.now(wall_ms)
     }
--- a/crates/store/src/store/options.rs
+++ b/crates/store/src/store/options.rs
@@ -1,13 +1,15 @@
 //! Sizes that a store is opened with.
 
+/// Sizes of a store, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Bytes on disk, everything included. At least six segments.
+    /// Limit of all files together. At least six segments.
     pub capacity: u64,
+    /// Size at which a segment is sealed.
     pub segment: u32,
-    /// Bytes of a body under one checksum.
+    /// Body bytes under one checksum; at most a quarter of a segment.
     pub block: u32,
-    /// Bytes of blocks kept in memory.
+    /// Limit of the in-memory block cache.
     pub memory: u64,
 }
 
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -2,9 +2,11 @@
 use super::*;
 
 impl Store {
-    /// Opens a folder; nothing is held before [`Store::recover`] has found it. `wall_ms`: milliseconds since 1970.
+    /// Opens a folder. A copy of the previous run is served once [`Store::recover`] has read its segment. `wall_ms`: milliseconds
+    /// since 1970.
     pub fn open(disk: Arc<dyn Disk>, options: Options, wall_ms: u64) -> Result<Self, StoreError> {
-        let (capacity, segment) = (options.capacity, options.segment);
+        let capacity = options.capacity;
+        let segment = options.segment;
         let too_small =
             capacity < 6 * u64::from(segment) || options.block == 0 || options.block > segment / 4;
         if too_small || options.block as usize > record::MAX_PAYLOAD_BYTES {
@@ -43,12 +45,12 @@
             syncing: Mutex::new(()),
             memory,
         }));
-        // The newest records tell which numbers have been used: nothing is written before one is read.
+        // Sequence numbers continue after the newest record, so nothing is written before one is read.
         while store.inner().seq == 0 && store.recover(wall_ms)? {}
         Ok(store)
     }
 
-    /// Reads one more segment of what was left by the last run; false: everything is known.
+    /// Recovers one more segment of the previous run, newest first. Returns false once recovery is complete.
     pub fn recover(&self, wall_ms: u64) -> Result<bool, StoreError> {
         let mut inner = self.inner();
         let inner = &mut *inner;
@@ -58,84 +60,81 @@
         match recovery.step(&*self.0.disk, &mut inner.index)? {
             None => inner.recovery = None,
             Some(Step::Empty(_)) => {}
-            Some(Step::RecoveredSegment(RecoveredSegment {
-                number,
-                file,
-                len,
-                invalidation_records,
-                unsummarized_records,
-                last_seq,
-            })) => {
-                inner.seq = inner.seq.max(last_seq);
-                inner.clock.advance_to(recovery.newest_ms, wall_ms);
-                // Its torn end stays: the summary says where it begins, and what had to be heeded of it.
-                if let Some(records) = unsummarized_records {
-                    self.write_summary(number, len, &records);
-                }
-                inner.segments.insert(
-                    number,
-                    Segment {
-                        file,
-                        len,
-                        synced: len,
-                        pins: 0,
-                        invalidation_records,
-                    },
-                );
-            }
-        }
-        let unrecoverable_up_to = inner
-            .recovery
-            .as_mut()
-            .and_then(Recovery::take_unrecoverable_up_to);
-        if let Some(up_to_seq) = unrecoverable_up_to {
-            inner.seq = inner.seq.max(up_to_seq);
-            let at = self.append(
-                inner,
-                &Record::Purge(Purge {
-                    up_to_seq,
-                    ..Purge::default()
-                }),
-            )?;
-            if let Some(segment) = inner.segments.get_mut(&at.segment) {
-                segment.file.sync()?;
-                segment.synced = segment.len;
+            Some(Step::RecoveredSegment(segment)) => {
+                let newest_ms = recovery.newest_ms;
+                inner.clock.advance_to(newest_ms, wall_ms);
+                self.add_recovered_segment(inner, segment);
             }
         }
+        self.write_unrecoverable_as_purged(inner)?;
         if inner.recovery.as_ref().is_some_and(Recovery::is_done) {
             inner.recovery = None;
         }
         Ok(inner.recovery.is_some())
     }
 
-    /// Reads everything that was left.
+    /// A torn end stays in the file: the summary says where it begins, and lists the purges and tombstones found behind it.
+    fn add_recovered_segment(&self, inner: &mut Inner, recovered: RecoveredSegment) {
+        inner.seq = inner.seq.max(recovered.last_seq);
+        if let Some(records) = recovered.unsummarized_records {
+            self.write_summary(recovered.number, recovered.len, &records);
+        }
+        let segment = Segment {
+            file: recovered.file,
+            len: recovered.len,
+            synced: recovered.len,
+            pins: 0,
+            invalidation_records: recovered.invalidation_records,
+        };
+        inner.segments.insert(recovered.number, segment);
+    }
+
+    /// Where recovery had to count older commits as purged, this is made durable as a purge record: the damaged segment may be
+    /// cleaned away before the next start.
+    fn write_unrecoverable_as_purged(&self, inner: &mut Inner) -> Result<(), StoreError> {
+        let recovery = inner.recovery.as_mut();
+        let Some(up_to_seq) = recovery.and_then(Recovery::take_unrecoverable_up_to) else {
+            return Ok(());
+        };
+        inner.seq = inner.seq.max(up_to_seq);
+        let purge = Purge {
+            up_to_seq,
+            ..Purge::default()
+        };
+        let at = self.append(inner, &Record::Purge(purge))?;
+        if let Some(segment) = inner.segments.get_mut(&at.segment) {
+            segment.file.sync()?;
+            segment.synced = segment.len;
+        }
+        Ok(())
+    }
+
+    /// Recovers all remaining segments.
     pub fn recover_all(&self, wall_ms: u64) -> Result<(), StoreError> {
         while self.recover(wall_ms)? {}
         Ok(())
     }
 
-    /// A summary that cannot be written costs time at the next start, and nothing else.
+    /// Writes a segment's summary beside it. A failure is only logged: the next start scans the segment instead.
     pub(super) fn write_summary(&self, number: u32, len: u32, records: &[u8]) {
-        let (name, beside) = (
-            segments::summary_name(number),
-            format!("{}.new", segments::summary_name(number)),
-        );
+        let name = segments::summary_name(number);
+        let temporary = format!("{name}.new");
         let disk = &self.0.disk;
-        let _ = disk.remove(&beside);
+        let _ = disk.remove(&temporary);
         let write = || {
-            let file = disk.create(&beside)?;
+            let file = disk.create(&temporary)?;
             file.write_at(0, &segments::summary(number, len, records))?;
             file.sync()?;
-            disk.rename(&beside, &name)?;
+            disk.rename(&temporary, &name)?;
             disk.sync_names()
         };
         if let Err(e) = write() {
-            tracing::warn!(segment = number, error = %e, "store: no summary");
-            let _ = disk.remove(&beside);
+            tracing::warn!(segment = number, error = %e, "store: segment summary not written");
+            let _ = disk.remove(&temporary);
         }
     }
 
-    /// Why things were given up at recovery, as far as that has come.
+    /// What recovery could not read so far, and therefore counts as purged; empty once recovery is complete.
     pub fn doubts(&self) -> Vec<String> {
         self.inner()
             .recovery
--- a/crates/store/src/store/space.rs
+++ b/crates/store/src/store/space.rs
@@ -1,7 +1,8 @@
-//! Room: who goes, and which segments are cleaned. Under the lock.
+//! Capacity: eviction and segment cleaning, under the lock.
 use super::*;
 
 impl Store {
+    /// Bytes of all segments, those not recovered yet included.
     pub(super) fn disk_bytes(&self, inner: &Inner) -> u64 {
         let pending = inner.recovery.as_ref().map_or(0, Recovery::pending_bytes);
         inner
@@ -12,7 +13,7 @@
             + pending
     }
 
-    /// Makes room for so many bytes more of a copy of this rank.
+    /// Evicts and cleans until `need` more bytes of a copy of this rank fit.
     pub(super) fn ensure_capacity(
         &self,
         inner: &mut Inner,
@@ -32,7 +33,7 @@
             inner.stats.evicted += 1;
             self.write_tombstone(inner, key, seq);
         }
-        // Early, and in small parts: nobody waits for a whole segment.
+        // Cleaning starts early and in small steps, so that no write waits for a whole segment.
         if self.disk_bytes(inner) + need + segment > space {
             self.clean(inner, MAX_CLEANED_BYTES_PER_WRITTEN_BYTE * need)?;
         }
@@ -40,7 +41,7 @@
         while self.disk_bytes(inner) + need > space {
             let more = self.clean(inner, segment)?;
             moved += more;
-            // A whole turn without room: what is there cannot be made smaller.
+            // A whole pass freed nothing: the log cannot be made smaller.
             if more == 0 || moved > 2 * self.0.options.capacity {
                 return Err(StoreError::NoRoom);
             }
@@ -48,6 +49,7 @@
         Ok(())
     }
 
+    /// Cleans segments until `most` bytes were moved or freed, or no segment is worth it. Returns the bytes moved or freed.
     pub(super) fn clean(&self, inner: &mut Inner, most: u64) -> Result<u64, StoreError> {
         let mut moved = 0;
         while moved < most && inner.recovery.is_none() {
@@ -58,7 +60,7 @@
             match inner.index.any_key_in(victim) {
                 Some(key) => moved += self.move_out(inner, key, victim)?,
                 None => {
-                    // The file itself counts, so that a caller who needs room goes on.
+                    // The freed file counts as progress, so that a caller in need of capacity continues.
                     moved += inner.segments.get(&victim).map_or(0, |s| u64::from(s.len));
                     inner.victim = None;
                     self.finish(inner, victim)?;
@@ -68,15 +70,15 @@
         Ok(moved)
     }
 
-    /// The emptiest segment that nobody writes to; of equals the oldest.
+    /// The segment with the lowest fraction of live bytes that is neither active nor pinned; the oldest of equals.
     pub(super) fn choose_victim(&self, inner: &Inner) -> Option<u32> {
         let fit = inner
             .segments
             .iter()
             .filter(|(n, s)| inner.active != Some(**n) && s.pins == 0);
         let dense = |n: u32, s: &Segment| inner.index.live_in(n) as f64 / f64::from(s.len.max(1));
-        // Purges and evictions are carried on until nothing older is left that they could strike: too many of them, and the log is
-        // turned over from its oldest end.
+        // Purges and tombstones are rewritten until no older segment is left. If there are too many, the oldest segment is rewritten
+        // first, since they end with it.
         let invalidation_records: usize = inner
             .segments
             .values()
@@ -92,7 +94,7 @@
             .map(|(_, n)| n)
     }
 
-    /// Writes anew what a copy has in a segment. Bytes moved.
+    /// Rewrites the blocks that a copy has in the segment, and its commit. Returns the bytes moved.
     pub(super) fn move_out(
         &self,
         inner: &mut Inner,
@@ -109,7 +111,9 @@
         let (segment, offset, len) = entry.commit;
         let commit =
             read(inner, segment, offset, len).and_then(|bytes| Commit::decode(&bytes[..]).ok());
-        let (mut locations, mut moved, mut right) = (entry.locations.to_vec(), 0, true);
+        let mut locations = entry.locations.to_vec();
+        let mut moved = 0;
+        let mut right = true;
         for location in locations.iter_mut().filter(|p| p.segment == victim) {
             let Some(block) = read(
                 inner,
@@ -131,11 +135,11 @@
                 self.write_tombstone(inner, key, entry.seq);
             }
         }
-        // At least something, so that a caller's loop ends.
+        // Never 0, so that the caller's loop ends.
         Ok(moved + u64::from(len))
     }
 
-    /// A segment in which nothing lives any more: what older ones need of it goes on, then it is removed.
+    /// Removes a segment without live copies. Its purges and tombstones are written anew and synced first if older segments remain.
     pub(super) fn finish(&self, inner: &mut Inner, victim: u32) -> Result<(), StoreError> {
         self.write_deferred_records(inner)?;
         let oldest = inner
@@ -159,7 +163,7 @@
             .filter(|n| *n != victim)
             .collect();
         let at = self.append(inner, &Record::Manifest(Manifest { segments: needed }))?;
-        // What was moved must be there before its old place goes.
+        // The moved records must be durable before the segment is removed.
         let Some(segment) = inner.segments.get_mut(&at.segment) else {
             return Ok(());
         };
@@ -172,7 +176,7 @@
         Ok(())
     }
 
-    /// The oldest segment goes, with all that is in it: room for what must be written.
+    /// Evicts all copies of the oldest segment and removes it, to free disk space for a purge. False: not possible.
     pub(super) fn evict_oldest_segment(&self, inner: &mut Inner) -> bool {
         let oldest = inner
             .segments
@@ -194,6 +198,7 @@
         self.remove_segment(inner, number)
     }
 
+    /// Removes a segment's files. False: the file could not be removed and the segment stays.
     pub(super) fn remove_segment(&self, inner: &mut Inner, number: u32) -> bool {
         if self.0.disk.remove(&segments::segment_name(number)).is_err() {
             return false;
@@ -204,7 +209,7 @@
         true
     }
 
-    /// Moves up to so many bytes out of segments that are mostly dead. What was moved; 0: nothing is worth it.
+    /// Cleans segments, moving or freeing about `bytes`. Returns the bytes moved or freed; 0: no segment is worth it.
     pub fn maintain(&self, bytes: u64) -> Result<u64, StoreError> {
         let mut inner = self.inner();
         self.clean(&mut inner, bytes)
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -1,14 +1,14 @@
-//! Writing, under the lock: records into the active segment, its end, syncs and what is not trusted after a failed one.
+//! The write path, under the lock: records into the active segment, sealing it, fsync, and discarding what a failed fsync may have lost.
 use super::*;
 
 impl Store {
+    /// Writes a record and keeps purges and tombstones in memory, for when the segment is cleaned.
     pub(super) fn append(
         &self,
         inner: &mut Inner,
         log_record: &Record,
     ) -> Result<BlockLocation, StoreError> {
-        let (kind, payload) = (log_record.kind(), log_record.payload());
-        let location = self.write(inner, kind, &payload)?;
+        let location = self.write(inner, log_record.kind(), &log_record.payload())?;
         if let Record::Purge(_) | Record::Tombstone(_) = log_record {
             if let Some(segment) = inner.segments.get_mut(&location.segment) {
                 segment
@@ -19,6 +19,7 @@
         Ok(location)
     }
 
+    /// Writes a record to the active segment, or to a new one if it is full.
     pub(super) fn write(
         &self,
         inner: &mut Inner,
@@ -44,6 +45,7 @@
         self.put(inner, number, kind, payload)
     }
 
+    /// Writes a record at the end of a segment. After an error the segment ends where it did before.
     pub(super) fn put(
         &self,
         inner: &mut Inner,
@@ -58,9 +60,9 @@
         };
         let offset = segment.len;
         if let Err(e) = segment.file.write_at(u64::from(offset), &bytes) {
-            // What was written of it must not stand before what comes next.
+            // A partial record must not precede the next one.
             if let Err(again) = segment.file.truncate(u64::from(offset)) {
-                tracing::error!(segment = number, error = %again, "store: a failed write cannot be taken back yet");
+                tracing::error!(segment = number, error = %again, "store: truncation after a failed write failed; retried at the next write");
                 inner.pending_truncations.push(PendingTruncation {
                     segment: number,
                     at: offset,
@@ -84,6 +86,7 @@
         })
     }
 
+    /// Creates a segment, makes it the active one and begins it with a manifest of the older segments.
     pub(super) fn create(&self, inner: &mut Inner) -> Result<u32, StoreError> {
         let number = inner.next_segment;
         let name = segments::segment_name(number);
@@ -113,13 +116,15 @@
                 invalidation_records: Vec::new(),
             },
         );
-        (inner.active, inner.records, inner.record_ends) = (Some(number), Vec::new(), Vec::new());
+        inner.active = Some(number);
+        inner.records = Vec::new();
+        inner.record_ends = Vec::new();
         let roster = Record::Manifest(Manifest { segments: needed });
         self.put(inner, number, Kind::Manifest, &roster.payload())?;
         Ok(number)
     }
 
-    /// Nothing more is written to the active segment.
+    /// Syncs the active segment, writes its summary and ends it: the next record goes into a new segment.
     pub(super) fn seal(&self, inner: &mut Inner) -> Result<(), StoreError> {
         let Some(number) = inner.active else {
             return Ok(());
@@ -182,7 +187,8 @@
         }
     }
 
-    /// Takes back what could not be taken back so far: what was written of it must not stand before what comes next.
+    /// Retries the truncations that failed. Until all have succeeded nothing is written, since a partial record must not precede the
+    /// next one.
     fn retry_truncations(&self, inner: &mut Inner) -> Result<(), StoreError> {
         while let Some(PendingTruncation {
             segment: number,
@@ -190,7 +196,7 @@
             records,
         }) = inner.pending_truncations.pop()
         {
-            // Cleaned meanwhile: its file is gone with its end.
+            // Cleaned meanwhile: the file was removed.
             let Some(segment) = inner.segments.get(&number) else {
                 continue;
             };
@@ -211,12 +217,13 @@
         Ok(())
     }
 
+    /// Returns once the segment is durable up to the offset `upto`; concurrent callers share an fsync.
     pub(super) fn sync_upto(&self, number: u32, upto: u32) -> Result<(), StoreError> {
         let _one = lock(&self.0.syncing);
         let (file, len) = {
             let inner = self.inner();
             match inner.segments.get(&number) {
-                // Somebody else's sync, or its sealing, has covered it.
+                // Covered by another caller's fsync, or by sealing.
                 Some(segment) if segment.synced >= upto => return Ok(()),
                 Some(segment) if segment.len >= upto => (segment.file.clone(), segment.len),
                 Some(_) => {
@@ -224,7 +231,7 @@
                         "a sync before it has failed",
                     )))
                 }
-                // Cleaned meanwhile: what mattered of it was synced elsewhere before it was removed.
+                // Cleaned meanwhile: its live records were synced elsewhere before it was removed.
                 None => return Ok(()),
             }
         };
@@ -248,6 +255,7 @@
         }
     }
 
+    /// Writes a commit record and replaces the copy in the index.
     pub(super) fn commit(
         &self,
         inner: &mut Inner,
@@ -264,10 +272,7 @@
         };
         let key = meta.key();
         let record = (at.segment, at.offset, at.len + RECORD_HEADER_BYTES as u32);
-        let (born, fresh, rank) = (meta.born_ms, meta.fresh_until_ms, meta.rank);
-        let entry = Entry::new(
-            meta.group, meta.size, born, fresh, rank, inner.seq, record, locations,
-        );
+        let entry = Entry::new(&meta, inner.seq, record, locations);
         inner.index.insert(key, entry, false);
         Ok(())
     }
