--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -1,6 +1,6 @@
 //! Consistency check of a store folder. It only reads, so it may run while another process writes.
 use crate::disk::Disk;
-use crate::index::{Entry, Index};
+use crate::index::{Entry, Index, RecordLocation};
 use crate::record::{BlockLocation, Commit, Key, Meta, Record, RECORD_HEADER_BYTES};
 use crate::recover::{read_all, Recovery};
 use crate::segments::{self, LocatedRecord};
@@ -88,7 +88,7 @@
         ));
     }
     for located in &scan.located {
-        match located.log_record {
+        match located.record {
             Record::Commit(_) => report.commits += 1,
             Record::Purge(_) => report.purges += 1,
             _ => {}
@@ -127,7 +127,11 @@
     blocks: bool,
     report: &mut Report,
 ) -> Result<()> {
-    let (segment, offset, len) = entry.commit;
+    let RecordLocation {
+        segment,
+        offset,
+        len,
+    } = entry.commit;
     let record = read_at(disk, segment, offset, len)?;
     let commit: Option<Commit> = prost::Message::decode(&record[RECORD_HEADER_BYTES..]).ok();
     let Some(meta) = commit.and_then(|commit| commit.meta) else {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,48 +1,55 @@
-//! What the store asks of a file system, and the machine's own.
+//! File system operations that the store needs, and their implementation on a local folder.
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Result};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A folder of files. Every method may fail; what a failed one has done is unknown.
+/// A folder of files. Every method may fail; the effect of a failed one is unknown.
 pub trait Disk: Send + Sync {
+    /// Names of all files.
     fn list(&self) -> Result<Vec<String>>;
     /// A new file; an error if there is one of that name.
     fn create(&self, name: &str) -> Result<Arc<dyn DiskFile>>;
+    /// An existing file, for reading and, unless the folder was opened read-only, writing.
     fn open(&self, name: &str) -> Result<Arc<dyn DiskFile>>;
+    /// Removes a file; an error if there is none.
     fn remove(&self, name: &str) -> Result<()>;
-    /// Replaces what was there.
+    /// Renames a file, replacing one of the new name.
     fn rename(&self, from: &str, to: &str) -> Result<()>;
-    /// Names are durable after this.
+    /// Makes created, removed and renamed names durable.
     fn sync_names(&self) -> Result<()>;
 }
 
+/// An open file of a [`Disk`]. It stays readable after its name was removed.
 pub trait DiskFile: Send + Sync {
+    /// Writes all bytes, extending the file if needed.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()>;
     /// Fills the buffer or fails.
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()>;
+    /// Length in bytes.
     fn len(&self) -> Result<u64>;
-    /// Content is durable after this.
+    /// Makes the content durable (fsync).
     fn sync(&self) -> Result<()>;
-    /// What stands behind `len` is gone.
+    /// Cuts the file to `len` bytes.
     fn truncate(&self, len: u64) -> Result<()>;
 
+    /// Whether the length is 0.
     fn is_empty(&self) -> Result<bool> {
         Ok(self.len()? == 0)
     }
 }
 
-/// A folder of the machine, locked for as long as this lives.
+/// A folder of the local file system; the lock is released when this is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// None: looked at without a lock, for reading only.
+    /// None: opened read-only, without a lock.
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// Makes the folder where there is none. An error if another process has it.
+    /// Opens the folder for writing and creates it if needed. An error if another process holds the lock.
     pub fn lock(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -62,7 +69,7 @@
         })
     }
 
-    /// To look at only, also while another process has it.
+    /// Opens the folder read-only, also while another process holds the lock.
     pub fn look(path: &Path) -> Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self {
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,16 +1,17 @@
-//! From records to the index, newest segment first, so that what is found can be served while older ones are still to be read:
-//! everything that could strike it has been read before it.
+//! Recovery: from records to the index, newest segment first. A recovered copy can be served while older segments are still to be
+//! read, because every record that could invalidate it has been read before it.
 use crate::disk::{Disk, DiskFile};
-use crate::index::{Entry, Index};
+use crate::index::{Entry, Index, RecordLocation};
 use crate::record::{Commit, Key, Purge, Record, Tombstone};
 use crate::segments::{self, LocatedRecord};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::io::Result;
 use std::sync::Arc;
 
-/// What purges and evictions strike: commits numbered up to so much.
+/// Purges and tombstones read so far, as the highest sequence number that each invalidates. Dropped when recovery is complete.
 #[derive(Debug, Default)]
 pub struct Invalidations {
+    /// Highest sequence number that a purge of everything invalidates.
     pub all: u64,
     objects: HashMap<u128, u64>,
     groups: HashMap<u64, u64>,
@@ -18,20 +19,23 @@
 }
 
 impl Invalidations {
-    pub fn add_purge(&mut self, p: &Purge) {
-        let up_to_seq = match (p.of_object, p.of_group) {
-            (true, _) => self.objects.entry(p.object()).or_default(),
-            (_, true) => self.groups.entry(p.group).or_default(),
+    /// Adds a purge.
+    pub fn add_purge(&mut self, purge: &Purge) {
+        let up_to_seq = match (purge.of_object, purge.of_group) {
+            (true, _) => self.objects.entry(purge.object()).or_default(),
+            (_, true) => self.groups.entry(purge.group).or_default(),
             _ => &mut self.all,
         };
-        *up_to_seq = p.up_to_seq.max(*up_to_seq);
+        *up_to_seq = purge.up_to_seq.max(*up_to_seq);
     }
 
-    pub fn add_tombstone(&mut self, g: &Tombstone) {
-        let up_to_seq = self.keys.entry(g.key()).or_default();
-        *up_to_seq = g.up_to_seq.max(*up_to_seq);
+    /// Adds a tombstone.
+    pub fn add_tombstone(&mut self, tombstone: &Tombstone) {
+        let up_to_seq = self.keys.entry(tombstone.key()).or_default();
+        *up_to_seq = tombstone.up_to_seq.max(*up_to_seq);
     }
 
+    /// Whether a commit of the copy with the sequence number `seq` is invalidated.
     pub fn covers(&self, key: &Key, group: u64, seq: u64) -> bool {
         let of = |found: Option<&u64>| found.is_some_and(|up_to_seq| seq <= *up_to_seq);
         seq <= self.all
@@ -41,15 +45,19 @@
     }
 }
 
-/// A segment as recovery leaves it.
+/// A recovered segment.
 pub struct RecoveredSegment {
+    /// Number of the segment.
     pub number: u32,
+    /// Its file, open.
     pub file: Arc<dyn DiskFile>,
+    /// End of its last intact record.
     pub len: u32,
-    /// Purges and evictions that older segments may still need, with where they stand.
+    /// Its purges and tombstones with their offsets, ascending.
     pub invalidation_records: Vec<(u32, Record)>,
-    /// Not summed up yet: its records.
+    /// Records for its summary, if that is still to be written.
     pub unsummarized_records: Option<Vec<u8>>,
+    /// Its highest sequence number.
     pub last_seq: u64,
 }
 
@@ -61,34 +69,39 @@
     unsummarized_records: Option<Vec<u8>>,
 }
 
-/// What became of one segment.
+/// Outcome of one step of recovery.
 pub enum Step {
-    RecoveredSegment(RecoveredSegment),
-    /// Begun and never written: removed.
+    /// A segment was read.
+    Recovered(RecoveredSegment),
+    /// The newest segment was created but not written; it was removed.
     Empty(u32),
 }
 
+/// Progress of recovery over the segments of a folder.
 pub struct Recovery {
-    /// Still to be read, the next one last.
+    /// Segments still to be read, the next one last.
     pending: Vec<u32>,
     newest: u32,
     lens: BTreeMap<u32, u64>,
-    /// Keys of which a newer commit was found, invalidations or not.
+    /// Keys of which a newer commit was read, invalidated or not.
     newer_keys: HashSet<Key>,
+    /// Applies to every commit that is still to be read.
     pub invalidations: Invalidations,
-    /// By the newest roster: who must be there.
+    /// Segments that the newest manifest names and that have not been read yet.
     needed: Option<BTreeSet<u32>>,
-    /// What had to be given up because it could not be known, for people.
+    /// Why older copies had to be counted as purged, for operators.
     pub doubts: Vec<String>,
-    /// Commits up to this number count as purged for it: to be written down, or what is in doubt would come back once the segment that
-    /// raised it is cleaned away.
+    /// Commits up to this sequence number count as purged because of damage. Owed as a durable purge record: the damaged segment may
+    /// be cleaned away before the next start.
     unrecoverable_up_to: Option<u64>,
-    /// The lowest number in what was read so far.
+    /// Lowest sequence number read so far.
     lowest: Option<u64>,
+    /// Latest commit time read so far.
     pub newest_ms: u64,
 }
 
 impl Recovery {
+    /// Lists the segments of a folder; reads none yet.
     pub fn new(disk: &dyn Disk) -> Result<Self> {
         let mut pending: Vec<u32> = disk
             .list()?
@@ -115,19 +128,22 @@
         })
     }
 
+    /// Number of the newest segment; 0: none.
     pub fn newest(&self) -> u32 {
         self.newest
     }
 
+    /// Whether all segments have been read.
     pub fn is_done(&self) -> bool {
         self.pending.is_empty()
     }
 
+    /// Bytes of the segments still to be read.
     pub fn pending_bytes(&self) -> u64 {
         self.pending.iter().filter_map(|n| self.lens.get(n)).sum()
     }
 
-    /// `last`: the highest number in the segment in doubt.
+    /// Counts all commits older than those read so far as purged. `last`: highest sequence number of the damaged segment.
     fn invalidate_older(&mut self, why: String, last: u64) {
         tracing::warn!(why, "store: what is older counts as purged");
         self.doubts.push(why);
@@ -136,22 +152,22 @@
         self.unrecoverable_up_to = Some(up_to_seq.max(self.unrecoverable_up_to.unwrap_or(0)));
     }
 
-    /// What has to be written down before anything else.
+    /// The sequence number up to which a purge record has to be written before anything else.
     pub fn take_unrecoverable_up_to(&mut self) -> Option<u64> {
         self.unrecoverable_up_to.take()
     }
 
-    /// Numbers of segments that are still to be read.
+    /// Numbers of the segments still to be read.
     pub fn pending(&self) -> Vec<u32> {
         self.pending.clone()
     }
 
-    /// Reads the next segment into the index and changes nothing on the disk; false: there is none.
+    /// Reads the next segment into the index without changing the disk; false: there is none.
     pub fn peek(&mut self, disk: &dyn Disk, index: &mut Index) -> Result<bool> {
         Ok(self.read(disk, index, false)?.is_some())
     }
 
-    /// Reads the next segment into the index.
+    /// Reads the next segment into the index; none: all have been read.
     pub fn step(&mut self, disk: &dyn Disk, index: &mut Index) -> Result<Option<Step>> {
         self.read(disk, index, true)
     }
@@ -176,7 +192,7 @@
         if let Some(needed) = &mut self.needed {
             needed.remove(&number);
         }
-        Ok(Some(Step::RecoveredSegment(RecoveredSegment {
+        Ok(Some(Step::Recovered(RecoveredSegment {
             number,
             file,
             len: contents.len,
@@ -247,7 +263,7 @@
         }))
     }
 
-    /// Records of a segment, the last one first.
+    /// Applies the records of a segment, the last one first, and returns its purges and tombstones.
     fn take(
         &mut self,
         number: u32,
@@ -259,18 +275,18 @@
             seq,
             offset,
             len,
-            log_record,
+            record,
         } in located.into_iter().rev()
         {
-            match &log_record {
+            match &record {
                 Record::Commit(commit) => self.commit(number, seq, (offset, len), commit, index),
                 Record::Purge(p) => {
                     self.invalidations.add_purge(p);
-                    invalidation_records.push((offset, log_record));
+                    invalidation_records.push((offset, record));
                 }
                 Record::Tombstone(g) => {
                     self.invalidations.add_tombstone(g);
-                    invalidation_records.push((offset, log_record));
+                    invalidation_records.push((offset, record));
                 }
                 Record::Manifest(r) => {
                     self.needed
@@ -293,7 +309,7 @@
         let Some(meta) = &commit.meta else { return };
         let key = meta.key();
         self.newest_ms = self.newest_ms.max(meta.stored_ms);
-        // Whatever stands in the index by now is newer: found before, or made meanwhile.
+        // A copy in the index is newer: recovered before, or committed meanwhile.
         if !self.newer_keys.insert(key) || index.get(&key).is_some() {
             return;
         }
@@ -305,7 +321,11 @@
         if self.invalidations.covers(&key, meta.group, seq) || !commit.locations.iter().all(there) {
             return;
         }
-        let record = (number, at.0, at.1);
+        let record = RecordLocation {
+            segment: number,
+            offset: at.0,
+            len: at.1,
+        };
         let entry = Entry::new(meta, seq, record, commit.locations.clone());
         index.insert(key, entry, true);
     }
--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -1,4 +1,4 @@
-//! Names of files, heads of segments, and summaries.
+//! Files of the log: names, headers, scans and summaries of segments.
 //!
 //! A segment's file begins with 24 bytes: `PSPNSEG1`, its number (8), CRC-32 of both (4), 0 (4); records follow. When it is full, its
 //! summary is written beside it: 24 bytes as above with `PSPNSUM1` and the length of the segment in place of the 0s' half (see
@@ -62,7 +62,7 @@
     /// Offset within the segment.
     pub offset: u32,
     pub len: u32,
-    pub log_record: Record,
+    pub record: Record,
 }
 
 /// Reads a summary: the segment's length and its records, in their order.
@@ -78,21 +78,22 @@
     let mut located = Vec::new();
     let mut rest = &body[SEGMENT_HEADER_BYTES..];
     while !rest.is_empty() {
-        let (offset, record) = rest.split_at_checked(4)?;
+        let (offset, encoded) = rest.split_at_checked(4)?;
         let offset = u32::from_le_bytes(offset.try_into().ok()?);
-        let head = record::decode_header(number, record)?;
-        let payload = record.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + head.len as usize)?;
-        if crc32fast::hash(payload) != head.crc {
+        let header = record::decode_header(number, encoded)?;
+        let payload =
+            encoded.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + header.len as usize)?;
+        if crc32fast::hash(payload) != header.crc {
             return None;
         }
-        let log_record = Record::read(head.kind, payload)?;
+        let record = Record::read(header.kind, payload)?;
         located.push(LocatedRecord {
-            seq: head.seq,
+            seq: header.seq,
             offset,
-            len: RECORD_HEADER_BYTES as u32 + head.len,
-            log_record,
+            len: RECORD_HEADER_BYTES as u32 + header.len,
+            record,
         });
-        rest = &record[RECORD_HEADER_BYTES + head.len as usize..];
+        rest = &encoded[RECORD_HEADER_BYTES + header.len as usize..];
     }
     Some((len, located))
 }
@@ -173,7 +174,7 @@
     if header.kind == Kind::Block {
         return Ok(Some(header));
     }
-    let Some(log_record) = Record::read(header.kind, payload) else {
+    let Some(record) = Record::read(header.kind, payload) else {
         return Ok(None);
     };
     let offset = at as u32;
@@ -181,7 +182,7 @@
         seq: header.seq,
         offset,
         len: RECORD_HEADER_BYTES as u32 + header.len,
-        log_record,
+        record,
     });
     found.records.extend_from_slice(&offset.to_le_bytes());
     found.records.extend_from_slice(&head);
@@ -209,8 +210,8 @@
         let payload = rest
             .get(at + RECORD_HEADER_BYTES..end)
             .filter(|p| crc32fast::hash(p) == h.crc);
-        let log_record = payload.and_then(|p| Record::read(h.kind, p));
-        if let Some(log_record @ (Record::Purge(_) | Record::Tombstone(_))) = log_record {
+        let record = payload.and_then(|p| Record::read(h.kind, p));
+        if let Some(record @ (Record::Purge(_) | Record::Tombstone(_))) = record {
             let offset = (from as usize + at) as u32;
             found.records.extend_from_slice(&offset.to_le_bytes());
             found.records.extend_from_slice(&rest[at..end]);
@@ -218,7 +219,7 @@
                 seq: h.seq,
                 offset,
                 len: (end - at) as u32,
-                log_record,
+                record,
             });
         }
         found.last_seq = found.last_seq.max(h.seq);
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,14 +1,14 @@
-//! A disk in memory that loses power on demand: what was not synced is lost in part and in any order, as a real one may.
+//! An in-memory disk with fault injection. After a power loss unsynced writes are lost in part and in any order, as on a real disk.
 //!
-//! Writes are kept in pieces of [`PAGE`] bytes until they are synced; a crash keeps each of them or not. Names are kept in the order in
-//! which they were made, up to some point. Faults: power lost at the nth operation from now (in the middle of a write, too), no capacity, a sync
-//! that fails, and flipped bits.
+//! Unsynced writes are tracked in pages of [`PAGE`] bytes; a crash keeps or loses each of them independently. Of the unsynced name
+//! changes a crash keeps a prefix. Faults: power loss at the nth operation (also in the middle of a write), a full disk, failing fsyncs
+//! and truncations, and flipped bits.
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What is written, or not, as a whole.
+/// Bytes that are written atomically.
 pub const PAGE: usize = 512;
 
 #[derive(Clone, Debug, Default)]
@@ -36,18 +36,18 @@
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     name_changes: Vec<NameChange>,
-    /// Operations until power is lost; none: it is not.
+    /// Modifying operations until the injected power loss.
     operations_until_power_loss: Option<u64>,
-    /// Bytes that all files may hold together.
+    /// Limit of the bytes of all files.
     capacity: Option<usize>,
-    /// Syncs that fail.
+    /// Fsyncs still to fail.
     bad_syncs: u32,
-    /// Truncations that fail.
+    /// Truncations still to fail.
     bad_truncates: u32,
     dead: bool,
 }
 
-/// Clones are the same disk.
+/// Handle of a simulated disk; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
@@ -76,28 +76,32 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Power is lost at the nth operation that changes something, from now.
+    /// Injects a power loss at the nth modifying operation from now.
     pub fn lose_power_in(&self, operations: u64) {
         self.lock().operations_until_power_loss = Some(operations);
     }
 
+    /// Whether power was lost.
     pub fn is_dead(&self) -> bool {
         self.lock().dead
     }
 
+    /// Limits the bytes of all files; none: unlimited.
     pub fn capacity(&self, bytes: Option<usize>) {
         self.lock().capacity = bytes;
     }
 
+    /// Lets the next `count` fsyncs fail.
     pub fn fail_syncs(&self, count: u32) {
         self.lock().bad_syncs = count;
     }
 
+    /// Lets the next `count` truncations fail.
     pub fn fail_truncates(&self, count: u32) {
         self.lock().bad_truncates = count;
     }
 
-    /// Flips a bit of a file, as it is and as it was synced.
+    /// Flips a bit of a file, in its current and its durable content. False: no such byte.
     pub fn flip(&self, name: &str, offset: usize) -> bool {
         let mut state = self.lock();
         let Some(file) = state.names.get(name).copied() else {
@@ -114,6 +118,7 @@
         done
     }
 
+    /// Length of a file; 0: there is none.
     pub fn len_of(&self, name: &str) -> usize {
         let state = self.lock();
         state
@@ -122,7 +127,7 @@
             .map_or(0, |f| state.files[*f].now.len())
     }
 
-    /// What is there after the crash; `keep` says of each thing that was not synced whether it is.
+    /// The disk as found after a crash; `keep` decides for each unsynced page or name change whether it survived.
     pub fn after_crash(&self, mut keep: impl FnMut() -> bool) -> Self {
         let state = self.lock();
         let mut names = state.durable_names.clone();
@@ -162,7 +167,7 @@
 }
 
 impl State {
-    /// Before each operation: false when power is lost now.
+    /// Called before each modifying operation; an error once power is lost.
     fn live(&mut self) -> Result<()> {
         if self.dead {
             return Err(power_lost());
@@ -246,7 +251,7 @@
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()> {
         let mut state = self.0.lock();
         let alive = state.live();
-        // Power lost in the middle of a write: some pages of it may have gone out.
+        // Power loss in the middle of a write: some of its pages may reach the disk.
         let offset = offset as usize;
         if alive.is_ok() {
             let used: usize = state
@@ -269,7 +274,7 @@
         content.now[offset..offset + bytes.len()].copy_from_slice(bytes);
         let mut at = 0;
         while at < bytes.len() {
-            // Pages stand where a disk has them, not where a write begins.
+            // Pages are aligned to the file, not to the write.
             let end = ((offset + at) / PAGE + 1) * PAGE - offset;
             let end = end.min(bytes.len());
             content.dirty.push((offset + at, bytes[at..end].to_vec()));
@@ -301,7 +306,7 @@
         state.live()?;
         if state.bad_syncs > 0 {
             state.bad_syncs -= 1;
-            // As kernels do: what could not be written is forgotten, and the next sync says nothing of it.
+            // As kernels do: dirty pages are dropped, and the next fsync succeeds.
             let content = &mut state.files[self.1];
             let lost: Vec<(usize, Vec<u8>)> = content.dirty.drain(..).collect();
             for (n, (offset, page)) in lost.into_iter().enumerate() {
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -1,6 +1,11 @@
 //! Fills: writing a new copy.
 use super::*;
 
+/// Estimated length of a commit record without its blocks.
+const COMMIT_BYTES: u64 = 1_024;
+/// Estimated length of each block's location in a commit record.
+const COMMIT_BYTES_PER_BLOCK: u64 = 32;
+
 /// A copy that is being written. Its blocks are pinned, and purges are remembered for it, until it is committed or dropped; dropped
 /// before the commit, it leaves no trace but dead blocks.
 pub struct Fill {
@@ -91,37 +96,9 @@
         if self.over {
             return Err(StoreError::NoRoom);
         }
-        let told = self.meta.size;
-        if told != 0 && told != self.size {
-            return Err(StoreError::Short {
-                told,
-                got: self.size,
-            });
-        }
-        let key = self.meta.key();
-        let invalidated = inner.purges.iter().any(|(seq, p)| {
-            *seq >= self.begun
-                && match (p.of_object, p.of_group) {
-                    (true, _) => p.object() == key.object,
-                    (_, true) => p.group == self.meta.group,
-                    _ => true,
-                }
-        });
-        if invalidated {
-            return Err(StoreError::Purged);
-        }
-        // A failed fsync may have discarded some of its blocks.
-        let there = |p: &BlockLocation| {
-            inner
-                .segments
-                .get(&p.segment)
-                .is_some_and(|s| p.offset + p.len + RECORD_HEADER_BYTES as u32 <= s.len)
-        };
-        if !self.locations.iter().all(there) {
-            return Err(StoreError::Disk(std::io::Error::other(
-                "a sync failed while it was filled",
-            )));
-        }
+        self.check_complete()?;
+        self.check_not_purged(&inner)?;
+        self.check_blocks_present(&inner)?;
         let stored_ms = inner.clock.now(wall_ms);
         let meta = Meta {
             size: self.size,
@@ -129,9 +106,50 @@
             ..std::mem::take(&mut self.meta)
         };
         let locations = self.locations.clone();
-        store.ensure_capacity(&mut inner, 1_024 + 32 * locations.len() as u64, meta.rank)?;
+        let commit_bytes = COMMIT_BYTES + COMMIT_BYTES_PER_BLOCK * locations.len() as u64;
+        store.ensure_capacity(&mut inner, commit_bytes, meta.rank)?;
         store.commit(&mut inner, meta, locations)
     }
+
+    fn check_complete(&self) -> Result<(), StoreError> {
+        let declared = self.meta.size;
+        if declared != 0 && declared != self.size {
+            return Err(StoreError::Short {
+                told: declared,
+                got: self.size,
+            });
+        }
+        Ok(())
+    }
+
+    fn check_not_purged(&self, inner: &Inner) -> Result<(), StoreError> {
+        let object = self.meta.key().object;
+        let covers = |purge: &Purge| match (purge.of_object, purge.of_group) {
+            (true, _) => purge.object() == object,
+            (_, true) => purge.group == self.meta.group,
+            _ => true,
+        };
+        let mut purges = inner.purges.iter();
+        if purges.any(|(seq, purge)| *seq >= self.begun && covers(purge)) {
+            return Err(StoreError::Purged);
+        }
+        Ok(())
+    }
+
+    /// A failed fsync may have discarded some of the blocks.
+    fn check_blocks_present(&self, inner: &Inner) -> Result<(), StoreError> {
+        let is_present = |location: &BlockLocation| {
+            let end = location.offset + location.len + RECORD_HEADER_BYTES as u32;
+            let segment = inner.segments.get(&location.segment);
+            segment.is_some_and(|segment| end <= segment.len)
+        };
+        if self.locations.iter().all(is_present) {
+            return Ok(());
+        }
+        Err(StoreError::Disk(std::io::Error::other(
+            "a sync failed while it was filled",
+        )))
+    }
 }
 
 impl Drop for Fill {
--- a/crates/store/src/store/found.rs
+++ b/crates/store/src/store/found.rs
@@ -79,7 +79,7 @@
                 .locations
                 .iter()
                 .map(|p| p.segment)
-                .chain([entry.commit.0]);
+                .chain([entry.commit.segment]);
             let file = |n: u32| Some((n, inner.segments.get(&n)?.file.clone()));
             let files: Option<BTreeMap<u32, Arc<dyn DiskFile>>> = wanted.map(file).collect();
             if files.is_none() && inner.recovery.is_some() {
@@ -89,8 +89,8 @@
             (entry, files)
         };
         let found = files.and_then(|files| {
-            let (segment, offset, len) = entry.commit;
-            let commit = read_record(&**files.get(&segment)?, segment, offset, len)?;
+            let file = files.get(&entry.commit.segment)?;
+            let commit = read_record(&**file, entry.commit)?;
             let meta = Commit::decode(&commit[..])
                 .ok()?
                 .meta
@@ -146,15 +146,11 @@
 }
 
 /// A record's payload, if header and checksum are intact.
-pub(super) fn read_record(
-    file: &dyn DiskFile,
-    segment: u32,
-    offset: u32,
-    len: u32,
-) -> Option<Vec<u8>> {
-    let mut bytes = vec![0; len as usize];
-    file.read_at(u64::from(offset), &mut bytes).ok()?;
-    let head = record::decode_header(segment, &bytes)?;
+pub(super) fn read_record(file: &dyn DiskFile, location: RecordLocation) -> Option<Vec<u8>> {
+    let mut bytes = vec![0; location.len as usize];
+    file.read_at(u64::from(location.offset), &mut bytes).ok()?;
+    let header = record::decode_header(location.segment, &bytes)?;
     let payload = bytes.split_off(RECORD_HEADER_BYTES);
-    (head.len as usize == payload.len() && crc32fast::hash(&payload) == head.crc).then_some(payload)
+    let is_intact = header.len as usize == payload.len() && crc32fast::hash(&payload) == header.crc;
+    is_intact.then_some(payload)
 }
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -23,7 +23,7 @@
 use found::read_record;
 
 use crate::disk::{Disk, DiskFile};
-use crate::index::{Entry, Index};
+use crate::index::{Entry, Index, RecordLocation};
 use crate::record::{
     self, BlockLocation, Commit, Key, Kind, Manifest, Meta, Purge, Record, Tombstone,
     RECORD_HEADER_BYTES,
--- a/crates/store/src/store/purge.rs
+++ b/crates/store/src/store/purge.rs
@@ -42,14 +42,14 @@
         inner: &mut Inner,
         purge: Purge,
     ) -> Result<BlockLocation, StoreError> {
-        let log_record = Record::Purge(purge);
-        let first = self.append(inner, &log_record);
+        let record = Record::Purge(purge);
+        let first = self.append(inner, &record);
         if matches!(first, Err(StoreError::Disk(_))) {
             self.evict_oldest_segment(inner);
         }
-        let second = self.append(inner, &log_record);
+        let second = self.append(inner, &record);
         if second.is_err() {
-            inner.deferred_records.push(log_record);
+            inner.deferred_records.push(record);
         }
         second
     }
@@ -65,9 +65,9 @@
 
     /// Writes the owed purges and tombstones, the latest first, up to the first failure.
     pub(super) fn write_deferred_records(&self, inner: &mut Inner) -> Result<(), StoreError> {
-        while let Some(log_record) = inner.deferred_records.pop() {
-            if let Err(e) = self.append(inner, &log_record) {
-                inner.deferred_records.push(log_record);
+        while let Some(record) = inner.deferred_records.pop() {
+            if let Err(e) = self.append(inner, &record) {
+                inner.deferred_records.push(record);
                 return Err(e);
             }
         }
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -60,7 +60,7 @@
         match recovery.step(&*self.0.disk, &mut inner.index)? {
             None => inner.recovery = None,
             Some(Step::Empty(_)) => {}
-            Some(Step::RecoveredSegment(segment)) => {
+            Some(Step::Recovered(segment)) => {
                 let newest_ms = recovery.newest_ms;
                 inner.clock.advance_to(newest_ms, wall_ms);
                 self.add_recovered_segment(inner, segment);
--- a/crates/store/src/store/space.rs
+++ b/crates/store/src/store/space.rs
@@ -104,31 +104,12 @@
         let Some(entry) = inner.index.get(&key).cloned() else {
             return Ok(0);
         };
-        let read = |inner: &Inner, segment: u32, offset: u32, len: u32| {
-            let file = inner.segments.get(&segment)?.file.clone();
-            read_record(&*file, segment, offset, len)
-        };
-        let (segment, offset, len) = entry.commit;
-        let commit =
-            read(inner, segment, offset, len).and_then(|bytes| Commit::decode(&bytes[..]).ok());
-        let mut locations = entry.locations.to_vec();
-        let mut moved = 0;
-        let mut right = true;
-        for location in locations.iter_mut().filter(|p| p.segment == victim) {
-            let Some(block) = read(
-                inner,
-                victim,
-                location.offset,
-                location.len + RECORD_HEADER_BYTES as u32,
-            ) else {
-                right = false;
-                break;
-            };
-            *location = self.write(inner, Kind::Block, &block)?;
-            moved += u64::from(location.len) + RECORD_HEADER_BYTES as u64;
-        }
-        match commit.and_then(|c| c.meta).filter(|_| right) {
-            Some(meta) => self.commit(inner, meta, locations)?,
+        let commit = read_from_segment(inner, entry.commit)
+            .and_then(|bytes| Commit::decode(&bytes[..]).ok())
+            .and_then(|commit| commit.meta);
+        let moved = self.move_blocks(inner, &entry.locations, victim)?;
+        match commit.filter(|_| moved.complete) {
+            Some(meta) => self.commit(inner, meta, moved.locations)?,
             None => {
                 inner.index.remove(&key);
                 inner.stats.lost += 1;
@@ -136,10 +117,40 @@
             }
         }
         // Never 0, so that the caller's loop ends.
-        Ok(moved + u64::from(len))
+        Ok(moved.bytes + u64::from(entry.commit.len))
+    }
+
+    /// Rewrites those of the blocks that are in the segment, up to the first that cannot be read.
+    fn move_blocks(
+        &self,
+        inner: &mut Inner,
+        locations: &[BlockLocation],
+        victim: u32,
+    ) -> Result<MovedBlocks, StoreError> {
+        let mut moved = MovedBlocks {
+            locations: locations.to_vec(),
+            bytes: 0,
+            complete: true,
+        };
+        let in_victim = moved.locations.iter_mut().filter(|l| l.segment == victim);
+        for location in in_victim {
+            let record = RecordLocation {
+                segment: victim,
+                offset: location.offset,
+                len: location.len + RECORD_HEADER_BYTES as u32,
+            };
+            let Some(block) = read_from_segment(inner, record) else {
+                moved.complete = false;
+                break;
+            };
+            *location = self.write(inner, Kind::Block, &block)?;
+            moved.bytes += u64::from(record.len);
+        }
+        Ok(moved)
     }
 
-    /// Removes a segment without live copies. Its purges and tombstones are written anew and synced first if older segments remain.
+    /// Removes a segment without live copies. Its purges and tombstones are written anew if older segments remain, and
+    /// everything moved is synced first.
     pub(super) fn finish(&self, inner: &mut Inner, victim: u32) -> Result<(), StoreError> {
         self.write_deferred_records(inner)?;
         let oldest = inner
@@ -152,8 +163,8 @@
                 .segments
                 .get(&victim)
                 .map_or(Vec::new(), |s| s.invalidation_records.clone());
-            for (_, log_record) in invalidation_records {
-                self.append(inner, &log_record)?;
+            for (_, record) in invalidation_records {
+                self.append(inner, &record)?;
             }
         }
         let needed = inner
@@ -215,3 +226,18 @@
         self.clean(&mut inner, bytes)
     }
 }
+
+/// Result of moving a copy's blocks out of a segment.
+struct MovedBlocks {
+    /// All blocks of the copy, at their new locations.
+    locations: Vec<BlockLocation>,
+    /// Bytes of the records that were moved.
+    bytes: u64,
+    /// False: a block could not be read, so the copy is lost.
+    complete: bool,
+}
+
+fn read_from_segment(inner: &Inner, location: RecordLocation) -> Option<Vec<u8>> {
+    let file = inner.segments.get(&location.segment)?.file.clone();
+    read_record(&*file, location)
+}
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -6,14 +6,14 @@
     pub(super) fn append(
         &self,
         inner: &mut Inner,
-        log_record: &Record,
+        record: &Record,
     ) -> Result<BlockLocation, StoreError> {
-        let location = self.write(inner, log_record.kind(), &log_record.payload())?;
-        if let Record::Purge(_) | Record::Tombstone(_) = log_record {
+        let location = self.write(inner, record.kind(), &record.payload())?;
+        if let Record::Purge(_) | Record::Tombstone(_) = record {
             if let Some(segment) = inner.segments.get_mut(&location.segment) {
                 segment
                     .invalidation_records
-                    .push((location.offset, log_record.clone()));
+                    .push((location.offset, record.clone()));
             }
         }
         Ok(location)
@@ -271,7 +271,11 @@
             return Ok(());
         };
         let key = meta.key();
-        let record = (at.segment, at.offset, at.len + RECORD_HEADER_BYTES as u32);
+        let record = RecordLocation {
+            segment: at.segment,
+            offset: at.offset,
+            len: at.len + RECORD_HEADER_BYTES as u32,
+        };
         let entry = Entry::new(&meta, inner.seq, record, locations);
         inner.index.insert(key, entry, false);
         Ok(())
@@ -284,9 +288,9 @@
     let candidates = inner.index.usage(number).keys;
     for key in candidates {
         let is_lost = inner.index.get(&key).is_some_and(|entry| {
-            let (segment, offset, _) = entry.commit;
             let mut locations = entry.locations.iter();
-            beyond(segment, offset) || locations.any(|l| beyond(l.segment, l.offset))
+            beyond(entry.commit.segment, entry.commit.offset)
+                || locations.any(|l| beyond(l.segment, l.offset))
         });
         if is_lost {
             // Deferred: the segment that would take the tombstone may be the one that fails.
