--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,4 +1,4 @@
-//! The store beside plain files and `redb` on the same work, in one run: fills, hits over a Zipf trace, a purge of a group, a restart.
+//! The store temporary plain files and `redb` on the same work, in one run: fills, hits over a Zipf trace, a purge of a group, a restart.
 //!
 //! `cargo bench -p pointspindle-store`. Files are on the machine's temporary folder; what is read again comes from the page cache.
 use pointspindle_store::*;
@@ -15,8 +15,8 @@
 
 /// 4 KiB to 1 MiB, small ones more often.
 fn size(object: u64) -> usize {
-    let mut dice = StdRng::seed_from_u64(object);
-    (4_096.0 * 2_f64.powf(8.0 * dice.gen::<f64>().powi(2))) as usize
+    let mut rng = StdRng::seed_from_u64(object);
+    (4_096.0 * 2_f64.powf(8.0 * rng.gen::<f64>().powi(2))) as usize
 }
 
 fn body(object: u64) -> Vec<u8> {
@@ -33,10 +33,10 @@
             Some(*sum)
         })
         .collect();
-    let mut dice = StdRng::seed_from_u64(9);
+    let mut rng = StdRng::seed_from_u64(9);
     let all = sums[sums.len() - 1];
     (0..GETS)
-        .map(|_| sums.partition_point(|s| *s < dice.gen::<f64>() * all) as u64)
+        .map(|_| sums.partition_point(|s| *s < rng.gen::<f64>() * all) as u64)
         .collect()
 }
 
@@ -103,12 +103,10 @@
     fn put(&mut self, object: u64, body: &[u8]) {
         let folder = self.0.join((object % GROUPS).to_string());
         std::fs::create_dir_all(&folder).unwrap();
-        let (beside, name) = (
-            folder.join(format!("{object}.new")),
-            folder.join(object.to_string()),
-        );
-        std::fs::write(&beside, body).unwrap();
-        std::fs::rename(beside, name).unwrap();
+        let temporary = folder.join(format!("{object}.new"));
+        let name = folder.join(object.to_string());
+        std::fs::write(&temporary, body).unwrap();
+        std::fs::rename(temporary, name).unwrap();
     }
 
     fn get(&mut self, object: u64) -> usize {
@@ -150,7 +148,7 @@
 impl Peer for Redb {
     fn put(&mut self, object: u64, body: &[u8]) {
         let mut write = self.0.begin_write().unwrap();
-        // As the others: durable with the sync.
+        // Durable with the sync, like the other stores.
         write.set_durability(redb::Durability::None).unwrap();
         write
             .open_table(TABLE)
@@ -199,7 +197,8 @@
     }
     peer.sync();
     let filled = began.elapsed().as_secs_f64();
-    let (mut times, began) = (Vec::new(), Instant::now());
+    let mut times = Vec::new();
+    let began = Instant::now();
     let mut read = 0;
     for object in trace {
         let one = Instant::now();
@@ -233,9 +232,10 @@
         let folder = tempfile::tempdir().unwrap();
         let mut store = ours(folder.path());
         run("store", &mut store, &trace);
-        let (copies, s) = (store.0.keys().len(), store.0.stats());
-        let amplification = s.written_bytes as f64 / s.taken_bytes as f64;
-        // As a crash leaves it, and as a stop does.
+        let copies = store.0.keys().len();
+        let stats = store.0.stats();
+        let amplification = stats.written_bytes as f64 / stats.taken_bytes as f64;
+        // Restart after a crash, then after a clean close.
         drop(store);
         let began = Instant::now();
         let store = ours(folder.path());
--- a/crates/store/src/store/error.rs
+++ b/crates/store/src/store/error.rs
@@ -23,10 +23,10 @@
     #[error("purged meanwhile")]
     Purged,
     /// The body's length differs from the declared one.
-    #[error("{got} bytes came of {told}")]
+    #[error("{got} bytes came of {declared}")]
     Short {
         /// Declared size, in bytes.
-        told: u64,
+        declared: u64,
         /// Bytes written to the fill.
         got: u64,
     },
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -115,7 +115,7 @@
         let declared = self.meta.size;
         if declared != 0 && declared != self.size {
             return Err(StoreError::Short {
-                told: declared,
+                declared,
                 got: self.size,
             });
         }
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -91,10 +91,10 @@
         let number = inner.next_segment;
         let name = segments::segment_name(number);
         let file = self.0.disk.create(&name)?;
-        let begun = file
+        let initialized = file
             .write_at(0, &segments::segment_header(number))
             .and_then(|()| self.0.disk.sync_names());
-        if let Err(e) = begun {
+        if let Err(e) = initialized {
             let _ = self.0.disk.remove(&name);
             return Err(e.into());
         }
@@ -119,8 +119,8 @@
         inner.active = Some(number);
         inner.records = Vec::new();
         inner.record_ends = Vec::new();
-        let roster = Record::Manifest(Manifest { segments: needed });
-        self.put(inner, number, Kind::Manifest, &roster.payload())?;
+        let manifest = Record::Manifest(Manifest { segments: needed });
+        self.put(inner, number, Kind::Manifest, &manifest.payload())?;
         Ok(number)
     }
 
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Power lost at any operation, in the middle of a write too, thousands of times: no torn object is given out, nothing from before an
-//! acknowledged purge comes back, and what is given out is a version that was committed.
+//! Power loss at any operation, also in the middle of a write: no torn object is served, no copy from before an acknowledged purge
+//! is recovered, and every served version was committed.
 mod common;
 
 use common::{body, meta, GROUPS, OBJECTS, OPTIONS};
@@ -10,46 +10,48 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What may be there: by object, versions that were committed, with the number of the last purge before each began.
+/// Reference model of what the store may serve.
 #[derive(Default)]
 struct Model {
+    /// By object: committed versions, each with the number of the last purge before its fill began.
     versions: BTreeMap<u64, Vec<(u64, u64)>>,
     /// By object: the last purge that was acknowledged.
     purged: BTreeMap<u64, u64>,
     purges: u64,
     next: u64,
-    /// The newest version that was committed, and the newest of which that was synced: nothing older is given out.
+    /// By object: the newest committed version.
     committed: BTreeMap<u64, u64>,
+    /// By object: the newest synced version; no older one may be served.
     synced: BTreeMap<u64, u64>,
 }
 
 impl Model {
     fn purge(&mut self, what: &What) {
         for object in 0..OBJECTS {
-            let struck = match what {
+            let covered = match what {
                 What::Object(name) => *name == format!("/o/{object}"),
                 What::Group(group) => object % GROUPS == *group,
                 What::All => true,
             };
-            if struck {
+            if covered {
                 self.purged.insert(object, self.purges);
             }
         }
     }
 }
 
-struct Play {
+struct CrashRun {
     disk: SimDisk,
     store: Store,
     model: Model,
-    dice: StdRng,
-    wall: u64,
+    rng: StdRng,
+    wall_ms: u64,
     seed: u64,
     checked: u64,
-    held: u64,
+    cached: u64,
 }
 
-impl Play {
+impl CrashRun {
     fn check_one(&mut self, object: u64) {
         let Some(found) = self.store.get(&meta(object, 0).key()) else {
             return;
@@ -58,7 +60,7 @@
         for block in 0..found.blocks() {
             match found.read(block) {
                 Ok(data) => bytes.extend_from_slice(&data),
-                // Told as wrong, not given out.
+                // Reported as corrupt, not served.
                 Err(_) => return,
             }
         }
@@ -94,29 +96,30 @@
         for object in 0..OBJECTS {
             self.check_one(object);
         }
-        self.held += self.store.stats().copies;
+        self.cached += self.store.stats().copies;
     }
 
     fn fill(&mut self) -> Result<(), StoreError> {
-        let object = self.dice.gen_range(0..OBJECTS);
+        let object = self.rng.gen_range(0..OBJECTS);
         self.model.next += 1;
-        let (version, after) = (self.model.next, self.model.purges);
-        let mut fill = self.store.begin(meta(object, self.dice.gen_range(0..3)));
-        // A purge in its middle: what was begun before is not held after.
-        let purge = self.dice.gen_bool(0.05);
-        for piece in body(object, version).chunks(self.dice.gen_range(1_000..20_000)) {
+        let version = self.model.next;
+        let after = self.model.purges;
+        let mut fill = self.store.begin(meta(object, self.rng.gen_range(0..3)));
+        // A purge during the fill: its commit must be refused.
+        let purge = self.rng.gen_bool(0.05);
+        for piece in body(object, version).chunks(self.rng.gen_range(1_000..20_000)) {
             fill.write(piece)?;
         }
         if purge {
             self.purge(What::Group(object % GROUPS))?;
         }
-        // Known before it is tried: a commit whose acknowledgement is lost may stand.
+        // Noted before the commit: one that is not acknowledged may still be durable.
         self.model
             .versions
             .entry(object)
             .or_default()
             .push((version, after));
-        let done = fill.commit(self.wall);
+        let done = fill.commit(self.wall_ms);
         if purge {
             assert!(
                 done.is_err(),
@@ -143,21 +146,21 @@
     }
 
     fn step(&mut self) -> Result<(), StoreError> {
-        self.wall += 10;
-        match self.dice.gen_range(0..100) {
+        self.wall_ms += 10;
+        match self.rng.gen_range(0..100) {
             0..=54 => match self.fill() {
                 Err(StoreError::NoRoom) => Ok(()),
                 done => done,
             },
             55..=59 => {
-                let object = self.dice.gen_range(0..OBJECTS);
+                let object = self.rng.gen_range(0..OBJECTS);
                 self.purge(What::Object(format!("/o/{object}")))
             }
             60..=62 => {
-                let group = self.dice.gen_range(0..GROUPS);
+                let group = self.rng.gen_range(0..GROUPS);
                 self.purge(What::Group(group))
             }
-            63 if self.dice.gen_bool(0.2) => self.purge(What::All),
+            63 if self.rng.gen_bool(0.2) => self.purge(What::All),
             64..=69 => {
                 self.store.sync()?;
                 self.model.synced = self.model.committed.clone();
@@ -165,46 +168,46 @@
             }
             70..=74 => self.store.maintain(20_000).map(drop),
             75..=79 => {
-                let object = self.dice.gen_range(0..OBJECTS);
+                let object = self.rng.gen_range(0..OBJECTS);
                 if let Some(found) = self.store.get(&meta(object, 0).key()) {
-                    let fresh_until_ms = self.wall + 5_000;
+                    let fresh_until_ms = self.wall_ms + 5_000;
                     self.store.renew(
                         &found,
                         Meta {
                             fresh_until_ms,
                             ..found.meta.clone()
                         },
-                        self.wall,
+                        self.wall_ms,
                     )?;
                 }
                 Ok(())
             }
-            80 if self.dice.gen_bool(0.3) => self.store.close(),
-            81..=83 => self.store.recover(self.wall).map(drop),
+            80 if self.rng.gen_bool(0.3) => self.store.close(),
+            81..=83 => self.store.recover(self.wall_ms).map(drop),
             _ => {
-                let object = self.dice.gen_range(0..OBJECTS);
+                let object = self.rng.gen_range(0..OBJECTS);
                 self.check_one(object);
                 Ok(())
             }
         }
     }
 
-    /// Until power is lost.
+    /// Runs random steps until power is lost.
     fn run(&mut self) {
-        let operations = self.dice.gen_range(0..250);
+        let operations = self.rng.gen_range(0..250);
         self.disk.lose_power_in(operations);
-        if self.dice.gen_bool(0.1) {
+        if self.rng.gen_bool(0.1) {
             self.disk.fail_syncs(1);
         }
         while !self.disk.is_dead() {
             let done = self.step();
-            // A sync that fails is told to whoever waits for it, and the store goes on.
-            let told = matches!(&done, Err(e) if e.to_string().contains("cannot write"));
-            if told {
-                // Nothing since the last good sync is promised.
+            // A failed fsync is reported to its caller, and the store continues.
+            let sync_failed = matches!(&done, Err(e) if e.to_string().contains("cannot write"));
+            if sync_failed {
+                // Nothing since the last successful fsync is guaranteed.
                 self.model.committed = self.model.synced.clone();
             }
-            if done.is_err() && !told && !self.disk.is_dead() {
+            if done.is_err() && !sync_failed && !self.disk.is_dead() {
                 panic!("seed {}: {done:?}", self.seed);
             }
         }
@@ -220,62 +223,65 @@
 
 #[test]
 fn power_loss_anywhere_keeps_copies_intact_and_purges_durable() {
-    let (mut done, mut checked, mut held, mut seed) = (0, 0, 0, 0);
+    let mut done = 0;
+    let mut checked = 0;
+    let mut cached = 0;
+    let mut seed = 0;
     while done < crashes() {
         seed += 1;
         let disk = SimDisk::default();
         let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
-        let dice = StdRng::seed_from_u64(seed);
-        let mut play = Play {
+        let rng = StdRng::seed_from_u64(seed);
+        let mut run = CrashRun {
             disk,
             store,
             model: Model::default(),
-            dice,
-            wall: 1_000,
+            rng,
+            wall_ms: 1_000,
             seed,
             checked: 0,
-            held: 0,
+            cached: 0,
         };
         for _ in 0..12 {
-            play.run();
-            play.model.committed = play.model.synced.clone();
+            run.run();
+            run.model.committed = run.model.synced.clone();
             done += 1;
-            let keep = play.dice.gen_range(0.0..1.0);
-            let mut dice = StdRng::seed_from_u64(play.dice.gen());
-            play.disk = play.disk.after_crash(|| dice.gen_bool(keep));
-            // Power may be lost again while it recovers.
-            if play.dice.gen_bool(0.2) {
-                play.disk.lose_power_in(play.dice.gen_range(0..6));
-                if let Ok(store) = Store::open(Arc::new(play.disk.clone()), OPTIONS, play.wall) {
-                    let _ = store.recover_all(play.wall);
+            let keep = run.rng.gen_range(0.0..1.0);
+            let mut rng = StdRng::seed_from_u64(run.rng.gen());
+            run.disk = run.disk.after_crash(|| rng.gen_bool(keep));
+            // Power may be lost again during recovery.
+            if run.rng.gen_bool(0.2) {
+                run.disk.lose_power_in(run.rng.gen_range(0..6));
+                if let Ok(store) = Store::open(Arc::new(run.disk.clone()), OPTIONS, run.wall_ms) {
+                    let _ = store.recover_all(run.wall_ms);
                 }
-                play.disk = play.disk.after_crash(|| dice.gen_bool(keep));
+                run.disk = run.disk.after_crash(|| rng.gen_bool(keep));
                 done += 1;
             }
-            // Set back at times: the store's own clock does not go back.
-            play.wall = play
-                .wall
-                .saturating_sub(play.dice.gen_range(0..500))
+            // The wall clock may be set back; the store's clock must not be.
+            run.wall_ms = run
+                .wall_ms
+                .saturating_sub(run.rng.gen_range(0..500))
                 .max(1_000);
-            play.store = Store::open(Arc::new(play.disk.clone()), OPTIONS, play.wall)
+            run.store = Store::open(Arc::new(run.disk.clone()), OPTIONS, run.wall_ms)
                 .unwrap_or_else(|e| panic!("seed {seed}: {e}"));
-            if play.dice.gen_bool(0.5) {
-                play.check_all();
-                play.store.recover_all(play.wall).unwrap();
+            if run.rng.gen_bool(0.5) {
+                run.check_all();
+                run.store.recover_all(run.wall_ms).unwrap();
             }
-            play.check_all();
+            run.check_all();
         }
-        checked += play.checked;
-        held += play.held;
+        checked += run.checked;
+        cached += run.cached;
     }
-    println!("{done} crashes, {checked} copies read, {held} held after them");
+    println!("{done} crashes, {checked} copies read, {cached} cached after them");
     assert!(
-        held > done && checked > 5 * done,
+        cached > done && checked > 5 * done,
         "nothing survives: the test shows nothing"
     );
 }
 
-/// Without the sync of a purge, or its record, the same play must find a copy that came back.
+/// Control: a synced copy survives a power loss unless it was purged.
 #[test]
 fn unpurged_synced_copy_after_power_loss_is_recovered() {
     let disk = SimDisk::default();
@@ -291,6 +297,12 @@
     }
     let after = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
     after.recover_all(1_000).unwrap();
-    assert!(after.get(&meta(1, 1).key()).is_some(), "synced, so held");
-    assert!(after.get(&meta(2, 1).key()).is_none(), "purged, so gone");
+    assert!(
+        after.get(&meta(1, 1).key()).is_some(),
+        "synced, so recovered"
+    );
+    assert!(
+        after.get(&meta(2, 1).key()).is_none(),
+        "purged, so not recovered"
+    );
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -14,7 +14,7 @@
     let mut lost = 0;
     let mut served = 0;
     for seed in 0..60 {
-        let mut dice = StdRng::seed_from_u64(seed);
+        let mut rng = StdRng::seed_from_u64(seed);
         let disk = SimDisk::default();
         let options = Options {
             memory: 0,
@@ -27,13 +27,13 @@
             fill.commit(1_000).unwrap();
         }
         store.purge(&What::Object("/o/1".into())).unwrap();
-        if dice.gen() {
+        if rng.gen() {
             store.close().unwrap();
         }
         let names: Vec<String> = Disk::list(&disk).unwrap();
-        let name = &names[dice.gen_range(0..names.len())];
-        assert!(disk.flip(name, dice.gen_range(0..disk.len_of(name))));
-        // Alive, and after a restart.
+        let name = &names[rng.gen_range(0..names.len())];
+        assert!(disk.flip(name, rng.gen_range(0..disk.len_of(name))));
+        // Without and with a restart.
         let again = Store::open(Arc::new(disk.after_crash(|| true)), options, 1_000).unwrap();
         again.recover_all(1_000).unwrap();
         for store in [store, again] {
@@ -53,7 +53,10 @@
                     }
                     Err(_) => {
                         lost += 1;
-                        assert!(store.get(&meta(object, 1).key()).is_none(), "held no more");
+                        assert!(
+                            store.get(&meta(object, 1).key()).is_none(),
+                            "cached no more"
+                        );
                     }
                 }
             }
@@ -131,10 +134,10 @@
         fill(format!("/high/{n}"), 3).unwrap();
         fill(format!("/mid/{n}"), 2).unwrap();
     }
-    let held = |object: String| is_cached(&store, object);
+    let cached = |object: String| is_cached(&store, object);
     for n in 0..2_000 {
         fill(format!("/low/{n}"), 1).unwrap();
-        assert!(held("/mid/0".into()), "used all the time");
+        assert!(cached("/mid/0".into()), "used all the time");
         assert!(
             store.stats().disk_bytes <= OPTIONS.capacity,
             "{:?}",
@@ -142,17 +145,17 @@
         );
     }
     assert!(
-        (0..20).all(|n| held(format!("/high/{n}")) && held(format!("/mid/{n}"))),
+        (0..20).all(|n| cached(format!("/high/{n}")) && cached(format!("/mid/{n}"))),
         "{:?}",
         store.stats()
     );
-    // Higher ranks push lower ones out, and among equals the least used goes first.
+    // Higher ranks evict lower ones, and among equals the least recently used.
     for n in 0..70 {
         let _ = fill(format!("/higher/{n}"), 3);
     }
-    let mids = (0..20).filter(|n| held(format!("/mid/{n}"))).count();
+    let mids = (0..20).filter(|n| cached(format!("/mid/{n}"))).count();
     assert!(
-        mids < 20 && !(0..2_000).any(|n| held(format!("/low/{n}"))),
+        mids < 20 && !(0..2_000).any(|n| cached(format!("/low/{n}"))),
         "{mids}: {:?}",
         store.stats()
     );
@@ -167,7 +170,7 @@
         s.written_bytes as f64 / s.taken_bytes as f64
     );
     assert!(files as u64 <= OPTIONS.capacity * 11 / 10);
-    assert!(matches!(fill("/late".into(), 0), Err(StoreError::NoRoom)) || held("/late".into()));
+    assert!(matches!(fill("/late".into(), 0), Err(StoreError::NoRoom)) || cached("/late".into()));
 }
 
 #[test]
@@ -184,9 +187,9 @@
     drop(fill);
     assert!(
         store.get(&meta(1, 1).key()).is_some(),
-        "what is held is still given out"
+        "what is cached is still given out"
     );
-    // A purge is kept whatever the disk says of room, and what it strikes is gone.
+    // On a full disk a purge still removes the copy.
     let _ = store.purge(&What::Object("/o/1".into()));
     assert!(store.get(&meta(1, 1).key()).is_none());
 
@@ -230,7 +233,7 @@
             );
             assert!(
                 store.get(&key(1)).is_some(),
-                "what is held is still given out"
+                "what is cached is still given out"
             );
         }
         fill(&store, 3).unwrap_or_else(|e| panic!("the disk works again: {e}"));
@@ -241,8 +244,8 @@
             Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 2_000).unwrap(),
         ] {
             store.recover_all(2_000).unwrap();
-            let held = [1, 2, 3].map(|object| store.get(&key(object)).is_some());
-            assert_eq!(held, [false, false, true], "a sync failed: {sync_fails}");
+            let cached = [1, 2, 3].map(|object| store.get(&key(object)).is_some());
+            assert_eq!(cached, [false, false, true], "a sync failed: {sync_fails}");
         }
     }
 }
