--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -45,6 +45,9 @@
 /// Limit of cleaning work per written byte while capacity is left.
 const MAX_CLEANED_BYTES_PER_WRITTEN_BYTE: u64 = 2;
 
+/// Estimated overhead of an entry in the block cache.
+const CACHE_ENTRY_BYTES: u64 = 64;
+
 /// A segment on disk, open for reading; the active one also for writing.
 struct Segment {
     file: Arc<dyn DiskFile>,
@@ -111,7 +114,7 @@
 
 impl quick_cache::Weighter<(u32, u32), Bytes> for BlockWeight {
     fn weight(&self, _: &(u32, u32), block: &Bytes) -> u64 {
-        block.len() as u64 + 64
+        block.len() as u64 + CACHE_ENTRY_BYTES
     }
 }
 
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,47 +1,26 @@
 //! Opening a store, and its recovery one segment at a time.
 use super::*;
 
+/// Mean block size assumed when the block cache is allocated.
+const ESTIMATED_BLOCK_BYTES: u64 = 32_768;
+/// Least capacity in segments: cleaning needs segments to choose from, and one to write to.
+const MIN_SEGMENTS: u64 = 6;
+
 impl Store {
     /// Opens a folder. A copy of the previous run is served once [`Store::recover`] has read its segment. `wall_ms`: milliseconds
     /// since 1970.
     pub fn open(disk: Arc<dyn Disk>, options: Options, wall_ms: u64) -> Result<Self, StoreError> {
-        let capacity = options.capacity;
-        let segment = options.segment;
-        let too_small =
-            capacity < 6 * u64::from(segment) || options.block == 0 || options.block > segment / 4;
-        if too_small || options.block as usize > record::MAX_PAYLOAD_BYTES {
-            return Err(StoreError::Options { capacity, segment });
-        }
+        check_options(&options)?;
         for name in disk.list()?.iter().filter(|n| n.ends_with(".new")) {
             disk.remove(name)?;
         }
         let recovery = Recovery::new(&*disk)?;
-        let inner = Inner {
-            index: Index::default(),
-            segments: BTreeMap::new(),
-            active: None,
-            next_segment: recovery.newest() + 1,
-            records: Vec::new(),
-            record_ends: Vec::new(),
-            seq: 0,
-            recovery: Some(recovery),
-            purges: Vec::new(),
-            fills: BTreeSet::new(),
-            deferred_records: Vec::new(),
-            victim: None,
-            pending_truncations: Vec::new(),
-            clock: Clock::default(),
-            stats: Stats::default(),
-        };
-        let memory = Cache::with_weighter(
-            (options.memory / 32_768).max(64) as usize,
-            options.memory.max(1),
-            BlockWeight,
-        );
+        let estimated_blocks = (options.memory / ESTIMATED_BLOCK_BYTES).max(64) as usize;
+        let memory = Cache::with_weighter(estimated_blocks, options.memory.max(1), BlockWeight);
         let store = Self(Arc::new(Shared {
             disk,
             options,
-            inner: Mutex::new(inner),
+            inner: Mutex::new(Inner::new(recovery)),
             syncing: Mutex::new(()),
             memory,
         }));
@@ -142,3 +121,41 @@
             .map_or(Vec::new(), |r| r.doubts.clone())
     }
 }
+
+fn check_options(options: &Options) -> Result<(), StoreError> {
+    let Options {
+        capacity,
+        segment,
+        block,
+        ..
+    } = *options;
+    let is_too_small = capacity < MIN_SEGMENTS * u64::from(segment);
+    let is_block_valid = block != 0 && block <= segment / 4;
+    if is_too_small || !is_block_valid || block as usize > record::MAX_PAYLOAD_BYTES {
+        return Err(StoreError::Options { capacity, segment });
+    }
+    Ok(())
+}
+
+impl Inner {
+    /// The state before any segment has been recovered.
+    fn new(recovery: Recovery) -> Self {
+        Self {
+            index: Index::default(),
+            segments: BTreeMap::new(),
+            active: None,
+            next_segment: recovery.newest() + 1,
+            records: Vec::new(),
+            record_ends: Vec::new(),
+            seq: 0,
+            recovery: Some(recovery),
+            purges: Vec::new(),
+            fills: BTreeSet::new(),
+            deferred_records: Vec::new(),
+            victim: None,
+            pending_truncations: Vec::new(),
+            clock: Clock::default(),
+            stats: Stats::default(),
+        }
+    }
+}
