--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -1,19 +1,24 @@
-//! Names of files, heads of segments, and summaries.
+//! Files of the log: names, headers, scans and summaries of segments.
 //!
 //! A segment's file begins with 24 bytes: `PSPNSEG1`, its number (8), CRC-32 of both (4), 0 (4); records follow. When it is full, its
 //! summary is written beside it: 24 bytes as above with `PSPNSUM1` and the length of the segment in place of the 0s' half (see
 //! [`summary`]), then all its records but blocks, each behind its offset in the segment (4), then 4 bytes of CRC-32 over everything before.
 //! A segment without a summary is read through.
-use crate::record::{self, Kind, Word, HEAD};
+use crate::disk::DiskFile;
+use crate::record::{self, Kind, Record, RecordHeader, RECORD_HEADER_BYTES};
+use std::io::Result;
 
-pub const SEGMENT_HEAD: usize = 24;
+/// Length of the header of a segment or summary file.
+pub const SEGMENT_HEADER_BYTES: usize = 24;
 const SEGMENT: [u8; 8] = *b"PSPNSEG1";
 const SUMMARY: [u8; 8] = *b"PSPNSUM1";
 
+/// File name of a segment.
 pub fn segment_name(number: u32) -> String {
     format!("segment-{number:010}.log")
 }
 
+/// File name of a segment's summary.
 pub fn summary_name(number: u32) -> String {
     format!("segment-{number:010}.sum")
 }
@@ -26,8 +31,8 @@
         .ok()
 }
 
-fn head(magic: [u8; 8], number: u32, extra: u32) -> [u8; SEGMENT_HEAD] {
-    let mut out = [0; SEGMENT_HEAD];
+fn head(magic: [u8; 8], number: u32, extra: u32) -> [u8; SEGMENT_HEADER_BYTES] {
+    let mut out = [0; SEGMENT_HEADER_BYTES];
     out[..8].copy_from_slice(&magic);
     out[8..16].copy_from_slice(&u64::from(number).to_le_bytes());
     out[16..20].copy_from_slice(&extra.to_le_bytes());
@@ -36,7 +41,8 @@
     out
 }
 
-pub fn segment_head(number: u32) -> [u8; SEGMENT_HEAD] {
+/// Header of a segment file.
+pub fn segment_header(number: u32) -> [u8; SEGMENT_HEADER_BYTES] {
     head(SEGMENT, number, 0)
 }
 
@@ -49,150 +55,171 @@
     out
 }
 
-/// A record that was found: its number, where it stands and how long it is.
+/// A record with its sequence number and position.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Spoken {
+pub struct LocatedRecord {
     pub seq: u64,
     /// Offset within the segment.
     pub offset: u32,
     pub len: u32,
-    pub word: Word,
+    pub record: Record,
 }
 
 /// Reads a summary: the segment's length and its records, in their order.
-pub fn read_summary(number: u32, bytes: &[u8]) -> Option<(u32, Vec<Spoken>)> {
+pub fn read_summary(number: u32, bytes: &[u8]) -> Option<(u32, Vec<LocatedRecord>)> {
     let (body, crc) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
-    if crc32fast::hash(body).to_le_bytes() != *crc || body.len() < SEGMENT_HEAD {
+    if crc32fast::hash(body).to_le_bytes() != *crc || body.len() < SEGMENT_HEADER_BYTES {
         return None;
     }
     let len = u32::from_le_bytes([body[16], body[17], body[18], body[19]]);
-    if body[..SEGMENT_HEAD] != head(SUMMARY, number, len) {
+    if body[..SEGMENT_HEADER_BYTES] != head(SUMMARY, number, len) {
         return None;
     }
-    let mut spoken = Vec::new();
-    let mut rest = &body[SEGMENT_HEAD..];
+    let mut located = Vec::new();
+    let mut rest = &body[SEGMENT_HEADER_BYTES..];
     while !rest.is_empty() {
-        let (offset, record) = rest.split_at_checked(4)?;
+        let (offset, encoded) = rest.split_at_checked(4)?;
         let offset = u32::from_le_bytes(offset.try_into().ok()?);
-        let head = record::decode_head(number, record)?;
-        let payload = record.get(HEAD..HEAD + head.len as usize)?;
-        if crc32fast::hash(payload) != head.crc {
+        let header = record::decode_header(number, encoded)?;
+        let payload =
+            encoded.get(RECORD_HEADER_BYTES..RECORD_HEADER_BYTES + header.len as usize)?;
+        if crc32fast::hash(payload) != header.crc {
             return None;
         }
-        let word = Word::read(head.kind, payload)?;
-        spoken.push(Spoken {
-            seq: head.seq,
+        let record = Record::read(header.kind, payload)?;
+        located.push(LocatedRecord {
+            seq: header.seq,
             offset,
-            len: HEAD as u32 + head.len,
-            word,
+            len: RECORD_HEADER_BYTES as u32 + header.len,
+            record,
         });
-        rest = &record[HEAD + head.len as usize..];
+        rest = &encoded[RECORD_HEADER_BYTES + header.len as usize..];
     }
-    Some((len, spoken))
+    Some((len, located))
 }
 
-/// What reading a segment through found.
+/// Result of [`scan`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scan {
-    pub spoken: Vec<Spoken>,
-    /// The records of [`Scan::spoken`] as a summary has them.
+    pub located: Vec<LocatedRecord>,
+    /// The records of [`Scan::located`] as a summary has them.
     pub records: Vec<u8>,
-    /// Up to here everything is in order.
+    /// Offset up to which all records are intact.
     pub end: u32,
     /// The highest number seen.
     pub last_seq: u64,
-    /// Bytes follow that are no record.
+    /// Bytes that are not an intact record follow [`Scan::end`].
     pub broken: bool,
-    /// Purges and evictions that stand behind the break. They are also in [`Scan::records`], not in [`Scan::spoken`]: after a crash
-    /// nobody had been told of them, after a flipped bit somebody may have been; to heed them is right for both.
-    pub behind: Vec<Spoken>,
+    /// Purges and tombstones after the break. They are also in [`Scan::records`], but not in [`Scan::located`]. After a flipped bit
+    /// they may have been acknowledged, after a crash they were not: applying them is correct in both cases.
+    pub after_break: Vec<LocatedRecord>,
 }
 
-/// Reads a segment through, every block's checksum included; stops where a record is not in order.
-pub fn scan(number: u32, file: &dyn crate::disk::DiskFile) -> std::io::Result<Option<Scan>> {
+/// Reads a segment up to the first record that is not intact, checking every checksum. None: the file has no segment header.
+pub fn scan(number: u32, file: &dyn DiskFile) -> Result<Option<Scan>> {
     let len = file.len()?;
-    let mut first = [0; SEGMENT_HEAD];
-    if len < SEGMENT_HEAD as u64 {
+    let mut first = [0; SEGMENT_HEADER_BYTES];
+    if len < SEGMENT_HEADER_BYTES as u64 {
         return Ok(None);
     }
     file.read_at(0, &mut first)?;
-    if first != segment_head(number) {
+    if first != segment_header(number) {
         return Ok(None);
     }
     let mut found = Scan {
-        end: SEGMENT_HEAD as u32,
+        end: SEGMENT_HEADER_BYTES as u32,
         ..Scan::default()
     };
-    let (mut at, mut head, mut payload) = (SEGMENT_HEAD as u64, [0; HEAD], Vec::new());
-    while at + HEAD as u64 <= len {
-        file.read_at(at, &mut head)?;
-        let Some(h) = record::decode_head(number, &head) else {
-            break;
-        };
-        let end = at + HEAD as u64 + u64::from(h.len);
-        if end > len {
-            break;
-        }
-        payload.resize(h.len as usize, 0);
-        file.read_at(at + HEAD as u64, &mut payload)?;
-        if crc32fast::hash(&payload) != h.crc {
-            break;
-        }
-        if h.kind != Kind::Block {
-            let Some(word) = Word::read(h.kind, &payload) else {
-                break;
-            };
-            let (offset, len) = (at as u32, HEAD as u32 + h.len);
-            found.spoken.push(Spoken {
-                seq: h.seq,
-                offset,
-                len,
-                word,
-            });
-            found.records.extend_from_slice(&offset.to_le_bytes());
-            found.records.extend_from_slice(&head);
-            found.records.extend_from_slice(&payload);
-        }
-        found.last_seq = found.last_seq.max(h.seq);
-        (at, found.end) = (end, end as u32);
+    let mut at = SEGMENT_HEADER_BYTES as u64;
+    let mut payload = Vec::new();
+    while let Some(header) = scan_record(number, file, at, len, &mut payload, &mut found)? {
+        at += RECORD_HEADER_BYTES as u64 + u64::from(header.len);
+        found.end = at as u32;
+        found.last_seq = found.last_seq.max(header.seq);
     }
     found.broken = at < len;
     if found.broken {
-        behind(number, file, at, len, &mut found)?;
+        scan_after_break(number, file, at, len, &mut found)?;
     }
     Ok(Some(found))
 }
 
-/// Looks through what follows a break, byte by byte, for purges and evictions that can still be read.
-fn behind(
+/// Reads the record at `at` and adds it to `found` unless it is a block. None: no intact record begins there. `payload` is a
+/// buffer, reused from one record to the next.
+fn scan_record(
+    number: u32,
+    file: &dyn DiskFile,
+    at: u64,
+    len: u64,
+    payload: &mut Vec<u8>,
+    found: &mut Scan,
+) -> Result<Option<RecordHeader>> {
+    let payload_at = at + RECORD_HEADER_BYTES as u64;
+    if payload_at > len {
+        return Ok(None);
+    }
+    let mut head = [0; RECORD_HEADER_BYTES];
+    file.read_at(at, &mut head)?;
+    let Some(header) = record::decode_header(number, &head) else {
+        return Ok(None);
+    };
+    if payload_at + u64::from(header.len) > len {
+        return Ok(None);
+    }
+    payload.resize(header.len as usize, 0);
+    file.read_at(payload_at, payload)?;
+    if crc32fast::hash(payload) != header.crc {
+        return Ok(None);
+    }
+    if header.kind == Kind::Block {
+        return Ok(Some(header));
+    }
+    let Some(record) = Record::read(header.kind, payload) else {
+        return Ok(None);
+    };
+    let offset = at as u32;
+    found.located.push(LocatedRecord {
+        seq: header.seq,
+        offset,
+        len: RECORD_HEADER_BYTES as u32 + header.len,
+        record,
+    });
+    found.records.extend_from_slice(&offset.to_le_bytes());
+    found.records.extend_from_slice(&head);
+    found.records.extend_from_slice(payload);
+    Ok(Some(header))
+}
+
+/// Searches the bytes after a break for intact purges and tombstones.
+fn scan_after_break(
     number: u32,
-    file: &dyn crate::disk::DiskFile,
+    file: &dyn DiskFile,
     from: u64,
     len: u64,
     found: &mut Scan,
-) -> std::io::Result<()> {
+) -> Result<()> {
     let mut rest = vec![0; (len - from) as usize];
     file.read_at(from, &mut rest)?;
     let mut at = 0;
-    while at + HEAD <= rest.len() {
-        let Some(h) = record::decode_head(number, &rest[at..]) else {
+    while at + RECORD_HEADER_BYTES <= rest.len() {
+        let Some(h) = record::decode_header(number, &rest[at..]) else {
             at += 1;
             continue;
         };
-        let end = at + HEAD + h.len as usize;
+        let end = at + RECORD_HEADER_BYTES + h.len as usize;
         let payload = rest
-            .get(at + HEAD..end)
+            .get(at + RECORD_HEADER_BYTES..end)
             .filter(|p| crc32fast::hash(p) == h.crc);
-        let word = payload.and_then(|p| Word::read(h.kind, p));
-        if let Some(word @ (Word::Purge(_) | Word::Gone(_))) = word {
+        let record = payload.and_then(|p| Record::read(h.kind, p));
+        if let Some(record @ (Record::Purge(_) | Record::Tombstone(_))) = record {
             let offset = (from as usize + at) as u32;
             found.records.extend_from_slice(&offset.to_le_bytes());
             found.records.extend_from_slice(&rest[at..end]);
-            found.behind.push(Spoken {
+            found.after_break.push(LocatedRecord {
                 seq: h.seq,
                 offset,
                 len: (end - at) as u32,
-                word,
+                record,
             });
         }
         found.last_seq = found.last_seq.max(h.seq);
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -1,13 +1,19 @@
-//! A copy on its way in.
+//! Fills: writing a new copy.
 use super::*;
 
-/// A copy on its way in. Dropped, it never was.
+/// Estimated length of a commit record without its blocks.
+const COMMIT_BYTES: u64 = 1_024;
+/// Estimated length of each block's location in a commit record.
+const COMMIT_BYTES_PER_BLOCK: u64 = 32;
+
+/// A copy that is being written. Its blocks are pinned, and purges are remembered for it, until it is committed or dropped; dropped
+/// before the commit, it leaves no trace but dead blocks.
 pub struct Fill {
     pub(super) store: Store,
     pub(super) meta: Meta,
     pub(super) begun: u64,
     pub(super) buffer: BytesMut,
-    pub(super) places: Vec<Place>,
+    pub(super) locations: Vec<BlockLocation>,
     pub(super) size: u64,
     pub(super) over: bool,
 }
@@ -19,12 +25,12 @@
 }
 
 impl Fill {
-    /// What is known of the copy by now; before its first byte.
+    /// Replaces the metadata; to be called before the first byte is written.
     pub fn describe(&mut self, meta: Meta) {
         self.meta = meta;
     }
 
-    /// More of the body. After an error nothing is kept of it.
+    /// Appends to the body. After an error the fill is over and cannot be committed.
     pub fn write(&mut self, mut bytes: &[u8]) -> Result<(), StoreError> {
         let block = self.store.0.options.block as usize;
         while !bytes.is_empty() {
@@ -46,19 +52,19 @@
         let store = self.store.clone();
         let mut inner = store.inner();
         let written = store
-            .room(
+            .ensure_capacity(
                 &mut inner,
-                (HEAD + self.buffer.len()) as u64,
+                (RECORD_HEADER_BYTES + self.buffer.len()) as u64,
                 self.meta.rank,
             )
             .and_then(|()| store.write(&mut inner, Kind::Block, &self.buffer));
         match written {
-            Ok(place) => {
-                if let Some(segment) = inner.segments.get_mut(&place.segment) {
+            Ok(location) => {
+                if let Some(segment) = inner.segments.get_mut(&location.segment) {
                     segment.pins += 1;
                 }
                 inner.stats.taken_bytes += self.buffer.len() as u64;
-                self.places.push(place);
+                self.locations.push(location);
                 self.buffer.clear();
                 Ok(())
             }
@@ -69,20 +75,20 @@
         }
     }
 
-    /// Nothing of it is pinned any more, and purges are not kept for it.
+    /// Unpins the blocks and stops remembering purges for this fill.
     fn end(&mut self, inner: &mut Inner) {
         if std::mem::replace(&mut self.over, true) {
             return;
         }
         inner.fills.remove(&self.begun);
-        for place in &self.places {
-            if let Some(segment) = inner.segments.get_mut(&place.segment) {
+        for location in &self.locations {
+            if let Some(segment) = inner.segments.get_mut(&location.segment) {
                 segment.pins = segment.pins.saturating_sub(1);
             }
         }
     }
 
-    /// The copy is whole: it is held from now on. It may be lost by a crash until the next sync.
+    /// Completes the copy and adds it to the index. Until the next sync a crash may lose it.
     pub fn commit(mut self, wall_ms: u64) -> Result<(), StoreError> {
         self.flush()?;
         let store = self.store.clone();
@@ -90,46 +96,59 @@
         if self.over {
             return Err(StoreError::NoRoom);
         }
-        let told = self.meta.size;
-        if told != 0 && told != self.size {
+        self.check_complete()?;
+        self.check_not_purged(&inner)?;
+        self.check_blocks_present(&inner)?;
+        let stored_ms = inner.clock.now(wall_ms);
+        let meta = Meta {
+            size: self.size,
+            stored_ms,
+            ..std::mem::take(&mut self.meta)
+        };
+        let locations = self.locations.clone();
+        let commit_bytes = COMMIT_BYTES + COMMIT_BYTES_PER_BLOCK * locations.len() as u64;
+        store.ensure_capacity(&mut inner, commit_bytes, meta.rank)?;
+        store.commit(&mut inner, meta, locations)
+    }
+
+    fn check_complete(&self) -> Result<(), StoreError> {
+        let declared = self.meta.size;
+        if declared != 0 && declared != self.size {
             return Err(StoreError::Short {
-                told,
+                declared,
                 got: self.size,
             });
         }
-        let key = self.meta.key();
-        let struck = inner.purges.iter().any(|(seq, p)| {
-            *seq >= self.begun
-                && match (p.of_object, p.of_group) {
-                    (true, _) => p.object() == key.object,
-                    (_, true) => p.group == self.meta.group,
-                    _ => true,
-                }
-        });
-        if struck {
+        Ok(())
+    }
+
+    fn check_not_purged(&self, inner: &Inner) -> Result<(), StoreError> {
+        let object = self.meta.key().object;
+        let covers = |purge: &Purge| match (purge.of_object, purge.of_group) {
+            (true, _) => purge.object() == object,
+            (_, true) => purge.group == self.meta.group,
+            _ => true,
+        };
+        let mut purges = inner.purges.iter();
+        if purges.any(|(seq, purge)| *seq >= self.begun && covers(purge)) {
             return Err(StoreError::Purged);
         }
-        // A failed sync may have taken some of it away.
-        let there = |p: &Place| {
-            inner
-                .segments
-                .get(&p.segment)
-                .is_some_and(|s| p.offset + p.len + HEAD as u32 <= s.len)
+        Ok(())
+    }
+
+    /// A failed fsync may have discarded some of the blocks.
+    fn check_blocks_present(&self, inner: &Inner) -> Result<(), StoreError> {
+        let is_present = |location: &BlockLocation| {
+            let end = location.offset + location.len + RECORD_HEADER_BYTES as u32;
+            let segment = inner.segments.get(&location.segment);
+            segment.is_some_and(|segment| end <= segment.len)
         };
-        if !self.places.iter().all(there) {
-            return Err(StoreError::Disk(std::io::Error::other(
-                "a sync failed while it was filled",
-            )));
+        if self.locations.iter().all(is_present) {
+            return Ok(());
         }
-        let stored_ms = inner.clock.now(wall_ms);
-        let meta = Meta {
-            size: self.size,
-            stored_ms,
-            ..std::mem::take(&mut self.meta)
-        };
-        let places = self.places.clone();
-        store.room(&mut inner, 1_024 + 32 * places.len() as u64, meta.rank)?;
-        store.commit(&mut inner, meta, places)
+        Err(StoreError::Disk(std::io::Error::other(
+            "a sync failed while it was filled",
+        )))
     }
 }
 
