--- /dev/null
+++ b/crates/cache-host/src/fill_table/tests.rs
@@ -0,0 +1,196 @@
+//! Tests of [`super`].
+use super::*;
+
+const MICROS_PER_SECOND: Micros = 1_000_000;
+
+fn request(key: &'static str) -> CacheRequest<&'static str> {
+    CacheRequest {
+        key,
+        max_age: Some(10 * MICROS_PER_SECOND),
+        freshness_lifetime: Some(10 * MICROS_PER_SECOND),
+        only_if_cached: false,
+        source: Some("parent".into()),
+        retention_rank: 1,
+        coalesce: true,
+        revalidate: false,
+    }
+}
+
+#[test]
+fn an_age_limit_is_kept_to_the_microsecond_and_old_copies_are_renewed_once() {
+    let mut fill_table = FillTable::new(FillLimits {
+        max_fills: 4,
+        max_waiting: 1,
+    });
+    let cached = |age| Some(CachedCopy { age });
+    assert_eq!(
+        fill_table.decide(request("a"), cached(10 * MICROS_PER_SECOND)),
+        RequestDecision::Serve {
+            stale: false,
+            revalidate: None
+        }
+    );
+    assert!(matches!(
+        fill_table.decide(request("a"), cached(10 * MICROS_PER_SECOND + 1)),
+        RequestDecision::Fill(_)
+    ));
+    let grace = CacheRequest {
+        max_age: Some(30 * MICROS_PER_SECOND),
+        revalidate: true,
+        ..request("b")
+    };
+    let RequestDecision::Serve {
+        stale: true,
+        revalidate: Some(fill),
+    } = fill_table.decide(grace.clone(), cached(20 * MICROS_PER_SECOND))
+    else {
+        panic!()
+    };
+    // Many decide meanwhile: one renewal.
+    assert_eq!(
+        fill_table.decide(grace.clone(), cached(20 * MICROS_PER_SECOND)),
+        RequestDecision::Serve {
+            stale: true,
+            revalidate: None
+        }
+    );
+    fill_table.fill_ended(fill);
+    assert!(matches!(
+        fill_table.decide(grace, cached(20 * MICROS_PER_SECOND)),
+        RequestDecision::Serve {
+            revalidate: Some(_),
+            ..
+        }
+    ));
+}
+
+#[test]
+fn fills_are_joined_where_they_bring_what_is_wanted() {
+    let mut fill_table = FillTable::new(FillLimits {
+        max_fills: 9,
+        max_waiting: 0,
+    });
+    let RequestDecision::Fill(first) = fill_table.decide(request("a"), None) else {
+        panic!()
+    };
+    assert_eq!(
+        fill_table.decide(request("a"), None),
+        RequestDecision::Join(first)
+    );
+    // Younger than what the first may bring, or alone by its own wish.
+    assert!(matches!(
+        fill_table.decide(
+            CacheRequest {
+                max_age: Some(MICROS_PER_SECOND),
+                ..request("a")
+            },
+            None
+        ),
+        RequestDecision::Fill(_)
+    ));
+    assert!(matches!(
+        fill_table.decide(
+            CacheRequest {
+                coalesce: false,
+                ..request("a")
+            },
+            None
+        ),
+        RequestDecision::Fill(_)
+    ));
+    let RequestDecision::Fill(last) = fill_table.decide(request("b"), None) else {
+        panic!()
+    };
+    fill_table.stop_coalescing(&"b");
+    assert!(matches!(fill_table.decide(request("b"), None), RequestDecision::Fill(n) if n != last));
+    // What passes through is one request's own.
+    let through = CacheRequest {
+        retention_rank: 0,
+        ..request("c")
+    };
+    assert!(matches!(
+        fill_table.decide(through.clone(), None),
+        RequestDecision::Fill(_)
+    ));
+    assert!(matches!(
+        fill_table.decide(through, None),
+        RequestDecision::Fill(_)
+    ));
+}
+
+#[test]
+fn places_and_the_queue_are_bounded_and_turns_come_in_order() {
+    let mut fill_table = FillTable::new(FillLimits {
+        max_fills: 1,
+        max_waiting: 2,
+    });
+    let RequestDecision::Fill(fill) = fill_table.decide(request("a"), None) else {
+        panic!()
+    };
+    let RequestDecision::Wait(b) = fill_table.decide(request("b"), None) else {
+        panic!()
+    };
+    let RequestDecision::Wait(c) = fill_table.decide(request("c"), None) else {
+        panic!()
+    };
+    assert_eq!(fill_table.decide(request("d"), None), RequestDecision::Full);
+    assert_eq!(
+        fill_table.decide(
+            CacheRequest {
+                source: None,
+                ..request("d")
+            },
+            None
+        ),
+        RequestDecision::Miss
+    );
+    fill_table.cancel_wait(b);
+    let turn = fill_table.fill_ended(fill).unwrap();
+    assert_eq!(
+        (turn.waiter, fill_table.active_fills(), fill_table.waiting()),
+        (c, 1, 0)
+    );
+    assert_eq!(fill_table.fill_ended(turn.fill), None);
+    assert_eq!(fill_table.active_fills(), 0);
+}
+
+#[test]
+fn a_source_gives_what_it_holds_and_asks_nobody() {
+    let mut head = RequestHead {
+        object: "/a".into(),
+        ..Default::default()
+    };
+    let of = |head: &RequestHead, uncacheable| {
+        CacheRequest::of(head, (), None, Some("origin"), uncacheable)
+    };
+    assert_eq!(
+        of(&head, false).source,
+        None,
+        "a plain question wants what is cached"
+    );
+    assert_eq!(
+        of(&head, true).source.as_deref(),
+        Some("origin"),
+        "what must run is passed on"
+    );
+    head.fetch = Some(FetchHead {
+        only_if_cached: true,
+        ..Default::default()
+    });
+    assert_eq!(of(&head, false).source, None);
+    head.fetch = Some(FetchHead {
+        retention_rank: 2,
+        ..Default::default()
+    });
+    assert_eq!(of(&head, false).source.as_deref(), Some("origin"));
+    head.fetch = Some(FetchHead {
+        source: "p:1".into(),
+        only_if_cached: true,
+        ..Default::default()
+    });
+    assert_eq!(
+        of(&head, false).source.as_deref(),
+        Some("p:1"),
+        "its source is request for what it holds"
+    );
+}
--- a/crates/cache-host/src/fresh.rs
+++ b/crates/cache-host/src/freshness.rs
@@ -1,7 +1,7 @@
 //! How long an HTTP answer may be kept and how old it is: RFC 9111, sections 4.2 and 5.2, for a shared cache.
 use pointspindle::Micros;
 
-const S: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// What an answer's fields say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -64,71 +64,14 @@
         .first()
         .and_then(|v| v.trim().parse::<u64>().ok())
         .unwrap_or(0);
-    let corrected = told.saturating_mul(S).saturating_add(took);
-    let age = corrected.max(apparent.saturating_mul(S));
+    let corrected = told.saturating_mul(MICROS_PER_SECOND).saturating_add(took);
+    let age = corrected.max(apparent.saturating_mul(MICROS_PER_SECOND));
     Freshness {
         no_store,
-        lifetime: lifetime.map(|s| s.saturating_mul(S)),
+        lifetime: lifetime.map(|s| s.saturating_mul(MICROS_PER_SECOND)),
         age,
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn of(fields: &[(&str, &str)]) -> Freshness {
-        let fields: Vec<_> = fields
-            .iter()
-            .map(|(n, v)| (n.to_string(), v.to_string()))
-            .collect();
-        freshness(&fields, 250_000, 1_445_412_480)
-    }
-
-    /// 1,445,412,480 s is Wed, 21 Oct 2015 07:28:00 GMT.
-    #[test]
-    fn the_most_specific_word_counts_and_what_cannot_be_read_is_stale() {
-        assert_eq!(
-            of(&[]),
-            Freshness {
-                no_store: false,
-                lifetime: None,
-                age: 250_000
-            }
-        );
-        let both = of(&[
-            ("cache-control", "max-age=60, s-maxage=\"30\""),
-            ("expires", "0"),
-        ]);
-        assert_eq!(both.lifetime, Some(30 * S));
-        assert_eq!(of(&[("cache-control", "max-age=soon")]).lifetime, Some(0));
-        assert_eq!(
-            of(&[
-                ("cache-control", "max-age=60"),
-                ("cache-control", "no-cache")
-            ])
-            .lifetime,
-            Some(0)
-        );
-        assert!(of(&[("cache-control", "public, No-Store")]).no_store);
-        assert!(of(&[("cache-control", "private")]).no_store);
-        let dates = [
-            ("date", "Wed, 21 Oct 2015 07:27:00 GMT"),
-            ("expires", "Wed, 21 Oct 2015 07:37:00 GMT"),
-        ];
-        assert_eq!(
-            of(&dates),
-            Freshness {
-                no_store: false,
-                lifetime: Some(600 * S),
-                age: 60 * S
-            }
-        );
-        assert_eq!(of(&[("expires", "0")]).lifetime, Some(0));
-        assert_eq!(
-            of(&[("age", "90")]).age,
-            90 * S + 250_000,
-            "the way counts as old"
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/cache-host/src/freshness/tests.rs
@@ -0,0 +1,57 @@
+//! Tests of [`super`].
+use super::*;
+
+fn of(fields: &[(&str, &str)]) -> Freshness {
+    let fields: Vec<_> = fields
+        .iter()
+        .map(|(n, v)| (n.to_string(), v.to_string()))
+        .collect();
+    freshness(&fields, 250_000, 1_445_412_480)
+}
+
+/// 1,445,412,480 s is Wed, 21 Oct 2015 07:28:00 GMT.
+#[test]
+fn the_most_specific_word_counts_and_what_cannot_be_read_is_stale() {
+    assert_eq!(
+        of(&[]),
+        Freshness {
+            no_store: false,
+            lifetime: None,
+            age: 250_000
+        }
+    );
+    let both = of(&[
+        ("cache-control", "max-age=60, s-maxage=\"30\""),
+        ("expires", "0"),
+    ]);
+    assert_eq!(both.lifetime, Some(30 * MICROS_PER_SECOND));
+    assert_eq!(of(&[("cache-control", "max-age=soon")]).lifetime, Some(0));
+    assert_eq!(
+        of(&[
+            ("cache-control", "max-age=60"),
+            ("cache-control", "no-cache")
+        ])
+        .lifetime,
+        Some(0)
+    );
+    assert!(of(&[("cache-control", "public, No-Store")]).no_store);
+    assert!(of(&[("cache-control", "private")]).no_store);
+    let dates = [
+        ("date", "Wed, 21 Oct 2015 07:27:00 GMT"),
+        ("expires", "Wed, 21 Oct 2015 07:37:00 GMT"),
+    ];
+    assert_eq!(
+        of(&dates),
+        Freshness {
+            no_store: false,
+            lifetime: Some(600 * MICROS_PER_SECOND),
+            age: 60 * MICROS_PER_SECOND
+        }
+    );
+    assert_eq!(of(&[("expires", "0")]).lifetime, Some(0));
+    assert_eq!(
+        of(&[("age", "90")]).age,
+        90 * MICROS_PER_SECOND + 250_000,
+        "the way counts as old"
+    );
+}
--- a/crates/cache-host/src/net/sources.rs
+++ b/crates/cache-host/src/net/fill_sources.rs
@@ -1,5 +1,5 @@
 //! Where fills come from: other hosts by the framed protocol, an origin by HTTP/1.1.
-use crate::fresh;
+use crate::freshness;
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
@@ -19,15 +19,15 @@
 use tokio::time::Instant;
 
 /// Links to sources that are kept; one that ended is replaced.
-const LINKS: usize = 1_024;
+const MAX_SOURCE_CONNECTIONS: usize = 1_024;
 
 /// An answer under way.
-pub enum Answer {
+pub enum SourceBody {
     Framed(Call),
-    Http(Box<HttpAnswering>),
+    Http(Box<HttpBody>),
 }
 
-pub struct HttpAnswering {
+pub struct HttpBody {
     connection: Option<Connection>,
     keep: bool,
     home: Arc<HttpOrigin>,
@@ -49,16 +49,16 @@
 }
 
 /// What a source's head says.
-pub struct Began {
+pub struct SourceResponse {
     pub head: ResponseHead,
     /// Not to be kept.
     pub no_store: bool,
-    pub answer: Answer,
+    pub answer: SourceBody,
 }
 
 /// Why nothing came.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Failed {
+pub enum SourceFailure {
     /// Nothing was sent.
     Unreachable(String),
     /// It said so.
@@ -75,7 +75,7 @@
 }
 
 /// The name by which a host's own HTTP origin is asked for.
-pub const OWN: &str = "origin";
+pub const HOST_ORIGIN: &str = "origin";
 
 impl Sources {
     pub fn new(settings: &CacheHostSettings, net: Network, clock: WallClock) -> Self {
@@ -103,21 +103,21 @@
         source: &str,
         request: RequestHead,
         uncacheable: bool,
-    ) -> Result<Began, Failed> {
+    ) -> Result<SourceResponse, SourceFailure> {
         match &self.origin {
-            Some(origin) if source == OWN || source == origin.place.address.to_string() => {
+            Some(origin) if source == HOST_ORIGIN || source == origin.place.address.to_string() => {
                 self.http(origin.clone(), request, uncacheable).await
             }
             _ => self.framed(source, request).await,
         }
     }
 
-    async fn link(&self, address: &str) -> Result<FramedConnection, Failed> {
+    async fn link(&self, address: &str) -> Result<FramedConnection, SourceFailure> {
         let mut links = self.links.lock().await;
         if let Some(link) = links.get(address).filter(|link| link.accepts_calls()) {
             return Ok(link.clone());
         }
-        let unreachable = |why: String| Failed::Unreachable(format!("{address}: {why}"));
+        let unreachable = |why: String| SourceFailure::Unreachable(format!("{address}: {why}"));
         let at: SocketAddr = address
             .parse()
             .map_err(|_| unreachable("not an address and port".into()))?;
@@ -128,29 +128,33 @@
             FramedConnection::start(line, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         links.retain(|_, link| !link.is_closed());
-        if links.len() < LINKS {
+        if links.len() < MAX_SOURCE_CONNECTIONS {
             links.insert(address.to_owned(), link.clone());
         }
         Ok(link)
     }
 
-    async fn framed(&self, source: &str, request: RequestHead) -> Result<Began, Failed> {
+    async fn framed(
+        &self,
+        source: &str,
+        request: RequestHead,
+    ) -> Result<SourceResponse, SourceFailure> {
         let link = self.link(source).await?;
         let mut call = link
             .call(request)
-            .map_err(|e| Failed::Unreachable(e.to_string()))?;
+            .map_err(|e| SourceFailure::Unreachable(e.to_string()))?;
         match call.next().await {
-            Some(ResponsePart::Head(head)) => Ok(Began {
+            Some(ResponsePart::Head(head)) => Ok(SourceResponse {
                 head,
                 no_store: false,
-                answer: Answer::Framed(call),
+                answer: SourceBody::Framed(call),
             }),
-            Some(ResponsePart::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
-            Some(ResponsePart::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
+            Some(ResponsePart::End(CallEnd::Error(e))) => Err(SourceFailure::Told(Box::new(e))),
+            Some(ResponsePart::End(CallEnd::Broken(why))) => Err(SourceFailure::Broke(why)),
             Some(ResponsePart::End(CallEnd::NotSent)) => {
-                Err(Failed::Unreachable("nothing of it was sent".into()))
+                Err(SourceFailure::Unreachable("nothing of it was sent".into()))
             }
-            _ => Err(Failed::Broke("no head".into())),
+            _ => Err(SourceFailure::Broke("no head".into())),
         }
     }
 
@@ -159,10 +163,10 @@
         origin: Arc<HttpOrigin>,
         request: RequestHead,
         runs: bool,
-    ) -> Result<Began, Failed> {
+    ) -> Result<SourceResponse, SourceFailure> {
         // Waits for a place; the fill's own time-out ends that.
         let place = origin.places.clone().acquire_owned().await;
-        let place = place.map_err(|_| Failed::Unreachable("the host stops".into()))?;
+        let place = place.map_err(|_| SourceFailure::Unreachable("the host stops".into()))?;
         let asked = Instant::now();
         let text = text(&origin.place, &request, runs);
         // A connection that was kept may have been closed at the other end meanwhile: what only reads is asked once more.
@@ -189,33 +193,40 @@
                     let (head, no_store) = head(status, &fields, took, now_s);
                     let home = origin.clone();
                     let connection = Some(connection);
-                    let answer = HttpAnswering {
+                    let answer = HttpBody {
                         connection,
                         keep: keep_alive,
                         home,
                         _place: place,
                     };
-                    Ok(Began {
+                    Ok(SourceResponse {
                         head,
                         no_store,
-                        answer: Answer::Http(Box::new(answer)),
+                        answer: SourceBody::Http(Box::new(answer)),
                     })
                 }
                 None if reused => continue,
-                Some(Err(e)) if !(reused && e.status() == 0) => Err(Failed::Broke(e.to_string())),
+                Some(Err(e)) if !(reused && e.status() == 0) => {
+                    Err(SourceFailure::Broke(e.to_string()))
+                }
                 Some(Err(_)) => continue,
-                _ => Err(Failed::Broke("the origin closed the connection".into())),
+                _ => Err(SourceFailure::Broke(
+                    "the origin closed the connection".into(),
+                )),
             };
         }
-        Err(Failed::Broke("the origin closed the connection".into()))
+        Err(SourceFailure::Broke(
+            "the origin closed the connection".into(),
+        ))
     }
 
-    async fn connect_http(&self, origin: &HttpOrigin) -> Result<Connection, Failed> {
+    async fn connect_http(&self, origin: &HttpOrigin) -> Result<Connection, SourceFailure> {
         let at = origin.place.address;
         let line = tokio::time::timeout(self.connect, self.net.connect(None, at)).await;
-        let line = line.map_err(|_| Failed::Unreachable(format!("{at}: no connection in time")))?;
+        let line =
+            line.map_err(|_| SourceFailure::Unreachable(format!("{at}: no connection in time")))?;
         let (read, write) = line
-            .map_err(|e| Failed::Unreachable(format!("{at}: {e}")))?
+            .map_err(|e| SourceFailure::Unreachable(format!("{at}: {e}")))?
             .split();
         Ok(Connection {
             read: FrameReader::new(read, ResponseCodec::new(false)),
@@ -274,7 +285,7 @@
             .find(|(n, _)| n == name)
             .map(|(_, v)| v.clone())
     };
-    let fresh = fresh::freshness(fields, took, now_s);
+    let fresh = freshness::freshness(fields, took, now_s);
     let kept = matches!(status, 200 | 304);
     let head = ResponseHead {
         cache_status: WireCacheStatus::FilledByOrigin as i32,
@@ -290,16 +301,16 @@
     (head, fresh.no_store || !kept)
 }
 
-impl Answer {
+impl SourceBody {
     /// The next piece of the body; none: it is complete.
-    pub async fn next(&mut self) -> Result<Option<Bytes>, Failed> {
+    pub async fn next(&mut self) -> Result<Option<Bytes>, SourceFailure> {
         match self {
             Self::Framed(call) => match call.next().await {
                 Some(ResponsePart::Data(data)) => Ok(Some(data)),
                 Some(ResponsePart::End(CallEnd::Complete(_))) => Ok(None),
-                Some(ResponsePart::End(CallEnd::Error(e))) => Err(Failed::Told(Box::new(e))),
-                Some(ResponsePart::End(CallEnd::Broken(why))) => Err(Failed::Broke(why)),
-                _ => Err(Failed::Broke("a second head".into())),
+                Some(ResponsePart::End(CallEnd::Error(e))) => Err(SourceFailure::Told(Box::new(e))),
+                Some(ResponsePart::End(CallEnd::Broken(why))) => Err(SourceFailure::Broke(why)),
+                _ => Err(SourceFailure::Broke("a second head".into())),
             },
             Self::Http(answering) => {
                 let Some(connection) = &mut answering.connection else {
@@ -317,8 +328,10 @@
                         idle.extend(connection);
                         Ok(None)
                     }
-                    Some(Err(e)) => Err(Failed::Broke(e.to_string())),
-                    _ => Err(Failed::Broke("the origin closed the connection".into())),
+                    Some(Err(e)) => Err(SourceFailure::Broke(e.to_string())),
+                    _ => Err(SourceFailure::Broke(
+                        "the origin closed the connection".into(),
+                    )),
                 }
             }
         }
--- a/crates/cache-host/src/net/flow.rs
+++ b/crates/cache-host/src/net/fill_stream.rs
@@ -1,6 +1,6 @@
 //! A fill's answer on its way to all who read it.
 //!
-//! Held: at most [`WINDOW`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
+//! Held: at most [`MAX_UNREAD_BYTES`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
 //! go, and its answer is broken off. Without readers nothing is held.
 use bytes::Bytes;
 use pointspindle_protocol::{ErrorHead, ResponseHead};
@@ -10,11 +10,11 @@
 use tokio::sync::Notify;
 
 /// Bytes that wait for the slowest reader.
-pub const WINDOW: usize = 512 * 1024;
+pub const MAX_UNREAD_BYTES: usize = 512 * 1024;
 
 /// How a fill ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FlowEnd {
+pub enum FillEnd {
     Complete,
     /// For the askers, as it is.
     Failed(Box<ErrorHead>),
@@ -22,9 +22,9 @@
 
 /// What a reader gets.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FlowPart {
+pub enum FillStreamPart {
     Data(Bytes),
-    End(FlowEnd),
+    End(FillEnd),
     /// Too slow: let go.
     Lost,
 }
@@ -39,22 +39,22 @@
     /// By reader: the number of its next piece.
     readers: BTreeMap<u64, u64>,
     next_reader: u64,
-    end: Option<FlowEnd>,
+    end: Option<FillEnd>,
 }
 
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct FillStream {
     state: Mutex<State>,
     changed: Notify,
 }
 
 #[derive(Debug)]
-pub struct FlowReader {
-    flow: Arc<Flow>,
+pub struct FillStreamReader {
+    fill_stream: Arc<FillStream>,
     id: u64,
 }
 
-impl Flow {
+impl FillStream {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
@@ -62,7 +62,7 @@
     }
 
     /// None: its beginning has gone by.
-    pub fn reader(self: &Arc<Self>) -> Option<FlowReader> {
+    pub fn reader(self: &Arc<Self>) -> Option<FillStreamReader> {
         let mut state = self.lock();
         if state.base > 0 {
             return None;
@@ -70,8 +70,8 @@
         state.next_reader += 1;
         let id = state.next_reader;
         state.readers.insert(id, 0);
-        Some(FlowReader {
-            flow: self.clone(),
+        Some(FillStreamReader {
+            fill_stream: self.clone(),
             id,
         })
     }
@@ -99,7 +99,7 @@
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                if self.lock().held <= WINDOW {
+                if self.lock().held <= MAX_UNREAD_BYTES {
                     return;
                 }
                 changed.await;
@@ -115,13 +115,13 @@
         }
     }
 
-    pub fn end(&self, end: FlowEnd) {
+    pub fn end(&self, end: FillEnd) {
         self.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
     /// Returns with the fill's end.
-    pub async fn over(&self) -> FlowEnd {
+    pub async fn over(&self) -> FillEnd {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -148,15 +148,15 @@
     }
 }
 
-impl FlowReader {
+impl FillStreamReader {
     /// The head, or how the fill ended without one.
-    pub async fn head(&self) -> Result<Arc<ResponseHead>, FlowEnd> {
+    pub async fn head(&self) -> Result<Arc<ResponseHead>, FillEnd> {
         loop {
-            let changed = self.flow.changed.notified();
+            let changed = self.fill_stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             {
-                let state = self.flow.lock();
+                let state = self.fill_stream.lock();
                 if let Some(head) = &state.head {
                     return Ok(head.clone());
                 }
@@ -168,28 +168,28 @@
         }
     }
 
-    pub async fn next(&self) -> FlowPart {
+    pub async fn next(&self) -> FillStreamPart {
         loop {
-            let changed = self.flow.changed.notified();
+            let changed = self.fill_stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let taken = {
-                let mut state = self.flow.lock();
+                let mut state = self.fill_stream.lock();
                 let base = state.base;
                 let Some(at) = state.readers.get(&self.id).copied() else {
-                    return FlowPart::Lost;
+                    return FillStreamPart::Lost;
                 };
                 match state.pieces.get((at - base) as usize).cloned() {
                     Some(piece) => {
                         state.readers.insert(self.id, at + 1);
                         state.trim();
-                        Some(FlowPart::Data(piece))
+                        Some(FillStreamPart::Data(piece))
                     }
-                    None => state.end.clone().map(FlowPart::End),
+                    None => state.end.clone().map(FillStreamPart::End),
                 }
             };
             if let Some(part) = taken {
-                self.flow.changed.notify_waiters();
+                self.fill_stream.changed.notify_waiters();
                 return part;
             }
             changed.await;
@@ -197,45 +197,16 @@
     }
 }
 
-impl Drop for FlowReader {
+impl Drop for FillStreamReader {
     fn drop(&mut self) {
         {
-            let mut state = self.flow.lock();
+            let mut state = self.fill_stream.lock();
             state.readers.remove(&self.id);
             state.trim();
         }
-        self.flow.changed.notify_waiters();
+        self.fill_stream.changed.notify_waiters();
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test(start_paused = true)]
-    async fn the_slowest_reader_is_waited_for_and_then_let_go() {
-        let flow = Arc::new(Flow::default());
-        let (quick, slow) = (flow.reader().unwrap(), flow.reader().unwrap());
-        let piece = Bytes::from(vec![7; WINDOW / 2]);
-        let reading = tokio::spawn(async move {
-            let mut count = 0;
-            while let FlowPart::Data(_) = quick.next().await {
-                count += 1;
-            }
-            count
-        });
-        let began = tokio::time::Instant::now();
-        for _ in 0..4 {
-            flow.data(piece.clone(), Duration::from_secs(5)).await;
-        }
-        assert_eq!(
-            began.elapsed(),
-            Duration::from_secs(5),
-            "one wait, then it is let go"
-        );
-        assert!(flow.reader().is_none(), "its beginning has gone by");
-        flow.end(FlowEnd::Complete);
-        assert_eq!(reading.await.unwrap(), 4);
-        assert_eq!(slow.next().await, FlowPart::Lost);
-    }
-}
+mod tests;
--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -1,11 +1,14 @@
-//! The cache host on tokio: one listener for requests, one for operators, one store, one desk.
-mod answer;
-mod flow;
-mod sources;
-
-use crate::desk::{Asked, Desk, FillId, Held, Rule, Turn, Verdict, Waiter};
-use crate::lease::{Grant, Ledger, UserId};
-use flow::Flow;
+//! The cache host on tokio: one listener for requests, one for operators, one store, one fill_table.
+mod fill_sources;
+mod fill_stream;
+mod request;
+
+use crate::fill_table::{
+    CacheRequest, CachedCopy, FillId, FillLimits, FillTable, QueuedFill, RequestDecision, WaiterId,
+};
+use crate::lease::{Grant, UserId, WorkLedger};
+use fill_sources::Sources;
+use fill_stream::FillStream;
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
 use pointspindle_config::{CacheHostSettings, Role, StoreSettings};
@@ -16,7 +19,6 @@
     AcceptFailure, ConnectionOptions, FramedConnection, Inbound, Listener, Network, Socket,
     MAX_ACCEPT_QUEUE_FAILURES,
 };
-use sources::Sources;
 use std::collections::HashMap;
 use std::hash::{BuildHasher, Hasher};
 use std::net::SocketAddr;
@@ -27,11 +29,11 @@
 use tokio::time::Instant;
 
 /// The host's clock starts here, so that its process may have started before.
-const EPOCH: Micros = 1_000_000_000_000;
+const CLOCK_ORIGIN_US: Micros = 1_000_000_000_000;
 /// After a shortage a connection is accepted again so much later.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Share by which one answer moves the share of hits that is told.
-const HIT_STEP: f64 = 0.02;
+const HIT_RATIO_SMOOTHING: f64 = 0.02;
 
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
@@ -43,14 +45,14 @@
 
 /// Where it listens, with the ports that were given.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
-pub struct HostBound {
+pub struct BoundAddresses {
     pub framed: SocketAddr,
     pub control: Option<SocketAddr>,
 }
 
 /// What the host has done since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct HostCounters {
     pub hits: u64,
     pub old: u64,
     pub fills: u64,
@@ -64,20 +66,20 @@
     pub bytes_out: u64,
 }
 
-struct Locked {
-    desk: Desk<Key>,
-    flows: HashMap<FillId, (Key, u64, Arc<Flow>)>,
+struct HostState {
+    fill_table: FillTable<Key>,
+    fill_streams: HashMap<FillId, (Key, u64, Arc<FillStream>)>,
     /// Who waits, with what the fill will be of.
-    turns: HashMap<Waiter, (Key, u64, oneshot::Sender<FillId>)>,
-    ledger: Option<(Ledger, HashMap<UserId, FramedConnection>)>,
+    turns: HashMap<WaiterId, (Key, u64, oneshot::Sender<FillId>)>,
+    ledger: Option<(WorkLedger, HashMap<UserId, FramedConnection>)>,
     next_user: UserId,
-    counts: Counts,
+    counts: HostCounters,
     hits: f64,
     open: usize,
 }
 
 pub(crate) struct Shared {
-    locked: Mutex<Locked>,
+    locked: Mutex<HostState>,
     pub settings: CacheHostSettings,
     pub store: Option<Store>,
     pub sources: Sources,
@@ -91,7 +93,7 @@
 /// A running cache host.
 pub struct Host {
     shared: Arc<Shared>,
-    bound: HostBound,
+    bound: BoundAddresses,
     stop: watch::Sender<bool>,
     doors: JoinSet<()>,
     helpers: JoinSet<()>,
@@ -161,20 +163,25 @@
         let cold =
             (!warm && settings.role == Role::Cache && settings.slow_start.ramp > 0).then(|| {
                 (
-                    Ledger::new(settings.slow_start, settings.weight, EPOCH, dearest),
+                    WorkLedger::new(
+                        settings.slow_start,
+                        settings.weight,
+                        CLOCK_ORIGIN_US,
+                        dearest,
+                    ),
                     HashMap::new(),
                 )
             });
-        let locked = Locked {
-            desk: Desk::new(Rule {
-                places: settings.max_fills,
-                queue: settings.fill_queue,
+        let locked = HostState {
+            fill_table: FillTable::new(FillLimits {
+                max_fills: settings.max_fills,
+                max_waiting: settings.fill_queue,
             }),
-            flows: HashMap::new(),
+            fill_streams: HashMap::new(),
             turns: HashMap::new(),
             ledger: cold,
             next_user: 0,
-            counts: Counts::default(),
+            counts: HostCounters::default(),
             hits: 0.0,
             open: 0,
         };
@@ -194,9 +201,9 @@
         if let Some(control) = control {
             doors.spawn(accept(shared.clone(), control, stopping, true));
         }
-        helpers.spawn(keep_store(shared.clone()));
-        helpers.spawn(lease_out(shared.clone()));
-        let bound = HostBound {
+        helpers.spawn(maintain_store(shared.clone()));
+        helpers.spawn(grant_leases(shared.clone()));
+        let bound = BoundAddresses {
             framed: at,
             control: control_at,
         };
@@ -210,11 +217,11 @@
         })
     }
 
-    pub fn bound(&self) -> HostBound {
+    pub fn bound(&self) -> BoundAddresses {
         self.bound
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> HostCounters {
         self.shared.lock().counts
     }
 
@@ -247,17 +254,17 @@
 }
 
 impl Shared {
-    fn lock(&self) -> MutexGuard<'_, Locked> {
+    fn lock(&self) -> MutexGuard<'_, HostState> {
         self.locked
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     pub fn now(&self) -> Micros {
-        EPOCH + self.born.elapsed().as_micros() as Micros
+        CLOCK_ORIGIN_US + self.born.elapsed().as_micros() as Micros
     }
 
-    pub fn count(&self, what: impl FnOnce(&mut Counts)) {
+    pub fn count(&self, what: impl FnOnce(&mut HostCounters)) {
         what(&mut self.lock().counts);
     }
 
@@ -265,12 +272,12 @@
     pub fn hit(&self, hit: bool) {
         let mut locked = self.lock();
         let hits = locked.hits;
-        locked.hits += HIT_STEP * (f64::from(hit) - hits);
+        locked.hits += HIT_RATIO_SMOOTHING * (f64::from(hit) - hits);
     }
 
     pub fn load(&self) -> LoadReport {
         let locked = self.lock();
-        let util = locked.desk.filling() as f64 / self.settings.max_fills as f64;
+        let util = locked.fill_table.active_fills() as f64 / self.settings.max_fills as f64;
         LoadReport {
             utilization: util,
             hit_ratio: locked.hits,
@@ -278,28 +285,29 @@
         }
     }
 
-    /// The desk's word. What it begins has its flow, and who waits can be told, before anybody else asks.
-    pub fn ask(
+    /// The fill_table's word. What it begins has its fill_stream, and who waits can be told, before anybody else asks.
+    pub fn decide(
         &self,
-        asked: &Asked<Key>,
+        request: &CacheRequest<Key>,
         group: u64,
-        held: Option<Held>,
-    ) -> (Verdict, Option<oneshot::Receiver<FillId>>) {
+        cached: Option<CachedCopy>,
+    ) -> (RequestDecision, Option<oneshot::Receiver<FillId>>) {
         let mut locked = self.lock();
-        let verdict = locked.desk.ask(asked.clone(), held);
+        let verdict = locked.fill_table.decide(request.clone(), cached);
         let mut turn = None;
         match verdict {
-            Verdict::Fill(fill)
-            | Verdict::Serve {
-                renew: Some(fill), ..
+            RequestDecision::Fill(fill)
+            | RequestDecision::Serve {
+                revalidate: Some(fill),
+                ..
             } => {
                 locked
-                    .flows
-                    .insert(fill, (asked.key, group, Arc::default()));
+                    .fill_streams
+                    .insert(fill, (request.key, group, Arc::default()));
             }
-            Verdict::Wait(waiter) => {
+            RequestDecision::Wait(waiter) => {
                 let (sender, receiver) = oneshot::channel();
-                locked.turns.insert(waiter, (asked.key, group, sender));
+                locked.turns.insert(waiter, (request.key, group, sender));
                 turn = Some(receiver);
             }
             _ => {}
@@ -310,15 +318,17 @@
     /// A fill has ended: the next one in the line has its turn.
     pub fn fill_over(&self, fill: FillId) {
         let mut locked = self.lock();
-        locked.flows.remove(&fill);
+        locked.fill_streams.remove(&fill);
         let mut ended = fill;
-        while let Some(Turn { waiter, fill }) = locked.desk.over(ended) {
+        while let Some(QueuedFill { waiter, fill }) = locked.fill_table.fill_ended(ended) {
             if let Some((key, group, turn)) = locked.turns.remove(&waiter) {
-                locked.flows.insert(fill, (key, group, Arc::default()));
+                locked
+                    .fill_streams
+                    .insert(fill, (key, group, Arc::default()));
                 if turn.send(fill).is_ok() {
                     return;
                 }
-                locked.flows.remove(&fill);
+                locked.fill_streams.remove(&fill);
             }
             // It has left meanwhile.
             ended = fill;
@@ -340,13 +350,13 @@
             let struck =
                 |key: &Key, group: u64| object.map_or(group == head.group, |o| key.object == o);
             let keys: Vec<Key> = locked
-                .flows
+                .fill_streams
                 .values()
                 .filter(|(k, g, _)| struck(k, *g))
                 .map(|(k, ..)| *k)
                 .collect();
             for key in keys {
-                locked.desk.shut(&key);
+                locked.fill_table.stop_coalescing(&key);
             }
         }
         let Some(store) = self.store.clone() else {
@@ -389,7 +399,7 @@
             Ok((line, _)) => {
                 connections.spawn(serve(shared.clone(), line, stop.clone(), operators));
             }
-            Err(e) => accept_failed(e).await,
+            Err(e) => wait_after_accept_failure(e).await,
         }
     }
     // What waits in the queue was accepted by the system, with the requests that are written on it.
@@ -399,19 +409,23 @@
         }
     };
     listener
-        .drain_accept_queue(MAX_ACCEPT_QUEUE_FAILURES, serve_queued, accept_failed)
+        .drain_accept_queue(
+            MAX_ACCEPT_QUEUE_FAILURES,
+            serve_queued,
+            wait_after_accept_failure,
+        )
         .await;
     while connections.join_next().await.is_some() {}
 }
 
 /// Returns when to accept again.
-async fn accept_failed(error: std::io::Error) {
+async fn wait_after_accept_failure(error: std::io::Error) {
     if AcceptFailure::of(&error) == AcceptFailure::Connection {
         tracing::debug!(%error, "a connection died before it was accepted");
         return tokio::task::yield_now().await;
     }
     tracing::warn!(%error, "accept failed");
-    tokio::time::sleep(ACCEPT_PAUSE).await;
+    tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
 async fn stopped(stop: &mut watch::Receiver<bool>) {
@@ -419,12 +433,12 @@
 }
 
 /// Gives a lease up with its connection.
-struct Using {
+struct LeaseHolder {
     shared: Arc<Shared>,
     user: Option<UserId>,
 }
 
-impl Drop for Using {
+impl Drop for LeaseHolder {
     fn drop(&mut self) {
         if let (Some(user), Some((ledger, links))) = (self.user, &mut self.shared.lock().ledger) {
             ledger.leave(user);
@@ -463,7 +477,7 @@
             ..shared.hello
         }));
     }
-    let mut using = Using {
+    let mut using = LeaseHolder {
         shared: shared.clone(),
         user: None,
     };
@@ -505,7 +519,7 @@
                         class.map_or(0.0, |c| c.mean_send_time_us as f64 / 1e6),
                     );
                 }
-                requests.spawn(answer::run(shared.clone(), head, responder));
+                requests.spawn(request::run(shared.clone(), head, responder));
             }
             Some(Inbound::Request(_, responder)) => {
                 let detail = "this door takes purges, not requests".to_owned();
@@ -579,7 +593,7 @@
 }
 
 /// Reads what was left on disk, then syncs and cleans in small parts.
-async fn keep_store(shared: Arc<Shared>) {
+async fn maintain_store(shared: Arc<Shared>) {
     let (Some(store), Some(place)) = (shared.store.clone(), shared.settings.store.clone()) else {
         return;
     };
@@ -609,7 +623,7 @@
 }
 
 /// Tells leases slot by slot while this start warms up.
-async fn lease_out(shared: Arc<Shared>) {
+async fn grant_leases(shared: Arc<Shared>) {
     loop {
         let next = match &shared.lock().ledger {
             Some((ledger, _)) => ledger.next_slot(),
--- a/crates/cache-host/src/net/answer.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -1,8 +1,8 @@
-//! One request: what the desk says of it is carried out, from the store or from a fill.
-use super::flow::{Flow, FlowEnd, FlowPart, FlowReader};
-use super::sources::{Began, Failed, OWN};
+//! One request: what the fill_table says of it is carried out, from the store or from a fill.
+use super::fill_sources::{SourceFailure, SourceResponse, HOST_ORIGIN};
+use super::fill_stream::{FillEnd, FillStream, FillStreamPart, FillStreamReader};
 use super::Shared;
-use crate::desk::{Asked, FillId, Held, Verdict};
+use crate::fill_table::{CacheRequest, CachedCopy, FillId, RequestDecision};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_config::Role;
@@ -16,25 +16,25 @@
 use tokio::time::Instant;
 
 /// A request that was joined to a fill and missed its beginning asks again, so often.
-const ROUNDS: usize = 3;
+const MAX_DECISIONS: usize = 3;
 
 /// Counts a request that is open.
-struct Open(Arc<Shared>);
+struct OpenRequest(Arc<Shared>);
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.lock().open -= 1;
     }
 }
 
 /// Gives the place of a fill back also when its task is aborted.
-struct Place {
+struct ActiveFill {
     shared: Arc<Shared>,
     fill: FillId,
-    flow: Arc<Flow>,
+    fill_stream: Arc<FillStream>,
 }
 
-impl Drop for Place {
+impl Drop for ActiveFill {
     fn drop(&mut self) {
         let error = failed(
             WireStatus::Error,
@@ -42,7 +42,7 @@
             true,
             "the fill was given up",
         );
-        self.flow.end(FlowEnd::Failed(Box::new(error)));
+        self.fill_stream.end(FillEnd::Failed(Box::new(error)));
         self.shared.fill_over(self.fill);
     }
 }
@@ -64,7 +64,7 @@
 }
 
 pub(super) async fn run(shared: Arc<Shared>, head: RequestHead, responder: Responder) {
-    // A way that was cut off for a while brings a request and its cancel together: nothing of it is begun.
+    // A way that was selection off for a while brings a request and its cancel together: nothing of it is begun.
     if responder.is_cancelled() {
         return;
     }
@@ -74,7 +74,7 @@
         locked.open += 1;
         locked.open <= shared.settings.max_requests
     };
-    let _open = Open(shared.clone());
+    let _open = OpenRequest(shared.clone());
     let error = match room {
         true => {
             Request {
@@ -147,40 +147,41 @@
             ));
         };
         let key = self.key();
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_DECISIONS {
             let found = self.find(&key, class.uncacheable).await;
             let fresh = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
             let fresh = found
                 .as_ref()
-                .map_or(fresh, |f| fresh_of(&f.meta).or(fresh));
+                .map_or(fresh, |f| freshness_lifetime_of(&f.meta).or(fresh));
             // A cache host fills from named sources only: asked without one, it is to give what it holds.
             let tier = shared.settings.role != Role::Cache;
-            let own = (tier && shared.settings.origin.is_some()).then_some(OWN);
-            let mut asked = Asked::of(&self.head, key, fresh, own, class.uncacheable);
+            let own = (tier && shared.settings.origin.is_some()).then_some(HOST_ORIGIN);
+            let mut cache_request =
+                CacheRequest::of(&self.head, key, fresh, own, class.uncacheable);
             if shared.store.is_none() {
-                asked.keep = 0;
+                cache_request.retention_rank = 0;
             }
-            let held = found.as_ref().map(|f| Held {
+            let held = found.as_ref().map(|f| CachedCopy {
                 age: shared.age(&f.meta),
             });
-            let (verdict, turn) = shared.ask(&asked, self.head.group, held);
+            let (verdict, turn) = shared.decide(&cache_request, self.head.group, held);
             match verdict {
-                Verdict::Serve { old, renew } => {
+                RequestDecision::Serve { stale, revalidate } => {
                     let Some(found) = found else { continue };
-                    if let Some(fill) = renew {
+                    if let Some(fill) = revalidate {
                         let known = Some(found.meta.validator.clone());
-                        self.spawn_fill(fill, &asked, known, class.uncacheable, true);
+                        self.spawn_fill(fill, &cache_request, known, class.uncacheable, true);
                     }
                     shared.hit(true);
-                    shared.count(|c| if old { c.old += 1 } else { c.hits += 1 });
-                    let note = if old {
+                    shared.count(|c| if stale { c.old += 1 } else { c.hits += 1 });
+                    let note = if stale {
                         WireCacheStatus::Stale
                     } else {
                         WireCacheStatus::Hit
                     };
-                    return self.serve_held(responder, found, note).await;
+                    return self.serve_cached(responder, found, note).await;
                 }
-                Verdict::Miss => {
+                RequestDecision::Miss => {
                     shared.hit(false);
                     return Some((
                         responder,
@@ -192,7 +193,7 @@
                         ),
                     ));
                 }
-                Verdict::Full => {
+                RequestDecision::Full => {
                     let why = "every fill has its place taken, and so has the line";
                     return Some((
                         responder,
@@ -204,34 +205,40 @@
                         ),
                     ));
                 }
-                Verdict::Join(fill) => {
-                    let flow = shared
+                RequestDecision::Join(fill) => {
+                    let fill_stream = shared
                         .lock()
-                        .flows
+                        .fill_streams
                         .get(&fill)
-                        .map(|(.., flow)| flow.clone());
-                    let Some(flow) = flow else { continue };
+                        .map(|(.., fill_stream)| fill_stream.clone());
+                    let Some(fill_stream) = fill_stream else {
+                        continue;
+                    };
                     shared.hit(false);
-                    match flow.reader() {
+                    match fill_stream.reader() {
                         Some(reader) => {
                             shared.count(|c| c.joined += 1);
                             return self
-                                .serve_fill(responder, reader, Some(WireCacheStatus::Coalesced))
+                                .serve_from_fill(
+                                    responder,
+                                    reader,
+                                    Some(WireCacheStatus::Coalesced),
+                                )
                                 .await;
                         }
                         // Its beginning has gone by: the copy is there when it has ended.
                         None => tokio::select! {
-                            _ = flow.over() => {}
+                            _ = fill_stream.over() => {}
                             () = responder.cancelled() => return None,
                         },
                     }
                 }
-                Verdict::Fill(fill) => {
+                RequestDecision::Fill(fill) => {
                     return self
-                        .fill(responder, fill, &asked, found, class.uncacheable)
+                        .fill(responder, fill, &cache_request, found, class.uncacheable)
                         .await
                 }
-                Verdict::Wait(waiter) => {
+                RequestDecision::Wait(waiter) => {
                     let Some(mut turn) = turn else { continue };
                     let fill = tokio::select! {
                         fill = &mut turn => fill.ok(),
@@ -240,7 +247,7 @@
                     };
                     let late = {
                         let mut locked = shared.lock();
-                        locked.desk.leave(waiter);
+                        locked.fill_table.cancel_wait(waiter);
                         locked.turns.remove(&waiter).is_some()
                     };
                     // Its turn may have come in the instant in which it gave up: the place goes on.
@@ -250,7 +257,7 @@
                     match fill {
                         Some(fill) => {
                             return self
-                                .fill(responder, fill, &asked, found, class.uncacheable)
+                                .fill(responder, fill, &cache_request, found, class.uncacheable)
                                 .await
                         }
                         None if responder.is_cancelled() || !late => return None,
@@ -307,7 +314,7 @@
         self.came.elapsed().as_micros() as u64
     }
 
-    async fn serve_held(
+    async fn serve_cached(
         &self,
         mut responder: Responder,
         found: Found,
@@ -320,10 +327,11 @@
             age_us,
             validator: found.meta.validator.clone(),
             content_type: found.meta.content_type.clone(),
-            fresh_left_us: fresh_of(&found.meta).map(|fresh| fresh.saturating_sub(age_us)),
+            fresh_left_us: freshness_lifetime_of(&found.meta)
+                .map(|fresh| fresh.saturating_sub(age_us)),
             ..ResponseHead::default()
         };
-        let (head, cut) = cut(head, &self.head);
+        let (head, selection) = select_bytes(head, &self.head);
         let load = self.shared.load();
         let head = ResponseHead {
             elapsed_us: self.elapsed(),
@@ -337,7 +345,7 @@
             .as_ref()
             .map_or(1, |s| u64::from(s.block));
         let found = Arc::new(found);
-        let (mut at, end) = (cut.from, cut.from + cut.len);
+        let (mut at, end) = (selection.from, selection.from + selection.len);
         // The first block before the head: a copy that cannot be read is no answer, and another one may be had.
         let mut begun = Some(head);
         while at < end || begun.is_some() {
@@ -399,7 +407,7 @@
         &self,
         responder: Responder,
         fill: FillId,
-        asked: &Asked<Key>,
+        cache_request: &CacheRequest<Key>,
         found: Option<Found>,
         uncacheable: bool,
     ) -> Unanswered {
@@ -408,7 +416,8 @@
             .map(|f| f.meta.validator.clone())
             .filter(|v| !v.is_empty());
         let conditional = validator.is_some();
-        let Some(reader) = self.spawn_fill(fill, asked, validator, uncacheable, false) else {
+        let Some(reader) = self.spawn_fill(fill, cache_request, validator, uncacheable, false)
+        else {
             let why = "the fill was over before it was read";
             return Some((
                 responder,
@@ -423,47 +432,47 @@
                     if let Some(found) = self.find(&key, uncacheable).await {
                         let note = WireCacheStatus::try_from(head.cache_status)
                             .unwrap_or(WireCacheStatus::Filled);
-                        return self.serve_held(responder, found, note).await;
+                        return self.serve_cached(responder, found, note).await;
                     }
                 }
             }
         }
-        self.serve_fill(responder, reader, None).await
+        self.serve_from_fill(responder, reader, None).await
     }
 
     /// The fill's task, and its first reader.
     fn spawn_fill(
         &self,
         fill: FillId,
-        asked: &Asked<Key>,
+        cache_request: &CacheRequest<Key>,
         validator: Option<String>,
         uncacheable: bool,
         renewing: bool,
-    ) -> Option<FlowReader> {
-        let flow = self
+    ) -> Option<FillStreamReader> {
+        let fill_stream = self
             .shared
             .lock()
-            .flows
+            .fill_streams
             .get(&fill)
-            .map(|(.., flow)| flow.clone())?;
-        let reader = flow.reader();
-        let place = Place {
+            .map(|(.., fill_stream)| fill_stream.clone())?;
+        let reader = fill_stream.reader();
+        let place = ActiveFill {
             shared: self.shared.clone(),
             fill,
-            flow,
+            fill_stream,
         };
         let shape = &self.head;
         let fetch = FetchHead {
             source: String::new(),
-            retention_rank: asked.keep,
+            retention_rank: cache_request.retention_rank,
             // Behind an old copy the newest is wanted: the source's may be as old.
             max_age_us: if renewing {
                 1
             } else {
-                asked.limit.unwrap_or(0)
+                cache_request.max_age.unwrap_or(0)
             },
-            coalesce: asked.join && !renewing,
-            only_if_cached: asked.held_only,
+            coalesce: cache_request.coalesce && !renewing,
+            only_if_cached: cache_request.only_if_cached,
             revalidate: false,
         };
         let request = RequestHead {
@@ -480,10 +489,10 @@
             head_only: uncacheable && shape.head_only,
             ..RequestHead::default()
         };
-        let filling = Filling {
-            source: asked.source.clone().unwrap_or_default(),
-            keep: asked.keep,
-            key: asked.key,
+        let filling = FillTask {
+            source: cache_request.source.clone().unwrap_or_default(),
+            keep: cache_request.retention_rank,
+            key: cache_request.key,
             uncacheable,
             request,
         };
@@ -491,10 +500,10 @@
         reader
     }
 
-    async fn serve_fill(
+    async fn serve_from_fill(
         &self,
         mut responder: Responder,
-        reader: FlowReader,
+        reader: FillStreamReader,
         note: Option<WireCacheStatus>,
     ) -> Unanswered {
         let left = Duration::from_micros(self.left());
@@ -508,8 +517,8 @@
         };
         let head = match head {
             Ok(head) => head,
-            Err(FlowEnd::Failed(error)) => return Some((responder, *error)),
-            Err(FlowEnd::Complete) => {
+            Err(FillEnd::Failed(error)) => return Some((responder, *error)),
+            Err(FillEnd::Complete) => {
                 let why = "an answer without a head";
                 return Some((
                     responder,
@@ -521,7 +530,7 @@
         if let Some(note) = note {
             head.cache_status = note as i32;
         }
-        let (head, cut) = cut(head, &self.head);
+        let (head, selection) = select_bytes(head, &self.head);
         let bodyless = head.not_modified || head.unsatisfiable || self.head.head_only;
         let load = Some(self.shared.load());
         let head = ResponseHead {
@@ -529,20 +538,20 @@
             load,
             ..head
         };
-        let (mut at, end) = (0_u64, cut.from.saturating_add(cut.len));
+        let (mut at, end) = (0_u64, selection.from.saturating_add(selection.len));
         if responder.head(head).await.is_err() {
             return None;
         }
-        while !(bodyless || at >= end && cut.known) {
+        while !(bodyless || at >= end && selection.known) {
             let part = tokio::select! {
                 part = reader.next() => part,
                 () = responder.cancelled() => return None,
             };
             match part {
-                FlowPart::Data(data) => {
+                FillStreamPart::Data(data) => {
                     let (from, to) = (at, at + data.len() as u64);
                     at = to;
-                    let first = cut.from.clamp(from, to) - from;
+                    let first = selection.from.clamp(from, to) - from;
                     let last = end.clamp(from, to) - from;
                     let piece = data.slice(first as usize..last as usize);
                     self.shared.count(|c| c.bytes_out += piece.len() as u64);
@@ -550,9 +559,9 @@
                         return None;
                     }
                 }
-                FlowPart::End(FlowEnd::Complete) => break,
-                FlowPart::End(FlowEnd::Failed(error)) => return Some((responder, *error)),
-                FlowPart::Lost => {
+                FillStreamPart::End(FillEnd::Complete) => break,
+                FillStreamPart::End(FillEnd::Failed(error)) => return Some((responder, *error)),
+                FillStreamPart::Lost => {
                     let why = "too slow for those who read the same fill";
                     return Some((
                         responder,
@@ -567,7 +576,7 @@
 }
 
 /// Which bytes of the body are sent.
-struct Cut {
+struct ByteSelection {
     from: u64,
     len: u64,
     /// The whole's size is known.
@@ -575,51 +584,51 @@
 }
 
 /// The head with the range and the validator that were asked for applied (RFC 9110, sections 13 and 14).
-fn cut(mut head: ResponseHead, asked: &RequestHead) -> (ResponseHead, Cut) {
+fn select_bytes(mut head: ResponseHead, request: &RequestHead) -> (ResponseHead, ByteSelection) {
     let whole = head.size;
-    let mut cut = Cut {
+    let mut selection = ByteSelection {
         from: 0,
         len: whole.unwrap_or(u64::MAX),
         known: whole.is_some(),
     };
     let same =
-        !head.validator.is_empty() && matches_validator(&asked.if_none_match, &head.validator);
+        !head.validator.is_empty() && matches_validator(&request.if_none_match, &head.validator);
     if same && head.origin_status == 0 {
         head.not_modified = true;
     }
     // A weak validator holds no range together (13.1.5).
     let strong = !head.validator.starts_with("W/");
-    let wanted = !asked.range.is_empty()
-        && (asked.if_range.is_empty() || (strong && asked.if_range == head.validator));
-    let range = Range::parse(&asked.range)
+    let wanted = !request.range.is_empty()
+        && (request.if_range.is_empty() || (strong && request.if_range == head.validator));
+    let range = Range::parse(&request.range)
         .filter(|_| wanted && head.origin_status == 0 && !head.not_modified);
     match (range, whole) {
         (Some(range), Some(whole)) => match range.apply(whole) {
             ResolvedRange::Part(first, last) => {
-                (cut.from, cut.len) = (first, last + 1 - first);
+                (selection.from, selection.len) = (first, last + 1 - first);
                 (head.size, head.range_first, head.complete_size) =
-                    (Some(cut.len), Some(first), Some(whole));
+                    (Some(selection.len), Some(first), Some(whole));
             }
             ResolvedRange::Unsatisfiable => {
-                cut.len = 0;
+                selection.len = 0;
                 (head.size, head.complete_size, head.unsatisfiable) = (Some(0), Some(whole), true);
             }
         },
         _ if head.not_modified => head.size = None,
         _ => {}
     }
-    if head.not_modified || asked.head_only {
-        (cut.len, cut.known) = (0, true);
+    if head.not_modified || request.head_only {
+        (selection.len, selection.known) = (0, true);
     }
-    (head, cut)
+    (head, selection)
 }
 
 /// How long a copy is fresh from its birth, where its origin said so.
-fn fresh_of(meta: &Meta) -> Option<Micros> {
+fn freshness_lifetime_of(meta: &Meta) -> Option<Micros> {
     (meta.fresh_until_ms > 0).then(|| meta.fresh_until_ms.saturating_sub(meta.born_ms) * 1_000)
 }
 
-struct Filling {
+struct FillTask {
     source: String,
     keep: u32,
     key: Key,
@@ -627,8 +636,8 @@
     request: RequestHead,
 }
 
-impl Filling {
-    async fn run(self, place: Place) {
+impl FillTask {
+    async fn run(self, place: ActiveFill) {
         let longest = Duration::from_micros(place.shared.settings.fill_timeout_us);
         place.shared.count(|c| c.fills += 1);
         let asked_ms = place.shared.clock.steady_ms();
@@ -644,29 +653,38 @@
             .ask(&self.source, self.request.clone(), self.uncacheable);
         let began = match tokio::time::timeout(longest, asking).await {
             Ok(Ok(began)) => began,
-            Ok(Err(why)) => return place.flow.end(FlowEnd::Failed(Box::new(self.error(why)))),
+            Ok(Err(why)) => {
+                return place
+                    .fill_stream
+                    .end(FillEnd::Failed(Box::new(self.error(why))))
+            }
             Err(_) => {
-                let why = Failed::Broke(format!("{}: no answer in time", self.source));
-                return place.flow.end(FlowEnd::Failed(Box::new(self.error(why))));
+                let why = SourceFailure::Broke(format!("{}: no answer in time", self.source));
+                return place
+                    .fill_stream
+                    .end(FillEnd::Failed(Box::new(self.error(why))));
             }
         };
-        let end = match tokio::time::timeout(longest, self.pass_on(&place, began, begun, asked_ms))
-            .await
+        let end = match tokio::time::timeout(
+            longest,
+            self.relay_response(&place, began, begun, asked_ms),
+        )
+        .await
         {
-            Ok(Ok(())) => FlowEnd::Complete,
-            Ok(Err(why)) => FlowEnd::Failed(Box::new(self.error(why))),
-            Err(_) => FlowEnd::Failed(Box::new(
-                self.error(Failed::Broke("not complete in time".into())),
+            Ok(Ok(())) => FillEnd::Complete,
+            Ok(Err(why)) => FillEnd::Failed(Box::new(self.error(why))),
+            Err(_) => FillEnd::Failed(Box::new(
+                self.error(SourceFailure::Broke("not complete in time".into())),
             )),
         };
-        place.flow.end(end);
+        place.fill_stream.end(end);
     }
 
     /// How a source's failure is told: whose it is, and whether the work may have run.
-    fn error(&self, why: Failed) -> ErrorHead {
-        let origin = self.source == OWN;
+    fn error(&self, why: SourceFailure) -> ErrorHead {
+        let origin = self.source == HOST_ORIGIN;
         match why {
-            Failed::Unreachable(why) => {
+            SourceFailure::Unreachable(why) => {
                 let note = if origin {
                     WireCacheStatus::OriginFailed
                 } else {
@@ -674,7 +692,7 @@
                 };
                 failed(WireStatus::Error, note, false, &why)
             }
-            Failed::Broke(why) => {
+            SourceFailure::Broke(why) => {
                 let note = if origin {
                     WireCacheStatus::OriginFailed
                 } else {
@@ -682,7 +700,7 @@
                 };
                 failed(WireStatus::Error, note, true, &why)
             }
-            Failed::Told(e) => {
+            SourceFailure::Told(e) => {
                 let note = match (e.status(), e.cache_status()) {
                     (WireStatus::Miss, _) => WireCacheStatus::SourceMiss,
                     (_, WireCacheStatus::OriginFailed) => WireCacheStatus::OriginFailed,
@@ -694,15 +712,15 @@
         }
     }
 
-    async fn pass_on(
+    async fn relay_response(
         &self,
-        place: &Place,
-        began: Began,
+        place: &ActiveFill,
+        began: SourceResponse,
         begun: Option<Fill>,
         asked_ms: u64,
-    ) -> Result<(), Failed> {
+    ) -> Result<(), SourceFailure> {
         let shared = &place.shared;
-        let Began {
+        let SourceResponse {
             head,
             no_store,
             mut answer,
@@ -736,7 +754,7 @@
         if head.not_modified {
             let renewed = shared.store.is_some() && self.renew(shared, meta).await;
             shared.count(|c| c.renewed += u64::from(renewed));
-            place.flow.head(ResponseHead {
+            place.fill_stream.head(ResponseHead {
                 cache_status: note as i32,
                 ..head
             });
@@ -747,7 +765,7 @@
         if let Some(fill) = &mut fill {
             fill.describe(meta);
         }
-        place.flow.head(ResponseHead {
+        place.fill_stream.head(ResponseHead {
             cache_status: note as i32,
             range_first: None,
             ..head
@@ -767,10 +785,10 @@
                     Err(e) => tracing::error!(error = %e, "not kept"),
                 }
             }
-            if !place.flow.has_readers() && fill.is_none() {
-                return Err(Failed::Broke("nobody wants it any more".into()));
+            if !place.fill_stream.has_readers() && fill.is_none() {
+                return Err(SourceFailure::Broke("nobody wants it any more".into()));
             }
-            place.flow.data(data, slow).await;
+            place.fill_stream.data(data, slow).await;
         }
         if let Some(filling) = fill {
             let clock = shared.clock;
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/lab/src/scenario/mod.rs
@@ -12,7 +12,7 @@
 use crate::model::cold::ColdSpec;
 use crate::model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
 use pointspindle::{Micros, SlowStartRule};
-use pointspindle_cache_host::lease::Ledger;
+use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::ConfigErrors;
 use pointspindle_transport::simulated::NetworkConditions;
 use serde::{Deserialize, Serialize};
@@ -457,7 +457,7 @@
     }
 
     /// The ledger of a member that has just started; none where members do not say who they are.
-    pub fn ledger(&self, role: Role, weight: f64, started: Micros) -> Option<Ledger> {
+    pub fn ledger(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
         let c = self.cold(role);
         let (start_share, warm_within) = (c.start_share, c.warm_within);
         let (multiple, window) = (c.multiple, c.window);
@@ -472,7 +472,7 @@
             .iter()
             .map(|c| c.mean_bytes / self.flow)
             .fold(0.0, f64::max);
-        (self.hello && role == Role::Cache).then(|| Ledger::new(rule, weight, started, dearest))
+        (self.hello && role == Role::Cache).then(|| WorkLedger::new(rule, weight, started, dearest))
     }
 
     pub fn cold(&self, role: Role) -> ColdSpec {
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -6,7 +6,7 @@
 use crate::record::{Recorder, Saw};
 use crate::scenario::stream;
 use pointspindle::Micros;
-use pointspindle_cache_host::lease::{Grant, Ledger, UserId};
+use pointspindle_cache_host::lease::{Grant, UserId, WorkLedger};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead, LeaseHead};
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Network, Socket};
@@ -36,7 +36,7 @@
     pub walls: Option<(Walls, Vec<usize>)>,
 }
 
-type MakeLedger = dyn Fn(Role, f64, Micros) -> Option<Ledger> + Send + Sync;
+type MakeLedger = dyn Fn(Role, f64, Micros) -> Option<WorkLedger> + Send + Sync;
 
 /// Makes the ledger of a member that has just started, by role, weight and start; none: it leases nothing.
 #[derive(Clone)]
@@ -71,7 +71,7 @@
     next: JobId,
     out: Vec<Out>,
     /// Of members that warm up, with the connections that keep to leases.
-    ledgers: HashMap<HostId, (Ledger, HashMap<UserId, FramedConnection>)>,
+    ledgers: HashMap<HostId, (WorkLedger, HashMap<UserId, FramedConnection>)>,
     next_user: UserId,
 }
 
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -12,7 +12,7 @@
 use crate::scenario::script::{purge_groups, Listed, Ways};
 use crate::scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
 use pointspindle::{Micros, ObjectId};
-use pointspindle_cache_host::lease::Ledger;
+use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::core::{AttemptEnd, AttemptTerms};
 use pointspindle_dispatcher::{ClientRequest, Core, Input, Output};
@@ -137,7 +137,7 @@
     world_timer: Option<Micros>,
     cost: Cost,
     out: Vec<Out>,
-    pub(super) ledgers: HashMap<HostId, Ledger>,
+    pub(super) ledgers: HashMap<HostId, WorkLedger>,
     /// Members that cannot be reached though they live.
     pub(super) cut_off: HashSet<HostId>,
 }
