--- a/crates/cache-host/src/fill_table.rs
+++ b/crates/cache-host/src/fill_table.rs
@@ -104,7 +104,7 @@
     /// Nothing suitable is cached, and nothing is to be filled.
     Miss,
     /// Neither a place nor room to wait for one.
-    Full,
+    Reject,
 }
 
 /// A waiter's turn: it begins this fill.
@@ -181,7 +181,7 @@
             return RequestDecision::Fill(self.begin(&request));
         }
         if self.waiting.len() >= self.rule.max_waiting {
-            return RequestDecision::Full;
+            return RequestDecision::Reject;
         }
         self.next += 1;
         self.waiting.push_back((self.next, request));
--- a/crates/cache-host/src/fill_table/tests.rs
+++ b/crates/cache-host/src/fill_table/tests.rs
@@ -133,7 +133,10 @@
     let RequestDecision::Wait(c) = fill_table.decide(request("c"), None) else {
         panic!()
     };
-    assert_eq!(fill_table.decide(request("d"), None), RequestDecision::Full);
+    assert_eq!(
+        fill_table.decide(request("d"), None),
+        RequestDecision::Reject
+    );
     assert_eq!(
         fill_table.decide(
             CacheRequest {
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -1,7 +1,7 @@
 //! Leases of work: a member that has just started shares out what it bears while it warms up.
 //!
 //! Where many share little, a part is less than a request, and a whole request for each in turn seldom meets one: the work
-//! is then given to who asks for it, for a request that is there ([`WorkLedger::ask`]).
+//! is then given to who asks for it, for a request that is there ([`WorkLedger::request_work`]).
 //!
 //! Dispatchers that each take a part of a cold member's budget by a count that they guess are wrong together when the
 //! count is: one that joins, dies or is told late. The member knows who is connected, so it hands the budget out itself,
@@ -10,7 +10,7 @@
 //! lease with the next slot.
 //!
 //! **The sum.** Grants come out of one bucket of at most [`WorkLedger::burst`], filled at a pace `r`. What is granted in any
-//! span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next one (a lease lasts one
+//! span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next one (a lease duration one
 //! slot; the way of a request is shorter than another), so what arrives in any window `W` was granted within
 //! `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` is the budget of a window that lies wholly in the
 //! least warm part of that span. What goes back was never used, so it counts in no sum. No margin for chance is needed.
@@ -37,9 +37,9 @@
 pub struct Grant {
     pub user: UserId,
     pub work: f64,
-    pub lasts: Micros,
+    pub duration: Micros,
     /// Work is given to who asks for it.
-    pub by_asking: bool,
+    pub on_request: bool,
 }
 
 /// A connection's leases: granted and arrived, in the slot that runs and in the one before.
@@ -49,7 +49,7 @@
     granted: (f64, f64),
     arrived: (f64, f64),
     gone: bool,
-    asks: bool,
+    requests_work: bool,
 }
 
 impl User {
@@ -109,38 +109,38 @@
         now >= self.started + self.rule.ramp + self.rule.overload_window
     }
 
-    /// When [`WorkLedger::turn`] is next wanted.
+    /// When [`WorkLedger::start_slot`] is next wanted.
     pub fn next_slot(&self) -> Micros {
         self.slot + self.slot_length()
     }
 
     /// A dispatcher has connected, one that can ask or not. It has nothing until the next slot.
-    pub fn join(&mut self, user: UserId, asks: bool) -> Grant {
+    pub fn join(&mut self, user: UserId, requests_work: bool) -> Grant {
         match self.users.iter_mut().find(|u| u.id == user) {
-            Some(known) => (known.gone, known.asks) = (false, asks),
+            Some(known) => (known.gone, known.requests_work) = (false, requests_work),
             None => self.users.push_back(User {
                 id: user,
-                asks,
+                requests_work,
                 ..User::default()
             }),
         }
-        let by_asking = self.gives_by_asking(self.slot);
+        let on_request = self.grants_on_request(self.slot);
         Grant {
             user,
             work: 0.0,
-            lasts: 2 * self.slot_length(),
-            by_asking,
+            duration: 2 * self.slot_length(),
+            on_request,
         }
     }
 
-    fn gives_by_asking(&self, now: Micros) -> bool {
+    fn grants_on_request(&self, now: Micros) -> bool {
         self.burst(now) / (self.users().max(1) as f64) < ON_REQUEST_THRESHOLD * self.quantum
     }
 
     /// A user has a request there that needs so much: all of it, or nothing. Half a slot long, so that with its way what
     /// lapses is back in the bucket no sooner than all else.
-    pub fn ask(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
-        let (lasts, by_asking) = (self.slot_length() / 2, self.gives_by_asking(now));
+    pub fn request_work(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
+        let (duration, on_request) = (self.slot_length() / 2, self.grants_on_request(now));
         let room = work > 0.0 && work <= self.bucket + 1e-9 && !self.is_over(now);
         let known = self.users.iter_mut().find(|u| u.id == user && !u.gone);
         let work = match known.filter(|_| room) {
@@ -154,8 +154,8 @@
         Grant {
             user,
             work,
-            lasts,
-            by_asking,
+            duration,
+            on_request,
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     /// Work has arrived, from a user or from somebody else. What comes beyond the leases is taken off the next slots.
-    pub fn took(&mut self, user: Option<UserId>, work: f64) {
+    pub fn record_arrival(&mut self, user: Option<UserId>, work: f64) {
         match self.users.iter_mut().find(|u| Some(u.id) == user) {
             Some(user) => user.arrived.0 += work,
             None => self.others += work,
@@ -199,7 +199,7 @@
     }
 
     /// Shares out the next slot. Call at [`WorkLedger::next_slot`] or soon after; slots that were missed are lost.
-    pub fn turn(&mut self, now: Micros) -> Vec<Grant> {
+    pub fn start_slot(&mut self, now: Micros) -> Vec<Grant> {
         if now < self.next_slot() || self.is_over(now) {
             return Vec::new();
         }
@@ -219,8 +219,8 @@
         // Too little for all is whole requests for some, in turn: a part of a request is of use to nobody. The others
         // are told so, or they would fall back on a guess of their own.
         let mut grants = Vec::new();
-        let by_asking = self.gives_by_asking(now);
-        let waits = |u: &User| !(u.gone || by_asking && u.asks);
+        let on_request = self.grants_on_request(now);
+        let waits = |u: &User| !(u.gone || on_request && u.requests_work);
         let sharing = self.users.iter().filter(|u| waits(u)).count();
         let each = (self.bucket / sharing.max(1) as f64).max(self.quantum);
         let mut turns = 0;
@@ -238,8 +238,8 @@
             grants.push(Grant {
                 user: user.id,
                 work,
-                lasts: length,
-                by_asking,
+                duration: length,
+                on_request,
             });
         }
         self.users.rotate_left(turns);
--- a/crates/cache-host/src/lease/tests.rs
+++ b/crates/cache-host/src/lease/tests.rs
@@ -32,13 +32,17 @@
         let now = ledger.next_slot();
         late_work.retain(|(at, user, work): &(Micros, UserId, f64)| {
             if *at < now {
-                ledger.took(Some(*user), *work);
+                ledger.record_arrival(Some(*user), *work);
             }
             *at >= now
         });
-        for (n, grant) in ledger.turn(now).into_iter().enumerate() {
+        for (n, grant) in ledger.start_slot(now).into_iter().enumerate() {
             // Some at once, some as late as can be: windows that straddle slots fill most.
-            let late = if n % 2 == 0 { 0 } else { 2 * grant.lasts - 1 };
+            let late = if n % 2 == 0 {
+                0
+            } else {
+                2 * grant.duration - 1
+            };
             sent.push((now + late, grant.work));
             late_work.push((now + late, grant.user, grant.work));
             *by.entry(grant.user).or_default() += grant.work;
@@ -97,9 +101,9 @@
             ledger.join(user, false);
         }
         for _ in 0..64 {
-            let grants = ledger.turn(ledger.next_slot());
+            let grants = ledger.start_slot(ledger.next_slot());
             let mine = grants.iter().find(|g| g.user == 0).map_or(0.0, |g| g.work);
-            ledger.took(Some(0), mine);
+            ledger.record_arrival(Some(0), mine);
             *sum += mine;
         }
     }
@@ -127,11 +131,11 @@
     let mut ledger = WorkLedger::new(RULE, 60.0, 0, 0.1);
     ledger.join(1, false);
     ledger.join(2, false);
-    let both = ledger.turn(ledger.next_slot());
+    let both = ledger.start_slot(ledger.next_slot());
     assert_eq!(both.len(), 2);
     ledger.leave(1);
     assert_eq!(ledger.join(3, false).work, 0.0);
-    let after = ledger.turn(ledger.next_slot());
+    let after = ledger.start_slot(ledger.next_slot());
     let users: Vec<UserId> = after.iter().map(|g| g.user).collect();
     assert_eq!(users, [2, 3]);
 }
@@ -140,9 +144,14 @@
 fn work_beyond_the_leases_is_taken_off_later_ones() {
     let mut ledger = WorkLedger::new(RULE, 6.29, 0, 0.1);
     ledger.join(1, false);
-    let sum = |l: &mut WorkLedger| l.turn(l.next_slot()).iter().map(|g| g.work).sum::<f64>();
+    let sum = |l: &mut WorkLedger| {
+        l.start_slot(l.next_slot())
+            .iter()
+            .map(|g| g.work)
+            .sum::<f64>()
+    };
     let usual = sum(&mut ledger);
-    ledger.took(Some(1), usual + 2.0);
+    ledger.record_arrival(Some(1), usual + 2.0);
     let mut missing = 0.0;
     for _ in 0..20 {
         missing += usual - sum(&mut ledger).min(usual);
@@ -162,7 +171,7 @@
     while first.is_none() && !ledger.is_over(ledger.next_slot()) {
         let now = ledger.next_slot();
         first = ledger
-            .turn(now)
+            .start_slot(now)
             .first()
             .filter(|g| g.work > 0.0)
             .map(|_| now);
@@ -183,27 +192,30 @@
         println!("seed {seed}");
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
         let mut ledger = WorkLedger::new(RULE, 3.0, 0, 0.15);
-        (0..200).for_each(|user| assert!(user < 2 || ledger.join(user, true).by_asking));
+        (0..200).for_each(|user| assert!(user < 2 || ledger.join(user, true).on_request));
         let (mut now, mut sent, mut on_the_way) = (0, Vec::<(Micros, f64)>::new(), Vec::new());
         let mut asked = 0.0;
         while now < 12_000_000 {
             now += rng.gen_range(1..15_000);
             while ledger.next_slot() <= now {
                 let at = ledger.next_slot();
-                assert!(ledger.turn(at).iter().all(|g| g.work == 0.0 && g.by_asking));
+                assert!(ledger
+                    .start_slot(at)
+                    .iter()
+                    .all(|g| g.work == 0.0 && g.on_request));
             }
             on_the_way.retain(|(at, user, work): &(Micros, UserId, f64)| {
                 if *at <= now {
-                    ledger.took(Some(*user), *work);
+                    ledger.record_arrival(Some(*user), *work);
                 }
                 *at > now
             });
             let (user, work) = (rng.gen_range(0..200), rng.gen_range(0.02..0.3));
             asked += work;
-            let grant = ledger.ask(now, user, work);
+            let grant = ledger.request_work(now, user, work);
             // One in five lapses unused.
             if grant.work > 0.0 && rng.gen::<f64>() < 0.8 {
-                let at = now + grant.lasts + ledger.slot_length() / 4;
+                let at = now + grant.duration + ledger.slot_length() / 4;
                 on_the_way.push((at, user, grant.work));
                 sent.push((at, grant.work));
             }
--- a/crates/cache-host/src/net/fill_stream.rs
+++ b/crates/cache-host/src/net/fill_stream.rs
@@ -26,16 +26,16 @@
     Data(Bytes),
     End(FillEnd),
     /// Too slow: let go.
-    Lost,
+    TooSlow,
 }
 
 #[derive(Debug, Default)]
 struct State {
     head: Option<Arc<ResponseHead>>,
     /// Number of the first piece that is held.
-    base: u64,
+    first_piece: u64,
     pieces: VecDeque<Bytes>,
-    held: usize,
+    unread_bytes: usize,
     /// By reader: the number of its next piece.
     readers: BTreeMap<u64, u64>,
     next_reader: u64,
@@ -64,7 +64,7 @@
     /// None: its beginning has gone by.
     pub fn reader(self: &Arc<Self>) -> Option<FillStreamReader> {
         let mut state = self.lock();
-        if state.base > 0 {
+        if state.first_piece > 0 {
             return None;
         }
         state.next_reader += 1;
@@ -85,11 +85,11 @@
         self.changed.notify_waiters();
     }
 
-    /// The next piece; waits for the slowest reader, at most `longest`.
-    pub async fn data(&self, data: Bytes, longest: Duration) {
+    /// The next piece; waits for the slowest reader, at most `reader_timeout`.
+    pub async fn data(&self, data: Bytes, reader_timeout: Duration) {
         {
             let mut state = self.lock();
-            state.held += data.len();
+            state.unread_bytes += data.len();
             state.pieces.push_back(data);
             state.trim();
         }
@@ -99,16 +99,16 @@
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                if self.lock().held <= MAX_UNREAD_BYTES {
+                if self.lock().unread_bytes <= MAX_UNREAD_BYTES {
                     return;
                 }
                 changed.await;
             }
         };
-        if tokio::time::timeout(longest, room).await.is_err() {
+        if tokio::time::timeout(reader_timeout, room).await.is_err() {
             let mut state = self.lock();
-            let base = state.base;
-            state.readers.retain(|_, at| *at > base);
+            let first_piece = state.first_piece;
+            state.readers.retain(|_, at| *at > first_piece);
             state.trim();
             drop(state);
             self.changed.notify_waiters();
@@ -121,7 +121,7 @@
     }
 
     /// Returns with the fill's end.
-    pub async fn over(&self) -> FillEnd {
+    pub async fn ended(&self) -> FillEnd {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -138,12 +138,12 @@
     /// Drops what every reader has.
     fn trim(&mut self) {
         let slowest = self.readers.values().min().copied().unwrap_or(u64::MAX);
-        while self.base < slowest {
+        while self.first_piece < slowest {
             let Some(piece) = self.pieces.pop_front() else {
                 break;
             };
-            self.held -= piece.len();
-            self.base += 1;
+            self.unread_bytes -= piece.len();
+            self.first_piece += 1;
         }
     }
 }
@@ -175,11 +175,11 @@
             changed.as_mut().enable();
             let taken = {
                 let mut state = self.fill_stream.lock();
-                let base = state.base;
+                let first_piece = state.first_piece;
                 let Some(at) = state.readers.get(&self.id).copied() else {
-                    return FillStreamPart::Lost;
+                    return FillStreamPart::TooSlow;
                 };
-                match state.pieces.get((at - base) as usize).cloned() {
+                match state.pieces.get((at - first_piece) as usize).cloned() {
                     Some(piece) => {
                         state.readers.insert(self.id, at + 1);
                         state.trim();
--- a/crates/cache-host/src/net/fill_stream/tests.rs
+++ b/crates/cache-host/src/net/fill_stream/tests.rs
@@ -25,5 +25,5 @@
     assert!(flow.reader().is_none(), "its beginning has gone by");
     flow.end(FillEnd::Complete);
     assert_eq!(reading.await.unwrap(), 4);
-    assert_eq!(slow.next().await, FillStreamPart::Lost);
+    assert_eq!(slow.next().await, FillStreamPart::TooSlow);
 }
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/lab/src/sockets/stage.rs
@@ -179,7 +179,7 @@
         locked.words.insert(job, (host, sender));
         if let Some((ledger, _)) = locked.ledgers.get_mut(&host) {
             let class = self.inner.classes.get(wanted.class);
-            ledger.took(user, class.map_or(0.0, |c| c.mean as f64 / 1e6));
+            ledger.record_arrival(user, class.map_or(0.0, |c| c.mean as f64 / 1e6));
         }
         self.handle(locked, In::Arrive { host, job, wanted });
         (job, words)
@@ -315,7 +315,7 @@
         let mut locked = self.lock();
         let now = self.now();
         let given = match locked.ledgers.get_mut(&host) {
-            Some((ledger, _)) => lease(&ledger.ask(now, user, work_us as f64 / 1e6)),
+            Some((ledger, _)) => lease(&ledger.request_work(now, user, work_us as f64 / 1e6)),
             None => LeaseHead {
                 work_us,
                 duration_us: 1_000_000,
@@ -473,8 +473,11 @@
                 return;
             }
             let told = |g: Grant| Some((links.get(&g.user)?.clone(), lease(&g)));
-            let grants: Vec<(FramedConnection, LeaseHead)> =
-                ledger.turn(now).into_iter().filter_map(told).collect();
+            let grants: Vec<(FramedConnection, LeaseHead)> = ledger
+                .start_slot(now)
+                .into_iter()
+                .filter_map(told)
+                .collect();
             (grants, ledger.slot_length())
         };
         for (link, lease) in grants {
--- a/crates/lab/src/sockets/words.rs
+++ b/crates/lab/src/sockets/words.rs
@@ -77,10 +77,10 @@
 
 /// A grant of a member's ledger, as it is told.
 pub(crate) fn lease(grant: &Grant) -> LeaseHead {
-    let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.by_asking);
+    let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.on_request);
     LeaseHead {
         work_us,
-        duration_us: grant.lasts,
+        duration_us: grant.duration,
         on_request: by_asking,
         in_reply: false,
     }
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/lab/src/virt/greet.rs
@@ -137,7 +137,9 @@
             return;
         }
         let given = match self.ledgers.get_mut(&host) {
-            Some(ledger) => lease(&ledger.ask(self.now, dispatcher as u64, work_us as f64 / 1e6)),
+            Some(ledger) => {
+                lease(&ledger.request_work(self.now, dispatcher as u64, work_us as f64 / 1e6))
+            }
             None => LeaseHead {
                 work_us,
                 duration_us: 1_000_000,
@@ -189,7 +191,7 @@
         let Some(ledger) = self.ledgers.get_mut(&host) else {
             return;
         };
-        let grants = ledger.turn(self.now);
+        let grants = ledger.start_slot(self.now);
         if ledger.is_over(self.now) {
             self.ledgers.remove(&host);
             return;
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/lab/src/virt/sim.rs
@@ -752,7 +752,7 @@
         let (source, class) = (wanted.source.clone(), wanted.class);
         if let Some(ledger) = self.ledgers.get_mut(&host) {
             let class = self.s.classes.get(class);
-            ledger.took(
+            ledger.record_arrival(
                 by.map(|by| by as u64),
                 class.map_or(0.0, |c| c.mean_bytes / self.s.flow),
             );
