--- a/crates/cache-host/src/fill_table.rs
+++ b/crates/cache-host/src/fill_table.rs
@@ -1,80 +1,84 @@
-//! What a cache host does with a request: served from what is cached, filled, joined to a fill, made to wait, or turned away. Without I/O.
+//! Decides what a cache host does with a request: serve it from cache, fill, join a fill, queue it or reject it. No I/O.
 //!
-//! The shell tells what is cached ([`CachedCopy`]) and carries out the [`RequestDecision`]; it tells when a fill begins to bring its answer and when it
-//! ends. Times are microseconds on one clock that never goes back.
+//! The caller looks the copy up ([`CachedCopy`]), carries out the [`RequestDecision`] and reports the end of each fill
+//! ([`FillTable::fill_ended`]). Times are microseconds.
 //!
-//! Kept: an entry for each fill under way (at most [`FillLimits::max_fills`]) and one for each request that waits (at most [`FillLimits::max_waiting`]),
-//! forgotten with their ends. Nothing of a request that is served at once.
+//! State is bounded: one entry for each running fill (at most [`FillLimits::max_fills`]) and one for each queued request
+//! (at most [`FillLimits::max_waiting`]), removed when it ends. A request that is served from cache leaves no state.
 use pointspindle::Micros;
 use pointspindle_protocol::{FetchHead, RequestHead};
 use std::collections::{BTreeMap, VecDeque};
 
+/// Identifies a fill.
 pub type FillId = u64;
+/// Identifies a queued request.
 pub type WaiterId = u64;
 
+/// Limits of a [`FillTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillLimits {
-    /// Fills at once.
+    /// Concurrent fills.
     pub max_fills: usize,
-    /// Requests that wait for a place; more are told so at once.
+    /// Requests queued for a fill; more are rejected.
     pub max_waiting: usize,
 }
 
-/// The copy that is cached.
+/// A stored copy of the requested object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedCopy {
-    /// Since the origin gave it out or confirmed it.
+    /// Time since the origin generated or confirmed it.
     pub age: Micros,
 }
 
-/// A request, as far as it decides.
+/// The properties of a request that matter to the decision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheRequest<K> {
+    /// Key of the object.
     pub key: K,
-    /// Oldest copy that will do; none: any.
+    /// Age up to which a copy is acceptable; none: any.
     pub max_age: Option<Micros>,
-    /// Age from which a copy counts as stale; none: never.
+    /// Age from which a copy is stale; none: never.
     pub freshness_lifetime: Option<Micros>,
-    /// Only what is cached, here or (with a source) there.
+    /// Nothing is fetched from the origin; a source, if there is one, is asked for its copy only.
     pub only_if_cached: bool,
-    /// Where a miss is filled from; none: nowhere.
+    /// Where a miss is filled from; none: it is not filled.
     pub source: Option<String>,
-    /// 0: passes through.
+    /// How long the response is worth storing, compared with others; 0: it is not stored.
     pub retention_rank: u32,
+    /// Whether the request may be answered from a running fill.
     pub coalesce: bool,
+    /// Whether a stale copy that is served is revalidated in the background.
     pub revalidate: bool,
 }
 
 impl<K> CacheRequest<K> {
-    /// As a request says; `freshness_lifetime` is the class's, `own` the upstream of the host itself, `uncacheable` the class's nature.
+    /// From the head of a request. `freshness_lifetime` and `uncacheable` are of its class; `own_source` is where the host
+    /// fills from if the request names no source.
     pub fn of(
         head: &RequestHead,
         key: K,
         freshness_lifetime: Option<Micros>,
-        own: Option<&str>,
+        own_source: Option<&str>,
         uncacheable: bool,
     ) -> Self {
-        // A plain question of a cacheable class wants what is cached; what runs at the origin is passed on.
-        let plain = FetchHead {
+        // Without a directive only a stored copy is wanted, unless the request executes at the origin.
+        let fetch = head.fetch.clone().unwrap_or(FetchHead {
             only_if_cached: !uncacheable,
             ..FetchHead::default()
-        };
-        let fetch = head.fetch.clone().unwrap_or(plain);
-        // A source of a fill asks nobody else when it is to give what it holds.
-        let inner = fetch.only_if_cached && fetch.source.is_empty();
+        });
         let source = match fetch.source.as_str() {
-            "" => own.map(str::to_owned).filter(|_| !inner),
+            "" if fetch.only_if_cached => None,
+            "" => own_source.map(str::to_owned),
             named => Some(named.to_owned()),
         };
         let max_age = if uncacheable {
             Some(0)
+        } else if fetch.max_age_us > 0 {
+            Some(fetch.max_age_us)
         } else {
-            (fetch.max_age_us > 0)
-                .then_some(fetch.max_age_us)
-                .or(freshness_lifetime)
+            freshness_lifetime
         };
         let retention_rank = if uncacheable { 0 } else { fetch.retention_rank };
-        let coalesce = fetch.coalesce && !uncacheable;
         Self {
             key,
             max_age,
@@ -82,94 +86,112 @@
             only_if_cached: fetch.only_if_cached,
             source,
             retention_rank,
-            coalesce,
+            coalesce: fetch.coalesce && !uncacheable,
             revalidate: fetch.revalidate,
         }
     }
+
+    fn accepts(&self, cached: &CachedCopy) -> bool {
+        self.max_age.is_none_or(|max_age| cached.age <= max_age)
+    }
+
+    fn is_stale(&self, cached: &CachedCopy) -> bool {
+        self.freshness_lifetime
+            .is_some_and(|lifetime| cached.age > lifetime)
+    }
 }
 
+/// What to do with a request. [`FillTable::fill_ended`] is owed for each fill that begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestDecision {
-    /// From what is cached. `revalidate`: begin that fill behind it; `stale`: past its freshness_lifetime time.
+    /// Serve the stored copy.
     Serve {
+        /// The copy is past its freshness lifetime.
         stale: bool,
+        /// Begin this fill in the background.
         revalidate: Option<FillId>,
     },
-    /// Begin this fill, and answer from it.
+    /// Begin this fill and answer from it.
     Fill(FillId),
-    /// Answer from a fill that is under way.
+    /// Answer from this running fill.
     Join(FillId),
-    /// [`FillTable::fill_ended`] tells when it is its turn.
+    /// Queued until [`FillTable::fill_ended`] returns it; [`FillTable::cancel_wait`] is owed if it is given up.
     Wait(WaiterId),
-    /// Nothing suitable is cached, and nothing is to be filled.
+    /// No acceptable copy is stored, and it must not be filled.
     Miss,
-    /// Neither a place nor room to wait for one.
+    /// All fills are in use and the queue is full.
     Reject,
 }
 
-/// A waiter's turn: it begins this fill.
+/// The fill that a queued request begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedFill {
+    /// The request that was queued.
     pub waiter: WaiterId,
+    /// The fill that it begins.
     pub fill: FillId,
 }
 
 #[derive(Debug)]
 struct Fill<K> {
     key: K,
-    /// None: it passes through, nobody joins it.
+    /// Whether other requests may be answered from it.
     joinable: bool,
     /// Oldest copy that its source may give.
     max_age: Option<Micros>,
 }
 
+/// Running fills and queued requests.
 #[derive(Debug)]
 pub struct FillTable<K> {
-    rule: FillLimits,
+    limits: FillLimits,
     fills: BTreeMap<FillId, Fill<K>>,
-    /// Of fills that may be joined, the newest.
+    /// The newest joinable fill of each key.
     by_key: BTreeMap<K, FillId>,
     waiting: VecDeque<(WaiterId, CacheRequest<K>)>,
-    next: u64,
+    /// Fills and queued requests are numbered together.
+    last_id: u64,
 }
 
 impl<K: Clone + Ord> FillTable<K> {
-    pub fn new(rule: FillLimits) -> Self {
+    /// An empty table.
+    pub fn new(limits: FillLimits) -> Self {
         Self {
-            rule,
+            limits,
             fills: BTreeMap::new(),
             by_key: BTreeMap::new(),
             waiting: VecDeque::new(),
-            next: 0,
+            last_id: 0,
         }
     }
 
+    /// Number of running fills.
     pub fn active_fills(&self) -> usize {
         self.fills.len()
     }
 
+    /// Number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
+    fn has_free_fill(&self) -> bool {
+        self.fills.len() < self.limits.max_fills
+    }
+
+    /// Decides about a request, given the stored copy.
     pub fn decide(
         &mut self,
         request: CacheRequest<K>,
         cached: Option<CachedCopy>,
     ) -> RequestDecision {
-        let young = |h: &CachedCopy| request.max_age.is_none_or(|max_age| h.age <= max_age);
-        if let Some(cached) = cached.filter(young) {
-            let stale = request
-                .freshness_lifetime
-                .is_some_and(|freshness_lifetime| cached.age > freshness_lifetime);
-            // One renewal of a copy at a time, and only where there is a place to spare: it is nobody's answer.
-            let behind = stale
-                && request.revalidate
-                && request.source.is_some()
-                && !self.by_key.contains_key(&request.key);
-            let revalidate =
-                (behind && self.fills.len() < self.rule.max_fills).then(|| self.begin(&request));
-            return RequestDecision::Serve { stale, revalidate };
+        if let Some(cached) = cached.filter(|cached| request.accepts(cached)) {
+            let stale = request.is_stale(&cached);
+            let revalidates = stale && self.may_revalidate(&request);
+            return RequestDecision::Serve {
+                stale,
+                revalidate: revalidates.then(|| self.begin(&request)),
+            };
         }
         if request.source.is_none() {
             return RequestDecision::Miss;
@@ -177,56 +199,66 @@
         if let Some(fill) = self.joinable(&request) {
             return RequestDecision::Join(fill);
         }
-        if self.fills.len() < self.rule.max_fills {
+        if self.has_free_fill() {
             return RequestDecision::Fill(self.begin(&request));
         }
-        if self.waiting.len() >= self.rule.max_waiting {
+        if self.waiting.len() >= self.limits.max_waiting {
             return RequestDecision::Reject;
         }
-        self.next += 1;
-        self.waiting.push_back((self.next, request));
-        RequestDecision::Wait(self.next)
+        self.last_id += 1;
+        self.waiting.push_back((self.last_id, request));
+        RequestDecision::Wait(self.last_id)
+    }
+
+    /// Revalidation never waits for a fill, and a key has at most one at a time.
+    fn may_revalidate(&self, request: &CacheRequest<K>) -> bool {
+        request.revalidate
+            && request.source.is_some()
+            && !self.by_key.contains_key(&request.key)
+            && self.has_free_fill()
     }
 
-    /// A fill under way that brings a copy no older than wanted.
+    /// A running fill whose response is acceptable for the request.
     fn joinable(&self, request: &CacheRequest<K>) -> Option<FillId> {
-        let id = *self.by_key.get(&request.key).filter(|_| request.coalesce)?;
+        if !request.coalesce {
+            return None;
+        }
+        let id = *self.by_key.get(&request.key)?;
         let fill = self.fills.get(&id)?;
-        let enough = match (request.max_age, fill.max_age) {
+        let is_young_enough = match (request.max_age, fill.max_age) {
             (None, _) => true,
             (Some(_), None) => false,
-            (Some(wanted), Some(given)) => given <= wanted,
+            (Some(accepted), Some(oldest)) => oldest <= accepted,
         };
-        (enough && fill.joinable).then_some(id)
+        (is_young_enough && fill.joinable).then_some(id)
     }
 
     fn begin(&mut self, request: &CacheRequest<K>) -> FillId {
-        self.next += 1;
+        self.last_id += 1;
         let joinable = request.retention_rank > 0 && !request.only_if_cached;
         let fill = Fill {
             key: request.key.clone(),
             joinable,
             max_age: request.max_age,
         };
-        self.fills.insert(self.next, fill);
+        self.fills.insert(self.last_id, fill);
         if joinable {
-            self.by_key.insert(request.key.clone(), self.next);
+            self.by_key.insert(request.key.clone(), self.last_id);
         }
-        self.next
+        self.last_id
     }
 
-    /// Nobody may coalesce it any more: a purge of its object came while it was under way.
+    /// Lets no further request join the running fill of a key: its object was purged.
     pub fn stop_coalescing(&mut self, key: &K) {
-        if let Some(fill) = self
-            .by_key
-            .remove(key)
-            .and_then(|id| self.fills.get_mut(&id))
-        {
+        let Some(id) = self.by_key.remove(key) else {
+            return;
+        };
+        if let Some(fill) = self.fills.get_mut(&id) {
             fill.joinable = false;
         }
     }
 
-    /// A fill has ended, well or not: whose turn it is now.
+    /// Removes a fill that has ended, successfully or not. Returns the fill that the first queued request begins.
     pub fn fill_ended(&mut self, fill: FillId) -> Option<QueuedFill> {
         let ended = self.fills.remove(&fill)?;
         if self.by_key.get(&ended.key) == Some(&fill) {
@@ -239,9 +271,9 @@
         })
     }
 
-    /// Who waited has left.
+    /// Removes a request from the queue.
     pub fn cancel_wait(&mut self, waiter: WaiterId) {
-        self.waiting.retain(|(w, _)| *w != waiter);
+        self.waiting.retain(|(queued, _)| *queued != waiter);
     }
 }
 
--- a/crates/cache-host/src/freshness.rs
+++ b/crates/cache-host/src/freshness.rs
@@ -1,75 +1,99 @@
-//! How long an HTTP answer may be kept and how old it is: RFC 9111, sections 4.2 and 5.2, for a shared cache.
+//! Freshness lifetime and age of an HTTP response: RFC 9111, sections 4.2 and 5.2, for a shared cache.
 use pointspindle::Micros;
+use std::time::{SystemTime, UNIX_EPOCH};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What an answer's fields say.
+/// What the header fields of a response say about caching it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// Not to be kept at all.
+    /// The response must not be stored.
     pub no_store: bool,
-    /// Fresh for so long from its origin's giving it out; none: the origin does not say.
+    /// Freshness lifetime, counted from its generation at the origin; none: not declared.
     pub lifetime: Option<Micros>,
-    /// How old it was when it came.
+    /// Age of the response when its head arrived.
     pub age: Micros,
 }
 
-/// `fields` with names in lower case; `took`: from the question to the answer's head; `now_s`: seconds since 1970.
-pub fn freshness(fields: &[(String, String)], took: Micros, now_s: u64) -> Freshness {
-    let all = |name: &str| {
-        fields
-            .iter()
-            .filter(|(n, _)| n == name)
-            .map(|(_, v)| v.as_str())
-            .collect::<Vec<_>>()
-    };
-    let control = all("cache-control").join(",");
-    let mut no_store = false;
-    let (mut max_age, mut s_maxage, mut no_cache) = (None, None, false);
-    for directive in control.split(',') {
-        let (name, value) = directive.split_once('=').unwrap_or((directive, ""));
-        // A number that cannot be read counts as stale (4.2.1).
-        let seconds = || Some(value.trim().trim_matches('"').parse::<u64>().unwrap_or(0));
-        match name.trim().to_ascii_lowercase().as_str() {
-            "no-store" | "private" => no_store = true,
-            "no-cache" => no_cache = true,
-            "max-age" if max_age.is_none() => max_age = seconds(),
-            "s-maxage" if s_maxage.is_none() => s_maxage = seconds(),
-            _ => {}
+/// The directives of `Cache-Control` that matter to a shared cache.
+#[derive(Default)]
+struct CacheControl {
+    no_store: bool,
+    no_cache: bool,
+    max_age: Option<u64>,
+    s_maxage: Option<u64>,
+}
+
+impl CacheControl {
+    /// The first of several equal directives counts.
+    fn parse(text: &str) -> Self {
+        let mut control = Self::default();
+        for directive in text.split(',') {
+            let (name, value) = directive.split_once('=').unwrap_or((directive, ""));
+            match name.trim().to_ascii_lowercase().as_str() {
+                "no-store" | "private" => control.no_store = true,
+                "no-cache" => control.no_cache = true,
+                "max-age" => {
+                    control.max_age.get_or_insert(delta_seconds(value));
+                }
+                "s-maxage" => {
+                    control.s_maxage.get_or_insert(delta_seconds(value));
+                }
+                _ => {}
+            }
         }
+        control
     }
-    let date_of = |name: &str| {
-        all(name)
-            .first()
-            .and_then(|v| httpdate::parse_http_date(v).ok())
-    };
-    let secs = |t: std::time::SystemTime| {
-        t.duration_since(std::time::UNIX_EPOCH)
-            .map_or(0, |d| d.as_secs())
+}
+
+/// An invalid number counts as stale (4.2.1).
+fn delta_seconds(value: &str) -> u64 {
+    value.trim().trim_matches('"').parse().unwrap_or(0)
+}
+
+fn unix_seconds(time: SystemTime) -> u64 {
+    time.duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs())
+}
+
+fn http_date(value: &str) -> Option<u64> {
+    httpdate::parse_http_date(value).ok().map(unix_seconds)
+}
+
+/// Evaluates header fields, whose names are in lower case. `response_delay` is the time from sending the request to
+/// receiving the head; `now_s` is in seconds since 1970.
+pub fn freshness(fields: &[(String, String)], response_delay: Micros, now_s: u64) -> Freshness {
+    let values = |name: &'static str| {
+        fields
+            .iter()
+            .filter(move |(n, _)| n == name)
+            .map(|(_, value)| value.as_str())
     };
-    let date = date_of("date").map(secs);
-    // A date that cannot be read is in the past (5.3).
-    let until = |v: &&str| httpdate::parse_http_date(v).map_or(0, secs);
-    let expires = all("expires")
-        .first()
-        .map(|v| until(v).saturating_sub(date.unwrap_or(now_s)));
-    let lifetime = if no_cache {
+    let control = CacheControl::parse(&values("cache-control").collect::<Vec<_>>().join(","));
+    let date = values("date").next().and_then(http_date);
+    // An invalid Expires is in the past (5.3).
+    let expires = values("expires")
+        .next()
+        .map(|value| http_date(value).unwrap_or(0))
+        .map(|expires| expires.saturating_sub(date.unwrap_or(now_s)));
+    let lifetime = if control.no_cache {
         Some(0)
     } else {
-        s_maxage.or(max_age).or(expires)
+        control.s_maxage.or(control.max_age).or(expires)
     };
-    // 4.2.3, the conservative way.
-    let apparent = date.map_or(0, |date| now_s.saturating_sub(date));
-    let told = all("age")
-        .first()
-        .and_then(|v| v.trim().parse::<u64>().ok())
+    // 4.2.3: the larger of the two estimates.
+    let apparent_age = date.map_or(0, |date| now_s.saturating_sub(date));
+    let age_value = values("age")
+        .next()
+        .and_then(|value| value.trim().parse::<u64>().ok())
         .unwrap_or(0);
-    let corrected = told.saturating_mul(MICROS_PER_SECOND).saturating_add(took);
-    let age = corrected.max(apparent.saturating_mul(MICROS_PER_SECOND));
+    let corrected_age = age_value
+        .saturating_mul(MICROS_PER_SECOND)
+        .saturating_add(response_delay);
     Freshness {
-        no_store,
-        lifetime: lifetime.map(|s| s.saturating_mul(MICROS_PER_SECOND)),
-        age,
+        no_store: control.no_store,
+        lifetime: lifetime.map(|seconds| seconds.saturating_mul(MICROS_PER_SECOND)),
+        age: corrected_age.max(apparent_age.saturating_mul(MICROS_PER_SECOND)),
     }
 }
 
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -1,185 +1,213 @@
-//! Leases of work: a member that has just started shares out what it bears while it warms up.
+//! Work leases: a host that has started with an empty store divides its capacity among the dispatchers while it warms up.
 //!
-//! Where many share little, a part is less than a request, and a whole request for each in turn seldom meets one: the work
-//! is then given to who asks for it, for a request that is there ([`WorkLedger::request_work`]).
+//! Dispatchers that each take a part of a warming host's budget by an estimate of how many they are exceed it together
+//! when the estimate is wrong. The host knows which dispatchers are connected, so it grants the budget itself, in slots.
+//! Work that is granted but not used lapses with its slot and returns to the bucket one slot later, when no request for it
+//! can be under way any more; so does the work of a dispatcher that disconnects. A new dispatcher gets its first lease with
+//! the next slot.
 //!
-//! Dispatchers that each take a part of a cold member's budget by a count that they guess are wrong together when the
-//! count is: one that joins, dies or is told late. The member knows who is connected, so it hands the budget out itself,
-//! in slots. Work that is granted but not used lapses with its slot and goes back to the bucket one slot later, when
-//! none of it can be on its way any more; so does the part of a dispatcher that dies. One that joins gets its first
-//! lease with the next slot.
+//! Where many dispatchers share a small budget, an even share is less than a request. Work is then granted on request, for
+//! a request that is there ([`WorkLedger::request_work`]).
 //!
-//! **The sum.** Grants come out of one bucket of at most [`WorkLedger::burst`], filled at a pace `r`. What is granted in any
-//! span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next one (a lease duration one
-//! slot; the way of a request is shorter than another), so what arrives in any window `W` was granted within
-//! `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` is the budget of a window that lies wholly in the
-//! least warm part of that span. What goes back was never used, so it counts in no sum. No margin for chance is needed.
+//! **Bound.** Grants come out of one bucket of at most [`WorkLedger::burst`], filled at a rate `r`. What is granted in any
+//! span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next one (a lease lasts one
+//! slot, and a request is under way for less than another), so what arrives in any window `W` was granted within
+//! `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` is the budget of a window at the start of that span,
+//! where the host is least warm. What returns to the bucket was never used, so it does not add to the bound.
 //!
-//! Kept: one entry for each connection of a dispatcher, dropped when it ends; nothing once the member is warm.
+//! State: one entry for each connection of a dispatcher, removed after it ends.
 use pointspindle::{Micros, SlowStartRule};
 use std::collections::VecDeque;
 
-/// Slots in a window of the rule.
+/// Slots in an overload window.
 const SLOTS_PER_WINDOW: u64 = 16;
 /// Share of a window's budget that the bucket holds, unless one request needs more.
 const BURST_SHARE: f64 = 0.25;
-/// ... and the most of it that one request may need.
+/// Largest share of a window's budget that one request may need.
 const MAX_REQUEST_SHARE: f64 = 0.75;
-
-/// Work is given by asking where an even share of the bucket is less than so many of the dearest usual requests.
+/// Work is granted on request where an even share of the bucket is less than this many of the largest usual requests.
 const ON_REQUEST_THRESHOLD: f64 = 4.0;
+/// Rounding error allowed when work is compared with the bucket, in seconds.
+const WORK_TOLERANCE_S: f64 = 1e-9;
 
-/// A connection of a dispatcher, by the owner's number for it.
+/// A connection of a dispatcher, numbered by the owner of the ledger.
 pub type UserId = u64;
 
-/// What one user may have worked off for it until the next slot, in seconds of sending time.
+/// A lease: work that a dispatcher may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Grant {
+    /// Who may send it.
     pub user: UserId,
+    /// Seconds of sending time.
     pub work: f64,
+    /// How long the lease is valid.
     pub duration: Micros,
-    /// Work is given to who asks for it.
+    /// Whether further work is granted on request only.
     pub on_request: bool,
 }
 
-/// A connection's leases: granted and arrived, in the slot that runs and in the one before.
+/// Work in the current slot and in the one before, in seconds of sending time.
+#[derive(Clone, Copy, Debug, Default)]
+struct SlotWork {
+    current: f64,
+    previous: f64,
+}
+
+/// Work of a dispatcher that the end of a slot settles, in seconds of sending time.
+struct SlotSettlement {
+    /// Granted in the previous slot, and not used.
+    unused: f64,
+    /// Arrived without a lease.
+    excess: f64,
+}
+
+/// A connection and its leases.
 #[derive(Clone, Copy, Debug, Default)]
 struct User {
     id: UserId,
-    granted: (f64, f64),
-    arrived: (f64, f64),
-    gone: bool,
+    granted: SlotWork,
+    arrived: SlotWork,
+    disconnected: bool,
     requests_work: bool,
 }
 
 impl User {
-    /// At a slot's end: what of the slot before it lapsed unused, and what came beyond the leases. Arrivals of both
-    /// slots are counted against the older lease, which returns less than was left and never more.
-    fn close(&mut self) -> (f64, f64) {
-        let arrived = self.arrived.0 + self.arrived.1;
-        let unused = (self.granted.1 - arrived).max(0.0);
-        let beyond = (arrived - self.granted.0 - self.granted.1).max(0.0);
-        // What was beyond is charged once.
-        self.arrived = (0.0, self.arrived.0 - beyond.min(self.arrived.0));
-        self.granted = (0.0, self.granted.0);
-        (unused, beyond)
+    /// Ends a slot. Arrivals of both slots are counted against the older lease, so that never more than its rest returns.
+    fn end_slot(&mut self) -> SlotSettlement {
+        let arrived = self.arrived.current + self.arrived.previous;
+        let unused = (self.granted.previous - arrived).max(0.0);
+        let excess = (arrived - self.granted.current - self.granted.previous).max(0.0);
+        // The excess is charged once.
+        self.arrived.previous = self.arrived.current - excess.min(self.arrived.current);
+        self.arrived.current = 0.0;
+        self.granted.previous = self.granted.current;
+        self.granted.current = 0.0;
+        SlotSettlement { unused, excess }
+    }
+
+    /// Whether it gets a share of each slot.
+    fn shares_slot(&self, on_request: bool) -> bool {
+        !self.disconnected && !(on_request && self.requests_work)
     }
 }
 
-/// Shares out the budget of one start of one member.
+/// Grants the budget of one warm-up.
 #[derive(Debug)]
 pub struct WorkLedger {
     rule: SlowStartRule,
-    /// Transfers at full pace that its link carries.
+    /// Capacity of the warm host: transfers at full rate at once.
     weight: f64,
     started: Micros,
-    /// The dearest request that is to have a chance: less than this is not worth granting.
-    quantum: f64,
-    /// Who is next comes first.
+    /// The largest usual request: no smaller lease is granted, because no request would fit.
+    largest_request: f64,
+    /// In the order in which they are served.
     users: VecDeque<User>,
     bucket: f64,
-    /// Start of the slot that is running.
-    slot: Micros,
-    /// Work that came from nobody who keeps to leases.
-    others: f64,
+    slot_start: Micros,
+    /// Work in this slot that came without any lease.
+    unleased: f64,
 }
 
 impl WorkLedger {
-    /// For a process that started at `started`. `quantum` is the sending time of the dearest usual request, in seconds.
-    pub fn new(rule: SlowStartRule, weight: f64, started: Micros, quantum: f64) -> Self {
-        let users = VecDeque::new();
+    /// For a host that started at `started`. `largest_request` is the sending time of the largest usual request, in seconds.
+    pub fn new(rule: SlowStartRule, weight: f64, started: Micros, largest_request: f64) -> Self {
         Self {
             rule,
             weight,
             started,
-            quantum,
-            users,
+            largest_request,
+            users: VecDeque::new(),
             bucket: 0.0,
-            slot: started,
-            others: 0.0,
+            slot_start: started,
+            unleased: 0.0,
         }
     }
 
+    /// Length of a slot.
     pub fn slot_length(&self) -> Micros {
         (self.rule.overload_window / SLOTS_PER_WINDOW).max(1)
     }
 
-    /// Nothing is leased any more: what it bears is no longer bounded.
+    /// Whether the host has warmed up: nothing is leased any more.
     pub fn is_over(&self, now: Micros) -> bool {
         now >= self.started + self.rule.ramp + self.rule.overload_window
     }
 
-    /// When [`WorkLedger::start_slot`] is next wanted.
+    /// When [`WorkLedger::start_slot`] is due.
     pub fn next_slot(&self) -> Micros {
-        self.slot + self.slot_length()
+        self.slot_start + self.slot_length()
     }
 
-    /// A dispatcher has connected, one that can ask or not. It has nothing until the next slot.
+    /// Adds the connection of a dispatcher, with an empty lease until the next slot. `requests_work`: the dispatcher
+    /// supports [`WorkLedger::request_work`].
     pub fn join(&mut self, user: UserId, requests_work: bool) -> Grant {
         match self.users.iter_mut().find(|u| u.id == user) {
-            Some(known) => (known.gone, known.requests_work) = (false, requests_work),
+            Some(known) => {
+                known.disconnected = false;
+                known.requests_work = requests_work;
+            }
             None => self.users.push_back(User {
                 id: user,
                 requests_work,
                 ..User::default()
             }),
         }
-        let on_request = self.grants_on_request(self.slot);
         Grant {
             user,
             work: 0.0,
             duration: 2 * self.slot_length(),
-            on_request,
+            on_request: self.grants_on_request(self.slot_start),
         }
     }
 
     fn grants_on_request(&self, now: Micros) -> bool {
-        self.burst(now) / (self.users().max(1) as f64) < ON_REQUEST_THRESHOLD * self.quantum
+        let even_share = self.burst(now) / (self.users().max(1) as f64);
+        even_share < ON_REQUEST_THRESHOLD * self.largest_request
     }
 
-    /// A user has a request there that needs so much: all of it, or nothing. Half a slot long, so that with its way what
-    /// lapses is back in the bucket no sooner than all else.
+    /// Grants all of `work`, or nothing. The lease lasts half a slot, so that unused work returns to the bucket no sooner
+    /// than that of other leases.
     pub fn request_work(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
-        let (duration, on_request) = (self.slot_length() / 2, self.grants_on_request(now));
-        let room = work > 0.0 && work <= self.bucket + 1e-9 && !self.is_over(now);
-        let known = self.users.iter_mut().find(|u| u.id == user && !u.gone);
-        let work = match known.filter(|_| room) {
-            Some(known) => {
-                known.granted.0 += work;
+        let on_request = self.grants_on_request(now);
+        let has_budget = work > 0.0 && work <= self.bucket + WORK_TOLERANCE_S && !self.is_over(now);
+        let mut connected = self.users.iter_mut().filter(|u| !u.disconnected);
+        let granted = match connected.find(|u| u.id == user) {
+            Some(known) if has_budget => {
+                known.granted.current += work;
                 work
             }
-            None => 0.0,
+            _ => 0.0,
         };
-        self.bucket -= work;
+        self.bucket -= granted;
         Grant {
             user,
-            work,
-            duration,
+            work: granted,
+            duration: self.slot_length() / 2,
             on_request,
         }
     }
 
-    /// A connection has ended: what it holds lapses with the slot. It is forgotten two slots later.
+    /// Removes a connection that has ended. Its lease lapses with the slot; its entry is dropped two slots later.
     pub fn leave(&mut self, user: UserId) {
         for user in self.users.iter_mut().filter(|u| u.id == user) {
-            user.gone = true;
+            user.disconnected = true;
         }
     }
 
-    /// Connections that get leases.
+    /// Number of connections that get leases.
     pub fn users(&self) -> usize {
-        self.users.iter().filter(|u| !u.gone).count()
+        self.users.iter().filter(|u| !u.disconnected).count()
     }
 
-    /// Work has arrived, from a user or from somebody else. What comes beyond the leases is taken off the next slots.
+    /// Records work that has arrived. What exceeds the leases is taken off the next slots.
     pub fn record_arrival(&mut self, user: Option<UserId>, work: f64) {
         match self.users.iter_mut().find(|u| Some(u.id) == user) {
-            Some(user) => user.arrived.0 += work,
-            None => self.others += work,
+            Some(user) => user.arrived.current += work,
+            None => self.unleased += work,
         }
     }
 
-    /// Budget of a window that ends `now`, in seconds of sending time.
+    /// Budget of the least warm window in which work granted `now` can arrive, in seconds of sending time.
     fn budget(&self, now: Micros) -> f64 {
         let from = now
             .saturating_sub(self.rule.overload_window + 2 * self.slot_length())
@@ -190,59 +218,77 @@
             / 1e6
     }
 
-    /// Most that the bucket holds.
+    /// Capacity of the bucket.
     pub fn burst(&self, now: Micros) -> f64 {
         let budget = self.budget(now);
         (BURST_SHARE * budget)
-            .max(self.quantum)
+            .max(self.largest_request)
             .min(MAX_REQUEST_SHARE * budget)
     }
 
-    /// Shares out the next slot. Call at [`WorkLedger::next_slot`] or soon after; slots that were missed are lost.
+    /// Starts a slot and grants its leases. Due at [`WorkLedger::next_slot`]; slots that were missed are lost.
     pub fn start_slot(&mut self, now: Micros) -> Vec<Grant> {
         if now < self.next_slot() || self.is_over(now) {
             return Vec::new();
         }
+        self.slot_start = now - (now - self.slot_start) % self.slot_length();
+        self.refill(now);
+        self.grant_slot(now)
+    }
+
+    /// Fills the bucket for one slot, also after missed ones: the bound counts on it.
+    fn refill(&mut self, now: Micros) {
         let length = self.slot_length();
-        self.slot = now - (now - self.slot) % length;
         let burst = self.burst(now);
-        let pace = (self.budget(now) - burst) / (self.rule.overload_window + 2 * length) as f64;
-        // A slot late gives no more than a slot: the sum counts on it.
-        let mut beyond = std::mem::take(&mut self.others);
+        let rate = (self.budget(now) - burst) / (self.rule.overload_window + 2 * length) as f64;
+        let mut excess = std::mem::take(&mut self.unleased);
         let mut unused = 0.0;
         for user in &mut self.users {
-            let closed = user.close();
-            (unused, beyond) = (unused + closed.0, beyond + closed.1);
+            let settlement = user.end_slot();
+            unused += settlement.unused;
+            excess += settlement.excess;
         }
-        self.users.retain(|u| !u.gone || u.granted.1 > 0.0);
-        self.bucket = (self.bucket + pace * length as f64 + unused).min(burst) - beyond;
-        // Too little for all is whole requests for some, in turn: a part of a request is of use to nobody. The others
-        // are told so, or they would fall back on a guess of their own.
-        let mut grants = Vec::new();
+        self.users
+            .retain(|u| !u.disconnected || u.granted.previous > 0.0);
+        self.bucket = (self.bucket + rate * length as f64 + unused).min(burst) - excess;
+    }
+
+    /// Where the bucket is too small for all, some get a complete request in turn, because a part of one is of no use.
+    /// The others get an empty lease: without any they would fall back on an estimate of their own.
+    fn grant_slot(&mut self, now: Micros) -> Vec<Grant> {
+        let duration = self.slot_length();
         let on_request = self.grants_on_request(now);
-        let waits = |u: &User| !(u.gone || on_request && u.requests_work);
-        let sharing = self.users.iter().filter(|u| waits(u)).count();
-        let each = (self.bucket / sharing.max(1) as f64).max(self.quantum);
-        let mut turns = 0;
-        for (n, user) in self.users.iter_mut().enumerate().filter(|(_, u)| !u.gone) {
-            let work = if waits(user) && each <= self.bucket + 1e-9 {
-                each
+        let sharing = self
+            .users
+            .iter()
+            .filter(|u| u.shares_slot(on_request))
+            .count();
+        let share = (self.bucket / sharing.max(1) as f64).max(self.largest_request);
+        let mut grants = Vec::new();
+        let mut served = 0;
+        for (n, user) in self.users.iter_mut().enumerate() {
+            if user.disconnected {
+                continue;
+            }
+            let fits = share <= self.bucket + WORK_TOLERANCE_S;
+            let work = if user.shares_slot(on_request) && fits {
+                share
             } else {
                 0.0
             };
             if work > 0.0 {
                 self.bucket -= work;
-                turns = n + 1;
+                served = n + 1;
             }
-            user.granted.0 = work;
+            user.granted.current = work;
             grants.push(Grant {
                 user: user.id,
                 work,
-                duration: length,
+                duration,
                 on_request,
             });
         }
-        self.users.rotate_left(turns);
+        self.users.rotate_left(served);
         grants
     }
 }
