--- a/crates/cache-host/src/fill_table/tests.rs
+++ b/crates/cache-host/src/fill_table/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn an_age_limit_is_kept_to_the_microsecond_and_old_copies_are_renewed_once() {
+fn copy_past_max_age_is_filled_and_stale_copy_revalidated_once() {
     let mut fill_table = FillTable::new(FillLimits {
         max_fills: 4,
         max_waiting: 1,
@@ -46,7 +46,7 @@
     else {
         panic!()
     };
-    // Many decide meanwhile: one renewal.
+    // One revalidation at a time.
     assert_eq!(
         fill_table.decide(grace.clone(), cached(20 * MICROS_PER_SECOND)),
         RequestDecision::Serve {
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn fills_are_joined_where_they_bring_what_is_wanted() {
+fn request_joins_fill_only_if_its_response_is_acceptable() {
     let mut fill_table = FillTable::new(FillLimits {
         max_fills: 9,
         max_waiting: 0,
@@ -77,7 +77,7 @@
         fill_table.decide(request("a"), None),
         RequestDecision::Join(first)
     );
-    // Younger than what the first may bring, or alone by its own wish.
+    // It needs a younger copy than the fill may bring, or must not coalesce.
     assert!(matches!(
         fill_table.decide(
             CacheRequest {
@@ -103,7 +103,7 @@
     };
     fill_table.stop_coalescing(&"b");
     assert!(matches!(fill_table.decide(request("b"), None), RequestDecision::Fill(n) if n != last));
-    // What passes through is one request's own.
+    // A response that is not stored belongs to one request.
     let through = CacheRequest {
         retention_rank: 0,
         ..request("c")
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn places_and_the_queue_are_bounded_and_turns_come_in_order() {
+fn fills_and_queue_are_bounded_and_served_in_order() {
     let mut fill_table = FillTable::new(FillLimits {
         max_fills: 1,
         max_waiting: 2,
@@ -148,17 +148,21 @@
         RequestDecision::Miss
     );
     fill_table.cancel_wait(b);
-    let turn = fill_table.fill_ended(fill).unwrap();
+    let granted = fill_table.fill_ended(fill).unwrap();
     assert_eq!(
-        (turn.waiter, fill_table.active_fills(), fill_table.waiting()),
+        (
+            granted.waiter,
+            fill_table.active_fills(),
+            fill_table.waiting()
+        ),
         (c, 1, 0)
     );
-    assert_eq!(fill_table.fill_ended(turn.fill), None);
+    assert_eq!(fill_table.fill_ended(granted.fill), None);
     assert_eq!(fill_table.active_fills(), 0);
 }
 
 #[test]
-fn a_source_gives_what_it_holds_and_asks_nobody() {
+fn request_without_source_fills_from_own_origin_unless_only_if_cached() {
     let mut head = RequestHead {
         object: "/a".into(),
         ..Default::default()
@@ -169,12 +173,12 @@
     assert_eq!(
         of(&head, false).source,
         None,
-        "a plain question wants what is cached"
+        "without a directive only a stored copy is wanted"
     );
     assert_eq!(
         of(&head, true).source.as_deref(),
         Some("origin"),
-        "what must run is passed on"
+        "an uncacheable request executes at the origin"
     );
     head.fetch = Some(FetchHead {
         only_if_cached: true,
@@ -194,6 +198,6 @@
     assert_eq!(
         of(&head, false).source.as_deref(),
         Some("p:1"),
-        "its source is request for what it holds"
+        "a named source is asked for its copy"
     );
 }
--- a/crates/cache-host/src/freshness/tests.rs
+++ b/crates/cache-host/src/freshness/tests.rs
@@ -11,7 +11,7 @@
 
 /// 1,445,412,480 s is Wed, 21 Oct 2015 07:28:00 GMT.
 #[test]
-fn the_most_specific_word_counts_and_what_cannot_be_read_is_stale() {
+fn most_specific_directive_wins_and_invalid_value_is_stale() {
     assert_eq!(
         of(&[]),
         Freshness {
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -87,7 +87,8 @@
 
     /// Whether it gets a share of each slot.
     fn shares_slot(&self, on_request: bool) -> bool {
-        !self.disconnected && !(on_request && self.requests_work)
+        let requests_instead = on_request && self.requests_work;
+        !self.disconnected && !requests_instead
     }
 }
 
--- a/crates/cache-host/src/lease/tests.rs
+++ b/crates/cache-host/src/lease/tests.rs
@@ -14,13 +14,14 @@
     RULE.overload_factor * share.min(1.0) * weight * RULE.overload_window as f64 / 1e6
 }
 
-/// Every user works its lease off at the worst moment that is allowed: its very end, and one slot of way more.
-fn worst(
+/// Largest share of a window's budget, and the work of each user, if leases are used at the latest moment allowed: their
+/// end, with another slot under way.
+fn worst_case(
     users: u64,
-    quantum: f64,
-    odd: impl Fn(&mut WorkLedger, u64),
+    largest_request: f64,
+    change: impl Fn(&mut WorkLedger, u64),
 ) -> (f64, BTreeMap<UserId, f64>) {
-    let mut ledger = WorkLedger::new(RULE, 6.29, 0, quantum);
+    let mut ledger = WorkLedger::new(RULE, 6.29, 0, largest_request);
     for user in 0..users {
         ledger.join(user, false);
     }
@@ -37,7 +38,7 @@
             *at >= now
         });
         for (n, grant) in ledger.start_slot(now).into_iter().enumerate() {
-            // Some at once, some as late as can be: windows that straddle slots fill most.
+            // Some at once, some as late as possible: windows that span slots get most.
             let late = if n % 2 == 0 {
                 0
             } else {
@@ -47,7 +48,7 @@
             late_work.push((now + late, grant.user, grant.work));
             *by.entry(grant.user).or_default() += grant.work;
         }
-        odd(&mut ledger, round);
+        change(&mut ledger, round);
         round += 1;
     }
     sent.sort_by_key(|s| s.0);
@@ -65,12 +66,12 @@
 }
 
 #[test]
-fn no_window_gets_more_than_the_member_bears_and_most_of_it_is_given_out() {
+fn granted_work_stays_within_window_budget_and_uses_half() {
     for users in [1, 4, 7, 200] {
-        let (most, by) = worst(users, 0.4, |_, _| {});
+        let (most, by) = worst_case(users, 0.4, |_, _| {});
         assert!(most <= 1.0, "{users} users: {most:.3} of a window's budget");
         let given: f64 = by.values().sum();
-        // The mean capacity of the warm-up, times the multiple.
+        // The mean capacity of the warm-up, times the overload factor.
         let could = 2.0 * 6.29 * (0.17 + 1.0) / 2.0 * 18.0;
         assert!(
             given > 0.5 * could,
@@ -80,8 +81,8 @@
 }
 
 #[test]
-fn two_hundred_get_whole_requests_in_turn() {
-    let (_, by) = worst(200, 0.3, |_, _| {});
+fn small_budget_grants_complete_requests_in_turn() {
+    let (_, by) = worst_case(200, 0.3, |_, _| {});
     assert_eq!(by.len(), 200);
     let (least, most) = by
         .values()
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn what_a_quiet_dispatcher_leaves_goes_to_the_busy_one() {
+fn unused_work_of_idle_dispatchers_goes_to_busy_one() {
     let (mut alone, mut beside) = (0.0, 0.0);
     for (sum, users) in [(&mut alone, 1), (&mut beside, 8)] {
         let mut ledger = WorkLedger::new(RULE, 6.29, 0, 0.1);
@@ -114,8 +115,8 @@
 }
 
 #[test]
-fn who_joins_and_leaves_all_the_time_changes_no_sum() {
-    let (most, _) = worst(3, 0.4, |ledger, round| {
+fn frequent_reconnects_stay_within_window_budget() {
+    let (most, _) = worst_case(3, 0.4, |ledger, round| {
         ledger.leave(round % 3);
         ledger.join(100 + round, false);
         if round > 4 {
@@ -127,7 +128,7 @@
 }
 
 #[test]
-fn one_that_leaves_has_its_part_shared_by_the_next_slot_and_one_that_joins_waits_for_it() {
+fn membership_change_takes_effect_with_next_slot() {
     let mut ledger = WorkLedger::new(RULE, 60.0, 0, 0.1);
     ledger.join(1, false);
     ledger.join(2, false);
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn work_beyond_the_leases_is_taken_off_later_ones() {
+fn excess_work_is_deducted_from_later_slots() {
     let mut ledger = WorkLedger::new(RULE, 6.29, 0, 0.1);
     ledger.join(1, false);
     let sum = |l: &mut WorkLedger| {
@@ -164,7 +165,7 @@
 
 /// One request that needs more than three quarters of a window's budget cannot be leased while it does.
 #[test]
-fn a_request_larger_than_the_budget_waits_until_the_member_is_warm_enough() {
+fn request_larger_than_budget_waits_until_host_is_warm_enough() {
     let mut ledger = WorkLedger::new(RULE, 1.0, 0, 1.0);
     ledger.join(1, false);
     let mut first = None;
@@ -183,18 +184,17 @@
     );
 }
 
-/// Two hundred that ask at awkward moments, for whole requests, and use what they get at the very end: no window has
-/// more than the member bears, and nearly all that it bears is used.
+/// 200 dispatchers request work at random times and use it at the end of the lease.
 #[test]
-fn what_is_given_by_asking_keeps_the_sum_and_meets_requests() {
+fn work_granted_on_request_stays_within_window_budget() {
     use rand::{Rng, SeedableRng};
     for seed in 1..=5 {
         println!("seed {seed}");
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
         let mut ledger = WorkLedger::new(RULE, 3.0, 0, 0.15);
         (0..200).for_each(|user| assert!(user < 2 || ledger.join(user, true).on_request));
-        let (mut now, mut sent, mut on_the_way) = (0, Vec::<(Micros, f64)>::new(), Vec::new());
-        let mut asked = 0.0;
+        let (mut now, mut sent, mut under_way) = (0, Vec::<(Micros, f64)>::new(), Vec::new());
+        let mut requested = 0.0;
         while now < 12_000_000 {
             now += rng.gen_range(1..15_000);
             while ledger.next_slot() <= now {
@@ -204,19 +204,19 @@
                     .iter()
                     .all(|g| g.work == 0.0 && g.on_request));
             }
-            on_the_way.retain(|(at, user, work): &(Micros, UserId, f64)| {
+            under_way.retain(|(at, user, work): &(Micros, UserId, f64)| {
                 if *at <= now {
                     ledger.record_arrival(Some(*user), *work);
                 }
                 *at > now
             });
             let (user, work) = (rng.gen_range(0..200), rng.gen_range(0.02..0.3));
-            asked += work;
+            requested += work;
             let grant = ledger.request_work(now, user, work);
             // One in five lapses unused.
             if grant.work > 0.0 && rng.gen::<f64>() < 0.8 {
                 let at = now + grant.duration + ledger.slot_length() / 4;
-                on_the_way.push((at, user, grant.work));
+                under_way.push((at, user, grant.work));
                 sent.push((at, grant.work));
             }
         }
@@ -235,10 +235,10 @@
         let used: f64 = sent.iter().map(|s| s.1).sum();
         let could: f64 = (0..6).map(|n| budget(n * 2_000_000, 3.0)).sum();
         println!(
-            "{most:.2} of a window at most; {used:.1} s used of {could:.1} s, {asked:.1} s asked for"
+            "{most:.2} of a window at most; {used:.1} s used of {could:.1} s, {requested:.1} s requested for"
         );
         assert!(
-            most <= 1.0 && used > 0.4 * could.min(0.8 * asked),
+            most <= 1.0 && used > 0.4 * could.min(0.8 * requested),
             "{most:.3}, {used:.1} of {could:.1} s"
         );
     }
--- a/crates/cache-host/src/net/byte_selection.rs
+++ b/crates/cache-host/src/net/byte_selection.rs
@@ -16,6 +16,11 @@
     pub fn end(&self) -> u64 {
         self.from.saturating_add(self.len)
     }
+
+    /// Whether everything selected lies before `position`.
+    pub fn ends_before(&self, position: u64) -> bool {
+        self.is_exact && position >= self.end()
+    }
 }
 
 /// Applies the validators and the range of a request to the head of a complete response.
--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -19,7 +19,7 @@
 /// Delay before the next accept after a shortage of resources.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// How long an idle connection stays open after GOAWAY, for a request that was sent before the peer received it.
-const GO_AWAY_GRACE: Duration = Duration::from_millis(50);
+const GRACEFUL_CLOSE_DELAY: Duration = Duration::from_millis(50);
 /// Duration of the lease that a warm host gives for a work request.
 const WARM_LEASE_DURATION_US: u64 = 1_000_000;
 
@@ -133,7 +133,7 @@
                 connection.link.go_away("the host stops");
                 stopping = true;
                 if connection.requests.is_empty() {
-                    tokio::time::sleep(GO_AWAY_GRACE).await;
+                    tokio::time::sleep(GRACEFUL_CLOSE_DELAY).await;
                 }
                 if connection.requests.is_empty() && incoming.is_empty() {
                     break;
--- a/crates/cache-host/src/net/fill_response.rs
+++ b/crates/cache-host/src/net/fill_response.rs
@@ -168,7 +168,7 @@
         if responder.head(self.with_load(head)).await.is_err() {
             return Ok(());
         }
-        while !is_bodyless && !(selection.is_exact && position >= selection.end()) {
+        while !is_bodyless && !selection.ends_before(position) {
             let part = tokio::select! {
                 part = reader.next() => part,
                 () = responder.cancelled() => return Ok(()),
--- a/crates/cache-host/src/net/fill_sources.rs
+++ b/crates/cache-host/src/net/fill_sources.rs
@@ -21,15 +21,19 @@
 
 /// The body of a response that is being received.
 pub enum SourceBody {
+    /// From a host, by the framed protocol.
     Framed(Call),
+    /// From the host's own origin.
     Http(Box<HttpBody>),
 }
 
 /// A response whose head has arrived.
 pub struct SourceResponse {
+    /// Its head.
     pub head: ResponseHead,
     /// The response must not be stored.
     pub no_store: bool,
+    /// Its body, not yet read.
     pub body: SourceBody,
 }
 
@@ -61,6 +65,7 @@
 }
 
 impl Connector {
+    /// Opens a connection.
     pub async fn connect(&self, address: SocketAddr) -> Result<Socket, SourceFailure> {
         tokio::time::timeout(self.timeout, self.net.connect(None, address))
             .await
@@ -77,6 +82,7 @@
 }
 
 impl FillSources {
+    /// Sources as configured; connects when a fill needs it.
     pub fn new(settings: &CacheHostSettings, net: Network, clock: WallClock) -> Self {
         let origin = settings.origin.clone();
         Self {
--- a/crates/cache-host/src/net/fill_stream.rs
+++ b/crates/cache-host/src/net/fill_stream.rs
@@ -1,7 +1,7 @@
-//! A fill's answer on its way to all who read it.
+//! The response of a fill on its way to its readers.
 //!
-//! Held: at most [`MAX_UNREAD_BYTES`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
-//! go, and its answer is broken off. Without readers nothing is held.
+//! At most [`MAX_UNREAD_BYTES`], and one piece more, wait for the slowest reader. The writer waits for it up to a timeout;
+//! then that reader loses the stream. Without readers nothing is buffered.
 use bytes::Bytes;
 use pointspindle_protocol::{ErrorHead, ResponseHead};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,48 +9,53 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Bytes that wait for the slowest reader.
+/// Bytes that may wait for the slowest reader while the writer goes on.
 pub const MAX_UNREAD_BYTES: usize = 512 * 1024;
 
 /// How a fill ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillEnd {
+    /// The response is complete.
     Complete,
-    /// For the askers, as it is.
+    /// The error that its readers get.
     Failed(Box<ErrorHead>),
 }
 
-/// What a reader gets.
+/// What a reader receives next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillStreamPart {
+    /// A piece of the body.
     Data(Bytes),
+    /// The fill has ended, and all of the body was read.
     End(FillEnd),
-    /// Too slow: let go.
+    /// The reader was too slow and has lost the stream.
     TooSlow,
 }
 
 #[derive(Debug, Default)]
 struct State {
     head: Option<Arc<ResponseHead>>,
-    /// Number of the first piece that is held.
+    /// Number of the first buffered piece.
     first_piece: u64,
     pieces: VecDeque<Bytes>,
     unread_bytes: usize,
-    /// By reader: the number of its next piece.
+    /// For each reader the number of its next piece.
     readers: BTreeMap<u64, u64>,
     next_reader: u64,
     end: Option<FillEnd>,
 }
 
+/// Buffers a response between one writer and its readers. [`FillStream::end`] is owed by the writer.
 #[derive(Debug, Default)]
 pub struct FillStream {
     state: Mutex<State>,
     changed: Notify,
 }
 
+/// Reads a [`FillStream`]; dropping it releases what it has not read.
 #[derive(Debug)]
 pub struct FillStreamReader {
-    fill_stream: Arc<FillStream>,
+    stream: Arc<FillStream>,
     id: u64,
 }
 
@@ -61,7 +66,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// None: its beginning has gone by.
+    /// Adds a reader; none if the beginning of the body is no longer buffered.
     pub fn reader(self: &Arc<Self>) -> Option<FillStreamReader> {
         let mut state = self.lock();
         if state.first_piece > 0 {
@@ -71,21 +76,23 @@
         let id = state.next_reader;
         state.readers.insert(id, 0);
         Some(FillStreamReader {
-            fill_stream: self.clone(),
+            stream: self.clone(),
             id,
         })
     }
 
+    /// Whether anybody reads.
     pub fn has_readers(&self) -> bool {
         !self.lock().readers.is_empty()
     }
 
+    /// Publishes the head.
     pub fn head(&self, head: ResponseHead) {
         self.lock().head = Some(Arc::new(head));
         self.changed.notify_waiters();
     }
 
-    /// The next piece; waits for the slowest reader, at most `reader_timeout`.
+    /// Publishes a piece of the body; waits for the slowest reader, at most for `reader_timeout`.
     pub async fn data(&self, data: Bytes, reader_timeout: Duration) {
         {
             let mut state = self.lock();
@@ -94,7 +101,7 @@
             state.trim();
         }
         self.changed.notify_waiters();
-        let room = async {
+        let has_capacity = async {
             loop {
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
@@ -105,7 +112,10 @@
                 changed.await;
             }
         };
-        if tokio::time::timeout(reader_timeout, room).await.is_err() {
+        if tokio::time::timeout(reader_timeout, has_capacity)
+            .await
+            .is_err()
+        {
             let mut state = self.lock();
             let first_piece = state.first_piece;
             state.readers.retain(|_, at| *at > first_piece);
@@ -115,12 +125,13 @@
         }
     }
 
+    /// Ends the stream; only the first call has an effect.
     pub fn end(&self, end: FillEnd) {
         self.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Returns with the fill's end.
+    /// Waits for the end of the fill.
     pub async fn ended(&self) -> FillEnd {
         loop {
             let changed = self.changed.notified();
@@ -135,7 +146,7 @@
 }
 
 impl State {
-    /// Drops what every reader has.
+    /// Releases the pieces that every reader has read.
     fn trim(&mut self) {
         let slowest = self.readers.values().min().copied().unwrap_or(u64::MAX);
         while self.first_piece < slowest {
@@ -149,14 +160,14 @@
 }
 
 impl FillStreamReader {
-    /// The head, or how the fill ended without one.
+    /// Waits for the head; the end of the fill if it had none.
     pub async fn head(&self) -> Result<Arc<ResponseHead>, FillEnd> {
         loop {
-            let changed = self.fill_stream.changed.notified();
+            let changed = self.stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             {
-                let state = self.fill_stream.lock();
+                let state = self.stream.lock();
                 if let Some(head) = &state.head {
                     return Ok(head.clone());
                 }
@@ -168,13 +179,14 @@
         }
     }
 
+    /// Waits for the next part.
     pub async fn next(&self) -> FillStreamPart {
         loop {
-            let changed = self.fill_stream.changed.notified();
+            let changed = self.stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let taken = {
-                let mut state = self.fill_stream.lock();
+                let mut state = self.stream.lock();
                 let first_piece = state.first_piece;
                 let Some(at) = state.readers.get(&self.id).copied() else {
                     return FillStreamPart::TooSlow;
@@ -189,7 +201,7 @@
                 }
             };
             if let Some(part) = taken {
-                self.fill_stream.changed.notify_waiters();
+                self.stream.changed.notify_waiters();
                 return part;
             }
             changed.await;
@@ -200,11 +212,11 @@
 impl Drop for FillStreamReader {
     fn drop(&mut self) {
         {
-            let mut state = self.fill_stream.lock();
+            let mut state = self.stream.lock();
             state.readers.remove(&self.id);
             state.trim();
         }
-        self.fill_stream.changed.notify_waiters();
+        self.stream.changed.notify_waiters();
     }
 }
 
--- a/crates/cache-host/src/net/fill_stream/tests.rs
+++ b/crates/cache-host/src/net/fill_stream/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn the_slowest_reader_is_waited_for_and_then_let_go() {
+async fn slow_reader_delays_writer_until_timeout_then_loses_stream() {
     let flow = Arc::new(FillStream::default());
     let (quick, slow) = (flow.reader().unwrap(), flow.reader().unwrap());
     let piece = Bytes::from(vec![7; MAX_UNREAD_BYTES / 2]);
--- a/crates/cache-host/src/net/fill_task.rs
+++ b/crates/cache-host/src/net/fill_task.rs
@@ -33,6 +33,7 @@
 
 /// What a fill fetches, and how it stores it.
 pub(super) struct FillTask {
+    /// Address of a host, or [`HOST_ORIGIN`].
     pub source: String,
     /// 0: not stored.
     pub retention_rank: u32,
@@ -42,6 +43,7 @@
 }
 
 impl FillTask {
+    /// Runs the fill up to its end.
     pub async fn run(self, active: ActiveFill) {
         active.shared.count(|c| c.fills += 1);
         let end = match self.fetch(&active).await {
--- a/crates/cache-host/src/net/host_state.rs
+++ b/crates/cache-host/src/net/host_state.rs
@@ -77,9 +77,12 @@
     pub connections: HashMap<UserId, FramedConnection>,
 }
 
+/// State behind the lock of [`Shared`].
 pub(super) struct HostState {
     fill_table: FillTable<Key>,
+    /// Fills that run in the fill table.
     running: HashMap<FillId, RunningFill>,
+    /// Requests queued in the fill table.
     waiting: HashMap<WaiterId, WaitingRequest>,
     /// None: the host started warm, or has warmed up.
     pub warm_up: Option<WarmUp>,
@@ -91,6 +94,7 @@
 }
 
 impl HostState {
+    /// State at the start of a host.
     pub fn new(fill_table: FillTable<Key>, warm_up: Option<WarmUp>) -> Self {
         Self {
             fill_table,
@@ -105,6 +109,7 @@
     }
 }
 
+/// What all tasks of a host share.
 pub(super) struct Shared {
     pub state: Mutex<HostState>,
     pub settings: CacheHostSettings,
@@ -117,6 +122,7 @@
     pub hello: HelloHead,
 }
 
+/// The lease of a grant as it is sent.
 pub(super) fn lease_head(grant: &Grant) -> LeaseHead {
     LeaseHead {
         work_us: (grant.work * 1e6).round() as u64,
@@ -128,20 +134,24 @@
 
 /// Requests and fills.
 impl Shared {
+    /// Never held across an await.
     pub fn lock(&self) -> MutexGuard<'_, HostState> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
+    /// Time on the host's clock, which counts from [`CLOCK_ORIGIN_US`].
     pub fn now(&self) -> Micros {
         CLOCK_ORIGIN_US + self.started_at.elapsed().as_micros() as Micros
     }
 
+    /// A copy of the counters.
     pub fn counters(&self) -> HostCounters {
         self.lock().counters
     }
 
+    /// Updates the counters.
     pub fn count(&self, update: impl FnOnce(&mut HostCounters)) {
         update(&mut self.lock().counters);
     }
@@ -152,6 +162,7 @@
         state.hit_ratio += HIT_RATIO_SMOOTHING * (f64::from(is_hit) - state.hit_ratio);
     }
 
+    /// The load report for responses and health checks.
     pub fn load(&self) -> LoadReport {
         let state = self.lock();
         let active_fills = state.fill_table.active_fills() as f64;
@@ -169,6 +180,7 @@
         state.open_requests <= self.settings.max_requests
     }
 
+    /// Ends what [`Shared::open_request`] began.
     pub fn close_request(&self) {
         self.lock().open_requests -= 1;
     }
@@ -208,6 +220,7 @@
         (decision, granted)
     }
 
+    /// The stream of a running fill.
     pub fn fill_stream(&self, fill: FillId) -> Option<Arc<FillStream>> {
         Some(self.lock().running.get(&fill)?.stream.clone())
     }
@@ -239,6 +252,7 @@
 
 /// The store.
 impl Shared {
+    /// The stored copy under a key. Blocks on the store.
     pub fn stored_copy(&self, key: &Key) -> Option<Found> {
         self.store.as_ref()?.get(key)
     }
@@ -312,6 +326,7 @@
         Some((user, lease_head(&warm_up.ledger.join(user, requests_work))))
     }
 
+    /// Ends the leases of a dispatcher.
     pub fn remove_dispatcher(&self, user: UserId) {
         if let Some(warm_up) = &mut self.lock().warm_up {
             warm_up.ledger.leave(user);
--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -49,6 +49,7 @@
 }
 
 impl HttpOrigin {
+    /// An empty pool.
     pub fn new(settings: OriginSettings, clock: WallClock) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(settings.connections)),
@@ -58,6 +59,7 @@
         }
     }
 
+    /// Where the origin listens.
     pub fn address(&self) -> SocketAddr {
         self.settings.address
     }
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -32,6 +32,7 @@
 }
 
 impl Unanswered {
+    /// Boxed, because it is the error of an [`Outcome`].
     pub fn new(responder: Responder, error: ErrorHead) -> Box<Self> {
         Box::new(Self { responder, error })
     }
@@ -116,6 +117,7 @@
 }
 
 impl Request {
+    /// The key of the requested object in the store.
     pub fn key(&self) -> Key {
         Meta {
             object: self.head.object.clone(),
