--- a/crates/cache-host/src/net/background.rs
+++ b/crates/cache-host/src/net/background.rs
@@ -15,7 +15,7 @@
         return;
     }
     for why in store.doubts() {
-        tracing::warn!(why, "store recovery: damaged data skipped");
+        tracing::warn!(why, "store recovery found damage");
     }
     loop {
         tokio::time::sleep(Duration::from_micros(settings.sync_us)).await;
