--- a/crates/cache-host/src/net/flow.rs
+++ b/crates/cache-host/src/net/fill_stream.rs
@@ -1,7 +1,7 @@
-//! A fill's answer on its way to all who read it.
+//! The response of a fill on its way to its readers.
 //!
-//! Held: at most [`WINDOW`] bytes that the slowest reader has not taken. The writer waits for it, up to a time; then that reader is let
-//! go, and its answer is broken off. Without readers nothing is held.
+//! At most [`MAX_UNREAD_BYTES`], and one piece more, wait for the slowest reader. The writer waits for it up to a timeout;
+//! then that reader loses the stream. Without readers nothing is buffered.
 use bytes::Bytes;
 use pointspindle_protocol::{ErrorHead, ResponseHead};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,119 +9,130 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Bytes that wait for the slowest reader.
-pub const WINDOW: usize = 512 * 1024;
+/// Bytes that may wait for the slowest reader while the writer goes on.
+pub const MAX_UNREAD_BYTES: usize = 512 * 1024;
 
 /// How a fill ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FlowEnd {
+pub enum FillEnd {
+    /// The response is complete.
     Complete,
-    /// For the askers, as it is.
+    /// The error that its readers get.
     Failed(Box<ErrorHead>),
 }
 
-/// What a reader gets.
+/// What a reader receives next.
 #[derive(Clone, Debug, PartialEq)]
-pub enum FlowPart {
+pub enum FillStreamPart {
+    /// A piece of the body.
     Data(Bytes),
-    End(FlowEnd),
-    /// Too slow: let go.
-    Lost,
+    /// The fill has ended, and all of the body was read.
+    End(FillEnd),
+    /// The reader was too slow and has lost the stream.
+    TooSlow,
 }
 
 #[derive(Debug, Default)]
 struct State {
     head: Option<Arc<ResponseHead>>,
-    /// Number of the first piece that is held.
-    base: u64,
+    /// Number of the first buffered piece.
+    first_piece: u64,
     pieces: VecDeque<Bytes>,
-    held: usize,
-    /// By reader: the number of its next piece.
+    unread_bytes: usize,
+    /// For each reader the number of its next piece.
     readers: BTreeMap<u64, u64>,
     next_reader: u64,
-    end: Option<FlowEnd>,
+    end: Option<FillEnd>,
 }
 
+/// Buffers a response between one writer and its readers. [`FillStream::end`] is owed by the writer.
 #[derive(Debug, Default)]
-pub struct Flow {
+pub struct FillStream {
     state: Mutex<State>,
     changed: Notify,
 }
 
+/// Reads a [`FillStream`]; dropping it releases what it has not read.
 #[derive(Debug)]
-pub struct FlowReader {
-    flow: Arc<Flow>,
+pub struct FillStreamReader {
+    stream: Arc<FillStream>,
     id: u64,
 }
 
-impl Flow {
+impl FillStream {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// None: its beginning has gone by.
-    pub fn reader(self: &Arc<Self>) -> Option<FlowReader> {
+    /// Adds a reader; none if the beginning of the body is no longer buffered.
+    pub fn reader(self: &Arc<Self>) -> Option<FillStreamReader> {
         let mut state = self.lock();
-        if state.base > 0 {
+        if state.first_piece > 0 {
             return None;
         }
         state.next_reader += 1;
         let id = state.next_reader;
         state.readers.insert(id, 0);
-        Some(FlowReader {
-            flow: self.clone(),
+        Some(FillStreamReader {
+            stream: self.clone(),
             id,
         })
     }
 
+    /// Whether anybody reads.
     pub fn has_readers(&self) -> bool {
         !self.lock().readers.is_empty()
     }
 
+    /// Publishes the head.
     pub fn head(&self, head: ResponseHead) {
         self.lock().head = Some(Arc::new(head));
         self.changed.notify_waiters();
     }
 
-    /// The next piece; waits for the slowest reader, at most `longest`.
-    pub async fn data(&self, data: Bytes, longest: Duration) {
+    /// Publishes a piece of the body; waits for the slowest reader, at most for `reader_timeout`.
+    pub async fn data(&self, data: Bytes, reader_timeout: Duration) {
         {
             let mut state = self.lock();
-            state.held += data.len();
+            state.unread_bytes += data.len();
             state.pieces.push_back(data);
             state.trim();
         }
         self.changed.notify_waiters();
-        let room = async {
+        let has_capacity = async {
             loop {
                 let changed = self.changed.notified();
                 tokio::pin!(changed);
                 changed.as_mut().enable();
-                if self.lock().held <= WINDOW {
+                if self.lock().unread_bytes <= MAX_UNREAD_BYTES {
                     return;
                 }
                 changed.await;
             }
         };
-        if tokio::time::timeout(longest, room).await.is_err() {
+        if tokio::time::timeout(reader_timeout, has_capacity)
+            .await
+            .is_err()
+        {
             let mut state = self.lock();
-            let base = state.base;
-            state.readers.retain(|_, at| *at > base);
+            let first_piece = state.first_piece;
+            state.readers.retain(|_, at| *at > first_piece);
             state.trim();
             drop(state);
             self.changed.notify_waiters();
         }
     }
 
-    pub fn end(&self, end: FlowEnd) {
+    /// Ends the stream; only the first call has an effect.
+    pub fn end(&self, end: FillEnd) {
         self.lock().end.get_or_insert(end);
         self.changed.notify_waiters();
     }
 
-    /// Returns with the fill's end.
-    pub async fn over(&self) -> FlowEnd {
+    /// Waits for the end of the fill.
+    pub async fn ended(&self) -> FillEnd {
         loop {
             let changed = self.changed.notified();
             tokio::pin!(changed);
@@ -135,28 +146,28 @@
 }
 
 impl State {
-    /// Drops what every reader has.
+    /// Releases the pieces that every reader has read.
     fn trim(&mut self) {
         let slowest = self.readers.values().min().copied().unwrap_or(u64::MAX);
-        while self.base < slowest {
+        while self.first_piece < slowest {
             let Some(piece) = self.pieces.pop_front() else {
                 break;
             };
-            self.held -= piece.len();
-            self.base += 1;
+            self.unread_bytes -= piece.len();
+            self.first_piece += 1;
         }
     }
 }
 
-impl FlowReader {
-    /// The head, or how the fill ended without one.
-    pub async fn head(&self) -> Result<Arc<ResponseHead>, FlowEnd> {
+impl FillStreamReader {
+    /// Waits for the head; the end of the fill if it had none.
+    pub async fn head(&self) -> Result<Arc<ResponseHead>, FillEnd> {
         loop {
-            let changed = self.flow.changed.notified();
+            let changed = self.stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             {
-                let state = self.flow.lock();
+                let state = self.stream.lock();
                 if let Some(head) = &state.head {
                     return Ok(head.clone());
                 }
@@ -168,28 +179,29 @@
         }
     }
 
-    pub async fn next(&self) -> FlowPart {
+    /// Waits for the next part.
+    pub async fn next(&self) -> FillStreamPart {
         loop {
-            let changed = self.flow.changed.notified();
+            let changed = self.stream.changed.notified();
             tokio::pin!(changed);
             changed.as_mut().enable();
             let taken = {
-                let mut state = self.flow.lock();
-                let base = state.base;
+                let mut state = self.stream.lock();
+                let first_piece = state.first_piece;
                 let Some(at) = state.readers.get(&self.id).copied() else {
-                    return FlowPart::Lost;
+                    return FillStreamPart::TooSlow;
                 };
-                match state.pieces.get((at - base) as usize).cloned() {
+                match state.pieces.get((at - first_piece) as usize).cloned() {
                     Some(piece) => {
                         state.readers.insert(self.id, at + 1);
                         state.trim();
-                        Some(FlowPart::Data(piece))
+                        Some(FillStreamPart::Data(piece))
                     }
-                    None => state.end.clone().map(FlowPart::End),
+                    None => state.end.clone().map(FillStreamPart::End),
                 }
             };
             if let Some(part) = taken {
-                self.flow.changed.notify_waiters();
+                self.stream.changed.notify_waiters();
                 return part;
             }
             changed.await;
@@ -197,45 +209,16 @@
     }
 }
 
-impl Drop for FlowReader {
+impl Drop for FillStreamReader {
     fn drop(&mut self) {
         {
-            let mut state = self.flow.lock();
+            let mut state = self.stream.lock();
             state.readers.remove(&self.id);
             state.trim();
         }
-        self.flow.changed.notify_waiters();
+        self.stream.changed.notify_waiters();
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[tokio::test(start_paused = true)]
-    async fn the_slowest_reader_is_waited_for_and_then_let_go() {
-        let flow = Arc::new(Flow::default());
-        let (quick, slow) = (flow.reader().unwrap(), flow.reader().unwrap());
-        let piece = Bytes::from(vec![7; WINDOW / 2]);
-        let reading = tokio::spawn(async move {
-            let mut count = 0;
-            while let FlowPart::Data(_) = quick.next().await {
-                count += 1;
-            }
-            count
-        });
-        let began = tokio::time::Instant::now();
-        for _ in 0..4 {
-            flow.data(piece.clone(), Duration::from_secs(5)).await;
-        }
-        assert_eq!(
-            began.elapsed(),
-            Duration::from_secs(5),
-            "one wait, then it is let go"
-        );
-        assert!(flow.reader().is_none(), "its beginning has gone by");
-        flow.end(FlowEnd::Complete);
-        assert_eq!(reading.await.unwrap(), 4);
-        assert_eq!(slow.next().await, FlowPart::Lost);
-    }
-}
+mod tests;
