--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -145,7 +145,7 @@
 
     /// Counts all commits older than those read so far as purged. `last`: highest sequence number of the damaged segment.
     fn invalidate_older(&mut self, why: String, last: u64) {
-        tracing::warn!(why, "store: what is older counts as purged");
+        tracing::warn!(why, "store: older copies are treated as purged");
         self.doubts.push(why);
         self.invalidations.all = u64::MAX;
         let up_to_seq = self.lowest.map_or(last, |lowest| lowest.saturating_sub(1));
