--- a/crates/lab/tests/model.rs
+++ b/crates/lab/tests/model.rs
@@ -218,7 +218,7 @@
         stage.ends
     );
     for job in &jobs[1..] {
-        assert_eq!(stage.of(*job), ["start Joined v0", "finish"]);
+        assert_eq!(stage.of(*job), ["start Coalesced v0", "finish"]);
     }
     let hit = stage.ask();
     stage.pass(1_000);
@@ -360,7 +360,7 @@
     let jobs: Vec<JobId> = (0..13).map(|_| stage.ask()).collect();
     assert_eq!(
         stage.of(jobs[12]),
-        ["Full Untold"],
+        ["Rejected Unreported"],
         "8 places and 4 that wait"
     );
     stage.pass(5_000);
