--- a/src/router/fill_source.rs
+++ b/src/router/fill_source.rs
@@ -196,7 +196,9 @@
     pub(super) fn upstream_source(&self, now: Micros, request: &OpenRequest) -> Option<EndpointId> {
         let key = CopyKey::of(&request.request).placement_key();
         let placement = self.placement();
-        let pick = |from: &[&Endpoint]| placement.pick(key, from, PlacementLoad::of_source);
+        let pick = |from: &[&Endpoint]| {
+            placement.pick_with_bounded_load(key, from, PlacementLoad::of_source)
+        };
         let parents = self.eligible(now, request, Role::Parent);
         let healthy_parents: Vec<&Endpoint> = parents
             .iter()
--- a/src/router/pass_through.rs
+++ b/src/router/pass_through.rs
@@ -53,7 +53,7 @@
     fn pick_healthy(&self, now: Micros, request: &OpenRequest, role: Role) -> Option<EndpointId> {
         let mut candidates: Vec<&Endpoint> = self.eligible(now, request, role);
         candidates.retain(|endpoint| endpoint.is_healthy(now));
-        self.placement().pick(
+        self.placement().pick_with_bounded_load(
             request.request.object.0,
             &candidates,
             PlacementLoad::of_both,
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -80,7 +80,7 @@
     }
 
     /// The first endpoint in the rendezvous order of the key that is within the load bound, else the least loaded.
-    pub(super) fn pick(
+    pub(super) fn pick_with_bounded_load(
         &self,
         key: u64,
         candidates: &[&Endpoint],
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -70,7 +70,7 @@
             .collect();
         let key = CopyKey::of(request).placement_key();
         self.placement()
-            .pick(key, &admitting, PlacementLoad::of_cache)
+            .pick_with_bounded_load(key, &admitting, PlacementLoad::of_cache)
     }
 
     fn limit_stretch(&self, request: &Request) -> f64 {
@@ -105,8 +105,11 @@
             .last_server(copy)
             .filter(|id| caches.iter().any(|cache| cache.entry.id == *id));
         let cache = last_server.or_else(|| {
-            self.placement()
-                .pick(copy.placement_key(), &caches, PlacementLoad::ignored)
+            self.placement().pick_with_bounded_load(
+                copy.placement_key(),
+                &caches,
+                PlacementLoad::ignored,
+            )
         });
         cache
             .filter(|_| !request.cached_only_tried)
@@ -179,7 +182,7 @@
         let key = CopyKey::of(request).placement_key();
         let home = self
             .placement()
-            .pick(key, &ready, PlacementLoad::of_cache)
+            .pick_with_bounded_load(key, &ready, PlacementLoad::of_cache)
             .and_then(|id| self.endpoints.get(id))?;
         let is_short = home.warm_up.lease.is_some()
             && class.priority_weight > 0.0
