--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -236,7 +236,7 @@
         self.entries().retain(|address, entry| {
             let verdict = self.sweep_entry(entry, greeted.contains_key(address), now);
             if verdict == SweepVerdict::Dead {
-                tracing::warn!(endpoint = %address, "no sign of life on the connection; closing it");
+                tracing::warn!(endpoint = %address, "endpoint connection closed: no keep-alive reply");
                 dead += 1;
             }
             verdict == SweepVerdict::Keep
@@ -278,7 +278,7 @@
                 SweepVerdict::Keep
             }
             KeepAliveVerdict::Close => {
-                connection.abort("no sign of life");
+                connection.abort("no keep-alive reply");
                 SweepVerdict::Dead
             }
         }
@@ -298,7 +298,7 @@
 enum SweepVerdict {
     Keep,
     Remove,
-    /// Removed because the endpoint gave no sign of life.
+    /// Removed because the endpoint sent no keep-alive reply.
     Dead,
 }
 
