--- a/crates/cli/tests/platform/stage.rs
+++ b/crates/cli/tests/platform/stage.rs
@@ -9,6 +9,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
@@ -26,6 +27,9 @@
     std::net::Ipv4Addr::new(127, 32 + (std::process::id() % 64) as u8, high, low).into()
 }
 
+/// Rounds of its runtime by which the dispatcher has read what arrived during a pause.
+const CATCH_UP_ROUNDS: usize = 8;
+
 pub const PATIENCE: Duration = Duration::from_secs(15);
 
 /// What a cache host was told: a whole line, and the body of a PULL.
@@ -249,6 +253,8 @@
 /// A notice board: each poll is told with its last number, and sent what is put in.
 pub struct Board {
     pub at: SocketAddr,
+    /// Its streams send no comments any more.
+    silent: Arc<AtomicBool>,
     pub polls: mpsc::UnboundedReceiver<(u64, mpsc::UnboundedSender<String>)>,
 }
 
@@ -261,9 +267,12 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let (tell, polls) = mpsc::unbounded_channel();
     let at = listener.local_addr().unwrap();
+    let silent = Arc::new(AtomicBool::new(false));
+    let is_silent = silent.clone();
     tokio::spawn(async move {
         while let Ok((mut socket, _)) = listener.accept().await {
             let tell = tell.clone();
+            let is_silent = is_silent.clone();
             tokio::spawn(async move {
                 let mut head = Vec::new();
                 while !head.ends_with(b"\r\n\r\n") {
@@ -284,7 +293,10 @@
                 loop {
                     let text = tokio::select! {
                         text = said.recv() => match text { Some(text) => text, None => return },
-                        _ = comments.tick() => ":\n\n".to_owned(),
+                        _ = comments.tick() => match is_silent.load(Ordering::SeqCst) {
+                            true => continue,
+                            false => ":\n\n".to_owned(),
+                        },
                     };
                     if socket.write_all(text.as_bytes()).await.is_err() {
                         return;
@@ -293,10 +305,16 @@
             });
         }
     });
-    Board { at, polls }
+    Board { at, silent, polls }
 }
 
 impl Board {
+    /// Its streams send no comments from now on; what it was polled for before is forgotten.
+    pub fn fall_silent(&mut self) {
+        self.silent.store(true, Ordering::SeqCst);
+        while self.polls.try_recv().is_ok() {}
+    }
+
     pub async fn poll(&mut self) -> (u64, mpsc::UnboundedSender<String>) {
         timeout(PATIENCE, self.polls.recv())
             .await
@@ -454,6 +472,14 @@
         client.answer(1).await.status
     }
 
+    /// Returns once its runtime has gone through the rounds in which it reads what arrived during a pause, and counts that as
+    /// buffered through it: each of these exchanges takes at least one round.
+    pub async fn catch_up(&self) {
+        for _ in 0..CATCH_UP_ROUNDS {
+            assert_eq!(self.alive().await, 200);
+        }
+    }
+
     /// New connections, each with a request on it.
     pub async fn queue(&self, clients: usize) -> Vec<Client> {
         let mut queued = Vec::new();
--- a/crates/cli/tests/platform/syscalls.rs
+++ b/crates/cli/tests/platform/syscalls.rs
@@ -107,6 +107,8 @@
         assert_eq!(client.answer(1).await.body, b"good");
         // Longer than its connections are kept: the next request needs a new one.
         faults.pass(Duration::from_secs(60));
+        // Requests that are read in its first rounds after that count as buffered for a minute, and are rejected.
+        dispatcher.catch_up().await;
         faults.fail(call, error, 4);
         let mut refused = 0;
         for n in 0..20u16 {
@@ -124,6 +126,7 @@
         }
         println!("{call:?} {error}: {refused} of 20 refused");
         assert!(refused <= 4, "{call:?} {error}: {refused} of 20 refused");
+        faults.spent(call).await;
     }
 }
 
--- a/crates/cli/tests/platform/time_left.rs
+++ b/crates/cli/tests/platform/time_left.rs
@@ -7,9 +7,6 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// Rounds of its runtime by which the dispatcher has read what arrived during a pause.
-const CATCH_UP_ROUNDS: usize = 8;
-
 /// A host is told at most what the client has left and this.
 const SLACK: Duration = Duration::from_millis(150);
 
@@ -73,11 +70,7 @@
     dispatcher.signal("-STOP");
     tokio::time::sleep(Duration::from_secs(1)).await;
     dispatcher.signal("-CONT");
-    // What is read in the first rounds of its runtime after the pause counts as buffered through it. Each of these exchanges
-    // takes at least one round, so the request is read after them.
-    for _ in 0..CATCH_UP_ROUNDS {
-        assert_eq!(dispatcher.alive().await, 200);
-    }
+    dispatcher.catch_up().await;
     client
         .ask(1, "/ops/page", &[("HTTP_X_TTL_MS", "4000")], b"")
         .await;
@@ -127,10 +120,15 @@
     let dispatcher = Dispatcher::spawn_faulty(&faults, |at| config(at, board_at, &hosts)).await;
     let (_, first) = board.poll().await;
     for round in 0..3 {
+        // The stream is read by now, and nothing comes on it any more: data that arrives with the passing time would show a
+        // stream that lives.
+        dispatcher.catch_up().await;
+        board.fall_silent();
         faults.pass(Duration::from_secs(1_200));
         // The stream counts as silent by then.
         let (last, _say) = board.poll().await;
         assert_eq!(last, 1, "round {round}");
+        dispatcher.catch_up().await;
         let mut client = Client::connect(dispatcher.at).await;
         for id in 1..=5 {
             client.ask(id, "/ops/page", &[], b"").await;
