--- /dev/null
+++ b/crates/cli/tests/platform/cancellation.rs
@@ -0,0 +1,180 @@
+//! Requests that are aborted, or whose client closes its connection: cancelled at the cache host, and all of their state
+//! released.
+use crate::connection_establishment::{received_until_shutdown, WaitingRequest};
+use crate::support::*;
+use bytes::BytesMut;
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::time::timeout;
+
+/// Requests that may be open on one connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+
+/// How a client ends its connection.
+#[derive(Clone, Copy)]
+enum ClientClose {
+    Close,
+    Reset,
+    HalfClose,
+}
+
+/// Hundreds of requests aborted at once: each is cancelled at its cache host, and every request id is free again.
+#[tokio::test]
+async fn hundreds_of_simultaneous_aborts_release_all_requests() {
+    let mut platform = TwoEndpointPlatform::start(silent_for_object_a).await;
+    let mut clients = Vec::new();
+    let mut aborts = BytesMut::new();
+    for id in 1..=32 {
+        aborts.extend(abort_record(id));
+    }
+    for _ in 0..8 {
+        let mut client = FastCgiClient::connect(platform.dispatcher.address).await;
+        for id in 1..=32 {
+            client.request_page(id, &[OBJECT_A_FIELD]).await;
+        }
+        clients.push(client);
+    }
+    // Those that found capacity were forwarded; the others were rejected.
+    platform.cache.next_message("PULL").await;
+    for client in &mut clients {
+        client.writer.write_all(&aborts).await.unwrap();
+    }
+    for client in &mut clients {
+        for id in 1..=32 {
+            assert_ne!(client.response(id).await.status, 200);
+        }
+        client.request_page(1, &[]).await;
+        assert_eq!(client.response(1).await.body, b"good");
+    }
+    platform.cache.next_message("KILL").await;
+}
+
+/// As many requests as may be open, one more, and then a close: each is cancelled where it was sent, and none leaves state
+/// behind.
+#[tokio::test]
+async fn connection_close_cancels_all_open_requests() {
+    for close in [
+        ClientClose::Close,
+        ClientClose::Reset,
+        ClientClose::HalfClose,
+    ] {
+        assert_close_cancels_all(close).await;
+    }
+}
+
+async fn assert_close_cancels_all(close: ClientClose) {
+    let discovery = DiscoveryServer::start().await;
+    let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
+    let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    let mut client = FastCgiClient::connect(dispatcher.address).await;
+    let transactions: Vec<String> = (1..=33).map(|n| format!("9b1f03aa000000{n:02x}")).collect();
+    for (n, transaction) in transactions.iter().enumerate() {
+        client
+            .request_page(n as u16 + 1, &[("HTTP_X_TXN", transaction), OBJECT_A_FIELD])
+            .await;
+    }
+    let beyond_limit = client.response(33).await;
+    assert_eq!(
+        (beyond_limit.status, beyond_limit.body.len()),
+        (0, 0),
+        "overloaded, by the protocol's own status"
+    );
+    let cache_request = cache.next_message("PULL").await.line;
+    match close {
+        ClientClose::HalfClose => client.writer.shutdown().await.unwrap(),
+        ClientClose::Reset => client.reset(),
+        ClientClose::Close => drop(client),
+    }
+    cache
+        .next_message(&format!("KILL {}", transaction_id(&cache_request)))
+        .await;
+    // The same transaction ids are free again.
+    let mut next_client = FastCgiClient::connect(dispatcher.address).await;
+    for transaction in &transactions[..MAX_OPEN_REQUESTS] {
+        next_client
+            .request_page(1, &[("HTTP_X_TXN", transaction)])
+            .await;
+        assert_eq!(next_client.response(1).await.body, b"good");
+    }
+}
+
+/// Hundreds of requests whose clients disconnect at once: what was forwarded is cancelled at its cache host, the rest is never
+/// forwarded, and none leaves state behind.
+#[tokio::test]
+async fn requests_of_disconnected_clients_are_cancelled_or_never_forwarded() {
+    let discovery = DiscoveryServer::start().await;
+    let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
+    let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    for _ in 0..8 {
+        let mut client = FastCgiClient::connect(dispatcher.address).await;
+        for id in 1..=32 {
+            client.request_page(id, &[OBJECT_A_FIELD]).await;
+        }
+    }
+    let mut other_client = FastCgiClient::connect(dispatcher.address).await;
+    other_client.request_page(1, &[TRANSACTION_FIELD]).await;
+    assert_eq!(other_client.response(1).await.body, b"good");
+    let mut open = BTreeSet::new();
+    let mut last_request_seen = false;
+    let all_cancelled = async {
+        while !last_request_seen || !open.is_empty() {
+            let line = cache.received.recv().await.unwrap().line;
+            let id = transaction_id(&line).to_owned();
+            match line.split(' ').next() {
+                Some("PULL") if id == TRANSACTION_FIELD.1 => last_request_seen = true,
+                Some("PULL") => assert!(open.insert(id), "{line}"),
+                Some("KILL") => assert!(open.remove(&id), "{line}"),
+                _ => {}
+            }
+        }
+    };
+    timeout(TEST_TIMEOUT, all_cancelled)
+        .await
+        .expect("all forwarded requests are cancelled");
+}
+
+/// A request is aborted while its connection to the cache host is established.
+#[tokio::test]
+async fn request_aborted_during_connect_is_not_forwarded() {
+    let mut waiting = WaitingRequest::start(&[TRANSACTION_FIELD]).await;
+    waiting.client.abort(1).await;
+    let received =
+        received_until_shutdown(waiting.cache, waiting.dispatcher, vec![waiting.client]).await;
+    assert!(!received.contains("PULL"), "{received}");
+}
+
+/// A request is aborted while the process is stopped, and its next attempt is due by then: it is not made.
+#[tokio::test]
+async fn request_aborted_during_a_pause_is_not_retried() {
+    let discovery = DiscoveryServer::start().await;
+    let mut origin = ScriptedCacheHost::start(|id, _| overloaded_reply(id)).await;
+    let endpoints = [endpoint_entry("o-1", origin.address, "origin", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    let mut client = FastCgiClient::connect(dispatcher.address).await;
+    for round in 0..8u64 {
+        let transaction = format!("9b1f03aa00ee{round:04x}");
+        let fields = [("HTTP_X_TXN", transaction.as_str()), IDEMPOTENCY_KEY_FIELD];
+        client.send_request(1, "/ops/submit", &fields, b"x").await;
+        origin.next_message(&format!("PULL {transaction}")).await;
+        // Rejected for want of capacity: retried a little later.
+        tokio::time::sleep(Duration::from_millis(20)).await;
+        dispatcher.signal("-STOP");
+        while origin.received.try_recv().is_ok() {}
+        client.writer.write_all(&abort_record(1)).await.unwrap();
+        tokio::time::sleep(Duration::from_millis(300)).await;
+        dispatcher.signal("-CONT");
+        assert_eq!(
+            client.response(1).await.status,
+            0,
+            "round {round}: an end without an answer"
+        );
+        assert_eq!(dispatcher.health_status().await, 200);
+        while let Ok(message) = origin.received.try_recv() {
+            let line = message.line;
+            assert!(!line.starts_with("PULL"), "round {round}: {line}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -0,0 +1,248 @@
+//! Clients that send what cannot be read or is not allowed, or nothing at all.
+use crate::support::*;
+use bytes::BytesMut;
+use pointspindle_platform_protocol::fastcgi::*;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+
+/// The header of a FastCGI record; a record without content is no more than that.
+const RECORD_HEADER_BYTES: usize = 8;
+
+/// What is no valid request: bytes that are no record, requests that are too long or never complete, and invalid fields.
+fn invalid_inputs() -> Vec<BytesMut> {
+    let page_with = |field| fastcgi_request(1, "/ops/page", &[field], b"");
+    let mut endless_params = begin_request_record(1);
+    add_large_records(&mut endless_params, PARAMS, 1);
+    let mut endless_body = fastcgi_request(1, "/ops/submit", &[IDEMPOTENCY_KEY_FIELD], b"x");
+    endless_body.truncate(endless_body.len() - RECORD_HEADER_BYTES);
+    add_large_records(&mut endless_body, STDIN, 1);
+    let mut begun_twice = begin_request_record(1);
+    begun_twice.extend(begin_request_record(1));
+    let incomplete = begin_request_record(1);
+    vec![
+        BytesMut::from(&b"GET / HTTP/1.1\r\n\r\n"[..]),
+        BytesMut::from(&[0xff; 300][..]),
+        endless_params,
+        endless_body,
+        begun_twice,
+        incomplete,
+        BytesMut::new(),
+        fastcgi_request(1, "/ops/none", &[], b""),
+        fastcgi_request(1, "/ops/page", &[], b"a body"),
+        page_with(("HTTP_X_TTL_MS", "-1")),
+        page_with(("HTTP_X_TTL_MS", "99999999999")),
+        page_with(("HTTP_X_TXN", "not hex at all!!")),
+        page_with(("HTTP_X_ROW", "x y\r\nKILL z")),
+        page_with(("HTTP_X_BATCH", "300")),
+        page_with(("CONTENT_LENGTH", "-7")),
+    ]
+}
+
+/// Adds eight records of 60 kB.
+fn add_large_records(out: &mut BytesMut, kind: u8, id: u16) {
+    for _ in 0..8 {
+        record(out, kind, id, &[b'x'; 60_000]);
+    }
+}
+
+/// Each gets an error or is closed, none is served or forwarded, and another client is served meanwhile.
+#[tokio::test]
+async fn invalid_requests_are_rejected_without_effect_on_other_clients() {
+    let mut platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
+    let mut other_client = FastCgiClient::connect(platform.dispatcher.address).await;
+    for (n, bytes) in invalid_inputs().into_iter().enumerate() {
+        let mut client = FastCgiClient::connect(platform.dispatcher.address).await;
+        // The connection may be closed while it still sends.
+        let _ = client.writer.write_all(&bytes).await;
+        if let Some(response) = client.response_or_close(1).await {
+            assert!(response.status != 200, "case {n}: {response:?}");
+        }
+        other_client.request_page(1, &[]).await;
+        assert_eq!(other_client.response(1).await.body, b"good", "case {n}");
+        platform.cache.next_message("PULL").await;
+        assert!(
+            platform.cache.received.try_recv().is_err(),
+            "case {n}: something else was forwarded"
+        );
+    }
+    // The transaction id of an open request, with another object: the first request is not affected.
+    let transaction = ("HTTP_X_TXN", "9b1f03aa5c7e2dff");
+    let both = [
+        fastcgi_request(1, "/ops/page", &[transaction], b""),
+        fastcgi_request(
+            2,
+            "/ops/page",
+            &[transaction, ("HTTP_X_ROW", "cccccccccccccccc")],
+            b"",
+        ),
+    ];
+    other_client.writer.write_all(&both.concat()).await.unwrap();
+    assert_eq!(other_client.response(2).await.status, 400);
+    assert_eq!(other_client.response(1).await.status, 200);
+}
+
+/// More connections than there is capacity for, all of them silent: each is closed, and another client is served meanwhile.
+#[tokio::test]
+async fn idle_connections_beyond_the_capacity_are_closed() {
+    let platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
+    let mut idle_clients = Vec::new();
+    for n in 0..150 {
+        idle_clients.push(FastCgiClient::connect(platform.dispatcher.address).await);
+        if n % 30 == 0 {
+            let mut other_client = FastCgiClient::connect(platform.dispatcher.address).await;
+            other_client.request_page(1, &[]).await;
+            // It may be closed in favour of another one; web servers connect again.
+            if let Some(response) = other_client.response_or_close(1).await {
+                assert_eq!(response.body, b"good");
+            }
+        }
+    }
+    for client in &mut idle_clients {
+        assert!(client.response_or_close(1).await.is_none());
+    }
+    let mut other_client = FastCgiClient::connect(platform.dispatcher.address).await;
+    other_client.request_page(1, &[]).await;
+    assert_eq!(other_client.response(1).await.body, b"good");
+}
+
+/// What ends a connection: bytes that are no record, and records that are out of place.
+fn unreadable_inputs() -> Vec<(&'static str, Vec<u8>)> {
+    let mut skipped = BytesMut::new();
+    add_large_records(&mut skipped, STDIN, 77);
+    vec![
+        ("no record", vec![0xff; 64]),
+        (
+            "an HTTP head",
+            b"GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_vec(),
+        ),
+        (
+            "a request with the id of an open one",
+            begin_request_record(1).to_vec(),
+        ),
+        ("a request without an id", begin_request_record(0).to_vec()),
+        ("much for a request that is not open", skipped.to_vec()),
+    ]
+}
+
+/// Requests that arrived complete before the unreadable bytes are answered; nothing behind these bytes is read.
+#[tokio::test]
+async fn requests_before_unreadable_bytes_are_answered() {
+    let discovery = DiscoveryServer::start().await;
+    let cache = ManualCacheHost::start().await;
+    let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    let mut connections = Vec::new();
+    for (input, bytes) in unreadable_inputs() {
+        let mut client = FastCgiClient::connect(dispatcher.address).await;
+        client.request_page(1, &[TRANSACTION_FIELD]).await;
+        let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
+        let behind = fastcgi_request(9, "/ops/page", &[("HTTP_X_ROW", "00000000000000ee")], b"");
+        client
+            .writer
+            .write_all(&[bytes, behind.to_vec()].concat())
+            .await
+            .unwrap();
+        tokio::time::sleep(Duration::from_millis(150)).await;
+        connection
+            .send(&served_reply(transaction_id(&cache_request), "good"))
+            .await;
+        let response = client
+            .response_or_close(1)
+            .await
+            .unwrap_or_else(|| panic!("{input}: closed without an answer"));
+        assert_eq!(
+            (response.status, response.body.as_slice()),
+            (200, &b"good"[..]),
+            "{input}"
+        );
+        assert!(
+            client.response_or_close(9).await.is_none(),
+            "{input}: read behind what cannot be read, or not closed"
+        );
+        connections.push(connection);
+        // Had it been forwarded, it would arrive before this one.
+        let mut other_client = FastCgiClient::connect(dispatcher.address).await;
+        other_client.request_page(1, &[]).await;
+        let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
+        assert!(
+            !cache_request.contains("00000000000000ee"),
+            "{input}: {cache_request}"
+        );
+        connection
+            .send(&served_reply(transaction_id(&cache_request), "usual"))
+            .await;
+        assert_eq!(other_client.response(1).await.body, b"usual", "{input}");
+        connections.push(connection);
+    }
+}
+
+/// The close of such a client's connection is still detected: its open requests are cancelled at the cache host.
+#[tokio::test]
+async fn client_close_after_unreadable_bytes_cancels_its_requests() {
+    let discovery = DiscoveryServer::start().await;
+    let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
+    let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    for (input, bytes) in unreadable_inputs() {
+        let mut client = FastCgiClient::connect(dispatcher.address).await;
+        client
+            .request_page(1, &[TRANSACTION_FIELD, OBJECT_A_FIELD])
+            .await;
+        cache
+            .next_message(&format!("PULL {}", TRANSACTION_FIELD.1))
+            .await;
+        client.writer.write_all(&bytes).await.unwrap();
+        assert_eq!(dispatcher.health_status().await, 200, "{input}");
+        drop(client);
+        cache
+            .next_message(&format!("KILL {}", TRANSACTION_FIELD.1))
+            .await;
+    }
+}
+
+/// Valid requests on a connection that is closed for invalid ones, or with one that is never complete: answered first.
+#[tokio::test]
+async fn valid_requests_are_answered_before_their_connection_is_closed() {
+    let discovery = DiscoveryServer::start().await;
+    let cache = ManualCacheHost::start().await;
+    let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
+    let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
+    let mut connections = Vec::new();
+
+    // Closed for invalid requests.
+    let mut client = FastCgiClient::connect(dispatcher.address).await;
+    client.request_page(1, &[]).await;
+    let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
+    for id in 2..=20 {
+        client.send_request(id, "/ops/none", &[], b"").await;
+    }
+    assert_eq!(client.response(2).await.status, 400);
+    // All of it has been read once a new connection is answered.
+    assert_eq!(dispatcher.health_status().await, 200);
+    connection
+        .send(&served_reply(transaction_id(&cache_request), "good"))
+        .await;
+    connections.push(connection);
+    assert_eq!(client.response(1).await.body, b"good");
+    assert!(client.response_or_close(99).await.is_none(), "closed then");
+
+    // With a request that is never complete.
+    let mut client = FastCgiClient::connect(dispatcher.address).await;
+    client.request_page(1, &[]).await;
+    let (cache_request, connection) = cache.next_cache_request(&mut connections).await;
+    connections.push(connection);
+    let incomplete = begin_request_record(2);
+    client.writer.write_all(&incomplete).await.unwrap();
+    // Meanwhile the cache host answers health checks.
+    let timed_out = tokio::select! {
+        response = client.response(2) => response,
+        (cache_request, _) = cache.next_cache_request(&mut connections) => panic!("{cache_request}"),
+    };
+    assert_eq!(timed_out.status, 400, "not complete in time");
+    for connection in &mut connections {
+        connection
+            .send(&served_reply(transaction_id(&cache_request), "good"))
+            .await;
+    }
+    assert_eq!(client.response(1).await.body, b"good");
+}
--- a/crates/cli/tests/platform/faults.c
+++ b/crates/cli/tests/platform/support/injected_faults.c
@@ -1,5 +1,5 @@
 /* Loaded into one dispatcher by LD_PRELOAD: steps its clocks and lets system calls fail, as the control file says.
- * The file holds 64-bit numbers, in the order of `struct control`; faults.rs writes them while the process runs. */
+ * The file holds 64-bit numbers, in the order of `struct control`; injected_faults.rs writes them while the process runs. */
 #define _GNU_SOURCE
 #include <errno.h>
 #include <fcntl.h>
@@ -16,18 +16,18 @@
 
 struct fault {
     _Atomic int64_t error; /* errno */
-    _Atomic int64_t count; /* calls that still fail */
+    _Atomic int64_t count; /* calls that are still to fail */
 };
 
 struct control {
     _Atomic int64_t wall_offset_ns;
-    _Atomic int64_t short_io; /* bytes that a read or write takes at most; 0: as asked */
+    _Atomic int64_t short_io; /* bytes that a read or write transfers at most; 0: no limit */
     struct fault accept, connect, socket, read, write, wait;
-    _Atomic int64_t elapsed_ns; /* time that has passed besides, by the monotonic clock and by the wall clock */
+    _Atomic int64_t elapsed_ns; /* added to the monotonic clock and to the wall clock */
 };
 
-static struct control nothing;
-static struct control *control = &nothing;
+static struct control no_faults;
+static struct control *control = &no_faults;
 
 __attribute__((constructor)) static void open_control(void) {
     const char *path = getenv("FAULTS_CONTROL");
--- /dev/null
+++ b/crates/cli/tests/platform/support/manual_cache_host.rs
@@ -0,0 +1,158 @@
+//! Cache hosts whose every byte the test writes, and one that accepts no connection until it is told to.
+use super::{healthy_reply, TEST_TIMEOUT};
+use futures_util::stream::FuturesUnordered;
+use futures_util::StreamExt;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::timeout;
+
+/// The line end behind a body.
+const BODY_END_BYTES: usize = 2;
+/// A connection that is not established by then finds the accept queue full.
+const QUEUE_FULL_AFTER: Duration = Duration::from_millis(300);
+
+/// A cache host whose every byte the test writes.
+pub struct ManualCacheHost {
+    listener: TcpListener,
+    pub address: SocketAddr,
+}
+
+impl ManualCacheHost {
+    pub async fn start() -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        Self { listener, address }
+    }
+
+    /// Accepts the next connection.
+    pub async fn accept(&self) -> CacheHostConnection {
+        let (socket, _) = timeout(TEST_TIMEOUT, self.listener.accept())
+            .await
+            .expect("it connects")
+            .unwrap();
+        CacheHostConnection::new(socket)
+    }
+
+    /// The next cache request on any connection, with that connection. Health checks are answered meanwhile, new
+    /// connections are added to the others and closed ones leave them.
+    pub async fn next_cache_request(
+        &self,
+        connections: &mut Vec<CacheHostConnection>,
+    ) -> (String, CacheHostConnection) {
+        let next = async {
+            loop {
+                let mut lines = FuturesUnordered::new();
+                for (index, connection) in connections.iter_mut().enumerate() {
+                    lines.push(async move { (index, connection.read_line().await) });
+                }
+                tokio::select! {
+                    accepted = self.listener.accept() => {
+                        drop(lines);
+                        connections.push(CacheHostConnection::new(accepted.unwrap().0));
+                    }
+                    Some((index, line)) = lines.next() => {
+                        drop(lines);
+                        let mut connection = connections.remove(index);
+                        let Some(line) = line else { continue };
+                        if line.starts_with("PULL") {
+                            connection.discard_body(&line).await;
+                            return (line, connection);
+                        }
+                        if let Some(tag) = line.strip_prefix("ECHO ") {
+                            connection.send(&healthy_reply(tag)).await;
+                        }
+                        connections.push(connection);
+                    }
+                }
+            }
+        };
+        timeout(TEST_TIMEOUT, next).await.expect("a PULL in time")
+    }
+}
+
+/// One connection of the dispatcher to a [`ManualCacheHost`].
+pub struct CacheHostConnection {
+    pub socket: BufReader<TcpStream>,
+}
+
+impl CacheHostConnection {
+    fn new(socket: TcpStream) -> Self {
+        let socket = BufReader::new(socket);
+        Self { socket }
+    }
+
+    /// The dispatcher's end of the connection.
+    pub fn peer_address(&self) -> SocketAddr {
+        self.socket.get_ref().peer_addr().unwrap()
+    }
+
+    /// Cancel-safe only before the first byte of a line: in these tests each line arrives complete.
+    async fn read_line(&mut self) -> Option<String> {
+        let mut line = String::new();
+        match self.socket.read_line(&mut line).await {
+            Ok(1..) => Some(line.trim_end().to_owned()),
+            _ => None,
+        }
+    }
+
+    async fn discard_body(&mut self, cache_request: &str) {
+        let length = cache_request.rsplit(' ').next().unwrap();
+        let length: usize = length.parse().unwrap();
+        let mut body = vec![0; length + BODY_END_BYTES];
+        self.socket.read_exact(&mut body).await.unwrap();
+    }
+
+    pub async fn send(&mut self, bytes: &[u8]) {
+        self.socket.write_all(bytes).await.unwrap();
+    }
+
+    /// All that still arrives until the dispatcher closes the connection.
+    pub async fn read_to_close(mut self) -> String {
+        let mut bytes = Vec::new();
+        let _ = timeout(TEST_TIMEOUT, self.socket.read_to_end(&mut bytes))
+            .await
+            .expect("it closes");
+        String::from_utf8_lossy(&bytes).into_owned()
+    }
+}
+
+/// A cache host to which no connection is established until it is told to accept.
+pub struct UnresponsiveCacheHost {
+    listener: std::net::TcpListener,
+    queued: Vec<TcpStream>,
+    pub address: SocketAddr,
+}
+
+impl UnresponsiveCacheHost {
+    /// Its accept queue is full: further connection attempts get no answer, and the system repeats them.
+    pub async fn start() -> Self {
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
+        socket.bind(&any_port.into()).unwrap();
+        socket.listen(0).unwrap();
+        let listener: std::net::TcpListener = socket.into();
+        let address = listener.local_addr().unwrap();
+        let mut queued = Vec::new();
+        while let Ok(Ok(socket)) = timeout(QUEUE_FULL_AFTER, TcpStream::connect(address)).await {
+            queued.push(socket);
+        }
+        Self {
+            listener,
+            queued,
+            address,
+        }
+    }
+
+    /// From now on connections are established.
+    pub fn accept_connections(self) -> ManualCacheHost {
+        drop(self.queued);
+        self.listener.set_nonblocking(true).unwrap();
+        ManualCacheHost {
+            listener: TcpListener::from_std(self.listener).unwrap(),
+            address: self.address,
+        }
+    }
+}
