--- a/crates/cli/tests/platform/cancellation.rs
+++ b/crates/cli/tests/platform/cancellation.rs
@@ -1,5 +1,5 @@
-//! Requests that are aborted, or whose client closes its connection: cancelled at the cache host, and all of their state
-//! released.
+//! Requests that are aborted, or whose client closes its connection: cancelled at the cache host, and all of
+//! their state released.
 use crate::connection_establishment::{received_until_shutdown, WaitingRequest};
 use crate::support::*;
 use bytes::BytesMut;
@@ -9,7 +9,10 @@
 use tokio::time::timeout;
 
 /// Requests that may be open on one connection.
-const MAX_OPEN_REQUESTS: usize = 32;
+const MAX_OPEN_REQUESTS: u16 = 32;
+
+/// Clients whose requests are aborted, or that disconnect, at once.
+const CLIENTS: usize = 8;
 
 /// How a client ends its connection.
 #[derive(Clone, Copy)]
@@ -19,18 +22,19 @@
     HalfClose,
 }
 
-/// Hundreds of requests aborted at once: each is cancelled at its cache host, and every request id is free again.
+/// Hundreds of requests aborted at once: each is cancelled at its cache host, and every request id is free
+/// again.
 #[tokio::test]
 async fn hundreds_of_simultaneous_aborts_release_all_requests() {
     let mut platform = TwoEndpointPlatform::start(silent_for_object_a).await;
     let mut clients = Vec::new();
     let mut aborts = BytesMut::new();
-    for id in 1..=32 {
+    for id in 1..=MAX_OPEN_REQUESTS {
         aborts.extend(abort_record(id));
     }
-    for _ in 0..8 {
+    for _ in 0..CLIENTS {
         let mut client = FastCgiClient::connect(platform.dispatcher.address).await;
-        for id in 1..=32 {
+        for id in 1..=MAX_OPEN_REQUESTS {
             client.request_page(id, &[OBJECT_A_FIELD]).await;
         }
         clients.push(client);
@@ -41,7 +45,7 @@
         client.writer.write_all(&aborts).await.unwrap();
     }
     for client in &mut clients {
-        for id in 1..=32 {
+        for id in 1..=MAX_OPEN_REQUESTS {
             assert_ne!(client.response(id).await.status, 200);
         }
         client.request_page(1, &[]).await;
@@ -50,8 +54,8 @@
     platform.cache.next_message("KILL").await;
 }
 
-/// As many requests as may be open, one more, and then a close: each is cancelled where it was sent, and none leaves state
-/// behind.
+/// As many requests as may be open, one more, and then a close: each is cancelled where it was sent, and none
+/// leaves state behind.
 #[tokio::test]
 async fn connection_close_cancels_all_open_requests() {
     for close in [
@@ -63,19 +67,22 @@
     }
 }
 
+/// Opens as many requests as may be open and one more, and closes the connection in this way.
 async fn assert_close_cancels_all(close: ClientClose) {
     let discovery = DiscoveryServer::start().await;
     let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
     let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
     let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
     let mut client = FastCgiClient::connect(dispatcher.address).await;
-    let transactions: Vec<String> = (1..=33).map(|n| format!("9b1f03aa000000{n:02x}")).collect();
-    for (n, transaction) in transactions.iter().enumerate() {
+    let id_beyond_limit = MAX_OPEN_REQUESTS + 1;
+    let transaction_of = |id: u16| format!("9b1f03aa000000{id:02x}");
+    for id in 1..=id_beyond_limit {
+        let transaction = transaction_of(id);
         client
-            .request_page(n as u16 + 1, &[("HTTP_X_TXN", transaction), OBJECT_A_FIELD])
+            .request_page(id, &[("HTTP_X_TXN", &transaction), OBJECT_A_FIELD])
             .await;
     }
-    let beyond_limit = client.response(33).await;
+    let beyond_limit = client.response(id_beyond_limit).await;
     assert_eq!(
         (beyond_limit.status, beyond_limit.body.len()),
         (0, 0),
@@ -92,25 +99,26 @@
         .await;
     // The same transaction ids are free again.
     let mut next_client = FastCgiClient::connect(dispatcher.address).await;
-    for transaction in &transactions[..MAX_OPEN_REQUESTS] {
+    for id in 1..=MAX_OPEN_REQUESTS {
+        let transaction = transaction_of(id);
         next_client
-            .request_page(1, &[("HTTP_X_TXN", transaction)])
+            .request_page(1, &[("HTTP_X_TXN", &transaction)])
             .await;
         assert_eq!(next_client.response(1).await.body, b"good");
     }
 }
 
-/// Hundreds of requests whose clients disconnect at once: what was forwarded is cancelled at its cache host, the rest is never
-/// forwarded, and none leaves state behind.
+/// Hundreds of requests whose clients disconnect at once: what was forwarded is cancelled at its cache host,
+/// the rest is never forwarded, and none leaves state behind.
 #[tokio::test]
 async fn requests_of_disconnected_clients_are_cancelled_or_never_forwarded() {
     let discovery = DiscoveryServer::start().await;
     let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
     let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
     let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
-    for _ in 0..8 {
+    for _ in 0..CLIENTS {
         let mut client = FastCgiClient::connect(dispatcher.address).await;
-        for id in 1..=32 {
+        for id in 1..=MAX_OPEN_REQUESTS {
             client.request_page(id, &[OBJECT_A_FIELD]).await;
         }
     }
@@ -169,7 +177,7 @@
         assert_eq!(
             client.response(1).await.status,
             0,
-            "round {round}: an end without an answer"
+            "round {round}: an end without a response"
         );
         assert_eq!(dispatcher.health_status().await, 200);
         while let Ok(message) = origin.received.try_recv() {
--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -8,7 +8,8 @@
 /// The header of a FastCGI record; a record without content is no more than that.
 const RECORD_HEADER_BYTES: usize = 8;
 
-/// What is no valid request: bytes that are no record, requests that are too long or never complete, and invalid fields.
+/// What is no valid request: bytes that are no record, requests that are too long or never complete, and
+/// invalid fields.
 fn invalid_inputs() -> Vec<BytesMut> {
     let page_with = |field| fastcgi_request(1, "/ops/page", &[field], b"");
     let mut endless_params = begin_request_record(1);
@@ -81,7 +82,8 @@
     assert_eq!(other_client.response(1).await.status, 200);
 }
 
-/// More connections than there is capacity for, all of them silent: each is closed, and another client is served meanwhile.
+/// More connections than there is capacity for, all of them silent: each is closed, and another client is
+/// served meanwhile.
 #[tokio::test]
 async fn idle_connections_beyond_the_capacity_are_closed() {
     let platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
@@ -124,7 +126,8 @@
     ]
 }
 
-/// Requests that arrived complete before the unreadable bytes are answered; nothing behind these bytes is read.
+/// Requests that arrived complete before the unreadable bytes are answered; nothing behind these bytes is
+/// read.
 #[tokio::test]
 async fn requests_before_unreadable_bytes_are_answered() {
     let discovery = DiscoveryServer::start().await;
@@ -149,7 +152,7 @@
         let response = client
             .response_or_close(1)
             .await
-            .unwrap_or_else(|| panic!("{input}: closed without an answer"));
+            .unwrap_or_else(|| panic!("{input}: closed without a response"));
         assert_eq!(
             (response.status, response.body.as_slice()),
             (200, &b"good"[..]),
@@ -176,7 +179,8 @@
     }
 }
 
-/// The close of such a client's connection is still detected: its open requests are cancelled at the cache host.
+/// The close of such a client's connection is still detected: its open requests are cancelled at the cache
+/// host.
 #[tokio::test]
 async fn client_close_after_unreadable_bytes_cancels_its_requests() {
     let discovery = DiscoveryServer::start().await;
@@ -200,7 +204,8 @@
     }
 }
 
-/// Valid requests on a connection that is closed for invalid ones, or with one that is never complete: answered first.
+/// Valid requests on a connection that is closed for invalid ones, or with one that is never complete:
+/// answered first.
 #[tokio::test]
 async fn valid_requests_are_answered_before_their_connection_is_closed() {
     let discovery = DiscoveryServer::start().await;
--- a/crates/cli/tests/platform/clock_steps.rs
+++ b/crates/cli/tests/platform/clock_steps.rs
@@ -1,13 +1,16 @@
-//! A wall clock that is stepped under a running dispatcher: the ages of purges, starts and copies stay spans of real time.
+//! A wall clock that is stepped under a running dispatcher: the ages of purges, starts and copies stay spans
+//! of real time.
 use crate::support::*;
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// The object that is purged.
 const OBJECT: &str = "00000000000000aa";
 
 /// The age limit of a cache request is in whole milliseconds, and a purge counts from the end of its own.
 const ROUNDING_MS: u64 = 5;
 
+/// Steps of the wall clock, forwards and backwards.
 const STEPS_SECONDS: [f64; 6] = [1.0, 5.0, 3_600.0, -1.0, -5.0, -3_600.0];
 
 /// A dispatcher whose clock can be stepped, one cache host, and a discovery server with an open stream.
@@ -22,6 +25,7 @@
 }
 
 impl SteppablePlatform {
+    /// Starts it with a wall clock that is right.
     async fn start() -> Self {
         Self::start_with_step(0.0).await
     }
@@ -80,55 +84,54 @@
     }
 }
 
+async fn assert_purge_after_a_step_is_respected(step: f64) {
+    let mut platform = SteppablePlatform::start().await;
+    platform.faults.step_wall_clock(step);
+    let purged_at = Instant::now();
+    platform.publish(2, &purge(OBJECT, unix_ms())).await;
+    let case = format!("{step} s before a purge");
+    platform
+        .assert_purge_is_respected(OBJECT, purged_at, &case)
+        .await;
+}
+
+async fn assert_purge_published_after_a_step_is_respected(step: f64) {
+    let mut platform = SteppablePlatform::start().await;
+    let purged_at = Instant::now();
+    let purged_unix_ms = unix_ms();
+    platform.faults.step_wall_clock(step);
+    platform.publish(2, &purge(OBJECT, purged_unix_ms)).await;
+    let case = format!("{step} s between a purge and its event");
+    platform
+        .assert_purge_is_respected(OBJECT, purged_at, &case)
+        .await;
+}
+
+async fn assert_purges_around_a_step_are_respected(step: f64) {
+    let second = "00000000000000bb";
+    let mut platform = SteppablePlatform::start().await;
+    let purged_at = Instant::now();
+    platform.publish(2, &purge(OBJECT, unix_ms())).await;
+    platform.faults.step_wall_clock(step);
+    let second_purged_at = Instant::now();
+    platform.publish(3, &purge(second, unix_ms())).await;
+    let case = format!("{step} s after the first purge");
+    platform
+        .assert_purge_is_respected(OBJECT, purged_at, &case)
+        .await;
+    let case = format!("{step} s before the second purge");
+    platform
+        .assert_purge_is_respected(second, second_purged_at, &case)
+        .await;
+}
+
 /// Stepped before a purge, between a purge and its event, and between two purges.
 #[tokio::test]
 async fn purge_age_is_unaffected_by_clock_steps() {
     for step in STEPS_SECONDS {
-        let mut platform = SteppablePlatform::start().await;
-        platform.faults.step_wall_clock(step);
-        let purged_at = Instant::now();
-        let purged_unix_ms = unix_ms();
-        platform.publish(2, &purge(OBJECT, purged_unix_ms)).await;
-        platform
-            .assert_purge_is_respected(OBJECT, purged_at, &format!("{step} s before a purge"))
-            .await;
-
-        let mut platform = SteppablePlatform::start().await;
-        let purged_at = Instant::now();
-        let purged_unix_ms = unix_ms();
-        platform.faults.step_wall_clock(step);
-        platform.publish(2, &purge(OBJECT, purged_unix_ms)).await;
-        platform
-            .assert_purge_is_respected(
-                OBJECT,
-                purged_at,
-                &format!("{step} s between a purge and its event"),
-            )
-            .await;
-
-        let second = "00000000000000bb";
-        let mut platform = SteppablePlatform::start().await;
-        let purged_at = Instant::now();
-        let purged_unix_ms = unix_ms();
-        platform.publish(2, &purge(OBJECT, purged_unix_ms)).await;
-        platform.faults.step_wall_clock(step);
-        let second_purged_at = Instant::now();
-        let purged_unix_ms = unix_ms();
-        platform.publish(3, &purge(second, purged_unix_ms)).await;
-        platform
-            .assert_purge_is_respected(
-                OBJECT,
-                purged_at,
-                &format!("{step} s after the first purge"),
-            )
-            .await;
-        platform
-            .assert_purge_is_respected(
-                second,
-                second_purged_at,
-                &format!("{step} s before the second purge"),
-            )
-            .await;
+        assert_purge_after_a_step_is_respected(step).await;
+        assert_purge_published_after_a_step_is_respected(step).await;
+        assert_purges_around_a_step_are_respected(step).await;
     }
 }
 
@@ -182,14 +185,15 @@
     }
 }
 
-/// An endpoint that is announced after a step is as young as it is: it gets what its slow start allows, and not what one that is
-/// warmed up does.
+/// An endpoint that is announced after a step is as young as it is: it gets what its slow start allows, and
+/// not what one that is warmed up does.
 #[tokio::test]
 async fn start_age_of_an_endpoint_is_unaffected_by_clock_steps() {
     for step in [5.0, 3_600.0, -3_600.0] {
         let mut platform = SteppablePlatform::start().await;
         let mut warming_up = ScriptedCacheHost::start_serving("cold").await;
-        // The first slow-start window: a dispatcher that has just started forwards nothing to an endpoint that warms up.
+        // The first slow-start window: a dispatcher that has just started forwards nothing to an endpoint
+        // that warms up.
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         platform.faults.step_wall_clock(step);
         let born = format!("\"share\":10,\"born_ms\":{}", unix_ms());
--- a/crates/cli/tests/platform/connection_establishment.rs
+++ b/crates/cli/tests/platform/connection_establishment.rs
@@ -1,5 +1,5 @@
-//! What changes while a request waits for its connection to a cache host: a request is forwarded by what holds when its first
-//! byte is written.
+//! What changes while a request waits for its connection to a cache host: a request is forwarded by what
+//! holds when its first byte is written.
 use crate::support::*;
 use std::time::Duration;
 
@@ -69,8 +69,8 @@
     connection.read_to_close().await
 }
 
-/// Publishes revision 2 and waits until it is applied: a new endpoint that serves `other`, with further entries of the list and
-/// further content.
+/// Publishes revision 2 and waits until it is applied: a new endpoint that serves `other`, with further
+/// entries of the list and further content.
 pub async fn announce_endpoint(
     discovery: &mut DiscoveryServer,
     stream: DiscoveryStream,
@@ -98,16 +98,16 @@
     assert_eq!(response.body, b"other", "forwarded elsewhere");
 }
 
-/// A purge, with an endpoint list in the same event, arrives while the connection is established: the cache request carries the
-/// age limit and the time left that hold when its first byte is written.
+/// A purge, with an endpoint list in the same event, arrives while the connection is established: the cache
+/// request carries the age limit and the time left that hold when its first byte is written.
 #[tokio::test]
 async fn purge_and_time_left_are_those_of_the_first_byte() {
     let object = ("HTTP_X_ROW", "00000000000000aa");
     let long_deadline = ("HTTP_X_TTL_MS", "5000");
     let mut waiting = WaitingRequest::start(&[TRANSACTION_FIELD, object, long_deadline]).await;
-    let purge = purge(object.1, unix_ms()) + ",";
+    let purge_content = purge(object.1, unix_ms()) + ",";
     let (_other, _stream) =
-        announce_endpoint(&mut waiting.discovery, waiting.stream, &purge, &[]).await;
+        announce_endpoint(&mut waiting.discovery, waiting.stream, &purge_content, &[]).await;
     let cache = waiting.cache.accept_connections();
     let mut connections = Vec::new();
     let (cache_request, mut connection) = loop {
@@ -131,7 +131,8 @@
     assert_eq!(waiting.client.response(1).await.body, b"late");
 }
 
-/// A request that may not run twice and never got a connection was never sent: it is rejected (503), and not failed (502).
+/// A request that may not run twice and never got a connection was never sent: it is rejected (503), and not
+/// failed (502).
 #[tokio::test]
 async fn request_never_sent_is_rejected_at_its_deadline() {
     let discovery = DiscoveryServer::start().await;
@@ -153,8 +154,8 @@
     assert!(!received.contains("PULL"), "{received}");
 }
 
-/// A request with an idempotency key may have run, and its second attempt gets no connection until the key has expired: it is not
-/// sent again.
+/// A request with an idempotency key may have run, and its second attempt gets no connection until the key
+/// has expired: it is not sent again.
 #[tokio::test]
 async fn retry_is_not_sent_after_the_idempotency_window() {
     let discovery = DiscoveryServer::start().await;
@@ -190,6 +191,8 @@
     let mut parent_connections = Vec::new();
     tokio::select! {
         response = client.response(1) => assert_eq!(response.status, 503, "{response:?}"),
-        (cache_request, _) = parent.next_cache_request(&mut parent_connections) => panic!("after the window: {cache_request}"),
+        (cache_request, _) = parent.next_cache_request(&mut parent_connections) => {
+            panic!("after the window: {cache_request}")
+        }
     }
 }
--- a/crates/cli/tests/platform/connection_reuse.rs
+++ b/crates/cli/tests/platform/connection_reuse.rs
@@ -1,9 +1,9 @@
-//! Connections to cache hosts that carry one request after another: no reply, close or address of an earlier one is taken for
-//! that of a later one.
+//! Connections to cache hosts that carry one request after another: no reply, close or address of an earlier
+//! one is taken for that of a later one.
 use crate::support::*;
 
-/// A cache host closes an idle connection in the instant in which a request that may not run twice is placed: nothing was sent,
-/// so it goes over another connection.
+/// A cache host closes an idle connection in the instant in which a request that may not run twice is placed:
+/// nothing was sent, so it goes over another connection.
 #[tokio::test]
 async fn connection_closed_while_idle_receives_no_request() {
     let discovery = DiscoveryServer::start().await;
@@ -77,7 +77,8 @@
     );
 }
 
-/// A duplicate of a reply arrives when its id is used again, for another object: it is never taken for the new reply.
+/// A duplicate of a reply arrives when its id is used again, for another object: it is never taken for the
+/// new reply.
 #[tokio::test]
 async fn duplicate_reply_is_not_taken_for_a_later_request_of_the_same_id() {
     let discovery = DiscoveryServer::start().await;
@@ -109,8 +110,8 @@
     assert_eq!(client.response(2).await.body, b"second");
 }
 
-/// A new endpoint has the address of a removed one, while a reply of the old one is still to come: each reply goes to its own
-/// request.
+/// A new endpoint has the address of a removed one, while a reply of the old one is still to come: each reply
+/// goes to its own request.
 #[tokio::test]
 async fn new_endpoint_at_a_reused_address_gets_a_connection_of_its_own() {
     let mut discovery = DiscoveryServer::start().await;
@@ -127,7 +128,7 @@
         endpoint_entry("s-1", cache.address, "box", "Gone"),
         endpoint_entry("s-9", cache.address, "box", "Ready"),
     ];
-    let _stream = discovery
+    discovery
         .publish(stream, 2, &endpoint_list(2, false, &entries))
         .await;
     client
--- a/crates/cli/tests/platform/discovery.rs
+++ b/crates/cli/tests/platform/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery stream: its events, its replacement by a new configuration, and servers that are slow or silent.
+//! The discovery stream: its events, its replacement by a new configuration, and servers that are slow or
+//! silent.
 use crate::connection_establishment::announce_endpoint;
 use crate::support::*;
 use std::time::Duration;
@@ -19,7 +20,8 @@
     timeout(TEST_TIMEOUT, served).await.expect(body);
 }
 
-/// Draining and new endpoints of the stream's events are applied; after SIGHUP a new server is polled from the last revision on.
+/// Draining and new endpoints of the stream's events are applied; after SIGHUP a new server is polled from
+/// the last revision on.
 #[tokio::test]
 async fn stream_is_followed_and_replaced_at_sighup() {
     let mut platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "one")).await;
@@ -64,7 +66,8 @@
     wait_until_served(&platform.dispatcher, "one").await;
 }
 
-/// `known` of a new configuration is ahead of the last event, with a gap: the server is polled for what is missing.
+/// `known` of a new configuration is ahead of the last event, with a gap: the server is polled for what is
+/// missing.
 #[tokio::test]
 async fn revision_gap_of_a_new_configuration_is_polled() {
     let mut first = DiscoveryServer::start().await;
@@ -112,8 +115,8 @@
         endpoint_entry("s-2", other.address, "box", "Ready"),
     ];
     let event = discovery_event(2, &endpoint_list(2, false, &entries));
-    // Each response carries the event, though its poll may have been given up; once it is applied the polls are from its
-    // revision on.
+    // Each response carries the event, though its poll may have been given up; once it is applied the polls
+    // are from its revision on.
     let applied = async {
         loop {
             let stream = slow.next_poll().await;
@@ -131,7 +134,8 @@
     assert_eq!(client.response(1).await.body, b"other");
 }
 
-/// A second new server is configured before the first new one has responded: the old stream is read until the newest responds.
+/// A second new server is configured before the first new one has responded: the old stream is read until the
+/// newest responds.
 #[tokio::test]
 async fn previous_stream_is_read_until_the_newest_server_responds() {
     let mut first = DiscoveryServer::start().await;
@@ -161,7 +165,8 @@
     drop(unanswered_poll);
 }
 
-/// Twenty minutes pass at once, for all timers: a stream that is silent then is polled again, and requests are served.
+/// Twenty minutes pass at once, for all timers: a stream that is silent then is polled again, and requests
+/// are served.
 #[tokio::test]
 async fn silent_stream_is_polled_again_after_twenty_minutes() {
     let mut discovery = DiscoveryServer::start().await;
@@ -175,8 +180,8 @@
     .await;
     let first_stream = discovery.next_poll().await;
     for round in 0..3 {
-        // The stream has been read by now, and nothing arrives on it any more: data that arrived with the passing time would
-        // show that the stream is alive.
+        // The stream has been read by now, and nothing arrives on it any more: data that arrived with the
+        // passing time would show that the stream is alive.
         dispatcher.catch_up().await;
         discovery.stop_comments();
         faults.advance_time(Duration::from_secs(1_200));
--- a/crates/cli/tests/platform/graceful_shutdown.rs
+++ b/crates/cli/tests/platform/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: what was open or waits in the accept queue at SIGTERM is answered, and further signals are followed.
+//! Graceful shutdown: what was open or waits in the accept queue at SIGTERM is answered, and further signals
+//! are followed.
 use crate::support::*;
 use crate::system_call_failures::FaultyPlatform;
 use std::time::Duration;
@@ -6,8 +7,8 @@
 /// Longer than new connections are accepted after SIGTERM.
 const BEYOND_ACCEPT_PERIOD: Duration = Duration::from_millis(1_300);
 
-/// Requests that are open, and requests on new connections, for as long as the listener stays open. (The slow cache host sleeps
-/// on a thread of its own.)
+/// Requests that are open, and requests on new connections, for as long as the listener stays open. (The slow
+/// cache host sleeps on a thread of its own.)
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn requests_after_sigterm_are_answered_before_the_exit() {
     let script = |id: &str, fields: &str| {
@@ -41,7 +42,8 @@
     assert_eq!(platform.dispatcher.wait_for_exit().await, 0);
 }
 
-/// Requests on connections in the accept queue, and on an idle connection, when the listener closes: each is answered.
+/// Requests on connections in the accept queue, and on an idle connection, when the listener closes: each is
+/// answered.
 #[tokio::test]
 async fn queued_connections_are_answered_when_the_listener_closes() {
     let discovery = DiscoveryServer::start().await;
@@ -67,7 +69,8 @@
     assert_eq!(dispatcher.wait_for_exit().await, 0);
 }
 
-/// Accept fails while the listener closes: the connections in its queue are accepted and answered all the same.
+/// Accept fails while the listener closes: the connections in its queue are accepted and answered all the
+/// same.
 #[tokio::test]
 async fn queued_connections_are_answered_when_accept_fails_at_shutdown() {
     for error in [errno::ECONNABORTED, errno::EINTR, errno::ENFILE] {
@@ -95,8 +98,8 @@
     }
 }
 
-/// SIGTERM, further signals and a new discovery server: that is followed, for attempts are still made. What is open is answered, and
-/// the exit code is 0.
+/// SIGTERM, further signals and a new discovery server: that is followed, for attempts are still made. What
+/// is open is answered, and the exit code is 0.
 #[tokio::test]
 async fn reload_during_shutdown_is_followed() {
     let mut first = DiscoveryServer::start().await;
@@ -127,8 +130,8 @@
     assert_eq!(dispatcher.wait_for_exit().await, 0);
 }
 
-/// Ten reloads in a row, each with another discovery server, one half written and one dead, and SIGTERM among them: the last one is
-/// followed, what is open is answered, and the exit code is 0.
+/// Ten reloads in a row, each with another discovery server, one half written and one unreachable, and
+/// SIGTERM among them: the last one is followed, what is open is answered, and the exit code is 0.
 #[tokio::test]
 async fn last_of_ten_reloads_is_followed_with_sigterm_among_them() {
     let first = DiscoveryServer::start().await;
@@ -138,11 +141,11 @@
     let mut client = FastCgiClient::connect(dispatcher.address).await;
     client.request_page(1, &[]).await;
     let (cache_request, mut connection) = cache.next_cache_request(&mut Vec::new()).await;
-    let dead = refusing_address();
+    let unreachable = refusing_address();
     let mut servers = Vec::new();
     for n in 0..10 {
         let next = DiscoveryServer::start().await;
-        let server = if n == 6 { dead } else { next.address };
+        let server = if n == 6 { unreachable } else { next.address };
         let complete = configuration(dispatcher.address, server, &endpoints);
         let written = match n {
             4 => &complete[..complete.len() / 2],
@@ -157,7 +160,7 @@
     let mut last = servers.pop().unwrap();
     let stream = last.next_poll().await;
     assert_eq!(stream.last_event_id, 1);
-    let _stream = last.publish(stream, 2, &purge("00000000000000aa", 1)).await;
+    last.publish(stream, 2, &purge("00000000000000aa", 1)).await;
     connection
         .send(&served_reply(transaction_id(&cache_request), "good"))
         .await;
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,5 @@
-//! `pointspindle run` as a process, tested from outside: clients, cache hosts and a discovery server on loopback.
+//! `pointspindle run` as a process, tested from outside: clients, cache hosts and a discovery server on
+//! loopback.
 mod cancellation;
 mod client_faults;
 mod clock_steps;
--- a/crates/cli/tests/platform/request_deadline.rs
+++ b/crates/cli/tests/platform/request_deadline.rs
@@ -1,5 +1,5 @@
-//! The time that a request has left: counted from when the client sent it, also while the dispatcher could not read; and requests
-//! with very little time.
+//! The time that a request has left: counted from when the client sent it, also while the dispatcher could
+//! not read; and requests with very little time.
 use crate::support::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -11,8 +11,8 @@
 /// How long the process is stopped.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// The process is stopped for a second: requests that arrive meanwhile, in a batch on a new and on an idle connection, have a second
-/// less.
+/// The process is stopped for a second: requests that arrive meanwhile, in a batch on a new and on an idle
+/// connection, have a second less.
 #[tokio::test]
 async fn time_in_socket_buffers_is_counted() {
     let discovery = DiscoveryServer::start().await;
@@ -76,8 +76,8 @@
     assert!(number_in(&cache_request, "ms=") > 3_000, "{cache_request}");
 }
 
-/// From 1 to 40 ms, at a cache host that never replies: each request has one response, and the cache host was given no more
-/// time.
+/// From 1 to 40 ms, at a cache host that never replies: each request has one response, and the cache host was
+/// given no more time.
 #[tokio::test]
 async fn requests_with_very_little_time_left_are_each_answered() {
     let discovery = DiscoveryServer::start().await;
--- a/crates/cli/tests/platform/request_forwarding.rs
+++ b/crates/cli/tests/platform/request_forwarding.rs
@@ -18,7 +18,8 @@
     }
 }
 
-/// A page, a conditional request, a write and an abort, each as the client sent it and each with its response.
+/// A page, a conditional request, a write and an abort, each as the client sent it and each with its
+/// response.
 #[tokio::test]
 async fn requests_and_responses_are_forwarded_complete() {
     let mut platform = TwoEndpointPlatform::start(reply_by_object).await;
@@ -69,7 +70,7 @@
     assert_eq!(
         client.response(4).await.status,
         0,
-        "an end without an answer"
+        "an end without a response"
     );
     platform.cache.next_message("KILL 9b1f03aa5c7e2d42").await;
     client.request_page(4, &[]).await;
@@ -89,8 +90,8 @@
     );
 }
 
-/// A malformed reply closes its connection and is never served, and another attempt is made. A valid reply is served although
-/// others, which belong to no request, surround it.
+/// A malformed reply closes its connection and is never served, and another attempt is made. A valid reply is
+/// served although others, which belong to no request, surround it.
 #[tokio::test]
 async fn malformed_replies_are_retried_and_foreign_ones_skipped() {
     let replies = Arc::new(AtomicUsize::new(0));
--- a/crates/cli/tests/platform/resource_limits.rs
+++ b/crates/cli/tests/platform/resource_limits.rs
@@ -1,5 +1,5 @@
-//! Descriptors and memory that run out: through clients that send or read nothing, and through more endpoints than there are
-//! descriptors for.
+//! Descriptors and memory that run out: through clients that send or read nothing, and through more endpoints
+//! than there are descriptors for.
 use crate::support::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -19,7 +19,8 @@
     with_replacements(configuration, &[("\"sockets\":256", &limit)])
 }
 
-/// Requests a page on new connections until one is answered: some are closed unread while idle clients take all capacity.
+/// Requests a page on new connections until one is answered: some are closed unread while idle clients take
+/// all capacity.
 async fn request_until_answered(dispatcher: SocketAddr) -> Response {
     let request = fastcgi_request(1, "/ops/page", &[], b"");
     let answered = async {
@@ -81,8 +82,8 @@
     }
 }
 
-/// Idle clients take all descriptors for clients, discovery is down, and a new configuration names another server: the stream is
-/// established, draining of an endpoint is applied, and later requests go elsewhere.
+/// Idle clients take all descriptors for clients, discovery is down, and a new configuration names another
+/// server: the stream is established, draining of an endpoint is applied, and later requests go elsewhere.
 #[tokio::test]
 async fn discovery_recovers_while_idle_clients_take_all_descriptors() {
     let cache = ScriptedCacheHost::start_serving("old").await;
@@ -116,7 +117,7 @@
         endpoint_entry("s-1", cache.address, "box", "Terminating"),
         endpoint_entry("s-2", other.address, "box", "Ready"),
     ];
-    let _stream = new_server
+    new_server
         .publish(stream, 2, &endpoint_list(2, false, &entries))
         .await;
     for _ in 0..20 {
@@ -127,8 +128,8 @@
     drop(idle_clients);
 }
 
-/// More endpoints than there may be connections: a request that gets none goes to another endpoint, none is ejected for it, and the
-/// limit holds.
+/// More endpoints than there may be connections: a request that gets none goes to another endpoint, none is
+/// ejected for it, and the limit holds.
 #[tokio::test]
 async fn endpoint_without_a_descriptor_is_replaced_by_another() {
     let discovery = DiscoveryServer::start().await;
@@ -152,13 +153,13 @@
         peak = peak.max(dispatcher.open_descriptors());
     }
     println!("{peak} descriptors at once for 24 endpoints, of 64");
-    // Two fifths are for clients, of which there is one; 24 are its own; the other 15 are for connections to endpoints, and one
-    // more while one closes.
+    // Two fifths are for clients, of which there is one; 24 are its own; the other 15 are for connections to
+    // endpoints, and one more while one closes.
     assert!(peak <= 15 + 1 + 24 + 1, "{peak}");
 }
 
-/// Fewer descriptors than configured, and idle clients that take them all: a connected client is answered, rejected or closed, and
-/// all is as before once the idle clients are gone.
+/// Fewer descriptors than configured, and idle clients that take them all: a connected client is answered,
+/// rejected or closed, and all is as before once the idle clients are gone.
 #[tokio::test]
 async fn exhausted_descriptors_end_each_request_and_are_recovered() {
     let discovery = DiscoveryServer::start().await;
@@ -185,8 +186,8 @@
         .expect("as before once the idle clients are gone");
 }
 
-/// Clients request much and read nothing: what is buffered for them stays within the configured memory, and a client that reads is
-/// served.
+/// Clients request much and read nothing: what is buffered for them stays within the configured memory, and a
+/// client that reads is served.
 #[tokio::test]
 async fn clients_that_read_nothing_are_buffered_within_the_memory_limit() {
     let large_body = "x".repeat(LARGE_BODY_BYTES);
@@ -206,7 +207,8 @@
         }
         silent_clients.push(client);
     }
-    // A client that reads nothing for the time that it has is given up: its connection ends although nothing was read.
+    // A client that reads nothing for the time that it has is given up: its connection ends although nothing
+    // was read.
     let served = async {
         loop {
             let response = request_until_answered(dispatcher.address).await;
--- a/crates/cli/tests/platform/scaling.rs
+++ b/crates/cli/tests/platform/scaling.rs
@@ -1,4 +1,5 @@
-//! What one dispatcher needs for the same requests with sixteen times the cache hosts, in its zone and elsewhere.
+//! What one dispatcher needs for the same requests with sixteen times the cache hosts, in its zone and
+//! elsewhere.
 use crate::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -67,7 +68,8 @@
     }
 }
 
-/// The operators' bounds on what grows. Processor time is printed and not checked: it depends on the machine as well.
+/// The operators' bounds on what grows. Processor time is printed and not checked: it depends on the machine
+/// as well.
 #[tokio::test]
 async fn resource_use_with_sixteen_times_the_hosts_stays_within_its_bounds() {
     let usual = measure_resource_use(LOCAL_HOSTS, REMOTE_HOSTS).await;
--- a/crates/cli/tests/platform/shutdown_under_load.rs
+++ b/crates/cli/tests/platform/shutdown_under_load.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown against a kill at the earliest moment that the platform allows, while clients use their connections to the
-//! end.
+//! Graceful shutdown against a kill at the earliest moment that the platform allows, while clients use their
+//! connections to the end.
 use crate::support::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -44,8 +44,8 @@
     lost: Vec<LostRequest>,
 }
 
-/// One client: sends a request every 25 ms on one connection until that is closed, then on new ones while the platform makes them,
-/// and until the kill.
+/// One client: sends a request every 25 ms on one connection until that is closed, then on new ones while the
+/// platform makes them, and until the kill.
 struct LoadClient {
     dispatcher: SocketAddr,
     script: &'static str,
@@ -94,7 +94,7 @@
                 if killed {
                     self.record_loss(sent_at, "killed");
                 } else if sent_at.elapsed() > MAX_CLOSE_CROSSING {
-                    self.record_loss(sent_at, "closed without an answer");
+                    self.record_loss(sent_at, "closed without a response");
                 } else {
                     self.send_again(sent_at).await;
                 }
@@ -209,7 +209,8 @@
     total
 }
 
-/// Whatever the longest deadline of the settings is, each request that was read has its response before the kill.
+/// Whatever the longest deadline of the settings is, each request that was read has its response before the
+/// kill.
 #[tokio::test]
 async fn requests_after_sigterm_are_answered_before_the_earliest_kill() {
     let mut runs = JoinSet::new();
--- a/crates/cli/tests/platform/soak/fault_schedule.rs
+++ b/crates/cli/tests/platform/soak/fault_schedule.rs
@@ -1,5 +1,5 @@
-//! The faults of a run outside the dispatchers: cache hosts that misbehave, change and drain, objects that are purged, and
-//! discovery that is down or silent.
+//! The faults of a run outside the dispatchers: cache hosts that misbehave, change and drain, objects that
+//! are purged, and discovery that is down or silent.
 use super::misbehaving_cache_host::{Behaviour, MisbehavingCacheHost, BEHAVIOURS};
 use super::observations::{Change, DiscoveryOutage};
 use super::replicated_discovery::Availability;
--- a/crates/cli/tests/platform/soak/observations.rs
+++ b/crates/cli/tests/platform/soak/observations.rs
@@ -1,5 +1,5 @@
-//! What both ends of the dispatchers have observed: clients of their requests, cache hosts of their attempts, and the discovery
-//! server of the changes that it announced.
+//! What both ends of the dispatchers have observed: clients of their requests, cache hosts of their attempts,
+//! and the discovery server of the changes that it announced.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/crates/cli/tests/platform/soak/planted_violations.rs
+++ b/crates/cli/tests/platform/soak/planted_violations.rs
@@ -1,4 +1,5 @@
-//! Violations put into the observations of a good run, at least one for each guarantee: the check has to find them.
+//! Violations put into the observations of a good run, at least one for each guarantee: the check has to find
+//! them.
 use super::guarantees::{excludes_copies_older_than, Guarantee};
 use super::observations::*;
 use super::plan::{Plan, SubmitRepeat};
@@ -215,8 +216,8 @@
         Some(observations)
     }
 
-    /// An attempt whose age limit is below the age of the planted purge excludes all purged copies: there it would be no
-    /// violation.
+    /// An attempt whose age limit is below the age of the planted purge excludes all purged copies: there it
+    /// would be no violation.
     fn purged_before(&self) -> Option<Observations> {
         let is_served_page = |attempt: &&Attempt| {
             self.served.contains(&attempt.transaction)
--- a/crates/cli/tests/platform/startup.rs
+++ b/crates/cli/tests/platform/startup.rs
@@ -31,9 +31,9 @@
         .expect("it is ready in time");
 }
 
-/// What the platform forbids, as far as it shows from outside while requests are served: other processes, further
-/// listeners, named Unix sockets, IPv6, io_uring, a program without the system's C library. (What a forbidden call returns is
-/// the platform's to show.)
+/// What the platform forbids, as far as it shows from outside while requests are served: other processes,
+/// further listeners, named Unix sockets, IPv6, io_uring, a program without the system's C library. (What a
+/// forbidden call returns is the platform's to show.)
 #[tokio::test]
 async fn dispatcher_is_one_process_with_one_listener_and_no_forbidden_resource() {
     let platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
@@ -180,8 +180,8 @@
     .contains("listen"));
 }
 
-/// Started with discovery down, silent or behind and with an old `known`, each process passes its health check and serves. The
-/// times are printed; only that all processes get there is checked.
+/// Started with discovery down, silent or behind and with an old `known`, each process passes its health
+/// check and serves. The times are printed; only that all processes get there is checked.
 #[tokio::test]
 async fn restarted_dispatcher_becomes_ready_while_discovery_is_unavailable() {
     let silent = ManualCacheHost::start().await;
--- a/crates/cli/tests/platform/support/discovery_server.rs
+++ b/crates/cli/tests/platform/support/discovery_server.rs
@@ -72,8 +72,8 @@
         while self.polls.try_recv().is_ok() {}
     }
 
-    /// Sends an event and ends the stream behind it. The event has been applied when this returns: the dispatcher polls
-    /// again from its revision on.
+    /// Sends an event and ends the stream behind it. The event has been applied when this returns: the
+    /// dispatcher polls again from its revision on.
     pub async fn publish(
         &mut self,
         stream: DiscoveryStream,
--- a/crates/cli/tests/platform/support/dispatcher_process.rs
+++ b/crates/cli/tests/platform/support/dispatcher_process.rs
@@ -100,7 +100,8 @@
         options: SpawnOptions<'_>,
         configuration: impl FnOnce(SocketAddr) -> String,
     ) -> Self {
-        // On a loopback address of its own no other socket of this run can take the port before the process listens.
+        // On a loopback address of its own no other socket of this run can take the port before the process
+        // listens.
         let address = match options.address {
             Some(address) => address,
             None => unused_address().await,
@@ -134,8 +135,8 @@
         client.response(1).await.status
     }
 
-    /// Returns once its runtime has gone through the rounds in which it reads what arrived during a pause, and counts
-    /// that as buffered through it: each of these exchanges takes at least one round.
+    /// Returns once its runtime has gone through the rounds in which it reads what arrived during a pause,
+    /// and counts that as buffered through it: each of these exchanges takes at least one round.
     pub async fn catch_up(&self) {
         for _ in 0..CATCH_UP_ROUNDS {
             assert_eq!(self.health_status().await, 200);
--- a/crates/cli/tests/platform/support/fastcgi_client.rs
+++ b/crates/cli/tests/platform/support/fastcgi_client.rs
@@ -32,7 +32,7 @@
     records: FramedRead<OwnedReadHalf, RecordCodec>,
     /// What has arrived of the responses that are not complete.
     partial: BTreeMap<u16, BytesMut>,
-    /// Responses that nobody has taken yet.
+    /// Complete responses that were not read yet.
     completed: BTreeMap<u16, Response>,
 }
 
@@ -84,10 +84,11 @@
 
     /// The response to a request.
     pub async fn response(&mut self, id: u16) -> Response {
-        self.response_or_close(id).await.expect("an answer")
+        self.response_or_close(id).await.expect("a response")
     }
 
-    /// The next request that ends, whichever it is, and its response; none: the connection is closed. Cancel-safe.
+    /// The next request that ends, whichever it is, and its response; none: the connection is closed.
+    /// Cancel-safe.
     pub async fn next_response(&mut self) -> Option<(u16, Response)> {
         loop {
             let record = self.records.next().await?.ok()?;
@@ -112,7 +113,7 @@
         assert_eq!(
             self.response(id).await.status,
             0,
-            "an end without an answer"
+            "an end without a response"
         );
     }
 
@@ -155,8 +156,8 @@
     out
 }
 
-/// The bytes of a complete request, with a transaction id of its own; `fields` replace or add to those of a valid
-/// request for a page.
+/// The bytes of a complete request, with a transaction id of its own; `fields` replace or add to those of a
+/// valid request for a page.
 pub fn fastcgi_request(id: u16, script: &str, fields: &[(&str, &str)], body: &[u8]) -> BytesMut {
     static NEXT_TRANSACTION_ID: AtomicU64 = AtomicU64::new(FIRST_TRANSACTION_ID);
     let transaction_id = NEXT_TRANSACTION_ID.fetch_add(1, Ordering::SeqCst);
--- a/crates/cli/tests/platform/support/injected_faults.rs
+++ b/crates/cli/tests/platform/support/injected_faults.rs
@@ -1,5 +1,5 @@
-//! Fault injection into one dispatcher process, below its own code: system calls that fail and clocks that step. A small
-//! library (`injected_faults.c`) is compiled here and loaded into the process.
+//! Fault injection into one dispatcher process, below its own code: system calls that fail and clocks that
+//! step. A small library (`injected_faults.c`) is compiled here and loaded into the process.
 use std::os::unix::fs::FileExt;
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/cli/tests/platform/support/manual_cache_host.rs
+++ b/crates/cli/tests/platform/support/manual_cache_host.rs
@@ -35,8 +35,8 @@
         CacheHostConnection::new(socket)
     }
 
-    /// The next cache request on any connection, with that connection. Health checks are answered meanwhile, new
-    /// connections are added to the others and closed ones leave them.
+    /// The next cache request on any connection, with that connection. Health checks are answered meanwhile,
+    /// new connections are added to the others and closed ones leave them.
     pub async fn next_cache_request(
         &self,
         connections: &mut Vec<CacheHostConnection>,
--- a/crates/cli/tests/platform/support/mod.rs
+++ b/crates/cli/tests/platform/support/mod.rs
@@ -1,5 +1,5 @@
-//! A small platform around one dispatcher process: cache hosts, a discovery server and a FastCGI client, written from
-//! the protocol's description, and the means to start, observe and disturb the process.
+//! A small platform around one dispatcher process: cache hosts, a discovery server and a FastCGI client,
+//! written from the protocol's description, and the means to start, observe and disturb the process.
 mod configuration;
 mod discovery_server;
 mod dispatcher_process;
--- a/crates/cli/tests/platform/support/scripted_cache_host.rs
+++ b/crates/cli/tests/platform/support/scripted_cache_host.rs
@@ -92,8 +92,8 @@
     }
 }
 
-/// Starts a cache host that serves `good` for each cache request and keeps nothing of what it receives; it counts its
-/// connections.
+/// Starts a cache host that serves `good` for each cache request and keeps nothing of what it receives; it
+/// counts its connections.
 pub async fn start_untracked_cache_host(connections: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/cli/tests/platform/system_call_failures.rs
+++ b/crates/cli/tests/platform/system_call_failures.rs
@@ -1,5 +1,5 @@
-//! System calls that fail as Linux documents: for a shortage of the local machine, for a connection that died in the accept queue,
-//! or by an interruption. No client loses a response by it.
+//! System calls that fail as Linux documents: for a shortage of the local machine, for a connection that died
+//! in the accept queue, or by an interruption. No client loses a response by it.
 use crate::support::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
@@ -32,7 +32,8 @@
     }
 }
 
-/// What accept reports for connections that died in the queue, for an interruption, and for a shortage of the machine.
+/// What accept reports for connections that died in the queue, for an interruption, and for a shortage of the
+/// machine.
 const ACCEPT_ERRORS: [i64; 8] = [
     errno::ECONNABORTED,
     errno::EINTR,
@@ -55,7 +56,8 @@
     (SystemCall::Socket, errno::ENOMEM),
 ];
 
-/// Connections that died in the accept queue, or a shortage of the whole machine, are no reason to close idle connections.
+/// Connections that died in the accept queue, or a shortage of the whole machine, are no reason to close idle
+/// connections.
 #[tokio::test]
 async fn failed_accept_closes_no_idle_connection() {
     let platform = FaultyPlatform::start().await;
@@ -85,8 +87,8 @@
     }
 }
 
-/// A shortage of addresses, descriptors or memory on the local machine, or an interrupted call, says nothing of the endpoint: each
-/// costs one request at most, and the endpoint is not ejected.
+/// A shortage of addresses, descriptors or memory on the local machine, or an interrupted call, says nothing
+/// of the endpoint: each costs one request at most, and the endpoint is not ejected.
 #[tokio::test]
 async fn local_shortage_does_not_eject_an_endpoint() {
     for (call, error) in LOCAL_ERRORS {
@@ -104,7 +106,8 @@
         assert_eq!(client.response(1).await.body, b"good");
         // Longer than idle connections are kept: the next request needs a new one.
         faults.advance_time(Duration::from_secs(60));
-        // Requests that are read in the first rounds after that count as buffered for a minute, and are rejected.
+        // Requests that are read in the first rounds after that count as buffered for a minute, and are
+        // rejected.
         dispatcher.catch_up().await;
         faults.fail_next(call, error, 4);
         let mut rejected = 0;
@@ -113,7 +116,8 @@
             let response = match client.response_or_close(n + 1).await {
                 Some(response) => response,
                 None => {
-                    // The client was idle for too long by the clock that has jumped: closed, and the request is sent again.
+                    // The client was idle for too long by the clock that has jumped: closed, and the request
+                    // is sent again.
                     client = FastCgiClient::connect(dispatcher.address).await;
                     client.request_page(n + 1, &[]).await;
                     client.response(n + 1).await
