--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -7,6 +7,9 @@
 
 /// The header of a FastCGI record; a record without content is no more than that.
 const RECORD_HEADER_BYTES: usize = 8;
+/// Close to the most that a record holds.
+const LARGE_RECORD_BYTES: usize = 60_000;
+const LARGE_RECORDS: usize = 8;
 
 /// What is no valid request: bytes that are no record, requests that are too long or never complete, and
 /// invalid fields.
@@ -39,10 +42,10 @@
     ]
 }
 
-/// Adds eight records of 60 kB.
+/// Adds records of half a megabyte, more than is accepted of any request.
 fn add_large_records(out: &mut BytesMut, kind: u8, id: u16) {
-    for _ in 0..8 {
-        record(out, kind, id, &[b'x'; 60_000]);
+    for _ in 0..LARGE_RECORDS {
+        record(out, kind, id, &[b'x'; LARGE_RECORD_BYTES]);
     }
 }
 
@@ -107,22 +110,37 @@
     assert_eq!(other_client.response(1).await.body, b"good");
 }
 
-/// What ends a connection: bytes that are no record, and records that are out of place.
-fn unreadable_inputs() -> Vec<(&'static str, Vec<u8>)> {
-    let mut skipped = BytesMut::new();
-    add_large_records(&mut skipped, STDIN, 77);
-    vec![
-        ("no record", vec![0xff; 64]),
-        (
-            "an HTTP head",
-            b"GET / HTTP/1.1\r\nHost: a\r\n\r\n".to_vec(),
-        ),
-        (
-            "a request with the id of an open one",
-            begin_request_record(1).to_vec(),
-        ),
-        ("a request without an id", begin_request_record(0).to_vec()),
-        ("much for a request that is not open", skipped.to_vec()),
+/// Input after which a client's connection is closed.
+struct UnreadableInput {
+    name: &'static str,
+    bytes: BytesMut,
+}
+
+/// Bytes that are no record, and records that are out of place.
+fn unreadable_inputs() -> [UnreadableInput; 5] {
+    let mut records_of_no_request = BytesMut::new();
+    add_large_records(&mut records_of_no_request, STDIN, 77);
+    [
+        UnreadableInput {
+            name: "no record",
+            bytes: BytesMut::from(&[0xff; 64][..]),
+        },
+        UnreadableInput {
+            name: "an HTTP head",
+            bytes: BytesMut::from(&b"GET / HTTP/1.1\r\nHost: a\r\n\r\n"[..]),
+        },
+        UnreadableInput {
+            name: "a request with the id of an open one",
+            bytes: begin_request_record(1),
+        },
+        UnreadableInput {
+            name: "a request without an id",
+            bytes: begin_request_record(0),
+        },
+        UnreadableInput {
+            name: "much for a request that is not open",
+            bytes: records_of_no_request,
+        },
     ]
 }
 
@@ -135,32 +153,27 @@
     let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
     let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
     let mut connections = Vec::new();
-    for (input, bytes) in unreadable_inputs() {
+    for UnreadableInput { name, bytes } in unreadable_inputs() {
         let mut client = FastCgiClient::connect(dispatcher.address).await;
         client.request_page(1, &[TRANSACTION_FIELD]).await;
         let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
         let behind = fastcgi_request(9, "/ops/page", &[("HTTP_X_ROW", "00000000000000ee")], b"");
-        client
-            .writer
-            .write_all(&[bytes, behind.to_vec()].concat())
-            .await
-            .unwrap();
+        let input = [bytes, behind].concat();
+        client.writer.write_all(&input).await.unwrap();
         tokio::time::sleep(Duration::from_millis(150)).await;
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "good"))
-            .await;
+        connection.serve(&cache_request, "good").await;
         let response = client
             .response_or_close(1)
             .await
-            .unwrap_or_else(|| panic!("{input}: closed without a response"));
+            .unwrap_or_else(|| panic!("{name}: closed without a response"));
         assert_eq!(
             (response.status, response.body.as_slice()),
             (200, &b"good"[..]),
-            "{input}"
+            "{name}"
         );
         assert!(
             client.response_or_close(9).await.is_none(),
-            "{input}: read behind what cannot be read, or not closed"
+            "{name}: read behind what cannot be read, or not closed"
         );
         connections.push(connection);
         // Had it been forwarded, it would arrive before this one.
@@ -169,12 +182,10 @@
         let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
         assert!(
             !cache_request.contains("00000000000000ee"),
-            "{input}: {cache_request}"
+            "{name}: {cache_request}"
         );
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "usual"))
-            .await;
-        assert_eq!(other_client.response(1).await.body, b"usual", "{input}");
+        connection.serve(&cache_request, "usual").await;
+        assert_eq!(other_client.response(1).await.body, b"usual", "{name}");
         connections.push(connection);
     }
 }
@@ -187,7 +198,7 @@
     let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
     let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
     let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
-    for (input, bytes) in unreadable_inputs() {
+    for UnreadableInput { name, bytes } in unreadable_inputs() {
         let mut client = FastCgiClient::connect(dispatcher.address).await;
         client
             .request_page(1, &[TRANSACTION_FIELD, OBJECT_A_FIELD])
@@ -196,7 +207,7 @@
             .next_message(&format!("PULL {}", TRANSACTION_FIELD.1))
             .await;
         client.writer.write_all(&bytes).await.unwrap();
-        assert_eq!(dispatcher.health_status().await, 200, "{input}");
+        assert_eq!(dispatcher.health_status().await, 200, "{name}");
         drop(client);
         cache
             .next_message(&format!("KILL {}", TRANSACTION_FIELD.1))
@@ -213,41 +224,51 @@
     let endpoints = [endpoint_entry("s-1", cache.address, "box", "Ready")];
     let dispatcher = DispatcherProcess::start(discovery.address, &endpoints).await;
     let mut connections = Vec::new();
+    assert_answered_before_close_for_invalid_requests(&dispatcher, &cache, &mut connections).await;
+    assert_answered_beside_an_incomplete_request(&dispatcher, &cache, &mut connections).await;
+}
 
-    // Closed for invalid requests.
+/// The connection is closed for many invalid requests.
+async fn assert_answered_before_close_for_invalid_requests(
+    dispatcher: &DispatcherProcess,
+    cache: &ManualCacheHost,
+    connections: &mut Vec<CacheHostConnection>,
+) {
     let mut client = FastCgiClient::connect(dispatcher.address).await;
     client.request_page(1, &[]).await;
-    let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
+    let (cache_request, mut connection) = cache.next_cache_request(connections).await;
     for id in 2..=20 {
         client.send_request(id, "/ops/none", &[], b"").await;
     }
     assert_eq!(client.response(2).await.status, 400);
     // All of it has been read once a new connection is answered.
     assert_eq!(dispatcher.health_status().await, 200);
-    connection
-        .send(&served_reply(transaction_id(&cache_request), "good"))
-        .await;
+    connection.serve(&cache_request, "good").await;
     connections.push(connection);
     assert_eq!(client.response(1).await.body, b"good");
     assert!(client.response_or_close(99).await.is_none(), "closed then");
+}
 
-    // With a request that is never complete.
+/// Another request of the connection is never complete.
+async fn assert_answered_beside_an_incomplete_request(
+    dispatcher: &DispatcherProcess,
+    cache: &ManualCacheHost,
+    connections: &mut Vec<CacheHostConnection>,
+) {
     let mut client = FastCgiClient::connect(dispatcher.address).await;
     client.request_page(1, &[]).await;
-    let (cache_request, connection) = cache.next_cache_request(&mut connections).await;
+    let (cache_request, connection) = cache.next_cache_request(connections).await;
     connections.push(connection);
     let incomplete = begin_request_record(2);
     client.writer.write_all(&incomplete).await.unwrap();
     // Meanwhile the cache host answers health checks.
     let timed_out = tokio::select! {
         response = client.response(2) => response,
-        (cache_request, _) = cache.next_cache_request(&mut connections) => panic!("{cache_request}"),
+        (cache_request, _) = cache.next_cache_request(connections) => panic!("{cache_request}"),
     };
     assert_eq!(timed_out.status, 400, "not complete in time");
-    for connection in &mut connections {
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "good"))
-            .await;
+    for connection in connections {
+        connection.serve(&cache_request, "good").await;
     }
     assert_eq!(client.response(1).await.body, b"good");
 }
--- a/crates/cli/tests/platform/connection_reuse.rs
+++ b/crates/cli/tests/platform/connection_reuse.rs
@@ -18,9 +18,7 @@
     for round in 0..8 {
         client.send_request(1, "/ops/submit", &[], b"x").await;
         let (cache_request, mut connection) = origin.next_cache_request(&mut connections).await;
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "good"))
-            .await;
+        connection.serve(&cache_request, "good").await;
         assert_eq!(client.response(1).await.status, 200, "round {round}");
         connections.push(connection);
         // It continues with both at once: the close of all its connections, and the request.
@@ -29,9 +27,7 @@
         client.send_request(2, "/ops/submit", &[], b"x").await;
         dispatcher.signal("-CONT");
         let (cache_request, mut connection) = origin.next_cache_request(&mut connections).await;
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "again"))
-            .await;
+        connection.serve(&cache_request, "again").await;
         assert_eq!(client.response(2).await.body, b"again", "round {round}");
         connections.push(connection);
     }
@@ -61,9 +57,7 @@
     }
     for _ in 1..=6 {
         let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
-        connection
-            .send(&served_reply(transaction_id(&cache_request), "good"))
-            .await;
+        connection.serve(&cache_request, "good").await;
         connections.push(connection);
     }
     for id in 1..=6 {
@@ -143,9 +137,7 @@
     old_connection
         .send(&served_reply(TRANSACTION_FIELD.1, "old"))
         .await;
-    new_connection
-        .send(&served_reply(transaction_id(&cache_request), "new"))
-        .await;
+    new_connection.serve(&cache_request, "new").await;
     assert_eq!(client.response(1).await.body, b"old");
     assert_eq!(client.response(2).await.body, b"new");
 }
--- a/crates/cli/tests/platform/graceful_shutdown.rs
+++ b/crates/cli/tests/platform/graceful_shutdown.rs
@@ -122,9 +122,7 @@
     assert_ne!(dispatcher.health_status().await, 0);
     dispatcher.write_configuration(&complete);
     assert_eq!(second.next_poll().await.last_event_id, 1);
-    connection
-        .send(&served_reply(transaction_id(&cache_request), "good"))
-        .await;
+    connection.serve(&cache_request, "good").await;
     assert_eq!(client.response(1).await.body, b"good");
     assert!(client.response_or_close(2).await.is_none());
     assert_eq!(dispatcher.wait_for_exit().await, 0);
@@ -161,9 +159,7 @@
     let stream = last.next_poll().await;
     assert_eq!(stream.last_event_id, 1);
     last.publish(stream, 2, &purge("00000000000000aa", 1)).await;
-    connection
-        .send(&served_reply(transaction_id(&cache_request), "good"))
-        .await;
+    connection.serve(&cache_request, "good").await;
     assert_eq!(client.response(1).await.body, b"good");
     assert!(client.response_or_close(2).await.is_none());
     assert_eq!(dispatcher.wait_for_exit().await, 0);
--- a/crates/cli/tests/platform/support/manual_cache_host.rs
+++ b/crates/cli/tests/platform/support/manual_cache_host.rs
@@ -1,5 +1,5 @@
 //! Cache hosts whose every byte the test writes, and one that accepts no connection until it is told to.
-use super::{healthy_reply, TEST_TIMEOUT};
+use super::{healthy_reply, served_reply, transaction_id, TEST_TIMEOUT};
 use futures_util::stream::FuturesUnordered;
 use futures_util::StreamExt;
 use std::net::SocketAddr;
@@ -104,10 +104,17 @@
         self.socket.read_exact(&mut body).await.unwrap();
     }
 
+    /// Sends these bytes, whatever they are.
     pub async fn send(&mut self, bytes: &[u8]) {
         self.socket.write_all(bytes).await.unwrap();
     }
 
+    /// Replies to a cache request with a body.
+    pub async fn serve(&mut self, cache_request: &str, body: &str) {
+        self.send(&served_reply(transaction_id(cache_request), body))
+            .await;
+    }
+
     /// All that still arrives until the dispatcher closes the connection.
     pub async fn read_to_close(mut self) -> String {
         let mut bytes = Vec::new();
--- a/crates/cli/tests/platform/support/mod.rs
+++ b/crates/cli/tests/platform/support/mod.rs
@@ -16,7 +16,7 @@
 pub use fastcgi_client::{abort_record, begin_request_record, fastcgi_request};
 pub use fastcgi_client::{FastCgiClient, Response};
 pub use injected_faults::{errno, InjectedFaults, SystemCall};
-pub use manual_cache_host::{ManualCacheHost, UnresponsiveCacheHost};
+pub use manual_cache_host::{CacheHostConnection, ManualCacheHost, UnresponsiveCacheHost};
 pub use scripted_cache_host::{healthy_reply, overloaded_reply, served_reply, silent_for_object_a};
 pub use scripted_cache_host::{start_untracked_cache_host, ScriptedCacheHost};
 pub use two_endpoint_platform::TwoEndpointPlatform;
