--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -272,3 +272,33 @@
     }
     assert_eq!(client.response(1).await.body, b"good");
 }
+
+/// The dispatcher is stopped for longer than it waits for the first request of a connection. Requests that were
+/// sent meanwhile have arrived in time.
+#[tokio::test]
+async fn requests_that_arrive_during_a_pause_beyond_the_head_timeout_are_answered() {
+    const PAUSE: Duration = Duration::from_millis(2_500);
+    const CLIENTS: usize = 40;
+    let platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
+    let dispatcher = &platform.dispatcher;
+    let mut clients = Vec::new();
+    for _ in 0..CLIENTS {
+        clients.push(FastCgiClient::connect(dispatcher.address).await);
+    }
+    // All of them are accepted.
+    assert_eq!(dispatcher.health_status().await, 200);
+    dispatcher.signal("-STOP");
+    for client in &mut clients {
+        client.request_page(1, &[]).await;
+    }
+    tokio::time::sleep(PAUSE).await;
+    dispatcher.signal("-CONT");
+    for (n, client) in clients.iter_mut().enumerate() {
+        let response = client.response_or_close(1).await;
+        let response = response.unwrap_or_else(|| panic!("client {n}: closed without a response"));
+        assert!(
+            matches!(response.status, 200 | 503),
+            "client {n}: {response:?}"
+        );
+    }
+}
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -134,6 +134,15 @@
     PlanChanged,
 }
 
+/// What is done when input was awaited for long enough.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum WaitEnd {
+    /// The session is closed: nothing is owed.
+    Close,
+    /// Incomplete requests are rejected; others are open.
+    RejectIncomplete,
+}
+
 struct Session {
     frontend: Frontend,
     requests: Arc<SessionRequests>,
@@ -249,7 +258,7 @@
                 self.handle_record(record);
                 self.update_permit(permit);
             }
-            SessionEvent::CloseDue => return self.close(input),
+            SessionEvent::CloseDue => return self.end_wait(WaitEnd::Close, input),
             SessionEvent::RequestFinished => self.update_permit(permit),
             SessionEvent::CloseRequested => {
                 // What arrived in this very moment is served first.
@@ -257,9 +266,11 @@
                 self.has_received_request = true;
             }
             SessionEvent::IncompleteTimeout if plan.nothing_owed => {
-                return Some(SessionEnd::Closed)
+                return self.end_wait(WaitEnd::Close, input)
+            }
+            SessionEvent::IncompleteTimeout => {
+                return self.end_wait(WaitEnd::RejectIncomplete, input)
             }
-            SessionEvent::IncompleteTimeout => self.time_out_incomplete(),
         }
         None
     }
@@ -270,18 +281,26 @@
         }
     }
 
-    /// Closes a session on which nothing is owed, unless something has arrived: looked for in the very moment before, since
-    /// the process may have been paused.
-    fn close(&self, input: &mut SessionInput) -> Option<SessionEnd> {
+    /// Ends a wait for input, unless something has arrived: looked for in the very moment before, since the process may have
+    /// been paused through the wait.
+    fn end_wait(&mut self, end: WaitEnd, input: &mut SessionInput) -> Option<SessionEnd> {
         match input.read_now(self.mode) {
             ImmediateInput::Disconnected => return Some(SessionEnd::Disconnected),
             ImmediateInput::Buffered => return None,
             ImmediateInput::Nothing | ImmediateInput::Discarded => {}
         }
-        if self.responses.unwritten() == 0 {
-            input.close_write_half();
+        match end {
+            WaitEnd::Close => {
+                if self.responses.unwritten() == 0 {
+                    input.close_write_half();
+                }
+                Some(SessionEnd::Closed)
+            }
+            WaitEnd::RejectIncomplete => {
+                self.time_out_incomplete();
+                None
+            }
         }
-        Some(SessionEnd::Closed)
     }
 
     /// Accepts nothing more: requests that were complete before are served.
