--- a/crates/lab/src/audit/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -1,6 +1,6 @@
 //! Rule: no request is lost. One final answer before the deadline, and nothing after it.
 use super::{Breach, Evidence, Rule, Try};
-use crate::record::{End, Saw};
+use crate::trace::{End, Saw};
 
 pub(super) fn judge(e: &Evidence) -> Rule {
     let mut rule = Rule::new(
--- a/crates/lab/src/audit/cold.rs
+++ b/crates/audit/src/cold.rs
@@ -4,9 +4,9 @@
 //! window's work came from dispatchers that had been told, a fill counting as its dispatcher's. Hosts that fell over
 //! before that are counted beside it (`unknowing`): their service is lost all the same.
 use super::{Breach, Evidence, Rule};
-use crate::model::cold::EXACTLY;
-use crate::model::Role;
-use crate::record::Saw;
+use pointspindle_cache_model::cold::EXACTLY;
+use pointspindle_cache_model::Role;
+use crate::trace::Saw;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
--- a/crates/lab/src/audit/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,6 +1,6 @@
 //! Rule: drains are kept. Nothing new to a member, nor with it as a source, once the grace is over.
 use super::{Evidence, Rule};
-use crate::record::Saw;
+use crate::trace::Saw;
 use pointspindle::Micros;
 use std::collections::HashMap;
 
--- a/crates/lab/src/audit/effects.rs
+++ b/crates/audit/src/effects.rs
@@ -1,6 +1,6 @@
 //! Rule: no effect happens twice. Never two attempts at once, no attempt sent twice, no work run twice.
 use super::{Breach, Evidence, Rule};
-use crate::scenario::Effect;
+use pointspindle_scenario::Effect;
 
 pub(super) fn judge(e: &Evidence, effects: &[(String, u32)]) -> Rule {
     let mut rule = Rule::new(
--- a/crates/lab/src/audit/mod.rs
+++ b/crates/audit/src/lib.rs
@@ -2,6 +2,8 @@
 //!
 //! A dispatcher's own word counts for nothing here. Each rule tells how many cases it looked at, so that one that
 //! was never exercised shows, and each breach names its kind, the try and the moment.
+#![forbid(unsafe_code)]
+
 mod answers;
 pub mod cold;
 mod drains;
@@ -10,9 +12,10 @@
 pub mod service;
 pub mod sizes;
 pub mod sums;
+pub mod trace;
 
-use crate::record::{Saw, Sight, TryId};
-use crate::scenario::Scenario;
+use crate::trace::{Saw, Sight, TryId};
+use pointspindle_scenario::Scenario;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -99,7 +102,7 @@
     pub group: u64,
     pub asked: Micros,
     pub deadline: Micros,
-    pub ends: Vec<(Micros, crate::record::End)>,
+    pub ends: Vec<(Micros, crate::trace::End)>,
     pub attempts: Vec<Attempt>,
 }
 
--- a/crates/lab/src/audit/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -1,6 +1,6 @@
 //! Rule: purges are kept. What is sent after the grace is not answered from an older copy.
 use super::{Evidence, Rule};
-use crate::record::{End, Saw};
+use crate::trace::{End, Saw};
 use pointspindle::Micros;
 use std::collections::HashMap;
 
--- a/crates/lab/src/audit/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,7 +1,7 @@
 //! What a day was worth to its clients: worth answered in time over worth asked for.
 use super::Evidence;
-use crate::record::{End, Sight};
-use crate::scenario::{Scenario, Traffic};
+use crate::trace::{End, Sight};
+use pointspindle_scenario::{Scenario, Traffic};
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -112,7 +112,7 @@
     for (n, t) in evidence.tries.iter().enumerate() {
         tries.entry(t.id.call).or_default().push(n);
     }
-    let blank = |c: &crate::scenario::ClassDay| ClassService {
+    let blank = |c: &pointspindle_scenario::ClassDay| ClassService {
         name: c.name.clone(),
         ..Default::default()
     };
--- a/crates/lab/src/audit/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -2,7 +2,7 @@
 //! what is answered of the class as a whole is answered: two thirds on a day without trouble, half on others.
 use super::service::{Group, Service};
 use super::Rule;
-use crate::scenario::Scenario;
+use pointspindle_scenario::Scenario;
 
 const QUIET: f64 = 2.0 / 3.0;
 const TROUBLED: f64 = 0.5;
@@ -48,8 +48,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::audit::service::ClassService;
-    use crate::scenario::parse;
+    use crate::service::ClassService;
+    use pointspindle_scenario::parse;
 
     #[test]
     fn the_bound_is_higher_on_a_day_without_trouble() {
@@ -61,7 +61,7 @@
             next_largest,
             ..ClassService::default()
         };
-        let text = include_str!("../../../../scenarios/origin-away.ini");
+        let text = include_str!("../../../scenarios/origin-away.ini");
         let troubled = parse("troubled", text, None).unwrap();
         let mut quiet = troubled.clone();
         quiet.troubles.clear();
--- a/crates/lab/src/audit/sums.rs
+++ b/crates/audit/src/sums.rs
@@ -5,9 +5,9 @@
 use super::cold::{self, ColdPeak};
 use super::service::Service;
 use super::{Evidence, Rule};
-use crate::model::Role;
-use crate::record::{End, Saw, Sight};
-use crate::scenario::Scenario;
+use pointspindle_cache_model::Role;
+use crate::trace::{End, Saw, Sight};
+use pointspindle_scenario::Scenario;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
--- a/crates/lab/src/record.rs
+++ b/crates/audit/src/trace.rs
@@ -110,7 +110,7 @@
     /// A member of the run, told once by the rig, so that the evidence stands alone.
     Member {
         host: String,
-        role: crate::model::Role,
+        role: pointspindle_cache_model::Role,
         zone: usize,
         weight: f64,
     },
--- a/crates/lab/src/model/mod.rs
+++ b/crates/cache-model/src/lib.rs
@@ -6,6 +6,8 @@
 //! A member's transfers share its link evenly, each at its own pace at most ([`pipe::Pipe`]); fills from outside a
 //! location share the location's link in. A member that has just started gives only a share of its link
 //! and falls over when asked for too much ([`cold`]).
+#![forbid(unsafe_code)]
+
 pub mod cold;
 pub mod fill;
 pub mod host;
--- a/crates/lab/src/model/world/faults.rs
+++ b/crates/cache-model/src/world/faults.rs
@@ -1,6 +1,6 @@
 //! Scripted trouble, and what ends a process.
-use super::super::host::Wait;
-use super::super::*;
+use crate::host::Wait;
+use crate::*;
 use super::World;
 
 impl World {
--- a/crates/lab/src/model/world/fills.rs
+++ b/crates/cache-model/src/world/fills.rs
@@ -1,8 +1,8 @@
 //! Fills: begun, passed on to who waits, kept, failed.
-use super::super::host::{JobState, Wait};
-use super::super::*;
+use crate::host::{JobState, Wait};
+use crate::*;
 use super::World;
-use crate::model::host::Job;
+use crate::host::Job;
 
 impl World {
     /// Asks the source, or turns the request away where there is none or no place.
--- a/crates/lab/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -1,6 +1,6 @@
 //! The model of members: fills that are joined, die, or are crossed by a purge; an origin that tips over.
-use pointspindle_lab::model::cold::ColdSpec;
-use pointspindle_lab::model::*;
+use pointspindle_cache_model::cold::ColdSpec;
+use pointspindle_cache_model::*;
 use pointspindle_protocol::WireCacheStatus;
 use std::sync::Arc;
 
--- a/crates/cli/src/etcd.rs
+++ b/crates/cli/src/etcd.rs
@@ -2,7 +2,7 @@
 use crate::Failure;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{feed, writer, Access, Etcd, Output, View, Watcher, WatcherSettings};
-use pointspindle_lab::etcd::measure::{measure, Plan};
+use pointspindle_etcd_emulator::measure::{measure, Plan};
 use pointspindle_protocol::{EndpointListForm, EndpointRecord};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/cli/src/experiments.rs
+++ b/crates/cli/src/experiments.rs
@@ -1,7 +1,7 @@
 //! `pointspindle lab` beyond one run: sweeps, comparisons, hunts, and what is kept of runs.
 use crate::Failure;
-use pointspindle_lab::record::TryId;
-use pointspindle_lab::scenario::{self, Change};
+use pointspindle_audit::trace::TryId;
+use pointspindle_scenario::{self as scenario, Change};
 use pointspindle_report::compare::{self, Figures, Pair};
 use pointspindle_report::sweep::{self, Cell, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,9 +1,10 @@
 //! `pointspindle lab fleet`: several sites and dispatchers on one day, and what they come to together.
 use crate::lab::{json, plant, print, print_rule, rule, virtually, DayArguments};
 use crate::Failure;
-use pointspindle_lab::audit::sums::{self, AtRole, Peak, Site, Sums};
-use pointspindle_lab::day::{self, Outcome, Plant};
-use pointspindle_lab::scenario::Scenario;
+use pointspindle_audit::sums::{self, AtRole, Peak, Site, Sums};
+use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::Scenario;
 use std::path::{Path, PathBuf};
 
 #[derive(clap::Args)]
--- a/crates/cli/src/idle.rs
+++ b/crates/cli/src/idle.rs
@@ -1,7 +1,7 @@
 //! `pointspindle lab idle`.
 use crate::Failure;
-use pointspindle_lab::demo;
-use pointspindle_lab::idle::{expiry, measure, slope, Plan, Step};
+use pointspindle_testbed::demo;
+use pointspindle_testbed::idle::{expiry, measure, slope, Plan, Step};
 use pointspindle_report::html;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,11 +1,12 @@
 //! `pointspindle lab`: rehearse days on loopback and judge them.
 use crate::{etcd, experiments, fleet, idle, scale, watch, Failure};
-use pointspindle_lab::audit::{fallen, Rule};
-use pointspindle_lab::day::{self, Outcome, Plant};
-use pointspindle_lab::import;
-use pointspindle_lab::record::{trail, Sight, TryId};
-use pointspindle_lab::scenario::{self, Change, Scenario};
-use pointspindle_lab::virt;
+use pointspindle_audit::{fallen, Rule};
+use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::import;
+use pointspindle_audit::trace::{trail, Sight, TryId};
+use pointspindle_scenario::{self as scenario, Change, Scenario};
+use pointspindle_simulator as simulator;
 use pointspindle_report::folder;
 use pointspindle_report::record::Run;
 use std::path::PathBuf;
@@ -255,17 +256,17 @@
 pub(crate) fn virtually(
     scenario: &Scenario,
     plant: Option<Plant>,
-) -> Result<(Outcome, virt::Cost), Failure> {
+) -> Result<(Outcome, simulator::Cost), Failure> {
     if matches!(plant, Some(Plant::Double | Plant::Silent | Plant::Late)) {
         let why = "this plant is a relay between sockets; leave --virtual out";
         return Err(Failure::CannotRun(why.into()));
     }
-    let virt::Outcome {
+    let simulator::Outcome {
         service,
         rules,
         sights,
         cost,
-    } = virt::run(scenario, plant).map_err(Failure::CannotRun)?;
+    } = simulator::run(scenario, plant).map_err(Failure::CannotRun)?;
     Ok((
         Outcome {
             service,
--- a/crates/cli/src/scale.rs
+++ b/crates/cli/src/scale.rs
@@ -1,8 +1,8 @@
 //! `pointspindle lab scale` and `pointspindle lab capacity`.
 use crate::Failure;
-use pointspindle_lab::scale::slopes::{slopes, Slopes};
-use pointspindle_lab::scale::steps::{machine_mb, play, Step};
-use pointspindle_lab::scale::{capacity, parts, read, Target};
+use pointspindle_scale::slopes::{slopes, Slopes};
+use pointspindle_scale::steps::{machine_mb, play, Step};
+use pointspindle_scale::{capacity, parts, read, Target};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -1,9 +1,9 @@
 //! `pointspindle lab watch`: a day on the terminal as it goes.
 use crate::Failure;
-use pointspindle_lab::day;
-use pointspindle_lab::record::{Recorder, Saw, Sight};
-use pointspindle_lab::scenario::{self, Change, Scenario};
-use pointspindle_lab::virt;
+use pointspindle_testbed::day;
+use pointspindle_audit::trace::{Recorder, Saw, Sight};
+use pointspindle_scenario::{self as scenario, Change, Scenario};
+use pointspindle_simulator as simulator;
 use pointspindle_report::terminal::draw;
 use pointspindle_report::watch::View;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
@@ -51,7 +51,7 @@
     if a.sockets {
         return sockets(&scenario).await;
     }
-    let played = virt::run(&scenario, None).map_err(Failure::CannotRun)?;
+    let played = simulator::run(&scenario, None).map_err(Failure::CannotRun)?;
     let mut terminal = ratatui::init();
     let shown = replay(&mut terminal, &scenario, &played.sights, a.pace);
     ratatui::restore();
@@ -59,7 +59,7 @@
     broken(&played.rules)
 }
 
-fn broken(rules: &[pointspindle_lab::audit::Rule]) -> Result<(), Failure> {
+fn broken(rules: &[pointspindle_audit::Rule]) -> Result<(), Failure> {
     for rule in rules {
         println!(
             "{}: {} cases, {} breaches",
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -2,7 +2,7 @@
 //! cut hold back by themselves what a purge might have struck; and an operator is told when one is in force everywhere.
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
-use pointspindle_lab::etcd::StandIn;
+use pointspindle_etcd_emulator::StandIn;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
--- a/crates/lab/src/etcd/mod.rs
+++ b/crates/etcd-emulator/src/lib.rs
@@ -1,4 +1,6 @@
 //! A stand-in etcd: its v3 API over real gRPC in front of [`store::Store`], with faults on demand. One member, nothing on disk.
+#![forbid(unsafe_code)]
+
 pub mod measure;
 mod store;
 pub mod traffic;
--- a/crates/lab/tests/etcd.rs
+++ b/crates/etcd-emulator/tests/etcd.rs
@@ -5,7 +5,7 @@
 use pointspindle_etcd::{
     feed, writer, Access, Etcd, EtcdError, Output, View, Watcher, WatcherSettings,
 };
-use pointspindle_lab::etcd::StandIn;
+use pointspindle_etcd_emulator::StandIn;
 use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/crates/lab/src/book.rs
+++ b/crates/fleet-model/src/control_plane.rs
@@ -1,11 +1,11 @@
 //! The source of lists and purges: what is true, and what each dispatcher is told of it when.
 //!
 //! Each dispatcher hears of every change in order, each after a delay of its own.
-use crate::day::Plant;
-use crate::model::{HostId, HostSpec};
-use crate::record::Saw;
-use crate::scenario::script::Listed;
-use crate::scenario::{stream, RulesDay};
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_cache_model::{HostId, HostSpec};
+use pointspindle_audit::trace::Saw;
+use pointspindle_scenario::script::Listed;
+use pointspindle_scenario::{stream, RulesDay};
 use pointspindle::Micros;
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
--- a/crates/lab/src/day/settings.rs
+++ b/crates/fleet-model/src/dispatcher_settings.rs
@@ -1,5 +1,5 @@
 //! The settings file of a dispatcher of the day.
-use crate::scenario::{Effect, Scenario};
+use pointspindle_scenario::{Effect, Scenario};
 use pointspindle::Micros;
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/report/src/folder.rs
+++ b/crates/report/src/folder.rs
@@ -2,8 +2,8 @@
 //! build that knows the form.
 use crate::record::{Run, FORM};
 use crate::{html, ReportError};
-use pointspindle_lab::record::{trail, Sight, TryId};
-use pointspindle_lab::scenario::{parse_with, Scenario};
+use pointspindle_audit::trace::{trail, Sight, TryId};
+use pointspindle_scenario::{parse_with, Scenario};
 use std::path::Path;
 
 const SCENARIO: &str = "scenario.ini";
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -4,7 +4,7 @@
 use crate::sweep::Row;
 use crate::{plots, ReportError};
 use minijinja::{context, Environment};
-use pointspindle_lab::idle::Step;
+use pointspindle_testbed::idle::Step;
 
 fn render(name: &str, context: minijinja::Value) -> Result<String, ReportError> {
     let mut templates = Environment::new();
--- a/crates/report/src/plots.rs
+++ b/crates/report/src/plots.rs
@@ -4,7 +4,7 @@
 use plotters::coord::types::RangedCoordf64;
 use plotters::coord::Shift;
 use plotters::prelude::*;
-use pointspindle_lab::idle::Step;
+use pointspindle_testbed::idle::Step;
 use std::ops::Range;
 
 const WIDE: u32 = 1000;
--- a/crates/report/src/record.rs
+++ b/crates/report/src/record.rs
@@ -2,12 +2,12 @@
 //! seed gives the same bytes.
 use hdrhistogram::Histogram;
 use pointspindle::Micros;
-use pointspindle_lab::audit::service::Service;
-use pointspindle_lab::audit::{fallen, Rule};
-use pointspindle_lab::record::{End, Saw, Sight};
-use pointspindle_lab::scenario::script::{Kind, Trouble};
-use pointspindle_lab::scenario::{Change, Scenario};
-use pointspindle_lab::virt;
+use pointspindle_audit::service::Service;
+use pointspindle_audit::{fallen, Rule};
+use pointspindle_audit::trace::{End, Saw, Sight};
+use pointspindle_scenario::script::{Kind, Trouble};
+use pointspindle_scenario::{Change, Scenario};
+use pointspindle_simulator as simulator;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -71,8 +71,8 @@
 
 impl Run {
     /// Plays a day in virtual time and keeps what it came to.
-    pub fn play(scenario: &Scenario, sets: &[Change]) -> Result<(Self, virt::Outcome), String> {
-        let outcome = virt::run(scenario, None)?;
+    pub fn play(scenario: &Scenario, sets: &[Change]) -> Result<(Self, simulator::Outcome), String> {
+        let outcome = simulator::run(scenario, None)?;
         Ok((
             Self::new(
                 scenario,
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -5,7 +5,7 @@
 use crate::record::Run;
 use crate::ReportError;
 use indicatif::{ProgressBar, ProgressStyle};
-use pointspindle_lab::scenario::{parse_with, Change};
+use pointspindle_scenario::{parse_with, Change};
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -136,7 +136,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use pointspindle_lab::{scenario, virt};
+    use pointspindle_scenario as scenario;
+    use pointspindle_simulator as simulator;
     use ratatui::backend::TestBackend;
     use ratatui::Terminal;
 
@@ -148,7 +149,7 @@
             "/../../scenarios/hub-restart-late-lists.ini"
         );
         let scenario = scenario::load(std::path::Path::new(file), Some(3)).unwrap();
-        let played = virt::run(&scenario, None).unwrap();
+        let played = simulator::run(&scenario, None).unwrap();
         let mut view = View::new(&scenario);
         let mut terminal = Terminal::new(TestBackend::new(110, 34)).unwrap();
         let (mut down, mut cold) = (0, 0);
@@ -192,7 +193,7 @@
             );
         }
         assert!(screen.contains(&sum.served.to_string()));
-        assert_eq!(view.fallen, pointspindle_lab::audit::fallen(&played.sights));
+        assert_eq!(view.fallen, pointspindle_audit::fallen(&played.sights));
     }
 
     /// A terminal too small for anything is no panic.
@@ -201,7 +202,7 @@
         let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
         let scenario = scenario::load(std::path::Path::new(file), None).unwrap();
         let mut view = View::new(&scenario);
-        for sight in virt::run(&scenario, None)
+        for sight in simulator::run(&scenario, None)
             .unwrap()
             .sights
             .iter()
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -3,8 +3,8 @@
 //! Kept: a line for each second and each member of the day, a window's work for each member, and the last words of the
 //! script. Sights may come a little out of order, as they do from sockets.
 use pointspindle::Micros;
-use pointspindle_lab::record::{End, Saw, Sight, TryId};
-use pointspindle_lab::scenario::Scenario;
+use pointspindle_audit::trace::{End, Saw, Sight, TryId};
+use pointspindle_scenario::Scenario;
 use std::collections::{HashMap, VecDeque};
 
 /// Loads are means over this.
@@ -94,8 +94,8 @@
                 .collect(),
             zones: scenario.zones(),
             warm: (
-                warm(pointspindle_lab::model::Role::Cache),
-                warm(pointspindle_lab::model::Role::Parent),
+                warm(pointspindle_cache_model::Role::Cache),
+                warm(pointspindle_cache_model::Role::Parent),
             ),
             places: HashMap::new(),
             asked: HashMap::new(),
@@ -126,7 +126,7 @@
                 zone,
                 weight,
             } => {
-                let warm_within = if *role == pointspindle_lab::model::Role::Parent {
+                let warm_within = if *role == pointspindle_cache_model::Role::Parent {
                     self.warm.1
                 } else {
                     self.warm.0
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,6 +1,6 @@
 //! Runs kept and read again, sweeps that go on where they were, hunts that cut down, pages that load nothing.
-use pointspindle_lab::record::TryId;
-use pointspindle_lab::scenario::{parse_with, Change};
+use pointspindle_audit::trace::TryId;
+use pointspindle_scenario::{parse_with, Change};
 use pointspindle_report::record::Run;
 use pointspindle_report::sweep::{cells, rows, run, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/scale/src/lib.rs
@@ -3,6 +3,8 @@
 //!
 //! [`steps`] plays the phases at each size and counts; [`slopes`] fits each figure over the sizes; [`capacity`] writes the page from
 //! them. [`parts`] is what the processes run. A hollow process that dies is the rig's failure, never the product's.
+#![forbid(unsafe_code)]
+
 pub mod capacity;
 pub mod parts;
 pub mod slopes;
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/scale/src/parts.rs
@@ -1,7 +1,7 @@
 //! The processes of a scale run. Each is told what it is by one line of JSON, says one line when it is up, and then answers each
 //! line that it is told with one; it ends with its standard input.
-use crate::etcd::traffic::Figures;
-use crate::etcd::StandIn;
+use pointspindle_etcd_emulator::traffic::Figures;
+use pointspindle_etcd_emulator::StandIn;
 use hdrhistogram::Histogram;
 use pointspindle_cache_host::Host;
 use pointspindle_clock::wall_clock_unix_ms;
--- a/crates/lab/src/scenario/mod.rs
+++ b/crates/scenario/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! A value may be a range, `a..b`: it is drawn from the day's seed, each key by a stream of its own, so that a
 //! change of one key leaves the others as they were.
+#![forbid(unsafe_code)]
+
+pub mod fault_injection;
+pub mod import;
 mod read;
 pub mod script;
 pub mod traffic;
@@ -9,8 +13,8 @@
 pub use script::{Script, Step};
 pub use traffic::{Call, Traffic};
 
-use crate::model::cold::ColdSpec;
-use crate::model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
+use pointspindle_cache_model::cold::ColdSpec;
+use pointspindle_cache_model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::ConfigErrors;
@@ -442,7 +446,7 @@
     }
 
     /// Bytes of an object's part: drawn by its name, so that everybody agrees.
-    pub fn catalogue(&self) -> crate::model::Catalogue {
+    pub fn catalogue(&self) -> pointspindle_cache_model::Catalogue {
         let classes = self.classes.clone();
         let seed = self.seed;
         Box::new(move |w: &Wanted| {
--- a/crates/lab/src/scenario/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,7 +1,7 @@
 //! Troubles as steps in time: what happens to which member or dispatcher when, and what the list says of it.
 use super::traffic::{group_number, group_path};
 use super::{stream, Scenario};
-use crate::model::{Fault, HostId, HostSpec, Role};
+use pointspindle_cache_model::{Fault, HostId, HostSpec, Role};
 use pointspindle::Micros;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
--- a/crates/lab/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -1,8 +1,8 @@
 //! A bench day of our own making becomes a scenario that reads back and says the same.
 #![recursion_limit = "512"]
-use pointspindle_lab::import::{import, Size};
-use pointspindle_lab::scenario::script::{Kind, Listed};
-use pointspindle_lab::scenario::{parse, Script, Step, Traffic};
+use pointspindle_scenario::import::{import, Size};
+use pointspindle_scenario::script::{Kind, Listed};
+use pointspindle_scenario::{parse, Script, Step, Traffic};
 use serde_json::json;
 
 fn day(troubles: serde_json::Value) -> String {
--- a/crates/lab/tests/traffic.rs
+++ b/crates/scenario/tests/traffic.rs
@@ -1,5 +1,5 @@
 //! Traffic that is not steady: waves, bursts, parts one after another.
-use pointspindle_lab::scenario::{load_with, Change, Scenario, Traffic};
+use pointspindle_scenario::{load_with, Change, Scenario, Traffic};
 use std::collections::HashMap;
 use std::path::Path;
 
--- a/crates/lab/src/virt/greet.rs
+++ b/crates/simulator/src/greet.rs
@@ -1,10 +1,10 @@
 //! Connections of dispatchers to members that say who they are: hello, leases, and what breaks with a process.
 use super::links::Owner;
 use super::sim::{Ending, Event, Sim, EPOCH};
-use crate::day::Plant;
-use crate::model::{HostId, In, JobId, Wanted};
-use crate::record::Left;
-use crate::sockets::words::lease;
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_cache_model::{HostId, In, JobId, Wanted};
+use pointspindle_audit::trace::Left;
+use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::Input;
 use pointspindle_protocol::{HelloHead, LeaseHead};
@@ -96,7 +96,7 @@
                     dispatcher,
                     Input::Lease {
                         endpoint: member,
-                        lease: lease(&grant),
+                        lease: lease_head(&grant),
                     },
                 );
             }
@@ -138,7 +138,7 @@
         }
         let given = match self.ledgers.get_mut(&host) {
             Some(ledger) => {
-                lease(&ledger.request_work(self.now, dispatcher as u64, work_us as f64 / 1e6))
+                lease_head(&ledger.request_work(self.now, dispatcher as u64, work_us as f64 / 1e6))
             }
             None => LeaseHead {
                 work_us,
@@ -178,7 +178,7 @@
         for dispatcher in 0..self.dispatchers.len() {
             if self.dispatchers[dispatcher].met.contains_key(&host) {
                 let words = format!("meet {dispatcher} {host} {}", self.world.start(host).0);
-                let after = crate::scenario::stream(self.s.seed, &words) % MEETING;
+                let after = pointspindle_scenario::stream(self.s.seed, &words) % MEETING;
                 self.plan_meeting(dispatcher, host, after);
             }
         }
@@ -204,7 +204,7 @@
                 self.s.branch_of_dispatcher(dispatcher),
                 self.zone_of_host(host),
             );
-            let lease = lease(&grant);
+            let lease = lease_head(&grant);
             self.queue.plan(
                 self.now + way,
                 Event::Lease {
--- a/crates/lab/src/virt/mod.rs
+++ b/crates/simulator/src/lib.rs
@@ -2,16 +2,18 @@
 //!
 //! The same seed gives the same sights, whatever the machine does. Members, scripts, clients' rules, evidence and the
 //! auditor are those of the sockets; what is left out is the network code, and what it costs.
+#![forbid(unsafe_code)]
+
 mod greet;
 mod links;
 mod queue;
 mod sim;
 mod sites;
 
-use crate::audit::{self, service::Service, Rule};
-use crate::day::Plant;
-use crate::record::Sight;
-use crate::scenario::{Scenario, Traffic};
+use pointspindle_audit::{self as audit, service::Service, Rule};
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_audit::trace::Sight;
+use pointspindle_scenario::{Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 
 /// What a run in virtual time came to.
--- a/crates/lab/src/virt/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -2,15 +2,16 @@
 use super::links::{Links, Owner};
 use super::queue::Queue;
 use super::Cost;
-use crate::book::{self, Book, Line, Told};
-use crate::day::settings::{ini, Doors};
-use crate::day::{drop_delay, Plant};
-use crate::model::{
+use pointspindle_fleet_model::control_plane::{self, Book, Line, Told};
+use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
+use pointspindle_fleet_model::purge_propagation::drop_delay;
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_cache_model::{
     Answer, Fault, HostId, HostSpec, In, JobId, Out, Role, SourceEnd, Wanted, World,
 };
-use crate::record::{End, Left, Saw, Sight, TryId};
-use crate::scenario::script::{purge_groups, Listed, Ways};
-use crate::scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
+use pointspindle_audit::trace::{End, Left, Saw, Sight, TryId};
+use pointspindle_scenario::script::{purge_groups, Listed, Ways};
+use pointspindle_scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
 use pointspindle::{Micros, ObjectId};
 use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::DispatcherSettings;
@@ -1042,7 +1043,7 @@
             let (kind, zone, weight, _) = self.members.get(host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = book::update(dispatcher, form, seq, lines, self.now, self.plant, member);
+        let told = control_plane::update(dispatcher, form, seq, lines, self.now, self.plant, member);
         (Input::EndpointList(told.head), told.saw, told.hidden)
     }
 
--- a/crates/lab/src/virt/sites.rs
+++ b/crates/simulator/src/sites.rs
@@ -1,9 +1,9 @@
 //! What strikes sites and dispatchers as a whole: cuts between zones, dispatchers that stand still or leave.
 use super::links::Owner;
 use super::sim::{Event, Sim};
-use crate::record::Saw;
-use crate::scenario::script::Ways;
-use crate::sockets::passes;
+use pointspindle_audit::trace::Saw;
+use pointspindle_scenario::script::Ways;
+use pointspindle_fleet_model::partition::passes;
 use pointspindle::Micros;
 use pointspindle_dispatcher::Input;
 
--- a/crates/lab/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,12 +1,12 @@
 //! Days of several sites in virtual time: what strikes a site as a whole, dispatchers that stand still or are told to stop,
 //! and the sums over all of them.
-use pointspindle_lab::audit::sums::{judge, sums, Sums};
-use pointspindle_lab::audit::Rule;
-use pointspindle_lab::day::Plant;
-use pointspindle_lab::record::{End, Saw, Sight, TryId};
-use pointspindle_lab::scenario::script::{Kind, Listed, Step};
-use pointspindle_lab::scenario::{load_with, Change, Scenario, Script};
-use pointspindle_lab::virt::{run, Outcome};
+use pointspindle_audit::sums::{judge, sums, Sums};
+use pointspindle_audit::Rule;
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_audit::trace::{End, Saw, Sight, TryId};
+use pointspindle_scenario::script::{Kind, Listed, Step};
+use pointspindle_scenario::{load_with, Change, Scenario, Script};
+use pointspindle_simulator::{run, Outcome};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
@@ -232,7 +232,7 @@
     let host = || "a:1".to_owned();
     let mut sights = Vec::new();
     let mut at = |at, saw| sights.push(Sight { at, saw });
-    let (role, zone, weight) = (pointspindle_lab::model::Role::Cache, 0, 2.0);
+    let (role, zone, weight) = (pointspindle_cache_model::Role::Cache, 0, 2.0);
     at(
         0,
         Saw::Member {
@@ -264,7 +264,7 @@
         id: Some(id(call)),
         attempt: 0,
         by: Some(by),
-        how: pointspindle_lab::record::Left::Answered,
+        how: pointspindle_audit::trace::Left::Answered,
     };
     for call in 0..40 {
         at(1_000_000 + call, asked(call, (call % 4 == 0) as usize));
--- a/crates/lab/tests/restarts.rs
+++ b/crates/simulator/tests/restarts.rs
@@ -1,7 +1,7 @@
 //! Restarts in virtual time: the scenarios of `scenarios/` that rehearse them, with members that say who they are and
 //! with members that do not.
-use pointspindle_lab::scenario::{load_with, Change, Scenario};
-use pointspindle_lab::virt::{run, Outcome};
+use pointspindle_scenario::{load_with, Change, Scenario};
+use pointspindle_simulator::{run, Outcome};
 use std::path::Path;
 
 fn scenario(name: &str, seed: u64, sets: &[&str]) -> Scenario {
--- a/crates/lab/src/day/by_etcd.rs
+++ b/crates/testbed/src/day/by_etcd.rs
@@ -1,12 +1,12 @@
 //! The control stand-in by etcd: writes what becomes true, and does not mind who watches. What is written counts as told to all at
 //! once: dispatchers have to learn of it within the rules' graces, over streams that break.
 use super::control::News;
-use super::settings::PREFIX;
-use crate::book::{self, Line};
-use crate::etcd::StandIn;
-use crate::model::HostSpec;
-use crate::record::{Recorder, Saw};
-use crate::scenario::script::Listed;
+use pointspindle_fleet_model::dispatcher_settings::PREFIX;
+use pointspindle_fleet_model::control_plane::{self, Line};
+use pointspindle_etcd_emulator::StandIn;
+use pointspindle_cache_model::HostSpec;
+use pointspindle_audit::trace::{Recorder, Saw};
+use pointspindle_scenario::script::Listed;
 use crate::sockets::Stage;
 use pointspindle::ObjectId;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
@@ -118,7 +118,7 @@
     fn saw_lines(&self, dispatcher: usize, form: EndpointListForm, lines: &[Line]) {
         let nobody = |_| None;
         self.recorder.saw(
-            book::update(
+            control_plane::update(
                 dispatcher,
                 form,
                 0,
--- a/crates/lab/src/day/clients.rs
+++ b/crates/testbed/src/day/clients.rs
@@ -1,8 +1,8 @@
 //! The day's clients: open loop, each call at its time whatever became of the others, tried again as scripted.
 use super::http_client::HttpPool;
 use crate::content::Checker;
-use crate::record::{End, Recorder, Saw, TryId};
-use crate::scenario::{Call, ClassDay, Effect, Scenario};
+use pointspindle_audit::trace::{End, Recorder, Saw, TryId};
+use pointspindle_scenario::{Call, ClassDay, Effect, Scenario};
 use pointspindle::Micros;
 use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
--- a/crates/lab/src/day/control.rs
+++ b/crates/testbed/src/day/control.rs
@@ -1,7 +1,7 @@
 //! The control stand-in: tells dispatchers what the book says, when it says so.
-use super::Plant;
-use crate::book::{self, Book, Line, Told};
-use crate::record::{Recorder, Saw};
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_fleet_model::control_plane::{self, Book, Line, Told};
+use pointspindle_audit::trace::{Recorder, Saw};
 use crate::sockets::Stage;
 use pointspindle::{Micros, ObjectId};
 use pointspindle_protocol::streams::Side;
@@ -152,7 +152,7 @@
             let (kind, zone, weight) = self.members.get(&host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = book::update(dispatcher, form, seq, &lines, now, self.plant, member);
+        let told = control_plane::update(dispatcher, form, seq, &lines, now, self.plant, member);
         (Frame::EndpointList(told.head), told.saw, told.hidden)
     }
 }
--- a/crates/lab/src/day/mod.rs
+++ b/crates/testbed/src/day/mod.rs
@@ -6,15 +6,14 @@
 pub(crate) mod http_client;
 mod process;
 mod relay;
-pub(crate) mod settings;
 mod task;
 
-use crate::audit::{self, service::Service, Rule};
-use crate::book::{Book, Line};
-use crate::model::{HostSpec, In, Role, World};
-use crate::record::{Recorder, Saw, Sight};
-use crate::scenario::script::{purge_groups, Listed};
-use crate::scenario::{stream, Scenario, Script, Step, Traffic};
+use pointspindle_audit::{self as audit, service::Service, Rule};
+use pointspindle_fleet_model::control_plane::{Book, Line};
+use pointspindle_cache_model::{HostSpec, In, Role, World};
+use pointspindle_audit::trace::{Recorder, Saw, Sight};
+use pointspindle_scenario::script::{purge_groups, Listed};
+use pointspindle_scenario::{stream, Scenario, Script, Step, Traffic};
 use crate::sockets::{Ledgers, Stage, StageOptions, Walls, EPOCH};
 use by_etcd::{ByEtcd, Flapping};
 use clients::{Clients, Target};
@@ -23,6 +22,8 @@
 use pointspindle_transport::simulated::SimulatedNetwork;
 use pointspindle_transport::Network;
 use process::{source_ip, Process};
+use pointspindle_fleet_model::purge_propagation::drop_delay;
+use pointspindle_scenario::fault_injection::Plant;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -33,44 +34,6 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinSet;
 
-/// A fault made by the rig around an unchanged dispatcher; the auditor must find it under its own name.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
-    /// Control claims to have told of drains and did not.
-    Drain,
-    /// Cache hosts that take no notice of ages and purges.
-    Purge,
-    /// A relay before a cache host sends every attempt twice.
-    Double,
-    /// The list hides that members have just started, and they are back so soon that nothing else shows it.
-    Cold,
-    /// A relay swallows answers.
-    Silent,
-    /// A relay holds answers until after the deadline.
-    Late,
-    /// Every dispatcher's settings say that it is the only one: each takes the whole of every part.
-    Alone,
-}
-
-impl Plant {
-    pub const WORDS: [(&'static str, Self); 7] = [
-        ("drain", Self::Drain),
-        ("purge", Self::Purge),
-        ("double", Self::Double),
-        ("cold", Self::Cold),
-        ("silent", Self::Silent),
-        ("late", Self::Late),
-        ("alone", Self::Alone),
-    ];
-
-    pub fn word(self) -> &'static str {
-        Self::WORDS
-            .iter()
-            .find(|(_, p)| *p == self)
-            .map_or("", |(w, _)| w)
-    }
-}
-
 /// The rig itself could not run, or was what was late: the run says nothing of the dispatchers.
 #[derive(Debug, thiserror::Error)]
 pub enum RigError {
@@ -675,8 +638,3 @@
         });
     }
 }
-
-/// How long a member keeps its copies from before a purge.
-pub(crate) fn drop_delay(scenario: &Scenario, what: u64, host: usize, at: Micros) -> Micros {
-    stream(scenario.seed, &format!("drop {what} {host} {at}")) % scenario.rules.purge_done.max(1)
-}
--- a/crates/lab/src/day/process.rs
+++ b/crates/testbed/src/day/process.rs
@@ -1,7 +1,7 @@
 //! Dispatchers as processes of their own.
-use super::settings::{ini, Doors};
+use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
 use super::{loopback, RigError};
-use crate::scenario::Scenario;
+use pointspindle_scenario::Scenario;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
--- a/crates/lab/src/day/relay.rs
+++ b/crates/testbed/src/day/relay.rs
@@ -1,5 +1,5 @@
 //! Relays that break a rule between an unchanged dispatcher and its peers.
-use crate::record::Recorder;
+use pointspindle_audit::trace::Recorder;
 use pointspindle::Micros;
 use pointspindle_protocol::streams::Side;
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Inbound, ResponsePart};
--- a/crates/lab/src/day/task.rs
+++ b/crates/testbed/src/day/task.rs
@@ -1,8 +1,8 @@
 //! Dispatchers in this process, on the simulated network: the same shell, another carrier.
 use super::process::{listen_ip, source_ip, Process};
-use super::settings::{ini, Doors};
+use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
 use super::RigError;
-use crate::scenario::Scenario;
+use pointspindle_scenario::Scenario;
 use pointspindle_dispatcher::Dispatcher;
 use pointspindle_transport::simulated::SimulatedNetwork;
 use pointspindle_transport::Network;
--- a/crates/lab/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,7 +1,7 @@
 //! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
-use crate::model::cold::ColdSpec;
-use crate::model::*;
-use crate::record::Recorder;
+use pointspindle_cache_model::cold::ColdSpec;
+use pointspindle_cache_model::*;
+use pointspindle_audit::trace::Recorder;
 use crate::sockets::{Stage, StageOptions};
 use pointspindle_protocol::EndpointRecord;
 
--- a/crates/lab/src/sockets/fills.rs
+++ b/crates/testbed/src/sockets/fills.rs
@@ -2,7 +2,7 @@
 use super::stage::Stage;
 use super::words;
 use crate::content::Checker;
-use crate::model::{Answer, Copy, FillId, HostId, In, SourceEnd, Wanted};
+use pointspindle_cache_model::{Answer, Copy, FillId, HostId, In, SourceEnd, Wanted};
 use pointspindle::Micros;
 use pointspindle_protocol::ResponseHead;
 use pointspindle_transport::{CallEnd, ResponsePart};
--- a/crates/lab/src/sockets/member.rs
+++ b/crates/testbed/src/sockets/member.rs
@@ -2,8 +2,8 @@
 use super::stage::{Stage, Word};
 use super::words::{self, Cut};
 use crate::content::Body;
-use crate::model::{HostId, In};
-use crate::record::{Left, Saw, TryId};
+use pointspindle_cache_model::{HostId, In};
+use pointspindle_audit::trace::{Left, Saw, TryId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -6,4 +6,4 @@
 pub(crate) mod words;
 
 pub use stage::{Ledgers, Stage, StageOptions, EPOCH};
-pub use wall::{passes, Walls};
+pub use wall::Walls;
--- a/crates/lab/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -1,10 +1,10 @@
 //! The world behind a lock, its clock, and the way of what it wants to the sockets' tasks.
 use super::wall::Walls;
-use super::words::lease;
+use pointspindle_fleet_model::leases::lease_head;
 use super::{fills, member};
-use crate::model::*;
-use crate::record::{Recorder, Saw};
-use crate::scenario::stream;
+use pointspindle_cache_model::*;
+use pointspindle_audit::trace::{Recorder, Saw};
+use pointspindle_scenario::stream;
 use pointspindle::Micros;
 use pointspindle_cache_host::lease::{Grant, UserId, WorkLedger};
 use pointspindle_protocol::streams::Side;
@@ -307,7 +307,7 @@
         let user = locked.next_user;
         let (ledger, links) = locked.ledgers.get_mut(&host)?;
         links.insert(user, link.clone());
-        Some((user, lease(&ledger.join(user, asks))))
+        Some((user, lease_head(&ledger.join(user, asks))))
     }
 
     /// A dispatcher asks for work. A member that leases nothing any more takes it all.
@@ -315,7 +315,7 @@
         let mut locked = self.lock();
         let now = self.now();
         let given = match locked.ledgers.get_mut(&host) {
-            Some((ledger, _)) => lease(&ledger.request_work(now, user, work_us as f64 / 1e6)),
+            Some((ledger, _)) => lease_head(&ledger.request_work(now, user, work_us as f64 / 1e6)),
             None => LeaseHead {
                 work_us,
                 duration_us: 1_000_000,
@@ -472,7 +472,7 @@
                 locked.ledgers.remove(&host);
                 return;
             }
-            let told = |g: Grant| Some((links.get(&g.user)?.clone(), lease(&g)));
+            let told = |g: Grant| Some((links.get(&g.user)?.clone(), lease_head(&g)));
             let grants: Vec<(FramedConnection, LeaseHead)> = ledger
                 .start_slot(now)
                 .into_iter()
--- a/crates/lab/src/sockets/wall.rs
+++ b/crates/testbed/src/sockets/wall.rs
@@ -2,7 +2,8 @@
 //!
 //! As with packets that are lost on the way: connections stay open, what was sent arrives once the way is open again. New
 //! connections are taken by the system all the same; nothing comes over them.
-use crate::scenario::script::Ways;
+use pointspindle_scenario::script::Ways;
+use pointspindle_fleet_model::partition::passes;
 use pointspindle_transport::Socket;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,12 +26,6 @@
     }
 }
 
-/// Whether something passes from one zone to another.
-pub fn passes(up: &BTreeMap<usize, Ways>, from: usize, to: usize) -> bool {
-    let held = |zone, way: fn(&Ways) -> bool| up.get(&zone).is_some_and(way);
-    from == to || !(held(from, |w| w.outward) || held(to, |w| w.inward))
-}
-
 impl Walls {
     pub fn set(&self, zone: usize, ways: Option<Ways>) {
         self.up.send_modify(|up| {
--- a/crates/lab/src/sockets/words.rs
+++ b/crates/testbed/src/sockets/words.rs
@@ -1,9 +1,8 @@
 //! Frames' heads in the model's terms, and back.
-use crate::model::{Answer, ClassModel, Wanted};
+use pointspindle_cache_model::{Answer, ClassModel, Wanted};
 use pointspindle::ObjectId;
-use pointspindle_cache_host::lease::Grant;
 use pointspindle_protocol::range::{Range, ResolvedRange};
-use pointspindle_protocol::{FetchHead, LeaseHead, RequestHead, ResponseHead};
+use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
 use std::sync::Arc;
 
 pub fn validator(version: u64) -> String {
@@ -75,17 +74,6 @@
     }
 }
 
-/// A grant of a member's ledger, as it is told.
-pub(crate) fn lease(grant: &Grant) -> LeaseHead {
-    let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.on_request);
-    LeaseHead {
-        work_us,
-        duration_us: grant.duration,
-        on_request: by_asking,
-        in_reply: false,
-    }
-}
-
 /// Which bytes of the body an answer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cut {
--- a/crates/lab/tests/shell.rs
+++ b/crates/testbed/tests/shell.rs
@@ -1,9 +1,10 @@
 //! The real shell on a simulated network under a paused clock: what sockets cannot be made to do on purpose (loss, partitions that
 //! tell nobody) and a day in the time of its work. The rules are kept, a planted fault is found, and it agrees with the cores in
 //! virtual time where both play the same day.
-use pointspindle_lab::day::{self, Plant};
-use pointspindle_lab::scenario::{self, Scenario};
-use pointspindle_lab::virt;
+use pointspindle_testbed::day;
+use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::{self as scenario, Scenario};
+use pointspindle_simulator as simulator;
 use std::path::Path;
 
 fn load(name: &str, seed: u64) -> Scenario {
@@ -38,7 +39,7 @@
             out.service.service
         );
         assert!(
-            virt::run(&day, None).unwrap_err().contains("silence"),
+            simulator::run(&day, None).unwrap_err().contains("silence"),
             "no network there to part"
         );
     }
@@ -60,7 +61,7 @@
     let day = load("rolling-restart.ini", 5);
     let (shell, cores) = (
         play(&day, None).service.service,
-        virt::run(&day, None).unwrap().service.service,
+        simulator::run(&day, None).unwrap().service.service,
     );
     println!("seed 5: shell {shell:.4}, cores {cores:.4}");
     assert!(
--- a/crates/lab/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,9 +1,9 @@
 //! Members on sockets: what their answers claim of their copies must be true.
-use pointspindle_lab::content::Checker;
-use pointspindle_lab::demo::{free_address, plain_host};
-use pointspindle_lab::model::*;
-use pointspindle_lab::record::Recorder;
-use pointspindle_lab::sockets::{Stage, StageOptions};
+use pointspindle_testbed::content::Checker;
+use pointspindle_testbed::demo::{free_address, plain_host};
+use pointspindle_cache_model::*;
+use pointspindle_audit::trace::Recorder;
+use pointspindle_testbed::sockets::{Stage, StageOptions};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{FetchHead, RequestHead};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
