--- a/crates/audit/src/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -1,9 +1,9 @@
 //! Rule: no request is lost. One final answer before the deadline, and nothing after it.
-use super::{Breach, Evidence, Rule, Try};
-use crate::trace::{End, Saw};
+use super::{Violation, Evidence, RuleVerdict, Try};
+use crate::trace::{ClientOutcome, TraceEvent};
 
-pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule = Rule::new(
+pub(super) fn judge(e: &Evidence) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "answers",
         "every accepted request has one final answer in time, nothing after it",
     );
@@ -11,7 +11,7 @@
         one(e, t, &mut rule);
     }
     for sight in e.sights {
-        if let Saw::Stray { dispatcher } = sight.saw {
+        if let TraceEvent::UnexpectedResponse { dispatcher } = sight.event {
             let detail = format!("dispatcher {dispatcher} sent what belongs to no open request");
             rule.breach("twice", sight.at, None, detail);
         }
@@ -19,9 +19,9 @@
     rule
 }
 
-fn one(e: &Evidence, t: &Try, rule: &mut Rule) {
+fn one(e: &Evidence, t: &Try, rule: &mut RuleVerdict) {
     // Given up by its client: nothing is owed any more, except that nothing goes on being sent for it.
-    let left = t.ends.iter().any(|(_, end)| *end == End::LeftEarly);
+    let left = t.ends.iter().any(|(_, end)| *end == ClientOutcome::Cancelled);
     let end = t.ends.first();
     let until = end.map_or(t.deadline, |(at, _)| *at);
     // What a dispatcher held when it was killed is for the client to retry.
@@ -31,11 +31,11 @@
     if end.is_none() && t.deadline > e.over {
         return;
     }
-    rule.checked += 1;
+    rule.cases += 1;
     let id = Some(t.id);
     match end {
         None => rule.breach("silent", t.deadline, id, "no final answer".into()),
-        Some((at, End::Lost)) => {
+        Some((at, ClientOutcome::ConnectionLost)) => {
             rule.breach(
                 "silent",
                 *at,
@@ -49,7 +49,7 @@
         }
         Some((
             at,
-            End::Served {
+            ClientOutcome::Served {
                 version: None,
                 bytes,
                 ..
@@ -73,8 +73,8 @@
             let detail = format!("sent to {} {after:.0} ms after its answer", attempt.host);
             // Sent before it, and held up on a way that was cut off.
             if e.was_parted(attempt.by, &attempt.host, *at, attempt.from) {
-                rule.unknowing
-                    .push(Breach::new("after", attempt.from, id, detail));
+                rule.undetectable
+                    .push(Violation::new("after", attempt.from, id, detail));
             } else {
                 rule.breach("after", attempt.from, id, detail);
             }
--- a/crates/audit/src/cold.rs
+++ b/crates/audit/src/cold.rs
@@ -3,10 +3,10 @@
 //! A dispatcher that has not been told of the start cannot be held to it: the rule is broken where two thirds of a
 //! window's work came from dispatchers that had been told, a fill counting as its dispatcher's. Hosts that fell over
 //! before that are counted beside it (`unknowing`): their service is lost all the same.
-use super::{Breach, Evidence, Rule};
-use pointspindle_cache_model::cold::EXACTLY;
+use super::{Violation, Evidence, RuleVerdict};
+use pointspindle_cache_model::cold::ROUNDING_TOLERANCE;
 use pointspindle_cache_model::Role;
-use crate::trace::Saw;
+use crate::trace::TraceEvent;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
@@ -62,15 +62,15 @@
     }
 }
 
-pub(super) fn judge(e: &Evidence) -> Rule {
+pub(super) fn judge(e: &Evidence) -> RuleVerdict {
     look(e).0
 }
 
 /// The rule, and the worst sum of each kind: by whom it was known of, and else.
-pub(super) fn look(e: &Evidence) -> (Rule, ColdPeak, ColdPeak) {
+pub(super) fn look(e: &Evidence) -> (RuleVerdict, ColdPeak, ColdPeak) {
     let (mut knowing, mut unknowing) = (ColdPeak::default(), ColdPeak::default());
     let mean = e.scenario.mean_work();
-    let mut rule = Rule::new(
+    let mut rule = RuleVerdict::new(
         "cold",
         "no cold member is sent more than it bears, by all together",
     );
@@ -79,11 +79,11 @@
     let asked: HashMap<_, _> = e.tries.iter().map(|t| (t.id, t.dispatcher)).collect();
     let mut cold: HashMap<String, Cold> = HashMap::new();
     for sight in e.sights {
-        match &sight.saw {
-            Saw::Started {
+        match &sight.event {
+            TraceEvent::HostStarted {
                 host,
                 cold: true,
-                start,
+                incarnation: start,
             } => {
                 let (sent, told) = Default::default();
                 let (started, start) = (sight.at, *start);
@@ -98,10 +98,10 @@
                     },
                 );
             }
-            Saw::ToldList {
+            TraceEvent::EndpointListDelivered {
                 dispatcher,
                 ready,
-                starts,
+                incarnations: starts,
                 ..
             } => {
                 for (host, start) in ready.iter().zip(starts) {
@@ -114,12 +114,12 @@
                     }
                 }
             }
-            Saw::Killed { dispatcher } => {
+            TraceEvent::DispatcherKilled { dispatcher } => {
                 for member in cold.values_mut() {
                     member.told.remove(dispatcher);
                 }
             }
-            Saw::Fell { host, why } => {
+            TraceEvent::HostCrashed { host, reason: why } => {
                 let Some(member) = cold.remove(host) else {
                     continue;
                 };
@@ -128,27 +128,27 @@
                     file(
                         &mut rule,
                         &member,
-                        Breach::new("cold", sight.at, None, detail),
+                        Violation::new("cold", sight.at, None, detail),
                     );
                 }
             }
-            Saw::Reached {
+            TraceEvent::AttemptArrived {
                 host,
                 class,
                 id,
-                by,
+                dispatcher: by,
                 ..
             } => {
                 let (Some(member), Some((role, weight))) = (cold.get_mut(host), hosts.get(host))
                 else {
                     continue;
                 };
-                let spec = e.scenario.cold(*role);
-                if sight.at > member.started + spec.over() {
+                let spec = e.scenario.warm_up_spec(*role);
+                if sight.at > member.started + spec.total_duration() {
                     continue;
                 }
-                rule.checked += 1;
-                let work = models.get(*class).map_or(0.0, |c| c.mean as f64 / 1e6);
+                rule.cases += 1;
+                let work = models.get(*class).map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
                 let by = by.or_else(|| id.and_then(|id| asked.get(&id).copied()));
                 let told = by.and_then(|by| member.told.get(&by));
                 let knew = told.is_some_and(|told| sight.at >= told + e.slack);
@@ -158,11 +158,11 @@
                     work,
                     knew,
                 });
-                let from = sight.at.saturating_sub(spec.window);
+                let from = sight.at.saturating_sub(spec.overload_window);
                 member.sent.retain(|s| s.at > from);
                 let sum: f64 = member.sent.iter().map(|s| s.work).sum();
-                let share = spec.share(from.saturating_sub(member.started));
-                let budget = spec.multiple * share * weight * spec.window as f64 / 1e6;
+                let share = spec.share_after(from.saturating_sub(member.started));
+                let budget = spec.overload_factor * share * weight * spec.overload_window as f64 / 1e6;
                 let allowed = budget / mean;
                 let peak = ColdPeak {
                     host: host.clone(),
@@ -185,7 +185,7 @@
                         ..peak
                     };
                 }
-                if sum > budget * EXACTLY && !member.over {
+                if sum > budget * ROUNDING_TOLERANCE && !member.over {
                     member.over = true;
                     let detail = format!(
                         "{host} was sent {sum:.2} s of work in a window for {budget:.2} s, {:.0}% of it by dispatchers told of its start",
@@ -194,7 +194,7 @@
                     file(
                         &mut rule,
                         member,
-                        Breach::new("cold", sight.at, *id, detail),
+                        Violation::new("cold", sight.at, *id, detail),
                     );
                 }
             }
@@ -204,11 +204,11 @@
     (rule, knowing, unknowing)
 }
 
-fn file(rule: &mut Rule, member: &Cold, breach: Breach) {
+fn file(rule: &mut RuleVerdict, member: &Cold, breach: Violation) {
     if member.knew() >= KNEW {
-        rule.breaches.push(breach);
+        rule.violations.push(breach);
     } else {
-        rule.unknowing.push(breach);
+        rule.undetectable.push(breach);
     }
 }
 
@@ -217,8 +217,8 @@
     fn hosts(&self) -> HashMap<String, (Role, f64)> {
         self.sights
             .iter()
-            .filter_map(|s| match &s.saw {
-                Saw::Member {
+            .filter_map(|s| match &s.event {
+                TraceEvent::HostDeclared {
                     host, role, weight, ..
                 } => Some((host.clone(), (*role, *weight))),
                 _ => None,
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,11 +1,11 @@
 //! Rule: drains are kept. Nothing new to a member, nor with it as a source, once the grace is over.
-use super::{Evidence, Rule};
-use crate::trace::Saw;
+use super::{Evidence, RuleVerdict};
+use crate::trace::TraceEvent;
 use pointspindle::Micros;
 use std::collections::HashMap;
 
-pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule = Rule::new(
+pub(super) fn judge(e: &Evidence) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "drains",
         "nothing new to a drained or gone member, nor with it as a source",
     );
@@ -13,12 +13,12 @@
     let mut out: HashMap<(usize, String), Micros> = HashMap::new();
     let late = e.scenario.rules.drain_grace + e.slack;
     for sight in e.sights {
-        match &sight.saw {
-            Saw::ToldList {
+        match &sight.event {
+            TraceEvent::EndpointListDelivered {
                 dispatcher,
-                whole,
+                full: whole,
                 ready,
-                out: left,
+                not_ready: left,
                 ..
             } => {
                 for host in ready {
@@ -30,13 +30,13 @@
                 for host in left {
                     let known = e.awake(*dispatcher, sight.at);
                     out.entry((*dispatcher, host.clone())).or_insert(known);
-                    rule.checked += 1;
+                    rule.cases += 1;
                 }
             }
-            Saw::Killed { dispatcher } => out.retain(|(d, _), _| d != dispatcher),
-            Saw::Reached {
+            TraceEvent::DispatcherKilled { dispatcher } => out.retain(|(d, _), _| d != dispatcher),
+            TraceEvent::AttemptArrived {
                 host,
-                by: Some(by),
+                dispatcher: Some(by),
                 id,
                 source,
                 ..
--- a/crates/audit/src/effects.rs
+++ b/crates/audit/src/effects.rs
@@ -1,14 +1,14 @@
 //! Rule: no effect happens twice. Never two attempts at once, no attempt sent twice, no work run twice.
-use super::{Breach, Evidence, Rule};
-use pointspindle_scenario::Effect;
+use super::{Violation, Evidence, RuleVerdict};
+use pointspindle_scenario::Idempotency;
 
-pub(super) fn judge(e: &Evidence, effects: &[(String, u32)]) -> Rule {
-    let mut rule = Rule::new(
+pub(super) fn judge(e: &Evidence, effects: &[(String, u32)]) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "effects",
         "no two attempts at once, and no work that must not run twice",
     );
     for t in &e.tries {
-        rule.checked += t.attempts.len() as u64;
+        rule.cases += t.attempts.len() as u64;
         for (n, b) in t.attempts.iter().enumerate() {
             for a in &t.attempts[..n] {
                 if a.number == b.number {
@@ -26,21 +26,21 @@
                     let detail = format!("at {} and {} together for {both:.0} ms", a.host, b.host);
                     // Its cancel was on its way, and no dispatcher could know that it does not arrive. What ran twice still counts below.
                     if e.was_parted(a.by, &a.host, b.from, end) {
-                        rule.unknowing
-                            .push(Breach::new("double", b.from, Some(t.id), detail));
+                        rule.undetectable
+                            .push(Violation::new("double", b.from, Some(t.id), detail));
                     } else {
                         rule.breach("double", b.from, Some(t.id), detail);
                     }
                 }
             }
         }
-        if e.scenario.classes[t.class].effect == Effect::Unsafe && t.attempts.len() > 1 {
+        if e.scenario.classes[t.class].idempotency == Idempotency::NotIdempotent && t.attempts.len() > 1 {
             // Whether an earlier one had run is the origin's to say, below.
-            rule.checked += 1;
+            rule.cases += 1;
         }
     }
     for (work, times) in effects {
-        rule.checked += 1;
+        rule.cases += 1;
         if *times > 1 {
             rule.breach("repeat", e.over, None, format!("{work} ran {times} times"));
         }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod sums;
 pub mod trace;
 
-use crate::trace::{Saw, Sight, TryId};
+use crate::trace::{TraceEvent, TraceEntry, ClientAttemptId};
 use pointspindle_scenario::Scenario;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
@@ -22,7 +22,7 @@
 
 /// A broken rule, once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Breach {
+pub struct Violation {
     /// What it is called: `silent`, `late`, `twice`, `after`, `wrong`, `double`, `repeat`, `drain`, `cold`, `purge`.
     pub kind: String,
     pub at_ms: f64,
@@ -31,9 +31,9 @@
     pub detail: String,
 }
 
-impl Breach {
-    fn new(kind: &str, at: Micros, id: Option<TryId>, detail: String) -> Self {
-        let request = id.map(TryId::trace);
+impl Violation {
+    fn new(kind: &str, at: Micros, id: Option<ClientAttemptId>, detail: String) -> Self {
+        let request = id.map(ClientAttemptId::trace);
         Self {
             kind: kind.into(),
             at_ms: at as f64 / 1e3,
@@ -45,36 +45,40 @@
 
 /// One rule's verdict.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Rule {
+pub struct RuleVerdict {
     pub name: String,
-    pub about: String,
+    #[serde(rename = "about")]
+    pub description: String,
     /// Cases that could have broken it.
-    pub checked: u64,
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "checked")]
+    pub cases: u64,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// What went wrong by nobody's breach of the rule: service was lost, and no dispatcher could have known.
     #[serde(default)]
-    pub unknowing: Vec<Breach>,
+    #[serde(rename = "unknowing")]
+    pub undetectable: Vec<Violation>,
 }
 
-impl Rule {
+impl RuleVerdict {
     fn new(name: &str, about: &str) -> Self {
         Self {
             name: name.into(),
-            about: about.into(),
-            checked: 0,
-            breaches: Vec::new(),
-            unknowing: Vec::new(),
+            description: about.into(),
+            cases: 0,
+            violations: Vec::new(),
+            undetectable: Vec::new(),
         }
     }
 
-    fn breach(&mut self, kind: &str, at: Micros, id: Option<TryId>, detail: String) {
-        self.breaches.push(Breach::new(kind, at, id, detail));
+    fn breach(&mut self, kind: &str, at: Micros, id: Option<ClientAttemptId>, detail: String) {
+        self.violations.push(Violation::new(kind, at, id, detail));
     }
 
     /// How many breaches of each kind.
     pub fn kinds(&self) -> Vec<(String, usize)> {
         let mut counts: std::collections::BTreeMap<String, usize> = Default::default();
-        for breach in &self.breaches {
+        for breach in &self.violations {
             *counts.entry(breach.kind.clone()).or_default() += 1;
         }
         counts.into_iter().collect()
@@ -95,21 +99,21 @@
 /// A try of a client with all that belongs to it.
 #[derive(Clone, Debug)]
 pub(crate) struct Try {
-    pub id: TryId,
+    pub id: ClientAttemptId,
     pub dispatcher: usize,
     pub class: usize,
     pub number: u64,
     pub group: u64,
     pub asked: Micros,
     pub deadline: Micros,
-    pub ends: Vec<(Micros, crate::trace::End)>,
+    pub ends: Vec<(Micros, crate::trace::ClientOutcome)>,
     pub attempts: Vec<Attempt>,
 }
 
 /// The sights sorted by what they are about.
 pub(crate) struct Evidence<'a> {
     pub scenario: &'a Scenario,
-    pub sights: &'a [Sight],
+    pub sights: &'a [TraceEntry],
     pub tries: Vec<Try>,
     /// When each dispatcher was down.
     pub down: Vec<(usize, Micros, Micros)>,
@@ -128,9 +132,9 @@
 }
 
 impl<'a> Evidence<'a> {
-    fn new(scenario: &'a Scenario, sights: &'a [Sight]) -> Self {
+    fn new(scenario: &'a Scenario, sights: &'a [TraceEntry]) -> Self {
         let mut tries: Vec<Try> = Vec::new();
-        let mut places: HashMap<TryId, usize> = HashMap::new();
+        let mut places: HashMap<ClientAttemptId, usize> = HashMap::new();
         let mut down = Vec::new();
         let mut killed: HashMap<usize, Micros> = HashMap::new();
         let mut parted = Vec::new();
@@ -141,13 +145,13 @@
         let mut zones = HashMap::new();
         for sight in sights {
             let at = sight.at;
-            let place = |id: &TryId| places.get(id).copied();
-            match &sight.saw {
-                Saw::Asked {
+            let place = |id: &ClientAttemptId| places.get(id).copied();
+            match &sight.event {
+                TraceEvent::RequestSent {
                     id,
                     dispatcher,
                     class,
-                    number,
+                    object_number: number,
                     group,
                     deadline,
                     ..
@@ -165,14 +169,14 @@
                         attempts: vec![],
                     });
                 }
-                Saw::Ended { id, end } => {
+                TraceEvent::RequestEnded { id, outcome: end } => {
                     if let Some(n) = place(id) {
                         tries[n].ends.push((at, end.clone()));
                     }
                 }
-                Saw::Reached {
+                TraceEvent::AttemptArrived {
                     host,
-                    by: Some(by),
+                    dispatcher: Some(by),
                     id: Some(id),
                     attempt,
                     ..
@@ -189,11 +193,11 @@
                         tries[n].attempts.push(attempt);
                     }
                 }
-                Saw::Gone {
+                TraceEvent::AttemptEnded {
                     host,
                     id: Some(id),
                     attempt,
-                    by: Some(_),
+                    dispatcher: Some(_),
                     ..
                 } => {
                     let Some(n) = place(id) else { continue };
@@ -204,18 +208,18 @@
                         attempt.to = Some(at);
                     }
                 }
-                Saw::Parted { host, parted: true } => {
+                TraceEvent::HostPartitioned { host, partitioned: true } => {
                     parting.insert(host.clone(), at);
                 }
-                Saw::Parted {
+                TraceEvent::HostPartitioned {
                     host,
-                    parted: false,
+                    partitioned: false,
                 } => {
                     if let Some(from) = parting.remove(host) {
                         parted.push((host.clone(), from, at));
                     }
                 }
-                Saw::Killed { dispatcher } => {
+                TraceEvent::DispatcherKilled { dispatcher } => {
                     killed.entry(*dispatcher).or_insert(at);
                     hung.extend(
                         hanging
@@ -223,7 +227,7 @@
                             .map(|from| (*dispatcher, from, at)),
                     );
                 }
-                Saw::Born { dispatcher } => {
+                TraceEvent::DispatcherStarted { dispatcher } => {
                     if let Some(from) = killed.remove(dispatcher) {
                         down.push((*dispatcher, from, at));
                     }
@@ -231,15 +235,15 @@
                         stopping.push((*dispatcher, from, at));
                     }
                 }
-                Saw::Member { host, zone, .. } => _ = zones.insert(host.clone(), *zone),
-                Saw::Stopping { dispatcher } => _ = stopped.insert(*dispatcher, at),
-                Saw::Hung {
+                TraceEvent::HostDeclared { host, zone, .. } => _ = zones.insert(host.clone(), *zone),
+                TraceEvent::DispatcherStopping { dispatcher } => _ = stopped.insert(*dispatcher, at),
+                TraceEvent::DispatcherPaused {
                     dispatcher,
-                    hung: true,
+                    paused: true,
                 } => _ = hanging.insert(*dispatcher, at),
-                Saw::Hung {
+                TraceEvent::DispatcherPaused {
                     dispatcher,
-                    hung: false,
+                    paused: false,
                 } => {
                     hung.extend(
                         hanging
@@ -247,10 +251,10 @@
                             .map(|from| (*dispatcher, from, at)),
                     );
                 }
-                Saw::Walled { zone, walled: true } => _ = walling.insert(*zone, at),
-                Saw::Walled {
+                TraceEvent::ZonePartitioned { zone, partitioned: true } => _ = walling.insert(*zone, at),
+                TraceEvent::ZonePartitioned {
                     zone,
-                    walled: false,
+                    partitioned: false,
                 } => {
                     walled.extend(walling.remove(zone).map(|from| (*zone, from, at)));
                 }
@@ -275,7 +279,7 @@
                 .map(|(dispatcher, from)| (dispatcher, from, over)),
         );
         walled.extend(walling.into_iter().map(|(zone, from)| (zone, from, over)));
-        let slack = scenario.rules.slack;
+        let slack = scenario.rules.timing_tolerance;
         #[rustfmt::skip]
         return Self {
             scenario, sights, tries, down, stopping, hung, parted, walled, zones, slack, over,
@@ -326,13 +330,13 @@
 }
 
 /// Members that were pushed over while cold, whoever knew of their start.
-pub fn fallen(sights: &[Sight]) -> usize {
-    let cold = |s: &&Sight| matches!(&s.saw, Saw::Fell { why, .. } if why.contains("cold"));
+pub fn count_cold_crashes(sights: &[TraceEntry]) -> usize {
+    let cold = |s: &&TraceEntry| matches!(&s.event, TraceEvent::HostCrashed { reason: why, .. } if why.contains("cold"));
     sights.iter().filter(cold).count()
 }
 
 /// All five rules over a run. `effects` says how often each piece of work has run, as the origin counted.
-pub fn judge(scenario: &Scenario, sights: &[Sight], effects: &[(String, u32)]) -> Vec<Rule> {
+pub fn judge(scenario: &Scenario, sights: &[TraceEntry], effects: &[(String, u32)]) -> Vec<RuleVerdict> {
     let evidence = Evidence::new(scenario, sights);
     vec![
         answers::judge(&evidence),
--- a/crates/audit/src/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -1,6 +1,6 @@
 //! Rule: purges are kept. What is sent after the grace is not answered from an older copy.
-use super::{Evidence, Rule};
-use crate::trace::{End, Saw};
+use super::{Evidence, RuleVerdict};
+use crate::trace::{ClientOutcome, TraceEvent};
 use pointspindle::Micros;
 use std::collections::HashMap;
 
@@ -17,19 +17,19 @@
     version: u64,
 }
 
-pub(super) fn judge(e: &Evidence) -> Rule {
-    let mut rule = Rule::new(
+pub(super) fn judge(e: &Evidence) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "purges",
         "nothing sent after a purge's grace is answered from an older copy",
     );
     let mut told: HashMap<(usize, Struck), Vec<Told>> = HashMap::new();
     for sight in e.sights {
-        if let Saw::ToldPurge {
+        if let TraceEvent::PurgeDelivered {
             dispatcher,
             object,
             group,
             version_from,
-        } = &sight.saw
+        } = &sight.event
         {
             let new = Told {
                 at: e.awake(*dispatcher, sight.at),
@@ -43,7 +43,7 @@
     for t in &e.tries {
         let Some((
             at,
-            End::Served {
+            ClientOutcome::Served {
                 version: Some(version),
                 ..
             },
@@ -61,7 +61,7 @@
         let Some(newest) = due.max_by_key(|p| p.version) else {
             continue;
         };
-        rule.checked += 1;
+        rule.cases += 1;
         if *version < newest.version {
             let after = (attempt.from - newest.at) as f64 / 1e3;
             let detail = format!(
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,6 +1,6 @@
 //! What a day was worth to its clients: worth answered in time over worth asked for.
 use super::Evidence;
-use crate::trace::{End, Sight};
+use crate::trace::{ClientOutcome, TraceEntry};
 use pointspindle_scenario::{Scenario, Traffic};
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
@@ -97,22 +97,22 @@
 fn earned(scenario: &Scenario, class: usize, size: u64, took: Micros, old: bool) -> (f64, bool) {
     let c = &scenario.classes[class];
     let own = size as f64 / scenario.flow * 1e6;
-    let aim = c.aim as f64 + c.aim_stretch * own;
+    let aim = c.latency_objective as f64 + c.latency_objective_stretch * own;
     let in_time = took as f64 <= aim;
-    let mut worth = c.worth * if in_time { 1.0 } else { c.late_worth };
+    let mut worth = c.priority_weight * if in_time { 1.0 } else { c.late_value };
     if old {
-        worth *= c.old_worth;
+        worth *= c.stale_value;
     }
     (worth, in_time)
 }
 
-pub fn service(scenario: &Scenario, traffic: &Traffic, sights: &[Sight]) -> Service {
+pub fn service(scenario: &Scenario, traffic: &Traffic, sights: &[TraceEntry]) -> Service {
     let evidence = Evidence::new(scenario, sights);
     let mut tries: HashMap<u64, Vec<usize>> = HashMap::new();
     for (n, t) in evidence.tries.iter().enumerate() {
         tries.entry(t.id.call).or_default().push(n);
     }
-    let blank = |c: &pointspindle_scenario::ClassDay| ClassService {
+    let blank = |c: &pointspindle_scenario::RequestClass| ClassService {
         name: c.name.clone(),
         ..Default::default()
     };
@@ -134,22 +134,22 @@
     {
         let class = &mut classes[call.class];
         class.calls += 1;
-        let worth = scenario.classes[call.class].worth;
+        let worth = scenario.classes[call.class].priority_weight;
         let mine = tries.get(&(n as u64)).map_or(&[][..], |t| t.as_slice());
         let ends: Vec<_> = mine
             .iter()
             .flat_map(|n| evidence.tries[*n].ends.first())
             .collect();
         let served = ends.iter().find_map(|(at, end)| match end {
-            End::Served {
+            ClientOutcome::Served {
                 version: Some(_),
-                old,
+                stale: old,
                 ..
             } => Some((*at, *old)),
             _ => None,
         });
         let mut got = 0.0;
-        if ends.iter().any(|(_, end)| *end == End::LeftEarly) && served.is_none() {
+        if ends.iter().any(|(_, end)| *end == ClientOutcome::Cancelled) && served.is_none() {
             // Asked for and not wanted any more: neither for nor against.
             class.left += 1;
             continue;
@@ -166,7 +166,7 @@
             }
             None if ends
                 .last()
-                .is_some_and(|(_, end)| matches!(end, End::Refused { .. })) =>
+                .is_some_and(|(_, end)| matches!(end, ClientOutcome::Rejected { .. })) =>
             {
                 class.refused += 1
             }
--- a/crates/audit/src/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -1,7 +1,7 @@
 //! Rule: large objects are not what is given up first. Of a class's largest requests, and of the next ones, at least a share of
 //! what is answered of the class as a whole is answered: two thirds on a day without trouble, half on others.
 use super::service::{Group, Service};
-use super::Rule;
+use super::RuleVerdict;
 use pointspindle_scenario::Scenario;
 
 const QUIET: f64 = 2.0 / 3.0;
@@ -9,8 +9,8 @@
 /// Fewer calls than this say nothing of a share.
 const FEW: u64 = 20;
 
-pub fn judge(scenario: &Scenario, service: &Service) -> Rule {
-    let mut rule = Rule::new(
+pub fn judge(scenario: &Scenario, service: &Service) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "sizes",
         "the largest requests of a class are answered nearly as often as the others",
     );
@@ -26,7 +26,7 @@
             ("next largest", class.next_largest),
         ];
         for (name, group) in groups.into_iter().filter(|(_, g)| g.calls >= FEW) {
-            rule.checked += 1;
+            rule.cases += 1;
             if group.share() < least * whole {
                 let shares = format!(
                     "{:.3} of {} calls, of the class {whole:.3}",
@@ -73,7 +73,7 @@
                     ..Service::default()
                 },
             )
-            .breaches
+            .violations
             .len()
         };
         // 0.9 of all: six tenths of the largest will do on a quiet day, four and a half on others.
--- a/crates/audit/src/sums.rs
+++ b/crates/audit/src/sums.rs
@@ -4,9 +4,9 @@
 //! its size and its settings, which `docs/design/sums.md` turns into figures.
 use super::cold::{self, ColdPeak};
 use super::service::Service;
-use super::{Evidence, Rule};
+use super::{Evidence, RuleVerdict};
 use pointspindle_cache_model::Role;
-use crate::trace::{End, Saw, Sight};
+use crate::trace::{ClientOutcome, TraceEvent, TraceEntry};
 use pointspindle_scenario::Scenario;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
@@ -34,7 +34,7 @@
 
 /// What dispatchers came to at the members of a role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct AtRole {
+pub struct RoleTotals {
     pub role: String,
     /// Most under way at one member, and most attempts at one in a second.
     pub under_way: Peak,
@@ -45,7 +45,7 @@
 
 /// How a site's clients fared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Site {
+pub struct SiteService {
     pub name: String,
     pub struck: bool,
     pub service: f64,
@@ -59,8 +59,8 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Sums {
-    pub roles: Vec<AtRole>,
+pub struct FleetTotals {
+    pub roles: Vec<RoleTotals>,
     /// Attempts beyond the first of a try, for each first one: the day, and the worst 2 s and when they began.
     pub second_attempts: f64,
     pub second_attempts_worst: f64,
@@ -70,7 +70,7 @@
     pub least_served: f64,
     pub least_dispatcher: usize,
     pub mean_served: f64,
-    pub sites: Vec<Site>,
+    pub sites: Vec<SiteService>,
     /// The most for a cold member in a window: of starts that those who sent it knew of, and of others.
     pub cold: ColdPeak,
     pub cold_unknown: ColdPeak,
@@ -114,11 +114,11 @@
     }
 }
 
-pub fn sums(scenario: &Scenario, service: &Service, sights: &[Sight]) -> Sums {
+pub fn measure_totals(scenario: &Scenario, service: &Service, sights: &[TraceEntry]) -> FleetTotals {
     let evidence = Evidence::new(scenario, sights);
-    let mut sums = Sums {
+    let mut sums = FleetTotals {
         roles: at_members(sights),
-        ..Sums::default()
+        ..FleetTotals::default()
     };
     second_attempts(&evidence, &mut sums);
     fairness(&evidence, &mut sums);
@@ -128,16 +128,16 @@
     sums
 }
 
-fn at_members(sights: &[Sight]) -> Vec<AtRole> {
+fn at_members(sights: &[TraceEntry]) -> Vec<RoleTotals> {
     let mut members: HashMap<&str, (Role, f64)> = HashMap::new();
     let mut now: HashMap<&str, Now> = HashMap::new();
-    let mut roles: BTreeMap<&str, AtRole> = BTreeMap::new();
+    let mut roles: BTreeMap<&str, RoleTotals> = BTreeMap::new();
     for sight in sights {
-        match &sight.saw {
-            Saw::Member {
+        match &sight.event {
+            TraceEvent::HostDeclared {
                 host, role, weight, ..
             } => _ = members.insert(host, (*role, *weight)),
-            Saw::Started {
+            TraceEvent::HostStarted {
                 host, cold: true, ..
             } => {
                 let fresh = Now {
@@ -146,8 +146,8 @@
                 };
                 now.insert(host, fresh);
             }
-            Saw::Reached {
-                host, by: Some(by), ..
+            TraceEvent::AttemptArrived {
+                host, dispatcher: Some(by), ..
             } => {
                 let Some((role, weight)) = members.get(host.as_str()).copied() else {
                     continue;
@@ -168,8 +168,8 @@
                     raise(&mut of.returned, host, weight, sight.at, &at.second.1);
                 }
             }
-            Saw::Gone {
-                host, by: Some(by), ..
+            TraceEvent::AttemptEnded {
+                host, dispatcher: Some(by), ..
             } => {
                 if let Some(at) = now.get_mut(host.as_str()) {
                     if let Some(n) = at.by.get_mut(by) {
@@ -182,14 +182,14 @@
     }
     roles
         .into_iter()
-        .map(|(role, at)| AtRole {
+        .map(|(role, at)| RoleTotals {
             role: role.into(),
             ..at
         })
         .collect()
 }
 
-fn second_attempts(e: &Evidence, sums: &mut Sums) {
+fn second_attempts(e: &Evidence, sums: &mut FleetTotals) {
     let mut spans: BTreeMap<Micros, (u64, u64)> = BTreeMap::new();
     for t in &e.tries {
         for (n, attempt) in t.attempts.iter().enumerate() {
@@ -215,7 +215,7 @@
 fn left(e: &Evidence) -> Left {
     let mut left = Left::default();
     for t in &e.tries {
-        let Some((at, _)) = t.ends.iter().find(|(_, end)| *end == End::LeftEarly) else {
+        let Some((at, _)) = t.ends.iter().find(|(_, end)| *end == ClientOutcome::Cancelled) else {
             continue;
         };
         left.clients += 1;
@@ -230,16 +230,16 @@
     left
 }
 
-fn fairness(e: &Evidence, sums: &mut Sums) {
+fn fairness(e: &Evidence, sums: &mut FleetTotals) {
     let mut shares: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for t in &e.tries {
-        let Some((_, end)) = t.ends.first().filter(|(_, end)| *end != End::LeftEarly) else {
+        let Some((_, end)) = t.ends.first().filter(|(_, end)| *end != ClientOutcome::Cancelled) else {
             continue;
         };
         let own = shares.entry(t.dispatcher).or_default();
         own.0 += matches!(
             end,
-            End::Served {
+            ClientOutcome::Served {
                 version: Some(_),
                 ..
             }
@@ -276,15 +276,15 @@
     }
 }
 
-fn sites(scenario: &Scenario, service: &Service) -> Vec<Site> {
+fn sites(scenario: &Scenario, service: &Service) -> Vec<SiteService> {
     let strikes: Vec<(usize, usize)> = scenario
         .troubles
         .iter()
-        .filter(|t| t.kind.strikes_site())
+        .filter(|t| t.kind.affects_site())
         .map(|t| {
             (
                 (t.at / 1_000_000) as usize,
-                ((t.at + t.length) / 1_000_000) as usize,
+                ((t.at + t.duration) / 1_000_000) as usize,
             )
         })
         .collect();
@@ -292,7 +292,7 @@
         return Vec::new();
     };
     let until = strikes.iter().map(|s| s.1).max().unwrap_or(from);
-    let (struck, names) = (scenario.struck_sites(), scenario.zones());
+    let (struck, names) = (scenario.affected_sites(), scenario.zones());
     let warm = (scenario.warm / 1_000_000) as usize;
     let of = |(n, seconds): (usize, &Vec<(f64, f64)>)| {
         let (from, until) = (from.min(seconds.len()), until.min(seconds.len()));
@@ -304,7 +304,7 @@
         let back = seconds[until..]
             .windows(STRETCH)
             .position(|w| ratio(w) >= BACK * before);
-        Site {
+        SiteService {
             name: names[n].clone(),
             struck: struck.contains(&n),
             service: ratio(&seconds[warm.min(seconds.len())..]),
@@ -318,15 +318,15 @@
 }
 
 /// The day's bounds, each as a line of its own; `twin`: the same day without what strikes a site.
-pub fn judge(scenario: &Scenario, sums: &Sums, twin: Option<&Sums>) -> Rule {
-    let mut rule = Rule::new(
+pub fn judge(scenario: &Scenario, sums: &FleetTotals, twin: Option<&FleetTotals>) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "sums",
         "what all dispatchers do together stays within the day's bounds",
     );
     let bounds = scenario.sums;
-    let over = |rule: &mut Rule, kind: &str, bound: f64, most: f64, at_s: f64, detail: String| {
+    let over = |rule: &mut RuleVerdict, kind: &str, bound: f64, most: f64, at_s: f64, detail: String| {
         if bound > 0.0 {
-            rule.checked += 1;
+            rule.cases += 1;
             if most > bound {
                 let detail = format!("{detail}, {bound:.2} at most");
                 rule.breach(kind, (at_s * 1e6) as Micros, None, detail);
@@ -342,17 +342,17 @@
         over(
             &mut rule,
             "under_way",
-            bounds.under_way,
+            bounds.in_flight,
             peak.by_weight,
             peak.at_s,
             detail,
         );
     }
     if sums.left.clients > 0 {
-        rule.checked += 1;
+        rule.cases += 1;
         let (longest, bound) = (
             sums.left.longest_ms,
-            (GONE + scenario.rules.slack) as f64 / 1e3,
+            (GONE + scenario.rules.timing_tolerance) as f64 / 1e3,
         );
         if longest > bound {
             let detail = format!(
@@ -366,14 +366,14 @@
     over(
         &mut rule,
         "second_attempts",
-        bounds.second_attempts,
+        bounds.retries,
         most,
         at_s,
         detail,
     );
     let mut under = |kind: &str, bound: f64, least: f64, detail: String| {
         if bound > 0.0 {
-            rule.checked += 1;
+            rule.cases += 1;
             if least < bound {
                 rule.breach(kind, 0, None, format!("{detail}, {bound:.3} at least"));
             }
@@ -391,7 +391,7 @@
                 "{} was not struck and served {:.3}, {share:.3} of the same day without the loss",
                 site.name, site.since
             );
-            under("others", bounds.others, share, detail);
+            under("others", bounds.unaffected_service, share, detail);
         }
     }
     rule
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -6,168 +6,208 @@
 
 /// Names a client's try wherever it goes: the call and the number of the try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct TryId {
+pub struct ClientAttemptId {
     pub call: u64,
-    pub try_no: u32,
+    #[serde(rename = "try_no")]
+    pub attempt: u32,
 }
 
-impl TryId {
+impl ClientAttemptId {
     pub fn trace(self) -> String {
-        format!("c{}.{}", self.call, self.try_no)
+        format!("c{}.{}", self.call, self.attempt)
     }
 
     pub fn parse(trace: &str) -> Option<Self> {
         let (call, try_no) = trace.strip_prefix('c')?.split_once('.')?;
         Some(Self {
             call: call.parse().ok()?,
-            try_no: try_no.parse().ok()?,
+            attempt: try_no.parse().ok()?,
         })
     }
 }
 
 /// How a try ended for its client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum End {
+pub enum ClientOutcome {
     /// Complete; with the version that its bytes prove, none if they are wrong.
     Served {
         version: Option<u64>,
         bytes: u64,
-        old: bool,
+        #[serde(rename = "old")]
+        stale: bool,
     },
-    Refused {
-        come_back: Option<Micros>,
+    #[serde(rename = "Refused")]
+    Rejected {
+        #[serde(rename = "come_back")]
+        retry_after: Option<Micros>,
     },
     Failed,
     /// The answer broke off and the client could tell.
-    Broken,
+    #[serde(rename = "Broken")]
+    Truncated,
     /// The connection was lost, or never made, before any answer.
-    Lost,
+    #[serde(rename = "Lost")]
+    ConnectionLost,
     /// The client left by itself.
-    LeftEarly,
+    #[serde(rename = "LeftEarly")]
+    Cancelled,
 }
 
 /// How an attempt ended at a member's socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Left {
-    Answered,
+pub enum AttemptOutcome {
+    #[serde(rename = "Answered")]
+    Completed,
     Cancelled,
     /// The member's process went, or the connection.
-    Lost,
+    #[serde(rename = "Lost")]
+    ConnectionLost,
 }
 
 /// One thing seen.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Saw {
-    Asked {
-        id: TryId,
+pub enum TraceEvent {
+    #[serde(rename = "Asked")]
+    RequestSent {
+        id: ClientAttemptId,
         dispatcher: usize,
         class: usize,
-        number: u64,
+        #[serde(rename = "number")]
+        object_number: u64,
         group: u64,
         part: u64,
         deadline: Micros,
     },
-    Ended {
-        id: TryId,
-        end: End,
+    #[serde(rename = "Ended")]
+    RequestEnded {
+        id: ClientAttemptId,
+        #[serde(rename = "end")]
+        outcome: ClientOutcome,
     },
     /// Something came from a dispatcher that belongs to no open request.
-    Stray {
+    #[serde(rename = "Stray")]
+    UnexpectedResponse {
         dispatcher: usize,
     },
     /// An attempt, or a fill, arrived at a member.
-    Reached {
+    #[serde(rename = "Reached")]
+    AttemptArrived {
         host: String,
         /// Which dispatcher sent it; none: a member, for a fill.
-        by: Option<usize>,
-        id: Option<TryId>,
+        #[serde(rename = "by")]
+        dispatcher: Option<usize>,
+        id: Option<ClientAttemptId>,
         attempt: u32,
         source: Option<String>,
         class: usize,
     },
-    Gone {
+    #[serde(rename = "Gone")]
+    AttemptEnded {
         host: String,
-        id: Option<TryId>,
+        id: Option<ClientAttemptId>,
         attempt: u32,
-        by: Option<usize>,
-        how: Left,
+        #[serde(rename = "by")]
+        dispatcher: Option<usize>,
+        #[serde(rename = "how")]
+        outcome: AttemptOutcome,
     },
     /// Control has told a dispatcher; `whole`: who is absent has left.
-    ToldList {
+    #[serde(rename = "ToldList")]
+    EndpointListDelivered {
         dispatcher: usize,
-        whole: bool,
+        #[serde(rename = "whole")]
+        full: bool,
         ready: Vec<String>,
         /// Which start of each that is ready, in the same order.
-        starts: Vec<u64>,
-        out: Vec<String>,
+        #[serde(rename = "starts")]
+        incarnations: Vec<u64>,
+        #[serde(rename = "out")]
+        not_ready: Vec<String>,
     },
-    ToldPurge {
+    #[serde(rename = "ToldPurge")]
+    PurgeDelivered {
         dispatcher: usize,
         object: Option<u64>,
         group: u64,
         version_from: u64,
     },
     /// A member of the run, told once by the rig, so that the evidence stands alone.
-    Member {
+    #[serde(rename = "Member")]
+    HostDeclared {
         host: String,
         role: pointspindle_cache_model::Role,
         zone: usize,
         weight: f64,
     },
     /// A member's process began; `cold`: not at the run's start.
-    Started {
+    #[serde(rename = "Started")]
+    HostStarted {
         host: String,
         cold: bool,
         /// Which start of this member it is.
-        start: u64,
+        #[serde(rename = "start")]
+        incarnation: u64,
     },
-    Fell {
+    #[serde(rename = "Fell")]
+    HostCrashed {
         host: String,
-        why: String,
+        #[serde(rename = "why")]
+        reason: String,
     },
     /// Nothing passes between it and dispatchers, in silence; or it does again.
-    Parted {
+    #[serde(rename = "Parted")]
+    HostPartitioned {
         host: String,
-        parted: bool,
+        #[serde(rename = "parted")]
+        partitioned: bool,
     },
     /// Nothing passes between a zone and the others, in silence; or it does again.
-    Walled {
+    #[serde(rename = "Walled")]
+    ZonePartitioned {
         zone: usize,
-        walled: bool,
+        #[serde(rename = "walled")]
+        partitioned: bool,
     },
-    Killed {
+    #[serde(rename = "Killed")]
+    DispatcherKilled {
         dispatcher: usize,
     },
     /// It stands still, or goes on.
-    Hung {
+    #[serde(rename = "Hung")]
+    DispatcherPaused {
         dispatcher: usize,
-        hung: bool,
+        #[serde(rename = "hung")]
+        paused: bool,
     },
     /// It was told to stop: nothing new is taken, what was taken is answered.
-    Stopping {
+    #[serde(rename = "Stopping")]
+    DispatcherStopping {
         dispatcher: usize,
     },
-    Born {
+    #[serde(rename = "Born")]
+    DispatcherStarted {
         dispatcher: usize,
     },
     /// For people: what the script did.
-    Trouble {
+    #[serde(rename = "Trouble")]
+    ScriptNote {
         text: String,
     },
 }
 
 /// One sight with its time, microseconds since the run's start.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct TraceEntry {
     pub at: Micros,
-    pub saw: Saw,
+    #[serde(rename = "saw")]
+    pub event: TraceEvent,
 }
 
 /// Shared by all who see. Grows with the run: about ten sights a request.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     born: Instant,
-    sights: Arc<Mutex<Vec<Sight>>>,
+    sights: Arc<Mutex<Vec<TraceEntry>>>,
 }
 
 impl Default for Recorder {
@@ -184,71 +224,71 @@
         self.born.elapsed().as_micros() as Micros
     }
 
-    fn lock(&self) -> MutexGuard<'_, Vec<Sight>> {
+    fn lock(&self) -> MutexGuard<'_, Vec<TraceEntry>> {
         self.sights
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    pub fn saw(&self, saw: Saw) {
-        self.saw_at(self.now(), saw);
+    pub fn record(&self, saw: TraceEvent) {
+        self.record_at(self.now(), saw);
     }
 
-    pub fn saw_at(&self, at: Micros, saw: Saw) {
-        self.lock().push(Sight { at, saw });
+    pub fn record_at(&self, at: Micros, saw: TraceEvent) {
+        self.lock().push(TraceEntry { at, event: saw });
     }
 
     /// What was seen since the first `known` sights, in the order of its coming.
-    pub fn since(&self, known: usize) -> Vec<Sight> {
+    pub fn entries_since(&self, known: usize) -> Vec<TraceEntry> {
         self.lock()
             .get(known..)
-            .map_or(Vec::new(), <[Sight]>::to_vec)
+            .map_or(Vec::new(), <[TraceEntry]>::to_vec)
     }
 
     /// Everything seen so far, by time.
-    pub fn take(&self) -> Vec<Sight> {
+    pub fn take_entries(&self) -> Vec<TraceEntry> {
         let mut sights = std::mem::take(&mut *self.lock());
         sights.sort_by_key(|s| s.at);
         sights
     }
 }
 
-impl Saw {
+impl TraceEvent {
     /// The try that a sight is about.
-    pub fn id(&self) -> Option<TryId> {
+    pub fn attempt_id(&self) -> Option<ClientAttemptId> {
         match self {
-            Self::Asked { id, .. } | Self::Ended { id, .. } => Some(*id),
-            Self::Reached { id, .. } | Self::Gone { id, .. } => *id,
+            Self::RequestSent { id, .. } | Self::RequestEnded { id, .. } => Some(*id),
+            Self::AttemptArrived { id, .. } | Self::AttemptEnded { id, .. } => *id,
             _ => None,
         }
     }
 }
 
 /// Everything that happened to a call, in order, with what happened to the members that its attempts reached.
-pub fn trail(sights: &[Sight], call: u64) -> Vec<&Sight> {
-    let mine = |s: &Sight| s.saw.id().is_some_and(|id| id.call == call);
+pub fn request_history(sights: &[TraceEntry], call: u64) -> Vec<&TraceEntry> {
+    let mine = |s: &TraceEntry| s.event.attempt_id().is_some_and(|id| id.call == call);
     let span = sights
         .iter()
         .filter(|s| mine(s))
         .fold((Micros::MAX, 0), |(a, b), s| (a.min(s.at), b.max(s.at)));
-    let reached = |s: &Sight| match &s.saw {
-        Saw::Reached { host, .. } if mine(s) => Some(host.clone()),
+    let reached = |s: &TraceEntry| match &s.event {
+        TraceEvent::AttemptArrived { host, .. } if mine(s) => Some(host.clone()),
         _ => None,
     };
     let hosts: std::collections::BTreeSet<String> = sights.iter().filter_map(reached).collect();
-    let about = |s: &Sight| match &s.saw {
-        Saw::Fell { host, .. } | Saw::Started { host, .. } => hosts.contains(host),
-        Saw::ToldList {
+    let about = |s: &TraceEntry| match &s.event {
+        TraceEvent::HostCrashed { host, .. } | TraceEvent::HostStarted { host, .. } => hosts.contains(host),
+        TraceEvent::EndpointListDelivered {
             ready,
-            out,
-            whole: false,
+            not_ready: out,
+            full: false,
             ..
         } => ready.iter().chain(out).any(|h| hosts.contains(h)),
-        Saw::Killed { .. } | Saw::Born { .. } | Saw::Trouble { .. } => true,
-        Saw::Hung { .. } | Saw::Stopping { .. } | Saw::Walled { .. } => true,
+        TraceEvent::DispatcherKilled { .. } | TraceEvent::DispatcherStarted { .. } | TraceEvent::ScriptNote { .. } => true,
+        TraceEvent::DispatcherPaused { .. } | TraceEvent::DispatcherStopping { .. } | TraceEvent::ZonePartitioned { .. } => true,
         _ => false,
     };
-    let near = |s: &Sight| s.at + 2_000_000 >= span.0 && s.at <= span.1 + 500_000;
+    let near = |s: &TraceEntry| s.at + 2_000_000 >= span.0 && s.at <= span.1 + 500_000;
     sights
         .iter()
         .filter(|s| mine(s) || (near(s) && about(s)))
--- a/crates/cache-model/src/fill.rs
+++ b/crates/cache-model/src/fill.rs
@@ -1,12 +1,12 @@
 //! A fill under way at a member.
 use super::store::Key;
-use super::{Answer, JobId, Wanted};
+use super::{ModelResponse, JobId, ModelRequest};
 use pointspindle::Micros;
 
 #[derive(Debug)]
 pub struct Fill {
     pub key: Key,
-    pub wanted: Wanted,
+    pub wanted: ModelRequest,
     pub source: String,
     /// Requests that get their answer from it.
     pub waiting: Vec<JobId>,
@@ -17,7 +17,7 @@
     pub due: Micros,
     /// When the source was asked; a purge after it makes the copy unfit to keep.
     pub began: Micros,
-    pub head: Option<Answer>,
+    pub head: Option<ModelResponse>,
     /// The source has sent all of it.
     pub all_sent: bool,
     /// Its way over the location's link: none where it does not use it, or is through.
--- a/crates/cache-model/src/host.rs
+++ b/crates/cache-model/src/host.rs
@@ -1,14 +1,14 @@
 //! One member's state.
-use super::cold::Spent;
+use super::cold::WarmUpLoad;
 use super::fill::Fill;
-use super::pipe::Pipe;
+use super::pipe::SharedLink;
 use super::store::{Key, Store};
 use super::*;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 #[derive(Debug)]
 pub struct Job {
-    pub wanted: Wanted,
+    pub wanted: ModelRequest,
     pub arrived: Micros,
     pub state: JobState,
 }
@@ -18,9 +18,9 @@
     /// Waits for a fill's first byte.
     Filling(FillId),
     /// Waits for a place, with its answer.
-    Queued(Answer, Option<FillId>),
+    Queued(ModelResponse, Option<FillId>),
     /// The origin works before its first byte; a turn of `think` ends then.
-    Thinking(Answer),
+    Thinking(ModelResponse),
     /// On the link until the key's end.
     Sending {
         key: (u64, u64),
@@ -51,7 +51,7 @@
     pub start: u64,
     /// None: long ago, warm.
     pub started: Option<Micros>,
-    pub pipe: Pipe,
+    pub pipe: SharedLink,
     pub jobs: BTreeMap<JobId, Job>,
     pub queue: VecDeque<JobId>,
     /// Requests with a place: on the link, thinking, or waiting for the rest of a fill.
@@ -59,10 +59,10 @@
     pub fills: BTreeMap<FillId, Fill>,
     pub filling: HashMap<Key, FillId>,
     pub store: Store,
-    pub spent: Spent,
+    pub spent: WarmUpLoad,
     pub faults: Faults,
     /// What came while it hung.
-    pub deferred: Vec<In>,
+    pub deferred: Vec<ModelInput>,
     /// Timers of `think` and of fills, by time.
     pub waits: std::collections::BTreeSet<(Micros, Wait)>,
     /// Share of hits, as a running mean.
@@ -91,14 +91,14 @@
             up: true,
             start: 1,
             started: None,
-            pipe: Pipe::new(spec.weight, spec.thrash),
+            pipe: SharedLink::new(spec.weight, spec.crowding_loss),
             jobs: BTreeMap::new(),
             queue: VecDeque::new(),
             busy: 0,
             fills: BTreeMap::new(),
             filling: HashMap::new(),
             store: Store::new(spec.store_bytes),
-            spent: Spent::default(),
+            spent: WarmUpLoad::default(),
             faults: Faults::default(),
             deferred: Vec::new(),
             waits: Default::default(),
@@ -118,7 +118,7 @@
 
     pub fn is_cold(&self, now: Micros) -> bool {
         self.started
-            .is_some_and(|at| now < at + self.spec.cold.over())
+            .is_some_and(|at| now < at + self.spec.warm_up.total_duration())
     }
 
     /// Transfers that its link carries now.
@@ -128,7 +128,7 @@
         }
         let cold = self
             .started
-            .map_or(1.0, |at| self.spec.cold.share(now.saturating_sub(at)));
+            .map_or(1.0, |at| self.spec.warm_up.share_after(now.saturating_sub(at)));
         let slow = if now < self.faults.slow.1 {
             self.faults.slow.0.max(1e-3)
         } else {
@@ -139,7 +139,7 @@
 
     /// The load report that answers carry: as old as its period allows.
     pub fn load(&mut self, now: Micros, link: f64) -> LoadReport {
-        if now >= self.report.0 + self.spec.report_every {
+        if now >= self.report.0 + self.spec.load_report_interval {
             let link = if self.spec.role == Role::Parent {
                 self.fills.len() as f64
             } else {
@@ -191,7 +191,7 @@
         self.waits.clear();
         self.deferred.clear();
         self.faults = Faults::default();
-        self.spent = Spent::default();
+        self.spent = WarmUpLoad::default();
         self.store = Store::new(self.spec.store_bytes);
     }
 }
--- a/crates/cache-model/src/lib.rs
+++ b/crates/cache-model/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod store;
 mod world;
 
-pub use world::{Catalogue, World};
+pub use world::{SizeCatalogue, CacheModel};
 
 use pointspindle::Micros;
 use pointspindle_protocol::{LoadReport, WireCacheStatus, WireStatus};
@@ -35,12 +35,12 @@
 pub struct ClassModel {
     pub name: String,
     /// Microseconds; 0: good until purged.
-    pub fresh: Micros,
+    pub freshness_lifetime: Micros,
     /// Mean time to send an answer at full pace, microseconds: what one request counts against a cold member.
-    pub mean: Micros,
+    pub mean_transfer_time: Micros,
     pub uncacheable: bool,
     /// The origin discards repeats of a key for a while.
-    pub dedupes: bool,
+    pub deduplicates: bool,
 }
 
 /// A kind of member; ranges are drawn by the scenario before they come here.
@@ -53,15 +53,15 @@
     /// Transfers at full pace that its link carries.
     pub weight: f64,
     /// Requests in work at once; more wait.
-    pub places: usize,
+    pub concurrency: usize,
     /// Requests that wait; more are turned away.
     pub queue: usize,
     /// Share of the link lost for each further full load of transfers: crowding.
-    pub thrash: f64,
+    pub crowding_loss: f64,
     /// Bytes of copies that it keeps.
     pub store_bytes: u64,
     /// Fills at once.
-    pub fill_places: usize,
+    pub fill_concurrency: usize,
     /// A fill is given up when nothing has come after this.
     pub fill_timeout: Micros,
     /// Further tries of a fill, at the same source.
@@ -69,19 +69,19 @@
     /// A fill whose last client has left is dropped (else it runs on).
     pub abort_fill: bool,
     /// A parent fetches once for all who wait; else for each fill apart. Caches join where the request says so.
-    pub joins: bool,
-    pub cold: cold::ColdSpec,
+    pub coalesces_fills: bool,
+    pub warm_up: cold::WarmUpSpec,
     /// Time before the first byte of an answer: the origin's own work. Mean of an exponential draw.
-    pub think: Micros,
+    pub service_time: Micros,
     /// Its load report is this old at most.
-    pub report_every: Micros,
+    pub load_report_interval: Micros,
     /// Pauses of the process: one in so many microseconds on average, 0 for none, and how long.
-    pub pause_every: Micros,
+    pub pause_interval: Micros,
     pub pause: Micros,
     /// The origin: asked for more than this multiple of its capacity for `fall_window`, it stops for `fall_down`.
-    pub fall_multiple: f64,
-    pub fall_window: Micros,
-    pub fall_down: Micros,
+    pub overload_multiple: f64,
+    pub overload_window: Micros,
+    pub overload_downtime: Micros,
 }
 
 /// A location, or a hub's place.
@@ -94,71 +94,71 @@
 
 /// What is common to all members.
 #[derive(Clone, Debug)]
-pub struct WorldSpec {
+pub struct CacheModelSettings {
     pub classes: Vec<ClassModel>,
     pub zones: Vec<ZoneSpec>,
     /// Bytes a second of one transfer to a client at full pace.
-    pub flow: f64,
+    pub bytes_per_s: f64,
     /// A fill runs at most so many times as fast.
-    pub fill_pace: f64,
+    pub fill_speedup: f64,
     /// How long the origin remembers the key of what it ran.
-    pub key_window: Micros,
+    pub idempotency_window: Micros,
 }
 
 /// A request at a member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Wanted {
+pub struct ModelRequest {
     pub object: Arc<str>,
-    pub number: u64,
+    pub object_number: u64,
     pub part: u64,
     pub group: u64,
     pub class: usize,
     /// Where a miss is filled from; none: the member's own upstream, where it has one.
     pub source: Option<String>,
-    pub keep: u8,
+    pub retention_rank: u8,
     /// Oldest copy that will do; 0: fresh for its class.
-    pub age: Micros,
-    pub join: bool,
-    pub held_only: bool,
-    pub renew: bool,
+    pub max_age: Micros,
+    pub coalesce: bool,
+    pub only_if_cached: bool,
+    pub revalidate: bool,
     /// Version that the asker holds.
-    pub holds: Option<u64>,
-    pub key: Arc<str>,
+    pub cached_version: Option<u64>,
+    pub idempotency_key: Arc<str>,
     pub trace: Arc<str>,
     pub attempt: u32,
 }
 
 /// A copy as it travels: enough to make its bytes again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Copy {
+pub struct CachedCopy {
     /// Of the origin: grows with each purge of the object.
     pub version: u64,
     pub size: u64,
     /// When the origin gave it out or confirmed it.
-    pub birth: Micros,
+    pub validated_at: Micros,
 }
 
 /// The head of an answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    pub note: WireCacheStatus,
-    pub copy: Copy,
+pub struct ModelResponse {
+    pub cache_status: WireCacheStatus,
+    pub copy: CachedCopy,
     pub age: Micros,
-    pub fresh_left: Option<Micros>,
+    pub freshness_left: Option<Micros>,
     /// The asker's version still holds: no body.
     pub not_modified: bool,
     pub load: LoadReport,
     /// 404 where the origin has nothing of that name.
-    pub code: u16,
+    pub status_code: u16,
 }
 
 /// How a source's answer ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum SourceEnd {
+pub enum FillOutcome {
     Complete,
-    Told {
+    Rejected {
         status: WireStatus,
-        note: WireCacheStatus,
+        cache_status: WireCacheStatus,
     },
     /// Not reached, or the connection broke.
     Unreachable,
@@ -170,28 +170,28 @@
     /// Takes requests and answers none until then.
     Hang { until: Micros },
     /// This share of answers is never sent, until then.
-    Lose { share: f64, until: Micros },
+    DropResponses { share: f64, until: Micros },
     /// This share of answers ends in a broken connection, until then.
-    Cut { share: f64, until: Micros },
+    TruncateResponses { share: f64, until: Micros },
     /// Turns all requests away, until then.
-    Refuse { until: Micros },
+    RejectRequests { until: Micros },
     /// Fails this share of requests at once, until then.
-    Err { share: f64, until: Micros },
+    FailRequests { share: f64, until: Micros },
     /// So many times slower, until then.
-    Slow { factor: f64, until: Micros },
+    SlowDown { factor: f64, until: Micros },
     /// The process ends; connections break.
-    Die,
+    Crash,
     /// A new process at the same address: empty and cold, unless it was down for no time at all.
-    Return,
+    Restart,
 }
 
 /// What the world is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum In {
+pub enum ModelInput {
     Arrive {
         host: HostId,
         job: JobId,
-        wanted: Wanted,
+        request: ModelRequest,
     },
     /// The asker wants nothing more of it.
     Cancel {
@@ -199,15 +199,15 @@
         job: JobId,
     },
     /// The source of a fill has begun to answer.
-    SourceHead {
+    FillResponse {
         host: HostId,
         fill: FillId,
-        answer: Answer,
+        response: ModelResponse,
     },
-    SourceEnd {
+    FillEnded {
         host: HostId,
         fill: FillId,
-        end: SourceEnd,
+        outcome: FillOutcome,
     },
     /// The member drops what is older; `at` is when the purge was made.
     Purge {
@@ -217,7 +217,7 @@
         at: Micros,
     },
     /// The origin has another version from now on.
-    Change {
+    OriginUpdate {
         object: Option<u64>,
         group: u64,
     },
@@ -230,14 +230,14 @@
 
 /// What the world wants done, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Out {
+pub enum ModelOutput {
     /// The head of an answer goes out; the body ends with [`Out::Finish`].
-    Start {
+    ResponseStart {
         host: HostId,
         job: JobId,
-        answer: Answer,
+        response: ModelResponse,
     },
-    Finish {
+    ResponseEnd {
         host: HostId,
         job: JobId,
     },
@@ -245,64 +245,64 @@
         host: HostId,
         job: JobId,
         status: WireStatus,
-        note: WireCacheStatus,
+        cache_status: WireCacheStatus,
         may_have_run: bool,
         load: LoadReport,
     },
     /// The connection of this request breaks.
-    Cut {
+    Disconnect {
         host: HostId,
         job: JobId,
     },
     /// Ask the source; its answer comes back as [`In::SourceHead`] and [`In::SourceEnd`].
-    Fill {
+    StartFill {
         host: HostId,
         fill: FillId,
         source: String,
-        wanted: Wanted,
+        request: ModelRequest,
     },
     /// Nothing more of the source's answer is wanted.
-    DropFill {
+    CancelFill {
         host: HostId,
         fill: FillId,
     },
     /// The process is gone: its requests and fills with it.
-    Down {
+    HostDown {
         host: HostId,
-        why: &'static str,
+        reason: &'static str,
     },
-    Up {
+    HostUp {
         host: HostId,
     },
 }
 
 impl Fault {
     /// The same fault with its end on a clock that runs ahead by `shift`.
-    pub fn later(self, shift: Micros) -> Self {
+    pub fn delayed_by(self, shift: Micros) -> Self {
         match self {
             Self::Hang { until } => Self::Hang {
                 until: until + shift,
             },
-            Self::Lose { share, until } => Self::Lose {
+            Self::DropResponses { share, until } => Self::DropResponses {
                 share,
                 until: until + shift,
             },
-            Self::Cut { share, until } => Self::Cut {
+            Self::TruncateResponses { share, until } => Self::TruncateResponses {
                 share,
                 until: until + shift,
             },
-            Self::Refuse { until } => Self::Refuse {
+            Self::RejectRequests { until } => Self::RejectRequests {
                 until: until + shift,
             },
-            Self::Err { share, until } => Self::Err {
+            Self::FailRequests { share, until } => Self::FailRequests {
                 share,
                 until: until + shift,
             },
-            Self::Slow { factor, until } => Self::Slow {
+            Self::SlowDown { factor, until } => Self::SlowDown {
                 factor,
                 until: until + shift,
             },
-            Self::Die | Self::Return => self,
+            Self::Crash | Self::Restart => self,
         }
     }
 }
--- a/crates/cache-model/src/pipe.rs
+++ b/crates/cache-model/src/pipe.rs
@@ -10,7 +10,7 @@
 type Work = u64;
 
 #[derive(Debug)]
-pub struct Pipe {
+pub struct SharedLink {
     /// Transfers at full pace that it carries now.
     capacity: f64,
     thrash: f64,
@@ -19,7 +19,7 @@
     ends: BTreeSet<(Work, u64)>,
 }
 
-impl Pipe {
+impl SharedLink {
     pub fn new(capacity: f64, thrash: f64) -> Self {
         Self {
             capacity,
@@ -109,7 +109,7 @@
     use super::*;
 
     /// Runs to the end of all transfers; when each ended.
-    fn run(pipe: &mut Pipe) -> Vec<(Micros, u64)> {
+    fn run(pipe: &mut SharedLink) -> Vec<(Micros, u64)> {
         let mut out = vec![];
         while let Some(at) = pipe.next() {
             while let Some(id) = pipe.ended(at) {
@@ -121,7 +121,7 @@
 
     #[test]
     fn transfers_share_a_full_link_and_run_at_their_own_pace_otherwise() {
-        let mut pipe = Pipe::new(2.0, 0.0);
+        let mut pipe = SharedLink::new(2.0, 0.0);
         for id in 0..4 {
             pipe.begin(0, id, 100);
         }
@@ -130,14 +130,14 @@
             [(200, 0), (200, 1), (200, 2), (200, 3)],
             "four on a link for two"
         );
-        let mut pipe = Pipe::new(2.0, 0.0);
+        let mut pipe = SharedLink::new(2.0, 0.0);
         pipe.begin(0, 1, 100);
         assert_eq!(
             run(&mut pipe),
             [(100, 1)],
             "one cannot use more than its own pace"
         );
-        let mut pipe = Pipe::new(1.0, 0.0);
+        let mut pipe = SharedLink::new(1.0, 0.0);
         pipe.begin(0, 1, 100);
         pipe.begin(50, 2, 100);
         // 1 has 50 left and shares: ends at 150; 2 has then 50 left alone.
@@ -146,7 +146,7 @@
 
     #[test]
     fn a_stopped_link_ends_nothing_and_goes_on_where_it_was() {
-        let mut pipe = Pipe::new(1.0, 0.0);
+        let mut pipe = SharedLink::new(1.0, 0.0);
         pipe.begin(0, 1, 100);
         pipe.set_capacity(40, 0.0);
         assert_eq!(pipe.next(), None);
@@ -156,7 +156,7 @@
 
     #[test]
     fn crowding_costs_more_than_its_share() {
-        let mut pipe = Pipe::new(1.0, 0.5);
+        let mut pipe = SharedLink::new(1.0, 0.5);
         pipe.begin(0, 1, 100);
         pipe.begin(0, 2, 100);
         assert_eq!(
--- a/crates/cache-model/src/store.rs
+++ b/crates/cache-model/src/store.rs
@@ -1,5 +1,5 @@
 //! Copies of one member: by rank, within a rank by use; bounded in bytes.
-use super::Copy;
+use super::CachedCopy;
 use pointspindle::Micros;
 use std::collections::{BTreeSet, HashMap};
 
@@ -8,7 +8,7 @@
 
 #[derive(Debug)]
 struct Held {
-    copy: Copy,
+    copy: CachedCopy,
     group: u64,
     rank: u8,
     used: u64,
@@ -35,7 +35,7 @@
         }
     }
 
-    pub fn get(&self, key: Key) -> Option<Copy> {
+    pub fn get(&self, key: Key) -> Option<CachedCopy> {
         self.held.get(&key).map(|h| h.copy)
     }
 
@@ -73,12 +73,12 @@
     /// The origin has confirmed a copy.
     pub fn renew(&mut self, key: Key, birth: Micros) {
         if let Some(held) = self.held.get_mut(&key) {
-            held.copy.birth = held.copy.birth.max(birth);
+            held.copy.validated_at = held.copy.validated_at.max(birth);
         }
     }
 
     /// Keeps a copy at a rank; it pushes out its own rank or lower, else it is not kept.
-    pub fn put(&mut self, key: Key, group: u64, copy: Copy, rank: u8) -> bool {
+    pub fn put(&mut self, key: Key, group: u64, copy: CachedCopy, rank: u8) -> bool {
         if rank == 0 || copy.size > self.most {
             return false;
         }
@@ -114,7 +114,7 @@
     /// Drops copies of an object, or of a group, from before a purge.
     pub fn purge(&mut self, object: Option<u64>, group: u64, at: Micros) {
         let struck = |key: &Key, held: &Held| {
-            held.copy.birth < at && object.map_or(held.group == group, |o| key.0 == o)
+            held.copy.validated_at < at && object.map_or(held.group == group, |o| key.0 == o)
         };
         let keys: Vec<Key> = self
             .held
@@ -132,11 +132,11 @@
 mod tests {
     use super::*;
 
-    fn copy(size: u64, birth: Micros) -> Copy {
-        Copy {
+    fn copy(size: u64, birth: Micros) -> CachedCopy {
+        CachedCopy {
             version: 0,
             size,
-            birth,
+            validated_at: birth,
         }
     }
 
--- a/crates/cache-model/src/world/faults.rs
+++ b/crates/cache-model/src/world/faults.rs
@@ -1,49 +1,49 @@
 //! Scripted trouble, and what ends a process.
 use crate::host::Wait;
 use crate::*;
-use super::World;
+use super::CacheModel;
 
-impl World {
-    pub(super) fn fault(&mut self, now: Micros, h: HostId, fault: Fault, out: &mut Vec<Out>) {
+impl CacheModel {
+    pub(super) fn fault(&mut self, now: Micros, h: HostId, fault: Fault, out: &mut Vec<ModelOutput>) {
         let host = &mut self.hosts[h];
         let look = match fault {
             Fault::Hang { until } => {
                 host.faults.hang = until;
                 Some(until)
             }
-            Fault::Lose { share, until } => {
+            Fault::DropResponses { share, until } => {
                 host.faults.lose = (share, until);
                 None
             }
-            Fault::Cut { share, until } => {
+            Fault::TruncateResponses { share, until } => {
                 host.faults.cut = (share, until);
                 None
             }
-            Fault::Refuse { until } => {
+            Fault::RejectRequests { until } => {
                 host.faults.refuse = until;
                 None
             }
-            Fault::Err { share, until } => {
+            Fault::FailRequests { share, until } => {
                 host.faults.err = (share, until);
                 None
             }
-            Fault::Slow { factor, until } => {
+            Fault::SlowDown { factor, until } => {
                 host.faults.slow = (factor, until);
                 Some(until)
             }
-            Fault::Die => {
+            Fault::Crash => {
                 if host.up {
                     self.down(now, h, "the process ended", out);
                 }
                 return;
             }
-            Fault::Return => {
+            Fault::Restart => {
                 if !host.up {
                     host.up = true;
                     host.start += 1;
                     host.started = Some(now);
                     host.hits = 0.0;
-                    out.push(Out::Up { host: h });
+                    out.push(ModelOutput::HostUp { host: h });
                     self.plan_pause(now, h);
                     self.warm(now, h);
                     self.refresh(h);
@@ -58,15 +58,15 @@
         self.refresh(h);
     }
 
-    pub(super) fn down(&mut self, now: Micros, h: HostId, why: &'static str, out: &mut Vec<Out>) {
+    pub(super) fn down(&mut self, now: Micros, h: HostId, why: &'static str, out: &mut Vec<ModelOutput>) {
         let fills: Vec<FillId> = self.hosts[h].fills.keys().copied().collect();
         for fill in fills {
             self.forget_fill(now, h, fill);
-            out.push(Out::DropFill { host: h, fill });
+            out.push(ModelOutput::CancelFill { host: h, fill });
         }
         self.hosts[h].clear();
         self.hosts[h].up = false;
         self.refresh(h);
-        out.push(Out::Down { host: h, why });
+        out.push(ModelOutput::HostDown { host: h, reason: why });
     }
 }
--- a/crates/cache-model/src/world/fills.rs
+++ b/crates/cache-model/src/world/fills.rs
@@ -1,19 +1,19 @@
 //! Fills: begun, passed on to who waits, kept, failed.
 use crate::host::{JobState, Wait};
 use crate::*;
-use super::World;
+use super::CacheModel;
 use crate::host::Job;
 
-impl World {
+impl CacheModel {
     /// Asks the source, or turns the request away where there is none or no place.
     pub(super) fn begin_fill(
         &mut self,
         now: Micros,
         h: HostId,
         job: Option<(JobId, Micros)>,
-        wanted: Wanted,
-        held: Option<Copy>,
-        out: &mut Vec<Out>,
+        wanted: ModelRequest,
+        held: Option<CachedCopy>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let source = wanted
             .source
@@ -21,13 +21,13 @@
             .filter(|s| *s != self.hosts[h].spec.address);
         let source = source.or_else(|| self.upstream(h)).filter(|_| {
             // Held only, at the member itself: no fill.
-            !(wanted.held_only && wanted.source.is_none())
+            !(wanted.only_if_cached && wanted.source.is_none())
         });
         let Some(source) = source else {
             if let Some((job, _)) = job {
                 let under_way = self.hosts[h]
                     .filling
-                    .contains_key(&(wanted.number, wanted.part));
+                    .contains_key(&(wanted.object_number, wanted.part));
                 let note = if under_way {
                     WireCacheStatus::Coalesced
                 } else {
@@ -38,7 +38,7 @@
             return;
         };
         let host = &mut self.hosts[h];
-        if host.fills.len() >= host.spec.fill_places {
+        if host.fills.len() >= host.spec.fill_concurrency {
             if let Some((job, _)) = job {
                 self.reject(
                     now,
@@ -54,12 +54,12 @@
         }
         self.next_fill += 1;
         let fill = self.next_fill;
-        let key = (wanted.number, wanted.part);
+        let key = (wanted.object_number, wanted.part);
         let due = now + host.spec.fill_timeout;
         // The source fills for us, unless it is to give only what it holds.
-        let asked = Wanted {
+        let asked = ModelRequest {
             source: None,
-            holds: held.map(|c| c.version),
+            cached_version: held.map(|c| c.version),
             ..wanted.clone()
         };
         let waiting = job.map(|(job, _)| job).into_iter().collect();
@@ -89,11 +89,11 @@
                 },
             );
         }
-        out.push(Out::Fill {
+        out.push(ModelOutput::StartFill {
             host: h,
             fill,
             source,
-            wanted: asked,
+            request: asked,
         });
     }
 
@@ -115,7 +115,7 @@
         h: HostId,
         fill: FillId,
         job: JobId,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let host = &mut self.hosts[h];
         let Some(found) = host.fills.get_mut(&fill) else {
@@ -125,7 +125,7 @@
         if found.waiting.is_empty() && !found.behind && host.spec.abort_fill && !found.is_complete()
         {
             self.forget_fill(now, h, fill);
-            out.push(Out::DropFill { host: h, fill });
+            out.push(ModelOutput::CancelFill { host: h, fill });
         }
     }
 
@@ -155,14 +155,14 @@
         now: Micros,
         h: HostId,
         fill: FillId,
-        answer: Answer,
-        out: &mut Vec<Out>,
+        answer: ModelResponse,
+        out: &mut Vec<ModelOutput>,
     ) {
         if self.hosts[h].hangs(now) {
-            self.hosts[h].deferred.push(In::SourceHead {
+            self.hosts[h].deferred.push(ModelInput::FillResponse {
                 host: h,
                 fill,
-                answer,
+                response: answer,
             });
             return;
         }
@@ -178,8 +178,8 @@
         // A copy that the source confirmed has the body that is held here.
         let held = self.hosts[h].store.get(key);
         let copy = match held.filter(|_| answer.not_modified) {
-            Some(held) => Copy {
-                birth: answer.copy.birth,
+            Some(held) => CachedCopy {
+                validated_at: answer.copy.validated_at,
                 ..held
             },
             None => answer.copy,
@@ -189,17 +189,17 @@
             .is_none_or(|s| self.hosts[s].spec.zone != zone);
         let bytes = if answer.not_modified { 0 } else { copy.size };
         let found = self.hosts[h].fills.get_mut(&fill).expect("looked up above");
-        let head = Answer { copy, ..answer };
+        let head = ModelResponse { copy, ..answer };
         found.head = Some(head.clone());
         if outside && bytes > 0 && self.spec.zones[zone].link > 0.0 {
-            let work = (bytes as f64 / (self.spec.flow * self.spec.fill_pace) * 1e6) as u64;
+            let work = (bytes as f64 / (self.spec.bytes_per_s * self.spec.fill_speedup) * 1e6) as u64;
             found.on_link = Some(self.links[zone].begin(now, fill, work));
             self.on_link.insert(fill, h);
         }
         let waiting = found.waiting.clone();
         self.refresh_link(zone);
         for (n, job) in waiting.into_iter().enumerate() {
-            let note = match (n, head.note, self.source_is_origin(h, fill)) {
+            let note = match (n, head.cache_status, self.source_is_origin(h, fill)) {
                 (1.., ..) => WireCacheStatus::Coalesced,
                 (_, _, true)
                 | (
@@ -217,7 +217,7 @@
     }
 
     pub(super) fn host_of_source(&self, h: HostId, fill: FillId) -> Option<HostId> {
-        self.host_of(&self.hosts[h].fills.get(&fill)?.source)
+        self.host_by_address(&self.hosts[h].fills.get(&fill)?.source)
     }
 
     pub(super) fn source_is_origin(&self, h: HostId, fill: FillId) -> bool {
@@ -233,15 +233,15 @@
         h: HostId,
         fill: FillId,
         job: JobId,
-        head: &Answer,
+        head: &ModelResponse,
         note: WireCacheStatus,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let Some(found) = self.hosts[h].jobs.remove(&job) else {
             return;
         };
         let floor = self.floor(h, found.arrived, &found.wanted);
-        if head.copy.birth < floor {
+        if head.copy.validated_at < floor {
             // Joined a fill that was asked for with less: a fill of its own.
             if let Some(fill) = self.hosts[h].fills.get_mut(&fill) {
                 fill.waiting.retain(|j| *j != job);
@@ -249,7 +249,7 @@
             return self.begin_fill(now, h, Some((job, found.arrived)), found.wanted, None, out);
         }
         let mut answer = self.answer(now, h, note, head.copy, &found.wanted);
-        answer.code = head.code;
+        answer.status_code = head.status_code;
         self.admit(now, h, job, found.wanted, answer, Some(fill), out);
     }
 
@@ -258,37 +258,37 @@
         now: Micros,
         h: HostId,
         fill: FillId,
-        end: SourceEnd,
-        out: &mut Vec<Out>,
+        end: FillOutcome,
+        out: &mut Vec<ModelOutput>,
     ) {
         if self.hosts[h].hangs(now) {
             self.hosts[h]
                 .deferred
-                .push(In::SourceEnd { host: h, fill, end });
+                .push(ModelInput::FillEnded { host: h, fill, outcome: end });
             return;
         }
         match end {
-            SourceEnd::Complete => {
+            FillOutcome::Complete => {
                 if let Some(found) = self.hosts[h].fills.get_mut(&fill) {
                     found.all_sent = true;
                 }
                 self.if_complete(now, h, fill, out);
             }
-            SourceEnd::Told { status, note } => {
+            FillOutcome::Rejected { status, cache_status: note } => {
                 self.fill_failed(now, h, fill, Some((status, note)), out)
             }
-            SourceEnd::Unreachable => self.fill_failed(now, h, fill, None, out),
+            FillOutcome::Unreachable => self.fill_failed(now, h, fill, None, out),
         }
         self.refresh(h);
     }
 
-    pub(super) fn fill_due(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<Out>) {
+    pub(super) fn fill_due(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<ModelOutput>) {
         if self.hosts[h]
             .fills
             .get(&fill)
             .is_some_and(|f| f.head.is_none())
         {
-            out.push(Out::DropFill { host: h, fill });
+            out.push(ModelOutput::CancelFill { host: h, fill });
             self.fill_failed(now, h, fill, None, out);
         }
     }
@@ -300,7 +300,7 @@
         h: HostId,
         fill: FillId,
         told: Option<(WireStatus, WireCacheStatus)>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let origin = self.source_is_origin(h, fill);
         let parent = self.hosts[h].spec.role == Role::Parent;
@@ -308,7 +308,7 @@
             return;
         };
         let lacks = matches!(told, Some((WireStatus::Miss, _)));
-        let safe = !found.wanted.key_is_set();
+        let safe = !found.wanted.has_idempotency_key();
         if found.head.is_none()
             && found.tries_left > 0
             && !lacks
@@ -317,7 +317,7 @@
         {
             self.next_fill += 1;
             let (id, due) = (self.next_fill, now + self.hosts[h].spec.fill_timeout);
-            let wanted = Wanted {
+            let wanted = ModelRequest {
                 source: None,
                 ..found.wanted.clone()
             };
@@ -336,11 +336,11 @@
             self.hosts[h].filling.insert(again.key, id);
             self.hosts[h].waits.insert((due, Wait::FillDue(id)));
             self.hosts[h].fills.insert(id, again);
-            return out.push(Out::Fill {
+            return out.push(ModelOutput::StartFill {
                 host: h,
                 fill: id,
                 source,
-                wanted,
+                request: wanted,
             });
         }
         let (status, note, ran) = match told {
@@ -394,7 +394,7 @@
     }
 
     /// Keeps a copy that is here to its last byte, and ends the answers that waited for that.
-    pub(super) fn if_complete(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<Out>) {
+    pub(super) fn if_complete(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<ModelOutput>) {
         if !self.hosts[h]
             .fills
             .get(&fill)
@@ -406,17 +406,17 @@
             return;
         };
         let Some(head) = found.head else { return };
-        let (number, group) = (found.wanted.number, found.wanted.group);
+        let (number, group) = (found.wanted.object_number, found.wanted.group);
         let uncacheable = self
             .spec
             .classes
             .get(found.wanted.class)
             .is_some_and(|c| c.uncacheable);
-        let rank = self.rank(h, found.wanted.keep);
+        let rank = self.rank(h, found.wanted.retention_rank);
         let host = &mut self.hosts[h];
-        if !uncacheable && head.code == 200 && !host.is_purged(number, group, head.copy.birth) {
+        if !uncacheable && head.status_code == 200 && !host.is_purged(number, group, head.copy.validated_at) {
             if head.not_modified {
-                host.store.renew(found.key, head.copy.birth);
+                host.store.renew(found.key, head.copy.validated_at);
             } else {
                 host.store.put(found.key, group, head.copy, rank);
             }
@@ -428,7 +428,7 @@
                 .is_some_and(|j| matches!(j.state, JobState::Trailing(_)));
             if trailing {
                 self.hosts[h].jobs.remove(&job);
-                out.push(Out::Finish { host: h, job });
+                out.push(ModelOutput::ResponseEnd { host: h, job });
                 self.leave_place(now, h, out);
             }
         }
--- a/crates/cache-model/src/world/mod.rs
+++ b/crates/cache-model/src/world/mod.rs
@@ -3,7 +3,7 @@
 mod fills;
 
 use super::host::{Host, Job, JobState, Wait};
-use super::pipe::Pipe;
+use super::pipe::SharedLink;
 use super::store::Key;
 use super::*;
 use rand::rngs::StdRng;
@@ -11,7 +11,7 @@
 use std::collections::{BTreeSet, HashMap};
 
 /// Bytes of an object's part, by name; none: the origin has no such object.
-pub type Catalogue = Box<dyn Fn(&Wanted) -> Option<u64> + Send>;
+pub type SizeCatalogue = Box<dyn Fn(&ModelRequest) -> Option<u64> + Send>;
 
 /// An answer without a body still takes its frames' time.
 const BARE: Micros = 200;
@@ -31,16 +31,16 @@
     Host(HostId),
 }
 
-pub struct World {
-    spec: WorldSpec,
+pub struct CacheModel {
+    spec: CacheModelSettings,
     hosts: Vec<Host>,
     addresses: HashMap<String, HostId>,
-    links: Vec<Pipe>,
+    links: Vec<SharedLink>,
     link_wakes: Vec<Option<Micros>>,
     /// Whose fill a transfer on a location's link is.
     on_link: HashMap<FillId, HostId>,
     wakes: BTreeSet<(Micros, Wake)>,
-    catalogue: Catalogue,
+    catalogue: SizeCatalogue,
     versions: HashMap<u64, u64>,
     group_versions: HashMap<u64, u64>,
     /// When the origin ran a key last.
@@ -48,12 +48,12 @@
     /// How often the origin ran each piece of work; what the rule on effects is judged by.
     effects: HashMap<Arc<str>, u32>,
     origin_falls: u32,
-    origin_spent: cold::Spent,
+    origin_spent: cold::WarmUpLoad,
     next_fill: FillId,
     rng: StdRng,
 }
 
-impl std::fmt::Debug for World {
+impl std::fmt::Debug for CacheModel {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("World")
             .field("hosts", &self.hosts.len())
@@ -61,15 +61,15 @@
     }
 }
 
-impl World {
-    pub fn new(spec: WorldSpec, hosts: Vec<HostSpec>, catalogue: Catalogue, seed: u64) -> Self {
+impl CacheModel {
+    pub fn new(spec: CacheModelSettings, hosts: Vec<HostSpec>, catalogue: SizeCatalogue, seed: u64) -> Self {
         let addresses = hosts
             .iter()
             .enumerate()
             .map(|(n, h)| (h.address.clone(), n))
             .collect();
-        let link = |z: &ZoneSpec| Pipe::new(z.link / spec.fill_pace.max(1e-9), 0.0);
-        let links: Vec<Pipe> = spec.zones.iter().map(link).collect();
+        let link = |z: &ZoneSpec| SharedLink::new(z.link / spec.fill_speedup.max(1e-9), 0.0);
+        let links: Vec<SharedLink> = spec.zones.iter().map(link).collect();
         let mut world = Self {
             link_wakes: vec![None; links.len()],
             links,
@@ -84,7 +84,7 @@
             ran: HashMap::new(),
             effects: HashMap::new(),
             origin_falls: 0,
-            origin_spent: cold::Spent::default(),
+            origin_spent: cold::WarmUpLoad::default(),
             next_fill: 0,
             rng: StdRng::seed_from_u64(seed),
         };
@@ -99,11 +99,11 @@
         self.hosts.iter().map(|h| &h.spec).enumerate()
     }
 
-    pub fn spec(&self, host: HostId) -> &HostSpec {
+    pub fn host_spec(&self, host: HostId) -> &HostSpec {
         &self.hosts[host].spec
     }
 
-    pub fn host_of(&self, address: &str) -> Option<HostId> {
+    pub fn host_by_address(&self, address: &str) -> Option<HostId> {
         self.addresses.get(address).copied()
     }
 
@@ -112,12 +112,12 @@
     }
 
     /// Which start of the process this is, and when it was; none: long ago.
-    pub fn start(&self, host: HostId) -> (u64, Option<Micros>) {
+    pub fn incarnation(&self, host: HostId) -> (u64, Option<Micros>) {
         (self.hosts[host].start, self.hosts[host].started)
     }
 
     /// A member that joins later: its process begins when it is told to return.
-    pub fn add(&mut self, spec: HostSpec) -> HostId {
+    pub fn add_host(&mut self, spec: HostSpec) -> HostId {
         let id = self.hosts.len();
         self.addresses.insert(spec.address.clone(), id);
         let mut host = Host::new(spec);
@@ -128,23 +128,23 @@
     }
 
     /// How often each piece of keyed or unsafe work has run.
-    pub fn effects(&self) -> &HashMap<Arc<str>, u32> {
+    pub fn effect_counts(&self) -> &HashMap<Arc<str>, u32> {
         &self.effects
     }
 
     /// The version that the origin gives out now.
-    pub fn version(&self, number: u64, group: u64) -> u64 {
+    pub fn current_version(&self, number: u64, group: u64) -> u64 {
         let of = |map: &HashMap<u64, u64>, key| map.get(&key).copied().unwrap_or(0);
         of(&self.versions, number) + of(&self.group_versions, group)
     }
 
     /// Puts a copy where the run begins with one.
-    pub fn preload(&mut self, host: HostId, key: Key, group: u64, copy: Copy) -> bool {
+    pub fn preload(&mut self, host: HostId, key: Key, group: u64, copy: CachedCopy) -> bool {
         self.hosts[host].store.put(key, group, copy, 1)
     }
 
     /// Transfers on a member's link, over those that it carries; for heat maps.
-    pub fn load(&self, host: HostId) -> f64 {
+    pub fn link_load(&self, host: HostId) -> f64 {
         self.hosts[host].pipe.load()
     }
 
@@ -152,15 +152,15 @@
         self.wakes.first().map(|(at, _)| *at)
     }
 
-    pub fn handle(&mut self, now: Micros, input: In, out: &mut Vec<Out>) {
+    pub fn handle(&mut self, now: Micros, input: ModelInput, out: &mut Vec<ModelOutput>) {
         // What should have happened before this input happens first.
         self.tick(now, out);
         match input {
-            In::Arrive { host, job, wanted } => self.arrive(now, host, job, wanted, out),
-            In::Cancel { host, job } => self.cancel(now, host, job, out),
-            In::SourceHead { host, fill, answer } => self.source_head(now, host, fill, answer, out),
-            In::SourceEnd { host, fill, end } => self.source_end(now, host, fill, end, out),
-            In::Purge {
+            ModelInput::Arrive { host, job, request: wanted } => self.arrive(now, host, job, wanted, out),
+            ModelInput::Cancel { host, job } => self.cancel(now, host, job, out),
+            ModelInput::FillResponse { host, fill, response: answer } => self.source_head(now, host, fill, answer, out),
+            ModelInput::FillEnded { host, fill, outcome: end } => self.source_end(now, host, fill, end, out),
+            ModelInput::Purge {
                 host,
                 object,
                 group,
@@ -179,20 +179,20 @@
                 };
                 *newest = at.max(*newest);
             }
-            In::Change {
+            ModelInput::OriginUpdate {
                 object: Some(object),
                 ..
             } => *self.versions.entry(object).or_default() += 1,
-            In::Change {
+            ModelInput::OriginUpdate {
                 object: None,
                 group,
             } => *self.group_versions.entry(group).or_default() += 1,
-            In::Fault { host, fault } => self.fault(now, host, fault, out),
-            In::Tick => {}
+            ModelInput::Fault { host, fault } => self.fault(now, host, fault, out),
+            ModelInput::Tick => {}
         }
     }
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Out>) {
+    fn tick(&mut self, now: Micros, out: &mut Vec<ModelOutput>) {
         while let Some((at, wake)) = self.wakes.first().copied().filter(|(at, _)| *at <= now) {
             self.wakes.pop_first();
             match wake {
@@ -247,7 +247,7 @@
     }
 
     /// What is due at a member: transfers that end, timers, the warm-up's next step.
-    fn look(&mut self, now: Micros, h: HostId, out: &mut Vec<Out>) {
+    fn look(&mut self, now: Micros, h: HostId, out: &mut Vec<ModelOutput>) {
         self.warm(now, h);
         while let Some(job) = self.hosts[h].pipe.ended(now) {
             self.sent(now, h, job, out);
@@ -276,11 +276,11 @@
         if !self.hosts[h].hangs(now) && !self.hosts[h].deferred.is_empty() {
             for input in std::mem::take(&mut self.hosts[h].deferred) {
                 match input {
-                    In::Arrive { job, wanted, .. } => self.take(now, h, job, wanted, out),
-                    In::SourceHead { fill, answer, .. } => {
+                    ModelInput::Arrive { job, request: wanted, .. } => self.take(now, h, job, wanted, out),
+                    ModelInput::FillResponse { fill, response: answer, .. } => {
                         self.source_head(now, h, fill, answer, out)
                     }
-                    In::SourceEnd { fill, end, .. } => self.source_end(now, h, fill, end, out),
+                    ModelInput::FillEnded { fill, outcome: end, .. } => self.source_end(now, h, fill, end, out),
                     _ => {}
                 }
             }
@@ -289,10 +289,10 @@
 
     fn plan_pause(&mut self, now: Micros, h: HostId) {
         let spec = &self.hosts[h].spec;
-        if spec.pause_every == 0 {
+        if spec.pause_interval == 0 {
             return;
         }
-        let wait = -(spec.pause_every as f64) * (1.0 - self.rng.gen::<f64>()).ln();
+        let wait = -(spec.pause_interval as f64) * (1.0 - self.rng.gen::<f64>()).ln();
         let at = now + wait as Micros + 1;
         self.hosts[h].next_pause = at;
         self.hosts[h].waits.insert((at, Wait::Look));
@@ -312,18 +312,18 @@
 
     // ---- requests
 
-    fn arrive(&mut self, now: Micros, h: HostId, job: JobId, wanted: Wanted, out: &mut Vec<Out>) {
+    fn arrive(&mut self, now: Micros, h: HostId, job: JobId, wanted: ModelRequest, out: &mut Vec<ModelOutput>) {
         if !self.hosts[h].up {
-            return out.push(Out::Cut { host: h, job });
+            return out.push(ModelOutput::Disconnect { host: h, job });
         }
         if self.pushed_over(now, h, &wanted, out) {
             return;
         }
         if self.hosts[h].hangs(now) {
-            self.hosts[h].deferred.push(In::Arrive {
+            self.hosts[h].deferred.push(ModelInput::Arrive {
                 host: h,
                 job,
-                wanted,
+                request: wanted,
             });
             return self.refresh(h);
         }
@@ -332,31 +332,31 @@
     }
 
     /// Every attempt that reaches a cold member counts, also one that only looks or is turned away.
-    fn pushed_over(&mut self, now: Micros, h: HostId, wanted: &Wanted, out: &mut Vec<Out>) -> bool {
+    fn pushed_over(&mut self, now: Micros, h: HostId, wanted: &ModelRequest, out: &mut Vec<ModelOutput>) -> bool {
         let work = self
             .spec
             .classes
             .get(wanted.class)
-            .map_or(0.0, |c| c.mean as f64 / 1e6);
+            .map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
         let host = &mut self.hosts[h];
         match (host.spec.role, host.started) {
             (Role::Origin, _) => {
-                let spec = cold::ColdSpec {
-                    start_share: 1.0,
-                    warm_within: 0,
-                    multiple: host.spec.fall_multiple,
-                    window: host.spec.fall_window,
+                let spec = cold::WarmUpSpec {
+                    initial_share: 1.0,
+                    duration: 0,
+                    overload_factor: host.spec.overload_multiple,
+                    overload_window: host.spec.overload_window,
                 };
-                if spec.multiple <= 0.0 || self.origin_falls >= ORIGIN_FALLS {
+                if spec.overload_factor <= 0.0 || self.origin_falls >= ORIGIN_FALLS {
                     return false;
                 }
                 let used = self
                     .origin_spent
                     .send(now, 0, host.spec.weight, &spec, work);
-                if used > cold::EXACTLY {
+                if used > cold::ROUNDING_TOLERANCE {
                     self.origin_falls += 1;
-                    self.origin_spent = cold::Spent::default();
-                    let until = now + host.spec.fall_down;
+                    self.origin_spent = cold::WarmUpLoad::default();
+                    let until = now + host.spec.overload_downtime;
                     host.faults.hang = host.faults.hang.max(until);
                     host.waits.insert((until, Wait::Look));
                     self.warm(now, h);
@@ -364,8 +364,8 @@
                 false
             }
             (_, Some(started)) if host.is_cold(now) => {
-                let (weight, spec) = (host.spec.weight, host.spec.cold);
-                if host.spent.send(now, started, weight, &spec, work) <= cold::EXACTLY {
+                let (weight, spec) = (host.spec.weight, host.spec.warm_up);
+                if host.spent.send(now, started, weight, &spec, work) <= cold::ROUNDING_TOLERANCE {
                     return false;
                 }
                 self.down(now, h, "pushed over while cold", out);
@@ -375,7 +375,7 @@
         }
     }
 
-    fn take(&mut self, now: Micros, h: HostId, job: JobId, wanted: Wanted, out: &mut Vec<Out>) {
+    fn take(&mut self, now: Micros, h: HostId, job: JobId, wanted: ModelRequest, out: &mut Vec<ModelOutput>) {
         let host = &self.hosts[h];
         let faults = &host.faults;
         if now < faults.refuse {
@@ -401,7 +401,7 @@
                 out,
             );
         }
-        if host.busy >= host.spec.places && host.queue.len() >= host.spec.queue {
+        if host.busy >= host.spec.concurrency && host.queue.len() >= host.spec.queue {
             return self.reject(
                 now,
                 h,
@@ -426,10 +426,10 @@
         }
         let class = self.spec.classes.get(wanted.class);
         let uncacheable = class.is_some_and(|c| c.uncacheable);
-        let key = (wanted.number, wanted.part);
+        let key = (wanted.object_number, wanted.part);
         let floor = self.floor(h, now, &wanted);
         let held = host.store.get(key).filter(|_| !uncacheable);
-        match held.filter(|copy| copy.birth >= floor) {
+        match held.filter(|copy| copy.validated_at >= floor) {
             Some(copy) => self.hit(now, h, job, wanted, copy, out),
             None => {
                 self.hosts[h].hits *= 0.98;
@@ -441,15 +441,15 @@
     /// The oldest birth of a copy that a request takes. The member's own knowledge counts as well: past the time in
     /// which copies from before a purge are dropped, a request may join no fill that began before it and is slow
     /// (one of 34 MB over a crowded link ran for nine seconds).
-    fn floor(&self, h: HostId, arrived: Micros, wanted: &Wanted) -> Micros {
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.fresh);
-        let asked = match (wanted.age, fresh) {
+    fn floor(&self, h: HostId, arrived: Micros, wanted: &ModelRequest) -> Micros {
+        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
+        let asked = match (wanted.max_age, fresh) {
             (0, 0) => 0,
             (0, fresh) => arrived.saturating_sub(fresh),
             (age, _) => arrived.saturating_sub(age),
         };
         let purged = self.hosts[h]
-            .purged(wanted.number, wanted.group)
+            .purged(wanted.object_number, wanted.group)
             .filter(|at| *at <= arrived);
         asked.max(purged.unwrap_or(0))
     }
@@ -459,14 +459,14 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        copy: Copy,
-        out: &mut Vec<Out>,
+        wanted: ModelRequest,
+        copy: CachedCopy,
+        out: &mut Vec<ModelOutput>,
     ) {
-        let key = (wanted.number, wanted.part);
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.fresh);
-        let age = now.saturating_sub(copy.birth);
-        let rank = self.rank(h, wanted.keep);
+        let key = (wanted.object_number, wanted.part);
+        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
+        let age = now.saturating_sub(copy.validated_at);
+        let rank = self.rank(h, wanted.retention_rank);
         let host = &mut self.hosts[h];
         host.store.touch(key, rank);
         host.hits = host.hits * 0.98 + 0.02;
@@ -476,16 +476,16 @@
         } else {
             WireCacheStatus::Hit
         };
-        let renew = wanted.renew && fresh > 0 && age as f64 > RENEW_FROM * fresh as f64;
+        let renew = wanted.revalidate && fresh > 0 && age as f64 > RENEW_FROM * fresh as f64;
         let behind = renew.then(|| wanted.clone());
         let answer = self.answer(now, h, note, copy, &wanted);
         self.admit(now, h, job, wanted, answer, None, out);
         if let Some(wanted) = behind.filter(|_| !self.hosts[h].filling.contains_key(&key)) {
             // Behind the answer the copy must be new, whatever age the answer itself could have.
-            let wanted = Wanted {
-                age: 1,
-                join: false,
-                held_only: false,
+            let wanted = ModelRequest {
+                max_age: 1,
+                coalesce: false,
+                only_if_cached: false,
                 ..wanted
             };
             self.begin_fill(now, h, None, wanted, Some(copy), out);
@@ -506,24 +506,24 @@
         now: Micros,
         h: HostId,
         note: WireCacheStatus,
-        copy: Copy,
-        wanted: &Wanted,
-    ) -> Answer {
+        copy: CachedCopy,
+        wanted: &ModelRequest,
+    ) -> ModelResponse {
         let zone = self.hosts[h].spec.zone;
         let link = self.links.get(zone).map_or(0.0, |l| l.load());
         let load = self.hosts[h].load(now, link);
-        let age = now.saturating_sub(copy.birth);
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.fresh);
+        let age = now.saturating_sub(copy.validated_at);
+        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
         let fresh_left = (fresh > 0).then(|| fresh.saturating_sub(age));
-        let not_modified = wanted.holds == Some(copy.version);
-        Answer {
-            note,
+        let not_modified = wanted.cached_version == Some(copy.version);
+        ModelResponse {
+            cache_status: note,
             copy,
             age,
-            fresh_left,
+            freshness_left: fresh_left,
             not_modified,
             load,
-            code: 200,
+            status_code: 200,
         }
     }
 
@@ -532,16 +532,16 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        held: Option<Copy>,
-        out: &mut Vec<Out>,
+        wanted: ModelRequest,
+        held: Option<CachedCopy>,
+        out: &mut Vec<ModelOutput>,
     ) {
-        let key = (wanted.number, wanted.part);
+        let key = (wanted.object_number, wanted.part);
         let parent = self.hosts[h].spec.role == Role::Parent;
         let join = if parent {
-            self.hosts[h].spec.joins && !wanted.key_is_set()
+            self.hosts[h].spec.coalesces_fills && !wanted.has_idempotency_key()
         } else {
-            wanted.join
+            wanted.coalesce
         };
         let under_way = self.hosts[h].filling.get(&key).copied();
         if let Some(fill) = under_way.filter(|_| join) {
@@ -574,13 +574,13 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        answer: Answer,
+        wanted: ModelRequest,
+        answer: ModelResponse,
         fill: Option<FillId>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let host = &mut self.hosts[h];
-        if host.busy >= host.spec.places {
+        if host.busy >= host.spec.concurrency {
             host.queue.push_back(job);
             let state = JobState::Queued(answer, fill);
             host.jobs.insert(
@@ -602,13 +602,13 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        answer: Answer,
+        wanted: ModelRequest,
+        answer: ModelResponse,
         fill: Option<FillId>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         self.hosts[h].busy += 1;
-        let think = self.hosts[h].spec.think;
+        let think = self.hosts[h].spec.service_time;
         if self.hosts[h].spec.role == Role::Origin && think > 0 {
             let slow = match self.hosts[h].faults.slow {
                 (factor, until) if now < until => factor,
@@ -637,17 +637,17 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        answer: Answer,
+        wanted: ModelRequest,
+        answer: ModelResponse,
         fill: Option<FillId>,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let bytes = if answer.not_modified {
             0
         } else {
             answer.copy.size
         };
-        let work = (bytes as f64 / self.spec.flow * 1e6) as u64 + BARE;
+        let work = (bytes as f64 / self.spec.bytes_per_s * 1e6) as u64 + BARE;
         self.warm(now, h);
         let cut = match self.hosts[h].faults.cut {
             (share, until) if now < until => self.rng.gen::<f64>() < share,
@@ -663,16 +663,16 @@
                 state: JobState::Sending { key, fill, cut },
             },
         );
-        out.push(Out::Start {
+        out.push(ModelOutput::ResponseStart {
             host: h,
             job,
-            answer,
+            response: answer,
         });
         self.warm(now, h);
     }
 
     /// The origin's work before the first byte is done.
-    fn thought(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
+    fn thought(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<ModelOutput>) {
         let Some(found) = self.hosts[h].jobs.remove(&job) else {
             return;
         };
@@ -683,7 +683,7 @@
     }
 
     /// Its part of the link is through.
-    fn sent(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
+    fn sent(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<ModelOutput>) {
         let host = &mut self.hosts[h];
         let Some(found) = host.jobs.get_mut(&job) else {
             return;
@@ -693,23 +693,23 @@
         };
         if cut {
             host.jobs.remove(&job);
-            out.push(Out::Cut { host: h, job });
+            out.push(ModelOutput::Disconnect { host: h, job });
             return self.leave_place(now, h, out);
         }
         match fill.filter(|f| host.fills.get(f).is_some_and(|f| !f.is_complete())) {
             Some(fill) => found.state = JobState::Trailing(fill),
             None => {
                 host.jobs.remove(&job);
-                out.push(Out::Finish { host: h, job });
+                out.push(ModelOutput::ResponseEnd { host: h, job });
                 self.leave_place(now, h, out);
             }
         }
     }
 
     /// A place is free: the longest waiting request gets it.
-    fn leave_place(&mut self, now: Micros, h: HostId, out: &mut Vec<Out>) {
+    fn leave_place(&mut self, now: Micros, h: HostId, out: &mut Vec<ModelOutput>) {
         self.hosts[h].busy -= 1;
-        while self.hosts[h].busy < self.hosts[h].spec.places {
+        while self.hosts[h].busy < self.hosts[h].spec.concurrency {
             let Some(job) = self.hosts[h].queue.pop_front() else {
                 break;
             };
@@ -733,23 +733,23 @@
         status: WireStatus,
         note: WireCacheStatus,
         may_have_run: bool,
-        out: &mut Vec<Out>,
+        out: &mut Vec<ModelOutput>,
     ) {
         let load = self.hosts[h].load(now, 0.0);
-        out.push(Out::Reject {
+        out.push(ModelOutput::Reject {
             host: h,
             job,
             status,
-            note,
+            cache_status: note,
             may_have_run,
             load,
         });
     }
 
-    fn cancel(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<Out>) {
+    fn cancel(&mut self, now: Micros, h: HostId, job: JobId, out: &mut Vec<ModelOutput>) {
         let host = &mut self.hosts[h];
         host.deferred
-            .retain(|i| !matches!(i, In::Arrive { job: j, .. } if *j == job));
+            .retain(|i| !matches!(i, ModelInput::Arrive { job: j, .. } if *j == job));
         let Some(found) = host.jobs.remove(&job) else {
             return;
         };
@@ -785,11 +785,11 @@
         now: Micros,
         h: HostId,
         job: JobId,
-        wanted: Wanted,
-        out: &mut Vec<Out>,
+        wanted: ModelRequest,
+        out: &mut Vec<ModelOutput>,
     ) {
-        if wanted.key_is_set() {
-            let window = self.spec.key_window;
+        if wanted.has_idempotency_key() {
+            let window = self.spec.idempotency_window;
             if self.ran.len() > PURGES {
                 self.ran.retain(|_, at| *at + window > now);
             }
@@ -797,37 +797,37 @@
                 .spec
                 .classes
                 .get(wanted.class)
-                .is_some_and(|c| c.dedupes);
+                .is_some_and(|c| c.deduplicates);
             let repeat = dedupes
                 && self
                     .ran
-                    .get(&wanted.key)
+                    .get(&wanted.idempotency_key)
                     .is_some_and(|at| now < *at + window);
             if !repeat {
-                self.ran.insert(wanted.key.clone(), now);
-                *self.effects.entry(wanted.key.clone()).or_default() += 1;
+                self.ran.insert(wanted.idempotency_key.clone(), now);
+                *self.effects.entry(wanted.idempotency_key.clone()).or_default() += 1;
             }
         }
-        let copy = (self.catalogue)(&wanted).map(|size| Copy {
-            version: self.version(wanted.number, wanted.group),
+        let copy = (self.catalogue)(&wanted).map(|size| CachedCopy {
+            version: self.current_version(wanted.object_number, wanted.group),
             size,
-            birth: now,
+            validated_at: now,
         });
         let code = if copy.is_some() { 200 } else { 404 };
-        let copy = copy.unwrap_or(Copy {
+        let copy = copy.unwrap_or(CachedCopy {
             version: 0,
             size: 0,
-            birth: now,
+            validated_at: now,
         });
         let mut answer = self.answer(now, h, WireCacheStatus::Hit, copy, &wanted);
-        answer.code = code;
+        answer.status_code = code;
         self.admit(now, h, job, wanted, answer, None, out);
     }
 }
 
-impl Wanted {
+impl ModelRequest {
     /// Work that must not run twice.
-    pub fn key_is_set(&self) -> bool {
-        !self.key.is_empty()
+    pub fn has_idempotency_key(&self) -> bool {
+        !self.idempotency_key.is_empty()
     }
 }
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -1,5 +1,5 @@
 //! The model of members: fills that are joined, die, or are crossed by a purge; an origin that tips over.
-use pointspindle_cache_model::cold::ColdSpec;
+use pointspindle_cache_model::cold::WarmUpSpec;
 use pointspindle_cache_model::*;
 use pointspindle_protocol::WireCacheStatus;
 use std::sync::Arc;
@@ -16,38 +16,38 @@
         role,
         zone,
         weight: 4.0,
-        places: 8,
+        concurrency: 8,
         queue: 4,
-        thrash: 0.0,
+        crowding_loss: 0.0,
         store_bytes: 1 << 20,
-        fill_places: 8,
+        fill_concurrency: 8,
         fill_timeout: 500 * MS,
         fill_retries: 0,
         abort_fill: false,
-        joins: true,
-        cold: ColdSpec {
-            start_share: 0.25,
-            warm_within: 10_000 * MS,
-            multiple: 2.0,
-            window: 1_000 * MS,
+        coalesces_fills: true,
+        warm_up: WarmUpSpec {
+            initial_share: 0.25,
+            duration: 10_000 * MS,
+            overload_factor: 2.0,
+            overload_window: 1_000 * MS,
         },
-        think: 0,
-        report_every: 100 * MS,
-        pause_every: 0,
+        service_time: 0,
+        load_report_interval: 100 * MS,
+        pause_interval: 0,
         pause: 0,
-        fall_multiple: if role == Role::Origin { 2.0 } else { 0.0 },
-        fall_window: 1_000 * MS,
-        fall_down: 3_000 * MS,
+        overload_multiple: if role == Role::Origin { 2.0 } else { 0.0 },
+        overload_window: 1_000 * MS,
+        overload_downtime: 3_000 * MS,
     }
 }
 
 /// A world whose fills are carried by hand, or passed on at once.
 struct Stage {
-    world: World,
+    world: CacheModel,
     now: u64,
     next: u64,
     /// Fills that wait for their source: at whom, number, source, what.
-    fills: Vec<(HostId, FillId, String, Wanted)>,
+    fills: Vec<(HostId, FillId, String, ModelRequest)>,
     /// What each request came to.
     ends: Vec<(JobId, String)>,
 }
@@ -56,10 +56,10 @@
     fn new() -> Self {
         let class = ClassModel {
             name: "page".into(),
-            fresh: 10_000 * MS,
-            mean: 100 * MS,
+            freshness_lifetime: 10_000 * MS,
+            mean_transfer_time: 100 * MS,
             uncacheable: false,
-            dedupes: false,
+            deduplicates: false,
         };
         let zones = vec![
             ZoneSpec {
@@ -71,19 +71,19 @@
                 link: 0.0,
             },
         ];
-        let spec = WorldSpec {
+        let spec = CacheModelSettings {
             classes: vec![class],
             zones,
-            flow: 1e6,
-            fill_pace: 2.0,
-            key_window: 2_000 * MS,
+            bytes_per_s: 1e6,
+            fill_speedup: 2.0,
+            idempotency_window: 2_000 * MS,
         };
         let hosts = vec![
             host("c", Role::Cache, 0),
             host("p", Role::Parent, 1),
             host("o", Role::Origin, 1),
         ];
-        let world = World::new(spec, hosts, Box::new(|_| Some(100_000)), 1);
+        let world = CacheModel::new(spec, hosts, Box::new(|_| Some(100_000)), 1);
         Self {
             world,
             now: T0,
@@ -93,31 +93,31 @@
         }
     }
 
-    fn tell(&mut self, input: In) {
+    fn tell(&mut self, input: ModelInput) {
         let mut out = vec![];
         self.world.handle(self.now, input, &mut out);
         for wish in out {
             match wish {
-                Out::Start { job, answer, .. } => {
+                ModelOutput::ResponseStart { job, response: answer, .. } => {
                     self.ends.push((
                         job,
-                        format!("start {:?} v{}", answer.note, answer.copy.version),
+                        format!("start {:?} v{}", answer.cache_status, answer.copy.version),
                     ));
                 }
-                Out::Finish { job, .. } => self.ends.push((job, "finish".into())),
-                Out::Reject {
-                    job, status, note, ..
+                ModelOutput::ResponseEnd { job, .. } => self.ends.push((job, "finish".into())),
+                ModelOutput::Reject {
+                    job, status, cache_status: note, ..
                 } => self.ends.push((job, format!("{status:?} {note:?}"))),
-                Out::Cut { job, .. } => self.ends.push((job, "cut".into())),
-                Out::Fill {
+                ModelOutput::Disconnect { job, .. } => self.ends.push((job, "cut".into())),
+                ModelOutput::StartFill {
                     host,
                     fill,
                     source,
-                    wanted,
+                    request: wanted,
                 } => self.fills.push((host, fill, source, wanted)),
-                Out::DropFill { fill, .. } => self.fills.retain(|f| f.1 != fill),
-                Out::Down { host, why } => self.ends.push((u64::MAX, format!("down {host} {why}"))),
-                Out::Up { .. } => {}
+                ModelOutput::CancelFill { fill, .. } => self.fills.retain(|f| f.1 != fill),
+                ModelOutput::HostDown { host, reason: why } => self.ends.push((u64::MAX, format!("down {host} {why}"))),
+                ModelOutput::HostUp { .. } => {}
             }
         }
     }
@@ -125,7 +125,7 @@
     fn to(&mut self, until: u64) {
         while let Some(at) = self.world.next_timer().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(In::Tick);
+            self.tell(ModelInput::Tick);
         }
         self.now = until;
     }
@@ -134,30 +134,30 @@
         self.to(self.now + ms * MS);
     }
 
-    fn ask_as(&mut self, host: HostId, change: impl FnOnce(&mut Wanted)) -> JobId {
+    fn ask_as(&mut self, host: HostId, change: impl FnOnce(&mut ModelRequest)) -> JobId {
         self.next += 1;
-        let mut wanted = Wanted {
+        let mut wanted = ModelRequest {
             object: Arc::from("/page/a"),
-            number: 7,
+            object_number: 7,
             part: 0,
             group: 3,
             class: 0,
             source: Some("p".into()),
-            keep: 1,
-            age: 0,
-            join: true,
-            held_only: false,
-            renew: false,
-            holds: None,
-            key: Arc::from(""),
+            retention_rank: 1,
+            max_age: 0,
+            coalesce: true,
+            only_if_cached: false,
+            revalidate: false,
+            cached_version: None,
+            idempotency_key: Arc::from(""),
             trace: Arc::from(""),
             attempt: 0,
         };
         change(&mut wanted);
-        self.tell(In::Arrive {
+        self.tell(ModelInput::Arrive {
             host,
             job: self.next,
-            wanted,
+            request: wanted,
         });
         self.next
     }
@@ -169,17 +169,17 @@
     /// Carries the oldest fill to the origin and back at once, with a copy of this moment.
     fn answer_fill(&mut self) {
         let (host, fill, ..) = self.fills.remove(0);
-        let copy = Copy {
-            version: self.world.version(7, 3),
+        let copy = CachedCopy {
+            version: self.world.current_version(7, 3),
             size: 100_000,
-            birth: self.now,
+            validated_at: self.now,
         };
         let answer = filled(copy);
-        self.tell(In::SourceHead { host, fill, answer });
-        self.tell(In::SourceEnd {
+        self.tell(ModelInput::FillResponse { host, fill, response: answer });
+        self.tell(ModelInput::FillEnded {
             host,
             fill,
-            end: SourceEnd::Complete,
+            outcome: FillOutcome::Complete,
         });
     }
 
@@ -193,15 +193,15 @@
 }
 
 /// A source's answer to a fill, with this copy.
-fn filled(copy: Copy) -> Answer {
-    Answer {
-        note: WireCacheStatus::Filled,
+fn filled(copy: CachedCopy) -> ModelResponse {
+    ModelResponse {
+        cache_status: WireCacheStatus::Filled,
         copy,
         age: 0,
-        fresh_left: None,
+        freshness_left: None,
         not_modified: false,
         load: Default::default(),
-        code: 200,
+        status_code: 200,
     }
 }
 
@@ -230,10 +230,10 @@
     let mut stage = Stage::new();
     let jobs: Vec<JobId> = (0..8).map(|_| stage.ask()).collect();
     let (host, fill, ..) = stage.fills.remove(0);
-    stage.tell(In::SourceEnd {
+    stage.tell(ModelInput::FillEnded {
         host,
         fill,
-        end: SourceEnd::Unreachable,
+        outcome: FillOutcome::Unreachable,
     });
     for job in jobs {
         assert_eq!(stage.of(job), ["Error SourceUnreachable"]);
@@ -253,30 +253,30 @@
     let (host, fill, ..) = stage.fills.remove(0);
     let birth = stage.now;
     stage.pass(50);
-    stage.tell(In::Change {
+    stage.tell(ModelInput::OriginUpdate {
         object: None,
         group: 3,
     });
     let at = stage.now;
-    stage.tell(In::Purge {
+    stage.tell(ModelInput::Purge {
         host: CACHE,
         object: None,
         group: 3,
         at,
     });
-    let copy = Copy {
+    let copy = CachedCopy {
         version: 0,
         size: 100_000,
-        birth,
+        validated_at: birth,
     };
     let answer = filled(copy);
-    stage.tell(In::SourceHead { host, fill, answer });
+    stage.tell(ModelInput::FillResponse { host, fill, response: answer });
     // One that asks for nothing older than the purge does not get the old copy by joining.
-    let after = stage.ask_as(CACHE, |w| w.age = 1);
-    stage.tell(In::SourceEnd {
+    let after = stage.ask_as(CACHE, |w| w.max_age = 1);
+    stage.tell(ModelInput::FillEnded {
         host,
         fill,
-        end: SourceEnd::Complete,
+        outcome: FillOutcome::Complete,
     });
     stage.pass(300);
     assert!(stage.of(before)[0].starts_with("start"), "{:?}", stage.ends);
@@ -292,14 +292,14 @@
     // Budget of the first second: 2 x 0.25 x 4 transfers = 2 s of work, 20 requests of 0.1 s.
     for (each, falls) in [(10, false), (11, true)] {
         let mut stage = Stage::new();
-        stage.tell(In::Fault {
+        stage.tell(ModelInput::Fault {
             host: PARENT,
-            fault: Fault::Die,
+            fault: Fault::Crash,
         });
         stage.pass(1_000);
-        stage.tell(In::Fault {
+        stage.tell(ModelInput::Fault {
             host: PARENT,
-            fault: Fault::Return,
+            fault: Fault::Restart,
         });
         for _dispatcher in 0..2 {
             for _ in 0..each {
@@ -318,9 +318,9 @@
     let mut stage = Stage::new();
     // 2 x 4 transfers x 1 s = 80 requests of 0.1 s.
     for n in 0..81 {
-        stage.ask_as(ORIGIN, |w| w.number = n);
+        stage.ask_as(ORIGIN, |w| w.object_number = n);
     }
-    let late = stage.ask_as(ORIGIN, |w| w.number = 999);
+    let late = stage.ask_as(ORIGIN, |w| w.object_number = 999);
     stage.pass(2_900);
     assert!(stage.of(late).is_empty(), "it answers nothing");
     stage.pass(3_000);
@@ -335,14 +335,14 @@
     stage.pass(1_000);
     assert_eq!(stage.of(held).len(), 2);
     let until = stage.now + 1_000 * MS;
-    stage.tell(In::Fault {
+    stage.tell(ModelInput::Fault {
         host: CACHE,
         fault: Fault::Hang { until },
     });
     let (kept, given_up) = (stage.ask(), stage.ask());
     stage.pass(900);
     assert!(stage.of(kept).is_empty());
-    stage.tell(In::Cancel {
+    stage.tell(ModelInput::Cancel {
         host: CACHE,
         job: given_up,
     });
--- a/crates/cli/src/experiments.rs
+++ b/crates/cli/src/experiments.rs
@@ -1,7 +1,7 @@
 //! `pointspindle lab` beyond one run: sweeps, comparisons, hunts, and what is kept of runs.
 use crate::Failure;
-use pointspindle_audit::trace::TryId;
-use pointspindle_scenario::{self as scenario, Change};
+use pointspindle_audit::trace::ClientAttemptId;
+use pointspindle_scenario::{self as scenario, SettingOverride};
 use pointspindle_report::compare::{self, Figures, Pair};
 use pointspindle_report::sweep::{self, Cell, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
@@ -50,7 +50,7 @@
     vary: Vec<Vary>,
     /// A value in place of the scenario's, for all days.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
-    sets: Vec<Change>,
+    sets: Vec<SettingOverride>,
     /// Days, table and plot go here; days found here are not played again.
     #[arg(long)]
     out: Option<PathBuf>,
@@ -60,7 +60,7 @@
 }
 
 /// A scenario's text, checked; its changes too.
-fn text(path: &Path, sets: &[Change]) -> Result<String, Failure> {
+fn text(path: &Path, sets: &[SettingOverride]) -> Result<String, Failure> {
     scenario::load_with(path, None, sets)?;
     Ok(std::fs::read_to_string(path)?)
 }
@@ -111,10 +111,10 @@
     seeds: Seeds,
     /// A value for A; may be given several times.
     #[arg(long = "a", value_name = "SECTION.KEY=VALUE")]
-    sets_a: Vec<Change>,
+    sets_a: Vec<SettingOverride>,
     /// A value for B; may be given several times.
     #[arg(long = "b", value_name = "SECTION.KEY=VALUE")]
-    sets_b: Vec<Change>,
+    sets_b: Vec<SettingOverride>,
     /// Another build of this program that plays A; this one by default.
     #[arg(long)]
     program_a: Option<PathBuf>,
@@ -131,7 +131,7 @@
 fn way(
     path: &Path,
     seeds: &[u64],
-    sets: &[Change],
+    sets: &[SettingOverride],
     program: Option<&Path>,
     jobs: usize,
 ) -> Result<Vec<Figures>, Failure> {
@@ -273,7 +273,7 @@
     #[arg(long, default_value_t = 1)]
     from: u64,
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
-    sets: Vec<Change>,
+    sets: Vec<SettingOverride>,
     /// Where the smallest scenario that shows it goes; standard output by default.
     #[arg(long)]
     out: Option<PathBuf>,
@@ -349,7 +349,7 @@
 }
 
 pub fn explain(a: ExplainArguments) -> Result<(), Failure> {
-    let id = TryId::parse(&a.request).ok_or(format!(
+    let id = ClientAttemptId::parse(&a.request).ok_or(format!(
         "{} names no request; one is called c12.0",
         a.request
     ))?;
@@ -363,7 +363,7 @@
     let mut out = std::io::stdout().lock();
     for sight in sights {
         // A reader that has seen enough (a pager, head) is no failure.
-        if writeln!(out, "{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.saw).is_err() {
+        if writeln!(out, "{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.event).is_err() {
             break;
         }
     }
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,9 +1,9 @@
 //! `pointspindle lab fleet`: several sites and dispatchers on one day, and what they come to together.
 use crate::lab::{json, plant, print, print_rule, rule, virtually, DayArguments};
 use crate::Failure;
-use pointspindle_audit::sums::{self, AtRole, Peak, Site, Sums};
+use pointspindle_audit::sums::{self, RoleTotals, Peak, SiteService, FleetTotals};
 use pointspindle_testbed::day::{self, Outcome};
-use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::Scenario;
 use std::path::{Path, PathBuf};
 
@@ -16,7 +16,7 @@
     virtual_time: bool,
     /// Break something around unchanged dispatchers: `alone` tells each that it is the only one.
     #[arg(long, value_parser = plant)]
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     /// Leave out the second play, without what strikes a site: nothing is said of the other sites then.
     #[arg(long)]
     no_twin: bool,
@@ -50,7 +50,7 @@
     }
     let (outcome, twin) = played?;
     // Of the other play, the same seconds of the same sites.
-    let of = |o: &Outcome| sums::sums(&day, &o.service, &o.sights);
+    let of = |o: &Outcome| sums::measure_totals(&day, &o.service, &o.trace);
     let (mine, quiet) = (of(&outcome), twin.as_ref().map(of));
     let judged = sums::judge(&day, &mine, quiet.as_ref());
     if arguments.json {
@@ -73,7 +73,7 @@
         .rules
         .iter()
         .chain([&judged])
-        .any(|r| !r.breaches.is_empty());
+        .any(|r| !r.violations.is_empty());
     if broken {
         return Err(Failure::No);
     }
@@ -87,11 +87,11 @@
     folder: &Path,
 ) -> Result<(Outcome, Option<Outcome>), Failure> {
     let outcome = play(day, arguments, &folder.join("day")).await?;
-    if arguments.no_twin || day.struck_sites().is_empty() {
+    if arguments.no_twin || day.affected_sites().is_empty() {
         return Ok((outcome, None));
     }
     let twin = play(
-        &day.without_site_troubles(),
+        &day.without_site_faults(),
         arguments,
         &folder.join("twin"),
     )
@@ -111,14 +111,14 @@
     Ok(virtually(day, arguments.plant)?.0)
 }
 
-fn print_sums(mine: &Sums, quiet: Option<&Sums>) {
+fn print_sums(mine: &FleetTotals, quiet: Option<&FleetTotals>) {
     let peak = |p: &Peak, unit: &str| {
         format!(
             "{} {unit} at {} from {} dispatchers at {:.1} s",
             p.count, p.host, p.dispatchers, p.at_s
         )
     };
-    for AtRole {
+    for RoleTotals {
         role,
         under_way,
         attempts,
@@ -164,7 +164,7 @@
         mine.mean_served
     );
     for (n, site) in mine.sites.iter().enumerate() {
-        let Site {
+        let SiteService {
             name,
             struck,
             before,
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,11 +1,11 @@
 //! `pointspindle lab`: rehearse days on loopback and judge them.
 use crate::{etcd, experiments, fleet, idle, scale, watch, Failure};
-use pointspindle_audit::{fallen, Rule};
+use pointspindle_audit::{count_cold_crashes, RuleVerdict};
 use pointspindle_testbed::day::{self, Outcome};
-use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::import;
-use pointspindle_audit::trace::{trail, Sight, TryId};
-use pointspindle_scenario::{self as scenario, Change, Scenario};
+use pointspindle_audit::trace::{request_history, TraceEntry, ClientAttemptId};
+use pointspindle_scenario::{self as scenario, SettingOverride, Scenario};
 use pointspindle_simulator as simulator;
 use pointspindle_report::folder;
 use pointspindle_report::record::Run;
@@ -63,7 +63,7 @@
     seed: Option<u64>,
     /// A value in place of the scenario's, such as fleet.caches=9; may be given several times.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
-    sets: Vec<Change>,
+    sets: Vec<SettingOverride>,
     /// Scale the script to a day of this many seconds.
     #[arg(long)]
     seconds: Option<f64>,
@@ -76,7 +76,7 @@
             Some(seconds) if !(2.0..=3_600.0).contains(&seconds) => Err(Failure::CannotRun(
                 format!("--seconds {seconds}: from 2 to 3600"),
             )),
-            Some(seconds) => Ok(day.scaled(seconds)),
+            Some(seconds) => Ok(day.scaled_to(seconds)),
             None => Ok(day),
         }
     }
@@ -91,7 +91,7 @@
     json: bool,
     /// Break one rule around an unchanged dispatcher: the auditor must find it.
     #[arg(long, value_parser = plant)]
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     /// Show everything that happened to a request of the run, such as c12.0, in order.
     #[arg(long)]
     explain: Option<String>,
@@ -112,9 +112,9 @@
     folder: Option<PathBuf>,
 }
 
-pub(crate) fn plant(word: &str) -> Result<Plant, String> {
-    let words: Vec<&str> = Plant::WORDS.iter().map(|(w, _)| *w).collect();
-    let found = Plant::WORDS.iter().find(|(w, _)| *w == word);
+pub(crate) fn plant(word: &str) -> Result<InjectedFault, String> {
+    let words: Vec<&str> = InjectedFault::NAMES.iter().map(|(w, _)| *w).collect();
+    let found = InjectedFault::NAMES.iter().find(|(w, _)| *w == word);
     found
         .map(|(_, p)| *p)
         .ok_or(format!("none of {}", words.join(", ")))
@@ -199,14 +199,14 @@
         let _ = std::fs::remove_dir_all(&folder);
     }
     let outcome = outcome?;
-    explain(&arguments, &outcome.sights)?;
+    explain(&arguments, &outcome.trace)?;
     keep(&arguments, &scenario, &outcome)?;
     if arguments.json {
         println!("{}", json(&scenario, &outcome));
     } else {
         print(&outcome);
     }
-    if outcome.rules.iter().any(|r| !r.breaches.is_empty()) {
+    if outcome.rules.iter().any(|r| !r.violations.is_empty()) {
         return Err(Failure::No);
     }
     Ok(())
@@ -219,7 +219,7 @@
     let Outcome {
         service,
         rules,
-        sights,
+        trace: sights,
         ..
     } = outcome;
     let run = Run::new(
@@ -240,14 +240,14 @@
     Ok(())
 }
 
-fn explain(arguments: &RunArguments, sights: &[Sight]) -> Result<(), Failure> {
+fn explain(arguments: &RunArguments, sights: &[TraceEntry]) -> Result<(), Failure> {
     let Some(wanted) = &arguments.explain else {
         return Ok(());
     };
     let id =
-        TryId::parse(wanted).ok_or(format!("{wanted} names no request; one is called c12.0"))?;
-    for sight in trail(sights, id.call) {
-        println!("{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.saw);
+        ClientAttemptId::parse(wanted).ok_or(format!("{wanted} names no request; one is called c12.0"))?;
+    for sight in request_history(sights, id.call) {
+        println!("{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.event);
     }
     Ok(())
 }
@@ -255,24 +255,24 @@
 /// Plays a day in virtual time.
 pub(crate) fn virtually(
     scenario: &Scenario,
-    plant: Option<Plant>,
-) -> Result<(Outcome, simulator::Cost), Failure> {
-    if matches!(plant, Some(Plant::Double | Plant::Silent | Plant::Late)) {
+    plant: Option<InjectedFault>,
+) -> Result<(Outcome, simulator::RunCost), Failure> {
+    if matches!(plant, Some(InjectedFault::DuplicateAttempts | InjectedFault::DropResponses | InjectedFault::DelayResponses)) {
         let why = "this plant is a relay between sockets; leave --virtual out";
         return Err(Failure::CannotRun(why.into()));
     }
     let simulator::Outcome {
         service,
         rules,
-        sights,
+        trace: sights,
         cost,
     } = simulator::run(scenario, plant).map_err(Failure::CannotRun)?;
     Ok((
         Outcome {
             service,
             rules,
-            sights,
-            rig_late_ms: 0.0,
+            trace: sights,
+            testbed_lateness_ms: 0.0,
         },
         cost,
     ))
@@ -280,7 +280,7 @@
 
 fn play_virtual(arguments: &RunArguments, scenario: &Scenario) -> Result<(), Failure> {
     let (outcome, cost) = virtually(scenario, arguments.plant)?;
-    explain(arguments, &outcome.sights)?;
+    explain(arguments, &outcome.trace)?;
     keep(arguments, scenario, &outcome)?;
     if arguments.json {
         println!("{}", json(scenario, &outcome));
@@ -294,27 +294,27 @@
             cost.core_s * 1e6 / cost.core_calls.max(1) as f64
         );
     }
-    if outcome.rules.iter().any(|r| !r.breaches.is_empty()) {
+    if outcome.rules.iter().any(|r| !r.violations.is_empty()) {
         return Err(Failure::No);
     }
     Ok(())
 }
 
-pub(crate) fn rule(r: &Rule) -> serde_json::Value {
+pub(crate) fn rule(r: &RuleVerdict) -> serde_json::Value {
     serde_json::json!({
         "name": r.name,
-        "checked": r.checked,
-        "breaches": r.breaches.len(),
+        "checked": r.cases,
+        "breaches": r.violations.len(),
         "kinds": r.kinds().into_iter().collect::<std::collections::BTreeMap<_, _>>(),
-        "first": r.breaches.iter().take(5).collect::<Vec<_>>(),
-        "unknowing": r.unknowing.len(),
+        "first": r.violations.iter().take(5).collect::<Vec<_>>(),
+        "unknowing": r.undetectable.len(),
     })
 }
 
 pub(crate) fn json(scenario: &Scenario, outcome: &Outcome) -> serde_json::Value {
     let s = &outcome.service;
     let (neighbours, parents) =
-        Run::new(scenario, &[], true, s, &outcome.rules, &outcome.sights).aftermath();
+        Run::new(scenario, &[], true, s, &outcome.rules, &outcome.trace).aftermath();
     serde_json::json!({
         "scenario": scenario.name,
         "seed": scenario.seed,
@@ -325,10 +325,10 @@
         "classes": s.classes,
         "tries": s.tries,
         "attempts": s.attempts,
-        "fallen": fallen(&outcome.sights),
+        "fallen": count_cold_crashes(&outcome.trace),
         "neighbours": neighbours,
         "parents": parents,
-        "rig_late_ms": outcome.rig_late_ms,
+        "rig_late_ms": outcome.testbed_lateness_ms,
         "rules": outcome.rules.iter().map(rule).collect::<Vec<_>>(),
     })
 }
@@ -337,7 +337,7 @@
     let s = &outcome.service;
     println!(
         "service {:.3} (worst 10 s {:.3}, from {:.0} s; goal {:.3}), {} tries, {} attempts, rig at most {:.0} ms late",
-        s.service, s.worst_10s, s.worst_from_s, s.goal, s.tries, s.attempts, outcome.rig_late_ms
+        s.service, s.worst_10s, s.worst_from_s, s.goal, s.tries, s.attempts, outcome.testbed_lateness_ms
     );
     for c in &s.classes {
         println!(
@@ -358,7 +358,7 @@
     outcome.rules.iter().for_each(print_rule);
 }
 
-pub(crate) fn print_rule(r: &Rule) {
+pub(crate) fn print_rule(r: &RuleVerdict) {
     let kinds: Vec<String> = r
         .kinds()
         .iter()
@@ -371,16 +371,16 @@
     };
     println!(
         "  rule {:<8} {broken}; {} checked: {}",
-        r.name, r.checked, r.about
+        r.name, r.cases, r.description
     );
-    if !r.unknowing.is_empty() {
+    if !r.undetectable.is_empty() {
         println!(
             "    {} times by dispatchers that had not been told; first {}",
-            r.unknowing.len(),
-            r.unknowing[0].detail
+            r.undetectable.len(),
+            r.undetectable[0].detail
         );
     }
-    for b in r.breaches.iter().take(3) {
+    for b in r.violations.iter().take(3) {
         let request = b.request.as_deref().unwrap_or("-");
         println!("    at {:.0} ms, {request}: {}", b.at_ms, b.detail);
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -95,7 +95,7 @@
 /// Settings and members of a first try, all on loopback.
 async fn embedded(
     port: u16,
-) -> Result<(DispatcherSettings, pointspindle_testbed::sockets::Stage), Failure> {
+) -> Result<(DispatcherSettings, pointspindle_testbed::sockets::EmulatedHosts), Failure> {
     let (stage, members) = demo::start(["lesson-video", "test-page"], ["hub", "branch"]).await?;
     let mut text = format!(
         "[dispatcher]\nname = first-try\nzone = branch\nnumber = 0\n\
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -1,8 +1,8 @@
 //! `pointspindle lab watch`: a day on the terminal as it goes.
 use crate::Failure;
 use pointspindle_testbed::day;
-use pointspindle_audit::trace::{Recorder, Saw, Sight};
-use pointspindle_scenario::{self as scenario, Change, Scenario};
+use pointspindle_audit::trace::{Recorder, TraceEvent, TraceEntry};
+use pointspindle_scenario::{self as scenario, SettingOverride, Scenario};
 use pointspindle_simulator as simulator;
 use pointspindle_report::terminal::draw;
 use pointspindle_report::watch::View;
@@ -23,7 +23,7 @@
     seed: Option<u64>,
     /// A value in place of the scenario's, such as fleet.caches=9; may be given several times.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
-    sets: Vec<Change>,
+    sets: Vec<SettingOverride>,
     /// Seconds of the day in a second, in virtual time; + and - change it.
     #[arg(long, default_value_t = 2.0, value_parser = pace)]
     pace: f64,
@@ -53,22 +53,22 @@
     }
     let played = simulator::run(&scenario, None).map_err(Failure::CannotRun)?;
     let mut terminal = ratatui::init();
-    let shown = replay(&mut terminal, &scenario, &played.sights, a.pace);
+    let shown = replay(&mut terminal, &scenario, &played.trace, a.pace);
     ratatui::restore();
     shown?;
     broken(&played.rules)
 }
 
-fn broken(rules: &[pointspindle_audit::Rule]) -> Result<(), Failure> {
+fn broken(rules: &[pointspindle_audit::RuleVerdict]) -> Result<(), Failure> {
     for rule in rules {
         println!(
             "{}: {} cases, {} breaches",
             rule.name,
-            rule.checked,
-            rule.breaches.len()
+            rule.cases,
+            rule.violations.len()
         );
     }
-    if rules.iter().any(|r| !r.breaches.is_empty()) {
+    if rules.iter().any(|r| !r.violations.is_empty()) {
         return Err(Failure::No);
     }
     Ok(())
@@ -105,7 +105,7 @@
 fn replay(
     terminal: &mut DefaultTerminal,
     scenario: &Scenario,
-    sights: &[Sight],
+    sights: &[TraceEntry],
     mut pace: f64,
 ) -> std::io::Result<()> {
     let mut view = View::new(scenario);
@@ -180,16 +180,16 @@
     let mut view = View::new(scenario);
     let (mut known, mut began) = (0, None);
     while !over() {
-        let news = recorder.since(known);
+        let news = recorder.entries_since(known);
         known += news.len();
         for sight in news {
             // The day begins with its first request.
-            if began.is_none() && matches!(sight.saw, Saw::Asked { .. }) {
+            if began.is_none() && matches!(sight.event, TraceEvent::RequestSent { .. }) {
                 began = Some(sight.at);
             }
-            view.take(&Sight {
+            view.take(&TraceEntry {
                 at: sight.at.saturating_sub(began.unwrap_or(sight.at)),
-                saw: sight.saw,
+                event: sight.event,
             });
         }
         if let Some(began) = began {
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -2,7 +2,7 @@
 //! cut hold back by themselves what a purge might have struck; and an operator is told when one is in force everywhere.
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
-use pointspindle_etcd_emulator::StandIn;
+use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
@@ -166,7 +166,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn who_cannot_prove_that_purges_are_known_holds_back_by_itself() {
-    let store = StandIn::new(None);
+    let store = EtcdEmulator::new(None);
     let etcd = store.listen().await.unwrap();
     let access = Access {
         endpoints: vec![format!("http://{etcd}")],
@@ -193,7 +193,7 @@
     until("proven", &d, &mut ages, |age| age > HALF).await;
 
     // Cut off in silence: no connection breaks, nothing more is said.
-    store.fault(|f| f.silent = true);
+    store.set_faults(|f| f.silent = true);
     until("cut", &d, &mut ages, |age| age > 0 && age <= HALF).await;
     let spared = d.get("/spared/1").await;
     assert!(spared.starts_with("HTTP/1.1 200"), "{spared}");
@@ -201,13 +201,13 @@
         ages.recv().await.unwrap().1 > HALF,
         "by the operator's word"
     );
-    store.fault(|f| f.silent = false);
+    store.set_faults(|f| f.silent = false);
     until("back", &d, &mut ages, |age| age > HALF).await;
 
     // Stopped for longer than its proof holds, and cut off meanwhile: the first request after is held back.
     let mut first = TcpStream::connect(d.http).await.unwrap();
     d.signal("-STOP");
-    store.fault(|f| f.silent = true);
+    store.set_faults(|f| f.silent = true);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     ask(&mut first, "/page/woken").await;
     d.signal("-CONT");
@@ -230,7 +230,7 @@
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let (_, age) = ages.recv().await.unwrap();
     assert!(age > 0 && age <= HALF, "{age}");
-    store.fault(|f| f.silent = false);
+    store.set_faults(|f| f.silent = false);
     until("late-back", &late, &mut ages, |age| age > HALF).await;
 
     // The operator is told when it is in force everywhere; and where one promises nothing, that.
--- a/crates/etcd-emulator/src/lib.rs
+++ b/crates/etcd-emulator/src/lib.rs
@@ -6,7 +6,7 @@
 pub mod traffic;
 mod watches;
 
-pub use store::{Refused, Store};
+pub use store::{RequestError, Store};
 
 use futures_util::StreamExt;
 use pointspindle::Micros;
@@ -58,17 +58,17 @@
 
 /// Clones are the same cluster.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct EtcdEmulator {
     inner: Arc<Inner>,
 }
 
-impl std::fmt::Debug for StandIn {
+impl std::fmt::Debug for EtcdEmulator {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("StandIn")
     }
 }
 
-impl StandIn {
+impl EtcdEmulator {
     /// `user`: name and password without which nothing is answered.
     pub fn new(user: Option<(String, String)>) -> Self {
         let inner = Inner {
@@ -140,11 +140,11 @@
         done
     }
 
-    pub fn look<T>(&self, look: impl FnOnce(&Store) -> T) -> T {
+    pub fn inspect<T>(&self, look: impl FnOnce(&Store) -> T) -> T {
         look(&self.store())
     }
 
-    pub fn fault(&self, change: impl FnOnce(&mut Faults)) {
+    pub fn set_faults(&self, change: impl FnOnce(&mut Faults)) {
         self.inner.faults.send_modify(change);
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Goes back to an older revision, as another cluster; streams break.
-    pub fn restore(&self, revision: i64) -> Result<(), Refused> {
+    pub fn restore(&self, revision: i64) -> Result<(), RequestError> {
         let cluster = 0x5e7d_0000 + (self.now() & 0xffff) + 2;
         let done = self.change(|store, _| store.restore(revision, cluster));
         self.drop_streams();
@@ -189,20 +189,20 @@
     }
 }
 
-fn refused(why: Refused) -> Status {
+fn refused(why: RequestError) -> Status {
     match why {
-        Refused::Compacted => {
+        RequestError::Compacted => {
             Status::out_of_range("etcdserver: mvcc: required revision has been compacted")
         }
-        Refused::FutureRevision => {
+        RequestError::FutureRevision => {
             Status::out_of_range("etcdserver: mvcc: required revision is a future revision")
         }
-        Refused::NoLease => Status::not_found("etcdserver: requested lease not found"),
+        RequestError::NoLease => Status::not_found("etcdserver: requested lease not found"),
     }
 }
 
 #[tonic::async_trait]
-impl KV for StandIn {
+impl KV for EtcdEmulator {
     async fn range(
         &self,
         request: Request<RangeRequest>,
@@ -283,7 +283,7 @@
         self.change(|store, _| store.compact(request.get_ref().revision))
             .map_err(refused)?;
         Ok(Response::new(CompactionResponse {
-            header: Some(self.look(Store::header)),
+            header: Some(self.inspect(Store::header)),
         }))
     }
 }
@@ -291,7 +291,7 @@
 type Answers<T> = Pin<Box<dyn futures_util::Stream<Item = Result<T, Status>> + Send>>;
 
 #[tonic::async_trait]
-impl Lease for StandIn {
+impl Lease for EtcdEmulator {
     async fn lease_grant(
         &self,
         request: Request<LeaseGrantRequest>,
@@ -299,7 +299,7 @@
         self.admit(request.metadata()).await?;
         let ttl = request.get_ref().ttl;
         let id = self.change(|store, now| store.grant(now, ttl));
-        let (header, error) = (Some(self.look(Store::header)), String::new());
+        let (header, error) = (Some(self.inspect(Store::header)), String::new());
         let answer = LeaseGrantResponse {
             header,
             id,
@@ -320,7 +320,7 @@
         self.change(|store, _| store.revoke(request.get_ref().id))
             .map_err(refused)?;
         Ok(Response::new(LeaseRevokeResponse {
-            header: Some(self.look(Store::header)),
+            header: Some(self.inspect(Store::header)),
         }))
     }
 
@@ -337,7 +337,7 @@
             let id = question.id;
             let ttl = etcd.change(|store, now| store.keep_alive(now, id));
             let answer = LeaseKeepAliveResponse {
-                header: Some(etcd.look(Store::header)),
+                header: Some(etcd.inspect(Store::header)),
                 id,
                 ttl,
             };
@@ -349,7 +349,7 @@
 }
 
 #[tonic::async_trait]
-impl Auth for StandIn {
+impl Auth for EtcdEmulator {
     async fn authenticate(
         &self,
         request: Request<AuthenticateRequest>,
@@ -357,7 +357,7 @@
         let asked = request.into_inner();
         match &self.inner.user {
             Some((name, password)) if *name == asked.name && *password == asked.password => {
-                let (header, token) = (Some(self.look(Store::header)), format!("{name}.token"));
+                let (header, token) = (Some(self.inspect(Store::header)), format!("{name}.token"));
                 Ok(Response::new(AuthenticateResponse { header, token }))
             }
             Some(_) => Err(Status::invalid_argument(
--- a/crates/etcd-emulator/src/measure.rs
+++ b/crates/etcd-emulator/src/measure.rs
@@ -1,5 +1,5 @@
 //! How late dispatchers learn of what is written, by a stand-in whose streams break; and what a large view costs to read anew.
-use super::StandIn;
+use super::EtcdEmulator;
 use hdrhistogram::Histogram;
 use pointspindle_etcd::layout::{purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::proto::*;
@@ -60,7 +60,7 @@
 }
 
 pub async fn measure(plan: Plan) -> Result<Figures, String> {
-    let stand_in = StandIn::new(None);
+    let stand_in = EtcdEmulator::new(None);
     let endpoint = format!(
         "http://{}",
         stand_in.listen().await.map_err(|e| e.to_string())?
@@ -148,7 +148,7 @@
         }
     }
     // All history goes while everybody is away, and somebody writes meanwhile.
-    stand_in.fault(|f| f.away = true);
+    stand_in.set_faults(|f| f.away = true);
     tokio::time::sleep(Duration::from_millis(100)).await;
     stand_in.change(|store, _| {
         for n in 0..3 {
@@ -164,7 +164,7 @@
         .map(|e| e.lock().unwrap_or_else(|p| p.into_inner()).gaps.len())
         .collect();
     let back = Instant::now();
-    stand_in.fault(|f| f.away = false);
+    stand_in.set_faults(|f| f.away = false);
     let mut mark = marks.into_iter();
     let marks: HashMap<usize, usize> = heard
         .iter()
@@ -234,7 +234,7 @@
     }
 }
 
-fn fill(stand_in: &StandIn, plan: Plan) {
+fn fill(stand_in: &EtcdEmulator, plan: Plan) {
     let member = |n: usize| {
         let record = MemberRecord {
             state: State::Ready,
--- a/crates/etcd-emulator/src/store.rs
+++ b/crates/etcd-emulator/src/store.rs
@@ -8,7 +8,7 @@
 
 /// What etcd refuses, in its own words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum RequestError {
     Compacted,
     FutureRevision,
     NoLease,
@@ -75,12 +75,12 @@
     }
 
     /// The keys as they were at a revision: what came after is taken back.
-    fn at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, Refused> {
+    fn at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, RequestError> {
         if revision > self.revision {
-            return Err(Refused::FutureRevision);
+            return Err(RequestError::FutureRevision);
         }
         if revision < self.compacted {
-            return Err(Refused::Compacted);
+            return Err(RequestError::Compacted);
         }
         let mut keys = self.keys.clone();
         for event in self
@@ -98,7 +98,7 @@
         Ok(keys)
     }
 
-    pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, Refused> {
+    pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, RequestError> {
         let old = match request.revision {
             0 => None,
             revision => Some(self.at(revision)?),
@@ -149,7 +149,7 @@
         }
     }
 
-    pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, Refused> {
+    pub fn txn(&mut self, request: &TxnRequest) -> Result<TxnResponse, RequestError> {
         let succeeded = request.compare.iter().all(|c| self.holds(c));
         let operations = if succeeded {
             &request.success
@@ -159,7 +159,7 @@
         for operation in operations {
             if let Some(request_op::Request::Put(put)) = &operation.request {
                 if put.lease != 0 && !self.leases.contains_key(&put.lease) {
-                    return Err(Refused::NoLease);
+                    return Err(RequestError::NoLease);
                 }
             }
         }
@@ -254,12 +254,12 @@
     }
 
     /// History up to this revision, which is kept itself, is forgotten.
-    pub fn compact(&mut self, revision: i64) -> Result<(), Refused> {
+    pub fn compact(&mut self, revision: i64) -> Result<(), RequestError> {
         if revision > self.revision {
-            return Err(Refused::FutureRevision);
+            return Err(RequestError::FutureRevision);
         }
         if revision <= self.compacted {
-            return Err(Refused::Compacted);
+            return Err(RequestError::Compacted);
         }
         self.compacted = revision;
         self.log = self.log.split_off(&(revision + 1));
@@ -267,7 +267,7 @@
     }
 
     /// The cluster is restored from a copy of that revision, as another cluster.
-    pub fn restore(&mut self, revision: i64, cluster: u64) -> Result<(), Refused> {
+    pub fn restore(&mut self, revision: i64, cluster: u64) -> Result<(), RequestError> {
         self.keys = self.at(revision)?;
         self.log.split_off(&(revision + 1));
         // Those of later are not in the copy.
@@ -281,9 +281,9 @@
     }
 
     /// Events of the watched keys from a revision on, by revision; or that they are not kept any more.
-    pub fn since(&self, from: i64, key: &[u8], end: &[u8]) -> Result<Vec<Event>, Refused> {
+    pub fn since(&self, from: i64, key: &[u8], end: &[u8]) -> Result<Vec<Event>, RequestError> {
         if from <= self.compacted {
-            return Err(Refused::Compacted);
+            return Err(RequestError::Compacted);
         }
         let events = self.log.range(from..).flat_map(|(_, events)| events);
         let mine = |e: &&Event| e.kv.as_ref().is_some_and(|kv| within(&kv.key, key, end));
@@ -314,8 +314,8 @@
         })
     }
 
-    pub fn revoke(&mut self, id: i64) -> Result<(), Refused> {
-        let lease = self.leases.remove(&id).ok_or(Refused::NoLease)?;
+    pub fn revoke(&mut self, id: i64) -> Result<(), RequestError> {
+        let lease = self.leases.remove(&id).ok_or(RequestError::NoLease)?;
         let revision = self.revision + 1;
         let events = lease
             .keys
--- a/crates/etcd-emulator/src/watches.rs
+++ b/crates/etcd-emulator/src/watches.rs
@@ -1,5 +1,5 @@
 //! Streams of watches: each sends whole revisions in order from where it was asked to, cut into fragments where it takes them.
-use super::{Answers, Refused, StandIn, Store};
+use super::{Answers, RequestError, EtcdEmulator, Store};
 use pointspindle_etcd::client::stubs::watch_server::Watch;
 use pointspindle_etcd::proto::*;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 
 /// A stream of one client.
 struct Line {
-    etcd: StandIn,
+    etcd: EtcdEmulator,
     watches: BTreeMap<i64, Watched>,
     next_id: i64,
     wants_leader: bool,
@@ -28,7 +28,7 @@
 struct Over;
 
 #[tonic::async_trait]
-impl Watch for StandIn {
+impl Watch for EtcdEmulator {
     type WatchStream = Answers<WatchResponse>;
 
     async fn watch(
@@ -109,7 +109,7 @@
         self.etcd.inner.traffic.asked(&asked);
         match asked.request {
             Some(watch_request::Request::Create(create)) => {
-                let (header, compacted) = self.etcd.look(|s| (s.header(), s.compacted()));
+                let (header, compacted) = self.etcd.inspect(|s| (s.header(), s.compacted()));
                 let id = self.next_id;
                 self.next_id += 1;
                 let from = if create.start_revision > 0 {
@@ -132,7 +132,7 @@
             }
             Some(watch_request::Request::Cancel(cancel)) => {
                 self.watches.remove(&cancel.watch_id);
-                let (header, watch_id) = (Some(self.etcd.look(Store::header)), cancel.watch_id);
+                let (header, watch_id) = (Some(self.etcd.inspect(Store::header)), cancel.watch_id);
                 self.say(WatchResponse {
                     header,
                     watch_id,
@@ -143,7 +143,7 @@
             }
             Some(watch_request::Request::Progress(_)) => {
                 self.send_all().await?;
-                let header = self.etcd.look(Store::header);
+                let header = self.etcd.inspect(Store::header);
                 // Only when everything up to the header's revision has been sent.
                 if self.watches.values().all(|w| w.from > header.revision) {
                     let answer = WatchResponse {
@@ -162,7 +162,7 @@
     async fn lost(&mut self, id: i64, compacted: i64) -> Result<(), Over> {
         self.watches.remove(&id);
         let answer = WatchResponse {
-            header: Some(self.etcd.look(Store::header)),
+            header: Some(self.etcd.inspect(Store::header)),
             watch_id: id,
             canceled: true,
             compact_revision: compacted,
@@ -179,14 +179,14 @@
                 continue;
             };
             let (from, create) = (watched.from, watched.create.clone());
-            let (events, header, compacted) = self.etcd.look(|s| {
+            let (events, header, compacted) = self.etcd.inspect(|s| {
                 let events = s.since(from, &create.key, &create.range_end);
                 (events, s.header(), s.compacted())
             });
             let events = match events {
                 Ok(events) => events,
                 // Compacted away before it could be sent.
-                Err(Refused::Compacted) if from <= header.revision => {
+                Err(RequestError::Compacted) if from <= header.revision => {
                     self.lost(id, compacted).await?;
                     continue;
                 }
--- a/crates/etcd-emulator/tests/etcd.rs
+++ b/crates/etcd-emulator/tests/etcd.rs
@@ -5,7 +5,7 @@
 use pointspindle_etcd::{
     feed, writer, Access, Etcd, EtcdError, Output, View, Watcher, WatcherSettings,
 };
-use pointspindle_etcd_emulator::StandIn;
+use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -64,11 +64,11 @@
 }
 
 /// The members as the store has them.
-fn truth(stand_in: &StandIn) -> BTreeMap<String, WireEndpointState> {
+fn truth(stand_in: &EtcdEmulator) -> BTreeMap<String, WireEndpointState> {
     let key = layout::member_key(PREFIX, "").into_bytes();
     let range_end = pointspindle_etcd::client::prefix_end(&key);
     let read = stand_in
-        .look(|s| {
+        .inspect(|s| {
             s.range(&RangeRequest {
                 key,
                 range_end,
@@ -123,7 +123,7 @@
         .unwrap_or(60);
     let seed = 5;
     let mut dice = StdRng::seed_from_u64(seed);
-    let stand_in = StandIn::new(None);
+    let stand_in = EtcdEmulator::new(None);
     let at = stand_in.listen().await.unwrap();
     let client = Etcd::new(&access(at), Duration::from_secs(5)).unwrap();
     let heard = follow(
@@ -141,10 +141,10 @@
                     drops += 1;
                 }
                 4..=5 => stand_in.compact(),
-                6 => stand_in.fault(|f| f.fragment = 1),
-                7 => stand_in.fault(|f| (f.fragment, f.cut_fragments) = (1, true)),
-                8 => stand_in.fault(|f| f.no_leader = true),
-                _ => stand_in.fault(|f| f.delay = Duration::from_millis(3)),
+                6 => stand_in.set_faults(|f| f.fragment = 1),
+                7 => stand_in.set_faults(|f| (f.fragment, f.cut_fragments) = (1, true)),
+                8 => stand_in.set_faults(|f| f.no_leader = true),
+                _ => stand_in.set_faults(|f| f.delay = Duration::from_millis(3)),
             }
             faults += 1;
             for _ in 0..dice.gen_range(0..6) {
@@ -180,21 +180,21 @@
         }
         if dice.gen_bool(0.1) {
             // Half-open: everything stays connected and nothing comes.
-            stand_in.fault(|f| f.silent = true);
+            stand_in.set_faults(|f| f.silent = true);
             tokio::time::sleep(Duration::from_millis(dice.gen_range(10..400))).await;
         }
         if dice.gen_bool(0.1) {
-            stand_in.fault(|f| f.away = true);
+            stand_in.set_faults(|f| f.away = true);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         if dice.gen_bool(0.1) {
-            let (newest, compacted) = stand_in.look(|s| (s.revision(), s.compacted()));
+            let (newest, compacted) = stand_in.inspect(|s| (s.revision(), s.compacted()));
             stand_in
                 .restore(dice.gen_range(compacted.max(1)..=newest))
                 .unwrap();
             restores += 1;
         }
-        stand_in.fault(|f| *f = Default::default());
+        stand_in.set_faults(|f| *f = Default::default());
         until(&format!("seed {seed}, round {round}: the list"), || {
             let heard = heard.lock().unwrap();
             heard.view == Some(View::Current) && heard.list == truth(&stand_in)
@@ -219,11 +219,11 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_dispatcher_is_counted_while_it_keeps_its_lease_and_anew_after_a_restored_cluster() {
-    let stand_in = StandIn::new(None);
+    let stand_in = EtcdEmulator::new(None);
     let at = stand_in.listen().await.unwrap();
     let etcd = Etcd::new(&access(at), Duration::from_secs(2)).unwrap();
     let heard = follow(etcd.clone(), 1);
-    let (empty, zone) = (stand_in.look(|s| s.revision()), "b".to_owned());
+    let (empty, zone) = (stand_in.inspect(|s| s.revision()), "b".to_owned());
     let going = Arc::new(std::sync::atomic::AtomicBool::new(true));
     let told = going.clone();
     let registered = writer::register(
@@ -255,7 +255,7 @@
 async fn who_has_no_password_is_turned_away_and_large_views_come_page_by_page() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("password");
-    let stand_in = StandIn::new(Some(("edge".into(), "open sesame".into())));
+    let stand_in = EtcdEmulator::new(Some(("edge".into(), "open sesame".into())));
     let at = stand_in.listen().await.unwrap();
     let nobody = Etcd::new(&access(at), Duration::from_secs(2)).unwrap();
     let told = nobody.snapshot(PREFIX).await.unwrap_err().to_string();
--- a/crates/fleet-model/src/control_plane.rs
+++ b/crates/fleet-model/src/control_plane.rs
@@ -1,11 +1,11 @@
 //! The source of lists and purges: what is true, and what each dispatcher is told of it when.
 //!
 //! Each dispatcher hears of every change in order, each after a delay of its own.
-use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_cache_model::{HostId, HostSpec};
-use pointspindle_audit::trace::Saw;
-use pointspindle_scenario::script::Listed;
-use pointspindle_scenario::{stream, RulesDay};
+use pointspindle_audit::trace::TraceEvent;
+use pointspindle_scenario::script::ListedState;
+use pointspindle_scenario::{derive_seed, RuleLimits};
 use pointspindle::Micros;
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
@@ -16,21 +16,21 @@
 
 /// A member's line at the moment of a change.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct ListedEndpoint {
     pub host: HostId,
     pub address: String,
-    pub listed: Listed,
-    pub start: u64,
+    pub state: ListedState,
+    pub incarnation: u64,
     /// None: long ago.
-    pub started: Option<Micros>,
+    pub started_at: Option<Micros>,
 }
 
 /// What a dispatcher is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum ControlUpdate {
     /// Changed lines, and the number of the list.
-    Delta(u64, Vec<Line>),
-    Full(u64, Vec<Line>),
+    Delta(u64, Vec<ListedEndpoint>),
+    Full(u64, Vec<ListedEndpoint>),
     /// An object, or a whole group, and when it was purged.
     Purge {
         object: Option<String>,
@@ -42,29 +42,29 @@
 #[derive(Debug, Default)]
 struct Ear {
     seq: u64,
-    waiting: VecDeque<(Micros, Told)>,
+    waiting: VecDeque<(Micros, ControlUpdate)>,
     /// Down: nothing can be told.
     deaf: bool,
 }
 
 #[derive(Debug)]
-pub struct Book {
-    rules: RulesDay,
-    lines: Vec<Line>,
+pub struct ControlPlane {
+    rules: RuleLimits,
+    lines: Vec<ListedEndpoint>,
     ears: Vec<Ear>,
     purges: VecDeque<(Micros, Option<String>, u64)>,
     more: (Micros, Micros),
     rng: StdRng,
 }
 
-impl Book {
-    pub fn new(rules: RulesDay, hosts: &[HostSpec], dispatchers: usize, seed: u64) -> Self {
-        let line = |(host, spec): (HostId, &HostSpec)| Line {
+impl ControlPlane {
+    pub fn new(rules: RuleLimits, hosts: &[HostSpec], dispatchers: usize, seed: u64) -> Self {
+        let line = |(host, spec): (HostId, &HostSpec)| ListedEndpoint {
             host,
             address: spec.address.clone(),
-            listed: Listed::Ready,
-            start: 1,
-            started: None,
+            state: ListedState::Ready,
+            incarnation: 1,
+            started_at: None,
         };
         Self {
             rules,
@@ -72,26 +72,26 @@
             ears: (0..dispatchers).map(|_| Ear::default()).collect(),
             purges: VecDeque::new(),
             more: (0, 0),
-            rng: StdRng::seed_from_u64(stream(seed, "book")),
+            rng: StdRng::seed_from_u64(derive_seed(seed, "book")),
         }
     }
 
     /// The line of a member under another address: a relay in front of it.
-    pub fn rename(&mut self, host: HostId, address: String) {
+    pub fn set_address(&mut self, host: HostId, address: String) {
         if let Some(line) = self.lines.iter_mut().find(|l| l.host == host) {
             line.address = address;
         }
     }
 
     /// List changes are told `more` later until then.
-    pub fn delay(&mut self, more: Micros, until: Micros) {
+    pub fn delay_updates(&mut self, more: Micros, until: Micros) {
         self.more = (more, until);
     }
 
-    pub fn change(&mut self, now: Micros, line: Line) {
+    pub fn update_endpoint(&mut self, now: Micros, line: ListedEndpoint) {
         match self.lines.iter_mut().find(|l| l.host == line.host) {
             Some(known) => {
-                *known = Line {
+                *known = ListedEndpoint {
                     address: known.address.clone(),
                     ..line.clone()
                 }
@@ -106,31 +106,31 @@
             .unwrap_or(line);
         let more = if now < self.more.1 { self.more.0 } else { 0 };
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
-            let (least, most) = self.rules.list_told;
+            let (least, most) = self.rules.endpoint_update_delay;
             let due = now + more + self.rng.gen_range(least..=most);
             // In order: a change waits for the one before it.
             let last = ear
                 .waiting
                 .iter()
                 .rev()
-                .find(|(_, t)| matches!(t, Told::Delta(..)));
+                .find(|(_, t)| matches!(t, ControlUpdate::Delta(..)));
             let due = due.max(last.map_or(0, |(at, _)| *at));
             ear.seq += 1;
-            let told = Told::Delta(ear.seq, vec![line.clone()]);
+            let told = ControlUpdate::Delta(ear.seq, vec![line.clone()]);
             ear.push(due, told);
         }
     }
 
     pub fn purge(&mut self, now: Micros, object: Option<String>, group: u64) {
         self.purges.push_back((now, object.clone(), group));
-        let keep = self.rules.purge_done + 1_000_000;
+        let keep = self.rules.purge_deadline + 1_000_000;
         self.purges.retain(|(at, ..)| at + keep > now);
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
-            let (least, most) = self.rules.purge_told;
+            let (least, most) = self.rules.purge_delay;
             let due = now + self.rng.gen_range(least..=most);
             ear.push(
                 due,
-                Told::Purge {
+                ControlUpdate::Purge {
                     object: object.clone(),
                     group,
                     at: now,
@@ -140,25 +140,25 @@
     }
 
     /// A dispatcher is down.
-    pub fn deafen(&mut self, dispatcher: usize) {
+    pub fn disconnect(&mut self, dispatcher: usize) {
         let ear = &mut self.ears[dispatcher];
         ear.deaf = true;
         ear.waiting.clear();
     }
 
     /// A dispatcher starts: the purges that may still matter at once, and the whole list.
-    pub fn hear(&mut self, now: Micros, dispatcher: usize) {
-        let lines: Vec<Line> = self
+    pub fn connect(&mut self, now: Micros, dispatcher: usize) {
+        let lines: Vec<ListedEndpoint> = self
             .lines
             .iter()
-            .filter(|l| l.listed != Listed::Gone)
+            .filter(|l| l.state != ListedState::Removed)
             .cloned()
             .collect();
         let ear = &mut self.ears[dispatcher];
         ear.deaf = false;
         ear.seq += 1;
         for (at, object, group) in &self.purges {
-            let told = Told::Purge {
+            let told = ControlUpdate::Purge {
                 object: object.clone(),
                 group: *group,
                 at: *at,
@@ -166,10 +166,10 @@
             ear.waiting.push_back((now, told));
         }
         let seq = ear.seq;
-        ear.waiting.push_back((now, Told::Full(seq, lines)));
+        ear.waiting.push_back((now, ControlUpdate::Full(seq, lines)));
     }
 
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_due(&self) -> Option<Micros> {
         self.ears
             .iter()
             .filter_map(|e| e.waiting.front().map(|(at, _)| *at))
@@ -177,7 +177,7 @@
     }
 
     /// What is to be told by now, dispatcher by dispatcher.
-    pub fn due(&mut self, now: Micros) -> Vec<(usize, Told)> {
+    pub fn take_due(&mut self, now: Micros) -> Vec<(usize, ControlUpdate)> {
         let mut out = Vec::new();
         for (dispatcher, ear) in self.ears.iter_mut().enumerate() {
             while ear.waiting.front().is_some_and(|(at, _)| *at <= now) {
@@ -192,31 +192,31 @@
 
 impl Ear {
     /// By time; what is due together stays in the order of its happening.
-    fn push(&mut self, due: Micros, told: Told) {
+    fn push(&mut self, due: Micros, told: ControlUpdate) {
         let place = self.waiting.partition_point(|(at, _)| *at <= due);
         self.waiting.insert(place, (due, told));
     }
 }
 
 /// A list update as it is sent and as it is seen; `hidden`: only claimed to have been sent.
-pub struct Update {
+pub struct ListUpdate {
     pub head: EndpointListHead,
-    pub saw: Saw,
-    pub hidden: bool,
+    pub event: TraceEvent,
+    pub withheld: bool,
 }
 
 /// Words a list update for a dispatcher. `member` tells kind, zone and weight; plants of control act here.
-pub fn update<'a>(
+pub fn list_update<'a>(
     dispatcher: usize,
     form: EndpointListForm,
     seq: u64,
-    lines: &[Line],
+    lines: &[ListedEndpoint],
     now: Micros,
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     member: impl Fn(HostId) -> Option<(&'a str, &'a str, f64)>,
-) -> Update {
+) -> ListUpdate {
     let of = |wanted: bool| -> Vec<String> {
-        let fits = |l: &&Line| (l.listed == Listed::Ready) == wanted;
+        let fits = |l: &&ListedEndpoint| (l.state == ListedState::Ready) == wanted;
         lines
             .iter()
             .filter(fits)
@@ -226,27 +226,27 @@
     let whole = form == EndpointListForm::Full;
     let starts = lines
         .iter()
-        .filter(|l| l.listed == Listed::Ready)
-        .map(|l| l.start)
+        .filter(|l| l.state == ListedState::Ready)
+        .map(|l| l.incarnation)
         .collect();
-    let saw = Saw::ToldList {
+    let saw = TraceEvent::EndpointListDelivered {
         dispatcher,
-        whole,
+        full: whole,
         ready: of(true),
-        starts,
-        out: of(false),
+        incarnations: starts,
+        not_ready: of(false),
     };
     // Claims to have told of drains and did not.
-    let hidden = plant == Some(Plant::Drain) && lines.iter().any(|l| l.listed == Listed::Draining);
-    let line = |l: &Line| {
+    let hidden = plant == Some(InjectedFault::WithholdDrain) && lines.iter().any(|l| l.state == ListedState::Draining);
+    let line = |l: &ListedEndpoint| {
         let (kind, zone, weight) = member(l.host).unwrap_or_default();
-        let state = match l.listed {
-            Listed::Ready => WireEndpointState::Ready,
-            Listed::Draining => WireEndpointState::Draining,
-            Listed::Gone => WireEndpointState::Gone,
+        let state = match l.state {
+            ListedState::Ready => WireEndpointState::Ready,
+            ListedState::Draining => WireEndpointState::Draining,
+            ListedState::Removed => WireEndpointState::Gone,
         };
         // Hides a cold start.
-        let started = l.started.filter(|_| plant != Some(Plant::Cold));
+        let started = l.started_at.filter(|_| plant != Some(InjectedFault::HideRestart));
         EndpointRecord {
             address: l.address.clone(),
             state: state as i32,
@@ -254,18 +254,18 @@
             zone: zone.into(),
             kind: kind.into(),
             cell: 0,
-            incarnation: l.start,
+            incarnation: l.incarnation,
             started_ago_us: started.map(|at| now.saturating_sub(at)),
         }
     };
     let members = lines.iter().map(line).collect();
-    Update {
+    ListUpdate {
         head: EndpointListHead {
             form: form as i32,
             seq,
             endpoints: members,
         },
-        saw,
-        hidden,
+        event: saw,
+        withheld: hidden,
     }
 }
--- a/crates/fleet-model/src/dispatcher_settings.rs
+++ b/crates/fleet-model/src/dispatcher_settings.rs
@@ -1,16 +1,16 @@
 //! The settings file of a dispatcher of the day.
-use pointspindle_scenario::{Effect, Scenario};
+use pointspindle_scenario::{Idempotency, Scenario};
 use pointspindle::Micros;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
 
 /// Of the day's keys in etcd.
-pub const PREFIX: &str = "/day";
+pub const ETCD_PREFIX: &str = "/day";
 
 /// Where one listens: port 0 at first, the same ports again after a restart.
 #[derive(Clone, Copy, Debug)]
-pub struct Doors {
+pub struct ListenAddresses {
     pub http: SocketAddr,
     pub framed: SocketAddr,
     pub control: SocketAddr,
@@ -22,10 +22,10 @@
 }
 
 /// `etcd`: an endpoint from which lists and purges come, beside the control door.
-pub fn ini(
+pub fn dispatcher_ini(
     s: &Scenario,
     dispatcher: usize,
-    doors: &Doors,
+    doors: &ListenAddresses,
     bind: &str,
     state: &Path,
     etcd: Option<&str>,
@@ -49,7 +49,7 @@
         doors.metrics,
     );
     if let Some(endpoint) = etcd {
-        let _ = write!(t, "[etcd]\nendpoints = {endpoint}\nprefix = {PREFIX}\n");
+        let _ = write!(t, "[etcd]\nendpoints = {endpoint}\nprefix = {ETCD_PREFIX}\n");
     }
     let yes = |b: bool| if b { "yes" } else { "no" };
     let _ = write!(
@@ -62,17 +62,17 @@
         yes(s.joins),
         s.max_attempts,
         s.flow / 1024.0,
-        ms(s.rules.purge_done),
+        ms(s.rules.purge_deadline),
     );
     for (name, kind) in [("cache", &s.cache), ("parent", &s.parent)] {
-        let c = kind.spec.cold;
+        let c = kind.spec.warm_up;
         let _ = write!(
             t,
             "[cold {name}]\nstart_share = {}\nwarm_within_ms = {}\nmultiple = {}\nwindow_ms = {}\n",
-            c.start_share,
-            ms(c.warm_within),
-            c.multiple,
-            ms(c.window),
+            c.initial_share,
+            ms(c.duration),
+            c.overload_factor,
+            ms(c.overload_window),
         );
     }
     for (n, zone) in zones.iter().enumerate() {
@@ -86,20 +86,20 @@
             "[class {}]\ndeadline_ms = {}\naim_ms = {}\naim_stretch = {}\nworth = {}\nfresh_ms = {}\ngrace_ms = {}\n",
             c.name,
             ms(c.deadline),
-            ms(c.aim),
-            c.aim_stretch,
-            c.worth,
-            ms(c.fresh),
-            ms(c.grace),
+            ms(c.latency_objective),
+            c.latency_objective_stretch,
+            c.priority_weight,
+            ms(c.freshness_lifetime),
+            ms(c.stale_if_error),
         );
-        let _ = match c.effect {
-            Effect::Safe => writeln!(t, "path_prefix = /{}/", c.name),
-            Effect::Keyed => write!(
+        let _ = match c.idempotency {
+            Idempotency::Idempotent => writeln!(t, "path_prefix = /{}/", c.name),
+            Idempotency::Keyed => write!(
                 t,
                 "repeat = keyed\nkey_group = all\nkey_window_ms = {}\nuncacheable = yes\n",
                 ms(s.key_window)
             ),
-            Effect::Unsafe => writeln!(t, "repeat = unsafe\nuncacheable = yes"),
+            Idempotency::NotIdempotent => writeln!(t, "repeat = unsafe\nuncacheable = yes"),
         };
     }
     t
--- a/crates/report/src/folder.rs
+++ b/crates/report/src/folder.rs
@@ -2,7 +2,7 @@
 //! build that knows the form.
 use crate::record::{Run, FORM};
 use crate::{html, ReportError};
-use pointspindle_audit::trace::{trail, Sight, TryId};
+use pointspindle_audit::trace::{request_history, TraceEntry, ClientAttemptId};
 use pointspindle_scenario::{parse_with, Scenario};
 use std::path::Path;
 
@@ -28,7 +28,7 @@
 }
 
 /// Keeps a run with its report. What sockets saw is kept too: it cannot be played again.
-pub fn keep(folder: &Path, text: &str, run: &Run, sights: &[Sight]) -> Result<(), ReportError> {
+pub fn keep(folder: &Path, text: &str, run: &Run, sights: &[TraceEntry]) -> Result<(), ReportError> {
     write(&folder.join(SCENARIO), text.as_bytes())?;
     if !run.in_virtual_time {
         let json = serde_json::to_vec(sights).expect("sights are plain data");
@@ -60,9 +60,9 @@
 }
 
 /// Everything that happened to a request, in order. A run in virtual time is played again, byte for byte.
-pub fn explain(folder: &Path, id: TryId) -> Result<Vec<Sight>, ReportError> {
+pub fn explain(folder: &Path, id: ClientAttemptId) -> Result<Vec<TraceEntry>, ReportError> {
     let run = load(folder)?;
-    let sights: Vec<Sight> = if run.in_virtual_time {
+    let sights: Vec<TraceEntry> = if run.in_virtual_time {
         let scenario = scenario(folder, &run)?;
         let (again, outcome) = Run::play(&scenario, &run.sets).map_err(ReportError::Run)?;
         if again != run {
@@ -70,7 +70,7 @@
                 "played again the day came out otherwise: it was made by another build".into(),
             ));
         }
-        outcome.sights
+        outcome.trace
     } else {
         let path = folder.join(SIGHTS);
         serde_json::from_str(&read(&path)?).map_err(|e| ReportError::Foreign {
@@ -78,7 +78,7 @@
             why: e.to_string(),
         })?
     };
-    Ok(trail(&sights, id.call).into_iter().cloned().collect())
+    Ok(request_history(&sights, id.call).into_iter().cloned().collect())
 }
 
 /// The scenario of a run, as it was played.
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -7,8 +7,8 @@
 use crate::record::Run;
 use crate::sweep::Source;
 use crate::ReportError;
-use pointspindle_scenario::script::Kind;
-use pointspindle_scenario::{parse_with, Change};
+use pointspindle_scenario::script::FaultKind;
+use pointspindle_scenario::{parse_with, SettingOverride};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use rayon::prelude::*;
@@ -54,7 +54,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trouble {
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub at_s: f64,
     pub for_s: f64,
     pub down_s: f64,
@@ -76,22 +76,22 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let count = rng.gen_range(1..=4);
     let one = |rng: &mut StdRng| {
-        let kinds: Vec<Kind> = Kind::WORDS
+        let kinds: Vec<FaultKind> = FaultKind::WORDS
             .iter()
             .map(|(_, kind)| *kind)
-            .filter(|kind| !kind.needs_shell() && !kind.needs_fleet())
+            .filter(|kind| !kind.requires_simulated_network() && !kind.requires_processes())
             .collect();
         let kind = kinds[rng.gen_range(0..kinds.len())];
         let at_s = rng.gen_range(0.15..0.7) * seconds;
         let role = if rng.gen_bool(0.2) { "parent" } else { "cache" };
-        let hard = kind.usual_hard() * rng.gen_range(0.5..1.5);
+        let hard = kind.default_severity() * rng.gen_range(0.5..1.5);
         Trouble {
             kind,
             at_s,
             for_s: rng.gen_range(0.05..0.3) * seconds,
             down_s: rng.gen_range(0.2..4.0),
             share: rng.gen_range(0.1..1.0),
-            hard: if matches!(kind, Kind::Lose | Kind::Cut | Kind::Errors) {
+            hard: if matches!(kind, FaultKind::DropResponses | FaultKind::TruncateResponses | FaultKind::FailRequests) {
                 hard.min(1.0)
             } else {
                 hard
@@ -119,7 +119,7 @@
         let _ = write!(
             out,
             "\n[trouble found-{}]\nkind = {}\nat_s = {:.3}\nfor_s = {:.3}\ndown_s = {:.3}\nshare = {:.3}\nhard = {:.3}\nrole = {}\n",
-            n + 1, t.kind.word(), t.at_s, t.for_s, t.down_s, t.share, t.hard, t.role
+            n + 1, t.kind.name(), t.at_s, t.for_s, t.down_s, t.share, t.hard, t.role
         );
     }
     out
@@ -127,7 +127,7 @@
 
 fn play(
     source: &Source,
-    sets: &[Change],
+    sets: &[SettingOverride],
     seed: u64,
     troubles: &[Trouble],
 ) -> Result<Figures, ReportError> {
@@ -140,7 +140,7 @@
 /// Plays `days` candidates and cuts the best find down; none if no candidate shows what is looked for.
 pub fn hunt(
     source: &Source,
-    sets: &[Change],
+    sets: &[SettingOverride],
     goal: Goal,
     from: u64,
     days: usize,
--- a/crates/report/src/record.rs
+++ b/crates/report/src/record.rs
@@ -3,10 +3,10 @@
 use hdrhistogram::Histogram;
 use pointspindle::Micros;
 use pointspindle_audit::service::Service;
-use pointspindle_audit::{fallen, Rule};
-use pointspindle_audit::trace::{End, Saw, Sight};
-use pointspindle_scenario::script::{Kind, Trouble};
-use pointspindle_scenario::{Change, Scenario};
+use pointspindle_audit::{count_cold_crashes, RuleVerdict};
+use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry};
+use pointspindle_scenario::script::{FaultKind, FaultSpec};
+use pointspindle_scenario::{SettingOverride, Scenario};
 use pointspindle_simulator as simulator;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -57,11 +57,11 @@
     pub seed: u64,
     pub seconds: f64,
     pub warm_s: f64,
-    pub sets: Vec<Change>,
+    pub sets: Vec<SettingOverride>,
     /// In virtual time, or on sockets.
     pub in_virtual_time: bool,
     pub service: Service,
-    pub rules: Vec<Rule>,
+    pub rules: Vec<RuleVerdict>,
     /// Members that were pushed over while cold, whoever knew of their start.
     pub fallen: usize,
     pub bands: Vec<Band>,
@@ -71,7 +71,7 @@
 
 impl Run {
     /// Plays a day in virtual time and keeps what it came to.
-    pub fn play(scenario: &Scenario, sets: &[Change]) -> Result<(Self, simulator::Outcome), String> {
+    pub fn play(scenario: &Scenario, sets: &[SettingOverride]) -> Result<(Self, simulator::Outcome), String> {
         let outcome = simulator::run(scenario, None)?;
         Ok((
             Self::new(
@@ -80,7 +80,7 @@
                 true,
                 &outcome.service,
                 &outcome.rules,
-                &outcome.sights,
+                &outcome.trace,
             ),
             outcome,
         ))
@@ -88,15 +88,15 @@
 
     pub fn new(
         scenario: &Scenario,
-        sets: &[Change],
+        sets: &[SettingOverride],
         in_virtual_time: bool,
         service: &Service,
-        rules: &[Rule],
-        sights: &[Sight],
+        rules: &[RuleVerdict],
+        sights: &[TraceEntry],
     ) -> Self {
-        let band = |t: &Trouble| Band {
+        let band = |t: &FaultSpec| Band {
             name: t.name.clone(),
-            kind: t.kind.word().into(),
+            kind: t.kind.name().into(),
             from_s: t.at as f64 / 1e6,
             to_s: (t.at + span(t)) as f64 / 1e6,
         };
@@ -111,7 +111,7 @@
             in_virtual_time,
             service: service.clone(),
             rules: rules.to_vec(),
-            fallen: fallen(sights),
+            fallen: count_cold_crashes(sights),
             bands: scenario.troubles.iter().map(band).collect(),
             by_second: seconds(scenario, sights),
             hosts: hosts(scenario, sights),
@@ -156,7 +156,7 @@
     }
 
     pub fn breaches(&self) -> usize {
-        self.rules.iter().map(|r| r.breaches.len()).sum()
+        self.rules.iter().map(|r| r.violations.len()).sum()
     }
 
     /// Of one kind of rule.
@@ -164,34 +164,34 @@
         self.rules
             .iter()
             .filter(|r| r.name == rule)
-            .map(|r| r.breaches.len())
+            .map(|r| r.violations.len())
             .sum()
     }
 }
 
 /// How long a trouble strikes; some kinds have no length of their own.
-fn span(t: &Trouble) -> Micros {
+fn span(t: &FaultSpec) -> Micros {
     match t.kind {
-        Kind::Purge => 0,
-        Kind::HubRestart => t.down,
-        Kind::RollingRestart | Kind::KillDispatchers | Kind::Ageing => t.length + t.down,
-        Kind::HangDispatchers | Kind::StopDispatchers => t.length + t.down,
-        _ => t.length,
+        FaultKind::Purge => 0,
+        FaultKind::HubRestart => t.downtime,
+        FaultKind::RollingRestart | FaultKind::KillDispatchers | FaultKind::Ageing => t.duration + t.downtime,
+        FaultKind::PauseDispatchers | FaultKind::StopDispatchers => t.duration + t.downtime,
+        _ => t.duration,
     }
 }
 
-fn seconds(scenario: &Scenario, sights: &[Sight]) -> Vec<Second> {
+fn seconds(scenario: &Scenario, sights: &[TraceEntry]) -> Vec<Second> {
     let count = scenario.seconds.ceil() as usize;
     let blank = || Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("fixed bounds");
     let mut out = vec![Second::default(); count];
     let mut times: Vec<Histogram<u64>> = (0..count).map(|_| blank()).collect();
     let mut asked = HashMap::new();
     for sight in sights {
-        match &sight.saw {
-            Saw::Asked { id, .. } => {
+        match &sight.event {
+            TraceEvent::RequestSent { id, .. } => {
                 asked.insert(*id, sight.at);
             }
-            Saw::Ended { id, end } => {
+            TraceEvent::RequestEnded { id, outcome: end } => {
                 let Some(began) = asked.remove(id) else {
                     continue;
                 };
@@ -200,9 +200,9 @@
                     continue;
                 };
                 match end {
-                    End::Served {
+                    ClientOutcome::Served {
                         version: Some(_),
-                        old,
+                        stale: old,
                         ..
                     } => {
                         second.served += 1;
@@ -210,8 +210,8 @@
                         let took = sight.at.saturating_sub(began).max(1);
                         let _ = times[(began / 1_000_000) as usize].record(took);
                     }
-                    End::Refused { .. } => second.refused += 1,
-                    End::LeftEarly => {}
+                    ClientOutcome::Rejected { .. } => second.refused += 1,
+                    ClientOutcome::Cancelled => {}
                     _ => second.failed += 1,
                 }
             }
@@ -225,7 +225,7 @@
     out
 }
 
-fn hosts(scenario: &Scenario, sights: &[Sight]) -> Vec<Host> {
+fn hosts(scenario: &Scenario, sights: &[TraceEntry]) -> Vec<Host> {
     let zones = scenario.zones();
     let models = scenario.class_models();
     let count = scenario.seconds.ceil() as usize;
@@ -233,8 +233,8 @@
     let mut out: Vec<Host> = Vec::new();
     for sight in sights {
         let at = sight.at as f64 / 1e6;
-        match &sight.saw {
-            Saw::Member {
+        match &sight.event {
+            TraceEvent::HostDeclared {
                 host,
                 role,
                 zone,
@@ -250,21 +250,21 @@
                     started: Vec::new(),
                 });
             }
-            Saw::Reached { host, class, .. } => {
+            TraceEvent::AttemptArrived { host, class, .. } => {
                 let Some((place, weight)) = places.get(host.as_str()) else {
                     continue;
                 };
-                let work = models.get(*class).map_or(0.0, |c| c.mean as f64 / 1e6);
+                let work = models.get(*class).map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
                 if let Some(load) = out[*place].load.get_mut(at as usize) {
                     *load += (work / weight.max(1e-6)) as f32;
                 }
             }
-            Saw::Fell { host, .. } => {
+            TraceEvent::HostCrashed { host, .. } => {
                 if let Some((place, _)) = places.get(host.as_str()) {
                     out[*place].fell.push(at);
                 }
             }
-            Saw::Started {
+            TraceEvent::HostStarted {
                 host, cold: true, ..
             } => {
                 if let Some((place, _)) = places.get(host.as_str()) {
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -5,7 +5,7 @@
 use crate::record::Run;
 use crate::ReportError;
 use indicatif::{ProgressBar, ProgressStyle};
-use pointspindle_scenario::{parse_with, Change};
+use pointspindle_scenario::{parse_with, SettingOverride};
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 
     /// `section.key=a,b,c`
     fn from_str(text: &str) -> Result<Self, String> {
-        let change: Change = text.parse()?;
+        let change: SettingOverride = text.parse()?;
         let values: Vec<String> = change
             .value
             .split(',')
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
     pub seed: u64,
-    pub sets: Vec<Change>,
+    pub sets: Vec<SettingOverride>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -54,23 +54,23 @@
 }
 
 /// Every combination of values with every seed, in order.
-pub fn cells(seeds: &[u64], sets: &[Change], vary: &[Vary]) -> Vec<Cell> {
+pub fn cells(seeds: &[u64], sets: &[SettingOverride], vary: &[Vary]) -> Vec<Cell> {
     let mut ways = vec![sets.to_vec()];
     for v in vary {
-        let with = |way: &Vec<Change>, value: &String| {
-            let new = Change {
+        let with = |way: &Vec<SettingOverride>, value: &String| {
+            let new = SettingOverride {
                 section: v.section.clone(),
                 key: v.key.clone(),
                 value: value.clone(),
             };
-            way.iter().cloned().chain([new]).collect::<Vec<Change>>()
+            way.iter().cloned().chain([new]).collect::<Vec<SettingOverride>>()
         };
         ways = ways
             .iter()
             .flat_map(|way| v.values.iter().map(move |value| with(way, value)))
             .collect();
     }
-    let cell = |sets: &Vec<Change>, seed: &u64| Cell {
+    let cell = |sets: &Vec<SettingOverride>, seed: &u64| Cell {
         seed: *seed,
         sets: sets.clone(),
     };
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -153,7 +153,7 @@
         let mut view = View::new(&scenario);
         let mut terminal = Terminal::new(TestBackend::new(110, 34)).unwrap();
         let (mut down, mut cold) = (0, 0);
-        for sight in &played.sights {
+        for sight in &played.trace {
             view.take(sight);
             view.to(sight.at);
             let of = |wanted: fn(&HostState) -> bool| {
@@ -193,7 +193,7 @@
             );
         }
         assert!(screen.contains(&sum.served.to_string()));
-        assert_eq!(view.fallen, pointspindle_audit::fallen(&played.sights));
+        assert_eq!(view.fallen, pointspindle_audit::count_cold_crashes(&played.trace));
     }
 
     /// A terminal too small for anything is no panic.
@@ -204,7 +204,7 @@
         let mut view = View::new(&scenario);
         for sight in simulator::run(&scenario, None)
             .unwrap()
-            .sights
+            .trace
             .iter()
             .take(5_000)
         {
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -3,7 +3,7 @@
 //! Kept: a line for each second and each member of the day, a window's work for each member, and the last words of the
 //! script. Sights may come a little out of order, as they do from sockets.
 use pointspindle::Micros;
-use pointspindle_audit::trace::{End, Saw, Sight, TryId};
+use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry, ClientAttemptId};
 use pointspindle_scenario::Scenario;
 use std::collections::{HashMap, VecDeque};
 
@@ -67,12 +67,12 @@
     zones: Vec<String>,
     warm: (Micros, Micros),
     places: HashMap<String, usize>,
-    asked: HashMap<TryId, Micros>,
+    asked: HashMap<ClientAttemptId, Micros>,
 }
 
 impl View {
     pub fn new(scenario: &Scenario) -> Self {
-        let warm = |role| scenario.cold(role).warm_within;
+        let warm = |role| scenario.warm_up_spec(role).duration;
         Self {
             title: format!(
                 "{}: {} (seed {})",
@@ -90,7 +90,7 @@
             work: scenario
                 .class_models()
                 .iter()
-                .map(|c| c.mean as f64 / 1e6)
+                .map(|c| c.mean_transfer_time as f64 / 1e6)
                 .collect(),
             zones: scenario.zones(),
             warm: (
@@ -116,11 +116,11 @@
         }
     }
 
-    pub fn take(&mut self, sight: &Sight) {
+    pub fn take(&mut self, sight: &TraceEntry) {
         let at = sight.at;
         self.now = self.now.max(at);
-        match &sight.saw {
-            Saw::Member {
+        match &sight.event {
+            TraceEvent::HostDeclared {
                 host,
                 role,
                 zone,
@@ -142,11 +142,11 @@
                     sent: VecDeque::new(),
                 });
             }
-            Saw::Asked { id, .. } => {
+            TraceEvent::RequestSent { id, .. } => {
                 self.asked.insert(*id, at);
                 self.open = self.asked.len();
             }
-            Saw::Ended { id, end } => {
+            TraceEvent::RequestEnded { id, outcome: end } => {
                 if self.asked.remove(id).is_none() {
                     return;
                 }
@@ -155,26 +155,26 @@
                     return;
                 };
                 match end {
-                    End::Served {
+                    ClientOutcome::Served {
                         version: Some(_),
-                        old,
+                        stale: old,
                         ..
                     } => {
                         tally.served += 1;
                         tally.old += u64::from(*old);
                     }
-                    End::Refused { .. } => tally.refused += 1,
-                    End::LeftEarly => {}
+                    ClientOutcome::Rejected { .. } => tally.refused += 1,
+                    ClientOutcome::Cancelled => {}
                     _ => tally.failed += 1,
                 }
             }
-            Saw::Reached { host, class, .. } => {
+            TraceEvent::AttemptArrived { host, class, .. } => {
                 let work = self.work.get(*class).copied().unwrap_or(0.0);
                 if let Some(host) = self.host(host) {
                     host.sent.push_back((at, work));
                 }
             }
-            Saw::Fell { host, why } => {
+            TraceEvent::HostCrashed { host, reason: why } => {
                 // The script's own words tell of the others.
                 if why.contains("cold") {
                     self.fallen += 1;
@@ -182,7 +182,7 @@
                 }
                 self.state(host, HostState::Down);
             }
-            Saw::Started { host, cold, .. } => {
+            TraceEvent::HostStarted { host, cold, .. } => {
                 self.state(
                     host,
                     if *cold {
@@ -192,8 +192,8 @@
                     },
                 );
             }
-            Saw::ToldList {
-                out, whole: false, ..
+            TraceEvent::EndpointListDelivered {
+                not_ready: out, full: false, ..
             } => {
                 for host in out {
                     if self.host(host).is_some_and(|h| h.state == HostState::Up) {
@@ -201,15 +201,15 @@
                     }
                 }
             }
-            Saw::Killed { dispatcher } => {
+            TraceEvent::DispatcherKilled { dispatcher } => {
                 self.dispatchers_down += 1;
                 self.say(at, format!("dispatcher {dispatcher} is killed"));
             }
-            Saw::Born { dispatcher } => {
+            TraceEvent::DispatcherStarted { dispatcher } => {
                 self.dispatchers_down = self.dispatchers_down.saturating_sub(1);
                 self.say(at, format!("dispatcher {dispatcher} is back"));
             }
-            Saw::Trouble { text } => self.say(at, text.clone()),
+            TraceEvent::ScriptNote { text } => self.say(at, text.clone()),
             _ => {}
         }
     }
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,6 +1,6 @@
 //! Runs kept and read again, sweeps that go on where they were, hunts that cut down, pages that load nothing.
-use pointspindle_audit::trace::TryId;
-use pointspindle_scenario::{parse_with, Change};
+use pointspindle_audit::trace::ClientAttemptId;
+use pointspindle_scenario::{parse_with, SettingOverride};
 use pointspindle_report::record::Run;
 use pointspindle_report::sweep::{cells, rows, run, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
@@ -41,7 +41,7 @@
     text: DAY,
 };
 
-fn changes(words: &[&str]) -> Vec<Change> {
+fn changes(words: &[&str]) -> Vec<SettingOverride> {
     words.iter().map(|w| w.parse().unwrap()).collect()
 }
 
@@ -85,13 +85,13 @@
         "the same bytes for the same seed"
     );
     let place = tempfile::tempdir().unwrap();
-    folder::keep(place.path(), DAY, &kept, &outcome.sights).unwrap();
+    folder::keep(place.path(), DAY, &kept, &outcome.trace).unwrap();
     assert_eq!(folder::load(place.path()).unwrap(), kept);
     let trail = folder::explain(
         place.path(),
-        TryId {
+        ClientAttemptId {
             call: 100,
-            try_no: 0,
+            attempt: 0,
         },
     )
     .unwrap();
@@ -101,9 +101,9 @@
     std::fs::write(place.path().join("scenario.ini"), changed).unwrap();
     let why = folder::explain(
         place.path(),
-        TryId {
+        ClientAttemptId {
             call: 100,
-            try_no: 0,
+            attempt: 0,
         },
     )
     .unwrap_err()
