--- a/crates/scale/src/parts.rs
+++ b/crates/scale/src/parts.rs
@@ -1,7 +1,7 @@
 //! The processes of a scale run. Each is told what it is by one line of JSON, says one line when it is up, and then answers each
 //! line that it is told with one; it ends with its standard input.
 use pointspindle_etcd_emulator::traffic::Figures;
-use pointspindle_etcd_emulator::StandIn;
+use pointspindle_etcd_emulator::EtcdEmulator;
 use hdrhistogram::Histogram;
 use pointspindle_cache_host::Host;
 use pointspindle_clock::wall_clock_unix_ms;
@@ -171,7 +171,7 @@
 }
 
 async fn store(mut words: Words) -> Result<(), String> {
-    let store = StandIn::new(None);
+    let store = EtcdEmulator::new(None);
     let at = format!(
         "http://{}",
         store.listen().await.map_err(|e| e.to_string())?
@@ -183,7 +183,7 @@
     say(&figures());
     while let Some(asked) = ask(&mut words).await {
         match asked {
-            Ask::Away(away) => store.fault(|f| f.away = away),
+            Ask::Away(away) => store.set_faults(|f| f.away = away),
             Ask::Compact => store.compact(),
             Ask::Drop => store.drop_streams(),
             Ask::Figures | Ask::Forget => {}
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -3,7 +3,7 @@
 use pointspindle_dispatcher::{PreparedDispatcher, StateCounts};
 use pointspindle_etcd::layout::PurgeRecord;
 use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
-use pointspindle_etcd_emulator::StandIn;
+use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_scale::parts::{dispatcher_settings, record, PREFIX};
 use pointspindle_transport::Network;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_hollow_dispatcher_keeps_what_a_real_one_keeps() {
-    let store = StandIn::new(None);
+    let store = EtcdEmulator::new(None);
     let at = format!("http://{}", store.listen().await.unwrap());
     let etcd = Etcd::new(
         &Access {
--- a/crates/scenario/src/fault_injection.rs
+++ b/crates/scenario/src/fault_injection.rs
@@ -2,36 +2,36 @@
 
 /// A fault made by the rig around an unchanged dispatcher; the auditor must find it under its own name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plant {
+pub enum InjectedFault {
     /// Control claims to have told of drains and did not.
-    Drain,
+    WithholdDrain,
     /// Cache hosts that take no notice of ages and purges.
-    Purge,
+    IgnorePurge,
     /// A relay before a cache host sends every attempt twice.
-    Double,
+    DuplicateAttempts,
     /// The list hides that members have just started, and they are back so soon that nothing else shows it.
-    Cold,
+    HideRestart,
     /// A relay swallows answers.
-    Silent,
+    DropResponses,
     /// A relay holds answers until after the deadline.
-    Late,
+    DelayResponses,
     /// Every dispatcher's settings say that it is the only one: each takes the whole of every part.
-    Alone,
+    MiscountDispatchers,
 }
 
-impl Plant {
-    pub const WORDS: [(&'static str, Self); 7] = [
-        ("drain", Self::Drain),
-        ("purge", Self::Purge),
-        ("double", Self::Double),
-        ("cold", Self::Cold),
-        ("silent", Self::Silent),
-        ("late", Self::Late),
-        ("alone", Self::Alone),
+impl InjectedFault {
+    pub const NAMES: [(&'static str, Self); 7] = [
+        ("drain", Self::WithholdDrain),
+        ("purge", Self::IgnorePurge),
+        ("double", Self::DuplicateAttempts),
+        ("cold", Self::HideRestart),
+        ("silent", Self::DropResponses),
+        ("late", Self::DelayResponses),
+        ("alone", Self::MiscountDispatchers),
     ];
 
-    pub fn word(self) -> &'static str {
-        Self::WORDS
+    pub fn name(self) -> &'static str {
+        Self::NAMES
             .iter()
             .find(|(_, p)| *p == self)
             .map_or("", |(w, _)| w)
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -10,11 +10,11 @@
 pub mod script;
 pub mod traffic;
 
-pub use script::{Script, Step};
-pub use traffic::{Call, Traffic};
+pub use script::{Script, ScriptStep};
+pub use traffic::{PlannedCall, Traffic};
 
-use pointspindle_cache_model::cold::ColdSpec;
-use pointspindle_cache_model::{ClassModel, HostSpec, Role, Wanted, WorldSpec, ZoneSpec};
+use pointspindle_cache_model::cold::WarmUpSpec;
+use pointspindle_cache_model::{ClassModel, HostSpec, Role, ModelRequest, CacheModelSettings, ZoneSpec};
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::ConfigErrors;
@@ -24,15 +24,15 @@
 
 /// Whether attempts of a class may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Safe,
+pub enum Idempotency {
+    Idempotent,
     Keyed,
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug)]
-pub struct ClassDay {
+pub struct RequestClass {
     pub name: String,
     /// Share of first tries.
     pub share: f64,
@@ -40,77 +40,77 @@
     pub mean_bytes: f64,
     pub sigma: f64,
     /// Brings the mean over the day's own requests to `mean_bytes`: a few popular objects decide it.
-    pub scale: f64,
+    pub size_scale: f64,
     /// Objects, parts of each, and how uneven their popularity is.
     pub objects: u64,
     pub parts: u64,
     /// Parts are asked for one after another, so long apart, by who began at the first; 0: any part at any time.
-    pub part_every: Micros,
+    pub part_interval: Micros,
     pub zipf: f64,
     /// Share of requests for objects that are wanted once only.
-    pub once: f64,
+    pub once_share: f64,
     /// Share of requests for objects that one branch alone wants.
-    pub local: f64,
-    pub aim: Micros,
-    pub aim_stretch: f64,
+    pub local_share: f64,
+    pub latency_objective: Micros,
+    pub latency_objective_stretch: f64,
     pub deadline: Micros,
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth after the aim, and of an old copy.
-    pub late_worth: f64,
-    pub old_worth: f64,
-    pub effect: Effect,
+    pub late_value: f64,
+    pub stale_value: f64,
+    pub idempotency: Idempotency,
     pub uncacheable: bool,
-    pub fresh: Micros,
-    pub grace: Micros,
+    pub freshness_lifetime: Micros,
+    pub stale_if_error: Micros,
 }
 
 /// A member's kind; see [`HostSpec`].
 #[derive(Clone, Debug)]
-pub struct KindDay {
+pub struct HostKind {
     pub spec: HostSpec,
     /// Weights are drawn for each member within this share of the kind's.
-    pub spread: f64,
+    pub weight_spread: f64,
 }
 
 /// What the rules allow.
 #[derive(Clone, Copy, Debug)]
-pub struct RulesDay {
+pub struct RuleLimits {
     pub drain_grace: Micros,
     pub purge_grace: Micros,
-    pub purge_done: Micros,
+    pub purge_deadline: Micros,
     /// How late purges and list changes are told, at least and at most.
-    pub purge_told: (Micros, Micros),
-    pub list_told: (Micros, Micros),
+    pub purge_delay: (Micros, Micros),
+    pub endpoint_update_delay: (Micros, Micros),
     /// How late the rig itself may be; more and the run counts for nothing.
-    pub slack: Micros,
+    pub timing_tolerance: Micros,
 }
 
 /// How clients behave.
 #[derive(Clone, Copy, Debug)]
-pub struct ClientsDay {
+pub struct ClientSettings {
     pub retries: u32,
-    pub back_off: Micros,
+    pub backoff: Micros,
     /// Share of tries over HTTP; the others are framed.
-    pub http: f64,
+    pub http_share: f64,
     /// Share of tries whose client leaves before its answer.
-    pub hang_up: f64,
+    pub cancel_share: f64,
     /// Share of clients that wait as long as they are told.
-    pub honour: f64,
+    pub retry_after_share: f64,
     /// Who finds nobody there asks a dispatcher of the next branch the next time.
-    pub moves: bool,
+    pub fails_over: bool,
 }
 
 /// What all dispatchers together may come to; 0: not judged.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SumsDay {
+pub struct FleetLimits {
     /// Requests under way at a cache host for each unit of its weight.
-    pub under_way: f64,
+    pub in_flight: f64,
     /// Attempts beyond the first of a try, for each first one, in any 2 s.
-    pub second_attempts: f64,
+    pub retries: f64,
     /// Jain's index over the dispatchers' shares of tries served.
     pub fairness: f64,
     /// Service of sites that were not struck, over the same day without the site's troubles.
-    pub others: f64,
+    pub unaffected_service: f64,
 }
 
 #[derive(Clone, Debug)]
@@ -151,31 +151,31 @@
     pub notes: String,
     pub sizes_told: bool,
     pub max_attempts: u32,
-    pub cache: KindDay,
-    pub parent: KindDay,
-    pub origin: KindDay,
-    pub rules: RulesDay,
-    pub clients: ClientsDay,
+    pub cache: HostKind,
+    pub parent: HostKind,
+    pub origin: HostKind,
+    pub rules: RuleLimits,
+    pub clients: ClientSettings,
     /// Weights of the whole day, its worst 10 s and its worst class in one figure.
     pub goal: (f64, f64, f64),
-    pub sums: SumsDay,
+    pub sums: FleetLimits,
     /// A plant: dispatchers' settings say that there is one only.
     pub told_alone: bool,
-    pub classes: Vec<ClassDay>,
+    pub classes: Vec<RequestClass>,
     /// Of the simulated network of `lab run --shell`.
     pub weather: NetworkConditions,
-    pub troubles: Vec<script::Trouble>,
+    pub troubles: Vec<script::FaultSpec>,
 }
 
 /// A value in place of a scenario's own, written `section.key=value`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Change {
+pub struct SettingOverride {
     pub section: String,
     pub key: String,
     pub value: String,
 }
 
-impl std::str::FromStr for Change {
+impl std::str::FromStr for SettingOverride {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -198,7 +198,7 @@
     }
 }
 
-impl std::fmt::Display for Change {
+impl std::fmt::Display for SettingOverride {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}.{}={}", self.section, self.key, self.value)
     }
@@ -213,7 +213,7 @@
 pub fn load_with(
     path: &Path,
     seed: Option<u64>,
-    sets: &[Change],
+    sets: &[SettingOverride],
 ) -> Result<Scenario, ConfigErrors> {
     let name = path.display().to_string();
     let text = std::fs::read_to_string(path)
@@ -229,31 +229,31 @@
     name: &str,
     text: &str,
     seed: Option<u64>,
-    sets: &[Change],
+    sets: &[SettingOverride],
 ) -> Result<Scenario, ConfigErrors> {
     let mut scenario = read::read(name, text, seed, sets)?;
-    let calls = Traffic::draw(&scenario).calls;
+    let calls = Traffic::generate(&scenario).calls;
     for (n, class) in scenario.classes.iter_mut().enumerate() {
         let usual = calls
             .iter()
             .filter(|c| c.class == n && !c.object.contains('~'));
         let (sum, count) = usual.fold((0, 0_u64), |(sum, count), c| (sum + c.size, count + 1));
         if sum > 0 {
-            class.scale = class.mean_bytes * count as f64 / sum as f64;
+            class.size_scale = class.mean_bytes * count as f64 / sum as f64;
         }
     }
     Ok(scenario)
 }
 
 /// A number of one's own for each use of the seed.
-pub fn stream(seed: u64, words: &str) -> u64 {
+pub fn derive_seed(seed: u64, words: &str) -> u64 {
     pointspindle::ObjectId::named(&format!("{seed}/{words}")).0
 }
 
 impl Scenario {
     /// Why the day cannot be played without the simulated network, if so.
-    pub fn needs_shell(&self) -> Option<String> {
-        let parted = self.troubles.iter().find(|t| t.kind.needs_shell())?;
+    pub fn requires_simulated_network(&self) -> Option<String> {
+        let parted = self.troubles.iter().find(|t| t.kind.requires_simulated_network())?;
         Some(format!(
             "trouble {}: a partition is played with --shell only",
             parted.name
@@ -261,27 +261,27 @@
     }
 
     /// Why the day cannot be played on the simulated network, if so.
-    pub fn needs_fleet(&self) -> Option<String> {
-        let t = self.troubles.iter().find(|t| t.kind.needs_fleet())?;
+    pub fn requires_processes(&self) -> Option<String> {
+        let t = self.troubles.iter().find(|t| t.kind.requires_processes())?;
         Some(format!(
             "trouble {}: {} is played by processes or in virtual time",
             t.name,
-            t.kind.word()
+            t.kind.name()
         ))
     }
 
-    pub fn length(&self) -> Micros {
+    pub fn duration(&self) -> Micros {
         (self.seconds * 1e6) as Micros
     }
 
     /// The same day in `seconds`: the script and the waits between its steps shrink, rules and traffic do not.
-    pub fn scaled(mut self, seconds: f64) -> Self {
+    pub fn scaled_to(mut self, seconds: f64) -> Self {
         let by = seconds / self.seconds;
         self.warm = (self.warm as f64 * by.min(1.0)) as Micros;
         for trouble in &mut self.troubles {
             trouble.at = (trouble.at as f64 * by) as Micros;
-            trouble.length = (trouble.length as f64 * by) as Micros;
-            trouble.down = (trouble.down as f64 * by) as Micros;
+            trouble.duration = (trouble.duration as f64 * by) as Micros;
+            trouble.downtime = (trouble.downtime as f64 * by) as Micros;
         }
         self.seconds = seconds;
         self
@@ -289,11 +289,11 @@
 
     /// The day with its members back at once, lists that come at once, and nobody who says hello: a start that the list
     /// hides shows in nothing else then. (A dispatcher that sees refused connections knows better than the list.)
-    pub fn with_unseen_starts(mut self) -> Self {
+    pub fn with_hidden_restarts(mut self) -> Self {
         self.hello = false;
-        self.rules.list_told = (0, 20_000);
+        self.rules.endpoint_update_delay = (0, 20_000);
         for trouble in &mut self.troubles {
-            trouble.down = 0;
+            trouble.downtime = 0;
         }
         self
     }
@@ -311,7 +311,7 @@
     }
 
     /// One-way time between two zones.
-    pub fn way(&self, from: usize, to: usize) -> Micros {
+    pub fn latency_between(&self, from: usize, to: usize) -> Micros {
         let hub = |zone: usize| {
             if zone < self.branches {
                 self.hub_of(zone)
@@ -343,9 +343,9 @@
     }
 
     /// The dispatcher that a try goes to: those of the branch in turn, of the next one for each time that nobody was there.
-    pub fn target(&self, call: &Call, number: u64, try_no: u32, missed: u32) -> usize {
+    pub fn dispatcher_for(&self, call: &PlannedCall, number: u64, try_no: u32, missed: u32) -> usize {
         let each = self.dispatchers.max(1);
-        let moved = if self.clients.moves {
+        let moved = if self.clients.fails_over {
             missed as usize
         } else {
             0
@@ -355,24 +355,24 @@
     }
 
     /// The same day without what strikes a site as a whole.
-    pub fn without_site_troubles(&self) -> Self {
+    pub fn without_site_faults(&self) -> Self {
         let mut twin = self.clone();
-        twin.troubles.retain(|t| !t.kind.strikes_site());
+        twin.troubles.retain(|t| !t.kind.affects_site());
         twin
     }
 
     /// Sites that some trouble strikes as a whole.
-    pub fn struck_sites(&self) -> std::collections::BTreeSet<usize> {
+    pub fn affected_sites(&self) -> std::collections::BTreeSet<usize> {
         self.troubles
             .iter()
-            .filter(|t| t.kind.strikes_site())
-            .map(|t| t.whom.zone.unwrap_or(0))
+            .filter(|t| t.kind.affects_site())
+            .map(|t| t.target.zone.unwrap_or(0))
             .collect()
     }
 
     /// How long a client waits before its next try.
-    pub fn wait(&self, call: &Call, try_no: u32, come_back: Option<Micros>) -> Micros {
-        let back_off = (self.clients.back_off << try_no) as f64 * (0.5 + call.dice);
+    pub fn retry_delay(&self, call: &PlannedCall, try_no: u32, come_back: Option<Micros>) -> Micros {
+        let back_off = (self.clients.backoff << try_no) as f64 * (0.5 + call.jitter);
         (back_off as Micros).max(come_back.unwrap_or(0))
     }
 
@@ -384,42 +384,42 @@
             .classes
             .iter()
             .zip(&models)
-            .map(|(c, m)| c.share * m.mean as f64 / 1e6);
+            .map(|(c, m)| c.share * m.mean_transfer_time as f64 / 1e6);
         (work.sum::<f64>() / shares.max(1e-9)).max(1e-9)
     }
 
     pub fn class_models(&self) -> Vec<ClassModel> {
-        let model = |c: &ClassDay| ClassModel {
+        let model = |c: &RequestClass| ClassModel {
             name: c.name.clone(),
-            fresh: c.fresh,
-            mean: (c.mean_bytes / self.flow * 1e6) as Micros,
+            freshness_lifetime: c.freshness_lifetime,
+            mean_transfer_time: (c.mean_bytes / self.flow * 1e6) as Micros,
             uncacheable: c.uncacheable,
-            dedupes: c.effect == Effect::Keyed,
+            deduplicates: c.idempotency == Idempotency::Keyed,
         };
         self.classes.iter().map(model).collect()
     }
 
-    pub fn world_spec(&self) -> WorldSpec {
+    pub fn cache_model_settings(&self) -> CacheModelSettings {
         let zone = |(n, name): (usize, String)| ZoneSpec {
             name,
             link: if n < self.branches { self.link } else { 0.0 },
         };
-        WorldSpec {
+        CacheModelSettings {
             classes: self.class_models(),
             zones: self.zones().into_iter().enumerate().map(zone).collect(),
-            flow: self.flow,
-            fill_pace: self.fill_pace,
-            key_window: self.key_window,
+            bytes_per_s: self.flow,
+            fill_speedup: self.fill_pace,
+            idempotency_window: self.key_window,
         }
     }
 
     /// The members that run when the day begins, in the order of the world's table. `address` names the nth.
     pub fn hosts(&self, mut address: impl FnMut(usize) -> String) -> Vec<HostSpec> {
         use rand::{Rng, SeedableRng};
-        let mut rng = rand::rngs::StdRng::seed_from_u64(stream(self.seed, "weights"));
+        let mut rng = rand::rngs::StdRng::seed_from_u64(derive_seed(self.seed, "weights"));
         let mut hosts = Vec::new();
-        let mut add = |kind: &KindDay, zone: usize, hosts: &mut Vec<HostSpec>| {
-            let factor = 1.0 + kind.spread * (2.0 * rng.gen::<f64>() - 1.0);
+        let mut add = |kind: &HostKind, zone: usize, hosts: &mut Vec<HostSpec>| {
+            let factor = 1.0 + kind.weight_spread * (2.0 * rng.gen::<f64>() - 1.0);
             let address = address(hosts.len());
             let weight = kind.spec.weight * factor;
             hosts.push(HostSpec {
@@ -446,25 +446,25 @@
     }
 
     /// Bytes of an object's part: drawn by its name, so that everybody agrees.
-    pub fn catalogue(&self) -> pointspindle_cache_model::Catalogue {
+    pub fn size_catalogue(&self) -> pointspindle_cache_model::SizeCatalogue {
         let classes = self.classes.clone();
         let seed = self.seed;
-        Box::new(move |w: &Wanted| {
+        Box::new(move |w: &ModelRequest| {
             Some(size_of(
                 classes.get(w.class)?,
                 seed,
                 &w.object,
-                w.number,
+                w.object_number,
                 w.part,
             ))
         })
     }
 
     /// The ledger of a member that has just started; none where members do not say who they are.
-    pub fn ledger(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
-        let c = self.cold(role);
-        let (start_share, warm_within) = (c.start_share, c.warm_within);
-        let (multiple, window) = (c.multiple, c.window);
+    pub fn work_ledger(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
+        let c = self.warm_up_spec(role);
+        let (start_share, warm_within) = (c.initial_share, c.duration);
+        let (multiple, window) = (c.overload_factor, c.overload_window);
         let rule = SlowStartRule {
             initial_share: start_share,
             ramp: warm_within,
@@ -479,17 +479,17 @@
         (self.hello && role == Role::Cache).then(|| WorkLedger::new(rule, weight, started, dearest))
     }
 
-    pub fn cold(&self, role: Role) -> ColdSpec {
+    pub fn warm_up_spec(&self, role: Role) -> WarmUpSpec {
         if role == Role::Parent {
-            self.parent.spec.cold
+            self.parent.spec.warm_up
         } else {
-            self.cache.spec.cold
+            self.cache.spec.warm_up
         }
     }
 }
 
 /// The size of an object's part. A name that ends in `~N` is N times as large as it would be.
-pub fn size_of(class: &ClassDay, seed: u64, object: &str, number: u64, part: u64) -> u64 {
+pub fn size_of(class: &RequestClass, seed: u64, object: &str, number: u64, part: u64) -> u64 {
     use rand::SeedableRng;
     use rand_distr::{Distribution, LogNormal};
     let mut rng = rand::rngs::StdRng::seed_from_u64(
@@ -503,5 +503,5 @@
         .and_then(|(_, n)| n.parse().ok())
         .unwrap_or(1.0);
     // One stamped line at least; the tail is cut so that no single draw fills a store.
-    ((drawn * class.scale).clamp(64.0, 30.0 * class.mean_bytes) * times) as u64
+    ((drawn * class.size_scale).clamp(64.0, 30.0 * class.mean_bytes) * times) as u64
 }
--- a/crates/scenario/src/read.rs
+++ b/crates/scenario/src/read.rs
@@ -1,5 +1,5 @@
 //! Reads a scenario's file; every complaint has line, key and reason.
-use super::script::{Kind, Takes, Trouble, Ways, Whom};
+use super::script::{FaultKind, SiteLossExtent, FaultSpec, PartitionDirections, FaultTarget};
 use super::*;
 use pointspindle_config::Reader;
 use rand::{Rng, SeedableRng};
@@ -31,7 +31,7 @@
             return default;
         }
         let mut rng =
-            rand::rngs::StdRng::seed_from_u64(stream(self.seed, &format!("{section}.{key}")));
+            rand::rngs::StdRng::seed_from_u64(derive_seed(self.seed, &format!("{section}.{key}")));
         a + (b - a) * rng.gen::<f64>()
     }
 
@@ -57,7 +57,7 @@
     name: &str,
     text: &str,
     seed: Option<u64>,
-    sets: &[Change],
+    sets: &[SettingOverride],
 ) -> Result<Scenario, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     for set in sets {
@@ -113,13 +113,13 @@
         parent: kind(&mut d, "parent", Role::Parent, 24.0),
         origin: kind(&mut d, "origin", Role::Origin, 32.0),
         rules: rules(&mut d),
-        clients: ClientsDay {
+        clients: ClientSettings {
             retries: d.count("clients", "retries", 2, 0) as u32,
-            back_off: d.ms("clients", "back_off_ms", 100.0),
-            http: d.share("clients", "http", 0.3),
-            hang_up: d.share("clients", "hang_up", 0.01),
-            honour: d.share("clients", "honour", 0.8),
-            moves: d.reader.flag("clients", "move", false),
+            backoff: d.ms("clients", "back_off_ms", 100.0),
+            http_share: d.share("clients", "http", 0.3),
+            cancel_share: d.share("clients", "hang_up", 0.01),
+            retry_after_share: d.share("clients", "honour", 0.8),
+            fails_over: d.reader.flag("clients", "move", false),
         },
         goal: (
             d.num("goal", "whole", 0.6, 0.0, 1e3),
@@ -127,11 +127,11 @@
             d.num("goal", "worst_class", 0.2, 0.0, 1e3),
         ),
         told_alone: false,
-        sums: SumsDay {
-            under_way: d.num("sums", "under_way", 0.0, 0.0, 1e6),
-            second_attempts: d.num("sums", "second_attempts", 0.0, 0.0, 1e3),
+        sums: FleetLimits {
+            in_flight: d.num("sums", "under_way", 0.0, 0.0, 1e6),
+            retries: d.num("sums", "second_attempts", 0.0, 0.0, 1e3),
             fairness: d.share("sums", "fairness", 0.0),
-            others: d.share("sums", "others", 0.0),
+            unaffected_service: d.share("sums", "others", 0.0),
         },
         classes: classes(&mut d),
         weather: NetworkConditions {
@@ -160,7 +160,7 @@
     d.reader.choice("fleet", key, default, &pairs).to_owned()
 }
 
-fn rules(d: &mut Draws) -> RulesDay {
+fn rules(d: &mut Draws) -> RuleLimits {
     let mut span = |key: &str, least: f64, most: f64| {
         let a = d.num("rules", &format!("{key}_least_ms"), least, 0.0, 6e5);
         let b = d.num("rules", &format!("{key}_most_ms"), most, 0.0, 6e5);
@@ -174,31 +174,31 @@
         span("purge_told", 64.0, 340.0),
         span("list_told", 300.0, 1_200.0),
     );
-    RulesDay {
+    RuleLimits {
         drain_grace: d.ms("rules", "drain_grace_ms", 1_000.0),
         purge_grace: d.ms("rules", "purge_grace_ms", 500.0),
-        purge_done: d.ms("rules", "purge_done_ms", 6_000.0),
-        purge_told,
-        list_told,
-        slack: d.ms("rules", "slack_ms", 150.0),
+        purge_deadline: d.ms("rules", "purge_done_ms", 6_000.0),
+        purge_delay: purge_told,
+        endpoint_update_delay: list_told,
+        timing_tolerance: d.ms("rules", "slack_ms", 150.0),
     }
 }
 
-fn kind(d: &mut Draws, section: &str, role: Role, weight: f64) -> KindDay {
+fn kind(d: &mut Draws, section: &str, role: Role, weight: f64) -> HostKind {
     let cold_section = format!("cold {section}");
     let cold = if role == Role::Origin {
-        ColdSpec {
-            start_share: 1.0,
-            warm_within: 0,
-            multiple: 1e9,
-            window: 1_000_000,
+        WarmUpSpec {
+            initial_share: 1.0,
+            duration: 0,
+            overload_factor: 1e9,
+            overload_window: 1_000_000,
         }
     } else {
-        ColdSpec {
-            start_share: d.share(&cold_section, "start_share", 0.2),
-            warm_within: d.ms(&cold_section, "warm_within_ms", 15_000.0),
-            multiple: d.num(&cold_section, "multiple", 2.0, 0.1, 1e6),
-            window: d.ms(&cold_section, "window_ms", 2_000.0).max(1_000),
+        WarmUpSpec {
+            initial_share: d.share(&cold_section, "start_share", 0.2),
+            duration: d.ms(&cold_section, "warm_within_ms", 15_000.0),
+            overload_factor: d.num(&cold_section, "multiple", 2.0, 0.1, 1e6),
+            overload_window: d.ms(&cold_section, "window_ms", 2_000.0).max(1_000),
         }
     };
     let spec = HostSpec {
@@ -206,77 +206,77 @@
         role,
         zone: 0,
         weight: d.num(section, "weight", weight, 0.01, 1e6),
-        places: d.count(section, "places", 64, 1),
+        concurrency: d.count(section, "places", 64, 1),
         queue: d.count(section, "queue", 128, 0),
-        thrash: d.num(section, "thrash", 0.02, 0.0, 10.0),
+        crowding_loss: d.num(section, "thrash", 0.02, 0.0, 10.0),
         store_bytes: (d.num(section, "store_mb", 24.0, 0.0, 1e7) * 1024.0 * 1024.0) as u64,
-        fill_places: d.count(section, "fill_places", 32, 1),
+        fill_concurrency: d.count(section, "fill_places", 32, 1),
         fill_timeout: d.ms(section, "fill_timeout_ms", 2_000.0),
         fill_retries: d.count(section, "fill_retries", 1, 0) as u32,
         abort_fill: d.reader.flag(section, "abort_fill", false),
-        joins: role == Role::Parent && d.reader.flag(section, "joins", true),
-        cold,
-        think: if role == Role::Origin {
+        coalesces_fills: role == Role::Parent && d.reader.flag(section, "joins", true),
+        warm_up: cold,
+        service_time: if role == Role::Origin {
             d.ms(section, "think_ms", 30.0)
         } else {
             0
         },
-        report_every: d.ms(section, "report_ms", 400.0),
-        pause_every: d.ms(section, "pause_every_ms", 0.0),
+        load_report_interval: d.ms(section, "report_ms", 400.0),
+        pause_interval: d.ms(section, "pause_every_ms", 0.0),
         pause: d.ms(section, "pause_ms", 0.0),
-        fall_multiple: if role == Role::Origin {
+        overload_multiple: if role == Role::Origin {
             d.num(section, "fall_multiple", 0.0, 0.0, 1e6)
         } else {
             0.0
         },
-        fall_window: if role == Role::Origin {
+        overload_window: if role == Role::Origin {
             d.ms(section, "fall_window_ms", 3_000.0)
         } else {
             1
         },
-        fall_down: if role == Role::Origin {
+        overload_downtime: if role == Role::Origin {
             d.ms(section, "fall_down_ms", 5_000.0)
         } else {
             0
         },
     };
-    KindDay {
+    HostKind {
         spec,
-        spread: d.share(section, "spread", 0.0),
+        weight_spread: d.share(section, "spread", 0.0),
     }
 }
 
-fn classes(d: &mut Draws) -> Vec<ClassDay> {
+fn classes(d: &mut Draws) -> Vec<RequestClass> {
     let mut classes = Vec::new();
     for name in d.reader.named("class") {
         let s = format!("class {name}");
         let effects = [
-            ("safe", Effect::Safe),
-            ("keyed", Effect::Keyed),
-            ("unsafe", Effect::Unsafe),
+            ("safe", Idempotency::Idempotent),
+            ("keyed", Idempotency::Keyed),
+            ("unsafe", Idempotency::NotIdempotent),
         ];
-        let effect = d.reader.choice(&s, "effect", Effect::Safe, &effects);
-        let class = ClassDay {
+        let effect = d.reader.choice(&s, "effect", Idempotency::Idempotent, &effects);
+        let class = RequestClass {
             share: d.share(&s, "share", 0.5),
             mean_bytes: d.num(&s, "mean_kb", 100.0, 0.1, 1e7) * 1024.0,
-            scale: 1.0,
+            size_scale: 1.0,
             sigma: d.num(&s, "sigma", 0.8, 0.0, 3.0),
             objects: d.count(&s, "objects", 400, 1) as u64,
             parts: d.count(&s, "parts", 1, 1) as u64,
-            part_every: d.ms(&s, "part_every_ms", 0.0),
+            part_interval: d.ms(&s, "part_every_ms", 0.0),
             zipf: d.num(&s, "zipf", 1.0, 0.01, 5.0),
-            once: d.share(&s, "once", 0.02),
-            local: d.share(&s, "local", 0.1),
-            aim: d.ms(&s, "aim_ms", 300.0),
-            aim_stretch: d.num(&s, "aim_stretch", 2.0, 0.0, 100.0),
+            once_share: d.share(&s, "once", 0.02),
+            local_share: d.share(&s, "local", 0.1),
+            latency_objective: d.ms(&s, "aim_ms", 300.0),
+            latency_objective_stretch: d.num(&s, "aim_stretch", 2.0, 0.0, 100.0),
             deadline: d.ms(&s, "deadline_ms", 2_500.0).max(50_000),
-            worth: d.num(&s, "worth", 1.0, 0.0, 1e6),
-            late_worth: d.share(&s, "late_worth", 0.15),
-            old_worth: d.share(&s, "old_worth", 0.7),
-            effect,
-            uncacheable: effect != Effect::Safe,
-            fresh: d.ms(&s, "fresh_ms", 0.0),
-            grace: d.ms(&s, "grace_ms", 0.0),
+            priority_weight: d.num(&s, "worth", 1.0, 0.0, 1e6),
+            late_value: d.share(&s, "late_worth", 0.15),
+            stale_value: d.share(&s, "old_worth", 0.7),
+            idempotency: effect,
+            uncacheable: effect != Idempotency::Idempotent,
+            freshness_lifetime: d.ms(&s, "fresh_ms", 0.0),
+            stale_if_error: d.ms(&s, "grace_ms", 0.0),
             name,
         };
         classes.push(class);
@@ -288,12 +288,12 @@
     classes
 }
 
-fn troubles(d: &mut Draws, scenario: &Scenario) -> Vec<Trouble> {
+fn troubles(d: &mut Draws, scenario: &Scenario) -> Vec<FaultSpec> {
     let mut troubles = Vec::new();
     for name in d.reader.named("trouble") {
         let s = format!("trouble {name}");
-        let Some(kind) = d.reader.text(&s, "kind").and_then(|k| Kind::of(&k)) else {
-            let words: Vec<&str> = Kind::WORDS.iter().map(|(w, _)| *w).collect();
+        let Some(kind) = d.reader.text(&s, "kind").and_then(|k| FaultKind::from_name(&k)) else {
+            let words: Vec<&str> = FaultKind::WORDS.iter().map(|(w, _)| *w).collect();
             d.reader.report(
                 &s,
                 "kind",
@@ -314,7 +314,7 @@
             }
             found
         });
-        let role = d.reader.choice(&s, "role", kind.usual_role(), &Role::WORDS);
+        let role = d.reader.choice(&s, "role", kind.default_role(), &Role::WORDS);
         let number = d
             .reader
             .text(&s, "number")
@@ -325,31 +325,31 @@
                     None
                 }
             });
-        let whom = Whom {
+        let whom = FaultTarget {
             share: d.share(&s, "share", 0.3),
             zone,
             role,
-            number,
+            index: number,
         };
-        let takes = d.reader.choice(&s, "takes", Takes::Hosts, &Takes::WORDS);
-        let ways = d.reader.choice(&s, "ways", Ways::WORDS[0].1, &Ways::WORDS);
+        let takes = d.reader.choice(&s, "takes", SiteLossExtent::Hosts, &SiteLossExtent::WORDS);
+        let ways = d.reader.choice(&s, "ways", PartitionDirections::WORDS[0].1, &PartitionDirections::WORDS);
         let told = d.reader.flag(&s, "told", true);
-        if kind.strikes_site() && kind.needs_fleet() && zone.is_none() {
+        if kind.affects_site() && kind.requires_processes() && zone.is_none() {
             d.reader.report(&s, "zone", "missing: which site is struck");
         }
         let at = d.s(&s, "at_s", 5.0);
-        if at >= scenario.length() {
+        if at >= scenario.duration() {
             d.reader.report(&s, "at_s", "after the end of the day");
         }
-        troubles.push(Trouble {
+        troubles.push(FaultSpec {
             at,
-            length: d.s(&s, "for_s", 8.0),
-            down: d.s(&s, "down_s", 2.0),
-            hard: d.num(&s, "hard", kind.usual_hard(), 0.0, 1e6),
-            whom,
-            takes,
-            told,
-            ways,
+            duration: d.s(&s, "for_s", 8.0),
+            downtime: d.s(&s, "down_s", 2.0),
+            severity: d.num(&s, "hard", kind.default_severity(), 0.0, 1e6),
+            target: whom,
+            extent: takes,
+            announced: told,
+            directions: ways,
             kind,
             name,
         });
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,6 +1,6 @@
 //! Troubles as steps in time: what happens to which member or dispatcher when, and what the list says of it.
 use super::traffic::{group_number, group_path};
-use super::{stream, Scenario};
+use super::{derive_seed, Scenario};
 use pointspindle_cache_model::{Fault, HostId, HostSpec, Role};
 use pointspindle::Micros;
 use rand::rngs::StdRng;
@@ -9,17 +9,17 @@
 
 /// A kind of trouble, by its word in files.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     Deploy,
     Crash,
     HubRestart,
     ZoneLoss,
     Hang,
-    Lose,
-    Cut,
-    Refuse,
-    Errors,
-    Slow,
+    DropResponses,
+    TruncateResponses,
+    RejectRequests,
+    FailRequests,
+    SlowDown,
     Ageing,
     Purge,
     KillDispatchers,
@@ -36,16 +36,16 @@
     /// A site goes at once, as far as `takes` says, and comes back cold.
     SiteLoss,
     /// Nothing passes between a site and the others, in silence, one way or both; within it all goes on.
-    SiteCut,
+    SitePartition,
     /// Dispatchers stand still for `down`, one after another over the time, and go on as if nothing had been.
-    HangDispatchers,
+    PauseDispatchers,
     /// Dispatchers are told to stop, one after another over the time, and started again after `down`.
     StopDispatchers,
 }
 
 /// How much of a site a loss takes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Takes {
+pub enum SiteLossExtent {
     /// Its cache hosts (of a hub: its parents).
     Hosts,
     /// ... and the parents of its hub.
@@ -54,7 +54,7 @@
     Dispatchers,
 }
 
-impl Takes {
+impl SiteLossExtent {
     pub const WORDS: [(&'static str, Self); 3] = [
         ("hosts", Self::Hosts),
         ("parents", Self::Parents),
@@ -64,12 +64,12 @@
 
 /// What a cut holds up of a site's traffic with the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Ways {
+pub struct PartitionDirections {
     pub inward: bool,
     pub outward: bool,
 }
 
-impl Ways {
+impl PartitionDirections {
     pub const WORDS: [(&'static str, Self); 3] = [
         (
             "both",
@@ -95,18 +95,18 @@
     ];
 }
 
-impl Kind {
+impl FaultKind {
     pub const WORDS: [(&'static str, Self); 25] = [
         ("deploy", Self::Deploy),
         ("crash", Self::Crash),
         ("hub_restart", Self::HubRestart),
         ("zone_loss", Self::ZoneLoss),
         ("hang", Self::Hang),
-        ("lose_answers", Self::Lose),
-        ("cut_answers", Self::Cut),
-        ("refuse", Self::Refuse),
-        ("errors", Self::Errors),
-        ("slow", Self::Slow),
+        ("lose_answers", Self::DropResponses),
+        ("cut_answers", Self::TruncateResponses),
+        ("refuse", Self::RejectRequests),
+        ("errors", Self::FailRequests),
+        ("slow", Self::SlowDown),
         ("ageing", Self::Ageing),
         ("purge", Self::Purge),
         ("kill_dispatchers", Self::KillDispatchers),
@@ -119,19 +119,19 @@
         ("burst", Self::Burst),
         ("partition", Self::Partition),
         ("site_loss", Self::SiteLoss),
-        ("site_cut", Self::SiteCut),
-        ("hang_dispatchers", Self::HangDispatchers),
+        ("site_cut", Self::SitePartition),
+        ("hang_dispatchers", Self::PauseDispatchers),
         ("stop_dispatchers", Self::StopDispatchers),
     ];
 
-    pub fn of(word: &str) -> Option<Self> {
+    pub fn from_name(word: &str) -> Option<Self> {
         Self::WORDS
             .iter()
             .find(|(w, _)| *w == word)
             .map(|(_, k)| *k)
     }
 
-    pub fn word(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         Self::WORDS
             .iter()
             .find(|(_, k)| *k == self)
@@ -139,34 +139,34 @@
     }
 
     /// It takes a network: not to be had in virtual time.
-    pub fn needs_shell(self) -> bool {
+    pub fn requires_simulated_network(self) -> bool {
         self == Self::Partition
     }
 
     /// It takes several sites or dispatchers that can be held still: not for the simulated network.
-    pub fn needs_fleet(self) -> bool {
+    pub fn requires_processes(self) -> bool {
         matches!(
             self,
-            Self::SiteLoss | Self::SiteCut | Self::HangDispatchers | Self::StopDispatchers
+            Self::SiteLoss | Self::SitePartition | Self::PauseDispatchers | Self::StopDispatchers
         )
     }
 
     /// It strikes a site as a whole.
-    pub fn strikes_site(self) -> bool {
-        matches!(self, Self::SiteLoss | Self::SiteCut | Self::ZoneLoss)
+    pub fn affects_site(self) -> bool {
+        matches!(self, Self::SiteLoss | Self::SitePartition | Self::ZoneLoss)
     }
 
-    pub fn usual_role(self) -> Role {
+    pub fn default_role(self) -> Role {
         Role::Cache
     }
 
     /// What `hard` means and usually is: a share of answers, a factor, seconds of draining, of delay.
-    pub fn usual_hard(self) -> f64 {
+    pub fn default_severity(self) -> f64 {
         match self {
             Self::Deploy => 2.0,
-            Self::Lose | Self::Cut => 0.2,
-            Self::Errors => 0.7,
-            Self::Slow | Self::Ageing => 4.0,
+            Self::DropResponses | Self::TruncateResponses => 0.2,
+            Self::FailRequests => 0.7,
+            Self::SlowDown | Self::Ageing => 4.0,
             Self::LateLists => 3.0,
             Self::Oversized => 10.0,
             Self::Flaky | Self::Burst => 3.0,
@@ -177,65 +177,65 @@
 
 /// Whom a trouble strikes.
 #[derive(Clone, Copy, Debug)]
-pub struct Whom {
+pub struct FaultTarget {
     /// Share of the members that fit (of the groups for a purge, of dispatchers for a kill, of requests for
     /// troubles in the traffic).
     pub share: f64,
     pub zone: Option<usize>,
     pub role: Role,
     /// One alone: its place among those that fit.
-    pub number: Option<usize>,
+    pub index: Option<usize>,
 }
 
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct FaultSpec {
     pub name: String,
-    pub kind: Kind,
+    pub kind: FaultKind,
     pub at: Micros,
-    pub length: Micros,
+    pub duration: Micros,
     /// How long a process stays away.
-    pub down: Micros,
-    pub hard: f64,
-    pub whom: Whom,
+    pub downtime: Micros,
+    pub severity: f64,
+    pub target: FaultTarget,
     /// Of a site's loss: how much goes, and whether the list ever says so.
-    pub takes: Takes,
-    pub told: bool,
+    pub extent: SiteLossExtent,
+    pub announced: bool,
     /// Of a site's cut.
-    pub ways: Ways,
+    pub directions: PartitionDirections,
 }
 
 /// A member's state on the true list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum ListedState {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// One step of the script.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Step {
+pub enum ScriptStep {
     Fault {
         host: HostId,
         fault: Fault,
     },
     /// The list's source learns it now; dispatchers are told later.
-    List {
+    EndpointUpdate {
         host: HostId,
-        listed: Listed,
+        state: ListedState,
     },
     /// Its connections break and no new ones are taken, though its process lives; or they are again.
-    Way {
+    Reachability {
         host: HostId,
-        open: bool,
+        reachable: bool,
     },
     /// Between it and all dispatchers nothing passes any more, in silence; or it does again.
-    Part {
+    Partition {
         host: HostId,
-        parted: bool,
+        partitioned: bool,
     },
     /// Of the groups of this number, in all classes.
-    Purge {
+    PurgeGroup {
         group: u64,
     },
     /// Of one object.
@@ -243,39 +243,39 @@
         object: String,
         group: u64,
     },
-    Kill {
+    KillDispatcher {
         dispatcher: usize,
     },
-    Revive {
+    StartDispatcher {
         dispatcher: usize,
     },
     /// It stands still, or goes on.
-    Hang {
+    PauseDispatcher {
         dispatcher: usize,
-        hung: bool,
+        paused: bool,
     },
     /// It is told to stop: what it has accepted, it answers.
-    Stop {
+    StopDispatcher {
         dispatcher: usize,
     },
     /// Nothing passes between the zone and the others until then; or all does again.
-    Wall {
+    ZonePartition {
         zone: usize,
-        ways: Option<Ways>,
+        directions: Option<PartitionDirections>,
         until: Micros,
     },
     /// List changes are told so much later until then.
-    ListDelay {
-        more: Micros,
+    EndpointUpdateDelay {
+        extra: Micros,
         until: Micros,
     },
-    Say(String),
+    Note(String),
 }
 
 /// The whole script.
 #[derive(Clone, Debug)]
 pub struct Script {
-    pub steps: Vec<(Micros, Step)>,
+    pub steps: Vec<(Micros, ScriptStep)>,
     /// Members that come later, in the order of their numbers.
     pub newcomers: Vec<HostSpec>,
 }
@@ -286,7 +286,7 @@
 struct Writer<'a> {
     scenario: &'a Scenario,
     hosts: &'a [HostSpec],
-    steps: Vec<(Micros, Step)>,
+    steps: Vec<(Micros, ScriptStep)>,
     newcomers: Vec<HostSpec>,
     replaced: Vec<HostId>,
     rng: StdRng,
@@ -294,7 +294,7 @@
 
 impl Script {
     /// Writes the day's troubles out for these members. `address` names a newcomer by its number.
-    pub fn write(
+    pub fn generate(
         scenario: &Scenario,
         hosts: &[HostSpec],
         mut address: impl FnMut(usize) -> String,
@@ -312,7 +312,7 @@
         for trouble in &scenario.troubles {
             // Each trouble draws from its own stream: one more leaves the others as they were.
             let words = format!("trouble {}", trouble.name);
-            w.rng = StdRng::seed_from_u64(stream(scenario.seed, &words));
+            w.rng = StdRng::seed_from_u64(derive_seed(scenario.seed, &words));
             w.trouble(trouble, &mut address);
         }
         w.steady_purges();
@@ -330,7 +330,7 @@
         if self.scenario.purges <= 0.0 {
             return;
         }
-        self.rng = StdRng::seed_from_u64(stream(self.scenario.seed, "purges"));
+        self.rng = StdRng::seed_from_u64(derive_seed(self.scenario.seed, "purges"));
         let classes: Vec<_> = self
             .scenario
             .classes
@@ -340,23 +340,23 @@
         let mut at = 0.0;
         while let Some(class) = classes.choose(&mut self.rng) {
             at -= (1.0 - self.rng.gen::<f64>()).ln() / self.scenario.purges * 1e6;
-            if at as Micros >= self.scenario.length() {
+            if at as Micros >= self.scenario.duration() {
                 break;
             }
             let rank = self.rng.gen_range(1..=class.objects);
             let group = rank % self.scenario.groups;
             let object = format!("{}/o{rank}", group_path(&class.name, group));
             let group = group_number(&class.name, group);
-            self.step(at as Micros, Step::PurgeObject { object, group });
+            self.step(at as Micros, ScriptStep::PurgeObject { object, group });
         }
     }
 
-    fn step(&mut self, at: Micros, step: Step) {
+    fn step(&mut self, at: Micros, step: ScriptStep) {
         self.steps.push((at, step));
     }
 
     /// Members that run from the start, fit, and were not replaced by an earlier deploy.
-    fn fitting(&self, whom: &Whom) -> Vec<HostId> {
+    fn fitting(&self, whom: &FaultTarget) -> Vec<HostId> {
         let fits = |(id, h): &(HostId, &HostSpec)| {
             h.role == whom.role
                 && whom.zone.is_none_or(|z| z == h.zone)
@@ -370,9 +370,9 @@
             .collect()
     }
 
-    fn struck(&mut self, whom: &Whom) -> Vec<HostId> {
+    fn struck(&mut self, whom: &FaultTarget) -> Vec<HostId> {
         let mut all = self.fitting(whom);
-        if let Some(number) = whom.number {
+        if let Some(number) = whom.index {
             return all.get(number).copied().into_iter().collect();
         }
         all.shuffle(&mut self.rng);
@@ -390,24 +390,24 @@
     /// ... of which the list says nothing, if so.
     fn restart_told(&mut self, host: HostId, at: Micros, back: Micros, told: bool) {
         let steps = [
-            (at, Fault::Die, Listed::Gone),
-            (back, Fault::Return, Listed::Ready),
+            (at, Fault::Crash, ListedState::Removed),
+            (back, Fault::Restart, ListedState::Ready),
         ];
         for (at, fault, listed) in steps {
-            self.step(at, Step::Fault { host, fault });
+            self.step(at, ScriptStep::Fault { host, fault });
             if told {
-                self.step(at, Step::List { host, listed });
+                self.step(at, ScriptStep::EndpointUpdate { host, state: listed });
             }
         }
     }
 
     /// Dispatchers that a trouble strikes, in the order in which it does.
-    fn struck_dispatchers(&mut self, whom: &Whom) -> Vec<usize> {
+    fn struck_dispatchers(&mut self, whom: &FaultTarget) -> Vec<usize> {
         let branch_of = |d: usize| self.scenario.branch_of_dispatcher(d);
         let mut all: Vec<usize> = (0..self.scenario.dispatcher_count())
             .filter(|d| whom.zone.is_none_or(|zone| zone == branch_of(*d)))
             .collect();
-        match whom.number {
+        match whom.index {
             Some(number) => all.retain(|d| *d == number),
             None => {
                 all.shuffle(&mut self.rng);
@@ -418,69 +418,69 @@
     }
 
     /// Its processes go within moments of each other, and come back so.
-    fn site_loss(&mut self, t: &Trouble) {
-        let (zone, until) = (t.whom.zone.unwrap_or(0), t.at + t.length);
+    fn site_loss(&mut self, t: &FaultSpec) {
+        let (zone, until) = (t.target.zone.unwrap_or(0), t.at + t.duration);
         let hub = (zone < self.scenario.branches)
             .then(|| self.scenario.branches + self.scenario.hub_of(zone))
-            .filter(|_| t.takes >= Takes::Parents);
+            .filter(|_| t.extent >= SiteLossExtent::Parents);
         for host in 0..self.hosts.len() {
             let h = &self.hosts[host];
             let fits = h.role != Role::Origin && (h.zone == zone || Some(h.zone) == hub);
             if fits && !self.replaced.contains(&host) {
                 let jitter = self.rng.gen_range(0..TOGETHER);
-                self.restart_told(host, t.at + jitter, until + jitter, t.told);
+                self.restart_told(host, t.at + jitter, until + jitter, t.announced);
             }
         }
-        if t.takes == Takes::Dispatchers {
+        if t.extent == SiteLossExtent::Dispatchers {
             for dispatcher in self.scenario.dispatchers_of(zone) {
                 let jitter = self.rng.gen_range(0..TOGETHER);
-                self.step(t.at + jitter, Step::Kill { dispatcher });
-                self.step(until + jitter, Step::Revive { dispatcher });
+                self.step(t.at + jitter, ScriptStep::KillDispatcher { dispatcher });
+                self.step(until + jitter, ScriptStep::StartDispatcher { dispatcher });
             }
         }
     }
 
-    fn trouble(&mut self, t: &Trouble, address: &mut impl FnMut(usize) -> String) {
-        let (at, until) = (t.at, t.at + t.length);
+    fn trouble(&mut self, t: &FaultSpec, address: &mut impl FnMut(usize) -> String) {
+        let (at, until) = (t.at, t.at + t.duration);
         let fault = match t.kind {
-            Kind::Hang => Some(Fault::Hang { until }),
-            Kind::Lose => Some(Fault::Lose {
-                share: t.hard,
+            FaultKind::Hang => Some(Fault::Hang { until }),
+            FaultKind::DropResponses => Some(Fault::DropResponses {
+                share: t.severity,
                 until,
             }),
-            Kind::Cut => Some(Fault::Cut {
-                share: t.hard,
+            FaultKind::TruncateResponses => Some(Fault::TruncateResponses {
+                share: t.severity,
                 until,
             }),
-            Kind::Refuse => Some(Fault::Refuse { until }),
-            Kind::Errors => Some(Fault::Err {
-                share: t.hard,
+            FaultKind::RejectRequests => Some(Fault::RejectRequests { until }),
+            FaultKind::FailRequests => Some(Fault::FailRequests {
+                share: t.severity,
                 until,
             }),
-            Kind::Slow => Some(Fault::Slow {
-                factor: t.hard,
+            FaultKind::SlowDown => Some(Fault::SlowDown {
+                factor: t.severity,
                 until,
             }),
             _ => None,
         };
         let struck = match t.kind {
-            Kind::Purge | Kind::KillDispatchers | Kind::LateLists => vec![],
-            kind if kind.needs_fleet() => vec![],
-            Kind::Hot
-            | Kind::Oversized
-            | Kind::OneOff
-            | Kind::Burst
-            | Kind::HubRestart
-            | Kind::ZoneLoss => vec![],
-            _ => self.struck(&t.whom),
+            FaultKind::Purge | FaultKind::KillDispatchers | FaultKind::LateLists => vec![],
+            kind if kind.requires_processes() => vec![],
+            FaultKind::Hot
+            | FaultKind::Oversized
+            | FaultKind::OneOff
+            | FaultKind::Burst
+            | FaultKind::HubRestart
+            | FaultKind::ZoneLoss => vec![],
+            _ => self.struck(&t.target),
         };
-        let said = format!("{} ({}): {} members", t.name, t.kind.word(), struck.len());
-        self.step(at, Step::Say(said));
+        let said = format!("{} ({}): {} members", t.name, t.kind.name(), struck.len());
+        self.step(at, ScriptStep::Note(said));
         if let Some(fault) = fault {
             for host in struck {
                 self.step(
                     at,
-                    Step::Fault {
+                    ScriptStep::Fault {
                         host,
                         fault: fault.clone(),
                     },
@@ -489,47 +489,47 @@
             return;
         }
         match t.kind {
-            Kind::Partition => {
+            FaultKind::Partition => {
                 for host in struck {
-                    self.step(at, Step::Part { host, parted: true });
+                    self.step(at, ScriptStep::Partition { host, partitioned: true });
                     self.step(
                         until,
-                        Step::Part {
+                        ScriptStep::Partition {
                             host,
-                            parted: false,
+                            partitioned: false,
                         },
                     );
                 }
             }
-            Kind::Crash => {
+            FaultKind::Crash => {
                 for host in struck {
                     self.restart(host, at, until);
                 }
             }
-            Kind::Deploy => self.deploy(t, struck, address),
-            Kind::RollingRestart => {
+            FaultKind::Deploy => self.deploy(t, struck, address),
+            FaultKind::RollingRestart => {
                 let count = struck.len().max(1) as Micros;
                 for (n, host) in struck.into_iter().enumerate() {
-                    let at = at + t.length * n as Micros / count;
-                    self.restart(host, at, at + t.down);
+                    let at = at + t.duration * n as Micros / count;
+                    self.restart(host, at, at + t.downtime);
                 }
             }
-            Kind::Flaky => {
+            FaultKind::Flaky => {
                 // Within equal parts of the time, so that the cuts of one host never overlap.
-                let cuts = (t.hard.round() as Micros).max(1);
-                let part = t.length / cuts;
-                let down = t.down.min(part * 9 / 10).max(1);
+                let cuts = (t.severity.round() as Micros).max(1);
+                let part = t.duration / cuts;
+                let down = t.downtime.min(part * 9 / 10).max(1);
                 for host in struck {
                     for n in 0..cuts {
                         let at = at + part * n + self.rng.gen_range(0..=(part - down).max(1));
-                        self.step(at, Step::Way { host, open: false });
-                        self.step(at + down, Step::Way { host, open: true });
+                        self.step(at, ScriptStep::Reachability { host, reachable: false });
+                        self.step(at + down, ScriptStep::Reachability { host, reachable: true });
                     }
                 }
             }
-            Kind::HubRestart => {
+            FaultKind::HubRestart => {
                 let hub = t
-                    .whom
+                    .target
                     .zone
                     .filter(|z| *z >= self.scenario.branches)
                     .unwrap_or(self.scenario.branches);
@@ -537,18 +537,18 @@
                     let zone = self.hosts[host].zone;
                     let branch = zone < self.scenario.branches;
                     let mine = branch && self.scenario.hub_of(zone) == hub - self.scenario.branches;
-                    let fits = match t.whom.role {
+                    let fits = match t.target.role {
                         Role::Parent => zone == hub && self.hosts[host].role == Role::Parent,
                         _ => mine,
                     };
                     if fits && !self.replaced.contains(&host) {
                         let jitter = self.rng.gen_range(0..TOGETHER);
-                        self.restart(host, at + jitter, at + t.down + jitter);
+                        self.restart(host, at + jitter, at + t.downtime + jitter);
                     }
                 }
             }
-            Kind::ZoneLoss => {
-                let zone = t.whom.zone.unwrap_or(0);
+            FaultKind::ZoneLoss => {
+                let zone = t.target.zone.unwrap_or(0);
                 for host in 0..self.hosts.len() {
                     let fits =
                         self.hosts[host].zone == zone && self.hosts[host].role != Role::Origin;
@@ -557,73 +557,73 @@
                     }
                 }
             }
-            Kind::Ageing => {
+            FaultKind::Ageing => {
                 // Slower in steps, then dead, then back.
                 for host in struck {
                     for n in 1..=4_u64 {
-                        let factor = 1.0 + (t.hard - 1.0) * n as f64 / 4.0;
-                        let fault = Fault::Slow { factor, until };
-                        self.step(at + t.length * (n - 1) / 4, Step::Fault { host, fault });
+                        let factor = 1.0 + (t.severity - 1.0) * n as f64 / 4.0;
+                        let fault = Fault::SlowDown { factor, until };
+                        self.step(at + t.duration * (n - 1) / 4, ScriptStep::Fault { host, fault });
                     }
-                    self.restart(host, until, until + t.down);
+                    self.restart(host, until, until + t.downtime);
                 }
             }
-            Kind::Purge => {
+            FaultKind::Purge => {
                 let mut groups: Vec<u64> = (0..self.scenario.groups).collect();
                 groups.shuffle(&mut self.rng);
-                groups.truncate((t.whom.share * groups.len() as f64).round().max(1.0) as usize);
+                groups.truncate((t.target.share * groups.len() as f64).round().max(1.0) as usize);
                 for group in groups {
-                    self.step(at, Step::Purge { group });
+                    self.step(at, ScriptStep::PurgeGroup { group });
                 }
             }
-            Kind::KillDispatchers | Kind::HangDispatchers | Kind::StopDispatchers => {
-                let all = self.struck_dispatchers(&t.whom);
-                let gap = t.length / all.len().max(1) as Micros;
+            FaultKind::KillDispatchers | FaultKind::PauseDispatchers | FaultKind::StopDispatchers => {
+                let all = self.struck_dispatchers(&t.target);
+                let gap = t.duration / all.len().max(1) as Micros;
                 for (n, dispatcher) in all.into_iter().enumerate() {
                     let at = at + gap * n as Micros;
                     let (first, then) = match t.kind {
-                        Kind::HangDispatchers => (
-                            Step::Hang {
+                        FaultKind::PauseDispatchers => (
+                            ScriptStep::PauseDispatcher {
                                 dispatcher,
-                                hung: true,
+                                paused: true,
                             },
-                            Step::Hang {
+                            ScriptStep::PauseDispatcher {
                                 dispatcher,
-                                hung: false,
+                                paused: false,
                             },
                         ),
-                        Kind::StopDispatchers => {
-                            (Step::Stop { dispatcher }, Step::Revive { dispatcher })
+                        FaultKind::StopDispatchers => {
+                            (ScriptStep::StopDispatcher { dispatcher }, ScriptStep::StartDispatcher { dispatcher })
                         }
-                        _ => (Step::Kill { dispatcher }, Step::Revive { dispatcher }),
+                        _ => (ScriptStep::KillDispatcher { dispatcher }, ScriptStep::StartDispatcher { dispatcher }),
                     };
                     self.step(at, first);
-                    self.step(at + t.down, then);
+                    self.step(at + t.downtime, then);
                 }
             }
-            Kind::SiteLoss => self.site_loss(t),
-            Kind::SiteCut => {
-                let zone = t.whom.zone.unwrap_or(0);
+            FaultKind::SiteLoss => self.site_loss(t),
+            FaultKind::SitePartition => {
+                let zone = t.target.zone.unwrap_or(0);
                 self.step(
                     at,
-                    Step::Wall {
+                    ScriptStep::ZonePartition {
                         zone,
-                        ways: Some(t.ways),
+                        directions: Some(t.directions),
                         until,
                     },
                 );
                 self.step(
                     until,
-                    Step::Wall {
+                    ScriptStep::ZonePartition {
                         zone,
-                        ways: None,
+                        directions: None,
                         until,
                     },
                 );
             }
-            Kind::LateLists => {
-                let more = (t.hard * 1e6) as Micros;
-                self.step(at, Step::ListDelay { more, until });
+            FaultKind::LateLists => {
+                let more = (t.severity * 1e6) as Micros;
+                self.step(at, ScriptStep::EndpointUpdateDelay { extra: more, until });
             }
             _ => {}
         }
@@ -633,34 +633,34 @@
     /// address.
     fn deploy(
         &mut self,
-        t: &Trouble,
+        t: &FaultSpec,
         struck: Vec<HostId>,
         address: &mut impl FnMut(usize) -> String,
     ) {
-        let drain = (t.hard * 1e6) as Micros;
+        let drain = (t.severity * 1e6) as Micros;
         let count = struck.len().max(1) as Micros;
         for (n, host) in struck.into_iter().enumerate() {
-            let at = t.at + t.length * n as Micros / count;
+            let at = t.at + t.duration * n as Micros / count;
             self.replaced.push(host);
             self.step(
                 at,
-                Step::List {
+                ScriptStep::EndpointUpdate {
                     host,
-                    listed: Listed::Draining,
+                    state: ListedState::Draining,
                 },
             );
             self.step(
                 at + drain,
-                Step::Fault {
+                ScriptStep::Fault {
                     host,
-                    fault: Fault::Die,
+                    fault: Fault::Crash,
                 },
             );
             self.step(
                 at + drain,
-                Step::List {
+                ScriptStep::EndpointUpdate {
                     host,
-                    listed: Listed::Gone,
+                    state: ListedState::Removed,
                 },
             );
             let successor = self.hosts.len() + self.newcomers.len();
@@ -671,16 +671,16 @@
             self.newcomers.push(spec);
             self.step(
                 at + drain,
-                Step::Fault {
+                ScriptStep::Fault {
                     host: successor,
-                    fault: Fault::Return,
+                    fault: Fault::Restart,
                 },
             );
             self.step(
                 at + drain,
-                Step::List {
+                ScriptStep::EndpointUpdate {
                     host: successor,
-                    listed: Listed::Ready,
+                    state: ListedState::Ready,
                 },
             );
         }
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Who asks for what and when: drawn ahead from the day's seed, whatever becomes of the answers.
-use super::script::Kind;
-use super::{size_of, stream, Effect, Scenario};
+use super::script::FaultKind;
+use super::{size_of, derive_seed, Idempotency, Scenario};
 use pointspindle::{Micros, ObjectId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -9,26 +9,26 @@
 
 /// A client's wish: one call, tried again by its client when it is refused or fails.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct PlannedCall {
     pub at: Micros,
     pub branch: usize,
     pub class: usize,
     pub object: String,
-    pub number: u64,
+    pub object_number: u64,
     pub group: u64,
     pub part: u64,
     pub size: u64,
-    pub http: bool,
+    pub uses_http: bool,
     /// Its client leaves after this long.
-    pub leaves: Option<Micros>,
-    pub honours: bool,
+    pub cancel_after: Option<Micros>,
+    pub honours_retry_after: bool,
     /// Spreads its retries.
-    pub dice: f64,
+    pub jitter: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    pub calls: Vec<Call>,
+    pub calls: Vec<PlannedCall>,
 }
 
 /// The group of a class's objects, by number; also the purge group of their paths.
@@ -41,8 +41,8 @@
 }
 
 impl Traffic {
-    pub fn draw(scenario: &Scenario) -> Self {
-        let mut rng = StdRng::seed_from_u64(stream(scenario.seed, "traffic"));
+    pub fn generate(scenario: &Scenario) -> Self {
+        let mut rng = StdRng::seed_from_u64(derive_seed(scenario.seed, "traffic"));
         let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
         let zipfs: Vec<Zipf<f64>> = scenario
             .classes
@@ -62,7 +62,7 @@
         loop {
             even += gaps.sample(&mut rng);
             let now = tide.at(even) as Micros;
-            if now >= scenario.length() {
+            if now >= scenario.duration() {
                 break;
             }
             let branch = rng.gen_range(0..scenario.branches);
@@ -81,38 +81,38 @@
             let part = rng.gen_range(0..c.parts);
             let group = rank % scenario.groups;
             once += 1;
-            let plain = if local < c.local {
+            let plain = if local < c.local_share {
                 format!("b{branch}-o{rank}")
             } else {
                 format!("o{rank}")
             };
             let file = match unusual(scenario, now, class, special, once) {
                 Some(file) => file,
-                None if dice < c.once => format!("once{once}"),
+                None if dice < c.once_share => format!("once{once}"),
                 None => plain,
             };
-            let (file, group, part) = if c.part_every > 0 && c.parts > 1 {
+            let (file, group, part) = if c.part_interval > 0 && c.parts > 1 {
                 viewers.next(now, (class, branch), c, (file, group))
             } else {
                 (file, group, part)
             };
             let object = format!("{}/{file}", group_path(&c.name, group));
             let number = ObjectId::named(&object).0;
-            let hang_up = rng.gen::<f64>() < scenario.clients.hang_up;
-            let leaves = rng.gen::<f64>() * c.aim as f64;
-            calls.push(Call {
+            let hang_up = rng.gen::<f64>() < scenario.clients.cancel_share;
+            let leaves = rng.gen::<f64>() * c.latency_objective as f64;
+            calls.push(PlannedCall {
                 at: now,
                 branch,
                 class,
                 size: size_of(c, scenario.seed, &object, number, part),
                 object,
-                number,
+                object_number: number,
                 group: group_number(&c.name, group),
                 part,
-                http: rng.gen::<f64>() < scenario.clients.http && c.effect == Effect::Safe,
-                leaves: (hang_up && c.effect == Effect::Safe).then_some(leaves as Micros),
-                honours: rng.gen::<f64>() < scenario.clients.honour,
-                dice: rng.gen::<f64>(),
+                uses_http: rng.gen::<f64>() < scenario.clients.http_share && c.idempotency == Idempotency::Idempotent,
+                cancel_after: (hang_up && c.idempotency == Idempotency::Idempotent).then_some(leaves as Micros),
+                honours_retry_after: rng.gen::<f64>() < scenario.clients.retry_after_share,
+                jitter: rng.gen::<f64>(),
             });
         }
         Self { calls }
@@ -133,20 +133,20 @@
         let s = self.scenario;
         let turn = at / s.wave as f64 * std::f64::consts::TAU;
         let now = at as Micros;
-        let on = |t: &&super::script::Trouble| {
-            t.kind == Kind::Burst && now >= t.at && now < t.at + t.length
+        let on = |t: &&super::script::FaultSpec| {
+            t.kind == FaultKind::Burst && now >= t.at && now < t.at + t.duration
         };
-        let bursts: f64 = s.troubles.iter().filter(on).map(|t| t.hard).product();
+        let bursts: f64 = s.troubles.iter().filter(on).map(|t| t.severity).product();
         // Never quite 0: the day would not go on.
         ((1.0 + s.wave_depth * turn.sin()) * bursts).max(1e-3)
     }
 
     fn at(&mut self, even: f64) -> f64 {
         let s = self.scenario;
-        if s.wave_depth == 0.0 && s.troubles.iter().all(|t| t.kind != Kind::Burst) {
+        if s.wave_depth == 0.0 && s.troubles.iter().all(|t| t.kind != FaultKind::Burst) {
             return even;
         }
-        while self.even < even && self.at < s.length() as f64 {
+        while self.even < even && self.at < s.duration() as f64 {
             let factor = self.factor(self.at);
             let step = ((even - self.even) / factor).min(1_000.0);
             (self.at, self.even) = (self.at + step, self.even + step * factor);
@@ -170,7 +170,7 @@
         &mut self,
         now: Micros,
         place: (usize, usize),
-        class: &super::ClassDay,
+        class: &super::RequestClass,
         (file, group): (String, u64),
     ) -> (String, u64, u64) {
         let open = self.open.entry(place).or_default();
@@ -181,7 +181,7 @@
             .flatten();
         let (_, file, group, part) = due.unwrap_or((now, file, group, 0));
         if part + 1 < class.parts {
-            open.push_back((now + class.part_every, file.clone(), group, part + 1));
+            open.push_back((now + class.part_interval, file.clone(), group, part + 1));
         }
         (file, group, part)
     }
@@ -192,19 +192,19 @@
 fn unusual(scenario: &Scenario, now: Micros, class: usize, dice: f64, once: u64) -> Option<String> {
     let mut left = dice;
     for trouble in &scenario.troubles {
-        if now < trouble.at || now >= trouble.at + trouble.length {
+        if now < trouble.at || now >= trouble.at + trouble.duration {
             continue;
         }
         let file = match trouble.kind {
-            Kind::Hot if class == 0 => format!("hot-{}", trouble.name),
-            Kind::Oversized if class == 0 => format!("big{once}~{}", trouble.hard.max(1.0)),
-            Kind::OneOff if scenario.classes[class].effect == Effect::Safe => format!("scan{once}"),
+            FaultKind::Hot if class == 0 => format!("hot-{}", trouble.name),
+            FaultKind::Oversized if class == 0 => format!("big{once}~{}", trouble.severity.max(1.0)),
+            FaultKind::OneOff if scenario.classes[class].idempotency == Idempotency::Idempotent => format!("scan{once}"),
             _ => continue,
         };
-        if left < trouble.whom.share {
+        if left < trouble.target.share {
             return Some(file);
         }
-        left -= trouble.whom.share;
+        left -= trouble.target.share;
     }
     None
 }
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -1,8 +1,8 @@
 //! A bench day of our own making becomes a scenario that reads back and says the same.
 #![recursion_limit = "512"]
 use pointspindle_scenario::import::{import, Size};
-use pointspindle_scenario::script::{Kind, Listed};
-use pointspindle_scenario::{parse, Script, Step, Traffic};
+use pointspindle_scenario::script::{FaultKind, ListedState};
+use pointspindle_scenario::{parse, Script, ScriptStep, Traffic};
 use serde_json::json;
 
 fn day(troubles: serde_json::Value) -> String {
@@ -48,21 +48,21 @@
     let none = json!({});
     let waves = json!({"steps": [{"at": 5e6, "stop": [0, 1, 2], "start": [20]}, {"at": 8e6, "stop": [4, 5, 6], "start": [21]}]});
     let kinds = [
-        ("crash", Kind::Crash),
-        ("mass_restart", Kind::Crash),
-        ("hang", Kind::Hang),
-        ("fast_errors", Kind::Errors),
-        ("answer_lost", Kind::Lose),
-        ("ageing", Kind::Ageing),
-        ("zone_loss", Kind::ZoneLoss),
-        ("origin_slow", Kind::Slow),
-        ("flush", Kind::Purge),
-        ("hot_key", Kind::Hot),
-        ("heavy_tail", Kind::Oversized),
-        ("scan", Kind::OneOff),
-        ("deploy", Kind::Deploy),
-        ("preempt", Kind::Deploy),
-        ("balancer_roll", Kind::KillDispatchers),
+        ("crash", FaultKind::Crash),
+        ("mass_restart", FaultKind::Crash),
+        ("hang", FaultKind::Hang),
+        ("fast_errors", FaultKind::FailRequests),
+        ("answer_lost", FaultKind::DropResponses),
+        ("ageing", FaultKind::Ageing),
+        ("zone_loss", FaultKind::ZoneLoss),
+        ("origin_slow", FaultKind::SlowDown),
+        ("flush", FaultKind::Purge),
+        ("hot_key", FaultKind::Hot),
+        ("heavy_tail", FaultKind::Oversized),
+        ("scan", FaultKind::OneOff),
+        ("deploy", FaultKind::Deploy),
+        ("preempt", FaultKind::Deploy),
+        ("balancer_roll", FaultKind::KillDispatchers),
     ];
     let mut troubles: Vec<_> = kinds
         .iter()
@@ -83,16 +83,16 @@
         let (text, left) = import(&day(json!(troubles)), size).unwrap();
         assert_eq!(left.len(), 2, "{left:?}");
         let s = parse("imported.ini", &text, None).unwrap_or_else(|e| panic!("{e}\n{text}"));
-        let got: Vec<Kind> = s.troubles.iter().map(|t| t.kind).collect();
+        let got: Vec<FaultKind> = s.troubles.iter().map(|t| t.kind).collect();
         assert_eq!(got, kinds.iter().map(|k| k.1).collect::<Vec<_>>());
-        let deploy = s.troubles.iter().find(|t| t.kind == Kind::Deploy).unwrap();
-        assert!((deploy.whom.share - 0.5).abs() < 0.01 && deploy.hard == 2.0);
+        let deploy = s.troubles.iter().find(|t| t.kind == FaultKind::Deploy).unwrap();
+        assert!((deploy.target.share - 0.5).abs() < 0.01 && deploy.severity == 2.0);
         assert_eq!(
-            (s.branches, s.caches, s.parents, s.rules.purge_done),
+            (s.branches, s.caches, s.parents, s.rules.purge_deadline),
             (3, 4, 2, 6_000_000)
         );
         assert_eq!(
-            (s.classes[1].fresh, s.classes[1].grace),
+            (s.classes[1].freshness_lifetime, s.classes[1].stale_if_error),
             (9_000_000, 18_000_000)
         );
     }
@@ -105,7 +105,7 @@
         let (text, _) = import(&day(json!(null)), size).unwrap();
         let s = parse("imported.ini", &text, Some(3)).unwrap();
         let links: f64 = s.cache.spec.weight * (s.branches * s.caches) as f64;
-        let bytes: u64 = Traffic::draw(&s).calls.iter().map(|c| c.size).sum();
+        let bytes: u64 = Traffic::generate(&s).calls.iter().map(|c| c.size).sum();
         let load = bytes as f64 / s.flow / s.seconds / links;
         assert!((0.42..0.58).contains(&load), "{size:?}: {load}");
     }
@@ -121,7 +121,7 @@
     let s = parse("imported.ini", &text, Some(3)).unwrap();
     let address = |n: usize| format!("127.0.0.1:{}", 1000 + n);
     let hosts = s.hosts(address);
-    let script = Script::write(&s, &hosts, address);
+    let script = Script::generate(&s, &hosts, address);
     assert_eq!(script.newcomers.len(), 2);
     for (n, _) in script.newcomers.iter().enumerate() {
         let host = hosts.len() + n;
@@ -129,9 +129,9 @@
             .steps
             .iter()
             .find(|(_, s)| {
-                *s == Step::List {
+                *s == ScriptStep::EndpointUpdate {
                     host,
-                    listed: Listed::Ready,
+                    state: ListedState::Ready,
                 }
             })
             .unwrap()
@@ -142,8 +142,8 @@
             .filter(|(_, s)| {
                 matches!(
                     s,
-                    Step::List {
-                        listed: Listed::Draining,
+                    ScriptStep::EndpointUpdate {
+                        state: ListedState::Draining,
                         ..
                     }
                 )
--- a/crates/scenario/tests/traffic.rs
+++ b/crates/scenario/tests/traffic.rs
@@ -1,18 +1,18 @@
 //! Traffic that is not steady: waves, bursts, parts one after another.
-use pointspindle_scenario::{load_with, Change, Scenario, Traffic};
+use pointspindle_scenario::{load_with, SettingOverride, Scenario, Traffic};
 use std::collections::HashMap;
 use std::path::Path;
 
 fn scenario(sets: &[&str]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/evening-rush.ini");
-    let sets: Vec<Change> = sets.iter().map(|s| s.parse().unwrap()).collect();
+    let sets: Vec<SettingOverride> = sets.iter().map(|s| s.parse().unwrap()).collect();
     load_with(&file, Some(5), &sets).unwrap_or_else(|e| panic!("{e}"))
 }
 
 /// Calls in each second.
 fn by_second(s: &Scenario) -> Vec<usize> {
     let mut out = vec![0; s.seconds as usize + 1];
-    for call in Traffic::draw(s).calls {
+    for call in Traffic::generate(s).calls {
         out[(call.at / 1_000_000) as usize] += 1;
     }
     out
@@ -49,7 +49,7 @@
 #[test]
 fn a_steady_day_is_what_it_was() {
     let draw = |sets: &[&str]| {
-        let calls = Traffic::draw(&scenario(sets)).calls;
+        let calls = Traffic::generate(&scenario(sets)).calls;
         calls
             .into_iter()
             .map(|c| (c.at, c.object, c.part))
@@ -73,7 +73,7 @@
     ]);
     let mut next: HashMap<(usize, String), Vec<(u64, u64)>> = HashMap::new();
     let (mut firsts, mut later) = (0, 0);
-    for call in Traffic::draw(&s).calls.into_iter().filter(|c| c.class == 0) {
+    for call in Traffic::generate(&s).calls.into_iter().filter(|c| c.class == 0) {
         let open = next.entry((call.branch, call.object.clone())).or_default();
         if call.part == 0 {
             firsts += 1;
--- a/crates/simulator/src/greet.rs
+++ b/crates/simulator/src/greet.rs
@@ -1,9 +1,9 @@
 //! Connections of dispatchers to members that say who they are: hello, leases, and what breaks with a process.
 use super::links::Owner;
 use super::sim::{Ending, Event, Sim, EPOCH};
-use pointspindle_scenario::fault_injection::Plant;
-use pointspindle_cache_model::{HostId, In, JobId, Wanted};
-use pointspindle_audit::trace::Left;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_cache_model::{HostId, ModelInput, JobId, ModelRequest};
+use pointspindle_audit::trace::AttemptOutcome;
 use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::Input;
@@ -14,7 +14,7 @@
 
 impl Sim<'_> {
     /// What waited for a connection goes out on it, or ends: `met` is the process that it was decided for.
-    pub(super) fn connected(&mut self, job: JobId, wanted: Wanted, met: Option<u64>) {
+    pub(super) fn connected(&mut self, job: JobId, wanted: ModelRequest, met: Option<u64>) {
         let Some(found) = self.links.get(job).copied() else {
             return;
         };
@@ -53,15 +53,15 @@
             );
             return;
         };
-        let planted = self.plant == Some(Plant::Purge);
+        let planted = self.plant == Some(InjectedFault::IgnorePurge);
         let age = if planted {
-            wanted.age
+            wanted.max_age
         } else {
-            wanted.age.min(begin.max_copy_age)
+            wanted.max_age.min(begin.max_copy_age)
         };
-        let wanted = Wanted {
-            age,
-            join: begin.may_coalesce,
+        let wanted = ModelRequest {
+            max_age: age,
+            coalesce: begin.may_coalesce,
             ..wanted
         };
         let way = self.way_of(&found.owner, host);
@@ -70,7 +70,7 @@
 
     /// A connection is there; to which start of the process.
     fn meet(&mut self, dispatcher: usize, host: HostId) -> u64 {
-        let (start, started) = self.world.start(host);
+        let (start, started) = self.world.incarnation(host);
         if self.dispatchers[dispatcher].connected.insert(host, start) != Some(start) {
             self.dispatchers[dispatcher].met.insert(host, start);
             let ago = started.map(|at| (EPOCH + self.now).saturating_sub(at));
@@ -107,7 +107,7 @@
     /// A dispatcher wants a member's word though it has no request for it.
     pub(super) fn plan_meeting(&mut self, dispatcher: usize, host: HostId, after: u64) {
         if self.s.hello && !self.dispatchers[dispatcher].connected.contains_key(&host) {
-            let way = self.s.way(
+            let way = self.s.latency_between(
                 self.s.branch_of_dispatcher(dispatcher),
                 self.zone_of_host(host),
             );
@@ -132,7 +132,7 @@
 
     /// A dispatcher's question for work reaches its member; the answer goes back.
     pub(super) fn wanted(&mut self, dispatcher: usize, life: u32, host: HostId, work_us: u64) {
-        let start = self.world.start(host).0;
+        let start = self.world.incarnation(host).0;
         if self.dispatchers[dispatcher].connected.get(&host) != Some(&start) {
             return;
         }
@@ -150,7 +150,7 @@
             in_reply: true,
             ..given
         };
-        let way = self.s.way(
+        let way = self.s.latency_between(
             self.s.branch_of_dispatcher(dispatcher),
             self.zone_of_host(host),
         );
@@ -167,25 +167,25 @@
 
     /// A process has started: it leases out what it bears, and who lost the one before it comes back.
     pub(super) fn warms_up(&mut self, host: HostId) {
-        let spec = self.world.spec(host);
-        if let Some(ledger) = self.s.ledger(spec.role, spec.weight, self.now) {
+        let spec = self.world.host_spec(host);
+        if let Some(ledger) = self.s.work_ledger(spec.role, spec.weight, self.now) {
             self.queue.plan(
                 ledger.next_slot(),
-                Event::Slot(host, self.world.start(host).0),
+                Event::Slot(host, self.world.incarnation(host).0),
             );
             self.ledgers.insert(host, ledger);
         }
         for dispatcher in 0..self.dispatchers.len() {
             if self.dispatchers[dispatcher].met.contains_key(&host) {
-                let words = format!("meet {dispatcher} {host} {}", self.world.start(host).0);
-                let after = pointspindle_scenario::stream(self.s.seed, &words) % MEETING;
+                let words = format!("meet {dispatcher} {host} {}", self.world.incarnation(host).0);
+                let after = pointspindle_scenario::derive_seed(self.s.seed, &words) % MEETING;
                 self.plan_meeting(dispatcher, host, after);
             }
         }
     }
 
     pub(super) fn slot(&mut self, host: HostId, start: u64) {
-        if self.world.start(host).0 != start {
+        if self.world.incarnation(host).0 != start {
             return;
         }
         let Some(ledger) = self.ledgers.get_mut(&host) else {
@@ -200,7 +200,7 @@
         for grant in grants {
             let dispatcher = grant.user as usize;
             let life = self.dispatchers[dispatcher].life;
-            let way = self.s.way(
+            let way = self.s.latency_between(
                 self.s.branch_of_dispatcher(dispatcher),
                 self.zone_of_host(host),
             );
@@ -245,8 +245,8 @@
         self.cut_off.insert(host);
         self.unreachable(host);
         for job in self.links.all(|j| j.host == host && j.reached) {
-            self.tell_world(In::Cancel { host, job });
-            self.ending(job, Ending::Broken, Left::Lost);
+            self.tell_world(ModelInput::Cancel { host, job });
+            self.ending(job, Ending::Broken, AttemptOutcome::ConnectionLost);
         }
     }
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -10,9 +10,9 @@
 mod sim;
 mod sites;
 
-use pointspindle_audit::{self as audit, service::Service, Rule};
-use pointspindle_scenario::fault_injection::Plant;
-use pointspindle_audit::trace::Sight;
+use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_audit::trace::TraceEntry;
 use pointspindle_scenario::{Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 
@@ -20,14 +20,14 @@
 #[derive(Debug)]
 pub struct Outcome {
     pub service: Service,
-    pub rules: Vec<Rule>,
-    pub sights: Vec<Sight>,
-    pub cost: Cost,
+    pub rules: Vec<RuleVerdict>,
+    pub trace: Vec<TraceEntry>,
+    pub cost: RunCost,
 }
 
 /// What the run itself took; not part of what a seed determines.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
-pub struct Cost {
+pub struct RunCost {
     pub events: u64,
     pub wall_s: f64,
     /// Time inside the dispatchers' cores, and how often they were called.
@@ -36,22 +36,22 @@
 }
 
 /// Plays a day. Only plants that control or members make exist here: relays have no sockets to stand between.
-pub fn run(scenario: &Scenario, plant: Option<Plant>) -> Result<Outcome, String> {
-    if let Some(why) = scenario.needs_shell() {
+pub fn run(scenario: &Scenario, plant: Option<InjectedFault>) -> Result<Outcome, String> {
+    if let Some(why) = scenario.requires_simulated_network() {
         return Err(why);
     }
     let began = std::time::Instant::now();
     let planted = scenario.clone();
     let planted = match plant {
-        Some(Plant::Cold) => planted.with_unseen_starts(),
-        Some(Plant::Alone) => Scenario {
+        Some(InjectedFault::HideRestart) => planted.with_hidden_restarts(),
+        Some(InjectedFault::MiscountDispatchers) => Scenario {
             told_alone: true,
             ..planted
         },
         _ => planted,
     };
     let scenario = &planted;
-    let traffic = Traffic::draw(scenario);
+    let traffic = Traffic::generate(scenario);
     let mut sim = sim::Sim::new(scenario, &traffic, plant)?;
     sim.run();
     let (sights, effects, mut cost) = sim.finish();
@@ -62,7 +62,7 @@
     Ok(Outcome {
         service,
         rules,
-        sights,
+        trace: sights,
         cost,
     })
 }
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -1,6 +1,6 @@
 //! Whose request a job at a member is, and which job an attempt or a fill is.
 use pointspindle_cache_model::{FillId, HostId, JobId};
-use pointspindle_audit::trace::TryId;
+use pointspindle_audit::trace::ClientAttemptId;
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -11,14 +11,14 @@
         life: u32,
         request: u64,
         attempt: u32,
-        id: TryId,
+        id: ClientAttemptId,
     },
     /// A fill of another member, in one of its process's lives.
     Fill {
         host: HostId,
         start: u64,
         fill: FillId,
-        id: Option<TryId>,
+        id: Option<ClientAttemptId>,
     },
 }
 
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -1,17 +1,17 @@
 //! The event loop: clients, dispatchers' cores, the world, control and the script.
 use super::links::{Links, Owner};
 use super::queue::Queue;
-use super::Cost;
-use pointspindle_fleet_model::control_plane::{self, Book, Line, Told};
-use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
-use pointspindle_fleet_model::purge_propagation::drop_delay;
-use pointspindle_scenario::fault_injection::Plant;
+use super::RunCost;
+use pointspindle_fleet_model::control_plane::{self, ControlPlane, ListedEndpoint, ControlUpdate};
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_cache_model::{
-    Answer, Fault, HostId, HostSpec, In, JobId, Out, Role, SourceEnd, Wanted, World,
+    ModelResponse, Fault, HostId, HostSpec, ModelInput, JobId, ModelOutput, Role, FillOutcome, ModelRequest, CacheModel,
 };
-use pointspindle_audit::trace::{End, Left, Saw, Sight, TryId};
-use pointspindle_scenario::script::{purge_groups, Listed, Ways};
-use pointspindle_scenario::{stream, Call, Effect, Scenario, Script, Step, Traffic};
+use pointspindle_audit::trace::{ClientOutcome, AttemptOutcome, TraceEvent, TraceEntry, ClientAttemptId};
+use pointspindle_scenario::script::{purge_groups, ListedState, PartitionDirections};
+use pointspindle_scenario::{derive_seed, PlannedCall, Idempotency, Scenario, Script, ScriptStep, Traffic};
 use pointspindle::{Micros, ObjectId};
 use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_config::DispatcherSettings;
@@ -33,14 +33,14 @@
 pub(super) enum Event {
     Call(usize),
     /// A try's turn to be sent.
-    Try(TryId),
-    Asked(TryId),
-    Leave(TryId),
-    ClientEnd(TryId, End),
-    Patience(TryId),
-    Arrive(JobId, Wanted),
+    Try(ClientAttemptId),
+    Asked(ClientAttemptId),
+    Leave(ClientAttemptId),
+    ClientEnd(ClientAttemptId, ClientOutcome),
+    Patience(ClientAttemptId),
+    Arrive(JobId, ModelRequest),
     Cancel(JobId),
-    Head(JobId, Answer),
+    Head(JobId, ModelResponse),
     Over(JobId, Ending),
     Step(usize),
     DropCopies {
@@ -50,7 +50,7 @@
         at: Micros,
     },
     /// A connection that an attempt waits for is there, or cannot be had.
-    Connected(JobId, Wanted, Option<u64>),
+    Connected(JobId, ModelRequest, Option<u64>),
     /// A connection without a request for it is there.
     Meet {
         dispatcher: usize,
@@ -92,7 +92,7 @@
     settings: DispatcherSettings,
     next: u64,
     /// Open requests and whose they are.
-    pub(super) open: HashMap<u64, TryId>,
+    pub(super) open: HashMap<u64, ClientAttemptId>,
     /// The answer that is being passed on: its version and bytes, and whether it is old.
     passing: HashMap<u64, (u64, u64, bool)>,
     heads: HashMap<u64, (u64, u64, bool)>,
@@ -116,28 +116,28 @@
 
 pub struct Sim<'a> {
     pub(super) s: &'a Scenario,
-    calls: &'a [Call],
-    pub(super) plant: Option<Plant>,
-    pub(super) world: World,
-    pub(super) book: Book,
+    calls: &'a [PlannedCall],
+    pub(super) plant: Option<InjectedFault>,
+    pub(super) world: CacheModel,
+    pub(super) book: ControlPlane,
     script: Script,
     pub(super) dispatchers: Vec<Dispatcher>,
     pub(super) links: Links,
     pub(super) queue: Queue<Event>,
-    waiting: HashMap<TryId, Waiting>,
+    waiting: HashMap<ClientAttemptId, Waiting>,
     /// By call: tries that found nobody.
     missed: HashMap<u64, u32>,
     /// Zones that are cut off, which way, until when.
-    pub(super) walls: BTreeMap<usize, Ways>,
+    pub(super) walls: BTreeMap<usize, PartitionDirections>,
     pub(super) walled_until: Micros,
-    sights: Vec<Sight>,
+    sights: Vec<TraceEntry>,
     pub(super) now: Micros,
     /// By member: kind, zone's name, weight, zone.
     members: Vec<(String, String, f64, usize)>,
     addresses: Vec<String>,
     world_timer: Option<Micros>,
-    cost: Cost,
-    out: Vec<Out>,
+    cost: RunCost,
+    out: Vec<ModelOutput>,
     pub(super) ledgers: HashMap<HostId, WorkLedger>,
     /// Members that cannot be reached though they live.
     pub(super) cut_off: HashSet<HostId>,
@@ -147,19 +147,19 @@
     pub fn new(
         s: &'a Scenario,
         traffic: &'a Traffic,
-        plant: Option<Plant>,
+        plant: Option<InjectedFault>,
     ) -> Result<Self, String> {
         let address = |n: usize| format!("10.{}.{}.{}:80", n / 62_500, n / 250 % 250, n % 250 + 1);
         let hosts = s.hosts(address);
-        let script = Script::write(s, &hosts, address);
-        let mut world = World::new(
-            s.world_spec(),
+        let script = Script::generate(s, &hosts, address);
+        let mut world = CacheModel::new(
+            s.cache_model_settings(),
             hosts.clone(),
-            s.catalogue(),
-            stream(s.seed, "world"),
+            s.size_catalogue(),
+            derive_seed(s.seed, "world"),
         );
         for newcomer in &script.newcomers {
-            world.add(newcomer.clone());
+            world.add_host(newcomer.clone());
         }
         let zones = s.zones();
         let line = |h: &HostSpec| {
@@ -171,7 +171,7 @@
             )
         };
         let all: Vec<HostSpec> = hosts.iter().chain(&script.newcomers).cloned().collect();
-        let book = Book::new(s.rules, &hosts, s.dispatcher_count(), s.seed);
+        let book = ControlPlane::new(s.rules, &hosts, s.dispatcher_count(), s.seed);
         let mut sim = Self {
             s,
             calls: &traffic.calls,
@@ -190,7 +190,7 @@
             members: all.iter().map(line).collect(),
             addresses: all.iter().map(|h| h.address.clone()).collect(),
             world_timer: None,
-            cost: Cost::default(),
+            cost: RunCost::default(),
             out: Vec::new(),
             ledgers: HashMap::new(),
             cut_off: HashSet::new(),
@@ -198,7 +198,7 @@
         };
         for h in &all {
             let (host, role) = (h.address.clone(), h.role);
-            sim.saw(Saw::Member {
+            sim.saw(TraceEvent::HostDeclared {
                 host,
                 role,
                 zone: h.zone,
@@ -207,16 +207,16 @@
         }
         for n in 0..s.dispatcher_count() {
             let any = "127.0.0.1:0".parse().expect("an address");
-            let doors = Doors {
+            let doors = ListenAddresses {
                 http: any,
                 framed: any,
                 control: any,
                 metrics: any,
             };
-            let text = ini(s, n, &doors, "127.0.0.1", std::path::Path::new(""), None);
+            let text = dispatcher_ini(s, n, &doors, "127.0.0.1", std::path::Path::new(""), None);
             let settings =
                 pointspindle_config::parse("the scenario", &text).map_err(|e| e.to_string())?;
-            let core = Core::new(&settings, stream(s.seed, &format!("core {n}")));
+            let core = Core::new(&settings, derive_seed(s.seed, &format!("core {n}")));
             let (open, passing, heads) = Default::default();
             let (connected, met) = Default::default();
             let (life, timer) = (0, None);
@@ -227,7 +227,7 @@
                 leaving, connected, met,
             };
             sim.dispatchers.push(d);
-            sim.book.hear(0, n);
+            sim.book.connect(0, n);
         }
         for (n, call) in sim.calls.iter().enumerate() {
             sim.queue.plan(call.at, Event::Call(n));
@@ -238,14 +238,14 @@
         Ok(sim)
     }
 
-    pub(super) fn saw(&mut self, saw: Saw) {
-        self.sights.push(Sight { at: self.now, saw });
+    pub(super) fn saw(&mut self, saw: TraceEvent) {
+        self.sights.push(TraceEntry { at: self.now, event: saw });
     }
 
-    pub fn finish(self) -> (Vec<Sight>, Vec<(String, u32)>, Cost) {
+    pub fn finish(self) -> (Vec<TraceEntry>, Vec<(String, u32)>, RunCost) {
         let mut effects: Vec<(String, u32)> = self
             .world
-            .effects()
+            .effect_counts()
             .iter()
             .map(|(work, n)| (work.to_string(), *n))
             .collect();
@@ -253,7 +253,7 @@
         (
             self.sights,
             effects,
-            Cost {
+            RunCost {
                 events: self.queue.planned() + self.cost.core_calls,
                 ..self.cost
             },
@@ -268,7 +268,7 @@
                 self.queue.next_at(),
                 self.world_timer,
                 timer,
-                self.book.next(),
+                self.book.next_due(),
             ];
             let Some(at) = moments.into_iter().flatten().min() else {
                 break;
@@ -278,11 +278,11 @@
                 break;
             }
             self.now = at.max(self.now);
-            for (dispatcher, told) in self.book.due(self.now) {
+            for (dispatcher, told) in self.book.take_due(self.now) {
                 self.told(dispatcher, told);
             }
             if self.world_timer.is_some_and(|t| t <= self.now) {
-                self.tell_world(In::Tick);
+                self.tell_world(ModelInput::Tick);
             }
             if timer.is_some_and(|t| t <= self.now) {
                 for n in 0..self.dispatchers.len() {
@@ -305,17 +305,17 @@
             return;
         };
         match event {
-            Event::Call(n) => self.try_call(TryId {
+            Event::Call(n) => self.try_call(ClientAttemptId {
                 call: n as u64,
-                try_no: 0,
+                attempt: 0,
             }),
             Event::Try(id) => self.try_call(id),
             Event::Asked(id) => self.asked(id),
             Event::Leave(id) => {
                 if let Some(waiting) = self.waiting.remove(&id) {
-                    self.saw(Saw::Ended {
+                    self.saw(TraceEvent::RequestEnded {
                         id,
-                        end: End::LeftEarly,
+                        outcome: ClientOutcome::Cancelled,
                     });
                     self.gone(&waiting);
                 }
@@ -332,8 +332,8 @@
                 let Some(found) = self.links.close(job) else {
                     return;
                 };
-                self.left(&found, Left::Cancelled);
-                self.tell_world(In::Cancel {
+                self.left(&found, AttemptOutcome::Cancelled);
+                self.tell_world(ModelInput::Cancel {
                     host: found.host,
                     job,
                 });
@@ -347,7 +347,7 @@
                 group,
                 at,
             } => {
-                self.tell_world(In::Purge {
+                self.tell_world(ModelInput::Purge {
                     host,
                     object,
                     group,
@@ -389,22 +389,22 @@
 
     // ---- clients
 
-    fn try_call(&mut self, id: TryId) {
+    fn try_call(&mut self, id: ClientAttemptId) {
         let call = &self.calls[id.call as usize];
         let missed = self.missed.get(&id.call).copied().unwrap_or(0);
-        let dispatcher = self.s.target(call, id.call, id.try_no, missed);
+        let dispatcher = self.s.dispatcher_for(call, id.call, id.attempt, missed);
         if !self.dispatchers[dispatcher].up || self.dispatchers[dispatcher].leaving {
             *self.missed.entry(id.call).or_default() += 1;
             return self.again(id, None);
         }
         let class = &self.s.classes[call.class];
         let deadline = self.now + class.deadline;
-        let (number, group, part) = (call.number, call.group, call.part);
-        self.saw(Saw::Asked {
+        let (number, group, part) = (call.object_number, call.group, call.part);
+        self.saw(TraceEvent::RequestSent {
             id,
             dispatcher,
             class: call.class,
-            number,
+            object_number: number,
             group,
             part,
             deadline,
@@ -418,12 +418,12 @@
         );
         self.queue.plan(self.now + CLIENT_WAY, Event::Asked(id));
         self.queue.plan(deadline + AFTER, Event::Patience(id));
-        if let Some(leaves) = call.leaves.filter(|_| id.try_no == 0) {
+        if let Some(leaves) = call.cancel_after.filter(|_| id.attempt == 0) {
             self.queue.plan(self.now + leaves, Event::Leave(id));
         }
     }
 
-    fn asked(&mut self, id: TryId) {
+    fn asked(&mut self, id: ClientAttemptId) {
         let Some(waiting) = self.waiting.get_mut(&id) else {
             return;
         };
@@ -438,7 +438,7 @@
         d.open.insert(request, id);
         let call = &self.calls[id.call as usize];
         // HTTP tells no sizes.
-        let size = (self.s.sizes_told && !call.http).then_some(call.size);
+        let size = (self.s.sizes_told && !call.uses_http).then_some(call.size);
         let ask = ClientRequest {
             class: call.class,
             object: call.object.clone(),
@@ -460,35 +460,35 @@
         }
     }
 
-    fn client_end(&mut self, id: TryId, end: End) {
+    fn client_end(&mut self, id: ClientAttemptId, end: ClientOutcome) {
         if self.waiting.remove(&id).is_none() {
             return;
         }
-        self.saw(Saw::Ended {
+        self.saw(TraceEvent::RequestEnded {
             id,
-            end: end.clone(),
+            outcome: end.clone(),
         });
         let call = &self.calls[id.call as usize];
-        let safe = self.s.classes[call.class].effect == Effect::Safe;
-        if end == End::Lost {
+        let safe = self.s.classes[call.class].idempotency == Idempotency::Idempotent;
+        if end == ClientOutcome::ConnectionLost {
             *self.missed.entry(id.call).or_default() += 1;
         }
         match end {
-            End::Refused { come_back } => self.again(id, come_back.filter(|_| call.honours)),
-            End::Failed | End::Broken | End::Lost if safe => self.again(id, None),
+            ClientOutcome::Rejected { retry_after: come_back } => self.again(id, come_back.filter(|_| call.honours_retry_after)),
+            ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost if safe => self.again(id, None),
             _ => {}
         }
     }
 
     /// The client's next try, if it has one left.
-    fn again(&mut self, id: TryId, come_back: Option<Micros>) {
-        if id.try_no >= self.s.clients.retries {
+    fn again(&mut self, id: ClientAttemptId, come_back: Option<Micros>) {
+        if id.attempt >= self.s.clients.retries {
             return;
         }
         let call = &self.calls[id.call as usize];
-        let wait = self.s.wait(call, id.try_no, come_back);
-        let next = TryId {
-            try_no: id.try_no + 1,
+        let wait = self.s.retry_delay(call, id.attempt, come_back);
+        let next = ClientAttemptId {
+            attempt: id.attempt + 1,
             ..id
         };
         self.queue.plan(self.now + wait, Event::Try(next));
@@ -536,7 +536,7 @@
                 let Some(id) = self.dispatchers[n].open.get(&request).copied() else {
                     return;
                 };
-                let Some(host) = self.world.host_of(&member) else {
+                let Some(host) = self.world.host_by_address(&member) else {
                     return;
                 };
                 let waits = self.s.hello && !self.dispatchers[n].connected.contains_key(&host);
@@ -567,25 +567,25 @@
                     only_if_cached: true,
                     revalidate: false,
                 });
-                let safe = self.s.classes[call.class].effect == Effect::Safe;
-                let wanted = Wanted {
+                let safe = self.s.classes[call.class].idempotency == Idempotency::Idempotent;
+                let wanted = ModelRequest {
                     object: Arc::from(call.object.as_str()),
-                    number: call.number,
+                    object_number: call.object_number,
                     part: call.part,
                     group: call.group,
                     class: call.class,
                     source: fetch.source,
-                    keep: fetch.retention_rank,
-                    age: if self.plant == Some(Plant::Purge) {
+                    retention_rank: fetch.retention_rank,
+                    max_age: if self.plant == Some(InjectedFault::IgnorePurge) {
                         u64::MAX / 2
                     } else {
                         fetch.max_age
                     },
-                    join: fetch.coalesce,
-                    held_only: fetch.only_if_cached && (safe || !plain),
-                    renew: fetch.revalidate,
-                    holds: None,
-                    key: Arc::from(if safe { String::new() } else { id.trace() }),
+                    coalesce: fetch.coalesce,
+                    only_if_cached: fetch.only_if_cached && (safe || !plain),
+                    revalidate: fetch.revalidate,
+                    cached_version: None,
+                    idempotency_key: Arc::from(if safe { String::new() } else { id.trace() }),
                     trace: Arc::from(id.trace()),
                     attempt,
                 };
@@ -617,25 +617,25 @@
                 self.answer(
                     n,
                     request,
-                    End::Refused {
-                        come_back: retry_after,
+                    ClientOutcome::Rejected {
+                        retry_after: retry_after,
                     },
                 );
             }
-            Output::Fail { request } => self.answer(n, request, End::Failed),
-            Output::AbortResponse { request } => self.answer(n, request, End::Broken),
+            Output::Fail { request } => self.answer(n, request, ClientOutcome::Failed),
+            Output::AbortResponse { request } => self.answer(n, request, ClientOutcome::Truncated),
             Output::EndpointListApplied(_) => {}
             Output::HelloApplied { .. } => {}
             Output::RequestWork {
                 endpoint: member,
                 work_us,
             } => {
-                let Some(host) = self.world.host_of(&member) else {
+                let Some(host) = self.world.host_by_address(&member) else {
                     return;
                 };
                 let way = self
                     .s
-                    .way(self.s.branch_of_dispatcher(n), self.zone_of_host(host));
+                    .latency_between(self.s.branch_of_dispatcher(n), self.zone_of_host(host));
                 self.queue.plan(
                     self.now + way,
                     Event::Want {
@@ -647,7 +647,7 @@
                 );
             }
             Output::Connect { endpoint: member } => {
-                if let Some(host) = self.world.host_of(&member) {
+                if let Some(host) = self.world.host_by_address(&member) {
                     self.plan_meeting(n, host, 0);
                 }
             }
@@ -655,7 +655,7 @@
     }
 
     /// A final answer leaves for the client.
-    fn answer(&mut self, n: usize, request: u64, end: End) {
+    fn answer(&mut self, n: usize, request: u64, end: ClientOutcome) {
         let d = &mut self.dispatchers[n];
         d.passing.remove(&request);
         d.heads.remove(&request);
@@ -670,8 +670,8 @@
         if !self.dispatchers[n].up {
             return;
         }
-        self.saw(Saw::Killed { dispatcher: n });
-        self.book.deafen(n);
+        self.saw(TraceEvent::DispatcherKilled { dispatcher: n });
+        self.book.disconnect(n);
         let life = self.dispatchers[n].life;
         self.disconnect(n);
         let d = &mut self.dispatchers[n];
@@ -681,7 +681,7 @@
         let open = std::mem::take(&mut d.open);
         d.passing.clear();
         d.heads.clear();
-        let mut lost: Vec<TryId> = open.into_values().collect();
+        let mut lost: Vec<ClientAttemptId> = open.into_values().collect();
         let sent = self
             .waiting
             .iter()
@@ -690,7 +690,7 @@
         lost.sort_unstable();
         for id in lost {
             self.queue
-                .plan(self.now + CLIENT_WAY, Event::ClientEnd(id, End::Lost));
+                .plan(self.now + CLIENT_WAY, Event::ClientEnd(id, ClientOutcome::ConnectionLost));
         }
         let mine = |j: &super::links::Job| matches!(j.owner, Owner::Attempt { dispatcher, life: l, .. } if dispatcher == n && l == life);
         for job in self.links.all(mine) {
@@ -705,10 +705,10 @@
         let d = &mut self.dispatchers[n];
         d.life += 1;
         d.up = true;
-        let seed = stream(self.s.seed, &format!("core {n} life {}", d.life));
+        let seed = derive_seed(self.s.seed, &format!("core {n} life {}", d.life));
         d.core = Core::new(&d.settings, seed);
-        self.book.hear(self.now, n);
-        self.saw(Saw::Born { dispatcher: n });
+        self.book.connect(self.now, n);
+        self.saw(TraceEvent::DispatcherStarted { dispatcher: n });
     }
 
     // ---- members
@@ -721,7 +721,7 @@
     }
 
     pub(super) fn way_of(&self, owner: &Owner, host: HostId) -> Micros {
-        self.s.way(self.zone_of(owner), self.members[host].3)
+        self.s.latency_between(self.zone_of(owner), self.members[host].3)
     }
 
     /// A word of its owner to stop travels to the member.
@@ -733,7 +733,7 @@
         self.queue.plan(self.now + way, Event::Cancel(job));
     }
 
-    fn arrive(&mut self, job: JobId, wanted: Wanted) {
+    fn arrive(&mut self, job: JobId, wanted: ModelRequest) {
         let Some(found) = self.links.get(job) else {
             return;
         };
@@ -758,15 +758,15 @@
                 class.map_or(0.0, |c| c.mean_bytes / self.s.flow),
             );
         }
-        self.saw(Saw::Reached {
+        self.saw(TraceEvent::AttemptArrived {
             host: address,
-            by,
+            dispatcher: by,
             id,
             attempt: wanted.attempt,
             source,
             class,
         });
-        self.tell_world(In::Arrive { host, job, wanted });
+        self.tell_world(ModelInput::Arrive { host, job, request: wanted });
     }
 
     pub(super) fn zone_of_host(&self, host: HostId) -> usize {
@@ -777,7 +777,7 @@
         self.addresses[host].clone()
     }
 
-    fn left(&mut self, job: &super::links::Job, how: Left) {
+    fn left(&mut self, job: &super::links::Job, how: AttemptOutcome) {
         if !job.reached {
             return;
         }
@@ -791,16 +791,16 @@
             Owner::Fill { id, .. } => (None, id, 0),
         };
         let host = self.address(job.host);
-        self.saw(Saw::Gone {
+        self.saw(TraceEvent::AttemptEnded {
             host,
             id,
             attempt,
-            by,
-            how,
+            dispatcher: by,
+            outcome: how,
         });
     }
 
-    pub(super) fn tell_world(&mut self, input: In) {
+    pub(super) fn tell_world(&mut self, input: ModelInput) {
         let mut out = std::mem::take(&mut self.out);
         self.world.handle(EPOCH + self.now, input, &mut out);
         let wishes = std::mem::take(&mut out);
@@ -811,20 +811,20 @@
         self.world_timer = self.world.next_timer().map(|at| at.saturating_sub(EPOCH));
     }
 
-    fn wish(&mut self, wish: Out) {
+    fn wish(&mut self, wish: ModelOutput) {
         match wish {
-            Out::Start { job, answer, .. } => {
+            ModelOutput::ResponseStart { job, response: answer, .. } => {
                 let Some(found) = self.links.get(job).copied() else {
                     return;
                 };
                 let way = self.way_of(&found.owner, found.host);
                 self.queue.plan(self.now + way, Event::Head(job, answer));
             }
-            Out::Finish { job, .. } => self.ending(job, Ending::Finish, Left::Answered),
-            Out::Reject {
+            ModelOutput::ResponseEnd { job, .. } => self.ending(job, Ending::Finish, AttemptOutcome::Completed),
+            ModelOutput::Reject {
                 job,
                 status,
-                note,
+                cache_status: note,
                 may_have_run,
                 ..
             } => {
@@ -833,40 +833,40 @@
                     note,
                     ran: may_have_run,
                 };
-                self.ending(job, ending, Left::Answered);
+                self.ending(job, ending, AttemptOutcome::Completed);
             }
-            Out::Cut { job, .. } => self.ending(job, Ending::Broken, Left::Lost),
-            Out::Down { host, why } => {
+            ModelOutput::Disconnect { job, .. } => self.ending(job, Ending::Broken, AttemptOutcome::ConnectionLost),
+            ModelOutput::HostDown { host, reason: why } => {
                 let address = self.address(host);
-                self.saw(Saw::Fell {
+                self.saw(TraceEvent::HostCrashed {
                     host: address,
-                    why: why.into(),
+                    reason: why.into(),
                 });
                 self.unreachable(host);
                 for job in self.links.all(|j| j.host == host && j.reached) {
-                    self.ending(job, Ending::Broken, Left::Lost);
+                    self.ending(job, Ending::Broken, AttemptOutcome::ConnectionLost);
                 }
             }
-            Out::Up { host } => {
+            ModelOutput::HostUp { host } => {
                 let address = self.address(host);
-                let start = self.world.start(host).0;
-                self.saw(Saw::Started {
+                let start = self.world.incarnation(host).0;
+                self.saw(TraceEvent::HostStarted {
                     host: address,
                     cold: true,
-                    start,
+                    incarnation: start,
                 });
                 self.warms_up(host);
             }
-            Out::Fill {
+            ModelOutput::StartFill {
                 host,
                 fill,
                 source,
-                wanted,
+                request: wanted,
             } => {
-                let id = TryId::parse(&wanted.trace);
-                let start = self.world.start(host).0;
+                let id = ClientAttemptId::parse(&wanted.trace);
+                let start = self.world.incarnation(host).0;
                 // Nobody of that name: the fill runs out of time, as it would with a wrong address.
-                let Some(at) = self.world.host_of(&source) else {
+                let Some(at) = self.world.host_by_address(&source) else {
                     return;
                 };
                 let owner = Owner::Fill {
@@ -879,7 +879,7 @@
                 let way = self.way_of(&owner, at);
                 self.queue.plan(self.now + way, Event::Arrive(job, wanted));
             }
-            Out::DropFill { fill, .. } => {
+            ModelOutput::CancelFill { fill, .. } => {
                 if let Some(job) = self.links.of_fill(fill) {
                     self.cancel(job);
                 }
@@ -888,7 +888,7 @@
     }
 
     /// The member is done with a job; its word travels to the owner.
-    pub(super) fn ending(&mut self, job: JobId, ending: Ending, how: Left) {
+    pub(super) fn ending(&mut self, job: JobId, ending: Ending, how: AttemptOutcome) {
         let Some(found) = self.links.get(job) else {
             return;
         };
@@ -899,7 +899,7 @@
         self.queue.plan(self.now + way, Event::Over(job, ending));
     }
 
-    fn head(&mut self, job: JobId, answer: Answer) {
+    fn head(&mut self, job: JobId, answer: ModelResponse) {
         let Some(found) = self.links.get(job).copied() else {
             return;
         };
@@ -915,10 +915,10 @@
                 if d.life != life {
                     return;
                 }
-                let old = answer.note == WireCacheStatus::Stale;
+                let old = answer.cache_status == WireCacheStatus::Stale;
                 d.heads
                     .insert(request, (answer.copy.version, answer.copy.size, old));
-                let (note, size) = (answer.note, Some(answer.copy.size));
+                let (note, size) = (answer.cache_status, Some(answer.copy.size));
                 self.tell_core(
                     dispatcher,
                     Input::ResponseStarted {
@@ -932,8 +932,8 @@
             Owner::Fill {
                 host, start, fill, ..
             } => {
-                if self.world.start(host).0 == start {
-                    self.tell_world(In::SourceHead { host, fill, answer });
+                if self.world.incarnation(host).0 == start {
+                    self.tell_world(ModelInput::FillResponse { host, fill, response: answer });
                 }
             }
         }
@@ -968,10 +968,10 @@
                     if let Some((version, bytes, old)) =
                         self.dispatchers[dispatcher].passing.remove(&request)
                     {
-                        let end = End::Served {
+                        let end = ClientOutcome::Served {
                             version: Some(version),
                             bytes,
-                            old,
+                            stale: old,
                         };
                         self.answer(dispatcher, request, end);
                     }
@@ -988,34 +988,34 @@
             Owner::Fill {
                 host, start, fill, ..
             } => {
-                if self.world.start(host).0 != start {
+                if self.world.incarnation(host).0 != start {
                     return;
                 }
                 let end = match ending {
-                    Ending::Finish => SourceEnd::Complete,
-                    Ending::Reject { status, note, .. } => SourceEnd::Told { status, note },
-                    Ending::Broken | Ending::Refused => SourceEnd::Unreachable,
+                    Ending::Finish => FillOutcome::Complete,
+                    Ending::Reject { status, note, .. } => FillOutcome::Rejected { status, cache_status: note },
+                    Ending::Broken | Ending::Refused => FillOutcome::Unreachable,
                 };
-                self.tell_world(In::SourceEnd { host, fill, end });
+                self.tell_world(ModelInput::FillEnded { host, fill, outcome: end });
             }
         }
     }
 
     // ---- control and script
 
-    fn told(&mut self, n: usize, told: Told) {
+    fn told(&mut self, n: usize, told: ControlUpdate) {
         let now = self.now;
         let (input, saw, hidden) = match told {
-            Told::Purge { object, group, at } => {
+            ControlUpdate::Purge { object, group, at } => {
                 let number = object.as_deref().map(|o| ObjectId::named(o).0);
-                let version_from = self.world.version(number.unwrap_or(0), group);
+                let version_from = self.world.current_version(number.unwrap_or(0), group);
                 let head = PurgeHead {
                     object,
                     group,
                     age_us: now.saturating_sub(at),
                     seq: 0,
                 };
-                let saw = Saw::ToldPurge {
+                let saw = TraceEvent::PurgeDelivered {
                     dispatcher: n,
                     object: number,
                     group,
@@ -1023,8 +1023,8 @@
                 };
                 (Input::Purge(head), saw, false)
             }
-            Told::Delta(seq, lines) => self.list(n, EndpointListForm::Delta, seq, &lines),
-            Told::Full(seq, lines) => self.list(n, EndpointListForm::Full, seq, &lines),
+            ControlUpdate::Delta(seq, lines) => self.list(n, EndpointListForm::Delta, seq, &lines),
+            ControlUpdate::Full(seq, lines) => self.list(n, EndpointListForm::Full, seq, &lines),
         };
         self.saw(saw);
         if !hidden {
@@ -1037,74 +1037,74 @@
         dispatcher: usize,
         form: EndpointListForm,
         seq: u64,
-        lines: &[Line],
-    ) -> (Input, Saw, bool) {
+        lines: &[ListedEndpoint],
+    ) -> (Input, TraceEvent, bool) {
         let member = |host: HostId| {
             let (kind, zone, weight, _) = self.members.get(host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = control_plane::update(dispatcher, form, seq, lines, self.now, self.plant, member);
-        (Input::EndpointList(told.head), told.saw, told.hidden)
+        let told = control_plane::list_update(dispatcher, form, seq, lines, self.now, self.plant, member);
+        (Input::EndpointList(told.head), told.event, told.withheld)
     }
 
     fn step(&mut self, n: usize) {
         let step = self.script.steps[n].1.clone();
         match step {
-            Step::Say(text) => self.saw(Saw::Trouble { text }),
-            Step::Fault { host, fault } => {
-                let fault: Fault = fault.later(EPOCH);
-                self.tell_world(In::Fault { host, fault });
+            ScriptStep::Note(text) => self.saw(TraceEvent::ScriptNote { text }),
+            ScriptStep::Fault { host, fault } => {
+                let fault: Fault = fault.delayed_by(EPOCH);
+                self.tell_world(ModelInput::Fault { host, fault });
             }
-            Step::List { host, listed } => {
-                if listed == Listed::Ready && !self.world.is_up(host) {
+            ScriptStep::EndpointUpdate { host, state: listed } => {
+                if listed == ListedState::Ready && !self.world.is_up(host) {
                     return;
                 }
-                let (start, started) = self.world.start(host);
+                let (start, started) = self.world.incarnation(host);
                 let started = started.map(|at| at - EPOCH);
                 let address = self.address(host);
-                self.book.change(
+                self.book.update_endpoint(
                     self.now,
-                    Line {
+                    ListedEndpoint {
                         host,
                         address,
-                        listed,
-                        start,
-                        started,
+                        state: listed,
+                        incarnation: start,
+                        started_at: started,
                     },
                 );
             }
-            Step::Purge { group } => {
+            ScriptStep::PurgeGroup { group } => {
                 for group in purge_groups(self.s, group) {
                     self.purge(None, group);
                 }
             }
-            Step::PurgeObject { object, group } => self.purge(Some(object), group),
-            Step::Kill { dispatcher } => self.kill(dispatcher),
-            Step::Revive { dispatcher } if self.leaves(dispatcher) => {
+            ScriptStep::PurgeObject { object, group } => self.purge(Some(object), group),
+            ScriptStep::KillDispatcher { dispatcher } => self.kill(dispatcher),
+            ScriptStep::StartDispatcher { dispatcher } if self.leaves(dispatcher) => {
                 self.queue.plan(self.now + LEAVING, Event::Step(n));
             }
-            Step::Revive { dispatcher } => self.revive(dispatcher),
-            Step::Hang { dispatcher, hung } => self.hang(dispatcher, hung),
-            Step::Stop { dispatcher } => self.stop(dispatcher),
-            Step::Wall { zone, ways, until } => self.wall(zone, ways, until),
-            Step::ListDelay { more, until } => self.book.delay(more, until),
-            Step::Way { host, open: true } => {
+            ScriptStep::StartDispatcher { dispatcher } => self.revive(dispatcher),
+            ScriptStep::PauseDispatcher { dispatcher, paused: hung } => self.hang(dispatcher, hung),
+            ScriptStep::StopDispatcher { dispatcher } => self.stop(dispatcher),
+            ScriptStep::ZonePartition { zone, directions: ways, until } => self.wall(zone, ways, until),
+            ScriptStep::EndpointUpdateDelay { extra: more, until } => self.book.delay_updates(more, until),
+            ScriptStep::Reachability { host, reachable: true } => {
                 self.cut_off.remove(&host);
             }
-            Step::Way { host, open: false } => self.cut(host),
+            ScriptStep::Reachability { host, reachable: false } => self.cut(host),
             // Turned away before the day begins.
-            Step::Part { .. } => {}
+            ScriptStep::Partition { .. } => {}
         }
     }
 
     fn purge(&mut self, object: Option<String>, group: u64) {
         let number = object.as_deref().map(|o| ObjectId::named(o).0);
-        self.tell_world(In::Change {
+        self.tell_world(ModelInput::OriginUpdate {
             object: number,
             group,
         });
         self.book.purge(self.now, object, group);
-        if self.plant == Some(Plant::Purge) {
+        if self.plant == Some(InjectedFault::IgnorePurge) {
             return;
         }
         let hosts: Vec<HostId> = self
@@ -1114,7 +1114,7 @@
             .map(|(id, _)| id)
             .collect();
         for host in hosts {
-            let after = drop_delay(self.s, number.unwrap_or(group), host, self.now);
+            let after = purge_drop_delay(self.s, number.unwrap_or(group), host, self.now);
             let (object, at) = (number, self.now);
             self.queue.plan(
                 self.now + after,
--- a/crates/simulator/src/sites.rs
+++ b/crates/simulator/src/sites.rs
@@ -1,8 +1,8 @@
 //! What strikes sites and dispatchers as a whole: cuts between zones, dispatchers that stand still or leave.
 use super::links::Owner;
 use super::sim::{Event, Sim};
-use pointspindle_audit::trace::Saw;
-use pointspindle_scenario::script::Ways;
+use pointspindle_audit::trace::TraceEvent;
+use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_fleet_model::partition::passes;
 use pointspindle::Micros;
 use pointspindle_dispatcher::Input;
@@ -48,10 +48,10 @@
         }
     }
 
-    pub(super) fn wall(&mut self, zone: usize, ways: Option<Ways>, until: Micros) {
-        self.saw(Saw::Walled {
+    pub(super) fn wall(&mut self, zone: usize, ways: Option<PartitionDirections>, until: Micros) {
+        self.saw(TraceEvent::ZonePartitioned {
             zone,
-            walled: ways.is_some(),
+            partitioned: ways.is_some(),
         });
         match ways {
             Some(ways) => self.walls.insert(zone, ways),
@@ -66,9 +66,9 @@
             return;
         }
         d.hung = hung;
-        self.saw(Saw::Hung {
+        self.saw(TraceEvent::DispatcherPaused {
             dispatcher: n,
-            hung,
+            paused: hung,
         });
         let d = &mut self.dispatchers[n];
         if hung {
@@ -87,8 +87,8 @@
     /// Told to stop: it takes nothing new, hears nothing more and answers what it has.
     pub(super) fn stop(&mut self, n: usize) {
         if self.dispatchers[n].up {
-            self.saw(Saw::Stopping { dispatcher: n });
-            self.book.deafen(n);
+            self.saw(TraceEvent::DispatcherStopping { dispatcher: n });
+            self.book.disconnect(n);
             self.dispatchers[n].leaving = true;
         }
     }
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,18 +1,18 @@
 //! Days of several sites in virtual time: what strikes a site as a whole, dispatchers that stand still or are told to stop,
 //! and the sums over all of them.
-use pointspindle_audit::sums::{judge, sums, Sums};
-use pointspindle_audit::Rule;
-use pointspindle_scenario::fault_injection::Plant;
-use pointspindle_audit::trace::{End, Saw, Sight, TryId};
-use pointspindle_scenario::script::{Kind, Listed, Step};
-use pointspindle_scenario::{load_with, Change, Scenario, Script};
+use pointspindle_audit::sums::{judge, measure_totals, FleetTotals};
+use pointspindle_audit::RuleVerdict;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry, ClientAttemptId};
+use pointspindle_scenario::script::{FaultKind, ListedState, ScriptStep};
+use pointspindle_scenario::{load_with, SettingOverride, Scenario, Script};
 use pointspindle_simulator::{run, Outcome};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
 
 fn scenario(seed: u64, sets: &[&str]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/site-loss.ini");
-    let sets: Vec<Change> = sets.iter().map(|s| s.parse().unwrap()).collect();
+    let sets: Vec<SettingOverride> = sets.iter().map(|s| s.parse().unwrap()).collect();
     load_with(&file, Some(seed), &sets).unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -24,17 +24,17 @@
     day
 }
 
-fn play(day: &Scenario, plant: Option<Plant>) -> (Outcome, Sums) {
+fn play(day: &Scenario, plant: Option<InjectedFault>) -> (Outcome, FleetTotals) {
     println!("{}, seed {}", day.name, day.seed);
     let outcome = run(day, plant).unwrap();
-    let sums = sums(day, &outcome.service, &outcome.sights);
+    let sums = measure_totals(day, &outcome.service, &outcome.trace);
     (outcome, sums)
 }
 
-fn broken(rules: &[Rule]) -> Vec<&str> {
+fn broken(rules: &[RuleVerdict]) -> Vec<&str> {
     rules
         .iter()
-        .filter(|r| !r.breaches.is_empty())
+        .filter(|r| !r.violations.is_empty())
         .map(|r| r.name.as_str())
         .collect()
 }
@@ -44,17 +44,17 @@
     for seed in [29, 30, 31] {
         let day = scenario(seed, &[]);
         let (outcome, mine) = play(&day, None);
-        let (_, quiet) = play(&day.without_site_troubles(), None);
-        let quiet_of_day = sums(
+        let (_, quiet) = play(&day.without_site_faults(), None);
+        let quiet_of_day = measure_totals(
             &day,
-            &run(&day.without_site_troubles(), None).unwrap().service,
+            &run(&day.without_site_faults(), None).unwrap().service,
             &[],
         );
         assert_eq!(quiet.sites, [], "nothing strikes a site of the twin");
         let judged = judge(&day, &mine, Some(&quiet_of_day));
-        assert!(judged.checked >= 4, "{judged:?}");
+        assert!(judged.cases >= 4, "{judged:?}");
         assert_eq!(
-            (broken(&outcome.rules), &judged.breaches[..]),
+            (broken(&outcome.rules), &judged.violations[..]),
             (vec![], &[][..])
         );
         assert_eq!(mine, play(&day, None).1);
@@ -66,7 +66,7 @@
 fn dispatchers_that_each_count_themselves_alone_are_found() {
     let day = scenario(1, &["day.rate=250"]);
     let (well, fair) = play(&day, None);
-    let (planted, unfair) = play(&day, Some(Plant::Alone));
+    let (planted, unfair) = play(&day, Some(InjectedFault::MiscountDispatchers));
     assert_eq!(
         (broken(&well.rules), judge(&day, &fair, None).kinds()),
         (vec![], vec![])
@@ -85,22 +85,22 @@
         let takes = format!("trouble power.takes={takes}");
         let day = only("power", 3, &[&takes, &format!("trouble power.told={told}")]);
         let hosts = day.hosts(|n| format!("host-{n}"));
-        let steps = Script::write(&day, &hosts, |n| format!("host-{n}")).steps;
-        let count = |fits: fn(&Step) -> bool| steps.iter().filter(|(_, s)| fits(s)).count();
-        let back = |s: &Step| {
+        let steps = Script::generate(&day, &hosts, |n| format!("host-{n}")).steps;
+        let count = |fits: fn(&ScriptStep) -> bool| steps.iter().filter(|(_, s)| fits(s)).count();
+        let back = |s: &ScriptStep| {
             matches!(
                 s,
-                Step::List {
-                    listed: Listed::Ready,
+                ScriptStep::EndpointUpdate {
+                    state: ListedState::Ready,
                     ..
                 }
             )
         };
         (
-            count(|s| matches!(s, Step::Fault { .. })),
+            count(|s| matches!(s, ScriptStep::Fault { .. })),
             count(back),
-            count(|s| matches!(s, Step::Kill { .. })),
-            count(|s| matches!(s, Step::Revive { .. })),
+            count(|s| matches!(s, ScriptStep::KillDispatcher { .. })),
+            count(|s| matches!(s, ScriptStep::StartDispatcher { .. })),
         )
     };
     assert_eq!(steps("hosts", "yes"), (6, 3, 0, 0));
@@ -129,33 +129,33 @@
         let (outcome, _) = play(&day, None);
         assert_eq!(broken(&outcome.rules), [""; 0], "{ways}");
         let zones: HashMap<&str, usize> = outcome
-            .sights
+            .trace
             .iter()
-            .filter_map(|s| match &s.saw {
-                Saw::Member { host, zone, .. } => Some((host.as_str(), *zone)),
+            .filter_map(|s| match &s.event {
+                TraceEvent::HostDeclared { host, zone, .. } => Some((host.as_str(), *zone)),
                 _ => None,
             })
             .collect();
         let (mut fills, mut within) = (0, 0);
-        let calls: HashMap<TryId, usize> = outcome
-            .sights
+        let calls: HashMap<ClientAttemptId, usize> = outcome
+            .trace
             .iter()
-            .filter_map(|s| match s.saw {
-                Saw::Asked { id, dispatcher, .. } => Some((id, dispatcher)),
+            .filter_map(|s| match s.event {
+                TraceEvent::RequestSent { id, dispatcher, .. } => Some((id, dispatcher)),
                 _ => None,
             })
             .collect();
         for sight in outcome
-            .sights
+            .trace
             .iter()
             .filter(|s| (22_200_000..25_900_000).contains(&s.at))
         {
-            let Saw::Reached {
+            let TraceEvent::AttemptArrived {
                 host,
-                by,
+                dispatcher: by,
                 id: Some(id),
                 ..
-            } = &sight.saw
+            } = &sight.event
             else {
                 continue;
             };
@@ -185,14 +185,14 @@
     assert_eq!(broken(&outcome.rules), [""; 0]);
     let mut hung: BTreeMap<usize, bool> = BTreeMap::new();
     let mut after = 0;
-    for sight in &outcome.sights {
-        match &sight.saw {
-            Saw::Hung {
+    for sight in &outcome.trace {
+        match &sight.event {
+            TraceEvent::DispatcherPaused {
                 dispatcher,
-                hung: now,
+                paused: now,
             } => _ = hung.insert(*dispatcher, *now),
             // Sent a way's time before it stood still.
-            Saw::Reached { by: Some(by), .. } if sight.at > 30_100_000 => {
+            TraceEvent::AttemptArrived { dispatcher: Some(by), .. } if sight.at > 30_100_000 => {
                 assert_ne!(
                     hung.get(by),
                     Some(&true),
@@ -212,59 +212,59 @@
 #[test]
 fn a_release_of_all_dispatchers_loses_no_accepted_request() {
     let day = only("release", 11, &["trouble release.share=1"]);
-    assert_eq!(day.troubles[0].kind, Kind::StopDispatchers);
+    assert_eq!(day.troubles[0].kind, FaultKind::StopDispatchers);
     let (outcome, _) = play(&day, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
-    let of = |fits: fn(&Saw) -> bool| outcome.sights.iter().filter(|s| fits(&s.saw)).count();
+    let of = |fits: fn(&TraceEvent) -> bool| outcome.trace.iter().filter(|s| fits(&s.event)).count();
     let (stopped, born) = (
-        of(|s| matches!(s, Saw::Stopping { .. })),
-        of(|s| matches!(s, Saw::Born { .. })),
+        of(|s| matches!(s, TraceEvent::DispatcherStopping { .. })),
+        of(|s| matches!(s, TraceEvent::DispatcherStarted { .. })),
     );
     assert_eq!((stopped, born), (12, 12));
-    assert_eq!(of(|s| matches!(s, Saw::Ended { end: End::Lost, .. })), 0);
+    assert_eq!(of(|s| matches!(s, TraceEvent::RequestEnded { outcome: ClientOutcome::ConnectionLost, .. })), 0);
 }
 
 /// Sums of a run made by hand: two dispatchers at one host, one of them three times at once.
 #[test]
 fn sums_are_counted_from_what_reached_the_members() {
     let day = only("power", 1, &["trouble power.at_s=20"]);
-    let id = |call| TryId { call, try_no: 0 };
+    let id = |call| ClientAttemptId { call, attempt: 0 };
     let host = || "a:1".to_owned();
     let mut sights = Vec::new();
-    let mut at = |at, saw| sights.push(Sight { at, saw });
+    let mut at = |at, saw| sights.push(TraceEntry { at, event: saw });
     let (role, zone, weight) = (pointspindle_cache_model::Role::Cache, 0, 2.0);
     at(
         0,
-        Saw::Member {
+        TraceEvent::HostDeclared {
             host: host(),
             role,
             zone,
             weight,
         },
     );
-    let asked = |call, dispatcher| Saw::Asked {
+    let asked = |call, dispatcher| TraceEvent::RequestSent {
         id: id(call),
         dispatcher,
         class: 0,
-        number: 0,
+        object_number: 0,
         group: 0,
         part: 0,
         deadline: 9_000_000,
     };
-    let reached = |call, by, attempt| Saw::Reached {
+    let reached = |call, by, attempt| TraceEvent::AttemptArrived {
         host: host(),
-        by: Some(by),
+        dispatcher: Some(by),
         id: Some(id(call)),
         attempt,
         source: None,
         class: 0,
     };
-    let gone = |call, by| Saw::Gone {
+    let gone = |call, by| TraceEvent::AttemptEnded {
         host: host(),
         id: Some(id(call)),
         attempt: 0,
-        by: Some(by),
-        how: pointspindle_audit::trace::Left::Answered,
+        dispatcher: Some(by),
+        outcome: pointspindle_audit::trace::AttemptOutcome::Completed,
     };
     for call in 0..40 {
         at(1_000_000 + call, asked(call, (call % 4 == 0) as usize));
@@ -276,17 +276,17 @@
     for call in 0..40 {
         at(2_300_000 + call, gone(call, (call % 4 == 0) as usize));
         let end = match call % 4 {
-            0 => End::Refused { come_back: None },
-            _ => End::Served {
+            0 => ClientOutcome::Rejected { retry_after: None },
+            _ => ClientOutcome::Served {
                 version: Some(1),
                 bytes: 1,
-                old: false,
+                stale: false,
             },
         };
-        at(2_300_000 + call, Saw::Ended { id: id(call), end });
+        at(2_300_000 + call, TraceEvent::RequestEnded { id: id(call), outcome: end });
     }
     sights.sort_by_key(|s| s.at);
-    let sums = sums(&day, &Default::default(), &sights);
+    let sums = measure_totals(&day, &Default::default(), &sights);
     let cache = &sums.roles[0];
     assert_eq!(
         (cache.under_way.count, cache.under_way.dispatchers),
@@ -311,44 +311,44 @@
 #[test]
 fn what_begins_after_its_client_has_left_is_found() {
     let day = only("power", 1, &[]);
-    let slack = day.rules.slack;
+    let slack = day.rules.timing_tolerance;
     for (after, breaches) in [(50_000, 0), (100_000 + slack + 1_000, 1)] {
-        let id = TryId { call: 1, try_no: 0 };
-        let asked = Saw::Asked {
+        let id = ClientAttemptId { call: 1, attempt: 0 };
+        let asked = TraceEvent::RequestSent {
             id,
             dispatcher: 0,
             class: 0,
-            number: 0,
+            object_number: 0,
             group: 0,
             part: 0,
             deadline: 9_000_000,
         };
-        let reached = Saw::Reached {
+        let reached = TraceEvent::AttemptArrived {
             host: "a:1".into(),
-            by: Some(0),
+            dispatcher: Some(0),
             id: Some(id),
             attempt: 0,
             source: None,
             class: 0,
         };
         let sights = [
-            Sight {
+            TraceEntry {
                 at: 1_000_000,
-                saw: asked,
+                event: asked,
             },
-            Sight {
+            TraceEntry {
                 at: 2_000_000,
-                saw: Saw::Ended {
+                event: TraceEvent::RequestEnded {
                     id,
-                    end: End::LeftEarly,
+                    outcome: ClientOutcome::Cancelled,
                 },
             },
-            Sight {
+            TraceEntry {
                 at: 2_000_000 + after,
-                saw: reached,
+                event: reached,
             },
         ];
-        let sums = sums(&day, &Default::default(), &sights);
+        let sums = measure_totals(&day, &Default::default(), &sights);
         let left = &sums.left;
         assert_eq!((left.clients, left.unsent, left.attempts), (1, 1, 1));
         assert_eq!(left.longest_ms, after as f64 / 1e3);
@@ -366,7 +366,7 @@
 #[test]
 fn cold_hosts_are_within_the_sum_of_all_and_a_wrong_count_shows() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cold-sums.ini");
-    for (dispatchers, plant) in [(7, None), (10, None), (100, None), (10, Some(Plant::Alone))] {
+    for (dispatchers, plant) in [(7, None), (10, None), (100, None), (10, Some(InjectedFault::MiscountDispatchers))] {
         for seed in [41, 42, 43] {
             let set = format!("fleet.dispatchers={dispatchers}").parse().unwrap();
             let day = load_with(&file, Some(seed), &[set]).unwrap_or_else(|e| panic!("{e}"));
--- a/crates/simulator/tests/restarts.rs
+++ b/crates/simulator/tests/restarts.rs
@@ -1,12 +1,12 @@
 //! Restarts in virtual time: the scenarios of `scenarios/` that rehearse them, with members that say who they are and
 //! with members that do not.
-use pointspindle_scenario::{load_with, Change, Scenario};
+use pointspindle_scenario::{load_with, SettingOverride, Scenario};
 use pointspindle_simulator::{run, Outcome};
 use std::path::Path;
 
 fn scenario(name: &str, seed: u64, sets: &[&str]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("../../scenarios/{name}.ini"));
-    let sets: Vec<Change> = sets.iter().map(|s| s.parse().unwrap()).collect();
+    let sets: Vec<SettingOverride> = sets.iter().map(|s| s.parse().unwrap()).collect();
     load_with(&file, Some(seed), &sets).unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -17,8 +17,8 @@
 
 fn pushed_over(outcome: &Outcome) -> usize {
     let cold = outcome.rules.iter().find(|r| r.name == "cold").unwrap();
-    assert!(cold.checked > 50, "never exercised");
-    cold.breaches.len() + cold.unknowing.len()
+    assert!(cold.cases > 50, "never exercised");
+    cold.violations.len() + cold.undetectable.len()
 }
 
 /// Whoever knows of a start keeps the sum; with hello everybody does, and nobody falls over.
@@ -35,7 +35,7 @@
             for hello in ["fleet.hello=no", "fleet.hello=yes"] {
                 let outcome = play(name, seed, &[hello]);
                 for rule in &outcome.rules {
-                    assert!(rule.breaches.is_empty(), "{:?}", rule.breaches);
+                    assert!(rule.violations.is_empty(), "{:?}", rule.violations);
                 }
                 if hello.ends_with("yes") && name != "flaky-links" {
                     assert_eq!(pushed_over(&outcome), 0);
@@ -73,7 +73,7 @@
 #[test]
 fn a_change_that_is_none_names_its_form_and_a_wrong_one_its_key() {
     assert!("fleet=3"
-        .parse::<Change>()
+        .parse::<SettingOverride>()
         .unwrap_err()
         .contains("section.key=value"));
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/flaky-links.ini");
@@ -96,7 +96,7 @@
             1,
             &["fleet.dispatchers=100", hello],
         );
-        assert!(outcome.rules.iter().all(|r| r.breaches.is_empty()));
+        assert!(outcome.rules.iter().all(|r| r.violations.is_empty()));
         assert_eq!(pushed_over(&outcome), 0);
         outcome.service.service
     };
--- a/crates/testbed/src/day/by_etcd.rs
+++ b/crates/testbed/src/day/by_etcd.rs
@@ -1,13 +1,13 @@
 //! The control stand-in by etcd: writes what becomes true, and does not mind who watches. What is written counts as told to all at
 //! once: dispatchers have to learn of it within the rules' graces, over streams that break.
 use super::control::News;
-use pointspindle_fleet_model::dispatcher_settings::PREFIX;
-use pointspindle_fleet_model::control_plane::{self, Line};
-use pointspindle_etcd_emulator::StandIn;
+use pointspindle_fleet_model::dispatcher_settings::ETCD_PREFIX;
+use pointspindle_fleet_model::control_plane::{self, ListedEndpoint};
+use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_cache_model::HostSpec;
-use pointspindle_audit::trace::{Recorder, Saw};
-use pointspindle_scenario::script::Listed;
-use crate::sockets::Stage;
+use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_scenario::script::ListedState;
+use crate::sockets::EmulatedHosts;
 use pointspindle::ObjectId;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
@@ -26,7 +26,7 @@
 
 impl Flapping {
     pub async fn start() -> std::io::Result<Self> {
-        let stand_in = StandIn::new(None);
+        let stand_in = EtcdEmulator::new(None);
         let endpoint = format!("http://{}", stand_in.listen().await?);
         let access = Access {
             endpoints: vec![endpoint.clone()],
@@ -51,10 +51,10 @@
 
 pub struct ByEtcd {
     etcd: Etcd,
-    stage: Stage,
+    stage: EmulatedHosts,
     recorder: Recorder,
     members: HashMap<usize, (String, String, f64)>,
-    lines: Vec<Line>,
+    lines: Vec<ListedEndpoint>,
     dispatchers: usize,
 }
 
@@ -62,20 +62,20 @@
     /// Writes the members that run from the start.
     pub async fn new(
         etcd: &Flapping,
-        stage: Stage,
+        stage: EmulatedHosts,
         recorder: Recorder,
         members: HashMap<usize, (String, String, f64)>,
         hosts: &[HostSpec],
         dispatchers: usize,
     ) -> std::io::Result<Self> {
-        let line = |(host, spec): (usize, &HostSpec)| Line {
+        let line = |(host, spec): (usize, &HostSpec)| ListedEndpoint {
             host,
             address: spec.address.clone(),
-            listed: Listed::Ready,
-            start: 1,
-            started: None,
+            state: ListedState::Ready,
+            incarnation: 1,
+            started_at: None,
         };
-        let lines: Vec<Line> = hosts.iter().enumerate().map(line).collect();
+        let lines: Vec<ListedEndpoint> = hosts.iter().enumerate().map(line).collect();
         let control = Self {
             etcd: etcd.etcd.clone(),
             stage,
@@ -90,15 +90,15 @@
         Ok(control)
     }
 
-    async fn write(&self, line: &Line) -> Result<(), writer::WriteError> {
+    async fn write(&self, line: &ListedEndpoint) -> Result<(), writer::WriteError> {
         let (kind, zone, weight) = self.members.get(&line.host).cloned().unwrap_or_default();
         let ago = line
-            .started
+            .started_at
             .map(|at| self.recorder.now().saturating_sub(at));
-        let state = match line.listed {
-            Listed::Ready => Some(State::Ready),
-            Listed::Draining => Some(State::Draining),
-            Listed::Gone => None,
+        let state = match line.state {
+            ListedState::Ready => Some(State::Ready),
+            ListedState::Draining => Some(State::Draining),
+            ListedState::Removed => None,
         };
         let record = state.map(|state| MemberRecord {
             state,
@@ -106,19 +106,19 @@
             zone,
             kind,
             cell: 0,
-            start: line.start,
+            start: line.incarnation,
             started_unix_ms: ago
                 .map(|ago| pointspindle_clock::wall_clock_unix_ms().saturating_sub(ago / 1_000)),
         });
-        writer::member(&self.etcd, PREFIX, &line.address, |_| Ok(record.clone()))
+        writer::member(&self.etcd, ETCD_PREFIX, &line.address, |_| Ok(record.clone()))
             .await
             .map(drop)
     }
 
-    fn saw_lines(&self, dispatcher: usize, form: EndpointListForm, lines: &[Line]) {
+    fn saw_lines(&self, dispatcher: usize, form: EndpointListForm, lines: &[ListedEndpoint]) {
         let nobody = |_| None;
-        self.recorder.saw(
-            control_plane::update(
+        self.recorder.record(
+            control_plane::list_update(
                 dispatcher,
                 form,
                 0,
@@ -127,7 +127,7 @@
                 None,
                 nobody,
             )
-            .saw,
+            .event,
         );
     }
 
@@ -151,11 +151,11 @@
                 }
                 News::Purge { object, group } => {
                     let number = object.as_deref().map(|o| ObjectId::named(o).0);
-                    let version_from = self.stage.with(|w| w.version(number.unwrap_or(0), group));
+                    let version_from = self.stage.with_model(|w| w.current_version(number.unwrap_or(0), group));
                     let record = PurgeRecord { object, group };
-                    let written = writer::purge(&self.etcd, PREFIX, &record).await;
+                    let written = writer::purge(&self.etcd, ETCD_PREFIX, &record).await;
                     for dispatcher in 0..self.dispatchers {
-                        self.recorder.saw(Saw::ToldPurge {
+                        self.recorder.record(TraceEvent::PurgeDelivered {
                             dispatcher,
                             object: number,
                             group,
--- a/crates/testbed/src/day/clients.rs
+++ b/crates/testbed/src/day/clients.rs
@@ -1,8 +1,8 @@
 //! The day's clients: open loop, each call at its time whatever became of the others, tried again as scripted.
 use super::http_client::HttpPool;
 use crate::content::Checker;
-use pointspindle_audit::trace::{End, Recorder, Saw, TryId};
-use pointspindle_scenario::{Call, ClassDay, Effect, Scenario};
+use pointspindle_audit::trace::{ClientOutcome, Recorder, TraceEvent, ClientAttemptId};
+use pointspindle_scenario::{PlannedCall, RequestClass, Idempotency, Scenario};
 use pointspindle::Micros;
 use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
@@ -34,27 +34,27 @@
 
 impl Clients {
     /// A call to its end: tries with back-off until served, failed, or out of tries.
-    pub async fn call(self: Arc<Self>, number: u64, call: Call) {
+    pub async fn call(self: Arc<Self>, number: u64, call: PlannedCall) {
         let class = &self.scenario.classes[call.class];
         let clients = &self.scenario.clients;
         let mut missed = 0;
         for try_no in 0..=clients.retries {
-            let target = &self.targets[self.scenario.target(&call, number, try_no, missed)];
-            let id = TryId {
+            let target = &self.targets[self.scenario.dispatcher_for(&call, number, try_no, missed)];
+            let id = ClientAttemptId {
                 call: number,
-                try_no,
+                attempt: try_no,
             };
             let end = self.one_try(target, id, &call, class).await;
-            missed += matches!(end, None | Some(End::Lost)) as u32;
+            missed += matches!(end, None | Some(ClientOutcome::ConnectionLost)) as u32;
             let come_back = match end {
-                Some(End::Refused { come_back }) => come_back.filter(|_| call.honours),
+                Some(ClientOutcome::Rejected { retry_after: come_back }) => come_back.filter(|_| call.honours_retry_after),
                 // Nothing was asked: as harmless as a refusal.
                 None => None,
                 // What may have run is tried again only where that does no harm.
-                Some(End::Failed | End::Broken | End::Lost) if class.effect == Effect::Safe => None,
+                Some(ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost) if class.idempotency == Idempotency::Idempotent => None,
                 Some(_) => return,
             };
-            let wait = self.scenario.wait(&call, try_no, come_back);
+            let wait = self.scenario.retry_delay(&call, try_no, come_back);
             tokio::time::sleep(Duration::from_micros(wait)).await;
         }
     }
@@ -63,17 +63,17 @@
     async fn one_try(
         &self,
         target: &Target,
-        id: TryId,
-        call: &Call,
-        class: &ClassDay,
-    ) -> Option<End> {
+        id: ClientAttemptId,
+        call: &PlannedCall,
+        class: &RequestClass,
+    ) -> Option<ClientOutcome> {
         let patience = Duration::from_micros(class.deadline) + AFTER;
         let leaves = call
-            .leaves
-            .filter(|_| id.try_no == 0)
+            .cancel_after
+            .filter(|_| id.attempt == 0)
             .map(Duration::from_micros);
         let asked = async {
-            if call.http {
+            if call.uses_http {
                 self.http(target, id, call, class).await
             } else {
                 self.framed(target, id, call, class).await
@@ -81,26 +81,26 @@
         };
         let end = tokio::select! {
             end = asked => end,
-            _ = tokio::time::sleep(patience) => return Some(End::Failed),
-            _ = tokio::time::sleep(leaves.unwrap_or(Duration::MAX)), if leaves.is_some() => Some(End::LeftEarly),
+            _ = tokio::time::sleep(patience) => return Some(ClientOutcome::Failed),
+            _ = tokio::time::sleep(leaves.unwrap_or(Duration::MAX)), if leaves.is_some() => Some(ClientOutcome::Cancelled),
         };
         if let Some(end) = &end {
-            self.recorder.saw(Saw::Ended {
+            self.recorder.record(TraceEvent::RequestEnded {
                 id,
-                end: end.clone(),
+                outcome: end.clone(),
             });
         }
         end
     }
 
-    fn asked(&self, target: &Target, id: TryId, call: &Call, class: &ClassDay, at: Micros) {
-        self.recorder.saw_at(
+    fn asked(&self, target: &Target, id: ClientAttemptId, call: &PlannedCall, class: &RequestClass, at: Micros) {
+        self.recorder.record_at(
             at,
-            Saw::Asked {
+            TraceEvent::RequestSent {
                 id,
                 dispatcher: target.number,
                 class: call.class,
-                number: call.number,
+                object_number: call.object_number,
                 group: call.group,
                 part: call.part,
                 deadline: at + class.deadline,
@@ -127,7 +127,7 @@
             while incoming.next().await.is_some() {}
             watched.closed().await;
             if watched.close_reason().contains("comes after its end") {
-                recorder.saw(Saw::Stray { dispatcher });
+                recorder.record(TraceEvent::UnexpectedResponse { dispatcher });
             }
         });
         *held = Some(link.clone());
@@ -137,10 +137,10 @@
     async fn framed(
         &self,
         target: &Target,
-        id: TryId,
-        call: &Call,
-        class: &ClassDay,
-    ) -> Option<End> {
+        id: ClientAttemptId,
+        call: &PlannedCall,
+        class: &RequestClass,
+    ) -> Option<ClientOutcome> {
         let link = self.link(target).await?;
         let request = RequestHead {
             object: call.object.clone(),
@@ -150,7 +150,7 @@
             time_left_us: class.deadline,
             size: self.scenario.sizes_told.then_some(call.size),
             trace: id.trace(),
-            idempotency_key: if class.effect == Effect::Safe {
+            idempotency_key: if class.idempotency == Idempotency::Idempotent {
                 String::new()
             } else {
                 id.trace()
@@ -160,7 +160,7 @@
         let at = self.recorder.now();
         let mut answer = link.call(request).ok()?;
         self.asked(target, id, call, class, at);
-        let mut checker = Checker::new(call.number, call.part);
+        let mut checker = Checker::new(call.object_number, call.part);
         let (mut old, mut size) = (false, None);
         while let Some(part) = answer.next().await {
             match part {
@@ -172,29 +172,29 @@
                 ResponsePart::End(CallEnd::Complete(_)) => {
                     let (bytes, version) = checker.finish();
                     let version = version.filter(|_| size.is_none_or(|size| size == bytes));
-                    return Some(End::Served {
+                    return Some(ClientOutcome::Served {
                         version,
                         bytes,
-                        old,
+                        stale: old,
                     });
                 }
                 ResponsePart::End(CallEnd::Error(e)) if e.status() == WireStatus::Refused => {
-                    return Some(End::Refused {
-                        come_back: e.retry_after_us,
+                    return Some(ClientOutcome::Rejected {
+                        retry_after: e.retry_after_us,
                     });
                 }
-                ResponsePart::End(CallEnd::Error(_)) if size.is_some() => return Some(End::Broken),
-                ResponsePart::End(CallEnd::Error(_)) => return Some(End::Failed),
-                ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => return Some(End::Lost),
+                ResponsePart::End(CallEnd::Error(_)) if size.is_some() => return Some(ClientOutcome::Truncated),
+                ResponsePart::End(CallEnd::Error(_)) => return Some(ClientOutcome::Failed),
+                ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => return Some(ClientOutcome::ConnectionLost),
             }
         }
-        Some(End::Lost)
+        Some(ClientOutcome::ConnectionLost)
     }
 
-    async fn http(&self, target: &Target, id: TryId, call: &Call, class: &ClassDay) -> Option<End> {
+    async fn http(&self, target: &Target, id: ClientAttemptId, call: &PlannedCall, class: &RequestClass) -> Option<ClientOutcome> {
         let (connection, strays) = target.pool.take(&self.net, target.http).await;
         for _ in 0..strays {
-            self.recorder.saw(Saw::Stray {
+            self.recorder.record(TraceEvent::UnexpectedResponse {
                 dispatcher: target.number,
             });
         }
@@ -206,7 +206,7 @@
             .await
             .ok()?;
         self.asked(target, id, call, class, at);
-        let mut checker = Checker::new(call.number, call.part);
+        let mut checker = Checker::new(call.object_number, call.part);
         let (mut status, mut old, mut come_back, mut keep) = (0, false, None, false);
         loop {
             match connection.next().await {
@@ -236,18 +236,18 @@
                     return Some(match status {
                         200 => {
                             let (bytes, version) = checker.finish();
-                            End::Served {
+                            ClientOutcome::Served {
                                 version,
                                 bytes,
-                                old,
+                                stale: old,
                             }
                         }
-                        503 => End::Refused { come_back },
-                        _ => End::Failed,
+                        503 => ClientOutcome::Rejected { retry_after: come_back },
+                        _ => ClientOutcome::Failed,
                     });
                 }
-                Some(Err(_)) | None if status == 0 => return Some(End::Lost),
-                Some(Err(_)) | None => return Some(End::Broken),
+                Some(Err(_)) | None if status == 0 => return Some(ClientOutcome::ConnectionLost),
+                Some(Err(_)) | None => return Some(ClientOutcome::Truncated),
             }
         }
     }
--- a/crates/testbed/src/day/control.rs
+++ b/crates/testbed/src/day/control.rs
@@ -1,8 +1,8 @@
 //! The control stand-in: tells dispatchers what the book says, when it says so.
-use pointspindle_scenario::fault_injection::Plant;
-use pointspindle_fleet_model::control_plane::{self, Book, Line, Told};
-use pointspindle_audit::trace::{Recorder, Saw};
-use crate::sockets::Stage;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_fleet_model::control_plane::{self, ControlPlane, ListedEndpoint, ControlUpdate};
+use pointspindle_audit::trace::{Recorder, TraceEvent};
+use crate::sockets::EmulatedHosts;
 use pointspindle::{Micros, ObjectId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
@@ -14,7 +14,7 @@
 
 /// News for the book.
 pub enum News {
-    Change(Line),
+    Change(ListedEndpoint),
     Purge {
         object: Option<String>,
         group: u64,
@@ -35,12 +35,12 @@
 }
 
 pub struct Control {
-    pub book: Book,
-    pub stage: Stage,
+    pub book: ControlPlane,
+    pub stage: EmulatedHosts,
     pub recorder: Recorder,
     /// By member: role and zone, for list lines.
     pub members: HashMap<usize, (String, String, f64)>,
-    pub plant: Option<Plant>,
+    pub plant: Option<InjectedFault>,
     pub net: Network,
 }
 
@@ -50,7 +50,7 @@
         let mut waiting: HashMap<usize, oneshot::Sender<()>> = HashMap::new();
         loop {
             let now = self.recorder.now();
-            for (dispatcher, told) in self.book.due(now) {
+            for (dispatcher, told) in self.book.take_due(now) {
                 if let Some(link) = links.get(&dispatcher) {
                     self.tell(dispatcher, link, told).await;
                 }
@@ -60,7 +60,7 @@
             }
             let wait = self
                 .book
-                .next()
+                .next_due()
                 .map(|at| Duration::from_micros(at.saturating_sub(now)));
             let next = tokio::select! {
                 next = news.recv() => next,
@@ -69,11 +69,11 @@
             let now = self.recorder.now();
             match next {
                 None => return,
-                Some(News::Change(line)) => self.book.change(now, line),
+                Some(News::Change(line)) => self.book.update_endpoint(now, line),
                 Some(News::Purge { object, group }) => self.book.purge(now, object, group),
-                Some(News::Delay { more, until }) => self.book.delay(more, until),
+                Some(News::Delay { more, until }) => self.book.delay_updates(more, until),
                 Some(News::Down { dispatcher }) => {
-                    self.book.deafen(dispatcher);
+                    self.book.disconnect(dispatcher);
                     if let Some(link) = links.remove(&dispatcher) {
                         link.close("the dispatcher is gone");
                     }
@@ -95,19 +95,19 @@
                     tokio::spawn(async move { while incoming.next().await.is_some() {} });
                     links.insert(dispatcher, link);
                     waiting.insert(dispatcher, done);
-                    self.book.hear(now, dispatcher);
+                    self.book.connect(now, dispatcher);
                 }
             }
         }
     }
 
-    async fn tell(&mut self, dispatcher: usize, link: &FramedConnection, told: Told) {
+    async fn tell(&mut self, dispatcher: usize, link: &FramedConnection, told: ControlUpdate) {
         let now = self.recorder.now();
         let (frame, saw, hidden) = match told {
-            Told::Purge { object, group, at } => {
+            ControlUpdate::Purge { object, group, at } => {
                 let number = object.as_deref().map(|o| ObjectId::named(o).0);
                 // Of a group: what every object of it has at least.
-                let version_from = self.stage.with(|w| w.version(number.unwrap_or(0), group));
+                let version_from = self.stage.with_model(|w| w.current_version(number.unwrap_or(0), group));
                 let age_us = now.saturating_sub(at);
                 let head = PurgeHead {
                     object,
@@ -117,7 +117,7 @@
                 };
                 (
                     Frame::Purge(head),
-                    Saw::ToldPurge {
+                    TraceEvent::PurgeDelivered {
                         dispatcher,
                         object: number,
                         group,
@@ -126,15 +126,15 @@
                     false,
                 )
             }
-            Told::Delta(seq, lines) => {
+            ControlUpdate::Delta(seq, lines) => {
                 self.list(dispatcher, EndpointListForm::Delta, seq, lines, now)
             }
-            Told::Full(seq, lines) => {
+            ControlUpdate::Full(seq, lines) => {
                 self.list(dispatcher, EndpointListForm::Full, seq, lines, now)
             }
         };
         // Seen as told before it can take effect.
-        self.recorder.saw(saw);
+        self.recorder.record(saw);
         if !hidden {
             let _ = link.control(frame).await;
         }
@@ -145,14 +145,14 @@
         dispatcher: usize,
         form: EndpointListForm,
         seq: u64,
-        lines: Vec<Line>,
+        lines: Vec<ListedEndpoint>,
         now: Micros,
-    ) -> (Frame, Saw, bool) {
+    ) -> (Frame, TraceEvent, bool) {
         let member = |host| {
             let (kind, zone, weight) = self.members.get(&host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = control_plane::update(dispatcher, form, seq, &lines, now, self.plant, member);
-        (Frame::EndpointList(told.head), told.saw, told.hidden)
+        let told = control_plane::list_update(dispatcher, form, seq, &lines, now, self.plant, member);
+        (Frame::EndpointList(told.head), told.event, told.withheld)
     }
 }
--- a/crates/testbed/src/day/mod.rs
+++ b/crates/testbed/src/day/mod.rs
@@ -8,13 +8,13 @@
 mod relay;
 mod task;
 
-use pointspindle_audit::{self as audit, service::Service, Rule};
-use pointspindle_fleet_model::control_plane::{Book, Line};
-use pointspindle_cache_model::{HostSpec, In, Role, World};
-use pointspindle_audit::trace::{Recorder, Saw, Sight};
-use pointspindle_scenario::script::{purge_groups, Listed};
-use pointspindle_scenario::{stream, Scenario, Script, Step, Traffic};
-use crate::sockets::{Ledgers, Stage, StageOptions, Walls, EPOCH};
+use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
+use pointspindle_fleet_model::control_plane::{ControlPlane, ListedEndpoint};
+use pointspindle_cache_model::{HostSpec, ModelInput, Role, CacheModel};
+use pointspindle_audit::trace::{Recorder, TraceEvent, TraceEntry};
+use pointspindle_scenario::script::{purge_groups, ListedState};
+use pointspindle_scenario::{derive_seed, Scenario, Script, ScriptStep, Traffic};
+use crate::sockets::{LedgerFactory, EmulatedHosts, EmulatedHostsOptions, Walls, EPOCH};
 use by_etcd::{ByEtcd, Flapping};
 use clients::{Clients, Target};
 use control::{Control, News};
@@ -22,8 +22,8 @@
 use pointspindle_transport::simulated::SimulatedNetwork;
 use pointspindle_transport::Network;
 use process::{source_ip, Process};
-use pointspindle_fleet_model::purge_propagation::drop_delay;
-use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -36,7 +36,7 @@
 
 /// The rig itself could not run, or was what was late: the run says nothing of the dispatchers.
 #[derive(Debug, thiserror::Error)]
-pub enum RigError {
+pub enum TestbedError {
     #[error("dispatcher {0}: {1}")]
     Dispatcher(usize, String),
     #[error("the rig was {0:.0} ms late and may be {1:.0} ms: this machine cannot play the day")]
@@ -49,9 +49,9 @@
 #[derive(Debug)]
 pub struct Outcome {
     pub service: Service,
-    pub rules: Vec<Rule>,
-    pub sights: Vec<Sight>,
-    pub rig_late_ms: f64,
+    pub rules: Vec<RuleVerdict>,
+    pub trace: Vec<TraceEntry>,
+    pub testbed_lateness_ms: f64,
 }
 
 /// A loopback address for the nth of a role. Each run has a block of its own by its process: two runs on one machine
@@ -86,8 +86,8 @@
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
-    plant: Option<Plant>,
-) -> Result<Outcome, RigError> {
+    plant: Option<InjectedFault>,
+) -> Result<Outcome, TestbedError> {
     run_watched(scenario, program, folder, plant, Recorder::default()).await
 }
 
@@ -96,22 +96,22 @@
 pub fn shell(
     scenario: &Scenario,
     folder: &Path,
-    plant: Option<Plant>,
-) -> Result<Outcome, RigError> {
-    if matches!(plant, Some(Plant::Double | Plant::Silent | Plant::Late)) {
-        return Err(RigError::Io(std::io::Error::other(
+    plant: Option<InjectedFault>,
+) -> Result<Outcome, TestbedError> {
+    if matches!(plant, Some(InjectedFault::DuplicateAttempts | InjectedFault::DropResponses | InjectedFault::DelayResponses)) {
+        return Err(TestbedError::Io(std::io::Error::other(
             "this plant is a relay between real sockets",
         )));
     }
-    if let Some(why) = scenario.needs_fleet() {
-        return Err(RigError::Io(std::io::Error::other(why)));
+    if let Some(why) = scenario.requires_processes() {
+        return Err(TestbedError::Io(std::io::Error::other(why)));
     }
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
         .build()?;
     runtime.block_on(async {
-        let net = SimulatedNetwork::new(scenario.weather, stream(scenario.seed, "network"));
+        let net = SimulatedNetwork::new(scenario.weather, derive_seed(scenario.seed, "network"));
         play(
             scenario,
             &Rig::Shell(net),
@@ -161,11 +161,11 @@
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     recorder: Recorder,
-) -> Result<Outcome, RigError> {
-    if let Some(why) = scenario.needs_shell() {
-        return Err(RigError::Io(std::io::Error::other(why)));
+) -> Result<Outcome, TestbedError> {
+    if let Some(why) = scenario.requires_simulated_network() {
+        return Err(TestbedError::Io(std::io::Error::other(why)));
     }
     play(
         scenario,
@@ -182,9 +182,9 @@
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
-) -> Result<Outcome, RigError> {
-    if let Some(why) = scenario.needs_shell() {
-        return Err(RigError::Io(std::io::Error::other(why)));
+) -> Result<Outcome, TestbedError> {
+    if let Some(why) = scenario.requires_simulated_network() {
+        return Err(TestbedError::Io(std::io::Error::other(why)));
     }
     let etcd = Flapping::start().await?;
     play(
@@ -201,9 +201,9 @@
     scenario: &Scenario,
     rig: &Rig<'_>,
     folder: &Path,
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     recorder: Recorder,
-) -> Result<Outcome, RigError> {
+) -> Result<Outcome, TestbedError> {
     std::fs::create_dir_all(folder)?;
     let mut planted = scenario.clone();
     if let Rig::Shell(_) = rig {
@@ -214,11 +214,11 @@
         } else {
             Duration::ZERO
         };
-        planted.rules.slack += (w.latency + w.jitter + resent).as_micros() as Micros;
+        planted.rules.timing_tolerance += (w.latency + w.jitter + resent).as_micros() as Micros;
     }
     let planted = match plant {
-        Some(Plant::Cold) => planted.with_unseen_starts(),
-        Some(Plant::Alone) => Scenario {
+        Some(InjectedFault::HideRestart) => planted.with_hidden_restarts(),
+        Some(InjectedFault::MiscountDispatchers) => Scenario {
             told_alone: true,
             ..planted
         },
@@ -226,17 +226,17 @@
     };
     let scenario = &planted;
     let hosts = scenario.hosts(|n| rig.member_address(n));
-    let script = Script::write(scenario, &hosts, |n| rig.member_address(n));
-    let traffic = Traffic::draw(scenario);
-    let mut options = StageOptions {
+    let script = Script::generate(scenario, &hosts, |n| rig.member_address(n));
+    let traffic = Traffic::generate(scenario);
+    let mut options = EmulatedHostsOptions {
         fills_from: Some(fills_from()),
         net: rig.net(),
         ..Default::default()
     };
     if scenario.hello {
         let of = scenario.clone();
-        let make = move |role, weight, started| of.ledger(role, weight, started);
-        options.hello = Some(Ledgers(Arc::new(make)));
+        let make = move |role, weight, started| of.work_ledger(role, weight, started);
+        options.hello = Some(LedgerFactory(Arc::new(make)));
     }
     for dispatcher in 0..scenario.dispatcher_count() {
         options
@@ -247,7 +247,7 @@
     if script
         .steps
         .iter()
-        .any(|(_, step)| matches!(step, Step::Wall { .. }))
+        .any(|(_, step)| matches!(step, ScriptStep::ZonePartition { .. }))
     {
         let site = |dispatcher| scenario.branch_of_dispatcher(dispatcher);
         options.walls = Some((
@@ -256,7 +256,7 @@
         ));
     }
     let all: Vec<HostSpec> = hosts.iter().chain(&script.newcomers).cloned().collect();
-    if plant == Some(Plant::Purge) {
+    if plant == Some(InjectedFault::IgnorePurge) {
         options.deaf_to_age = all
             .iter()
             .filter(|h| h.role == Role::Cache)
@@ -265,9 +265,9 @@
     }
     for h in &all {
         let (host, role) = (h.address.clone(), h.role);
-        recorder.saw_at(
+        recorder.record_at(
             0,
-            Saw::Member {
+            TraceEvent::HostDeclared {
                 host,
                 role,
                 zone: h.zone,
@@ -275,25 +275,25 @@
             },
         );
     }
-    let world = stream(scenario.seed, "world");
-    let mut world = World::new(
-        scenario.world_spec(),
+    let world = derive_seed(scenario.seed, "world");
+    let mut world = CacheModel::new(
+        scenario.cache_model_settings(),
         hosts.clone(),
-        scenario.catalogue(),
+        scenario.size_catalogue(),
         world,
     );
     for newcomer in &script.newcomers {
-        world.add(newcomer.clone());
+        world.add_host(newcomer.clone());
     }
-    let stage = Stage::new(world, scenario.class_models(), recorder.clone(), options);
+    let stage = EmulatedHosts::new(world, scenario.class_models(), recorder.clone(), options);
     stage.start().await?;
 
     let dispatchers = scenario.dispatcher_count();
-    let mut book = Book::new(scenario.rules, &hosts, dispatchers, scenario.seed);
-    if plant == Some(Plant::Double) {
+    let mut book = ControlPlane::new(scenario.rules, &hosts, dispatchers, scenario.seed);
+    if plant == Some(InjectedFault::DuplicateAttempts) {
         let to: SocketAddr = hosts[0].address.parse().map_err(std::io::Error::other)?;
         let relay = relay::doubling(to, member_ip(5_000)).await?;
-        book.rename(0, relay.to_string());
+        book.set_address(0, relay.to_string());
     }
     let zones = scenario.zones();
     let line = |h: &HostSpec| (h.role.name().to_owned(), zones[h.zone].clone(), h.weight);
@@ -330,7 +330,7 @@
         process.start(scenario).await?;
         let (mut http, framed) = (process.doors().http, process.doors().framed);
         // Half of the day passes first, so that the rest of it is as always.
-        let from = recorder.now() + scenario.length() / 3;
+        let from = recorder.now() + scenario.duration() / 3;
         let shortest = scenario
             .classes
             .iter()
@@ -338,12 +338,12 @@
             .min()
             .unwrap_or(0);
         let delay =
-            Duration::from_micros(shortest + scenario.rules.slack) + Duration::from_millis(400);
+            Duration::from_micros(shortest + scenario.rules.timing_tolerance) + Duration::from_millis(400);
         match plant {
-            Some(Plant::Silent) if number == 0 => {
+            Some(InjectedFault::DropResponses) if number == 0 => {
                 http = relay::bytes(http, relay::Answers::Swallow, from, recorder.clone()).await?;
             }
-            Some(Plant::Late) if number == 0 => {
+            Some(InjectedFault::DelayResponses) if number == 0 => {
                 http = relay::bytes(http, relay::Answers::Delay(delay), from, recorder.clone())
                     .await?;
             }
@@ -396,28 +396,28 @@
         for process in &mut processes {
             process.stop().await?;
         }
-        Ok::<(), RigError>(())
+        Ok::<(), TestbedError>(())
     };
     played?;
     stopped.await?;
     let late = lateness.load(Ordering::Relaxed);
     let rig_late_ms = late as f64 / 1e3;
-    if late > scenario.rules.slack {
-        return Err(RigError::Late(
+    if late > scenario.rules.timing_tolerance {
+        return Err(TestbedError::Late(
             rig_late_ms,
-            scenario.rules.slack as f64 / 1e3,
+            scenario.rules.timing_tolerance as f64 / 1e3,
         ));
     }
-    let mut sights = recorder.take();
+    let mut sights = recorder.take_entries();
     // The day's own time: everything before it is at 0.
     for sight in &mut sights {
         sight.at = sight.at.saturating_sub(began);
-        if let Saw::Asked { deadline, .. } = &mut sight.saw {
+        if let TraceEvent::RequestSent { deadline, .. } = &mut sight.event {
             *deadline = deadline.saturating_sub(began);
         }
     }
-    let mut effects: Vec<(String, u32)> = stage.with(|w| {
-        w.effects()
+    let mut effects: Vec<(String, u32)> = stage.with_model(|w| {
+        w.effect_counts()
             .iter()
             .map(|(work, n)| (work.to_string(), *n))
             .collect()
@@ -429,8 +429,8 @@
     Ok(Outcome {
         service,
         rules,
-        sights,
-        rig_late_ms,
+        trace: sights,
+        testbed_lateness_ms: rig_late_ms,
     })
 }
 
@@ -474,66 +474,66 @@
 async fn play_script(
     scenario: &Scenario,
     script: &Script,
-    stage: &Stage,
+    stage: &EmulatedHosts,
     recorder: &Recorder,
     news: &mpsc::UnboundedSender<News>,
     processes: &mut [Seat],
     began: Micros,
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
     rig: &Rig<'_>,
     walls: &Walls,
-) -> Result<(), RigError> {
+) -> Result<(), TestbedError> {
     // A fault's end is on the model's clock.
     let shift = EPOCH + began;
     for (at, step) in &script.steps {
         sleep_to(recorder, began, *at).await;
         match step {
-            Step::Say(text) => recorder.saw(Saw::Trouble { text: text.clone() }),
-            Step::Fault { host, fault } => {
-                stage.tell(In::Fault {
+            ScriptStep::Note(text) => recorder.record(TraceEvent::ScriptNote { text: text.clone() }),
+            ScriptStep::Fault { host, fault } => {
+                stage.apply(ModelInput::Fault {
                     host: *host,
-                    fault: fault.clone().later(shift),
+                    fault: fault.clone().delayed_by(shift),
                 });
             }
-            Step::List { host, listed } => {
-                let (start, started) = stage.with(|w| w.start(*host));
+            ScriptStep::EndpointUpdate { host, state: listed } => {
+                let (start, started) = stage.with_model(|w| w.incarnation(*host));
                 let started = started.map(|at| at - EPOCH);
                 let address = stage.address_of(*host);
-                let line = Line {
+                let line = ListedEndpoint {
                     host: *host,
                     address,
-                    listed: *listed,
-                    start,
-                    started,
+                    state: *listed,
+                    incarnation: start,
+                    started_at: started,
                 };
                 // A process that is down again by now is not announced.
-                if *listed != Listed::Ready || stage.with(|w| w.is_up(*host)) {
+                if *listed != ListedState::Ready || stage.with_model(|w| w.is_up(*host)) {
                     let _ = news.send(News::Change(line));
                 }
             }
-            Step::Purge { group } => {
+            ScriptStep::PurgeGroup { group } => {
                 for group in purge_groups(scenario, *group) {
                     purge(scenario, stage, news, None, group, plant);
                 }
             }
-            Step::PurgeObject { object, group } => {
+            ScriptStep::PurgeObject { object, group } => {
                 purge(scenario, stage, news, Some(object.clone()), *group, plant);
             }
             // Troubles may overlap: who is down is not killed again, who is up is not started.
-            Step::Kill { dispatcher }
-            | Step::Hang { dispatcher, .. }
-            | Step::Stop { dispatcher }
+            ScriptStep::KillDispatcher { dispatcher }
+            | ScriptStep::PauseDispatcher { dispatcher, .. }
+            | ScriptStep::StopDispatcher { dispatcher }
                 if !processes[*dispatcher].is_up() => {}
-            Step::Revive { dispatcher } if processes[*dispatcher].is_up() => {}
-            Step::Hang { dispatcher, hung } => {
+            ScriptStep::StartDispatcher { dispatcher } if processes[*dispatcher].is_up() => {}
+            ScriptStep::PauseDispatcher { dispatcher, paused: hung } => {
                 processes[*dispatcher].hang(*hung).await?;
-                recorder.saw(Saw::Hung {
+                recorder.record(TraceEvent::DispatcherPaused {
                     dispatcher: *dispatcher,
-                    hung: *hung,
+                    paused: *hung,
                 });
             }
-            Step::Stop { dispatcher } => {
-                recorder.saw(Saw::Stopping {
+            ScriptStep::StopDispatcher { dispatcher } => {
+                recorder.record(TraceEvent::DispatcherStopping {
                     dispatcher: *dispatcher,
                 });
                 let _ = news.send(News::Down {
@@ -541,15 +541,15 @@
                 });
                 processes[*dispatcher].tell_to_stop().await?;
             }
-            Step::Wall { zone, ways, .. } => {
-                recorder.saw(Saw::Walled {
+            ScriptStep::ZonePartition { zone, directions: ways, .. } => {
+                recorder.record(TraceEvent::ZonePartitioned {
                     zone: *zone,
-                    walled: ways.is_some(),
+                    partitioned: ways.is_some(),
                 });
                 walls.set(*zone, *ways);
             }
-            Step::Kill { dispatcher } => {
-                recorder.saw(Saw::Killed {
+            ScriptStep::KillDispatcher { dispatcher } => {
+                recorder.record(TraceEvent::DispatcherKilled {
                     dispatcher: *dispatcher,
                 });
                 let _ = news.send(News::Down {
@@ -557,32 +557,32 @@
                 });
                 processes[*dispatcher].kill().await?;
             }
-            Step::Revive { dispatcher } => {
+            ScriptStep::StartDispatcher { dispatcher } => {
                 if processes[*dispatcher].is_leaving() {
                     // By now it is gone, and what it was told with it.
-                    recorder.saw(Saw::Killed {
+                    recorder.record(TraceEvent::DispatcherKilled {
                         dispatcher: *dispatcher,
                     });
                 }
                 processes[*dispatcher].start(scenario).await?;
                 tell_up(news, *dispatcher, processes[*dispatcher].doors().control).await;
-                recorder.saw(Saw::Born {
+                recorder.record(TraceEvent::DispatcherStarted {
                     dispatcher: *dispatcher,
                 });
             }
-            Step::Way { host, open: true } => {
+            ScriptStep::Reachability { host, reachable: true } => {
                 stage.open_way(*host).await?;
             }
-            Step::Way { host, open: false } => stage.cut_way(*host),
-            Step::Part { host, parted } => {
+            ScriptStep::Reachability { host, reachable: false } => stage.cut_way(*host),
+            ScriptStep::Partition { host, partitioned: parted } => {
                 let (Rig::Shell(net), Ok(at)) =
                     (rig, stage.address_of(*host).parse::<SocketAddr>())
                 else {
                     continue;
                 };
-                recorder.saw(Saw::Parted {
+                recorder.record(TraceEvent::HostPartitioned {
                     host: stage.address_of(*host),
-                    parted: *parted,
+                    partitioned: *parted,
                 });
                 for dispatcher in 0..processes.len() {
                     if *parted {
@@ -592,7 +592,7 @@
                     }
                 }
             }
-            Step::ListDelay { more, until } => {
+            ScriptStep::EndpointUpdateDelay { extra: more, until } => {
                 let _ = news.send(News::Delay {
                     more: *more,
                     until: began + until,
@@ -607,29 +607,29 @@
 /// themselves, each in its own time.
 fn purge(
     scenario: &Scenario,
-    stage: &Stage,
+    stage: &EmulatedHosts,
     news: &mpsc::UnboundedSender<News>,
     object: Option<String>,
     group: u64,
-    plant: Option<Plant>,
+    plant: Option<InjectedFault>,
 ) {
     let at = stage.now();
     let number = object.as_deref().map(|o| ObjectId::named(o).0);
-    stage.tell(In::Change {
+    stage.apply(ModelInput::OriginUpdate {
         object: number,
         group,
     });
     let _ = news.send(News::Purge { object, group });
-    if plant == Some(Plant::Purge) {
+    if plant == Some(InjectedFault::IgnorePurge) {
         return;
     }
-    let hosts: Vec<usize> = stage.with(|w| w.hosts().map(|(id, _)| id).collect());
+    let hosts: Vec<usize> = stage.with_model(|w| w.hosts().map(|(id, _)| id).collect());
     for host in hosts {
-        let after = drop_delay(scenario, number.unwrap_or(group), host, at);
+        let after = purge_drop_delay(scenario, number.unwrap_or(group), host, at);
         let stage = stage.clone();
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_micros(after)).await;
-            stage.tell(In::Purge {
+            stage.apply(ModelInput::Purge {
                 host,
                 object: number,
                 group,
--- a/crates/testbed/src/day/process.rs
+++ b/crates/testbed/src/day/process.rs
@@ -1,6 +1,6 @@
 //! Dispatchers as processes of their own.
-use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
-use super::{loopback, RigError};
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use super::{loopback, TestbedError};
 use pointspindle_scenario::Scenario;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     number: usize,
     program: PathBuf,
     folder: PathBuf,
-    pub doors: Doors,
+    pub doors: ListenAddresses,
     child: Option<Child>,
     /// It was told to stop and may not be gone yet.
     leaving: bool,
@@ -44,7 +44,7 @@
 impl Process {
     pub fn new(program: &Path, folder: &Path, number: usize, etcd: Option<String>) -> Self {
         let any = SocketAddr::new(listen_ip(number), 0);
-        let doors = Doors {
+        let doors = ListenAddresses {
             http: any,
             framed: any,
             control: any,
@@ -67,11 +67,11 @@
     }
 
     /// Starts it and waits until it listens; one that is still leaving, when it is gone.
-    pub async fn start(&mut self, scenario: &Scenario) -> Result<(), RigError> {
+    pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         self.gone().await?;
         let (settings, ready) = (self.file("ini"), self.file("ready"));
         let bind = source_ip(self.number).to_string();
-        let text = ini(
+        let text = dispatcher_ini(
             scenario,
             self.number,
             &self.doors,
@@ -109,7 +109,7 @@
                 if let Some(status) = child.try_wait()? {
                     let log = std::fs::read_to_string(self.file("log")).unwrap_or_default();
                     let last = log.lines().last().unwrap_or_default();
-                    return Err(RigError::Dispatcher(
+                    return Err(TestbedError::Dispatcher(
                         self.number,
                         format!("{status}: {last}"),
                     ));
@@ -119,12 +119,12 @@
         };
         let bytes = tokio::time::timeout(PATIENCE, wait)
             .await
-            .map_err(|_| RigError::Dispatcher(self.number, "does not listen".into()))??;
+            .map_err(|_| TestbedError::Dispatcher(self.number, "does not listen".into()))??;
         let bound: Bound = serde_json::from_slice(&bytes).map_err(std::io::Error::other)?;
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
             (bound.http, bound.framed, bound.control, bound.metrics)
         {
-            self.doors = Doors {
+            self.doors = ListenAddresses {
                 http,
                 framed,
                 control,
@@ -143,7 +143,7 @@
         self.leaving
     }
 
-    async fn signal(&self, name: &str) -> Result<(), RigError> {
+    async fn signal(&self, name: &str) -> Result<(), TestbedError> {
         let Some(pid) = self.child.as_ref().and_then(Child::id) else {
             return Ok(());
         };
@@ -152,24 +152,24 @@
             .arg(pid.to_string())
             .status()
             .await?;
-        let failed = || RigError::Dispatcher(self.number, format!("cannot be sent {name}"));
+        let failed = || TestbedError::Dispatcher(self.number, format!("cannot be sent {name}"));
         told.success().then_some(()).ok_or_else(failed)
     }
 
     /// It stands still, or goes on: as a process that gets no processor.
-    pub async fn hang(&self, hung: bool) -> Result<(), RigError> {
+    pub async fn hang(&self, hung: bool) -> Result<(), TestbedError> {
         self.signal(if hung { "STOP" } else { "CONT" }).await
     }
 
     /// Tells it to stop, as an operator would, and does not wait.
-    pub async fn tell_to_stop(&mut self) -> Result<(), RigError> {
+    pub async fn tell_to_stop(&mut self) -> Result<(), TestbedError> {
         self.signal("TERM").await?;
         self.leaving = self.child.is_some();
         Ok(())
     }
 
     /// Waits until one that was told to stop is gone; its exit must be clean.
-    async fn gone(&mut self) -> Result<(), RigError> {
+    async fn gone(&mut self) -> Result<(), TestbedError> {
         if !std::mem::take(&mut self.leaving) {
             return Ok(());
         }
@@ -178,14 +178,14 @@
         };
         match tokio::time::timeout(PATIENCE, child.wait()).await {
             Ok(Ok(status)) if status.success() => Ok(()),
-            Ok(Ok(status)) => Err(RigError::Dispatcher(
+            Ok(Ok(status)) => Err(TestbedError::Dispatcher(
                 self.number,
                 format!("ended with {status}"),
             )),
             Ok(Err(e)) => Err(e.into()),
             Err(_) => {
                 child.kill().await?;
-                Err(RigError::Dispatcher(
+                Err(TestbedError::Dispatcher(
                     self.number,
                     "did not stop when told to".into(),
                 ))
@@ -194,7 +194,7 @@
     }
 
     /// Kills it outright.
-    pub async fn kill(&mut self) -> Result<(), RigError> {
+    pub async fn kill(&mut self) -> Result<(), TestbedError> {
         self.leaving = false;
         if let Some(mut child) = self.child.take() {
             child.kill().await?;
@@ -203,7 +203,7 @@
     }
 
     /// Tells it to stop, as an operator would; its exit must be clean.
-    pub async fn stop(&mut self) -> Result<(), RigError> {
+    pub async fn stop(&mut self) -> Result<(), TestbedError> {
         if self.is_up() {
             self.hang(false).await?;
             self.tell_to_stop().await?;
--- a/crates/testbed/src/day/task.rs
+++ b/crates/testbed/src/day/task.rs
@@ -1,7 +1,7 @@
 //! Dispatchers in this process, on the simulated network: the same shell, another carrier.
 use super::process::{listen_ip, source_ip, Process};
-use pointspindle_fleet_model::dispatcher_settings::{ini, Doors};
-use super::RigError;
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use super::TestbedError;
 use pointspindle_scenario::Scenario;
 use pointspindle_dispatcher::Dispatcher;
 use pointspindle_transport::simulated::SimulatedNetwork;
@@ -19,14 +19,14 @@
     number: usize,
     folder: PathBuf,
     net: SimulatedNetwork,
-    doors: Doors,
+    doors: ListenAddresses,
     up: Option<(Dispatcher, SimulatedNetwork)>,
 }
 
 impl Task {
     pub fn new(net: SimulatedNetwork, folder: &Path, number: usize) -> Self {
         let any = SocketAddr::new(listen_ip(number), 0);
-        let doors = Doors {
+        let doors = ListenAddresses {
             http: any,
             framed: any,
             control: any,
@@ -41,16 +41,16 @@
         }
     }
 
-    fn failed(&self, why: impl std::fmt::Display) -> RigError {
-        RigError::Dispatcher(self.number, why.to_string())
+    fn failed(&self, why: impl std::fmt::Display) -> TestbedError {
+        TestbedError::Dispatcher(self.number, why.to_string())
     }
 
-    async fn start(&mut self, scenario: &Scenario) -> Result<(), RigError> {
+    async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         let bind = source_ip(self.number).to_string();
         let state = self
             .folder
             .join(format!("dispatcher-{}.state", self.number));
-        let text = ini(scenario, self.number, &self.doors, &bind, &state, None);
+        let text = dispatcher_ini(scenario, self.number, &self.doors, &bind, &state, None);
         let settings = pointspindle_config::parse("settings", &text).map_err(|e| self.failed(e))?;
         let life = self.net.incarnation();
         let seed = scenario.seed ^ self.number as u64;
@@ -60,7 +60,7 @@
         if let (Some(http), Some(framed), Some(control), Some(metrics)) =
             (bound.http, bound.framed, bound.control, bound.metrics)
         {
-            self.doors = Doors {
+            self.doors = ListenAddresses {
                 http,
                 framed,
                 control,
@@ -81,7 +81,7 @@
         }
     }
 
-    async fn stop(&mut self) -> Result<(), RigError> {
+    async fn stop(&mut self) -> Result<(), TestbedError> {
         let Some((dispatcher, life)) = self.up.take() else {
             return Ok(());
         };
@@ -94,14 +94,14 @@
 }
 
 impl Seat {
-    pub fn doors(&self) -> Doors {
+    pub fn doors(&self) -> ListenAddresses {
         match self {
             Self::Process(p) => p.doors,
             Self::Task(t) => t.doors,
         }
     }
 
-    pub async fn start(&mut self, scenario: &Scenario) -> Result<(), RigError> {
+    pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         match self {
             Self::Process(p) => p.start(scenario).await,
             Self::Task(t) => t.start(scenario).await,
@@ -115,7 +115,7 @@
         }
     }
 
-    pub async fn kill(&mut self) -> Result<(), RigError> {
+    pub async fn kill(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(p) => p.kill().await,
             Self::Task(t) => {
@@ -131,21 +131,21 @@
     }
 
     /// Days that need these are not played on the simulated network.
-    pub async fn hang(&mut self, hung: bool) -> Result<(), RigError> {
+    pub async fn hang(&mut self, hung: bool) -> Result<(), TestbedError> {
         match self {
             Self::Process(p) => p.hang(hung).await,
             Self::Task(t) => Err(t.failed("cannot be held still")),
         }
     }
 
-    pub async fn tell_to_stop(&mut self) -> Result<(), RigError> {
+    pub async fn tell_to_stop(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(p) => p.tell_to_stop().await,
             Self::Task(t) => Err(t.failed("cannot be stopped while the day goes on")),
         }
     }
 
-    pub async fn stop(&mut self) -> Result<(), RigError> {
+    pub async fn stop(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(p) => p.stop().await,
             Self::Task(t) => t.stop().await,
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,8 +1,8 @@
 //! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
-use pointspindle_cache_model::cold::ColdSpec;
+use pointspindle_cache_model::cold::WarmUpSpec;
 use pointspindle_cache_model::*;
 use pointspindle_audit::trace::Recorder;
-use crate::sockets::{Stage, StageOptions};
+use crate::sockets::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle_protocol::EndpointRecord;
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
@@ -23,28 +23,28 @@
         role,
         zone,
         weight,
-        places: 64,
+        concurrency: 64,
         queue: 256,
-        thrash: 0.0,
+        crowding_loss: 0.0,
         store_bytes: 64 << 20,
-        fill_places: 64,
+        fill_concurrency: 64,
         fill_timeout: 3_000_000,
         fill_retries: 1,
         abort_fill: false,
-        joins: true,
-        cold: ColdSpec {
-            start_share: 0.2,
-            warm_within: 5_000_000,
-            multiple: 2.0,
-            window: 1_000_000,
+        coalesces_fills: true,
+        warm_up: WarmUpSpec {
+            initial_share: 0.2,
+            duration: 5_000_000,
+            overload_factor: 2.0,
+            overload_window: 1_000_000,
         },
-        think: if role == Role::Origin { 5_000 } else { 0 },
-        report_every: 200_000,
-        pause_every: 0,
+        service_time: if role == Role::Origin { 5_000 } else { 0 },
+        load_report_interval: 200_000,
+        pause_interval: 0,
         pause: 0,
-        fall_multiple: 0.0,
-        fall_window: 1_000_000,
-        fall_down: 0,
+        overload_multiple: 0.0,
+        overload_window: 1_000_000,
+        overload_downtime: 0,
     }
 }
 
@@ -58,7 +58,7 @@
 pub async fn start(
     class_names: [&str; 2],
     zones: [&str; 2],
-) -> std::io::Result<(Stage, Vec<EndpointRecord>)> {
+) -> std::io::Result<(EmulatedHosts, Vec<EndpointRecord>)> {
     let mut hosts = Vec::new();
     for (role, zone, weight) in [
         (Role::Cache, 1, 8.0),
@@ -70,13 +70,13 @@
     }
     let class = |(n, name): (usize, &str)| ClassModel {
         name: name.into(),
-        fresh: if n == 1 { 12_000_000 } else { 0 },
-        mean: 20_000,
+        freshness_lifetime: if n == 1 { 12_000_000 } else { 0 },
+        mean_transfer_time: 20_000,
         uncacheable: false,
-        dedupes: false,
+        deduplicates: false,
     };
     let classes: Vec<ClassModel> = class_names.into_iter().enumerate().map(class).collect();
-    let spec = WorldSpec {
+    let spec = CacheModelSettings {
         classes: classes.clone(),
         zones: zones
             .iter()
@@ -85,11 +85,11 @@
                 link: 0.0,
             })
             .collect(),
-        flow: FLOW,
-        fill_pace: 3.0,
-        key_window: 2_000_000,
+        bytes_per_s: FLOW,
+        fill_speedup: 3.0,
+        idempotency_window: 2_000_000,
     };
-    let catalogue = |w: &Wanted| {
+    let catalogue = |w: &ModelRequest| {
         SAMPLES
             .iter()
             .find(|(name, ..)| *name == &*w.object)
@@ -104,8 +104,8 @@
         ..Default::default()
     };
     let lines = hosts.iter().map(line).collect();
-    let world = World::new(spec, hosts, Box::new(catalogue), 1);
-    let stage = Stage::new(world, classes, Recorder::default(), StageOptions::default());
+    let world = CacheModel::new(spec, hosts, Box::new(catalogue), 1);
+    let stage = EmulatedHosts::new(world, classes, Recorder::default(), EmulatedHostsOptions::default());
     stage.start().await?;
     Ok((stage, lines))
 }
