--- a/crates/testbed/src/sockets/member.rs
+++ b/crates/testbed/src/sockets/member.rs
@@ -1,9 +1,9 @@
 //! One member's listener: requests become the world's, its words become frames.
-use super::stage::{Stage, Word};
+use super::stage::{EmulatedHosts, Word};
 use super::words::{self, Cut};
 use crate::content::Body;
-use pointspindle_cache_model::{HostId, In};
-use pointspindle_audit::trace::{Left, Saw, TryId};
+use pointspindle_cache_model::{HostId, ModelInput};
+use pointspindle_audit::trace::{AttemptOutcome, TraceEvent, ClientAttemptId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{
@@ -16,7 +16,7 @@
 /// Bytes made at once.
 const PIECE: u64 = 32 * 1024;
 
-pub(crate) async fn serve(stage: Stage, host: HostId, mut listener: Listener) {
+pub(crate) async fn serve(stage: EmulatedHosts, host: HostId, mut listener: Listener) {
     // Aborting this task drops the set, and with it every connection: as a process that ends.
     let mut connections = JoinSet::new();
     while let Ok((socket, peer)) = listener.accept().await {
@@ -36,7 +36,7 @@
 
 /// Gives a lease up also when its connection's task is aborted.
 struct Using {
-    stage: Stage,
+    stage: EmulatedHosts,
     host: HostId,
     user: Option<u64>,
 }
@@ -49,7 +49,7 @@
     }
 }
 
-async fn connection(stage: Stage, host: HostId, socket: Socket, peer: SocketAddr) {
+async fn connection(stage: EmulatedHosts, host: HostId, socket: Socket, peer: SocketAddr) {
     let by = stage.inner().options.dispatchers.get(&peer.ip()).copied();
     let address = stage.address_of(host);
     let socket = match stage.behind_walls(host, by, socket).await {
@@ -118,11 +118,11 @@
 
 /// Records how an attempt left its member, also when the task is aborted.
 struct Leaving {
-    stage: Stage,
+    stage: EmulatedHosts,
     host: HostId,
     job: u64,
-    gone: Option<(String, Option<TryId>, u32, Option<usize>)>,
-    how: Left,
+    gone: Option<(String, Option<ClientAttemptId>, u32, Option<usize>)>,
+    how: AttemptOutcome,
     cancel: bool,
 }
 
@@ -130,25 +130,25 @@
     fn drop(&mut self) {
         self.stage.forget(self.job);
         if self.cancel {
-            self.stage.tell(In::Cancel {
+            self.stage.apply(ModelInput::Cancel {
                 host: self.host,
                 job: self.job,
             });
         }
         if let Some((host, id, attempt, by)) = self.gone.take() {
-            self.stage.inner().recorder.saw(Saw::Gone {
+            self.stage.inner().recorder.record(TraceEvent::AttemptEnded {
                 host,
                 id,
                 attempt,
-                by,
-                how: self.how,
+                dispatcher: by,
+                outcome: self.how,
             });
         }
     }
 }
 
 async fn request(
-    stage: Stage,
+    stage: EmulatedHosts,
     host: HostId,
     address: String,
     (by, user): (Option<usize>, Option<u64>),
@@ -162,20 +162,20 @@
     }
     let came = Instant::now();
     let mut wanted = words::wanted(&asked, &stage.inner().classes);
-    let id = TryId::parse(&asked.trace);
-    stage.inner().recorder.saw(Saw::Reached {
+    let id = ClientAttemptId::parse(&asked.trace);
+    stage.inner().recorder.record(TraceEvent::AttemptArrived {
         host: address.clone(),
-        by,
+        dispatcher: by,
         id,
         attempt: asked.attempt,
         source: wanted.source.clone(),
         class: wanted.class,
     });
     if stage.inner().options.deaf_to_age.contains(&address) {
-        wanted.age = u64::MAX / 2;
+        wanted.max_age = u64::MAX / 2;
     }
     let body = Body {
-        number: wanted.number,
+        number: wanted.object_number,
         part: wanted.part,
         version: 0,
     };
@@ -186,7 +186,7 @@
         host,
         job,
         gone,
-        how: Left::Lost,
+        how: AttemptOutcome::ConnectionLost,
         cancel: true,
     };
     // Sent with the end: a member that dies in between leaves half an answer.
@@ -195,7 +195,7 @@
         let word = tokio::select! {
             biased;
             _ = responder.cancelled() => {
-                leaving.how = Left::Cancelled;
+                leaving.how = AttemptOutcome::Cancelled;
                 return;
             }
             word = said.recv() => word,
@@ -208,7 +208,7 @@
                     ..body
                 };
                 if responder.head(head).await.is_err() {
-                    leaving.how = Left::Cancelled;
+                    leaving.how = AttemptOutcome::Cancelled;
                     return;
                 }
                 let first = Cut {
@@ -216,7 +216,7 @@
                     len: cut.len / 2,
                 };
                 if send(&mut responder, body, first).await.is_err() {
-                    leaving.how = Left::Cancelled;
+                    leaving.how = AttemptOutcome::Cancelled;
                     return;
                 }
                 rest = Some((
@@ -234,9 +234,9 @@
                     None => Ok(()),
                 };
                 leaving.how = if sent.is_ok() {
-                    Left::Answered
+                    AttemptOutcome::Completed
                 } else {
-                    Left::Cancelled
+                    AttemptOutcome::Cancelled
                 };
                 if sent.is_ok() {
                     let _ = responder.end(None).await;
@@ -250,7 +250,7 @@
                 load,
             }) => {
                 leaving.cancel = false;
-                leaving.how = Left::Answered;
+                leaving.how = AttemptOutcome::Completed;
                 let error = ErrorHead {
                     status: status as i32,
                     cache_status: note as i32,
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -5,5 +5,5 @@
 mod wall;
 pub(crate) mod words;
 
-pub use stage::{Ledgers, Stage, StageOptions, EPOCH};
+pub use stage::{LedgerFactory, EmulatedHosts, EmulatedHostsOptions, EPOCH};
 pub use wall::Walls;
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -3,8 +3,8 @@
 use pointspindle_fleet_model::leases::lease_head;
 use super::{fills, member};
 use pointspindle_cache_model::*;
-use pointspindle_audit::trace::{Recorder, Saw};
-use pointspindle_scenario::stream;
+use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_scenario::derive_seed;
 use pointspindle::Micros;
 use pointspindle_cache_host::lease::{Grant, UserId, WorkLedger};
 use pointspindle_protocol::streams::Side;
@@ -22,7 +22,7 @@
 
 /// How a stage differs from a plain one.
 #[derive(Clone, Debug, Default)]
-pub struct StageOptions {
+pub struct EmulatedHostsOptions {
     /// Local addresses of dispatchers: who sent an attempt is told by its connection's address.
     pub dispatchers: HashMap<IpAddr, usize>,
     /// Where members' fills come from.
@@ -30,7 +30,7 @@
     /// Members that take no notice of ages and purges: a planted fault.
     pub deaf_to_age: HashSet<String>,
     /// Members say who they are on each connection, and lease out their warm-up.
-    pub hello: Option<Ledgers>,
+    pub hello: Option<LedgerFactory>,
     pub net: Network,
     /// Cuts between sites, and each dispatcher's site; none: no day with cuts.
     pub walls: Option<(Walls, Vec<usize>)>,
@@ -40,9 +40,9 @@
 
 /// Makes the ledger of a member that has just started, by role, weight and start; none: it leases nothing.
 #[derive(Clone)]
-pub struct Ledgers(pub Arc<MakeLedger>);
+pub struct LedgerFactory(pub Arc<MakeLedger>);
 
-impl std::fmt::Debug for Ledgers {
+impl std::fmt::Debug for LedgerFactory {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Ledgers")
     }
@@ -51,7 +51,7 @@
 /// What a request's task at a member hears.
 #[derive(Debug)]
 pub(crate) enum Word {
-    Start(Answer),
+    Start(ModelResponse),
     Finish,
     Reject {
         status: pointspindle_protocol::WireStatus,
@@ -64,12 +64,12 @@
 }
 
 struct Locked {
-    world: World,
+    world: CacheModel,
     words: HashMap<JobId, (HostId, mpsc::UnboundedSender<Word>)>,
     fills: HashMap<FillId, AbortHandle>,
     listeners: HashMap<HostId, AbortHandle>,
     next: JobId,
-    out: Vec<Out>,
+    out: Vec<ModelOutput>,
     /// Of members that warm up, with the connections that keep to leases.
     ledgers: HashMap<HostId, (WorkLedger, HashMap<UserId, FramedConnection>)>,
     next_user: UserId,
@@ -77,7 +77,7 @@
 
 /// Members on sockets. Clones share them.
 #[derive(Clone)]
-pub struct Stage {
+pub struct EmulatedHosts {
     inner: Arc<Inner>,
 }
 
@@ -86,22 +86,22 @@
     timer: Notify,
     pub recorder: Recorder,
     pub classes: Vec<ClassModel>,
-    pub options: StageOptions,
+    pub options: EmulatedHostsOptions,
     links: tokio::sync::Mutex<HashMap<(HostId, String), FramedConnection>>,
 }
 
-impl std::fmt::Debug for Stage {
+impl std::fmt::Debug for EmulatedHosts {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Stage")
     }
 }
 
-impl Stage {
+impl EmulatedHosts {
     pub fn new(
-        world: World,
+        world: CacheModel,
         classes: Vec<ClassModel>,
         recorder: Recorder,
-        options: StageOptions,
+        options: EmulatedHostsOptions,
     ) -> Self {
         let locked = Locked {
             world,
@@ -157,11 +157,11 @@
     }
 
     /// A look at the world.
-    pub fn with<T>(&self, look: impl FnOnce(&mut World) -> T) -> T {
+    pub fn with_model<T>(&self, look: impl FnOnce(&mut CacheModel) -> T) -> T {
         look(&mut self.lock().world)
     }
 
-    pub fn tell(&self, input: In) {
+    pub fn apply(&self, input: ModelInput) {
         self.handle(self.lock(), input);
     }
 
@@ -170,7 +170,7 @@
         &self,
         host: HostId,
         user: Option<UserId>,
-        wanted: Wanted,
+        wanted: ModelRequest,
     ) -> (JobId, mpsc::UnboundedReceiver<Word>) {
         let (sender, words) = mpsc::unbounded_channel();
         let mut locked = self.lock();
@@ -179,9 +179,9 @@
         locked.words.insert(job, (host, sender));
         if let Some((ledger, _)) = locked.ledgers.get_mut(&host) {
             let class = self.inner.classes.get(wanted.class);
-            ledger.record_arrival(user, class.map_or(0.0, |c| c.mean as f64 / 1e6));
+            ledger.record_arrival(user, class.map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6));
         }
-        self.handle(locked, In::Arrive { host, job, wanted });
+        self.handle(locked, ModelInput::Arrive { host, job, request: wanted });
         (job, words)
     }
 
@@ -189,18 +189,18 @@
         self.lock().words.remove(&job);
     }
 
-    fn handle(&self, mut locked: MutexGuard<'_, Locked>, input: In) {
+    fn handle(&self, mut locked: MutexGuard<'_, Locked>, input: ModelInput) {
         let now = self.now();
         let mut out = std::mem::take(&mut locked.out);
         locked.world.handle(now, input, &mut out);
         for wish in out.drain(..) {
             let (job, word) = match wish {
-                Out::Start { job, answer, .. } => (job, Word::Start(answer)),
-                Out::Finish { job, .. } => (job, Word::Finish),
-                Out::Reject {
+                ModelOutput::ResponseStart { job, response: answer, .. } => (job, Word::Start(answer)),
+                ModelOutput::ResponseEnd { job, .. } => (job, Word::Finish),
+                ModelOutput::Reject {
                     job,
                     status,
-                    note,
+                    cache_status: note,
                     may_have_run: ran,
                     load,
                     ..
@@ -213,29 +213,29 @@
                         load,
                     },
                 ),
-                Out::Cut { job, .. } => (job, Word::Cut),
-                Out::Fill {
+                ModelOutput::Disconnect { job, .. } => (job, Word::Cut),
+                ModelOutput::StartFill {
                     host,
                     fill,
                     source,
-                    wanted,
+                    request: wanted,
                 } => {
                     let task = tokio::spawn(fills::run(self.clone(), host, fill, source, wanted));
                     locked.fills.retain(|_, task| !task.is_finished());
                     locked.fills.insert(fill, task.abort_handle());
                     continue;
                 }
-                Out::DropFill { fill, .. } => {
+                ModelOutput::CancelFill { fill, .. } => {
                     if let Some(task) = locked.fills.remove(&fill) {
                         task.abort();
                     }
                     continue;
                 }
-                Out::Down { host, why } => {
+                ModelOutput::HostDown { host, reason: why } => {
                     let address = self.address(&locked.world, host);
-                    self.inner.recorder.saw(Saw::Fell {
+                    self.inner.recorder.record(TraceEvent::HostCrashed {
                         host: address,
-                        why: why.into(),
+                        reason: why.into(),
                     });
                     if let Some(listener) = locked.listeners.remove(&host) {
                         listener.abort();
@@ -249,21 +249,21 @@
                     });
                     continue;
                 }
-                Out::Up { host } => {
+                ModelOutput::HostUp { host } => {
                     let address = self.address(&locked.world, host);
-                    let start = locked.world.start(host).0;
-                    self.inner.recorder.saw(Saw::Started {
+                    let start = locked.world.incarnation(host).0;
+                    self.inner.recorder.record(TraceEvent::HostStarted {
                         host: address,
                         cold: true,
-                        start,
+                        incarnation: start,
                     });
                     let (role, weight) =
-                        (locked.world.spec(host).role, locked.world.spec(host).weight);
+                        (locked.world.host_spec(host).role, locked.world.host_spec(host).weight);
                     let make = self.inner.options.hello.as_ref();
                     let ledger = make.and_then(|make| (make.0)(role, weight, now));
                     if let Some(ledger) = ledger {
                         locked.ledgers.insert(host, (ledger, HashMap::new()));
-                        tokio::spawn(lease_out(self.clone(), host, locked.world.start(host).0));
+                        tokio::spawn(lease_out(self.clone(), host, locked.world.incarnation(host).0));
                     }
                     let stage = self.clone();
                     tokio::spawn(async move {
@@ -284,10 +284,10 @@
 
     /// What a member says of its process; none where members say nothing.
     pub(crate) fn hello(&self, host: HostId) -> Option<HelloHead> {
-        let (start, started) = self.lock().world.start(host);
+        let (start, started) = self.lock().world.incarnation(host);
         let started_ago_us = started.map(|at| self.now().saturating_sub(at));
         // Numbers of starts are small and alike at all members: an identity is not.
-        let process = stream(start, &self.address_of(host)).max(1);
+        let process = derive_seed(start, &self.address_of(host)).max(1);
         self.inner.options.hello.is_some().then_some(HelloHead {
             incarnation: process,
             started_ago_us,
@@ -353,8 +353,8 @@
         Ok(())
     }
 
-    fn address(&self, world: &World, host: HostId) -> String {
-        world.spec(host).address.clone()
+    fn address(&self, world: &CacheModel, host: HostId) -> String {
+        world.host_spec(host).address.clone()
     }
 
     pub fn address_of(&self, host: HostId) -> String {
@@ -370,7 +370,7 @@
                 Some(at) => {
                     let wait = Duration::from_micros(at.saturating_sub(self.now()));
                     tokio::select! {
-                        _ = tokio::time::sleep(wait) => self.tell(In::Tick),
+                        _ = tokio::time::sleep(wait) => self.apply(ModelInput::Tick),
                         _ = self.inner.timer.notified() => {}
                     }
                 }
@@ -413,7 +413,7 @@
         let Some(there) = by.and_then(|by| sites.get(by).copied()) else {
             return Ok(socket);
         };
-        let here = self.with(|w| w.spec(host).zone);
+        let here = self.with_model(|w| w.host_spec(host).zone);
         walls.between(socket, there, here).await
     }
 
@@ -434,9 +434,9 @@
         let connect = tokio::time::timeout(Duration::from_millis(250), connect);
         let mut socket = connect.await.map_err(std::io::Error::other)??;
         if let Some((walls, _)) = &options.walls {
-            let zones = self.with(|w| {
-                let there = w.host_of(source).map(|id| w.spec(id).zone);
-                there.map(|there| (there, w.spec(host).zone))
+            let zones = self.with_model(|w| {
+                let there = w.host_by_address(source).map(|id| w.host_spec(id).zone);
+                there.map(|there| (there, w.host_spec(host).zone))
             });
             if let Some((there, here)) = zones {
                 socket = walls.between(socket, there, here).await?;
@@ -452,7 +452,7 @@
 }
 
 /// Tells leases slot by slot while a start of a member warms up.
-async fn lease_out(stage: Stage, host: HostId, start: u64) {
+async fn lease_out(stage: EmulatedHosts, host: HostId, start: u64) {
     loop {
         let next = match stage.lock().ledgers.get(&host) {
             Some((ledger, _)) => ledger.next_slot(),
@@ -461,7 +461,7 @@
         tokio::time::sleep(Duration::from_micros(next.saturating_sub(stage.now()))).await;
         let (grants, length) = {
             let mut locked = stage.lock();
-            if locked.world.start(host).0 != start {
+            if locked.world.incarnation(host).0 != start {
                 return;
             }
             let now = stage.now();
--- a/crates/testbed/src/sockets/wall.rs
+++ b/crates/testbed/src/sockets/wall.rs
@@ -2,7 +2,7 @@
 //!
 //! As with packets that are lost on the way: connections stay open, what was sent arrives once the way is open again. New
 //! connections are taken by the system all the same; nothing comes over them.
-use pointspindle_scenario::script::Ways;
+use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_fleet_model::partition::passes;
 use pointspindle_transport::Socket;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 /// Zones that are cut off, and which way. Clones share them; bounded by the number of zones.
 #[derive(Clone, Debug)]
 pub struct Walls {
-    up: Arc<watch::Sender<BTreeMap<usize, Ways>>>,
+    up: Arc<watch::Sender<BTreeMap<usize, PartitionDirections>>>,
 }
 
 impl Default for Walls {
@@ -27,7 +27,7 @@
 }
 
 impl Walls {
-    pub fn set(&self, zone: usize, ways: Option<Ways>) {
+    pub fn set(&self, zone: usize, ways: Option<PartitionDirections>) {
         self.up.send_modify(|up| {
             match ways {
                 Some(ways) => up.insert(zone, ways),
--- a/crates/testbed/src/sockets/words.rs
+++ b/crates/testbed/src/sockets/words.rs
@@ -1,5 +1,5 @@
 //! Frames' heads in the model's terms, and back.
-use pointspindle_cache_model::{Answer, ClassModel, Wanted};
+use pointspindle_cache_model::{ModelResponse, ClassModel, ModelRequest};
 use pointspindle::ObjectId;
 use pointspindle_protocol::range::{Range, ResolvedRange};
 use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
@@ -19,14 +19,14 @@
         .ok()
 }
 
-pub fn wanted(head: &RequestHead, classes: &[ClassModel]) -> Wanted {
+pub fn wanted(head: &RequestHead, classes: &[ClassModel]) -> ModelRequest {
     let fetch = head.fetch.clone().unwrap_or_default();
     // A plain look and a fetch without a source want what is held.
     let held_only =
         fetch.only_if_cached || (head.fetch.is_none() && head.idempotency_key.is_empty());
-    Wanted {
+    ModelRequest {
         object: Arc::from(head.object.as_str()),
-        number: ObjectId::named(&head.object).0,
+        object_number: ObjectId::named(&head.object).0,
         part: head.part,
         group: head.group,
         class: classes
@@ -34,26 +34,26 @@
             .position(|c| c.name == head.class)
             .unwrap_or(usize::MAX),
         source: (!fetch.source.is_empty()).then_some(fetch.source),
-        keep: fetch.retention_rank as u8,
-        age: fetch.max_age_us,
-        join: fetch.coalesce,
-        held_only,
-        renew: fetch.revalidate,
-        holds: version(&head.if_none_match),
-        key: Arc::from(head.idempotency_key.as_str()),
+        retention_rank: fetch.retention_rank as u8,
+        max_age: fetch.max_age_us,
+        coalesce: fetch.coalesce,
+        only_if_cached: held_only,
+        revalidate: fetch.revalidate,
+        cached_version: version(&head.if_none_match),
+        idempotency_key: Arc::from(head.idempotency_key.as_str()),
         trace: Arc::from(head.trace.as_str()),
         attempt: head.attempt,
     }
 }
 
 /// A fill as it goes to its source.
-pub fn request(wanted: &Wanted, classes: &[ClassModel], left_us: u64) -> RequestHead {
+pub fn request(wanted: &ModelRequest, classes: &[ClassModel], left_us: u64) -> RequestHead {
     let fetch = FetchHead {
         source: String::new(),
-        retention_rank: wanted.keep as u32,
-        max_age_us: wanted.age,
-        coalesce: wanted.join,
-        only_if_cached: wanted.held_only,
+        retention_rank: wanted.retention_rank as u32,
+        max_age_us: wanted.max_age,
+        coalesce: wanted.coalesce,
+        only_if_cached: wanted.only_if_cached,
         revalidate: false,
     };
     RequestHead {
@@ -68,8 +68,8 @@
         fetch: Some(fetch),
         trace: wanted.trace.to_string(),
         attempt: wanted.attempt,
-        idempotency_key: wanted.key.to_string(),
-        if_none_match: wanted.holds.map(validator).unwrap_or_default(),
+        idempotency_key: wanted.idempotency_key.to_string(),
+        if_none_match: wanted.cached_version.map(validator).unwrap_or_default(),
         ..Default::default()
     }
 }
@@ -82,7 +82,7 @@
 }
 
 /// The head of an answer, with the range that was asked for applied.
-pub fn head(answer: &Answer, asked: &RequestHead, elapsed_us: u64) -> (ResponseHead, Cut) {
+pub fn head(answer: &ModelResponse, asked: &RequestHead, elapsed_us: u64) -> (ResponseHead, Cut) {
     let whole = answer.copy.size;
     let validator = validator(answer.copy.version);
     let range_wanted =
@@ -92,7 +92,7 @@
         .flatten()
         .map(|r| r.apply(whole));
     let mut head = ResponseHead {
-        cache_status: answer.note as i32,
+        cache_status: answer.cache_status as i32,
         size: Some(whole),
         age_us: answer.age,
         validator,
@@ -100,11 +100,11 @@
         not_modified: answer.not_modified,
         elapsed_us,
         load: Some(answer.load),
-        fresh_left_us: answer.fresh_left,
-        origin_status: if answer.code == 200 {
+        fresh_left_us: answer.freshness_left,
+        origin_status: if answer.status_code == 200 {
             0
         } else {
-            answer.code as u32
+            answer.status_code as u32
         },
         ..Default::default()
     };
--- a/crates/testbed/tests/shell.rs
+++ b/crates/testbed/tests/shell.rs
@@ -2,7 +2,7 @@
 //! tell nobody) and a day in the time of its work. The rules are kept, a planted fault is found, and it agrees with the cores in
 //! virtual time where both play the same day.
 use pointspindle_testbed::day;
-use pointspindle_scenario::fault_injection::Plant;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{self as scenario, Scenario};
 use pointspindle_simulator as simulator;
 use std::path::Path;
@@ -12,7 +12,7 @@
     scenario::load(&path, Some(seed)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn play(day: &Scenario, plant: Option<Plant>) -> day::Outcome {
+fn play(day: &Scenario, plant: Option<InjectedFault>) -> day::Outcome {
     let folder = tempfile::tempdir().unwrap();
     day::shell(day, folder.path(), plant).unwrap_or_else(|e| panic!("{e}"))
 }
@@ -25,13 +25,13 @@
         println!("seed {seed}: service {:.3}", out.service.service);
         for rule in &out.rules {
             assert!(
-                rule.breaches.is_empty(),
+                rule.violations.is_empty(),
                 "seed {seed}, {}: {:?}",
                 rule.name,
-                rule.breaches[0]
+                rule.violations[0]
             );
         }
-        let checked = |name: &str| out.rules.iter().find(|r| r.name == name).unwrap().checked;
+        let checked = |name: &str| out.rules.iter().find(|r| r.name == name).unwrap().cases;
         assert!(checked("answers") > 1_000 && checked("drains") > 0 && checked("purges") > 0);
         assert!(
             out.service.service > 0.3,
@@ -48,11 +48,11 @@
 /// A rig in which nothing can be found would show nothing.
 #[test]
 fn a_planted_fault_is_found_on_the_simulated_network() {
-    let day = load("bad-day.ini", 7).scaled(14.0);
-    for (plant, name) in [(Plant::Drain, "drains"), (Plant::Purge, "purges")] {
+    let day = load("bad-day.ini", 7).scaled_to(14.0);
+    for (plant, name) in [(InjectedFault::WithholdDrain, "drains"), (InjectedFault::IgnorePurge, "purges")] {
         let out = play(&day, Some(plant));
         let rule = out.rules.iter().find(|r| r.name == name).unwrap();
-        assert!(!rule.breaches.is_empty(), "{name}: nothing found");
+        assert!(!rule.violations.is_empty(), "{name}: nothing found");
     }
 }
 
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -3,7 +3,7 @@
 use pointspindle_testbed::demo::{free_address, plain_host};
 use pointspindle_cache_model::*;
 use pointspindle_audit::trace::Recorder;
-use pointspindle_testbed::sockets::{Stage, StageOptions};
+use pointspindle_testbed::sockets::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{FetchHead, RequestHead};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
@@ -48,36 +48,36 @@
     let addresses: Vec<String> = (0..2).map(|_| free_address("127.0.0.1").unwrap()).collect();
     let class = ClassModel {
         name: "page".into(),
-        fresh: 0,
-        mean: 1_000,
+        freshness_lifetime: 0,
+        mean_transfer_time: 1_000,
         uncacheable: false,
-        dedupes: false,
+        deduplicates: false,
     };
     let zones = vec![ZoneSpec {
         name: "b".into(),
         link: 0.0,
     }];
-    let spec = WorldSpec {
+    let spec = CacheModelSettings {
         classes: vec![class.clone()],
         zones,
-        flow: 1e8,
-        fill_pace: 2.0,
-        key_window: 0,
+        bytes_per_s: 1e8,
+        fill_speedup: 2.0,
+        idempotency_window: 0,
     };
     let origin = HostSpec {
-        think: 400_000,
+        service_time: 400_000,
         ..plain_host(addresses[1].clone(), Role::Origin, 0, 8.0)
     };
     let hosts = vec![
         plain_host(addresses[0].clone(), Role::Cache, 0, 8.0),
         origin,
     ];
-    let world = World::new(spec, hosts, Box::new(|_| Some(1_000)), 3);
-    let stage = Stage::new(
+    let world = CacheModel::new(spec, hosts, Box::new(|_| Some(1_000)), 3);
+    let stage = EmulatedHosts::new(
         world,
         vec![class],
         Recorder::default(),
-        StageOptions::default(),
+        EmulatedHostsOptions::default(),
     );
     stage.start().await.unwrap();
 
@@ -87,7 +87,7 @@
     });
     // The origin has the request once the cache's fill is on its way; a purge is made while it thinks.
     tokio::time::sleep(Duration::from_millis(30)).await;
-    stage.tell(In::Change {
+    stage.apply(ModelInput::OriginUpdate {
         object: None,
         group: 0,
     });
