--- a/crates/audit/src/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -1,5 +1,5 @@
 //! Rule: no request is lost. One final answer before the deadline, and nothing after it.
-use super::{Violation, Evidence, RuleVerdict, Try};
+use super::{Evidence, RuleVerdict, Try, Violation};
 use crate::trace::{ClientOutcome, TraceEvent};
 
 pub(super) fn judge(e: &Evidence) -> RuleVerdict {
@@ -21,7 +21,10 @@
 
 fn one(e: &Evidence, t: &Try, rule: &mut RuleVerdict) {
     // Given up by its client: nothing is owed any more, except that nothing goes on being sent for it.
-    let left = t.ends.iter().any(|(_, end)| *end == ClientOutcome::Cancelled);
+    let left = t
+        .ends
+        .iter()
+        .any(|(_, end)| *end == ClientOutcome::Cancelled);
     let end = t.ends.first();
     let until = end.map_or(t.deadline, |(at, _)| *at);
     // What a dispatcher held when it was killed is for the client to retry.
--- a/crates/audit/src/cold.rs
+++ b/crates/audit/src/cold.rs
@@ -3,11 +3,11 @@
 //! A dispatcher that has not been told of the start cannot be held to it: the rule is broken where two thirds of a
 //! window's work came from dispatchers that had been told, a fill counting as its dispatcher's. Hosts that fell over
 //! before that are counted beside it (`unknowing`): their service is lost all the same.
-use super::{Violation, Evidence, RuleVerdict};
-use pointspindle_cache_model::cold::ROUNDING_TOLERANCE;
-use pointspindle_cache_model::Role;
+use super::{Evidence, RuleVerdict, Violation};
 use crate::trace::TraceEvent;
 use pointspindle::Micros;
+use pointspindle_cache_model::cold::ROUNDING_TOLERANCE;
+use pointspindle_cache_model::Role;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
@@ -148,7 +148,9 @@
                     continue;
                 }
                 rule.cases += 1;
-                let work = models.get(*class).map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
+                let work = models
+                    .get(*class)
+                    .map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
                 let by = by.or_else(|| id.and_then(|id| asked.get(&id).copied()));
                 let told = by.and_then(|by| member.told.get(&by));
                 let knew = told.is_some_and(|told| sight.at >= told + e.slack);
@@ -162,7 +164,8 @@
                 member.sent.retain(|s| s.at > from);
                 let sum: f64 = member.sent.iter().map(|s| s.work).sum();
                 let share = spec.share_after(from.saturating_sub(member.started));
-                let budget = spec.overload_factor * share * weight * spec.overload_window as f64 / 1e6;
+                let budget =
+                    spec.overload_factor * share * weight * spec.overload_window as f64 / 1e6;
                 let allowed = budget / mean;
                 let peak = ColdPeak {
                     host: host.clone(),
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -11,7 +11,7 @@
     );
     // Since when each dispatcher knows that a member drains or is gone.
     let mut out: HashMap<(usize, String), Micros> = HashMap::new();
-    let late = e.scenario.rules.drain_grace + e.slack;
+    let late = e.scenario.limits.rules.drain_grace + e.slack;
     for sight in e.sights {
         match &sight.event {
             TraceEvent::EndpointListDelivered {
--- a/crates/audit/src/effects.rs
+++ b/crates/audit/src/effects.rs
@@ -1,5 +1,5 @@
 //! Rule: no effect happens twice. Never two attempts at once, no attempt sent twice, no work run twice.
-use super::{Violation, Evidence, RuleVerdict};
+use super::{Evidence, RuleVerdict, Violation};
 use pointspindle_scenario::Idempotency;
 
 pub(super) fn judge(e: &Evidence, effects: &[(String, u32)]) -> RuleVerdict {
@@ -26,15 +26,21 @@
                     let detail = format!("at {} and {} together for {both:.0} ms", a.host, b.host);
                     // Its cancel was on its way, and no dispatcher could know that it does not arrive. What ran twice still counts below.
                     if e.was_parted(a.by, &a.host, b.from, end) {
-                        rule.undetectable
-                            .push(Violation::new("double", b.from, Some(t.id), detail));
+                        rule.undetectable.push(Violation::new(
+                            "double",
+                            b.from,
+                            Some(t.id),
+                            detail,
+                        ));
                     } else {
                         rule.breach("double", b.from, Some(t.id), detail);
                     }
                 }
             }
         }
-        if e.scenario.classes[t.class].idempotency == Idempotency::NotIdempotent && t.attempts.len() > 1 {
+        if e.scenario.workload.classes[t.class].idempotency == Idempotency::NotIdempotent
+            && t.attempts.len() > 1
+        {
             // Whether an earlier one had run is the origin's to say, below.
             rule.cases += 1;
         }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -14,9 +14,9 @@
 pub mod sums;
 pub mod trace;
 
-use crate::trace::{TraceEvent, TraceEntry, ClientAttemptId};
-use pointspindle_scenario::Scenario;
+use crate::trace::{ClientAttemptId, TraceEntry, TraceEvent};
 use pointspindle::Micros;
+use pointspindle_scenario::Scenario;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -208,7 +208,10 @@
                         attempt.to = Some(at);
                     }
                 }
-                TraceEvent::HostPartitioned { host, partitioned: true } => {
+                TraceEvent::HostPartitioned {
+                    host,
+                    partitioned: true,
+                } => {
                     parting.insert(host.clone(), at);
                 }
                 TraceEvent::HostPartitioned {
@@ -235,8 +238,12 @@
                         stopping.push((*dispatcher, from, at));
                     }
                 }
-                TraceEvent::HostDeclared { host, zone, .. } => _ = zones.insert(host.clone(), *zone),
-                TraceEvent::DispatcherStopping { dispatcher } => _ = stopped.insert(*dispatcher, at),
+                TraceEvent::HostDeclared { host, zone, .. } => {
+                    _ = zones.insert(host.clone(), *zone)
+                }
+                TraceEvent::DispatcherStopping { dispatcher } => {
+                    _ = stopped.insert(*dispatcher, at)
+                }
                 TraceEvent::DispatcherPaused {
                     dispatcher,
                     paused: true,
@@ -251,7 +258,10 @@
                             .map(|from| (*dispatcher, from, at)),
                     );
                 }
-                TraceEvent::ZonePartitioned { zone, partitioned: true } => _ = walling.insert(*zone, at),
+                TraceEvent::ZonePartitioned {
+                    zone,
+                    partitioned: true,
+                } => _ = walling.insert(*zone, at),
                 TraceEvent::ZonePartitioned {
                     zone,
                     partitioned: false,
@@ -279,7 +289,7 @@
                 .map(|(dispatcher, from)| (dispatcher, from, over)),
         );
         walled.extend(walling.into_iter().map(|(zone, from)| (zone, from, over)));
-        let slack = scenario.rules.timing_tolerance;
+        let slack = scenario.limits.rules.timing_tolerance;
         #[rustfmt::skip]
         return Self {
             scenario, sights, tries, down, stopping, hung, parted, walled, zones, slack, over,
@@ -336,7 +346,11 @@
 }
 
 /// All five rules over a run. `effects` says how often each piece of work has run, as the origin counted.
-pub fn judge(scenario: &Scenario, sights: &[TraceEntry], effects: &[(String, u32)]) -> Vec<RuleVerdict> {
+pub fn judge(
+    scenario: &Scenario,
+    sights: &[TraceEntry],
+    effects: &[(String, u32)],
+) -> Vec<RuleVerdict> {
     let evidence = Evidence::new(scenario, sights);
     vec![
         answers::judge(&evidence),
--- a/crates/audit/src/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -39,7 +39,7 @@
             told.entry((*dispatcher, struck)).or_default().push(new);
         }
     }
-    let late = e.scenario.rules.purge_grace + e.slack;
+    let late = e.scenario.limits.rules.purge_grace + e.slack;
     for t in &e.tries {
         let Some((
             at,
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,8 +1,8 @@
 //! What a day was worth to its clients: worth answered in time over worth asked for.
 use super::Evidence;
 use crate::trace::{ClientOutcome, TraceEntry};
-use pointspindle_scenario::{Scenario, Traffic};
 use pointspindle::Micros;
+use pointspindle_scenario::{Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -95,8 +95,8 @@
 
 /// Earned by a call: its first served try, judged from its first one on.
 fn earned(scenario: &Scenario, class: usize, size: u64, took: Micros, old: bool) -> (f64, bool) {
-    let c = &scenario.classes[class];
-    let own = size as f64 / scenario.flow * 1e6;
+    let c = &scenario.workload.classes[class];
+    let own = size as f64 / scenario.network.bytes_per_s * 1e6;
     let aim = c.latency_objective as f64 + c.latency_objective_stretch * own;
     let in_time = took as f64 <= aim;
     let mut worth = c.priority_weight * if in_time { 1.0 } else { c.late_value };
@@ -116,7 +116,7 @@
         name: c.name.clone(),
         ..Default::default()
     };
-    let mut classes: Vec<ClassService> = scenario.classes.iter().map(blank).collect();
+    let mut classes: Vec<ClassService> = scenario.workload.classes.iter().map(blank).collect();
     let mut sums = vec![(0.0, 0.0); classes.len()];
     let new_histogram = || hdrhistogram::Histogram::<u64>::new_with_bounds(1, 600_000_000, 3);
     let mut times: Vec<_> = classes
@@ -124,17 +124,17 @@
         .map(|_| new_histogram().expect("fixed bounds"))
         .collect();
     let mut sizes = vec![Vec::new(); classes.len()];
-    let mut by_second = vec![(0.0, 0.0); scenario.seconds.ceil() as usize];
-    let mut by_branch = vec![by_second.clone(); scenario.branches];
+    let mut by_second = vec![(0.0, 0.0); scenario.duration_s.ceil() as usize];
+    let mut by_branch = vec![by_second.clone(); scenario.fleet.branches];
     for (n, call) in traffic
         .calls
         .iter()
         .enumerate()
-        .filter(|(_, c)| c.at >= scenario.warm)
+        .filter(|(_, c)| c.at >= scenario.workload.warm_up)
     {
         let class = &mut classes[call.class];
         class.calls += 1;
-        let worth = scenario.classes[call.class].priority_weight;
+        let worth = scenario.workload.classes[call.class].priority_weight;
         let mine = tries.get(&(n as u64)).map_or(&[][..], |t| t.as_slice());
         let ends: Vec<_> = mine
             .iter()
@@ -193,7 +193,7 @@
         class.p99_ms = times[n].value_at_quantile(0.99) as f64 / 1e3;
     }
     let all = sums.iter().fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
-    let first = (scenario.warm / 1_000_000) as usize;
+    let first = (scenario.workload.warm_up / 1_000_000) as usize;
     let counted = &by_second[first.min(by_second.len())..];
     let width = STRETCH.min(counted.len().max(1));
     let stretches = counted.windows(width).enumerate();
@@ -207,8 +207,12 @@
         .filter(|c| c.calls > c.left)
         .map(|c| c.service)
         .fold(1.0, f64::min);
-    let (a, b, c) = scenario.goal;
-    let goal = (a * ratio(all) + b * worst_10s + c * worst_class) / (a + b + c).max(1e-9);
+    let weights = scenario.limits.objective;
+    let weighted = weights.whole * ratio(all)
+        + weights.worst_10s * worst_10s
+        + weights.worst_class * worst_class;
+    let total_weight = weights.whole + weights.worst_10s + weights.worst_class;
+    let goal = weighted / total_weight.max(1e-9);
     Service {
         service: ratio(all),
         worst_10s,
--- a/crates/audit/src/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -14,7 +14,7 @@
         "sizes",
         "the largest requests of a class are answered nearly as often as the others",
     );
-    let least = if scenario.troubles.is_empty() {
+    let least = if scenario.faults.is_empty() {
         QUIET
     } else {
         TROUBLED
@@ -64,7 +64,7 @@
         let text = include_str!("../../../scenarios/origin-away.ini");
         let troubled = parse("troubled", text, None).unwrap();
         let mut quiet = troubled.clone();
-        quiet.troubles.clear();
+        quiet.faults.clear();
         let judged = |scenario: &Scenario, class: ClassService| {
             judge(
                 scenario,
--- a/crates/audit/src/sums.rs
+++ b/crates/audit/src/sums.rs
@@ -5,10 +5,10 @@
 use super::cold::{self, ColdPeak};
 use super::service::Service;
 use super::{Evidence, RuleVerdict};
+use crate::trace::{ClientOutcome, TraceEntry, TraceEvent};
+use pointspindle::Micros;
 use pointspindle_cache_model::Role;
-use crate::trace::{ClientOutcome, TraceEvent, TraceEntry};
 use pointspindle_scenario::Scenario;
-use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
@@ -114,7 +114,11 @@
     }
 }
 
-pub fn measure_totals(scenario: &Scenario, service: &Service, sights: &[TraceEntry]) -> FleetTotals {
+pub fn measure_totals(
+    scenario: &Scenario,
+    service: &Service,
+    sights: &[TraceEntry],
+) -> FleetTotals {
     let evidence = Evidence::new(scenario, sights);
     let mut sums = FleetTotals {
         roles: at_members(sights),
@@ -147,7 +151,9 @@
                 now.insert(host, fresh);
             }
             TraceEvent::AttemptArrived {
-                host, dispatcher: Some(by), ..
+                host,
+                dispatcher: Some(by),
+                ..
             } => {
                 let Some((role, weight)) = members.get(host.as_str()).copied() else {
                     continue;
@@ -169,7 +175,9 @@
                 }
             }
             TraceEvent::AttemptEnded {
-                host, dispatcher: Some(by), ..
+                host,
+                dispatcher: Some(by),
+                ..
             } => {
                 if let Some(at) = now.get_mut(host.as_str()) {
                     if let Some(n) = at.by.get_mut(by) {
@@ -215,7 +223,11 @@
 fn left(e: &Evidence) -> Left {
     let mut left = Left::default();
     for t in &e.tries {
-        let Some((at, _)) = t.ends.iter().find(|(_, end)| *end == ClientOutcome::Cancelled) else {
+        let Some((at, _)) = t
+            .ends
+            .iter()
+            .find(|(_, end)| *end == ClientOutcome::Cancelled)
+        else {
             continue;
         };
         left.clients += 1;
@@ -233,7 +245,11 @@
 fn fairness(e: &Evidence, sums: &mut FleetTotals) {
     let mut shares: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for t in &e.tries {
-        let Some((_, end)) = t.ends.first().filter(|(_, end)| *end != ClientOutcome::Cancelled) else {
+        let Some((_, end)) = t
+            .ends
+            .first()
+            .filter(|(_, end)| *end != ClientOutcome::Cancelled)
+        else {
             continue;
         };
         let own = shares.entry(t.dispatcher).or_default();
@@ -278,7 +294,7 @@
 
 fn sites(scenario: &Scenario, service: &Service) -> Vec<SiteService> {
     let strikes: Vec<(usize, usize)> = scenario
-        .troubles
+        .faults
         .iter()
         .filter(|t| t.kind.affects_site())
         .map(|t| {
@@ -293,7 +309,7 @@
     };
     let until = strikes.iter().map(|s| s.1).max().unwrap_or(from);
     let (struck, names) = (scenario.affected_sites(), scenario.zones());
-    let warm = (scenario.warm / 1_000_000) as usize;
+    let warm = (scenario.workload.warm_up / 1_000_000) as usize;
     let of = |(n, seconds): (usize, &Vec<(f64, f64)>)| {
         let (from, until) = (from.min(seconds.len()), until.min(seconds.len()));
         let before = ratio(&seconds[warm.min(from)..from]);
@@ -323,16 +339,17 @@
         "sums",
         "what all dispatchers do together stays within the day's bounds",
     );
-    let bounds = scenario.sums;
-    let over = |rule: &mut RuleVerdict, kind: &str, bound: f64, most: f64, at_s: f64, detail: String| {
-        if bound > 0.0 {
-            rule.cases += 1;
-            if most > bound {
-                let detail = format!("{detail}, {bound:.2} at most");
-                rule.breach(kind, (at_s * 1e6) as Micros, None, detail);
+    let bounds = scenario.limits.fleet;
+    let over =
+        |rule: &mut RuleVerdict, kind: &str, bound: f64, most: f64, at_s: f64, detail: String| {
+            if bound > 0.0 {
+                rule.cases += 1;
+                if most > bound {
+                    let detail = format!("{detail}, {bound:.2} at most");
+                    rule.breach(kind, (at_s * 1e6) as Micros, None, detail);
+                }
             }
-        }
-    };
+        };
     for of in sums.roles.iter().filter(|of| of.role == Role::Cache.name()) {
         let peak = &of.under_way;
         let detail = format!(
@@ -352,7 +369,7 @@
         rule.cases += 1;
         let (longest, bound) = (
             sums.left.longest_ms,
-            (GONE + scenario.rules.timing_tolerance) as f64 / 1e3,
+            (GONE + scenario.limits.rules.timing_tolerance) as f64 / 1e3,
         );
         if longest > bound {
             let detail = format!(
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -86,9 +86,7 @@
     },
     /// Something came from a dispatcher that belongs to no open request.
     #[serde(rename = "Stray")]
-    UnexpectedResponse {
-        dispatcher: usize,
-    },
+    UnexpectedResponse { dispatcher: usize },
     /// An attempt, or a fill, arrived at a member.
     #[serde(rename = "Reached")]
     AttemptArrived {
@@ -169,9 +167,7 @@
         partitioned: bool,
     },
     #[serde(rename = "Killed")]
-    DispatcherKilled {
-        dispatcher: usize,
-    },
+    DispatcherKilled { dispatcher: usize },
     /// It stands still, or goes on.
     #[serde(rename = "Hung")]
     DispatcherPaused {
@@ -181,18 +177,12 @@
     },
     /// It was told to stop: nothing new is taken, what was taken is answered.
     #[serde(rename = "Stopping")]
-    DispatcherStopping {
-        dispatcher: usize,
-    },
+    DispatcherStopping { dispatcher: usize },
     #[serde(rename = "Born")]
-    DispatcherStarted {
-        dispatcher: usize,
-    },
+    DispatcherStarted { dispatcher: usize },
     /// For people: what the script did.
     #[serde(rename = "Trouble")]
-    ScriptNote {
-        text: String,
-    },
+    ScriptNote { text: String },
 }
 
 /// One sight with its time, microseconds since the run's start.
@@ -277,15 +267,21 @@
     };
     let hosts: std::collections::BTreeSet<String> = sights.iter().filter_map(reached).collect();
     let about = |s: &TraceEntry| match &s.event {
-        TraceEvent::HostCrashed { host, .. } | TraceEvent::HostStarted { host, .. } => hosts.contains(host),
+        TraceEvent::HostCrashed { host, .. } | TraceEvent::HostStarted { host, .. } => {
+            hosts.contains(host)
+        }
         TraceEvent::EndpointListDelivered {
             ready,
             not_ready: out,
             full: false,
             ..
         } => ready.iter().chain(out).any(|h| hosts.contains(h)),
-        TraceEvent::DispatcherKilled { .. } | TraceEvent::DispatcherStarted { .. } | TraceEvent::ScriptNote { .. } => true,
-        TraceEvent::DispatcherPaused { .. } | TraceEvent::DispatcherStopping { .. } | TraceEvent::ZonePartitioned { .. } => true,
+        TraceEvent::DispatcherKilled { .. }
+        | TraceEvent::DispatcherStarted { .. }
+        | TraceEvent::ScriptNote { .. } => true,
+        TraceEvent::DispatcherPaused { .. }
+        | TraceEvent::DispatcherStopping { .. }
+        | TraceEvent::ZonePartitioned { .. } => true,
         _ => false,
     };
     let near = |s: &TraceEntry| s.at + 2_000_000 >= span.0 && s.at <= span.1 + 500_000;
--- a/crates/cache-model/src/fill.rs
+++ b/crates/cache-model/src/fill.rs
@@ -1,6 +1,6 @@
 //! A fill under way at a member.
 use super::store::Key;
-use super::{ModelResponse, JobId, ModelRequest};
+use super::{JobId, ModelRequest, ModelResponse};
 use pointspindle::Micros;
 
 #[derive(Debug)]
--- a/crates/cache-model/src/host.rs
+++ b/crates/cache-model/src/host.rs
@@ -126,9 +126,9 @@
         if self.hangs(now) {
             return 0.0;
         }
-        let cold = self
-            .started
-            .map_or(1.0, |at| self.spec.warm_up.share_after(now.saturating_sub(at)));
+        let cold = self.started.map_or(1.0, |at| {
+            self.spec.warm_up.share_after(now.saturating_sub(at))
+        });
         let slow = if now < self.faults.slow.1 {
             self.faults.slow.0.max(1e-3)
         } else {
--- a/crates/cache-model/src/lib.rs
+++ b/crates/cache-model/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod store;
 mod world;
 
-pub use world::{SizeCatalogue, CacheModel};
+pub use world::{CacheModel, SizeCatalogue};
 
 use pointspindle::Micros;
 use pointspindle_protocol::{LoadReport, WireCacheStatus, WireStatus};
--- a/crates/cache-model/src/world/faults.rs
+++ b/crates/cache-model/src/world/faults.rs
@@ -1,10 +1,16 @@
 //! Scripted trouble, and what ends a process.
+use super::CacheModel;
 use crate::host::Wait;
 use crate::*;
-use super::CacheModel;
 
 impl CacheModel {
-    pub(super) fn fault(&mut self, now: Micros, h: HostId, fault: Fault, out: &mut Vec<ModelOutput>) {
+    pub(super) fn fault(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        fault: Fault,
+        out: &mut Vec<ModelOutput>,
+    ) {
         let host = &mut self.hosts[h];
         let look = match fault {
             Fault::Hang { until } => {
@@ -58,7 +64,13 @@
         self.refresh(h);
     }
 
-    pub(super) fn down(&mut self, now: Micros, h: HostId, why: &'static str, out: &mut Vec<ModelOutput>) {
+    pub(super) fn down(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        why: &'static str,
+        out: &mut Vec<ModelOutput>,
+    ) {
         let fills: Vec<FillId> = self.hosts[h].fills.keys().copied().collect();
         for fill in fills {
             self.forget_fill(now, h, fill);
@@ -67,6 +79,9 @@
         self.hosts[h].clear();
         self.hosts[h].up = false;
         self.refresh(h);
-        out.push(ModelOutput::HostDown { host: h, reason: why });
+        out.push(ModelOutput::HostDown {
+            host: h,
+            reason: why,
+        });
     }
 }
--- a/crates/cache-model/src/world/fills.rs
+++ b/crates/cache-model/src/world/fills.rs
@@ -1,8 +1,8 @@
 //! Fills: begun, passed on to who waits, kept, failed.
-use crate::host::{JobState, Wait};
-use crate::*;
 use super::CacheModel;
 use crate::host::Job;
+use crate::host::{JobState, Wait};
+use crate::*;
 
 impl CacheModel {
     /// Asks the source, or turns the request away where there is none or no place.
@@ -192,7 +192,8 @@
         let head = ModelResponse { copy, ..answer };
         found.head = Some(head.clone());
         if outside && bytes > 0 && self.spec.zones[zone].link > 0.0 {
-            let work = (bytes as f64 / (self.spec.bytes_per_s * self.spec.fill_speedup) * 1e6) as u64;
+            let work =
+                (bytes as f64 / (self.spec.bytes_per_s * self.spec.fill_speedup) * 1e6) as u64;
             found.on_link = Some(self.links[zone].begin(now, fill, work));
             self.on_link.insert(fill, h);
         }
@@ -262,9 +263,11 @@
         out: &mut Vec<ModelOutput>,
     ) {
         if self.hosts[h].hangs(now) {
-            self.hosts[h]
-                .deferred
-                .push(ModelInput::FillEnded { host: h, fill, outcome: end });
+            self.hosts[h].deferred.push(ModelInput::FillEnded {
+                host: h,
+                fill,
+                outcome: end,
+            });
             return;
         }
         match end {
@@ -274,15 +277,22 @@
                 }
                 self.if_complete(now, h, fill, out);
             }
-            FillOutcome::Rejected { status, cache_status: note } => {
-                self.fill_failed(now, h, fill, Some((status, note)), out)
-            }
+            FillOutcome::Rejected {
+                status,
+                cache_status: note,
+            } => self.fill_failed(now, h, fill, Some((status, note)), out),
             FillOutcome::Unreachable => self.fill_failed(now, h, fill, None, out),
         }
         self.refresh(h);
     }
 
-    pub(super) fn fill_due(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<ModelOutput>) {
+    pub(super) fn fill_due(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        fill: FillId,
+        out: &mut Vec<ModelOutput>,
+    ) {
         if self.hosts[h]
             .fills
             .get(&fill)
@@ -394,7 +404,13 @@
     }
 
     /// Keeps a copy that is here to its last byte, and ends the answers that waited for that.
-    pub(super) fn if_complete(&mut self, now: Micros, h: HostId, fill: FillId, out: &mut Vec<ModelOutput>) {
+    pub(super) fn if_complete(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        fill: FillId,
+        out: &mut Vec<ModelOutput>,
+    ) {
         if !self.hosts[h]
             .fills
             .get(&fill)
@@ -414,7 +430,10 @@
             .is_some_and(|c| c.uncacheable);
         let rank = self.rank(h, found.wanted.retention_rank);
         let host = &mut self.hosts[h];
-        if !uncacheable && head.status_code == 200 && !host.is_purged(number, group, head.copy.validated_at) {
+        if !uncacheable
+            && head.status_code == 200
+            && !host.is_purged(number, group, head.copy.validated_at)
+        {
             if head.not_modified {
                 host.store.renew(found.key, head.copy.validated_at);
             } else {
--- a/crates/cache-model/src/world/mod.rs
+++ b/crates/cache-model/src/world/mod.rs
@@ -62,7 +62,12 @@
 }
 
 impl CacheModel {
-    pub fn new(spec: CacheModelSettings, hosts: Vec<HostSpec>, catalogue: SizeCatalogue, seed: u64) -> Self {
+    pub fn new(
+        spec: CacheModelSettings,
+        hosts: Vec<HostSpec>,
+        catalogue: SizeCatalogue,
+        seed: u64,
+    ) -> Self {
         let addresses = hosts
             .iter()
             .enumerate()
@@ -156,10 +161,22 @@
         // What should have happened before this input happens first.
         self.tick(now, out);
         match input {
-            ModelInput::Arrive { host, job, request: wanted } => self.arrive(now, host, job, wanted, out),
+            ModelInput::Arrive {
+                host,
+                job,
+                request: wanted,
+            } => self.arrive(now, host, job, wanted, out),
             ModelInput::Cancel { host, job } => self.cancel(now, host, job, out),
-            ModelInput::FillResponse { host, fill, response: answer } => self.source_head(now, host, fill, answer, out),
-            ModelInput::FillEnded { host, fill, outcome: end } => self.source_end(now, host, fill, end, out),
+            ModelInput::FillResponse {
+                host,
+                fill,
+                response: answer,
+            } => self.source_head(now, host, fill, answer, out),
+            ModelInput::FillEnded {
+                host,
+                fill,
+                outcome: end,
+            } => self.source_end(now, host, fill, end, out),
             ModelInput::Purge {
                 host,
                 object,
@@ -276,11 +293,19 @@
         if !self.hosts[h].hangs(now) && !self.hosts[h].deferred.is_empty() {
             for input in std::mem::take(&mut self.hosts[h].deferred) {
                 match input {
-                    ModelInput::Arrive { job, request: wanted, .. } => self.take(now, h, job, wanted, out),
-                    ModelInput::FillResponse { fill, response: answer, .. } => {
-                        self.source_head(now, h, fill, answer, out)
-                    }
-                    ModelInput::FillEnded { fill, outcome: end, .. } => self.source_end(now, h, fill, end, out),
+                    ModelInput::Arrive {
+                        job,
+                        request: wanted,
+                        ..
+                    } => self.take(now, h, job, wanted, out),
+                    ModelInput::FillResponse {
+                        fill,
+                        response: answer,
+                        ..
+                    } => self.source_head(now, h, fill, answer, out),
+                    ModelInput::FillEnded {
+                        fill, outcome: end, ..
+                    } => self.source_end(now, h, fill, end, out),
                     _ => {}
                 }
             }
@@ -312,7 +337,14 @@
 
     // ---- requests
 
-    fn arrive(&mut self, now: Micros, h: HostId, job: JobId, wanted: ModelRequest, out: &mut Vec<ModelOutput>) {
+    fn arrive(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        job: JobId,
+        wanted: ModelRequest,
+        out: &mut Vec<ModelOutput>,
+    ) {
         if !self.hosts[h].up {
             return out.push(ModelOutput::Disconnect { host: h, job });
         }
@@ -332,7 +364,13 @@
     }
 
     /// Every attempt that reaches a cold member counts, also one that only looks or is turned away.
-    fn pushed_over(&mut self, now: Micros, h: HostId, wanted: &ModelRequest, out: &mut Vec<ModelOutput>) -> bool {
+    fn pushed_over(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        wanted: &ModelRequest,
+        out: &mut Vec<ModelOutput>,
+    ) -> bool {
         let work = self
             .spec
             .classes
@@ -375,7 +413,14 @@
         }
     }
 
-    fn take(&mut self, now: Micros, h: HostId, job: JobId, wanted: ModelRequest, out: &mut Vec<ModelOutput>) {
+    fn take(
+        &mut self,
+        now: Micros,
+        h: HostId,
+        job: JobId,
+        wanted: ModelRequest,
+        out: &mut Vec<ModelOutput>,
+    ) {
         let host = &self.hosts[h];
         let faults = &host.faults;
         if now < faults.refuse {
@@ -442,7 +487,11 @@
     /// which copies from before a purge are dropped, a request may join no fill that began before it and is slow
     /// (one of 34 MB over a crowded link ran for nine seconds).
     fn floor(&self, h: HostId, arrived: Micros, wanted: &ModelRequest) -> Micros {
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
+        let fresh = self
+            .spec
+            .classes
+            .get(wanted.class)
+            .map_or(0, |c| c.freshness_lifetime);
         let asked = match (wanted.max_age, fresh) {
             (0, 0) => 0,
             (0, fresh) => arrived.saturating_sub(fresh),
@@ -464,7 +513,11 @@
         out: &mut Vec<ModelOutput>,
     ) {
         let key = (wanted.object_number, wanted.part);
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
+        let fresh = self
+            .spec
+            .classes
+            .get(wanted.class)
+            .map_or(0, |c| c.freshness_lifetime);
         let age = now.saturating_sub(copy.validated_at);
         let rank = self.rank(h, wanted.retention_rank);
         let host = &mut self.hosts[h];
@@ -513,7 +566,11 @@
         let link = self.links.get(zone).map_or(0.0, |l| l.load());
         let load = self.hosts[h].load(now, link);
         let age = now.saturating_sub(copy.validated_at);
-        let fresh = self.spec.classes.get(wanted.class).map_or(0, |c| c.freshness_lifetime);
+        let fresh = self
+            .spec
+            .classes
+            .get(wanted.class)
+            .map_or(0, |c| c.freshness_lifetime);
         let fresh_left = (fresh > 0).then(|| fresh.saturating_sub(age));
         let not_modified = wanted.cached_version == Some(copy.version);
         ModelResponse {
@@ -805,7 +862,10 @@
                     .is_some_and(|at| now < *at + window);
             if !repeat {
                 self.ran.insert(wanted.idempotency_key.clone(), now);
-                *self.effects.entry(wanted.idempotency_key.clone()).or_default() += 1;
+                *self
+                    .effects
+                    .entry(wanted.idempotency_key.clone())
+                    .or_default() += 1;
             }
         }
         let copy = (self.catalogue)(&wanted).map(|size| CachedCopy {
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -98,7 +98,11 @@
         self.world.handle(self.now, input, &mut out);
         for wish in out {
             match wish {
-                ModelOutput::ResponseStart { job, response: answer, .. } => {
+                ModelOutput::ResponseStart {
+                    job,
+                    response: answer,
+                    ..
+                } => {
                     self.ends.push((
                         job,
                         format!("start {:?} v{}", answer.cache_status, answer.copy.version),
@@ -106,7 +110,10 @@
                 }
                 ModelOutput::ResponseEnd { job, .. } => self.ends.push((job, "finish".into())),
                 ModelOutput::Reject {
-                    job, status, cache_status: note, ..
+                    job,
+                    status,
+                    cache_status: note,
+                    ..
                 } => self.ends.push((job, format!("{status:?} {note:?}"))),
                 ModelOutput::Disconnect { job, .. } => self.ends.push((job, "cut".into())),
                 ModelOutput::StartFill {
@@ -116,7 +123,9 @@
                     request: wanted,
                 } => self.fills.push((host, fill, source, wanted)),
                 ModelOutput::CancelFill { fill, .. } => self.fills.retain(|f| f.1 != fill),
-                ModelOutput::HostDown { host, reason: why } => self.ends.push((u64::MAX, format!("down {host} {why}"))),
+                ModelOutput::HostDown { host, reason: why } => {
+                    self.ends.push((u64::MAX, format!("down {host} {why}")))
+                }
                 ModelOutput::HostUp { .. } => {}
             }
         }
@@ -175,7 +184,11 @@
             validated_at: self.now,
         };
         let answer = filled(copy);
-        self.tell(ModelInput::FillResponse { host, fill, response: answer });
+        self.tell(ModelInput::FillResponse {
+            host,
+            fill,
+            response: answer,
+        });
         self.tell(ModelInput::FillEnded {
             host,
             fill,
@@ -270,7 +283,11 @@
         validated_at: birth,
     };
     let answer = filled(copy);
-    stage.tell(ModelInput::FillResponse { host, fill, response: answer });
+    stage.tell(ModelInput::FillResponse {
+        host,
+        fill,
+        response: answer,
+    });
     // One that asks for nothing older than the purge does not get the old copy by joining.
     let after = stage.ask_as(CACHE, |w| w.max_age = 1);
     stage.tell(ModelInput::FillEnded {
--- a/crates/cli/src/experiments.rs
+++ b/crates/cli/src/experiments.rs
@@ -1,10 +1,10 @@
 //! `pointspindle lab` beyond one run: sweeps, comparisons, hunts, and what is kept of runs.
 use crate::Failure;
 use pointspindle_audit::trace::ClientAttemptId;
-use pointspindle_scenario::{self as scenario, SettingOverride};
 use pointspindle_report::compare::{self, Figures, Pair};
 use pointspindle_report::sweep::{self, Cell, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
+use pointspindle_scenario::{self as scenario, SettingOverride};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,10 +1,10 @@
 //! `pointspindle lab fleet`: several sites and dispatchers on one day, and what they come to together.
 use crate::lab::{json, plant, print, print_rule, rule, virtually, DayArguments};
 use crate::Failure;
-use pointspindle_audit::sums::{self, RoleTotals, Peak, SiteService, FleetTotals};
-use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_audit::sums::{self, FleetTotals, Peak, RoleTotals, SiteService};
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::Scenario;
+use pointspindle_testbed::day::{self, Outcome};
 use std::path::{Path, PathBuf};
 
 #[derive(clap::Args)]
@@ -41,7 +41,7 @@
         let count = day.dispatcher_count();
         println!(
             "{}: {}; seed {}, {count} dispatchers at {} sites",
-            day.name, day.about, day.seed, day.branches
+            day.name, day.description, day.seed, day.fleet.branches
         );
     }
     let played = both(&day, &arguments, &folder).await;
@@ -90,12 +90,7 @@
     if arguments.no_twin || day.affected_sites().is_empty() {
         return Ok((outcome, None));
     }
-    let twin = play(
-        &day.without_site_faults(),
-        arguments,
-        &folder.join("twin"),
-    )
-    .await?;
+    let twin = play(&day.without_site_faults(), arguments, &folder.join("twin")).await?;
     Ok((outcome, Some(twin)))
 }
 
--- a/crates/cli/src/idle.rs
+++ b/crates/cli/src/idle.rs
@@ -1,8 +1,8 @@
 //! `pointspindle lab idle`.
 use crate::Failure;
+use pointspindle_report::html;
 use pointspindle_testbed::demo;
 use pointspindle_testbed::idle::{expiry, measure, slope, Plan, Step};
-use pointspindle_report::html;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/cli/src/lab.rs
+++ b/crates/cli/src/lab.rs
@@ -1,14 +1,14 @@
 //! `pointspindle lab`: rehearse days on loopback and judge them.
 use crate::{etcd, experiments, fleet, idle, scale, watch, Failure};
+use pointspindle_audit::trace::{request_history, ClientAttemptId, TraceEntry};
 use pointspindle_audit::{count_cold_crashes, RuleVerdict};
-use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_report::folder;
+use pointspindle_report::record::Run;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::import;
-use pointspindle_audit::trace::{request_history, TraceEntry, ClientAttemptId};
-use pointspindle_scenario::{self as scenario, SettingOverride, Scenario};
+use pointspindle_scenario::{self as scenario, Scenario, SettingOverride};
 use pointspindle_simulator as simulator;
-use pointspindle_report::folder;
-use pointspindle_report::record::Run;
+use pointspindle_testbed::day::{self, Outcome};
 use std::path::PathBuf;
 
 #[derive(clap::Subcommand)]
@@ -154,9 +154,9 @@
                 println!(
                     "{}: right; {:.0} s, {} troubles: {}",
                     file.display(),
-                    s.seconds,
-                    s.troubles.len(),
-                    s.about
+                    s.duration_s,
+                    s.faults.len(),
+                    s.description
                 );
                 Ok(())
             }
@@ -184,7 +184,7 @@
     if !arguments.json {
         println!(
             "{}: {}; seed {}, {:.0} s",
-            scenario.name, scenario.about, scenario.seed, scenario.seconds
+            scenario.name, scenario.description, scenario.seed, scenario.duration_s
         );
     }
     let outcome = if arguments.shell {
@@ -244,8 +244,8 @@
     let Some(wanted) = &arguments.explain else {
         return Ok(());
     };
-    let id =
-        ClientAttemptId::parse(wanted).ok_or(format!("{wanted} names no request; one is called c12.0"))?;
+    let id = ClientAttemptId::parse(wanted)
+        .ok_or(format!("{wanted} names no request; one is called c12.0"))?;
     for sight in request_history(sights, id.call) {
         println!("{:>10.1} ms  {:?}", sight.at as f64 / 1e3, sight.event);
     }
@@ -257,7 +257,14 @@
     scenario: &Scenario,
     plant: Option<InjectedFault>,
 ) -> Result<(Outcome, simulator::RunCost), Failure> {
-    if matches!(plant, Some(InjectedFault::DuplicateAttempts | InjectedFault::DropResponses | InjectedFault::DelayResponses)) {
+    if matches!(
+        plant,
+        Some(
+            InjectedFault::DuplicateAttempts
+                | InjectedFault::DropResponses
+                | InjectedFault::DelayResponses
+        )
+    ) {
         let why = "this plant is a relay between sockets; leave --virtual out";
         return Err(Failure::CannotRun(why.into()));
     }
@@ -318,7 +325,7 @@
     serde_json::json!({
         "scenario": scenario.name,
         "seed": scenario.seed,
-        "seconds": scenario.seconds,
+        "seconds": scenario.duration_s,
         "service": s.service,
         "worst_10s": s.worst_10s,
         "goal": s.goal,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,8 +3,8 @@
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::{BoundAddresses, PreparedDispatcher};
 use pointspindle_etcd::EtcdSource;
-use pointspindle_testbed::demo;
 use pointspindle_protocol::EndpointRecord;
+use pointspindle_testbed::demo;
 use pointspindle_transport::Network;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -95,7 +95,13 @@
 /// Settings and members of a first try, all on loopback.
 async fn embedded(
     port: u16,
-) -> Result<(DispatcherSettings, pointspindle_testbed::sockets::EmulatedHosts), Failure> {
+) -> Result<
+    (
+        DispatcherSettings,
+        pointspindle_testbed::sockets::EmulatedHosts,
+    ),
+    Failure,
+> {
     let (stage, members) = demo::start(["lesson-video", "test-page"], ["hub", "branch"]).await?;
     let mut text = format!(
         "[dispatcher]\nname = first-try\nzone = branch\nnumber = 0\n\
--- a/crates/cli/src/watch.rs
+++ b/crates/cli/src/watch.rs
@@ -1,11 +1,11 @@
 //! `pointspindle lab watch`: a day on the terminal as it goes.
 use crate::Failure;
-use pointspindle_testbed::day;
-use pointspindle_audit::trace::{Recorder, TraceEvent, TraceEntry};
-use pointspindle_scenario::{self as scenario, SettingOverride, Scenario};
-use pointspindle_simulator as simulator;
+use pointspindle_audit::trace::{Recorder, TraceEntry, TraceEvent};
 use pointspindle_report::terminal::draw;
 use pointspindle_report::watch::View;
+use pointspindle_scenario::{self as scenario, Scenario, SettingOverride};
+use pointspindle_simulator as simulator;
+use pointspindle_testbed::day;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEventKind};
 use ratatui::DefaultTerminal;
 use std::io::IsTerminal;
@@ -122,7 +122,7 @@
             known += 1;
         }
         let over = known == sights.len();
-        view.to((day_us as u64).min((scenario.seconds * 1e6) as u64));
+        view.to((day_us as u64).min((scenario.duration_s * 1e6) as u64));
         let state = if over {
             "over"
         } else if paused {
--- a/crates/etcd-emulator/src/watches.rs
+++ b/crates/etcd-emulator/src/watches.rs
@@ -1,5 +1,5 @@
 //! Streams of watches: each sends whole revisions in order from where it was asked to, cut into fragments where it takes them.
-use super::{Answers, RequestError, EtcdEmulator, Store};
+use super::{Answers, EtcdEmulator, RequestError, Store};
 use pointspindle_etcd::client::stubs::watch_server::Watch;
 use pointspindle_etcd::proto::*;
 use std::collections::BTreeMap;
--- a/crates/fleet-model/src/control_plane.rs
+++ b/crates/fleet-model/src/control_plane.rs
@@ -1,15 +1,15 @@
 //! The source of lists and purges: what is true, and what each dispatcher is told of it when.
 //!
 //! Each dispatcher hears of every change in order, each after a delay of its own.
-use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_cache_model::{HostId, HostSpec};
-use pointspindle_audit::trace::TraceEvent;
-use pointspindle_scenario::script::ListedState;
-use pointspindle_scenario::{derive_seed, RuleLimits};
 use pointspindle::Micros;
+use pointspindle_audit::trace::TraceEvent;
+use pointspindle_cache_model::{HostId, HostSpec};
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
 };
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_scenario::script::ListedState;
+use pointspindle_scenario::{derive_seed, RuleLimits};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::VecDeque;
@@ -166,7 +166,8 @@
             ear.waiting.push_back((now, told));
         }
         let seq = ear.seq;
-        ear.waiting.push_back((now, ControlUpdate::Full(seq, lines)));
+        ear.waiting
+            .push_back((now, ControlUpdate::Full(seq, lines)));
     }
 
     pub fn next_due(&self) -> Option<Micros> {
@@ -237,7 +238,8 @@
         not_ready: of(false),
     };
     // Claims to have told of drains and did not.
-    let hidden = plant == Some(InjectedFault::WithholdDrain) && lines.iter().any(|l| l.state == ListedState::Draining);
+    let hidden = plant == Some(InjectedFault::WithholdDrain)
+        && lines.iter().any(|l| l.state == ListedState::Draining);
     let line = |l: &ListedEndpoint| {
         let (kind, zone, weight) = member(l.host).unwrap_or_default();
         let state = match l.state {
@@ -246,7 +248,9 @@
             ListedState::Removed => WireEndpointState::Gone,
         };
         // Hides a cold start.
-        let started = l.started_at.filter(|_| plant != Some(InjectedFault::HideRestart));
+        let started = l
+            .started_at
+            .filter(|_| plant != Some(InjectedFault::HideRestart));
         EndpointRecord {
             address: l.address.clone(),
             state: state as i32,
--- a/crates/fleet-model/src/dispatcher_settings.rs
+++ b/crates/fleet-model/src/dispatcher_settings.rs
@@ -1,6 +1,6 @@
 //! The settings file of a dispatcher of the day.
-use pointspindle_scenario::{Idempotency, Scenario};
 use pointspindle::Micros;
+use pointspindle_scenario::{Idempotency, Scenario};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -40,8 +40,8 @@
          [listen]\nhttp = {}\nframed = {}\ncontrol = {}\nmetrics = {}\nmax_streams = 4096\n\
          [upstream]\nbind = {bind}\n[http]\ngroup_segments = 2\n",
         zones[branch],
-        if s.told_alone { 0 } else { dispatcher },
-        if s.told_alone { 1 } else { s.dispatcher_count() },
+        if s.dispatchers.believes_alone { 0 } else { dispatcher },
+        if s.dispatchers.believes_alone { 1 } else { s.dispatcher_count() },
         state.display(),
         doors.http,
         doors.framed,
@@ -49,22 +49,25 @@
         doors.metrics,
     );
     if let Some(endpoint) = etcd {
-        let _ = write!(t, "[etcd]\nendpoints = {endpoint}\nprefix = {ETCD_PREFIX}\n");
+        let _ = write!(
+            t,
+            "[etcd]\nendpoints = {endpoint}\nprefix = {ETCD_PREFIX}\n"
+        );
     }
     let yes = |b: bool| if b { "yes" } else { "no" };
     let _ = write!(
         t,
         "[fleet]\nsiblings = {}\nnotes = {}\nstraight = {}\njoins = {}\nmax_attempts = {}\n\
          stream_kb_per_s = {}\npurge_done_ms = {}\n",
-        s.siblings,
-        s.notes,
-        yes(s.straight),
-        yes(s.joins),
-        s.max_attempts,
-        s.flow / 1024.0,
-        ms(s.rules.purge_deadline),
+        s.dispatchers.siblings,
+        s.dispatchers.cache_status_notes,
+        yes(s.dispatchers.bypasses_caches),
+        yes(s.dispatchers.coalesces_fills),
+        s.dispatchers.max_attempts,
+        s.network.bytes_per_s / 1024.0,
+        ms(s.limits.rules.purge_deadline),
     );
-    for (name, kind) in [("cache", &s.cache), ("parent", &s.parent)] {
+    for (name, kind) in [("cache", &s.fleet.cache), ("parent", &s.fleet.parent)] {
         let c = kind.spec.warm_up;
         let _ = write!(
             t,
@@ -76,11 +79,15 @@
         );
     }
     for (n, zone) in zones.iter().enumerate() {
-        let each = if s.told_alone { 1 } else { s.dispatchers };
-        let count = if n < s.branches { each } else { 0 };
+        let each = if s.dispatchers.believes_alone {
+            1
+        } else {
+            s.fleet.dispatchers_per_branch
+        };
+        let count = if n < s.fleet.branches { each } else { 0 };
         let _ = writeln!(t, "[zone {zone}]\ndispatchers = {count}");
     }
-    for c in &s.classes {
+    for c in &s.workload.classes {
         let _ = write!(
             t,
             "[class {}]\ndeadline_ms = {}\naim_ms = {}\naim_stretch = {}\nworth = {}\nfresh_ms = {}\ngrace_ms = {}\n",
@@ -97,7 +104,7 @@
             Idempotency::Keyed => write!(
                 t,
                 "repeat = keyed\nkey_group = all\nkey_window_ms = {}\nuncacheable = yes\n",
-                ms(s.key_window)
+                ms(s.dispatchers.idempotency_window)
             ),
             Idempotency::NotIdempotent => writeln!(t, "repeat = unsafe\nuncacheable = yes"),
         };
--- a/crates/report/src/folder.rs
+++ b/crates/report/src/folder.rs
@@ -2,7 +2,7 @@
 //! build that knows the form.
 use crate::record::{Run, FORM};
 use crate::{html, ReportError};
-use pointspindle_audit::trace::{request_history, TraceEntry, ClientAttemptId};
+use pointspindle_audit::trace::{request_history, ClientAttemptId, TraceEntry};
 use pointspindle_scenario::{parse_with, Scenario};
 use std::path::Path;
 
@@ -28,7 +28,12 @@
 }
 
 /// Keeps a run with its report. What sockets saw is kept too: it cannot be played again.
-pub fn keep(folder: &Path, text: &str, run: &Run, sights: &[TraceEntry]) -> Result<(), ReportError> {
+pub fn keep(
+    folder: &Path,
+    text: &str,
+    run: &Run,
+    sights: &[TraceEntry],
+) -> Result<(), ReportError> {
     write(&folder.join(SCENARIO), text.as_bytes())?;
     if !run.in_virtual_time {
         let json = serde_json::to_vec(sights).expect("sights are plain data");
@@ -78,7 +83,10 @@
             why: e.to_string(),
         })?
     };
-    Ok(request_history(&sights, id.call).into_iter().cloned().collect())
+    Ok(request_history(&sights, id.call)
+        .into_iter()
+        .cloned()
+        .collect())
 }
 
 /// The scenario of a run, as it was played.
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -91,7 +91,10 @@
             for_s: rng.gen_range(0.05..0.3) * seconds,
             down_s: rng.gen_range(0.2..4.0),
             share: rng.gen_range(0.1..1.0),
-            hard: if matches!(kind, FaultKind::DropResponses | FaultKind::TruncateResponses | FaultKind::FailRequests) {
+            hard: if matches!(
+                kind,
+                FaultKind::DropResponses | FaultKind::TruncateResponses | FaultKind::FailRequests
+            ) {
                 hard.min(1.0)
             } else {
                 hard
@@ -145,7 +148,7 @@
     from: u64,
     days: usize,
 ) -> Result<Option<Found>, ReportError> {
-    let seconds = parse_with(source.name, source.text, None, sets)?.seconds;
+    let seconds = parse_with(source.name, source.text, None, sets)?.duration_s;
     let candidates: Vec<u64> = (from..from + days as u64).collect();
     let played: Vec<(u64, Vec<Trouble>, Figures)> = candidates
         .par_iter()
--- a/crates/report/src/record.rs
+++ b/crates/report/src/record.rs
@@ -3,10 +3,10 @@
 use hdrhistogram::Histogram;
 use pointspindle::Micros;
 use pointspindle_audit::service::Service;
+use pointspindle_audit::trace::{ClientOutcome, TraceEntry, TraceEvent};
 use pointspindle_audit::{count_cold_crashes, RuleVerdict};
-use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry};
 use pointspindle_scenario::script::{FaultKind, FaultSpec};
-use pointspindle_scenario::{SettingOverride, Scenario};
+use pointspindle_scenario::{Scenario, SettingOverride};
 use pointspindle_simulator as simulator;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -71,7 +71,10 @@
 
 impl Run {
     /// Plays a day in virtual time and keeps what it came to.
-    pub fn play(scenario: &Scenario, sets: &[SettingOverride]) -> Result<(Self, simulator::Outcome), String> {
+    pub fn play(
+        scenario: &Scenario,
+        sets: &[SettingOverride],
+    ) -> Result<(Self, simulator::Outcome), String> {
         let outcome = simulator::run(scenario, None)?;
         Ok((
             Self::new(
@@ -103,16 +106,16 @@
         Self {
             form: FORM,
             scenario: scenario.name.clone(),
-            about: scenario.about.clone(),
+            about: scenario.description.clone(),
             seed: scenario.seed,
-            seconds: scenario.seconds,
-            warm_s: scenario.warm as f64 / 1e6,
+            seconds: scenario.duration_s,
+            warm_s: scenario.workload.warm_up as f64 / 1e6,
             sets: sets.to_vec(),
             in_virtual_time,
             service: service.clone(),
             rules: rules.to_vec(),
             fallen: count_cold_crashes(sights),
-            bands: scenario.troubles.iter().map(band).collect(),
+            bands: scenario.faults.iter().map(band).collect(),
             by_second: seconds(scenario, sights),
             hosts: hosts(scenario, sights),
         }
@@ -174,14 +177,16 @@
     match t.kind {
         FaultKind::Purge => 0,
         FaultKind::HubRestart => t.downtime,
-        FaultKind::RollingRestart | FaultKind::KillDispatchers | FaultKind::Ageing => t.duration + t.downtime,
+        FaultKind::RollingRestart | FaultKind::KillDispatchers | FaultKind::Ageing => {
+            t.duration + t.downtime
+        }
         FaultKind::PauseDispatchers | FaultKind::StopDispatchers => t.duration + t.downtime,
         _ => t.duration,
     }
 }
 
 fn seconds(scenario: &Scenario, sights: &[TraceEntry]) -> Vec<Second> {
-    let count = scenario.seconds.ceil() as usize;
+    let count = scenario.duration_s.ceil() as usize;
     let blank = || Histogram::<u64>::new_with_bounds(1, 600_000_000, 3).expect("fixed bounds");
     let mut out = vec![Second::default(); count];
     let mut times: Vec<Histogram<u64>> = (0..count).map(|_| blank()).collect();
@@ -228,7 +233,7 @@
 fn hosts(scenario: &Scenario, sights: &[TraceEntry]) -> Vec<Host> {
     let zones = scenario.zones();
     let models = scenario.class_models();
-    let count = scenario.seconds.ceil() as usize;
+    let count = scenario.duration_s.ceil() as usize;
     let mut places: HashMap<&str, (usize, f64)> = HashMap::new();
     let mut out: Vec<Host> = Vec::new();
     for sight in sights {
@@ -254,7 +259,9 @@
                 let Some((place, weight)) = places.get(host.as_str()) else {
                     continue;
                 };
-                let work = models.get(*class).map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
+                let work = models
+                    .get(*class)
+                    .map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6);
                 if let Some(load) = out[*place].load.get_mut(at as usize) {
                     *load += (work / weight.max(1e-6)) as f32;
                 }
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -63,7 +63,10 @@
                 key: v.key.clone(),
                 value: value.clone(),
             };
-            way.iter().cloned().chain([new]).collect::<Vec<SettingOverride>>()
+            way.iter()
+                .cloned()
+                .chain([new])
+                .collect::<Vec<SettingOverride>>()
         };
         ways = ways
             .iter()
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -171,7 +171,7 @@
             .map(|c| c.symbol())
             .collect();
         assert!(
-            down >= scenario.caches && cold >= scenario.caches,
+            down >= scenario.fleet.caches_per_branch && cold >= scenario.fleet.caches_per_branch,
             "{down} down, {cold} cold"
         );
         let asked = played.service.tries;
@@ -193,7 +193,10 @@
             );
         }
         assert!(screen.contains(&sum.served.to_string()));
-        assert_eq!(view.fallen, pointspindle_audit::count_cold_crashes(&played.trace));
+        assert_eq!(
+            view.fallen,
+            pointspindle_audit::count_cold_crashes(&played.trace)
+        );
     }
 
     /// A terminal too small for anything is no panic.
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -3,7 +3,7 @@
 //! Kept: a line for each second and each member of the day, a window's work for each member, and the last words of the
 //! script. Sights may come a little out of order, as they do from sockets.
 use pointspindle::Micros;
-use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry, ClientAttemptId};
+use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
 use pointspindle_scenario::Scenario;
 use std::collections::{HashMap, VecDeque};
 
@@ -76,11 +76,11 @@
         Self {
             title: format!(
                 "{}: {} (seed {})",
-                scenario.name, scenario.about, scenario.seed
+                scenario.name, scenario.description, scenario.seed
             ),
-            seconds: scenario.seconds,
+            seconds: scenario.duration_s,
             now: 0,
-            tallies: vec![Tally::default(); scenario.seconds.ceil() as usize + 1],
+            tallies: vec![Tally::default(); scenario.duration_s.ceil() as usize + 1],
             hosts: Vec::new(),
             words: VecDeque::new(),
             dispatchers_down: 0,
@@ -193,7 +193,9 @@
                 );
             }
             TraceEvent::EndpointListDelivered {
-                not_ready: out, full: false, ..
+                not_ready: out,
+                full: false,
+                ..
             } => {
                 for host in out {
                     if self.host(host).is_some_and(|h| h.state == HostState::Up) {
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,9 +1,9 @@
 //! Runs kept and read again, sweeps that go on where they were, hunts that cut down, pages that load nothing.
 use pointspindle_audit::trace::ClientAttemptId;
-use pointspindle_scenario::{parse_with, SettingOverride};
 use pointspindle_report::record::Run;
 use pointspindle_report::sweep::{cells, rows, run, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
+use pointspindle_scenario::{parse_with, SettingOverride};
 
 const DAY: &str = "
 [day]
--- a/crates/scale/src/parts.rs
+++ b/crates/scale/src/parts.rs
@@ -1,7 +1,5 @@
 //! The processes of a scale run. Each is told what it is by one line of JSON, says one line when it is up, and then answers each
 //! line that it is told with one; it ends with its standard input.
-use pointspindle_etcd_emulator::traffic::Figures;
-use pointspindle_etcd_emulator::EtcdEmulator;
 use hdrhistogram::Histogram;
 use pointspindle_cache_host::Host;
 use pointspindle_clock::wall_clock_unix_ms;
@@ -11,6 +9,8 @@
 };
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::EtcdSource;
+use pointspindle_etcd_emulator::traffic::Figures;
+use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_transport::Network;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
--- a/crates/scale/src/steps.rs
+++ b/crates/scale/src/steps.rs
@@ -2,11 +2,11 @@
 //! restarts, a site's worth killed at once, the control store away, compacted, and its streams broken. After each, what it cost.
 use super::parts::{now_us, object, Ask, Heard, Part, Say, LAST_WORDS, PREFIX};
 use super::Target;
-use pointspindle_etcd_emulator::traffic::Figures;
-use pointspindle_testbed::idle::usage;
 use pointspindle_dispatcher::StateCounts;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
 use pointspindle_etcd::{writer, Access, Etcd};
+use pointspindle_etcd_emulator::traffic::Figures;
+use pointspindle_testbed::idle::usage;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -13,10 +13,13 @@
 pub use script::{Script, ScriptStep};
 pub use traffic::{PlannedCall, Traffic};
 
-use pointspindle_cache_model::cold::WarmUpSpec;
-use pointspindle_cache_model::{ClassModel, HostSpec, Role, ModelRequest, CacheModelSettings, ZoneSpec};
+use fault_injection::InjectedFault;
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::WorkLedger;
+use pointspindle_cache_model::cold::WarmUpSpec;
+use pointspindle_cache_model::{
+    CacheModelSettings, ClassModel, HostSpec, ModelRequest, Role, ZoneSpec,
+};
 use pointspindle_config::ConfigErrors;
 use pointspindle_transport::simulated::NetworkConditions;
 use serde::{Deserialize, Serialize};
@@ -113,58 +116,135 @@
     pub unaffected_service: f64,
 }
 
+/// Who runs where: the number of zones, dispatchers and hosts, and what a host of each role is like.
 #[derive(Clone, Debug)]
-pub struct Scenario {
-    pub name: String,
-    pub about: String,
-    pub seconds: f64,
-    pub seed: u64,
-    /// First tries a second, all branches together.
-    pub rate: f64,
-    /// Not counted in the service: caches fill.
-    pub warm: Micros,
-    /// The rate swells and ebbs by this share, over and over; 0: steady.
-    pub wave_depth: f64,
-    pub wave: Micros,
-    /// Purges of single objects a second, on top of scripted ones.
-    pub purges: f64,
+pub struct Fleet {
+    /// Zones with cache hosts and dispatchers.
     pub branches: usize,
-    pub caches: usize,
-    pub dispatchers: usize,
-    pub parents: usize,
+    /// Zones with parents.
     pub hubs: usize,
-    pub groups: u64,
-    pub flow: f64,
-    pub fill_pace: f64,
-    /// Transfers that a branch's link in carries; 0: no limit.
-    pub link: f64,
-    /// One-way times: within a branch, to the own hub, for each further hub.
-    pub near: Micros,
-    pub to_hub: Micros,
-    pub hub_step: Micros,
-    pub key_window: Micros,
-    pub straight: bool,
-    pub joins: bool,
-    /// Members say who they are on each connection, and lease out their warm-up.
-    pub hello: bool,
-    pub siblings: String,
-    pub notes: String,
-    pub sizes_told: bool,
-    pub max_attempts: u32,
+    /// Cache hosts of each branch.
+    pub caches_per_branch: usize,
+    /// Dispatchers of each branch.
+    pub dispatchers_per_branch: usize,
+    /// Parents, spread over the hubs.
+    pub parents: usize,
+    /// Cache hosts.
     pub cache: HostKind,
+    /// Parents.
     pub parent: HostKind,
+    /// The origin.
     pub origin: HostKind,
+}
+
+/// Speed and latency of what lies between the hosts.
+#[derive(Clone, Debug)]
+pub struct NetworkSettings {
+    /// Bytes a second of one transfer to a client at full speed.
+    pub bytes_per_s: f64,
+    /// Speed of a fill as a multiple of that.
+    pub fill_speedup: f64,
+    /// Transfers that a branch's inbound link carries; 0: no limit.
+    pub branch_link: f64,
+    /// One-way latency within a branch, microseconds.
+    pub local_latency: Micros,
+    /// One-way latency from a branch to its own hub, microseconds.
+    pub hub_latency: Micros,
+    /// What each further hub adds to it, microseconds.
+    pub hub_step_latency: Micros,
+    /// Conditions of the simulated network.
+    pub simulated: NetworkConditions,
+}
+
+/// What the dispatchers are configured with, or are led to believe.
+#[derive(Clone, Debug)]
+pub struct DispatcherOptions {
+    /// Requests of uncacheable classes go to the origin without a cache host.
+    pub bypasses_caches: bool,
+    /// Cache hosts coalesce fills where the request says so.
+    pub coalesces_fills: bool,
+    /// Hosts identify themselves on each connection, and lease out their warm-up.
+    pub uses_hello: bool,
+    /// Value of the setting `siblings`.
+    pub siblings: String,
+    /// Value of the setting `notes`.
+    pub cache_status_notes: String,
+    /// Clients of the framed protocol state the size that they expect.
+    pub knows_sizes: bool,
+    /// Attempts of one request.
+    pub max_attempts: u32,
+    /// How long the origin remembers an idempotency key, microseconds.
+    pub idempotency_window: Micros,
+    /// An injected fault: settings say that there is one dispatcher only.
+    pub believes_alone: bool,
+}
+
+/// What clients request, and what is purged.
+#[derive(Clone, Debug)]
+pub struct Workload {
+    /// Calls a second, all branches together.
+    pub calls_per_s: f64,
+    /// Time at the beginning that is not judged: caches fill. Microseconds.
+    pub warm_up: Micros,
+    /// The rate rises and falls by this share, over and over; 0: steady.
+    pub wave_depth: f64,
+    /// Period of that, microseconds.
+    pub wave_period: Micros,
+    /// Purges of single objects a second, on top of scripted ones.
+    pub purges_per_s: f64,
+    /// Purge groups of each class.
+    pub groups: u64,
+    /// The classes of requests.
+    pub classes: Vec<RequestClass>,
+}
+
+/// Weights of three figures of service in the objective.
+#[derive(Clone, Copy, Debug)]
+pub struct ObjectiveWeights {
+    /// Service of the whole run.
+    pub whole: f64,
+    /// Service of its worst 10 s.
+    pub worst_10s: f64,
+    /// Service of its worst class.
+    pub worst_class: f64,
+}
+
+/// What a run is judged by.
+#[derive(Clone, Debug)]
+pub struct Limits {
+    /// Times that the five rules allow.
     pub rules: RuleLimits,
+    /// Weights of the objective.
+    pub objective: ObjectiveWeights,
+    /// Bounds on what all dispatchers do together.
+    pub fleet: FleetLimits,
+}
+
+/// A run as its file describes it, with all ranges drawn.
+#[derive(Clone, Debug)]
+pub struct Scenario {
+    /// The file's name without its ending.
+    pub name: String,
+    /// One line on what is rehearsed.
+    pub description: String,
+    /// Length of the run, seconds.
+    pub duration_s: f64,
+    /// Everything random is derived from it.
+    pub seed: u64,
+    /// Hosts and dispatchers.
+    pub fleet: Fleet,
+    /// What lies between them.
+    pub network: NetworkSettings,
+    /// Configuration of the dispatchers.
+    pub dispatchers: DispatcherOptions,
+    /// Requests and purges.
+    pub workload: Workload,
+    /// How clients behave.
     pub clients: ClientSettings,
-    /// Weights of the whole day, its worst 10 s and its worst class in one figure.
-    pub goal: (f64, f64, f64),
-    pub sums: FleetLimits,
-    /// A plant: dispatchers' settings say that there is one only.
-    pub told_alone: bool,
-    pub classes: Vec<RequestClass>,
-    /// Of the simulated network of `lab run --shell`.
-    pub weather: NetworkConditions,
-    pub troubles: Vec<script::FaultSpec>,
+    /// What the run is judged by.
+    pub limits: Limits,
+    /// Faults, in the file's order.
+    pub faults: Vec<script::FaultSpec>,
 }
 
 /// A value in place of a scenario's own, written `section.key=value`.
@@ -233,7 +313,7 @@
 ) -> Result<Scenario, ConfigErrors> {
     let mut scenario = read::read(name, text, seed, sets)?;
     let calls = Traffic::generate(&scenario).calls;
-    for (n, class) in scenario.classes.iter_mut().enumerate() {
+    for (n, class) in scenario.workload.classes.iter_mut().enumerate() {
         let usual = calls
             .iter()
             .filter(|c| c.class == n && !c.object.contains('~'));
@@ -253,7 +333,10 @@
 impl Scenario {
     /// Why the day cannot be played without the simulated network, if so.
     pub fn requires_simulated_network(&self) -> Option<String> {
-        let parted = self.troubles.iter().find(|t| t.kind.requires_simulated_network())?;
+        let parted = self
+            .faults
+            .iter()
+            .find(|t| t.kind.requires_simulated_network())?;
         Some(format!(
             "trouble {}: a partition is played with --shell only",
             parted.name
@@ -262,7 +345,7 @@
 
     /// Why the day cannot be played on the simulated network, if so.
     pub fn requires_processes(&self) -> Option<String> {
-        let t = self.troubles.iter().find(|t| t.kind.requires_processes())?;
+        let t = self.faults.iter().find(|t| t.kind.requires_processes())?;
         Some(format!(
             "trouble {}: {} is played by processes or in virtual time",
             t.name,
@@ -271,99 +354,117 @@
     }
 
     pub fn duration(&self) -> Micros {
-        (self.seconds * 1e6) as Micros
+        (self.duration_s * 1e6) as Micros
     }
 
     /// The same day in `seconds`: the script and the waits between its steps shrink, rules and traffic do not.
     pub fn scaled_to(mut self, seconds: f64) -> Self {
-        let by = seconds / self.seconds;
-        self.warm = (self.warm as f64 * by.min(1.0)) as Micros;
-        for trouble in &mut self.troubles {
+        let by = seconds / self.duration_s;
+        self.workload.warm_up = (self.workload.warm_up as f64 * by.min(1.0)) as Micros;
+        for trouble in &mut self.faults {
             trouble.at = (trouble.at as f64 * by) as Micros;
             trouble.duration = (trouble.duration as f64 * by) as Micros;
             trouble.downtime = (trouble.downtime as f64 * by) as Micros;
         }
-        self.seconds = seconds;
+        self.duration_s = seconds;
         self
     }
 
     /// The day with its members back at once, lists that come at once, and nobody who says hello: a start that the list
     /// hides shows in nothing else then. (A dispatcher that sees refused connections knows better than the list.)
     pub fn with_hidden_restarts(mut self) -> Self {
-        self.hello = false;
-        self.rules.endpoint_update_delay = (0, 20_000);
-        for trouble in &mut self.troubles {
+        self.dispatchers.uses_hello = false;
+        self.limits.rules.endpoint_update_delay = (0, 20_000);
+        for trouble in &mut self.faults {
             trouble.downtime = 0;
         }
         self
     }
 
+    /// The run as an injected fault changes it; others act elsewhere.
+    pub fn with_injected_fault(mut self, fault: Option<InjectedFault>) -> Self {
+        match fault {
+            Some(InjectedFault::HideRestart) => self.with_hidden_restarts(),
+            Some(InjectedFault::MiscountDispatchers) => {
+                self.dispatchers.believes_alone = true;
+                self
+            }
+            _ => self,
+        }
+    }
+
     /// Branches first, then hubs.
     pub fn zones(&self) -> Vec<String> {
-        let branches = (0..self.branches).map(|n| format!("branch-{}", n + 1));
+        let branches = (0..self.fleet.branches).map(|n| format!("branch-{}", n + 1));
         branches
-            .chain((0..self.hubs).map(|n| format!("hub-{}", n + 1)))
+            .chain((0..self.fleet.hubs).map(|n| format!("hub-{}", n + 1)))
             .collect()
     }
 
     pub fn hub_of(&self, branch: usize) -> usize {
-        branch % self.hubs.max(1)
+        branch % self.fleet.hubs.max(1)
     }
 
     /// One-way time between two zones.
     pub fn latency_between(&self, from: usize, to: usize) -> Micros {
         let hub = |zone: usize| {
-            if zone < self.branches {
+            if zone < self.fleet.branches {
                 self.hub_of(zone)
             } else {
-                zone - self.branches
+                zone - self.fleet.branches
             }
         };
         if from == to {
-            return self.near;
+            return self.network.local_latency;
         }
         let apart = hub(from).abs_diff(hub(to));
-        let around = apart.min(self.hubs.max(1) - apart) as Micros;
-        self.to_hub + around * self.hub_step
+        let around = apart.min(self.fleet.hubs.max(1) - apart) as Micros;
+        self.network.hub_latency + around * self.network.hub_step_latency
     }
 
     pub fn dispatcher_count(&self) -> usize {
-        self.branches * self.dispatchers
+        self.fleet.branches * self.fleet.dispatchers_per_branch
     }
 
     pub fn branch_of_dispatcher(&self, dispatcher: usize) -> usize {
-        dispatcher / self.dispatchers.max(1)
+        dispatcher / self.fleet.dispatchers_per_branch.max(1)
     }
 
     pub fn dispatchers_of(&self, branch: usize) -> std::ops::Range<usize> {
-        if branch >= self.branches {
+        if branch >= self.fleet.branches {
             return 0..0;
         }
-        branch * self.dispatchers..(branch + 1) * self.dispatchers
+        branch * self.fleet.dispatchers_per_branch..(branch + 1) * self.fleet.dispatchers_per_branch
     }
 
     /// The dispatcher that a try goes to: those of the branch in turn, of the next one for each time that nobody was there.
-    pub fn dispatcher_for(&self, call: &PlannedCall, number: u64, try_no: u32, missed: u32) -> usize {
-        let each = self.dispatchers.max(1);
+    pub fn dispatcher_for(
+        &self,
+        call: &PlannedCall,
+        number: u64,
+        try_no: u32,
+        missed: u32,
+    ) -> usize {
+        let each = self.fleet.dispatchers_per_branch.max(1);
         let moved = if self.clients.fails_over {
             missed as usize
         } else {
             0
         };
-        let branch = (call.branch + moved) % self.branches.max(1);
+        let branch = (call.branch + moved) % self.fleet.branches.max(1);
         branch * each + (number as usize + try_no as usize) % each
     }
 
     /// The same day without what strikes a site as a whole.
     pub fn without_site_faults(&self) -> Self {
         let mut twin = self.clone();
-        twin.troubles.retain(|t| !t.kind.affects_site());
+        twin.faults.retain(|t| !t.kind.affects_site());
         twin
     }
 
     /// Sites that some trouble strikes as a whole.
     pub fn affected_sites(&self) -> std::collections::BTreeSet<usize> {
-        self.troubles
+        self.faults
             .iter()
             .filter(|t| t.kind.affects_site())
             .map(|t| t.target.zone.unwrap_or(0))
@@ -371,7 +472,12 @@
     }
 
     /// How long a client waits before its next try.
-    pub fn retry_delay(&self, call: &PlannedCall, try_no: u32, come_back: Option<Micros>) -> Micros {
+    pub fn retry_delay(
+        &self,
+        call: &PlannedCall,
+        try_no: u32,
+        come_back: Option<Micros>,
+    ) -> Micros {
         let back_off = (self.clients.backoff << try_no) as f64 * (0.5 + call.jitter);
         (back_off as Micros).max(come_back.unwrap_or(0))
     }
@@ -379,8 +485,9 @@
     /// What one request means for a cold member, on the mean: seconds of sending.
     pub fn mean_work(&self) -> f64 {
         let models = self.class_models();
-        let shares: f64 = self.classes.iter().map(|c| c.share).sum();
+        let shares: f64 = self.workload.classes.iter().map(|c| c.share).sum();
         let work = self
+            .workload
             .classes
             .iter()
             .zip(&models)
@@ -392,24 +499,28 @@
         let model = |c: &RequestClass| ClassModel {
             name: c.name.clone(),
             freshness_lifetime: c.freshness_lifetime,
-            mean_transfer_time: (c.mean_bytes / self.flow * 1e6) as Micros,
+            mean_transfer_time: (c.mean_bytes / self.network.bytes_per_s * 1e6) as Micros,
             uncacheable: c.uncacheable,
             deduplicates: c.idempotency == Idempotency::Keyed,
         };
-        self.classes.iter().map(model).collect()
+        self.workload.classes.iter().map(model).collect()
     }
 
     pub fn cache_model_settings(&self) -> CacheModelSettings {
         let zone = |(n, name): (usize, String)| ZoneSpec {
             name,
-            link: if n < self.branches { self.link } else { 0.0 },
+            link: if n < self.fleet.branches {
+                self.network.branch_link
+            } else {
+                0.0
+            },
         };
         CacheModelSettings {
             classes: self.class_models(),
             zones: self.zones().into_iter().enumerate().map(zone).collect(),
-            bytes_per_s: self.flow,
-            fill_speedup: self.fill_pace,
-            idempotency_window: self.key_window,
+            bytes_per_s: self.network.bytes_per_s,
+            fill_speedup: self.network.fill_speedup,
+            idempotency_window: self.dispatchers.idempotency_window,
         }
     }
 
@@ -429,25 +540,25 @@
                 ..kind.spec.clone()
             });
         };
-        for branch in 0..self.branches {
-            for _ in 0..self.caches {
-                add(&self.cache, branch, &mut hosts);
+        for branch in 0..self.fleet.branches {
+            for _ in 0..self.fleet.caches_per_branch {
+                add(&self.fleet.cache, branch, &mut hosts);
             }
         }
-        for n in 0..self.parents {
+        for n in 0..self.fleet.parents {
             add(
-                &self.parent,
-                self.branches + n % self.hubs.max(1),
+                &self.fleet.parent,
+                self.fleet.branches + n % self.fleet.hubs.max(1),
                 &mut hosts,
             );
         }
-        add(&self.origin, self.branches, &mut hosts);
+        add(&self.fleet.origin, self.fleet.branches, &mut hosts);
         hosts
     }
 
     /// Bytes of an object's part: drawn by its name, so that everybody agrees.
     pub fn size_catalogue(&self) -> pointspindle_cache_model::SizeCatalogue {
-        let classes = self.classes.clone();
+        let classes = self.workload.classes.clone();
         let seed = self.seed;
         Box::new(move |w: &ModelRequest| {
             Some(size_of(
@@ -472,18 +583,20 @@
             overload_window: window,
         };
         let dearest = self
+            .workload
             .classes
             .iter()
-            .map(|c| c.mean_bytes / self.flow)
+            .map(|c| c.mean_bytes / self.network.bytes_per_s)
             .fold(0.0, f64::max);
-        (self.hello && role == Role::Cache).then(|| WorkLedger::new(rule, weight, started, dearest))
+        (self.dispatchers.uses_hello && role == Role::Cache)
+            .then(|| WorkLedger::new(rule, weight, started, dearest))
     }
 
     pub fn warm_up_spec(&self, role: Role) -> WarmUpSpec {
         if role == Role::Parent {
-            self.parent.spec.warm_up
+            self.fleet.parent.spec.warm_up
         } else {
-            self.cache.spec.warm_up
+            self.fleet.cache.spec.warm_up
         }
     }
 }
--- a/crates/scenario/src/read.rs
+++ b/crates/scenario/src/read.rs
@@ -1,10 +1,13 @@
 //! Reads a scenario's file; every complaint has line, key and reason.
-use super::script::{FaultKind, SiteLossExtent, FaultSpec, PartitionDirections, FaultTarget};
+use super::script::{FaultKind, FaultSpec, FaultTarget, PartitionDirections, SiteLossExtent};
 use super::*;
 use pointspindle_config::Reader;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
+/// A shorter period would be noise.
+const MIN_WAVE_PERIOD: Micros = 100_000;
+
 struct Draws {
     reader: Reader,
     seed: u64,
@@ -66,88 +69,118 @@
     let told = reader.number("day", "seed", 1, 0, u64::MAX);
     let seed = seed.unwrap_or(told);
     let mut d = Draws { reader, seed };
-    let about = d.reader.text("day", "about").unwrap_or_default();
-    if about.is_empty() {
+    let description = d.reader.text("day", "about").unwrap_or_default();
+    if description.is_empty() {
         d.reader
             .report("day", "about", "missing: one line on what is rehearsed");
     }
-    let seconds = d.num("day", "seconds", 45.0, 2.0, 3_600.0);
-    let rate = d.num("day", "rate", 90.0, 0.1, 1e6);
-    let warm = d.s("day", "warm_s", 3.0);
-    let wave_depth = d.num("day", "wave_depth", 0.0, 0.0, 1.0);
-    let wave = d.s("day", "wave_s", 20.0).max(100_000);
-    let purges = d.num("day", "purges_per_s", 0.0, 0.0, 1_000.0);
     let scenario = Scenario {
-        name: Path::new(name)
-            .file_stem()
-            .map_or(name.to_owned(), |s| s.to_string_lossy().into_owned()),
-        about,
-        seconds,
+        name: scenario_name(name),
+        description,
+        duration_s: d.num("day", "seconds", 45.0, 2.0, 3_600.0),
         seed,
-        rate,
-        warm,
-        wave_depth,
-        wave,
-        purges,
+        fleet: fleet(&mut d),
+        network: network(&mut d),
+        dispatchers: dispatcher_options(&mut d),
+        workload: workload(&mut d),
+        clients: clients(&mut d),
+        limits: limits(&mut d),
+        faults: Vec::new(),
+    };
+    let faults = faults(&mut d, &scenario);
+    d.reader.finish()?;
+    Ok(Scenario { faults, ..scenario })
+}
+
+/// The file's name without folder and ending.
+fn scenario_name(file: &str) -> String {
+    Path::new(file)
+        .file_stem()
+        .map_or(file.to_owned(), |stem| stem.to_string_lossy().into_owned())
+}
+
+fn fleet(d: &mut Draws) -> Fleet {
+    Fleet {
         branches: d.count("fleet", "branches", 3, 1),
-        caches: d.count("fleet", "caches", 3, 1),
-        dispatchers: d.count("fleet", "dispatchers", 1, 1),
-        parents: d.count("fleet", "parents", 2, 0),
         hubs: d.count("fleet", "hubs", 2, 1),
-        groups: d.count("fleet", "groups", 12, 1) as u64,
-        flow: d.num("fleet", "flow_kb_per_s", 1_000.0, 1.0, 1e9) * 1024.0,
-        fill_pace: d.num("fleet", "fill_pace", 3.0, 0.1, 100.0),
-        link: d.num("fleet", "link", 12.0, 0.0, 1e9),
-        near: d.ms("fleet", "near_ms", 0.2),
-        to_hub: d.ms("fleet", "to_hub_ms", 6.0),
-        hub_step: d.ms("fleet", "hub_step_ms", 25.0),
-        key_window: d.ms("fleet", "key_window_ms", 2_000.0),
-        straight: d.reader.flag("fleet", "straight", true),
-        joins: d.reader.flag("fleet", "joins", true),
-        hello: d.reader.flag("fleet", "hello", false),
-        siblings: word(&mut d, "siblings", "zone", &["none", "zone", "any"]),
-        notes: word(&mut d, "notes", "all", &["all", "hit", "none"]),
-        sizes_told: d.reader.flag("fleet", "sizes_told", true),
+        caches_per_branch: d.count("fleet", "caches", 3, 1),
+        dispatchers_per_branch: d.count("fleet", "dispatchers", 1, 1),
+        parents: d.count("fleet", "parents", 2, 0),
+        cache: kind(d, "cache", Role::Cache, 8.0),
+        parent: kind(d, "parent", Role::Parent, 24.0),
+        origin: kind(d, "origin", Role::Origin, 32.0),
+    }
+}
+
+fn network(d: &mut Draws) -> NetworkSettings {
+    NetworkSettings {
+        bytes_per_s: d.num("fleet", "flow_kb_per_s", 1_000.0, 1.0, 1e9) * 1024.0,
+        fill_speedup: d.num("fleet", "fill_pace", 3.0, 0.1, 100.0),
+        branch_link: d.num("fleet", "link", 12.0, 0.0, 1e9),
+        local_latency: d.ms("fleet", "near_ms", 0.2),
+        hub_latency: d.ms("fleet", "to_hub_ms", 6.0),
+        hub_step_latency: d.ms("fleet", "hub_step_ms", 25.0),
+        simulated: NetworkConditions {
+            latency: Duration::from_micros(d.ms("network", "latency_ms", 0.2)),
+            jitter: Duration::from_micros(d.ms("network", "jitter_ms", 0.1)),
+            loss: d.share("network", "loss", 0.0),
+            resend: Duration::from_micros(d.ms("network", "resend_ms", 200.0)),
+        },
+    }
+}
+
+fn dispatcher_options(d: &mut Draws) -> DispatcherOptions {
+    DispatcherOptions {
+        bypasses_caches: d.reader.flag("fleet", "straight", true),
+        coalesces_fills: d.reader.flag("fleet", "joins", true),
+        uses_hello: d.reader.flag("fleet", "hello", false),
+        siblings: word(d, "siblings", "zone", &["none", "zone", "any"]),
+        cache_status_notes: word(d, "notes", "all", &["all", "hit", "none"]),
+        knows_sizes: d.reader.flag("fleet", "sizes_told", true),
         max_attempts: d.count("fleet", "max_attempts", 6, 1) as u32,
-        cache: kind(&mut d, "cache", Role::Cache, 8.0),
-        parent: kind(&mut d, "parent", Role::Parent, 24.0),
-        origin: kind(&mut d, "origin", Role::Origin, 32.0),
-        rules: rules(&mut d),
-        clients: ClientSettings {
-            retries: d.count("clients", "retries", 2, 0) as u32,
-            backoff: d.ms("clients", "back_off_ms", 100.0),
-            http_share: d.share("clients", "http", 0.3),
-            cancel_share: d.share("clients", "hang_up", 0.01),
-            retry_after_share: d.share("clients", "honour", 0.8),
-            fails_over: d.reader.flag("clients", "move", false),
+        idempotency_window: d.ms("fleet", "key_window_ms", 2_000.0),
+        believes_alone: false,
+    }
+}
+
+fn workload(d: &mut Draws) -> Workload {
+    Workload {
+        calls_per_s: d.num("day", "rate", 90.0, 0.1, 1e6),
+        warm_up: d.s("day", "warm_s", 3.0),
+        wave_depth: d.num("day", "wave_depth", 0.0, 0.0, 1.0),
+        wave_period: d.s("day", "wave_s", 20.0).max(MIN_WAVE_PERIOD),
+        purges_per_s: d.num("day", "purges_per_s", 0.0, 0.0, 1_000.0),
+        groups: d.count("fleet", "groups", 12, 1) as u64,
+        classes: classes(d),
+    }
+}
+
+fn clients(d: &mut Draws) -> ClientSettings {
+    ClientSettings {
+        retries: d.count("clients", "retries", 2, 0) as u32,
+        backoff: d.ms("clients", "back_off_ms", 100.0),
+        http_share: d.share("clients", "http", 0.3),
+        cancel_share: d.share("clients", "hang_up", 0.01),
+        retry_after_share: d.share("clients", "honour", 0.8),
+        fails_over: d.reader.flag("clients", "move", false),
+    }
+}
+
+fn limits(d: &mut Draws) -> Limits {
+    Limits {
+        rules: rules(d),
+        objective: ObjectiveWeights {
+            whole: d.num("goal", "whole", 0.6, 0.0, 1e3),
+            worst_10s: d.num("goal", "worst_10s", 0.2, 0.0, 1e3),
+            worst_class: d.num("goal", "worst_class", 0.2, 0.0, 1e3),
         },
-        goal: (
-            d.num("goal", "whole", 0.6, 0.0, 1e3),
-            d.num("goal", "worst_10s", 0.2, 0.0, 1e3),
-            d.num("goal", "worst_class", 0.2, 0.0, 1e3),
-        ),
-        told_alone: false,
-        sums: FleetLimits {
+        fleet: FleetLimits {
             in_flight: d.num("sums", "under_way", 0.0, 0.0, 1e6),
             retries: d.num("sums", "second_attempts", 0.0, 0.0, 1e3),
             fairness: d.share("sums", "fairness", 0.0),
             unaffected_service: d.share("sums", "others", 0.0),
         },
-        classes: classes(&mut d),
-        weather: NetworkConditions {
-            latency: Duration::from_micros(d.ms("network", "latency_ms", 0.2)),
-            jitter: Duration::from_micros(d.ms("network", "jitter_ms", 0.1)),
-            loss: d.share("network", "loss", 0.0),
-            resend: Duration::from_micros(d.ms("network", "resend_ms", 200.0)),
-        },
-        troubles: Vec::new(),
-    };
-    let troubles = troubles(&mut d, &scenario);
-    d.reader.finish()?;
-    Ok(Scenario {
-        troubles,
-        ..scenario
-    })
+    }
 }
 
 fn word(d: &mut Draws, key: &str, default: &str, words: &[&str]) -> String {
@@ -255,7 +288,9 @@
             ("keyed", Idempotency::Keyed),
             ("unsafe", Idempotency::NotIdempotent),
         ];
-        let effect = d.reader.choice(&s, "effect", Idempotency::Idempotent, &effects);
+        let effect = d
+            .reader
+            .choice(&s, "effect", Idempotency::Idempotent, &effects);
         let class = RequestClass {
             share: d.share(&s, "share", 0.5),
             mean_bytes: d.num(&s, "mean_kb", 100.0, 0.1, 1e7) * 1024.0,
@@ -288,11 +323,15 @@
     classes
 }
 
-fn troubles(d: &mut Draws, scenario: &Scenario) -> Vec<FaultSpec> {
+fn faults(d: &mut Draws, scenario: &Scenario) -> Vec<FaultSpec> {
     let mut troubles = Vec::new();
     for name in d.reader.named("trouble") {
         let s = format!("trouble {name}");
-        let Some(kind) = d.reader.text(&s, "kind").and_then(|k| FaultKind::from_name(&k)) else {
+        let Some(kind) = d
+            .reader
+            .text(&s, "kind")
+            .and_then(|k| FaultKind::from_name(&k))
+        else {
             let words: Vec<&str> = FaultKind::WORDS.iter().map(|(w, _)| *w).collect();
             d.reader.report(
                 &s,
@@ -314,7 +353,9 @@
             }
             found
         });
-        let role = d.reader.choice(&s, "role", kind.default_role(), &Role::WORDS);
+        let role = d
+            .reader
+            .choice(&s, "role", kind.default_role(), &Role::WORDS);
         let number = d
             .reader
             .text(&s, "number")
@@ -331,8 +372,15 @@
             role,
             index: number,
         };
-        let takes = d.reader.choice(&s, "takes", SiteLossExtent::Hosts, &SiteLossExtent::WORDS);
-        let ways = d.reader.choice(&s, "ways", PartitionDirections::WORDS[0].1, &PartitionDirections::WORDS);
+        let takes = d
+            .reader
+            .choice(&s, "takes", SiteLossExtent::Hosts, &SiteLossExtent::WORDS);
+        let ways = d.reader.choice(
+            &s,
+            "ways",
+            PartitionDirections::WORDS[0].1,
+            &PartitionDirections::WORDS,
+        );
         let told = d.reader.flag(&s, "told", true);
         if kind.affects_site() && kind.requires_processes() && zone.is_none() {
             d.reader.report(&s, "zone", "missing: which site is struck");
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,8 +1,8 @@
 //! Troubles as steps in time: what happens to which member or dispatcher when, and what the list says of it.
 use super::traffic::{group_number, group_path};
 use super::{derive_seed, Scenario};
-use pointspindle_cache_model::{Fault, HostId, HostSpec, Role};
 use pointspindle::Micros;
+use pointspindle_cache_model::{Fault, HostId, HostSpec, Role};
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -309,7 +309,7 @@
             replaced,
             rng,
         };
-        for trouble in &scenario.troubles {
+        for trouble in &scenario.faults {
             // Each trouble draws from its own stream: one more leaves the others as they were.
             let words = format!("trouble {}", trouble.name);
             w.rng = StdRng::seed_from_u64(derive_seed(scenario.seed, &words));
@@ -327,24 +327,25 @@
 impl Writer<'_> {
     /// Single objects of cacheable classes, popular ones more often: what editors touch is what is read.
     fn steady_purges(&mut self) {
-        if self.scenario.purges <= 0.0 {
+        if self.scenario.workload.purges_per_s <= 0.0 {
             return;
         }
         self.rng = StdRng::seed_from_u64(derive_seed(self.scenario.seed, "purges"));
         let classes: Vec<_> = self
             .scenario
+            .workload
             .classes
             .iter()
             .filter(|c| !c.uncacheable)
             .collect();
         let mut at = 0.0;
         while let Some(class) = classes.choose(&mut self.rng) {
-            at -= (1.0 - self.rng.gen::<f64>()).ln() / self.scenario.purges * 1e6;
+            at -= (1.0 - self.rng.gen::<f64>()).ln() / self.scenario.workload.purges_per_s * 1e6;
             if at as Micros >= self.scenario.duration() {
                 break;
             }
             let rank = self.rng.gen_range(1..=class.objects);
-            let group = rank % self.scenario.groups;
+            let group = rank % self.scenario.workload.groups;
             let object = format!("{}/o{rank}", group_path(&class.name, group));
             let group = group_number(&class.name, group);
             self.step(at as Micros, ScriptStep::PurgeObject { object, group });
@@ -396,7 +397,13 @@
         for (at, fault, listed) in steps {
             self.step(at, ScriptStep::Fault { host, fault });
             if told {
-                self.step(at, ScriptStep::EndpointUpdate { host, state: listed });
+                self.step(
+                    at,
+                    ScriptStep::EndpointUpdate {
+                        host,
+                        state: listed,
+                    },
+                );
             }
         }
     }
@@ -420,8 +427,8 @@
     /// Its processes go within moments of each other, and come back so.
     fn site_loss(&mut self, t: &FaultSpec) {
         let (zone, until) = (t.target.zone.unwrap_or(0), t.at + t.duration);
-        let hub = (zone < self.scenario.branches)
-            .then(|| self.scenario.branches + self.scenario.hub_of(zone))
+        let hub = (zone < self.scenario.fleet.branches)
+            .then(|| self.scenario.fleet.branches + self.scenario.hub_of(zone))
             .filter(|_| t.extent >= SiteLossExtent::Parents);
         for host in 0..self.hosts.len() {
             let h = &self.hosts[host];
@@ -491,7 +498,13 @@
         match t.kind {
             FaultKind::Partition => {
                 for host in struck {
-                    self.step(at, ScriptStep::Partition { host, partitioned: true });
+                    self.step(
+                        at,
+                        ScriptStep::Partition {
+                            host,
+                            partitioned: true,
+                        },
+                    );
                     self.step(
                         until,
                         ScriptStep::Partition {
@@ -522,8 +535,20 @@
                 for host in struck {
                     for n in 0..cuts {
                         let at = at + part * n + self.rng.gen_range(0..=(part - down).max(1));
-                        self.step(at, ScriptStep::Reachability { host, reachable: false });
-                        self.step(at + down, ScriptStep::Reachability { host, reachable: true });
+                        self.step(
+                            at,
+                            ScriptStep::Reachability {
+                                host,
+                                reachable: false,
+                            },
+                        );
+                        self.step(
+                            at + down,
+                            ScriptStep::Reachability {
+                                host,
+                                reachable: true,
+                            },
+                        );
                     }
                 }
             }
@@ -531,12 +556,13 @@
                 let hub = t
                     .target
                     .zone
-                    .filter(|z| *z >= self.scenario.branches)
-                    .unwrap_or(self.scenario.branches);
+                    .filter(|z| *z >= self.scenario.fleet.branches)
+                    .unwrap_or(self.scenario.fleet.branches);
                 for host in 0..self.hosts.len() {
                     let zone = self.hosts[host].zone;
-                    let branch = zone < self.scenario.branches;
-                    let mine = branch && self.scenario.hub_of(zone) == hub - self.scenario.branches;
+                    let branch = zone < self.scenario.fleet.branches;
+                    let mine =
+                        branch && self.scenario.hub_of(zone) == hub - self.scenario.fleet.branches;
                     let fits = match t.target.role {
                         Role::Parent => zone == hub && self.hosts[host].role == Role::Parent,
                         _ => mine,
@@ -563,20 +589,25 @@
                     for n in 1..=4_u64 {
                         let factor = 1.0 + (t.severity - 1.0) * n as f64 / 4.0;
                         let fault = Fault::SlowDown { factor, until };
-                        self.step(at + t.duration * (n - 1) / 4, ScriptStep::Fault { host, fault });
+                        self.step(
+                            at + t.duration * (n - 1) / 4,
+                            ScriptStep::Fault { host, fault },
+                        );
                     }
                     self.restart(host, until, until + t.downtime);
                 }
             }
             FaultKind::Purge => {
-                let mut groups: Vec<u64> = (0..self.scenario.groups).collect();
+                let mut groups: Vec<u64> = (0..self.scenario.workload.groups).collect();
                 groups.shuffle(&mut self.rng);
                 groups.truncate((t.target.share * groups.len() as f64).round().max(1.0) as usize);
                 for group in groups {
                     self.step(at, ScriptStep::PurgeGroup { group });
                 }
             }
-            FaultKind::KillDispatchers | FaultKind::PauseDispatchers | FaultKind::StopDispatchers => {
+            FaultKind::KillDispatchers
+            | FaultKind::PauseDispatchers
+            | FaultKind::StopDispatchers => {
                 let all = self.struck_dispatchers(&t.target);
                 let gap = t.duration / all.len().max(1) as Micros;
                 for (n, dispatcher) in all.into_iter().enumerate() {
@@ -592,10 +623,14 @@
                                 paused: false,
                             },
                         ),
-                        FaultKind::StopDispatchers => {
-                            (ScriptStep::StopDispatcher { dispatcher }, ScriptStep::StartDispatcher { dispatcher })
-                        }
-                        _ => (ScriptStep::KillDispatcher { dispatcher }, ScriptStep::StartDispatcher { dispatcher }),
+                        FaultKind::StopDispatchers => (
+                            ScriptStep::StopDispatcher { dispatcher },
+                            ScriptStep::StartDispatcher { dispatcher },
+                        ),
+                        _ => (
+                            ScriptStep::KillDispatcher { dispatcher },
+                            ScriptStep::StartDispatcher { dispatcher },
+                        ),
                     };
                     self.step(at, first);
                     self.step(at + t.downtime, then);
@@ -690,6 +725,7 @@
 /// The purge groups that one step strikes, a class each.
 pub fn purge_groups(scenario: &Scenario, group: u64) -> Vec<u64> {
     scenario
+        .workload
         .classes
         .iter()
         .filter(|c| !c.uncacheable)
--- a/crates/scenario/src/traffic.rs
+++ b/crates/scenario/src/traffic.rs
@@ -1,6 +1,6 @@
 //! Who asks for what and when: drawn ahead from the day's seed, whatever becomes of the answers.
 use super::script::FaultKind;
-use super::{size_of, derive_seed, Idempotency, Scenario};
+use super::{derive_seed, size_of, Idempotency, Scenario};
 use pointspindle::{Micros, ObjectId};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -43,13 +43,14 @@
 impl Traffic {
     pub fn generate(scenario: &Scenario) -> Self {
         let mut rng = StdRng::seed_from_u64(derive_seed(scenario.seed, "traffic"));
-        let total: f64 = scenario.classes.iter().map(|c| c.share).sum();
+        let total: f64 = scenario.workload.classes.iter().map(|c| c.share).sum();
         let zipfs: Vec<Zipf<f64>> = scenario
+            .workload
             .classes
             .iter()
             .map(|c| Zipf::new(c.objects.max(1), c.zipf).expect("checked by the reader"))
             .collect();
-        let gaps = Exp::new(scenario.rate / 1e6).expect("the rate is above 0");
+        let gaps = Exp::new(scenario.workload.calls_per_s / 1e6).expect("the rate is above 0");
         let mut calls = Vec::new();
         let mut even = 0.0;
         let mut tide = Tide {
@@ -65,21 +66,21 @@
             if now >= scenario.duration() {
                 break;
             }
-            let branch = rng.gen_range(0..scenario.branches);
+            let branch = rng.gen_range(0..scenario.fleet.branches);
             let mut pick = rng.gen::<f64>() * total;
-            let mut class = scenario.classes.len() - 1;
-            for (n, c) in scenario.classes.iter().enumerate() {
+            let mut class = scenario.workload.classes.len() - 1;
+            for (n, c) in scenario.workload.classes.iter().enumerate() {
                 if pick < c.share {
                     class = n;
                     break;
                 }
                 pick -= c.share;
             }
-            let c = &scenario.classes[class];
+            let c = &scenario.workload.classes[class];
             let rank = zipfs[class].sample(&mut rng) as u64;
             let (dice, local, special) = (rng.gen::<f64>(), rng.gen::<f64>(), rng.gen::<f64>());
             let part = rng.gen_range(0..c.parts);
-            let group = rank % scenario.groups;
+            let group = rank % scenario.workload.groups;
             once += 1;
             let plain = if local < c.local_share {
                 format!("b{branch}-o{rank}")
@@ -109,8 +110,10 @@
                 object_number: number,
                 group: group_number(&c.name, group),
                 part,
-                uses_http: rng.gen::<f64>() < scenario.clients.http_share && c.idempotency == Idempotency::Idempotent,
-                cancel_after: (hang_up && c.idempotency == Idempotency::Idempotent).then_some(leaves as Micros),
+                uses_http: rng.gen::<f64>() < scenario.clients.http_share
+                    && c.idempotency == Idempotency::Idempotent,
+                cancel_after: (hang_up && c.idempotency == Idempotency::Idempotent)
+                    .then_some(leaves as Micros),
                 honours_retry_after: rng.gen::<f64>() < scenario.clients.retry_after_share,
                 jitter: rng.gen::<f64>(),
             });
@@ -131,19 +134,19 @@
     /// The rate's factor at a moment.
     fn factor(&self, at: f64) -> f64 {
         let s = self.scenario;
-        let turn = at / s.wave as f64 * std::f64::consts::TAU;
+        let turn = at / s.workload.wave_period as f64 * std::f64::consts::TAU;
         let now = at as Micros;
         let on = |t: &&super::script::FaultSpec| {
             t.kind == FaultKind::Burst && now >= t.at && now < t.at + t.duration
         };
-        let bursts: f64 = s.troubles.iter().filter(on).map(|t| t.severity).product();
+        let bursts: f64 = s.faults.iter().filter(on).map(|t| t.severity).product();
         // Never quite 0: the day would not go on.
-        ((1.0 + s.wave_depth * turn.sin()) * bursts).max(1e-3)
+        ((1.0 + s.workload.wave_depth * turn.sin()) * bursts).max(1e-3)
     }
 
     fn at(&mut self, even: f64) -> f64 {
         let s = self.scenario;
-        if s.wave_depth == 0.0 && s.troubles.iter().all(|t| t.kind != FaultKind::Burst) {
+        if s.workload.wave_depth == 0.0 && s.faults.iter().all(|t| t.kind != FaultKind::Burst) {
             return even;
         }
         while self.even < even && self.at < s.duration() as f64 {
@@ -191,14 +194,20 @@
 /// one-off: of all; oversized: of the class's), the size's multiple stands in the name.
 fn unusual(scenario: &Scenario, now: Micros, class: usize, dice: f64, once: u64) -> Option<String> {
     let mut left = dice;
-    for trouble in &scenario.troubles {
+    for trouble in &scenario.faults {
         if now < trouble.at || now >= trouble.at + trouble.duration {
             continue;
         }
         let file = match trouble.kind {
             FaultKind::Hot if class == 0 => format!("hot-{}", trouble.name),
-            FaultKind::Oversized if class == 0 => format!("big{once}~{}", trouble.severity.max(1.0)),
-            FaultKind::OneOff if scenario.classes[class].idempotency == Idempotency::Idempotent => format!("scan{once}"),
+            FaultKind::Oversized if class == 0 => {
+                format!("big{once}~{}", trouble.severity.max(1.0))
+            }
+            FaultKind::OneOff
+                if scenario.workload.classes[class].idempotency == Idempotency::Idempotent =>
+            {
+                format!("scan{once}")
+            }
             _ => continue,
         };
         if left < trouble.target.share {
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -83,16 +83,28 @@
         let (text, left) = import(&day(json!(troubles)), size).unwrap();
         assert_eq!(left.len(), 2, "{left:?}");
         let s = parse("imported.ini", &text, None).unwrap_or_else(|e| panic!("{e}\n{text}"));
-        let got: Vec<FaultKind> = s.troubles.iter().map(|t| t.kind).collect();
+        let got: Vec<FaultKind> = s.faults.iter().map(|t| t.kind).collect();
         assert_eq!(got, kinds.iter().map(|k| k.1).collect::<Vec<_>>());
-        let deploy = s.troubles.iter().find(|t| t.kind == FaultKind::Deploy).unwrap();
+        let deploy = s
+            .faults
+            .iter()
+            .find(|t| t.kind == FaultKind::Deploy)
+            .unwrap();
         assert!((deploy.target.share - 0.5).abs() < 0.01 && deploy.severity == 2.0);
         assert_eq!(
-            (s.branches, s.caches, s.parents, s.rules.purge_deadline),
+            (
+                s.fleet.branches,
+                s.fleet.caches_per_branch,
+                s.fleet.parents,
+                s.limits.rules.purge_deadline
+            ),
             (3, 4, 2, 6_000_000)
         );
         assert_eq!(
-            (s.classes[1].freshness_lifetime, s.classes[1].stale_if_error),
+            (
+                s.workload.classes[1].freshness_lifetime,
+                s.workload.classes[1].stale_if_error
+            ),
             (9_000_000, 18_000_000)
         );
     }
@@ -104,9 +116,10 @@
     for size in [Size::Loopback, Size::Full] {
         let (text, _) = import(&day(json!(null)), size).unwrap();
         let s = parse("imported.ini", &text, Some(3)).unwrap();
-        let links: f64 = s.cache.spec.weight * (s.branches * s.caches) as f64;
+        let links: f64 =
+            s.fleet.cache.spec.weight * (s.fleet.branches * s.fleet.caches_per_branch) as f64;
         let bytes: u64 = Traffic::generate(&s).calls.iter().map(|c| c.size).sum();
-        let load = bytes as f64 / s.flow / s.seconds / links;
+        let load = bytes as f64 / s.network.bytes_per_s / s.duration_s / links;
         assert!((0.42..0.58).contains(&load), "{size:?}: {load}");
     }
     let wrong = import("{\"site\": 3}", Size::Full).unwrap_err().to_string();
--- a/crates/scenario/tests/traffic.rs
+++ b/crates/scenario/tests/traffic.rs
@@ -1,5 +1,5 @@
 //! Traffic that is not steady: waves, bursts, parts one after another.
-use pointspindle_scenario::{load_with, SettingOverride, Scenario, Traffic};
+use pointspindle_scenario::{load_with, Scenario, SettingOverride, Traffic};
 use std::collections::HashMap;
 use std::path::Path;
 
@@ -11,7 +11,7 @@
 
 /// Calls in each second.
 fn by_second(s: &Scenario) -> Vec<usize> {
-    let mut out = vec![0; s.seconds as usize + 1];
+    let mut out = vec![0; s.duration_s as usize + 1];
     for call in Traffic::generate(s).calls {
         out[(call.at / 1_000_000) as usize] += 1;
     }
@@ -73,7 +73,11 @@
     ]);
     let mut next: HashMap<(usize, String), Vec<(u64, u64)>> = HashMap::new();
     let (mut firsts, mut later) = (0, 0);
-    for call in Traffic::generate(&s).calls.into_iter().filter(|c| c.class == 0) {
+    for call in Traffic::generate(&s)
+        .calls
+        .into_iter()
+        .filter(|c| c.class == 0)
+    {
         let open = next.entry((call.branch, call.object.clone())).or_default();
         if call.part == 0 {
             firsts += 1;
--- a/crates/simulator/src/greet.rs
+++ b/crates/simulator/src/greet.rs
@@ -1,13 +1,13 @@
 //! Connections of dispatchers to members that say who they are: hello, leases, and what breaks with a process.
 use super::links::Owner;
 use super::sim::{Ending, Event, Sim, EPOCH};
-use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_cache_model::{HostId, ModelInput, JobId, ModelRequest};
 use pointspindle_audit::trace::AttemptOutcome;
-use pointspindle_fleet_model::leases::lease_head;
+use pointspindle_cache_model::{HostId, JobId, ModelInput, ModelRequest};
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::Input;
+use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_protocol::{HelloHead, LeaseHead};
+use pointspindle_scenario::fault_injection::InjectedFault;
 
 /// Dispatchers that lost a process's connection meet the next one within so long of its start, each in its own time.
 const MEETING: u64 = 200_000;
@@ -106,7 +106,9 @@
 
     /// A dispatcher wants a member's word though it has no request for it.
     pub(super) fn plan_meeting(&mut self, dispatcher: usize, host: HostId, after: u64) {
-        if self.s.hello && !self.dispatchers[dispatcher].connected.contains_key(&host) {
+        if self.s.dispatchers.uses_hello
+            && !self.dispatchers[dispatcher].connected.contains_key(&host)
+        {
             let way = self.s.latency_between(
                 self.s.branch_of_dispatcher(dispatcher),
                 self.zone_of_host(host),
@@ -177,7 +179,10 @@
         }
         for dispatcher in 0..self.dispatchers.len() {
             if self.dispatchers[dispatcher].met.contains_key(&host) {
-                let words = format!("meet {dispatcher} {host} {}", self.world.incarnation(host).0);
+                let words = format!(
+                    "meet {dispatcher} {host} {}",
+                    self.world.incarnation(host).0
+                );
                 let after = pointspindle_scenario::derive_seed(self.s.seed, &words) % MEETING;
                 self.plan_meeting(dispatcher, host, after);
             }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -10,9 +10,9 @@
 mod sim;
 mod sites;
 
+use pointspindle_audit::trace::TraceEntry;
 use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
 use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_audit::trace::TraceEntry;
 use pointspindle_scenario::{Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 
@@ -41,16 +41,7 @@
         return Err(why);
     }
     let began = std::time::Instant::now();
-    let planted = scenario.clone();
-    let planted = match plant {
-        Some(InjectedFault::HideRestart) => planted.with_hidden_restarts(),
-        Some(InjectedFault::MiscountDispatchers) => Scenario {
-            told_alone: true,
-            ..planted
-        },
-        _ => planted,
-    };
-    let scenario = &planted;
+    let scenario = &scenario.clone().with_injected_fault(plant);
     let traffic = Traffic::generate(scenario);
     let mut sim = sim::Sim::new(scenario, &traffic, plant)?;
     sim.run();
--- a/crates/simulator/src/links.rs
+++ b/crates/simulator/src/links.rs
@@ -1,6 +1,6 @@
 //! Whose request a job at a member is, and which job an attempt or a fill is.
-use pointspindle_cache_model::{FillId, HostId, JobId};
 use pointspindle_audit::trace::ClientAttemptId;
+use pointspindle_cache_model::{FillId, HostId, JobId};
 use std::collections::HashMap;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -2,22 +2,27 @@
 use super::links::{Links, Owner};
 use super::queue::Queue;
 use super::RunCost;
-use pointspindle_fleet_model::control_plane::{self, ControlPlane, ListedEndpoint, ControlUpdate};
-use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
-use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
-use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_cache_model::{
-    ModelResponse, Fault, HostId, HostSpec, ModelInput, JobId, ModelOutput, Role, FillOutcome, ModelRequest, CacheModel,
-};
-use pointspindle_audit::trace::{ClientOutcome, AttemptOutcome, TraceEvent, TraceEntry, ClientAttemptId};
-use pointspindle_scenario::script::{purge_groups, ListedState, PartitionDirections};
-use pointspindle_scenario::{derive_seed, PlannedCall, Idempotency, Scenario, Script, ScriptStep, Traffic};
 use pointspindle::{Micros, ObjectId};
+use pointspindle_audit::trace::{
+    AttemptOutcome, ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent,
+};
 use pointspindle_cache_host::lease::WorkLedger;
+use pointspindle_cache_model::{
+    CacheModel, Fault, FillOutcome, HostId, HostSpec, JobId, ModelInput, ModelOutput, ModelRequest,
+    ModelResponse, Role,
+};
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::core::{AttemptEnd, AttemptTerms};
 use pointspindle_dispatcher::{ClientRequest, Core, Input, Output};
+use pointspindle_fleet_model::control_plane::{self, ControlPlane, ControlUpdate, ListedEndpoint};
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
 use pointspindle_protocol::*;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_scenario::script::{purge_groups, ListedState, PartitionDirections};
+use pointspindle_scenario::{
+    derive_seed, Idempotency, PlannedCall, Scenario, Script, ScriptStep, Traffic,
+};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
 
@@ -171,7 +176,7 @@
             )
         };
         let all: Vec<HostSpec> = hosts.iter().chain(&script.newcomers).cloned().collect();
-        let book = ControlPlane::new(s.rules, &hosts, s.dispatcher_count(), s.seed);
+        let book = ControlPlane::new(s.limits.rules, &hosts, s.dispatcher_count(), s.seed);
         let mut sim = Self {
             s,
             calls: &traffic.calls,
@@ -239,7 +244,10 @@
     }
 
     pub(super) fn saw(&mut self, saw: TraceEvent) {
-        self.sights.push(TraceEntry { at: self.now, event: saw });
+        self.sights.push(TraceEntry {
+            at: self.now,
+            event: saw,
+        });
     }
 
     pub fn finish(self) -> (Vec<TraceEntry>, Vec<(String, u32)>, RunCost) {
@@ -397,7 +405,7 @@
             *self.missed.entry(id.call).or_default() += 1;
             return self.again(id, None);
         }
-        let class = &self.s.classes[call.class];
+        let class = &self.s.workload.classes[call.class];
         let deadline = self.now + class.deadline;
         let (number, group, part) = (call.object_number, call.group, call.part);
         self.saw(TraceEvent::RequestSent {
@@ -438,13 +446,13 @@
         d.open.insert(request, id);
         let call = &self.calls[id.call as usize];
         // HTTP tells no sizes.
-        let size = (self.s.sizes_told && !call.uses_http).then_some(call.size);
+        let size = (self.s.dispatchers.knows_sizes && !call.uses_http).then_some(call.size);
         let ask = ClientRequest {
             class: call.class,
             object: call.object.clone(),
             part: call.part,
             group: call.group,
-            time_left: self.s.classes[call.class].deadline,
+            time_left: self.s.workload.classes[call.class].deadline,
             size,
         };
         self.tell_core(dispatcher, Input::Request(request, ask));
@@ -469,13 +477,19 @@
             outcome: end.clone(),
         });
         let call = &self.calls[id.call as usize];
-        let safe = self.s.classes[call.class].idempotency == Idempotency::Idempotent;
+        let safe = self.s.workload.classes[call.class].idempotency == Idempotency::Idempotent;
         if end == ClientOutcome::ConnectionLost {
             *self.missed.entry(id.call).or_default() += 1;
         }
         match end {
-            ClientOutcome::Rejected { retry_after: come_back } => self.again(id, come_back.filter(|_| call.honours_retry_after)),
-            ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost if safe => self.again(id, None),
+            ClientOutcome::Rejected {
+                retry_after: come_back,
+            } => self.again(id, come_back.filter(|_| call.honours_retry_after)),
+            ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost
+                if safe =>
+            {
+                self.again(id, None)
+            }
             _ => {}
         }
     }
@@ -539,7 +553,8 @@
                 let Some(host) = self.world.host_by_address(&member) else {
                     return;
                 };
-                let waits = self.s.hello && !self.dispatchers[n].connected.contains_key(&host);
+                let waits = self.s.dispatchers.uses_hello
+                    && !self.dispatchers[n].connected.contains_key(&host);
                 if !waits && self.begin(n, request, attempt).is_none() {
                     return self.tell_core(
                         n,
@@ -567,7 +582,8 @@
                     only_if_cached: true,
                     revalidate: false,
                 });
-                let safe = self.s.classes[call.class].idempotency == Idempotency::Idempotent;
+                let safe =
+                    self.s.workload.classes[call.class].idempotency == Idempotency::Idempotent;
                 let wanted = ModelRequest {
                     object: Arc::from(call.object.as_str()),
                     object_number: call.object_number,
@@ -689,8 +705,10 @@
         lost.extend(sent.map(|(id, _)| *id));
         lost.sort_unstable();
         for id in lost {
-            self.queue
-                .plan(self.now + CLIENT_WAY, Event::ClientEnd(id, ClientOutcome::ConnectionLost));
+            self.queue.plan(
+                self.now + CLIENT_WAY,
+                Event::ClientEnd(id, ClientOutcome::ConnectionLost),
+            );
         }
         let mine = |j: &super::links::Job| matches!(j.owner, Owner::Attempt { dispatcher, life: l, .. } if dispatcher == n && l == life);
         for job in self.links.all(mine) {
@@ -721,7 +739,8 @@
     }
 
     pub(super) fn way_of(&self, owner: &Owner, host: HostId) -> Micros {
-        self.s.latency_between(self.zone_of(owner), self.members[host].3)
+        self.s
+            .latency_between(self.zone_of(owner), self.members[host].3)
     }
 
     /// A word of its owner to stop travels to the member.
@@ -752,10 +771,10 @@
         let address = self.address(host);
         let (source, class) = (wanted.source.clone(), wanted.class);
         if let Some(ledger) = self.ledgers.get_mut(&host) {
-            let class = self.s.classes.get(class);
+            let class = self.s.workload.classes.get(class);
             ledger.record_arrival(
                 by.map(|by| by as u64),
-                class.map_or(0.0, |c| c.mean_bytes / self.s.flow),
+                class.map_or(0.0, |c| c.mean_bytes / self.s.network.bytes_per_s),
             );
         }
         self.saw(TraceEvent::AttemptArrived {
@@ -766,7 +785,11 @@
             source,
             class,
         });
-        self.tell_world(ModelInput::Arrive { host, job, request: wanted });
+        self.tell_world(ModelInput::Arrive {
+            host,
+            job,
+            request: wanted,
+        });
     }
 
     pub(super) fn zone_of_host(&self, host: HostId) -> usize {
@@ -813,14 +836,20 @@
 
     fn wish(&mut self, wish: ModelOutput) {
         match wish {
-            ModelOutput::ResponseStart { job, response: answer, .. } => {
+            ModelOutput::ResponseStart {
+                job,
+                response: answer,
+                ..
+            } => {
                 let Some(found) = self.links.get(job).copied() else {
                     return;
                 };
                 let way = self.way_of(&found.owner, found.host);
                 self.queue.plan(self.now + way, Event::Head(job, answer));
             }
-            ModelOutput::ResponseEnd { job, .. } => self.ending(job, Ending::Finish, AttemptOutcome::Completed),
+            ModelOutput::ResponseEnd { job, .. } => {
+                self.ending(job, Ending::Finish, AttemptOutcome::Completed)
+            }
             ModelOutput::Reject {
                 job,
                 status,
@@ -835,7 +864,9 @@
                 };
                 self.ending(job, ending, AttemptOutcome::Completed);
             }
-            ModelOutput::Disconnect { job, .. } => self.ending(job, Ending::Broken, AttemptOutcome::ConnectionLost),
+            ModelOutput::Disconnect { job, .. } => {
+                self.ending(job, Ending::Broken, AttemptOutcome::ConnectionLost)
+            }
             ModelOutput::HostDown { host, reason: why } => {
                 let address = self.address(host);
                 self.saw(TraceEvent::HostCrashed {
@@ -933,7 +964,11 @@
                 host, start, fill, ..
             } => {
                 if self.world.incarnation(host).0 == start {
-                    self.tell_world(ModelInput::FillResponse { host, fill, response: answer });
+                    self.tell_world(ModelInput::FillResponse {
+                        host,
+                        fill,
+                        response: answer,
+                    });
                 }
             }
         }
@@ -993,10 +1028,17 @@
                 }
                 let end = match ending {
                     Ending::Finish => FillOutcome::Complete,
-                    Ending::Reject { status, note, .. } => FillOutcome::Rejected { status, cache_status: note },
+                    Ending::Reject { status, note, .. } => FillOutcome::Rejected {
+                        status,
+                        cache_status: note,
+                    },
                     Ending::Broken | Ending::Refused => FillOutcome::Unreachable,
                 };
-                self.tell_world(ModelInput::FillEnded { host, fill, outcome: end });
+                self.tell_world(ModelInput::FillEnded {
+                    host,
+                    fill,
+                    outcome: end,
+                });
             }
         }
     }
@@ -1043,7 +1085,8 @@
             let (kind, zone, weight, _) = self.members.get(host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = control_plane::list_update(dispatcher, form, seq, lines, self.now, self.plant, member);
+        let told =
+            control_plane::list_update(dispatcher, form, seq, lines, self.now, self.plant, member);
         (Input::EndpointList(told.head), told.event, told.withheld)
     }
 
@@ -1055,7 +1098,10 @@
                 let fault: Fault = fault.delayed_by(EPOCH);
                 self.tell_world(ModelInput::Fault { host, fault });
             }
-            ScriptStep::EndpointUpdate { host, state: listed } => {
+            ScriptStep::EndpointUpdate {
+                host,
+                state: listed,
+            } => {
                 if listed == ListedState::Ready && !self.world.is_up(host) {
                     return;
                 }
@@ -1084,14 +1130,29 @@
                 self.queue.plan(self.now + LEAVING, Event::Step(n));
             }
             ScriptStep::StartDispatcher { dispatcher } => self.revive(dispatcher),
-            ScriptStep::PauseDispatcher { dispatcher, paused: hung } => self.hang(dispatcher, hung),
+            ScriptStep::PauseDispatcher {
+                dispatcher,
+                paused: hung,
+            } => self.hang(dispatcher, hung),
             ScriptStep::StopDispatcher { dispatcher } => self.stop(dispatcher),
-            ScriptStep::ZonePartition { zone, directions: ways, until } => self.wall(zone, ways, until),
-            ScriptStep::EndpointUpdateDelay { extra: more, until } => self.book.delay_updates(more, until),
-            ScriptStep::Reachability { host, reachable: true } => {
+            ScriptStep::ZonePartition {
+                zone,
+                directions: ways,
+                until,
+            } => self.wall(zone, ways, until),
+            ScriptStep::EndpointUpdateDelay { extra: more, until } => {
+                self.book.delay_updates(more, until)
+            }
+            ScriptStep::Reachability {
+                host,
+                reachable: true,
+            } => {
                 self.cut_off.remove(&host);
             }
-            ScriptStep::Reachability { host, reachable: false } => self.cut(host),
+            ScriptStep::Reachability {
+                host,
+                reachable: false,
+            } => self.cut(host),
             // Turned away before the day begins.
             ScriptStep::Partition { .. } => {}
         }
--- a/crates/simulator/src/sites.rs
+++ b/crates/simulator/src/sites.rs
@@ -1,11 +1,11 @@
 //! What strikes sites and dispatchers as a whole: cuts between zones, dispatchers that stand still or leave.
 use super::links::Owner;
 use super::sim::{Event, Sim};
-use pointspindle_audit::trace::TraceEvent;
-use pointspindle_scenario::script::PartitionDirections;
-use pointspindle_fleet_model::partition::passes;
 use pointspindle::Micros;
+use pointspindle_audit::trace::TraceEvent;
 use pointspindle_dispatcher::Input;
+use pointspindle_fleet_model::partition::passes;
+use pointspindle_scenario::script::PartitionDirections;
 
 impl Sim<'_> {
     /// Until when what goes from one zone to another is held up, if it is.
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Days of several sites in virtual time: what strikes a site as a whole, dispatchers that stand still or are told to stop,
 //! and the sums over all of them.
 use pointspindle_audit::sums::{judge, measure_totals, FleetTotals};
+use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_audit::trace::{ClientOutcome, TraceEvent, TraceEntry, ClientAttemptId};
 use pointspindle_scenario::script::{FaultKind, ListedState, ScriptStep};
-use pointspindle_scenario::{load_with, SettingOverride, Scenario, Script};
+use pointspindle_scenario::{load_with, Scenario, Script, SettingOverride};
 use pointspindle_simulator::{run, Outcome};
 use std::collections::{BTreeMap, HashMap};
 use std::path::Path;
@@ -19,8 +19,8 @@
 /// The day with this trouble alone.
 fn only(name: &str, seed: u64, sets: &[&str]) -> Scenario {
     let mut day = scenario(seed, sets);
-    day.troubles.retain(|t| t.name == name);
-    assert_eq!(day.troubles.len(), 1, "{name}");
+    day.faults.retain(|t| t.name == name);
+    assert_eq!(day.faults.len(), 1, "{name}");
     day
 }
 
@@ -192,7 +192,10 @@
                 paused: now,
             } => _ = hung.insert(*dispatcher, *now),
             // Sent a way's time before it stood still.
-            TraceEvent::AttemptArrived { dispatcher: Some(by), .. } if sight.at > 30_100_000 => {
+            TraceEvent::AttemptArrived {
+                dispatcher: Some(by),
+                ..
+            } if sight.at > 30_100_000 => {
                 assert_ne!(
                     hung.get(by),
                     Some(&true),
@@ -212,16 +215,26 @@
 #[test]
 fn a_release_of_all_dispatchers_loses_no_accepted_request() {
     let day = only("release", 11, &["trouble release.share=1"]);
-    assert_eq!(day.troubles[0].kind, FaultKind::StopDispatchers);
+    assert_eq!(day.faults[0].kind, FaultKind::StopDispatchers);
     let (outcome, _) = play(&day, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
-    let of = |fits: fn(&TraceEvent) -> bool| outcome.trace.iter().filter(|s| fits(&s.event)).count();
+    let of =
+        |fits: fn(&TraceEvent) -> bool| outcome.trace.iter().filter(|s| fits(&s.event)).count();
     let (stopped, born) = (
         of(|s| matches!(s, TraceEvent::DispatcherStopping { .. })),
         of(|s| matches!(s, TraceEvent::DispatcherStarted { .. })),
     );
     assert_eq!((stopped, born), (12, 12));
-    assert_eq!(of(|s| matches!(s, TraceEvent::RequestEnded { outcome: ClientOutcome::ConnectionLost, .. })), 0);
+    assert_eq!(
+        of(|s| matches!(
+            s,
+            TraceEvent::RequestEnded {
+                outcome: ClientOutcome::ConnectionLost,
+                ..
+            }
+        )),
+        0
+    );
 }
 
 /// Sums of a run made by hand: two dispatchers at one host, one of them three times at once.
@@ -283,7 +296,13 @@
                 stale: false,
             },
         };
-        at(2_300_000 + call, TraceEvent::RequestEnded { id: id(call), outcome: end });
+        at(
+            2_300_000 + call,
+            TraceEvent::RequestEnded {
+                id: id(call),
+                outcome: end,
+            },
+        );
     }
     sights.sort_by_key(|s| s.at);
     let sums = measure_totals(&day, &Default::default(), &sights);
@@ -311,9 +330,12 @@
 #[test]
 fn what_begins_after_its_client_has_left_is_found() {
     let day = only("power", 1, &[]);
-    let slack = day.rules.timing_tolerance;
+    let slack = day.limits.rules.timing_tolerance;
     for (after, breaches) in [(50_000, 0), (100_000 + slack + 1_000, 1)] {
-        let id = ClientAttemptId { call: 1, attempt: 0 };
+        let id = ClientAttemptId {
+            call: 1,
+            attempt: 0,
+        };
         let asked = TraceEvent::RequestSent {
             id,
             dispatcher: 0,
@@ -366,7 +388,12 @@
 #[test]
 fn cold_hosts_are_within_the_sum_of_all_and_a_wrong_count_shows() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cold-sums.ini");
-    for (dispatchers, plant) in [(7, None), (10, None), (100, None), (10, Some(InjectedFault::MiscountDispatchers))] {
+    for (dispatchers, plant) in [
+        (7, None),
+        (10, None),
+        (100, None),
+        (10, Some(InjectedFault::MiscountDispatchers)),
+    ] {
         for seed in [41, 42, 43] {
             let set = format!("fleet.dispatchers={dispatchers}").parse().unwrap();
             let day = load_with(&file, Some(seed), &[set]).unwrap_or_else(|e| panic!("{e}"));
--- a/crates/simulator/tests/restarts.rs
+++ b/crates/simulator/tests/restarts.rs
@@ -1,6 +1,6 @@
 //! Restarts in virtual time: the scenarios of `scenarios/` that rehearse them, with members that say who they are and
 //! with members that do not.
-use pointspindle_scenario::{load_with, SettingOverride, Scenario};
+use pointspindle_scenario::{load_with, Scenario, SettingOverride};
 use pointspindle_simulator::{run, Outcome};
 use std::path::Path;
 
--- a/crates/testbed/src/day/by_etcd.rs
+++ b/crates/testbed/src/day/by_etcd.rs
@@ -1,17 +1,17 @@
 //! The control stand-in by etcd: writes what becomes true, and does not mind who watches. What is written counts as told to all at
 //! once: dispatchers have to learn of it within the rules' graces, over streams that break.
 use super::control::News;
-use pointspindle_fleet_model::dispatcher_settings::ETCD_PREFIX;
-use pointspindle_fleet_model::control_plane::{self, ListedEndpoint};
-use pointspindle_etcd_emulator::EtcdEmulator;
-use pointspindle_cache_model::HostSpec;
-use pointspindle_audit::trace::{Recorder, TraceEvent};
-use pointspindle_scenario::script::ListedState;
 use crate::sockets::EmulatedHosts;
 use pointspindle::ObjectId;
+use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_cache_model::HostSpec;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
+use pointspindle_etcd_emulator::EtcdEmulator;
+use pointspindle_fleet_model::control_plane::{self, ListedEndpoint};
+use pointspindle_fleet_model::dispatcher_settings::ETCD_PREFIX;
 use pointspindle_protocol::EndpointListForm;
+use pointspindle_scenario::script::ListedState;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::collections::HashMap;
@@ -110,9 +110,11 @@
             started_unix_ms: ago
                 .map(|ago| pointspindle_clock::wall_clock_unix_ms().saturating_sub(ago / 1_000)),
         });
-        writer::member(&self.etcd, ETCD_PREFIX, &line.address, |_| Ok(record.clone()))
-            .await
-            .map(drop)
+        writer::member(&self.etcd, ETCD_PREFIX, &line.address, |_| {
+            Ok(record.clone())
+        })
+        .await
+        .map(drop)
     }
 
     fn saw_lines(&self, dispatcher: usize, form: EndpointListForm, lines: &[ListedEndpoint]) {
@@ -151,7 +153,9 @@
                 }
                 News::Purge { object, group } => {
                     let number = object.as_deref().map(|o| ObjectId::named(o).0);
-                    let version_from = self.stage.with_model(|w| w.current_version(number.unwrap_or(0), group));
+                    let version_from = self
+                        .stage
+                        .with_model(|w| w.current_version(number.unwrap_or(0), group));
                     let record = PurgeRecord { object, group };
                     let written = writer::purge(&self.etcd, ETCD_PREFIX, &record).await;
                     for dispatcher in 0..self.dispatchers {
--- a/crates/testbed/src/day/clients.rs
+++ b/crates/testbed/src/day/clients.rs
@@ -1,12 +1,12 @@
 //! The day's clients: open loop, each call at its time whatever became of the others, tried again as scripted.
 use super::http_client::HttpPool;
 use crate::content::Checker;
-use pointspindle_audit::trace::{ClientOutcome, Recorder, TraceEvent, ClientAttemptId};
-use pointspindle_scenario::{PlannedCall, RequestClass, Idempotency, Scenario};
 use pointspindle::Micros;
+use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, Recorder, TraceEvent};
 use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{RequestHead, WireCacheStatus, WireStatus};
+use pointspindle_scenario::{Idempotency, PlannedCall, RequestClass, Scenario};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Network, ResponsePart};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 impl Clients {
     /// A call to its end: tries with back-off until served, failed, or out of tries.
     pub async fn call(self: Arc<Self>, number: u64, call: PlannedCall) {
-        let class = &self.scenario.classes[call.class];
+        let class = &self.scenario.workload.classes[call.class];
         let clients = &self.scenario.clients;
         let mut missed = 0;
         for try_no in 0..=clients.retries {
@@ -47,11 +47,17 @@
             let end = self.one_try(target, id, &call, class).await;
             missed += matches!(end, None | Some(ClientOutcome::ConnectionLost)) as u32;
             let come_back = match end {
-                Some(ClientOutcome::Rejected { retry_after: come_back }) => come_back.filter(|_| call.honours_retry_after),
+                Some(ClientOutcome::Rejected {
+                    retry_after: come_back,
+                }) => come_back.filter(|_| call.honours_retry_after),
                 // Nothing was asked: as harmless as a refusal.
                 None => None,
                 // What may have run is tried again only where that does no harm.
-                Some(ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost) if class.idempotency == Idempotency::Idempotent => None,
+                Some(
+                    ClientOutcome::Failed
+                    | ClientOutcome::Truncated
+                    | ClientOutcome::ConnectionLost,
+                ) if class.idempotency == Idempotency::Idempotent => None,
                 Some(_) => return,
             };
             let wait = self.scenario.retry_delay(&call, try_no, come_back);
@@ -93,7 +99,14 @@
         end
     }
 
-    fn asked(&self, target: &Target, id: ClientAttemptId, call: &PlannedCall, class: &RequestClass, at: Micros) {
+    fn asked(
+        &self,
+        target: &Target,
+        id: ClientAttemptId,
+        call: &PlannedCall,
+        class: &RequestClass,
+        at: Micros,
+    ) {
         self.recorder.record_at(
             at,
             TraceEvent::RequestSent {
@@ -148,7 +161,7 @@
             group: call.group,
             class: class.name.clone(),
             time_left_us: class.deadline,
-            size: self.scenario.sizes_told.then_some(call.size),
+            size: self.scenario.dispatchers.knows_sizes.then_some(call.size),
             trace: id.trace(),
             idempotency_key: if class.idempotency == Idempotency::Idempotent {
                 String::new()
@@ -183,15 +196,25 @@
                         retry_after: e.retry_after_us,
                     });
                 }
-                ResponsePart::End(CallEnd::Error(_)) if size.is_some() => return Some(ClientOutcome::Truncated),
+                ResponsePart::End(CallEnd::Error(_)) if size.is_some() => {
+                    return Some(ClientOutcome::Truncated)
+                }
                 ResponsePart::End(CallEnd::Error(_)) => return Some(ClientOutcome::Failed),
-                ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => return Some(ClientOutcome::ConnectionLost),
+                ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent) => {
+                    return Some(ClientOutcome::ConnectionLost)
+                }
             }
         }
         Some(ClientOutcome::ConnectionLost)
     }
 
-    async fn http(&self, target: &Target, id: ClientAttemptId, call: &PlannedCall, class: &RequestClass) -> Option<ClientOutcome> {
+    async fn http(
+        &self,
+        target: &Target,
+        id: ClientAttemptId,
+        call: &PlannedCall,
+        class: &RequestClass,
+    ) -> Option<ClientOutcome> {
         let (connection, strays) = target.pool.take(&self.net, target.http).await;
         for _ in 0..strays {
             self.recorder.record(TraceEvent::UnexpectedResponse {
@@ -242,7 +265,9 @@
                                 stale: old,
                             }
                         }
-                        503 => ClientOutcome::Rejected { retry_after: come_back },
+                        503 => ClientOutcome::Rejected {
+                            retry_after: come_back,
+                        },
                         _ => ClientOutcome::Failed,
                     });
                 }
--- a/crates/testbed/src/day/control.rs
+++ b/crates/testbed/src/day/control.rs
@@ -1,11 +1,11 @@
 //! The control stand-in: tells dispatchers what the book says, when it says so.
-use pointspindle_scenario::fault_injection::InjectedFault;
-use pointspindle_fleet_model::control_plane::{self, ControlPlane, ListedEndpoint, ControlUpdate};
-use pointspindle_audit::trace::{Recorder, TraceEvent};
 use crate::sockets::EmulatedHosts;
 use pointspindle::{Micros, ObjectId};
+use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_fleet_model::control_plane::{self, ControlPlane, ControlUpdate, ListedEndpoint};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
+use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Network};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -107,7 +107,9 @@
             ControlUpdate::Purge { object, group, at } => {
                 let number = object.as_deref().map(|o| ObjectId::named(o).0);
                 // Of a group: what every object of it has at least.
-                let version_from = self.stage.with_model(|w| w.current_version(number.unwrap_or(0), group));
+                let version_from = self
+                    .stage
+                    .with_model(|w| w.current_version(number.unwrap_or(0), group));
                 let age_us = now.saturating_sub(at);
                 let head = PurgeHead {
                     object,
@@ -152,7 +154,8 @@
             let (kind, zone, weight) = self.members.get(&host)?;
             Some((kind.as_str(), zone.as_str(), *weight))
         };
-        let told = control_plane::list_update(dispatcher, form, seq, &lines, now, self.plant, member);
+        let told =
+            control_plane::list_update(dispatcher, form, seq, &lines, now, self.plant, member);
         (Frame::EndpointList(told.head), told.event, told.withheld)
     }
 }
--- a/crates/testbed/src/day/mod.rs
+++ b/crates/testbed/src/day/mod.rs
@@ -8,22 +8,22 @@
 mod relay;
 mod task;
 
-use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
-use pointspindle_fleet_model::control_plane::{ControlPlane, ListedEndpoint};
-use pointspindle_cache_model::{HostSpec, ModelInput, Role, CacheModel};
-use pointspindle_audit::trace::{Recorder, TraceEvent, TraceEntry};
-use pointspindle_scenario::script::{purge_groups, ListedState};
-use pointspindle_scenario::{derive_seed, Scenario, Script, ScriptStep, Traffic};
-use crate::sockets::{LedgerFactory, EmulatedHosts, EmulatedHostsOptions, Walls, EPOCH};
+use crate::sockets::{EmulatedHosts, EmulatedHostsOptions, LedgerFactory, Walls, EPOCH};
 use by_etcd::{ByEtcd, Flapping};
 use clients::{Clients, Target};
 use control::{Control, News};
 use pointspindle::{Micros, ObjectId};
+use pointspindle_audit::trace::{Recorder, TraceEntry, TraceEvent};
+use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
+use pointspindle_cache_model::{CacheModel, HostSpec, ModelInput, Role};
+use pointspindle_fleet_model::control_plane::{ControlPlane, ListedEndpoint};
+use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_scenario::script::{purge_groups, ListedState};
+use pointspindle_scenario::{derive_seed, Scenario, Script, ScriptStep, Traffic};
 use pointspindle_transport::simulated::SimulatedNetwork;
 use pointspindle_transport::Network;
 use process::{source_ip, Process};
-use pointspindle_fleet_model::purge_propagation::purge_drop_delay;
-use pointspindle_scenario::fault_injection::InjectedFault;
 use std::collections::HashMap;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -98,7 +98,14 @@
     folder: &Path,
     plant: Option<InjectedFault>,
 ) -> Result<Outcome, TestbedError> {
-    if matches!(plant, Some(InjectedFault::DuplicateAttempts | InjectedFault::DropResponses | InjectedFault::DelayResponses)) {
+    if matches!(
+        plant,
+        Some(
+            InjectedFault::DuplicateAttempts
+                | InjectedFault::DropResponses
+                | InjectedFault::DelayResponses
+        )
+    ) {
         return Err(TestbedError::Io(std::io::Error::other(
             "this plant is a relay between real sockets",
         )));
@@ -111,7 +118,10 @@
         .start_paused(true)
         .build()?;
     runtime.block_on(async {
-        let net = SimulatedNetwork::new(scenario.weather, derive_seed(scenario.seed, "network"));
+        let net = SimulatedNetwork::new(
+            scenario.network.simulated,
+            derive_seed(scenario.seed, "network"),
+        );
         play(
             scenario,
             &Rig::Shell(net),
@@ -208,23 +218,16 @@
     let mut planted = scenario.clone();
     if let Rig::Shell(_) = rig {
         // What is on its way when somebody decides otherwise arrives all the same, and so late at most.
-        let w = scenario.weather;
+        let w = scenario.network.simulated;
         let resent = if w.loss > 0.0 {
             2 * w.resend
         } else {
             Duration::ZERO
         };
-        planted.rules.timing_tolerance += (w.latency + w.jitter + resent).as_micros() as Micros;
+        planted.limits.rules.timing_tolerance +=
+            (w.latency + w.jitter + resent).as_micros() as Micros;
     }
-    let planted = match plant {
-        Some(InjectedFault::HideRestart) => planted.with_hidden_restarts(),
-        Some(InjectedFault::MiscountDispatchers) => Scenario {
-            told_alone: true,
-            ..planted
-        },
-        _ => planted,
-    };
-    let scenario = &planted;
+    let scenario = &planted.with_injected_fault(plant);
     let hosts = scenario.hosts(|n| rig.member_address(n));
     let script = Script::generate(scenario, &hosts, |n| rig.member_address(n));
     let traffic = Traffic::generate(scenario);
@@ -233,7 +236,7 @@
         net: rig.net(),
         ..Default::default()
     };
-    if scenario.hello {
+    if scenario.dispatchers.uses_hello {
         let of = scenario.clone();
         let make = move |role, weight, started| of.work_ledger(role, weight, started);
         options.hello = Some(LedgerFactory(Arc::new(make)));
@@ -289,7 +292,7 @@
     stage.start().await?;
 
     let dispatchers = scenario.dispatcher_count();
-    let mut book = ControlPlane::new(scenario.rules, &hosts, dispatchers, scenario.seed);
+    let mut book = ControlPlane::new(scenario.limits.rules, &hosts, dispatchers, scenario.seed);
     if plant == Some(InjectedFault::DuplicateAttempts) {
         let to: SocketAddr = hosts[0].address.parse().map_err(std::io::Error::other)?;
         let relay = relay::doubling(to, member_ip(5_000)).await?;
@@ -332,13 +335,14 @@
         // Half of the day passes first, so that the rest of it is as always.
         let from = recorder.now() + scenario.duration() / 3;
         let shortest = scenario
+            .workload
             .classes
             .iter()
             .map(|c| c.deadline)
             .min()
             .unwrap_or(0);
-        let delay =
-            Duration::from_micros(shortest + scenario.rules.timing_tolerance) + Duration::from_millis(400);
+        let delay = Duration::from_micros(shortest + scenario.limits.rules.timing_tolerance)
+            + Duration::from_millis(400);
         match plant {
             Some(InjectedFault::DropResponses) if number == 0 => {
                 http = relay::bytes(http, relay::Answers::Swallow, from, recorder.clone()).await?;
@@ -402,10 +406,10 @@
     stopped.await?;
     let late = lateness.load(Ordering::Relaxed);
     let rig_late_ms = late as f64 / 1e3;
-    if late > scenario.rules.timing_tolerance {
+    if late > scenario.limits.rules.timing_tolerance {
         return Err(TestbedError::Late(
             rig_late_ms,
-            scenario.rules.timing_tolerance as f64 / 1e3,
+            scenario.limits.rules.timing_tolerance as f64 / 1e3,
         ));
     }
     let mut sights = recorder.take_entries();
@@ -488,14 +492,19 @@
     for (at, step) in &script.steps {
         sleep_to(recorder, began, *at).await;
         match step {
-            ScriptStep::Note(text) => recorder.record(TraceEvent::ScriptNote { text: text.clone() }),
+            ScriptStep::Note(text) => {
+                recorder.record(TraceEvent::ScriptNote { text: text.clone() })
+            }
             ScriptStep::Fault { host, fault } => {
                 stage.apply(ModelInput::Fault {
                     host: *host,
                     fault: fault.clone().delayed_by(shift),
                 });
             }
-            ScriptStep::EndpointUpdate { host, state: listed } => {
+            ScriptStep::EndpointUpdate {
+                host,
+                state: listed,
+            } => {
                 let (start, started) = stage.with_model(|w| w.incarnation(*host));
                 let started = started.map(|at| at - EPOCH);
                 let address = stage.address_of(*host);
@@ -525,7 +534,10 @@
             | ScriptStep::StopDispatcher { dispatcher }
                 if !processes[*dispatcher].is_up() => {}
             ScriptStep::StartDispatcher { dispatcher } if processes[*dispatcher].is_up() => {}
-            ScriptStep::PauseDispatcher { dispatcher, paused: hung } => {
+            ScriptStep::PauseDispatcher {
+                dispatcher,
+                paused: hung,
+            } => {
                 processes[*dispatcher].hang(*hung).await?;
                 recorder.record(TraceEvent::DispatcherPaused {
                     dispatcher: *dispatcher,
@@ -541,7 +553,11 @@
                 });
                 processes[*dispatcher].tell_to_stop().await?;
             }
-            ScriptStep::ZonePartition { zone, directions: ways, .. } => {
+            ScriptStep::ZonePartition {
+                zone,
+                directions: ways,
+                ..
+            } => {
                 recorder.record(TraceEvent::ZonePartitioned {
                     zone: *zone,
                     partitioned: ways.is_some(),
@@ -570,11 +586,20 @@
                     dispatcher: *dispatcher,
                 });
             }
-            ScriptStep::Reachability { host, reachable: true } => {
+            ScriptStep::Reachability {
+                host,
+                reachable: true,
+            } => {
                 stage.open_way(*host).await?;
             }
-            ScriptStep::Reachability { host, reachable: false } => stage.cut_way(*host),
-            ScriptStep::Partition { host, partitioned: parted } => {
+            ScriptStep::Reachability {
+                host,
+                reachable: false,
+            } => stage.cut_way(*host),
+            ScriptStep::Partition {
+                host,
+                partitioned: parted,
+            } => {
                 let (Rig::Shell(net), Ok(at)) =
                     (rig, stage.address_of(*host).parse::<SocketAddr>())
                 else {
--- a/crates/testbed/src/day/process.rs
+++ b/crates/testbed/src/day/process.rs
@@ -1,6 +1,6 @@
 //! Dispatchers as processes of their own.
-use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
 use super::{loopback, TestbedError};
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
 use pointspindle_scenario::Scenario;
 use std::net::{IpAddr, SocketAddr};
 use std::path::{Path, PathBuf};
--- a/crates/testbed/src/day/relay.rs
+++ b/crates/testbed/src/day/relay.rs
@@ -1,6 +1,6 @@
 //! Relays that break a rule between an unchanged dispatcher and its peers.
-use pointspindle_audit::trace::Recorder;
 use pointspindle::Micros;
+use pointspindle_audit::trace::Recorder;
 use pointspindle_protocol::streams::Side;
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Inbound, ResponsePart};
 use std::net::{IpAddr, SocketAddr};
--- a/crates/testbed/src/day/task.rs
+++ b/crates/testbed/src/day/task.rs
@@ -1,9 +1,9 @@
 //! Dispatchers in this process, on the simulated network: the same shell, another carrier.
 use super::process::{listen_ip, source_ip, Process};
-use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
 use super::TestbedError;
-use pointspindle_scenario::Scenario;
 use pointspindle_dispatcher::Dispatcher;
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use pointspindle_scenario::Scenario;
 use pointspindle_transport::simulated::SimulatedNetwork;
 use pointspindle_transport::Network;
 use std::net::SocketAddr;
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,8 +1,8 @@
 //! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
+use crate::sockets::{EmulatedHosts, EmulatedHostsOptions};
+use pointspindle_audit::trace::Recorder;
 use pointspindle_cache_model::cold::WarmUpSpec;
 use pointspindle_cache_model::*;
-use pointspindle_audit::trace::Recorder;
-use crate::sockets::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle_protocol::EndpointRecord;
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
@@ -105,7 +105,12 @@
     };
     let lines = hosts.iter().map(line).collect();
     let world = CacheModel::new(spec, hosts, Box::new(catalogue), 1);
-    let stage = EmulatedHosts::new(world, classes, Recorder::default(), EmulatedHostsOptions::default());
+    let stage = EmulatedHosts::new(
+        world,
+        classes,
+        Recorder::default(),
+        EmulatedHostsOptions::default(),
+    );
     stage.start().await?;
     Ok((stage, lines))
 }
--- a/crates/testbed/src/sockets/fills.rs
+++ b/crates/testbed/src/sockets/fills.rs
@@ -2,17 +2,29 @@
 use super::stage::EmulatedHosts;
 use super::words;
 use crate::content::Checker;
-use pointspindle_cache_model::{ModelResponse, CachedCopy, FillId, HostId, ModelInput, FillOutcome, ModelRequest};
 use pointspindle::Micros;
+use pointspindle_cache_model::{
+    CachedCopy, FillId, FillOutcome, HostId, ModelInput, ModelRequest, ModelResponse,
+};
 use pointspindle_protocol::ResponseHead;
 use pointspindle_transport::{CallEnd, ResponsePart};
 
 /// Longest wait that a fill tells its source; the world gives up earlier by itself.
 const LEFT_US: u64 = 10_000_000;
 
-pub(crate) async fn run(stage: EmulatedHosts, host: HostId, fill: FillId, source: String, wanted: ModelRequest) {
+pub(crate) async fn run(
+    stage: EmulatedHosts,
+    host: HostId,
+    fill: FillId,
+    source: String,
+    wanted: ModelRequest,
+) {
     let end = ask(&stage, host, fill, &source, &wanted).await;
-    stage.apply(ModelInput::FillEnded { host, fill, outcome: end });
+    stage.apply(ModelInput::FillEnded {
+        host,
+        fill,
+        outcome: end,
+    });
 }
 
 async fn ask(
@@ -37,7 +49,11 @@
             ResponsePart::Head(head) => {
                 bodyless = head.not_modified || head.origin_status != 0 || head.size == Some(0);
                 let answer = answer(asked, &head, wanted);
-                stage.apply(ModelInput::FillResponse { host, fill, response: answer });
+                stage.apply(ModelInput::FillResponse {
+                    host,
+                    fill,
+                    response: answer,
+                });
             }
             ResponsePart::Data(data) => checker.take(&data),
             ResponsePart::End(CallEnd::Complete(_)) => {
--- a/crates/testbed/src/sockets/member.rs
+++ b/crates/testbed/src/sockets/member.rs
@@ -2,8 +2,8 @@
 use super::stage::{EmulatedHosts, Word};
 use super::words::{self, Cut};
 use crate::content::Body;
+use pointspindle_audit::trace::{AttemptOutcome, ClientAttemptId, TraceEvent};
 use pointspindle_cache_model::{HostId, ModelInput};
-use pointspindle_audit::trace::{AttemptOutcome, TraceEvent, ClientAttemptId};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
 use pointspindle_transport::{
@@ -136,13 +136,16 @@
             });
         }
         if let Some((host, id, attempt, by)) = self.gone.take() {
-            self.stage.inner().recorder.record(TraceEvent::AttemptEnded {
-                host,
-                id,
-                attempt,
-                dispatcher: by,
-                outcome: self.how,
-            });
+            self.stage
+                .inner()
+                .recorder
+                .record(TraceEvent::AttemptEnded {
+                    host,
+                    id,
+                    attempt,
+                    dispatcher: by,
+                    outcome: self.how,
+                });
         }
     }
 }
--- a/crates/testbed/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -5,5 +5,5 @@
 mod wall;
 pub(crate) mod words;
 
-pub use stage::{LedgerFactory, EmulatedHosts, EmulatedHostsOptions, EPOCH};
+pub use stage::{EmulatedHosts, EmulatedHostsOptions, LedgerFactory, EPOCH};
 pub use wall::Walls;
--- a/crates/testbed/src/sockets/stage.rs
+++ b/crates/testbed/src/sockets/stage.rs
@@ -1,14 +1,14 @@
 //! The world behind a lock, its clock, and the way of what it wants to the sockets' tasks.
 use super::wall::Walls;
-use pointspindle_fleet_model::leases::lease_head;
 use super::{fills, member};
-use pointspindle_cache_model::*;
-use pointspindle_audit::trace::{Recorder, TraceEvent};
-use pointspindle_scenario::derive_seed;
 use pointspindle::Micros;
+use pointspindle_audit::trace::{Recorder, TraceEvent};
 use pointspindle_cache_host::lease::{Grant, UserId, WorkLedger};
+use pointspindle_cache_model::*;
+use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead, LeaseHead};
+use pointspindle_scenario::derive_seed;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Network, Socket};
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, SocketAddr};
@@ -179,9 +179,19 @@
         locked.words.insert(job, (host, sender));
         if let Some((ledger, _)) = locked.ledgers.get_mut(&host) {
             let class = self.inner.classes.get(wanted.class);
-            ledger.record_arrival(user, class.map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6));
+            ledger.record_arrival(
+                user,
+                class.map_or(0.0, |c| c.mean_transfer_time as f64 / 1e6),
+            );
         }
-        self.handle(locked, ModelInput::Arrive { host, job, request: wanted });
+        self.handle(
+            locked,
+            ModelInput::Arrive {
+                host,
+                job,
+                request: wanted,
+            },
+        );
         (job, words)
     }
 
@@ -195,7 +205,11 @@
         locked.world.handle(now, input, &mut out);
         for wish in out.drain(..) {
             let (job, word) = match wish {
-                ModelOutput::ResponseStart { job, response: answer, .. } => (job, Word::Start(answer)),
+                ModelOutput::ResponseStart {
+                    job,
+                    response: answer,
+                    ..
+                } => (job, Word::Start(answer)),
                 ModelOutput::ResponseEnd { job, .. } => (job, Word::Finish),
                 ModelOutput::Reject {
                     job,
@@ -257,13 +271,19 @@
                         cold: true,
                         incarnation: start,
                     });
-                    let (role, weight) =
-                        (locked.world.host_spec(host).role, locked.world.host_spec(host).weight);
+                    let (role, weight) = (
+                        locked.world.host_spec(host).role,
+                        locked.world.host_spec(host).weight,
+                    );
                     let make = self.inner.options.hello.as_ref();
                     let ledger = make.and_then(|make| (make.0)(role, weight, now));
                     if let Some(ledger) = ledger {
                         locked.ledgers.insert(host, (ledger, HashMap::new()));
-                        tokio::spawn(lease_out(self.clone(), host, locked.world.incarnation(host).0));
+                        tokio::spawn(lease_out(
+                            self.clone(),
+                            host,
+                            locked.world.incarnation(host).0,
+                        ));
                     }
                     let stage = self.clone();
                     tokio::spawn(async move {
--- a/crates/testbed/src/sockets/wall.rs
+++ b/crates/testbed/src/sockets/wall.rs
@@ -2,8 +2,8 @@
 //!
 //! As with packets that are lost on the way: connections stay open, what was sent arrives once the way is open again. New
 //! connections are taken by the system all the same; nothing comes over them.
-use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_fleet_model::partition::passes;
+use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_transport::Socket;
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/testbed/src/sockets/words.rs
+++ b/crates/testbed/src/sockets/words.rs
@@ -1,6 +1,6 @@
 //! Frames' heads in the model's terms, and back.
-use pointspindle_cache_model::{ModelResponse, ClassModel, ModelRequest};
 use pointspindle::ObjectId;
+use pointspindle_cache_model::{ClassModel, ModelRequest, ModelResponse};
 use pointspindle_protocol::range::{Range, ResolvedRange};
 use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
 use std::sync::Arc;
--- a/crates/testbed/tests/shell.rs
+++ b/crates/testbed/tests/shell.rs
@@ -1,10 +1,10 @@
 //! The real shell on a simulated network under a paused clock: what sockets cannot be made to do on purpose (loss, partitions that
 //! tell nobody) and a day in the time of its work. The rules are kept, a planted fault is found, and it agrees with the cores in
 //! virtual time where both play the same day.
-use pointspindle_testbed::day;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{self as scenario, Scenario};
 use pointspindle_simulator as simulator;
+use pointspindle_testbed::day;
 use std::path::Path;
 
 fn load(name: &str, seed: u64) -> Scenario {
@@ -49,7 +49,10 @@
 #[test]
 fn a_planted_fault_is_found_on_the_simulated_network() {
     let day = load("bad-day.ini", 7).scaled_to(14.0);
-    for (plant, name) in [(InjectedFault::WithholdDrain, "drains"), (InjectedFault::IgnorePurge, "purges")] {
+    for (plant, name) in [
+        (InjectedFault::WithholdDrain, "drains"),
+        (InjectedFault::IgnorePurge, "purges"),
+    ] {
         let out = play(&day, Some(plant));
         let rule = out.rules.iter().find(|r| r.name == name).unwrap();
         assert!(!rule.violations.is_empty(), "{name}: nothing found");
--- a/crates/testbed/tests/sockets.rs
+++ b/crates/testbed/tests/sockets.rs
@@ -1,11 +1,11 @@
 //! Members on sockets: what their answers claim of their copies must be true.
-use pointspindle_testbed::content::Checker;
-use pointspindle_testbed::demo::{free_address, plain_host};
-use pointspindle_cache_model::*;
 use pointspindle_audit::trace::Recorder;
-use pointspindle_testbed::sockets::{EmulatedHosts, EmulatedHostsOptions};
+use pointspindle_cache_model::*;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{FetchHead, RequestHead};
+use pointspindle_testbed::content::Checker;
+use pointspindle_testbed::demo::{free_address, plain_host};
+use pointspindle_testbed::sockets::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
 use std::time::Duration;
 
