--- /dev/null
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -0,0 +1,129 @@
+//! What `get` and `load` call a dispatcher with.
+use crate::exit::CommandError;
+use pointspindle_client::{CertificateFiles, Client, Request, RetryRules, TrustAnchors};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+
+/// Why something is not the URL of an object.
+#[derive(Debug, thiserror::Error)]
+pub enum UrlError {
+    /// No scheme.
+    #[error("it begins with http:// or pspn://")]
+    NoScheme,
+    /// Another scheme.
+    #[error("{0}:// is not spoken here; http, https, pspn and pspns are")]
+    UnknownScheme(String),
+    /// Nothing after the address.
+    #[error("no path after the address")]
+    NoPath,
+    /// A name, or no port.
+    #[error("{0:?} is not an address and port, such as 127.0.0.1:8080")]
+    Address(String),
+}
+
+/// The protocol that a dispatcher is called by.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Protocol {
+    Http,
+    Framed,
+}
+
+/// `http://ADDRESS:PORT/PATH`, or `pspn://ADDRESS:PORT/PATH` for the framed protocol; `https` and `pspns` by TLS.
+#[derive(Clone, Debug)]
+pub struct Url {
+    protocol: Protocol,
+    uses_tls: bool,
+    address: SocketAddr,
+    path: String,
+}
+
+impl std::str::FromStr for Url {
+    type Err = UrlError;
+
+    fn from_str(text: &str) -> Result<Self, UrlError> {
+        let (scheme, rest) = text.split_once("://").ok_or(UrlError::NoScheme)?;
+        let (protocol, uses_tls) = match scheme {
+            "http" => (Protocol::Http, false),
+            "https" => (Protocol::Http, true),
+            "pspn" => (Protocol::Framed, false),
+            "pspns" => (Protocol::Framed, true),
+            other => return Err(UrlError::UnknownScheme(other.to_owned())),
+        };
+        let slash = rest.find('/').ok_or(UrlError::NoPath)?;
+        let (address, path) = rest.split_at(slash);
+        let address = address
+            .parse()
+            .map_err(|_| UrlError::Address(address.to_owned()))?;
+        Ok(Self {
+            protocol,
+            uses_tls,
+            address,
+            path: path.to_owned(),
+        })
+    }
+}
+
+/// Arguments of all commands that call a dispatcher.
+#[derive(clap::Args)]
+pub struct ClientArguments {
+    /// Further dispatchers of the same branch, at listeners of the same kind.
+    #[arg(long = "also", value_name = "ADDRESS:PORT")]
+    also: Vec<SocketAddr>,
+    /// The class, by the framed protocol; by HTTP the path decides.
+    #[arg(long, default_value = "test-page")]
+    class: String,
+    /// Longest wait for the complete response, milliseconds.
+    #[arg(long, default_value_t = 5_000)]
+    deadline_ms: u64,
+    /// Attempts, the first included.
+    #[arg(long, default_value_t = 4)]
+    tries: u32,
+    /// PEM of the authority whose certificates are believed; https and pspns need one.
+    #[arg(long, value_name = "FILE")]
+    authority: Option<PathBuf>,
+    /// Own certificate, where dispatchers ask for one.
+    #[arg(long, value_name = "FILE", requires = "key")]
+    certificate: Option<PathBuf>,
+    /// Key of the own certificate.
+    #[arg(long, value_name = "FILE", requires = "certificate")]
+    key: Option<PathBuf>,
+    /// The name in the dispatchers' certificates; the address by default.
+    #[arg(long)]
+    server_name: Option<String>,
+}
+
+impl ClientArguments {
+    /// A client of the dispatchers at this URL.
+    pub fn client(&self, url: &Url) -> Result<Client, CommandError> {
+        let addresses = std::iter::once(url.address).chain(self.also.iter().copied());
+        let mut builder = Client::builder().retries(RetryRules {
+            most: self.tries.max(1),
+            ..RetryRules::default()
+        });
+        if url.uses_tls {
+            builder = builder.tls(self.trust_anchors()?, self.server_name.clone());
+        }
+        let builder = match url.protocol {
+            Protocol::Framed => builder.framed(addresses),
+            Protocol::Http => builder.http(addresses),
+        };
+        Ok(builder.build()?)
+    }
+
+    fn trust_anchors(&self) -> Result<TrustAnchors, CommandError> {
+        let authority = self
+            .authority
+            .as_ref()
+            .ok_or("https and pspns need --authority")?;
+        let files = self.certificate.clone().zip(self.key.clone());
+        let identity = files.map(|(certificate, key)| CertificateFiles { certificate, key });
+        Ok(TrustAnchors::load(authority, identity.as_ref())?)
+    }
+
+    /// A request for the object at this URL.
+    pub fn request(&self, url: &Url) -> Request {
+        let deadline = Duration::from_millis(self.deadline_ms.max(1));
+        Request::get(url.path.clone(), self.class.clone(), deadline)
+    }
+}
--- /dev/null
+++ b/crates/cli/src/commands/completions.rs
@@ -0,0 +1,18 @@
+//! `pointspindle completions`.
+use crate::exit::CommandResult;
+use crate::Arguments;
+use clap::CommandFactory;
+use clap_complete::Shell;
+use std::io::Write;
+
+/// Writes the completions of a shell on standard output.
+pub fn completions(shell: Shell) -> CommandResult {
+    let mut script = Vec::new();
+    clap_complete::generate(
+        shell,
+        &mut Arguments::command(),
+        "pointspindle",
+        &mut script,
+    );
+    Ok(std::io::stdout().write_all(&script)?)
+}
--- /dev/null
+++ b/crates/cli/src/commands/etcd_access.rs
@@ -0,0 +1,170 @@
+//! Endpoint lists and purges through etcd, for all dispatchers that follow it.
+use crate::exit::{CommandError, CommandResult};
+use crate::output::endpoint_list::endpoint_line;
+use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
+use pointspindle_etcd::writer::{self, Promise};
+use pointspindle_etcd::{feed, Access, Etcd, Output, View, Watcher, WatcherSettings};
+use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord};
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::time::Duration;
+
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
+/// Time for the first view, where it is shown once.
+const VIEW_TIMEOUT: Duration = Duration::from_secs(5);
+/// Dispatchers that are named of those without a promise.
+const MAX_NAMED: usize = 5;
+
+/// How etcd is reached.
+#[derive(clap::Args)]
+pub struct EtcdArguments {
+    /// Through etcd, for all dispatchers that follow it: http://ADDRESS:PORT, several with commas; https with --authority.
+    #[arg(long = "etcd", id = "etcd", value_name = "URL", value_delimiter = ',')]
+    endpoints: Vec<String>,
+    /// Keys begin with this, then /v1/.
+    #[arg(long, default_value = "/pointspindle")]
+    prefix: String,
+    /// PEM of the authority of etcd's certificates.
+    #[arg(long, value_name = "FILE")]
+    authority: Option<PathBuf>,
+    /// User, with the password in the first line of --password-file.
+    #[arg(long, requires = "password_file")]
+    user: Option<String>,
+    /// File with the user's password.
+    #[arg(long, value_name = "FILE")]
+    password_file: Option<PathBuf>,
+}
+
+impl EtcdArguments {
+    /// Whether the command goes through etcd.
+    pub fn is_used(&self) -> bool {
+        !self.endpoints.is_empty()
+    }
+
+    fn open(&self) -> Result<Etcd, CommandError> {
+        let access = Access {
+            endpoints: self.endpoints.clone(),
+            authority: self.authority.clone(),
+            identity: None,
+            user: self.user.clone().zip(self.password_file.clone()),
+        };
+        Ok(Etcd::new(&access, REQUEST_TIMEOUT)?)
+    }
+
+    /// Purges; with `waits`, returns once that is in force everywhere.
+    pub async fn purge(&self, object: Option<String>, group: u64, waits: bool) -> CommandResult {
+        let etcd = self.open()?;
+        let revision = writer::purge(&etcd, &self.prefix, &PurgeRecord { object, group }).await?;
+        println!("purged at revision {revision}");
+        // Read after the write: a dispatcher that registers from now on has read the purge.
+        let promise = writer::promise(&etcd, &self.prefix).await?;
+        if promise.dispatchers == 0 || !promise.without.is_empty() {
+            print_missing_promise(&promise);
+            return if waits {
+                Err(CommandError::Negative)
+            } else {
+                Ok(())
+            };
+        }
+        println!(
+            "in force at all {} dispatchers within {} ms of that, by their own promise",
+            promise.dispatchers, promise.within_ms
+        );
+        if waits {
+            tokio::time::sleep(Duration::from_millis(promise.within_ms)).await;
+            println!("in force everywhere");
+        }
+        Ok(())
+    }
+
+    /// Rewrites an endpoint's record. `change`: the new record for the old one; none: it is removed.
+    pub async fn update_endpoint(
+        &self,
+        address: &str,
+        change: impl Fn(Option<MemberRecord>) -> Result<Option<MemberRecord>, String>,
+    ) -> CommandResult {
+        let etcd = self.open()?;
+        let revision = writer::member(&etcd, &self.prefix, address, change).await?;
+        println!("{address}: written at revision {revision}");
+        Ok(())
+    }
+
+    /// Prints the view as dispatchers see it, once or until it is interrupted.
+    pub async fn show(&self, goes_on: bool) -> CommandResult {
+        let etcd = self.open()?;
+        let seed = u64::from(std::process::id());
+        let watcher = Watcher::new(&self.prefix, WatcherSettings::default(), 0, seed);
+        let mut view = ShownView::default();
+        let followed = feed::run(etcd, self.prefix.clone(), watcher, move |output| {
+            let is_list = matches!(output, Output::EndpointList(_));
+            view.print(output);
+            goes_on || !is_list
+        });
+        tokio::select! {
+            () = followed => Ok(()),
+            () = tokio::time::sleep(VIEW_TIMEOUT), if !goes_on => {
+                Err(CommandError::CannotRun("etcd does not answer".into()))
+            }
+            _ = tokio::signal::ctrl_c() => Ok(()),
+        }
+    }
+}
+
+fn print_missing_promise(promise: &Promise) {
+    let named: Vec<&str> = promise
+        .without
+        .iter()
+        .take(MAX_NAMED)
+        .map(String::as_str)
+        .collect();
+    let names = match named[..] {
+        [] => String::new(),
+        _ => format!(": {} ...", named.join(", ")),
+    };
+    println!(
+        "no time can be told: {} of {} dispatchers promise none (purge_within_ms){names}",
+        promise.without.len(),
+        promise.dispatchers
+    );
+}
+
+/// The endpoints that were printed.
+#[derive(Default)]
+struct ShownView {
+    endpoints: BTreeMap<String, EndpointRecord>,
+}
+
+impl ShownView {
+    fn print(&mut self, output: Output) {
+        match output {
+            Output::EndpointList(head) => self.print_list(&head),
+            Output::Purge(head) => match head.object {
+                Some(object) => println!("purge of {object}"),
+                None => println!("purge of group {}", head.group),
+            },
+            Output::Dispatchers(dispatchers) => {
+                let names: Vec<String> = dispatchers.keys().cloned().collect();
+                println!("dispatchers: {}", names.join(", "));
+            }
+            Output::UpdatesMissed { initial: false, .. } => {
+                println!("history is lost: everything counts as purged");
+            }
+            Output::InvalidKey(error) => println!("not used: {error}"),
+            Output::View(View::Stale) => println!("the view is stale"),
+            Output::View(View::Current) => println!("the view is current"),
+            _ => {}
+        }
+    }
+
+    fn print_list(&mut self, head: &EndpointListHead) {
+        if head.form() == EndpointListForm::Full {
+            self.endpoints.clear();
+        }
+        for endpoint in &head.endpoints {
+            self.endpoints
+                .insert(endpoint.address.clone(), endpoint.clone());
+            println!("{}", endpoint_line(endpoint));
+        }
+        println!("list {}, {} members", head.seq, self.endpoints.len());
+    }
+}
--- /dev/null
+++ b/crates/cli/src/commands/lab/compare.rs
@@ -0,0 +1,221 @@
+//! `pointspindle lab compare`.
+use super::seeds::Seeds;
+use super::sweep::{checked_text, job_count};
+use crate::exit::{negative_if, CommandError, CommandResult};
+use pointspindle_report::compare::{self, Figures, Pair};
+use pointspindle_report::html;
+use pointspindle_report::sweep::{self, Cell, Source};
+use pointspindle_scenario::SettingOverride;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+
+/// Runs that are named on which B lost most, and of those on which it won most.
+const NAMED_RUNS: usize = 3;
+
+/// Arguments of `lab compare`.
+#[derive(clap::Args)]
+pub struct CompareArguments {
+    /// One or more.
+    #[arg(required = true)]
+    scenarios: Vec<PathBuf>,
+    /// Such as 1..20 or 3,5,9.
+    #[arg(long, default_value = "1..10")]
+    seeds: Seeds,
+    /// A value for A; may be given several times.
+    #[arg(long = "a", value_name = "SECTION.KEY=VALUE")]
+    overrides_a: Vec<SettingOverride>,
+    /// A value for B; may be given several times.
+    #[arg(long = "b", value_name = "SECTION.KEY=VALUE")]
+    overrides_b: Vec<SettingOverride>,
+    /// Another build of this program that plays A; this one by default.
+    #[arg(long)]
+    program_a: Option<PathBuf>,
+    /// Another build of this program that plays B; this one by default.
+    #[arg(long)]
+    program_b: Option<PathBuf>,
+    /// Runs at once; as many as there are cores by default.
+    #[arg(long)]
+    jobs: Option<usize>,
+    /// Where the report and the pairs go.
+    #[arg(long)]
+    out: Option<PathBuf>,
+}
+
+/// One of the two that are compared.
+struct Variant<'a> {
+    overrides: &'a [SettingOverride],
+    program: Option<&'a Path>,
+}
+
+/// Plays two variants on the same runs and prints the difference.
+pub fn compare(arguments: CompareArguments) -> CommandResult {
+    let pairs = play_pairs(&arguments)?;
+    let verdict = compare::words(&pairs);
+    for line in &verdict {
+        println!("{line}");
+    }
+    print_extremes(&pairs);
+    if let Some(out) = &arguments.out {
+        write_report(out, &pairs, &verdict)?;
+    }
+    negative_if(pairs.iter().any(|pair| pair.b.breaches > pair.a.breaches))
+}
+
+fn play_pairs(arguments: &CompareArguments) -> Result<Vec<Pair>, CommandError> {
+    let a = Variant {
+        overrides: &arguments.overrides_a,
+        program: arguments.program_a.as_deref(),
+    };
+    let b = Variant {
+        overrides: &arguments.overrides_b,
+        program: arguments.program_b.as_deref(),
+    };
+    let seeds = &arguments.seeds.0;
+    let jobs = job_count(arguments.jobs);
+    let mut pairs = Vec::new();
+    for scenario in &arguments.scenarios {
+        let figures_a = a.play(scenario, seeds, jobs)?;
+        let figures_b = b.play(scenario, seeds, jobs)?;
+        for ((seed, a), b) in seeds.iter().zip(figures_a).zip(figures_b) {
+            let day = format!("{} seed {seed}", scenario.display());
+            pairs.push(Pair { day, a, b });
+        }
+    }
+    Ok(pairs)
+}
+
+impl Variant<'_> {
+    /// Plays a scenario with all seeds: here, or by another build as processes.
+    fn play(
+        &self,
+        scenario: &Path,
+        seeds: &[u64],
+        jobs: usize,
+    ) -> Result<Vec<Figures>, CommandError> {
+        match self.program {
+            Some(program) => self.play_by_program(program, scenario, seeds, jobs),
+            None => self.play_here(scenario, seeds, jobs),
+        }
+    }
+
+    fn play_here(
+        &self,
+        scenario: &Path,
+        seeds: &[u64],
+        jobs: usize,
+    ) -> Result<Vec<Figures>, CommandError> {
+        let text = checked_text(scenario, self.overrides)?;
+        let name = scenario.display().to_string();
+        let source = Source {
+            name: &name,
+            text: &text,
+        };
+        let cell = |seed: &u64| Cell {
+            seed: *seed,
+            sets: self.overrides.to_vec(),
+        };
+        let cells: Vec<Cell> = seeds.iter().map(cell).collect();
+        let played = sweep::run(&source, &cells, None, jobs, false)?;
+        Ok(played.into_iter().map(|run| run.figures).collect())
+    }
+
+    fn play_by_program(
+        &self,
+        program: &Path,
+        scenario: &Path,
+        seeds: &[u64],
+        jobs: usize,
+    ) -> Result<Vec<Figures>, CommandError> {
+        let mut figures = Vec::new();
+        for batch in seeds.chunks(jobs) {
+            let children: Vec<Child> = batch
+                .iter()
+                .map(|seed| self.start_program(program, scenario, *seed))
+                .collect::<Result<_, _>>()?;
+            for child in children {
+                figures.push(read_figures(program, child)?);
+            }
+        }
+        Ok(figures)
+    }
+
+    fn start_program(
+        &self,
+        program: &Path,
+        scenario: &Path,
+        seed: u64,
+    ) -> Result<Child, CommandError> {
+        let mut command = Command::new(program);
+        command
+            .args(["--log", "error", "lab", "run"])
+            .arg(scenario)
+            .args(["--virtual", "--json", "--seed"])
+            .arg(seed.to_string());
+        for setting in self.overrides {
+            command.arg("--set").arg(setting.to_string());
+        }
+        command
+            .stdout(Stdio::piped())
+            .spawn()
+            .map_err(|error| CommandError::CannotRun(format!("{}: {error}", program.display())))
+    }
+}
+
+/// The figures that another build prints of its run.
+fn read_figures(program: &Path, child: Child) -> Result<Figures, CommandError> {
+    let output = child.wait_with_output()?;
+    let json: serde_json::Value = serde_json::from_slice(&output.stdout).map_err(|error| {
+        CommandError::CannotRun(format!(
+            "{} did not answer with a run: {error}",
+            program.display()
+        ))
+    })?;
+    let number = |key: &str| json[key].as_f64().unwrap_or(0.0);
+    let rules = json["rules"].as_array().cloned().unwrap_or_default();
+    let violations: u64 = rules
+        .iter()
+        .filter_map(|rule| rule["breaches"].as_u64())
+        .sum();
+    Ok(Figures {
+        service: number("service"),
+        worst_10s: number("worst_10s"),
+        goal: number("goal"),
+        fallen: number("fallen") as usize,
+        breaches: violations as usize,
+        neighbours: number("neighbours"),
+        parents: number("parents"),
+    })
+}
+
+fn print_extremes(pairs: &[Pair]) {
+    let gain = |pair: &Pair| pair.b.service - pair.a.service;
+    let mut by_gain: Vec<&Pair> = pairs.iter().collect();
+    by_gain.sort_by(|x, y| gain(x).total_cmp(&gain(y)));
+    println!("days on which B lost and won most:");
+    for (rank, pair) in by_gain.iter().enumerate() {
+        if rank < NAMED_RUNS || rank + NAMED_RUNS >= by_gain.len() {
+            println!(
+                "  {:>4} {}: service {:.4} to {:.4}",
+                rank + 1,
+                pair.day,
+                pair.a.service,
+                pair.b.service
+            );
+        }
+    }
+}
+
+fn write_report(out: &Path, pairs: &[Pair], verdict: &[String]) -> CommandResult {
+    std::fs::create_dir_all(out)?;
+    std::fs::write(out.join("pairs.json"), serde_json::to_vec_pretty(pairs)?)?;
+    let figures_a: Vec<Figures> = pairs.iter().map(|pair| pair.a).collect();
+    let figures_b: Vec<Figures> = pairs.iter().map(|pair| pair.b).collect();
+    let rows = [
+        sweep::row("A".into(), &figures_a),
+        sweep::row("B".into(), &figures_b),
+    ];
+    let page = html::sweep("A and B on the same days", &rows, verdict)?;
+    std::fs::write(out.join("report.html"), page)?;
+    println!("{}", out.join("report.html").display());
+    Ok(())
+}
--- /dev/null
+++ b/crates/cli/src/commands/lab/scale.rs
@@ -0,0 +1,188 @@
+//! `pointspindle lab scale`.
+use crate::exit::{negative_if, CommandError, CommandResult};
+use crate::output::scale_report::{exceeded_budgets, print_runs};
+use crate::process::raise_descriptor_limit;
+use pointspindle_scale::slopes::{slopes, Slopes};
+use pointspindle_scale::steps::{machine_mb, play, Step};
+use pointspindle_scale::{parts, Target};
+use serde::de::DeserializeOwned;
+use std::collections::BTreeMap;
+use std::path::{Path, PathBuf};
+use std::time::SystemTime;
+
+/// Length of each phase, seconds.
+const MIN_SECONDS: f64 = 0.2;
+const MAX_SECONDS: f64 = 600.0;
+/// More hollow dispatchers than this are no rehearsal on one machine.
+const MAX_HOLLOW_DISPATCHERS: usize = 2_000;
+const MAX_RUNS: usize = 10;
+
+/// Arguments of `lab scale`.
+#[derive(clap::Args)]
+pub struct ScaleArguments {
+    /// The fleet ahead, its budgets and the shape of the run; see scenarios/fleet-ahead.ini.
+    target: PathBuf,
+    /// Hollow dispatchers at each step.
+    #[arg(long, value_delimiter = ',', default_value = "50,100,200,400,590")]
+    hollow: Vec<usize>,
+    /// Of each phase, in place of the file's.
+    #[arg(long)]
+    seconds: Option<f64>,
+    /// Times that all steps are played; slopes are used only where runs agree.
+    #[arg(long, default_value_t = 1)]
+    runs: usize,
+    /// Fit the slopes of a kept steps.json anew, without a run.
+    #[arg(long, conflicts_with_all = ["runs", "seconds", "hollow"])]
+    steps: Option<PathBuf>,
+    /// Print one JSON object.
+    #[arg(long)]
+    json: bool,
+    /// Write steps.json and slopes.json there.
+    #[arg(long)]
+    out: Option<PathBuf>,
+}
+
+impl ScaleArguments {
+    fn check(&self) -> CommandResult {
+        let is_possible = |count: &usize| (1..=MAX_HOLLOW_DISPATCHERS).contains(count);
+        if let Some(count) = self.hollow.iter().find(|count| !is_possible(count)) {
+            return Err(CommandError::CannotRun(format!(
+                "--hollow {count}: 1 to {MAX_HOLLOW_DISPATCHERS}"
+            )));
+        }
+        if !(1..=MAX_RUNS).contains(&self.runs) {
+            return Err(CommandError::CannotRun(format!(
+                "--runs {}: 1 to {MAX_RUNS}",
+                self.runs
+            )));
+        }
+        Ok(())
+    }
+
+    fn target(&self) -> Result<Target, CommandError> {
+        let mut target = read_target(&self.target)?;
+        if let Some(seconds) = self.seconds {
+            if !(MIN_SECONDS..=MAX_SECONDS).contains(&seconds) {
+                return Err(CommandError::CannotRun(format!(
+                    "--seconds {seconds}: {MIN_SECONDS} to {MAX_SECONDS}"
+                )));
+            }
+            target.seconds = seconds;
+        }
+        Ok(target)
+    }
+}
+
+/// Plays the steps, or reads kept ones, and prints figures and slopes.
+pub async fn scale(arguments: ScaleArguments) -> CommandResult {
+    raise_descriptor_limit();
+    let target = arguments.target()?;
+    arguments.check()?;
+    let runs = match &arguments.steps {
+        Some(file) => read_json(file)?,
+        None => play_runs(&arguments, &target).await?,
+    };
+    let slopes = Slopes {
+        commit: commit(),
+        date: httpdate::fmt_http_date(SystemTime::now()),
+        machine: machine(),
+        seconds: target.seconds,
+        steps: match runs.first() {
+            Some(run) => run.iter().map(|step| step.dispatchers).collect(),
+            None => arguments.hollow.clone(),
+        },
+        runs: runs.len(),
+        figures: slopes(&runs),
+        counts: update_counts(&runs),
+    };
+    if let Some(folder) = &arguments.out {
+        std::fs::create_dir_all(folder)?;
+        std::fs::write(folder.join("steps.json"), serde_json::to_vec(&runs)?)?;
+        let slopes = serde_json::to_vec_pretty(&slopes)?;
+        std::fs::write(folder.join("slopes.json"), slopes)?;
+    }
+    if arguments.json {
+        let json = serde_json::json!({ "target": target, "runs": runs, "slopes": slopes });
+        println!("{json}");
+    } else {
+        print_runs(&runs);
+    }
+    let exceeded = exceeded_budgets(&target, &runs);
+    for budget in &exceeded {
+        eprintln!("over its budget: {budget}");
+    }
+    negative_if(!exceeded.is_empty())
+}
+
+async fn play_runs(
+    arguments: &ScaleArguments,
+    target: &Target,
+) -> Result<Vec<Vec<Step>>, CommandError> {
+    let program = std::env::current_exe()?;
+    let mut runs = Vec::new();
+    for run in 1..=arguments.runs {
+        let mut steps = Vec::new();
+        for &dispatchers in &arguments.hollow {
+            let progress =
+                |phase: &str| eprintln!("run {run}, {dispatchers} hollow dispatchers: {phase}");
+            steps.push(play(&program, target, dispatchers, progress).await?);
+        }
+        runs.push(steps);
+    }
+    Ok(runs)
+}
+
+/// A process with hollow nodes, started by `lab scale`.
+pub async fn node_process() -> CommandResult {
+    raise_descriptor_limit();
+    Ok(parts::run().await?)
+}
+
+/// Reads the fleet ahead.
+pub fn read_target(file: &Path) -> Result<Target, CommandError> {
+    let name = file.display().to_string();
+    let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
+    Ok(pointspindle_scale::read(&name, &text)?)
+}
+
+/// Reads a file of JSON; errors name it.
+pub fn read_json<T: DeserializeOwned>(file: &Path) -> Result<T, CommandError> {
+    let named = |error: &dyn std::fmt::Display| {
+        CommandError::CannotRun(format!("{}: {error}", file.display()))
+    };
+    let text = std::fs::read_to_string(file).map_err(|error| named(&error))?;
+    serde_json::from_str(&text).map_err(|error| named(&error))
+}
+
+/// The commit of the working folder, where there is one.
+fn commit() -> String {
+    let git = std::process::Command::new("git")
+        .args(["rev-parse", "--short", "HEAD"])
+        .output();
+    git.ok()
+        .filter(|output| output.status.success())
+        .and_then(|output| String::from_utf8(output.stdout).ok())
+        .map_or("unknown".to_owned(), |commit| commit.trim().to_owned())
+}
+
+fn machine() -> String {
+    let cores = std::thread::available_parallelism().map_or(0, |cores| cores.get());
+    format!("{cores} cores, {:.0} GB", machine_mb() / 1024.0)
+}
+
+/// Updates that were written, and those that a dispatcher never received, over all steps.
+fn update_counts(runs: &[Vec<Step>]) -> BTreeMap<String, f64> {
+    let mut counts = BTreeMap::new();
+    for phase in runs.iter().flatten().flat_map(|step| &step.phases) {
+        for (kind, lag) in [("purges", &phase.purges), ("changes", &phase.changes)] {
+            let Some(lag) = lag else { continue };
+            *counts
+                .entry(format!("{kind} written, over all sizes"))
+                .or_default() += lag.written as f64;
+            *counts
+                .entry(format!("{kind} never heard by a dispatcher"))
+                .or_default() += lag.never as f64;
+        }
+    }
+    counts
+}
--- /dev/null
+++ b/crates/cli/src/commands/lab/watch.rs
@@ -0,0 +1,244 @@
+//! `pointspindle lab watch`: a run on the terminal as it goes.
+use super::scenario_arguments::ScenarioArguments;
+use super::temporary_folder::RunFolder;
+use crate::exit::{negative_if, CommandError, CommandResult};
+use crate::output::run_report::{has_violations, print_rule_counts};
+use pointspindle_audit::trace::{Recorder, TraceEntry, TraceEvent};
+use pointspindle_audit::RuleVerdict;
+use pointspindle_report::terminal::draw;
+use pointspindle_report::watch::View;
+use pointspindle_scenario::Scenario;
+use pointspindle_testbed::day;
+use ratatui::crossterm::event::{self, Event, KeyCode, KeyEvent, KeyEventKind, KeyModifiers};
+use ratatui::DefaultTerminal;
+use std::io::IsTerminal;
+use std::time::{Duration, Instant};
+
+/// Between two frames.
+const FRAME_INTERVAL: Duration = Duration::from_millis(100);
+/// Seconds of the run shown in a second.
+const MIN_PACE: f64 = 0.05;
+const MAX_PACE: f64 = 100.0;
+/// Factor by which a key changes the pace.
+const PACE_STEP: f64 = 1.5;
+
+/// Arguments of `lab watch`.
+#[derive(clap::Args)]
+pub struct WatchArguments {
+    #[command(flatten)]
+    scenario: ScenarioArguments,
+    /// Seconds of the run in a second, in virtual time; + and - change it.
+    #[arg(long, default_value_t = 2.0, value_parser = pace)]
+    pace: f64,
+    /// On loopback sockets, in real time, dispatchers as processes.
+    #[arg(long)]
+    sockets: bool,
+}
+
+fn pace(text: &str) -> Result<f64, String> {
+    let pace: f64 = text.parse().map_err(|_| format!("{text:?} is no number"))?;
+    if (MIN_PACE..=MAX_PACE).contains(&pace) {
+        Ok(pace)
+    } else {
+        Err("from 0.05 to 100".into())
+    }
+}
+
+/// Shows a run and prints how it was judged.
+pub async fn watch(arguments: WatchArguments) -> CommandResult {
+    let scenario = arguments.scenario.load()?;
+    if !std::io::stdout().is_terminal() {
+        return Err(CommandError::CannotRun(
+            "watch needs a terminal; lab run --out keeps a day as a page".into(),
+        ));
+    }
+    if arguments.sockets {
+        return watch_on_sockets(&scenario).await;
+    }
+    let played = pointspindle_simulator::run(&scenario, None).map_err(CommandError::CannotRun)?;
+    let mut terminal = ratatui::init();
+    let shown = Replay::new(&scenario, &played.trace, arguments.pace).show(&mut terminal);
+    ratatui::restore();
+    shown?;
+    print_verdicts(&played.rules)
+}
+
+fn print_verdicts(rules: &[RuleVerdict]) -> CommandResult {
+    rules.iter().for_each(print_rule_counts);
+    negative_if(has_violations(rules))
+}
+
+/// What a pressed key asks for.
+enum KeyCommand {
+    Quit,
+    Pause,
+    Faster,
+    Slower,
+}
+
+/// The next key within a frame's time.
+fn read_key() -> std::io::Result<Option<KeyCommand>> {
+    if !event::poll(FRAME_INTERVAL)? {
+        return Ok(None);
+    }
+    match event::read()? {
+        Event::Key(key) if key.kind == KeyEventKind::Press => Ok(key_command(key)),
+        _ => Ok(None),
+    }
+}
+
+fn key_command(key: KeyEvent) -> Option<KeyCommand> {
+    match key.code {
+        KeyCode::Char('q') | KeyCode::Esc => Some(KeyCommand::Quit),
+        KeyCode::Char('c') if key.modifiers.contains(KeyModifiers::CONTROL) => {
+            Some(KeyCommand::Quit)
+        }
+        KeyCode::Char(' ') => Some(KeyCommand::Pause),
+        KeyCode::Char('+') => Some(KeyCommand::Faster),
+        KeyCode::Char('-') => Some(KeyCommand::Slower),
+        _ => None,
+    }
+}
+
+/// A run in virtual time that has ended, shown at a pace.
+struct Replay<'a> {
+    view: View,
+    trace: &'a [TraceEntry],
+    duration_us: u64,
+    /// Seconds of the run in a second.
+    pace: f64,
+    is_paused: bool,
+    /// How far it is shown: time of the run, and entries of the trace.
+    shown_us: f64,
+    shown_entries: usize,
+}
+
+impl<'a> Replay<'a> {
+    fn new(scenario: &Scenario, trace: &'a [TraceEntry], pace: f64) -> Self {
+        Self {
+            view: View::new(scenario),
+            trace,
+            duration_us: (scenario.duration_s * 1e6) as u64,
+            pace,
+            is_paused: false,
+            shown_us: 0.0,
+            shown_entries: 0,
+        }
+    }
+
+    /// Shows it until the viewer quits.
+    fn show(mut self, terminal: &mut DefaultTerminal) -> std::io::Result<()> {
+        let mut last_frame = Instant::now();
+        loop {
+            let elapsed = last_frame.elapsed();
+            last_frame = Instant::now();
+            if !self.is_paused {
+                self.advance(elapsed);
+            }
+            let hint = format!(
+                "{}, {:.2} s a second   q: quit   space: pause   + -: pace",
+                self.state(),
+                self.pace
+            );
+            terminal.draw(|frame| draw(&self.view, &hint, frame))?;
+            match read_key()? {
+                Some(KeyCommand::Quit) => return Ok(()),
+                Some(KeyCommand::Pause) => self.is_paused = !self.is_paused,
+                Some(KeyCommand::Faster) => self.pace = (self.pace * PACE_STEP).min(MAX_PACE),
+                Some(KeyCommand::Slower) => self.pace = (self.pace / PACE_STEP).max(MIN_PACE),
+                None => {}
+            }
+        }
+    }
+
+    fn advance(&mut self, elapsed: Duration) {
+        self.shown_us += elapsed.as_secs_f64() * self.pace * 1e6;
+        while let Some(entry) = self.trace.get(self.shown_entries) {
+            if entry.at as f64 > self.shown_us {
+                break;
+            }
+            self.view.take(entry);
+            self.shown_entries += 1;
+        }
+        self.view.to((self.shown_us as u64).min(self.duration_us));
+    }
+
+    fn state(&self) -> &'static str {
+        if self.shown_entries == self.trace.len() {
+            "over"
+        } else if self.is_paused {
+            "paused"
+        } else {
+            "virtual time"
+        }
+    }
+}
+
+async fn watch_on_sockets(scenario: &Scenario) -> CommandResult {
+    let program = std::env::current_exe()?;
+    let folder = RunFolder::new(None, "pointspindle-watch");
+    let recorder = Recorder::default();
+    let run = tokio::spawn({
+        let scenario = scenario.clone();
+        let path = folder.path().to_owned();
+        let recorder = recorder.clone();
+        async move { day::run_watched(&scenario, &program, &path, None, recorder).await }
+    });
+    let mut terminal = ratatui::init();
+    let shown = tokio::task::block_in_place(|| {
+        show_live(&mut terminal, scenario, &recorder, || run.is_finished())
+    });
+    ratatui::restore();
+    if !matches!(shown, Ok(LiveEnd::RunIsOver)) {
+        // The dispatcher processes end with it.
+        run.abort();
+    }
+    let outcome = run.await;
+    drop(folder);
+    shown?;
+    match outcome {
+        Ok(outcome) => print_verdicts(&outcome?.rules),
+        Err(_) => Err(CommandError::CannotRun(
+            "left before the day was over: nothing was judged".into(),
+        )),
+    }
+}
+
+/// Why a live view has ended.
+enum LiveEnd {
+    RunIsOver,
+    ViewerQuit,
+}
+
+fn show_live(
+    terminal: &mut DefaultTerminal,
+    scenario: &Scenario,
+    recorder: &Recorder,
+    is_over: impl Fn() -> bool,
+) -> std::io::Result<LiveEnd> {
+    let mut view = View::new(scenario);
+    let mut shown_entries = 0;
+    let mut started_at = None;
+    while !is_over() {
+        let entries = recorder.entries_since(shown_entries);
+        shown_entries += entries.len();
+        for entry in entries {
+            // The run begins with its first request.
+            if matches!(entry.event, TraceEvent::RequestSent { .. }) {
+                started_at.get_or_insert(entry.at);
+            }
+            view.take(&TraceEntry {
+                at: entry.at.saturating_sub(started_at.unwrap_or(entry.at)),
+                event: entry.event,
+            });
+        }
+        if let Some(started_at) = started_at {
+            view.to(recorder.now().saturating_sub(started_at));
+        }
+        terminal.draw(|frame| draw(&view, "on sockets, in real time   q: quit", frame))?;
+        if matches!(read_key()?, Some(KeyCommand::Quit)) {
+            return Ok(LiveEnd::ViewerQuit);
+        }
+    }
+    Ok(LiveEnd::RunIsOver)
+}
--- /dev/null
+++ b/crates/cli/src/commands/manual.rs
@@ -0,0 +1,13 @@
+//! `pointspindle manual`.
+use crate::exit::CommandResult;
+use crate::Arguments;
+use clap::CommandFactory;
+use clap_mangen::Man;
+use std::io::Write;
+
+/// Writes the manual page on standard output, in roff.
+pub fn manual() -> CommandResult {
+    let mut page = Vec::new();
+    Man::new(Arguments::command()).render(&mut page)?;
+    Ok(std::io::stdout().write_all(&page)?)
+}
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logging.rs
@@ -6,22 +6,23 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// `few`: without a level, no line for each request.
-pub fn start(level: Option<Level>, few: bool, json: bool) {
-    let targets = match (level, few) {
+/// Starts logging. `omits_requests`: unless a level is given, nothing is logged of single requests.
+pub fn start(level: Option<Level>, omits_requests: bool, json: bool) {
+    let targets = match (level, omits_requests) {
         (None, true) => Targets::new()
             .with_default(Level::WARN)
             .with_target("pointspindle_platform", Level::INFO),
         (level, _) => Targets::new().with_default(level.unwrap_or(Level::INFO)),
     };
     let layer = fmt::layer().with_writer(std::io::stderr).with_target(false);
-    let layer = match json {
-        true => layer
+    let layer = if json {
+        layer
             .json()
             .with_current_span(true)
             .with_filter(targets)
-            .boxed(),
-        false => layer.with_ansi(false).with_filter(targets).boxed(),
+            .boxed()
+    } else {
+        layer.with_ansi(false).with_filter(targets).boxed()
     };
     tracing_subscriber::registry().with(layer).init();
 }
--- /dev/null
+++ b/crates/cli/src/output/idle_table.rs
@@ -0,0 +1,67 @@
+//! What idle connections cost, a line for each step.
+use pointspindle_testbed::idle::{slope, Expiry, Step};
+
+const BYTES_PER_MIB: f64 = 1_048_576.0;
+
+/// Prints the names of the columns.
+pub fn print_header() {
+    println!(
+        "{:<7} {:>8} {:>9} {:>9} {:>10} {:>9} {:>9} {:>7} {:>8} {:>8}",
+        "door",
+        "idle",
+        "made/s",
+        "program",
+        "kernel MiB",
+        "idle CPU",
+        "requests",
+        "failed",
+        "p50 us",
+        "p99 us"
+    );
+}
+
+/// Prints a step.
+pub fn print_step(step: &Step) {
+    println!(
+        "{:<7} {:>8} {:>9.0} {:>9.1} {:>10.1} {:>9.3} {:>9} {:>7} {:>8} {:>8}",
+        step.protocol,
+        step.idle,
+        step.made_per_s,
+        step.program as f64 / BYTES_PER_MIB,
+        step.kernel as f64 / BYTES_PER_MIB,
+        step.idle_cpu,
+        step.requests,
+        step.failed,
+        step.p50_us,
+        step.p99_us
+    );
+}
+
+/// Prints why the steps stopped, if they did, and what a connection costs by a line through them.
+pub fn print_summary(steps: &[Step], stopped: Option<&str>) {
+    if let Some(reason) = stopped {
+        println!("stopped {reason}");
+    }
+    if let (Some(first), Some(last)) = (steps.first(), steps.last()) {
+        println!(
+            "a line through the steps: {:.0} bytes of the program and {:.0} of the kernel's buffers a connection; p99 with the most {:.2} times that with the fewest",
+            slope(steps, |step| step.program),
+            slope(steps, |step| step.kernel),
+            last.p99_us as f64 / first.p99_us.max(1) as f64
+        );
+    }
+}
+
+/// Prints how many connections expired that fell idle together, and how late.
+pub fn print_expiry(expiry: &Expiry) {
+    println!(
+        "{} fell idle within moments: closed at most {:.0} ms after their time (99 of 100 within {:.0}); {} requests meanwhile, {} failed, p99 {} us, longest {} us",
+        expiry.connections,
+        expiry.latest_ms,
+        expiry.late_p99_ms,
+        expiry.requests,
+        expiry.failed,
+        expiry.p99_us,
+        expiry.most_us
+    );
+}
--- /dev/null
+++ b/crates/cli/src/output/run_report.rs
@@ -0,0 +1,154 @@
+//! How a run was judged: service, and each rule.
+use pointspindle_audit::service::ClassService;
+use pointspindle_audit::trace::TraceEntry;
+use pointspindle_audit::{count_cold_crashes, RuleVerdict};
+use pointspindle_report::record::Run;
+use pointspindle_scenario::Scenario;
+use pointspindle_testbed::day::Outcome;
+use std::borrow::Borrow;
+use std::collections::BTreeMap;
+use std::io::Write;
+
+/// Violations that a rule names, as JSON and as text.
+const MAX_VIOLATIONS_JSON: usize = 5;
+const MAX_VIOLATIONS_TEXT: usize = 3;
+
+/// Whether a rule was broken.
+pub fn has_violations(rules: &[RuleVerdict]) -> bool {
+    rules.iter().any(|rule| !rule.violations.is_empty())
+}
+
+/// A rule's verdict.
+pub fn rule_json(rule: &RuleVerdict) -> serde_json::Value {
+    let first: Vec<_> = rule.violations.iter().take(MAX_VIOLATIONS_JSON).collect();
+    let kinds: BTreeMap<_, _> = rule.kinds().into_iter().collect();
+    serde_json::json!({
+        "name": rule.name,
+        "checked": rule.cases,
+        "breaches": rule.violations.len(),
+        "kinds": kinds,
+        "first": first,
+        "unknowing": rule.undetectable.len(),
+    })
+}
+
+/// A whole run.
+pub fn outcome_json(scenario: &Scenario, outcome: &Outcome) -> serde_json::Value {
+    let service = &outcome.service;
+    let run = Run::new(scenario, &[], true, service, &outcome.rules, &outcome.trace);
+    let (neighbours, parents) = run.aftermath();
+    let rules: Vec<_> = outcome.rules.iter().map(rule_json).collect();
+    serde_json::json!({
+        "scenario": scenario.name,
+        "seed": scenario.seed,
+        "seconds": scenario.duration_s,
+        "service": service.service,
+        "worst_10s": service.worst_10s,
+        "goal": service.goal,
+        "classes": service.classes,
+        "tries": service.tries,
+        "attempts": service.attempts,
+        "fallen": count_cold_crashes(&outcome.trace),
+        "neighbours": neighbours,
+        "parents": parents,
+        "rig_late_ms": outcome.testbed_lateness_ms,
+        "rules": rules,
+    })
+}
+
+/// Prints a whole run.
+pub fn print_outcome(outcome: &Outcome) {
+    let service = &outcome.service;
+    println!(
+        "service {:.3} (worst 10 s {:.3}, from {:.0} s; goal {:.3}), {} tries, {} attempts, rig at most {:.0} ms late",
+        service.service,
+        service.worst_10s,
+        service.worst_from_s,
+        service.goal,
+        service.tries,
+        service.attempts,
+        outcome.testbed_lateness_ms
+    );
+    service.classes.iter().for_each(print_class);
+    outcome.rules.iter().for_each(print_rule);
+}
+
+fn print_class(class: &ClassService) {
+    println!(
+        "  {:<14} service {:.3}, calls {}: served {} (late {}), refused {}, failed {}, left {}; p50 {:.0} ms, p99 {:.0} ms",
+        class.name,
+        class.service,
+        class.calls,
+        class.served,
+        class.late,
+        class.refused,
+        class.failed,
+        class.left,
+        class.p50_ms,
+        class.p99_ms
+    );
+    println!(
+        "  {:<14} answered {:.3}; the largest {} {:.3}, the next {} {:.3}",
+        "",
+        class.answered().share(),
+        class.largest.calls,
+        class.largest.share(),
+        class.next_largest.calls,
+        class.next_largest.share()
+    );
+}
+
+/// Prints a rule's verdict.
+pub fn print_rule(rule: &RuleVerdict) {
+    let kinds: Vec<String> = rule
+        .kinds()
+        .iter()
+        .map(|(kind, count)| format!("{kind} {count}"))
+        .collect();
+    let verdict = if kinds.is_empty() {
+        "kept".into()
+    } else {
+        format!("BROKEN ({})", kinds.join(", "))
+    };
+    println!(
+        "  rule {:<8} {verdict}; {} checked: {}",
+        rule.name, rule.cases, rule.description
+    );
+    if let Some(first) = rule.undetectable.first() {
+        println!(
+            "    {} times by dispatchers that had not been told; first {}",
+            rule.undetectable.len(),
+            first.detail
+        );
+    }
+    for violation in rule.violations.iter().take(MAX_VIOLATIONS_TEXT) {
+        let request = violation.request.as_deref().unwrap_or("-");
+        println!(
+            "    at {:.0} ms, {request}: {}",
+            violation.at_ms, violation.detail
+        );
+    }
+}
+
+/// Prints a rule's verdict in one line.
+pub fn print_rule_counts(rule: &RuleVerdict) {
+    println!(
+        "{}: {} cases, {} breaches",
+        rule.name,
+        rule.cases,
+        rule.violations.len()
+    );
+}
+
+/// Prints entries of a run's trace.
+pub fn print_trace<T: Borrow<TraceEntry>>(entries: impl IntoIterator<Item = T>) {
+    let mut out = std::io::stdout().lock();
+    for entry in entries {
+        let entry = entry.borrow();
+        let written = writeln!(out, "{:>10.1} ms  {:?}", entry.at as f64 / 1e3, entry.event);
+        // A reader that has seen enough (a pager, head) is no failure.
+        if written.is_err() {
+            break;
+        }
+    }
+}
--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -1,25 +1,25 @@
-//! The bad day in a short form, on sockets: the rules are kept, and each planted fault is found under its own name.
+//! The bad day in a short form, on sockets: the rules are kept, and each injected fault is found under its own name.
 use std::process::Command;
 
-/// Small enough for two cores, long enough for every trouble of the script.
+/// Small enough for two cores, long enough for every fault of the script.
 const SECONDS: &str = "14";
 
 /// Status 2 says that the machine was too busy to judge anything: the day is played again, three times at most.
-fn play(plant: Option<&str>) -> (i32, serde_json::Value) {
+fn play(fault: Option<&str>) -> (i32, serde_json::Value) {
     for _ in 0..2 {
-        let out = once(plant);
+        let out = once(fault);
         if out.0 != 2 {
             return out;
         }
     }
-    once(plant)
+    once(fault)
 }
 
-fn once(plant: Option<&str>) -> (i32, serde_json::Value) {
-    run(plant, false)
+fn once(fault: Option<&str>) -> (i32, serde_json::Value) {
+    run(fault, false)
 }
 
-fn run(plant: Option<&str>, etcd: bool) -> (i32, serde_json::Value) {
+fn run(fault: Option<&str>, etcd: bool) -> (i32, serde_json::Value) {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
     let mut command = Command::new(env!("CARGO_BIN_EXE_pointspindle"));
     command.args([
@@ -34,22 +34,22 @@
         "--seed",
         "7",
     ]);
-    if let Some(plant) = plant {
-        command.args(["--plant", plant]);
+    if let Some(fault) = fault {
+        command.args(["--inject-fault", fault]);
     }
     if etcd {
         command.arg("--etcd");
     }
-    println!("seed 7, {SECONDS} s, plant {plant:?}, etcd {etcd}");
+    println!("seed 7, {SECONDS} s, fault {fault:?}, etcd {etcd}");
     let out = command.output().unwrap();
-    let told = String::from_utf8_lossy(&out.stdout);
+    let stdout = String::from_utf8_lossy(&out.stdout);
     let status = out.status.code().unwrap_or(-1);
     if status == 2 {
         println!("{}", String::from_utf8_lossy(&out.stderr));
         return (2, serde_json::Value::Null);
     }
-    let json = serde_json::from_str(&told)
-        .unwrap_or_else(|e| panic!("{e}: {told} {}", String::from_utf8_lossy(&out.stderr)));
+    let json = serde_json::from_str(&stdout)
+        .unwrap_or_else(|e| panic!("{e}: {stdout} {}", String::from_utf8_lossy(&out.stderr)));
     (status, json)
 }
 
@@ -62,9 +62,9 @@
         .unwrap()
 }
 
-/// One after another: they share the machine's cores, and the rig must not be what is late.
+/// One after another: they share the machine's cores, and the testbed must not be what is late.
 #[test]
-fn the_rules_are_kept_and_every_planted_fault_is_found() {
+fn bad_day_keeps_all_rules_and_every_injected_fault_is_found() {
     let (status, day) = play(None);
     assert_eq!(status, 0, "{day:#}");
     for name in ["answers", "effects", "drains", "cold", "purges"] {
@@ -76,24 +76,24 @@
         );
     }
     assert!(day["service"].as_f64().unwrap() > 0.3, "{day:#}");
-    for (plant, name, kind) in [
-        ("drain", "drains", "drain"),
-        ("purge", "purges", "purge"),
-        ("double", "effects", "double"),
-        ("cold", "cold", "cold"),
-        ("silent", "answers", "silent"),
-        ("late", "answers", "late"),
+    for (fault, name, kind) in [
+        ("withhold-drain", "drains", "drain"),
+        ("ignore-purge", "purges", "purge"),
+        ("duplicate-attempts", "effects", "double"),
+        ("hide-restart", "cold", "cold"),
+        ("drop-answers", "answers", "silent"),
+        ("delay-answers", "answers", "late"),
     ] {
-        let (status, day) = play(Some(plant));
-        assert_eq!(status, 1, "{plant}: {day:#}");
+        let (status, day) = play(Some(fault));
+        assert_eq!(status, 1, "{fault}: {day:#}");
         assert!(
             rule(&day, name)["kinds"][kind].as_u64().unwrap_or(0) > 0,
-            "{plant}: {day:#}"
+            "{fault}: {day:#}"
         );
         for other in ["answers", "effects", "drains", "cold", "purges"] {
             assert!(
                 other == name || rule(&day, other)["breaches"] == 0,
-                "{plant} broke {other}: {day:#}"
+                "{fault} broke {other}: {day:#}"
             );
         }
     }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Twelve dispatchers as processes at three sites: a site is lost with everything it has and returns cold, another one is cut
-//! off in silence, some stand still (SIGSTOP), half are told to stop and started again. Judged from the sockets.
+//! Twelve dispatchers as processes at three sites: a site is lost with everything it has and returns empty, another one is
+//! partitioned, some are paused (SIGSTOP), half are stopped gracefully and started again. Judged from the sockets.
 use std::process::Command;
 
 /// Status 2 says that the machine was too busy to judge anything: the day is played again, three times at most.
@@ -21,12 +21,12 @@
         println!("seed 29, 14 s, twelve dispatchers");
         let out = command.output().unwrap();
         let status = out.status.code().unwrap_or(-1);
-        let told = String::from_utf8_lossy(&out.stdout);
+        let stdout = String::from_utf8_lossy(&out.stdout);
         if status != 2 {
             let why = String::from_utf8_lossy(&out.stderr);
             return (
                 status,
-                serde_json::from_str(&told).unwrap_or_else(|e| panic!("{e}: {told} {why}")),
+                serde_json::from_str(&stdout).unwrap_or_else(|e| panic!("{e}: {stdout} {why}")),
             );
         }
         println!("{}", String::from_utf8_lossy(&out.stderr));
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_site_is_lost_and_another_cut_off_and_the_rules_and_sums_hold_over_all_processes() {
+fn site_loss_and_partition_keep_rules_and_sums_over_all_processes() {
     let (status, day) = play();
     for rule in day["rules"].as_array().unwrap() {
         assert_eq!(rule["breaches"], 0, "{rule:#}");
@@ -65,6 +65,6 @@
         .map(|s| s["struck"].as_bool().unwrap())
         .collect();
     assert_eq!(struck, [true, true, false]);
-    // The struck ones were: a day on which nothing happened would keep every rule as well.
+    // The sites were really hit: a run in which nothing happened would keep every rule as well.
     assert!(sites[0]["worst"].as_f64().unwrap() < 0.9, "{day:#}");
 }
--- /dev/null
+++ b/crates/cli/tests/program/embedded_fleet.rs
@@ -0,0 +1,100 @@
+//! `serve` without a file: a whole fleet on loopback.
+use crate::support::*;
+
+#[tokio::test]
+async fn serve_without_a_file_starts_a_whole_fleet() {
+    let folder = tempfile::tempdir().unwrap();
+    let fleet = DispatcherProcess::start(&["serve", "--port", "0"], folder.path());
+    let to = fleet.bound.http;
+    let first = http_get(to, "/page/welcome", "").await;
+    assert_eq!(
+        (
+            first.status,
+            first.body.len(),
+            first.field("content-length")
+        ),
+        (200, 2048, "2048")
+    );
+    assert!(
+        first.field("cache-status").contains("fwd=miss"),
+        "{}",
+        first.field("cache-status")
+    );
+    let second = http_get(to, "/page/welcome", "").await;
+    assert!(second.field("cache-status").contains("hit"));
+    assert_eq!(first.body, second.body);
+
+    let part = http_get(to, "/page/welcome", "Range: bytes=100-149\r\n").await;
+    assert_eq!(
+        (part.status, part.field("content-range")),
+        (206, "bytes 100-149/2048")
+    );
+    assert_eq!(part.body, first.body[100..150]);
+    let outside = http_get(to, "/page/welcome", "Range: bytes=9999-\r\n").await;
+    assert_eq!(
+        (outside.status, outside.field("content-range")),
+        (416, "bytes */2048")
+    );
+    let same = http_get(
+        to,
+        "/page/welcome",
+        &format!("If-None-Match: {}\r\n", first.field("etag")),
+    )
+    .await;
+    assert_eq!((same.status, same.body.len()), (304, 0));
+    let head = http_exchange(
+        to,
+        "HEAD /page/welcome HTTP/1.1\r\nHost: x\r\n\r\n",
+        1,
+        true,
+    )
+    .await;
+    assert_eq!(
+        (head[0].status, head[0].field("content-length")),
+        (200, "2048")
+    );
+    assert_eq!(http_get(to, "/page/none", "").await.status, 404);
+    let large = http_get(to, "/video/lesson-2", "").await;
+    assert_eq!((large.status, large.body.len()), (200, 4 << 20));
+
+    // Pipelined requests are answered in order; one that two readers could read differently is refused.
+    let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
+    let three = [
+        ask("/video/lesson-1"),
+        ask("/page/welcome"),
+        ask("/page/signs/stop"),
+    ]
+    .concat();
+    let sizes: Vec<usize> = http_exchange(to, &three, 3, false)
+        .await
+        .iter()
+        .map(|a| a.body.len())
+        .collect();
+    assert_eq!(sizes, [1 << 20, 2048, 6 * 1024]);
+    let smuggled = "GET /page/welcome HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
+    assert_eq!(http_exchange(to, smuggled, 1, false).await[0].status, 400);
+
+    let control = fleet.bound.control.to_string();
+    let list = text(&run_program(&["members", "--at", &control]).stdout);
+    assert!(
+        list.contains("4 members") && list.contains("parent"),
+        "{list}"
+    );
+    assert!(
+        run_program(&["purge", "--at", &control, "--object", "/page/welcome"])
+            .status
+            .success()
+    );
+    let purged = http_get(to, "/page/welcome", "").await;
+    assert!(
+        purged.field("cache-status").contains("fwd=miss"),
+        "a copy from before the purge does not do"
+    );
+    let metrics = text(&http_get(fleet.bound.metrics, "/metrics", "").await.body);
+    assert!(
+        metrics.contains("pointspindle_requests_total{class=\"test-page\",outcome=\"served\"}"),
+        "{metrics}"
+    );
+    fleet.signal("-TERM");
+    assert_eq!(fleet.wait(), 0);
+}
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -1,5 +1,5 @@
-//! The promise of purges by processes: dispatchers that are cut off from the control store, stand still, or start while everything is
-//! cut hold back by themselves what a purge might have struck; and an operator is told when one is in force everywhere.
+//! The promise of purges by processes: dispatchers that are partitioned from etcd, paused, or started during a partition limit the
+//! age of copies by themselves; and an operator learns when a purge is in force everywhere.
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
 use pointspindle_etcd_emulator::EtcdEmulator;
@@ -15,19 +15,19 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(15);
-const PREFIX: &str = "/promise";
-/// Half of the promise: the oldest copy of who cannot prove anything.
-const HALF: u64 = 750_000;
+const TEST_TIMEOUT: Duration = Duration::from_secs(15);
+const ETCD_PREFIX: &str = "/promise";
+/// Half of the promised time, microseconds: the oldest copy that a dispatcher accepts which cannot prove anything.
+const HALF_OF_PROMISE_US: u64 = 750_000;
 
-/// A cache host that answers everything, and tells how old a copy may be for each object.
-async fn member() -> (SocketAddr, mpsc::UnboundedReceiver<(String, u64)>) {
+/// A cache host that answers everything, and reports each object with the oldest copy that was accepted.
+async fn cache_host() -> (SocketAddr, mpsc::UnboundedReceiver<(String, u64)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
-    let (tell, told) = mpsc::unbounded_channel();
+    let (requests, received) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
-            let tell = tell.clone();
+            let requests = requests.clone();
             tokio::spawn(async move {
                 let (_link, mut incoming) =
                     FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
@@ -36,7 +36,7 @@
                         continue;
                     };
                     let age = head.fetch.as_ref().map_or(0, |f| f.max_age_us);
-                    let _ = tell.send((head.object.clone(), age));
+                    let _ = requests.send((head.object.clone(), age));
                     let answer = ResponseHead {
                         size: Some(2),
                         cache_status: WireCacheStatus::Hit as i32,
@@ -49,7 +49,7 @@
             });
         }
     });
-    (at, told)
+    (at, received)
 }
 
 struct Dispatcher {
@@ -72,7 +72,7 @@
         let text = format!(
             "[dispatcher]\nname = {name}\nzone = b\nstate_file = {}\n[listen]\nhttp = 127.0.0.1:0\n\
              [zone b]\ndispatchers = 1\n\
-             [etcd]\nendpoints = http://{etcd}\nprefix = {PREFIX}\nstart_wait_ms = 500\npurge_within_ms = {promise_ms}\n\
+             [etcd]\nendpoints = http://{etcd}\nprefix = {ETCD_PREFIX}\nstart_wait_ms = 500\npurge_within_ms = {promise_ms}\n\
              [class page]\npath_prefix = /page/\nfresh_ms = 60000\ngrace_ms = 60000\n\
              [class spared]\npath_prefix = /spared/\nfresh_ms = 60000\ngrace_ms = 60000\npurge_exempt = yes\n",
             state.display()
@@ -94,7 +94,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let bound = timeout(PATIENCE, bound).await.expect("it listens");
+        let bound = timeout(TEST_TIMEOUT, bound).await.expect("it listens");
         Self {
             child,
             http: bound["http"].as_str().unwrap().parse().unwrap(),
@@ -105,7 +105,7 @@
         let mut socket = TcpStream::connect(self.http).await.unwrap();
         ask(&mut socket, path).await;
         let mut text = String::new();
-        timeout(PATIENCE, socket.read_to_string(&mut text))
+        timeout(TEST_TIMEOUT, socket.read_to_string(&mut text))
             .await
             .expect("an answer")
             .unwrap();
@@ -127,34 +127,48 @@
     socket.write_all(text.as_bytes()).await.unwrap();
 }
 
-type Ages = mpsc::UnboundedReceiver<(String, u64)>;
+/// Objects that were requested, with the oldest copy that was accepted, microseconds.
+type AcceptedAges = mpsc::UnboundedReceiver<(String, u64)>;
 
-/// Asks until a copy's age is as wanted, each time for another object.
-async fn until(what: &str, d: &Dispatcher, ages: &mut Ages, is: impl Fn(u64) -> bool) {
+/// Requests until the accepted age is as wanted, each time another object.
+async fn request_until(
+    name: &str,
+    dispatcher: &Dispatcher,
+    ages: &mut AcceptedAges,
+    is_wanted: impl Fn(u64) -> bool,
+) {
     let asking = async {
         for n in 0.. {
-            if d.get(&format!("/page/{what}-{n}"))
+            if dispatcher
+                .get(&format!("/page/{name}-{n}"))
                 .await
                 .starts_with("HTTP/1.1 200")
             {
                 let (_, age) = ages.recv().await.unwrap();
-                if is(age) {
+                if is_wanted(age) {
                     return;
                 }
             }
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(PATIENCE, asking)
+    timeout(TEST_TIMEOUT, asking)
         .await
-        .unwrap_or_else(|_| panic!("{what}: not in time"));
+        .unwrap_or_else(|_| panic!("{name}: not in time"));
 }
 
 async fn purge(etcd: SocketAddr) -> Output {
     let at = format!("http://{etcd}");
     let run = move || {
         let args = [
-            "purge", "--etcd", &at, "--prefix", PREFIX, "--object", "/page/x", "--wait",
+            "purge",
+            "--etcd",
+            &at,
+            "--prefix",
+            ETCD_PREFIX,
+            "--object",
+            "/page/x",
+            "--wait",
         ];
         Command::new(env!("CARGO_BIN_EXE_pointspindle"))
             .args(args)
@@ -165,7 +179,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn who_cannot_prove_that_purges_are_known_holds_back_by_itself() {
+async fn dispatcher_without_proof_of_purges_limits_copy_ages_by_itself() {
     let store = EtcdEmulator::new(None);
     let etcd = store.listen().await.unwrap();
     let access = Access {
@@ -173,7 +187,7 @@
         ..Default::default()
     };
     let client = Etcd::new(&access, Duration::from_secs(5)).unwrap();
-    let (at, mut ages) = member().await;
+    let (at, mut ages) = cache_host().await;
     let record = MemberRecord {
         state: State::Ready,
         weight: 50.0,
@@ -183,79 +197,93 @@
         start: 1,
         started_unix_ms: None,
     };
-    writer::member(&client, PREFIX, &at.to_string(), |_| {
+    writer::member(&client, ETCD_PREFIX, &at.to_string(), |_| {
         Ok(Some(record.clone()))
     })
     .await
     .unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let d = Dispatcher::start(folder.path(), "one", etcd, 1_500).await;
-    until("proven", &d, &mut ages, |age| age > HALF).await;
+    let dispatcher = Dispatcher::start(folder.path(), "one", etcd, 1_500).await;
+    request_until("proven", &dispatcher, &mut ages, |age| {
+        age > HALF_OF_PROMISE_US
+    })
+    .await;
 
     // Cut off in silence: no connection breaks, nothing more is said.
     store.set_faults(|f| f.silent = true);
-    until("cut", &d, &mut ages, |age| age > 0 && age <= HALF).await;
-    let spared = d.get("/spared/1").await;
+    request_until("cut", &dispatcher, &mut ages, |age| {
+        age > 0 && age <= HALF_OF_PROMISE_US
+    })
+    .await;
+    let spared = dispatcher.get("/spared/1").await;
     assert!(spared.starts_with("HTTP/1.1 200"), "{spared}");
     assert!(
-        ages.recv().await.unwrap().1 > HALF,
-        "by the operator's word"
+        ages.recv().await.unwrap().1 > HALF_OF_PROMISE_US,
+        "exempt by its settings"
     );
     store.set_faults(|f| f.silent = false);
-    until("back", &d, &mut ages, |age| age > HALF).await;
+    request_until("back", &dispatcher, &mut ages, |age| {
+        age > HALF_OF_PROMISE_US
+    })
+    .await;
 
     // Stopped for longer than its proof holds, and cut off meanwhile: the first request after is held back.
-    let mut first = TcpStream::connect(d.http).await.unwrap();
-    d.signal("-STOP");
+    let mut first = TcpStream::connect(dispatcher.http).await.unwrap();
+    dispatcher.signal("-STOP");
     store.set_faults(|f| f.silent = true);
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     ask(&mut first, "/page/woken").await;
-    d.signal("-CONT");
+    dispatcher.signal("-CONT");
     let mut text = String::new();
-    timeout(PATIENCE, first.read_to_string(&mut text))
+    timeout(TEST_TIMEOUT, first.read_to_string(&mut text))
         .await
         .expect("an answer")
         .unwrap();
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     let (object, age) = ages.recv().await.unwrap();
     assert!(
-        object.contains("woken") && age > 0 && age <= HALF,
+        object.contains("woken") && age > 0 && age <= HALF_OF_PROMISE_US,
         "{object} {age}"
     );
 
     // Started while everything is cut, with the list of its state file.
     let late = Dispatcher::start(folder.path(), "late", etcd, 1_500).await;
-    until("late", &late, &mut ages, |age| age > 0).await;
+    request_until("late", &late, &mut ages, |age| age > 0).await;
     let answer = late.get("/page/late").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let (_, age) = ages.recv().await.unwrap();
-    assert!(age > 0 && age <= HALF, "{age}");
+    assert!(age > 0 && age <= HALF_OF_PROMISE_US, "{age}");
     store.set_faults(|f| f.silent = false);
-    until("late-back", &late, &mut ages, |age| age > HALF).await;
+    request_until("late-back", &late, &mut ages, |age| {
+        age > HALF_OF_PROMISE_US
+    })
+    .await;
 
-    // The operator is told when it is in force everywhere; and where one promises nothing, that.
-    let told = purge(etcd).await;
-    let text = String::from_utf8_lossy(&told.stdout).into_owned();
+    // The operator is output when it is in force everywhere; and where one promises nothing, that.
+    let output = purge(etcd).await;
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
-        told.status.success() && text.contains("in force everywhere"),
+        output.status.success() && text.contains("in force everywhere"),
         "{text}"
     );
     assert!(text.contains("within 1500 ms"), "{text}");
     let old = Dispatcher::start(folder.path(), "old", etcd, 0).await;
-    until("old", &old, &mut ages, |age| age > HALF).await;
+    request_until("old", &old, &mut ages, |age| age > HALF_OF_PROMISE_US).await;
     let registered = async {
         loop {
-            let told = purge(etcd).await;
-            let text = String::from_utf8_lossy(&told.stdout).into_owned();
-            if told.status.code() == Some(1) {
+            let output = purge(etcd).await;
+            let text = String::from_utf8_lossy(&output.stdout).into_owned();
+            if output.status.code() == Some(1) {
                 return text;
             }
             assert!(text.contains("in force everywhere"), "{text}");
         }
     };
-    let text = timeout(PATIENCE, registered).await.expect("it registers");
+    let text = timeout(TEST_TIMEOUT, registered)
+        .await
+        .expect("it registers");
     assert!(
-        text.contains("no time can be told") && text.contains("old"),
+        text.contains("no time can be output") && text.contains("old"),
         "{text}"
     );
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run in a short form, without a word on time: counts by kind as functions of the size, state of hollow dispatchers, errors,
-//! and the page held to its slopes.
+//! The scale run in a short form, without timing: counts by kind as functions of the size, state of hollow dispatchers, errors, and
+//! the capacity page.
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn what_is_told_grows_as_it_should_and_all_of_it_is_heard() {
+fn update_counts_grow_with_the_fleet_and_every_update_arrives() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("small.ini");
     let text = "[target]\ndispatchers = 6\nsites = 2\nhosts = 4\npurges_per_s = 10\n\
                 [run]\neach = 2\nhosts_each = 2\nstorm = 50\naway_s = 0.3\n";
     std::fs::write(&file, text).unwrap();
     let out = folder.path().join("out");
-    let told = run(&[
+    let output = run(&[
         "--log",
         "error",
         "lab",
@@ -44,10 +44,10 @@
         "--out",
         out.to_str().unwrap(),
     ]);
-    // 1 is a budget's word, which a busy machine may break.
-    let errors = String::from_utf8_lossy(&told.stderr);
-    assert!(matches!(told.status.code(), Some(0 | 1)), "{errors}");
-    let all: Value = serde_json::from_slice(&told.stdout).unwrap();
+    // Status 1: a budget was exceeded, as may happen on a busy machine.
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert!(matches!(output.status.code(), Some(0 | 1)), "{errors}");
+    let all: Value = serde_json::from_slice(&output.stdout).unwrap();
     let steps = all["runs"][0].as_array().unwrap();
     assert_eq!(steps.len(), 2);
     for step in steps {
@@ -60,7 +60,7 @@
                 .find(|p| p["name"] == name)
                 .unwrap_or_else(|| panic!("no phase {name}"))
         };
-        // Each write is told to each, once; nobody misses one.
+        // Each write is delivered to each dispatcher once.
         for (name, what, kind) in [
             ("purges", "purges", "purges"),
             ("storm", "purges", "purges"),
@@ -77,14 +77,15 @@
             assert_eq!(events, count(&lag["written"]) * n, "{name} at {n}");
         }
         assert_eq!(count(&phase("storm")["purges"]["written"]), 50);
-        // All know all, and nothing more.
+        // All have the complete state, and nothing more.
         let items = &phase("rest")["items"];
         assert_eq!(
             (count(&items["members"]), count(&items["dispatchers"])),
             (count(&step["hosts"]), n)
         );
         assert!(phase("compacted")["whole_ms"].as_f64().unwrap() > 0.0);
-        // A process of hollow ones that is killed and started again is told as so many leaves and so many returns, to each that is there.
+        // A process of hollow dispatchers that is killed and restarted is delivered as that many removals and additions, to each
+        // dispatcher that is there.
         let restarted = count(&phase("restart")["traffic"]["events"]["dispatchers"]);
         assert!(
             restarted >= 4 * (n - 2) && restarted <= 4 * n,
@@ -111,22 +112,22 @@
 }
 
 #[test]
-fn what_cannot_be_run_is_named_with_file_and_key() {
+fn invalid_input_is_named_with_file_and_key() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("odd.ini");
     std::fs::write(&file, "[run]\nseconds = 1\n").unwrap();
-    let told = run(&["lab", "scale", file.to_str().unwrap()]);
-    let text = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert_eq!(told.status.code(), Some(2), "{text}");
+    let output = run(&["lab", "scale", file.to_str().unwrap()]);
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(
         text.contains("odd.ini") && text.contains("dispatchers"),
         "{text}"
     );
     std::fs::write(&file, "[target]\ndispatchers = 6\nhosts = 4\n").unwrap();
-    let told = run(&["lab", "scale", file.to_str().unwrap(), "--hollow", "9000"]);
-    let text = String::from_utf8_lossy(&told.stderr).into_owned();
+    let output = run(&["lab", "scale", file.to_str().unwrap(), "--hollow", "9000"]);
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        told.status.code() == Some(2) && text.contains("--hollow 9000"),
+        output.status.code() == Some(2) && text.contains("--hollow 9000"),
         "{text}"
     );
     let slopes = folder.path().join("slopes.json");
@@ -136,7 +137,7 @@
             "figures":{"rest/x":{"unit":"","a":1.0,"b":0.0,"residual":0.0,"from":0,"to":0}}}"#,
     )
     .unwrap();
-    let told = run(&[
+    let output = run(&[
         "lab",
         "capacity",
         "--target",
@@ -144,8 +145,8 @@
         "--slopes",
         slopes.to_str().unwrap(),
     ]);
-    let text = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert_eq!(told.status.code(), Some(2), "{text}");
+    let text = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert_eq!(output.status.code(), Some(2), "{text}");
     assert!(
         text.contains("slopes.json") && text.contains("rest/x"),
         "{text}"
@@ -154,10 +155,10 @@
 
 /// No figure on the page outlives its run.
 #[test]
-fn the_capacity_page_is_what_the_program_writes() {
+fn capacity_page_equals_what_the_program_writes() {
     let root = root();
     let at = |file: &str| root.join(file).to_str().unwrap().to_owned();
-    let told = run(&[
+    let output = run(&[
         "lab",
         "capacity",
         "--target",
@@ -165,9 +166,9 @@
         "--slopes",
         &at("docs/capacity/slopes.json"),
     ]);
-    let written = String::from_utf8_lossy(&told.stdout).into_owned();
+    let written = String::from_utf8_lossy(&output.stdout).into_owned();
     let page = std::fs::read_to_string(root.join("docs/CAPACITY.md")).unwrap();
-    assert!(told.status.success());
+    assert!(output.status.success());
     assert!(
         page == written,
         "docs/CAPACITY.md is not what `lab capacity` writes from its slopes"
