--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -130,7 +130,7 @@
                 continue;
             }
             () = stopped(&mut stop), if !stopping => {
-                connection.link.go_away("the host stops");
+                connection.link.goaway("the host stops");
                 stopping = true;
                 if connection.requests.is_empty() {
                     tokio::time::sleep(GRACEFUL_CLOSE_DELAY).await;
--- a/crates/dispatcher/src/net/connection_rejection.rs
+++ b/crates/dispatcher/src/net/connection_rejection.rs
@@ -82,7 +82,7 @@
 async fn send_framed(socket: Socket, retry_after_ms: u64) {
     let options = ConnectionOptions { max_streams: 1 };
     let (connection, _incoming) = FramedConnection::start(socket, Side::Answerer, options);
-    connection.go_away(&format!(
+    connection.goaway(&format!(
         "too many connections; come back after {retry_after_ms} ms"
     ));
     connection.close("turned away");
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -16,7 +16,7 @@
 use tracing::Instrument;
 
 /// Time for requests that a client sent before it received the go-away.
-const GO_AWAY_GRACE: Duration = Duration::from_millis(100);
+const GOAWAY_GRACE: Duration = Duration::from_millis(100);
 /// Checks for signs of life within one lease of the client.
 const LEASE_CHECKS: u32 = 4;
 
@@ -47,7 +47,7 @@
     let end = session.serve_requests().await;
     if session.context.is_stopping() || matches!(end, SessionEnd::CloseRequested) {
         // Boxed, so that an open connection does not hold the memory of its end.
-        Box::pin(session.go_away(end)).await;
+        Box::pin(session.goaway(end)).await;
     }
     session.connection.close("the connection is done with");
     // The last responses are on their way when they are written, not when they are queued.
@@ -152,13 +152,12 @@
     }
 
     /// Announces the close, and answers all requests that were sent before the client received the announcement.
-    async fn go_away(&mut self, end: SessionEnd) {
-        self.connection.go_away(match end {
+    async fn goaway(&mut self, end: SessionEnd) {
+        self.connection.goaway(match end {
             SessionEnd::CloseRequested => "idle for too long, or its place is wanted",
             SessionEnd::Closed => "the dispatcher stops",
         });
-        while let Ok(Some(inbound)) =
-            tokio::time::timeout(GO_AWAY_GRACE, self.incoming.next()).await
+        while let Ok(Some(inbound)) = tokio::time::timeout(GOAWAY_GRACE, self.incoming.next()).await
         {
             if let Inbound::Request(head, responder) = inbound {
                 self.requests
--- a/crates/dispatcher/tests/frontends.rs
+++ b/crates/dispatcher/tests/frontends.rs
@@ -127,8 +127,8 @@
         "{rejection}"
     );
     let mut other = connect(framed).await;
-    let go_away = read_to_close(&mut other).await;
-    assert!(go_away.contains("come back after"), "{go_away:?}");
+    let goaway = read_to_close(&mut other).await;
+    assert!(goaway.contains("come back after"), "{goaway:?}");
     for socket in &mut open {
         let mut buffer = vec![0; 4096];
         let read = timeout(TEST_TIMEOUT, socket.read(&mut buffer))
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -39,7 +39,7 @@
     /// The receiver may send this many more bytes of body on the stream; stream 0: on the connection.
     Credit(u32, u32),
     /// The sender accepts no new streams.
-    GoAway(GoAwayHead),
+    Goaway(GoawayHead),
     /// An update of the endpoint list.
     EndpointList(EndpointListHead),
     /// A purge.
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -99,7 +99,7 @@
             kind::ERROR => Frame::Error(stream, self.message(payload)?),
             kind::CANCEL => Frame::Cancel(stream, self.message(payload)?),
             kind::CREDIT => Frame::Credit(stream, self.credit(&payload)?),
-            kind::GO_AWAY => Frame::GoAway(self.message(payload)?),
+            kind::GOAWAY => Frame::Goaway(self.message(payload)?),
             kind::ENDPOINT_LIST => Frame::EndpointList(self.message(payload)?),
             kind::PURGE => Frame::Purge(self.message(payload)?),
             kind::ACK => Frame::Ack(self.message(payload)?),
@@ -218,7 +218,7 @@
             Frame::Credit(stream, more) => {
                 put_bytes(kind::CREDIT, *stream, &more.to_be_bytes(), dst)
             }
-            Frame::GoAway(head) => put_message(kind::GO_AWAY, 0, head, dst),
+            Frame::Goaway(head) => put_message(kind::GOAWAY, 0, head, dst),
             Frame::EndpointList(list) => put_message(kind::ENDPOINT_LIST, 0, list, dst),
             Frame::Purge(purge) => put_message(kind::PURGE, 0, purge, dst),
             Frame::Ack(ack) => put_message(kind::ACK, 0, ack, dst),
--- a/crates/protocol/src/messages.rs
+++ b/crates/protocol/src/messages.rs
@@ -228,7 +228,7 @@
 
 /// The sender serves no new streams above `last`; those up to it are completed.
 #[derive(Clone, PartialEq, Message)]
-pub struct GoAwayHead {
+pub struct GoawayHead {
     /// Highest stream that is served.
     #[prost(uint32, tag = "1")]
     pub last: u32,
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -11,7 +11,7 @@
 use crate::writer::{DeferredRequest, SendTime};
 use crate::ConnectionError;
 use pointspindle_protocol::streams::{Side, MAX_STREAMS};
-use pointspindle_protocol::{Frame, FrameCodec, GoAwayHead, RequestHead};
+use pointspindle_protocol::{Frame, FrameCodec, GoawayHead, RequestHead};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -127,8 +127,8 @@
     }
 
     /// Notifies the peer that no new stream is served; open ones are completed.
-    pub fn go_away(&self, reason: &str) {
-        self.shared.push(Frame::GoAway(GoAwayHead {
+    pub fn goaway(&self, reason: &str) {
+        self.shared.push(Frame::Goaway(GoawayHead {
             last: u32::MAX,
             reason: reason.into(),
         }));
--- a/crates/transport/src/connection/receive.rs
+++ b/crates/transport/src/connection/receive.rs
@@ -124,7 +124,7 @@
     }
 
     async fn process_control(&self, frame: Frame) -> Result<(), ReceiveError> {
-        if matches!(frame, Frame::GoAway(_)) {
+        if matches!(frame, Frame::Goaway(_)) {
             self.shared.table().peer_going_away = true;
         }
         self.pass_on(Inbound::Control(frame), ReceiveError::ControlNotTaken)
