--- a/crates/lab/src/audit/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -1,20 +1,20 @@
 //! Rule: large objects are not what is given up first. Of a class's largest requests, and of the next ones, at least a share of
 //! what is answered of the class as a whole is answered: two thirds on a day without trouble, half on others.
 use super::service::{Group, Service};
-use super::Rule;
-use crate::scenario::Scenario;
+use super::RuleVerdict;
+use pointspindle_scenario::Scenario;
 
 const QUIET: f64 = 2.0 / 3.0;
 const TROUBLED: f64 = 0.5;
 /// Fewer calls than this say nothing of a share.
 const FEW: u64 = 20;
 
-pub fn judge(scenario: &Scenario, service: &Service) -> Rule {
-    let mut rule = Rule::new(
+pub fn judge(scenario: &Scenario, service: &Service) -> RuleVerdict {
+    let mut rule = RuleVerdict::new(
         "sizes",
         "the largest requests of a class are answered nearly as often as the others",
     );
-    let least = if scenario.troubles.is_empty() {
+    let least = if scenario.faults.is_empty() {
         QUIET
     } else {
         TROUBLED
@@ -26,7 +26,7 @@
             ("next largest", class.next_largest),
         ];
         for (name, group) in groups.into_iter().filter(|(_, g)| g.calls >= FEW) {
-            rule.checked += 1;
+            rule.cases += 1;
             if group.share() < least * whole {
                 let shares = format!(
                     "{:.3} of {} calls, of the class {whole:.3}",
@@ -48,8 +48,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::audit::service::ClassService;
-    use crate::scenario::parse;
+    use crate::service::ClassService;
+    use pointspindle_scenario::parse;
 
     #[test]
     fn the_bound_is_higher_on_a_day_without_trouble() {
@@ -61,10 +61,10 @@
             next_largest,
             ..ClassService::default()
         };
-        let text = include_str!("../../../../scenarios/origin-away.ini");
+        let text = include_str!("../../../scenarios/origin-away.ini");
         let troubled = parse("troubled", text, None).unwrap();
         let mut quiet = troubled.clone();
-        quiet.troubles.clear();
+        quiet.faults.clear();
         let judged = |scenario: &Scenario, class: ClassService| {
             judge(
                 scenario,
@@ -73,7 +73,7 @@
                     ..Service::default()
                 },
             )
-            .breaches
+            .violations
             .len()
         };
         // 0.9 of all: six tenths of the largest will do on a quiet day, four and a half on others.
--- a/crates/lab/src/sockets/mod.rs
+++ b/crates/testbed/src/sockets/mod.rs
@@ -5,5 +5,5 @@
 mod wall;
 pub(crate) mod words;
 
-pub use stage::{Ledgers, Stage, StageOptions, EPOCH};
-pub use wall::{passes, Walls};
+pub use stage::{EmulatedHosts, EmulatedHostsOptions, LedgerFactory, EPOCH};
+pub use wall::Walls;
--- a/crates/lab/tests/shell.rs
+++ b/crates/testbed/tests/shell.rs
@@ -1,9 +1,10 @@
 //! The real shell on a simulated network under a paused clock: what sockets cannot be made to do on purpose (loss, partitions that
 //! tell nobody) and a day in the time of its work. The rules are kept, a planted fault is found, and it agrees with the cores in
 //! virtual time where both play the same day.
-use pointspindle_lab::day::{self, Plant};
-use pointspindle_lab::scenario::{self, Scenario};
-use pointspindle_lab::virt;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_scenario::{self as scenario, Scenario};
+use pointspindle_simulator as simulator;
+use pointspindle_testbed::day;
 use std::path::Path;
 
 fn load(name: &str, seed: u64) -> Scenario {
@@ -11,7 +12,7 @@
     scenario::load(&path, Some(seed)).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn play(day: &Scenario, plant: Option<Plant>) -> day::Outcome {
+fn play(day: &Scenario, plant: Option<InjectedFault>) -> day::Outcome {
     let folder = tempfile::tempdir().unwrap();
     day::shell(day, folder.path(), plant).unwrap_or_else(|e| panic!("{e}"))
 }
@@ -24,13 +25,13 @@
         println!("seed {seed}: service {:.3}", out.service.service);
         for rule in &out.rules {
             assert!(
-                rule.breaches.is_empty(),
+                rule.violations.is_empty(),
                 "seed {seed}, {}: {:?}",
                 rule.name,
-                rule.breaches[0]
+                rule.violations[0]
             );
         }
-        let checked = |name: &str| out.rules.iter().find(|r| r.name == name).unwrap().checked;
+        let checked = |name: &str| out.rules.iter().find(|r| r.name == name).unwrap().cases;
         assert!(checked("answers") > 1_000 && checked("drains") > 0 && checked("purges") > 0);
         assert!(
             out.service.service > 0.3,
@@ -38,7 +39,7 @@
             out.service.service
         );
         assert!(
-            virt::run(&day, None).unwrap_err().contains("silence"),
+            simulator::run(&day, None).unwrap_err().contains("silence"),
             "no network there to part"
         );
     }
@@ -47,11 +48,14 @@
 /// A rig in which nothing can be found would show nothing.
 #[test]
 fn a_planted_fault_is_found_on_the_simulated_network() {
-    let day = load("bad-day.ini", 7).scaled(14.0);
-    for (plant, name) in [(Plant::Drain, "drains"), (Plant::Purge, "purges")] {
+    let day = load("bad-day.ini", 7).scaled_to(14.0);
+    for (plant, name) in [
+        (InjectedFault::WithholdDrain, "drains"),
+        (InjectedFault::IgnorePurge, "purges"),
+    ] {
         let out = play(&day, Some(plant));
         let rule = out.rules.iter().find(|r| r.name == name).unwrap();
-        assert!(!rule.breaches.is_empty(), "{name}: nothing found");
+        assert!(!rule.violations.is_empty(), "{name}: nothing found");
     }
 }
 
@@ -60,7 +64,7 @@
     let day = load("rolling-restart.ini", 5);
     let (shell, cores) = (
         play(&day, None).service.service,
-        virt::run(&day, None).unwrap().service.service,
+        simulator::run(&day, None).unwrap().service.service,
     );
     println!("seed 5: shell {shell:.4}, cores {cores:.4}");
     assert!(
