--- a/crates/fleet-model/src/control_plane.rs
+++ b/crates/fleet-model/src/control_plane.rs
@@ -11,7 +11,7 @@
 use pointspindle_scenario::script::ListedState;
 use pointspindle_scenario::{derive_seed, RuleLimits};
 use rand::rngs::StdRng;
-use rand::{Rng, SeedableRng};
+use rand::SeedableRng;
 use std::collections::VecDeque;
 
 /// A member's line at the moment of a change.
@@ -106,8 +106,7 @@
             .unwrap_or(line);
         let more = if now < self.more.1 { self.more.0 } else { 0 };
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
-            let (least, most) = self.rules.endpoint_update_delay;
-            let due = now + more + self.rng.gen_range(least..=most);
+            let due = now + more + self.rules.endpoint_update_delay.sample(&mut self.rng);
             // In order: a change waits for the one before it.
             let last = ear
                 .waiting
@@ -126,8 +125,7 @@
         let keep = self.rules.purge_deadline + 1_000_000;
         self.purges.retain(|(at, ..)| at + keep > now);
         for ear in self.ears.iter_mut().filter(|e| !e.deaf) {
-            let (least, most) = self.rules.purge_delay;
-            let due = now + self.rng.gen_range(least..=most);
+            let due = now + self.rules.purge_delay.sample(&mut self.rng);
             ear.push(
                 due,
                 ControlUpdate::Purge {
--- a/crates/scenario/src/fault_injection.rs
+++ b/crates/scenario/src/fault_injection.rs
@@ -1,25 +1,26 @@
 //! Faults that a run is made with on purpose, so that the audit has something to find.
 
-/// A fault made by the rig around an unchanged dispatcher; the auditor must find it under its own name.
+/// A fault that the test bed injects around an unchanged dispatcher; the audit must report it under its own name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// Control claims to have told of drains and did not.
+    /// The control plane claims to have sent drain notices and did not.
     WithholdDrain,
-    /// Cache hosts that take no notice of ages and purges.
+    /// Cache hosts ignore freshness lifetimes and purges.
     IgnorePurge,
-    /// A relay before a cache host sends every attempt twice.
+    /// A relay in front of a cache host sends every attempt twice.
     DuplicateAttempts,
-    /// The list hides that members have just started, and they are back so soon that nothing else shows it.
+    /// The endpoint list hides restarts, and hosts are back so soon that nothing else shows them.
     HideRestart,
-    /// A relay swallows answers.
+    /// A relay drops responses.
     DropResponses,
-    /// A relay holds answers until after the deadline.
+    /// A relay delays responses until after the deadline.
     DelayResponses,
-    /// Every dispatcher's settings say that it is the only one: each takes the whole of every part.
+    /// Every dispatcher's settings say that it is the only one: each takes the whole of every quota.
     MiscountDispatchers,
 }
 
 impl InjectedFault {
+    /// The faults by the names that the option `--plant` accepts.
     pub const NAMES: [(&'static str, Self); 7] = [
         ("drain", Self::WithholdDrain),
         ("purge", Self::IgnorePurge),
@@ -30,10 +31,11 @@
         ("alone", Self::MiscountDispatchers),
     ];
 
+    /// The name that the option `--plant` accepts.
     pub fn name(self) -> &'static str {
         Self::NAMES
             .iter()
-            .find(|(_, p)| *p == self)
-            .map_or("", |(w, _)| w)
+            .find(|(_, fault)| *fault == self)
+            .map_or("", |(name, _)| name)
     }
 }
--- /dev/null
+++ b/crates/scenario/src/setting_override.rs
@@ -0,0 +1,34 @@
+//! Values that replace those of a scenario file.
+use serde::{Deserialize, Serialize};
+
+/// A value in place of a scenario's own, written `section.key=value`.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SettingOverride {
+    /// The section's full name, such as `fleet` or `class page`.
+    pub section: String,
+    /// The key within the section.
+    pub key: String,
+    /// The value as the file would write it.
+    pub value: String,
+}
+
+impl std::str::FromStr for SettingOverride {
+    type Err = String;
+
+    fn from_str(text: &str) -> Result<Self, String> {
+        let malformed = || format!("{text:?} is not section.key=value, such as fleet.caches=9");
+        let (name, value) = text.split_once('=').ok_or_else(malformed)?;
+        let (section, key) = name.rsplit_once('.').ok_or_else(malformed)?;
+        Ok(Self {
+            section: section.trim().into(),
+            key: key.trim().into(),
+            value: value.trim().into(),
+        })
+    }
+}
+
+impl std::fmt::Display for SettingOverride {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        write!(f, "{}.{}={}", self.section, self.key, self.value)
+    }
+}
--- /dev/null
+++ b/crates/scenario/src/traffic/call_generator.rs
@@ -0,0 +1,139 @@
+//! Generates planned calls one after another.
+use super::part_sequence::{PartSequences, RequestedPart};
+use super::rate_schedule::RateSchedule;
+use super::special_objects::special_object;
+use super::{group_number, group_path, PlannedCall};
+use crate::{derive_seed, size_of, Idempotency, RequestClass, Scenario};
+use pointspindle::{Micros, ObjectId};
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use rand_distr::{Distribution, Exp, Zipf};
+
+/// Iterates over a scenario's calls. The order in which a call draws its random numbers is part of the behaviour: it
+/// decides what a seed means.
+pub(super) struct CallGenerator<'a> {
+    scenario: &'a Scenario,
+    rng: StdRng,
+    intervals: Exp<f64>,
+    /// Popularity of the objects of each class.
+    popularity: Vec<Zipf<f64>>,
+    total_share: f64,
+    /// Arrival time of the latest call at a steady rate, microseconds.
+    steady_time: f64,
+    schedule: RateSchedule<'a>,
+    sequences: PartSequences,
+    /// Calls generated so far; names objects that are requested once only.
+    count: u64,
+}
+
+impl<'a> CallGenerator<'a> {
+    pub(super) fn new(scenario: &'a Scenario) -> Self {
+        let workload = &scenario.workload;
+        let popularity = |class: &RequestClass| {
+            Zipf::new(class.catalogue.objects.max(1), class.catalogue.zipf)
+                .expect("the reader bounds the exponent")
+        };
+        Self {
+            scenario,
+            rng: StdRng::seed_from_u64(derive_seed(scenario.seed, "traffic")),
+            intervals: Exp::new(workload.calls_per_s / 1e6).expect("the rate is above 0"),
+            popularity: workload.classes.iter().map(popularity).collect(),
+            total_share: workload.classes.iter().map(|class| class.share).sum(),
+            steady_time: 0.0,
+            schedule: RateSchedule::new(scenario),
+            sequences: PartSequences::default(),
+            count: 0,
+        }
+    }
+
+    /// Draws a class by the classes' shares.
+    fn draw_class(&mut self) -> usize {
+        let classes = &self.scenario.workload.classes;
+        let mut position = self.rng.gen::<f64>() * self.total_share;
+        for (index, class) in classes.iter().enumerate() {
+            if position < class.share {
+                return index;
+            }
+            position -= class.share;
+        }
+        classes.len() - 1
+    }
+
+    /// Draws an object's part.
+    fn draw_part(&mut self, now: Micros, branch: usize, class_index: usize) -> RequestedPart {
+        let class = &self.scenario.workload.classes[class_index];
+        let catalogue = &class.catalogue;
+        let rank = self.popularity[class_index].sample(&mut self.rng) as u64;
+        let once = self.rng.gen::<f64>() < catalogue.once_share;
+        let local = self.rng.gen::<f64>() < catalogue.local_share;
+        let special = self.rng.gen::<f64>();
+        let part = self.rng.gen_range(0..catalogue.parts);
+        self.count += 1;
+        let special = special_object(self.scenario, now, class_index, special, self.count);
+        let file = match special {
+            Some(file) => file,
+            None if once => format!("once{}", self.count),
+            None if local => format!("b{branch}-o{rank}"),
+            None => format!("o{rank}"),
+        };
+        let drawn = RequestedPart {
+            file,
+            group: rank % self.scenario.workload.groups,
+            part,
+        };
+        if catalogue.part_interval == 0 || catalogue.parts <= 1 {
+            return drawn;
+        }
+        self.sequences
+            .next(now, (class_index, branch), catalogue, drawn)
+    }
+}
+
+impl Iterator for CallGenerator<'_> {
+    type Item = PlannedCall;
+
+    fn next(&mut self) -> Option<PlannedCall> {
+        self.steady_time += self.intervals.sample(&mut self.rng);
+        let now = self.schedule.time_of(self.steady_time) as Micros;
+        if now >= self.scenario.duration() {
+            return None;
+        }
+        let branch = self.rng.gen_range(0..self.scenario.fleet.branches);
+        let class_index = self.draw_class();
+        let requested = self.draw_part(now, branch, class_index);
+        let class = &self.scenario.workload.classes[class_index];
+        let object = format!(
+            "{}/{}",
+            group_path(&class.name, requested.group),
+            requested.file
+        );
+        let object_number = ObjectId::named(&object).0;
+        let clients = &self.scenario.clients;
+        let cancels = self.rng.gen::<f64>() < clients.cancel_share;
+        let cancel_after = self.rng.gen::<f64>() * class.latency_objective as f64;
+        let uses_http = self.rng.gen::<f64>() < clients.http_share;
+        let honours_retry_after = self.rng.gen::<f64>() < clients.retry_after_share;
+        let jitter = self.rng.gen::<f64>();
+        let idempotent = class.idempotency == Idempotency::Idempotent;
+        Some(PlannedCall {
+            at: now,
+            branch,
+            class: class_index,
+            size: size_of(
+                class,
+                self.scenario.seed,
+                &object,
+                object_number,
+                requested.part,
+            ),
+            object,
+            object_number,
+            group: group_number(&class.name, requested.group),
+            part: requested.part,
+            uses_http: uses_http && idempotent,
+            cancel_after: (cancels && idempotent).then_some(cancel_after as Micros),
+            honours_retry_after,
+            jitter,
+        })
+    }
+}
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -1,11 +1,12 @@
-//! A bench day of our own making becomes a scenario that reads back and says the same.
+//! Import of bench days: the scenario parses and states the same.
 #![recursion_limit = "512"]
 use pointspindle_scenario::import::{import, Size};
 use pointspindle_scenario::script::{FaultKind, ListedState};
 use pointspindle_scenario::{parse, Script, ScriptStep, Traffic};
 use serde_json::json;
 
-fn day(troubles: serde_json::Value) -> String {
+/// A bench day with two classes, two hubs and three branches, as JSON.
+fn bench_day(faults: serde_json::Value) -> String {
     let server = |zone: usize, kind: usize, weight: f64| json!({"zone": zone, "kind": kind, "weight": weight, "up": true});
     let mut servers: Vec<_> = (0..12).map(|n| server(2 + n / 4, 0, 5.0)).collect();
     servers.extend([server(0, 1, 12.0), server(1, 1, 12.0), server(0, 2, 1.0)]);
@@ -16,7 +17,8 @@
             "sigma": 0.8, "stale_worth": 0.7, "zipf": 1.0});
         (class, stock)
     };
-    let (video, page) = (class("video", 200e3, 0.0), class("page", 40e3, 9e6));
+    let video = class("video", 200e3, 0.0);
+    let page = class("page", 40e3, 9e6);
     json!({
         "site": "own", "kind": "test", "length": 30e6, "zones": ["h1", "h2", "b1", "b2", "b3"], "net": {"same": 300.0},
         "traffic": {"load": 0.5}, "clients": {"retries": 2.0, "backoff_us": 90e3, "honour": 0.8},
@@ -25,7 +27,7 @@
         "tiers": [{"stated_cold_from": 0.2, "stated_cold": 15e6,
             "kinds": [{"cores": 5.0, "slots": 10.0, "queue": 8.0, "thrash": 0.1}]}],
         "servers": servers, "balancers": [server(2, 0, 1.0), server(3, 0, 1.0), server(4, 0, 1.0)],
-        "troubles": troubles,
+        "troubles": faults,
         "fam": {"abort_fill": true, "direct": false, "far": 30e3, "fill_timeout": 1.5e6, "fills_per_core": 4.0, "groups": 16,
             "hubs": 2, "joins": true, "kb_per_s": 5000.0, "link": [2.0, 2.0, 9.0, 9.0, 9.0], "near": 6e3,
             "origin_fall": [2.5, 3e6, 4e6], "origin_kind": 2, "origin_link": 30.0, "origin_time": 40e3, "pace": 2.5,
@@ -36,133 +38,116 @@
     .to_string()
 }
 
-#[test]
-fn every_kind_of_trouble_is_carried_over_or_named() {
-    let trouble = |kind: &str, more: serde_json::Value| {
-        let mut t = json!({"kind": kind, "at": 5e6, "len": 8e6, "size": 0.4, "extra": 2.0, "on": [0, 1, 2], "which": 3, "steps": []});
-        t.as_object_mut()
-            .unwrap()
-            .extend(more.as_object().unwrap().clone());
-        t
+/// Bench faults that have a counterpart, in the order of the day.
+const CONVERTED: [(&str, FaultKind); 15] = [
+    ("crash", FaultKind::Crash),
+    ("mass_restart", FaultKind::Crash),
+    ("hang", FaultKind::Hang),
+    ("fast_errors", FaultKind::FailRequests),
+    ("answer_lost", FaultKind::DropResponses),
+    ("ageing", FaultKind::Ageing),
+    ("zone_loss", FaultKind::ZoneLoss),
+    ("origin_slow", FaultKind::SlowDown),
+    ("flush", FaultKind::Purge),
+    ("hot_key", FaultKind::Hot),
+    ("heavy_tail", FaultKind::Oversized),
+    ("scan", FaultKind::OneOff),
+    ("deploy", FaultKind::Deploy),
+    ("preempt", FaultKind::Deploy),
+    ("balancer_roll", FaultKind::KillDispatchers),
+];
+
+/// A bench fault; kinds that act in waves have two of three servers each.
+fn bench_fault(kind: &str) -> serde_json::Value {
+    let waves = match kind {
+        "deploy" | "preempt" | "balancer_roll" => json!([
+            {"at": 5e6, "stop": [0, 1, 2], "start": [20]},
+            {"at": 8e6, "stop": [4, 5, 6], "start": [21]}
+        ]),
+        _ => json!([]),
     };
-    let none = json!({});
-    let waves = json!({"steps": [{"at": 5e6, "stop": [0, 1, 2], "start": [20]}, {"at": 8e6, "stop": [4, 5, 6], "start": [21]}]});
-    let kinds = [
-        ("crash", FaultKind::Crash),
-        ("mass_restart", FaultKind::Crash),
-        ("hang", FaultKind::Hang),
-        ("fast_errors", FaultKind::FailRequests),
-        ("answer_lost", FaultKind::DropResponses),
-        ("ageing", FaultKind::Ageing),
-        ("zone_loss", FaultKind::ZoneLoss),
-        ("origin_slow", FaultKind::SlowDown),
-        ("flush", FaultKind::Purge),
-        ("hot_key", FaultKind::Hot),
-        ("heavy_tail", FaultKind::Oversized),
-        ("scan", FaultKind::OneOff),
-        ("deploy", FaultKind::Deploy),
-        ("preempt", FaultKind::Deploy),
-        ("balancer_roll", FaultKind::KillDispatchers),
-    ];
-    let mut troubles: Vec<_> = kinds
+    json!({"kind": kind, "at": 5e6, "len": 8e6, "size": 0.4, "extra": 2.0, "on": [0, 1, 2], "which": 3, "steps": waves})
+}
+
+#[test]
+fn import_of_each_bench_fault_converts_it_or_names_it() {
+    let mut faults: Vec<_> = CONVERTED
         .iter()
-        .map(|(k, _)| {
-            trouble(
-                k,
-                if matches!(*k, "deploy" | "preempt" | "balancer_roll") {
-                    waves.clone()
-                } else {
-                    none.clone()
-                },
-            )
-        })
+        .map(|(kind, _)| bench_fault(kind))
         .collect();
-    troubles.push(trouble("report_late", none.clone()));
-    troubles.push(trouble("earthquake", none));
+    faults.push(bench_fault("report_late"));
+    faults.push(bench_fault("earthquake"));
     for size in [Size::Loopback, Size::Full] {
-        let (text, left) = import(&day(json!(troubles)), size).unwrap();
-        assert_eq!(left.len(), 2, "{left:?}");
-        let s = parse("imported.ini", &text, None).unwrap_or_else(|e| panic!("{e}\n{text}"));
-        let got: Vec<FaultKind> = s.faults.iter().map(|t| t.kind).collect();
-        assert_eq!(got, kinds.iter().map(|k| k.1).collect::<Vec<_>>());
-        let deploy = s
+        let (text, not_carried_over) = import(&bench_day(json!(faults)), size).unwrap();
+        assert_eq!(not_carried_over.len(), 2, "{not_carried_over:?}");
+        let scenario =
+            parse("imported.ini", &text, None).unwrap_or_else(|error| panic!("{error}\n{text}"));
+        let kinds: Vec<FaultKind> = scenario.faults.iter().map(|fault| fault.kind).collect();
+        let expected: Vec<FaultKind> = CONVERTED.iter().map(|(_, kind)| *kind).collect();
+        assert_eq!(kinds, expected);
+        let deploy = scenario
             .faults
             .iter()
-            .find(|t| t.kind == FaultKind::Deploy)
+            .find(|fault| fault.kind == FaultKind::Deploy)
             .unwrap();
         assert!((deploy.target.share - 0.5).abs() < 0.01 && deploy.severity == 2.0);
-        assert_eq!(
-            (
-                s.fleet.branches,
-                s.fleet.caches_per_branch,
-                s.fleet.parents,
-                s.limits.rules.purge_deadline
-            ),
-            (3, 4, 2, 6_000_000)
-        );
-        assert_eq!(
-            (
-                s.workload.classes[1].freshness_lifetime,
-                s.workload.classes[1].stale_if_error
-            ),
-            (9_000_000, 18_000_000)
-        );
+        assert_eq!(scenario.fleet.branches, 3);
+        assert_eq!(scenario.fleet.caches_per_branch, 4);
+        assert_eq!(scenario.fleet.parents, 2);
+        assert_eq!(scenario.limits.rules.purge_deadline, 6_000_000);
+        let page = &scenario.workload.classes[1];
+        assert_eq!(page.freshness_lifetime, 9_000_000);
+        assert_eq!(page.stale_if_error, 18_000_000);
     }
 }
 
-/// The load of the caches' links is the day's, whatever the size.
+/// The load of the cache hosts' links is the bench day's, whatever the size.
 #[test]
-fn the_load_is_carried_over() {
+fn imported_scenario_at_each_size_keeps_link_load() {
     for size in [Size::Loopback, Size::Full] {
-        let (text, _) = import(&day(json!(null)), size).unwrap();
-        let s = parse("imported.ini", &text, Some(3)).unwrap();
-        let links: f64 =
-            s.fleet.cache.spec.weight * (s.fleet.branches * s.fleet.caches_per_branch) as f64;
-        let bytes: u64 = Traffic::generate(&s).calls.iter().map(|c| c.size).sum();
-        let load = bytes as f64 / s.network.bytes_per_s / s.duration_s / links;
+        let (text, _) = import(&bench_day(json!(null)), size).unwrap();
+        let scenario = parse("imported.ini", &text, Some(3)).unwrap();
+        let fleet = &scenario.fleet;
+        let hosts = (fleet.branches * fleet.caches_per_branch) as f64;
+        let links = fleet.cache.spec.weight * hosts;
+        let calls = Traffic::generate(&scenario).calls;
+        let bytes: u64 = calls.iter().map(|call| call.size).sum();
+        let load = bytes as f64 / scenario.network.bytes_per_s / scenario.duration_s / links;
         assert!((0.42..0.58).contains(&load), "{size:?}: {load}");
     }
-    let wrong = import("{\"site\": 3}", Size::Full).unwrap_err().to_string();
-    assert!(wrong.contains("not a day"), "{wrong}");
+    let error = import("{\"site\": 3}", Size::Full).unwrap_err().to_string();
+    assert!(error.contains("not a day"), "{error}");
 }
 
-/// A drained member gets its notice before its end, and a successor under another address.
+/// A host is drained before its process ends, and its successor starts under another address.
 #[test]
-fn a_deploy_is_written_as_notice_end_and_successor() {
-    let waves = json!([{"kind": "deploy", "at": 5e6, "len": 8e6, "extra": 2.0, "steps": [{"at": 5e6, "stop": [0, 1], "start": [20, 21]}]}]);
-    let (text, _) = import(&day(waves), Size::Loopback).unwrap();
-    let s = parse("imported.ini", &text, Some(3)).unwrap();
+fn imported_deploy_drains_hosts_before_successors_are_ready() {
+    let deploy = json!([{"kind": "deploy", "at": 5e6, "len": 8e6, "extra": 2.0, "steps": [{"at": 5e6, "stop": [0, 1], "start": [20, 21]}]}]);
+    let (text, _) = import(&bench_day(deploy), Size::Loopback).unwrap();
+    let scenario = parse("imported.ini", &text, Some(3)).unwrap();
     let address = |n: usize| format!("127.0.0.1:{}", 1000 + n);
-    let hosts = s.hosts(address);
-    let script = Script::generate(&s, &hosts, address);
+    let hosts = scenario.hosts(address);
+    let script = Script::generate(&scenario, &hosts, address);
     assert_eq!(script.newcomers.len(), 2);
-    for (n, _) in script.newcomers.iter().enumerate() {
-        let host = hosts.len() + n;
-        let ready = script
+    let updates_to = |state: ListedState| {
+        script
             .steps
             .iter()
-            .find(|(_, s)| {
-                *s == ScriptStep::EndpointUpdate {
-                    host,
-                    state: ListedState::Ready,
+            .filter_map(move |(at, step)| match step {
+                ScriptStep::EndpointUpdate { host, state: to } if *to == state => {
+                    Some((*at, *host))
                 }
+                _ => None,
             })
-            .unwrap()
-            .0;
-        let drains: Vec<u64> = script
-            .steps
-            .iter()
-            .filter(|(_, s)| {
-                matches!(
-                    s,
-                    ScriptStep::EndpointUpdate {
-                        state: ListedState::Draining,
-                        ..
-                    }
-                )
-            })
-            .map(|s| s.0)
-            .collect();
-        assert_eq!(ready, drains[n] + 2_000_000);
+    };
+    let drain_starts: Vec<u64> = updates_to(ListedState::Draining)
+        .map(|(at, _)| at)
+        .collect();
+    for (n, _) in script.newcomers.iter().enumerate() {
+        let successor = hosts.len() + n;
+        let (ready, _) = updates_to(ListedState::Ready)
+            .find(|(_, host)| *host == successor)
+            .unwrap();
+        assert_eq!(ready, drain_starts[n] + 2_000_000);
     }
 }
--- a/crates/scenario/tests/traffic.rs
+++ b/crates/scenario/tests/traffic.rs
@@ -1,58 +1,65 @@
-//! Traffic that is not steady: waves, bursts, parts one after another.
+//! Generated traffic: waves, bursts, and parts requested in sequence.
 use pointspindle_scenario::{load_with, Scenario, SettingOverride, Traffic};
 use std::collections::HashMap;
 use std::path::Path;
 
-fn scenario(sets: &[&str]) -> Scenario {
+fn scenario(overrides: &[&str]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/evening-rush.ini");
-    let sets: Vec<SettingOverride> = sets.iter().map(|s| s.parse().unwrap()).collect();
-    load_with(&file, Some(5), &sets).unwrap_or_else(|e| panic!("{e}"))
+    let overrides: Vec<SettingOverride> =
+        overrides.iter().map(|text| text.parse().unwrap()).collect();
+    load_with(&file, Some(5), &overrides).unwrap_or_else(|error| panic!("{error}"))
+}
+
+/// Parts of a lesson video, and their interval in the scenario.
+const PARTS: u64 = 4;
+const PART_INTERVAL_US: u64 = 1_500_000;
+
+/// The next part of an object that a client has begun.
+struct PendingPart {
+    part: u64,
+    due: u64,
 }
 
 /// Calls in each second.
-fn by_second(s: &Scenario) -> Vec<usize> {
-    let mut out = vec![0; s.duration_s as usize + 1];
-    for call in Traffic::generate(s).calls {
-        out[(call.at / 1_000_000) as usize] += 1;
+fn calls_by_second(scenario: &Scenario) -> Vec<usize> {
+    let mut counts = vec![0; scenario.duration_s as usize + 1];
+    for call in Traffic::generate(scenario).calls {
+        counts[(call.at / 1_000_000) as usize] += 1;
     }
-    out
+    counts
 }
 
-fn mean(of: &[usize]) -> f64 {
-    of.iter().sum::<usize>() as f64 / of.len() as f64
+fn mean(counts: &[usize]) -> f64 {
+    counts.iter().sum::<usize>() as f64 / counts.len() as f64
 }
 
 #[test]
-fn waves_swell_and_ebb_and_a_burst_is_as_hard_as_it_says() {
-    let waves = by_second(&scenario(&["day.seconds=60", "trouble bell.hard=1"]));
+fn traffic_with_waves_and_burst_follows_configured_rates() {
+    let waves = calls_by_second(&scenario(&["day.seconds=60", "trouble bell.hard=1"]));
     // Periods of 12 s: the first half of each is above the mean, the second below.
-    let half = |first: bool| -> Vec<usize> {
+    let half_periods = |first: bool| -> Vec<usize> {
         (0..60)
-            .filter(|n| (n % 12 < 6) == first)
-            .map(|n| waves[n])
+            .filter(|second| (second % 12 < 6) == first)
+            .map(|second| waves[second])
             .collect()
     };
-    let ratio = mean(&half(true)) / mean(&half(false));
-    // The mean of a half wave of depth 0.4 is 1 ± 0.4 * 2 / π.
+    let ratio = mean(&half_periods(true)) / mean(&half_periods(false));
+    // The mean of a half period at depth 0.4 is 1 ± 0.4 * 2 / π.
     assert!((ratio - 1.255 / 0.745).abs() < 0.2, "{ratio:.2}");
 
-    let burst = by_second(&scenario(&["day.wave_depth=0"]));
-    let (inside, outside) = (mean(&burst[14..18]), mean(&burst[20..34]));
-    assert!(
-        (inside / outside - 3.0).abs() < 0.4,
-        "{:.2}",
-        inside / outside
-    );
+    let burst = calls_by_second(&scenario(&["day.wave_depth=0"]));
+    let factor = mean(&burst[14..18]) / mean(&burst[20..34]);
+    assert!((factor - 3.0).abs() < 0.4, "{factor:.2}");
 }
 
-/// What is steady is drawn as it always was: a key for waves in the file, left at 0, moves nothing.
+/// The period of a wave changes nothing while its depth is 0.
 #[test]
-fn a_steady_day_is_what_it_was() {
-    let draw = |sets: &[&str]| {
-        let calls = Traffic::generate(&scenario(sets)).calls;
+fn traffic_with_zero_wave_depth_ignores_wave_period() {
+    let requested_parts = |overrides: &[&str]| {
+        let calls = Traffic::generate(&scenario(overrides)).calls;
         calls
             .into_iter()
-            .map(|c| (c.at, c.object, c.part))
+            .map(|call| (call.at, call.object, call.part))
             .collect::<Vec<_>>()
     };
     let steady = [
@@ -60,40 +67,43 @@
         "trouble bell.kind=late_lists",
         "class lesson-video.part_every_ms=0",
     ];
-    let other = [&steady[..], &["day.wave_s=3"]].concat();
-    assert_eq!(draw(&steady), draw(&other));
+    let other_period = [&steady[..], &["day.wave_s=3"]].concat();
+    assert_eq!(requested_parts(&steady), requested_parts(&other_period));
 }
 
 #[test]
-fn parts_are_asked_for_one_after_another_by_who_began_at_the_first() {
-    let s = scenario(&[
+fn traffic_with_part_interval_requests_parts_in_sequence() {
+    let scenario = scenario(&[
         "day.wave_depth=0",
         "class lesson-video.once=0",
         "class lesson-video.local=0",
     ]);
-    let mut next: HashMap<(usize, String), Vec<(u64, u64)>> = HashMap::new();
-    let (mut firsts, mut later) = (0, 0);
-    for call in Traffic::generate(&s)
-        .calls
-        .into_iter()
-        .filter(|c| c.class == 0)
-    {
-        let open = next.entry((call.branch, call.object.clone())).or_default();
+    let calls = Traffic::generate(&scenario).calls;
+    let mut pending: HashMap<(usize, String), Vec<PendingPart>> = HashMap::new();
+    let mut first_parts = 0;
+    let mut later_parts = 0;
+    for call in calls.into_iter().filter(|call| call.class == 0) {
+        let pending = pending
+            .entry((call.branch, call.object.clone()))
+            .or_default();
         if call.part == 0 {
-            firsts += 1;
+            first_parts += 1;
         } else {
-            later += 1;
-            let due = open
+            later_parts += 1;
+            let due = pending
                 .iter()
-                .position(|(part, due)| *part == call.part && *due <= call.at);
-            open.swap_remove(due.expect("the part before it was asked for, and long enough ago"));
+                .position(|next| next.part == call.part && next.due <= call.at);
+            pending.swap_remove(due.expect("the part before it was requested long enough ago"));
         }
-        if call.part + 1 < 4 {
-            open.push((call.part + 1, call.at + 1_500_000));
+        if call.part + 1 < PARTS {
+            pending.push(PendingPart {
+                part: call.part + 1,
+                due: call.at + PART_INTERVAL_US,
+            });
         }
     }
     assert!(
-        firsts > 100 && later > 2 * firsts,
-        "{firsts} began, {later} went on"
+        first_parts > 100 && later_parts > 2 * first_parts,
+        "{first_parts} first parts, {later_parts} later ones"
     );
 }
