--- a/crates/cache-model/src/host.rs
+++ b/crates/cache-model/src/host.rs
@@ -1,197 +1,198 @@
-//! One member's state.
-use super::cold::WarmUpLoad;
-use super::fill::Fill;
-use super::pipe::SharedLink;
-use super::store::{Key, Store};
-use super::*;
-use std::collections::{BTreeMap, HashMap, VecDeque};
+//! The state of one host.
+use super::fill::FillTable;
+use super::impairments::Impairments;
+use super::job::Job;
+use super::purge_log::PurgeLog;
+use super::shared_link::SharedLink;
+use super::store::Store;
+use super::warm_up::WarmUpLoad;
+use super::{FillId, HostSpec, JobId, ModelInput, Role};
+use pointspindle::Micros;
+use pointspindle_protocol::LoadReport;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-#[derive(Debug)]
-pub struct Job {
-    pub wanted: ModelRequest,
-    pub arrived: Micros,
-    pub state: JobState,
-}
+/// Hit ratio of a host that has been running for long.
+const INITIAL_HIT_RATIO: f64 = 0.5;
 
-#[derive(Debug)]
-pub enum JobState {
-    /// Waits for a fill's first byte.
-    Filling(FillId),
-    /// Waits for a place, with its answer.
-    Queued(ModelResponse, Option<FillId>),
-    /// The origin works before its first byte; a turn of `think` ends then.
-    Thinking(ModelResponse),
-    /// On the link until the key's end.
-    Sending {
-        key: (u64, u64),
-        fill: Option<FillId>,
-        cut: bool,
-    },
-    /// Its part of the link is done; the fill that it passes on is not.
-    Trailing(FillId),
-    /// Taken, and never answered.
-    Lost,
+/// Weight of one request in the running mean of the hit ratio.
+const HIT_RATIO_WEIGHT: f64 = 0.02;
+
+/// Most utilization that a load report states.
+const MAX_UTILIZATION: f64 = 10.0;
+
+/// Least factor of a slow-down.
+const MIN_SLOW_DOWN: f64 = 1e-3;
+
+/// A timer of a host. Timers that are due together run in this order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) enum HostTimer {
+    /// The origin's work before the first byte of a response ends.
+    ServiceEnd(JobId),
+    FillTimeout(FillId),
+    /// A fault ends, a pause begins, or the warm-up proceeds: state is re-evaluated.
+    Reevaluate,
 }
 
+/// The latest load report; it is reused for a while.
 #[derive(Debug, Default)]
-pub struct Faults {
-    pub hang: Micros,
-    pub lose: (f64, Micros),
-    pub cut: (f64, Micros),
-    pub refuse: Micros,
-    pub err: (f64, Micros),
-    pub slow: (f64, Micros),
+struct ReportedLoad {
+    at: Micros,
+    report: LoadReport,
 }
 
+/// A host: a process, its link, store, and requests in progress.
 #[derive(Debug)]
-pub struct Host {
-    pub spec: HostSpec,
-    pub up: bool,
-    /// Which start of the process this is.
-    pub start: u64,
-    /// None: long ago, warm.
-    pub started: Option<Micros>,
-    pub pipe: SharedLink,
-    pub jobs: BTreeMap<JobId, Job>,
-    pub queue: VecDeque<JobId>,
-    /// Requests with a place: on the link, thinking, or waiting for the rest of a fill.
-    pub busy: usize,
-    pub fills: BTreeMap<FillId, Fill>,
-    pub filling: HashMap<Key, FillId>,
-    pub store: Store,
-    pub spent: WarmUpLoad,
-    pub faults: Faults,
-    /// What came while it hung.
-    pub deferred: Vec<ModelInput>,
-    /// Timers of `think` and of fills, by time.
-    pub waits: std::collections::BTreeSet<(Micros, Wait)>,
-    /// Share of hits, as a running mean.
-    pub hits: f64,
-    pub report: (Micros, LoadReport),
-    /// When the driver is to wake it, as registered with the world.
-    pub wake: Option<Micros>,
-    /// Newest purges seen, so that a fill begun before is not kept.
-    pub purged_objects: HashMap<u64, Micros>,
-    pub purged_groups: HashMap<u64, Micros>,
+pub(crate) struct Host {
+    pub(crate) spec: HostSpec,
+    pub(crate) up: bool,
+    /// Counts the starts of the process.
+    pub(crate) incarnation: u64,
+    /// When the process started; `None`: long before the run, so that it is warm.
+    pub(crate) started: Option<Micros>,
+    pub(crate) link: SharedLink,
+    pub(crate) jobs: BTreeMap<JobId, Job>,
+    /// Requests that wait for a free slot.
+    pub(crate) queue: VecDeque<JobId>,
+    /// Slots in use: by requests on the link, in service, or waiting for the end of a fill.
+    pub(crate) slots_in_use: usize,
+    pub(crate) fills: FillTable,
+    pub(crate) store: Store,
+    pub(crate) warm_up_load: WarmUpLoad,
+    pub(crate) impairments: Impairments,
+    /// Inputs that came while the host hung.
+    pub(crate) deferred: Vec<ModelInput>,
+    pub(crate) timers: BTreeSet<(Micros, HostTimer)>,
+    /// Running mean.
+    hit_ratio: f64,
+    reported_load: ReportedLoad,
+    /// The wake-up that is scheduled with the model.
+    pub(crate) wake_up: Option<Micros>,
+    pub(crate) purges: PurgeLog,
     /// When the process next pauses; 0: never.
-    pub next_pause: Micros,
-}
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Wait {
-    Think(JobId),
-    FillDue(FillId),
-    /// A fault ends, a pause begins, the warm-up goes on: look again.
-    Look,
+    pub(crate) next_pause: Micros,
 }
 
 impl Host {
-    pub fn new(spec: HostSpec) -> Self {
+    pub(crate) fn new(spec: HostSpec) -> Self {
         Self {
             up: true,
-            start: 1,
+            incarnation: 1,
             started: None,
-            pipe: SharedLink::new(spec.weight, spec.crowding_loss),
+            link: SharedLink::new(spec.weight, spec.crowding_loss),
             jobs: BTreeMap::new(),
             queue: VecDeque::new(),
-            busy: 0,
-            fills: BTreeMap::new(),
-            filling: HashMap::new(),
+            slots_in_use: 0,
+            fills: FillTable::default(),
             store: Store::new(spec.store_bytes),
-            spent: WarmUpLoad::default(),
-            faults: Faults::default(),
+            warm_up_load: WarmUpLoad::default(),
+            impairments: Impairments::default(),
             deferred: Vec::new(),
-            waits: Default::default(),
-            hits: 0.5,
-            report: (0, LoadReport::default()),
-            wake: None,
-            purged_objects: HashMap::new(),
-            purged_groups: HashMap::new(),
+            timers: BTreeSet::new(),
+            hit_ratio: INITIAL_HIT_RATIO,
+            reported_load: ReportedLoad::default(),
+            wake_up: None,
+            purges: PurgeLog::default(),
             next_pause: 0,
             spec,
         }
     }
 
-    pub fn hangs(&self, now: Micros) -> bool {
-        now < self.faults.hang
+    /// A host whose process is not started yet.
+    pub(crate) fn new_stopped(spec: HostSpec) -> Self {
+        Self {
+            up: false,
+            incarnation: 0,
+            ..Self::new(spec)
+        }
+    }
+
+    /// Starts the process anew.
+    pub(crate) fn start(&mut self, now: Micros) {
+        self.up = true;
+        self.incarnation += 1;
+        self.started = Some(now);
+        self.hit_ratio = 0.0;
+    }
+
+    /// Ends the process: jobs, fills and copies are lost.
+    pub(crate) fn stop(&mut self) {
+        self.up = false;
+        self.link.clear();
+        self.jobs.clear();
+        self.queue.clear();
+        self.slots_in_use = 0;
+        self.fills.clear();
+        self.timers.clear();
+        self.deferred.clear();
+        self.impairments = Impairments::default();
+        self.warm_up_load = WarmUpLoad::default();
+        self.store = Store::new(self.spec.store_bytes);
+    }
+
+    pub(crate) fn is_hanging(&self, now: Micros) -> bool {
+        now < self.impairments.hang_until
+    }
+
+    /// Hangs until a time, or longer if it does already.
+    pub(crate) fn hang_until(&mut self, until: Micros) {
+        self.impairments.hang_until = self.impairments.hang_until.max(until);
+        self.timers.insert((until, HostTimer::Reevaluate));
     }
 
-    pub fn is_cold(&self, now: Micros) -> bool {
+    pub(crate) fn is_warming_up(&self, now: Micros) -> bool {
         self.started
-            .is_some_and(|at| now < at + self.spec.warm_up.total_duration())
+            .is_some_and(|started| now < started + self.spec.warm_up.total_duration())
+    }
+
+    pub(crate) fn has_free_slot(&self) -> bool {
+        self.slots_in_use < self.spec.concurrency
     }
 
     /// Transfers that its link carries now.
-    pub fn capacity(&self, now: Micros) -> f64 {
-        if self.hangs(now) {
+    pub(crate) fn capacity(&self, now: Micros) -> f64 {
+        if self.is_hanging(now) {
             return 0.0;
         }
-        let cold = self.started.map_or(1.0, |at| {
-            self.spec.warm_up.share_after(now.saturating_sub(at))
+        let share = self.started.map_or(1.0, |started| {
+            let since_start = now.saturating_sub(started);
+            self.spec.warm_up.share_after(since_start)
         });
-        let slow = if now < self.faults.slow.1 {
-            self.faults.slow.0.max(1e-3)
-        } else {
-            1.0
-        };
-        self.spec.weight * cold / slow
-    }
-
-    /// The load report that answers carry: as old as its period allows.
-    pub fn load(&mut self, now: Micros, link: f64) -> LoadReport {
-        if now >= self.report.0 + self.spec.load_report_interval {
-            let link = if self.spec.role == Role::Parent {
-                self.fills.len() as f64
-            } else {
-                link
-            };
-            let util = self.pipe.load().min(10.0);
-            self.report = (
-                now,
-                LoadReport {
-                    utilization: util,
-                    hit_ratio: self.hits,
-                    link_utilization: link,
-                },
-            );
-        }
-        self.report.1
+        let slow_down = self.impairments.slow_down.factor_at(now);
+        self.spec.weight * share / slow_down.max(MIN_SLOW_DOWN)
     }
 
-    /// Whether a copy from the origin at `birth` is from before a purge that this member knows.
-    pub fn is_purged(&self, number: u64, group: u64, birth: Micros) -> bool {
-        self.purged(number, group).is_some_and(|at| birth < at)
+    pub(crate) fn record_hit(&mut self) {
+        self.hit_ratio = self.hit_ratio * (1.0 - HIT_RATIO_WEIGHT) + HIT_RATIO_WEIGHT;
     }
 
-    /// The newest purge of an object that this member knows.
-    pub fn purged(&self, number: u64, group: u64) -> Option<Micros> {
-        self.purged_objects
-            .get(&number)
-            .max(self.purged_groups.get(&group))
-            .copied()
+    pub(crate) fn record_miss(&mut self) {
+        self.hit_ratio *= 1.0 - HIT_RATIO_WEIGHT;
     }
 
-    /// The next moment at which something happens by itself.
-    pub fn next(&self) -> Option<Micros> {
-        let wait = self.waits.first().map(|(at, _)| *at);
-        match (self.pipe.next(), wait) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+    /// The load report of a response; a new one once per reporting interval. `zone_link_load` is that of the zone's
+    /// link, in place of which a parent reports its fills.
+    pub(crate) fn load_report(&mut self, now: Micros, zone_link_load: f64) -> LoadReport {
+        if now >= self.reported_load.at + self.spec.load_report_interval {
+            let link_utilization = match self.spec.role {
+                Role::Parent => self.fills.len() as f64,
+                Role::Cache | Role::Origin => zone_link_load,
+            };
+            self.reported_load = ReportedLoad {
+                at: now,
+                report: LoadReport {
+                    utilization: self.link.load().min(MAX_UTILIZATION),
+                    hit_ratio: self.hit_ratio,
+                    link_utilization,
+                },
+            };
         }
+        self.reported_load.report
     }
 
-    /// The process ends: all that it had under way is gone. Copies go with it.
-    pub fn clear(&mut self) {
-        self.pipe.clear();
-        self.jobs.clear();
-        self.queue.clear();
-        self.busy = 0;
-        self.fills.clear();
-        self.filling.clear();
-        self.waits.clear();
-        self.deferred.clear();
-        self.faults = Faults::default();
-        self.spent = WarmUpLoad::default();
-        self.store = Store::new(self.spec.store_bytes);
+    /// When something next happens at the host without an input.
+    pub(crate) fn next_event(&self) -> Option<Micros> {
+        let transfer_end = self.link.next_end();
+        let timer = self.timers.first().map(|(at, _)| *at);
+        transfer_end.into_iter().chain(timer).min()
     }
 }
--- /dev/null
+++ b/crates/cache-model/src/request.rs
@@ -0,0 +1,95 @@
+//! Requests, copies and responses.
+use super::store::ObjectKey;
+use pointspindle::Micros;
+use pointspindle_protocol::{LoadReport, WireCacheStatus};
+use std::sync::Arc;
+
+/// A request at a host.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ModelRequest {
+    /// The object's path.
+    pub object: Arc<str>,
+    /// The object's id.
+    pub object_number: u64,
+    /// The requested part of the object.
+    pub part: u64,
+    /// The object's purge group.
+    pub group: u64,
+    /// Index of the request class.
+    pub class: usize,
+    /// Address that a miss is filled from; `None`: the host's own upstream, if it has one.
+    pub source: Option<String>,
+    /// Rank at which a cache host stores the copy; 0: it does not.
+    pub retention_rank: u8,
+    /// Greatest age of an acceptable copy, microseconds; 0: the freshness lifetime of the class.
+    pub max_age: Micros,
+    /// The request may join a fill in progress.
+    pub coalesce: bool,
+    /// The request is for a cached copy only.
+    pub only_if_cached: bool,
+    /// A copy near the end of its freshness lifetime is revalidated in the background.
+    pub revalidate: bool,
+    /// Version of the requester's copy: if it is current, the response has no body.
+    pub cached_version: Option<u64>,
+    /// Identifies work that must not run twice; empty: there is none.
+    pub idempotency_key: Arc<str>,
+    /// Trace id.
+    pub trace: Arc<str>,
+    /// Number of the attempt.
+    pub attempt: u32,
+}
+
+impl ModelRequest {
+    /// Whether its work must not run twice.
+    pub fn has_idempotency_key(&self) -> bool {
+        !self.idempotency_key.is_empty()
+    }
+
+    pub(crate) fn key(&self) -> ObjectKey {
+        ObjectKey {
+            object: self.object_number,
+            part: self.part,
+        }
+    }
+}
+
+/// A copy of an object's part: enough to generate its bytes again.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct CachedCopy {
+    /// The origin's version: the number of updates so far.
+    pub version: u64,
+    /// Bytes.
+    pub size: u64,
+    /// When the origin served or confirmed it, microseconds.
+    pub validated_at: Micros,
+}
+
+/// The head of a response.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ModelResponse {
+    /// Where the copy comes from.
+    pub cache_status: WireCacheStatus,
+    /// The copy.
+    pub copy: CachedCopy,
+    /// Time since its validation, microseconds.
+    pub age: Micros,
+    /// Remaining freshness lifetime, microseconds; `None`: it stays fresh.
+    pub freshness_left: Option<Micros>,
+    /// The requester's version is current: there is no body.
+    pub not_modified: bool,
+    /// The host's load.
+    pub load: LoadReport,
+    /// HTTP status; 404 where the origin has no such object.
+    pub status_code: u16,
+}
+
+impl ModelResponse {
+    /// Size of the body, bytes.
+    pub(crate) fn body_bytes(&self) -> u64 {
+        if self.not_modified {
+            0
+        } else {
+            self.copy.size
+        }
+    }
+}
--- /dev/null
+++ b/crates/cache-model/src/shared_link.rs
@@ -0,0 +1,126 @@
+//! A link that transfers share evenly, each at its own full speed at most (processor sharing with a cap).
+//!
+//! All transfers get the same rate, so one running sum of service tells when each ends: a transfer that begins at sum
+//! `v` with work `w` ends when the sum reaches `v + w`. Each event costs the logarithm of the number of transfers.
+use pointspindle::Micros;
+use std::collections::BTreeSet;
+
+#[cfg(test)]
+mod tests;
+
+/// Microseconds of a transfer at full speed; an integer, so that the order of ends is exact.
+type Work = u64;
+
+/// A transfer, ordered by its end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct TransferKey {
+    /// The sum of service at which it ends.
+    end: Work,
+    id: u64,
+}
+
+/// A link and the transfers on it.
+#[derive(Debug)]
+pub(crate) struct SharedLink {
+    /// Transfers at full speed that it carries now.
+    capacity: f64,
+    /// Share of the capacity that each further full load of transfers costs.
+    crowding_loss: f64,
+    /// Service that each transfer has received, microseconds.
+    served: f64,
+    /// The time to which `served` is computed, microseconds.
+    now: Micros,
+    transfers: BTreeSet<TransferKey>,
+}
+
+impl SharedLink {
+    pub(crate) fn new(capacity: f64, crowding_loss: f64) -> Self {
+        Self {
+            capacity,
+            crowding_loss,
+            served: 0.0,
+            now: 0,
+            transfers: BTreeSet::new(),
+        }
+    }
+
+    /// Share of full speed that each transfer gets: 1 while the link is not full.
+    fn rate(&self) -> f64 {
+        if self.capacity <= 0.0 {
+            return 0.0;
+        }
+        if self.transfers.is_empty() {
+            return 1.0;
+        }
+        let count = self.transfers.len() as f64;
+        let excess = (count / self.capacity - 1.0).max(0.0);
+        (self.capacity / count / (1.0 + self.crowding_loss * excess)).min(1.0)
+    }
+
+    fn advance(&mut self, now: Micros) {
+        let elapsed = now.saturating_sub(self.now) as f64;
+        self.served += elapsed * self.rate();
+        self.now = self.now.max(now);
+        if self.transfers.is_empty() {
+            // Nothing refers to the sum: at 0 its floating-point steps are finest.
+            self.served = 0.0;
+        }
+    }
+
+    /// Changes the capacity from now on.
+    pub(crate) fn set_capacity(&mut self, now: Micros, capacity: f64) {
+        self.advance(now);
+        self.capacity = capacity;
+    }
+
+    /// Begins a transfer.
+    pub(crate) fn begin(&mut self, now: Micros, id: u64, work: Work) -> TransferKey {
+        self.advance(now);
+        let end = self.served.ceil() as u64 + work.max(1);
+        let key = TransferKey { end, id };
+        self.transfers.insert(key);
+        key
+    }
+
+    /// Cancels a transfer.
+    pub(crate) fn cancel(&mut self, now: Micros, key: TransferKey) {
+        self.advance(now);
+        self.transfers.remove(&key);
+    }
+
+    /// When the next transfer ends if nothing changes, microseconds.
+    pub(crate) fn next_end(&self) -> Option<Micros> {
+        let next = self.transfers.first()?;
+        let rate = self.rate();
+        if rate <= 0.0 {
+            return None;
+        }
+        let remaining = (next.end as f64 - self.served).max(0.0) / rate;
+        Some(self.now + remaining.ceil() as Micros)
+    }
+
+    /// Removes a transfer that has ended by now, and returns its id.
+    pub(crate) fn pop_ended(&mut self, now: Micros) -> Option<u64> {
+        self.advance(now);
+        let first = self.transfers.first()?;
+        // Within half a microsecond of its end.
+        if first.end as f64 > self.served + 0.5 {
+            return None;
+        }
+        self.transfers.pop_first().map(|ended| ended.id)
+    }
+
+    pub(crate) fn transfer_count(&self) -> usize {
+        self.transfers.len()
+    }
+
+    /// Removes all transfers.
+    pub(crate) fn clear(&mut self) {
+        self.transfers.clear();
+    }
+
+    /// Transfers over capacity.
+    pub(crate) fn load(&self) -> f64 {
+        self.transfers.len() as f64 / self.capacity.max(1e-9)
+    }
+}
--- a/crates/cache-model/src/store.rs
+++ b/crates/cache-model/src/store.rs
@@ -1,186 +1,156 @@
-//! Copies of one member: by rank, within a rank by use; bounded in bytes.
+//! The cached copies of a host, bounded in bytes, evicted by retention rank and then least recently used first.
 use super::CachedCopy;
 use pointspindle::Micros;
 use std::collections::{BTreeSet, HashMap};
 
-/// An object's number and its part.
-pub type Key = (u64, u64);
+#[cfg(test)]
+mod tests;
+
+/// A part of an object.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct ObjectKey {
+    /// The object's id.
+    pub(crate) object: u64,
+    /// The part.
+    pub(crate) part: u64,
+}
+
+/// Position in the order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionKey {
+    rank: u8,
+    /// Count of uses of the store at the copy's latest use.
+    last_use: u64,
+    key: ObjectKey,
+}
 
 #[derive(Debug)]
-struct Held {
+struct Entry {
     copy: CachedCopy,
     group: u64,
     rank: u8,
-    used: u64,
+    last_use: u64,
+}
+
+impl Entry {
+    fn eviction_key(&self, key: ObjectKey) -> EvictionKey {
+        EvictionKey {
+            rank: self.rank,
+            last_use: self.last_use,
+            key,
+        }
+    }
 }
 
+/// The cached copies of a host.
 #[derive(Debug)]
-pub struct Store {
-    most: u64,
-    bytes: u64,
-    held: HashMap<Key, Held>,
-    /// Lowest rank first, in a rank what was used longest ago.
-    order: BTreeSet<(u8, u64, Key)>,
-    clock: u64,
+pub(crate) struct Store {
+    capacity_bytes: u64,
+    used_bytes: u64,
+    entries: HashMap<ObjectKey, Entry>,
+    eviction_order: BTreeSet<EvictionKey>,
+    uses: u64,
 }
 
 impl Store {
-    pub fn new(most: u64) -> Self {
+    pub(crate) fn new(capacity_bytes: u64) -> Self {
         Self {
-            most,
-            bytes: 0,
-            held: HashMap::new(),
-            order: BTreeSet::new(),
-            clock: 0,
+            capacity_bytes,
+            used_bytes: 0,
+            entries: HashMap::new(),
+            eviction_order: BTreeSet::new(),
+            uses: 0,
         }
     }
 
-    pub fn get(&self, key: Key) -> Option<CachedCopy> {
-        self.held.get(&key).map(|h| h.copy)
-    }
-
-    pub fn len(&self) -> usize {
-        self.held.len()
+    pub(crate) fn get(&self, key: ObjectKey) -> Option<CachedCopy> {
+        self.entries.get(&key).map(|entry| entry.copy)
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+    #[cfg(test)]
+    pub(crate) fn len(&self) -> usize {
+        self.entries.len()
     }
 
-    pub fn bytes(&self) -> u64 {
-        self.bytes
+    #[cfg(test)]
+    pub(crate) fn used_bytes(&self) -> u64 {
+        self.used_bytes
     }
 
-    fn next(&mut self) -> u64 {
-        self.clock += 1;
-        self.clock
+    fn next_use(&mut self) -> u64 {
+        self.uses += 1;
+        self.uses
     }
 
-    /// A copy was used: it moves to the end of its rank, or of the rank given (0 leaves it).
-    pub fn touch(&mut self, key: Key, rank: u8) {
-        let used = self.next();
-        let Some(held) = self.held.get_mut(&key) else {
+    /// Marks a copy as just used, and changes its rank unless the given one is 0.
+    pub(crate) fn touch(&mut self, key: ObjectKey, rank: u8) {
+        let last_use = self.next_use();
+        let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        self.order.remove(&(held.rank, held.used, key));
-        held.used = used;
+        self.eviction_order.remove(&entry.eviction_key(key));
+        entry.last_use = last_use;
         if rank > 0 {
-            held.rank = rank;
+            entry.rank = rank;
         }
-        self.order.insert((held.rank, held.used, key));
+        self.eviction_order.insert(entry.eviction_key(key));
     }
 
-    /// The origin has confirmed a copy.
-    pub fn renew(&mut self, key: Key, birth: Micros) {
-        if let Some(held) = self.held.get_mut(&key) {
-            held.copy.validated_at = held.copy.validated_at.max(birth);
+    /// Notes that the origin has confirmed a copy.
+    pub(crate) fn revalidate(&mut self, key: ObjectKey, validated_at: Micros) {
+        if let Some(entry) = self.entries.get_mut(&key) {
+            entry.copy.validated_at = entry.copy.validated_at.max(validated_at);
         }
     }
 
-    /// Keeps a copy at a rank; it pushes out its own rank or lower, else it is not kept.
-    pub fn put(&mut self, key: Key, group: u64, copy: CachedCopy, rank: u8) -> bool {
-        if rank == 0 || copy.size > self.most {
+    /// Stores a copy at a rank, evicting copies of its own rank or lower. Returns whether it is stored.
+    pub(crate) fn put(&mut self, key: ObjectKey, group: u64, copy: CachedCopy, rank: u8) -> bool {
+        if rank == 0 || copy.size > self.capacity_bytes {
             return false;
         }
         self.remove(key);
-        while self.bytes + copy.size > self.most {
-            match self.order.first().copied() {
-                Some((lowest, _, victim)) if lowest <= rank => self.remove(victim),
+        while self.used_bytes + copy.size > self.capacity_bytes {
+            match self.eviction_order.first().copied() {
+                Some(lowest) if lowest.rank <= rank => self.remove(lowest.key),
                 _ => return false,
             }
         }
-        let used = self.next();
-        self.bytes += copy.size;
-        self.order.insert((rank, used, key));
-        self.held.insert(
-            key,
-            Held {
-                copy,
-                group,
-                rank,
-                used,
-            },
-        );
+        let entry = Entry {
+            copy,
+            group,
+            rank,
+            last_use: self.next_use(),
+        };
+        self.used_bytes += copy.size;
+        self.eviction_order.insert(entry.eviction_key(key));
+        self.entries.insert(key, entry);
         true
     }
 
-    fn remove(&mut self, key: Key) {
-        if let Some(held) = self.held.remove(&key) {
-            self.order.remove(&(held.rank, held.used, key));
-            self.bytes -= held.copy.size;
+    fn remove(&mut self, key: ObjectKey) {
+        if let Some(entry) = self.entries.remove(&key) {
+            self.eviction_order.remove(&entry.eviction_key(key));
+            self.used_bytes -= entry.copy.size;
         }
     }
 
-    /// Drops copies of an object, or of a group, from before a purge.
-    pub fn purge(&mut self, object: Option<u64>, group: u64, at: Micros) {
-        let struck = |key: &Key, held: &Held| {
-            held.copy.validated_at < at && object.map_or(held.group == group, |o| key.0 == o)
+    /// Removes copies of an object, or of a group, that were validated before a purge.
+    pub(crate) fn purge(&mut self, object: Option<u64>, group: u64, purged_at: Micros) {
+        let is_purged = |key: &ObjectKey, entry: &Entry| {
+            let matches = match object {
+                Some(object) => key.object == object,
+                None => entry.group == group,
+            };
+            matches && entry.copy.validated_at < purged_at
         };
-        let keys: Vec<Key> = self
-            .held
+        let purged: Vec<ObjectKey> = self
+            .entries
             .iter()
-            .filter(|(k, h)| struck(k, h))
-            .map(|(k, _)| *k)
+            .filter(|(key, entry)| is_purged(key, entry))
+            .map(|(key, _)| *key)
             .collect();
-        for key in keys {
+        for key in purged {
             self.remove(key);
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn copy(size: u64, birth: Micros) -> CachedCopy {
-        CachedCopy {
-            version: 0,
-            size,
-            validated_at: birth,
-        }
-    }
-
-    #[test]
-    fn the_lowest_rank_goes_first_and_nothing_for_a_lower_one() {
-        let mut store = Store::new(30);
-        assert!(store.put((1, 0), 0, copy(10, 0), 2));
-        assert!(store.put((2, 0), 0, copy(10, 0), 1));
-        assert!(store.put((3, 0), 0, copy(10, 0), 2));
-        assert!(
-            store.put((4, 0), 0, copy(10, 0), 1),
-            "pushes out its own rank"
-        );
-        assert!(store.get((2, 0)).is_none() && store.get((1, 0)).is_some());
-        store.touch((1, 0), 0);
-        assert!(store.put((5, 0), 0, copy(20, 0), 2));
-        assert!(
-            store.get((4, 0)).is_none() && store.get((3, 0)).is_none(),
-            "rank 1, then the longest unused"
-        );
-        assert!(
-            !store.put((6, 0), 0, copy(10, 0), 1),
-            "nothing of a higher rank for it"
-        );
-        assert!(
-            !store.put((7, 0), 0, copy(31, 0), 3),
-            "larger than the store"
-        );
-        assert_eq!((store.bytes(), store.len()), (30, 2));
-    }
-
-    #[test]
-    fn a_purge_drops_what_is_older_and_keeps_what_came_after() {
-        let mut store = Store::new(100);
-        store.put((1, 0), 7, copy(10, 100), 1);
-        store.put((1, 1), 7, copy(10, 300), 1);
-        store.put((2, 0), 8, copy(10, 100), 1);
-        store.purge(None, 7, 200);
-        assert!(
-            store.get((1, 0)).is_none()
-                && store.get((1, 1)).is_some()
-                && store.get((2, 0)).is_some()
-        );
-        store.purge(Some(2), 0, 200);
-        assert!(store.get((2, 0)).is_none());
-    }
-}
--- /dev/null
+++ b/crates/cache-model/src/warm_up.rs
@@ -0,0 +1,77 @@
+//! The warm-up of a host that has just started, and the overload that crashes it.
+use pointspindle::Micros;
+use std::collections::VecDeque;
+
+#[cfg(test)]
+mod tests;
+
+/// The warm-up of one kind of host.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WarmUpSpec {
+    /// Share of its link that a host gives at its start.
+    pub initial_share: f64,
+    /// Time until the whole link is given, microseconds; the share rises linearly.
+    pub duration: Micros,
+    /// The host crashes when it receives more than this multiple of its capacity ...
+    pub overload_factor: f64,
+    /// ... within this window, microseconds.
+    pub overload_window: Micros,
+}
+
+impl WarmUpSpec {
+    /// Share of its link that a host gives so many microseconds after its start.
+    pub fn share_after(&self, since_start: Micros) -> f64 {
+        let progress = since_start as f64 / self.duration.max(1) as f64;
+        (self.initial_share + (1.0 - self.initial_share) * progress.min(1.0)).min(1.0)
+    }
+
+    /// Time after its start in which a host can be overloaded, microseconds.
+    pub fn total_duration(&self) -> Micros {
+        self.duration + self.overload_window
+    }
+}
+
+/// Share of the budget from which a host is overloaded: the whole, up to rounding in sums of many small numbers.
+pub const ROUNDING_TOLERANCE: f64 = 1.0 + 1e-9;
+
+/// Work that a host received in one attempt.
+#[derive(Clone, Copy, Debug)]
+struct ReceivedWork {
+    at: Micros,
+    /// Seconds of a transfer at full speed.
+    seconds: f64,
+}
+
+/// Work that a host received within the latest overload window.
+#[derive(Debug, Default)]
+pub(crate) struct WarmUpLoad {
+    received: VecDeque<ReceivedWork>,
+    sum_s: f64,
+}
+
+impl WarmUpLoad {
+    /// Records work, in seconds of a transfer at full speed, and returns the used share of the budget of the window
+    /// that ends now. Above [`ROUNDING_TOLERANCE`] the host is overloaded.
+    pub(crate) fn record(
+        &mut self,
+        now: Micros,
+        started: Micros,
+        weight: f64,
+        spec: &WarmUpSpec,
+        work_s: f64,
+    ) -> f64 {
+        self.received.push_back(ReceivedWork {
+            at: now,
+            seconds: work_s,
+        });
+        self.sum_s += work_s;
+        let window_start = now.saturating_sub(spec.overload_window);
+        while let Some(oldest) = self.received.front().filter(|work| work.at <= window_start) {
+            self.sum_s -= oldest.seconds;
+            self.received.pop_front();
+        }
+        let share = spec.share_after(window_start.saturating_sub(started));
+        let budget_s = spec.overload_factor * share * weight * spec.overload_window as f64 / 1e6;
+        self.sum_s / budget_s.max(1e-9)
+    }
+}
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -1,11 +1,11 @@
-//! The model of members: fills that are joined, die, or are crossed by a purge; an origin that tips over.
-use pointspindle_cache_model::cold::WarmUpSpec;
+//! Hosts of the model: coalesced, failing and purged fills, warm-up, hangs, and an overloaded origin.
 use pointspindle_cache_model::*;
 use pointspindle_protocol::WireCacheStatus;
 use std::sync::Arc;
 
 const MS: u64 = 1_000;
-const T0: u64 = 1_000_000_000;
+/// Start of each test, microseconds.
+const START: u64 = 1_000_000_000;
 const CACHE: HostId = 0;
 const PARENT: HostId = 1;
 const ORIGIN: HostId = 2;
@@ -41,18 +41,31 @@
     }
 }
 
-/// A world whose fills are carried by hand, or passed on at once.
-struct Stage {
-    world: CacheModel,
+/// A fill that waits for its source.
+struct PendingFill {
+    host: HostId,
+    fill: FillId,
+}
+
+/// What became of a request, in words.
+struct Outcome {
+    job: JobId,
+    text: String,
+}
+
+/// The job of outcomes that belong to a host instead.
+const NO_JOB: JobId = u64::MAX;
+
+/// A cache host, a parent and an origin; the test answers fills.
+struct Fixture {
+    model: CacheModel,
     now: u64,
-    next: u64,
-    /// Fills that wait for their source: at whom, number, source, what.
-    fills: Vec<(HostId, FillId, String, ModelRequest)>,
-    /// What each request came to.
-    ends: Vec<(JobId, String)>,
+    last_job: JobId,
+    fills: Vec<PendingFill>,
+    outcomes: Vec<Outcome>,
 }
 
-impl Stage {
+impl Fixture {
     fn new() -> Self {
         let class = ClassModel {
             name: "page".into(),
@@ -71,7 +84,7 @@
                 link: 0.0,
             },
         ];
-        let spec = CacheModelSettings {
+        let settings = CacheModelSettings {
             classes: vec![class],
             zones,
             bytes_per_s: 1e6,
@@ -83,69 +96,71 @@
             host("p", Role::Parent, 1),
             host("o", Role::Origin, 1),
         ];
-        let world = CacheModel::new(spec, hosts, Box::new(|_| Some(100_000)), 1);
         Self {
-            world,
-            now: T0,
-            next: 0,
+            model: CacheModel::new(settings, hosts, Box::new(|_| Some(100_000)), 1),
+            now: START,
+            last_job: 0,
             fills: vec![],
-            ends: vec![],
+            outcomes: vec![],
+        }
+    }
+
+    fn handle(&mut self, input: ModelInput) {
+        let mut outputs = vec![];
+        self.model.handle(self.now, input, &mut outputs);
+        for output in outputs {
+            self.record(output);
         }
     }
 
-    fn tell(&mut self, input: ModelInput) {
-        let mut out = vec![];
-        self.world.handle(self.now, input, &mut out);
-        for wish in out {
-            match wish {
-                ModelOutput::ResponseStart {
-                    job,
-                    response: answer,
-                    ..
-                } => {
-                    self.ends.push((
-                        job,
-                        format!("start {:?} v{}", answer.cache_status, answer.copy.version),
-                    ));
-                }
-                ModelOutput::ResponseEnd { job, .. } => self.ends.push((job, "finish".into())),
-                ModelOutput::Reject {
-                    job,
-                    status,
-                    cache_status: note,
-                    ..
-                } => self.ends.push((job, format!("{status:?} {note:?}"))),
-                ModelOutput::Disconnect { job, .. } => self.ends.push((job, "cut".into())),
-                ModelOutput::StartFill {
-                    host,
-                    fill,
-                    source,
-                    request: wanted,
-                } => self.fills.push((host, fill, source, wanted)),
-                ModelOutput::CancelFill { fill, .. } => self.fills.retain(|f| f.1 != fill),
-                ModelOutput::HostDown { host, reason: why } => {
-                    self.ends.push((u64::MAX, format!("down {host} {why}")))
-                }
-                ModelOutput::HostUp { .. } => {}
+    fn record(&mut self, output: ModelOutput) {
+        match output {
+            ModelOutput::ResponseStart { job, response, .. } => {
+                let version = response.copy.version;
+                let text = format!("start {:?} v{version}", response.cache_status);
+                self.outcomes.push(Outcome { job, text });
             }
+            ModelOutput::ResponseEnd { job, .. } => self.add_outcome(job, "finish"),
+            ModelOutput::Reject {
+                job,
+                status,
+                cache_status,
+                ..
+            } => self.add_outcome(job, &format!("{status:?} {cache_status:?}")),
+            ModelOutput::Disconnect { job, .. } => self.add_outcome(job, "cut"),
+            ModelOutput::StartFill { host, fill, .. } => {
+                self.fills.push(PendingFill { host, fill });
+            }
+            ModelOutput::CancelFill { fill, .. } => {
+                self.fills.retain(|pending| pending.fill != fill);
+            }
+            ModelOutput::HostDown { host, reason } => {
+                self.add_outcome(NO_JOB, &format!("down {host} {reason}"));
+            }
+            ModelOutput::HostUp { .. } => {}
         }
     }
 
-    fn to(&mut self, until: u64) {
-        while let Some(at) = self.world.next_timer().filter(|at| *at <= until) {
+    fn add_outcome(&mut self, job: JobId, text: &str) {
+        let text = text.to_owned();
+        self.outcomes.push(Outcome { job, text });
+    }
+
+    fn advance_to(&mut self, until: u64) {
+        while let Some(at) = self.model.next_timer().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(ModelInput::Tick);
+            self.handle(ModelInput::Tick);
         }
         self.now = until;
     }
 
-    fn pass(&mut self, ms: u64) {
-        self.to(self.now + ms * MS);
+    fn advance_ms(&mut self, ms: u64) {
+        self.advance_to(self.now + ms * MS);
     }
 
-    fn ask_as(&mut self, host: HostId, change: impl FnOnce(&mut ModelRequest)) -> JobId {
-        self.next += 1;
-        let mut wanted = ModelRequest {
+    fn request_with(&mut self, host: HostId, change: impl FnOnce(&mut ModelRequest)) -> JobId {
+        self.last_job += 1;
+        let mut request = ModelRequest {
             object: Arc::from("/page/a"),
             object_number: 7,
             part: 0,
@@ -162,50 +177,54 @@
             trace: Arc::from(""),
             attempt: 0,
         };
-        change(&mut wanted);
-        self.tell(ModelInput::Arrive {
-            host,
-            job: self.next,
-            request: wanted,
-        });
-        self.next
+        change(&mut request);
+        let job = self.last_job;
+        self.handle(ModelInput::Arrive { host, job, request });
+        job
     }
 
-    fn ask(&mut self) -> JobId {
-        self.ask_as(CACHE, |_| {})
+    fn request(&mut self) -> JobId {
+        self.request_with(CACHE, |_| {})
     }
 
-    /// Carries the oldest fill to the origin and back at once, with a copy of this moment.
+    /// Answers the oldest fill at once, with a copy that the origin validated just now.
     fn answer_fill(&mut self) {
-        let (host, fill, ..) = self.fills.remove(0);
+        let PendingFill { host, fill } = self.fills.remove(0);
         let copy = CachedCopy {
-            version: self.world.current_version(7, 3),
+            version: self.model.current_version(7, 3),
             size: 100_000,
             validated_at: self.now,
         };
-        let answer = filled(copy);
-        self.tell(ModelInput::FillResponse {
+        let response = filled(copy);
+        self.handle(ModelInput::FillResponse {
             host,
             fill,
-            response: answer,
+            response,
         });
-        self.tell(ModelInput::FillEnded {
+        self.handle(ModelInput::FillEnded {
             host,
             fill,
             outcome: FillOutcome::Complete,
         });
     }
 
-    fn of(&self, job: JobId) -> Vec<&str> {
-        self.ends
+    /// What became of a request.
+    fn outcomes_of(&self, job: JobId) -> Vec<&str> {
+        self.outcomes
             .iter()
-            .filter(|(j, _)| *j == job)
-            .map(|(_, e)| e.as_str())
+            .filter(|outcome| outcome.job == job)
+            .map(|outcome| outcome.text.as_str())
             .collect()
     }
+
+    /// What became of all requests, in order.
+    fn all_outcomes(&self) -> Vec<&str> {
+        let texts = self.outcomes.iter();
+        texts.map(|outcome| outcome.text.as_str()).collect()
+    }
 }
 
-/// A source's answer to a fill, with this copy.
+/// A source's response to a fill, with this copy.
 fn filled(copy: CachedCopy) -> ModelResponse {
     ModelResponse {
         cache_status: WireCacheStatus::Filled,
@@ -219,167 +238,187 @@
 }
 
 #[test]
-fn a_fill_joined_by_ten_is_one_fill_and_each_is_answered() {
-    let mut stage = Stage::new();
-    let jobs: Vec<JobId> = (0..8).map(|_| stage.ask()).collect();
-    assert_eq!(stage.fills.len(), 1);
-    stage.answer_fill();
-    stage.pass(1_000);
+fn coalesced_fill_is_sent_once_and_answers_every_request() {
+    let mut fixture = Fixture::new();
+    let jobs: Vec<JobId> = (0..8).map(|_| fixture.request()).collect();
+    assert_eq!(fixture.fills.len(), 1);
+    fixture.answer_fill();
+    fixture.advance_ms(1_000);
     assert!(
-        stage.of(jobs[0])[0].starts_with("start FilledByOrigin"),
+        fixture.outcomes_of(jobs[0])[0].starts_with("start FilledByOrigin"),
         "{:?}",
-        stage.ends
+        fixture.all_outcomes()
     );
     for job in &jobs[1..] {
-        assert_eq!(stage.of(*job), ["start Coalesced v0", "finish"]);
+        assert_eq!(fixture.outcomes_of(*job), ["start Coalesced v0", "finish"]);
     }
-    let hit = stage.ask();
-    stage.pass(1_000);
-    assert_eq!(stage.of(hit), ["start Hit v0", "finish"]);
+    let hit = fixture.request();
+    fixture.advance_ms(1_000);
+    assert_eq!(fixture.outcomes_of(hit), ["start Hit v0", "finish"]);
 }
 
 #[test]
-fn when_the_source_of_a_joined_fill_dies_each_who_waits_is_told() {
-    let mut stage = Stage::new();
-    let jobs: Vec<JobId> = (0..8).map(|_| stage.ask()).collect();
-    let (host, fill, ..) = stage.fills.remove(0);
-    stage.tell(ModelInput::FillEnded {
+fn coalesced_fill_with_unreachable_or_silent_source_fails_every_request() {
+    let mut fixture = Fixture::new();
+    let jobs: Vec<JobId> = (0..8).map(|_| fixture.request()).collect();
+    let PendingFill { host, fill } = fixture.fills.remove(0);
+    fixture.handle(ModelInput::FillEnded {
         host,
         fill,
         outcome: FillOutcome::Unreachable,
     });
     for job in jobs {
-        assert_eq!(stage.of(job), ["Error SourceUnreachable"]);
+        assert_eq!(fixture.outcomes_of(job), ["Error SourceUnreachable"]);
     }
-    // A silent source is given up after the fill's time.
-    let job = stage.ask();
-    stage.pass(501);
-    assert_eq!(stage.of(job), ["Error SourceUnreachable"]);
-    assert!(stage.fills.is_empty(), "and nothing more of it is wanted");
+    // A silent source is given up after the fill timeout.
+    let job = fixture.request();
+    fixture.advance_ms(501);
+    assert_eq!(fixture.outcomes_of(job), ["Error SourceUnreachable"]);
+    assert!(fixture.fills.is_empty(), "its request is cancelled");
 }
 
-/// The copy of a fill that a purge crossed may answer those who asked before, and is not kept.
+/// A copy that was purged during its fill may answer requests from before the purge, and is not stored.
 #[test]
-fn a_purge_that_lands_during_a_fill_leaves_no_old_copy_behind() {
-    let mut stage = Stage::new();
-    let before = stage.ask();
-    let (host, fill, ..) = stage.fills.remove(0);
-    let birth = stage.now;
-    stage.pass(50);
-    stage.tell(ModelInput::OriginUpdate {
+fn purge_during_fill_keeps_old_copy_out_of_store_and_later_responses() {
+    let mut fixture = Fixture::new();
+    let before = fixture.request();
+    let PendingFill { host, fill } = fixture.fills.remove(0);
+    let validated_at = fixture.now;
+    fixture.advance_ms(50);
+    fixture.handle(ModelInput::OriginUpdate {
         object: None,
         group: 3,
     });
-    let at = stage.now;
-    stage.tell(ModelInput::Purge {
+    let at = fixture.now;
+    fixture.handle(ModelInput::Purge {
         host: CACHE,
         object: None,
         group: 3,
         at,
     });
-    let copy = CachedCopy {
+    let response = filled(CachedCopy {
         version: 0,
         size: 100_000,
-        validated_at: birth,
-    };
-    let answer = filled(copy);
-    stage.tell(ModelInput::FillResponse {
+        validated_at,
+    });
+    fixture.handle(ModelInput::FillResponse {
         host,
         fill,
-        response: answer,
+        response,
     });
-    // One that asks for nothing older than the purge does not get the old copy by joining.
-    let after = stage.ask_as(CACHE, |w| w.max_age = 1);
-    stage.tell(ModelInput::FillEnded {
+    // A request for nothing older than the purge does not get the old copy by joining the fill.
+    let after = fixture.request_with(CACHE, |request| request.max_age = 1);
+    fixture.handle(ModelInput::FillEnded {
         host,
         fill,
         outcome: FillOutcome::Complete,
     });
-    stage.pass(300);
-    assert!(stage.of(before)[0].starts_with("start"), "{:?}", stage.ends);
-    assert!(stage.of(after).is_empty(), "{:?}", stage.ends);
-    stage.answer_fill();
-    stage.pass(500);
-    assert_eq!(stage.of(after), ["start FilledByOrigin v1", "finish"]);
+    fixture.advance_ms(300);
+    assert!(
+        fixture.outcomes_of(before)[0].starts_with("start"),
+        "{:?}",
+        fixture.all_outcomes()
+    );
+    assert!(
+        fixture.outcomes_of(after).is_empty(),
+        "{:?}",
+        fixture.all_outcomes()
+    );
+    fixture.answer_fill();
+    fixture.advance_ms(500);
+    assert_eq!(
+        fixture.outcomes_of(after),
+        ["start FilledByOrigin v1", "finish"]
+    );
 }
 
-/// Two dispatchers, each within its part, are together too much.
+/// Two dispatchers, each within its quota, exceed the budget together.
 #[test]
-fn a_cold_member_falls_over_by_exactly_too_much_in_sum_and_not_by_just_less() {
+fn warming_host_crashes_above_its_budget_and_not_at_it() {
     // Budget of the first second: 2 x 0.25 x 4 transfers = 2 s of work, 20 requests of 0.1 s.
-    for (each, falls) in [(10, false), (11, true)] {
-        let mut stage = Stage::new();
-        stage.tell(ModelInput::Fault {
+    for (requests_each, crashes) in [(10, false), (11, true)] {
+        let mut fixture = Fixture::new();
+        fixture.handle(ModelInput::Fault {
             host: PARENT,
             fault: Fault::Crash,
         });
-        stage.pass(1_000);
-        stage.tell(ModelInput::Fault {
+        fixture.advance_ms(1_000);
+        fixture.handle(ModelInput::Fault {
             host: PARENT,
             fault: Fault::Restart,
         });
         for _dispatcher in 0..2 {
-            for _ in 0..each {
-                stage.ask_as(PARENT, |w| w.source = None);
-                stage.pass(1);
+            for _ in 0..requests_each {
+                fixture.request_with(PARENT, |request| request.source = None);
+                fixture.advance_ms(1);
             }
         }
-        let fell = stage.ends.iter().any(|(_, e)| e.contains("pushed over"));
-        assert_eq!(fell, falls, "{each} from each of two");
-        assert_eq!(stage.world.is_up(PARENT), !falls);
+        let outcomes = fixture.all_outcomes();
+        let crashed = outcomes.iter().any(|text| text.contains("pushed over"));
+        assert_eq!(crashed, crashes, "{requests_each} from each of two");
+        assert_eq!(fixture.model.is_up(PARENT), !crashes);
     }
 }
 
 #[test]
-fn an_origin_that_is_pushed_too_far_stops_for_a_while_and_comes_back() {
-    let mut stage = Stage::new();
+fn overloaded_origin_hangs_for_its_downtime_and_resumes() {
+    let mut fixture = Fixture::new();
     // 2 x 4 transfers x 1 s = 80 requests of 0.1 s.
     for n in 0..81 {
-        stage.ask_as(ORIGIN, |w| w.object_number = n);
+        fixture.request_with(ORIGIN, |request| request.object_number = n);
     }
-    let late = stage.ask_as(ORIGIN, |w| w.object_number = 999);
-    stage.pass(2_900);
-    assert!(stage.of(late).is_empty(), "it answers nothing");
-    stage.pass(3_000);
-    assert!(!stage.of(late).is_empty(), "{:?}", stage.ends);
+    let late = fixture.request_with(ORIGIN, |request| request.object_number = 999);
+    fixture.advance_ms(2_900);
+    assert!(fixture.outcomes_of(late).is_empty(), "it hangs");
+    fixture.advance_ms(3_000);
+    assert!(
+        !fixture.outcomes_of(late).is_empty(),
+        "{:?}",
+        fixture.all_outcomes()
+    );
 }
 
 #[test]
-fn a_host_that_hangs_answers_after_it_what_was_not_cancelled() {
-    let mut stage = Stage::new();
-    let held = stage.ask();
-    stage.answer_fill();
-    stage.pass(1_000);
-    assert_eq!(stage.of(held).len(), 2);
-    let until = stage.now + 1_000 * MS;
-    stage.tell(ModelInput::Fault {
+fn hanging_host_answers_uncancelled_requests_afterwards() {
+    let mut fixture = Fixture::new();
+    let first = fixture.request();
+    fixture.answer_fill();
+    fixture.advance_ms(1_000);
+    assert_eq!(fixture.outcomes_of(first).len(), 2);
+    let until = fixture.now + 1_000 * MS;
+    fixture.handle(ModelInput::Fault {
         host: CACHE,
         fault: Fault::Hang { until },
     });
-    let (kept, given_up) = (stage.ask(), stage.ask());
-    stage.pass(900);
-    assert!(stage.of(kept).is_empty());
-    stage.tell(ModelInput::Cancel {
+    let waiting = fixture.request();
+    let cancelled = fixture.request();
+    fixture.advance_ms(900);
+    assert!(fixture.outcomes_of(waiting).is_empty());
+    fixture.handle(ModelInput::Cancel {
         host: CACHE,
-        job: given_up,
+        job: cancelled,
     });
-    stage.pass(1_000);
-    assert_eq!(stage.of(kept), ["start Hit v0", "finish"]);
-    assert!(stage.of(given_up).is_empty());
+    fixture.advance_ms(1_000);
+    assert_eq!(fixture.outcomes_of(waiting), ["start Hit v0", "finish"]);
+    assert!(fixture.outcomes_of(cancelled).is_empty());
 }
 
 #[test]
-fn with_its_places_and_queue_full_a_member_turns_away_at_once() {
-    let mut stage = Stage::new();
-    stage.ask();
-    stage.answer_fill();
-    stage.pass(1_000);
-    let jobs: Vec<JobId> = (0..13).map(|_| stage.ask()).collect();
+fn host_with_full_slots_and_queue_rejects_at_once() {
+    let mut fixture = Fixture::new();
+    fixture.request();
+    fixture.answer_fill();
+    fixture.advance_ms(1_000);
+    let jobs: Vec<JobId> = (0..13).map(|_| fixture.request()).collect();
     assert_eq!(
-        stage.of(jobs[12]),
+        fixture.outcomes_of(jobs[12]),
         ["Rejected Unreported"],
-        "8 places and 4 that wait"
+        "8 slots and a queue of 4"
+    );
+    fixture.advance_ms(5_000);
+    let outcomes = fixture.all_outcomes();
+    assert_eq!(
+        outcomes.iter().filter(|text| **text == "finish").count(),
+        13
     );
-    stage.pass(5_000);
-    assert_eq!(stage.ends.iter().filter(|(_, e)| e == "finish").count(), 13);
 }
--- a/crates/scenario/src/cache_model.rs
+++ b/crates/scenario/src/cache_model.rs
@@ -2,7 +2,7 @@
 use crate::{Idempotency, RequestClass, Scenario};
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::WorkLedger;
-use pointspindle_cache_model::cold::WarmUpSpec;
+use pointspindle_cache_model::WarmUpSpec;
 use pointspindle_cache_model::{CacheModelSettings, ClassModel, Role, ZoneSpec};
 
 /// Least sum of shares or seconds of work to divide by.
--- a/crates/scenario/src/read/hosts.rs
+++ b/crates/scenario/src/read/hosts.rs
@@ -1,7 +1,7 @@
 //! The fleet and the settings of its hosts.
 use super::ranges::ValueReader;
 use crate::{Fleet, HostKind};
-use pointspindle_cache_model::cold::WarmUpSpec;
+use pointspindle_cache_model::WarmUpSpec;
 use pointspindle_cache_model::{HostSpec, Role};
 
 /// Shortest window of a host's overload, microseconds.
