--- a/crates/fleet-model/src/dispatcher_settings.rs
+++ b/crates/fleet-model/src/dispatcher_settings.rs
@@ -1,113 +1,145 @@
-//! The settings file of a dispatcher of the day.
+//! The settings file of a dispatcher of a scenario.
 use pointspindle::Micros;
-use pointspindle_scenario::{Idempotency, Scenario};
-use std::fmt::Write;
+use pointspindle_cache_model::WarmUpSpec;
+use pointspindle_scenario::ini_writer::{IniWriter, SectionSpacing};
+use pointspindle_scenario::{Idempotency, RequestClass, Scenario};
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Of the day's keys in etcd.
+/// Prefix of the scenario's keys in etcd.
 pub const ETCD_PREFIX: &str = "/day";
 
-/// Where one listens: port 0 at first, the same ports again after a restart.
+/// Streams of one connection that a dispatcher accepts.
+const MAX_STREAMS: u32 = 4096;
+
+/// Path segments of a request over HTTP that name its purge group.
+const GROUP_SEGMENTS: u32 = 2;
+
+/// The addresses that a dispatcher listens at. Their ports are 0 at its first start, and the same after a restart.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
+    /// HTTP clients.
     pub http: SocketAddr,
+    /// Clients of the framed protocol.
     pub framed: SocketAddr,
+    /// Control connections.
     pub control: SocketAddr,
+    /// Metrics.
     pub metrics: SocketAddr,
 }
 
-fn ms(us: Micros) -> f64 {
-    us as f64 / 1e3
+fn millis(time: Micros) -> f64 {
+    time as f64 / 1e3
 }
 
-/// `etcd`: an endpoint from which lists and purges come, beside the control door.
+/// The text of a dispatcher's settings file. It connects to cache hosts from the address `bind`, and keeps its state in
+/// the file `state`. With `etcd`, an endpoint of etcd, it receives endpoint lists and purges from there as well.
 pub fn dispatcher_ini(
-    s: &Scenario,
+    scenario: &Scenario,
     dispatcher: usize,
-    doors: &ListenAddresses,
+    addresses: &ListenAddresses,
     bind: &str,
     state: &Path,
     etcd: Option<&str>,
 ) -> String {
-    let branch = s.branch_of_dispatcher(dispatcher);
-    let zones = s.zones();
-    let mut t = String::new();
-    let _ =
-        write!(
-        t,
-        "[dispatcher]\nname = d{dispatcher}\nzone = {}\nnumber = {}\ncount = {}\nstate_file = {}\n\
-         [listen]\nhttp = {}\nframed = {}\ncontrol = {}\nmetrics = {}\nmax_streams = 4096\n\
-         [upstream]\nbind = {bind}\n[http]\ngroup_segments = 2\n",
-        zones[branch],
-        if s.dispatchers.believes_alone { 0 } else { dispatcher },
-        if s.dispatchers.believes_alone { 1 } else { s.dispatcher_count() },
-        state.display(),
-        doors.http,
-        doors.framed,
-        doors.control,
-        doors.metrics,
-    );
+    let mut ini = IniWriter::new(SectionSpacing::Compact);
+    write_identity(&mut ini, scenario, dispatcher, state);
+    write_listeners(&mut ini, addresses);
+    ini.section("upstream").key("bind", bind);
+    ini.section("http").key("group_segments", GROUP_SEGMENTS);
     if let Some(endpoint) = etcd {
-        let _ = write!(
-            t,
-            "[etcd]\nendpoints = {endpoint}\nprefix = {ETCD_PREFIX}\n"
-        );
+        ini.section("etcd")
+            .key("endpoints", endpoint)
+            .key("prefix", ETCD_PREFIX);
     }
-    let yes = |b: bool| if b { "yes" } else { "no" };
-    let _ = write!(
-        t,
-        "[fleet]\nsiblings = {}\nnotes = {}\nstraight = {}\njoins = {}\nmax_attempts = {}\n\
-         stream_kb_per_s = {}\npurge_done_ms = {}\n",
-        s.dispatchers.siblings,
-        s.dispatchers.cache_status_notes,
-        yes(s.dispatchers.bypasses_caches),
-        yes(s.dispatchers.coalesces_fills),
-        s.dispatchers.max_attempts,
-        s.network.bytes_per_s / 1024.0,
-        ms(s.limits.rules.purge_deadline),
-    );
-    for (name, kind) in [("cache", &s.fleet.cache), ("parent", &s.fleet.parent)] {
-        let c = kind.spec.warm_up;
-        let _ = write!(
-            t,
-            "[cold {name}]\nstart_share = {}\nwarm_within_ms = {}\nmultiple = {}\nwindow_ms = {}\n",
-            c.initial_share,
-            ms(c.duration),
-            c.overload_factor,
-            ms(c.overload_window),
-        );
+    write_fleet(&mut ini, scenario);
+    write_warm_up(&mut ini, "cache", scenario.fleet.cache.spec.warm_up);
+    write_warm_up(&mut ini, "parent", scenario.fleet.parent.spec.warm_up);
+    write_zones(&mut ini, scenario);
+    for class in &scenario.workload.classes {
+        write_class(&mut ini, scenario, class);
     }
-    for (n, zone) in zones.iter().enumerate() {
-        let each = if s.dispatchers.believes_alone {
-            1
-        } else {
-            s.fleet.dispatchers_per_branch
-        };
-        let count = if n < s.fleet.branches { each } else { 0 };
-        let _ = writeln!(t, "[zone {zone}]\ndispatchers = {count}");
+    ini.finish()
+}
+
+/// The dispatcher's place among all dispatchers; an injected fault makes each believe that it is the only one.
+fn write_identity(ini: &mut IniWriter, scenario: &Scenario, dispatcher: usize, state: &Path) {
+    let branch = scenario.branch_of_dispatcher(dispatcher);
+    let mut section = ini.section("dispatcher");
+    section
+        .key("name", format_args!("d{dispatcher}"))
+        .key("zone", &scenario.zones()[branch]);
+    if scenario.dispatchers.assumes_single_dispatcher {
+        section.key("number", 0).key("count", 1);
+    } else {
+        section
+            .key("number", dispatcher)
+            .key("count", scenario.dispatcher_count());
     }
-    for c in &s.workload.classes {
-        let _ = write!(
-            t,
-            "[class {}]\ndeadline_ms = {}\naim_ms = {}\naim_stretch = {}\nworth = {}\nfresh_ms = {}\ngrace_ms = {}\n",
-            c.name,
-            ms(c.deadline),
-            ms(c.latency_objective),
-            c.latency_objective_stretch,
-            c.priority_weight,
-            ms(c.freshness_lifetime),
-            ms(c.stale_if_error),
-        );
-        let _ = match c.idempotency {
-            Idempotency::Idempotent => writeln!(t, "path_prefix = /{}/", c.name),
-            Idempotency::Keyed => write!(
-                t,
-                "repeat = keyed\nkey_group = all\nkey_window_ms = {}\nuncacheable = yes\n",
-                ms(s.dispatchers.idempotency_window)
-            ),
-            Idempotency::NotIdempotent => writeln!(t, "repeat = unsafe\nuncacheable = yes"),
+    section.key("state_file", state.display());
+}
+
+fn write_listeners(ini: &mut IniWriter, addresses: &ListenAddresses) {
+    ini.section("listen")
+        .key("http", addresses.http)
+        .key("framed", addresses.framed)
+        .key("control", addresses.control)
+        .key("metrics", addresses.metrics)
+        .key("max_streams", MAX_STREAMS);
+}
+
+fn write_fleet(ini: &mut IniWriter, scenario: &Scenario) {
+    let options = &scenario.dispatchers;
+    let purge_deadline = scenario.limits.rules.purge_deadline;
+    ini.section("fleet")
+        .key("siblings", &options.siblings)
+        .key("notes", &options.cache_status_notes)
+        .flag("straight", options.bypasses_caches)
+        .flag("joins", options.coalesces_fills)
+        .key("max_attempts", options.max_attempts)
+        .key("stream_kb_per_s", scenario.network.bytes_per_s / 1024.0)
+        .key("purge_done_ms", millis(purge_deadline));
+}
+
+fn write_warm_up(ini: &mut IniWriter, role: &str, warm_up: WarmUpSpec) {
+    ini.section(format_args!("cold {role}"))
+        .key("start_share", warm_up.initial_share)
+        .key("warm_within_ms", millis(warm_up.duration))
+        .key("multiple", warm_up.overload_factor)
+        .key("window_ms", millis(warm_up.overload_window));
+}
+
+fn write_zones(ini: &mut IniWriter, scenario: &Scenario) {
+    for (zone, name) in scenario.zones().iter().enumerate() {
+        let dispatchers = if scenario.dispatchers.assumes_single_dispatcher {
+            usize::from(zone < scenario.fleet.branches)
+        } else {
+            scenario.dispatchers_of(zone).len()
         };
+        ini.section(format_args!("zone {name}"))
+            .key("dispatchers", dispatchers);
     }
-    t
+}
+
+fn write_class(ini: &mut IniWriter, scenario: &Scenario, class: &RequestClass) {
+    let mut section = ini.section(format_args!("class {}", class.name));
+    section
+        .key("deadline_ms", millis(class.deadline))
+        .key("aim_ms", millis(class.latency_objective))
+        .key("aim_stretch", class.latency_objective_stretch)
+        .key("worth", class.priority_weight)
+        .key("fresh_ms", millis(class.freshness_lifetime))
+        .key("grace_ms", millis(class.stale_if_error));
+    match class.idempotency {
+        Idempotency::Idempotent => section.key("path_prefix", format_args!("/{}/", class.name)),
+        Idempotency::Keyed => section
+            .key("repeat", "keyed")
+            .key("key_group", "all")
+            .key(
+                "key_window_ms",
+                millis(scenario.dispatchers.idempotency_window),
+            )
+            .key("uncacheable", "yes"),
+        Idempotency::NotIdempotent => section.key("repeat", "unsafe").key("uncacheable", "yes"),
+    };
 }
--- a/crates/fleet-model/src/leases.rs
+++ b/crates/fleet-model/src/leases.rs
@@ -2,13 +2,12 @@
 use pointspindle_cache_host::lease::Grant;
 use pointspindle_protocol::LeaseHead;
 
-/// A grant of a member's ledger, as it is told.
+/// The message for a grant of a host's ledger.
 pub fn lease_head(grant: &Grant) -> LeaseHead {
-    let (work_us, by_asking) = ((grant.work * 1e6).round() as u64, grant.on_request);
     LeaseHead {
-        work_us,
+        work_us: (grant.work * 1e6).round() as u64,
         duration_us: grant.duration,
-        on_request: by_asking,
+        on_request: grant.on_request,
         in_reply: false,
     }
 }
--- a/crates/fleet-model/src/partition.rs
+++ b/crates/fleet-model/src/partition.rs
@@ -1,9 +1,13 @@
-//! What passes between zones while some of them are cut off.
+//! Partitions between zones.
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
 
-/// Whether something passes from one zone to another.
-pub fn passes(up: &BTreeMap<usize, PartitionDirections>, from: usize, to: usize) -> bool {
-    let held = |zone, way: fn(&PartitionDirections) -> bool| up.get(&zone).is_some_and(way);
-    from == to || !(held(from, |w| w.outward) || held(to, |w| w.inward))
+/// Whether traffic passes from one zone to another while the given zones are partitioned from the others.
+pub fn passes(partitioned: &BTreeMap<usize, PartitionDirections>, from: usize, to: usize) -> bool {
+    if from == to {
+        return true;
+    }
+    let leaves = !partitioned.get(&from).is_some_and(|zone| zone.outward);
+    let enters = !partitioned.get(&to).is_some_and(|zone| zone.inward);
+    leaves && enters
 }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -72,5 +72,5 @@
     /// How long the origin remembers an idempotency key, microseconds.
     pub idempotency_window: Micros,
     /// An injected fault: settings say that there is one dispatcher only.
-    pub believes_alone: bool,
+    pub assumes_single_dispatcher: bool,
 }
--- a/crates/scenario/src/import/faults.rs
+++ b/crates/scenario/src/import/faults.rs
@@ -1,7 +1,7 @@
 //! Faults of the bench as faults of a scenario.
 use super::bench_day::{BenchDay, BenchFault};
-use super::ini_writer::IniWriter;
 use super::layout::Layout;
+use crate::ini_writer::IniWriter;
 use pointspindle_cache_model::Role;
 
 /// Why a fault of the bench is not carried over.
--- a/crates/scenario/src/import/mod.rs
+++ b/crates/scenario/src/import/mod.rs
@@ -2,12 +2,12 @@
 //! times, at loopback size or at full size. `docs/lab.md` lists what is carried over and what is not.
 mod bench_day;
 mod faults;
-mod ini_writer;
+
 mod layout;
 mod sections;
 
+use crate::ini_writer::{IniWriter, SectionSpacing};
 use bench_day::BenchDay;
-use ini_writer::IniWriter;
 use layout::Layout;
 
 /// How large the scenario becomes.
@@ -34,7 +34,7 @@
 pub fn import(text: &str, size: Size) -> Result<(String, Vec<String>), ImportError> {
     let day: BenchDay = serde_json::from_str(text)?;
     let layout = Layout::new(&day, size)?;
-    let mut ini = IniWriter::default();
+    let mut ini = IniWriter::new(SectionSpacing::BlankLine);
     sections::write_sections(&day, &layout, &mut ini);
     let mut not_carried_over = Vec::new();
     for (number, fault) in day.faults.iter().flatten().enumerate() {
--- a/crates/scenario/src/import/sections.rs
+++ b/crates/scenario/src/import/sections.rs
@@ -1,8 +1,8 @@
 //! Sections of the imported scenario that describe fleet, workload and limits.
 use super::bench_day::{BenchCatalogue, BenchClass, BenchDay};
-use super::ini_writer::IniWriter;
 use super::layout::{mean, Layout};
 use super::Size;
+use crate::ini_writer::IniWriter;
 
 /// Requests that a parent or the origin handles at once, and queues: enough for any load.
 const UNBOUNDED_CONCURRENCY: u32 = 4096;
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod fault_injection;
 mod fleet;
 pub mod import;
+pub mod ini_writer;
 mod limits;
 mod load;
 mod read;
--- a/crates/scenario/src/read/faults.rs
+++ b/crates/scenario/src/read/faults.rs
@@ -22,13 +22,13 @@
         section,
         "takes",
         SiteLossExtent::Hosts,
-        &SiteLossExtent::WORDS,
+        &SiteLossExtent::NAMES,
     );
     let directions = values.reader.choice(
         section,
         "ways",
         PartitionDirections::default(),
-        &PartitionDirections::WORDS,
+        &PartitionDirections::NAMES,
     );
     let announced = values.flag(section, "told", true);
     if kind.affects_site() && kind.requires_processes() && target.zone.is_none() {
--- a/crates/scenario/src/read/sections.rs
+++ b/crates/scenario/src/read/sections.rs
@@ -48,7 +48,7 @@
         knows_sizes: values.flag("fleet", "sizes_told", true),
         max_attempts: values.count("fleet", "max_attempts", 6, 1) as u32,
         idempotency_window: values.millis("fleet", "key_window_ms", 2_000.0),
-        believes_alone: false,
+        assumes_single_dispatcher: false,
     }
 }
 
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -108,7 +108,7 @@
         match fault {
             Some(InjectedFault::HideRestart) => self.with_hidden_restarts(),
             Some(InjectedFault::MiscountDispatchers) => {
-                self.dispatchers.believes_alone = true;
+                self.dispatchers.assumes_single_dispatcher = true;
                 self
             }
             _ => self,
--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -186,7 +186,7 @@
 
 impl SiteLossExtent {
     /// The extents by their names in scenario files.
-    pub const WORDS: [(&'static str, Self); 3] = [
+    pub const NAMES: [(&'static str, Self); 3] = [
         ("hosts", Self::Hosts),
         ("parents", Self::Parents),
         ("dispatchers", Self::Dispatchers),
@@ -217,7 +217,7 @@
     };
 
     /// The directions by their names in scenario files.
-    pub const WORDS: [(&'static str, Self); 3] =
+    pub const NAMES: [(&'static str, Self); 3] =
         [("both", Self::BOTH), ("in", Self::IN), ("out", Self::OUT)];
 }
 
