--- a/crates/scenario/src/import/bench_day.rs
+++ b/crates/scenario/src/import/bench_scenario.rs
@@ -1,8 +1,8 @@
-//! The bench's JSON format: a day, as far as the import reads it. Times are microseconds unless stated otherwise.
+//! The bench's JSON format: a scenario, as far as the import reads it. Times are microseconds unless stated otherwise.
 use serde::Deserialize;
 
 #[derive(Debug, Deserialize)]
-pub(super) struct BenchDay {
+pub(super) struct BenchScenario {
     pub(super) site: String,
     pub(super) kind: String,
     #[serde(rename = "length")]
--- a/crates/scenario/src/import/faults.rs
+++ b/crates/scenario/src/import/faults.rs
@@ -1,5 +1,5 @@
 //! Faults of the bench as faults of a scenario.
-use super::bench_day::{BenchDay, BenchFault};
+use super::bench_scenario::{BenchFault, BenchScenario};
 use super::layout::Layout;
 use crate::ini_writer::IniWriter;
 use pointspindle_cache_model::Role;
@@ -54,11 +54,11 @@
 
 /// Converts a fault, or says why it has no counterpart.
 pub(super) fn convert(
-    day: &BenchDay,
+    bench: &BenchScenario,
     layout: &Layout,
     fault: &BenchFault,
 ) -> Result<ConvertedFault, NotCarriedOver> {
-    let hosts = host_fault(day, layout, fault);
+    let hosts = host_fault(bench, layout, fault);
     Ok(match fault.kind.as_str() {
         "crash" | "mass_restart" => hosts("crash"),
         "hang" => hosts("hang"),
@@ -81,7 +81,7 @@
             ..hosts("zone_loss")
         },
         "balancer_roll" => ConvertedFault {
-            share: stopped_servers(fault) as f64 / day.dispatchers.len() as f64,
+            share: stopped_servers(fault) as f64 / bench.dispatchers.len() as f64,
             downtime_s: Some(fault.extra),
             ..hosts("kill_dispatchers")
         },
@@ -116,13 +116,13 @@
 
 /// Makes faults of a kind that affect as large a share of the hosts as the bench's fault does.
 fn host_fault<'a>(
-    day: &'a BenchDay,
+    bench: &'a BenchScenario,
     layout: &'a Layout,
     fault: &'a BenchFault,
 ) -> impl Fn(&'static str) -> ConvertedFault + 'a {
     let is_origin = |index: &usize| {
-        let server = day.servers.get(*index);
-        server.is_some_and(|server| server.kind == day.family.origin.kind)
+        let server = bench.servers.get(*index);
+        server.is_some_and(|server| server.kind == bench.family.origin.kind)
     };
     let affects_parents = fault
         .servers
@@ -194,7 +194,7 @@
     fault.waves.iter().map(|wave| wave.stop.len()).sum()
 }
 
-/// The scenario's zone for one of the bench day, whose hubs come before its branches.
+/// The scenario's zone for one of the bench's scenario, whose hubs come before its branches.
 fn zone_name(layout: &Layout, zone: usize) -> String {
     match zone.checked_sub(layout.first_branch) {
         Some(branch) => format!("branch-{}", branch % layout.branches + 1),
--- a/crates/scenario/src/import/layout.rs
+++ b/crates/scenario/src/import/layout.rs
@@ -1,5 +1,5 @@
-//! The size of the scenario that a bench day becomes.
-use super::bench_day::{BenchDay, BenchServer};
+//! The size of the scenario that a scenario of the bench becomes.
+use super::bench_scenario::{BenchScenario, BenchServer};
 use super::{ImportError, Size};
 
 /// Branches of a scenario at loopback size, at most.
@@ -18,10 +18,10 @@
 /// stay as they are.
 const LOOPBACK_MAX_KB_PER_S: f64 = 500.0;
 
-/// Weight of a cache host at loopback size, as a share of the bench day's.
+/// Weight of a cache host at loopback size, as a share of the bench's.
 const LOOPBACK_WEIGHT_SHARE: f64 = 0.35;
 
-/// Time before the bench day's start in which the caches fill, seconds. The bench begins with filled caches.
+/// Time before the bench's start in which the caches fill, seconds. The bench begins with filled caches.
 const FULL_WARM_UP_S: f64 = 30.0;
 const LOOPBACK_WARM_UP_S: f64 = 4.0;
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// The hosts of the bench day, and how many of each kind the scenario has.
+/// The hosts of the bench's scenario, and how many of each kind the scenario has.
 pub(super) struct Layout {
     pub(super) size: Size,
-    /// The bench day's cache hosts, by server index.
+    /// The bench's cache hosts, by server index.
     pub(super) caches: Vec<usize>,
-    /// The bench day's parents, by server index.
+    /// The bench's parents, by server index.
     pub(super) parents: Vec<usize>,
     pub(super) branches: usize,
     pub(super) caches_per_branch: usize,
@@ -54,28 +54,30 @@
     /// Speed of one transfer.
     pub(super) kb_per_s: f64,
     pub(super) cache_weight: f64,
-    /// Mean weight of the bench day's cache hosts.
+    /// Mean weight of the bench's cache hosts.
     pub(super) bench_cache_weight: f64,
-    /// The bench day's first branch; its hubs come before.
+    /// The bench's first branch; its hubs come before.
     pub(super) first_branch: usize,
 }
 
 impl Layout {
-    pub(super) fn new(day: &BenchDay, size: Size) -> Result<Self, ImportError> {
-        let caches = servers_where(day, |server| is_cache(day, server));
-        let parents = servers_where(day, |server| server.kind as i64 == day.family.parents.kind);
-        let zones = zones_of(day, &caches);
+    pub(super) fn new(bench: &BenchScenario, size: Size) -> Result<Self, ImportError> {
+        let caches = servers_where(bench, |server| is_cache(bench, server));
+        let parents = servers_where(bench, |server| {
+            server.kind as i64 == bench.family.parents.kind
+        });
+        let zones = zones_of(bench, &caches);
         let first_branch = *zones.first().ok_or(ImportError::Missing("cache hosts"))?;
-        if day.tiers.is_empty() || day.classes.is_empty() || day.dispatchers.is_empty() {
+        if bench.tiers.is_empty() || bench.classes.is_empty() || bench.dispatchers.is_empty() {
             return Err(ImportError::Missing("tier, class or dispatcher"));
         }
-        let bench_cache_weight = mean(caches.iter().map(|index| day.servers[*index].weight));
-        let links = &day.family.links;
+        let bench_cache_weight = mean(caches.iter().map(|index| bench.servers[*index].weight));
+        let links = &bench.family.links;
         let full = Self {
             size,
             branches: zones.len(),
             caches_per_branch: per_zone(caches.len(), zones.len()),
-            dispatchers_per_branch: per_zone(day.dispatchers.len(), zones.len()),
+            dispatchers_per_branch: per_zone(bench.dispatchers.len(), zones.len()),
             parent_count: parents.len(),
             hubs: links.hubs.max(1),
             kb_per_s: links.kb_per_s,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Time before the bench day's start in which the caches fill, seconds.
+    /// Time before the bench's start in which the caches fill, seconds.
     pub(super) fn warm_up_s(&self) -> f64 {
         match self.size {
             Size::Full => FULL_WARM_UP_S,
@@ -118,26 +120,27 @@
         (self.branches * self.caches_per_branch) as f64 * self.cache_weight
     }
 
-    /// Capacity of the scenario's cache hosts as a share of the bench day's.
-    pub(super) fn capacity_ratio(&self, day: &BenchDay) -> f64 {
+    /// Capacity of the scenario's cache hosts as a share of the bench's.
+    pub(super) fn capacity_ratio(&self, bench: &BenchScenario) -> f64 {
         let bench_capacity: f64 = self
             .caches
             .iter()
-            .map(|index| day.servers[*index].weight)
+            .map(|index| bench.servers[*index].weight)
             .sum();
         self.cache_capacity() / bench_capacity.max(1e-9)
     }
 
-    /// Cache hosts of a branch of the bench day, on the mean.
-    pub(super) fn bench_caches_per_branch(&self, day: &BenchDay) -> f64 {
-        let branches = (day.zones.len() - self.first_branch).max(1);
+    /// Cache hosts of a branch of the bench's scenario, on the mean.
+    pub(super) fn bench_caches_per_branch(&self, bench: &BenchScenario) -> f64 {
+        let branches = (bench.zones.len() - self.first_branch).max(1);
         self.caches.len() as f64 / branches as f64
     }
 }
 
 /// Indices of the servers that run from the start and fit.
-fn servers_where(day: &BenchDay, fits: impl Fn(&BenchServer) -> bool) -> Vec<usize> {
-    day.servers
+fn servers_where(bench: &BenchScenario, fits: impl Fn(&BenchServer) -> bool) -> Vec<usize> {
+    bench
+        .servers
         .iter()
         .enumerate()
         .filter(|(_, server)| server.running && fits(server))
@@ -145,14 +148,14 @@
         .collect()
 }
 
-fn is_cache(day: &BenchDay, server: &BenchServer) -> bool {
-    server.kind as i64 != day.family.parents.kind && server.kind != day.family.origin.kind
+fn is_cache(bench: &BenchScenario, server: &BenchServer) -> bool {
+    server.kind as i64 != bench.family.parents.kind && server.kind != bench.family.origin.kind
 }
 
-fn zones_of(day: &BenchDay, servers: &[usize]) -> Vec<usize> {
+fn zones_of(bench: &BenchScenario, servers: &[usize]) -> Vec<usize> {
     let mut zones: Vec<usize> = servers
         .iter()
-        .map(|index| day.servers[*index].zone)
+        .map(|index| bench.servers[*index].zone)
         .collect();
     zones.sort_unstable();
     zones.dedup();
--- a/crates/scenario/src/import/sections.rs
+++ b/crates/scenario/src/import/sections.rs
@@ -1,5 +1,5 @@
 //! Sections of the imported scenario that describe fleet, workload and limits.
-use super::bench_day::{BenchCatalogue, BenchClass, BenchDay};
+use super::bench_scenario::{BenchCatalogue, BenchClass, BenchScenario};
 use super::layout::{mean, Layout};
 use super::Size;
 use crate::ini_writer::IniWriter;
@@ -25,44 +25,44 @@
 const BYTES_PER_KIB: f64 = 1024.0;
 
 /// Writes every section but those of the faults.
-pub(super) fn write_sections(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    write_day(day, layout, ini);
-    write_fleet(day, layout, ini);
-    write_cache(day, layout, ini);
-    write_parent(day, layout, ini);
-    write_origin(day, layout, ini);
-    write_clients(day, layout, ini);
-    write_objective(day, ini);
-    write_rules(day, ini);
-    write_classes(day, layout, ini);
+pub(super) fn write_sections(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    write_run(bench, layout, ini);
+    write_fleet(bench, layout, ini);
+    write_cache(bench, layout, ini);
+    write_parent(bench, layout, ini);
+    write_origin(bench, layout, ini);
+    write_clients(bench, layout, ini);
+    write_objective(bench, ini);
+    write_rules(bench, ini);
+    write_classes(bench, layout, ini);
 }
 
-fn write_day(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let shares: f64 = day.classes.iter().map(|class| class.share).sum();
-    let weighted: f64 = day
+fn write_run(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let shares: f64 = bench.classes.iter().map(|class| class.share).sum();
+    let weighted: f64 = bench
         .classes
         .iter()
         .map(|class| class.share * class.transfer_time)
         .sum();
     let mean_transfer_s = weighted / shares / 1e6;
-    let rate = day.traffic.load * layout.cache_capacity() / mean_transfer_s;
-    let title = format!("a {} day of {}", day.kind, day.site);
+    let rate = bench.traffic.load * layout.cache_capacity() / mean_transfer_s;
+    let title = format!("a {} day of {}", bench.kind, bench.site);
     ini.comment(format_args!("Imported: {title}."));
     ini.section("day")
         .key("about", format_args!("{title}, imported"))
-        .number("seconds", day.duration / 1e6 + layout.warm_up_s(), 1)
+        .number("seconds", bench.duration / 1e6 + layout.warm_up_s(), 1)
         .number("rate", rate, 2)
         .number("warm_s", layout.warm_up_s(), 0)
-        .number("purges_per_s", day.family.purges.per_s, 3);
+        .number("purges_per_s", bench.family.purges.per_s, 3);
 }
 
-fn write_fleet(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let family = &day.family;
+fn write_fleet(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let family = &bench.family;
     let siblings = match family.siblings.as_str() {
         "location" => "zone",
         other => other,
     };
-    let idempotency_window = day
+    let idempotency_window = bench
         .classes
         .iter()
         .map(|class| class.idempotency_window)
@@ -76,8 +76,8 @@
         .key("groups", family.purges.groups)
         .number("flow_kb_per_s", layout.kb_per_s, 1)
         .number("fill_pace", family.fills.fill_speedup, 2)
-        .number("link", branch_link(day, layout), 2)
-        .millis("near_ms", day.network.local_latency, 2)
+        .number("link", branch_link(bench, layout), 2)
+        .millis("near_ms", bench.network.local_latency, 2)
         .millis("to_hub_ms", family.links.hub_latency, 2)
         .millis("hub_step_ms", family.links.hub_step_latency, 2)
         .millis("key_window_ms", idempotency_window, 0)
@@ -86,37 +86,41 @@
         .key("siblings", siblings)
         .key("notes", &family.cache_status_notes)
         .flag("sizes_told", family.knows_sizes)
-        .key("max_attempts", day.allowed.max_attempts);
+        .key("max_attempts", bench.allowed.max_attempts);
 }
 
 /// Transfers that a branch's inbound link carries, in proportion to the branch's capacity.
-fn branch_link(day: &BenchDay, layout: &Layout) -> f64 {
-    let links = &day.family.links.link_by_zone;
+fn branch_link(bench: &BenchScenario, layout: &Layout) -> f64 {
+    let links = &bench.family.links.link_by_zone;
     let bench_link = mean(links.iter().skip(layout.first_branch).copied());
-    let bench_capacity = layout.bench_caches_per_branch(day) * layout.bench_cache_weight;
+    let bench_capacity = layout.bench_caches_per_branch(bench) * layout.bench_cache_weight;
     bench_link * layout.caches_per_branch as f64 * layout.cache_weight / bench_capacity.max(1e-9)
 }
 
 /// Store of a cache host, KiB. The bench states stores as microseconds of transfer, by zone.
-fn cache_store_kib(day: &BenchDay, layout: &Layout) -> f64 {
-    let kb_per_s = day.family.links.kb_per_s;
-    let stores = &day.family.store_by_zone;
+fn cache_store_kib(bench: &BenchScenario, layout: &Layout) -> f64 {
+    let kb_per_s = bench.family.links.kb_per_s;
+    let stores = &bench.family.store_by_zone;
     let store_time = mean(stores.iter().copied().filter(|time| *time > 0.0));
-    let bench_store_kib = store_time / 1e6 * kb_per_s / layout.bench_caches_per_branch(day);
+    let bench_store_kib = store_time / 1e6 * kb_per_s / layout.bench_caches_per_branch(bench);
     let scale = layout.kb_per_s / kb_per_s * (layout.cache_weight / layout.bench_cache_weight);
     bench_store_kib * scale
 }
 
-fn write_cache(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let tier = &day.tiers[0];
+fn write_cache(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let tier = &bench.tiers[0];
     let kind = &tier.kinds[0];
-    let fills = &day.family.fills;
+    let fills = &bench.family.fills;
     ini.section("cache")
         .number("weight", layout.cache_weight, 2)
         .key("places", (kind.concurrency * kind.cores).max(1.0) as u64)
         .key("queue", (kind.queue * kind.cores) as u64)
         .number("thrash", kind.crowding_loss / 10.0, 3)
-        .number("store_mb", cache_store_kib(day, layout) / BYTES_PER_KIB, 2)
+        .number(
+            "store_mb",
+            cache_store_kib(bench, layout) / BYTES_PER_KIB,
+            2,
+        )
         .key(
             "fill_places",
             (fills.fills_per_core * kind.cores).max(1.0) as u64,
@@ -130,21 +134,21 @@
     ini.section("cold cache")
         .number("start_share", tier.warm_up_initial_share, 3)
         .millis("warm_within_ms", tier.warm_up_duration, 0)
-        .number("multiple", day.overload_factor, 2)
-        .millis("window_ms", day.overload_window, 0);
+        .number("multiple", bench.overload_factor, 2)
+        .millis("window_ms", bench.overload_window, 0);
 }
 
-fn write_parent(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let parents = &day.family.parents;
-    let fills = &day.family.fills;
+fn write_parent(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let parents = &bench.family.parents;
+    let fills = &bench.family.fills;
     let bench_count = layout.parents.len() as f64;
     let count = layout.parent_count.max(1) as f64;
-    let ratio = layout.capacity_ratio(day);
+    let ratio = layout.capacity_ratio(bench);
     let bench_weight = mean(
         layout
             .parents
             .iter()
-            .map(|index| day.servers[*index].weight),
+            .map(|index| bench.servers[*index].weight),
     );
     let weight = bench_weight * bench_count * ratio / count;
     let store_kib =
@@ -165,12 +169,12 @@
         .number("start_share", parents.warm_up.initial_share, 3)
         .millis("warm_within_ms", parents.warm_up.duration, 0)
         .number("multiple", parents.overload_factor, 2)
-        .millis("window_ms", day.overload_window, 0);
+        .millis("window_ms", bench.overload_window, 0);
 }
 
-fn write_origin(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let origin = &day.family.origin;
-    let weight = origin.link * layout.capacity_ratio(day);
+fn write_origin(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let origin = &bench.family.origin;
+    let weight = origin.link * layout.capacity_ratio(bench);
     ini.section("origin")
         .number("weight", weight.max(MIN_WEIGHT), 2)
         .key("places", UNBOUNDED_CONCURRENCY)
@@ -181,21 +185,21 @@
         .millis("fall_down_ms", origin.overload.downtime, 0);
 }
 
-fn write_clients(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
+fn write_clients(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
     let http_share = match layout.size {
         Size::Full => 0.0,
         Size::Loopback => LOOPBACK_HTTP_SHARE,
     };
     ini.section("clients")
-        .key("retries", day.clients.retries as u64)
-        .millis("back_off_ms", day.clients.backoff, 0)
+        .key("retries", bench.clients.retries as u64)
+        .millis("back_off_ms", bench.clients.backoff, 0)
         .key("http", http_share)
         .key("hang_up", 0)
-        .number("honour", day.clients.retry_after_share, 2);
+        .number("honour", bench.clients.retry_after_share, 2);
 }
 
-fn write_objective(day: &BenchDay, ini: &mut IniWriter) {
-    if let Some(objective) = &day.objective {
+fn write_objective(bench: &BenchScenario, ini: &mut IniWriter) {
+    if let Some(objective) = &bench.objective {
         ini.section("goal")
             .key("whole", objective.whole)
             .key("worst_10s", objective.worst_10s)
@@ -203,12 +207,12 @@
     }
 }
 
-fn write_rules(day: &BenchDay, ini: &mut IniWriter) {
-    let purges = &day.family.purges;
-    let add = day.discovery.add;
-    let notice = day.discovery.notice;
+fn write_rules(bench: &BenchScenario, ini: &mut IniWriter) {
+    let purges = &bench.family.purges;
+    let add = bench.discovery.add;
+    let notice = bench.discovery.notice;
     ini.section("rules")
-        .millis("drain_grace_ms", day.drain_grace, 0)
+        .millis("drain_grace_ms", bench.drain_grace, 0)
         .millis("purge_grace_ms", purges.grace, 0)
         .millis("purge_done_ms", purges.deadline, 0)
         // Half the most: the bench states no least.
@@ -218,16 +222,16 @@
         .millis("list_told_most_ms", add.max(notice), 0);
 }
 
-fn write_classes(day: &BenchDay, layout: &Layout, ini: &mut IniWriter) {
-    let shares: f64 = day.classes.iter().map(|class| class.share).sum();
+fn write_classes(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
+    let shares: f64 = bench.classes.iter().map(|class| class.share).sum();
     // Smaller stores hold the same share of the objects.
     let object_share = match layout.size {
         Size::Full => 1.0,
         Size::Loopback => layout
-            .capacity_ratio(day)
+            .capacity_ratio(bench)
             .clamp(LOOPBACK_MIN_OBJECT_SHARE, 1.0),
     };
-    for (class, catalogue) in day.classes.iter().zip(&day.family.catalogues) {
+    for (class, catalogue) in bench.classes.iter().zip(&bench.family.catalogues) {
         let mean_kb = class.transfer_time / 1e6 * layout.kb_per_s;
         write_class(
             class,
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -23,11 +23,15 @@
 mod workload;
 
 pub use clients::ClientSettings;
+pub use fault_injection::InjectedFault;
 pub use fleet::{DispatcherOptions, Fleet, HostKind, NetworkSettings};
 pub use limits::{DelayRange, FleetLimits, Limits, ObjectiveWeights, RuleLimits};
 pub use load::{load, load_with, parse, parse_with};
 pub use scenario::{derive_seed, Scenario};
-pub use script::{Script, ScriptStep};
+pub use script::{
+    purge_groups, FaultKind, FaultSpec, FaultTarget, ListedState, PartitionDirections, Script,
+    ScriptStep, SiteLossExtent,
+};
 pub use setting_override::SettingOverride;
 pub use traffic::{PlannedCall, Traffic};
 pub use workload::{size_of, Idempotency, ObjectCatalogue, RequestClass, Workload};
--- a/crates/scenario/src/traffic/call_generator.rs
+++ b/crates/scenario/src/traffic/call_generator.rs
@@ -102,38 +102,50 @@
         let class_index = self.draw_class();
         let requested = self.draw_part(now, branch, class_index);
         let class = &self.scenario.workload.classes[class_index];
-        let object = format!(
-            "{}/{}",
-            group_path(&class.name, requested.group),
-            requested.file
-        );
+        let client = ClientBehaviour::draw(self.scenario, class, &mut self.rng);
+        let path = group_path(&class.name, requested.group);
+        let object = format!("{path}/{}", requested.file);
         let object_number = ObjectId::named(&object).0;
-        let clients = &self.scenario.clients;
-        let cancels = self.rng.gen::<f64>() < clients.cancel_share;
-        let cancel_after = self.rng.gen::<f64>() * class.latency_objective as f64;
-        let uses_http = self.rng.gen::<f64>() < clients.http_share;
-        let honours_retry_after = self.rng.gen::<f64>() < clients.retry_after_share;
-        let jitter = self.rng.gen::<f64>();
-        let idempotent = class.idempotency == Idempotency::Idempotent;
+        let part = requested.part;
         Some(PlannedCall {
             at: now,
             branch,
             class: class_index,
-            size: size_of(
-                class,
-                self.scenario.seed,
-                &object,
-                object_number,
-                requested.part,
-            ),
+            size: size_of(class, self.scenario.seed, &object, object_number, part),
             object,
             object_number,
             group: group_number(&class.name, requested.group),
-            part: requested.part,
+            part,
+            uses_http: client.uses_http,
+            cancel_after: client.cancel_after,
+            honours_retry_after: client.honours_retry_after,
+            jitter: client.jitter,
+        })
+    }
+}
+
+/// How the client of a call behaves.
+struct ClientBehaviour {
+    uses_http: bool,
+    cancel_after: Option<Micros>,
+    honours_retry_after: bool,
+    jitter: f64,
+}
+
+impl ClientBehaviour {
+    /// Draws a behaviour. Only idempotent calls are cancelled or use HTTP; the others draw the same numbers.
+    fn draw(scenario: &Scenario, class: &RequestClass, rng: &mut StdRng) -> Self {
+        let settings = &scenario.clients;
+        let idempotent = class.idempotency == Idempotency::Idempotent;
+        let cancels = rng.gen::<f64>() < settings.cancel_share;
+        let cancel_after = rng.gen::<f64>() * class.latency_objective as f64;
+        let uses_http = rng.gen::<f64>() < settings.http_share;
+        let honours_retry_after = rng.gen::<f64>() < settings.retry_after_share;
+        Self {
             uses_http: uses_http && idempotent,
             cancel_after: (cancels && idempotent).then_some(cancel_after as Micros),
             honours_retry_after,
-            jitter,
-        })
+            jitter: rng.gen::<f64>(),
+        }
     }
 }
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -1,12 +1,12 @@
-//! Import of bench days: the scenario parses and states the same.
+//! Import of scenarios of the bench: the scenario parses and states the same.
 #![recursion_limit = "512"]
 use pointspindle_scenario::import::{import, Size};
 use pointspindle_scenario::script::{FaultKind, ListedState};
 use pointspindle_scenario::{parse, Script, ScriptStep, Traffic};
 use serde_json::json;
 
-/// A bench day with two classes, two hubs and three branches, as JSON.
-fn bench_day(faults: serde_json::Value) -> String {
+/// A scenario of the bench with two classes, two hubs and three branches, as JSON.
+fn bench_scenario(faults: serde_json::Value) -> String {
     let server = |zone: usize, kind: usize, weight: f64| json!({"zone": zone, "kind": kind, "weight": weight, "up": true});
     let mut servers: Vec<_> = (0..12).map(|n| server(2 + n / 4, 0, 5.0)).collect();
     servers.extend([server(0, 1, 12.0), server(1, 1, 12.0), server(0, 2, 1.0)]);
@@ -38,7 +38,7 @@
     .to_string()
 }
 
-/// Bench faults that have a counterpart, in the order of the day.
+/// Bench faults that have a counterpart, in the order of the scenario.
 const CONVERTED: [(&str, FaultKind); 15] = [
     ("crash", FaultKind::Crash),
     ("mass_restart", FaultKind::Crash),
@@ -78,7 +78,7 @@
     faults.push(bench_fault("report_late"));
     faults.push(bench_fault("earthquake"));
     for size in [Size::Loopback, Size::Full] {
-        let (text, not_carried_over) = import(&bench_day(json!(faults)), size).unwrap();
+        let (text, not_carried_over) = import(&bench_scenario(json!(faults)), size).unwrap();
         assert_eq!(not_carried_over.len(), 2, "{not_carried_over:?}");
         let scenario =
             parse("imported.ini", &text, None).unwrap_or_else(|error| panic!("{error}\n{text}"));
@@ -101,11 +101,11 @@
     }
 }
 
-/// The load of the cache hosts' links is the bench day's, whatever the size.
+/// The load of the cache hosts' links is the bench's, whatever the size.
 #[test]
 fn imported_scenario_at_each_size_keeps_link_load() {
     for size in [Size::Loopback, Size::Full] {
-        let (text, _) = import(&bench_day(json!(null)), size).unwrap();
+        let (text, _) = import(&bench_scenario(json!(null)), size).unwrap();
         let scenario = parse("imported.ini", &text, Some(3)).unwrap();
         let fleet = &scenario.fleet;
         let hosts = (fleet.branches * fleet.caches_per_branch) as f64;
@@ -123,7 +123,7 @@
 #[test]
 fn imported_deploy_drains_hosts_before_successors_are_ready() {
     let deploy = json!([{"kind": "deploy", "at": 5e6, "len": 8e6, "extra": 2.0, "steps": [{"at": 5e6, "stop": [0, 1], "start": [20, 21]}]}]);
-    let (text, _) = import(&bench_day(deploy), Size::Loopback).unwrap();
+    let (text, _) = import(&bench_scenario(deploy), Size::Loopback).unwrap();
     let scenario = parse("imported.ini", &text, Some(3)).unwrap();
     let address = |n: usize| format!("127.0.0.1:{}", 1000 + n);
     let hosts = scenario.hosts(address);
