--- a/crates/cache-model/src/fill.rs
+++ b/crates/cache-model/src/fill.rs
@@ -28,6 +28,22 @@
 }
 
 impl Fill {
+    /// A fill of a request from a source, which nothing waits for yet.
+    pub(crate) fn new(request: ModelRequest, source: String) -> Self {
+        Self {
+            key: request.key(),
+            request,
+            source,
+            waiting: Vec::new(),
+            background: false,
+            retries_left: 0,
+            deadline: 0,
+            response: None,
+            source_finished: false,
+            link_transfer: None,
+        }
+    }
+
     /// The whole copy has been received.
     pub(crate) fn is_complete(&self) -> bool {
         self.response.is_some() && self.source_finished && self.link_transfer.is_none()
--- a/crates/cache-model/src/model/fills.rs
+++ b/crates/cache-model/src/model/fills.rs
@@ -31,16 +31,11 @@
             return;
         }
         let fill = Fill {
-            key: request.key(),
-            request: request.clone(),
-            source,
             waiting: waiter.map(|waiter| waiter.job).into_iter().collect(),
             background: waiter.is_none(),
             retries_left: state.spec.fill_retries,
             deadline: self.now + state.spec.fill_timeout,
-            response: None,
-            source_finished: false,
-            link_transfer: None,
+            ..Fill::new(request.clone(), source)
         };
         let cached_version = cached.map(|copy| copy.version);
         let id = self.send_fill(host, fill, cached_version);
