--- /dev/null
+++ b/crates/client/src/builder.rs
@@ -0,0 +1,127 @@
+//! The settings of a client.
+use crate::channel::Channel;
+use crate::client::{Client, Shared};
+use crate::connector::{Connector, LastConnectError, TlsSettings};
+use crate::error::BuildError;
+use crate::framed::FramedChannel;
+use crate::http::HttpChannel;
+use crate::retry::{RetryRules, RetryState};
+use pointspindle_transport::tls::TrustAnchors;
+use pointspindle_transport::Network;
+use rand::Rng;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// Settings of a client.
+#[derive(Clone, Debug)]
+pub struct ClientBuilder {
+    framed: bool,
+    dispatchers: Vec<SocketAddr>,
+    rules: RetryRules,
+    connect_timeout: Duration,
+    seed: Option<u64>,
+    network: Network,
+    tls: Option<TlsSettings>,
+}
+
+impl Default for ClientBuilder {
+    fn default() -> Self {
+        Self {
+            framed: true,
+            dispatchers: Vec::new(),
+            rules: RetryRules::default(),
+            connect_timeout: DEFAULT_CONNECT_TIMEOUT,
+            seed: None,
+            network: Network::Tcp,
+            tls: None,
+        }
+    }
+}
+
+impl ClientBuilder {
+    /// These dispatchers, by the framed protocol.
+    pub fn framed(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
+        Self {
+            framed: true,
+            dispatchers: dispatchers.into_iter().collect(),
+            ..self
+        }
+    }
+
+    /// These dispatchers, by HTTP/1.1.
+    pub fn http(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
+        Self {
+            framed: false,
+            dispatchers: dispatchers.into_iter().collect(),
+            ..self
+        }
+    }
+
+    /// When the client retries.
+    pub fn retries(self, rules: RetryRules) -> Self {
+        Self { rules, ..self }
+    }
+
+    /// Longest wait for a connection, TLS handshake included; 250 ms by default.
+    pub fn connect_timeout(self, connect_timeout: Duration) -> Self {
+        Self {
+            connect_timeout,
+            ..self
+        }
+    }
+
+    /// Connects by TLS. `server_name` is the name in the dispatchers' certificates; each one's address by default.
+    pub fn tls(self, trust: TrustAnchors, server_name: Option<String>) -> Self {
+        Self {
+            tls: Some(TlsSettings { trust, server_name }),
+            ..self
+        }
+    }
+
+    /// Another network than the machine's own, such as a simulated one.
+    pub fn network(self, network: Network) -> Self {
+        Self { network, ..self }
+    }
+
+    /// Seed of the jitter; random by default.
+    pub fn seed(self, seed: u64) -> Self {
+        Self {
+            seed: Some(seed),
+            ..self
+        }
+    }
+
+    /// The client. Connections are made when calls need them.
+    pub fn build(self) -> Result<Client, BuildError> {
+        if self.dispatchers.is_empty() {
+            return Err(BuildError::NoDispatcher);
+        }
+        let last_error = LastConnectError::default();
+        let channels: Vec<Channel> = self
+            .dispatchers
+            .iter()
+            .map(|address| self.channel(*address, &last_error))
+            .collect();
+        let seed = self.seed.unwrap_or_else(|| rand::thread_rng().gen());
+        let retries = RetryState::new(self.rules, channels.len(), seed);
+        let shared = Shared::new(self.framed, channels, retries, last_error);
+        Ok(Client::new(shared))
+    }
+
+    fn channel(&self, address: SocketAddr, last_error: &LastConnectError) -> Channel {
+        let connector = Connector {
+            address,
+            network: self.network.clone(),
+            tls: self.tls.clone(),
+            timeout: self.connect_timeout,
+            last_error: last_error.clone(),
+        };
+        if self.framed {
+            Channel::Framed(FramedChannel::new(connector))
+        } else {
+            Channel::Http(HttpChannel::new(connector))
+        }
+    }
+}
--- /dev/null
+++ b/crates/client/src/channel.rs
@@ -0,0 +1,54 @@
+//! One dispatcher as calls see it, whichever the transport.
+use crate::call_state::AttemptEnd;
+use crate::framed::{FramedAttempt, FramedChannel};
+use crate::http::{HttpAttempt, HttpChannel};
+use crate::retry::Micros;
+use crate::{Piece, Request};
+
+/// The connections to one dispatcher.
+pub(crate) enum Channel {
+    Framed(FramedChannel),
+    Http(HttpChannel),
+}
+
+/// An attempt under way.
+pub(crate) enum Attempt {
+    Framed(FramedAttempt),
+    Http(HttpAttempt),
+}
+
+impl Channel {
+    /// Sends an attempt of a call. `call_id` is the same for all attempts of one call.
+    pub(crate) async fn send(
+        &self,
+        request: &Request,
+        call_id: &str,
+        time_left: Micros,
+    ) -> Result<Attempt, AttemptEnd> {
+        match self {
+            Self::Framed(channel) => {
+                let attempt = channel.send(request, call_id, time_left).await;
+                attempt.map(Attempt::Framed)
+            }
+            Self::Http(channel) => channel.send(request, time_left).await.map(Attempt::Http),
+        }
+    }
+
+    /// Closes its connections; by HTTP the idle ones only.
+    pub(crate) async fn close(&self) {
+        match self {
+            Self::Framed(channel) => channel.close().await,
+            Self::Http(channel) => channel.close(),
+        }
+    }
+}
+
+impl Attempt {
+    /// The next piece of the response, or the attempt's end.
+    pub(crate) async fn next(&mut self) -> Result<Piece, AttemptEnd> {
+        match self {
+            Self::Framed(attempt) => attempt.next().await,
+            Self::Http(attempt) => attempt.next().await,
+        }
+    }
+}
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -1,9 +1,9 @@
 //! One dispatcher by the framed protocol: one connection for all calls, made when first needed.
-use crate::call::End;
-use crate::dial::Dial;
+use crate::call_state::AttemptEnd;
+use crate::connector::Connector;
 use crate::{Piece, Request};
 use pointspindle_protocol::streams::Side;
-use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
+use pointspindle_protocol::{ErrorHead, Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
 use pointspindle_transport::{
     Call, CallEnd, ConnectionOptions, FramedConnection, Inbound, Incoming, ResponsePart,
 };
@@ -12,137 +12,161 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// Looked at so often where no lease was told.
-const LOOK: Duration = Duration::from_millis(250);
+/// Between keep-alive probes where the dispatcher announced no lease.
+const DEFAULT_PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Keep-alive probes within one lease.
+const PROBES_PER_LEASE: u32 = 4;
 
+/// The connection to one dispatcher.
 #[derive(Debug)]
-pub(crate) struct Framed {
-    dial: Dial,
-    held: Mutex<Option<Arc<Connection>>>,
+pub(crate) struct FramedChannel {
+    connector: Connector,
+    current: Mutex<Option<Arc<Connection>>>,
 }
 
 #[derive(Debug)]
 struct Connection {
-    link: FramedConnection,
-    /// Told by the dispatcher; 0: not told.
+    framed: FramedConnection,
+    /// The client lease that the dispatcher announced; 0: none.
     lease_us: AtomicU64,
 }
 
 impl Connection {
-    fn lease(&self) -> Option<u64> {
+    fn lease_us(&self) -> Option<u64> {
         Some(self.lease_us.load(Ordering::Relaxed)).filter(|lease| *lease > 0)
     }
 }
 
-/// A try under way.
+/// An attempt under way.
 #[derive(Debug)]
-pub(crate) struct FramedTry {
+pub(crate) struct FramedAttempt {
     call: Call,
     connection: Arc<Connection>,
-    headed: bool,
+    has_head: bool,
 }
 
-impl Framed {
-    pub fn new(dial: Dial) -> Self {
+impl FramedChannel {
+    pub(crate) fn new(connector: Connector) -> Self {
         Self {
-            dial,
-            held: Mutex::new(None),
+            connector,
+            current: Mutex::new(None),
         }
     }
 
     async fn connection(&self) -> Option<Arc<Connection>> {
-        let mut held = self.held.lock().await;
-        if let Some(known) = held.as_ref().filter(|c| c.link.accepts_calls()) {
+        let mut current = self.current.lock().await;
+        if let Some(known) = current.as_ref().filter(|c| c.framed.accepts_calls()) {
             return Some(known.clone());
         }
-        let line = self.dial.line().await?;
-        let (link, incoming) =
-            FramedConnection::start(line, Side::Caller, ConnectionOptions::default());
+        let socket = self.connector.connect().await?;
+        let (framed, incoming) =
+            FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         let connection = Arc::new(Connection {
-            link,
+            framed,
             lease_us: AtomicU64::new(0),
         });
-        tokio::spawn(listen(connection.clone(), incoming));
-        tokio::spawn(keep(connection.clone()));
-        *held = Some(connection.clone());
+        tokio::spawn(answer_control_frames(connection.clone(), incoming));
+        tokio::spawn(send_keep_alives(connection.clone()));
+        *current = Some(connection.clone());
         Some(connection)
     }
 
-    /// Sends a try; an error: nothing was sent.
-    pub async fn send(
+    /// Sends an attempt; after an error nothing was sent.
+    pub(crate) async fn send(
         &self,
         request: &Request,
-        call: &str,
-        left_us: u64,
-    ) -> Result<FramedTry, End> {
-        let connection = self.connection().await.ok_or(End::NotSent)?;
-        let head = RequestHead {
-            object: request.object.clone(),
-            part: request.part,
-            group: request.group,
-            class: request.class.clone(),
-            time_left_us: left_us,
-            size: request.size,
-            trace: request.trace.clone(),
-            idempotency_key: request.key.clone(),
-            call_id: call.to_owned(),
-            head_only: request.head_only,
-            if_none_match: request.if_none_match.clone(),
-            range: request.range.clone(),
-            if_range: request.if_range.clone(),
-            ..Default::default()
-        };
-        let call = connection.link.call(head).map_err(|_| End::NotSent)?;
-        Ok(FramedTry {
+        call_id: &str,
+        time_left_us: u64,
+    ) -> Result<FramedAttempt, AttemptEnd> {
+        let connection = self.connection().await.ok_or(AttemptEnd::NotSent)?;
+        let head = request_head(request, call_id, time_left_us);
+        let call = connection
+            .framed
+            .call(head)
+            .map_err(|_| AttemptEnd::NotSent)?;
+        Ok(FramedAttempt {
             call,
             connection,
-            headed: false,
+            has_head: false,
         })
     }
 
-    pub async fn close(&self) {
-        if let Some(connection) = self.held.lock().await.take() {
-            connection.link.close("the client is done");
+    pub(crate) async fn close(&self) {
+        if let Some(connection) = self.current.lock().await.take() {
+            connection.framed.close("the client is done");
         }
     }
 }
 
-impl FramedTry {
-    /// The next piece, or the try's end.
-    pub async fn next(&mut self) -> Result<Piece, End> {
+fn request_head(request: &Request, call_id: &str, time_left_us: u64) -> RequestHead {
+    RequestHead {
+        object: request.object.clone(),
+        part: request.part,
+        group: request.group,
+        class: request.class.clone(),
+        time_left_us,
+        size: request.size,
+        trace: request.trace.clone(),
+        idempotency_key: request.idempotency_key.clone(),
+        call_id: call_id.to_owned(),
+        head_only: request.head_only,
+        if_none_match: request.if_none_match.clone(),
+        range: request.range.clone(),
+        if_range: request.if_range.clone(),
+        ..Default::default()
+    }
+}
+
+impl FramedAttempt {
+    /// The next piece of the response, or the attempt's end.
+    pub(crate) async fn next(&mut self) -> Result<Piece, AttemptEnd> {
         loop {
-            return match self.call.next().await {
-                // One head; a second is nobody's.
-                Some(ResponsePart::Head(_)) if self.headed => continue,
+            match self.call.next().await {
+                // There is one head; a further one is ignored.
+                Some(ResponsePart::Head(_)) if self.has_head => {}
                 Some(ResponsePart::Head(head)) => {
-                    self.headed = true;
-                    Ok(Piece::Head(head))
+                    self.has_head = true;
+                    return Ok(Piece::Head(head));
                 }
-                Some(ResponsePart::Data(data)) => Ok(Piece::Data(data)),
-                Some(ResponsePart::End(CallEnd::Complete(_))) => Err(End::Complete),
-                Some(ResponsePart::End(CallEnd::Error(e))) => Err(match e.status() {
-                    WireStatus::Refused | WireStatus::Rejected | WireStatus::Miss
-                        if !e.may_have_run =>
-                    {
-                        End::Refused {
-                            come_back: e.retry_after_us,
-                        }
-                    }
-                    _ => End::Failed {
-                        may_have_run: e.may_have_run,
-                    },
-                }),
-                Some(ResponsePart::End(CallEnd::Broken(_) | CallEnd::NotSent)) | None => {
-                    Err(End::Lost {
-                        lease: self.connection.lease(),
-                    })
-                }
-            };
+                Some(ResponsePart::Data(data)) => return Ok(Piece::Data(data)),
+                Some(ResponsePart::End(end)) => return Err(self.attempt_end(&end)),
+                None => return Err(self.lost()),
+            }
+        }
+    }
+
+    fn attempt_end(&self, end: &CallEnd) -> AttemptEnd {
+        match end {
+            CallEnd::Complete(_) => AttemptEnd::Complete,
+            CallEnd::Error(error) => end_of_error(error),
+            CallEnd::Broken(_) | CallEnd::NotSent => self.lost(),
         }
     }
+
+    fn lost(&self) -> AttemptEnd {
+        AttemptEnd::Lost {
+            lease: self.connection.lease_us(),
+        }
+    }
+}
+
+fn end_of_error(error: &ErrorHead) -> AttemptEnd {
+    let rejected = matches!(
+        error.status(),
+        WireStatus::Refused | WireStatus::Rejected | WireStatus::Miss
+    );
+    if rejected && !error.may_have_run {
+        return AttemptEnd::Rejected {
+            retry_after: error.retry_after_us,
+        };
+    }
+    AttemptEnd::Failed {
+        may_have_run: error.may_have_run,
+    }
 }
 
-async fn listen(connection: Arc<Connection>, mut incoming: Incoming) {
+/// Accepts the lease that the dispatcher announces, and answers its probes.
+async fn answer_control_frames(connection: Arc<Connection>, mut incoming: Incoming) {
     while let Some(inbound) = incoming.next().await {
         match inbound {
             Inbound::Control(Frame::Hello(HelloHead {
@@ -155,37 +179,40 @@
                     lease_us: Some(lease),
                     ..Default::default()
                 };
-                connection.link.push_control(Frame::Hello(hello));
+                connection.framed.push_control(Frame::Hello(hello));
             }
             Inbound::Control(Frame::Probe(probe)) if !probe.echo => {
-                connection.link.push_control(Frame::Probe(ProbeHead {
+                let echo = ProbeHead {
                     echo: true,
                     ..probe
-                }));
+                };
+                connection.framed.push_control(Frame::Probe(echo));
             }
             _ => {}
         }
     }
 }
 
-/// Gives signs of life while something is awaited, and closes a connection that gives none: its calls then know that it is
-/// lost, and count the lease from there.
-async fn keep(connection: Arc<Connection>) {
+/// Sends probes while a call is under way, and aborts a connection that is silent for a lease: its calls then know that
+/// they are lost, and count the lease from there.
+async fn send_keep_alives(connection: Arc<Connection>) {
     let mut token = 0;
-    while !connection.link.is_closed() {
-        let lease = connection.lease().map(Duration::from_micros);
-        tokio::time::sleep(lease.map_or(LOOK, |lease| lease / 4)).await;
-        if connection.link.open_streams() == 0 {
+    while !connection.framed.is_closed() {
+        let lease = connection.lease_us().map(Duration::from_micros);
+        let interval = lease.map_or(DEFAULT_PROBE_INTERVAL, |lease| lease / PROBES_PER_LEASE);
+        tokio::time::sleep(interval).await;
+        if connection.framed.open_streams() == 0 {
             continue;
         }
-        if lease.is_some_and(|lease| connection.link.time_since_last_frame() > lease) {
-            connection.link.abort("no sign of life");
+        if lease.is_some_and(|lease| connection.framed.time_since_last_frame() > lease) {
+            connection.framed.abort("no sign of life");
             return;
         }
         token += 1;
-        connection.link.push_control(Frame::Probe(ProbeHead {
+        let probe = ProbeHead {
             token,
             ..Default::default()
-        }));
+        };
+        connection.framed.push_control(Frame::Probe(probe));
     }
 }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls dispatchers: two transports behind one interface, one final outcome for each call, at most one live attempt.
+//! Calls dispatchers by the framed protocol or HTTP/1.1, behind one interface.
 //!
 //! ```no_run
 //! use pointspindle_client::{Client, Outcome, Piece, Request};
@@ -11,72 +11,74 @@
 //!     match piece {
 //!         Piece::Head(head) => println!("{:?} bytes", head.size),
 //!         Piece::Data(data) => println!("{} more", data.len()),
-//!         Piece::End(Outcome::Served) => println!("whole"),
-//!         Piece::End(Outcome::Refused { come_back }) => println!("nothing was done; again after {come_back:?}"),
-//!         Piece::End(Outcome::Failed { may_have_run }) => println!("no promise; may have run: {may_have_run}"),
+//!         Piece::End(Outcome::Served) => println!("complete"),
+//!         Piece::End(Outcome::Refused { come_back }) => println!("nothing was done; retry after {come_back:?}"),
+//!         Piece::End(Outcome::Failed { may_have_run }) => println!("failed; may have run: {may_have_run}"),
 //!     }
 //! }
 //! # Ok(())
 //! # }
 //! ```
 //!
-//! **What is promised.** [`Piece::End`] comes exactly once and last, by the deadline. A call dropped before it is cancelled.
+//! # Guarantee
 //!
-//! | effect | at the same dispatcher | at another one | after that |
+//! Each call has **one final outcome**, and **at most one live attempt** at any time: [`Piece::End`] comes exactly once
+//! and last, by the deadline. A call dropped before it is cancelled. The test
+//! `every_call_has_one_outcome_and_at_most_one_live_attempt` (`src/call_state/tests.rs`) shows it for random ends of
+//! attempts, and `tests/cuts/` for real dispatchers behind connections that are cut.
+//!
+//! # Retries
+//!
+//! | idempotency | at the same dispatcher | at another one | otherwise |
 //! | --- | --- | --- | --- |
-//! | [`Effect::Safe`] | tried again at once: it ends the try before it first | when the lost try's lease is over | as the budget of retries allows |
-//! | [`Effect::Keyed`] | the same, under the same key, within two thirds of its window | the same | failed, may have run |
-//! | [`Effect::Unsafe`] | only where nothing was sent or the dispatcher said that nothing ran | the same | failed, may have run |
+//! | [`Idempotency::Idempotent`] | at once: it ends the lost attempt first | when the lost attempt's lease is over | as the retry budget allows |
+//! | [`Idempotency::WithKey`] | the same, under the same key, within two thirds of its window | the same | failed, may have run |
+//! | [`Idempotency::NotIdempotent`] | only where nothing was sent or the dispatcher said that nothing ran | the same | failed, may have run |
+//!
+//! By the framed protocol the dispatcher announces a lease: it cancels the attempts of a client that has been silent for
+//! so long. The client sends keep-alive probes while a call is under way, and counts half as much again on top of the
+//! lease. By HTTP there is no lease: the dispatcher cancels when it sees the connection close, for which the client
+//! allows a quarter of a second. Requests that are not idempotent therefore go by the framed protocol only.
 //!
-//! By the framed protocol a lost try's lease is told by the dispatcher, which cancels what runs for a client that gives no
-//! sign of life for so long; the library gives them, and waits half as long again. By HTTP nothing is told: the dispatcher
-//! cancels when it sees the connection close, and a quarter of a second is left for that. So what is not safe goes by the
-//! framed protocol only.
+//! # Modules
 //!
-//! * [`call`]: the state machine of a call, without I/O.
-//! * [`retry`]: budget, back-off and breakers, without I/O.
+//! * [`call_state`]: the state machine of a call, without I/O.
+//! * [`retry`]: retry budget, backoff and circuit breakers, without I/O.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-pub mod call;
+mod builder;
+mod call;
+pub mod call_state;
+mod channel;
 mod client;
-mod dial;
+mod connector;
+mod error;
 mod framed;
 mod http;
+mod request;
 pub mod retry;
 
-pub use call::{Effect, Outcome};
-pub use client::{Builder, Call, Client, Request};
+pub use builder::ClientBuilder;
+pub use call::Call;
+pub use call_state::Outcome;
+pub use client::{Client, FetchedResponse};
+pub use error::{BuildError, ConnectError, RequestError};
 pub use pointspindle_protocol::ResponseHead;
 pub use pointspindle_transport::tls::{CertificateFiles, TlsError, TrustAnchors};
 pub use pointspindle_transport::Network;
+pub use request::{Idempotency, Request};
 pub use retry::RetryRules;
 
 use bytes::Bytes;
 
-/// What comes of a call.
+/// A piece of a call's response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Piece {
+    /// The response's head; at most once, before any data.
     Head(ResponseHead),
+    /// The next bytes of the body.
     Data(Bytes),
-    /// The last one.
+    /// How the call ended; exactly once, and last.
     End(Outcome),
 }
-
-/// A use that cannot be right; nothing was sent.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Misuse {
-    #[error("no dispatcher: give at least one address")]
-    NoDispatcher,
-    #[error("{0}: what is not safe to repeat goes by the framed protocol only")]
-    EffectOverHttp(String),
-    #[error("{0}: a keyed request needs a key")]
-    NoKey(String),
-    #[error(
-        "{0:?}: an object's name begins with / and holds neither spaces nor control characters"
-    )]
-    Object(String),
-    #[error("{object}: {field} holds a line's end")]
-    Field { object: String, field: &'static str },
-    #[error("{0}: a deadline of nothing")]
-    Deadline(String),
-}
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS at both doors: what is served by it, which certificates are turned away and with what reason, and a reload under way.
+//! TLS by both protocols: complete responses, rejected certificates with their reason, and a reload of certificates.
 use bytes::Bytes;
 use pointspindle_client::{
     CertificateFiles, Client, Outcome, Piece, Request, RetryRules, TrustAnchors,
@@ -13,7 +13,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// More than all buffers on the way together, so that writers wait for a reader that waits.
+/// More than all buffers on the way together, so that flow control holds the writer back.
 const LARGE: usize = 8 * 1024 * 1024;
 
 struct Authority {
@@ -62,16 +62,16 @@
     }
 }
 
-fn body() -> Bytes {
+fn large_body() -> Bytes {
     (0..LARGE)
         .map(|n| (n * 31 % 251) as u8)
         .collect::<Vec<u8>>()
         .into()
 }
 
-async fn member() -> SocketAddr {
+async fn start_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
@@ -83,7 +83,7 @@
                     };
                     tokio::spawn(async move {
                         let body = if head.object == "/large" {
-                            body()
+                            large_body()
                         } else {
                             "small".into()
                         };
@@ -101,18 +101,18 @@
             });
         }
     });
-    at
+    address
 }
 
-async fn dispatcher(files: &CertificateFiles, client_authority: Option<&Path>) -> Dispatcher {
-    let member = member().await;
+async fn start_dispatcher(files: &CertificateFiles, client_authority: Option<&Path>) -> Dispatcher {
+    let endpoint = start_endpoint().await;
     let clients = client_authority
         .map(|f| format!("client_authority = {}\n", f.display()))
         .unwrap_or_default();
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttps = 127.0.0.1:0\nframed_tls = 127.0.0.1:0\ndrain_ms = 100\n\
          [tls]\ncertificate = {}\nkey = {}\n{clients}[zone b]\ndispatchers = 1\n\
-         [member one]\naddress = {member}\nkind = cache\nzone = b\nweight = 50\n\
+         [member one]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /\ndeadline_ms = 20000\naim_ms = 15000\n",
         files.certificate.display(),
         files.key.display(),
@@ -140,18 +140,18 @@
 
 async fn get(client: &Client, object: &str) -> (Outcome, Bytes) {
     let request = Request::get(object, "page", Duration::from_secs(15));
-    let (outcome, _, body) = client.fetch(request).await.unwrap();
-    (outcome, body)
+    let response = client.fetch(request).await.unwrap();
+    (response.outcome, response.body)
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn both_protocols_serve_by_tls_and_a_reader_that_waits_gets_every_byte() {
+async fn tls_both_protocols_slow_reader_receives_every_byte() {
     let folder = tempfile::tempdir().unwrap();
     let authority = Authority::new(folder.path(), "ours");
-    let edge = dispatcher(&authority.sign("edge", |_| {}), None).await;
+    let dispatcher = start_dispatcher(&authority.sign("edge", |_| {}), None).await;
     let trust = TrustAnchors::load(&authority.file(), None).unwrap();
     for framed in [true, false] {
-        let client = client(edge.bound_addresses(), framed, trust.clone());
+        let client = client(dispatcher.bound_addresses(), framed, trust.clone());
         assert_eq!(
             get(&client, "/small").await,
             (Outcome::Served, Bytes::from("small")),
@@ -160,60 +160,66 @@
         let mut call = client
             .call(Request::get("/large", "page", Duration::from_secs(15)))
             .unwrap();
-        let mut got = Vec::new();
+        let mut received = Vec::new();
         while let Some(piece) = call.next().await {
             match piece {
                 Piece::Head(_) => tokio::time::sleep(Duration::from_millis(300)).await,
-                Piece::Data(data) => got.extend_from_slice(&data),
+                Piece::Data(data) => received.extend_from_slice(&data),
                 Piece::End(end) => assert_eq!(end, Outcome::Served, "framed {framed}"),
             }
         }
-        assert!(got == body(), "framed {framed}: {} bytes", got.len());
+        assert!(
+            received == large_body(),
+            "framed {framed}: {} bytes",
+            received.len()
+        );
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn wrong_certificates_are_turned_away_with_a_plain_reason() {
+async fn tls_invalid_certificates_are_rejected_with_their_reason() {
     let folder = tempfile::tempdir().unwrap();
-    let (ours, foreign) = (
-        Authority::new(folder.path(), "ours"),
-        Authority::new(folder.path(), "foreign"),
-    );
+    let ours = Authority::new(folder.path(), "ours");
+    let foreign = Authority::new(folder.path(), "foreign");
     let trust = TrustAnchors::load(&ours.file(), None).unwrap();
-    let old = |p: &mut CertificateParams| {
+    let expired = |p: &mut CertificateParams| {
         p.not_before = rcgen::date_time_ymd(2001, 1, 1);
         p.not_after = rcgen::date_time_ymd(2002, 1, 1);
     };
-    let other = |p: &mut CertificateParams| {
+    let other_name = |p: &mut CertificateParams| {
         p.subject_alt_names = vec![rcgen::SanType::DnsName(
             "elsewhere.example".try_into().unwrap(),
         )];
     };
     let cases = [
-        (ours.sign("expired", old), "expired"),
-        (ours.sign("elsewhere", other), "not valid for name"),
+        (ours.sign("expired", expired), "expired"),
+        (ours.sign("elsewhere", other_name), "not valid for name"),
         (foreign.sign("edge", |_| {}), "UnknownIssuer"),
     ];
     for (files, reason) in cases {
-        let edge = dispatcher(&files, None).await;
+        let dispatcher = start_dispatcher(&files, None).await;
         for framed in [true, false] {
-            let client = client(edge.bound_addresses(), framed, trust.clone());
+            let client = client(dispatcher.bound_addresses(), framed, trust.clone());
             assert_ne!(get(&client, "/small").await.0, Outcome::Served, "{reason}");
-            let told = client.last_trouble().unwrap_or_default();
+            let error = client
+                .last_trouble()
+                .map(|error| error.to_string())
+                .unwrap_or_default();
             assert!(
-                told.to_lowercase().contains(&reason.to_lowercase()),
-                "{told:?} tells nothing of {reason}"
+                error.to_lowercase().contains(&reason.to_lowercase()),
+                "{error:?} does not mention {reason}"
             );
         }
     }
-    // Who must show a certificate and has none, or a foreign one, gets no answer; who has one does.
-    let edge = dispatcher(&ours.sign("edge", |_| {}), Some(&ours.file())).await;
-    let (own, strange) = (ours.sign("desk", |_| {}), foreign.sign("desk", |_| {}));
-    for (shown, served) in [(None, false), (Some(&strange), false), (Some(&own), true)] {
+    // Where clients need a certificate: none, or one of another authority, gets no response.
+    let dispatcher = start_dispatcher(&ours.sign("edge", |_| {}), Some(&ours.file())).await;
+    let own = ours.sign("desk", |_| {});
+    let untrusted = foreign.sign("desk", |_| {});
+    for (identity, served) in [(None, false), (Some(&untrusted), false), (Some(&own), true)] {
         let client = client(
-            edge.bound_addresses(),
+            dispatcher.bound_addresses(),
             true,
-            TrustAnchors::load(&ours.file(), shown).unwrap(),
+            TrustAnchors::load(&ours.file(), identity).unwrap(),
         );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
@@ -223,51 +229,49 @@
         certificate: own.key.clone(),
         key: own.certificate.clone(),
     };
-    let told = TrustAnchors::load(&ours.file(), Some(&swapped))
+    let error = TrustAnchors::load(&ours.file(), Some(&swapped))
         .unwrap_err()
         .to_string();
     assert!(
-        told.contains("desk.key") && !told.contains(key.lines().nth(1).unwrap()),
-        "{told}"
+        error.contains("desk.key") && !error.contains(key.lines().nth(1).unwrap()),
+        "{error}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reload_is_for_new_connections_and_drops_none() {
+async fn tls_reload_applies_to_new_connections_and_drops_none() {
     let folder = tempfile::tempdir().unwrap();
-    let (first, second) = (
-        Authority::new(folder.path(), "first"),
-        Authority::new(folder.path(), "second"),
-    );
+    let first = Authority::new(folder.path(), "first");
+    let second = Authority::new(folder.path(), "second");
     let files = first.sign("edge", |_| {});
-    let edge = dispatcher(&files, None).await;
-    let old = client(
-        edge.bound_addresses(),
+    let dispatcher = start_dispatcher(&files, None).await;
+    let trusts_first = client(
+        dispatcher.bound_addresses(),
         true,
         TrustAnchors::load(&first.file(), None).unwrap(),
     );
-    let new = client(
-        edge.bound_addresses(),
+    let trusts_second = client(
+        dispatcher.bound_addresses(),
         true,
         TrustAnchors::load(&second.file(), None).unwrap(),
     );
-    assert_eq!(get(&old, "/small").await.0, Outcome::Served);
-    assert_ne!(get(&new, "/small").await.0, Outcome::Served);
-    // Half a reload is none.
+    assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
+    assert_ne!(get(&trusts_second, "/small").await.0, Outcome::Served);
+    // A certificate without its key is rejected, and the old pair stays.
     let renewed = second.sign("edge", |_| {});
     std::fs::copy(&renewed.certificate, &files.certificate).unwrap();
-    assert!(edge.reload_tls().is_err(), "the key does not fit");
-    assert_eq!(get(&old, "/small").await.0, Outcome::Served);
+    assert!(dispatcher.reload_tls().is_err(), "the key does not fit");
+    assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
     std::fs::copy(&renewed.key, &files.key).unwrap();
-    edge.reload_tls().unwrap();
+    dispatcher.reload_tls().unwrap();
     assert_eq!(
-        get(&new, "/small").await.0,
+        get(&trusts_second, "/small").await.0,
         Outcome::Served,
         "{:?}",
-        new.last_trouble()
+        trusts_second.last_trouble()
     );
     assert_eq!(
-        get(&old, "/small").await.0,
+        get(&trusts_first, "/small").await.0,
         Outcome::Served,
         "its connection stands"
     );
