--- /dev/null
+++ b/crates/scale/src/node/dispatchers.rs
@@ -0,0 +1,76 @@
+//! The process of hollow dispatchers.
+use super::lag_recorder::SharedRecorder;
+use super::{send_report, CommandStream, NodeError, PREFIX};
+use crate::messages::{Command, DispatcherNodes, DispatcherReport, Report};
+use pointspindle_config::parse;
+use pointspindle_dispatcher::{ControlObserver, HollowDispatcher, PreparedDispatcher, StateCounts};
+use pointspindle_etcd::EtcdSource;
+use pointspindle_transport::Network;
+use std::sync::Arc;
+
+/// A dispatcher's settings, as one in service has them, but for its listeners.
+pub fn dispatcher_settings(store: &str, number: usize, sites: usize, promise_ms: f64) -> String {
+    let zones: String = (0..sites).map(|n| format!("[zone site-{n}]\n")).collect();
+    format!(
+        "[dispatcher]\nname = d-{number}\nzone = site-{}\n[listen]\nhttp = 127.0.0.1:0\n\
+         [etcd]\nendpoints = {store}\nprefix = {PREFIX}\ntimeout_ms = 5000\npurge_within_ms = {promise_ms}\n{zones}\
+         [class page]\npath_prefix = /\n",
+        number % sites
+    )
+}
+
+pub(super) async fn run(
+    mut commands: CommandStream,
+    role: DispatcherNodes,
+) -> Result<(), NodeError> {
+    let recorder = SharedRecorder::new()?;
+    let mut dispatchers = Vec::new();
+    for number in role.nodes.numbers() {
+        let settings = dispatcher_settings(&role.store, number, role.nodes.sites, role.promise_ms);
+        dispatchers.push(start_dispatcher(&settings, number, recorder.clone()).await?);
+    }
+    send_report(&Report::Done);
+    while let Some(command) = commands.next().await {
+        if command == Command::ResetLags {
+            recorder.lock().reset_lags();
+        }
+        send_report(&Report::Dispatchers(report(&dispatchers, &recorder)));
+    }
+    Ok(())
+}
+
+/// Starts a hollow dispatcher: the program's own control code, with a recorder of what comes into force.
+async fn start_dispatcher(
+    settings: &str,
+    number: usize,
+    recorder: SharedRecorder,
+) -> Result<HollowDispatcher, NodeError> {
+    let settings = parse("hollow", settings)?;
+    let seed = number as u64 + 1;
+    let source = EtcdSource::of(&settings, seed)?.ok_or(NodeError::NoControlStore)?;
+    let prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
+    let observer: ControlObserver = Arc::new(move |update| recorder.lock().record(number, update));
+    Ok(prepared.into_hollow(source, observer))
+}
+
+fn report(dispatchers: &[HollowDispatcher], recorder: &SharedRecorder) -> DispatcherReport {
+    let recorder = recorder.lock();
+    DispatcherReport {
+        current: recorder.current(),
+        ready_ms: recorder.ready_ms.clone(),
+        purges: recorder.purges(),
+        changes: recorder.changes(),
+        state: total_state(dispatchers),
+    }
+}
+
+fn total_state(dispatchers: &[HollowDispatcher]) -> StateCounts {
+    let mut total = StateCounts::default();
+    for state in dispatchers.iter().map(HollowDispatcher::state_counts) {
+        total.endpoints += state.endpoints;
+        total.purges += state.purges;
+        total.dispatchers += state.dispatchers;
+        total.connections += state.connections;
+    }
+    total
+}
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,231 +1,237 @@
-//! Each figure over the sizes as a line `a + b N`; where the line bends upwards, as `a + b N + c N^2`, and that is said. One that bends
-//! downwards stays a line: beyond the sizes measured a falling curve would promise what nobody has seen.
-use super::steps::{Phase, Step};
+//! Fits each figure over the sizes: a line `a + b N`, or a curve `a + b N + c N^2` where the figure grows faster than a
+//! line. A figure that grows more slowly stays a line: extrapolated beyond the sizes measured, a falling curve would
+//! promise what nobody has measured.
+mod figures;
+
+pub use figures::{figures, Figure};
+
+use crate::results::Step;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A curve is kept where it leaves less than this share of the line's residual: else it only follows noise.
-const BENDS: f64 = 0.25;
-/// ... and where the curved part is at least this share of the figure at the largest size.
-const MATTERS: f64 = 0.1;
-/// Runs that differ by more than this share at a size do not give a slope.
-pub const AGREE: f64 = 0.35;
+/// A curve is used only where it leaves less than this share of the line's residual; else it fits noise.
+const MAX_CURVE_RESIDUAL_RATIO: f64 = 0.25;
+/// A curve is used only where its quadratic term is at least this share of the largest value, at the largest size.
+const MIN_QUADRATIC_SHARE: f64 = 0.1;
+/// A curve needs more points than this: through three a curve always goes.
+const MAX_POINTS_OF_A_LINE: usize = 3;
+/// Runs whose values at the largest size differ by more than this share give no slope.
+pub const MAX_SPREAD: f64 = 0.35;
+/// A fit that is further off than this share of the largest value gives no slope.
+pub const MAX_RESIDUAL: f64 = 0.25;
+/// Below this a largest value counts as this, so that shares of it are finite.
+const MIN_LARGEST_VALUE: f64 = 1e-12;
 
-/// ... and a fit that is further off than this share of the largest value says nothing of other sizes.
-pub const STRAIGHT: f64 = 0.25;
-
-/// A figure over N, and where it was measured.
+/// A figure as a function of the number of dispatchers, and where it was measured.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
+    /// The figure's unit.
     pub unit: String,
-    pub a: f64,
-    pub b: f64,
-    /// 0: the line does not bend.
-    #[serde(default)]
-    pub c: f64,
+    /// The constant term.
+    #[serde(rename = "a")]
+    pub intercept: f64,
+    /// The coefficient of N.
+    #[serde(rename = "b")]
+    pub linear: f64,
+    /// The coefficient of N^2; 0: a line.
+    #[serde(default, rename = "c")]
+    pub quadratic: f64,
     /// Largest distance of a measured value from the fit, as a share of the largest value.
     pub residual: f64,
-    /// Smallest and largest size measured.
+    /// Smallest size measured, dispatchers.
+    #[serde(rename = "from")]
     pub from: usize,
+    /// Largest size measured, dispatchers.
+    #[serde(rename = "to")]
     pub to: usize,
     /// Largest value measured, in any run at any size.
-    #[serde(default)]
-    pub most: f64,
-    /// How far runs are apart, at most: as a share. None: one run only.
+    #[serde(default, rename = "most")]
+    pub max_value: f64,
+    /// How far the runs are apart at the largest size, as a share; none: one run only.
     #[serde(default)]
     pub spread: Option<f64>,
 }
 
 impl Slope {
-    pub fn at(&self, n: f64) -> f64 {
-        self.a + self.b * n + self.c * n * n
+    /// The figure at a size.
+    pub fn value_at(&self, dispatchers: f64) -> f64 {
+        self.intercept + self.linear * dispatchers + self.quadratic * dispatchers * dispatchers
     }
 
-    /// Whether runs agreed, and on something like a line.
+    /// Whether the runs agree, and the fit is close to the values measured.
     pub fn is_used(&self) -> bool {
-        self.spread.is_none_or(|s| s <= AGREE) && self.residual <= STRAIGHT
+        self.spread.is_none_or(|spread| spread <= MAX_SPREAD) && self.residual <= MAX_RESIDUAL
     }
 }
 
-/// What a run came to, kept beside the page.
+/// The fits of a scale run, kept beside the capacity page.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
+    /// The commit that was measured.
     pub commit: String,
+    /// When the run ended.
     pub date: String,
+    /// The machine's cores and memory.
     pub machine: String,
+    /// Length of a phase, seconds.
     pub seconds: f64,
+    /// The sizes measured, dispatchers.
     pub steps: Vec<usize>,
+    /// How often each size was measured.
     pub runs: usize,
+    /// The fits by figure, `phase/what`.
     pub figures: BTreeMap<String, Slope>,
-    /// What was counted and is no slope: words that never came, over all sizes.
+    /// Counts over all sizes, which have no slope.
     pub counts: BTreeMap<String, f64>,
 }
 
-/// A figure at several sizes.
-pub type Points = Vec<(f64, f64)>;
+/// A figure's value at one size.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Point {
+    /// The size.
+    pub dispatchers: f64,
+    /// The value.
+    pub value: f64,
+}
+
+/// The coefficients of a polynomial, and the largest distance of a point from it.
+struct Polynomial {
+    intercept: f64,
+    linear: f64,
+    quadratic: f64,
+    max_distance: f64,
+}
+
+impl Polynomial {
+    fn constant(value: f64) -> Self {
+        Self {
+            intercept: value,
+            linear: 0.0,
+            quadratic: 0.0,
+            max_distance: 0.0,
+        }
+    }
 
-pub fn fit(unit: &str, points: &Points) -> Option<Slope> {
-    let (x, y): (Vec<f64>, Vec<f64>) = points.iter().copied().unzip();
-    let of = |degree: usize| {
-        if x.len() <= degree {
+    /// The least-squares polynomial of this degree; none: there are too few points.
+    fn fit(points: &[Point], degree: usize) -> Option<Self> {
+        if points.len() <= degree {
             return None;
         }
-        let mut c = polyfit_rs::polyfit_rs::polyfit(&x, &y, degree).ok()?;
-        c.resize(3, 0.0);
-        let far = points
+        let sizes: Vec<f64> = points.iter().map(|point| point.dispatchers).collect();
+        let values: Vec<f64> = points.iter().map(|point| point.value).collect();
+        let mut coefficients = polyfit_rs::polyfit_rs::polyfit(&sizes, &values, degree).ok()?;
+        coefficients.resize(3, 0.0);
+        let mut polynomial = Self {
+            intercept: coefficients[0],
+            linear: coefficients[1],
+            quadratic: coefficients[2],
+            max_distance: 0.0,
+        };
+        polynomial.max_distance = points
             .iter()
-            .map(|(x, y)| (y - c[0] - c[1] * x - c[2] * x * x).abs());
-        let far = far.fold(0.0, f64::max);
-        Some((c, far))
-    };
-    let largest = y.iter().fold(0.0f64, |a, b| a.max(b.abs())).max(1e-12);
-    let (mut best, mut far) = match points.len() {
-        0 => return None,
-        1 => (vec![y[0], 0.0, 0.0], 0.0),
-        _ => of(1)?,
-    };
-    let to = x.iter().fold(0.0f64, |a, b| a.max(*b));
-    // Four sizes at least: through three a curve always goes.
-    if let Some((curve, left)) = of(2).filter(|_| points.len() > 3) {
-        if left < BENDS * far && curve[2] * to * to > MATTERS * largest {
-            (best, far) = (curve, left);
-        }
+            .map(|point| polynomial.distance(point))
+            .fold(0.0, f64::max);
+        Some(polynomial)
     }
-    let from = x.iter().fold(f64::INFINITY, |a, b| a.min(*b));
-    let (a, b, c) = (best[0], best[1], best[2]);
+
+    fn distance(&self, point: &Point) -> f64 {
+        let x = point.dispatchers;
+        (point.value - self.intercept - self.linear * x - self.quadratic * x * x).abs()
+    }
+}
+
+/// Fits one figure; none: there are no points.
+pub fn fit(unit: &str, points: &[Point]) -> Option<Slope> {
+    let sizes = || points.iter().map(|point| point.dispatchers);
+    let values = || points.iter().map(|point| point.value);
+    let largest = values()
+        .fold(0.0f64, |largest, value| largest.max(value.abs()))
+        .max(MIN_LARGEST_VALUE);
+    let largest_size = sizes().fold(0.0, f64::max);
+    let line = match points {
+        [] => return None,
+        [point] => Polynomial::constant(point.value),
+        _ => Polynomial::fit(points, 1)?,
+    };
+    let curve = Polynomial::fit(points, 2).filter(|curve| {
+        points.len() > MAX_POINTS_OF_A_LINE
+            && curve.max_distance < MAX_CURVE_RESIDUAL_RATIO * line.max_distance
+            && curve.quadratic * largest_size * largest_size > MIN_QUADRATIC_SHARE * largest
+    });
+    let best = curve.unwrap_or(line);
     Some(Slope {
         unit: unit.to_owned(),
-        a,
-        b,
-        c,
-        residual: far / largest,
-        from: from as usize,
-        to: to as usize,
-        most: y.iter().fold(f64::NEG_INFINITY, |a, b| a.max(*b)),
+        intercept: best.intercept,
+        linear: best.linear,
+        quadratic: best.quadratic,
+        residual: best.max_distance / largest,
+        from: sizes().fold(f64::INFINITY, f64::min) as usize,
+        to: largest_size as usize,
+        max_value: values().fold(f64::NEG_INFINITY, f64::max),
         spread: None,
     })
 }
 
-/// All figures of a step, by name: `phase/what`, with the unit.
-pub fn figures(step: &Step) -> BTreeMap<String, (&'static str, f64)> {
-    let mut all = BTreeMap::new();
-    let n = step.dispatchers as f64;
-    for phase in &step.phases {
-        let mut put = |what: &str, unit: &'static str, value: f64| {
-            all.insert(format!("{}/{what}", phase.name), (unit, value));
-        };
-        of_phase(phase, n, &mut put);
-    }
-    let ready = [
-        ("start", &step.ready_ms),
-        ("restart", &step.restart_ready_ms),
-    ];
-    for (name, [p50, p90, longest]) in ready {
-        for (what, value) in [("p50", p50), ("p90", p90), ("longest", longest)] {
-            all.insert(format!("{name}/ready {what}"), ("ms", *value));
+/// A figure's values in all runs, by size.
+struct MeasuredValues {
+    unit: &'static str,
+    by_size: BTreeMap<usize, Vec<f64>>,
+}
+
+impl MeasuredValues {
+    fn new(unit: &'static str) -> Self {
+        Self {
+            unit,
+            by_size: BTreeMap::new(),
         }
     }
-    all
-}
 
-fn of_phase(phase: &Phase, n: f64, put: &mut impl FnMut(&str, &'static str, f64)) {
-    let s = phase.seconds;
-    put("store cores", "cores", phase.store.cores);
-    put("store memory", "MB", phase.store.memory_mb);
-    put("store connections", "", phase.store.descriptors as f64);
-    put(
-        "store bytes out",
-        "KB/s",
-        phase.traffic.bytes_out as f64 / s / 1024.0,
-    );
-    put(
-        "store bytes in",
-        "KB/s",
-        phase.traffic.bytes_in as f64 / s / 1024.0,
-    );
-    put("dispatcher cores", "cores", phase.dispatchers.cores / n);
-    put("dispatcher memory", "MB", phase.dispatchers.memory_mb / n);
-    put(
-        "dispatcher bytes in",
-        "KB/s",
-        phase.traffic.bytes_out as f64 / s / n / 1024.0,
-    );
-    put(
-        "dispatcher bytes out",
-        "KB/s",
-        phase.traffic.bytes_in as f64 / s / n / 1024.0,
-    );
-    put(
-        "dispatcher bytes of the phase",
-        "KB",
-        phase.traffic.bytes_out as f64 / n / 1024.0,
-    );
-    put(
-        "dispatcher connections to hosts",
-        "",
-        phase.items.connections as f64,
-    );
-    put("host cores", "cores", phase.hosts.cores);
-    put("host memory", "MB", phase.hosts.memory_mb);
-    for (kind, count) in &phase.traffic.kinds {
-        put(
-            &format!("{kind} messages"),
-            "1/s",
-            (count.messages_in + count.messages_out) as f64 / s,
-        );
-        put(
-            &format!("{kind} bytes"),
-            "KB/s",
-            (count.bytes_in + count.bytes_out) as f64 / s / 1024.0,
-        );
+    /// The fit of the runs' means.
+    fn fit(&self, runs: usize) -> Option<Slope> {
+        let mean = |values: &Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
+        let points: Vec<Point> = self
+            .by_size
+            .iter()
+            .map(|(size, values)| Point {
+                dispatchers: *size as f64,
+                value: mean(values),
+            })
+            .collect();
+        let all_values = self.by_size.values().flatten().copied();
+        Some(Slope {
+            max_value: all_values.fold(f64::NEG_INFINITY, f64::max),
+            spread: self.spread().filter(|_| runs > 1),
+            ..fit(self.unit, &points)?
+        })
     }
-    for (what, lag) in [("purge", &phase.purges), ("change", &phase.changes)] {
-        if let Some(lag) = lag {
-            put(&format!("{what} in force p50"), "ms", lag.p50_ms);
-            put(&format!("{what} in force p99"), "ms", lag.p99_ms);
-            put(&format!("{what} in force longest"), "ms", lag.longest_ms);
+
+    /// How far the runs are apart, as a share, at the largest size: a larger fleet is extrapolated from there.
+    fn spread(&self) -> Option<f64> {
+        let values = self.by_size.values().next_back()?.iter().copied();
+        let smallest = values.clone().fold(f64::INFINITY, f64::min);
+        let largest = values.fold(0.0, f64::max);
+        if largest > 0.0 {
+            Some((largest - smallest) / largest)
+        } else {
+            Some(0.0)
         }
     }
-    if let Some(ms) = phase.whole_ms {
-        put("whole again", "ms", ms);
-    }
 }
 
-/// Slopes of one or several runs over the same sizes.
+/// The fits of one or several runs over the same sizes, by figure.
 pub fn slopes(runs: &[Vec<Step>]) -> BTreeMap<String, Slope> {
-    // For each figure, at each size, its value in each run.
-    let mut values: BTreeMap<String, (&'static str, BTreeMap<usize, Vec<f64>>)> = BTreeMap::new();
+    let mut measured: BTreeMap<String, MeasuredValues> = BTreeMap::new();
     for step in runs.iter().flatten() {
-        for (name, (unit, value)) in figures(step) {
-            let of = values
-                .entry(name)
-                .or_insert_with(|| (unit, BTreeMap::new()));
-            of.1.entry(step.dispatchers).or_default().push(value);
+        for figure in figures(step) {
+            let values = measured
+                .entry(figure.name)
+                .or_insert_with(|| MeasuredValues::new(figure.unit));
+            let of_size = values.by_size.entry(step.dispatchers).or_default();
+            of_size.push(figure.value);
         }
     }
-    let mean = |v: &Vec<f64>| v.iter().sum::<f64>() / v.len() as f64;
-    let fitted = values.into_iter().filter_map(|(name, (unit, by))| {
-        let points: Points = by.iter().map(|(n, v)| (*n as f64, mean(v))).collect();
-        let mut slope = fit(unit, &points)?;
-        slope.most = by
-            .values()
-            .flatten()
-            .fold(f64::NEG_INFINITY, |a, b| a.max(*b));
-        if runs.len() > 1 {
-            // Of the largest size: that is what a fleet ahead is read off.
-            let apart = by.iter().next_back().map(|(_, v)| {
-                let (least, most) = v
-                    .iter()
-                    .fold((f64::INFINITY, 0.0f64), |a, x| (a.0.min(*x), a.1.max(*x)));
-                if most > 0.0 {
-                    (most - least) / most
-                } else {
-                    0.0
-                }
-            });
-            slope.spread = apart;
-        }
-        Some((name, slope))
-    });
+    let fitted = measured
+        .into_iter()
+        .filter_map(|(name, values)| Some((name, values.fit(runs.len())?)));
     fitted.collect()
 }
--- a/crates/scale/src/tests.rs
+++ b/crates/scale/src/tests.rs
@@ -1,73 +1,80 @@
-use super::slopes::{fit, Slope};
+use super::slopes::{fit, Point, Slope};
 use super::*;
 
-const GOOD: &str = "[target]\ndispatchers = 590\nhosts = 120\n";
+const MINIMAL_TARGET: &str = "[target]\ndispatchers = 590\nhosts = 120\n";
+
+fn error_of(text: &str) -> String {
+    read("fleet.ini", text).unwrap_err().to_string()
+}
 
 #[test]
-fn a_target_is_read_and_what_is_missing_is_named_with_file_and_key() {
-    assert_eq!(read("f", GOOD).unwrap().dispatchers, 590);
-    let wrong = read("fleet.ini", "[target]\nhosts = 120\n")
-        .unwrap_err()
-        .to_string();
+fn target_invalid_or_missing_key_is_reported_with_file_and_key() {
+    let target = read("f", MINIMAL_TARGET).unwrap();
+    assert_eq!(target.fleet.dispatchers, 590);
+    let error = error_of("[target]\nhosts = 120\n");
     assert!(
-        wrong.contains("fleet.ini") && wrong.contains("dispatchers"),
-        "{wrong}"
+        error.contains("fleet.ini") && error.contains("dispatchers"),
+        "{error}"
     );
-    let wrong = read("fleet.ini", &format!("{GOOD}[run]\neach = 5000\n"))
-        .unwrap_err()
-        .to_string();
-    assert!(wrong.contains("each"), "{wrong}");
-    let wrong = read("fleet.ini", "[target]\ndispatchers = 0\nhosts = 1\n")
-        .unwrap_err()
-        .to_string();
+    let error = error_of(&format!("{MINIMAL_TARGET}[run]\neach = 5000\n"));
+    assert!(error.contains("each"), "{error}");
+    let error = error_of("[target]\ndispatchers = 0\nhosts = 1\n");
     assert!(
-        wrong.contains("dispatchers") && wrong.contains("0 is not within"),
-        "{wrong}"
+        error.contains("dispatchers") && error.contains("0 is not within"),
+        "{error}"
     );
 }
 
+/// A function's values at the usual sizes.
+fn points(value: impl Fn(f64) -> f64) -> Vec<Point> {
+    [50.0, 100.0, 200.0, 400.0, 590.0]
+        .map(|dispatchers| Point {
+            dispatchers,
+            value: value(dispatchers),
+        })
+        .to_vec()
+}
+
 #[test]
-fn a_line_is_a_line_and_a_bend_is_told() {
-    let points = |of: fn(f64) -> f64| {
-        [50.0, 100.0, 200.0, 400.0, 590.0]
-            .map(|n| (n, of(n)))
-            .to_vec()
-    };
+fn fit_line_stays_a_line_and_quadratic_growth_is_found() {
     let line = fit("KB/s", &points(|n| 2.0 + 0.5 * n)).unwrap();
     assert!(
-        (line.at(1_180.0) - 592.0).abs() < 1e-6 && line.c == 0.0,
+        (line.value_at(1_180.0) - 592.0).abs() < 1e-6 && line.quadratic == 0.0,
         "{line:?}"
     );
     assert_eq!((line.from, line.to), (50, 590));
-    let bent = fit("KB/s", &points(|n| 1.0 + 0.01 * n * n)).unwrap();
+    let curve = fit("KB/s", &points(|n| 1.0 + 0.01 * n * n)).unwrap();
     assert!(
-        (bent.at(1_180.0) - 13_925.0).abs() < 1.0 && bent.c > 0.0,
-        "{bent:?}"
+        (curve.value_at(1_180.0) - 13_925.0).abs() < 1.0 && curve.quadratic > 0.0,
+        "{curve:?}"
     );
-    assert!(bent.residual < 1e-6);
-    // Noise on a line does not bend it.
-    let noisy: Vec<(f64, f64)> = points(|n| n)
-        .into_iter()
-        .zip([1.03, 0.98, 1.02, 0.99, 1.01])
-        .map(|((x, y), k)| (x, y * k))
-        .collect();
-    assert_eq!(fit("", &noisy).unwrap().c, 0.0);
-    assert!(fit("", &Vec::new()).is_none());
-    assert_eq!(fit("", &vec![(7.0, 3.0)]).unwrap().at(100.0), 3.0);
+    assert!(curve.residual < 1e-6);
+    // Noise on a line gives no curve.
+    let mut noisy = points(|n| n);
+    for (point, factor) in noisy.iter_mut().zip([1.03, 0.98, 1.02, 0.99, 1.01]) {
+        point.value *= factor;
+    }
+    assert_eq!(fit("", &noisy).unwrap().quadratic, 0.0);
+    assert!(fit("", &[]).is_none());
+    let single = Point {
+        dispatchers: 7.0,
+        value: 3.0,
+    };
+    assert_eq!(fit("", &[single]).unwrap().value_at(100.0), 3.0);
 }
 
 #[test]
-fn runs_that_disagree_give_no_slope() {
-    let apart = Slope {
-        spread: Some(0.6),
-        ..Slope::default()
-    };
-    let close = Slope {
-        spread: Some(0.1),
+fn slope_runs_disagree_is_not_used() {
+    let with_spread = |spread| Slope {
+        spread: Some(spread),
         ..Slope::default()
     };
     assert_eq!(
-        (apart.is_used(), close.is_used(), Slope::default().is_used()),
+        (
+            with_spread(0.6).is_used(),
+            with_spread(0.1).is_used(),
+            Slope::default().is_used()
+        ),
         (false, true, true)
     );
 }
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,74 +1,93 @@
-//! Hollow is not fake: after the same script a hollow dispatcher keeps what a real one keeps.
+//! A hollow dispatcher is representative: after the same updates it has the state of a real one.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::{PreparedDispatcher, StateCounts};
 use pointspindle_etcd::layout::PurgeRecord;
 use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
 use pointspindle_etcd_emulator::EtcdEmulator;
-use pointspindle_scale::parts::{dispatcher_settings, record, PREFIX};
+use pointspindle_scale::node::{dispatcher_settings, record, PREFIX};
 use pointspindle_transport::Network;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(15);
+const TIMEOUT: Duration = Duration::from_secs(15);
+const SITES: usize = 3;
+const HOSTS: usize = 12;
+const PURGES: usize = 40;
 
-#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_hollow_dispatcher_keeps_what_a_real_one_keeps() {
-    let store = EtcdEmulator::new(None);
-    let at = format!("http://{}", store.listen().await.unwrap());
-    let etcd = Etcd::new(
-        &Access {
-            endpoints: vec![at.clone()],
-            ..Default::default()
-        },
-        PATIENCE,
-    )
-    .unwrap();
-    let prepare = |number: usize| {
-        let settings = parse("test", &dispatcher_settings(&at, number, 3, 0.0))
-            .unwrap_or_else(|e| panic!("{e}"));
-        let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
-        async move {
-            (
-                PreparedDispatcher::new(Network::Tcp, settings, 1).await,
-                source,
-            )
-        }
-    };
-    let (mut real, source) = prepare(0).await;
-    real.follow(source);
-    let real = real.open().await.unwrap();
-    let (hollow, source) = prepare(1).await;
-    let hollow = hollow.into_hollow(source, Arc::new(|_| {}));
-    for n in 0..12 {
-        let address = format!("127.0.0.1:{}", 9 + n);
-        writer::member(&etcd, PREFIX, &address, |_| Ok(Some(record(n, 3))))
+struct Prepared {
+    dispatcher: PreparedDispatcher,
+    source: EtcdSource,
+}
+
+async fn prepare(endpoint: &str, number: usize) -> Prepared {
+    let settings = parse("test", &dispatcher_settings(endpoint, number, SITES, 0.0))
+        .unwrap_or_else(|e| panic!("{e}"));
+    let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
+    Prepared {
+        dispatcher: PreparedDispatcher::new(Network::Tcp, settings, 1).await,
+        source,
+    }
+}
+
+/// Writes cache hosts and purges, and deletes one host.
+async fn write_updates(etcd: &Etcd) {
+    for number in 0..HOSTS {
+        let address = format!("127.0.0.1:{}", 9 + number);
+        let record = |_| Ok(Some(record(number, SITES)));
+        writer::member(etcd, PREFIX, &address, record)
             .await
             .unwrap();
     }
-    for n in 0..40 {
+    for number in 0..PURGES {
         let purge = PurgeRecord {
-            object: Some(format!("/{n}")),
-            group: n,
+            object: Some(format!("/{number}")),
+            group: number as u64,
         };
-        writer::purge(&etcd, PREFIX, &purge).await.unwrap();
+        writer::purge(etcd, PREFIX, &purge).await.unwrap();
     }
-    writer::member(&etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
+    writer::member(etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
         .await
         .unwrap();
-    let kept = |i: StateCounts| (i.endpoints, i.purges, i.dispatchers);
-    let same = async {
-        // The one that was taken away is remembered as gone for a while, by both.
-        while kept(real.state_counts()) != kept(hollow.state_counts())
-            || kept(real.state_counts()).1 != 40
+}
+
+/// The state but for connections, which a hollow dispatcher has of its own.
+fn control_state(counts: StateCounts) -> StateCounts {
+    StateCounts {
+        connections: 0,
+        ..counts
+    }
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn hollow_dispatcher_after_the_same_updates_has_the_state_of_a_real_one() {
+    let emulator = EtcdEmulator::new(None);
+    let endpoint = format!("http://{}", emulator.listen().await.unwrap());
+    let access = Access {
+        endpoints: vec![endpoint.clone()],
+        ..Default::default()
+    };
+    let etcd = Etcd::new(&access, TIMEOUT).unwrap();
+    let mut prepared = prepare(&endpoint, 0).await;
+    prepared.dispatcher.follow(prepared.source);
+    let real = prepared.dispatcher.open().await.unwrap();
+    let prepared = prepare(&endpoint, 1).await;
+    let hollow = prepared
+        .dispatcher
+        .into_hollow(prepared.source, Arc::new(|_| {}));
+    write_updates(&etcd).await;
+    let same_state = async {
+        // The deleted host is remembered as removed for a while, by both.
+        while control_state(real.state_counts()) != control_state(hollow.state_counts())
+            || real.state_counts().purges != PURGES
             || real.state_counts().dispatchers != 2
         {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let there = timeout(PATIENCE, same).await;
+    let reached = timeout(TIMEOUT, same_state).await;
     assert!(
-        there.is_ok(),
+        reached.is_ok(),
         "{:?} and {:?}",
         real.state_counts(),
         hollow.state_counts()
