--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -1,5 +1,5 @@
 //! The settings of a client.
-use crate::channel::Channel;
+use crate::channel::{Channel, Transport};
 use crate::client::{Client, Shared};
 use crate::connector::{Connector, LastConnectError, TlsSettings};
 use crate::error::BuildError;
@@ -17,7 +17,7 @@
 /// Settings of a client.
 #[derive(Clone, Debug)]
 pub struct ClientBuilder {
-    framed: bool,
+    transport: Transport,
     dispatchers: Vec<SocketAddr>,
     rules: RetryRules,
     connect_timeout: Duration,
@@ -29,7 +29,7 @@
 impl Default for ClientBuilder {
     fn default() -> Self {
         Self {
-            framed: true,
+            transport: Transport::Framed,
             dispatchers: Vec::new(),
             rules: RetryRules::default(),
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
@@ -44,7 +44,7 @@
     /// These dispatchers, by the framed protocol.
     pub fn framed(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
-            framed: true,
+            transport: Transport::Framed,
             dispatchers: dispatchers.into_iter().collect(),
             ..self
         }
@@ -53,7 +53,7 @@
     /// These dispatchers, by HTTP/1.1.
     pub fn http(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
-            framed: false,
+            transport: Transport::Http,
             dispatchers: dispatchers.into_iter().collect(),
             ..self
         }
@@ -106,7 +106,7 @@
             .collect();
         let seed = self.seed.unwrap_or_else(|| rand::thread_rng().gen());
         let retries = RetryState::new(self.rules, channels.len(), seed);
-        let shared = Shared::new(self.framed, channels, retries, last_error);
+        let shared = Shared::new(self.transport, channels, retries, last_error);
         Ok(Client::new(shared))
     }
 
@@ -118,10 +118,9 @@
             timeout: self.connect_timeout,
             last_error: last_error.clone(),
         };
-        if self.framed {
-            Channel::Framed(FramedChannel::new(connector))
-        } else {
-            Channel::Http(HttpChannel::new(connector))
+        match self.transport {
+            Transport::Framed => Channel::Framed(FramedChannel::new(connector)),
+            Transport::Http => Channel::Http(HttpChannel::new(connector)),
         }
     }
 }
--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -5,6 +5,13 @@
 use crate::retry::Micros;
 use crate::{Piece, Request};
 
+/// How a client talks to its dispatchers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Transport {
+    Framed,
+    Http,
+}
+
 /// The connections to one dispatcher.
 pub(crate) enum Channel {
     Framed(FramedChannel),
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -2,7 +2,7 @@
 use crate::builder::ClientBuilder;
 use crate::call::Call;
 use crate::call_state::Outcome;
-use crate::channel::Channel;
+use crate::channel::{Channel, Transport};
 use crate::connector::LastConnectError;
 use crate::error::{ConnectError, RequestError};
 use crate::retry::{Micros, RetryState};
@@ -15,7 +15,7 @@
 
 /// What the calls of a client share.
 pub(crate) struct Shared {
-    framed: bool,
+    transport: Transport,
     pub(crate) channels: Vec<Channel>,
     retries: Mutex<RetryState>,
     created: Instant,
@@ -27,13 +27,13 @@
 
 impl Shared {
     pub(crate) fn new(
-        framed: bool,
+        transport: Transport,
         channels: Vec<Channel>,
         retries: RetryState,
         last_connect_error: LastConnectError,
     ) -> Self {
         Self {
-            framed,
+            transport,
             channels,
             retries: Mutex::new(retries),
             created: Instant::now(),
@@ -91,7 +91,7 @@
 
     /// Begins a call; its deadline counts from now. Nothing is sent before the first [`Call::next`].
     pub fn call(&self, request: Request) -> Result<Call, RequestError> {
-        request.validate(self.shared.framed)?;
+        request.validate(self.shared.transport)?;
         let number = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
         let id = format!("{:016x}-{number}", self.shared.id);
         Ok(Call::new(self.shared.clone(), request, id))
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -1,4 +1,5 @@
 //! What is requested, and what may happen if it runs twice.
+use crate::channel::Transport;
 use crate::error::RequestError;
 use std::time::Duration;
 
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Whether it can be sent, by the framed protocol or by HTTP.
-    pub(crate) fn validate(&self, framed: bool) -> Result<(), RequestError> {
+    /// Whether it can be sent by this transport.
+    pub(crate) fn validate(&self, transport: Transport) -> Result<(), RequestError> {
         self.validate_text()?;
         let object = || self.object.clone();
         if self.deadline.is_zero() {
@@ -101,7 +102,7 @@
         }
         match self.idempotency {
             Idempotency::Idempotent => Ok(()),
-            _ if !framed => Err(RequestError::NotIdempotentOverHttp(object())),
+            _ if transport == Transport::Http => Err(RequestError::NotIdempotentOverHttp(object())),
             Idempotency::WithKey { .. } if self.idempotency_key.is_empty() => {
                 Err(RequestError::MissingIdempotencyKey(object()))
             }
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -16,6 +16,12 @@
 /// More than all buffers on the way together, so that flow control holds the writer back.
 const LARGE: usize = 8 * 1024 * 1024;
 
+#[derive(Clone, Copy, Debug)]
+enum Protocol {
+    Framed,
+    Http,
+}
+
 struct Authority {
     certificate: Certificate,
     key: KeyPair,
@@ -121,7 +127,7 @@
     Dispatcher::start(settings, 1).await.unwrap()
 }
 
-fn client(bound: &BoundAddresses, framed: bool, trust: TrustAnchors) -> Client {
+fn client(bound: &BoundAddresses, protocol: Protocol, trust: TrustAnchors) -> Client {
     let rules = RetryRules {
         most: 1,
         ..RetryRules::default()
@@ -130,10 +136,9 @@
         .retries(rules)
         .connect_timeout(Duration::from_secs(5))
         .tls(trust, None);
-    let builder = if framed {
-        builder.framed(bound.framed_tls)
-    } else {
-        builder.http(bound.https)
+    let builder = match protocol {
+        Protocol::Framed => builder.framed(bound.framed_tls),
+        Protocol::Http => builder.http(bound.https),
     };
     builder.build().unwrap()
 }
@@ -150,12 +155,12 @@
     let authority = Authority::new(folder.path(), "ours");
     let dispatcher = start_dispatcher(&authority.sign("edge", |_| {}), None).await;
     let trust = TrustAnchors::load(&authority.file(), None).unwrap();
-    for framed in [true, false] {
-        let client = client(dispatcher.bound_addresses(), framed, trust.clone());
+    for protocol in [Protocol::Framed, Protocol::Http] {
+        let client = client(dispatcher.bound_addresses(), protocol, trust.clone());
         assert_eq!(
             get(&client, "/small").await,
             (Outcome::Served, Bytes::from("small")),
-            "framed {framed}"
+            "{protocol:?}"
         );
         let mut call = client
             .call(Request::get("/large", "page", Duration::from_secs(15)))
@@ -165,12 +170,12 @@
             match piece {
                 Piece::Head(_) => tokio::time::sleep(Duration::from_millis(300)).await,
                 Piece::Data(data) => received.extend_from_slice(&data),
-                Piece::End(end) => assert_eq!(end, Outcome::Served, "framed {framed}"),
+                Piece::End(end) => assert_eq!(end, Outcome::Served, "{protocol:?}"),
             }
         }
         assert!(
             received == large_body(),
-            "framed {framed}: {} bytes",
+            "{protocol:?}: {} bytes",
             received.len()
         );
     }
@@ -198,8 +203,8 @@
     ];
     for (files, reason) in cases {
         let dispatcher = start_dispatcher(&files, None).await;
-        for framed in [true, false] {
-            let client = client(dispatcher.bound_addresses(), framed, trust.clone());
+        for protocol in [Protocol::Framed, Protocol::Http] {
+            let client = client(dispatcher.bound_addresses(), protocol, trust.clone());
             assert_ne!(get(&client, "/small").await.0, Outcome::Served, "{reason}");
             let error = client
                 .last_trouble()
@@ -211,6 +216,13 @@
             );
         }
     }
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn tls_client_authority_is_set_only_trusted_client_certificates_are_served() {
+    let folder = tempfile::tempdir().unwrap();
+    let ours = Authority::new(folder.path(), "ours");
+    let foreign = Authority::new(folder.path(), "foreign");
     // Where clients need a certificate: none, or one of another authority, gets no response.
     let dispatcher = start_dispatcher(&ours.sign("edge", |_| {}), Some(&ours.file())).await;
     let own = ours.sign("desk", |_| {});
@@ -218,12 +230,18 @@
     for (identity, served) in [(None, false), (Some(&untrusted), false), (Some(&own), true)] {
         let client = client(
             dispatcher.bound_addresses(),
-            true,
+            Protocol::Framed,
             TrustAnchors::load(&ours.file(), identity).unwrap(),
         );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
-    // Files that cannot be used are named, and never quoted.
+}
+
+#[test]
+fn tls_unusable_key_files_are_named_and_never_quoted() {
+    let folder = tempfile::tempdir().unwrap();
+    let ours = Authority::new(folder.path(), "ours");
+    let own = ours.sign("desk", |_| {});
     let key = std::fs::read_to_string(&own.key).unwrap();
     let swapped = CertificateFiles {
         certificate: own.key.clone(),
@@ -247,12 +265,12 @@
     let dispatcher = start_dispatcher(&files, None).await;
     let trusts_first = client(
         dispatcher.bound_addresses(),
-        true,
+        Protocol::Framed,
         TrustAnchors::load(&first.file(), None).unwrap(),
     );
     let trusts_second = client(
         dispatcher.bound_addresses(),
-        true,
+        Protocol::Framed,
         TrustAnchors::load(&second.file(), None).unwrap(),
     );
     assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
--- a/crates/etcd-emulator/src/emulator.rs
+++ b/crates/etcd-emulator/src/emulator.rs
@@ -34,7 +34,7 @@
     /// Each response of a watch is delayed by this.
     pub delay: Duration,
     /// Events of one response to a watch that accepts fragments; 0: all.
-    pub fragment: usize,
+    pub events_per_fragment: usize,
     /// Streams break after the first fragment of several.
     pub cut_fragments: bool,
 }
@@ -46,19 +46,22 @@
     /// Counts the times that all streams were dropped.
     pub(crate) dropped: watch::Sender<u64>,
     pub(crate) faults: watch::Sender<Faults>,
-    pub(crate) user: Option<User>,
+    pub(crate) user: Option<Credentials>,
     started: Instant,
     pub(crate) traffic: Traffic,
 }
 
-/// The user whose token calls have to carry.
-#[derive(Clone, PartialEq)]
-pub(crate) struct User {
-    pub(crate) name: String,
-    pub(crate) password: String,
+/// The user of a cluster with authentication.
+#[derive(Clone, PartialEq, Eq)]
+pub struct Credentials {
+    /// Name.
+    pub name: String,
+    /// Password.
+    pub password: String,
 }
 
-impl User {
+impl Credentials {
+    /// The token that calls have to carry.
     pub(crate) fn token(&self) -> String {
         format!("{}.token", self.name)
     }
@@ -77,14 +80,14 @@
 }
 
 impl EtcdEmulator {
-    /// An empty cluster. `user`: name and password that calls need; none: authentication is off.
-    pub fn new(user: Option<(String, String)>) -> Self {
+    /// An empty cluster. `user`: its only user; none: authentication is off.
+    pub fn new(user: Option<Credentials>) -> Self {
         let shared = Shared {
             store: Mutex::new(Store::new(FIRST_CLUSTER_ID)),
             changed: watch::channel(0).0,
             dropped: watch::channel(0).0,
             faults: watch::channel(Faults::default()).0,
-            user: user.map(|(name, password)| User { name, password }),
+            user,
             started: Instant::now(),
             traffic: Traffic::default(),
         };
--- a/crates/etcd-emulator/src/lib.rs
+++ b/crates/etcd-emulator/src/lib.rs
@@ -10,5 +10,5 @@
 pub mod traffic;
 mod watches;
 
-pub use emulator::{EtcdEmulator, Faults};
+pub use emulator::{Credentials, EtcdEmulator, Faults};
 pub use store::{RequestError, Store};
--- a/crates/etcd-emulator/src/measure.rs
+++ b/crates/etcd-emulator/src/measure.rs
@@ -116,13 +116,13 @@
         task.abort();
     }
     let drops = *emulator.inner.dropped.borrow() as usize;
-    let (lag, missing) = measure_lag(&watchers, &writes)?;
+    let lags = measure_lags(&watchers, &writes)?;
     let gaps = watchers.iter().map(|log| log.lock().gaps.len()).sum();
     let again = measure_compaction(&emulator, &watchers).await?;
     Ok(Measurement {
-        lag,
+        lag: lags.lag,
         writes: writes.len(),
-        missing,
+        missing: lags.missing,
         gaps,
         drops,
         first_view,
@@ -197,11 +197,15 @@
     Ok(writes)
 }
 
-/// The lag of all writes at all watchers, and how many never came.
-fn measure_lag(
-    watchers: &[SharedLog],
-    writes: &[Write],
-) -> Result<(Histogram<u64>, usize), MeasureError> {
+/// The lags of all writes at all watchers.
+struct Lags {
+    /// Microseconds.
+    lag: Histogram<u64>,
+    /// Writes that a watcher never learned of, over all watchers.
+    missing: usize,
+}
+
+fn measure_lags(watchers: &[SharedLog], writes: &[Write]) -> Result<Lags, MeasureError> {
     let mut lag = Histogram::new_with_bounds(1, MAX_LAG_US, LAG_SIGNIFICANT_DIGITS)?;
     let mut missing = 0;
     for log in watchers {
@@ -216,7 +220,7 @@
             let _ = lag.record((late.as_micros() as u64).max(1));
         }
     }
-    Ok((lag, missing))
+    Ok(Lags { lag, missing })
 }
 
 /// Compacts all history in an outage in which something is written; how long until every watcher has a view again.
--- a/crates/etcd-emulator/src/watches.rs
+++ b/crates/etcd-emulator/src/watches.rs
@@ -235,8 +235,8 @@
             events.iter_mut().for_each(|event| event.prev_kv = None);
         }
         let faults = self.etcd.inner.faults.borrow().clone();
-        let fragment_len = if create.fragment && faults.fragment > 0 {
-            faults.fragment
+        let fragment_len = if create.fragment && faults.events_per_fragment > 0 {
+            faults.events_per_fragment
         } else {
             events.len()
         };
--- a/crates/etcd-emulator/tests/etcd/fault_script.rs
+++ b/crates/etcd-emulator/tests/etcd/fault_script.rs
@@ -78,9 +78,11 @@
                 self.drops += 1;
             }
             4..=5 => self.emulator.compact(),
-            6 => self.emulator.set_faults(|faults| faults.fragment = 1),
+            6 => self
+                .emulator
+                .set_faults(|faults| faults.events_per_fragment = 1),
             7 => self.emulator.set_faults(|faults| {
-                faults.fragment = 1;
+                faults.events_per_fragment = 1;
                 faults.cut_fragments = true;
             }),
             8 => self.emulator.set_faults(|faults| faults.no_leader = true),
--- a/crates/etcd-emulator/tests/etcd/main.rs
+++ b/crates/etcd-emulator/tests/etcd/main.rs
@@ -9,7 +9,7 @@
 use pointspindle_etcd::layout::{self, DispatcherRecord};
 use pointspindle_etcd::proto::{request_op, PutRequest, RequestOp, TxnRequest};
 use pointspindle_etcd::{writer, Access, Etcd, EtcdError, View};
-use pointspindle_etcd_emulator::EtcdEmulator;
+use pointspindle_etcd_emulator::{Credentials, EtcdEmulator};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::time::Duration;
@@ -113,7 +113,10 @@
 async fn authentication_without_password_is_rejected_and_large_snapshots_are_read_in_pages() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("password");
-    let emulator = EtcdEmulator::new(Some(("edge".into(), "open sesame".into())));
+    let emulator = EtcdEmulator::new(Some(Credentials {
+        name: "edge".into(),
+        password: "open sesame".into(),
+    }));
     let address = emulator.listen().await.unwrap();
     let anonymous = Etcd::new(&access(address), Duration::from_secs(2)).unwrap();
     let error = anonymous.snapshot(PREFIX).await.unwrap_err().to_string();
