--- a/crates/cli/src/commands/lab/etcd_lag.rs
+++ b/crates/cli/src/commands/lab/etcd_lag.rs
@@ -1,6 +1,6 @@
 //! `pointspindle lab etcd`.
 use crate::exit::{negative_if, CommandError, CommandResult};
-use pointspindle_etcd_emulator::measure::{measure, Figures, Plan};
+use pointspindle_etcd_emulator::measure::{measure, Measurement, Plan};
 use std::time::Duration;
 
 const MAX_PURGES_PER_S: f64 = 1e5;
@@ -73,7 +73,7 @@
     negative_if(missing > 0)
 }
 
-fn print_figures(watchers: usize, figures: &Figures) {
+fn print_figures(watchers: usize, figures: &Measurement) {
     let ms = |quantile: f64| figures.lag.value_at_quantile(quantile) as f64 / 1e3;
     println!(
         "{watchers:>4} watchers: {} writes, {} drops: lag p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms; {} never heard, {} gaps; first view {:.0} ms, again after compaction {:.0} ms",
--- a/crates/cli/src/commands/lab/fleet.rs
+++ b/crates/cli/src/commands/lab/fleet.rs
@@ -1,6 +1,6 @@
 //! `pointspindle lab fleet`: several sites and dispatchers in one run, and what they come to together.
 use super::run::run_in_virtual_time;
-use super::scenario_arguments::{injected_fault, ScaledScenarioArguments};
+use super::scenario_arguments::ScaledScenarioArguments;
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::fleet_report::{fleet_json, print_totals};
@@ -19,8 +19,8 @@
     /// In virtual time: for hundreds of dispatchers, or many seeds.
     #[arg(long = "virtual")]
     virtual_time: bool,
-    /// Break something around unchanged dispatchers: `alone` tells each that it is the only one.
-    #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT", value_parser = injected_fault)]
+    /// Break something around unchanged dispatchers: `miscount-dispatchers` tells each that it is the only one.
+    #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT")]
     injected_fault: Option<InjectedFault>,
     /// Leave out the second play, without what hits a site: nothing is said of the other sites then.
     #[arg(long)]
--- a/crates/cli/src/commands/lab/run.rs
+++ b/crates/cli/src/commands/lab/run.rs
@@ -1,5 +1,5 @@
 //! `pointspindle lab run`.
-use super::scenario_arguments::{injected_fault, ScaledScenarioArguments};
+use super::scenario_arguments::ScaledScenarioArguments;
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::run_report::{has_violations, outcome_json, print_outcome, print_trace};
@@ -21,7 +21,7 @@
     #[arg(long)]
     json: bool,
     /// Break one rule around an unchanged dispatcher: the audit must find it.
-    #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT", value_parser = injected_fault)]
+    #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT")]
     injected_fault: Option<InjectedFault>,
     /// Show everything that happened to a request of the run, such as c12.0, in order.
     #[arg(long)]
@@ -106,7 +106,7 @@
         )
     );
     if needs_sockets {
-        let reason = "this plant is a relay between sockets; leave --virtual out";
+        let reason = "this fault is a relay between sockets; leave --virtual out";
         return Err(CommandError::CannotRun(reason.into()));
     }
     let simulated = simulator::run(scenario, fault).map_err(CommandError::CannotRun)?;
--- a/crates/cli/src/commands/lab/scenario_arguments.rs
+++ b/crates/cli/src/commands/lab/scenario_arguments.rs
@@ -1,6 +1,5 @@
 //! Which scenario is played, and with which fault around it.
 use crate::exit::CommandError;
-use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{Scenario, SettingOverride};
 use std::path::{Path, PathBuf};
 
@@ -67,14 +66,3 @@
         &self.scenario
     }
 }
-
-/// Parses the name of a fault that is injected around an unchanged dispatcher.
-pub fn injected_fault(name: &str) -> Result<InjectedFault, String> {
-    let found = InjectedFault::NAMES
-        .iter()
-        .find(|(known, _)| *known == name);
-    found.map(|(_, fault)| *fault).ok_or_else(|| {
-        let names: Vec<&str> = InjectedFault::NAMES.iter().map(|(name, _)| *name).collect();
-        format!("none of {}", names.join(", "))
-    })
-}
--- a/crates/scenario/src/fault_injection.rs
+++ b/crates/scenario/src/fault_injection.rs
@@ -19,9 +19,25 @@
     MiscountDispatchers,
 }
 
+/// What is not the name of a fault that can be injected.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("none of {}", InjectedFault::NAMES.map(|(name, _)| name).join(", "))]
+pub struct UnknownFault;
+
 impl InjectedFault {
-    /// The faults by the names that the option `--plant` accepts.
+    /// The faults by their names.
     pub const NAMES: [(&'static str, Self); 7] = [
+        ("withhold-drain", Self::WithholdDrain),
+        ("ignore-purge", Self::IgnorePurge),
+        ("duplicate-attempts", Self::DuplicateAttempts),
+        ("hide-restart", Self::HideRestart),
+        ("drop-answers", Self::DropResponses),
+        ("delay-answers", Self::DelayResponses),
+        ("miscount-dispatchers", Self::MiscountDispatchers),
+    ];
+
+    /// Names that are still accepted.
+    const DEPRECATED_NAMES: [(&'static str, Self); 7] = [
         ("drain", Self::WithholdDrain),
         ("purge", Self::IgnorePurge),
         ("double", Self::DuplicateAttempts),
@@ -30,12 +46,17 @@
         ("late", Self::DelayResponses),
         ("alone", Self::MiscountDispatchers),
     ];
+}
+
+impl std::str::FromStr for InjectedFault {
+    type Err = UnknownFault;
 
-    /// The name that the option `--plant` accepts.
-    pub fn name(self) -> &'static str {
+    fn from_str(text: &str) -> Result<Self, UnknownFault> {
         Self::NAMES
             .iter()
-            .find(|(_, fault)| *fault == self)
-            .map_or("", |(name, _)| name)
+            .chain(&Self::DEPRECATED_NAMES)
+            .find(|(name, _)| *name == text)
+            .map(|(_, fault)| *fault)
+            .ok_or(UnknownFault)
     }
 }
