--- a/crates/audit/src/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -1,86 +1,115 @@
-//! Rule: no request is lost. One final answer before the deadline, and nothing after it.
-use super::{Evidence, RuleVerdict, Try, Violation};
+//! Rule: no request is lost. It gets one final response before the deadline, and nothing after it.
+use crate::evidence::{ClientRequest, Evidence, HostAttempt, RequestEnd};
+use crate::periods::Span;
 use crate::trace::{ClientOutcome, TraceEvent};
+use crate::verdict::{RuleVerdict, Violation};
 
-pub(super) fn judge(e: &Evidence) -> RuleVerdict {
+pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     let mut rule = RuleVerdict::new(
         "answers",
         "every accepted request has one final answer in time, nothing after it",
     );
-    for t in &e.tries {
-        one(e, t, &mut rule);
+    for request in &evidence.requests {
+        judge_request(evidence, request, &mut rule);
     }
-    for sight in e.sights {
-        if let TraceEvent::UnexpectedResponse { dispatcher } = sight.event {
+    for entry in evidence.trace {
+        if let TraceEvent::UnexpectedResponse { dispatcher } = entry.event {
             let detail = format!("dispatcher {dispatcher} sent what belongs to no open request");
-            rule.breach("twice", sight.at, None, detail);
+            rule.violate("twice", entry.at, None, detail);
         }
     }
     rule
 }
 
-fn one(e: &Evidence, t: &Try, rule: &mut RuleVerdict) {
-    // Given up by its client: nothing is owed any more, except that nothing goes on being sent for it.
-    let left = t
-        .ends
-        .iter()
-        .any(|(_, end)| *end == ClientOutcome::Cancelled);
-    let end = t.ends.first();
-    let until = end.map_or(t.deadline, |(at, _)| *at);
-    // What a dispatcher held when it was killed is for the client to retry.
-    if e.was_down(t.dispatcher, t.asked, until) || e.was_stopping(t.dispatcher, t.asked) {
-        return;
-    }
-    if end.is_none() && t.deadline > e.over {
+fn judge_request(evidence: &Evidence, request: &ClientRequest, rule: &mut RuleVerdict) {
+    if !owes_response(evidence, request) {
         return;
     }
     rule.cases += 1;
-    let id = Some(t.id);
-    match end {
-        None => rule.breach("silent", t.deadline, id, "no final answer".into()),
-        Some((at, ClientOutcome::ConnectionLost)) => {
-            rule.breach(
-                "silent",
-                *at,
-                id,
-                "the connection ended without an answer".into(),
-            );
-        }
-        Some((at, _)) if *at > t.deadline + e.slack && !left => {
-            let late = (*at - t.deadline) as f64 / 1e3;
-            rule.breach("late", *at, id, format!("{late:.0} ms after the deadline"));
+    match request.ends.first() {
+        None => {
+            let detail = "no final answer".into();
+            rule.violate("silent", request.deadline, Some(request.id), detail);
         }
-        Some((
-            at,
-            ClientOutcome::Served {
-                version: None,
-                bytes,
-                ..
-            },
-        )) => {
-            rule.breach(
-                "wrong",
-                *at,
-                id,
-                format!("served {bytes} bytes that are not the object's"),
-            );
+        Some(end) => {
+            judge_first_end(evidence, request, end, rule);
         }
-        _ => {}
     }
-    if let Some((at, _)) = t.ends.get(1) {
-        rule.breach("twice", *at, id, "more came after the final answer".into());
+    if let Some(second) = request.ends.get(1) {
+        let detail = "more came after the final answer".into();
+        rule.violate("twice", second.at, Some(request.id), detail);
     }
-    for attempt in &t.attempts {
-        if let Some((at, _)) = end.filter(|(at, _)| attempt.from > *at + e.slack) {
-            let after = (attempt.from - at) as f64 / 1e3;
-            let detail = format!("sent to {} {after:.0} ms after its answer", attempt.host);
-            // Sent before it, and held up on a way that was cut off.
-            if e.was_parted(attempt.by, &attempt.host, *at, attempt.from) {
-                rule.undetectable
-                    .push(Violation::new("after", attempt.from, id, detail));
-            } else {
-                rule.breach("after", attempt.from, id, detail);
-            }
+    if let Some(end) = request.ends.first() {
+        for attempt in &request.attempts {
+            judge_attempt_after(evidence, request, attempt, end, rule);
         }
     }
 }
+
+/// Whether the dispatcher owed a response. What it had in flight when it was killed is for the client to retry, and
+/// a request whose deadline is after the end of the run was not observed for long enough.
+fn owes_response(evidence: &Evidence, request: &ClientRequest) -> bool {
+    let first_end = request.ends.first();
+    let open = Span {
+        from: request.sent,
+        to: first_end.map_or(request.deadline, |end| end.at),
+    };
+    let excused = evidence.was_unavailable(request.dispatcher, open)
+        || evidence.was_stopping(request.dispatcher, request.sent);
+    let unobserved = first_end.is_none() && request.deadline > evidence.run_end;
+    !excused && !unobserved
+}
+
+fn judge_first_end(
+    evidence: &Evidence,
+    request: &ClientRequest,
+    end: &RequestEnd,
+    rule: &mut RuleVerdict,
+) {
+    let id = Some(request.id);
+    // A cancelled request is owed nothing any more, in time or late.
+    let is_late =
+        end.at > request.deadline + evidence.tolerance && request.cancelled_at().is_none();
+    match end.outcome {
+        ClientOutcome::ConnectionLost => {
+            let detail = "the connection ended without an answer".into();
+            rule.violate("silent", end.at, id, detail);
+        }
+        _ if is_late => {
+            let late_ms = (end.at - request.deadline) as f64 / 1e3;
+            let detail = format!("{late_ms:.0} ms after the deadline");
+            rule.violate("late", end.at, id, detail);
+        }
+        ClientOutcome::Served {
+            version: None,
+            bytes,
+            ..
+        } => {
+            let detail = format!("served {bytes} bytes that are not the object's");
+            rule.violate("wrong", end.at, id, detail);
+        }
+        _ => {}
+    }
+}
+
+fn judge_attempt_after(
+    evidence: &Evidence,
+    request: &ClientRequest,
+    attempt: &HostAttempt,
+    end: &RequestEnd,
+    rule: &mut RuleVerdict,
+) {
+    if attempt.arrived <= end.at + evidence.tolerance {
+        return;
+    }
+    let after_ms = (attempt.arrived - end.at) as f64 / 1e3;
+    let detail = format!("sent to {} {after_ms:.0} ms after its answer", attempt.host);
+    let violation = Violation::new("after", attempt.arrived, Some(request.id), detail);
+    let since_end = Span {
+        from: end.at,
+        to: attempt.arrived,
+    };
+    // It may have been sent before the end and delayed by a partition.
+    let delayed = evidence.was_partitioned(attempt.dispatcher, &attempt.host, since_end);
+    rule.file(violation, !delayed);
+}
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,65 +1,103 @@
-//! Rule: drains are kept. Nothing new to a member, nor with it as a source, once the grace is over.
-use super::{Evidence, RuleVerdict};
-use crate::trace::TraceEvent;
+//! Rule: drains are respected. A draining or removed host is sent nothing new, nor named as a source, once the grace
+//! period is over.
+use crate::evidence::Evidence;
+use crate::trace::{ClientAttemptId, TraceEvent};
+use crate::verdict::RuleVerdict;
 use pointspindle::Micros;
 use std::collections::HashMap;
 
-pub(super) fn judge(e: &Evidence) -> RuleVerdict {
-    let mut rule = RuleVerdict::new(
-        "drains",
-        "nothing new to a drained or gone member, nor with it as a source",
-    );
-    // Since when each dispatcher knows that a member drains or is gone.
-    let mut out: HashMap<(usize, String), Micros> = HashMap::new();
-    let late = e.scenario.limits.rules.drain_grace + e.slack;
-    for sight in e.sights {
-        match &sight.event {
+pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
+    let mut audit = DrainAudit {
+        rule: RuleVerdict::new(
+            "drains",
+            "nothing new to a drained or gone member, nor with it as a source",
+        ),
+        grace: evidence.scenario.limits.rules.drain_grace + evidence.tolerance,
+        known_since: HashMap::new(),
+    };
+    for entry in evidence.trace {
+        match &entry.event {
             TraceEvent::EndpointListDelivered {
                 dispatcher,
-                full: whole,
+                full,
                 ready,
-                not_ready: left,
+                not_ready,
                 ..
             } => {
-                for host in ready {
-                    out.remove(&(*dispatcher, host.clone()));
-                }
-                if *whole {
-                    out.retain(|(d, host), _| d != dispatcher || left.contains(host));
-                }
-                for host in left {
-                    let known = e.awake(*dispatcher, sight.at);
-                    out.entry((*dispatcher, host.clone())).or_insert(known);
-                    rule.cases += 1;
-                }
+                let known = evidence.readable_at(*dispatcher, entry.at);
+                audit.list_delivered(*dispatcher, known, *full, ready, not_ready);
             }
-            TraceEvent::DispatcherKilled { dispatcher } => out.retain(|(d, _), _| d != dispatcher),
+            TraceEvent::DispatcherKilled { dispatcher } => audit.dispatcher_killed(*dispatcher),
             TraceEvent::AttemptArrived {
                 host,
-                dispatcher: Some(by),
+                dispatcher: Some(dispatcher),
                 id,
                 source,
                 ..
             } => {
-                let mut look = |member: &String, what: &str| {
-                    let Some(since) = out.get(&(*by, member.clone())) else {
-                        return;
-                    };
-                    if sight.at > since + late {
-                        let after = (sight.at - since) as f64 / 1e3;
-                        let detail = format!(
-                            "dispatcher {by} {what} {member} {after:.0} ms after the notice"
-                        );
-                        rule.breach("drain", sight.at, *id, detail);
-                    }
-                };
-                look(host, "sent to");
+                audit.check(entry.at, *dispatcher, "sent to", host, *id);
                 if let Some(source) = source {
-                    look(source, "named as source");
+                    audit.check(entry.at, *dispatcher, "named as source", source, *id);
                 }
             }
             _ => {}
         }
     }
-    rule
+    audit.rule
+}
+
+struct DrainAudit {
+    rule: RuleVerdict,
+    grace: Micros,
+    /// Since when a dispatcher knows that a host is draining or removed.
+    known_since: HashMap<(usize, String), Micros>,
+}
+
+impl DrainAudit {
+    fn list_delivered(
+        &mut self,
+        dispatcher: usize,
+        known: Micros,
+        full: bool,
+        ready: &[String],
+        not_ready: &[String],
+    ) {
+        for host in ready {
+            self.known_since.remove(&(dispatcher, host.clone()));
+        }
+        if full {
+            self.known_since
+                .retain(|(d, host), _| *d != dispatcher || not_ready.contains(host));
+        }
+        for host in not_ready {
+            self.known_since
+                .entry((dispatcher, host.clone()))
+                .or_insert(known);
+            self.rule.cases += 1;
+        }
+    }
+
+    fn dispatcher_killed(&mut self, dispatcher: usize) {
+        self.known_since.retain(|(d, _), _| *d != dispatcher);
+    }
+
+    fn check(
+        &mut self,
+        at: Micros,
+        dispatcher: usize,
+        use_of_host: &str,
+        host: &str,
+        id: Option<ClientAttemptId>,
+    ) {
+        let Some(since) = self.known_since.get(&(dispatcher, host.to_owned())) else {
+            return;
+        };
+        if at > since + self.grace {
+            let after_ms = (at - since) as f64 / 1e3;
+            let detail = format!(
+                "dispatcher {dispatcher} {use_of_host} {host} {after_ms:.0} ms after the notice"
+            );
+            self.rule.violate("drain", at, id, detail);
+        }
+    }
 }
--- /dev/null
+++ b/crates/audit/src/fleet_totals/bounds.rs
@@ -0,0 +1,119 @@
+//! Rule: what all dispatchers do together stays within the scenario's bounds.
+use super::{CancellationTotals, FleetTotals, Peak};
+use crate::verdict::RuleVerdict;
+use pointspindle::Micros;
+use pointspindle_cache_model::Role;
+use pointspindle_scenario::Scenario;
+
+/// Attempts may arrive at a host for this long after their client has cancelled.
+const CANCELLATION_GRACE_US: Micros = 100_000;
+
+/// Judges each bound that the scenario sets. `baseline`: the same run without the faults that affect a site.
+pub fn judge(
+    scenario: &Scenario,
+    totals: &FleetTotals,
+    baseline: Option<&FleetTotals>,
+) -> RuleVerdict {
+    let bounds = scenario.limits.fleet;
+    let mut audit = BoundAudit {
+        rule: RuleVerdict::new(
+            "sums",
+            "what all dispatchers do together stays within the day's bounds",
+        ),
+    };
+    for role in &totals.roles {
+        if role.role == Role::Cache.name() {
+            audit.judge_in_flight(&role.under_way, bounds.in_flight);
+        }
+    }
+    let grace = CANCELLATION_GRACE_US + scenario.limits.rules.timing_tolerance;
+    audit.judge_cancellations(&totals.left, grace as f64 / 1e3);
+    audit.judge_retries(totals, bounds.retries);
+    audit.judge_fairness(totals, bounds.fairness);
+    if let Some(baseline) = baseline {
+        audit.judge_unaffected_sites(totals, baseline, bounds.unaffected_service);
+    }
+    audit.rule
+}
+
+struct BoundAudit {
+    rule: RuleVerdict,
+}
+
+impl BoundAudit {
+    fn judge_in_flight(&mut self, peak: &Peak, bound: f64) {
+        let detail = format!(
+            "{} had {} under way from {} dispatchers, {:.2} for a unit of its weight",
+            peak.host, peak.count, peak.dispatchers, peak.by_weight
+        );
+        self.at_most("under_way", bound, peak.by_weight, peak.at_s, &detail);
+    }
+
+    fn judge_cancellations(&mut self, totals: &CancellationTotals, bound_ms: f64) {
+        if totals.clients == 0 {
+            return;
+        }
+        self.rule.cases += 1;
+        if totals.longest_ms > bound_ms {
+            let detail = format!(
+                "an attempt reached a member {:.0} ms after its client had left, {bound_ms:.0} at most",
+                totals.longest_ms
+            );
+            self.rule.violate("left", 0, None, detail);
+        }
+    }
+
+    fn judge_retries(&mut self, totals: &FleetTotals, bound: f64) {
+        let worst = totals.second_attempts_worst;
+        let at_s = totals.second_attempts_at_s;
+        let detail = format!("{worst:.2} attempts beyond the first for each first one in 2 s");
+        self.at_most("second_attempts", bound, worst, at_s, &detail);
+    }
+
+    fn judge_fairness(&mut self, totals: &FleetTotals, bound: f64) {
+        let detail = format!(
+            "Jain's index {:.3}; dispatcher {} served {:.3} of its tries, the mean {:.3}",
+            totals.fairness, totals.least_dispatcher, totals.least_served, totals.mean_served
+        );
+        self.at_least("fairness", bound, totals.fairness, &detail);
+    }
+
+    fn judge_unaffected_sites(&mut self, totals: &FleetTotals, baseline: &FleetTotals, bound: f64) {
+        for (site, without_faults) in totals.sites.iter().zip(&baseline.sites) {
+            if site.struck {
+                continue;
+            }
+            let share = site.since / without_faults.since.max(1e-9);
+            let detail = format!(
+                "{} was not struck and served {:.3}, {share:.3} of the same day without the loss",
+                site.name, site.since
+            );
+            self.at_least("others", bound, share, &detail);
+        }
+    }
+
+    /// An upper bound; 0 sets none.
+    fn at_most(&mut self, kind: &str, bound: f64, value: f64, at_s: f64, detail: &str) {
+        if bound <= 0.0 {
+            return;
+        }
+        self.rule.cases += 1;
+        if value > bound {
+            let detail = format!("{detail}, {bound:.2} at most");
+            let at = (at_s * 1e6) as Micros;
+            self.rule.violate(kind, at, None, detail);
+        }
+    }
+
+    /// A lower bound; 0 sets none.
+    fn at_least(&mut self, kind: &str, bound: f64, value: f64, detail: &str) {
+        if bound <= 0.0 {
+            return;
+        }
+        self.rule.cases += 1;
+        if value < bound {
+            let detail = format!("{detail}, {bound:.3} at least");
+            self.rule.violate(kind, 0, None, detail);
+        }
+    }
+}
--- /dev/null
+++ b/crates/audit/src/fleet_totals/retries.rs
@@ -0,0 +1,59 @@
+//! Attempts beyond the first of a request.
+use crate::evidence::Evidence;
+use pointspindle::Micros;
+use std::collections::BTreeMap;
+
+/// Retries are counted over this long: a second has too few first attempts.
+const INTERVAL_US: Micros = 2_000_000;
+/// Intervals with fewer first attempts than this are not compared.
+const MIN_FIRST_ATTEMPTS: u64 = 20;
+
+#[derive(Default)]
+pub(super) struct RetryTotals {
+    /// Retries per first attempt.
+    pub per_request: f64,
+    /// The same over the worst interval.
+    pub worst: f64,
+    /// When the worst interval began, in seconds since the start of the run.
+    pub worst_at_s: f64,
+}
+
+#[derive(Clone, Copy, Default)]
+struct AttemptCounts {
+    first: u64,
+    retries: u64,
+}
+
+impl AttemptCounts {
+    fn retries_per_first(self) -> f64 {
+        self.retries as f64 / self.first.max(1) as f64
+    }
+}
+
+pub(super) fn measure(evidence: &Evidence) -> RetryTotals {
+    let mut total = AttemptCounts::default();
+    let mut intervals: BTreeMap<Micros, AttemptCounts> = BTreeMap::new();
+    for request in &evidence.requests {
+        for (n, attempt) in request.attempts.iter().enumerate() {
+            let interval = intervals.entry(attempt.arrived / INTERVAL_US).or_default();
+            for counts in [interval, &mut total] {
+                if n == 0 {
+                    counts.first += 1;
+                } else {
+                    counts.retries += 1;
+                }
+            }
+        }
+    }
+    let worst = intervals
+        .iter()
+        .filter(|(_, counts)| counts.first >= MIN_FIRST_ATTEMPTS)
+        .map(|(interval, counts)| (*interval, counts.retries_per_first()))
+        .max_by(|(_, a), (_, b)| a.total_cmp(b));
+    let (interval, worst) = worst.unwrap_or_default();
+    RetryTotals {
+        per_request: total.retries_per_first(),
+        worst,
+        worst_at_s: (interval * INTERVAL_US) as f64 / 1e6,
+    }
+}
--- a/crates/audit/src/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -1,75 +1,104 @@
-//! Rule: purges are kept. What is sent after the grace is not answered from an older copy.
-use super::{Evidence, RuleVerdict};
+//! Rule: purges are respected. What is sent after the grace period is not answered from an older copy.
+use crate::evidence::{ClientRequest, Evidence};
 use crate::trace::{ClientOutcome, TraceEvent};
+use crate::verdict::RuleVerdict;
 use pointspindle::Micros;
 use std::collections::HashMap;
 
+/// What a purge invalidates.
 #[derive(PartialEq, Eq, Hash)]
-enum Struck {
+enum PurgeScope {
     Group(u64),
     Object(u64),
 }
 
-/// A purge as one dispatcher was told it.
-struct Told {
+/// A purge as it was delivered to one dispatcher.
+struct DeliveredPurge {
+    /// When the dispatcher could read it.
     at: Micros,
-    /// Copies from then on have at least this version.
+    /// Copies made from then on have at least this version.
     version: u64,
 }
 
-pub(super) fn judge(e: &Evidence) -> RuleVerdict {
+type PurgesByDispatcher = HashMap<(usize, PurgeScope), Vec<DeliveredPurge>>;
+
+pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     let mut rule = RuleVerdict::new(
         "purges",
         "nothing sent after a purge's grace is answered from an older copy",
     );
-    let mut told: HashMap<(usize, Struck), Vec<Told>> = HashMap::new();
-    for sight in e.sights {
+    let delivered = delivered_purges(evidence);
+    let grace = evidence.scenario.limits.rules.purge_grace + evidence.tolerance;
+    for request in &evidence.requests {
+        judge_request(request, &delivered, grace, &mut rule);
+    }
+    rule
+}
+
+fn delivered_purges(evidence: &Evidence) -> PurgesByDispatcher {
+    let mut delivered = PurgesByDispatcher::new();
+    for entry in evidence.trace {
         if let TraceEvent::PurgeDelivered {
             dispatcher,
             object,
             group,
             version_from,
-        } = &sight.event
+        } = &entry.event
         {
-            let new = Told {
-                at: e.awake(*dispatcher, sight.at),
+            let scope = object.map_or(PurgeScope::Group(*group), PurgeScope::Object);
+            let purge = DeliveredPurge {
+                at: evidence.readable_at(*dispatcher, entry.at),
                 version: *version_from,
             };
-            let struck = object.map_or(Struck::Group(*group), Struck::Object);
-            told.entry((*dispatcher, struck)).or_default().push(new);
+            delivered
+                .entry((*dispatcher, scope))
+                .or_default()
+                .push(purge);
         }
     }
-    let late = e.scenario.limits.rules.purge_grace + e.slack;
-    for t in &e.tries {
-        let Some((
-            at,
-            ClientOutcome::Served {
-                version: Some(version),
-                ..
-            },
-        )) = t.ends.first()
-        else {
-            continue;
-        };
-        // The answer came from the last attempt that was out before it.
-        let Some(attempt) = t.attempts.iter().rfind(|a| a.from <= *at) else {
-            continue;
-        };
-        let of = |struck| told.get(&(attempt.by, struck)).into_iter().flatten();
-        let purges = of(Struck::Group(t.group)).chain(of(Struck::Object(t.number)));
-        let due = purges.filter(|p| attempt.from > p.at + late);
-        let Some(newest) = due.max_by_key(|p| p.version) else {
-            continue;
-        };
-        rule.cases += 1;
-        if *version < newest.version {
-            let after = (attempt.from - newest.at) as f64 / 1e3;
-            let detail = format!(
-                "version {version} sent for {after:.0} ms after a purge to version {} was told",
-                newest.version
-            );
-            rule.breach("purge", *at, Some(t.id), detail);
-        }
+    delivered
+}
+
+fn judge_request(
+    request: &ClientRequest,
+    delivered: &PurgesByDispatcher,
+    grace: Micros,
+    rule: &mut RuleVerdict,
+) {
+    let Some(end) = request.ends.first() else {
+        return;
+    };
+    let ClientOutcome::Served {
+        version: Some(version),
+        ..
+    } = end.outcome
+    else {
+        return;
+    };
+    // The response came from the last attempt that arrived before it.
+    let Some(attempt) = request.attempts.iter().rfind(|a| a.arrived <= end.at) else {
+        return;
+    };
+    let purges_of = |scope| {
+        delivered
+            .get(&(attempt.dispatcher, scope))
+            .into_iter()
+            .flatten()
+    };
+    let newest_in_force = purges_of(PurgeScope::Group(request.group))
+        .chain(purges_of(PurgeScope::Object(request.object_number)))
+        .filter(|purge| attempt.arrived > purge.at + grace)
+        .max_by_key(|purge| purge.version);
+    let Some(newest) = newest_in_force else {
+        return;
+    };
+    rule.cases += 1;
+    if version < newest.version {
+        let after_ms = (attempt.arrived - newest.at) as f64 / 1e3;
+        let detail = format!(
+            "version {version} sent for {after_ms:.0} ms after a purge to version {} was told",
+            newest.version
+        );
+        rule.violate("purge", end.at, Some(request.id), detail);
     }
-    rule
 }
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,42 +1,64 @@
-//! What a day was worth to its clients: worth answered in time over worth asked for.
-use super::Evidence;
+//! The service that a run's clients got: value earned in time over value requested.
+use crate::evidence::{ClientRequest, Evidence};
 use crate::trace::{ClientOutcome, TraceEntry};
+pub use crate::value::ValueSum;
+use hdrhistogram::Histogram;
 use pointspindle::Micros;
-use pointspindle_scenario::{Scenario, Traffic};
+use pointspindle_scenario::{PlannedCall, RequestClass, Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Seconds of the worst stretch.
-const STRETCH: usize = 10;
+/// Length of the worst period that is reported, in seconds.
+const WORST_PERIOD_S: usize = 10;
+/// Highest latency that a histogram holds, in microseconds.
+const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant digits of the latency histograms.
+const LATENCY_DIGITS: u8 = 3;
+/// In classes with fewer calls than this the largest quarter is looked at in place of the largest tenth.
+const CALLS_FOR_LARGEST_TENTH: usize = 400;
 
+/// The service of one class of requests.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ClassService {
+    /// Name of the class.
     pub name: String,
+    /// Calls by clients.
     pub calls: u64,
-    /// Calls by how they ended; `late` ones were served after their aim.
+    /// Calls that were served, in time or late.
     pub served: u64,
+    /// Calls that were served after their latency objective.
     pub late: u64,
+    /// Calls that ended with a rejection.
     pub refused: u64,
+    /// Calls that failed otherwise.
     pub failed: u64,
+    /// Calls that their clients cancelled.
     pub left: u64,
+    /// Value earned over value requested.
     pub service: f64,
+    /// Median latency of served calls, in milliseconds.
     pub p50_ms: f64,
+    /// 99th percentile of the latency of served calls, in milliseconds.
     pub p99_ms: f64,
-    /// By the size of what was asked for: the largest tenth (of under 400 calls the quarter), and the next fifth.
+    /// The largest tenth of the calls by size (with under 400 calls: the largest quarter).
     #[serde(default)]
     pub largest: Group,
+    /// The fifth of the calls that follows by size.
     #[serde(default)]
     pub next_largest: Group,
 }
 
-/// Calls of like size, those whose clients left apart: how many, and how many were answered, in time or late.
+/// Calls of similar size that were not cancelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Group {
+    /// Number of calls.
     pub calls: u64,
+    /// Calls that were served, in time or late.
     pub answered: u64,
 }
 
 impl Group {
+    /// Share of the calls that were served; 1 where there were none.
     pub fn share(self) -> f64 {
         if self.calls == 0 {
             return 1.0;
@@ -44,16 +66,24 @@
         self.answered as f64 / self.calls as f64
     }
 
-    fn of(calls: &[(u64, bool)]) -> Self {
-        let answered = calls.iter().filter(|(_, answered)| *answered).count();
+    fn of(calls: &[SizedCall]) -> Self {
+        let served = calls.iter().filter(|call| call.served).count();
         Self {
             calls: calls.len() as u64,
-            answered: answered as u64,
+            answered: served as u64,
         }
     }
 }
 
+/// A call that was not cancelled. Sorts by size, then by whether it was served.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct SizedCall {
+    bytes: u64,
+    served: bool,
+}
+
 impl ClassService {
+    /// All calls of the class that were not cancelled.
     pub fn answered(&self) -> Group {
         Group {
             calls: self.calls - self.left,
@@ -61,167 +91,271 @@
         }
     }
 
-    /// `calls`: size, and whether it was answered.
-    fn by_size(&mut self, calls: &mut [(u64, bool)]) {
+    fn set_size_groups(&mut self, mut calls: Vec<SizedCall>) {
         calls.sort_by(|a, b| b.cmp(a));
         let count = calls.len();
-        let largest = if count < 400 { count / 4 } else { count / 10 };
+        let largest = if count < CALLS_FOR_LARGEST_TENTH {
+            count / 4
+        } else {
+            count / 10
+        };
         let next = (largest + count / 5).min(count);
-        (self.largest, self.next_largest) = (
-            Group::of(&calls[..largest]),
-            Group::of(&calls[largest..next]),
-        );
+        self.largest = Group::of(&calls[..largest]);
+        self.next_largest = Group::of(&calls[largest..next]);
     }
 }
 
+/// The service of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Worth in time over worth asked for, by calls from their first try on.
+    /// Value earned in time over value requested, by calls from their first attempt on.
     pub service: f64,
-    /// The same over the worst 10 s (of the run's length, if it is shorter), and when it began.
+    /// The same over the worst 10 s, or over the run's length if it is shorter.
     pub worst_10s: f64,
+    /// When the worst 10 s began, in seconds since the start of the run.
     pub worst_from_s: f64,
-    /// The day, its worst 10 s and its worst class by the scenario's weights. No prices.
+    /// The run, its worst 10 s and its worst class, weighted as the scenario's objective says.
     pub goal: f64,
+    /// By class, in the scenario's order.
     pub classes: Vec<ClassService>,
-    /// Asked and earned by second, for plots.
-    pub by_second: Vec<(f64, f64)>,
-    /// ... by the branch that clients belong to.
+    /// Value by the second in which the calls began.
+    pub by_second: Vec<ValueSum>,
+    /// By branch of the clients: value by second.
     #[serde(default)]
-    pub by_branch: Vec<Vec<(f64, f64)>>,
+    pub by_branch: Vec<Vec<ValueSum>>,
+    /// Requests that clients sent, retries included.
     pub tries: u64,
+    /// Attempts of dispatchers that reached a host.
     pub attempts: u64,
 }
 
-/// Earned by a call: its first served try, judged from its first one on.
-fn earned(scenario: &Scenario, class: usize, size: u64, took: Micros, old: bool) -> (f64, bool) {
-    let c = &scenario.workload.classes[class];
-    let own = size as f64 / scenario.network.bytes_per_s * 1e6;
-    let aim = c.latency_objective as f64 + c.latency_objective_stretch * own;
-    let in_time = took as f64 <= aim;
-    let mut worth = c.priority_weight * if in_time { 1.0 } else { c.late_value };
-    if old {
-        worth *= c.stale_value;
+/// Measures the service of a run from its trace.
+pub fn service(scenario: &Scenario, traffic: &Traffic, trace: &[TraceEntry]) -> Service {
+    let evidence = Evidence::new(scenario, trace);
+    let mut requests_of_call: HashMap<u64, Vec<&ClientRequest>> = HashMap::new();
+    for request in &evidence.requests {
+        requests_of_call
+            .entry(request.id.call)
+            .or_default()
+            .push(request);
+    }
+    let mut measurement = Measurement::new(scenario);
+    for (n, call) in traffic.calls.iter().enumerate() {
+        if call.at >= scenario.workload.warm_up {
+            let requests = requests_of_call.get(&(n as u64));
+            measurement.add_call(call, requests.map_or(&[], Vec::as_slice));
+        }
     }
-    (worth, in_time)
+    measurement.finish(&evidence)
 }
 
-pub fn service(scenario: &Scenario, traffic: &Traffic, sights: &[TraceEntry]) -> Service {
-    let evidence = Evidence::new(scenario, sights);
-    let mut tries: HashMap<u64, Vec<usize>> = HashMap::new();
-    for (n, t) in evidence.tries.iter().enumerate() {
-        tries.entry(t.id.call).or_default().push(n);
-    }
-    let blank = |c: &pointspindle_scenario::RequestClass| ClassService {
-        name: c.name.clone(),
-        ..Default::default()
-    };
-    let mut classes: Vec<ClassService> = scenario.workload.classes.iter().map(blank).collect();
-    let mut sums = vec![(0.0, 0.0); classes.len()];
-    let new_histogram = || hdrhistogram::Histogram::<u64>::new_with_bounds(1, 600_000_000, 3);
-    let mut times: Vec<_> = classes
-        .iter()
-        .map(|_| new_histogram().expect("fixed bounds"))
-        .collect();
-    let mut sizes = vec![Vec::new(); classes.len()];
-    let mut by_second = vec![(0.0, 0.0); scenario.duration_s.ceil() as usize];
-    let mut by_branch = vec![by_second.clone(); scenario.fleet.branches];
-    for (n, call) in traffic
-        .calls
-        .iter()
-        .enumerate()
-        .filter(|(_, c)| c.at >= scenario.workload.warm_up)
-    {
-        let class = &mut classes[call.class];
-        class.calls += 1;
-        let worth = scenario.workload.classes[call.class].priority_weight;
-        let mine = tries.get(&(n as u64)).map_or(&[][..], |t| t.as_slice());
-        let ends: Vec<_> = mine
-            .iter()
-            .flat_map(|n| evidence.tries[*n].ends.first())
-            .collect();
-        let served = ends.iter().find_map(|(at, end)| match end {
-            ClientOutcome::Served {
+/// A served response as the client saw it.
+#[derive(Clone, Copy)]
+struct ServedResponse {
+    at: Micros,
+    stale: bool,
+}
+
+/// How a call came out for its client, retries included.
+enum CallOutcome {
+    Served(ServedResponse),
+    Cancelled,
+    Rejected,
+    Failed,
+}
+
+impl CallOutcome {
+    fn of(requests: &[&ClientRequest]) -> Self {
+        let outcomes = || requests.iter().filter_map(|request| request.ends.first());
+        for end in outcomes() {
+            if let ClientOutcome::Served {
                 version: Some(_),
-                stale: old,
+                stale,
                 ..
-            } => Some((*at, *old)),
-            _ => None,
-        });
-        let mut got = 0.0;
-        if ends.iter().any(|(_, end)| *end == ClientOutcome::Cancelled) && served.is_none() {
-            // Asked for and not wanted any more: neither for nor against.
-            class.left += 1;
-            continue;
+            } = end.outcome
+            {
+                return Self::Served(ServedResponse { at: end.at, stale });
+            }
         }
-        sizes[call.class].push((call.size, served.is_some()));
-        match served {
-            Some((at, old)) => {
-                let took = at.saturating_sub(call.at);
-                let (worth, in_time) = earned(scenario, call.class, call.size, took, old);
-                got = worth;
-                class.served += 1;
-                class.late += !in_time as u64;
-                let _ = times[call.class].record(took.max(1));
+        if outcomes().any(|end| end.outcome == ClientOutcome::Cancelled) {
+            return Self::Cancelled;
+        }
+        match outcomes().next_back().map(|end| &end.outcome) {
+            Some(ClientOutcome::Rejected { .. }) => Self::Rejected,
+            _ => Self::Failed,
+        }
+    }
+}
+
+/// What is collected of a class while calls are added.
+struct ClassMeasurement {
+    service: ClassService,
+    value: ValueSum,
+    latencies_us: Histogram<u64>,
+    calls: Vec<SizedCall>,
+}
+
+impl ClassMeasurement {
+    fn new(class: &RequestClass) -> Self {
+        let latencies_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS);
+        Self {
+            service: ClassService {
+                name: class.name.clone(),
+                ..ClassService::default()
+            },
+            value: ValueSum::default(),
+            latencies_us: latencies_us.expect("constant bounds"),
+            calls: Vec::new(),
+        }
+    }
+
+    fn finish(self) -> ClassService {
+        let mut service = self.service;
+        service.service = self.value.ratio();
+        service.p50_ms = self.latencies_us.value_at_quantile(0.5) as f64 / 1e3;
+        service.p99_ms = self.latencies_us.value_at_quantile(0.99) as f64 / 1e3;
+        service.set_size_groups(self.calls);
+        service
+    }
+}
+
+struct Measurement<'a> {
+    scenario: &'a Scenario,
+    classes: Vec<ClassMeasurement>,
+    by_second: Vec<ValueSum>,
+    by_branch: Vec<Vec<ValueSum>>,
+}
+
+impl<'a> Measurement<'a> {
+    fn new(scenario: &'a Scenario) -> Self {
+        let by_second = vec![ValueSum::default(); scenario.duration_s.ceil() as usize];
+        let classes = scenario.workload.classes.iter();
+        Self {
+            scenario,
+            classes: classes.map(ClassMeasurement::new).collect(),
+            by_branch: vec![by_second.clone(); scenario.fleet.branches],
+            by_second,
+        }
+    }
+
+    fn add_call(&mut self, call: &PlannedCall, requests: &[&ClientRequest]) {
+        let spec = &self.scenario.workload.classes[call.class];
+        let class = &mut self.classes[call.class];
+        class.service.calls += 1;
+        let outcome = CallOutcome::of(requests);
+        let mut earned = 0.0;
+        match outcome {
+            CallOutcome::Cancelled => {
+                // Not wanted any more: neither for nor against the service.
+                class.service.left += 1;
+                return;
             }
-            None if ends
-                .last()
-                .is_some_and(|(_, end)| matches!(end, ClientOutcome::Rejected { .. })) =>
-            {
-                class.refused += 1
+            CallOutcome::Served(response) => {
+                let latency = response.at.saturating_sub(call.at);
+                let in_time = latency as f64 <= objective_us(self.scenario, spec, call.size);
+                earned = earned_value(spec, in_time, response.stale);
+                class.service.served += 1;
+                class.service.late += u64::from(!in_time);
+                // A latency beyond the histogram's bounds is left out of the percentiles.
+                let _ = class.latencies_us.record(latency.max(1));
             }
-            None => class.failed += 1,
+            CallOutcome::Rejected => class.service.refused += 1,
+            CallOutcome::Failed => class.service.failed += 1,
         }
-        sums[call.class].0 += worth;
-        sums[call.class].1 += got;
+        class.calls.push(SizedCall {
+            bytes: call.size,
+            served: matches!(outcome, CallOutcome::Served(_)),
+        });
+        class.value.add(spec.priority_weight, earned);
+        self.add_to_second(call, spec.priority_weight, earned);
+    }
+
+    fn add_to_second(&mut self, call: &PlannedCall, requested: f64, earned: f64) {
         let second = (call.at / 1_000_000) as usize;
-        for seconds in [&mut by_second]
+        if let Some(sum) = self.by_second.get_mut(second) {
+            sum.add(requested, earned);
+        }
+        let branch = self.by_branch.get_mut(call.branch);
+        if let Some(sum) = branch.and_then(|seconds| seconds.get_mut(second)) {
+            sum.add(requested, earned);
+        }
+    }
+
+    fn finish(self, evidence: &Evidence) -> Service {
+        let values: Vec<ValueSum> = self.classes.iter().map(|class| class.value).collect();
+        let service = ValueSum::total(&values).ratio();
+        let first_second = (self.scenario.workload.warm_up / 1_000_000) as usize;
+        let worst = WorstPeriod::find(&self.by_second, first_second);
+        let classes: Vec<ClassService> = self
+            .classes
             .into_iter()
-            .chain(by_branch.get_mut(call.branch))
-        {
-            if let Some(second) = seconds.get_mut(second) {
-                second.0 += worth;
-                second.1 += got;
-            }
+            .map(ClassMeasurement::finish)
+            .collect();
+        Service {
+            service,
+            worst_10s: worst.service,
+            worst_from_s: worst.from_s as f64,
+            goal: goal(self.scenario, service, worst.service, &classes),
+            classes,
+            by_second: self.by_second,
+            by_branch: self.by_branch,
+            tries: evidence.requests.len() as u64,
+            attempts: evidence
+                .requests
+                .iter()
+                .map(|request| request.attempts.len() as u64)
+                .sum(),
         }
     }
-    let ratio = |(asked, got): (f64, f64)| if asked > 0.0 { got / asked } else { 1.0 };
-    for (n, class) in classes.iter_mut().enumerate() {
-        class.service = ratio(sums[n]);
-        class.by_size(&mut sizes[n]);
-        class.p50_ms = times[n].value_at_quantile(0.5) as f64 / 1e3;
-        class.p99_ms = times[n].value_at_quantile(0.99) as f64 / 1e3;
+}
+
+/// Latency objective of a response of this size, in microseconds.
+fn objective_us(scenario: &Scenario, class: &RequestClass, bytes: u64) -> f64 {
+    let transfer_us = bytes as f64 / scenario.network.bytes_per_s * 1e6;
+    class.latency_objective as f64 + class.latency_objective_stretch * transfer_us
+}
+
+fn earned_value(class: &RequestClass, in_time: bool, stale: bool) -> f64 {
+    let timeliness = if in_time { 1.0 } else { class.late_value };
+    let value = class.priority_weight * timeliness;
+    if stale {
+        value * class.stale_value
+    } else {
+        value
+    }
+}
+
+struct WorstPeriod {
+    service: f64,
+    from_s: usize,
+}
+
+impl WorstPeriod {
+    fn find(by_second: &[ValueSum], first_second: usize) -> Self {
+        let counted = &by_second[first_second.min(by_second.len())..];
+        let length = WORST_PERIOD_S.min(counted.len().max(1));
+        let worst = counted
+            .windows(length)
+            .map(|seconds| ValueSum::total(seconds).ratio())
+            .enumerate()
+            .min_by(|(_, a), (_, b)| a.total_cmp(b));
+        let (offset, service) = worst.unwrap_or((0, 1.0));
+        Self {
+            service,
+            from_s: first_second + offset,
+        }
     }
-    let all = sums.iter().fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
-    let first = (scenario.workload.warm_up / 1_000_000) as usize;
-    let counted = &by_second[first.min(by_second.len())..];
-    let width = STRETCH.min(counted.len().max(1));
-    let stretches = counted.windows(width).enumerate();
-    let sum = |w: &[(f64, f64)]| w.iter().fold((0.0, 0.0), |a, s| (a.0 + s.0, a.1 + s.1));
-    let worst = stretches
-        .map(|(n, w)| (ratio(sum(w)), n))
-        .min_by(|a, b| a.0.total_cmp(&b.0));
-    let (worst_10s, from) = worst.unwrap_or((1.0, 0));
+}
+
+fn goal(scenario: &Scenario, service: f64, worst_10s: f64, classes: &[ClassService]) -> f64 {
     let worst_class = classes
         .iter()
-        .filter(|c| c.calls > c.left)
-        .map(|c| c.service)
+        .filter(|class| class.calls > class.left)
+        .map(|class| class.service)
         .fold(1.0, f64::min);
     let weights = scenario.limits.objective;
-    let weighted = weights.whole * ratio(all)
-        + weights.worst_10s * worst_10s
-        + weights.worst_class * worst_class;
+    let weighted =
+        weights.whole * service + weights.worst_10s * worst_10s + weights.worst_class * worst_class;
     let total_weight = weights.whole + weights.worst_10s + weights.worst_class;
-    let goal = weighted / total_weight.max(1e-9);
-    Service {
-        service: ratio(all),
-        worst_10s,
-        worst_from_s: (first + from) as f64,
-        goal,
-        classes,
-        by_second,
-        by_branch,
-        tries: evidence.tries.len() as u64,
-        attempts: evidence.tries.iter().map(|t| t.attempts.len() as u64).sum(),
-    }
+    weighted / total_weight.max(1e-9)
 }
--- a/crates/report/src/plots.rs
+++ b/crates/report/src/plots.rs
@@ -180,8 +180,8 @@
 }
 
 pub fn worth(run: &Run) -> Result<String, ReportError> {
-    let asked = run.service.by_second.iter().map(|s| s.0).collect();
-    let earned = run.service.by_second.iter().map(|s| s.1).collect();
+    let asked = run.service.by_second.iter().map(|s| s.requested).collect();
+    let earned = run.service.by_second.iter().map(|s| s.earned).collect();
     let of = vec![
         Line {
             name: "asked for",
@@ -248,10 +248,10 @@
         run.service
             .by_second
             .iter()
-            .map(|s| s.1)
+            .map(|s| s.earned)
             .collect::<Vec<f64>>()
     };
-    let asked = a.service.by_second.iter().map(|s| s.0).collect();
+    let asked = a.service.by_second.iter().map(|s| s.requested).collect();
     let lines_ = vec![
         Line {
             name: "asked for",
--- a/crates/simulator/src/sim.rs
+++ b/crates/simulator/src/sim.rs
@@ -630,13 +630,7 @@
                 request,
                 retry_after,
             } => {
-                self.answer(
-                    n,
-                    request,
-                    ClientOutcome::Rejected {
-                        retry_after: retry_after,
-                    },
-                );
+                self.answer(n, request, ClientOutcome::Rejected { retry_after });
             }
             Output::Fail { request } => self.answer(n, request, ClientOutcome::Failed),
             Output::AbortResponse { request } => self.answer(n, request, ClientOutcome::Truncated),
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -115,7 +115,8 @@
         let day = only("power", 5, &[&format!("clients.move={moves}")]);
         let (outcome, _) = play(&day, None);
         let seconds = &outcome.service.by_branch[0][10..15];
-        seconds.iter().map(|s| s.1).sum::<f64>() / seconds.iter().map(|s| s.0).sum::<f64>()
+        seconds.iter().map(|s| s.earned).sum::<f64>()
+            / seconds.iter().map(|s| s.requested).sum::<f64>()
     };
     let (stay, go) = (away("no"), away("yes"));
     assert!(stay < 0.2 && go > 0.6, "{stay:.3} and {go:.3}");
