--- a/crates/audit/src/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -4,6 +4,7 @@
 use crate::trace::{ClientOutcome, TraceEvent};
 use crate::verdict::{RuleVerdict, Violation};
 
+/// Judges the rule over a run.
 pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     let mut rule = RuleVerdict::new(
         "answers",
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -6,6 +6,7 @@
 use pointspindle::Micros;
 use std::collections::HashMap;
 
+/// Judges the rule over a run.
 pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     let mut audit = DrainAudit {
         rule: RuleVerdict::new(
--- a/crates/audit/src/evidence.rs
+++ b/crates/audit/src/evidence.rs
@@ -71,6 +71,7 @@
 }
 
 impl<'a> Evidence<'a> {
+    /// Sorts the events of a run.
     pub fn new(scenario: &'a Scenario, trace: &'a [TraceEntry]) -> Self {
         let mut evidence = Self {
             scenario,
--- a/crates/audit/src/fleet_totals/cancellations.rs
+++ b/crates/audit/src/fleet_totals/cancellations.rs
@@ -16,6 +16,7 @@
     pub longest_ms: f64,
 }
 
+/// Counts cancelled requests.
 pub(super) fn measure(evidence: &Evidence) -> CancellationTotals {
     let mut totals = CancellationTotals::default();
     for request in &evidence.requests {
--- a/crates/audit/src/fleet_totals/fairness.rs
+++ b/crates/audit/src/fleet_totals/fairness.rs
@@ -3,6 +3,7 @@
 use crate::trace::ClientOutcome;
 use std::collections::BTreeMap;
 
+/// How evenly the shares of requests served are distributed.
 #[derive(Default)]
 pub(super) struct Fairness {
     /// Jain's fairness index over the dispatchers' shares of requests served.
@@ -23,6 +24,7 @@
     share: f64,
 }
 
+/// Measures the fairness between dispatchers.
 pub(super) fn measure(evidence: &Evidence) -> Fairness {
     let shares = shares_served(evidence);
     let mut sum = 0.0;
--- a/crates/audit/src/fleet_totals/hosts.rs
+++ b/crates/audit/src/fleet_totals/hosts.rs
@@ -100,6 +100,7 @@
     roles: BTreeMap<&'a str, RoleTotals>,
 }
 
+/// Measures the worst loads by role, in the order of the roles' names.
 pub(super) fn measure(trace: &[TraceEntry]) -> Vec<RoleTotals> {
     let mut measurement = LoadMeasurement::default();
     for entry in trace {
--- a/crates/audit/src/fleet_totals/retries.rs
+++ b/crates/audit/src/fleet_totals/retries.rs
@@ -8,6 +8,7 @@
 /// Intervals with fewer first attempts than this are not compared.
 const MIN_FIRST_ATTEMPTS: u64 = 20;
 
+/// Retries over the run and over its worst interval.
 #[derive(Default)]
 pub(super) struct RetryTotals {
     /// Retries per first attempt.
@@ -30,6 +31,7 @@
     }
 }
 
+/// Counts retries per first attempt.
 pub(super) fn measure(evidence: &Evidence) -> RetryTotals {
     let mut total = AttemptCounts::default();
     let mut intervals: BTreeMap<Micros, AttemptCounts> = BTreeMap::new();
--- a/crates/audit/src/fleet_totals/sites.rs
+++ b/crates/audit/src/fleet_totals/sites.rs
@@ -56,6 +56,7 @@
     }
 }
 
+/// Measures each site's service; empty where no fault affects a whole site.
 pub(super) fn measure(scenario: &Scenario, service: &Service) -> Vec<SiteService> {
     let Some(faults) = FaultPeriod::of(scenario) else {
         return Vec::new();
--- a/crates/audit/src/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -22,6 +22,7 @@
 
 type PurgesByDispatcher = HashMap<(usize, PurgeScope), Vec<DeliveredPurge>>;
 
+/// Judges the rule over a run.
 pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     let mut rule = RuleVerdict::new(
         "purges",
--- a/crates/audit/src/value.rs
+++ b/crates/audit/src/value.rs
@@ -21,11 +21,13 @@
         }
     }
 
+    /// Adds the value of a request.
     pub(crate) fn add(&mut self, requested: f64, earned: f64) {
         self.requested += requested;
         self.earned += earned;
     }
 
+    /// The sum of several sums, added in order.
     pub(crate) fn total(sums: &[Self]) -> Self {
         let mut total = Self::default();
         for sum in sums {
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -18,6 +18,7 @@
 }
 
 impl Violation {
+    /// A violation at `at`, in microseconds since the start of the run.
     pub(crate) fn new(kind: &str, at: Micros, id: Option<ClientAttemptId>, detail: String) -> Self {
         Self {
             kind: kind.into(),
@@ -50,6 +51,7 @@
 }
 
 impl RuleVerdict {
+    /// A verdict without cases yet.
     pub(crate) fn new(name: &str, description: &str) -> Self {
         Self {
             name: name.into(),
@@ -60,6 +62,7 @@
         }
     }
 
+    /// Files a violation that counts.
     pub(crate) fn violate(
         &mut self,
         kind: &str,
--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -52,10 +52,12 @@
     pub uninformed: WarmUpPeak,
 }
 
+/// Judges the rule over a run.
 pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
     find(evidence).rule
 }
 
+/// Judges the rule, and measures the worst loads of warming hosts.
 pub(super) fn find(evidence: &Evidence) -> WarmUpFindings {
     let mut audit = WarmUpAudit::new(evidence);
     for entry in evidence.trace {
--- /dev/null
+++ b/crates/simulator/src/jobs.rs
@@ -0,0 +1,138 @@
+//! The jobs at hosts: whose request each of them is, and which job serves an attempt or a fill.
+use crate::event::DispatcherIncarnation;
+use pointspindle_audit::trace::ClientAttemptId;
+use pointspindle_cache_model::{FillId, HostId, JobId};
+use std::collections::HashMap;
+
+/// An attempt of a dispatcher.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct AttemptKey {
+    pub dispatcher: DispatcherIncarnation,
+    pub request: u64,
+    pub attempt: u32,
+}
+
+/// A fill of a host, by the incarnation that requested it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct FillKey {
+    pub host: HostId,
+    pub incarnation: u64,
+    pub fill: FillId,
+}
+
+/// Whose request a job is, with the client's attempt that it serves.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum JobOwner {
+    Attempt(AttemptKey, ClientAttemptId),
+    Fill(FillKey, Option<ClientAttemptId>),
+}
+
+impl JobOwner {
+    /// The dispatcher of an attempt; none for a fill.
+    pub fn dispatcher(&self) -> Option<usize> {
+        match self {
+            Self::Attempt(key, _) => Some(key.dispatcher.dispatcher),
+            Self::Fill(..) => None,
+        }
+    }
+
+    /// The client's attempt that the job serves, if it is known.
+    pub fn client_attempt(&self) -> Option<ClientAttemptId> {
+        match self {
+            Self::Attempt(_, id) => Some(*id),
+            Self::Fill(_, id) => *id,
+        }
+    }
+}
+
+/// A job at a host, until its end has reached its owner.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Job {
+    pub host: HostId,
+    pub owner: JobOwner,
+    /// Whether it is at the host's socket: its end is recorded there.
+    pub at_host: bool,
+}
+
+/// The open jobs.
+#[derive(Default)]
+pub(crate) struct JobTable {
+    last_id: JobId,
+    jobs: HashMap<JobId, Job>,
+    attempts: HashMap<AttemptKey, JobId>,
+    fills: HashMap<FillId, JobId>,
+}
+
+impl JobTable {
+    /// Opens a job that has not arrived yet.
+    pub fn open(&mut self, host: HostId, owner: JobOwner) -> JobId {
+        self.last_id += 1;
+        match owner {
+            JobOwner::Attempt(key, _) => self.attempts.insert(key, self.last_id),
+            JobOwner::Fill(key, _) => self.fills.insert(key.fill, self.last_id),
+        };
+        let job = Job {
+            host,
+            owner,
+            at_host: false,
+        };
+        self.jobs.insert(self.last_id, job);
+        self.last_id
+    }
+
+    /// An open job.
+    pub fn get(&self, job: JobId) -> Option<Job> {
+        self.jobs.get(&job).copied()
+    }
+
+    /// Notes whether the job is at its host's socket.
+    pub fn set_at_host(&mut self, job: JobId, at_host: bool) {
+        if let Some(job) = self.jobs.get_mut(&job) {
+            job.at_host = at_host;
+        }
+    }
+
+    /// Removes a job.
+    pub fn close(&mut self, job: JobId) -> Option<Job> {
+        let closed = self.jobs.remove(&job)?;
+        match closed.owner {
+            JobOwner::Attempt(key, _) => self.attempts.remove(&key),
+            JobOwner::Fill(key, _) => self.fills.remove(&key.fill),
+        };
+        Some(closed)
+    }
+
+    /// The open job of an attempt.
+    pub fn of_attempt(&self, key: AttemptKey) -> Option<JobId> {
+        self.attempts.get(&key).copied()
+    }
+
+    /// The open job of a fill.
+    pub fn of_fill(&self, fill: FillId) -> Option<JobId> {
+        self.fills.get(&fill).copied()
+    }
+
+    /// The jobs at a host's socket, in the order of their numbers.
+    pub fn at_host(&self, host: HostId) -> Vec<JobId> {
+        self.matching(|job| job.host == host && job.at_host)
+    }
+
+    /// The jobs of a dispatcher, in the order of their numbers.
+    pub fn of_dispatcher(&self, dispatcher: DispatcherIncarnation) -> Vec<JobId> {
+        self.matching(|job| match job.owner {
+            JobOwner::Attempt(key, _) => key.dispatcher == dispatcher,
+            JobOwner::Fill(..) => false,
+        })
+    }
+
+    fn matching(&self, matches: impl Fn(&Job) -> bool) -> Vec<JobId> {
+        let mut jobs: Vec<JobId> = self
+            .jobs
+            .iter()
+            .filter(|(_, job)| matches(job))
+            .map(|(id, _)| *id)
+            .collect();
+        jobs.sort_unstable();
+        jobs
+    }
+}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,59 +1,84 @@
-//! A day in virtual time: the dispatchers' own cores against the model, event by event, no socket and no clock.
+//! A run in virtual time: the dispatchers' own cores against the cache model, event by event, without sockets.
 //!
-//! The same seed gives the same sights, whatever the machine does. Members, scripts, clients' rules, evidence and the
-//! auditor are those of the sockets; what is left out is the network code, and what it costs.
+//! The same seed gives the same trace, whatever the machine does. Hosts, scripts, clients' rules, traces and the audit
+//! are those of runs on sockets; what is left out is the network code, and what it costs.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
-mod greet;
-mod links;
-mod queue;
-mod sim;
-mod sites;
+mod attempts;
+mod clients;
+mod connections;
+mod control;
+mod dispatcher;
+mod event;
+mod event_queue;
+mod host_directory;
+mod host_jobs;
+mod jobs;
+mod partitions;
+mod script;
+mod setup;
+mod simulation;
+mod slow_start;
 
+use crate::simulation::{Simulation, SimulationResult};
+use pointspindle_audit::service::{service, Service};
 use pointspindle_audit::trace::TraceEntry;
-use pointspindle_audit::{self as audit, service::Service, RuleVerdict};
+use pointspindle_audit::{judge, sizes, RuleVerdict};
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{Scenario, Traffic};
 use serde::{Deserialize, Serialize};
 
-/// What a run in virtual time came to.
+/// The outcome of a run in virtual time.
 #[derive(Debug)]
 pub struct Outcome {
+    /// The service that clients got.
     pub service: Service,
+    /// The verdict on each rule.
     pub rules: Vec<RuleVerdict>,
+    /// Everything that was observed, in the order of its time.
     pub trace: Vec<TraceEntry>,
+    /// What the run cost the machine.
     pub cost: RunCost,
 }
 
-/// What the run itself took; not part of what a seed determines.
+/// What a run cost the machine; not part of what a seed determines.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RunCost {
+    /// Events of the simulation, calls of cores included.
     pub events: u64,
+    /// Time that the run took, in seconds.
     pub wall_s: f64,
-    /// Time inside the dispatchers' cores, and how often they were called.
+    /// Time spent in the dispatchers' cores, in seconds.
     pub core_s: f64,
+    /// Number of calls of the dispatchers' cores.
     pub core_calls: u64,
 }
 
-/// Plays a day. Only plants that control or members make exist here: relays have no sockets to stand between.
-pub fn run(scenario: &Scenario, plant: Option<InjectedFault>) -> Result<Outcome, String> {
-    if let Some(why) = scenario.requires_simulated_network() {
-        return Err(why);
+/// Runs a scenario in virtual time. Only faults injected into the control plane or into hosts have an effect here, as
+/// there are no sockets for a relay to stand between.
+pub fn run(scenario: &Scenario, injected_fault: Option<InjectedFault>) -> Result<Outcome, String> {
+    if let Some(reason) = scenario.requires_simulated_network() {
+        return Err(reason);
     }
     let began = std::time::Instant::now();
-    let scenario = &scenario.clone().with_injected_fault(plant);
+    let scenario = &scenario.clone().with_injected_fault(injected_fault);
     let traffic = Traffic::generate(scenario);
-    let mut sim = sim::Sim::new(scenario, &traffic, plant)?;
-    sim.run();
-    let (sights, effects, mut cost) = sim.finish();
+    let mut simulation = Simulation::new(scenario, &traffic, injected_fault)?;
+    simulation.run();
+    let SimulationResult {
+        trace,
+        effects,
+        mut cost,
+    } = simulation.finish();
     cost.wall_s = began.elapsed().as_secs_f64();
-    let mut rules = audit::judge(scenario, &sights, &effects);
-    let service = audit::service::service(scenario, &traffic, &sights);
-    rules.push(audit::sizes::judge(scenario, &service));
+    let mut rules = judge(scenario, &trace, &effects);
+    let service = service(scenario, &traffic, &trace);
+    rules.push(sizes::judge(scenario, &service));
     Ok(Outcome {
         service,
         rules,
-        trace: sights,
+        trace,
         cost,
     })
 }
--- /dev/null
+++ b/crates/simulator/src/slow_start.rs
@@ -0,0 +1,155 @@
+//! Slow start: hosts that warm up lease their capacity to dispatchers.
+use crate::event::{DispatcherIncarnation, Event};
+use crate::simulation::Simulation;
+use pointspindle::Micros;
+use pointspindle_cache_host::lease::UserId;
+use pointspindle_cache_model::HostId;
+use pointspindle_dispatcher::Input;
+use pointspindle_fleet_model::leases::lease_head;
+use pointspindle_protocol::LeaseHead;
+
+/// How long a host that is not warming up leases out what it is asked for.
+const WARM_LEASE_DURATION_US: Micros = 1_000_000;
+
+impl Simulation<'_> {
+    /// A host has started: it leases out its capacity while it warms up.
+    pub fn start_slow_start(&mut self, host: HostId) {
+        let spec = self.cache_model.host_spec(host);
+        let ledger = self.scenario.work_ledger(spec.role, spec.weight, self.now);
+        if let Some(ledger) = ledger {
+            let incarnation = self.host_incarnation(host);
+            let first_slot = Event::LeaseSlotStarts { host, incarnation };
+            self.events.schedule(ledger.next_slot(), first_slot);
+            self.work_ledgers.insert(host, ledger);
+        }
+    }
+
+    /// A slot of a warming host's leases begins: it sends each dispatcher its lease.
+    pub fn lease_slot_starts(&mut self, host: HostId, incarnation: u64) {
+        if self.host_incarnation(host) != incarnation {
+            return;
+        }
+        let Some(ledger) = self.work_ledgers.get_mut(&host) else {
+            return;
+        };
+        let grants = ledger.start_slot(self.now);
+        if ledger.is_over(self.now) {
+            self.work_ledgers.remove(&host);
+            return;
+        }
+        let next_slot = ledger.next_slot();
+        for grant in grants {
+            let dispatcher = self.dispatchers[grant.user as usize].identity;
+            self.send_lease(dispatcher, host, lease_head(&grant));
+        }
+        self.events
+            .schedule(next_slot, Event::LeaseSlotStarts { host, incarnation });
+    }
+
+    /// The lease that a dispatcher gets with its connection.
+    pub fn grant_first_lease(&mut self, dispatcher: usize, host: HostId) {
+        if let Some(ledger) = self.work_ledgers.get_mut(&host) {
+            let grant = ledger.join(dispatcher as UserId, true);
+            let endpoint = self.hosts.address(host);
+            let lease = lease_head(&grant);
+            self.core_input(dispatcher, Input::Lease { endpoint, lease });
+        }
+    }
+
+    /// A dispatcher sends a request for work to an endpoint.
+    pub fn send_work_request(&mut self, dispatcher: usize, endpoint: &str, work_us: u64) {
+        let Some(host) = self.cache_model.host_by_address(endpoint) else {
+            return;
+        };
+        let requested = Event::WorkRequested {
+            dispatcher: self.dispatchers[dispatcher].identity,
+            host,
+            work_us,
+        };
+        let latency = self.latency_to_host(dispatcher, host);
+        self.schedule_in(latency, requested);
+    }
+
+    /// A request for work arrives at its host, which replies with a lease.
+    pub fn work_requested(
+        &mut self,
+        dispatcher: DispatcherIncarnation,
+        host: HostId,
+        work_us: u64,
+    ) {
+        let incarnation = self.host_incarnation(host);
+        let connections = &self.dispatchers[dispatcher.dispatcher].connections;
+        if !connections.is_open_to(host, incarnation) {
+            return;
+        }
+        let granted = match self.work_ledgers.get_mut(&host) {
+            Some(ledger) => {
+                let user = dispatcher.dispatcher as UserId;
+                lease_head(&ledger.request_work(self.now, user, work_us as f64 / 1e6))
+            }
+            None => LeaseHead {
+                work_us,
+                duration_us: WARM_LEASE_DURATION_US,
+                ..LeaseHead::default()
+            },
+        };
+        let reply = LeaseHead {
+            in_reply: true,
+            ..granted
+        };
+        self.send_lease(dispatcher, host, reply);
+    }
+
+    fn send_lease(&mut self, dispatcher: DispatcherIncarnation, host: HostId, lease: LeaseHead) {
+        let latency = self.latency_to_host(dispatcher.dispatcher, host);
+        let arrives = Event::LeaseArrives {
+            dispatcher,
+            host,
+            lease,
+        };
+        self.schedule_in(latency, arrives);
+    }
+
+    /// A lease arrives at a dispatcher, unless its process has ended.
+    pub fn lease_arrives(
+        &mut self,
+        dispatcher: DispatcherIncarnation,
+        host: HostId,
+        lease: LeaseHead,
+    ) {
+        if self.is_current(dispatcher) {
+            let endpoint = self.hosts.address(host);
+            self.core_input(dispatcher.dispatcher, Input::Lease { endpoint, lease });
+        }
+    }
+
+    /// Counts the work of a request that arrived at a warming host.
+    pub fn count_arrived_work(&mut self, host: HostId, dispatcher: Option<usize>, class: usize) {
+        let Some(ledger) = self.work_ledgers.get_mut(&host) else {
+            return;
+        };
+        let work_s = match self.scenario.workload.classes.get(class) {
+            Some(class) => class.mean_bytes / self.scenario.network.bytes_per_s,
+            None => 0.0,
+        };
+        ledger.record_arrival(dispatcher.map(|dispatcher| dispatcher as UserId), work_s);
+    }
+
+    /// A host has lost its connections; its leases end, with its process or with its users.
+    pub fn all_leave_work_ledger(&mut self, host: HostId) {
+        if !self.cache_model.is_up(host) {
+            self.work_ledgers.remove(&host);
+        } else if let Some(ledger) = self.work_ledgers.get_mut(&host) {
+            for dispatcher in 0..self.dispatchers.len() {
+                ledger.leave(dispatcher as UserId);
+            }
+        }
+    }
+
+    /// A dispatcher's process has ended: it leaves every ledger.
+    pub fn leave_work_ledgers(&mut self, dispatcher: usize) {
+        for ledger in self.work_ledgers.values_mut() {
+            ledger.leave(dispatcher as UserId);
+        }
+    }
+}
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,7 +1,7 @@
-//! Days of several sites in virtual time: what strikes a site as a whole, dispatchers that stand still or are told to stop,
-//! and the sums over all of them.
+//! Runs of several sites in virtual time: faults that affect a whole site, dispatchers that are paused or stopped, and
+//! the totals over the whole fleet.
 use pointspindle_audit::sums::{judge, measure_totals, FleetTotals};
-use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
+use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEvent};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::script::{FaultKind, ListedState, ScriptStep};
@@ -16,19 +16,19 @@
     load_with(&file, Some(seed), &sets).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// The day with this trouble alone.
-fn only(name: &str, seed: u64, sets: &[&str]) -> Scenario {
-    let mut day = scenario(seed, sets);
-    day.faults.retain(|t| t.name == name);
-    assert_eq!(day.faults.len(), 1, "{name}");
-    day
+/// The scenario with this fault alone.
+fn with_fault(name: &str, seed: u64, sets: &[&str]) -> Scenario {
+    let mut scenario = scenario(seed, sets);
+    scenario.faults.retain(|t| t.name == name);
+    assert_eq!(scenario.faults.len(), 1, "{name}");
+    scenario
 }
 
-fn play(day: &Scenario, plant: Option<InjectedFault>) -> (Outcome, FleetTotals) {
-    println!("{}, seed {}", day.name, day.seed);
-    let outcome = run(day, plant).unwrap();
-    let sums = measure_totals(day, &outcome.service, &outcome.trace);
-    (outcome, sums)
+fn play(scenario: &Scenario, injected_fault: Option<InjectedFault>) -> (Outcome, FleetTotals) {
+    println!("{}, seed {}", scenario.name, scenario.seed);
+    let outcome = run(scenario, injected_fault).unwrap();
+    let totals = measure_totals(scenario, &outcome.service, &outcome.trace);
+    (outcome, totals)
 }
 
 fn broken(rules: &[RuleVerdict]) -> Vec<&str> {
@@ -40,52 +40,55 @@
 }
 
 #[test]
-fn the_whole_day_keeps_every_rule_and_every_bound_and_the_sums_are_the_same_each_time() {
+fn site_loss_run_keeps_every_rule_and_bound_and_repeats_its_totals() {
     for seed in [29, 30, 31] {
-        let day = scenario(seed, &[]);
-        let (outcome, mine) = play(&day, None);
-        let (_, quiet) = play(&day.without_site_faults(), None);
-        let quiet_of_day = measure_totals(
-            &day,
-            &run(&day.without_site_faults(), None).unwrap().service,
+        let scenario = scenario(seed, &[]);
+        let (outcome, totals) = play(&scenario, None);
+        let (_, without_site_faults) = play(&scenario.without_site_faults(), None);
+        let baseline = measure_totals(
+            &scenario,
+            &run(&scenario.without_site_faults(), None).unwrap().service,
             &[],
         );
-        assert_eq!(quiet.sites, [], "nothing strikes a site of the twin");
-        let judged = judge(&day, &mine, Some(&quiet_of_day));
+        assert_eq!(without_site_faults.sites, [], "no fault affects a site");
+        let judged = judge(&scenario, &totals, Some(&baseline));
         assert!(judged.cases >= 4, "{judged:?}");
         assert_eq!(
             (broken(&outcome.rules), &judged.violations[..]),
             (vec![], &[][..])
         );
-        assert_eq!(mine, play(&day, None).1);
+        assert_eq!(totals, play(&scenario, None).1);
     }
 }
 
-/// Each dispatcher takes the whole of every part: a returning site is pushed over, and its clients are served worse.
+/// Each dispatcher takes the whole capacity for its own: a recovering site is overloaded, and its clients are served worse.
 #[test]
-fn dispatchers_that_each_count_themselves_alone_are_found() {
-    let day = scenario(1, &["day.rate=250"]);
-    let (well, fair) = play(&day, None);
-    let (planted, unfair) = play(&day, Some(InjectedFault::MiscountDispatchers));
+fn miscounted_dispatchers_violate_warm_up_and_fairness() {
+    let scenario = scenario(1, &["day.rate=250"]);
+    let (healthy, fair) = play(&scenario, None);
+    let (miscounted, unfair) = play(&scenario, Some(InjectedFault::MiscountDispatchers));
     assert_eq!(
-        (broken(&well.rules), judge(&day, &fair, None).kinds()),
+        (
+            broken(&healthy.rules),
+            judge(&scenario, &fair, None).kinds()
+        ),
         (vec![], vec![])
     );
-    assert_eq!(broken(&planted.rules), ["cold"]);
+    assert_eq!(broken(&miscounted.rules), ["cold"]);
     assert_eq!(
-        judge(&day, &unfair, None).kinds(),
+        judge(&scenario, &unfair, None).kinds(),
         [("fairness".to_owned(), 1)]
     );
     assert!(unfair.fairness < fair.fairness);
 }
 
 #[test]
-fn a_loss_takes_what_it_says_and_the_list_tells_it_or_not() {
-    let steps = |takes: &str, told: &str| {
+fn site_loss_by_scope_generates_the_matching_script_steps() {
+    let step_counts = |takes: &str, told: &str| {
         let takes = format!("trouble power.takes={takes}");
-        let day = only("power", 3, &[&takes, &format!("trouble power.told={told}")]);
-        let hosts = day.hosts(|n| format!("host-{n}"));
-        let steps = Script::generate(&day, &hosts, |n| format!("host-{n}")).steps;
+        let scenario = with_fault("power", 3, &[&takes, &format!("trouble power.told={told}")]);
+        let hosts = scenario.hosts(|n| format!("host-{n}"));
+        let steps = Script::generate(&scenario, &hosts, |n| format!("host-{n}")).steps;
         let count = |fits: fn(&ScriptStep) -> bool| steps.iter().filter(|(_, s)| fits(s)).count();
         let back = |s: &ScriptStep| {
             matches!(
@@ -103,32 +106,36 @@
             count(|s| matches!(s, ScriptStep::StartDispatcher { .. })),
         )
     };
-    assert_eq!(steps("hosts", "yes"), (6, 3, 0, 0));
-    assert_eq!(steps("parents", "yes"), (8, 4, 0, 0));
-    assert_eq!(steps("dispatchers", "no"), (8, 0, 4, 4));
+    assert_eq!(step_counts("hosts", "yes"), (6, 3, 0, 0));
+    assert_eq!(step_counts("parents", "yes"), (8, 4, 0, 0));
+    assert_eq!(step_counts("dispatchers", "no"), (8, 0, 4, 4));
 }
 
-/// Who finds nobody goes to the next site; without that the lost site's clients get nothing while it is away.
+/// Clients that reach no dispatcher go to the next site; without that they get nothing while their site is lost.
 #[test]
-fn clients_of_a_lost_site_are_served_by_the_others() {
-    let away = |moves: &str| {
-        let day = only("power", 5, &[&format!("clients.move={moves}")]);
-        let (outcome, _) = play(&day, None);
+fn clients_of_a_lost_site_with_failover_are_served_by_other_sites() {
+    let service_while_lost = |moves: &str| {
+        let scenario = with_fault("power", 5, &[&format!("clients.move={moves}")]);
+        let (outcome, _) = play(&scenario, None);
         let seconds = &outcome.service.by_branch[0][10..15];
         seconds.iter().map(|s| s.earned).sum::<f64>()
             / seconds.iter().map(|s| s.requested).sum::<f64>()
     };
-    let (stay, go) = (away("no"), away("yes"));
-    assert!(stay < 0.2 && go > 0.6, "{stay:.3} and {go:.3}");
+    let without_failover = service_while_lost("no");
+    let with_failover = service_while_lost("yes");
+    assert!(
+        without_failover < 0.2 && with_failover > 0.6,
+        "{without_failover:.3} and {with_failover:.3}"
+    );
 }
 
-/// Fills from a site that nothing leaves reach no parent; where only answers are held up, they do, and come to nothing.
+/// Fills from a site whose outward messages are delayed reach no parent; where only inward ones are, they do, in vain.
 #[test]
-fn a_cut_holds_up_the_way_it_is_told_to_and_what_is_within_goes_on() {
-    let reached = |ways: &str| {
-        let day = only("line", 7, &[&format!("trouble line.ways={ways}")]);
-        let (outcome, _) = play(&day, None);
-        assert_eq!(broken(&outcome.rules), [""; 0], "{ways}");
+fn zone_partition_by_direction_delays_fills_and_not_traffic_within_the_zone() {
+    let fills_during_partition = |directions: &str| {
+        let scenario = with_fault("line", 7, &[&format!("trouble line.ways={directions}")]);
+        let (outcome, _) = play(&scenario, None);
+        assert_eq!(broken(&outcome.rules), [""; 0], "{directions}");
         let zones: HashMap<&str, usize> = outcome
             .trace
             .iter()
@@ -137,7 +144,8 @@
                 _ => None,
             })
             .collect();
-        let (mut fills, mut within) = (0, 0);
+        let mut fills = 0;
+        let mut within = 0;
         let calls: HashMap<ClientAttemptId, usize> = outcome
             .trace
             .iter()
@@ -146,7 +154,7 @@
                 _ => None,
             })
             .collect();
-        for sight in outcome
+        for entry in outcome
             .trace
             .iter()
             .filter(|s| (22_200_000..25_900_000).contains(&s.at))
@@ -156,78 +164,84 @@
                 dispatcher: by,
                 id: Some(id),
                 ..
-            } = &sight.event
+            } = &entry.event
             else {
                 continue;
             };
-            let site = day.branch_of_dispatcher(calls[id]);
+            let site = scenario.branch_of_dispatcher(calls[id]);
             if site == 1 && zones[host.as_str()] == 1 {
                 within += 1;
             } else if site == 1 && by.is_none() {
                 fills += 1;
             }
         }
-        assert!(within > 50, "{ways}: {within} attempts within the site");
+        assert!(
+            within > 50,
+            "{directions}: {within} attempts within the site"
+        );
         fills
     };
-    assert_eq!((reached("both"), reached("out")), (0, 0));
-    assert!(reached("in") > 5);
+    assert_eq!(
+        (
+            fills_during_partition("both"),
+            fills_during_partition("out")
+        ),
+        (0, 0)
+    );
+    assert!(fills_during_partition("in") > 5);
 }
 
-/// It does nothing while it stands still, and goes on with what it had.
+/// It does nothing while it is paused, and continues with what it had.
 #[test]
-fn a_dispatcher_that_stands_still_sends_nothing_and_wakes() {
-    let day = only(
+fn paused_dispatcher_sends_nothing_until_it_resumes() {
+    let scenario = with_fault(
         "starved",
         9,
         &["trouble starved.share=1", "trouble starved.for_s=0"],
     );
-    let (outcome, _) = play(&day, None);
+    let (outcome, _) = play(&scenario, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
-    let mut hung: BTreeMap<usize, bool> = BTreeMap::new();
+    let mut paused_now: BTreeMap<usize, bool> = BTreeMap::new();
     let mut after = 0;
-    for sight in &outcome.trace {
-        match &sight.event {
-            TraceEvent::DispatcherPaused {
-                dispatcher,
-                paused: now,
-            } => _ = hung.insert(*dispatcher, *now),
-            // Sent a way's time before it stood still.
+    for entry in &outcome.trace {
+        match &entry.event {
+            TraceEvent::DispatcherPaused { dispatcher, paused } => {
+                _ = paused_now.insert(*dispatcher, *paused)
+            }
+            // What arrives just after the pause began was sent before it.
             TraceEvent::AttemptArrived {
                 dispatcher: Some(by),
                 ..
-            } if sight.at > 30_100_000 => {
+            } if entry.at > 30_100_000 => {
                 assert_ne!(
-                    hung.get(by),
+                    paused_now.get(by),
                     Some(&true),
                     "dispatcher {by} sent at {}",
-                    sight.at
+                    entry.at
                 );
-                after += (hung.get(by) == Some(&false)) as u32;
+                after += (paused_now.get(by) == Some(&false)) as u32;
             }
             _ => {}
         }
     }
-    assert_eq!(hung.len(), day.dispatcher_count());
+    assert_eq!(paused_now.len(), scenario.dispatcher_count());
     assert!(after > 100, "{after}");
 }
 
-/// Told to stop, it takes nothing new and answers what it has.
+/// A graceful shutdown accepts nothing new and answers what was accepted.
 #[test]
-fn a_release_of_all_dispatchers_loses_no_accepted_request() {
-    let day = only("release", 11, &["trouble release.share=1"]);
-    assert_eq!(day.faults[0].kind, FaultKind::StopDispatchers);
-    let (outcome, _) = play(&day, None);
+fn stopping_all_dispatchers_loses_no_accepted_request() {
+    let scenario = with_fault("release", 11, &["trouble release.share=1"]);
+    assert_eq!(scenario.faults[0].kind, FaultKind::StopDispatchers);
+    let (outcome, _) = play(&scenario, None);
     assert_eq!(broken(&outcome.rules), [""; 0]);
-    let of =
+    let count =
         |fits: fn(&TraceEvent) -> bool| outcome.trace.iter().filter(|s| fits(&s.event)).count();
-    let (stopped, born) = (
-        of(|s| matches!(s, TraceEvent::DispatcherStopping { .. })),
-        of(|s| matches!(s, TraceEvent::DispatcherStarted { .. })),
-    );
-    assert_eq!((stopped, born), (12, 12));
+    let stopping = count(|s| matches!(s, TraceEvent::DispatcherStopping { .. }));
+    let started = count(|s| matches!(s, TraceEvent::DispatcherStarted { .. }));
+    assert_eq!((stopping, started), (12, 12));
     assert_eq!(
-        of(|s| matches!(
+        count(|s| matches!(
             s,
             TraceEvent::RequestEnded {
                 outcome: ClientOutcome::ConnectionLost,
@@ -238,158 +252,12 @@
     );
 }
 
-/// Sums of a run made by hand: two dispatchers at one host, one of them three times at once.
-#[test]
-fn sums_are_counted_from_what_reached_the_members() {
-    let day = only("power", 1, &["trouble power.at_s=20"]);
-    let id = |call| ClientAttemptId { call, attempt: 0 };
-    let host = || "a:1".to_owned();
-    let mut sights = Vec::new();
-    let mut at = |at, saw| sights.push(TraceEntry { at, event: saw });
-    let (role, zone, weight) = (pointspindle_cache_model::Role::Cache, 0, 2.0);
-    at(
-        0,
-        TraceEvent::HostDeclared {
-            host: host(),
-            role,
-            zone,
-            weight,
-        },
-    );
-    let asked = |call, dispatcher| TraceEvent::RequestSent {
-        id: id(call),
-        dispatcher,
-        class: 0,
-        object_number: 0,
-        group: 0,
-        part: 0,
-        deadline: 9_000_000,
-    };
-    let reached = |call, by, attempt| TraceEvent::AttemptArrived {
-        host: host(),
-        dispatcher: Some(by),
-        id: Some(id(call)),
-        attempt,
-        source: None,
-        class: 0,
-    };
-    let gone = |call, by| TraceEvent::AttemptEnded {
-        host: host(),
-        id: Some(id(call)),
-        attempt: 0,
-        dispatcher: Some(by),
-        outcome: pointspindle_audit::trace::AttemptOutcome::Completed,
-    };
-    for call in 0..40 {
-        at(1_000_000 + call, asked(call, (call % 4 == 0) as usize));
-        at(1_100_000 + call, reached(call, (call % 4 == 0) as usize, 0));
-        if call < 10 {
-            at(1_200_000 + call, reached(call, (call % 4 == 0) as usize, 1));
-        }
-    }
-    for call in 0..40 {
-        at(2_300_000 + call, gone(call, (call % 4 == 0) as usize));
-        let end = match call % 4 {
-            0 => ClientOutcome::Rejected { retry_after: None },
-            _ => ClientOutcome::Served {
-                version: Some(1),
-                bytes: 1,
-                stale: false,
-            },
-        };
-        at(
-            2_300_000 + call,
-            TraceEvent::RequestEnded {
-                id: id(call),
-                outcome: end,
-            },
-        );
-    }
-    sights.sort_by_key(|s| s.at);
-    let sums = measure_totals(&day, &Default::default(), &sights);
-    let cache = &sums.roles[0];
-    assert_eq!(
-        (cache.under_way.count, cache.under_way.dispatchers),
-        (50, 2)
-    );
-    assert_eq!(
-        (cache.under_way.by_weight, cache.attempts.count),
-        (25.0, 50)
-    );
-    assert_eq!(
-        (sums.second_attempts, sums.second_attempts_worst),
-        (0.25, 0.25)
-    );
-    // One dispatcher served all of its tries, the other none: half of 1.
-    assert_eq!(
-        (sums.fairness, sums.least_dispatcher, sums.least_served),
-        (0.5, 1, 0.0)
-    );
-}
-
-/// An attempt that reaches a member after its client has left: counted, and over 0.1 s (and the rig's slack) a breach.
-#[test]
-fn what_begins_after_its_client_has_left_is_found() {
-    let day = only("power", 1, &[]);
-    let slack = day.limits.rules.timing_tolerance;
-    for (after, breaches) in [(50_000, 0), (100_000 + slack + 1_000, 1)] {
-        let id = ClientAttemptId {
-            call: 1,
-            attempt: 0,
-        };
-        let asked = TraceEvent::RequestSent {
-            id,
-            dispatcher: 0,
-            class: 0,
-            object_number: 0,
-            group: 0,
-            part: 0,
-            deadline: 9_000_000,
-        };
-        let reached = TraceEvent::AttemptArrived {
-            host: "a:1".into(),
-            dispatcher: Some(0),
-            id: Some(id),
-            attempt: 0,
-            source: None,
-            class: 0,
-        };
-        let sights = [
-            TraceEntry {
-                at: 1_000_000,
-                event: asked,
-            },
-            TraceEntry {
-                at: 2_000_000,
-                event: TraceEvent::RequestEnded {
-                    id,
-                    outcome: ClientOutcome::Cancelled,
-                },
-            },
-            TraceEntry {
-                at: 2_000_000 + after,
-                event: reached,
-            },
-        ];
-        let sums = measure_totals(&day, &Default::default(), &sights);
-        let left = &sums.left;
-        assert_eq!((left.clients, left.unsent, left.attempts), (1, 1, 1));
-        assert_eq!(left.longest_ms, after as f64 / 1e3);
-        let kinds = judge(&day, &sums, None).kinds();
-        assert_eq!(
-            kinds.iter().filter(|(kind, _)| kind == "left").count(),
-            breaches,
-            "{kinds:?}"
-        );
-    }
-}
-
-/// Cold hosts under the sum of all, whatever the dispatchers' number: within what they bear where the start was known, and over it
-/// where each thinks that it is alone.
+/// Warming hosts under the load of all dispatchers, whatever their number: within the budget where the start was known,
+/// beyond it where each dispatcher believes that it is the only one.
 #[test]
-fn cold_hosts_are_within_the_sum_of_all_and_a_wrong_count_shows() {
+fn warming_hosts_stay_within_budget_unless_dispatchers_are_miscounted() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/cold-sums.ini");
-    for (dispatchers, plant) in [
+    for (dispatchers, injected_fault) in [
         (7, None),
         (10, None),
         (100, None),
@@ -397,15 +265,18 @@
     ] {
         for seed in [41, 42, 43] {
             let set = format!("fleet.dispatchers={dispatchers}").parse().unwrap();
-            let day = load_with(&file, Some(seed), &[set]).unwrap_or_else(|e| panic!("{e}"));
-            let (outcome, sums) = play(&day, plant);
-            let cold = &sums.cold;
-            assert!(cold.most > 0.0, "there was a cold host that was known of");
+            let scenario = load_with(&file, Some(seed), &[set]).unwrap_or_else(|e| panic!("{e}"));
+            let (outcome, totals) = play(&scenario, injected_fault);
+            let cold = &totals.cold;
+            assert!(cold.most > 0.0, "a host whose start was known warmed up");
             println!("{dispatchers} a site: {cold:?}");
-            assert!(sums.left.clients > 0);
-            if plant.is_none() {
+            assert!(totals.left.clients > 0);
+            if injected_fault.is_none() {
                 assert_eq!(
-                    (broken(&outcome.rules), judge(&day, &sums, None).kinds()),
+                    (
+                        broken(&outcome.rules),
+                        judge(&scenario, &totals, None).kinds()
+                    ),
                     (vec![], vec![])
                 );
                 assert!(cold.requests <= cold.allowed, "{cold:?}");
--- a/crates/simulator/tests/restarts.rs
+++ b/crates/simulator/tests/restarts.rs
@@ -1,5 +1,5 @@
-//! Restarts in virtual time: the scenarios of `scenarios/` that rehearse them, with members that say who they are and
-//! with members that do not.
+//! Restarts in virtual time: the scenarios of `scenarios/` with restarts, on hosts that send a hello and on hosts that
+//! do not.
 use pointspindle_scenario::{load_with, Scenario, SettingOverride};
 use pointspindle_simulator::{run, Outcome};
 use std::path::Path;
@@ -15,15 +15,15 @@
     run(&scenario(name, seed, sets), None).unwrap()
 }
 
-fn pushed_over(outcome: &Outcome) -> usize {
+fn cold_crashes(outcome: &Outcome) -> usize {
     let cold = outcome.rules.iter().find(|r| r.name == "cold").unwrap();
     assert!(cold.cases > 50, "never exercised");
     cold.violations.len() + cold.undetectable.len()
 }
 
-/// Whoever knows of a start keeps the sum; with hello everybody does, and nobody falls over.
+/// Dispatchers that know of a start stay within the budget; with hello all of them know, and no host crashes.
 #[test]
-fn no_rule_breaks_and_with_hello_nobody_falls_over() {
+fn restarts_violate_no_rule_and_with_hello_crash_no_host() {
     for name in [
         "hub-restart-late-lists",
         "rolling-restart",
@@ -38,40 +38,48 @@
                     assert!(rule.violations.is_empty(), "{:?}", rule.violations);
                 }
                 if hello.ends_with("yes") && name != "flaky-links" {
-                    assert_eq!(pushed_over(&outcome), 0);
+                    assert_eq!(cold_crashes(&outcome), 0);
                 }
             }
         }
     }
 }
 
-/// A check that can fail: without hello some fall before the lists tell, and the auditor sees it, as nobody's breach.
+/// Shows that the check can fail: without hello some hosts crash before a list update, which is no violation.
 #[test]
-fn hosts_that_fall_before_anybody_was_told_are_seen_and_held_against_nobody() {
-    let fallen = |hello: &str| -> usize {
+fn crashes_before_any_list_update_are_reported_as_undetectable() {
+    let crashes = |hello: &str| -> usize {
         (1..=5)
-            .map(|s| pushed_over(&play("rolling-restart", s, &[hello])))
+            .map(|s| cold_crashes(&play("rolling-restart", s, &[hello])))
             .sum()
     };
-    let (silent, greeting) = (fallen("fleet.hello=no"), fallen("fleet.hello=yes"));
-    assert!(silent > 0 && greeting == 0, "{silent} and {greeting}");
+    let without_hello = crashes("fleet.hello=no");
+    let with_hello = crashes("fleet.hello=yes");
+    assert!(
+        without_hello > 0 && with_hello == 0,
+        "{without_hello} and {with_hello}"
+    );
 }
 
-/// Ways that break without a restart: members that say who they are lose nothing to caution.
+/// Connections that break without a restart: with hello nothing is lost to a needless slow start.
 #[test]
-fn the_same_process_after_a_broken_way_is_not_taken_for_a_new_one() {
+fn reconnecting_to_the_same_incarnation_with_hello_keeps_service_higher() {
     let service = |hello: &str| {
         (1..=5)
             .map(|s| play("flaky-links", s, &[hello]).service.service)
             .sum::<f64>()
             / 5.0
     };
-    let (silent, greeting) = (service("fleet.hello=no"), service("fleet.hello=yes"));
-    assert!(greeting > silent, "{greeting:.4} and {silent:.4}");
+    let without_hello = service("fleet.hello=no");
+    let with_hello = service("fleet.hello=yes");
+    assert!(
+        with_hello > without_hello,
+        "{with_hello:.4} and {without_hello:.4}"
+    );
 }
 
 #[test]
-fn a_change_that_is_none_names_its_form_and_a_wrong_one_its_key() {
+fn malformed_override_names_its_form_and_unknown_override_its_key() {
     assert!("fleet=3"
         .parse::<SettingOverride>()
         .unwrap_err()
@@ -86,10 +94,10 @@
     );
 }
 
-/// Two hundred dispatchers in two branches, each with a request every two seconds: a part or a turn of so many is of no
-/// use, asking is. Guards against leases that lapse before a request meets them (service 0.68 against 0.86).
+/// Two hundred dispatchers in two branches, each with a request every two seconds: an equal share is too small to be of
+/// use, requested work is not. Guards against leases that expire before a request uses them (service 0.68, not 0.86).
 #[test]
-fn many_dispatchers_share_a_warm_up_by_asking() {
+fn many_dispatchers_with_work_requests_share_a_warm_up() {
     let many = |hello: &str| {
         let outcome = play(
             "hub-restart-late-lists",
@@ -97,13 +105,13 @@
             &["fleet.dispatchers=100", hello],
         );
         assert!(outcome.rules.iter().all(|r| r.violations.is_empty()));
-        assert_eq!(pushed_over(&outcome), 0);
+        assert_eq!(cold_crashes(&outcome), 0);
         outcome.service.service
     };
     let few = play("hub-restart-late-lists", 1, &["fleet.dispatchers=2"])
         .service
         .service;
-    // All in one branch: hosts that most dispatchers had never had a request for were pushed over by first ones.
+    // All in one branch: hosts that most dispatchers had never sent a request to were overloaded by first requests.
     let branch = ["fleet.branches=1", "fleet.hubs=1", "day.rate=60"];
     let one = |count: &str| {
         let outcome = play(
@@ -111,16 +119,18 @@
             2,
             &[&branch[..], &[count]].concat(),
         );
-        (pushed_over(&outcome), outcome.service.service)
+        (cold_crashes(&outcome), outcome.service.service)
     };
-    let (four, two_hundred) = (one("fleet.dispatchers=4"), one("fleet.dispatchers=200"));
+    let four = one("fleet.dispatchers=4");
+    let two_hundred = one("fleet.dispatchers=200");
     assert!(
         two_hundred.0 == 0 && two_hundred.1 > four.1 - 0.05,
         "{two_hundred:?}, {four:?} of four"
     );
-    let (silent, asking) = (many("fleet.hello=no"), many("fleet.hello=yes"));
+    let without_hello = many("fleet.hello=no");
+    let with_hello = many("fleet.hello=yes");
     assert!(
-        asking > silent + 0.1 && asking > few - 0.05,
-        "{asking:.3}, {silent:.3} without, {few:.3} of four"
+        with_hello > without_hello + 0.1 && with_hello > few - 0.05,
+        "{with_hello:.3}, {without_hello:.3} without, {few:.3} of four"
     );
 }
