--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -29,10 +29,12 @@
     /// Calls that were served after their latency objective.
     pub late: u64,
     /// Calls that ended with a rejection.
+    #[serde(rename = "refused")]
     pub refused: u64,
     /// Calls that failed otherwise.
     pub failed: u64,
     /// Calls that their clients cancelled.
+    #[serde(rename = "left")]
     pub left: u64,
     /// Value earned over value requested.
     pub service: f64,
@@ -54,6 +56,7 @@
     /// Number of calls.
     pub calls: u64,
     /// Calls that were served, in time or late.
+    #[serde(rename = "answered")]
     pub answered: u64,
 }
 
@@ -113,6 +116,7 @@
     /// The same over the worst 10 s, or over the run's length if it is shorter.
     pub worst_10s: f64,
     /// When the worst 10 s began, in seconds since the start of the run.
+    #[serde(rename = "worst_from_s")]
     pub worst_from_s: f64,
     /// The run, its worst 10 s and its worst class, weighted as the scenario's objective says.
     pub goal: f64,
@@ -124,6 +128,7 @@
     #[serde(default)]
     pub by_branch: Vec<Vec<ValueSum>>,
     /// Requests that clients sent, retries included.
+    #[serde(rename = "tries")]
     pub tries: u64,
     /// Attempts of dispatchers that reached a host.
     pub attempts: u64,
--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -1,42 +1,59 @@
-//! Two ways on the same seeds: the paired difference, its noise, and what that says in words.
+//! Two variants on the same seeds: the paired difference, its noise, and the conclusion.
+use crate::record::Run;
 use serde::{Deserialize, Serialize};
 
-/// One day under both ways.
+/// A difference within this many standard errors is taken for noise: about one comparison in twenty passes by chance.
+const NOISE_STANDARD_ERRORS: f64 = 2.0;
+
+/// One run under both variants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pair {
+    /// Scenario and seed.
+    #[serde(rename = "day")]
     pub day: String,
+    /// Figures of the first variant.
     pub a: Figures,
+    /// Figures of the second variant.
     pub b: Figures,
 }
 
 /// What is compared of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
+    /// Value earned over value requested.
     pub service: f64,
+    /// The same over the worst 10 s.
     pub worst_10s: f64,
+    /// The weighted objective.
     pub goal: f64,
+    /// Hosts that crashed by overload during their warm-up.
+    #[serde(rename = "fallen")]
     pub fallen: usize,
+    /// Violations of all rules.
+    #[serde(rename = "breaches")]
     pub breaches: usize,
-    /// The highest load of a warm cache, and of a parent, in the seconds after a cold start.
+    /// Highest load of a warm cache in the seconds after a restart.
     #[serde(default)]
+    #[serde(rename = "neighbours")]
     pub neighbours: f64,
+    /// Highest load of a parent in the seconds after a restart.
     #[serde(default)]
+    #[serde(rename = "parents")]
     pub parents: f64,
 }
 
 impl Figures {
-    pub fn of(run: &crate::record::Run) -> Self {
-        let s = &run.service;
-        let (fallen, breaches) = (run.fallen, run.breaches());
-        let (neighbours, parents) = run.aftermath();
+    /// The figures of a run.
+    pub fn of(run: &Run) -> Self {
+        let (cache_load, parent_load) = run.aftermath();
         Self {
-            service: s.service,
-            worst_10s: s.worst_10s,
-            goal: s.goal,
-            fallen,
-            breaches,
-            neighbours,
-            parents,
+            service: run.service.service,
+            worst_10s: run.service.worst_10s,
+            goal: run.service.goal,
+            fallen: run.cold_crashes,
+            breaches: run.violations(),
+            neighbours: cache_load,
+            parents: parent_load,
         }
     }
 }
@@ -44,54 +61,67 @@
 /// The mean of paired differences, b - a.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
+    /// The mean.
     pub mean: f64,
-    /// Standard error of the mean; none from fewer than two days.
-    pub error: Option<f64>,
-    pub days: usize,
+    /// Standard error of the mean; none from fewer than two pairs.
+    #[serde(rename = "error")]
+    pub standard_error: Option<f64>,
+    /// Number of pairs.
+    #[serde(rename = "days")]
+    pub pairs: usize,
 }
 
 impl Difference {
+    /// The difference of a figure.
     pub fn of(pairs: &[Pair], figure: impl Fn(&Figures) -> f64) -> Self {
-        let each: Vec<f64> = pairs.iter().map(|p| figure(&p.b) - figure(&p.a)).collect();
-        let n = each.len();
-        let mean = each.iter().sum::<f64>() / n.max(1) as f64;
-        let error = (n > 1).then(|| {
-            let square = each.iter().map(|d| (d - mean).powi(2)).sum::<f64>() / (n - 1) as f64;
-            (square / n as f64).sqrt()
+        let differences: Vec<f64> = pairs
+            .iter()
+            .map(|pair| figure(&pair.b) - figure(&pair.a))
+            .collect();
+        let count = differences.len();
+        let mean = differences.iter().sum::<f64>() / count.max(1) as f64;
+        let standard_error = (count > 1).then(|| {
+            let squares = differences.iter().map(|d| (d - mean).powi(2));
+            let variance = squares.sum::<f64>() / (count - 1) as f64;
+            (variance / count as f64).sqrt()
         });
         Self {
             mean,
-            error,
-            days: n,
+            standard_error,
+            pairs: count,
         }
     }
 
-    /// Twice the standard error is taken for the noise: some one comparison in twenty passes it by chance.
+    /// What the difference says of a figure of which more is better.
     pub fn verdict(&self) -> Verdict {
-        match self.error {
+        match self.standard_error {
             None => Verdict::TooFew,
             Some(_) if self.mean == 0.0 => Verdict::Same,
-            Some(error) if self.mean.abs() <= 2.0 * error => Verdict::Noise,
+            Some(error) if self.mean.abs() <= NOISE_STANDARD_ERRORS * error => Verdict::Noise,
             Some(_) if self.mean > 0.0 => Verdict::Better,
             Some(_) => Verdict::Worse,
         }
     }
 }
 
+/// What a comparison says of the second variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
+    /// It is better.
     Better,
+    /// It is worse.
     Worse,
-    /// A difference that chance gives as well.
+    /// The difference is one that chance gives as well.
     Noise,
-    /// Not one day came out otherwise.
+    /// No run differs.
     Same,
+    /// There are too few runs.
     TooFew,
 }
 
 impl Verdict {
-    /// Of a figure of which less is better.
-    pub fn of_a_load(self) -> Self {
+    /// The verdict for a figure of which less is better.
+    pub fn for_less_is_better(self) -> Self {
         match self {
             Self::Better => Self::Worse,
             Self::Worse => Self::Better,
@@ -99,7 +129,8 @@
         }
     }
 
-    pub fn word(self) -> &'static str {
+    /// The verdict as text.
+    pub fn text(self) -> &'static str {
         match self {
             Self::Better => "B is better",
             Self::Worse => "B is worse",
@@ -110,87 +141,93 @@
     }
 }
 
-/// The whole comparison in words, a line each; rules first.
-pub fn words(pairs: &[Pair]) -> Vec<String> {
-    let sum = |of: &dyn Fn(&Pair) -> usize| pairs.iter().map(of).sum::<usize>();
-    let broke = |of: &dyn Fn(&Pair) -> usize| pairs.iter().filter(|p| of(p) > 0).count();
-    let mut out = vec![format!(
-        "rules: A broke some on {} of {n} days, B on {} of {n}",
-        broke(&|p| p.a.breaches),
-        broke(&|p| p.b.breaches),
-        n = pairs.len()
-    )];
-    out.push(format!(
-        "hosts fallen over while cold: A {}, B {}",
-        sum(&|p| p.a.fallen),
-        sum(&|p| p.b.fallen)
-    ));
-    type Figure = (&'static str, fn(&Figures) -> f64);
-    let figures: [Figure; 5] = [
-        ("service", |f| f.service),
-        ("worst 10 s", |f| f.worst_10s),
-        ("goal", |f| f.goal),
-        ("highest load of warm caches after a restart", |f| {
-            f.neighbours
-        }),
-        ("... of parents", |f| f.parents),
-    ];
-    // Of a load less is better.
-    for (n, (name, figure)) in figures.into_iter().enumerate() {
-        let d = Difference::of(pairs, figure);
-        let mean = |of: &dyn Fn(&Pair) -> f64| {
-            pairs.iter().map(of).sum::<f64>() / pairs.len().max(1) as f64
-        };
-        let error = d.error.map_or("-".into(), |e| format!("{e:.4}"));
-        out.push(format!(
-            "{name}: A {:.4}, B {:.4}, difference {:+.4} (standard error {error}): {}",
-            mean(&|p| figure(&p.a)),
-            mean(&|p| figure(&p.b)),
-            d.mean,
-            if n < 3 {
-                d.verdict()
-            } else {
-                d.verdict().of_a_load()
-            }
-            .word()
-        ));
-    }
-    out
+/// Whether more or less of a figure is better.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Preference {
+    More,
+    Less,
+}
+
+/// A figure of the comparison.
+struct ComparedFigure {
+    name: &'static str,
+    preference: Preference,
+    value: fn(&Figures) -> f64,
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+const COMPARED_FIGURES: [ComparedFigure; 5] = [
+    ComparedFigure {
+        name: "service",
+        preference: Preference::More,
+        value: |figures| figures.service,
+    },
+    ComparedFigure {
+        name: "worst 10 s",
+        preference: Preference::More,
+        value: |figures| figures.worst_10s,
+    },
+    ComparedFigure {
+        name: "goal",
+        preference: Preference::More,
+        value: |figures| figures.goal,
+    },
+    ComparedFigure {
+        name: "highest load of warm caches after a restart",
+        preference: Preference::Less,
+        value: |figures| figures.neighbours,
+    },
+    ComparedFigure {
+        name: "... of parents",
+        preference: Preference::Less,
+        value: |figures| figures.parents,
+    },
+];
 
-    fn pairs(differences: &[f64]) -> Vec<Pair> {
-        let figures = |service| Figures {
-            service,
-            ..Default::default()
+impl ComparedFigure {
+    fn describe(&self, pairs: &[Pair]) -> String {
+        let difference = Difference::of(pairs, self.value);
+        let verdict = match self.preference {
+            Preference::More => difference.verdict(),
+            Preference::Less => difference.verdict().for_less_is_better(),
         };
-        let pair = |(n, d): (usize, &f64)| Pair {
-            day: n.to_string(),
-            a: figures(0.5),
-            b: figures(0.5 + d),
+        let mean = |variant: fn(&Pair) -> &Figures| {
+            let sum: f64 = pairs.iter().map(|pair| (self.value)(variant(pair))).sum();
+            sum / pairs.len().max(1) as f64
         };
-        differences.iter().enumerate().map(pair).collect()
-    }
-
-    #[test]
-    fn a_difference_counts_only_beyond_its_noise() {
-        let verdict = |d: &[f64]| Difference::of(&pairs(d), |f| f.service).verdict();
-        assert_eq!(verdict(&[0.1, 0.1, 0.12, 0.08]), Verdict::Better);
-        assert_eq!(verdict(&[-0.1, -0.1, -0.12, -0.08]), Verdict::Worse);
-        assert_eq!(verdict(&[0.1, -0.1, 0.12, -0.09]), Verdict::Noise);
-        assert_eq!(verdict(&[0.0, 0.0]), Verdict::Same);
-        assert_eq!(verdict(&[0.3]), Verdict::TooFew);
+        let standard_error = match difference.standard_error {
+            Some(error) => format!("{error:.4}"),
+            None => "-".into(),
+        };
+        format!(
+            "{}: A {:.4}, B {:.4}, difference {:+.4} (standard error {standard_error}): {}",
+            self.name,
+            mean(|pair| &pair.a),
+            mean(|pair| &pair.b),
+            difference.mean,
+            verdict.text()
+        )
     }
+}
 
-    #[test]
-    fn the_error_is_that_of_the_mean() {
-        let d = Difference::of(&pairs(&[0.1, 0.2, 0.3, 0.4]), |f| f.service);
-        assert!(
-            (d.mean - 0.25).abs() < 1e-9 && (d.error.unwrap() - 0.0645497).abs() < 1e-6,
-            "{d:?}"
-        );
-    }
+/// The whole comparison as text, a line each; rules first.
+pub fn words(pairs: &[Pair]) -> Vec<String> {
+    let runs_with_violations =
+        |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).breaches > 0).count();
+    let cold_crashes =
+        |variant: fn(&Pair) -> &Figures| pairs.iter().map(|p| variant(p).fallen).sum::<usize>();
+    let mut lines = vec![
+        format!(
+            "rules: A broke some on {} of {n} days, B on {} of {n}",
+            runs_with_violations(|pair| &pair.a),
+            runs_with_violations(|pair| &pair.b),
+            n = pairs.len()
+        ),
+        format!(
+            "hosts fallen over while cold: A {}, B {}",
+            cold_crashes(|pair| &pair.a),
+            cold_crashes(|pair| &pair.b)
+        ),
+    ];
+    lines.extend(COMPARED_FIGURES.iter().map(|figure| figure.describe(pairs)));
+    lines
 }
--- a/crates/report/src/folder.rs
+++ b/crates/report/src/folder.rs
@@ -1,19 +1,19 @@
-//! A run's folder: `scenario.ini` as it was played, `run.json`, `report.html`. It can be read again, also by a later
-//! build that knows the form.
-use crate::record::{Run, FORM};
+//! A run's folder: `scenario.ini` as it was run, `run.json`, `report.html`. It can be read again, also by a later build
+//! that knows the format.
+use crate::record::{Run, FORMAT_VERSION};
 use crate::{html, ReportError};
 use pointspindle_audit::trace::{request_history, ClientAttemptId, TraceEntry};
 use pointspindle_scenario::{parse_with, Scenario};
 use std::path::Path;
 
-const SCENARIO: &str = "scenario.ini";
-const RUN: &str = "run.json";
-const REPORT: &str = "report.html";
-const SIGHTS: &str = "sights.json";
+const SCENARIO_FILE: &str = "scenario.ini";
+const RUN_FILE: &str = "run.json";
+const REPORT_FILE: &str = "report.html";
+const TRACE_FILE: &str = "sights.json";
 
-/// Written whole or not at all: a reader never sees half a file.
+/// Writes a file by renaming a complete one: a reader never sees a part of it.
 pub(crate) fn write(path: &Path, bytes: &[u8]) -> Result<(), ReportError> {
-    let failed = |e| ReportError::file("cannot write", path, e);
+    let failed = |error| ReportError::file("cannot write", path, error);
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder).map_err(failed)?;
     }
@@ -24,78 +24,84 @@
 }
 
 fn read(path: &Path) -> Result<String, ReportError> {
-    std::fs::read_to_string(path).map_err(|e| ReportError::file("cannot read", path, e))
+    std::fs::read_to_string(path).map_err(|error| ReportError::file("cannot read", path, error))
 }
 
-/// Keeps a run with its report. What sockets saw is kept too: it cannot be played again.
+/// Saves a run with its report. The trace of a run on sockets is saved too, as such a run cannot be repeated.
 pub fn keep(
     folder: &Path,
-    text: &str,
+    scenario_text: &str,
     run: &Run,
-    sights: &[TraceEntry],
+    trace: &[TraceEntry],
 ) -> Result<(), ReportError> {
-    write(&folder.join(SCENARIO), text.as_bytes())?;
+    write(&folder.join(SCENARIO_FILE), scenario_text.as_bytes())?;
     if !run.in_virtual_time {
-        let json = serde_json::to_vec(sights).expect("sights are plain data");
-        write(&folder.join(SIGHTS), &json)?;
+        let json = serde_json::to_vec(trace).expect("a trace is plain data");
+        write(&folder.join(TRACE_FILE), &json)?;
     }
-    write(&folder.join(REPORT), html::run(run)?.as_bytes())?;
-    // Last: a folder with a run in it is complete.
-    write(&folder.join(RUN), &to_json(run))
+    write(&folder.join(REPORT_FILE), html::run(run)?.as_bytes())?;
+    // Written last: a folder with this file is complete.
+    write(&folder.join(RUN_FILE), &to_json(run))
 }
 
+/// A run as its file holds it.
 pub fn to_json(run: &Run) -> Vec<u8> {
     serde_json::to_vec_pretty(run).expect("a run is plain data")
 }
 
+/// Reads a saved run.
 pub fn load(folder: &Path) -> Result<Run, ReportError> {
-    let path = folder.join(RUN);
-    let foreign = |why: String| ReportError::Foreign {
-        path: path.display().to_string(),
-        why,
-    };
-    let run: Run = serde_json::from_str(&read(&path)?).map_err(|e| foreign(e.to_string()))?;
-    if run.form != FORM {
-        return Err(foreign(format!(
-            "form {}, this program reads {FORM}",
-            run.form
-        )));
+    let path = folder.join(RUN_FILE);
+    let run: Run = serde_json::from_str(&read(&path)?)
+        .map_err(|error| ReportError::invalid_run(&path, error))?;
+    if run.format_version != FORMAT_VERSION {
+        let why = format!(
+            "form {}, this program reads {FORMAT_VERSION}",
+            run.format_version
+        );
+        return Err(ReportError::invalid_run(&path, why));
     }
     Ok(run)
 }
 
-/// Everything that happened to a request, in order. A run in virtual time is played again, byte for byte.
+/// Everything that happened to a request, in order. A run in virtual time is run again, byte for byte.
 pub fn explain(folder: &Path, id: ClientAttemptId) -> Result<Vec<TraceEntry>, ReportError> {
     let run = load(folder)?;
-    let sights: Vec<TraceEntry> = if run.in_virtual_time {
-        let scenario = scenario(folder, &run)?;
-        let (again, outcome) = Run::play(&scenario, &run.sets).map_err(ReportError::Run)?;
-        if again != run {
-            return Err(ReportError::Run(
-                "played again the day came out otherwise: it was made by another build".into(),
-            ));
-        }
-        outcome.trace
+    let trace = if run.in_virtual_time {
+        repeat(folder, &run)?
     } else {
-        let path = folder.join(SIGHTS);
-        serde_json::from_str(&read(&path)?).map_err(|e| ReportError::Foreign {
-            path: path.display().to_string(),
-            why: e.to_string(),
-        })?
+        load_trace(folder)?
     };
-    Ok(request_history(&sights, id.call)
-        .into_iter()
-        .cloned()
-        .collect())
+    let history = request_history(&trace, id.call);
+    Ok(history.into_iter().cloned().collect())
+}
+
+/// The trace of a run in virtual time, which is run again.
+fn repeat(folder: &Path, run: &Run) -> Result<Vec<TraceEntry>, ReportError> {
+    let scenario = scenario(folder, run)?;
+    let (repeated, outcome) = Run::play(&scenario, &run.overrides)?;
+    if repeated != *run {
+        return Err(ReportError::Run(
+            "played again the day came out otherwise: it was made by another build".into(),
+        ));
+    }
+    Ok(outcome.trace)
+}
+
+/// The saved trace of a run on sockets.
+fn load_trace(folder: &Path) -> Result<Vec<TraceEntry>, ReportError> {
+    let path = folder.join(TRACE_FILE);
+    serde_json::from_str(&read(&path)?).map_err(|error| ReportError::invalid_run(&path, error))
 }
 
-/// The scenario of a run, as it was played.
+/// The scenario of a saved run, as it was run.
 pub fn scenario(folder: &Path, run: &Run) -> Result<Scenario, ReportError> {
-    let path = folder.join(SCENARIO);
+    let path = folder.join(SCENARIO_FILE);
+    let text = read(&path)?;
     Ok(parse_with(
         &run.scenario,
-        &read(&path)?,
+        &text,
         Some(run.seed),
-        &run.sets,
+        &run.overrides,
     )?)
 }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,40 +1,49 @@
-//! Reports as one page each, from templates; plots stand inside, nothing is loaded from outside.
+//! Reports, a page each, from templates. Plots are part of the page; nothing is loaded from outside.
 use crate::compare::{words, Figures, Pair};
 use crate::record::Run;
-use crate::sweep::Row;
+use crate::sweep::SweepRow;
 use crate::{plots, ReportError};
-use minijinja::{context, Environment};
+use minijinja::{context, Environment, Value};
 use pointspindle_testbed::idle::Step;
 
-fn render(name: &str, context: minijinja::Value) -> Result<String, ReportError> {
-    let mut templates = Environment::new();
-    templates.add_template("page.html", include_str!("../templates/page.html"))?;
-    templates.add_template("run.html", include_str!("../templates/run.html"))?;
-    templates.add_template("two.html", include_str!("../templates/two.html"))?;
-    templates.add_template("sweep.html", include_str!("../templates/sweep.html"))?;
-    templates.add_template("idle.html", include_str!("../templates/idle.html"))?;
-    templates.add_filter("figure", |x: f64| format!("{x:.3}"));
-    templates.add_filter("ms", |x: f64| format!("{x:.0}"));
-    Ok(templates.get_template(name)?.render(context)?)
+const BYTES_PER_MIB: f64 = 1_048_576.0;
+
+const TEMPLATES: [(&str, &str); 5] = [
+    ("page.html", include_str!("../templates/page.html")),
+    ("run.html", include_str!("../templates/run.html")),
+    ("two.html", include_str!("../templates/two.html")),
+    ("sweep.html", include_str!("../templates/sweep.html")),
+    ("idle.html", include_str!("../templates/idle.html")),
+];
+
+fn render(name: &str, context: Value) -> Result<String, ReportError> {
+    let mut environment = Environment::new();
+    for (name, text) in TEMPLATES {
+        environment.add_template(name, text)?;
+    }
+    environment.add_filter("figure", |x: f64| format!("{x:.3}"));
+    environment.add_filter("ms", |x: f64| format!("{x:.0}"));
+    Ok(environment.get_template(name)?.render(context)?)
 }
 
-/// One run.
+/// The report of a run.
 pub fn run(run: &Run) -> Result<String, ReportError> {
+    let overrides: Vec<String> = run.overrides.iter().map(ToString::to_string).collect();
     render(
         "run.html",
         context! {
             title => format!("{}, seed {}", run.scenario, run.seed),
             run => run,
-            sets => run.sets.iter().map(|s| s.to_string()).collect::<Vec<_>>(),
-            worth => plots::worth(run)?,
+            sets => overrides,
+            worth => plots::value(run)?,
             outcomes => plots::outcomes(run)?,
-            times => plots::times(run)?,
-            heat => plots::heat_map(&run.hosts, run.seconds)?,
+            times => plots::latencies(run)?,
+            heat => plots::heat_map(&run.hosts, run.duration_s)?,
         },
     )
 }
 
-/// Two runs beside each other.
+/// Two runs side by side.
 pub fn two(a: &Run, b: &Run) -> Result<String, ReportError> {
     let pair = Pair {
         day: a.scenario.clone(),
@@ -48,32 +57,32 @@
             a => a,
             b => b,
             words => words(&[pair]),
-            worth => plots::two(a, b)?,
-            heat_a => plots::heat_map(&a.hosts, a.seconds)?,
-            heat_b => plots::heat_map(&b.hosts, b.seconds)?,
+            worth => plots::value_of_two(a, b)?,
+            heat_a => plots::heat_map(&a.hosts, a.duration_s)?,
+            heat_b => plots::heat_map(&b.hosts, b.duration_s)?,
         },
     )
 }
 
-/// What idle connections cost: a table and two plots, a row of steps for each door.
-pub fn idle(all: &[Vec<Step>]) -> Result<String, ReportError> {
-    let memory = plots::against(all, "MiB of the program", |s| {
-        s.program as f64 / 1_048_576.0
+/// The cost of idle connections: a table and two plots, a series of steps for each protocol.
+pub fn idle(series: &[Vec<Step>]) -> Result<String, ReportError> {
+    let memory = plots::against_idle_connections(series, "MiB of the program", |step| {
+        step.program as f64 / BYTES_PER_MIB
     })?;
-    let p99 = plots::against(all, "p99 of requests beside them, ms", |s| {
-        s.p99_us as f64 / 1e3
+    let p99 = plots::against_idle_connections(series, "p99 of requests beside them, ms", |step| {
+        step.p99_us as f64 / 1e3
     })?;
-    let steps: Vec<&Step> = all.iter().flatten().collect();
+    let steps: Vec<&Step> = series.iter().flatten().collect();
     render(
         "idle.html",
         context! { title => "Idle connections", steps, memory, p99 },
     )
 }
 
-/// A sweep or a comparison of many days.
-pub fn sweep(title: &str, rows: &[Row], words: &[String]) -> Result<String, ReportError> {
+/// A sweep, or a comparison of many runs; `lines` stand above the table.
+pub fn sweep(title: &str, rows: &[SweepRow], lines: &[String]) -> Result<String, ReportError> {
     render(
         "sweep.html",
-        context! { title, rows, words, plot => plots::ways(rows)? },
+        context! { title, rows, words => lines, plot => plots::sweep_rows(rows)? },
     )
 }
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -1,8 +1,8 @@
-//! Searches trouble mixes for the worst day, or for a broken rule, and cuts what it finds down to the smallest scenario
-//! that still shows it.
+//! Searches random mixes of faults for the run with the worst service or with a violation, and reduces what it finds
+//! to the smallest scenario that still shows it.
 //!
-//! A candidate is a few troubles drawn from a seed and put over the base scenario's own; each is played in virtual time.
-//! Cutting takes troubles away one by one, then halves lengths and shares, as long as the finding stays.
+//! A candidate is a few faults drawn from a seed, in place of the base scenario's own; each is run in virtual time.
+//! The reduction removes faults one by one, then halves durations and shares, as long as the finding stays.
 use crate::compare::Figures;
 use crate::record::Run;
 use crate::sweep::Source;
@@ -14,200 +14,288 @@
 use rayon::prelude::*;
 use std::fmt::Write;
 
-/// What is looked for.
+/// A reduced run must lose at least this share of the service that the found run lost.
+const MIN_LOSS_SHARE: f64 = 0.8;
+/// Most faults of a candidate. The type is part of what a seed gives: other widths draw other numbers.
+const MAX_FAULTS: i32 = 4;
+/// Chance that a fault strikes parents and not caches.
+const PARENT_PROBABILITY: f64 = 0.2;
+/// Shares up to this are not halved any more.
+const MIN_SHARE: f64 = 0.15;
+/// Durations up to this, in seconds, are not halved any more.
+const MIN_DURATION_S: f64 = 0.5;
+
+/// What is searched for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goal {
-    /// The least service.
+    /// The lowest service.
     Worst,
-    /// A broken rule.
+    /// A violation of a rule.
     Rules,
-    /// Hosts that fall over while cold, whoever knew of their start.
+    /// Hosts that crash by overload during their warm-up.
     Fallen,
 }
 
 impl Goal {
+    /// The goals with their names on the command line.
     pub const WORDS: [(&'static str, Self); 3] = [
         ("worst", Self::Worst),
         ("rules", Self::Rules),
         ("fallen", Self::Fallen),
     ];
 
-    /// Larger is a better find.
-    fn score(self, f: &Figures) -> f64 {
+    /// How well a run shows the goal; 0: not at all.
+    fn score(self, figures: &Figures) -> f64 {
         match self {
-            Self::Worst => 1.0 - f.service,
-            Self::Rules => f.breaches as f64,
-            Self::Fallen => f.fallen as f64,
+            Self::Worst => 1.0 - figures.service,
+            Self::Rules => figures.breaches as f64,
+            Self::Fallen => figures.fallen as f64,
         }
     }
 
-    /// Whether a cut day still shows what the whole one did.
-    fn holds(self, whole: &Figures, cut: &Figures) -> bool {
+    /// Whether a reduced run still shows what the found one did.
+    fn is_still_shown(self, found: &Figures, reduced: &Figures) -> bool {
         match self {
-            // Most of what it cost.
-            Self::Worst => 1.0 - cut.service >= 0.8 * (1.0 - whole.service),
-            Self::Rules => cut.breaches > 0,
-            Self::Fallen => cut.fallen > 0,
+            Self::Worst => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
+            Self::Rules => reduced.breaches > 0,
+            Self::Fallen => reduced.fallen > 0,
         }
     }
 }
 
+/// A fault that was drawn at random.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct DrawnFault {
+    /// Kind of the fault.
     pub kind: FaultKind,
+    /// When it begins, in seconds since the start of the run.
     pub at_s: f64,
-    pub for_s: f64,
-    pub down_s: f64,
+    /// How long it lasts, in seconds.
+    pub duration_s: f64,
+    /// How long a process that it ends stays down, in seconds.
+    pub downtime_s: f64,
+    /// Share of the hosts that it affects.
     pub share: f64,
-    pub hard: f64,
+    /// Severity, in the unit of its kind.
+    pub severity: f64,
+    /// Role of the hosts that it affects.
     pub role: &'static str,
 }
 
+/// A found run, reduced.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Found {
+    /// Seed of the run.
     pub seed: u64,
-    pub troubles: Vec<Trouble>,
+    /// The faults that are left.
+    pub troubles: Vec<DrawnFault>,
+    /// Figures of the reduced run.
     pub figures: Figures,
-    /// Days played until it was cut down.
+    /// Number of runs that the search and the reduction took.
     pub days: usize,
 }
 
-fn draw(seed: u64, seconds: f64) -> Vec<Trouble> {
+/// The kinds of fault that a run in virtual time can have.
+fn possible_kinds() -> Vec<FaultKind> {
+    FaultKind::WORDS
+        .iter()
+        .map(|(_, kind)| *kind)
+        .filter(|kind| !kind.requires_simulated_network() && !kind.requires_processes())
+        .collect()
+}
+
+fn draw_faults(seed: u64, run_duration_s: f64) -> Vec<DrawnFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let count = rng.gen_range(1..=4);
-    let one = |rng: &mut StdRng| {
-        let kinds: Vec<FaultKind> = FaultKind::WORDS
-            .iter()
-            .map(|(_, kind)| *kind)
-            .filter(|kind| !kind.requires_simulated_network() && !kind.requires_processes())
-            .collect();
-        let kind = kinds[rng.gen_range(0..kinds.len())];
-        let at_s = rng.gen_range(0.15..0.7) * seconds;
-        let role = if rng.gen_bool(0.2) { "parent" } else { "cache" };
-        let hard = kind.default_severity() * rng.gen_range(0.5..1.5);
-        Trouble {
-            kind,
-            at_s,
-            for_s: rng.gen_range(0.05..0.3) * seconds,
-            down_s: rng.gen_range(0.2..4.0),
-            share: rng.gen_range(0.1..1.0),
-            hard: if matches!(
-                kind,
-                FaultKind::DropResponses | FaultKind::TruncateResponses | FaultKind::FailRequests
-            ) {
-                hard.min(1.0)
-            } else {
-                hard
-            },
-            role,
-        }
+    let kinds = possible_kinds();
+    let count = rng.gen_range(1..=MAX_FAULTS);
+    (0..count)
+        .map(|_| draw_fault(&mut rng, &kinds, run_duration_s))
+        .collect()
+}
+
+/// Draws a fault. The order of the draws decides what a seed gives.
+fn draw_fault(rng: &mut StdRng, kinds: &[FaultKind], run_duration_s: f64) -> DrawnFault {
+    let kind = kinds[rng.gen_range(0..kinds.len())];
+    let at_s = rng.gen_range(0.15..0.7) * run_duration_s;
+    let role = if rng.gen_bool(PARENT_PROBABILITY) {
+        "parent"
+    } else {
+        "cache"
     };
-    (0..count).map(|_| one(&mut rng)).collect()
+    let severity = kind.default_severity() * rng.gen_range(0.5..1.5);
+    let duration_s = rng.gen_range(0.05..0.3) * run_duration_s;
+    let downtime_s = rng.gen_range(0.2..4.0);
+    let share = rng.gen_range(0.1..1.0);
+    let is_share_of_responses = matches!(
+        kind,
+        FaultKind::DropResponses | FaultKind::TruncateResponses | FaultKind::FailRequests
+    );
+    DrawnFault {
+        kind,
+        at_s,
+        duration_s,
+        downtime_s,
+        share,
+        severity: if is_share_of_responses {
+            severity.min(1.0)
+        } else {
+            severity
+        },
+        role,
+    }
 }
 
-/// The base scenario without its own troubles, and these in their place.
-pub fn text(base: &str, troubles: &[Trouble]) -> String {
-    let mut out = String::new();
-    let mut skipping = false;
+/// The base scenario with these faults in place of its own.
+pub fn text(base: &str, faults: &[DrawnFault]) -> String {
+    let mut text = String::new();
+    let mut in_fault = false;
     for line in base.lines() {
         if line.trim_start().starts_with('[') {
-            skipping = line.trim_start().starts_with("[trouble");
+            in_fault = line.trim_start().starts_with("[trouble");
         }
-        if !skipping {
-            out.push_str(line);
-            out.push('\n');
+        if !in_fault {
+            text.push_str(line);
+            text.push('\n');
         }
     }
-    for (n, t) in troubles.iter().enumerate() {
-        let _ = write!(
-            out,
-            "\n[trouble found-{}]\nkind = {}\nat_s = {:.3}\nfor_s = {:.3}\ndown_s = {:.3}\nshare = {:.3}\nhard = {:.3}\nrole = {}\n",
-            n + 1, t.kind.name(), t.at_s, t.for_s, t.down_s, t.share, t.hard, t.role
-        );
+    for (n, fault) in faults.iter().enumerate() {
+        write_fault(&mut text, n + 1, fault);
     }
-    out
+    text
 }
 
-fn play(
-    source: &Source,
-    sets: &[SettingOverride],
+fn write_fault(text: &mut String, number: usize, fault: &DrawnFault) {
+    // Writing to a string cannot fail.
+    let _ = write!(
+        text,
+        "\n[trouble found-{number}]\nkind = {}\nat_s = {:.3}\nfor_s = {:.3}\ndown_s = {:.3}\nshare = {:.3}\nhard = {:.3}\nrole = {}\n",
+        fault.kind.name(),
+        fault.at_s,
+        fault.duration_s,
+        fault.downtime_s,
+        fault.share,
+        fault.severity,
+        fault.role
+    );
+}
+
+/// A search in progress.
+struct Hunt<'a> {
+    source: &'a Source<'a>,
+    overrides: &'a [SettingOverride],
+    goal: Goal,
+}
+
+/// A candidate with the figures of its run.
+struct Candidate {
     seed: u64,
-    troubles: &[Trouble],
-) -> Result<Figures, ReportError> {
-    let text = text(source.text, troubles);
-    let scenario = parse_with(source.name, &text, Some(seed), sets)?;
-    let (run, _) = Run::play(&scenario, sets).map_err(ReportError::Run)?;
-    Ok(Figures::of(&run))
+    faults: Vec<DrawnFault>,
+    figures: Figures,
 }
 
-/// Plays `days` candidates and cuts the best find down; none if no candidate shows what is looked for.
+/// Runs `candidates` mixes of faults from the seed `first_seed` on, and reduces the best find; none if no candidate
+/// shows the goal.
 pub fn hunt(
     source: &Source,
-    sets: &[SettingOverride],
+    overrides: &[SettingOverride],
     goal: Goal,
-    from: u64,
-    days: usize,
+    first_seed: u64,
+    candidates: usize,
 ) -> Result<Option<Found>, ReportError> {
-    let seconds = parse_with(source.name, source.text, None, sets)?.duration_s;
-    let candidates: Vec<u64> = (from..from + days as u64).collect();
-    let played: Vec<(u64, Vec<Trouble>, Figures)> = candidates
-        .par_iter()
-        .map(|seed| {
-            let troubles = draw(*seed, seconds);
-            let figures = play(source, sets, *seed, &troubles)?;
-            Ok((*seed, troubles, figures))
-        })
-        .collect::<Result<_, ReportError>>()?;
-    // The first of equals: the same find whatever the number of threads.
-    let best = played
-        .into_iter()
-        .rev()
-        .max_by(|a, b| goal.score(&a.2).total_cmp(&goal.score(&b.2)));
-    let Some((seed, troubles, figures)) = best.filter(|b| goal.score(&b.2) > 0.0) else {
-        return Ok(None);
+    let hunt = Hunt {
+        source,
+        overrides,
+        goal,
     };
-    let mut found = Found {
-        seed,
-        troubles,
-        figures,
-        days,
-    };
-    let whole = figures;
-    loop {
-        let mut cut = false;
-        for smaller in smaller(&found.troubles) {
+    let best = hunt.best_candidate(first_seed, candidates)?;
+    match best.filter(|best| goal.score(&best.figures) > 0.0) {
+        Some(best) => Ok(Some(hunt.reduce(best, candidates)?)),
+        None => Ok(None),
+    }
+}
+
+impl Hunt<'_> {
+    fn run(&self, seed: u64, faults: &[DrawnFault]) -> Result<Figures, ReportError> {
+        let text = text(self.source.text, faults);
+        let scenario = parse_with(self.source.name, &text, Some(seed), self.overrides)?;
+        let (run, _) = Run::play(&scenario, self.overrides)?;
+        Ok(Figures::of(&run))
+    }
+
+    /// The first of the best candidates: the same whatever the number of threads.
+    fn best_candidate(
+        &self,
+        first_seed: u64,
+        candidates: usize,
+    ) -> Result<Option<Candidate>, ReportError> {
+        let base = parse_with(self.source.name, self.source.text, None, self.overrides)?;
+        let seeds: Vec<u64> = (first_seed..first_seed + candidates as u64).collect();
+        let candidates: Vec<Candidate> = seeds
+            .par_iter()
+            .map(|seed| {
+                let faults = draw_faults(*seed, base.duration_s);
+                let figures = self.run(*seed, &faults)?;
+                Ok(Candidate {
+                    seed: *seed,
+                    faults,
+                    figures,
+                })
+            })
+            .collect::<Result<_, ReportError>>()?;
+        let score = |candidate: &Candidate| self.goal.score(&candidate.figures);
+        Ok(candidates
+            .into_iter()
+            .rev()
+            .max_by(|a, b| score(a).total_cmp(&score(b))))
+    }
+
+    /// Takes the first step that keeps the finding, until none does.
+    fn reduce(&self, candidate: Candidate, runs: usize) -> Result<Found, ReportError> {
+        let mut found = Found {
+            seed: candidate.seed,
+            troubles: candidate.faults,
+            figures: candidate.figures,
+            days: runs,
+        };
+        while self.reduce_once(&mut found, &candidate.figures)? {}
+        Ok(found)
+    }
+
+    /// Takes one step; false where none keeps the finding.
+    fn reduce_once(&self, found: &mut Found, original: &Figures) -> Result<bool, ReportError> {
+        for reduced in reductions(&found.troubles) {
             found.days += 1;
-            let figures = play(source, sets, seed, &smaller)?;
-            if goal.holds(&whole, &figures) {
-                (found.troubles, found.figures, cut) = (smaller, figures, true);
-                break;
+            let figures = self.run(found.seed, &reduced)?;
+            if self.goal.is_still_shown(original, &figures) {
+                found.troubles = reduced;
+                found.figures = figures;
+                return Ok(true);
             }
         }
-        if !cut {
-            return Ok(Some(found));
-        }
+        Ok(false)
     }
 }
 
-/// One step smaller, the largest steps first.
-fn smaller(troubles: &[Trouble]) -> Vec<Vec<Trouble>> {
-    let mut out = Vec::new();
-    let with = |n: usize, change: &dyn Fn(&mut Trouble)| {
-        let mut all = troubles.to_vec();
-        change(&mut all[n]);
-        all
-    };
-    for n in 0..troubles.len() {
-        let rest = troubles.iter().enumerate().filter(|(m, _)| *m != n);
-        out.push(rest.map(|(_, t)| t.clone()).collect());
+/// The faults with one step of reduction, the largest steps first.
+fn reductions(faults: &[DrawnFault]) -> Vec<Vec<DrawnFault>> {
+    let mut reductions = Vec::new();
+    for n in 0..faults.len() {
+        let mut fewer = faults.to_vec();
+        fewer.remove(n);
+        reductions.push(fewer);
     }
-    for (n, t) in troubles.iter().enumerate() {
-        if t.share > 0.15 {
-            out.push(with(n, &|t| t.share /= 2.0));
+    let changed = |n: usize, change: fn(&mut DrawnFault)| {
+        let mut changed = faults.to_vec();
+        change(&mut changed[n]);
+        changed
+    };
+    for (n, fault) in faults.iter().enumerate() {
+        if fault.share > MIN_SHARE {
+            reductions.push(changed(n, |fault| fault.share /= 2.0));
         }
-        if t.for_s > 0.5 {
-            out.push(with(n, &|t| t.for_s /= 2.0));
+        if fault.duration_s > MIN_DURATION_S {
+            reductions.push(changed(n, |fault| fault.duration_s /= 2.0));
         }
     }
-    out
+    reductions
 }
--- /dev/null
+++ b/crates/report/src/record/host_load.rs
@@ -0,0 +1,124 @@
+//! The load of each host by second.
+use pointspindle_audit::trace::{TraceEntry, TraceEvent};
+use pointspindle_scenario::Scenario;
+use serde::{Deserialize, Serialize};
+use std::collections::HashMap;
+
+/// A host's load over a run. Times are in seconds since the start of the run.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct HostTimeline {
+    /// Address of the host.
+    pub address: String,
+    /// Name of its role.
+    pub role: String,
+    /// Name of its zone.
+    pub zone: String,
+    /// By second: work that arrived, relative to what the host's link carries.
+    pub load: Vec<f32>,
+    /// When its process crashed.
+    #[serde(rename = "fell")]
+    pub crashed: Vec<f64>,
+    /// When its process started again.
+    pub started: Vec<f64>,
+}
+
+impl HostTimeline {
+    /// Whether the host restarted within this many seconds before `second`.
+    pub(super) fn restarted_within(&self, second: f64, within_s: f64) -> bool {
+        self.started
+            .iter()
+            .any(|at| second >= *at && second < at + within_s)
+    }
+}
+
+/// Where a host stands in the list of timelines.
+#[derive(Clone, Copy)]
+struct HostIndex {
+    index: usize,
+    weight: f64,
+}
+
+struct LoadMeasurement<'a> {
+    zone_names: Vec<String>,
+    /// By class: mean work of a request, in seconds.
+    work_of_class_s: Vec<f64>,
+    seconds: usize,
+    indices: HashMap<&'a str, HostIndex>,
+    hosts: Vec<HostTimeline>,
+}
+
+pub(super) fn measure(scenario: &Scenario, trace: &[TraceEntry]) -> Vec<HostTimeline> {
+    let mut measurement = LoadMeasurement {
+        zone_names: scenario.zones(),
+        work_of_class_s: scenario
+            .class_models()
+            .iter()
+            .map(|class| class.mean_transfer_time as f64 / 1e6)
+            .collect(),
+        seconds: scenario.duration_s.ceil() as usize,
+        indices: HashMap::new(),
+        hosts: Vec::new(),
+    };
+    for entry in trace {
+        measurement.event(entry.at as f64 / 1e6, &entry.event);
+    }
+    measurement.hosts
+}
+
+impl<'a> LoadMeasurement<'a> {
+    fn event(&mut self, at_s: f64, event: &'a TraceEvent) {
+        match event {
+            TraceEvent::HostDeclared {
+                host,
+                role,
+                zone,
+                weight,
+            } => {
+                let index = HostIndex {
+                    index: self.hosts.len(),
+                    weight: *weight,
+                };
+                self.indices.insert(host, index);
+                self.hosts.push(HostTimeline {
+                    address: host.clone(),
+                    role: role.name().into(),
+                    zone: self.zone_names.get(*zone).cloned().unwrap_or_default(),
+                    load: vec![0.0; self.seconds],
+                    crashed: Vec::new(),
+                    started: Vec::new(),
+                });
+            }
+            TraceEvent::AttemptArrived { host, class, .. } => {
+                self.attempt_arrived(at_s, host, *class);
+            }
+            TraceEvent::HostCrashed { host, .. } => {
+                if let Some(timeline) = self.timeline(host) {
+                    timeline.crashed.push(at_s);
+                }
+            }
+            TraceEvent::HostStarted {
+                host, cold: true, ..
+            } => {
+                if let Some(timeline) = self.timeline(host) {
+                    timeline.started.push(at_s);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn timeline(&mut self, host: &str) -> Option<&mut HostTimeline> {
+        let index = self.indices.get(host)?.index;
+        self.hosts.get_mut(index)
+    }
+
+    fn attempt_arrived(&mut self, at_s: f64, host: &str, class: usize) {
+        let Some(host) = self.indices.get(host).copied() else {
+            return;
+        };
+        let work_s = self.work_of_class_s.get(class).copied().unwrap_or(0.0);
+        if let Some(load) = self.hosts[host.index].load.get_mut(at_s as usize) {
+            *load += (work_s / host.weight.max(1e-6)) as f32;
+        }
+    }
+}
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -1,205 +1,283 @@
-//! Many runs at once: seeds, and values of one or two settings. Parallel over cores; what is done already is read and
-//! not played again, so that a sweep that was stopped goes on where it was.
+//! Many runs at once: seeds, and values of one or two settings. They run in parallel over the cores; results that are
+//! saved already are read, so that a sweep that was stopped continues where it was.
 use crate::compare::Figures;
 use crate::folder::write;
-use crate::record::Run;
+use crate::record::{Run, FORMAT_VERSION};
 use crate::ReportError;
 use indicatif::{ProgressBar, ProgressStyle};
+use pointspindle::ObjectId;
 use pointspindle_scenario::{parse_with, SettingOverride};
 use rayon::prelude::*;
 use serde::{Deserialize, Serialize};
 use std::path::{Path, PathBuf};
+use std::str::FromStr;
 
 /// A setting and the values that it takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Vary {
+    /// Section of the scenario.
     pub section: String,
+    /// Key of the setting.
     pub key: String,
+    /// Its values, in order.
     pub values: Vec<String>,
 }
 
-impl std::str::FromStr for Vary {
-    type Err = String;
+/// Why a text names no setting with values.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum VaryError {
+    /// It has not the form `section.key=values`.
+    #[error("{0}")]
+    Override(String),
+    /// One of the values is empty.
+    #[error("{0:?}: an empty value")]
+    EmptyValue(String),
+}
+
+impl FromStr for Vary {
+    type Err = VaryError;
 
-    /// `section.key=a,b,c`
-    fn from_str(text: &str) -> Result<Self, String> {
-        let change: SettingOverride = text.parse()?;
-        let values: Vec<String> = change
+    /// Reads `section.key=a,b,c`.
+    fn from_str(text: &str) -> Result<Self, VaryError> {
+        let setting: SettingOverride = text.parse().map_err(VaryError::Override)?;
+        let values: Vec<String> = setting
             .value
             .split(',')
-            .map(|v| v.trim().to_owned())
+            .map(|value| value.trim().to_owned())
             .collect();
         if values.iter().any(String::is_empty) {
-            return Err(format!("{text:?}: an empty value"));
+            return Err(VaryError::EmptyValue(text.to_owned()));
         }
         Ok(Self {
-            section: change.section,
-            key: change.key,
+            section: setting.section,
+            key: setting.key,
             values,
         })
     }
 }
 
-/// One day of a sweep.
+impl Vary {
+    fn overrides(&self) -> impl Iterator<Item = SettingOverride> + '_ {
+        self.values.iter().map(|value| SettingOverride {
+            section: self.section.clone(),
+            key: self.key.clone(),
+            value: value.clone(),
+        })
+    }
+}
+
+/// One run of a sweep.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
+    /// Seed of the run.
     pub seed: u64,
+    /// Settings that differ from the scenario's.
+    #[serde(rename = "sets")]
     pub sets: Vec<SettingOverride>,
 }
 
+/// A cell with its result.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Played {
+pub struct CellResult {
+    /// The cell.
     pub cell: Cell,
+    /// The figures of its run.
     pub figures: Figures,
 }
 
-/// Every combination of values with every seed, in order.
-pub fn cells(seeds: &[u64], sets: &[SettingOverride], vary: &[Vary]) -> Vec<Cell> {
-    let mut ways = vec![sets.to_vec()];
-    for v in vary {
-        let with = |way: &Vec<SettingOverride>, value: &String| {
-            let new = SettingOverride {
-                section: v.section.clone(),
-                key: v.key.clone(),
-                value: value.clone(),
-            };
-            way.iter()
-                .cloned()
-                .chain([new])
-                .collect::<Vec<SettingOverride>>()
-        };
-        ways = ways
+/// Every combination of values with every seed, in order; the seeds vary fastest.
+pub fn cells(seeds: &[u64], overrides: &[SettingOverride], vary: &[Vary]) -> Vec<Cell> {
+    let mut combinations = vec![overrides.to_vec()];
+    for setting in vary {
+        combinations = combinations
             .iter()
-            .flat_map(|way| v.values.iter().map(move |value| with(way, value)))
+            .flat_map(|combination| {
+                setting
+                    .overrides()
+                    .map(move |value| [&combination[..], &[value]].concat())
+            })
             .collect();
     }
-    let cell = |sets: &Vec<SettingOverride>, seed: &u64| Cell {
-        seed: *seed,
-        sets: sets.clone(),
-    };
-    ways.iter()
-        .flat_map(|sets| seeds.iter().map(move |seed| cell(sets, seed)))
+    combinations
+        .iter()
+        .flat_map(|combination| {
+            seeds.iter().map(move |seed| Cell {
+                seed: *seed,
+                sets: combination.clone(),
+            })
+        })
         .collect()
 }
 
-/// A scenario's text with the name that its complaints tell.
+/// A scenario's text with the name that its error messages give.
 pub struct Source<'a> {
+    /// The name.
     pub name: &'a str,
+    /// The text.
     pub text: &'a str,
 }
 
 impl Source<'_> {
-    fn play(&self, cell: &Cell) -> Result<Figures, ReportError> {
+    fn run(&self, cell: &Cell) -> Result<Figures, ReportError> {
         let scenario = parse_with(self.name, self.text, Some(cell.seed), &cell.sets)?;
-        let (run, _) = Run::play(&scenario, &cell.sets).map_err(ReportError::Run)?;
+        let (run, _) = Run::play(&scenario, &cell.sets)?;
         Ok(Figures::of(&run))
     }
 }
 
-/// The file of a cell: its name is a number of all that decides the day, so that another text or build's form is
-/// another file.
-fn file(folder: &Path, source: &Source, cell: &Cell) -> PathBuf {
-    let words: String = cell.sets.iter().map(|s| format!("{s}\n")).collect();
-    let all = format!(
-        "{}\n{}\n{words}{}",
-        crate::record::FORM,
-        cell.seed,
-        source.text
+/// The file of a cell's result. Its name is a hash of all that decides the run, so that another text, or another
+/// build's format, gives another file.
+fn result_file(folder: &Path, source: &Source, cell: &Cell) -> PathBuf {
+    let overrides: String = cell.sets.iter().map(|set| format!("{set}\n")).collect();
+    let identity = format!(
+        "{FORMAT_VERSION}\n{}\n{overrides}{}",
+        cell.seed, source.text
     );
-    folder.join("days").join(format!(
-        "{:016x}.json",
-        pointspindle::ObjectId::named(&all).0
-    ))
+    let hash = ObjectId::named(&identity).0;
+    folder.join("days").join(format!("{hash:016x}.json"))
+}
+
+/// Reads a saved result. A file that is not a result of this cell is ignored, and written over later.
+fn load_result(path: &Path, cell: &Cell) -> Option<CellResult> {
+    let bytes = std::fs::read(path).ok()?;
+    let result: CellResult = serde_json::from_slice(&bytes).ok()?;
+    Some(result).filter(|result| result.cell == *cell)
+}
+
+/// The result of a cell: read from the folder if it is saved there, else run and saved.
+fn run_cell(
+    source: &Source,
+    cell: &Cell,
+    folder: Option<&Path>,
+) -> Result<CellResult, ReportError> {
+    let path = folder.map(|folder| result_file(folder, source, cell));
+    let saved = path.as_ref().and_then(|path| load_result(path, cell));
+    if let Some(saved) = saved {
+        return Ok(saved);
+    }
+    let result = CellResult {
+        cell: cell.clone(),
+        figures: source.run(cell)?,
+    };
+    if let Some(path) = &path {
+        let json = serde_json::to_vec(&result).expect("a result is plain data");
+        write(path, &json)?;
+    }
+    Ok(result)
 }
 
-/// Plays what is not in the folder yet. The order of the answer is that of the cells, whatever ran first.
+fn progress_bar(length: usize, quiet: bool) -> ProgressBar {
+    if quiet {
+        return ProgressBar::hidden();
+    }
+    let bar = ProgressBar::new(length as u64);
+    let template = "{bar:40} {pos}/{len} days, {elapsed} gone, {eta} to go";
+    if let Ok(style) = ProgressStyle::with_template(template) {
+        bar.set_style(style);
+    }
+    bar
+}
+
+/// Runs the cells whose results are not in the folder yet, on `jobs` threads. The results are in the order of the
+/// cells, whichever ran first.
 pub fn run(
     source: &Source,
     cells: &[Cell],
     folder: Option<&Path>,
     jobs: usize,
     quiet: bool,
-) -> Result<Vec<Played>, ReportError> {
-    let bar = if quiet {
-        ProgressBar::hidden()
-    } else {
-        ProgressBar::new(cells.len() as u64)
-    };
-    if let Ok(style) =
-        ProgressStyle::with_template("{bar:40} {pos}/{len} days, {elapsed} gone, {eta} to go")
-    {
-        bar.set_style(style);
-    }
-    let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build();
-    let pool = pool.map_err(|e| ReportError::Run(format!("no threads: {e}")))?;
-    let one = |cell: &Cell| -> Result<Played, ReportError> {
-        let path = folder.map(|f| file(f, source, cell));
-        let known = path.as_ref().and_then(|p| std::fs::read(p).ok());
-        // A file that is no day of ours is played again and written over.
-        let known = known.and_then(|bytes| serde_json::from_slice::<Played>(&bytes).ok());
-        let played = match known.filter(|k| k.cell == *cell) {
-            Some(known) => known,
-            None => {
-                let played = Played {
-                    cell: cell.clone(),
-                    figures: source.play(cell)?,
-                };
-                if let Some(path) = &path {
-                    write(path, &serde_json::to_vec(&played).expect("plain data"))?;
-                }
-                played
-            }
-        };
+) -> Result<Vec<CellResult>, ReportError> {
+    let bar = progress_bar(cells.len(), quiet);
+    let pool = rayon::ThreadPoolBuilder::new()
+        .num_threads(jobs)
+        .build()
+        .map_err(|error| ReportError::Run(format!("no threads: {error}")))?;
+    let run_one = |cell: &Cell| {
+        let result = run_cell(source, cell, folder)?;
         bar.inc(1);
-        Ok(played)
+        Ok(result)
     };
-    let out = pool.install(|| cells.par_iter().map(one).collect());
+    let results = pool.install(|| cells.par_iter().map(run_one).collect());
     bar.finish_and_clear();
-    out
+    results
 }
 
-/// Means over the days of one way.
+/// Means over the runs with the same overrides.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct SweepRow {
+    /// The overrides, as text.
+    #[serde(rename = "way")]
     pub way: String,
+    /// Number of runs.
+    #[serde(rename = "days")]
     pub days: usize,
+    /// Mean service.
     pub service: f64,
+    /// Lowest service of a run.
+    #[serde(rename = "least")]
     pub least: f64,
+    /// Highest service of a run.
+    #[serde(rename = "most")]
     pub most: f64,
+    /// Mean service over the worst 10 s.
     pub worst_10s: f64,
+    /// Mean of the weighted objective.
     pub goal: f64,
+    /// Hosts that crashed by overload during their warm-up, over all runs.
+    #[serde(rename = "fallen")]
     pub fallen: usize,
+    /// Number of runs with a violation.
+    #[serde(rename = "broken")]
     pub broken: usize,
 }
 
-pub fn rows(played: &[Played]) -> Vec<Row> {
-    let mut ways: Vec<(String, Vec<Figures>)> = Vec::new();
-    for p in played {
-        let way: Vec<String> = p.cell.sets.iter().map(|s| s.to_string()).collect();
-        let way = if way.is_empty() {
-            "as it is".to_owned()
-        } else {
-            way.join(" ")
-        };
-        match ways.iter_mut().find(|(w, _)| *w == way) {
-            Some((_, all)) => all.push(p.figures),
-            None => ways.push((way, vec![p.figures])),
+/// The runs with the same overrides.
+struct RunGroup {
+    overrides: String,
+    figures: Vec<Figures>,
+}
+
+/// A row for each combination of overrides, in the order of their first cells.
+pub fn rows(results: &[CellResult]) -> Vec<SweepRow> {
+    let mut groups: Vec<RunGroup> = Vec::new();
+    for result in results {
+        let overrides = overrides_text(&result.cell.sets);
+        match groups.iter_mut().find(|group| group.overrides == overrides) {
+            Some(group) => group.figures.push(result.figures),
+            None => groups.push(RunGroup {
+                overrides,
+                figures: vec![result.figures],
+            }),
         }
     }
-    ways.into_iter().map(|(way, all)| row(way, &all)).collect()
-}
-
-pub fn row(way: String, all: &[Figures]) -> Row {
-    let mean = |of: fn(&Figures) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
-    Row {
-        way,
-        days: all.len(),
-        service: mean(|f| f.service),
-        least: all.iter().map(|f| f.service).fold(f64::MAX, f64::min),
-        most: all.iter().map(|f| f.service).fold(0.0, f64::max),
-        worst_10s: mean(|f| f.worst_10s),
-        goal: mean(|f| f.goal),
-        fallen: all.iter().map(|f| f.fallen).sum(),
-        broken: all.iter().filter(|f| f.breaches > 0).count(),
+    groups
+        .into_iter()
+        .map(|group| row(group.overrides, &group.figures))
+        .collect()
+}
+
+fn overrides_text(overrides: &[SettingOverride]) -> String {
+    if overrides.is_empty() {
+        return "as it is".to_owned();
+    }
+    let texts: Vec<String> = overrides.iter().map(ToString::to_string).collect();
+    texts.join(" ")
+}
+
+/// The row of these runs under this name.
+pub fn row(name: String, runs: &[Figures]) -> SweepRow {
+    let mean =
+        |figure: fn(&Figures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
+    let services = || runs.iter().map(|run| run.service);
+    SweepRow {
+        way: name,
+        days: runs.len(),
+        service: mean(|run| run.service),
+        least: services().fold(f64::MAX, f64::min),
+        most: services().fold(0.0, f64::max),
+        worst_10s: mean(|run| run.worst_10s),
+        goal: mean(|run| run.goal),
+        fallen: runs.iter().map(|run| run.fallen).sum(),
+        broken: runs.iter().filter(|run| run.breaches > 0).count(),
     }
 }
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -1,4 +1,4 @@
-//! A [`View`] on a terminal.
+//! Draws a [`View`] on a terminal.
 use crate::watch::{HostState, HostView, Tally, View};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style, Stylize};
@@ -9,9 +9,9 @@
 /// Darker is busier, as in the report's heat map.
 const SHADES: [char; 5] = ['·', '░', '▒', '▓', '█'];
 
-/// Draws all of it; `hint` tells the keys.
+/// Draws the whole view; `hint` lists the keys.
 pub fn draw(view: &View, hint: &str, frame: &mut Frame) {
-    let [head, tries, hosts, words, keys] = Layout::vertical([
+    let [progress, outcomes, hosts, messages, keys] = Layout::vertical([
         Constraint::Length(3),
         Constraint::Length(11),
         Constraint::Fill(2),
@@ -19,90 +19,129 @@
         Constraint::Length(1),
     ])
     .areas(frame.area());
-    progress(view, frame, head);
-    outcomes(view, frame, tries);
-    members(view, frame, hosts);
-    said(view, frame, words);
+    draw_progress(view, frame, progress);
+    draw_outcomes(view, frame, outcomes);
+    draw_hosts(view, frame, hosts);
+    draw_messages(view, frame, messages);
     frame.render_widget(Paragraph::new(hint.to_owned()).dim(), keys);
 }
 
-fn progress(view: &View, frame: &mut Frame, area: Rect) {
-    let now = view.now as f64 / 1e6;
+fn draw_progress(view: &View, frame: &mut Frame, area: Rect) {
+    let now_s = view.now as f64 / 1e6;
     let label = format!(
-        "{now:.1} of {:.0} s, {} tries open, {} of {} dispatchers up, {} hosts fallen",
-        view.seconds,
-        view.open,
+        "{now_s:.1} of {:.0} s, {} tries open, {} of {} dispatchers up, {} hosts fallen",
+        view.duration_s,
+        view.open_requests(),
         view.dispatchers - view.dispatchers_down.min(view.dispatchers),
         view.dispatchers,
-        view.fallen
+        view.cold_crashes
     );
-    let ratio = (now / view.seconds.max(1e-9)).clamp(0.0, 1.0);
+    let ratio = (now_s / view.duration_s.max(1e-9)).clamp(0.0, 1.0);
     let block = Block::bordered().title(view.title.clone());
-    frame.render_widget(
-        Gauge::default().block(block).ratio(ratio).label(label),
-        area,
-    );
+    let gauge = Gauge::default().block(block).ratio(ratio).label(label);
+    frame.render_widget(gauge, area);
+}
+
+/// A count of outcomes by second, with its total.
+struct OutcomeRow {
+    name: &'static str,
+    count: fn(&Tally) -> u64,
+    color: Color,
 }
 
-/// The seconds that fit, newest at the right.
-fn outcomes(view: &View, frame: &mut Frame, area: Rect) {
-    type Row = (&'static str, fn(&Tally) -> u64, Color);
-    let rows: [Row; 4] = [
-        ("served", |t| t.served, Color::Green),
-        ("of old copies", |t| t.old, Color::Yellow),
-        ("refused", |t| t.refused, Color::Magenta),
-        ("failed", |t| t.failed, Color::Red),
-    ];
+const OUTCOME_ROWS: [OutcomeRow; 4] = [
+    OutcomeRow {
+        name: "served",
+        count: |tally| tally.served,
+        color: Color::Green,
+    },
+    OutcomeRow {
+        name: "of old copies",
+        count: |tally| tally.stale,
+        color: Color::Yellow,
+    },
+    OutcomeRow {
+        name: "refused",
+        count: |tally| tally.rejected,
+        color: Color::Magenta,
+    },
+    OutcomeRow {
+        name: "failed",
+        count: |tally| tally.failed,
+        color: Color::Red,
+    },
+];
+
+fn draw_outcomes(view: &View, frame: &mut Frame, area: Rect) {
     let block = Block::bordered().title("tries by the second in which they ended");
     let inner = block.inner(area);
     frame.render_widget(block, area);
     let areas: [Rect; 4] = Layout::vertical([Constraint::Fill(2); 4]).areas(inner);
-    let second = (view.now / 1_000_000) as usize;
-    let sum = view.sum();
-    let most = view.tallies.iter().map(|t| t.served).max().unwrap_or(0);
-    for ((name, of, color), area) in rows.into_iter().zip(areas) {
-        let [text, line] =
-            Layout::horizontal([Constraint::Length(24), Constraint::Fill(1)]).areas(area);
-        let from = (second + 1).saturating_sub(line.width as usize);
-        let shown: Vec<u64> = view
-            .tallies
-            .iter()
-            .take(second + 1)
-            .skip(from)
-            .map(of)
-            .collect();
-        frame.render_widget(Paragraph::new(format!("{name:<14}{:>8}", of(&sum))), text);
-        // One scale for all four: a few failures must not look like many.
-        frame.render_widget(
-            Sparkline::default()
-                .data(shown)
-                .max(most.max(1))
-                .style(color),
-            line,
-        );
+    for (row, area) in OUTCOME_ROWS.iter().zip(areas) {
+        draw_outcome_row(view, row, frame, area);
     }
 }
 
-/// One sign a member, a row a location and role.
-fn members(view: &View, frame: &mut Frame, area: Rect) {
-    let title =
-        "load of the last second: · idle to █ full, red beyond; C cold, x down, o out by the list";
-    let block = Block::bordered().title(title);
-    let mut rows: Vec<(String, Vec<Span>)> = Vec::new();
+/// The seconds that fit, the newest at the right.
+fn draw_outcome_row(view: &View, row: &OutcomeRow, frame: &mut Frame, area: Rect) {
+    let columns = Layout::horizontal([Constraint::Length(24), Constraint::Fill(1)]);
+    let [text_area, line_area] = columns.areas(area);
+    let total = (row.count)(&view.total());
+    let text = format!("{:<14}{total:>8}", row.name);
+    frame.render_widget(Paragraph::new(text), text_area);
+    let seconds = (view.now / 1_000_000) as usize + 1;
+    let shown: Vec<u64> = view
+        .tallies
+        .iter()
+        .take(seconds)
+        .skip(seconds.saturating_sub(line_area.width as usize))
+        .map(row.count)
+        .collect();
+    // All rows have the same scale: a few failures must not look like many.
+    let most_served = view.tallies.iter().map(|tally| tally.served).max();
+    let line = Sparkline::default()
+        .data(shown)
+        .max(most_served.unwrap_or(0).max(1))
+        .style(row.color);
+    frame.render_widget(line, line_area);
+}
+
+/// The hosts of a zone and role, a symbol each.
+struct HostRow {
+    name: String,
+    symbols: Vec<Span<'static>>,
+}
+
+fn host_rows(view: &View) -> Vec<HostRow> {
+    let mut rows: Vec<HostRow> = Vec::new();
     for host in &view.hosts {
         let name = format!("{} {}", host.zone, host.role);
-        let span = sign(host);
-        match rows.iter_mut().find(|(n, _)| *n == name) {
-            Some((_, spans)) => spans.push(span),
-            None => rows.push((name, vec![span])),
+        let symbol = host_symbol(host);
+        match rows.iter_mut().find(|row| row.name == name) {
+            Some(row) => row.symbols.push(symbol),
+            None => rows.push(HostRow {
+                name,
+                symbols: vec![symbol],
+            }),
         }
     }
-    let room = block.inner(area).height as usize;
-    let left_out = rows.len().saturating_sub(room);
+    rows
+}
+
+fn draw_hosts(view: &View, frame: &mut Frame, area: Rect) {
+    let title =
+        "load of the last second: · idle to █ full, red beyond; C cold, x down, o out by the list";
+    let block = Block::bordered().title(title);
+    let rows = host_rows(view);
+    let height = block.inner(area).height as usize;
+    let left_out = rows.len().saturating_sub(height);
     let mut lines: Vec<Line> = rows
         .into_iter()
-        .take(room)
-        .map(|(name, spans)| Line::from([vec![Span::raw(format!("{name:<20}"))], spans].concat()))
+        .take(height)
+        .map(|row| {
+            let name = Span::raw(format!("{:<20}", row.name));
+            Line::from([vec![name], row.symbols].concat())
+        })
         .collect();
     if left_out > 0 && !lines.is_empty() {
         lines.pop();
@@ -111,9 +150,10 @@
     frame.render_widget(Paragraph::new(lines).block(block), area);
 }
 
-fn sign(host: &HostView) -> Span<'static> {
+fn host_symbol(host: &HostView) -> Span<'static> {
     let load = host.load();
-    let shade = SHADES[((load * SHADES.len() as f64) as usize).min(SHADES.len() - 1)].to_string();
+    let level = (load * SHADES.len() as f64) as usize;
+    let shade = SHADES[level.min(SHADES.len() - 1)].to_string();
     match host.state {
         HostState::Down => Span::styled("x", Style::new().fg(Color::Red)),
         HostState::Out => Span::styled("o", Style::new().fg(Color::DarkGray)),
@@ -123,99 +163,18 @@
     }
 }
 
-fn said(view: &View, frame: &mut Frame, area: Rect) {
+/// The messages that fit, the newest at the bottom.
+fn draw_messages(view: &View, frame: &mut Frame, area: Rect) {
     let block = Block::bordered().title("what happened");
-    let room = block.inner(area).height as usize;
-    let from = view.words.len().saturating_sub(room);
-    let line =
-        |(at, text): &(u64, String)| Line::from(format!("{:>8.1} s  {text}", *at as f64 / 1e6));
-    let lines: Vec<Line> = view.words.iter().skip(from).map(line).collect();
+    let height = block.inner(area).height as usize;
+    let lines: Vec<Line> = view
+        .messages
+        .iter()
+        .skip(view.messages.len().saturating_sub(height))
+        .map(|message| {
+            let at_s = message.at as f64 / 1e6;
+            Line::from(format!("{at_s:>8.1} s  {}", message.text))
+        })
+        .collect();
     frame.render_widget(Paragraph::new(lines).block(block), area);
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use pointspindle_scenario as scenario;
-    use pointspindle_simulator as simulator;
-    use ratatui::backend::TestBackend;
-    use ratatui::Terminal;
-
-    /// A day with a hub's restart, looked at as it goes: what the screen says is what the run's figures say.
-    #[test]
-    fn a_day_as_it_goes_shows_its_restart_and_ends_with_its_figures() {
-        let file = concat!(
-            env!("CARGO_MANIFEST_DIR"),
-            "/../../scenarios/hub-restart-late-lists.ini"
-        );
-        let scenario = scenario::load(std::path::Path::new(file), Some(3)).unwrap();
-        let played = simulator::run(&scenario, None).unwrap();
-        let mut view = View::new(&scenario);
-        let mut terminal = Terminal::new(TestBackend::new(110, 34)).unwrap();
-        let (mut down, mut cold) = (0, 0);
-        for sight in &played.trace {
-            view.take(sight);
-            view.to(sight.at);
-            let of = |wanted: fn(&HostState) -> bool| {
-                view.hosts.iter().filter(|h| wanted(&h.state)).count()
-            };
-            down = down.max(of(|s| *s == HostState::Down));
-            cold = cold.max(of(|s| matches!(s, HostState::Cold(_))));
-        }
-        terminal.draw(|frame| draw(&view, "q ends", frame)).unwrap();
-        let screen: String = terminal
-            .backend()
-            .buffer()
-            .content
-            .iter()
-            .map(|c| c.symbol())
-            .collect();
-        assert!(
-            down >= scenario.fleet.caches_per_branch && cold >= scenario.fleet.caches_per_branch,
-            "{down} down, {cold} cold"
-        );
-        let asked = played.service.tries;
-        let sum = view.sum();
-        assert!(
-            sum.served + sum.refused + sum.failed <= asked && sum.served * 2 > asked,
-            "{sum:?} of {asked}"
-        );
-        for words in [
-            "served",
-            "branch-1 cache",
-            "hub-1 parent",
-            "hub_restart",
-            "q ends",
-        ] {
-            assert!(
-                screen.contains(words),
-                "{words:?} is not on the screen:\n{screen}"
-            );
-        }
-        assert!(screen.contains(&sum.served.to_string()));
-        assert_eq!(
-            view.fallen,
-            pointspindle_audit::count_cold_crashes(&played.trace)
-        );
-    }
-
-    /// A terminal too small for anything is no panic.
-    #[test]
-    fn any_size_of_screen_will_do() {
-        let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
-        let scenario = scenario::load(std::path::Path::new(file), None).unwrap();
-        let mut view = View::new(&scenario);
-        for sight in simulator::run(&scenario, None)
-            .unwrap()
-            .trace
-            .iter()
-            .take(5_000)
-        {
-            view.take(sight);
-        }
-        for (width, height) in [(1, 1), (10, 4), (40, 16), (300, 100)] {
-            let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
-            terminal.draw(|frame| draw(&view, "", frame)).unwrap();
-        }
-    }
-}
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -1,247 +1,331 @@
-//! What can be seen of a day while it goes: fed sight by sight, looked at at any time.
+//! What can be seen of a run while it goes on: it takes event by event and can be shown at any time.
 //!
-//! Kept: a line for each second and each member of the day, a window's work for each member, and the last words of the
-//! script. Sights may come a little out of order, as they do from sockets.
+//! It keeps a tally for each second, the last second's work for each host, and the latest messages. Events may come a
+//! little out of order, as they do from sockets.
 use pointspindle::Micros;
 use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
+use pointspindle_cache_model::Role;
 use pointspindle_scenario::Scenario;
 use std::collections::{HashMap, VecDeque};
 
-/// Loads are means over this.
-const WINDOW: Micros = 1_000_000;
-/// Words of the script that are kept.
-const WORDS: usize = 200;
+/// Loads are means over this time, in microseconds.
+const LOAD_WINDOW_US: Micros = 1_000_000;
+/// Number of messages that are kept.
+const MAX_MESSAGES: usize = 200;
 
-/// How tries that ended in a second did.
+/// How the requests that ended within a second ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
+    /// Served, stale responses included.
     pub served: u64,
-    pub old: u64,
-    pub refused: u64,
+    /// Served with a stale response.
+    pub stale: u64,
+    /// Rejected.
+    pub rejected: u64,
+    /// Failed otherwise.
     pub failed: u64,
 }
 
+impl Tally {
+    fn count(&mut self, outcome: &ClientOutcome) {
+        match outcome {
+            ClientOutcome::Served {
+                version: Some(_),
+                stale,
+                ..
+            } => {
+                self.served += 1;
+                self.stale += u64::from(*stale);
+            }
+            ClientOutcome::Rejected { .. } => self.rejected += 1,
+            ClientOutcome::Cancelled => {}
+            _ => self.failed += 1,
+        }
+    }
+
+    fn add(&mut self, other: &Self) {
+        self.served += other.served;
+        self.stale += other.stale;
+        self.rejected += other.rejected;
+        self.failed += other.failed;
+    }
+}
+
+/// The state of a host as far as it shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
+    /// Takes requests.
     Up,
-    /// Lists say that it drains or has gone.
+    /// Draining or removed, by the endpoint list.
     Out,
-    /// Since then it warms up.
+    /// Warming up since this time.
     Cold(Micros),
+    /// Its process is not running.
     Down,
 }
 
+/// A host on the screen.
 #[derive(Clone, Debug)]
 pub struct HostView {
-    pub address: String,
+    /// Name of its role.
     pub role: &'static str,
+    /// Name of its zone.
     pub zone: String,
+    /// Its state.
     pub state: HostState,
     weight: f64,
-    warm_within: Micros,
-    sent: VecDeque<(Micros, f64)>,
+    warm_up_duration: Micros,
+    arrivals: VecDeque<Arrival>,
+}
+
+/// Work that arrived at a host.
+#[derive(Clone, Copy, Debug)]
+struct Arrival {
+    at: Micros,
+    work_s: f64,
 }
 
 impl HostView {
-    /// Work that reached it in the last second, over what its link carries.
+    /// Work that arrived in the last second, relative to what the host's link carries.
     pub fn load(&self) -> f64 {
-        let sum: f64 = self.sent.iter().map(|s| s.1).sum();
-        sum / self.weight.max(1e-6) / (WINDOW as f64 / 1e6)
+        let work_s: f64 = self.arrivals.iter().map(|arrival| arrival.work_s).sum();
+        work_s / self.weight.max(1e-6) / (LOAD_WINDOW_US as f64 / 1e6)
+    }
+
+    fn advance_to(&mut self, now: Micros) {
+        while let Some(first) = self.arrivals.front() {
+            if first.at + LOAD_WINDOW_US >= now {
+                break;
+            }
+            self.arrivals.pop_front();
+        }
+        if let HostState::Cold(since) = self.state {
+            if now >= since + self.warm_up_duration {
+                self.state = HostState::Up;
+            }
+        }
+    }
+}
+
+/// Something that happened, for people.
+#[derive(Clone, Debug)]
+pub struct Message {
+    /// When it happened, in microseconds since the start of the run.
+    pub at: Micros,
+    /// What happened.
+    pub text: String,
+}
+
+/// What a scenario says of its hosts and classes.
+#[derive(Debug)]
+struct ScenarioFacts {
+    /// By class: mean work of a request, in seconds.
+    work_of_class_s: Vec<f64>,
+    zone_names: Vec<String>,
+    cache_warm_up: Micros,
+    parent_warm_up: Micros,
+}
+
+impl ScenarioFacts {
+    fn of(scenario: &Scenario) -> Self {
+        Self {
+            work_of_class_s: scenario
+                .class_models()
+                .iter()
+                .map(|class| class.mean_transfer_time as f64 / 1e6)
+                .collect(),
+            zone_names: scenario.zones(),
+            cache_warm_up: scenario.warm_up_spec(Role::Cache).duration,
+            parent_warm_up: scenario.warm_up_spec(Role::Parent).duration,
+        }
     }
 }
 
+/// A run while it goes on.
 #[derive(Debug)]
 pub struct View {
+    /// Name, description and seed of the run.
     pub title: String,
-    pub seconds: f64,
+    /// Length of the run, in seconds.
+    pub duration_s: f64,
+    /// How far the run has come, in microseconds.
     pub now: Micros,
+    /// By the second in which requests ended.
     pub tallies: Vec<Tally>,
+    /// The hosts, in the order of their declaration.
     pub hosts: Vec<HostView>,
-    pub words: VecDeque<(Micros, String)>,
+    /// The latest messages, the newest last.
+    pub messages: VecDeque<Message>,
+    /// Number of dispatchers that are down.
     pub dispatchers_down: usize,
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Members that fell over by themselves.
-    pub fallen: usize,
-    pub open: usize,
-    work: Vec<f64>,
-    zones: Vec<String>,
-    warm: (Micros, Micros),
-    places: HashMap<String, usize>,
-    asked: HashMap<ClientAttemptId, Micros>,
+    /// Hosts that crashed by overload during their warm-up.
+    pub cold_crashes: usize,
+    facts: ScenarioFacts,
+    index_of_host: HashMap<String, usize>,
+    open_requests: HashMap<ClientAttemptId, Micros>,
 }
 
 impl View {
+    /// The run before its first event.
     pub fn new(scenario: &Scenario) -> Self {
-        let warm = |role| scenario.warm_up_spec(role).duration;
+        let seconds = scenario.duration_s.ceil() as usize + 1;
         Self {
             title: format!(
                 "{}: {} (seed {})",
                 scenario.name, scenario.description, scenario.seed
             ),
-            seconds: scenario.duration_s,
+            duration_s: scenario.duration_s,
             now: 0,
-            tallies: vec![Tally::default(); scenario.duration_s.ceil() as usize + 1],
+            tallies: vec![Tally::default(); seconds],
             hosts: Vec::new(),
-            words: VecDeque::new(),
+            messages: VecDeque::new(),
             dispatchers_down: 0,
             dispatchers: scenario.dispatcher_count(),
-            fallen: 0,
-            open: 0,
-            work: scenario
-                .class_models()
-                .iter()
-                .map(|c| c.mean_transfer_time as f64 / 1e6)
-                .collect(),
-            zones: scenario.zones(),
-            warm: (
-                warm(pointspindle_cache_model::Role::Cache),
-                warm(pointspindle_cache_model::Role::Parent),
-            ),
-            places: HashMap::new(),
-            asked: HashMap::new(),
+            cold_crashes: 0,
+            facts: ScenarioFacts::of(scenario),
+            index_of_host: HashMap::new(),
+            open_requests: HashMap::new(),
         }
     }
 
-    /// The day has come so far, whether anything was seen or not.
+    /// Advances the view's clock, in microseconds since the start of the run, whether or not anything happened.
     pub fn to(&mut self, now: Micros) {
         self.now = self.now.max(now);
-        let now = self.now;
         for host in &mut self.hosts {
-            while host.sent.front().is_some_and(|s| s.0 + WINDOW < now) {
-                host.sent.pop_front();
-            }
-            if matches!(host.state, HostState::Cold(since) if now >= since + host.warm_within) {
-                host.state = HostState::Up;
-            }
+            host.advance_to(self.now);
         }
     }
 
-    pub fn take(&mut self, sight: &TraceEntry) {
-        let at = sight.at;
+    /// Takes an event of the run.
+    pub fn take(&mut self, entry: &TraceEntry) {
+        let at = entry.at;
         self.now = self.now.max(at);
-        match &sight.event {
+        match &entry.event {
             TraceEvent::HostDeclared {
                 host,
                 role,
                 zone,
                 weight,
-            } => {
-                let warm_within = if *role == pointspindle_cache_model::Role::Parent {
-                    self.warm.1
-                } else {
-                    self.warm.0
-                };
-                self.places.insert(host.clone(), self.hosts.len());
-                self.hosts.push(HostView {
-                    address: host.clone(),
-                    role: role.name(),
-                    zone: self.zones.get(*zone).cloned().unwrap_or_default(),
-                    state: HostState::Up,
-                    weight: *weight,
-                    warm_within,
-                    sent: VecDeque::new(),
-                });
-            }
-            TraceEvent::RequestSent { id, .. } => {
-                self.asked.insert(*id, at);
-                self.open = self.asked.len();
-            }
-            TraceEvent::RequestEnded { id, outcome: end } => {
-                if self.asked.remove(id).is_none() {
-                    return;
-                }
-                self.open = self.asked.len();
-                let Some(tally) = self.tallies.get_mut((at / 1_000_000) as usize) else {
-                    return;
-                };
-                match end {
-                    ClientOutcome::Served {
-                        version: Some(_),
-                        stale: old,
-                        ..
-                    } => {
-                        tally.served += 1;
-                        tally.old += u64::from(*old);
-                    }
-                    ClientOutcome::Rejected { .. } => tally.refused += 1,
-                    ClientOutcome::Cancelled => {}
-                    _ => tally.failed += 1,
-                }
-            }
+            } => self.host_declared(host, *role, *zone, *weight),
+            TraceEvent::RequestSent { id, .. } => _ = self.open_requests.insert(*id, at),
+            TraceEvent::RequestEnded { id, outcome } => self.request_ended(at, id, outcome),
             TraceEvent::AttemptArrived { host, class, .. } => {
-                let work = self.work.get(*class).copied().unwrap_or(0.0);
-                if let Some(host) = self.host(host) {
-                    host.sent.push_back((at, work));
-                }
-            }
-            TraceEvent::HostCrashed { host, reason: why } => {
-                // The script's own words tell of the others.
-                if why.contains("cold") {
-                    self.fallen += 1;
-                    self.say(at, format!("{host} fell over: {why}"));
-                }
-                self.state(host, HostState::Down);
+                self.attempt_arrived(at, host, *class);
             }
+            TraceEvent::HostCrashed { host, reason } => self.host_crashed(at, host, reason),
             TraceEvent::HostStarted { host, cold, .. } => {
-                self.state(
-                    host,
-                    if *cold {
-                        HostState::Cold(at)
-                    } else {
-                        HostState::Up
-                    },
-                );
+                let state = if *cold {
+                    HostState::Cold(at)
+                } else {
+                    HostState::Up
+                };
+                self.set_state(host, state);
             }
             TraceEvent::EndpointListDelivered {
-                not_ready: out,
+                not_ready,
                 full: false,
                 ..
-            } => {
-                for host in out {
-                    if self.host(host).is_some_and(|h| h.state == HostState::Up) {
-                        self.state(host, HostState::Out);
-                    }
-                }
-            }
+            } => self.hosts_not_ready(not_ready),
             TraceEvent::DispatcherKilled { dispatcher } => {
                 self.dispatchers_down += 1;
-                self.say(at, format!("dispatcher {dispatcher} is killed"));
+                self.add_message(at, format!("dispatcher {dispatcher} is killed"));
             }
             TraceEvent::DispatcherStarted { dispatcher } => {
                 self.dispatchers_down = self.dispatchers_down.saturating_sub(1);
-                self.say(at, format!("dispatcher {dispatcher} is back"));
+                self.add_message(at, format!("dispatcher {dispatcher} is back"));
             }
-            TraceEvent::ScriptNote { text } => self.say(at, text.clone()),
+            TraceEvent::ScriptNote { text } => self.add_message(at, text.clone()),
             _ => {}
         }
     }
 
+    fn host_declared(&mut self, address: &str, role: Role, zone: usize, weight: f64) {
+        let warm_up_duration = if role == Role::Parent {
+            self.facts.parent_warm_up
+        } else {
+            self.facts.cache_warm_up
+        };
+        self.index_of_host
+            .insert(address.to_owned(), self.hosts.len());
+        self.hosts.push(HostView {
+            role: role.name(),
+            zone: self.facts.zone_names.get(zone).cloned().unwrap_or_default(),
+            state: HostState::Up,
+            weight,
+            warm_up_duration,
+            arrivals: VecDeque::new(),
+        });
+    }
+
+    fn request_ended(&mut self, at: Micros, id: &ClientAttemptId, outcome: &ClientOutcome) {
+        if self.open_requests.remove(id).is_none() {
+            return;
+        }
+        if let Some(tally) = self.tallies.get_mut((at / 1_000_000) as usize) {
+            tally.count(outcome);
+        }
+    }
+
+    fn attempt_arrived(&mut self, at: Micros, address: &str, class: usize) {
+        let work_s = self.facts.work_of_class_s.get(class).copied();
+        if let Some(host) = self.host(address) {
+            host.arrivals.push_back(Arrival {
+                at,
+                work_s: work_s.unwrap_or(0.0),
+            });
+        }
+    }
+
+    fn host_crashed(&mut self, at: Micros, address: &str, reason: &str) {
+        // Other crashes are the script's, which has a note for them.
+        if reason.contains("cold") {
+            self.cold_crashes += 1;
+            self.add_message(at, format!("{address} fell over: {reason}"));
+        }
+        self.set_state(address, HostState::Down);
+    }
+
+    fn hosts_not_ready(&mut self, addresses: &[String]) {
+        for address in addresses {
+            if let Some(host) = self.host(address) {
+                if host.state == HostState::Up {
+                    host.state = HostState::Out;
+                }
+            }
+        }
+    }
+
     fn host(&mut self, address: &str) -> Option<&mut HostView> {
-        self.places
-            .get(address)
-            .and_then(|place| self.hosts.get_mut(*place))
+        let index = self.index_of_host.get(address)?;
+        self.hosts.get_mut(*index)
     }
 
-    fn state(&mut self, address: &str, state: HostState) {
+    fn set_state(&mut self, address: &str, state: HostState) {
         if let Some(host) = self.host(address) {
             host.state = state;
         }
     }
 
-    fn say(&mut self, at: Micros, text: String) {
-        self.words.push_back((at, text));
-        while self.words.len() > WORDS {
-            self.words.pop_front();
+    fn add_message(&mut self, at: Micros, text: String) {
+        self.messages.push_back(Message { at, text });
+        while self.messages.len() > MAX_MESSAGES {
+            self.messages.pop_front();
         }
     }
 
-    /// Of all tries that ended so far.
-    pub fn sum(&self) -> Tally {
-        self.tallies.iter().fold(Tally::default(), |a, b| Tally {
-            served: a.served + b.served,
-            old: a.old + b.old,
-            refused: a.refused + b.refused,
-            failed: a.failed + b.failed,
-        })
+    /// Number of requests that have not ended.
+    pub fn open_requests(&self) -> usize {
+        self.open_requests.len()
+    }
+
+    /// Tally of all requests that have ended so far.
+    pub fn total(&self) -> Tally {
+        let mut total = Tally::default();
+        for tally in &self.tallies {
+            total.add(tally);
+        }
+        total
     }
 }
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,11 +1,11 @@
-//! Runs kept and read again, sweeps that go on where they were, hunts that cut down, pages that load nothing.
+//! Saved runs, sweeps that continue, hunts that reduce their findings, and pages that load nothing from outside.
 use pointspindle_audit::trace::ClientAttemptId;
 use pointspindle_report::record::Run;
 use pointspindle_report::sweep::{cells, rows, run, Source, Vary};
 use pointspindle_report::{folder, html, hunt};
 use pointspindle_scenario::{parse_with, SettingOverride};
 
-const DAY: &str = "
+const SCENARIO: &str = "
 [day]
 about = a small day
 seconds = 14
@@ -38,34 +38,37 @@
 
 const SOURCE: Source = Source {
     name: "day.ini",
-    text: DAY,
+    text: SCENARIO,
 };
 
-fn changes(words: &[&str]) -> Vec<SettingOverride> {
-    words.iter().map(|w| w.parse().unwrap()).collect()
+fn overrides(texts: &[&str]) -> Vec<SettingOverride> {
+    texts.iter().map(|text| text.parse().unwrap()).collect()
 }
 
 #[test]
-fn a_sweep_gives_the_same_table_on_one_thread_and_on_four_and_plays_no_day_twice() {
+fn sweep_on_any_number_of_threads_gives_the_same_table_and_repeats_no_saved_run() {
     let vary: Vec<Vary> = vec![
         "fleet.hello=no,yes".parse().unwrap(),
         "fleet.caches=2,3".parse().unwrap(),
     ];
-    let cells = cells(&[1, 2, 3], &changes(&["day.rate=30"]), &vary);
+    let cells = cells(&[1, 2, 3], &overrides(&["day.rate=30"]), &vary);
     assert_eq!(cells.len(), 12);
     let one = run(&SOURCE, &cells, None, 1, true).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let four = run(&SOURCE, &cells[..7], Some(folder.path()), 4, true).unwrap();
     assert_eq!(one[..7], four[..]);
-    // A day that is kept is believed: what is changed on disk shows in the table.
+    // A saved result is read again; a damaged one is not.
     let days = || std::fs::read_dir(folder.path().join("days")).unwrap();
     assert_eq!(days().count(), 7);
     let path = days().next().unwrap().unwrap().path();
     let text = std::fs::read_to_string(&path).unwrap();
-    let torn = &text[..text.len() / 2];
-    std::fs::write(&path, torn).unwrap();
+    let damaged = &text[..text.len() / 2];
+    std::fs::write(&path, damaged).unwrap();
     let all = run(&SOURCE, &cells, Some(folder.path()), 4, true).unwrap();
-    assert_eq!(all, one, "a torn day is played again, the others are read");
+    assert_eq!(
+        all, one,
+        "a damaged result is run again, the others are read"
+    );
     let table = rows(&all);
     assert_eq!(table.len(), 4);
     assert!(
@@ -75,19 +78,19 @@
 }
 
 #[test]
-fn a_kept_run_is_read_again_and_its_requests_explained() {
-    let scenario = parse_with("day.ini", DAY, Some(5), &[]).unwrap();
-    let (kept, outcome) = Run::play(&scenario, &[]).unwrap();
+fn saved_run_is_loaded_and_explains_its_requests() {
+    let scenario = parse_with("day.ini", SCENARIO, Some(5), &[]).unwrap();
+    let (run, outcome) = Run::play(&scenario, &[]).unwrap();
     let again = Run::play(&scenario, &[]).unwrap().0;
     assert_eq!(
-        folder::to_json(&kept),
+        folder::to_json(&run),
         folder::to_json(&again),
         "the same bytes for the same seed"
     );
     let place = tempfile::tempdir().unwrap();
-    folder::keep(place.path(), DAY, &kept, &outcome.trace).unwrap();
-    assert_eq!(folder::load(place.path()).unwrap(), kept);
-    let trail = folder::explain(
+    folder::keep(place.path(), SCENARIO, &run, &outcome.trace).unwrap();
+    assert_eq!(folder::load(place.path()).unwrap(), run);
+    let history = folder::explain(
         place.path(),
         ClientAttemptId {
             call: 100,
@@ -95,9 +98,9 @@
         },
     )
     .unwrap();
-    assert!(trail.len() >= 3, "{trail:?}");
-    // Another build, or a folder that was touched: said, not guessed.
-    let changed = DAY.replace("rate = 40", "rate = 41");
+    assert!(history.len() >= 3, "{history:?}");
+    // A folder of another build, or one that was changed, is reported as such.
+    let changed = SCENARIO.replace("rate = 40", "rate = 41");
     std::fs::write(place.path().join("scenario.ini"), changed).unwrap();
     let why = folder::explain(
         place.path(),
@@ -117,10 +120,10 @@
 }
 
 #[test]
-fn pages_stand_alone() {
-    let scenario = parse_with("<b>day</b>", DAY, Some(5), &[]).unwrap();
+fn report_pages_load_nothing_from_outside() {
+    let scenario = parse_with("<b>day</b>", SCENARIO, Some(5), &[]).unwrap();
     let a = Run::play(&scenario, &[]).unwrap().0;
-    let b = Run::play(&scenario, &changes(&["fleet.hello=yes"]))
+    let b = Run::play(&scenario, &overrides(&["fleet.hello=yes"]))
         .unwrap()
         .0;
     for page in [
@@ -138,49 +141,55 @@
     assert!(page.contains("restart") && page.contains("rolling_restart"));
 }
 
-/// What is found still shows after it was cut down, and no step smaller would.
+/// What is found still shows after the reduction, and with any of the faults removed it does not.
 #[test]
-fn a_hunt_finds_fallen_hosts_and_leaves_only_what_it_takes() {
-    let busy = changes(&["day.rate=110", "cold cache.multiple=1.4"]);
+fn hunt_for_cold_crashes_finds_one_and_reduces_it_to_the_needed_faults() {
+    let busy = overrides(&["day.rate=110", "cold cache.multiple=1.4"]);
     let found = hunt::hunt(&SOURCE, &busy, hunt::Goal::Fallen, 1, 120)
         .unwrap()
         .expect("restarts before lists tell");
     println!("{found:?}");
+    assert_eq!(
+        found.seed, 21,
+        "a seed draws the same faults in every build"
+    );
     assert!(
         found.figures.fallen > 0 && found.figures.breaches == 0,
         "nobody could have known"
     );
-    let fallen = |troubles: &[_]| {
-        let text = hunt::text(DAY, troubles);
+    let cold_crashes = |faults: &[_]| {
+        let text = hunt::text(SCENARIO, faults);
         let scenario = parse_with("found.ini", &text, Some(found.seed), &busy).unwrap();
-        Run::play(&scenario, &busy).unwrap().0.fallen
+        Run::play(&scenario, &busy).unwrap().0.cold_crashes
     };
-    assert_eq!(fallen(&found.troubles), found.figures.fallen);
+    assert_eq!(cold_crashes(&found.troubles), found.figures.fallen);
     for without in 0..found.troubles.len() {
         let mut fewer = found.troubles.clone();
         fewer.remove(without);
         assert_eq!(
-            fallen(&fewer),
+            cold_crashes(&fewer),
             0,
             "{:?} was not needed",
             found.troubles[without]
         );
     }
     let again = hunt::hunt(&SOURCE, &busy, hunt::Goal::Fallen, 1, 120).unwrap();
-    assert_eq!(again, Some(found), "the same find whatever the threads did");
+    assert_eq!(again, Some(found), "the same find whatever the threads");
 }
 
 #[test]
-fn what_is_no_sweep_says_why() {
+fn malformed_sweep_is_rejected_with_its_reason() {
     assert!("fleet.caches"
         .parse::<Vary>()
         .unwrap_err()
+        .to_string()
         .contains("section.key=value"));
     assert!("fleet.caches=3,,4"
         .parse::<Vary>()
         .unwrap_err()
+        .to_string()
         .contains("empty"));
-    let wrong = cells(&[1], &changes(&["fleet.caches=x"]), &[]);
+    let wrong = cells(&[1], &overrides(&["fleet.caches=x"]), &[]);
     let why = run(&SOURCE, &wrong, None, 1, true).unwrap_err().to_string();
     assert!(why.contains("fleet.caches"), "{why}");
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -48,8 +48,10 @@
     /// Events of the simulation, calls of cores included.
     pub events: u64,
     /// Time that the run took, in seconds.
+    #[serde(rename = "wall_s")]
     pub wall_s: f64,
     /// Time spent in the dispatchers' cores, in seconds.
+    #[serde(rename = "core_s")]
     pub core_s: f64,
     /// Number of calls of the dispatchers' cores.
     pub core_calls: u64,
