--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -326,7 +326,8 @@
         warming.overload_reported = true;
         let informed_share = warming.informed_share();
         let detail = format!(
-            "{} was sent {work_s:.2} s of work in a window for {budget_s:.2} s, {:.0}% of it by dispatchers told of its start",
+            "{} was sent {work_s:.2} s of work in a window for {budget_s:.2} s, \
+             {:.0}% of it by dispatchers told of its start",
             arrived.host,
             100.0 * informed_share
         );
--- a/crates/audit/tests/fleet_totals.rs
+++ b/crates/audit/tests/fleet_totals.rs
@@ -1,90 +1,44 @@
 //! The totals over the fleet, measured from traces made by hand.
+mod common;
+
+use common::{power_loss, served, Attempt, TraceBuilder};
 use pointspindle_audit::fleet_totals::{judge, measure_totals};
-use pointspindle_audit::trace::{
-    AttemptOutcome, ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent,
-};
-use pointspindle_cache_model::Role;
-use pointspindle_scenario::{load_with, Scenario, SettingOverride};
-use std::path::Path;
+use pointspindle_audit::trace::{ClientOutcome, TraceEntry};
 
-/// The scenario of a lost site with the loss of power as its only fault.
-fn power_loss(overrides: &[&str]) -> Scenario {
-    let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/site-loss.ini");
-    let overrides: Vec<SettingOverride> = overrides.iter().map(|o| o.parse().unwrap()).collect();
-    let mut scenario =
-        load_with(&file, Some(1), &overrides).unwrap_or_else(|errors| panic!("{errors}"));
-    scenario.faults.retain(|fault| fault.name == "power");
-    assert_eq!(scenario.faults.len(), 1);
-    scenario
-}
+const HOST: &str = "a:1";
 
-/// Two dispatchers send attempts to one host; one of them is served, the other is not.
-#[test]
-fn fleet_totals_of_a_handmade_trace_count_arrivals_at_hosts() {
-    let scenario = power_loss(&["trouble power.at_s=20"]);
-    let id = |call| ClientAttemptId { call, attempt: 0 };
-    let host = || "a:1".to_owned();
-    let mut trace = Vec::new();
-    let mut record = |at, event| trace.push(TraceEntry { at, event });
-    record(
-        0,
-        TraceEvent::HostDeclared {
-            host: host(),
-            role: Role::Cache,
-            zone: 0,
-            weight: 2.0,
-        },
-    );
-    let sent = |call, dispatcher| TraceEvent::RequestSent {
-        id: id(call),
-        dispatcher,
-        class: 0,
-        object_number: 0,
-        group: 0,
-        part: 0,
-        deadline: 9_000_000,
-    };
-    let arrived = |call, by, attempt| TraceEvent::AttemptArrived {
-        host: host(),
-        dispatcher: Some(by),
-        id: Some(id(call)),
-        attempt,
-        source: None,
-        class: 0,
-    };
-    let ended = |call, by| TraceEvent::AttemptEnded {
-        host: host(),
-        id: Some(id(call)),
-        attempt: 0,
-        dispatcher: Some(by),
-        outcome: AttemptOutcome::Completed,
-    };
+/// Forty requests to two dispatchers, each fourth one to dispatcher 1; ten of them are retried at once. Dispatcher 0
+/// serves all of its requests, dispatcher 1 rejects all of its own.
+fn trace_of_two_dispatchers() -> Vec<TraceEntry> {
+    let mut trace = TraceBuilder::default();
+    trace.declare_cache(HOST, 0, 2.0);
     for call in 0..40 {
-        record(1_000_000 + call, sent(call, (call % 4 == 0) as usize));
-        record(1_100_000 + call, arrived(call, (call % 4 == 0) as usize, 0));
+        let dispatcher = usize::from(call % 4 == 0);
+        let attempt = |number| Attempt {
+            call,
+            dispatcher,
+            number,
+            host: HOST,
+        };
+        trace.request_sent(1_000_000 + call, call, dispatcher);
+        trace.attempt_arrived(1_100_000 + call, attempt(0));
         if call < 10 {
-            record(1_200_000 + call, arrived(call, (call % 4 == 0) as usize, 1));
+            trace.attempt_arrived(1_200_000 + call, attempt(1));
         }
-    }
-    for call in 0..40 {
-        record(2_300_000 + call, ended(call, (call % 4 == 0) as usize));
-        let end = match call % 4 {
-            0 => ClientOutcome::Rejected { retry_after: None },
-            _ => ClientOutcome::Served {
-                version: Some(1),
-                bytes: 1,
-                stale: false,
-            },
+        trace.attempt_ended(2_300_000 + call, attempt(0));
+        let outcome = match dispatcher {
+            1 => ClientOutcome::Rejected { retry_after: None },
+            _ => served(Some(1)),
         };
-        record(
-            2_300_000 + call,
-            TraceEvent::RequestEnded {
-                id: id(call),
-                outcome: end,
-            },
-        );
+        trace.request_ended(2_300_000 + call, call, outcome);
     }
-    trace.sort_by_key(|s| s.at);
+    trace.finish()
+}
+
+#[test]
+fn fleet_totals_of_a_handmade_trace_count_arrivals_at_hosts() {
+    let scenario = power_loss(&["trouble power.at_s=20"]);
+    let trace = trace_of_two_dispatchers();
     let totals = measure_totals(&scenario, &Default::default(), &trace);
     let cache = &totals.roles[0];
     assert_eq!(
@@ -116,44 +70,17 @@
     let scenario = power_loss(&[]);
     let tolerance = scenario.limits.rules.timing_tolerance;
     for (after, violations) in [(50_000, 0), (100_000 + tolerance + 1_000, 1)] {
-        let id = ClientAttemptId {
+        let mut trace = TraceBuilder::default();
+        trace.request_sent(1_000_000, 1, 0);
+        trace.request_ended(2_000_000, 1, ClientOutcome::Cancelled);
+        let attempt = Attempt {
             call: 1,
-            attempt: 0,
-        };
-        let sent = TraceEvent::RequestSent {
-            id,
             dispatcher: 0,
-            class: 0,
-            object_number: 0,
-            group: 0,
-            part: 0,
-            deadline: 9_000_000,
-        };
-        let arrived = TraceEvent::AttemptArrived {
-            host: "a:1".into(),
-            dispatcher: Some(0),
-            id: Some(id),
-            attempt: 0,
-            source: None,
-            class: 0,
+            number: 0,
+            host: HOST,
         };
-        let trace = [
-            TraceEntry {
-                at: 1_000_000,
-                event: sent,
-            },
-            TraceEntry {
-                at: 2_000_000,
-                event: TraceEvent::RequestEnded {
-                    id,
-                    outcome: ClientOutcome::Cancelled,
-                },
-            },
-            TraceEntry {
-                at: 2_000_000 + after,
-                event: arrived,
-            },
-        ];
+        trace.attempt_arrived(2_000_000 + after, attempt);
+        let trace = trace.finish();
         let totals = measure_totals(&scenario, &Default::default(), &trace);
         let cancellations = &totals.left;
         assert_eq!(
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -168,7 +168,8 @@
     // Writing to a string cannot fail.
     let _ = write!(
         text,
-        "\n[trouble found-{number}]\nkind = {}\nat_s = {:.3}\nfor_s = {:.3}\ndown_s = {:.3}\nshare = {:.3}\nhard = {:.3}\nrole = {}\n",
+        "\n[trouble found-{number}]\nkind = {}\nat_s = {:.3}\nfor_s = {:.3}\n\
+         down_s = {:.3}\nshare = {:.3}\nhard = {:.3}\nrole = {}\n",
         fault.kind.name(),
         fault.at_s,
         fault.duration_s,
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Each dispatcher takes the whole capacity for its own: a recovering site is overloaded, and its clients are served worse.
+/// Each dispatcher takes the whole capacity for its own: a recovering site is overloaded, and serves its clients worse.
 #[test]
 fn miscounted_dispatchers_violate_warm_up_and_fairness() {
     let scenario = scenario(1, &["day.rate=250"]);
