--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -6,11 +6,13 @@
 #![warn(missing_docs)]
 
 mod answers;
+pub mod class_work;
 mod drains;
 mod effects;
 mod evidence;
 pub mod fleet_totals;
 mod history;
+pub mod latency;
 mod periods;
 mod purges;
 mod recorder;
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,8 +1,8 @@
 //! The service that a run's clients got: value earned in time over value requested.
 use crate::evidence::{ClientRequest, Evidence};
+use crate::latency::LatencyHistogram;
 use crate::trace::{ClientOutcome, TraceEntry};
 pub use crate::value::ValueSum;
-use hdrhistogram::Histogram;
 use pointspindle::Micros;
 use pointspindle_scenario::{PlannedCall, RequestClass, Scenario, Traffic};
 use serde::{Deserialize, Serialize};
@@ -10,10 +10,6 @@
 
 /// Length of the worst period that is reported, in seconds.
 const WORST_PERIOD_S: usize = 10;
-/// Highest latency that a histogram holds, in microseconds.
-const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant digits of the latency histograms.
-const LATENCY_DIGITS: u8 = 3;
 /// In classes with fewer calls than this the largest quarter is looked at in place of the largest tenth.
 const CALLS_FOR_LARGEST_TENTH: usize = 400;
 
@@ -196,20 +192,19 @@
 struct ClassMeasurement {
     service: ClassService,
     value: ValueSum,
-    latencies_us: Histogram<u64>,
+    latencies: LatencyHistogram,
     calls: Vec<SizedCall>,
 }
 
 impl ClassMeasurement {
     fn new(class: &RequestClass) -> Self {
-        let latencies_us = Histogram::new_with_bounds(1, MAX_LATENCY_US, LATENCY_DIGITS);
         Self {
             service: ClassService {
                 name: class.name.clone(),
                 ..ClassService::default()
             },
             value: ValueSum::default(),
-            latencies_us: latencies_us.expect("constant bounds"),
+            latencies: LatencyHistogram::default(),
             calls: Vec::new(),
         }
     }
@@ -217,8 +212,8 @@
     fn finish(self) -> ClassService {
         let mut service = self.service;
         service.service = self.value.ratio();
-        service.p50_ms = self.latencies_us.value_at_quantile(0.5) as f64 / 1e3;
-        service.p99_ms = self.latencies_us.value_at_quantile(0.99) as f64 / 1e3;
+        service.p50_ms = self.latencies.quantile_ms(0.5);
+        service.p99_ms = self.latencies.quantile_ms(0.99);
         service.set_size_groups(self.calls);
         service
     }
@@ -261,8 +256,7 @@
                 earned = earned_value(spec, in_time, response.stale);
                 class.service.served += 1;
                 class.service.late += u64::from(!in_time);
-                // A latency beyond the histogram's bounds is left out of the percentiles.
-                let _ = class.latencies_us.record(latency.max(1));
+                class.latencies.record(latency);
             }
             CallOutcome::Rejected => class.service.refused += 1,
             CallOutcome::Failed => class.service.failed += 1,
--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -4,6 +4,7 @@
 //! A dispatcher that does not know of a start cannot be blamed for it: the rule is violated where two thirds of a
 //! window's work came from dispatchers that knew, a fill counting as its dispatcher's. Other overloads are reported
 //! as undetectable, as their service is lost all the same.
+use crate::class_work::ClassWork;
 use crate::evidence::Evidence;
 use crate::trace::{ClientAttemptId, TraceEvent};
 use crate::verdict::{RuleVerdict, Violation};
@@ -131,8 +132,7 @@
     evidence: &'a Evidence<'a>,
     capacities: HashMap<&'a str, HostCapacity>,
     dispatcher_of: HashMap<ClientAttemptId, usize>,
-    /// By class: mean work of a request, in seconds.
-    work_of_class_s: Vec<f64>,
+    class_work: ClassWork,
     mean_work_s: f64,
     warming: HashMap<String, WarmingHost>,
     findings: WarmUpFindings,
@@ -141,8 +141,6 @@
 impl<'a> WarmUpAudit<'a> {
     fn new(evidence: &'a Evidence<'a>) -> Self {
         let scenario = evidence.scenario;
-        let work_s =
-            |class: &pointspindle_cache_model::ClassModel| class.mean_transfer_time as f64 / 1e6;
         Self {
             evidence,
             capacities: declared_capacities(evidence),
@@ -151,7 +149,7 @@
                 .iter()
                 .map(|request| (request.id, request.dispatcher))
                 .collect(),
-            work_of_class_s: scenario.class_models().iter().map(work_s).collect(),
+            class_work: ClassWork::of(scenario),
             mean_work_s: scenario.mean_work(),
             warming: HashMap::new(),
             findings: WarmUpFindings {
@@ -265,11 +263,10 @@
         let dispatcher = arrived.dispatcher.or_else(sender);
         let informed_at = dispatcher.and_then(|dispatcher| warming.informed_at.get(&dispatcher));
         let informed = informed_at.is_some_and(|at| arrived.at >= at + self.evidence.tolerance);
-        let work_s = self.work_of_class_s.get(arrived.class).copied();
         warming.arrivals.push(Arrival {
             at: arrived.at,
             dispatcher,
-            work_s: work_s.unwrap_or(0.0),
+            work_s: self.class_work.seconds(arrived.class),
             informed,
         });
         let window_start = arrived.at.saturating_sub(spec.overload_window);
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod folder;
 pub mod html;
 pub mod hunt;
+mod outcome_tally;
 mod plots;
 pub mod record;
 pub mod sweep;
--- a/crates/report/src/plots/time_series.rs
+++ b/crates/report/src/plots/time_series.rs
@@ -151,17 +151,17 @@
         Line {
             name: "served",
             colour: EARNED_COLOUR,
-            values: tallies(run, |second| second.served as f64),
+            values: tallies(run, |second| second.outcomes.served as f64),
         },
         Line {
             name: "refused",
             colour: WORST_COLOUR,
-            values: tallies(run, |second| second.rejected as f64),
+            values: tallies(run, |second| second.outcomes.rejected as f64),
         },
         Line {
             name: "failed",
             colour: OTHER_COLOUR,
-            values: tallies(run, |second| second.failed as f64),
+            values: tallies(run, |second| second.outcomes.failed as f64),
         },
     ];
     let plot = TimeSeriesPlot {
--- a/crates/report/src/record/host_load.rs
+++ b/crates/report/src/record/host_load.rs
@@ -1,4 +1,5 @@
 //! The load of each host by second.
+use pointspindle_audit::class_work::ClassWork;
 use pointspindle_audit::trace::{TraceEntry, TraceEvent};
 use pointspindle_scenario::Scenario;
 use serde::{Deserialize, Serialize};
@@ -40,8 +41,7 @@
 
 struct LoadMeasurement<'a> {
     zone_names: Vec<String>,
-    /// By class: mean work of a request, in seconds.
-    work_of_class_s: Vec<f64>,
+    class_work: ClassWork,
     seconds: usize,
     indices: HashMap<&'a str, HostIndex>,
     hosts: Vec<HostTimeline>,
@@ -50,11 +50,7 @@
 pub(super) fn measure(scenario: &Scenario, trace: &[TraceEntry]) -> Vec<HostTimeline> {
     let mut measurement = LoadMeasurement {
         zone_names: scenario.zones(),
-        work_of_class_s: scenario
-            .class_models()
-            .iter()
-            .map(|class| class.mean_transfer_time as f64 / 1e6)
-            .collect(),
+        class_work: ClassWork::of(scenario),
         seconds: scenario.duration_s.ceil() as usize,
         indices: HashMap::new(),
         hosts: Vec::new(),
@@ -116,7 +112,7 @@
         let Some(host) = self.indices.get(host).copied() else {
             return;
         };
-        let work_s = self.work_of_class_s.get(class).copied().unwrap_or(0.0);
+        let work_s = self.class_work.seconds(class);
         if let Some(load) = self.hosts[host.index].load.get_mut(at_s as usize) {
             *load += (work_s / host.weight.max(1e-6)) as f32;
         }
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -1,5 +1,5 @@
 //! Draws a [`View`] on a terminal.
-use crate::watch::{HostState, HostView, Tally, View};
+use crate::watch::{HostState, HostView, OutcomeTally, View};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style, Stylize};
 use ratatui::text::{Line, Span};
@@ -45,7 +45,7 @@
 /// A count of outcomes by second, with its total.
 struct OutcomeRow {
     name: &'static str,
-    count: fn(&Tally) -> u64,
+    count: fn(&OutcomeTally) -> u64,
     color: Color,
 }
 
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -2,7 +2,9 @@
 //!
 //! It keeps a tally for each second, the last second's work for each host, and the latest messages. Events may come a
 //! little out of order, as they do from sockets.
+pub use crate::outcome_tally::OutcomeTally;
 use pointspindle::Micros;
+use pointspindle_audit::class_work::ClassWork;
 use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
 use pointspindle_cache_model::Role;
 use pointspindle_scenario::Scenario;
@@ -13,44 +15,6 @@
 /// Number of messages that are kept.
 const MAX_MESSAGES: usize = 200;
 
-/// How the requests that ended within a second ended.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Served, stale responses included.
-    pub served: u64,
-    /// Served with a stale response.
-    pub stale: u64,
-    /// Rejected.
-    pub rejected: u64,
-    /// Failed otherwise.
-    pub failed: u64,
-}
-
-impl Tally {
-    fn count(&mut self, outcome: &ClientOutcome) {
-        match outcome {
-            ClientOutcome::Served {
-                version: Some(_),
-                stale,
-                ..
-            } => {
-                self.served += 1;
-                self.stale += u64::from(*stale);
-            }
-            ClientOutcome::Rejected { .. } => self.rejected += 1,
-            ClientOutcome::Cancelled => {}
-            _ => self.failed += 1,
-        }
-    }
-
-    fn add(&mut self, other: &Self) {
-        self.served += other.served;
-        self.stale += other.stale;
-        self.rejected += other.rejected;
-        self.failed += other.failed;
-    }
-}
-
 /// The state of a host as far as it shows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
@@ -119,8 +83,7 @@
 /// What a scenario says of its hosts and classes.
 #[derive(Debug)]
 struct ScenarioFacts {
-    /// By class: mean work of a request, in seconds.
-    work_of_class_s: Vec<f64>,
+    class_work: ClassWork,
     zone_names: Vec<String>,
     cache_warm_up: Micros,
     parent_warm_up: Micros,
@@ -129,11 +92,7 @@
 impl ScenarioFacts {
     fn of(scenario: &Scenario) -> Self {
         Self {
-            work_of_class_s: scenario
-                .class_models()
-                .iter()
-                .map(|class| class.mean_transfer_time as f64 / 1e6)
-                .collect(),
+            class_work: ClassWork::of(scenario),
             zone_names: scenario.zones(),
             cache_warm_up: scenario.warm_up_spec(Role::Cache).duration,
             parent_warm_up: scenario.warm_up_spec(Role::Parent).duration,
@@ -151,7 +110,7 @@
     /// How far the run has come, in microseconds.
     pub now: Micros,
     /// By the second in which requests ended.
-    pub tallies: Vec<Tally>,
+    pub tallies: Vec<OutcomeTally>,
     /// The hosts, in the order of their declaration.
     pub hosts: Vec<HostView>,
     /// The latest messages, the newest last.
@@ -178,7 +137,7 @@
             ),
             duration_s: scenario.duration_s,
             now: 0,
-            tallies: vec![Tally::default(); seconds],
+            tallies: vec![OutcomeTally::default(); seconds],
             hosts: Vec::new(),
             messages: VecDeque::new(),
             dispatchers_down: 0,
@@ -269,12 +228,9 @@
     }
 
     fn attempt_arrived(&mut self, at: Micros, address: &str, class: usize) {
-        let work_s = self.facts.work_of_class_s.get(class).copied();
+        let work_s = self.facts.class_work.seconds(class);
         if let Some(host) = self.host(address) {
-            host.arrivals.push_back(Arrival {
-                at,
-                work_s: work_s.unwrap_or(0.0),
-            });
+            host.arrivals.push_back(Arrival { at, work_s });
         }
     }
 
@@ -320,9 +276,9 @@
         self.open_requests.len()
     }
 
-    /// Tally of all requests that have ended so far.
-    pub fn total(&self) -> Tally {
-        let mut total = Tally::default();
+    /// OutcomeTally of all requests that have ended so far.
+    pub fn total(&self) -> OutcomeTally {
+        let mut total = OutcomeTally::default();
         for tally in &self.tallies {
             total.add(tally);
         }
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Runs of several sites in virtual time: faults that affect a whole site, dispatchers that are paused or stopped, and
 //! the totals over the whole fleet.
-use pointspindle_audit::sums::{judge, measure_totals, FleetTotals};
+use pointspindle_audit::fleet_totals::{judge, measure_totals, FleetTotals};
 use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEvent};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::fault_injection::InjectedFault;
