--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -73,3 +73,6 @@
         self.scheduled
     }
 }
+
+#[cfg(test)]
+mod tests;
