--- a/crates/cli/src/output/sweep_table.rs
+++ b/crates/cli/src/output/sweep_table.rs
@@ -1,8 +1,8 @@
 //! A line for each setting of a sweep.
-use pointspindle_report::sweep::Row;
+use pointspindle_report::sweep::SweepRow;
 
 /// Prints the table.
-pub fn print(rows: &[Row]) {
+pub fn print(rows: &[SweepRow]) {
     println!(
         "{:<48} {:>5} {:>8} {:>7} {:>7} {:>9} {:>7} {:>7}",
         "way", "days", "service", "least", "most", "worst 10s", "fallen", "broken"
