--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,9 +1,12 @@
 //! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
-use crate::sockets::{EmulatedHosts, EmulatedHostsOptions};
+use crate::emulated_hosts::{EmulatedHosts, EmulatedHostsOptions};
+use pointspindle::Micros;
 use pointspindle_audit::trace::Recorder;
 use pointspindle_cache_model::cold::WarmUpSpec;
-use pointspindle_cache_model::*;
-use pointspindle_protocol::EndpointRecord;
+use pointspindle_cache_model::{
+    CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelRequest, Role, ZoneSpec,
+};
+use pointspindle_protocol::{EndpointRecord, WireEndpointState};
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
 pub const SAMPLES: [(&str, usize, u64); 5] = [
@@ -14,10 +17,26 @@
     ("/video/lesson-2", 0, 4 * 1024 * 1024),
 ];
 
-const FLOW: f64 = 50e6;
+/// The class of pages in [`SAMPLES`], the only one whose copies stay fresh for a time.
+const PAGE_CLASS: usize = 1;
+const PAGE_FRESHNESS_LIFETIME: Micros = 12_000_000;
+const MEAN_TRANSFER_TIME: Micros = 20_000;
+const BYTES_PER_SECOND: f64 = 50e6;
+const FILL_SPEEDUP: f64 = 3.0;
+const IDEMPOTENCY_WINDOW: Micros = 2_000_000;
+const ORIGIN_SERVICE_TIME: Micros = 5_000;
+const MODEL_SEED: u64 = 1;
 
-/// A member without limits that a first try would meet.
+/// The zones of the fleet.
+const CENTRAL_ZONE: usize = 0;
+const BRANCH_ZONE: usize = 1;
+
+/// A host without limits that a first try would meet.
 pub fn plain_host(address: String, role: Role, zone: usize, weight: f64) -> HostSpec {
+    let service_time = match role {
+        Role::Origin => ORIGIN_SERVICE_TIME,
+        _ => 0,
+    };
     HostSpec {
         address,
         role,
@@ -38,7 +57,7 @@
             overload_factor: 2.0,
             overload_window: 1_000_000,
         },
-        service_time: if role == Role::Origin { 5_000 } else { 0 },
+        service_time,
         load_report_interval: 200_000,
         pause_interval: 0,
         pause: 0,
@@ -48,69 +67,88 @@
     }
 }
 
-/// A free loopback port, given back at once: the system does not hand it out again for a while.
+/// A free loopback port, released at once: the system does not assign it again for a while.
 pub fn free_address(ip: &str) -> std::io::Result<String> {
     let listener = std::net::TcpListener::bind((ip, 0))?;
     Ok(listener.local_addr()?.to_string())
 }
 
-/// Starts the fleet; the lines of its member list.
+/// Starts the fleet; returns it with the entries of its endpoint list.
 pub async fn start(
     class_names: [&str; 2],
     zones: [&str; 2],
 ) -> std::io::Result<(EmulatedHosts, Vec<EndpointRecord>)> {
-    let mut hosts = Vec::new();
-    for (role, zone, weight) in [
-        (Role::Cache, 1, 8.0),
-        (Role::Cache, 1, 8.0),
-        (Role::Parent, 0, 16.0),
-        (Role::Origin, 0, 32.0),
-    ] {
-        hosts.push(plain_host(free_address("127.0.0.1")?, role, zone, weight));
-    }
-    let class = |(n, name): (usize, &str)| ClassModel {
+    let specs = vec![
+        plain_host(free_address("127.0.0.1")?, Role::Cache, BRANCH_ZONE, 8.0),
+        plain_host(free_address("127.0.0.1")?, Role::Cache, BRANCH_ZONE, 8.0),
+        plain_host(free_address("127.0.0.1")?, Role::Parent, CENTRAL_ZONE, 16.0),
+        plain_host(free_address("127.0.0.1")?, Role::Origin, CENTRAL_ZONE, 32.0),
+    ];
+    let records = specs
+        .iter()
+        .map(|host| endpoint_record(host, zones))
+        .collect();
+    let classes = classes(class_names);
+    let model = CacheModel::new(
+        model_settings(classes.clone(), zones),
+        specs,
+        Box::new(sample_size),
+        MODEL_SEED,
+    );
+    let hosts = EmulatedHosts::new(
+        model,
+        classes,
+        Recorder::default(),
+        EmulatedHostsOptions::default(),
+    );
+    hosts.start().await?;
+    Ok((hosts, records))
+}
+
+fn classes(names: [&str; 2]) -> Vec<ClassModel> {
+    let class = |(number, name): (usize, &str)| ClassModel {
         name: name.into(),
-        freshness_lifetime: if n == 1 { 12_000_000 } else { 0 },
-        mean_transfer_time: 20_000,
+        freshness_lifetime: if number == PAGE_CLASS {
+            PAGE_FRESHNESS_LIFETIME
+        } else {
+            0
+        },
+        mean_transfer_time: MEAN_TRANSFER_TIME,
         uncacheable: false,
         deduplicates: false,
     };
-    let classes: Vec<ClassModel> = class_names.into_iter().enumerate().map(class).collect();
-    let spec = CacheModelSettings {
-        classes: classes.clone(),
-        zones: zones
-            .iter()
-            .map(|z| ZoneSpec {
-                name: (*z).into(),
-                link: 0.0,
-            })
-            .collect(),
-        bytes_per_s: FLOW,
-        fill_speedup: 3.0,
-        idempotency_window: 2_000_000,
-    };
-    let catalogue = |w: &ModelRequest| {
-        SAMPLES
-            .iter()
-            .find(|(name, ..)| *name == &*w.object)
-            .map(|s| s.2)
-    };
-    let line = |h: &HostSpec| EndpointRecord {
-        address: h.address.clone(),
-        state: pointspindle_protocol::WireEndpointState::Ready as i32,
-        weight: h.weight,
-        zone: zones[h.zone].into(),
-        kind: h.role.name().into(),
-        ..Default::default()
+    names.into_iter().enumerate().map(class).collect()
+}
+
+fn model_settings(classes: Vec<ClassModel>, zones: [&str; 2]) -> CacheModelSettings {
+    let zone = |name: &str| ZoneSpec {
+        name: name.into(),
+        link: 0.0,
     };
-    let lines = hosts.iter().map(line).collect();
-    let world = CacheModel::new(spec, hosts, Box::new(catalogue), 1);
-    let stage = EmulatedHosts::new(
-        world,
+    CacheModelSettings {
         classes,
-        Recorder::default(),
-        EmulatedHostsOptions::default(),
-    );
-    stage.start().await?;
-    Ok((stage, lines))
+        zones: zones.into_iter().map(zone).collect(),
+        bytes_per_s: BYTES_PER_SECOND,
+        fill_speedup: FILL_SPEEDUP,
+        idempotency_window: IDEMPOTENCY_WINDOW,
+    }
+}
+
+/// The size of a sample object in bytes.
+fn sample_size(request: &ModelRequest) -> Option<u64> {
+    let (_, _, bytes) = SAMPLES
+        .iter()
+        .find(|(path, ..)| *path == &*request.object)?;
+    Some(*bytes)
+}
+
+fn endpoint_record(host: &HostSpec, zones: [&str; 2]) -> EndpointRecord {
+    EndpointRecord {
+        address: host.address.clone(),
+        state: WireEndpointState::Ready as i32,
+        weight: host.weight,
+        zone: zones[host.zone].into(),
+        kind: host.role.name().into(),
+        ..Default::default()
+    }
 }
--- /dev/null
+++ b/crates/testbed/src/emulated_hosts/mod.rs
@@ -0,0 +1,17 @@
+//! Cache hosts, parents and origins emulated by the cache model, each with a listener of its own on the framed
+//! protocol.
+mod attempt;
+mod connection;
+mod conversions;
+mod fill_connections;
+mod fills;
+mod hosts;
+mod leases;
+mod listeners;
+mod model_driver;
+mod options;
+mod zone_partitions;
+
+pub use hosts::{EmulatedHosts, EPOCH};
+pub use options::{EmulatedHostsOptions, LedgerFactory, ZonePartitionPlan};
+pub use zone_partitions::ZonePartitions;
--- /dev/null
+++ b/crates/testbed/src/emulated_hosts/options.rs
@@ -0,0 +1,55 @@
+//! How emulated hosts differ from plain ones.
+use super::zone_partitions::ZonePartitions;
+use pointspindle::Micros;
+use pointspindle_cache_host::lease::WorkLedger;
+use pointspindle_cache_model::Role;
+use pointspindle_transport::Network;
+use std::collections::{HashMap, HashSet};
+use std::net::IpAddr;
+use std::sync::Arc;
+
+/// Options of a set of emulated hosts.
+#[derive(Clone, Debug, Default)]
+pub struct EmulatedHostsOptions {
+    /// Dispatchers by their source address: hosts identify the sender of an attempt by its connection's address.
+    pub dispatchers: HashMap<IpAddr, usize>,
+    /// The source address of fills; none: the system chooses.
+    pub fill_source: Option<IpAddr>,
+    /// Addresses of hosts that ignore the greatest age that a request accepts: an injected fault.
+    pub ignores_max_age: HashSet<String>,
+    /// Hosts announce their incarnation on each connection and lease out their warm-up budget; none: they do neither.
+    pub ledger_factory: Option<LedgerFactory>,
+    /// The network of the hosts.
+    pub network: Network,
+    /// Partitions between zones; none: the run has no such partitions.
+    pub zone_partitions: Option<ZonePartitionPlan>,
+}
+
+/// The zone partitions of a run and the zones of its dispatchers.
+#[derive(Clone, Debug)]
+pub struct ZonePartitionPlan {
+    /// The partitions.
+    pub partitions: ZonePartitions,
+    /// The zone of each dispatcher, by number.
+    pub dispatcher_zones: Vec<usize>,
+}
+
+type CreateLedger = dyn Fn(Role, f64, Micros) -> Option<WorkLedger> + Send + Sync;
+
+/// Creates the work ledger of a host that has just started, by its role, weight and start in microseconds; none: it
+/// leases nothing.
+#[derive(Clone)]
+pub struct LedgerFactory(pub Arc<CreateLedger>);
+
+impl LedgerFactory {
+    /// The ledger of a host that has just started.
+    pub fn create(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
+        (self.0)(role, weight, started)
+    }
+}
+
+impl std::fmt::Debug for LedgerFactory {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str("LedgerFactory")
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/fleet_run/dispatcher_task.rs
@@ -0,0 +1,122 @@
+//! A dispatcher as a task of this process, on the simulated network.
+use super::dispatcher_files::{dispatcher_file, unbound_listen_addresses, BoundAddresses};
+use super::error::{DispatcherFailure, TestbedError};
+use crate::addresses::{dispatcher_listen_ip, dispatcher_source_ip};
+use pointspindle_dispatcher::Dispatcher;
+use pointspindle_fleet_model::dispatcher_settings::{dispatcher_ini, ListenAddresses};
+use pointspindle_scenario::Scenario;
+use pointspindle_transport::simulated::SimulatedNetwork;
+use pointspindle_transport::Network;
+use std::path::{Path, PathBuf};
+
+/// A dispatcher task, running or not.
+pub(super) struct DispatcherTask {
+    number: usize,
+    folder: PathBuf,
+    network: SimulatedNetwork,
+    /// The addresses of its listeners; kept over restarts.
+    pub listen_addresses: ListenAddresses,
+    running: Option<RunningDispatcher>,
+}
+
+struct RunningDispatcher {
+    dispatcher: Dispatcher,
+    /// The network as this incarnation of the dispatcher has it: ended with it.
+    network: SimulatedNetwork,
+}
+
+impl DispatcherTask {
+    /// A task that has not started yet.
+    pub fn new(network: SimulatedNetwork, folder: &Path, number: usize) -> Self {
+        Self {
+            number,
+            folder: folder.into(),
+            network,
+            listen_addresses: unbound_listen_addresses(number),
+            running: None,
+        }
+    }
+
+    fn error(&self, failure: DispatcherFailure) -> TestbedError {
+        TestbedError::Dispatcher {
+            dispatcher: self.number,
+            failure,
+        }
+    }
+
+    fn not_started(&self, cause: impl std::fmt::Display) -> TestbedError {
+        self.error(DispatcherFailure::NotStarted(cause.to_string()))
+    }
+
+    /// The error of an attempt to pause it.
+    pub fn pause_unsupported(&self) -> TestbedError {
+        self.error(DispatcherFailure::PauseUnsupported)
+    }
+
+    /// The error of an attempt to shut it down during a run.
+    pub fn shutdown_unsupported(&self) -> TestbedError {
+        self.error(DispatcherFailure::ShutdownUnsupported)
+    }
+
+    /// Starts it and waits until it listens.
+    pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
+        let text = dispatcher_ini(
+            scenario,
+            self.number,
+            &self.listen_addresses,
+            &dispatcher_source_ip(self.number).to_string(),
+            &dispatcher_file(&self.folder, self.number, "state"),
+            None,
+        );
+        let settings =
+            pointspindle_config::parse("settings", &text).map_err(|e| self.not_started(e))?;
+        let network = self.network.incarnation();
+        let seed = scenario.seed ^ self.number as u64;
+        let dispatcher = Dispatcher::start_on(Network::Simulated(network.clone()), settings, seed)
+            .await
+            .map_err(|e| self.not_started(e))?;
+        let bound = dispatcher.bound_addresses();
+        let bound = BoundAddresses {
+            http: bound.http,
+            framed: bound.framed,
+            control: bound.control,
+            metrics: bound.metrics,
+        };
+        if let Some(addresses) = bound.complete() {
+            self.listen_addresses = addresses;
+        }
+        self.running = Some(RunningDispatcher {
+            dispatcher,
+            network,
+        });
+        Ok(())
+    }
+
+    /// Whether it runs.
+    pub fn is_up(&self) -> bool {
+        self.running.is_some()
+    }
+
+    /// Ends it as a killed process ends: its connections break and it opens no new ones.
+    pub fn kill(&mut self) {
+        if let Some(running) = self.running.take() {
+            running.network.end();
+            drop(running.dispatcher);
+            self.network.cut(dispatcher_source_ip(self.number));
+            self.network.cut(dispatcher_listen_ip(self.number));
+        }
+    }
+
+    /// Shuts it down gracefully; no request may be left without an answer.
+    pub async fn stop(&mut self) -> Result<(), TestbedError> {
+        let Some(running) = self.running.take() else {
+            return Ok(());
+        };
+        let drained = running.dispatcher.stop().await;
+        running.network.end();
+        if !drained {
+            return Err(self.error(DispatcherFailure::UnansweredRequests));
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/fleet_run/endpoint_attributes.rs
@@ -0,0 +1,30 @@
+//! What an endpoint list says of each host beside its state.
+use pointspindle_cache_model::{HostId, HostSpec};
+use std::collections::HashMap;
+
+/// The constant attributes of a host in endpoint lists.
+#[derive(Clone, Debug, Default)]
+pub(super) struct EndpointAttributes {
+    /// The name of its role.
+    pub kind: String,
+    /// The name of its zone.
+    pub zone: String,
+    /// Its weight.
+    pub weight: f64,
+}
+
+/// The attributes of all hosts, by host number.
+pub(super) type EndpointAttributesByHost = HashMap<HostId, EndpointAttributes>;
+
+/// Collects the attributes of the hosts; `zones` are the names of the zones by number.
+pub(super) fn endpoint_attributes(
+    hosts: &[HostSpec],
+    zones: &[String],
+) -> EndpointAttributesByHost {
+    let attributes = |host: &HostSpec| EndpointAttributes {
+        kind: host.role.name().to_owned(),
+        zone: zones[host.zone].clone(),
+        weight: host.weight,
+    };
+    hosts.iter().map(attributes).enumerate().collect()
+}
--- /dev/null
+++ b/crates/testbed/src/fleet_run/entry_points.rs
@@ -0,0 +1,125 @@
+//! The ways to run a scenario on sockets.
+use super::environment::Environment;
+use super::error::TestbedError;
+use super::execution::execute;
+use super::outcome::Outcome;
+use super::plan::RunPlan;
+use super::unreliable_etcd::UnreliableEtcd;
+use pointspindle_audit::trace::Recorder;
+use pointspindle_scenario::fault_injection::InjectedFault;
+use pointspindle_scenario::{derive_seed, Scenario};
+use pointspindle_transport::simulated::SimulatedNetwork;
+use std::path::Path;
+
+/// Runs a scenario in real time with dispatchers as processes. `program` is the dispatcher's binary; `folder` gets
+/// the settings, state and log of each.
+pub async fn run(
+    scenario: &Scenario,
+    program: &Path,
+    folder: &Path,
+    injected_fault: Option<InjectedFault>,
+) -> Result<Outcome, TestbedError> {
+    run_watched(
+        scenario,
+        program,
+        folder,
+        injected_fault,
+        Recorder::default(),
+    )
+    .await
+}
+
+/// As [`run`], with a recorder that can be read during the run. Its times count from its creation.
+pub async fn run_watched(
+    scenario: &Scenario,
+    program: &Path,
+    folder: &Path,
+    injected_fault: Option<InjectedFault>,
+    recorder: Recorder,
+) -> Result<Outcome, TestbedError> {
+    check_processes_suffice(scenario)?;
+    let environment = Environment::Processes {
+        program,
+        etcd: None,
+    };
+    plan_and_execute(scenario, &environment, folder, injected_fault, recorder).await
+}
+
+/// As [`run`], with endpoint lists and purges through an emulated etcd whose streams break again and again and whose
+/// history is compacted.
+pub async fn run_by_etcd(
+    scenario: &Scenario,
+    program: &Path,
+    folder: &Path,
+) -> Result<Outcome, TestbedError> {
+    check_processes_suffice(scenario)?;
+    let environment = Environment::Processes {
+        program,
+        etcd: Some(UnreliableEtcd::start().await?),
+    };
+    plan_and_execute(scenario, &environment, folder, None, Recorder::default()).await
+}
+
+/// Runs a scenario with the dispatcher's network shell on a simulated network under a paused clock: with latency,
+/// loss and partitions, in the time that its work takes. Blocks; must not be called on a runtime's thread.
+pub fn shell(
+    scenario: &Scenario,
+    folder: &Path,
+    injected_fault: Option<InjectedFault>,
+) -> Result<Outcome, TestbedError> {
+    check_simulated_network_suffices(scenario, injected_fault)?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .start_paused(true)
+        .build()?;
+    runtime.block_on(async {
+        let network = SimulatedNetwork::new(
+            scenario.network.simulated,
+            derive_seed(scenario.seed, "network"),
+        );
+        let environment = Environment::Simulated(network);
+        let recorder = Recorder::default();
+        plan_and_execute(scenario, &environment, folder, injected_fault, recorder).await
+    })
+}
+
+async fn plan_and_execute(
+    scenario: &Scenario,
+    environment: &Environment<'_>,
+    folder: &Path,
+    injected_fault: Option<InjectedFault>,
+    recorder: Recorder,
+) -> Result<Outcome, TestbedError> {
+    std::fs::create_dir_all(folder)?;
+    let plan = RunPlan::new(scenario, environment, injected_fault);
+    execute(&plan, environment, folder, recorder).await
+}
+
+fn check_processes_suffice(scenario: &Scenario) -> Result<(), TestbedError> {
+    match scenario.requires_simulated_network() {
+        Some(reason) => Err(TestbedError::Unsupported(reason)),
+        None => Ok(()),
+    }
+}
+
+fn check_simulated_network_suffices(
+    scenario: &Scenario,
+    injected_fault: Option<InjectedFault>,
+) -> Result<(), TestbedError> {
+    let needs_relay = matches!(
+        injected_fault,
+        Some(
+            InjectedFault::DuplicateAttempts
+                | InjectedFault::DropResponses
+                | InjectedFault::DelayResponses
+        )
+    );
+    if needs_relay {
+        let reason = "this plant is a relay between real sockets";
+        return Err(TestbedError::Unsupported(reason.to_owned()));
+    }
+    match scenario.requires_processes() {
+        Some(reason) => Err(TestbedError::Unsupported(reason)),
+        None => Ok(()),
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/idle/load.rs
@@ -0,0 +1,101 @@
+//! The steady open-loop load beside the idle connections.
+use super::connections::{connect, request_is_served};
+use super::plan::Plan;
+use crate::http_client::HttpConnection;
+use hdrhistogram::Histogram;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::sync::mpsc;
+use tokio::task::JoinSet;
+
+const LOAD_CONNECTIONS: usize = 16;
+/// The time for the connections to start before the first request is due.
+const START_DELAY: Duration = Duration::from_millis(20);
+const LEAST_RATE_PER_SECOND: f64 = 0.1;
+const LONGEST_RESPONSE_US: u64 = 60_000_000;
+const SIGNIFICANT_DIGITS: u8 = 3;
+
+/// The responses to a steady load.
+pub(super) struct LoadResult {
+    /// Response times of served requests, in microseconds, counted from when each request was due: a request that
+    /// waits for its connection is not left out.
+    pub response_times: Histogram<u64>,
+    /// Requests that were not served.
+    pub failed: u64,
+}
+
+/// When a connection of the load sends its requests.
+#[derive(Clone, Copy)]
+struct Schedule {
+    first: Instant,
+    interval: Duration,
+    end: Instant,
+}
+
+enum RequestResult {
+    Served { response_time_us: u64 },
+    Failed,
+}
+
+/// Runs the plan's steady load to its end.
+pub(super) async fn run_load(plan: &Arc<Plan>) -> LoadResult {
+    let (sender, mut results) = mpsc::unbounded_channel();
+    let rate = plan.rate.max(LEAST_RATE_PER_SECOND);
+    let interval = Duration::from_secs_f64(LOAD_CONNECTIONS as f64 / rate);
+    let began = Instant::now() + START_DELAY;
+    let mut connections = JoinSet::new();
+    for number in 0..LOAD_CONNECTIONS {
+        let schedule = Schedule {
+            first: began + interval.mul_f64(number as f64 / LOAD_CONNECTIONS as f64),
+            interval,
+            end: began + plan.length,
+        };
+        connections.spawn(load_connection(
+            number,
+            plan.clone(),
+            schedule,
+            sender.clone(),
+        ));
+    }
+    drop(sender);
+    let mut response_times =
+        Histogram::<u64>::new_with_bounds(1, LONGEST_RESPONSE_US, SIGNIFICANT_DIGITS)
+            .expect("the bounds are constants");
+    let mut failed = 0;
+    while let Some(result) = results.recv().await {
+        match result {
+            RequestResult::Served { response_time_us } => {
+                // Longer than any timeout of the load: not recorded.
+                let _ = response_times.record(response_time_us.max(1));
+            }
+            RequestResult::Failed => failed += 1,
+        }
+    }
+    LoadResult {
+        response_times,
+        failed,
+    }
+}
+
+async fn load_connection(
+    number: usize,
+    plan: Arc<Plan>,
+    schedule: Schedule,
+    results: mpsc::UnboundedSender<RequestResult>,
+) {
+    let Ok(socket) = connect(number, plan.http).await else {
+        return;
+    };
+    let mut connection = HttpConnection::new(socket);
+    let mut due = schedule.first;
+    while due < schedule.end {
+        tokio::time::sleep_until(due.into()).await;
+        if !request_is_served(&mut connection, &plan.path).await {
+            let _ = results.send(RequestResult::Failed);
+            return;
+        }
+        let response_time_us = due.elapsed().as_micros() as u64;
+        let _ = results.send(RequestResult::Served { response_time_us });
+        due += schedule.interval;
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/idle/measurement.rs
@@ -0,0 +1,117 @@
+//! The steps of a measurement.
+use super::connections::{open_up_to, IdleConnection};
+use super::load::{run_load, LoadResult};
+use super::plan::Plan;
+use super::process_usage::{kernel_tcp_bytes, processor_time, resident_bytes};
+use serde::{Deserialize, Serialize};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// The time for new connections to settle before memory is read.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
+/// How long processor time is measured while nothing is requested.
+const IDLE_PROCESSOR_WINDOW: Duration = Duration::from_secs(1);
+
+/// What was measured at one step. The field names are those of the report's JSON.
+#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
+pub struct Step {
+    /// The protocol of the idle connections.
+    pub protocol: String,
+    /// Idle connections that are open.
+    pub idle: usize,
+    /// Connections opened per second, each with one request.
+    pub made_per_s: f64,
+    /// Resident memory of the server's process, in bytes.
+    pub program: u64,
+    /// Memory of TCP buffers in the kernel of the whole machine, in bytes.
+    pub kernel: u64,
+    /// Share of a core that the server uses while nothing is requested.
+    pub idle_cpu: f64,
+    /// Requests of the steady load that were served.
+    pub requests: u64,
+    /// Requests of the steady load that were not served.
+    pub failed: u64,
+    /// Median response time of the steady load, in microseconds.
+    pub p50_us: u64,
+    /// 99th percentile of the response time, in microseconds.
+    pub p99_us: u64,
+    /// Longest response time, in microseconds.
+    pub most_us: u64,
+}
+
+/// Why a measurement stopped before its last step, if it did.
+pub type Stopped = Option<String>;
+
+/// Measures all steps until one cannot be reached. `on_step` is called after each step.
+pub async fn measure(plan: Plan, mut on_step: impl FnMut(&Step)) -> (Vec<Step>, Stopped) {
+    let plan = Arc::new(plan);
+    let mut connections = Vec::new();
+    let mut steps = Vec::new();
+    let mut stopped = None;
+    for wanted in plan.steps.clone() {
+        let open_before = connections.len();
+        let began = Instant::now();
+        stopped = open_up_to(&mut connections, wanted, &plan).await.err();
+        let opened = connections.len() - open_before;
+        let made_per_s = opened as f64 / began.elapsed().as_secs_f64().max(1e-6);
+        let step = measure_step(&plan, connections.len(), made_per_s).await;
+        on_step(&step);
+        steps.push(step);
+        if stopped.is_some() {
+            break;
+        }
+    }
+    connections.into_iter().for_each(IdleConnection::close);
+    (steps, stopped)
+}
+
+async fn measure_step(plan: &Arc<Plan>, idle: usize, made_per_s: f64) -> Step {
+    tokio::time::sleep(SETTLE_TIME).await;
+    let program = resident_bytes(plan.pid);
+    let kernel = kernel_tcp_bytes();
+    let idle_cpu = idle_processor_share(plan.pid).await;
+    let LoadResult {
+        response_times,
+        failed,
+    } = run_load(plan).await;
+    let protocol = match plan.framed {
+        Some(_) => "framed",
+        None => "HTTP",
+    };
+    Step {
+        protocol: protocol.into(),
+        idle,
+        made_per_s,
+        program,
+        kernel,
+        idle_cpu,
+        requests: response_times.len(),
+        failed,
+        p50_us: response_times.value_at_quantile(0.5),
+        p99_us: response_times.value_at_quantile(0.99),
+        most_us: response_times.max(),
+    }
+}
+
+async fn idle_processor_share(pid: u32) -> f64 {
+    let began = Instant::now();
+    let used_before = processor_time(pid);
+    tokio::time::sleep(IDLE_PROCESSOR_WINDOW).await;
+    let used = processor_time(pid) - used_before;
+    used.as_secs_f64() / began.elapsed().as_secs_f64()
+}
+
+/// The growth of a measured value for each further connection: the slope of a line through the steps, by least squares.
+pub fn slope(steps: &[Step], value: impl Fn(&Step) -> u64) -> f64 {
+    let count = (steps.len() as f64).max(1.0);
+    let mean_idle = steps.iter().map(|step| step.idle as f64).sum::<f64>() / count;
+    let mean_value = steps.iter().map(|step| value(step) as f64).sum::<f64>() / count;
+    let mut covariance = 0.0;
+    let mut variance = 0.0;
+    for step in steps {
+        let idle_deviation = step.idle as f64 - mean_idle;
+        covariance += idle_deviation * (value(step) as f64 - mean_value);
+        variance += idle_deviation.powi(2);
+    }
+    covariance / f64::max(variance, 1e-9)
+}
--- /dev/null
+++ b/crates/testbed/src/idle/plan.rs
@@ -0,0 +1,22 @@
+//! What is measured, and how.
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// The server to measure, and the steps and load of the measurement.
+#[derive(Clone, Debug)]
+pub struct Plan {
+    /// Where the server serves HTTP.
+    pub http: SocketAddr,
+    /// The framed listener, and the class of the object: then the idle connections are framed.
+    pub framed: Option<(SocketAddr, String)>,
+    /// The server's process id.
+    pub pid: u32,
+    /// The path of an object that it serves.
+    pub path: String,
+    /// The number of idle connections at each step, ascending.
+    pub steps: Vec<usize>,
+    /// Requests per second of the steady load.
+    pub rate: f64,
+    /// How long the steady load lasts at each step.
+    pub length: Duration,
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,17 @@
-//! A fleet on sockets: stand-ins for cache hosts, parents and the origin, dispatchers as processes or tasks, clients, relays
-//! and faults. Nothing here is a server for service.
+//! A fleet on sockets for tests and measurements: emulated cache hosts, parents and origins, dispatchers as processes
+//! or tasks, clients, relays and fault injection. Nothing here serves production traffic.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
+mod addresses;
 pub mod content;
-pub mod day;
 pub mod demo;
+pub mod emulated_hosts;
+pub mod fleet_run;
+mod http_client;
 pub mod idle;
-pub mod sockets;
+
+/// The former path of [`emulated_hosts`].
+pub use emulated_hosts as sockets;
+/// The former path of [`fleet_run`].
+pub use fleet_run as day;
