--- a/crates/testbed/src/emulated_hosts/conversions.rs
+++ b/crates/testbed/src/emulated_hosts/conversions/mod.rs
@@ -5,6 +5,9 @@
 use pointspindle_protocol::{FetchHead, RequestHead, ResponseHead};
 use std::sync::Arc;
 
+#[cfg(test)]
+mod tests;
+
 const CONTENT_TYPE: &str = "text/plain";
 const STATUS_OK: u16 = 200;
 
--- a/crates/testbed/src/fleet_run/error.rs
+++ b/crates/testbed/src/fleet_run/error.rs
@@ -13,7 +13,10 @@
         failure: DispatcherFailure,
     },
     /// The testbed's own timers fired too late for the run's timing to be judged.
-    #[error("the rig was {lateness_ms:.0} ms late and may be {tolerance_ms:.0} ms: this machine cannot play the day")]
+    #[error(
+        "the rig was {lateness_ms:.0} ms late and may be {tolerance_ms:.0} ms: \
+         this machine cannot play the day"
+    )]
     Late {
         /// The longest delay of a timer, in milliseconds.
         lateness_ms: f64,
--- a/crates/testbed/src/fleet_run/execution.rs
+++ b/crates/testbed/src/fleet_run/execution.rs
@@ -8,9 +8,8 @@
 use super::plan::RunPlan;
 use super::run_clock::RunClock;
 use super::script_player::ScriptPlayer;
-use super::setup::Setup;
+use super::setup::{Fleet, Setup};
 use super::traffic_player::play_traffic;
-use crate::emulated_hosts::ZonePartitions;
 use pointspindle::Micros;
 use pointspindle_audit::trace::Recorder;
 use std::path::Path;
@@ -31,17 +30,35 @@
         folder,
         recorder: &recorder,
     };
-    let zone_partitions = ZonePartitions::default();
-    let hosts = setup.start_hosts(&zone_partitions).await?;
-    let control_plane = setup.start_control_plane(&hosts).await?;
-    let mut dispatchers = setup.start_dispatchers(&control_plane).await?;
-
+    let mut fleet = setup.start().await?;
     let lateness = LatenessMonitor::start();
     let clock = RunClock::start(&recorder);
+    let played = play(plan, environment, &recorder, &clock, &mut fleet).await;
+    lateness.stop();
+    played?;
+    stop_dispatchers(&mut fleet.dispatchers).await?;
+    let testbed_lateness_ms = checked_lateness_ms(plan, lateness.longest())?;
+    Ok(judge_run(
+        plan,
+        &fleet.hosts,
+        &recorder,
+        clock.began,
+        testbed_lateness_ms,
+    ))
+}
+
+/// Plays the script and the traffic to their ends.
+async fn play(
+    plan: &RunPlan,
+    environment: &Environment<'_>,
+    recorder: &Recorder,
+    clock: &RunClock,
+    fleet: &mut Fleet,
+) -> Result<(), TestbedError> {
     let clients = Arc::new(Clients {
         scenario: plan.scenario.clone(),
         recorder: recorder.clone(),
-        targets: dispatchers.targets,
+        targets: std::mem::take(&mut fleet.targets),
         network: environment.network(),
     });
     let traffic = tokio::spawn(play_traffic(clients, plan.traffic.clone(), clock.clone()));
@@ -49,28 +66,16 @@
         scenario: &plan.scenario,
         environment,
         injected_fault: plan.injected_fault,
-        hosts: &hosts,
-        zone_partitions: &zone_partitions,
-        control_plane: &control_plane,
-        dispatchers: &mut dispatchers.instances,
-        recorder: &recorder,
-        clock: &clock,
+        hosts: &fleet.hosts,
+        zone_partitions: &fleet.zone_partitions,
+        control_plane: &fleet.control_plane,
+        dispatchers: &mut fleet.dispatchers,
+        recorder,
+        clock,
     };
     let played = script_player.play(&plan.script).await;
     let _ = traffic.await;
-    lateness.stop();
-    played?;
-    stop_dispatchers(&mut dispatchers.instances).await?;
-
-    let testbed_lateness_ms = checked_lateness_ms(plan, lateness.longest())?;
-    let began = clock.began;
-    Ok(judge_run(
-        plan,
-        &hosts,
-        &recorder,
-        began,
-        testbed_lateness_ms,
-    ))
+    played
 }
 
 async fn stop_dispatchers(dispatchers: &mut [DispatcherInstance]) -> Result<(), TestbedError> {
--- a/crates/testbed/src/fleet_run/setup.rs
+++ b/crates/testbed/src/fleet_run/setup.rs
@@ -42,15 +42,40 @@
     pub recorder: &'a Recorder,
 }
 
-/// The dispatchers of a run and how clients reach them, by number.
-pub(super) struct StartedDispatchers {
-    pub instances: Vec<DispatcherInstance>,
+/// The running parts of a fleet.
+pub(super) struct Fleet {
+    pub hosts: EmulatedHosts,
+    pub zone_partitions: ZonePartitions,
+    pub control_plane: ControlPlaneHandle,
+    /// The dispatchers, by number.
+    pub dispatchers: Vec<DispatcherInstance>,
+    /// How clients reach the dispatchers, by number.
     pub targets: Vec<Target>,
 }
 
+struct StartedDispatchers {
+    instances: Vec<DispatcherInstance>,
+    targets: Vec<Target>,
+}
+
 impl Setup<'_> {
+    /// Starts all parts; each dispatcher has its endpoint list then.
+    pub async fn start(&self) -> Result<Fleet, TestbedError> {
+        let zone_partitions = ZonePartitions::default();
+        let hosts = self.start_hosts(&zone_partitions).await?;
+        let control_plane = self.start_control_plane(&hosts).await?;
+        let dispatchers = self.start_dispatchers(&control_plane).await?;
+        Ok(Fleet {
+            hosts,
+            zone_partitions,
+            control_plane,
+            dispatchers: dispatchers.instances,
+            targets: dispatchers.targets,
+        })
+    }
+
     /// Starts the emulated hosts and records what they are.
-    pub async fn start_hosts(
+    async fn start_hosts(
         &self,
         zone_partitions: &ZonePartitions,
     ) -> Result<EmulatedHosts, TestbedError> {
@@ -125,7 +150,7 @@
     }
 
     /// Starts the control plane.
-    pub async fn start_control_plane(
+    async fn start_control_plane(
         &self,
         hosts: &EmulatedHosts,
     ) -> Result<ControlPlaneHandle, TestbedError> {
@@ -191,9 +216,9 @@
         Ok(EtcdControlPlane::new(parts, &self.plan.initial_hosts).await?)
     }
 
-    /// Starts the dispatchers, with a relay in front of one of them if the injected fault asks for it, and waits until
+    /// Starts the dispatchers, with a relay in front of one of them if the injected fault needs it, and waits until
     /// each has its endpoint list.
-    pub async fn start_dispatchers(
+    async fn start_dispatchers(
         &self,
         control_plane: &ControlPlaneHandle,
     ) -> Result<StartedDispatchers, TestbedError> {
--- a/crates/testbed/src/idle/load.rs
+++ b/crates/testbed/src/idle/load.rs
@@ -65,7 +65,7 @@
     while let Some(result) = results.recv().await {
         match result {
             RequestResult::Served { response_time_us } => {
-                // Longer than any timeout of the load: not recorded.
+                // A response time above the histogram's bound is left out.
                 let _ = response_times.record(response_time_us.max(1));
             }
             RequestResult::Failed => failed += 1,
