--- a/crates/audit/src/fleet_totals/bounds.rs
+++ b/crates/audit/src/fleet_totals/bounds.rs
@@ -9,7 +9,7 @@
 const CANCELLATION_GRACE_US: Micros = 100_000;
 
 /// Judges each bound that the scenario sets. `baseline`: the same run without the faults that affect a site.
-pub fn judge(
+pub fn judge_totals(
     scenario: &Scenario,
     totals: &FleetTotals,
     baseline: Option<&FleetTotals>,
@@ -23,11 +23,11 @@
     };
     for role in &totals.roles {
         if role.role == Role::Cache.name() {
-            audit.judge_in_flight(&role.under_way, bounds.in_flight);
+            audit.judge_in_flight(&role.in_flight, bounds.in_flight);
         }
     }
     let grace = CANCELLATION_GRACE_US + scenario.limits.rules.timing_tolerance;
-    audit.judge_cancellations(&totals.left, grace as f64 / 1e3);
+    audit.judge_cancellations(&totals.cancellations, grace as f64 / 1e3);
     audit.judge_retries(totals, bounds.retries);
     audit.judge_fairness(totals, bounds.fairness);
     if let Some(baseline) = baseline {
@@ -64,8 +64,8 @@
     }
 
     fn judge_retries(&mut self, totals: &FleetTotals, bound: f64) {
-        let worst = totals.second_attempts_worst;
-        let at_s = totals.second_attempts_at_s;
+        let worst = totals.worst_retries_per_request;
+        let at_s = totals.worst_retries_at_s;
         let detail = format!("{worst:.2} attempts beyond the first for each first one in 2 s");
         self.at_most("second_attempts", bound, worst, at_s, &detail);
     }
@@ -73,20 +73,23 @@
     fn judge_fairness(&mut self, totals: &FleetTotals, bound: f64) {
         let detail = format!(
             "Jain's index {:.3}; dispatcher {} served {:.3} of its tries, the mean {:.3}",
-            totals.fairness, totals.least_dispatcher, totals.least_served, totals.mean_served
+            totals.fairness,
+            totals.lowest_served_dispatcher,
+            totals.lowest_served_share,
+            totals.mean_served_share
         );
         self.at_least("fairness", bound, totals.fairness, &detail);
     }
 
     fn judge_unaffected_sites(&mut self, totals: &FleetTotals, baseline: &FleetTotals, bound: f64) {
         for (site, without_faults) in totals.sites.iter().zip(&baseline.sites) {
-            if site.struck {
+            if site.affected {
                 continue;
             }
-            let share = site.since / without_faults.since.max(1e-9);
+            let share = site.service_since / without_faults.service_since.max(1e-9);
             let detail = format!(
                 "{} was not struck and served {:.3}, {share:.3} of the same day without the loss",
-                site.name, site.since
+                site.name, site.service_since
             );
             self.at_least("others", bound, share, &detail);
         }
--- a/crates/audit/src/fleet_totals/hosts.rs
+++ b/crates/audit/src/fleet_totals/hosts.rs
@@ -46,12 +46,12 @@
     pub role: String,
     /// Most attempts in flight at one host.
     #[serde(rename = "under_way")]
-    pub under_way: Peak,
+    pub in_flight: Peak,
     /// Most attempts at one host within a second.
     pub attempts: Peak,
     /// Most attempts at one host within the first second after its restart.
     #[serde(rename = "returned")]
-    pub returned: Peak,
+    pub after_restart: Peak,
 }
 
 /// A host as the trace declares it.
@@ -160,10 +160,12 @@
         let load = self.loads.entry(address).or_default();
         load.arrived(at, dispatcher);
         let totals = self.roles.entry(host.role.name()).or_default();
-        totals.under_way.raise(host, at, &load.in_flight);
+        totals.in_flight.raise(host, at, &load.in_flight);
         totals.attempts.raise(host, at, &load.arrived_in_second);
         if load.has_just_restarted(at) {
-            totals.returned.raise(host, at, &load.arrived_in_second);
+            totals
+                .after_restart
+                .raise(host, at, &load.arrived_in_second);
         }
     }
 }
--- a/crates/audit/src/fleet_totals/mod.rs
+++ b/crates/audit/src/fleet_totals/mod.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 
 pub use crate::warm_up::WarmUpPeak;
-pub use bounds::judge;
+pub use bounds::judge_totals;
 pub use cancellations::CancellationTotals;
 pub use hosts::{Peak, RoleTotals};
 pub use sites::SiteService;
@@ -29,35 +29,35 @@
     pub roles: Vec<RoleTotals>,
     /// Attempts beyond the first of a request, per first attempt.
     #[serde(rename = "second_attempts")]
-    pub second_attempts: f64,
+    pub retries_per_request: f64,
     /// The same over the worst 2 s.
     #[serde(rename = "second_attempts_worst")]
-    pub second_attempts_worst: f64,
+    pub worst_retries_per_request: f64,
     /// When the worst 2 s began, in seconds since the start of the run.
     #[serde(rename = "second_attempts_at_s")]
-    pub second_attempts_at_s: f64,
+    pub worst_retries_at_s: f64,
     /// Jain's fairness index over the dispatchers' shares of requests served.
     pub fairness: f64,
     /// The lowest share of requests served by a dispatcher.
     #[serde(rename = "least_served")]
-    pub least_served: f64,
+    pub lowest_served_share: f64,
     /// The dispatcher with the lowest share.
     #[serde(rename = "least_dispatcher")]
-    pub least_dispatcher: usize,
+    pub lowest_served_dispatcher: usize,
     /// The mean share.
     #[serde(rename = "mean_served")]
-    pub mean_served: f64,
+    pub mean_served_share: f64,
     /// By site; empty where no fault affects a whole site.
     pub sites: Vec<SiteService>,
     /// The worst load of a warming host, from dispatchers that knew of its start.
     #[serde(rename = "cold")]
-    pub cold: WarmUpPeak,
+    pub warm_up_informed: WarmUpPeak,
     /// The worst load of a warming host, from other dispatchers.
     #[serde(rename = "cold_unknown")]
-    pub cold_unknown: WarmUpPeak,
+    pub warm_up_uninformed: WarmUpPeak,
     /// Requests that their clients cancelled.
     #[serde(rename = "left")]
-    pub left: CancellationTotals,
+    pub cancellations: CancellationTotals,
 }
 
 /// Measures the totals of a run from its trace.
@@ -68,16 +68,16 @@
     let warm_up = warm_up::find(&evidence);
     FleetTotals {
         roles: hosts::measure(trace),
-        second_attempts: retries.per_request,
-        second_attempts_worst: retries.worst,
-        second_attempts_at_s: retries.worst_at_s,
+        retries_per_request: retries.per_request,
+        worst_retries_per_request: retries.worst,
+        worst_retries_at_s: retries.worst_at_s,
         fairness: fairness.jain_index,
-        least_served: fairness.lowest_share,
-        least_dispatcher: fairness.lowest_dispatcher,
-        mean_served: fairness.mean_share,
+        lowest_served_share: fairness.lowest_share,
+        lowest_served_dispatcher: fairness.lowest_dispatcher,
+        mean_served_share: fairness.mean_share,
         sites: sites::measure(scenario, service),
-        cold: warm_up.informed,
-        cold_unknown: warm_up.uninformed,
-        left: cancellations::measure(&evidence),
+        warm_up_informed: warm_up.informed,
+        warm_up_uninformed: warm_up.uninformed,
+        cancellations: cancellations::measure(&evidence),
     }
 }
--- a/crates/audit/src/fleet_totals/sites.rs
+++ b/crates/audit/src/fleet_totals/sites.rs
@@ -16,20 +16,20 @@
     pub name: String,
     /// Whether a fault affects the site.
     #[serde(rename = "struck")]
-    pub struck: bool,
+    pub affected: bool,
     /// Service after the warm-up.
     pub service: f64,
     /// Service over the whole seconds before the first fault that affects a site.
     #[serde(rename = "before")]
-    pub before: f64,
+    pub service_before: f64,
     /// Service from then on.
     #[serde(rename = "since")]
-    pub since: f64,
+    pub service_since: f64,
     /// Worst 3 s from then on.
     pub worst: f64,
     /// Seconds from the end of the last such fault until 3 s in a row are at 0.95 of the service before; none: never.
     #[serde(rename = "back_after_s")]
-    pub back_after_s: Option<f64>,
+    pub recovered_after_s: Option<f64>,
 }
 
 /// The whole seconds from the first fault that affects a site to the end of the last one.
@@ -70,7 +70,7 @@
         .enumerate()
         .map(|(site, (seconds, name))| SiteService {
             name,
-            struck: affected.contains(&site),
+            affected: affected.contains(&site),
             ..measure_site(seconds, warm_up_s, faults)
         })
         .collect()
@@ -86,13 +86,13 @@
         .position(|period| ratio(period) >= RECOVERED_SHARE * before);
     SiteService {
         service: ratio(&seconds[warm_up_s.min(seconds.len())..]),
-        before,
-        since: ratio(&seconds[from..]),
+        service_before: before,
+        service_since: ratio(&seconds[from..]),
         worst: seconds[from..]
             .windows(PERIOD_S)
             .map(ratio)
             .fold(1.0, f64::min),
-        back_after_s: recovery.map(|seconds| seconds as f64),
+        recovered_after_s: recovery.map(|seconds| seconds as f64),
         ..SiteService::default()
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -11,11 +11,11 @@
 mod effects;
 mod evidence;
 pub mod fleet_totals;
-mod history;
+pub mod history;
 pub mod latency;
 mod periods;
 mod purges;
-mod recorder;
+pub mod recorder;
 pub mod service;
 pub mod sizes;
 pub mod trace;
@@ -23,7 +23,6 @@
 mod verdict;
 mod warm_up;
 
-pub use fleet_totals as sums;
 pub use verdict::{RuleVerdict, Violation};
 
 use crate::evidence::Evidence;
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -26,12 +26,12 @@
     pub late: u64,
     /// Calls that ended with a rejection.
     #[serde(rename = "refused")]
-    pub refused: u64,
+    pub rejected: u64,
     /// Calls that failed otherwise.
     pub failed: u64,
     /// Calls that their clients cancelled.
     #[serde(rename = "left")]
-    pub left: u64,
+    pub cancelled: u64,
     /// Value earned over value requested.
     pub service: f64,
     /// Median latency of served calls, in milliseconds.
@@ -40,36 +40,36 @@
     pub p99_ms: f64,
     /// The largest tenth of the calls by size (with under 400 calls: the largest quarter).
     #[serde(default)]
-    pub largest: Group,
+    pub largest: SizeGroup,
     /// The fifth of the calls that follows by size.
     #[serde(default)]
-    pub next_largest: Group,
+    pub next_largest: SizeGroup,
 }
 
 /// Calls of similar size that were not cancelled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct SizeGroup {
     /// Number of calls.
     pub calls: u64,
     /// Calls that were served, in time or late.
     #[serde(rename = "answered")]
-    pub answered: u64,
+    pub served: u64,
 }
 
-impl Group {
+impl SizeGroup {
     /// Share of the calls that were served; 1 where there were none.
     pub fn share(self) -> f64 {
         if self.calls == 0 {
             return 1.0;
         }
-        self.answered as f64 / self.calls as f64
+        self.served as f64 / self.calls as f64
     }
 
     fn of(calls: &[SizedCall]) -> Self {
         let served = calls.iter().filter(|call| call.served).count();
         Self {
             calls: calls.len() as u64,
-            answered: served as u64,
+            served: served as u64,
         }
     }
 }
@@ -83,10 +83,10 @@
 
 impl ClassService {
     /// All calls of the class that were not cancelled.
-    pub fn answered(&self) -> Group {
-        Group {
-            calls: self.calls - self.left,
-            answered: self.served,
+    pub fn all(&self) -> SizeGroup {
+        SizeGroup {
+            calls: self.calls - self.cancelled,
+            served: self.served,
         }
     }
 
@@ -99,8 +99,8 @@
             count / 10
         };
         let next = (largest + count / 5).min(count);
-        self.largest = Group::of(&calls[..largest]);
-        self.next_largest = Group::of(&calls[largest..next]);
+        self.largest = SizeGroup::of(&calls[..largest]);
+        self.next_largest = SizeGroup::of(&calls[largest..next]);
     }
 }
 
@@ -113,7 +113,7 @@
     pub worst_10s: f64,
     /// When the worst 10 s began, in seconds since the start of the run.
     #[serde(rename = "worst_from_s")]
-    pub worst_from_s: f64,
+    pub worst_10s_from_s: f64,
     /// The run, its worst 10 s and its worst class, weighted as the scenario's objective says.
     pub goal: f64,
     /// By class, in the scenario's order.
@@ -125,13 +125,13 @@
     pub by_branch: Vec<Vec<ValueSum>>,
     /// Requests that clients sent, retries included.
     #[serde(rename = "tries")]
-    pub tries: u64,
+    pub requests: u64,
     /// Attempts of dispatchers that reached a host.
     pub attempts: u64,
 }
 
 /// Measures the service of a run from its trace.
-pub fn service(scenario: &Scenario, traffic: &Traffic, trace: &[TraceEntry]) -> Service {
+pub fn measure_service(scenario: &Scenario, traffic: &Traffic, trace: &[TraceEntry]) -> Service {
     let evidence = Evidence::new(scenario, trace);
     let mut requests_of_call: HashMap<u64, Vec<&ClientRequest>> = HashMap::new();
     for request in &evidence.requests {
@@ -247,7 +247,7 @@
         match outcome {
             CallOutcome::Cancelled => {
                 // Not wanted any more: neither for nor against the service.
-                class.service.left += 1;
+                class.service.cancelled += 1;
                 return;
             }
             CallOutcome::Served(response) => {
@@ -258,7 +258,7 @@
                 class.service.late += u64::from(!in_time);
                 class.latencies.record(latency);
             }
-            CallOutcome::Rejected => class.service.refused += 1,
+            CallOutcome::Rejected => class.service.rejected += 1,
             CallOutcome::Failed => class.service.failed += 1,
         }
         class.calls.push(SizedCall {
@@ -293,12 +293,12 @@
         Service {
             service,
             worst_10s: worst.service,
-            worst_from_s: worst.from_s as f64,
+            worst_10s_from_s: worst.from_s as f64,
             goal: goal(self.scenario, service, worst.service, &classes),
             classes,
             by_second: self.by_second,
             by_branch: self.by_branch,
-            tries: evidence.requests.len() as u64,
+            requests: evidence.requests.len() as u64,
             attempts: evidence
                 .requests
                 .iter()
@@ -349,7 +349,7 @@
 fn goal(scenario: &Scenario, service: f64, worst_10s: f64, classes: &[ClassService]) -> f64 {
     let worst_class = classes
         .iter()
-        .filter(|class| class.calls > class.left)
+        .filter(|class| class.calls > class.cancelled)
         .map(|class| class.service)
         .fold(1.0, f64::min);
     let weights = scenario.limits.objective;
--- a/crates/audit/src/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -1,6 +1,6 @@
 //! Rule: large objects are not shed first. Of a class's largest requests, and of the next largest ones, a minimum share
 //! of what is served of the whole class is served: two thirds in a run without faults, half in others.
-use crate::service::{ClassService, Group, Service};
+use crate::service::{ClassService, Service, SizeGroup};
 use crate::verdict::RuleVerdict;
 use pointspindle_scenario::Scenario;
 
@@ -45,14 +45,14 @@
     rule: &mut RuleVerdict,
     class: &ClassService,
     name: &str,
-    group: Group,
+    group: SizeGroup,
     min_relative_share: f64,
 ) {
     if group.calls < MIN_CALLS {
         return;
     }
     rule.cases += 1;
-    let class_share = class.answered().share();
+    let class_share = class.all().share();
     if group.share() < min_relative_share * class_share {
         let detail = format!(
             "{}, the {name}: answered {:.3} of {} calls, of the class {class_share:.3}",
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -4,9 +4,6 @@
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 
-pub use crate::history::request_history;
-pub use crate::recorder::Recorder;
-
 /// Identifies a client's attempt wherever it goes: the call, and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClientAttemptId {
--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -9,7 +9,7 @@
 use crate::trace::{ClientAttemptId, TraceEvent};
 use crate::verdict::{RuleVerdict, Violation};
 use pointspindle::Micros;
-use pointspindle_cache_model::cold::{WarmUpSpec, ROUNDING_TOLERANCE};
+use pointspindle_cache_model::warm_up::{WarmUpSpec, ROUNDING_TOLERANCE};
 use pointspindle_cache_model::Role;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
--- a/crates/audit/tests/fleet_totals.rs
+++ b/crates/audit/tests/fleet_totals.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{power_loss, served, Attempt, TraceBuilder};
-use pointspindle_audit::fleet_totals::{judge, measure_totals};
+use pointspindle_audit::fleet_totals::{judge_totals, measure_totals};
 use pointspindle_audit::trace::{ClientOutcome, TraceEntry};
 
 const HOST: &str = "a:1";
@@ -42,23 +42,23 @@
     let totals = measure_totals(&scenario, &Default::default(), &trace);
     let cache = &totals.roles[0];
     assert_eq!(
-        (cache.under_way.count, cache.under_way.dispatchers),
+        (cache.in_flight.count, cache.in_flight.dispatchers),
         (50, 2)
     );
     assert_eq!(
-        (cache.under_way.by_weight, cache.attempts.count),
+        (cache.in_flight.by_weight, cache.attempts.count),
         (25.0, 50)
     );
     assert_eq!(
-        (totals.second_attempts, totals.second_attempts_worst),
+        (totals.retries_per_request, totals.worst_retries_per_request),
         (0.25, 0.25)
     );
     // One dispatcher served all of its requests, the other none: half of 1.
     assert_eq!(
         (
             totals.fairness,
-            totals.least_dispatcher,
-            totals.least_served
+            totals.lowest_served_dispatcher,
+            totals.lowest_served_share
         ),
         (0.5, 1, 0.0)
     );
@@ -82,7 +82,7 @@
         trace.attempt_arrived(2_000_000 + after, attempt);
         let trace = trace.finish();
         let totals = measure_totals(&scenario, &Default::default(), &trace);
-        let cancellations = &totals.left;
+        let cancellations = &totals.cancellations;
         assert_eq!(
             (
                 cancellations.clients,
@@ -92,7 +92,7 @@
             (1, 1, 1)
         );
         assert_eq!(cancellations.longest_ms, after as f64 / 1e3);
-        let kinds = judge(&scenario, &totals, None).kinds();
+        let kinds = judge_totals(&scenario, &totals, None).kinds();
         assert_eq!(
             kinds.iter().filter(|(kind, _)| kind == "left").count(),
             violations,
--- a/crates/audit/tests/sizes.rs
+++ b/crates/audit/tests/sizes.rs
@@ -1,11 +1,14 @@
 //! The rule on large requests: its bounds with and without faults.
-use pointspindle_audit::service::{ClassService, Group, Service};
+use pointspindle_audit::service::{ClassService, Service, SizeGroup};
 use pointspindle_audit::sizes::judge;
 use pointspindle_scenario::{parse, Scenario};
 
 #[test]
 fn served_share_by_size_in_a_run_without_faults_has_the_higher_bound() {
-    let group = |calls, answered| Group { calls, answered };
+    let group = |calls, answered| SizeGroup {
+        calls,
+        served: answered,
+    };
     let class = |largest, next_largest| ClassService {
         calls: 1_000,
         served: 900,
--- a/crates/cache-model/src/lib.rs
+++ b/crates/cache-model/src/lib.rs
@@ -22,9 +22,6 @@
 mod store;
 pub mod warm_up;
 
-/// The former name of [`warm_up`].
-pub use warm_up as cold;
-
 pub use events::{Fault, FillOutcome, ModelInput, ModelOutput};
 pub use model::{CacheModel, SizeCatalogue};
 pub use pointspindle_config::Role;
--- a/crates/cache-model/src/model/fill_responses.rs
+++ b/crates/cache-model/src/model/fill_responses.rs
@@ -71,7 +71,7 @@
         let within_zone = self
             .source_of(host, fill_id)
             .is_some_and(|source| self.hosts[source].spec.zone == zone);
-        if !within_zone && bytes > 0 && self.settings.zones[zone].link > 0.0 {
+        if !within_zone && bytes > 0 && self.settings.zones[zone].link_capacity > 0.0 {
             let bytes_per_s = self.settings.bytes_per_s * self.settings.fill_speedup;
             let work = (bytes as f64 / bytes_per_s * 1e6) as u64;
             let transfer = self.zone_links[zone].link.begin(self.now, fill_id, work);
--- a/crates/cache-model/src/model/mod.rs
+++ b/crates/cache-model/src/model/mod.rs
@@ -75,7 +75,7 @@
             .collect();
         let fill_speedup = settings.fill_speedup.max(1e-9);
         let zone_link = |zone: &ZoneSpec| ZoneLink {
-            link: SharedLink::new(zone.link / fill_speedup, 0.0),
+            link: SharedLink::new(zone.link_capacity / fill_speedup, 0.0),
             wake_up: None,
         };
         let mut model = Self {
--- a/crates/cache-model/src/model/requests.rs
+++ b/crates/cache-model/src/model/requests.rs
@@ -81,7 +81,7 @@
         {
             return self.reject(host, job, Rejection::FAILED);
         }
-        if !state.has_free_slot() && state.queue.len() >= state.spec.queue {
+        if !state.has_free_slot() && state.queue.len() >= state.spec.queue_limit {
             return self.reject(host, job, Rejection::OVERLOADED);
         }
         if state
--- a/crates/cache-model/src/model/timers.rs
+++ b/crates/cache-model/src/model/timers.rs
@@ -75,7 +75,7 @@
     fn pause_if_due(&mut self, host: HostId) {
         let state = &mut self.hosts[host];
         if state.next_pause > 0 && self.now >= state.next_pause {
-            let until = self.now + state.spec.pause;
+            let until = self.now + state.spec.pause_duration;
             state.hang_until(until);
             self.schedule_pause(host, until);
         }
--- a/crates/cache-model/src/settings.rs
+++ b/crates/cache-model/src/settings.rs
@@ -33,7 +33,7 @@
     /// Requests that occupy a slot at once; further ones are queued.
     pub concurrency: usize,
     /// Queued requests; further ones are rejected.
-    pub queue: usize,
+    pub queue_limit: usize,
     /// Share of the link's capacity that each further full load of transfers costs.
     pub crowding_loss: f64,
     /// Capacity of the store, bytes.
@@ -57,7 +57,7 @@
     /// Mean interval between pauses of the process, microseconds; 0: none.
     pub pause_interval: Micros,
     /// Length of a pause, microseconds.
-    pub pause: Micros,
+    pub pause_duration: Micros,
     /// Multiple of its capacity at which the origin is overloaded; 0: it never is.
     pub overload_multiple: f64,
     /// How long such an overload lasts before the origin hangs, microseconds.
@@ -72,7 +72,7 @@
     /// Name of the zone.
     pub name: String,
     /// Transfers at full speed that its inbound link carries, shared by fills from other zones; 0: no limit.
-    pub link: f64,
+    pub link_capacity: f64,
 }
 
 /// What is common to all hosts.
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -17,7 +17,7 @@
         zone,
         weight: 4.0,
         concurrency: 8,
-        queue: 4,
+        queue_limit: 4,
         crowding_loss: 0.0,
         store_bytes: 1 << 20,
         fill_concurrency: 8,
@@ -34,7 +34,7 @@
         service_time: 0,
         load_report_interval: 100 * MS,
         pause_interval: 0,
-        pause: 0,
+        pause_duration: 0,
         overload_multiple: if role == Role::Origin { 2.0 } else { 0.0 },
         overload_window: 1_000 * MS,
         overload_downtime: 3_000 * MS,
@@ -77,11 +77,11 @@
         let zones = vec![
             ZoneSpec {
                 name: "b".into(),
-                link: 0.0,
+                link_capacity: 0.0,
             },
             ZoneSpec {
                 name: "h".into(),
-                link: 0.0,
+                link_capacity: 0.0,
             },
         ];
         let settings = CacheModelSettings {
--- a/crates/cli/benches/proxy.rs
+++ b/crates/cli/benches/proxy.rs
@@ -226,7 +226,7 @@
 
 /// User and system time so far, and resident memory in bytes.
 fn usage(process: &Process) -> (Duration, u64) {
-    pointspindle_testbed::idle::usage(process.child.id())
+    pointspindle_testbed::idle::process_usage(process.child.id())
 }
 
 // ---- the load
--- a/crates/cli/src/commands/client_arguments.rs
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -1,6 +1,6 @@
 //! What `get` and `load` call a dispatcher with.
 use crate::exit::CommandError;
-use pointspindle_client::{CertificateFiles, Client, Request, RetryRules, TrustAnchors};
+use pointspindle_client::{CertificateFiles, Client, Request, RetryPolicy, TrustAnchors};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -97,9 +97,9 @@
     /// A client of the dispatchers at this URL.
     pub fn client(&self, url: &Url) -> Result<Client, CommandError> {
         let addresses = std::iter::once(url.address).chain(self.also.iter().copied());
-        let mut builder = Client::builder().retries(RetryRules {
-            most: self.tries.max(1),
-            ..RetryRules::default()
+        let mut builder = Client::builder().retry_policy(RetryPolicy {
+            max_attempts: self.tries.max(1),
+            ..RetryPolicy::default()
         });
         if url.uses_tls {
             builder = builder.tls(self.trust_anchors()?, self.server_name.clone());
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -2,7 +2,7 @@
 use super::client_arguments::{ClientArguments, Url};
 use crate::exit::{CommandError, CommandResult};
 use indicatif::{ProgressBar, ProgressStyle};
-use pointspindle_client::{Call, Client, Outcome, Piece, Request};
+use pointspindle_client::{Call, CallEvent, Client, Outcome, Request};
 use std::io::{ErrorKind, IsTerminal, Write};
 use std::path::PathBuf;
 
@@ -83,7 +83,7 @@
     let mut outcome = Outcome::Failed { may_have_run: true };
     while let Some(piece) = call.next().await {
         match piece {
-            Piece::Head(head) => {
+            CallEvent::Head(head) => {
                 if let Some(size) = head.size {
                     bar.set_length(size);
                 }
@@ -91,11 +91,11 @@
                     eprintln!("{head:?}");
                 }
             }
-            Piece::Data(data) => {
+            CallEvent::Data(data) => {
                 bar.inc(data.len() as u64);
                 out.write_all(&data)?;
             }
-            Piece::End(end) => outcome = end,
+            CallEvent::End(end) => outcome = end,
         }
     }
     Ok(outcome)
@@ -104,18 +104,20 @@
 /// Says on standard error why the object was not served.
 fn report(client: &Client, call: &Call, outcome: Outcome) -> CommandResult {
     let reason = client
-        .last_trouble()
+        .last_connect_error()
         .map(|reason| format!("; {reason}"))
         .unwrap_or_default();
     match outcome {
         Outcome::Served => return Ok(()),
-        Outcome::Refused { come_back } => {
+        Outcome::Rejected {
+            retry_after: come_back,
+        } => {
             let retry_after = come_back
                 .map(|wait| format!("; come back after {} ms", wait.as_millis()))
                 .unwrap_or_default();
             eprintln!(
                 "refused after {} tries: nothing was done{retry_after}{reason}",
-                call.tries()
+                call.attempts()
             );
         }
         Outcome::Failed { may_have_run } => {
@@ -124,7 +126,7 @@
             } else {
                 "nothing has run"
             };
-            eprintln!("failed after {} tries: {effect}{reason}", call.tries());
+            eprintln!("failed after {} tries: {effect}{reason}", call.attempts());
         }
     }
     Err(CommandError::Negative)
--- a/crates/cli/src/commands/lab/capacity.rs
+++ b/crates/cli/src/commands/lab/capacity.rs
@@ -19,10 +19,9 @@
 pub fn capacity(arguments: CapacityArguments) -> CommandResult {
     let target = read_target(&arguments.target)?;
     let slopes: Slopes = read_json(&arguments.slopes)?;
-    let without_sizes = slopes
-        .figures
-        .iter()
-        .find(|(_, slope)| slope.from == 0 || slope.to < slope.from);
+    let without_sizes = slopes.figures.iter().find(|(_, slope)| {
+        slope.min_dispatchers == 0 || slope.max_dispatchers < slope.min_dispatchers
+    });
     if let Some((name, _)) = without_sizes {
         return Err(CommandError::CannotRun(format!(
             "{}: {name}: from and to, the sizes that it was measured at, are missing",
--- a/crates/cli/src/commands/lab/compare.rs
+++ b/crates/cli/src/commands/lab/compare.rs
@@ -50,7 +50,7 @@
 /// Plays two variants on the same runs and prints the difference.
 pub fn compare(arguments: CompareArguments) -> CommandResult {
     let pairs = play_pairs(&arguments)?;
-    let verdict = compare::words(&pairs);
+    let verdict = compare::describe(&pairs);
     for line in &verdict {
         println!("{line}");
     }
@@ -58,7 +58,11 @@
     if let Some(out) = &arguments.out {
         write_report(out, &pairs, &verdict)?;
     }
-    negative_if(pairs.iter().any(|pair| pair.b.breaches > pair.a.breaches))
+    negative_if(
+        pairs
+            .iter()
+            .any(|pair| pair.b.violations > pair.a.violations),
+    )
 }
 
 fn play_pairs(arguments: &CompareArguments) -> Result<Vec<Pair>, CommandError> {
@@ -78,7 +82,7 @@
         let figures_b = b.play(scenario, seeds, jobs)?;
         for ((seed, a), b) in seeds.iter().zip(figures_a).zip(figures_b) {
             let day = format!("{} seed {seed}", scenario.display());
-            pairs.push(Pair { day, a, b });
+            pairs.push(Pair { run: day, a, b });
         }
     }
     Ok(pairs)
@@ -112,7 +116,7 @@
         };
         let cell = |seed: &u64| Cell {
             seed: *seed,
-            sets: self.overrides.to_vec(),
+            overrides: self.overrides.to_vec(),
         };
         let cells: Vec<Cell> = seeds.iter().map(cell).collect();
         let played = sweep::run(&source, &cells, None, jobs, false)?;
@@ -180,10 +184,10 @@
         service: number("service"),
         worst_10s: number("worst_10s"),
         goal: number("goal"),
-        fallen: number("fallen") as usize,
-        breaches: violations as usize,
-        neighbours: number("neighbours"),
-        parents: number("parents"),
+        cold_crashes: number("fallen") as usize,
+        violations: violations as usize,
+        peak_cache_load: number("neighbours"),
+        peak_parent_load: number("parents"),
     })
 }
 
@@ -197,7 +201,7 @@
             println!(
                 "  {:>4} {}: service {:.4} to {:.4}",
                 rank + 1,
-                pair.day,
+                pair.run,
                 pair.a.service,
                 pair.b.service
             );
@@ -211,8 +215,8 @@
     let figures_a: Vec<Figures> = pairs.iter().map(|pair| pair.a).collect();
     let figures_b: Vec<Figures> = pairs.iter().map(|pair| pair.b).collect();
     let rows = [
-        sweep::row("A".into(), &figures_a),
-        sweep::row("B".into(), &figures_b),
+        sweep::summarize("A".into(), &figures_a),
+        sweep::summarize("B".into(), &figures_b),
     ];
     let page = html::sweep("A and B on the same days", &rows, verdict)?;
     std::fs::write(out.join("report.html"), page)?;
--- a/crates/cli/src/commands/lab/etcd_lag.rs
+++ b/crates/cli/src/commands/lab/etcd_lag.rs
@@ -1,6 +1,6 @@
 //! `pointspindle lab etcd`.
 use crate::exit::{negative_if, CommandError, CommandResult};
-use pointspindle_etcd_emulator::measure::{measure, Measurement, Plan};
+use pointspindle_etcd_emulator::measure::{measure_watch_lag, Measurement, MeasurementPlan};
 use std::time::Duration;
 
 const MAX_PURGES_PER_S: f64 = 1e5;
@@ -44,14 +44,14 @@
         ))
     }
 
-    fn plan(&self, watchers: usize) -> Plan {
-        Plan {
+    fn plan(&self, watchers: usize) -> MeasurementPlan {
+        MeasurementPlan {
             watchers,
-            rate: self.rate,
+            purges_per_second: self.rate,
             seconds: self.seconds,
-            drop_every: (self.drop_ms > 0).then(|| Duration::from_millis(self.drop_ms)),
-            members: self.members,
-            purges: self.purges,
+            mean_drop_interval: (self.drop_ms > 0).then(|| Duration::from_millis(self.drop_ms)),
+            initial_endpoints: self.members,
+            initial_purges: self.purges,
             seed: self.seed,
         }
     }
@@ -66,7 +66,7 @@
     );
     let mut missing = 0;
     for &watchers in &arguments.watchers {
-        let figures = measure(arguments.plan(watchers)).await?;
+        let figures = measure_watch_lag(arguments.plan(watchers)).await?;
         print_figures(watchers, &figures);
         missing += figures.missing;
     }
@@ -85,6 +85,6 @@
         figures.missing,
         figures.gaps,
         figures.first_view.as_secs_f64() * 1e3,
-        figures.again.as_secs_f64() * 1e3
+        figures.view_after_compaction.as_secs_f64() * 1e3
     );
 }
--- a/crates/cli/src/commands/lab/fleet.rs
+++ b/crates/cli/src/commands/lab/fleet.rs
@@ -5,10 +5,10 @@
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::fleet_report::{fleet_json, print_totals};
 use crate::output::run_report::{has_violations, print_outcome, print_rule};
-use pointspindle_audit::sums;
+use pointspindle_audit::fleet_totals;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::Scenario;
-use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_testbed::fleet_run::{self, Outcome};
 use std::path::{Path, PathBuf};
 
 /// Arguments of `lab fleet`.
@@ -54,11 +54,12 @@
     }
     let played = play_both(&scenario, &arguments).await?;
     // Of the run without the loss, the same seconds of the same sites.
-    let totals_of =
-        |outcome: &Outcome| sums::measure_totals(&scenario, &outcome.service, &outcome.trace);
+    let totals_of = |outcome: &Outcome| {
+        fleet_totals::measure_totals(&scenario, &outcome.service, &outcome.trace)
+    };
     let totals = totals_of(&played.outcome);
     let without_loss = played.without_loss.as_ref().map(totals_of);
-    let verdict = sums::judge(&scenario, &totals, without_loss.as_ref());
+    let verdict = fleet_totals::judge_totals(&scenario, &totals, without_loss.as_ref());
     if arguments.json {
         let json = fleet_json(
             &scenario,
@@ -106,5 +107,5 @@
         return Ok(outcome);
     }
     let program = std::env::current_exe()?;
-    Ok(day::run(scenario, &program, folder, fault).await?)
+    Ok(fleet_run::run_with_processes(scenario, &program, folder, fault).await?)
 }
--- a/crates/cli/src/commands/lab/hunt.rs
+++ b/crates/cli/src/commands/lab/hunt.rs
@@ -29,7 +29,7 @@
 }
 
 fn goal(name: &str) -> Result<Goal, &'static str> {
-    let found = Goal::WORDS.iter().find(|(known, _)| *known == name);
+    let found = Goal::NAMES.iter().find(|(known, _)| *known == name);
     found
         .map(|(_, goal)| *goal)
         .ok_or("none of worst, rules, fallen")
@@ -60,19 +60,19 @@
         found.seed,
         figures.service,
         figures.worst_10s,
-        figures.fallen,
-        figures.breaches,
-        found.troubles.len(),
-        found.days
+        figures.cold_crashes,
+        figures.violations,
+        found.faults.len(),
+        found.runs
     );
     let scenario = format!(
         "# Found by a hunt; play it with --seed {}.\n{}",
         found.seed,
-        hunt::text(&text, &found.troubles)
+        hunt::scenario_text(&text, &found.faults)
     );
     match &arguments.out {
         Some(out) => std::fs::write(out, scenario)?,
         None => print!("{scenario}"),
     }
-    negative_if(arguments.goal == Goal::Rules)
+    negative_if(arguments.goal == Goal::Violations)
 }
--- a/crates/cli/src/commands/lab/idle.rs
+++ b/crates/cli/src/commands/lab/idle.rs
@@ -4,7 +4,7 @@
 use crate::output::idle_table::{print_expiry, print_header, print_step, print_summary};
 use crate::process::raise_descriptor_limit;
 use pointspindle_report::html;
-use pointspindle_testbed::idle::{expiry, measure, Plan, Step};
+use pointspindle_testbed::idle::{measure, measure_expiry, IdlePlan, IdleStep};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -121,15 +121,15 @@
         framed: Option<(SocketAddr, String)>,
         pid: u32,
         path: String,
-    ) -> Plan {
-        Plan {
-            http,
+    ) -> IdlePlan {
+        IdlePlan {
+            http_address: http,
             framed,
             pid,
             path,
             steps: self.steps.clone(),
-            rate: self.rate,
-            length: self.step_length,
+            requests_per_second: self.rate,
+            load_duration: self.step_length,
         }
     }
 }
@@ -138,7 +138,7 @@
 async fn measure_dispatcher(
     measurement: &Measurement,
     threads: usize,
-) -> Result<Vec<Vec<Step>>, CommandError> {
+) -> Result<Vec<Vec<IdleStep>>, CommandError> {
     let folder = tempfile::tempdir()?;
     let (_hosts, endpoints) = embedded_fleet::start_hosts().await?;
     let sections = embedded_fleet::endpoint_sections(&endpoints);
@@ -156,16 +156,16 @@
     let connections = largest_step.clamp(1, MAX_EXPIRING);
     let idle_ms = 3_000 + connections as u64 / 2;
     let dispatcher = start(idle_ms).await?;
-    let plan = Plan {
-        length: Duration::from_millis(idle_ms + EXPIRY_MARGIN_MS),
+    let plan = IdlePlan {
+        load_duration: Duration::from_millis(idle_ms + EXPIRY_MARGIN_MS),
         ..measurement.plan(dispatcher.http, None, 0, OBJECT.to_owned())
     };
-    let expired = expiry(plan, connections, Duration::from_millis(idle_ms)).await?;
+    let expired = measure_expiry(plan, connections, Duration::from_millis(idle_ms)).await?;
     print_expiry(&expired);
     Ok(measured)
 }
 
-async fn measure_steps(plan: Plan) -> Vec<Step> {
+async fn measure_steps(plan: IdlePlan) -> Vec<IdleStep> {
     let (steps, stopped) = measure(plan, print_step).await;
     print_summary(&steps, stopped.as_deref());
     steps
--- a/crates/cli/src/commands/lab/report.rs
+++ b/crates/cli/src/commands/lab/report.rs
@@ -19,7 +19,10 @@
 pub fn report(arguments: ReportArguments) -> CommandResult {
     let run = folder::load(&arguments.run)?;
     let (page, name) = match &arguments.beside {
-        Some(other) => (html::two(&run, &folder::load(other)?)?, "beside.html"),
+        Some(other) => (
+            html::comparison(&run, &folder::load(other)?)?,
+            "beside.html",
+        ),
         None => (html::run(&run)?, "report.html"),
     };
     let out = arguments.out.unwrap_or_else(|| arguments.run.join(name));
--- a/crates/cli/src/commands/lab/run.rs
+++ b/crates/cli/src/commands/lab/run.rs
@@ -3,13 +3,14 @@
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::run_report::{has_violations, outcome_json, print_outcome, print_trace};
-use pointspindle_audit::trace::{request_history, ClientAttemptId, TraceEntry};
+use pointspindle_audit::history::request_history;
+use pointspindle_audit::trace::{ClientAttemptId, TraceEntry};
 use pointspindle_report::folder;
 use pointspindle_report::record::Run;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::Scenario;
 use pointspindle_simulator::{self as simulator, RunCost};
-use pointspindle_testbed::day::{self, Outcome};
+use pointspindle_testbed::fleet_run::{self, Outcome};
 use std::path::PathBuf;
 
 /// Arguments of `lab run`.
@@ -83,11 +84,14 @@
     let outcome = if arguments.simulated_network {
         let scenario = scenario.clone();
         let path = folder.path().to_owned();
-        tokio::task::spawn_blocking(move || day::shell(&scenario, &path, fault)).await?
+        tokio::task::spawn_blocking(move || {
+            fleet_run::run_on_simulated_network(&scenario, &path, fault)
+        })
+        .await?
     } else if arguments.etcd {
-        day::run_by_etcd(scenario, &program, folder.path()).await
+        fleet_run::run_with_etcd(scenario, &program, folder.path()).await
     } else {
-        day::run(scenario, &program, folder.path(), fault).await
+        fleet_run::run_with_processes(scenario, &program, folder.path(), fault).await
     };
     Ok(outcome?)
 }
@@ -123,9 +127,9 @@
     println!(
         "  {} events in {:.1} s, {:.0} a second; {:.1} us a call of a core",
         cost.events,
-        cost.wall_s,
-        cost.events as f64 / cost.wall_s,
-        cost.core_s * 1e6 / cost.core_calls.max(1) as f64
+        cost.elapsed_s,
+        cost.events as f64 / cost.elapsed_s,
+        cost.core_time_s * 1e6 / cost.core_calls.max(1) as f64
     );
 }
 
@@ -143,7 +147,7 @@
         &outcome.trace,
     );
     let text = std::fs::read_to_string(source.file())?;
-    folder::keep(out, &text, &run, &outcome.trace)?;
+    folder::save(out, &text, &run, &outcome.trace)?;
     println!("{}", out.join("report.html").display());
     Ok(())
 }
--- a/crates/cli/src/commands/lab/scale.rs
+++ b/crates/cli/src/commands/lab/scale.rs
@@ -2,9 +2,10 @@
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::scale_report::{exceeded_budgets, print_runs};
 use crate::process::raise_descriptor_limit;
+use pointspindle_scale::results::Step;
+use pointspindle_scale::runner::{machine_mb, play_step};
 use pointspindle_scale::slopes::{slopes, Slopes};
-use pointspindle_scale::steps::{machine_mb, play, Step};
-use pointspindle_scale::{parts, Target};
+use pointspindle_scale::{node, Target};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -67,7 +68,7 @@
                     "--seconds {seconds}: {MIN_SECONDS} to {MAX_SECONDS}"
                 )));
             }
-            target.seconds = seconds;
+            target.phase_seconds = seconds;
         }
         Ok(target)
     }
@@ -86,7 +87,7 @@
         commit: commit(),
         date: httpdate::fmt_http_date(SystemTime::now()),
         machine: machine(),
-        seconds: target.seconds,
+        seconds: target.phase_seconds,
         steps: match runs.first() {
             Some(run) => run.iter().map(|step| step.dispatchers).collect(),
             None => arguments.hollow.clone(),
@@ -125,7 +126,7 @@
         for &dispatchers in &arguments.hollow {
             let progress =
                 |phase: &str| eprintln!("run {run}, {dispatchers} hollow dispatchers: {phase}");
-            steps.push(play(&program, target, dispatchers, progress).await?);
+            steps.push(play_step(&program, target, dispatchers, progress).await?);
         }
         runs.push(steps);
     }
@@ -135,14 +136,14 @@
 /// A process with hollow nodes, started by `lab scale`.
 pub async fn node_process() -> CommandResult {
     raise_descriptor_limit();
-    Ok(parts::run().await?)
+    Ok(node::run().await?)
 }
 
 /// Reads the fleet ahead.
 pub fn read_target(file: &Path) -> Result<Target, CommandError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
-    Ok(pointspindle_scale::read(&name, &text)?)
+    Ok(pointspindle_scale::read_target(&name, &text)?)
 }
 
 /// Reads a file of JSON; errors name it.
@@ -181,7 +182,7 @@
                 .or_default() += lag.written as f64;
             *counts
                 .entry(format!("{kind} never heard by a dispatcher"))
-                .or_default() += lag.never as f64;
+                .or_default() += lag.missing as f64;
         }
     }
     counts
--- a/crates/cli/src/commands/lab/sweep.rs
+++ b/crates/cli/src/commands/lab/sweep.rs
@@ -3,7 +3,7 @@
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::sweep_table;
 use pointspindle_report::html;
-use pointspindle_report::sweep::{self, Source, Vary};
+use pointspindle_report::sweep::{self, Source, VariedSetting};
 use pointspindle_scenario::SettingOverride;
 use std::path::{Path, PathBuf};
 
@@ -20,7 +20,7 @@
     seeds: Seeds,
     /// A setting and its values, such as fleet.caches=3,6,9; twice at most.
     #[arg(long, value_name = "SECTION.KEY=A,B,C")]
-    vary: Vec<Vary>,
+    vary: Vec<VariedSetting>,
     /// A value in place of the scenario's, for all runs.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
     overrides: Vec<SettingOverride>,
@@ -56,7 +56,7 @@
         std::fs::write(out.join("report.html"), page)?;
         println!("{}", out.join("report.html").display());
     }
-    negative_if(rows.iter().any(|row| row.broken > 0))
+    negative_if(rows.iter().any(|row| row.runs_with_violations > 0))
 }
 
 /// Runs at once: as wanted, or as many as there are cores.
--- a/crates/cli/src/commands/lab/watch.rs
+++ b/crates/cli/src/commands/lab/watch.rs
@@ -3,12 +3,13 @@
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::run_report::{has_violations, print_rule_counts};
-use pointspindle_audit::trace::{Recorder, TraceEntry, TraceEvent};
+use pointspindle_audit::recorder::Recorder;
+use pointspindle_audit::trace::{TraceEntry, TraceEvent};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_report::terminal::draw;
-use pointspindle_report::watch::View;
+use pointspindle_report::watch::LiveView;
 use pointspindle_scenario::Scenario;
-use pointspindle_testbed::day;
+use pointspindle_testbed::fleet_run;
 use ratatui::crossterm::event::{self, Event, KeyCode, KeyEvent, KeyEventKind, KeyModifiers};
 use ratatui::DefaultTerminal;
 use std::io::IsTerminal;
@@ -102,7 +103,7 @@
 
 /// A run in virtual time that has ended, shown at a pace.
 struct Replay<'a> {
-    view: View,
+    view: LiveView,
     trace: &'a [TraceEntry],
     duration_us: u64,
     /// Seconds of the run in a second.
@@ -116,7 +117,7 @@
 impl<'a> Replay<'a> {
     fn new(scenario: &Scenario, trace: &'a [TraceEntry], pace: f64) -> Self {
         Self {
-            view: View::new(scenario),
+            view: LiveView::new(scenario),
             trace,
             duration_us: (scenario.duration_s * 1e6) as u64,
             pace,
@@ -157,10 +158,11 @@
             if entry.at as f64 > self.shown_us {
                 break;
             }
-            self.view.take(entry);
+            self.view.observe(entry);
             self.shown_entries += 1;
         }
-        self.view.to((self.shown_us as u64).min(self.duration_us));
+        self.view
+            .advance_to((self.shown_us as u64).min(self.duration_us));
     }
 
     fn state(&self) -> &'static str {
@@ -182,7 +184,7 @@
         let scenario = scenario.clone();
         let path = folder.path().to_owned();
         let recorder = recorder.clone();
-        async move { day::run_watched(&scenario, &program, &path, None, recorder).await }
+        async move { fleet_run::run_with_recorder(&scenario, &program, &path, None, recorder).await }
     });
     let mut terminal = ratatui::init();
     let shown = tokio::task::block_in_place(|| {
@@ -216,7 +218,7 @@
     recorder: &Recorder,
     is_over: impl Fn() -> bool,
 ) -> std::io::Result<LiveEnd> {
-    let mut view = View::new(scenario);
+    let mut view = LiveView::new(scenario);
     let mut shown_entries = 0;
     let mut started_at = None;
     while !is_over() {
@@ -227,13 +229,13 @@
             if matches!(entry.event, TraceEvent::RequestSent { .. }) {
                 started_at.get_or_insert(entry.at);
             }
-            view.take(&TraceEntry {
+            view.observe(&TraceEntry {
                 at: entry.at.saturating_sub(started_at.unwrap_or(entry.at)),
                 event: entry.event,
             });
         }
         if let Some(started_at) = started_at {
-            view.to(recorder.now().saturating_sub(started_at));
+            view.advance_to(recorder.now().saturating_sub(started_at));
         }
         terminal.draw(|frame| draw(&view, "on sockets, in real time   q: quit", frame))?;
         if matches!(read_key()?, Some(KeyCommand::Quit)) {
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -2,7 +2,7 @@
 use super::client_arguments::{ClientArguments, Url};
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::load_report::LoadReport;
-use pointspindle_client::{Call, Outcome, Piece};
+use pointspindle_client::{Call, CallEvent, Outcome};
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
@@ -86,13 +86,13 @@
 async fn finish(mut call: Call, due: Instant) -> FinishedCall {
     let mut outcome = Outcome::Failed { may_have_run: true };
     while let Some(piece) = call.next().await {
-        if let Piece::End(end) = piece {
+        if let CallEvent::End(end) = piece {
             outcome = end;
         }
     }
     FinishedCall {
         outcome,
         duration: due.elapsed(),
-        attempts: call.tries(),
+        attempts: call.attempts(),
     }
 }
--- a/crates/cli/src/embedded_fleet.rs
+++ b/crates/cli/src/embedded_fleet.rs
@@ -4,7 +4,7 @@
 use pointspindle_dispatcher::BoundAddresses;
 use pointspindle_protocol::EndpointRecord;
 use pointspindle_testbed::demo;
-use pointspindle_testbed::sockets::EmulatedHosts;
+use pointspindle_testbed::emulated_hosts::EmulatedHosts;
 
 /// The classes of the sample objects.
 const CLASSES: [&str; 2] = ["lesson-video", "test-page"];
@@ -13,7 +13,7 @@
 
 /// Starts the hosts. They end with the first value; the second lists them.
 pub async fn start_hosts() -> std::io::Result<(EmulatedHosts, Vec<EndpointRecord>)> {
-    demo::start(CLASSES, ZONES).await
+    demo::start_demo_fleet(CLASSES, ZONES).await
 }
 
 /// Starts the hosts, with settings for a dispatcher that listens for HTTP at `port` (0: any free one).
@@ -46,7 +46,7 @@
 pub fn print_suggestions(bound: &BoundAddresses) {
     let Some(http) = bound.http else { return };
     println!("a dispatcher, two cache hosts, a parent and an origin run here. Try:");
-    for (path, ..) in demo::SAMPLES {
+    for (path, ..) in demo::SAMPLE_OBJECTS {
         println!("  curl -i http://{http}{path}");
     }
     if let Some(framed) = bound.framed {
--- a/crates/cli/src/output/fleet_report.rs
+++ b/crates/cli/src/output/fleet_report.rs
@@ -1,9 +1,9 @@
 //! What the dispatchers of a run come to together.
 use super::run_report::{outcome_json, rule_json};
-use pointspindle_audit::sums::{FleetTotals, Peak, RoleTotals, SiteService};
+use pointspindle_audit::fleet_totals::{FleetTotals, Peak, RoleTotals, SiteService};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::Scenario;
-use pointspindle_testbed::day::Outcome;
+use pointspindle_testbed::fleet_run::Outcome;
 
 /// The run with its totals, and with those of the same run without the loss of a site.
 pub fn fleet_json(
@@ -27,20 +27,20 @@
 pub fn print_totals(totals: &FleetTotals, without_loss: Option<&FleetTotals>) {
     totals.roles.iter().for_each(print_role);
     print_warm_up(totals);
-    let left = &totals.left;
+    let left = &totals.cancellations;
     println!(
         "  clients that left {} ({} before anything had begun); attempts begun after it {}, longest {:.1} ms",
         left.clients, left.unsent, left.attempts, left.longest_ms
     );
     println!(
         "  second attempts {:.3} for each first one, worst 2 s {:.3} at {:.0} s; fairness {:.3}, least dispatcher {} served {:.3} (mean {:.3})",
-        totals.second_attempts,
-        totals.second_attempts_worst,
-        totals.second_attempts_at_s,
+        totals.retries_per_request,
+        totals.worst_retries_per_request,
+        totals.worst_retries_at_s,
         totals.fairness,
-        totals.least_dispatcher,
-        totals.least_served,
-        totals.mean_served
+        totals.lowest_served_dispatcher,
+        totals.lowest_served_share,
+        totals.mean_served_share
     );
     for (number, site) in totals.sites.iter().enumerate() {
         let twin = without_loss.and_then(|totals| totals.sites.get(number));
@@ -59,21 +59,21 @@
     println!(
         "  at a {}: most {}; {}",
         totals.role,
-        peak(&totals.under_way, "under way"),
+        peak(&totals.in_flight, "under way"),
         peak(&totals.attempts, "a second")
     );
-    if totals.returned.count > 0 {
+    if totals.after_restart.count > 0 {
         println!(
             "    in the first second of one that came back: {}",
-            peak(&totals.returned, "attempts")
+            peak(&totals.after_restart, "attempts")
         );
     }
 }
 
 fn print_warm_up(totals: &FleetTotals) {
     let peaks = [
-        (&totals.cold, "known of"),
-        (&totals.cold_unknown, "not known of"),
+        (&totals.warm_up_informed, "known of"),
+        (&totals.warm_up_uninformed, "not known of"),
     ];
     for (peak, knowledge) in peaks {
         if peak.most > 0.0 {
@@ -86,18 +86,18 @@
 }
 
 fn print_site(site: &SiteService, without_loss: Option<&SiteService>) {
-    let recovery = site.back_after_s.map_or("not back".into(), |seconds| {
+    let recovery = site.recovered_after_s.map_or("not back".into(), |seconds| {
         format!("back after {seconds:.0} s")
     });
     let twin = without_loss
-        .map(|site| format!(" ({:.3} without the loss)", site.since))
+        .map(|site| format!(" ({:.3} without the loss)", site.service_since))
         .unwrap_or_default();
     println!(
         "  {}{}: served {:.3} before, {:.3} since{twin}, worst 3 s {:.3}, {recovery}",
         site.name,
-        if site.struck { " (struck)" } else { "" },
-        site.before,
-        site.since,
+        if site.affected { " (struck)" } else { "" },
+        site.service_before,
+        site.service_since,
         site.worst
     );
 }
--- a/crates/cli/src/output/idle_table.rs
+++ b/crates/cli/src/output/idle_table.rs
@@ -1,5 +1,5 @@
 //! What idle connections cost, a line for each step.
-use pointspindle_testbed::idle::{slope, Expiry, Step};
+use pointspindle_testbed::idle::{growth_per_connection, ExpiryMeasurement, IdleStep};
 
 const BYTES_PER_MIB: f64 = 1_048_576.0;
 
@@ -21,7 +21,7 @@
 }
 
 /// Prints a step.
-pub fn print_step(step: &Step) {
+pub fn print_step(step: &IdleStep) {
     println!(
         "{:<7} {:>8} {:>9.0} {:>9.1} {:>10.1} {:>9.3} {:>9} {:>7} {:>8} {:>8}",
         step.protocol,
@@ -38,22 +38,22 @@
 }
 
 /// Prints why the steps stopped, if they did, and what a connection costs by a line through them.
-pub fn print_summary(steps: &[Step], stopped: Option<&str>) {
+pub fn print_summary(steps: &[IdleStep], stopped: Option<&str>) {
     if let Some(reason) = stopped {
         println!("stopped {reason}");
     }
     if let (Some(first), Some(last)) = (steps.first(), steps.last()) {
         println!(
             "a line through the steps: {:.0} bytes of the program and {:.0} of the kernel's buffers a connection; p99 with the most {:.2} times that with the fewest",
-            slope(steps, |step| step.program),
-            slope(steps, |step| step.kernel),
+            growth_per_connection(steps, |step| step.program),
+            growth_per_connection(steps, |step| step.kernel),
             last.p99_us as f64 / first.p99_us.max(1) as f64
         );
     }
 }
 
 /// Prints how many connections expired that fell idle together, and how late.
-pub fn print_expiry(expiry: &Expiry) {
+pub fn print_expiry(expiry: &ExpiryMeasurement) {
     println!(
         "{} fell idle within moments: closed at most {:.0} ms after their time (99 of 100 within {:.0}); {} requests meanwhile, {} failed, p99 {} us, longest {} us",
         expiry.connections,
--- a/crates/cli/src/output/load_report.rs
+++ b/crates/cli/src/output/load_report.rs
@@ -48,7 +48,7 @@
                 let duration_us = call.duration.as_micros() as u64;
                 let _ = self.durations_us.record(duration_us.max(MIN_DURATION_US));
             }
-            Outcome::Refused { .. } => self.rejected += 1,
+            Outcome::Rejected { .. } => self.rejected += 1,
             Outcome::Failed { .. } => self.failed += 1,
         }
     }
--- a/crates/cli/src/output/run_report.rs
+++ b/crates/cli/src/output/run_report.rs
@@ -4,7 +4,7 @@
 use pointspindle_audit::{count_cold_crashes, RuleVerdict};
 use pointspindle_report::record::Run;
 use pointspindle_scenario::Scenario;
-use pointspindle_testbed::day::Outcome;
+use pointspindle_testbed::fleet_run::Outcome;
 use std::borrow::Borrow;
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -36,7 +36,7 @@
 pub fn outcome_json(scenario: &Scenario, outcome: &Outcome) -> serde_json::Value {
     let service = &outcome.service;
     let run = Run::new(scenario, &[], true, service, &outcome.rules, &outcome.trace);
-    let (neighbours, parents) = run.aftermath();
+    let (neighbours, parents) = run.peak_loads_after_restarts();
     let rules: Vec<_> = outcome.rules.iter().map(rule_json).collect();
     serde_json::json!({
         "scenario": scenario.name,
@@ -46,7 +46,7 @@
         "worst_10s": service.worst_10s,
         "goal": service.goal,
         "classes": service.classes,
-        "tries": service.tries,
+        "tries": service.requests,
         "attempts": service.attempts,
         "fallen": count_cold_crashes(&outcome.trace),
         "neighbours": neighbours,
@@ -63,9 +63,9 @@
         "service {:.3} (worst 10 s {:.3}, from {:.0} s; goal {:.3}), {} tries, {} attempts, rig at most {:.0} ms late",
         service.service,
         service.worst_10s,
-        service.worst_from_s,
+        service.worst_10s_from_s,
         service.goal,
-        service.tries,
+        service.requests,
         service.attempts,
         outcome.testbed_lateness_ms
     );
@@ -81,16 +81,16 @@
         class.calls,
         class.served,
         class.late,
-        class.refused,
+        class.rejected,
         class.failed,
-        class.left,
+        class.cancelled,
         class.p50_ms,
         class.p99_ms
     );
     println!(
         "  {:<14} answered {:.3}; the largest {} {:.3}, the next {} {:.3}",
         "",
-        class.answered().share(),
+        class.all().share(),
         class.largest.calls,
         class.largest.share(),
         class.next_largest.calls,
--- a/crates/cli/src/output/scale_report.rs
+++ b/crates/cli/src/output/scale_report.rs
@@ -1,5 +1,5 @@
 //! Figures of scale runs, and the budgets that they exceed.
-use pointspindle_scale::steps::{Lag, Phase, Step};
+use pointspindle_scale::results::{Lag, Phase, Step};
 use pointspindle_scale::Target;
 
 /// Phases in which a dispatcher's budgets are judged.
@@ -32,9 +32,9 @@
     let cores = phase.dispatchers.cores / dispatchers;
     let memory_mb = phase.dispatchers.memory_mb / dispatchers;
     let costs = [
-        ("processor", cores, target.core_share, "cores"),
-        ("memory", memory_mb, target.memory_mb, "MB"),
-        ("bytes", kb_per_s, target.kb_per_s, "KB/s"),
+        ("processor", cores, target.max_cores, "cores"),
+        ("memory", memory_mb, target.max_memory_mb, "MB"),
+        ("bytes", kb_per_s, target.max_kb_per_s, "KB/s"),
     ];
     costs
         .into_iter()
@@ -51,13 +51,13 @@
 fn exceeded_lags(target: &Target, phase: &Phase) -> Vec<String> {
     let mut exceeded = Vec::new();
     let lags = [
-        (&phase.purges, target.purge_ms),
-        (&phase.changes, target.change_ms),
+        (&phase.purges, target.purge_promise_ms),
+        (&phase.changes, target.change_promise_ms),
     ];
     for (lag, budget_ms) in lags {
         let Some(lag) = lag else { continue };
-        if lag.never > 0 {
-            exceeded.push(format!("{}: {} words never came", phase.name, lag.never));
+        if lag.missing > 0 {
+            exceeded.push(format!("{}: {} words never came", phase.name, lag.missing));
         }
         if phase.name != RESTART_PHASE && lag.longest_ms > budget_ms {
             exceeded.push(format!(
@@ -87,7 +87,7 @@
     let lag = phase.purges.as_ref().or(phase.changes.as_ref());
     let lag = lag.map(lag_text).unwrap_or_default();
     let complete = phase
-        .whole_ms
+        .current_after_ms
         .map(|ms| format!("; whole after {ms:.0} ms"))
         .unwrap_or_default();
     let kb_per_s = |bytes: u64| bytes as f64 / phase.seconds / 1024.0 / dispatchers;
@@ -106,6 +106,6 @@
 fn lag_text(lag: &Lag) -> String {
     format!(
         "; {} written, in force p50 {:.1} p99 {:.1} longest {:.1} ms, {} never",
-        lag.written, lag.p50_ms, lag.p99_ms, lag.longest_ms, lag.never
+        lag.written, lag.p50_ms, lag.p99_ms, lag.longest_ms, lag.missing
     )
 }
--- a/crates/cli/src/output/sweep_table.rs
+++ b/crates/cli/src/output/sweep_table.rs
@@ -10,14 +10,14 @@
     for row in rows {
         println!(
             "{:<48} {:>5} {:>8.4} {:>7.3} {:>7.3} {:>9.4} {:>7} {:>7}",
-            row.way,
-            row.days,
+            row.name,
+            row.runs,
             row.service,
-            row.least,
-            row.most,
+            row.min_service,
+            row.max_service,
             row.worst_10s,
-            row.fallen,
-            row.broken
+            row.cold_crashes,
+            row.runs_with_violations
         );
     }
 }
--- a/crates/client/examples/get.rs
+++ b/crates/client/examples/get.rs
@@ -21,7 +21,7 @@
         Outcome::Served => println!("{} bytes", response.body.len()),
         outcome => println!("{outcome:?}"),
     }
-    if let Some(error) = client.last_trouble() {
+    if let Some(error) = client.last_connect_error() {
         println!(
             "last connection error: {error}; source: {:?}",
             error.source()
--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -5,7 +5,7 @@
 use crate::error::BuildError;
 use crate::framed::FramedChannel;
 use crate::http::HttpChannel;
-use crate::retry::{RetryRules, RetryState};
+use crate::retry::{RetryPolicy, RetryState};
 use pointspindle_transport::tls::TrustAnchors;
 use pointspindle_transport::Network;
 use rand::Rng;
@@ -19,7 +19,7 @@
 pub struct ClientBuilder {
     transport: Transport,
     dispatchers: Vec<SocketAddr>,
-    rules: RetryRules,
+    rules: RetryPolicy,
     connect_timeout: Duration,
     seed: Option<u64>,
     network: Network,
@@ -31,7 +31,7 @@
         Self {
             transport: Transport::Framed,
             dispatchers: Vec::new(),
-            rules: RetryRules::default(),
+            rules: RetryPolicy::default(),
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
             seed: None,
             network: Network::Tcp,
@@ -60,7 +60,7 @@
     }
 
     /// When the client retries.
-    pub fn retries(self, rules: RetryRules) -> Self {
+    pub fn retry_policy(self, rules: RetryPolicy) -> Self {
         Self { rules, ..self }
     }
 
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -3,7 +3,7 @@
 use crate::channel::Attempt;
 use crate::client::Shared;
 use crate::retry::{Micros, RetryState};
-use crate::{Piece, Request};
+use crate::{CallEvent, Request};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 enum Event {
     Attempt {
         number: u32,
-        progress: Result<Piece, AttemptEnd>,
+        progress: Result<CallEvent, AttemptEnd>,
     },
     WakeUp,
 }
@@ -54,13 +54,13 @@
     }
 
     /// How many attempts were made so far.
-    pub fn tries(&self) -> u32 {
+    pub fn attempts(&self) -> u32 {
         self.state.attempts()
     }
 
     /// The next piece of the response; none after [`Piece::End`]. The body is read only as fast as this is called:
     /// flow control holds back what is not taken.
-    pub async fn next(&mut self) -> Option<Piece> {
+    pub async fn next(&mut self) -> Option<CallEvent> {
         if self.ended {
             return None;
         }
@@ -71,7 +71,7 @@
         loop {
             while let Some(action) = self.pending.pop_front() {
                 if let Some(outcome) = self.perform(action).await {
-                    return Some(Piece::End(outcome));
+                    return Some(CallEvent::End(outcome));
                 }
             }
             let event = self.next_event().await;
@@ -148,16 +148,16 @@
     }
 
     /// Handles an event; the piece that is to be handed on, if any.
-    fn handle(&mut self, event: Event) -> Option<Piece> {
+    fn handle(&mut self, event: Event) -> Option<CallEvent> {
         match event {
             Event::Attempt {
                 number,
-                progress: Ok(Piece::Head(head)),
+                progress: Ok(CallEvent::Head(head)),
             } => {
                 let now = self.client.now();
                 let retries = &mut self.client.retries();
                 let accepted = self.state.response_started(now, number, retries);
-                return accepted.then_some(Piece::Head(head));
+                return accepted.then_some(CallEvent::Head(head));
             }
             Event::Attempt {
                 progress: Ok(piece),
--- a/crates/client/src/call_state.rs
+++ b/crates/client/src/call_state.rs
@@ -27,9 +27,9 @@
     /// Complete; every byte has been handed on.
     Served,
     /// Nothing was done that a retry would do twice.
-    Refused {
+    Rejected {
         /// When to retry, if a dispatcher said so and there is no time left for it in this call.
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// The response is not complete.
     Failed {
@@ -246,7 +246,7 @@
         actions: &mut Vec<Action>,
     ) {
         let nothing_sent = end == AttemptEnd::NotSent;
-        if !self.may_repeat(now) || self.attempts >= retries.rules().most {
+        if !self.may_repeat(now) || self.attempts >= retries.rules().max_attempts {
             return self.give_up(actions);
         }
         // Where nothing was sent, an attempt elsewhere is no additional load and costs no budget.
@@ -357,8 +357,8 @@
     fn give_up(&mut self, actions: &mut Vec<Action>) {
         let harmless = self.first_run_at.is_none() || self.idempotency == Idempotency::Idempotent;
         let outcome = if harmless {
-            Outcome::Refused {
-                come_back: self.retry_after.map(Duration::from_micros),
+            Outcome::Rejected {
+                retry_after: self.retry_after.map(Duration::from_micros),
             }
         } else {
             Outcome::Failed { may_have_run: true }
--- a/crates/client/src/call_state/tests.rs
+++ b/crates/client/src/call_state/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::retry::RetryRules;
+use crate::retry::RetryPolicy;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -7,7 +7,7 @@
 const DEADLINE: Micros = 2 * SECOND;
 
 fn retry_state(dispatchers: usize) -> RetryState {
-    RetryState::new(RetryRules::default(), dispatchers, 1)
+    RetryState::new(RetryPolicy::default(), dispatchers, 1)
 }
 
 fn start_call(idempotency: Idempotency, retries: &mut RetryState) -> (CallState, Vec<Action>) {
@@ -141,8 +141,8 @@
     call.attempt_ended(SECOND, 0, rejected, &mut retries, &mut actions);
     assert_eq!(
         outcomes(&actions),
-        [Outcome::Refused {
-            come_back: Some(Duration::from_secs(5))
+        [Outcome::Rejected {
+            retry_after: Some(Duration::from_secs(5))
         }]
     );
 }
@@ -265,7 +265,7 @@
 
 fn play_random_call(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
-    let mut retries = RetryState::new(RetryRules::default(), random.gen_range(1..4), seed);
+    let mut retries = RetryState::new(RetryPolicy::default(), random.gen_range(1..4), seed);
     let window = Duration::from_millis(500);
     let idempotency = [
         Idempotency::Idempotent,
--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -3,7 +3,7 @@
 use crate::framed::{FramedAttempt, FramedChannel};
 use crate::http::{HttpAttempt, HttpChannel};
 use crate::retry::Micros;
-use crate::{Piece, Request};
+use crate::{CallEvent, Request};
 
 /// How a client talks to its dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -52,7 +52,7 @@
 
 impl Attempt {
     /// The next piece of the response, or the attempt's end.
-    pub(crate) async fn next(&mut self) -> Result<Piece, AttemptEnd> {
+    pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         match self {
             Self::Framed(attempt) => attempt.next().await,
             Self::Http(attempt) => attempt.next().await,
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -6,7 +6,7 @@
 use crate::connector::LastConnectError;
 use crate::error::{ConnectError, RequestError};
 use crate::retry::{Micros, RetryState};
-use crate::{Piece, Request, ResponseHead};
+use crate::{CallEvent, Request, ResponseHead};
 use bytes::{Bytes, BytesMut};
 use rand::Rng;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -98,7 +98,7 @@
     }
 
     /// Why the last failed connection was not made, such as what is wrong with a certificate.
-    pub fn last_trouble(&self) -> Option<Arc<ConnectError>> {
+    pub fn last_connect_error(&self) -> Option<Arc<ConnectError>> {
         self.shared.last_connect_error.get()
     }
 
@@ -110,9 +110,9 @@
         let mut body = BytesMut::new();
         while let Some(piece) = call.next().await {
             match piece {
-                Piece::Head(received) => head = Some(received),
-                Piece::Data(data) => body.extend_from_slice(&data),
-                Piece::End(end) => outcome = end,
+                CallEvent::Head(received) => head = Some(received),
+                CallEvent::Data(data) => body.extend_from_slice(&data),
+                CallEvent::End(end) => outcome = end,
             }
         }
         Ok(FetchedResponse {
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -1,7 +1,7 @@
 //! One dispatcher by the framed protocol: one connection for all calls, made when first needed.
 use crate::call_state::AttemptEnd;
 use crate::connector::Connector;
-use crate::{Piece, Request};
+use crate::{CallEvent, Request};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{ErrorHead, Frame, HelloHead, ProbeHead, RequestHead, WireStatus};
 use pointspindle_transport::{
@@ -119,16 +119,16 @@
 
 impl FramedAttempt {
     /// The next piece of the response, or the attempt's end.
-    pub(crate) async fn next(&mut self) -> Result<Piece, AttemptEnd> {
+    pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         loop {
             match self.call.next().await {
                 // There is one head; a further one is ignored.
                 Some(ResponsePart::Head(_)) if self.has_head => {}
                 Some(ResponsePart::Head(head)) => {
                     self.has_head = true;
-                    return Ok(Piece::Head(head));
+                    return Ok(CallEvent::Head(head));
                 }
-                Some(ResponsePart::Data(data)) => return Ok(Piece::Data(data)),
+                Some(ResponsePart::Data(data)) => return Ok(CallEvent::Data(data)),
                 Some(ResponsePart::End(end)) => return Err(self.attempt_end(&end)),
                 None => return Err(self.lost()),
             }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -3,7 +3,7 @@
 
 use crate::call_state::AttemptEnd;
 use crate::connector::Connector;
-use crate::{Piece, Request};
+use crate::{CallEvent, Request};
 use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
 use pointspindle_transport::{FrameReader, IdleState, WriteHalf};
 use response::ResponseStatus;
@@ -133,7 +133,7 @@
 
 impl HttpAttempt {
     /// The next piece of the response, or the attempt's end.
-    pub(crate) async fn next(&mut self) -> Result<Piece, AttemptEnd> {
+    pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         loop {
             let connection = self.connection.as_mut().ok_or(LOST)?;
             match connection.read.next().await {
@@ -144,11 +144,11 @@
                 })) => {
                     self.response = ResponseStatus::new(status, &fields, keep_alive);
                     if self.response.is_origin_response() {
-                        return Ok(Piece::Head(response::head(status, &fields)));
+                        return Ok(CallEvent::Head(response::head(status, &fields)));
                     }
                 }
                 Some(Ok(HttpEvent::Data(data))) if self.response.is_origin_response() => {
-                    return Ok(Piece::Data(data));
+                    return Ok(CallEvent::Data(data));
                 }
                 Some(Ok(HttpEvent::Data(_))) => {}
                 Some(Ok(HttpEvent::End)) => {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -68,13 +68,13 @@
 pub use pointspindle_transport::tls::{CertificateFiles, TlsError, TrustAnchors};
 pub use pointspindle_transport::Network;
 pub use request::{Idempotency, Request};
-pub use retry::RetryRules;
+pub use retry::RetryPolicy;
 
 use bytes::Bytes;
 
 /// A piece of a call's response.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Piece {
+pub enum CallEvent {
     /// The response's head; at most once, before any data.
     Head(ResponseHead),
     /// The next bytes of the body.
--- a/crates/client/src/retry.rs
+++ b/crates/client/src/retry.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use policy::RetryRules;
+pub use policy::RetryPolicy;
 
 use breaker::Breaker;
 use rand::rngs::StdRng;
@@ -27,7 +27,7 @@
 /// The retry state that all calls of a client share.
 #[derive(Debug)]
 pub struct RetryState {
-    rules: RetryRules,
+    rules: RetryPolicy,
     /// Retries left in the budget.
     budget: f64,
     /// By the dispatcher's index.
@@ -43,7 +43,7 @@
 
 impl RetryState {
     /// The state of a client of so many dispatchers; `seed` is of its jitter.
-    pub fn new(rules: RetryRules, dispatchers: usize, seed: u64) -> Self {
+    pub fn new(rules: RetryPolicy, dispatchers: usize, seed: u64) -> Self {
         Self {
             rules,
             budget: rules.max_saved_retries,
@@ -54,7 +54,7 @@
     }
 
     /// The settings.
-    pub fn rules(&self) -> &RetryRules {
+    pub fn rules(&self) -> &RetryPolicy {
         &self.rules
     }
 
--- a/crates/client/src/retry/breaker.rs
+++ b/crates/client/src/retry/breaker.rs
@@ -1,6 +1,6 @@
 //! The circuit breaker of one dispatcher: opens after several attempts in a row without any response, and lets a single
 //! trial through when its pause is over.
-use super::{micros, Micros, RetryRules};
+use super::{micros, Micros, RetryPolicy};
 
 /// Doublings of the pause beyond this many change nothing: the longest pause is reached long before.
 const MAX_PAUSE_DOUBLINGS: u32 = 10;
@@ -37,7 +37,7 @@
     }
 
     /// An attempt begins: after a pause it is the trial.
-    pub(super) fn attempt_started(&mut self, now: Micros, rules: &RetryRules) {
+    pub(super) fn attempt_started(&mut self, now: Micros, rules: &RetryPolicy) {
         if self.trips > 0 {
             self.trial_until = now + micros(rules.breaker_pause);
         }
@@ -49,7 +49,7 @@
     }
 
     /// An attempt ended without any response. `jitter`: factor of the pause.
-    pub(super) fn record_silence(&mut self, now: Micros, rules: &RetryRules, jitter: f64) {
+    pub(super) fn record_silence(&mut self, now: Micros, rules: &RetryPolicy, jitter: f64) {
         // Calls that share a connection are lost together; that counts once.
         let already_counted = self
             .last_failure
--- a/crates/client/src/retry/policy.rs
+++ b/crates/client/src/retry/policy.rs
@@ -3,9 +3,9 @@
 
 /// When a client retries: how often, how soon, and when it leaves a dispatcher alone.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryRules {
+pub struct RetryPolicy {
     /// Attempts of one call, the first included.
-    pub most: u32,
+    pub max_attempts: u32,
     /// Retries that each call adds to the budget.
     pub retries_per_call: f64,
     /// Upper bound of the budget, in retries; the budget is full at the start.
@@ -22,10 +22,10 @@
     pub max_breaker_pause: Duration,
 }
 
-impl Default for RetryRules {
+impl Default for RetryPolicy {
     fn default() -> Self {
         Self {
-            most: 4,
+            max_attempts: 4,
             retries_per_call: 0.2,
             max_saved_retries: 10.0,
             initial_backoff: Duration::from_millis(50),
--- a/crates/client/src/retry/tests.rs
+++ b/crates/client/src/retry/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn retry_state(dispatchers: usize) -> RetryState {
-    RetryState::new(RetryRules::default(), dispatchers, 1)
+    RetryState::new(RetryPolicy::default(), dispatchers, 1)
 }
 
 /// An outage: every call fails and would be attempted four times.
@@ -12,7 +12,7 @@
     for _ in 0..1_000 {
         retries.record_call();
         attempts += 1;
-        for _ in 1..retries.rules().most {
+        for _ in 1..retries.rules().max_attempts {
             attempts += retries.take_retry() as u32;
         }
     }
--- a/crates/client/tests/cuts/main.rs
+++ b/crates/client/tests/cuts/main.rs
@@ -7,7 +7,7 @@
 
 use attempt_log::{longest_overlap, AttemptLog, Lifetime};
 use cluster::{content, start_dispatcher, start_endpoint};
-use pointspindle_client::{Client, Outcome, Piece, Request, RetryRules};
+use pointspindle_client::{CallEvent, Client, Outcome, Request, RetryPolicy};
 use pointspindle_dispatcher::Dispatcher;
 use relay::start_relay;
 use std::net::SocketAddr;
@@ -56,7 +56,7 @@
         self.attempts += u64::from(call.attempts);
         match call.outcome {
             Outcome::Served => self.served += 1,
-            Outcome::Refused { .. } => self.refused += 1,
+            Outcome::Rejected { .. } => self.refused += 1,
             Outcome::Failed { .. } => self.failed += 1,
         }
     }
@@ -107,13 +107,13 @@
 
 fn client(protocol: Protocol, dispatchers: Vec<SocketAddr>, seed: u64) -> Client {
     // More retries than by default: the budget is another test's.
-    let rules = RetryRules {
+    let rules = RetryPolicy {
         retries_per_call: 2.0,
         max_saved_retries: 1e6,
         breaker_threshold: 8,
-        ..RetryRules::default()
+        ..RetryPolicy::default()
     };
-    let builder = Client::builder().retries(rules).seed(seed);
+    let builder = Client::builder().retry_policy(rules).seed(seed);
     let builder = match protocol {
         Protocol::Framed => builder.framed(dispatchers),
         Protocol::Http => builder.http(dispatchers),
@@ -144,9 +144,9 @@
     while let Some(piece) = call.next().await {
         assert!(outcome.is_none(), "something came after the outcome");
         match piece {
-            Piece::Head(_) => assert!(body.is_empty(), "a second head"),
-            Piece::Data(data) => body.extend_from_slice(&data),
-            Piece::End(end) => outcome = Some(end),
+            CallEvent::Head(_) => assert!(body.is_empty(), "a second head"),
+            CallEvent::Data(data) => body.extend_from_slice(&data),
+            CallEvent::End(end) => outcome = Some(end),
         }
     }
     assert!(
@@ -163,7 +163,7 @@
     }
     FinishedCall {
         outcome,
-        attempts: call.tries(),
+        attempts: call.attempts(),
     }
 }
 
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,7 +1,7 @@
 //! TLS by both protocols: complete responses, rejected certificates with their reason, and a reload of certificates.
 use bytes::Bytes;
 use pointspindle_client::{
-    CertificateFiles, Client, Outcome, Piece, Request, RetryRules, TrustAnchors,
+    CallEvent, CertificateFiles, Client, Outcome, Request, RetryPolicy, TrustAnchors,
 };
 use pointspindle_dispatcher::{BoundAddresses, Dispatcher};
 use pointspindle_protocol::streams::Side;
@@ -128,12 +128,12 @@
 }
 
 fn client(bound: &BoundAddresses, protocol: Protocol, trust: TrustAnchors) -> Client {
-    let rules = RetryRules {
-        most: 1,
-        ..RetryRules::default()
+    let rules = RetryPolicy {
+        max_attempts: 1,
+        ..RetryPolicy::default()
     };
     let builder = Client::builder()
-        .retries(rules)
+        .retry_policy(rules)
         .connect_timeout(Duration::from_secs(5))
         .tls(trust, None);
     let builder = match protocol {
@@ -168,9 +168,9 @@
         let mut received = Vec::new();
         while let Some(piece) = call.next().await {
             match piece {
-                Piece::Head(_) => tokio::time::sleep(Duration::from_millis(300)).await,
-                Piece::Data(data) => received.extend_from_slice(&data),
-                Piece::End(end) => assert_eq!(end, Outcome::Served, "{protocol:?}"),
+                CallEvent::Head(_) => tokio::time::sleep(Duration::from_millis(300)).await,
+                CallEvent::Data(data) => received.extend_from_slice(&data),
+                CallEvent::End(end) => assert_eq!(end, Outcome::Served, "{protocol:?}"),
             }
         }
         assert!(
@@ -207,7 +207,7 @@
             let client = client(dispatcher.bound_addresses(), protocol, trust.clone());
             assert_ne!(get(&client, "/small").await.0, Outcome::Served, "{reason}");
             let error = client
-                .last_trouble()
+                .last_connect_error()
                 .map(|error| error.to_string())
                 .unwrap_or_default();
             assert!(
@@ -286,7 +286,7 @@
         get(&trusts_second, "/small").await.0,
         Outcome::Served,
         "{:?}",
-        trusts_second.last_trouble()
+        trusts_second.last_connect_error()
     );
     assert_eq!(
         get(&trusts_first, "/small").await.0,
--- a/crates/etcd-emulator/src/measure.rs
+++ b/crates/etcd-emulator/src/measure.rs
@@ -29,19 +29,19 @@
 
 /// What is measured.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct MeasurementPlan {
     /// Watchers, each with a connection of its own.
     pub watchers: usize,
     /// Purges a second.
-    pub rate: f64,
+    pub purges_per_second: f64,
     /// How long purges are written, seconds.
     pub seconds: f64,
     /// Mean time between breaks of all streams; none: they do not break.
-    pub drop_every: Option<Duration>,
+    pub mean_drop_interval: Option<Duration>,
     /// Endpoint records in the store from the start.
-    pub members: usize,
+    pub initial_endpoints: usize,
     /// Purge records in the store from the start.
-    pub purges: usize,
+    pub initial_purges: usize,
     /// Seed of the breaks and of the watchers' jitter.
     pub seed: u64,
 }
@@ -62,7 +62,7 @@
     /// From the start to a current view, of the slowest watcher.
     pub first_view: Duration,
     /// The same after an outage in which all history was compacted.
-    pub again: Duration,
+    pub view_after_compaction: Duration,
 }
 
 /// Why nothing was measured.
@@ -95,7 +95,7 @@
 }
 
 /// Measures with an emulator in this process.
-pub async fn measure(plan: Plan) -> Result<Measurement, MeasureError> {
+pub async fn measure_watch_lag(plan: MeasurementPlan) -> Result<Measurement, MeasureError> {
     let emulator = EtcdEmulator::new(None);
     let endpoint = format!("http://{}", emulator.listen().await?);
     let client = Etcd::new(&access(&endpoint), CALL_TIMEOUT)?;
@@ -108,7 +108,7 @@
         .ok_or(MeasureError::NoFirstView)?;
 
     let drop_task = plan
-        .drop_every
+        .mean_drop_interval
         .map(|mean| tokio::spawn(drop_streams(emulator.clone(), mean, plan.seed)));
     let writes = write_purges(&client, plan).await?;
     tokio::time::sleep(SETTLE_TIME).await;
@@ -126,7 +126,7 @@
         gaps,
         drops,
         first_view,
-        again,
+        view_after_compaction: again,
     })
 }
 
@@ -138,7 +138,7 @@
 }
 
 /// Starts the watchers, each with a connection of its own, as a dispatcher has.
-fn start_watchers(endpoint: &str, plan: Plan) -> Result<Vec<SharedLog>, MeasureError> {
+fn start_watchers(endpoint: &str, plan: MeasurementPlan) -> Result<Vec<SharedLog>, MeasureError> {
     let settings = WatcherSettings {
         response_timeout_us: RESPONSE_TIMEOUT_US,
         ..WatcherSettings::default()
@@ -176,8 +176,8 @@
     }
 }
 
-async fn write_purges(client: &Etcd, plan: Plan) -> Result<Vec<Write>, MeasureError> {
-    let interval = Duration::from_secs_f64(1.0 / plan.rate);
+async fn write_purges(client: &Etcd, plan: MeasurementPlan) -> Result<Vec<Write>, MeasureError> {
+    let interval = Duration::from_secs_f64(1.0 / plan.purges_per_second);
     let mut writes = Vec::new();
     let start = Instant::now();
     while start.elapsed().as_secs_f64() < plan.seconds {
--- a/crates/etcd-emulator/src/measure/dataset.rs
+++ b/crates/etcd-emulator/src/measure/dataset.rs
@@ -1,5 +1,5 @@
 //! The records that a measurement begins with.
-use super::Plan;
+use super::MeasurementPlan;
 use crate::EtcdEmulator;
 use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::proto::*;
@@ -15,9 +15,10 @@
 }
 
 /// Writes the records of the plan.
-pub(super) fn fill(emulator: &EtcdEmulator, plan: Plan) {
-    put_all(emulator, (0..plan.members).map(member));
-    let purges = (0..plan.purges).map(|number| purge(&format!("before-{number:07}"), number));
+pub(super) fn fill(emulator: &EtcdEmulator, plan: MeasurementPlan) {
+    put_all(emulator, (0..plan.initial_endpoints).map(member));
+    let purges =
+        (0..plan.initial_purges).map(|number| purge(&format!("before-{number:07}"), number));
     put_all(emulator, purges);
 }
 
--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -10,7 +10,7 @@
 pub struct Pair {
     /// Scenario and seed.
     #[serde(rename = "day")]
-    pub day: String,
+    pub run: String,
     /// Figures of the first variant.
     pub a: Figures,
     /// Figures of the second variant.
@@ -28,32 +28,32 @@
     pub goal: f64,
     /// Hosts that crashed by overload during their warm-up.
     #[serde(rename = "fallen")]
-    pub fallen: usize,
+    pub cold_crashes: usize,
     /// Violations of all rules.
     #[serde(rename = "breaches")]
-    pub breaches: usize,
+    pub violations: usize,
     /// Highest load of a warm cache in the seconds after a restart.
     #[serde(default)]
     #[serde(rename = "neighbours")]
-    pub neighbours: f64,
+    pub peak_cache_load: f64,
     /// Highest load of a parent in the seconds after a restart.
     #[serde(default)]
     #[serde(rename = "parents")]
-    pub parents: f64,
+    pub peak_parent_load: f64,
 }
 
 impl Figures {
     /// The figures of a run.
     pub fn of(run: &Run) -> Self {
-        let (cache_load, parent_load) = run.aftermath();
+        let (cache_load, parent_load) = run.peak_loads_after_restarts();
         Self {
             service: run.service.service,
             worst_10s: run.service.worst_10s,
             goal: run.service.goal,
-            fallen: run.cold_crashes,
-            breaches: run.violations(),
-            neighbours: cache_load,
-            parents: parent_load,
+            cold_crashes: run.cold_crashes,
+            violations: run.violations(),
+            peak_cache_load: cache_load,
+            peak_parent_load: parent_load,
         }
     }
 }
@@ -174,12 +174,12 @@
     ComparedFigure {
         name: "highest load of warm caches after a restart",
         preference: Preference::Less,
-        value: |figures| figures.neighbours,
+        value: |figures| figures.peak_cache_load,
     },
     ComparedFigure {
         name: "... of parents",
         preference: Preference::Less,
-        value: |figures| figures.parents,
+        value: |figures| figures.peak_parent_load,
     },
 ];
 
@@ -210,11 +210,12 @@
 }
 
 /// The whole comparison as text, a line each; rules first.
-pub fn words(pairs: &[Pair]) -> Vec<String> {
+pub fn describe(pairs: &[Pair]) -> Vec<String> {
     let runs_with_violations =
-        |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).breaches > 0).count();
-    let cold_crashes =
-        |variant: fn(&Pair) -> &Figures| pairs.iter().map(|p| variant(p).fallen).sum::<usize>();
+        |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).violations > 0).count();
+    let cold_crashes = |variant: fn(&Pair) -> &Figures| {
+        pairs.iter().map(|p| variant(p).cold_crashes).sum::<usize>()
+    };
     let mut lines = vec![
         format!(
             "rules: A broke some on {} of {n} days, B on {} of {n}",
--- a/crates/report/src/folder.rs
+++ b/crates/report/src/folder.rs
@@ -2,7 +2,8 @@
 //! that knows the format.
 use crate::record::{Run, FORMAT_VERSION};
 use crate::{html, ReportError};
-use pointspindle_audit::trace::{request_history, ClientAttemptId, TraceEntry};
+use pointspindle_audit::history::request_history;
+use pointspindle_audit::trace::{ClientAttemptId, TraceEntry};
 use pointspindle_scenario::{parse_with, Scenario};
 use std::path::Path;
 
@@ -28,7 +29,7 @@
 }
 
 /// Saves a run with its report. The trace of a run on sockets is saved too, as such a run cannot be repeated.
-pub fn keep(
+pub fn save(
     folder: &Path,
     scenario_text: &str,
     run: &Run,
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,10 +1,10 @@
 //! Reports, a page each, from templates. Plots are part of the page; nothing is loaded from outside.
-use crate::compare::{words, Figures, Pair};
+use crate::compare::{describe, Figures, Pair};
 use crate::record::Run;
 use crate::sweep::SweepRow;
 use crate::{plots, ReportError};
 use minijinja::{context, Environment, Value};
-use pointspindle_testbed::idle::Step;
+use pointspindle_testbed::idle::IdleStep;
 
 const BYTES_PER_MIB: f64 = 1_048_576.0;
 
@@ -44,9 +44,9 @@
 }
 
 /// Two runs side by side.
-pub fn two(a: &Run, b: &Run) -> Result<String, ReportError> {
+pub fn comparison(a: &Run, b: &Run) -> Result<String, ReportError> {
     let pair = Pair {
-        day: a.scenario.clone(),
+        run: a.scenario.clone(),
         a: Figures::of(a),
         b: Figures::of(b),
     };
@@ -56,7 +56,7 @@
             title => format!("A: {} seed {}, B: {} seed {}", a.scenario, a.seed, b.scenario, b.seed),
             a => a,
             b => b,
-            words => words(&[pair]),
+            words => describe(&[pair]),
             worth => plots::value_of_two(a, b)?,
             heat_a => plots::heat_map(&a.hosts, a.duration_s)?,
             heat_b => plots::heat_map(&b.hosts, b.duration_s)?,
@@ -65,14 +65,14 @@
 }
 
 /// The cost of idle connections: a table and two plots, a series of steps for each protocol.
-pub fn idle(series: &[Vec<Step>]) -> Result<String, ReportError> {
+pub fn idle(series: &[Vec<IdleStep>]) -> Result<String, ReportError> {
     let memory = plots::against_idle_connections(series, "MiB of the program", |step| {
         step.program as f64 / BYTES_PER_MIB
     })?;
     let p99 = plots::against_idle_connections(series, "p99 of requests beside them, ms", |step| {
         step.p99_us as f64 / 1e3
     })?;
-    let steps: Vec<&Step> = series.iter().flatten().collect();
+    let steps: Vec<&IdleStep> = series.iter().flatten().collect();
     render(
         "idle.html",
         context! { title => "Idle connections", steps, memory, p99 },
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -29,36 +29,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goal {
     /// The lowest service.
-    Worst,
+    LowestService,
     /// A violation of a rule.
-    Rules,
+    Violations,
     /// Hosts that crash by overload during their warm-up.
-    Fallen,
+    ColdCrashes,
 }
 
 impl Goal {
     /// The goals with their names on the command line.
-    pub const WORDS: [(&'static str, Self); 3] = [
-        ("worst", Self::Worst),
-        ("rules", Self::Rules),
-        ("fallen", Self::Fallen),
+    pub const NAMES: [(&'static str, Self); 3] = [
+        ("worst", Self::LowestService),
+        ("rules", Self::Violations),
+        ("fallen", Self::ColdCrashes),
     ];
 
     /// How well a run shows the goal; 0: not at all.
     fn score(self, figures: &Figures) -> f64 {
         match self {
-            Self::Worst => 1.0 - figures.service,
-            Self::Rules => figures.breaches as f64,
-            Self::Fallen => figures.fallen as f64,
+            Self::LowestService => 1.0 - figures.service,
+            Self::Violations => figures.violations as f64,
+            Self::ColdCrashes => figures.cold_crashes as f64,
         }
     }
 
     /// Whether a reduced run still shows what the found one did.
     fn is_still_shown(self, found: &Figures, reduced: &Figures) -> bool {
         match self {
-            Self::Worst => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
-            Self::Rules => reduced.breaches > 0,
-            Self::Fallen => reduced.fallen > 0,
+            Self::LowestService => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
+            Self::Violations => reduced.violations > 0,
+            Self::ColdCrashes => reduced.cold_crashes > 0,
         }
     }
 }
@@ -88,16 +88,16 @@
     /// Seed of the run.
     pub seed: u64,
     /// The faults that are left.
-    pub troubles: Vec<DrawnFault>,
+    pub faults: Vec<DrawnFault>,
     /// Figures of the reduced run.
     pub figures: Figures,
     /// Number of runs that the search and the reduction took.
-    pub days: usize,
+    pub runs: usize,
 }
 
 /// The kinds of fault that a run in virtual time can have.
 fn possible_kinds() -> Vec<FaultKind> {
-    FaultKind::WORDS
+    FaultKind::NAMES
         .iter()
         .map(|(_, kind)| *kind)
         .filter(|kind| !kind.requires_simulated_network() && !kind.requires_processes())
@@ -146,7 +146,7 @@
 }
 
 /// The base scenario with these faults in place of its own.
-pub fn text(base: &str, faults: &[DrawnFault]) -> String {
+pub fn scenario_text(base: &str, faults: &[DrawnFault]) -> String {
     let mut text = String::new();
     let mut in_fault = false;
     for line in base.lines() {
@@ -217,7 +217,7 @@
 
 impl Hunt<'_> {
     fn run(&self, seed: u64, faults: &[DrawnFault]) -> Result<Figures, ReportError> {
-        let text = text(self.source.text, faults);
+        let text = scenario_text(self.source.text, faults);
         let scenario = parse_with(self.source.name, &text, Some(seed), self.overrides)?;
         let (run, _) = Run::play(&scenario, self.overrides)?;
         Ok(Figures::of(&run))
@@ -254,9 +254,9 @@
     fn reduce(&self, candidate: Candidate, runs: usize) -> Result<Found, ReportError> {
         let mut found = Found {
             seed: candidate.seed,
-            troubles: candidate.faults,
+            faults: candidate.faults,
             figures: candidate.figures,
-            days: runs,
+            runs: runs,
         };
         while self.reduce_once(&mut found, &candidate.figures)? {}
         Ok(found)
@@ -264,11 +264,11 @@
 
     /// Takes one step; false where none keeps the finding.
     fn reduce_once(&self, found: &mut Found, original: &Figures) -> Result<bool, ReportError> {
-        for reduced in reductions(&found.troubles) {
-            found.days += 1;
+        for reduced in reductions(&found.faults) {
+            found.runs += 1;
             let figures = self.run(found.seed, &reduced)?;
             if self.goal.is_still_shown(original, &figures) {
-                found.troubles = reduced;
+                found.faults = reduced;
                 found.figures = figures;
                 return Ok(true);
             }
--- a/crates/report/src/plots/scatter.rs
+++ b/crates/report/src/plots/scatter.rs
@@ -6,12 +6,12 @@
 use crate::sweep::SweepRow;
 use crate::ReportError;
 use plotters::prelude::*;
-use pointspindle_testbed::idle::Step;
+use pointspindle_testbed::idle::IdleStep;
 
 /// Mean service of each row of a sweep, with the range of its runs.
 pub(crate) fn sweep_rows(rows: &[SweepRow]) -> Result<String, ReportError> {
     draw_svg(HEIGHT_PX, |area| {
-        let lowest = rows.iter().map(|row| row.least).fold(1.0, f64::min) - 0.02;
+        let lowest = rows.iter().map(|row| row.min_service).fold(1.0, f64::min) - 0.02;
         let mut chart = chart(area, 0.0..rows.len() as f64, lowest.max(0.0)..1.01)?;
         chart
             .configure_mesh()
@@ -24,7 +24,7 @@
         let centre = |n: usize| n as f64 + 0.5;
         let ranges = rows.iter().enumerate().map(|(n, row)| {
             PathElement::new(
-                [(centre(n), row.least), (centre(n), row.most)],
+                [(centre(n), row.min_service), (centre(n), row.max_service)],
                 REQUESTED_COLOUR.stroke_width(6),
             )
         });
@@ -40,9 +40,9 @@
 
 /// A figure against the number of idle connections, a line for each protocol.
 pub(crate) fn against_idle_connections(
-    series: &[Vec<Step>],
+    series: &[Vec<IdleStep>],
     unit: &str,
-    figure: impl Fn(&Step) -> f64,
+    figure: impl Fn(&IdleStep) -> f64,
 ) -> Result<String, ReportError> {
     draw_svg(HEIGHT_PX, |area| {
         let steps = || series.iter().flatten();
--- a/crates/report/src/plots/time_series.rs
+++ b/crates/report/src/plots/time_series.rs
@@ -106,7 +106,7 @@
 }
 
 fn worst_period(run: &Run) -> Period {
-    let from_s = run.service.worst_from_s;
+    let from_s = run.service.worst_10s_from_s;
     Period {
         from_s,
         to_s: (from_s + WORST_PERIOD_S).min(run.duration_s),
--- a/crates/report/src/record/mod.rs
+++ b/crates/report/src/record/mod.rs
@@ -133,7 +133,7 @@
 
     /// What restarts put on other hosts: the highest load of a cache and of a parent in any of the 5 s after a restart,
     /// those left out that have restarted within the last 10 s themselves.
-    pub fn aftermath(&self) -> (f64, f64) {
+    pub fn peak_loads_after_restarts(&self) -> (f64, f64) {
         (
             self.peak_load_after_restarts("cache"),
             self.peak_load_after_restarts("parent"),
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -14,7 +14,7 @@
 
 /// A setting and the values that it takes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Vary {
+pub struct VariedSetting {
     /// Section of the scenario.
     pub section: String,
     /// Key of the setting.
@@ -25,7 +25,7 @@
 
 /// Why a text names no setting with values.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum VaryError {
+pub enum VariedSettingError {
     /// It has not the form `section.key=values`.
     #[error("{0}")]
     Override(String),
@@ -34,19 +34,19 @@
     EmptyValue(String),
 }
 
-impl FromStr for Vary {
-    type Err = VaryError;
+impl FromStr for VariedSetting {
+    type Err = VariedSettingError;
 
     /// Reads `section.key=a,b,c`.
-    fn from_str(text: &str) -> Result<Self, VaryError> {
-        let setting: SettingOverride = text.parse().map_err(VaryError::Override)?;
+    fn from_str(text: &str) -> Result<Self, VariedSettingError> {
+        let setting: SettingOverride = text.parse().map_err(VariedSettingError::Override)?;
         let values: Vec<String> = setting
             .value
             .split(',')
             .map(|value| value.trim().to_owned())
             .collect();
         if values.iter().any(String::is_empty) {
-            return Err(VaryError::EmptyValue(text.to_owned()));
+            return Err(VariedSettingError::EmptyValue(text.to_owned()));
         }
         Ok(Self {
             section: setting.section,
@@ -56,7 +56,7 @@
     }
 }
 
-impl Vary {
+impl VariedSetting {
     fn overrides(&self) -> impl Iterator<Item = SettingOverride> + '_ {
         self.values.iter().map(|value| SettingOverride {
             section: self.section.clone(),
@@ -73,7 +73,7 @@
     pub seed: u64,
     /// Settings that differ from the scenario's.
     #[serde(rename = "sets")]
-    pub sets: Vec<SettingOverride>,
+    pub overrides: Vec<SettingOverride>,
 }
 
 /// A cell with its result.
@@ -86,7 +86,7 @@
 }
 
 /// Every combination of values with every seed, in order; the seeds vary fastest.
-pub fn cells(seeds: &[u64], overrides: &[SettingOverride], vary: &[Vary]) -> Vec<Cell> {
+pub fn cells(seeds: &[u64], overrides: &[SettingOverride], vary: &[VariedSetting]) -> Vec<Cell> {
     let mut combinations = vec![overrides.to_vec()];
     for setting in vary {
         combinations = combinations
@@ -103,7 +103,7 @@
         .flat_map(|combination| {
             seeds.iter().map(move |seed| Cell {
                 seed: *seed,
-                sets: combination.clone(),
+                overrides: combination.clone(),
             })
         })
         .collect()
@@ -119,8 +119,8 @@
 
 impl Source<'_> {
     fn run(&self, cell: &Cell) -> Result<Figures, ReportError> {
-        let scenario = parse_with(self.name, self.text, Some(cell.seed), &cell.sets)?;
-        let (run, _) = Run::play(&scenario, &cell.sets)?;
+        let scenario = parse_with(self.name, self.text, Some(cell.seed), &cell.overrides)?;
+        let (run, _) = Run::play(&scenario, &cell.overrides)?;
         Ok(Figures::of(&run))
     }
 }
@@ -128,7 +128,11 @@
 /// The file of a cell's result. Its name is a hash of all that decides the run, so that another text, or another
 /// build's format, gives another file.
 fn result_file(folder: &Path, source: &Source, cell: &Cell) -> PathBuf {
-    let overrides: String = cell.sets.iter().map(|set| format!("{set}\n")).collect();
+    let overrides: String = cell
+        .overrides
+        .iter()
+        .map(|set| format!("{set}\n"))
+        .collect();
     let identity = format!(
         "{FORMAT_VERSION}\n{}\n{overrides}{}",
         cell.seed, source.text
@@ -207,28 +211,28 @@
 pub struct SweepRow {
     /// The overrides, as text.
     #[serde(rename = "way")]
-    pub way: String,
+    pub name: String,
     /// Number of runs.
     #[serde(rename = "days")]
-    pub days: usize,
+    pub runs: usize,
     /// Mean service.
     pub service: f64,
     /// Lowest service of a run.
     #[serde(rename = "least")]
-    pub least: f64,
+    pub min_service: f64,
     /// Highest service of a run.
     #[serde(rename = "most")]
-    pub most: f64,
+    pub max_service: f64,
     /// Mean service over the worst 10 s.
     pub worst_10s: f64,
     /// Mean of the weighted objective.
     pub goal: f64,
     /// Hosts that crashed by overload during their warm-up, over all runs.
     #[serde(rename = "fallen")]
-    pub fallen: usize,
+    pub cold_crashes: usize,
     /// Number of runs with a violation.
     #[serde(rename = "broken")]
-    pub broken: usize,
+    pub runs_with_violations: usize,
 }
 
 /// The runs with the same overrides.
@@ -241,7 +245,7 @@
 pub fn rows(results: &[CellResult]) -> Vec<SweepRow> {
     let mut groups: Vec<RunGroup> = Vec::new();
     for result in results {
-        let overrides = overrides_text(&result.cell.sets);
+        let overrides = overrides_text(&result.cell.overrides);
         match groups.iter_mut().find(|group| group.overrides == overrides) {
             Some(group) => group.figures.push(result.figures),
             None => groups.push(RunGroup {
@@ -252,7 +256,7 @@
     }
     groups
         .into_iter()
-        .map(|group| row(group.overrides, &group.figures))
+        .map(|group| summarize(group.overrides, &group.figures))
         .collect()
 }
 
@@ -265,19 +269,19 @@
 }
 
 /// The row of these runs under this name.
-pub fn row(name: String, runs: &[Figures]) -> SweepRow {
+pub fn summarize(name: String, runs: &[Figures]) -> SweepRow {
     let mean =
         |figure: fn(&Figures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
     let services = || runs.iter().map(|run| run.service);
     SweepRow {
-        way: name,
-        days: runs.len(),
+        name: name,
+        runs: runs.len(),
         service: mean(|run| run.service),
-        least: services().fold(f64::MAX, f64::min),
-        most: services().fold(0.0, f64::max),
+        min_service: services().fold(f64::MAX, f64::min),
+        max_service: services().fold(0.0, f64::max),
         worst_10s: mean(|run| run.worst_10s),
         goal: mean(|run| run.goal),
-        fallen: runs.iter().map(|run| run.fallen).sum(),
-        broken: runs.iter().filter(|run| run.breaches > 0).count(),
+        cold_crashes: runs.iter().map(|run| run.cold_crashes).sum(),
+        runs_with_violations: runs.iter().filter(|run| run.violations > 0).count(),
     }
 }
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -1,5 +1,5 @@
 //! Draws a [`View`] on a terminal.
-use crate::watch::{HostState, HostView, OutcomeTally, View};
+use crate::watch::{HostState, HostView, LiveView, OutcomeTally};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style, Stylize};
 use ratatui::text::{Line, Span};
@@ -10,7 +10,7 @@
 const SHADES: [char; 5] = ['·', '░', '▒', '▓', '█'];
 
 /// Draws the whole view; `hint` lists the keys.
-pub fn draw(view: &View, hint: &str, frame: &mut Frame) {
+pub fn draw(view: &LiveView, hint: &str, frame: &mut Frame) {
     let [progress, outcomes, hosts, messages, keys] = Layout::vertical([
         Constraint::Length(3),
         Constraint::Length(11),
@@ -26,7 +26,7 @@
     frame.render_widget(Paragraph::new(hint.to_owned()).dim(), keys);
 }
 
-fn draw_progress(view: &View, frame: &mut Frame, area: Rect) {
+fn draw_progress(view: &LiveView, frame: &mut Frame, area: Rect) {
     let now_s = view.now as f64 / 1e6;
     let label = format!(
         "{now_s:.1} of {:.0} s, {} tries open, {} of {} dispatchers up, {} hosts fallen",
@@ -72,7 +72,7 @@
     },
 ];
 
-fn draw_outcomes(view: &View, frame: &mut Frame, area: Rect) {
+fn draw_outcomes(view: &LiveView, frame: &mut Frame, area: Rect) {
     let block = Block::bordered().title("tries by the second in which they ended");
     let inner = block.inner(area);
     frame.render_widget(block, area);
@@ -83,7 +83,7 @@
 }
 
 /// The seconds that fit, the newest at the right.
-fn draw_outcome_row(view: &View, row: &OutcomeRow, frame: &mut Frame, area: Rect) {
+fn draw_outcome_row(view: &LiveView, row: &OutcomeRow, frame: &mut Frame, area: Rect) {
     let columns = Layout::horizontal([Constraint::Length(24), Constraint::Fill(1)]);
     let [text_area, line_area] = columns.areas(area);
     let total = (row.count)(&view.total());
@@ -112,7 +112,7 @@
     symbols: Vec<Span<'static>>,
 }
 
-fn host_rows(view: &View) -> Vec<HostRow> {
+fn host_rows(view: &LiveView) -> Vec<HostRow> {
     let mut rows: Vec<HostRow> = Vec::new();
     for host in &view.hosts {
         let name = format!("{} {}", host.zone, host.role);
@@ -128,7 +128,7 @@
     rows
 }
 
-fn draw_hosts(view: &View, frame: &mut Frame, area: Rect) {
+fn draw_hosts(view: &LiveView, frame: &mut Frame, area: Rect) {
     let title =
         "load of the last second: · idle to █ full, red beyond; C cold, x down, o out by the list";
     let block = Block::bordered().title(title);
@@ -164,7 +164,7 @@
 }
 
 /// The messages that fit, the newest at the bottom.
-fn draw_messages(view: &View, frame: &mut Frame, area: Rect) {
+fn draw_messages(view: &LiveView, frame: &mut Frame, area: Rect) {
     let block = Block::bordered().title("what happened");
     let height = block.inner(area).height as usize;
     let lines: Vec<Line> = view
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -102,7 +102,7 @@
 
 /// A run while it goes on.
 #[derive(Debug)]
-pub struct View {
+pub struct LiveView {
     /// Name, description and seed of the run.
     pub title: String,
     /// Length of the run, in seconds.
@@ -126,7 +126,7 @@
     open_requests: HashMap<ClientAttemptId, Micros>,
 }
 
-impl View {
+impl LiveView {
     /// The run before its first event.
     pub fn new(scenario: &Scenario) -> Self {
         let seconds = scenario.duration_s.ceil() as usize + 1;
@@ -150,7 +150,7 @@
     }
 
     /// Advances the view's clock, in microseconds since the start of the run, whether or not anything happened.
-    pub fn to(&mut self, now: Micros) {
+    pub fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
         for host in &mut self.hosts {
             host.advance_to(self.now);
@@ -158,7 +158,7 @@
     }
 
     /// Takes an event of the run.
-    pub fn take(&mut self, entry: &TraceEntry) {
+    pub fn observe(&mut self, entry: &TraceEntry) {
         let at = entry.at;
         self.now = self.now.max(at);
         match &entry.event {
--- a/crates/report/tests/compare.rs
+++ b/crates/report/tests/compare.rs
@@ -7,7 +7,7 @@
         ..Default::default()
     };
     let pair = |(n, d): (usize, &f64)| Pair {
-        day: n.to_string(),
+        run: n.to_string(),
         a: figures(0.5),
         b: figures(0.5 + d),
     };
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,7 +1,7 @@
 //! Saved runs, sweeps that continue, hunts that reduce their findings, and pages that load nothing from outside.
 use pointspindle_audit::trace::ClientAttemptId;
 use pointspindle_report::record::Run;
-use pointspindle_report::sweep::{cells, rows, run, Source, Vary};
+use pointspindle_report::sweep::{cells, rows, run, Source, VariedSetting};
 use pointspindle_report::{folder, html, hunt};
 use pointspindle_scenario::{parse_with, SettingOverride};
 
@@ -47,7 +47,7 @@
 
 #[test]
 fn sweep_on_any_number_of_threads_gives_the_same_table_and_repeats_no_saved_run() {
-    let vary: Vec<Vary> = vec![
+    let vary: Vec<VariedSetting> = vec![
         "fleet.hello=no,yes".parse().unwrap(),
         "fleet.caches=2,3".parse().unwrap(),
     ];
@@ -72,7 +72,7 @@
     let table = rows(&all);
     assert_eq!(table.len(), 4);
     assert!(
-        table[0].way.contains("fleet.hello=no fleet.caches=2") && table[0].days == 3,
+        table[0].name.contains("fleet.hello=no fleet.caches=2") && table[0].runs == 3,
         "{table:?}"
     );
 }
@@ -88,7 +88,7 @@
         "the same bytes for the same seed"
     );
     let place = tempfile::tempdir().unwrap();
-    folder::keep(place.path(), SCENARIO, &run, &outcome.trace).unwrap();
+    folder::save(place.path(), SCENARIO, &run, &outcome.trace).unwrap();
     assert_eq!(folder::load(place.path()).unwrap(), run);
     let history = folder::explain(
         place.path(),
@@ -128,7 +128,7 @@
         .0;
     for page in [
         html::run(&a).unwrap(),
-        html::two(&a, &b).unwrap(),
+        html::comparison(&a, &b).unwrap(),
         html::sweep("s", &[], &[]).unwrap(),
     ] {
         for outside in ["<script", "src=", "@import", "<link"] {
@@ -145,7 +145,7 @@
 #[test]
 fn hunt_for_cold_crashes_finds_one_and_reduces_it_to_the_needed_faults() {
     let busy = overrides(&["day.rate=110", "cold cache.multiple=1.4"]);
-    let found = hunt::hunt(&SOURCE, &busy, hunt::Goal::Fallen, 1, 120)
+    let found = hunt::hunt(&SOURCE, &busy, hunt::Goal::ColdCrashes, 1, 120)
         .unwrap()
         .expect("restarts before lists tell");
     println!("{found:?}");
@@ -154,38 +154,38 @@
         "a seed draws the same faults in every build"
     );
     assert!(
-        found.figures.fallen > 0 && found.figures.breaches == 0,
+        found.figures.cold_crashes > 0 && found.figures.violations == 0,
         "nobody could have known"
     );
     let cold_crashes = |faults: &[_]| {
-        let text = hunt::text(SCENARIO, faults);
+        let text = hunt::scenario_text(SCENARIO, faults);
         let scenario = parse_with("found.ini", &text, Some(found.seed), &busy).unwrap();
         Run::play(&scenario, &busy).unwrap().0.cold_crashes
     };
-    assert_eq!(cold_crashes(&found.troubles), found.figures.fallen);
-    for without in 0..found.troubles.len() {
-        let mut fewer = found.troubles.clone();
+    assert_eq!(cold_crashes(&found.faults), found.figures.cold_crashes);
+    for without in 0..found.faults.len() {
+        let mut fewer = found.faults.clone();
         fewer.remove(without);
         assert_eq!(
             cold_crashes(&fewer),
             0,
             "{:?} was not needed",
-            found.troubles[without]
+            found.faults[without]
         );
     }
-    let again = hunt::hunt(&SOURCE, &busy, hunt::Goal::Fallen, 1, 120).unwrap();
+    let again = hunt::hunt(&SOURCE, &busy, hunt::Goal::ColdCrashes, 1, 120).unwrap();
     assert_eq!(again, Some(found), "the same find whatever the threads");
 }
 
 #[test]
 fn malformed_sweep_is_rejected_with_its_reason() {
     assert!("fleet.caches"
-        .parse::<Vary>()
+        .parse::<VariedSetting>()
         .unwrap_err()
         .to_string()
         .contains("section.key=value"));
     assert!("fleet.caches=3,,4"
-        .parse::<Vary>()
+        .parse::<VariedSetting>()
         .unwrap_err()
         .to_string()
         .contains("empty"));
--- a/crates/report/tests/terminal.rs
+++ b/crates/report/tests/terminal.rs
@@ -1,6 +1,6 @@
 //! A run on the terminal, drawn on a test backend.
 use pointspindle_report::terminal::draw;
-use pointspindle_report::watch::{HostState, View};
+use pointspindle_report::watch::{HostState, LiveView};
 use pointspindle_scenario as scenario;
 use pointspindle_simulator as simulator;
 use ratatui::backend::TestBackend;
@@ -15,13 +15,13 @@
     );
     let scenario = scenario::load(std::path::Path::new(file), Some(3)).unwrap();
     let played = simulator::run(&scenario, None).unwrap();
-    let mut view = View::new(&scenario);
+    let mut view = LiveView::new(&scenario);
     let mut terminal = Terminal::new(TestBackend::new(110, 34)).unwrap();
     let mut down = 0;
     let mut warming_up = 0;
     for entry in &played.trace {
-        view.take(entry);
-        view.to(entry.at);
+        view.observe(entry);
+        view.advance_to(entry.at);
         let count =
             |wanted: fn(&HostState) -> bool| view.hosts.iter().filter(|h| wanted(&h.state)).count();
         down = down.max(count(|s| *s == HostState::Down));
@@ -39,7 +39,7 @@
         down >= scenario.fleet.caches_per_branch && warming_up >= scenario.fleet.caches_per_branch,
         "{down} down, {warming_up} cold"
     );
-    let requests = played.service.tries;
+    let requests = played.service.requests;
     let total = view.total();
     assert!(
         total.served + total.rejected + total.failed <= requests && total.served * 2 > requests,
@@ -69,14 +69,14 @@
 fn terminal_view_of_any_size_draws_without_panic() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
     let scenario = scenario::load(std::path::Path::new(file), None).unwrap();
-    let mut view = View::new(&scenario);
+    let mut view = LiveView::new(&scenario);
     for entry in simulator::run(&scenario, None)
         .unwrap()
         .trace
         .iter()
         .take(5_000)
     {
-        view.take(entry);
+        view.observe(entry);
     }
     for (width, height) in [(1, 1), (10, 4), (40, 16), (300, 100)] {
         let mut terminal = Terminal::new(TestBackend::new(width, height)).unwrap();
--- a/crates/report/tests/written_names.rs
+++ b/crates/report/tests/written_names.rs
@@ -101,18 +101,18 @@
     );
     let cell = Cell {
         seed: 1,
-        sets: Vec::new(),
+        overrides: Vec::new(),
     };
     let result = written(&CellResult { cell, figures });
     assert_eq!(fields(&result), "cell figures");
     assert_eq!(fields(&result["cell"]), "seed sets");
-    let row = sweep::row("A".into(), &[figures]);
+    let row = sweep::summarize("A".into(), &[figures]);
     assert_eq!(
         fields(&written(&row)),
         "broken days fallen goal least most service way worst_10s"
     );
     let pair = Pair {
-        day: "1".into(),
+        run: "1".into(),
         a: figures,
         b: figures,
     };
--- a/crates/scale/src/capacity/roles.rs
+++ b/crates/scale/src/capacity/roles.rs
@@ -51,8 +51,8 @@
 }
 
 fn dispatcher(target: &Target) -> Vec<Row> {
-    let cores = |what, figure| measured(what, figure, "cores", Some(target.core_share), CONTROL);
-    let bytes = |what, figure| measured(what, figure, "KB/s", Some(target.kb_per_s), CONTROL);
+    let cores = |what, figure| measured(what, figure, "cores", Some(target.max_cores), CONTROL);
+    let bytes = |what, figure| measured(what, figure, "KB/s", Some(target.max_kb_per_s), CONTROL);
     vec![
         cores("processor, at rest", "rest/dispatcher cores"),
         cores(
@@ -67,7 +67,7 @@
             "memory",
             "purges x10/dispatcher memory",
             "MB",
-            Some(target.memory_mb),
+            Some(target.max_memory_mb),
             CONTROL,
         ),
         bytes("bytes heard, at rest", "rest/dispatcher bytes in"),
@@ -150,7 +150,7 @@
 }
 
 fn promises(target: &Target) -> Vec<Row> {
-    let purge = |what, figure| measured(what, figure, "ms", Some(target.purge_ms), CONTROL);
+    let purge = |what, figure| measured(what, figure, "ms", Some(target.purge_promise_ms), CONTROL);
     vec![
         purge("purge in force, p50", "purges/purge in force p50"),
         purge("purge in force, p99", "purges/purge in force p99"),
@@ -167,7 +167,7 @@
             "change of the list in force, longest",
             "changes/change in force longest",
             "ms",
-            Some(target.change_ms),
+            Some(target.change_promise_ms),
             CONTROL,
         ),
         Row {
--- a/crates/scale/src/capacity/row.rs
+++ b/crates/scale/src/capacity/row.rs
@@ -144,7 +144,7 @@
     if let Some(apart) = apart.filter(|_| !slope.is_used()) {
         return format!("runs {apart:.0}% apart, slope not used; largest value measured");
     }
-    let largest_size = slope.to as f64;
+    let largest_size = slope.max_dispatchers as f64;
     if dispatchers > largest_size {
         return format!("extrapolated x{:.1}", dispatchers / largest_size);
     }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -16,16 +16,7 @@
 pub mod slopes;
 mod target;
 
-pub use target::{read, FleetSize, RunSettings, Target, Workload};
-
-/// The former path of [`node`].
-pub use node as parts;
-
-/// The former path of [`results`] and [`runner`].
-pub mod steps {
-    pub use crate::results::{Lag, Phase, ResourceUsage, Step};
-    pub use crate::runner::{machine_mb, play, ScaleError};
-}
+pub use target::{read_target, FleetSize, RunSettings, Target, Workload};
 
 #[cfg(test)]
 mod tests;
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -13,7 +13,7 @@
     pub received: u64,
     /// Updates that a dispatcher never received, over all dispatchers.
     #[serde(rename = "never")]
-    pub never: u64,
+    pub missing: u64,
     /// Median lag, milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the lag, milliseconds.
@@ -54,7 +54,7 @@
     pub changes: Option<Lag>,
     /// Until every view was current, milliseconds; none: not waited for.
     #[serde(rename = "whole_ms")]
-    pub whole_ms: Option<f64>,
+    pub current_after_ms: Option<f64>,
     /// A dispatcher's state, on the mean.
     #[serde(rename = "items")]
     pub state: StateCounts,
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -74,7 +74,7 @@
 }
 
 /// Plays all phases at one size. `on_phase` is called with the name of each phase when it is over.
-pub async fn play(
+pub async fn play_step(
     program: &Path,
     target: &Target,
     dispatchers: usize,
--- a/crates/scale/src/runner/fleet.rs
+++ b/crates/scale/src/runner/fleet.rs
@@ -60,7 +60,7 @@
             ..Default::default()
         };
         let promise_ms = if target.run.promises_purges {
-            target.purge_ms
+            target.purge_promise_ms
         } else {
             0.0
         };
--- a/crates/scale/src/runner/lag.rs
+++ b/crates/scale/src/runner/lag.rs
@@ -46,7 +46,7 @@
     Lag {
         written,
         received,
-        never: (written * dispatchers).saturating_sub(received),
+        missing: (written * dispatchers).saturating_sub(received),
         p50_ms: lags.quantile_ms(0.5),
         p99_ms: lags.quantile_ms(0.99),
         longest_ms: lags.quantile_ms(1.0),
--- a/crates/scale/src/runner/phases.rs
+++ b/crates/scale/src/runner/phases.rs
@@ -192,7 +192,7 @@
     }
 
     fn phase_length(&self) -> Duration {
-        Duration::from_secs_f64(self.target.seconds)
+        Duration::from_secs_f64(self.target.phase_seconds)
     }
 
     async fn write_purge(&mut self) -> Result<(), RunError> {
@@ -240,7 +240,7 @@
             .end(&mut self.fleet, name, Written::Nothing)
             .await?;
         self.record_phase(Phase {
-            whole_ms: Some(whole_ms),
+            current_after_ms: Some(whole_ms),
             ..phase
         })
     }
--- a/crates/scale/src/runner/usage.rs
+++ b/crates/scale/src/runner/usage.rs
@@ -1,6 +1,6 @@
 //! Processor time, memory and descriptors of processes, from `/proc`.
 use crate::results::ResourceUsage;
-use pointspindle_testbed::idle::usage;
+use pointspindle_testbed::idle::process_usage;
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const KB_PER_MB: f64 = 1024.0;
@@ -15,7 +15,7 @@
 
 impl ProcessUsage {
     pub(super) fn of(pid: u32) -> Self {
-        let (cpu, memory_bytes) = usage(pid);
+        let (cpu, memory_bytes) = process_usage(pid);
         let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd"))
             .map_or(0, |directory| directory.count() as u64);
         Self {
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -40,10 +40,10 @@
     pub residual: f64,
     /// Smallest size measured, dispatchers.
     #[serde(rename = "from")]
-    pub from: usize,
+    pub min_dispatchers: usize,
     /// Largest size measured, dispatchers.
     #[serde(rename = "to")]
-    pub to: usize,
+    pub max_dispatchers: usize,
     /// Largest value measured, in any run at any size.
     #[serde(default, rename = "most")]
     pub max_value: f64,
@@ -165,8 +165,8 @@
         linear: best.linear,
         quadratic: best.quadratic,
         residual: best.max_distance / largest,
-        from: sizes().fold(f64::INFINITY, f64::min) as usize,
-        to: largest_size as usize,
+        min_dispatchers: sizes().fold(f64::INFINITY, f64::min) as usize,
+        max_dispatchers: largest_size as usize,
         max_value: values().fold(f64::NEG_INFINITY, f64::max),
         spread: None,
     })
--- a/crates/scale/src/slopes/figures.rs
+++ b/crates/scale/src/slopes/figures.rs
@@ -67,7 +67,7 @@
         }
         self.add_lag("purge", self.phase.purges.as_ref());
         self.add_lag("change", self.phase.changes.as_ref());
-        if let Some(ms) = self.phase.whole_ms {
+        if let Some(ms) = self.phase.current_after_ms {
             self.add("whole again", "ms", ms);
         }
     }
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -18,22 +18,22 @@
     pub control_machines: usize,
     /// Promise: a purge is in force everywhere within this, milliseconds.
     #[serde(rename = "purge_ms")]
-    pub purge_ms: f64,
+    pub purge_promise_ms: f64,
     /// Promise: a change of the endpoint list is in force everywhere within this, milliseconds.
     #[serde(rename = "change_ms")]
-    pub change_ms: f64,
+    pub change_promise_ms: f64,
     /// Budget of a dispatcher's control plane: cores.
     #[serde(rename = "core_share")]
-    pub core_share: f64,
+    pub max_cores: f64,
     /// Budget of a dispatcher's control plane: resident memory, MB.
     #[serde(rename = "memory_mb")]
-    pub memory_mb: f64,
+    pub max_memory_mb: f64,
     /// Budget of a dispatcher's control plane: traffic in each direction, KB/s.
     #[serde(rename = "kb_per_s")]
-    pub kb_per_s: f64,
+    pub max_kb_per_s: f64,
     /// Length of each phase of the run, seconds.
     #[serde(rename = "seconds")]
-    pub seconds: f64,
+    pub phase_seconds: f64,
     /// The other settings of the run.
     #[serde(flatten)]
     pub run: RunSettings,
@@ -91,19 +91,19 @@
 }
 
 /// Reads a target. `name` is the file's, for errors.
-pub fn read(name: &str, text: &str) -> Result<Target, ConfigErrors> {
+pub fn read_target(name: &str, text: &str) -> Result<Target, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     let r = &mut reader;
     let target = Target {
         fleet: read_fleet(r),
         workload: read_workload(r),
         control_machines: r.number("target", "control_machines", 1, 1, 1_000),
-        purge_ms: r.number("promise", "purge_ms", 1_500.0, 1.0, 1e6),
-        change_ms: r.number("promise", "change_ms", 11_000.0, 1.0, 1e7),
-        core_share: r.number("budget", "core_share", 0.02, 1e-6, 64.0),
-        memory_mb: r.number("budget", "memory_mb", 64.0, 0.1, 1e6),
-        kb_per_s: r.number("budget", "kb_per_s", 5.0, 1e-3, 1e6),
-        seconds: r.number("run", "seconds", 5.0, 0.2, 600.0),
+        purge_promise_ms: r.number("promise", "purge_ms", 1_500.0, 1.0, 1e6),
+        change_promise_ms: r.number("promise", "change_ms", 11_000.0, 1.0, 1e7),
+        max_cores: r.number("budget", "core_share", 0.02, 1e-6, 64.0),
+        max_memory_mb: r.number("budget", "memory_mb", 64.0, 0.1, 1e6),
+        max_kb_per_s: r.number("budget", "kb_per_s", 5.0, 1e-3, 1e6),
+        phase_seconds: r.number("run", "seconds", 5.0, 0.2, 600.0),
         run: read_run(r),
     };
     check_count(r, "dispatchers", target.fleet.dispatchers);
--- a/crates/scale/src/tests.rs
+++ b/crates/scale/src/tests.rs
@@ -4,12 +4,12 @@
 const MINIMAL_TARGET: &str = "[target]\ndispatchers = 590\nhosts = 120\n";
 
 fn error_of(text: &str) -> String {
-    read("fleet.ini", text).unwrap_err().to_string()
+    read_target("fleet.ini", text).unwrap_err().to_string()
 }
 
 #[test]
 fn target_invalid_or_missing_key_is_reported_with_file_and_key() {
-    let target = read("f", MINIMAL_TARGET).unwrap();
+    let target = read_target("f", MINIMAL_TARGET).unwrap();
     assert_eq!(target.fleet.dispatchers, 590);
     let error = error_of("[target]\nhosts = 120\n");
     assert!(
@@ -42,7 +42,7 @@
         (line.value_at(1_180.0) - 592.0).abs() < 1e-6 && line.quadratic == 0.0,
         "{line:?}"
     );
-    assert_eq!((line.from, line.to), (50, 590));
+    assert_eq!((line.min_dispatchers, line.max_dispatchers), (50, 590));
     let curve = fit("KB/s", &points(|n| 1.0 + 0.01 * n * n)).unwrap();
     assert!(
         (curve.value_at(1_180.0) - 13_925.0).abs() < 1.0 && curve.quadratic > 0.0,
--- a/crates/scenario/src/cache_model.rs
+++ b/crates/scenario/src/cache_model.rs
@@ -25,8 +25,8 @@
     pub fn cache_model_settings(&self) -> CacheModelSettings {
         let zone = |(index, name): (usize, String)| ZoneSpec {
             name,
-            link: if index < self.fleet.branches {
-                self.network.branch_link
+            link_capacity: if index < self.fleet.branches {
+                self.network.branch_link_capacity
             } else {
                 0.0
             },
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -41,7 +41,7 @@
     /// Speed of a fill as a multiple of that.
     pub fill_speedup: f64,
     /// Transfers that a branch's inbound link carries; 0: no limit.
-    pub branch_link: f64,
+    pub branch_link_capacity: f64,
     /// One-way latency within a branch, microseconds.
     pub local_latency: Micros,
     /// One-way latency from a branch to its own hub, microseconds.
--- a/crates/scenario/src/read/faults.rs
+++ b/crates/scenario/src/read/faults.rs
@@ -58,7 +58,7 @@
     let name = values.reader.text(section, "kind");
     let kind = name.and_then(|name| FaultKind::from_name(&name));
     if kind.is_none() {
-        let names: Vec<&str> = FaultKind::WORDS.iter().map(|(name, _)| *name).collect();
+        let names: Vec<&str> = FaultKind::NAMES.iter().map(|(name, _)| *name).collect();
         let reason = format!("missing or none of {}", names.join(", "));
         values.reader.report(section, "kind", &reason);
     }
--- a/crates/scenario/src/read/sections.rs
+++ b/crates/scenario/src/read/sections.rs
@@ -25,7 +25,7 @@
     NetworkSettings {
         bytes_per_s: values.number("fleet", "flow_kb_per_s", 1_000.0, 1.0, 1e9) * 1024.0,
         fill_speedup: values.number("fleet", "fill_pace", 3.0, 0.1, 100.0),
-        branch_link: values.number("fleet", "link", 12.0, 0.0, 1e9),
+        branch_link_capacity: values.number("fleet", "link", 12.0, 0.0, 1e9),
         local_latency: values.millis("fleet", "near_ms", 0.2),
         hub_latency: values.millis("fleet", "to_hub_ms", 6.0),
         hub_step_latency: values.millis("fleet", "hub_step_ms", 25.0),
--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -32,17 +32,17 @@
     /// Dispatchers are killed one after another and restarted after the downtime.
     KillDispatchers,
     /// Endpoint list updates are delayed.
-    LateLists,
+    DelayEndpointUpdates,
     /// A share of the requests is for one object.
-    Hot,
+    HotObject,
     /// A share of the requests is for objects of several times the usual size.
-    Oversized,
+    OversizedObjects,
     /// A share of the requests is for objects that are requested once only.
-    OneOff,
+    OneOffObjects,
     /// Hosts restart one after another.
     RollingRestart,
     /// Hosts are unreachable for short times, while their processes run on.
-    Flaky,
+    FlakyConnections,
     /// No packet passes between hosts and dispatchers, and no component is notified; simulated network only.
     Partition,
     /// The request rate is multiplied by the severity.
@@ -59,7 +59,7 @@
 
 impl FaultKind {
     /// The kinds by their names in scenario files.
-    pub const WORDS: [(&'static str, Self); 25] = [
+    pub const NAMES: [(&'static str, Self); 25] = [
         ("deploy", Self::Deploy),
         ("crash", Self::Crash),
         ("hub_restart", Self::HubRestart),
@@ -73,12 +73,12 @@
         ("ageing", Self::Ageing),
         ("purge", Self::Purge),
         ("kill_dispatchers", Self::KillDispatchers),
-        ("late_lists", Self::LateLists),
-        ("hot", Self::Hot),
-        ("oversized", Self::Oversized),
-        ("one_off", Self::OneOff),
+        ("late_lists", Self::DelayEndpointUpdates),
+        ("hot", Self::HotObject),
+        ("oversized", Self::OversizedObjects),
+        ("one_off", Self::OneOffObjects),
         ("rolling_restart", Self::RollingRestart),
-        ("flaky", Self::Flaky),
+        ("flaky", Self::FlakyConnections),
         ("burst", Self::Burst),
         ("partition", Self::Partition),
         ("site_loss", Self::SiteLoss),
@@ -89,7 +89,7 @@
 
     /// The kind that scenario files call `name`.
     pub fn from_name(name: &str) -> Option<Self> {
-        Self::WORDS
+        Self::NAMES
             .iter()
             .find(|(known, _)| *known == name)
             .map(|(_, kind)| *kind)
@@ -97,7 +97,7 @@
 
     /// The kind's name in scenario files.
     pub fn name(self) -> &'static str {
-        Self::WORDS
+        Self::NAMES
             .iter()
             .find(|(_, kind)| *kind == self)
             .map_or("", |(name, _)| name)
@@ -134,16 +134,16 @@
             | Self::SlowDown
             | Self::Ageing
             | Self::RollingRestart
-            | Self::Flaky
+            | Self::FlakyConnections
             | Self::Partition => true,
             Self::HubRestart
             | Self::ZoneLoss
             | Self::Purge
             | Self::KillDispatchers
-            | Self::LateLists
-            | Self::Hot
-            | Self::Oversized
-            | Self::OneOff
+            | Self::DelayEndpointUpdates
+            | Self::HotObject
+            | Self::OversizedObjects
+            | Self::OneOffObjects
             | Self::Burst
             | Self::SiteLoss
             | Self::SitePartition
@@ -165,9 +165,9 @@
             Self::DropResponses | Self::TruncateResponses => 0.2,
             Self::FailRequests => 0.7,
             Self::SlowDown | Self::Ageing => 4.0,
-            Self::LateLists => 3.0,
-            Self::Oversized => 10.0,
-            Self::Flaky | Self::Burst => 3.0,
+            Self::DelayEndpointUpdates => 3.0,
+            Self::OversizedObjects => 10.0,
+            Self::FlakyConnections | Self::Burst => 3.0,
             _ => 1.0,
         }
     }
--- a/crates/scenario/src/script/generator.rs
+++ b/crates/scenario/src/script/generator.rs
@@ -67,7 +67,7 @@
         self.steps.sort_by_key(|(at, _)| *at);
         Script {
             steps: self.steps,
-            newcomers: self.newcomers,
+            added_hosts: self.newcomers,
         }
     }
 
@@ -110,7 +110,7 @@
             FaultKind::Crash => self.crash(fault, hosts),
             FaultKind::Deploy => self.deploy(fault, hosts),
             FaultKind::RollingRestart => self.rolling_restart(fault, hosts),
-            FaultKind::Flaky => self.interrupt_connections(fault, hosts),
+            FaultKind::FlakyConnections => self.interrupt_connections(fault, hosts),
             FaultKind::Ageing => self.ageing(fault, hosts),
             FaultKind::HubRestart => self.hub_restart(fault),
             FaultKind::ZoneLoss => self.zone_loss(fault),
@@ -120,9 +120,12 @@
             FaultKind::KillDispatchers
             | FaultKind::PauseDispatchers
             | FaultKind::StopDispatchers => self.interrupt_dispatchers(fault),
-            FaultKind::LateLists => self.delay_endpoint_updates(fault),
+            FaultKind::DelayEndpointUpdates => self.delay_endpoint_updates(fault),
             // These act in the traffic.
-            FaultKind::Hot | FaultKind::Oversized | FaultKind::OneOff | FaultKind::Burst => {}
+            FaultKind::HotObject
+            | FaultKind::OversizedObjects
+            | FaultKind::OneOffObjects
+            | FaultKind::Burst => {}
         }
     }
 
--- a/crates/scenario/src/script/mod.rs
+++ b/crates/scenario/src/script/mod.rs
@@ -23,7 +23,7 @@
     /// Steps in the order of their times, microseconds since the start of the run.
     pub steps: Vec<(Micros, ScriptStep)>,
     /// Hosts that start later, in the order of their host ids.
-    pub newcomers: Vec<HostSpec>,
+    pub added_hosts: Vec<HostSpec>,
 }
 
 impl Script {
--- a/crates/scenario/src/traffic/special_objects.rs
+++ b/crates/scenario/src/traffic/special_objects.rs
@@ -35,12 +35,12 @@
 ) -> Option<String> {
     let idempotency = scenario.workload.classes[class].idempotency;
     match fault.kind {
-        FaultKind::Hot if class == 0 => Some(format!("hot-{}", fault.name)),
-        FaultKind::Oversized if class == 0 => {
+        FaultKind::HotObject if class == 0 => Some(format!("hot-{}", fault.name)),
+        FaultKind::OversizedObjects if class == 0 => {
             let multiple = fault.severity.max(1.0);
             Some(format!("big{call_number}~{multiple}"))
         }
-        FaultKind::OneOff if idempotency == Idempotency::Idempotent => {
+        FaultKind::OneOffObjects if idempotency == Idempotency::Idempotent => {
             Some(format!("scan{call_number}"))
         }
         _ => None,
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -49,9 +49,9 @@
     ("zone_loss", FaultKind::ZoneLoss),
     ("origin_slow", FaultKind::SlowDown),
     ("flush", FaultKind::Purge),
-    ("hot_key", FaultKind::Hot),
-    ("heavy_tail", FaultKind::Oversized),
-    ("scan", FaultKind::OneOff),
+    ("hot_key", FaultKind::HotObject),
+    ("heavy_tail", FaultKind::OversizedObjects),
+    ("scan", FaultKind::OneOffObjects),
     ("deploy", FaultKind::Deploy),
     ("preempt", FaultKind::Deploy),
     ("balancer_roll", FaultKind::KillDispatchers),
@@ -128,7 +128,7 @@
     let address = |n: usize| format!("127.0.0.1:{}", 1000 + n);
     let hosts = scenario.hosts(address);
     let script = Script::generate(&scenario, &hosts, address);
-    assert_eq!(script.newcomers.len(), 2);
+    assert_eq!(script.added_hosts.len(), 2);
     let updates_to = |state: ListedState| {
         script
             .steps
@@ -143,7 +143,7 @@
     let drain_starts: Vec<u64> = updates_to(ListedState::Draining)
         .map(|(at, _)| at)
         .collect();
-    for (n, _) in script.newcomers.iter().enumerate() {
+    for (n, _) in script.added_hosts.iter().enumerate() {
         let successor = hosts.len() + n;
         let (ready, _) = updates_to(ListedState::Ready)
             .find(|(_, host)| *host == successor)
--- a/crates/scenario/tests/script.rs
+++ b/crates/scenario/tests/script.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn fault_kind_names_are_unique_and_map_back() {
-    for (name, kind) in FaultKind::WORDS {
+    for (name, kind) in FaultKind::NAMES {
         assert_eq!(FaultKind::from_name(name), Some(kind));
         assert_eq!(kind.name(), name);
     }
@@ -96,5 +96,5 @@
         .collect();
     drained.sort_unstable();
     assert_eq!(drained, [0, 1, 2, 3, 4, 5]);
-    assert_eq!(script.newcomers.len(), 6);
+    assert_eq!(script.added_hosts.len(), 6);
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -22,7 +22,7 @@
 mod slow_start;
 
 use crate::simulation::{Simulation, SimulationResult};
-use pointspindle_audit::service::{service, Service};
+use pointspindle_audit::service::{measure_service, Service};
 use pointspindle_audit::trace::TraceEntry;
 use pointspindle_audit::{judge, sizes, RuleVerdict};
 use pointspindle_scenario::fault_injection::InjectedFault;
@@ -49,10 +49,10 @@
     pub events: u64,
     /// Time that the run took, in seconds.
     #[serde(rename = "wall_s")]
-    pub wall_s: f64,
+    pub elapsed_s: f64,
     /// Time spent in the dispatchers' cores, in seconds.
     #[serde(rename = "core_s")]
-    pub core_s: f64,
+    pub core_time_s: f64,
     /// Number of calls of the dispatchers' cores.
     pub core_calls: u64,
 }
@@ -73,9 +73,9 @@
         effects,
         mut cost,
     } = simulation.finish();
-    cost.wall_s = began.elapsed().as_secs_f64();
+    cost.elapsed_s = began.elapsed().as_secs_f64();
     let mut rules = judge(scenario, &trace, &effects);
-    let service = service(scenario, &traffic, &trace);
+    let service = measure_service(scenario, &traffic, &trace);
     rules.push(sizes::judge(scenario, &service));
     Ok(Outcome {
         service,
--- a/crates/simulator/src/setup.rs
+++ b/crates/simulator/src/setup.rs
@@ -42,7 +42,7 @@
     ) -> Result<Self, String> {
         let initial_hosts = scenario.hosts(host_address);
         let script = Script::generate(scenario, &initial_hosts, host_address);
-        let all_hosts = [&initial_hosts[..], &script.newcomers[..]].concat();
+        let all_hosts = [&initial_hosts[..], &script.added_hosts[..]].concat();
         let mut simulation = Self {
             scenario,
             calls: &traffic.calls,
@@ -112,7 +112,7 @@
         scenario.size_catalogue(),
         derive_seed(scenario.seed, "world"),
     );
-    for newcomer in &script.newcomers {
+    for newcomer in &script.added_hosts {
         model.add_host(newcomer.clone());
     }
     model
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -175,7 +175,7 @@
         let mut outputs = Vec::new();
         let began = std::time::Instant::now();
         shell.core.handle(EPOCH + self.now, input, &mut outputs);
-        self.cost.core_s += began.elapsed().as_secs_f64();
+        self.cost.core_time_s += began.elapsed().as_secs_f64();
         self.cost.core_calls += 1;
         shell.timer = shell.core.next_timer().map(|at| at - EPOCH);
         for output in outputs {
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Runs of several sites in virtual time: faults that affect a whole site, dispatchers that are paused or stopped, and
 //! the totals over the whole fleet.
-use pointspindle_audit::fleet_totals::{judge, measure_totals, FleetTotals};
+use pointspindle_audit::fleet_totals::{judge_totals, measure_totals, FleetTotals};
 use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome, TraceEvent};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::fault_injection::InjectedFault;
@@ -51,7 +51,7 @@
             &[],
         );
         assert_eq!(without_site_faults.sites, [], "no fault affects a site");
-        let judged = judge(&scenario, &totals, Some(&baseline));
+        let judged = judge_totals(&scenario, &totals, Some(&baseline));
         assert!(judged.cases >= 4, "{judged:?}");
         assert_eq!(
             (broken(&outcome.rules), &judged.violations[..]),
@@ -70,13 +70,13 @@
     assert_eq!(
         (
             broken(&healthy.rules),
-            judge(&scenario, &fair, None).kinds()
+            judge_totals(&scenario, &fair, None).kinds()
         ),
         (vec![], vec![])
     );
     assert_eq!(broken(&miscounted.rules), ["cold"]);
     assert_eq!(
-        judge(&scenario, &unfair, None).kinds(),
+        judge_totals(&scenario, &unfair, None).kinds(),
         [("fairness".to_owned(), 1)]
     );
     assert!(unfair.fairness < fair.fairness);
@@ -267,15 +267,15 @@
             let set = format!("fleet.dispatchers={dispatchers}").parse().unwrap();
             let scenario = load_with(&file, Some(seed), &[set]).unwrap_or_else(|e| panic!("{e}"));
             let (outcome, totals) = play(&scenario, injected_fault);
-            let cold = &totals.cold;
+            let cold = &totals.warm_up_informed;
             assert!(cold.most > 0.0, "a host whose start was known warmed up");
             println!("{dispatchers} a site: {cold:?}");
-            assert!(totals.left.clients > 0);
+            assert!(totals.cancellations.clients > 0);
             if injected_fault.is_none() {
                 assert_eq!(
                     (
                         broken(&outcome.rules),
-                        judge(&scenario, &totals, None).kinds()
+                        judge_totals(&scenario, &totals, None).kinds()
                     ),
                     (vec![], vec![])
                 );
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,15 +1,15 @@
 //! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
 use crate::emulated_hosts::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle::Micros;
-use pointspindle_audit::trace::Recorder;
-use pointspindle_cache_model::cold::WarmUpSpec;
+use pointspindle_audit::recorder::Recorder;
+use pointspindle_cache_model::warm_up::WarmUpSpec;
 use pointspindle_cache_model::{
     CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelRequest, Role, ZoneSpec,
 };
 use pointspindle_protocol::{EndpointRecord, WireEndpointState};
 
 /// Sample objects: path, class and bytes. Any page or video of another name is not found.
-pub const SAMPLES: [(&str, usize, u64); 5] = [
+pub const SAMPLE_OBJECTS: [(&str, usize, u64); 5] = [
     ("/page/welcome", 1, 2 * 1024),
     ("/page/signs/stop", 1, 6 * 1024),
     ("/page/questions/1", 1, 20 * 1024),
@@ -43,7 +43,7 @@
         zone,
         weight,
         concurrency: 64,
-        queue: 256,
+        queue_limit: 256,
         crowding_loss: 0.0,
         store_bytes: 64 << 20,
         fill_concurrency: 64,
@@ -60,7 +60,7 @@
         service_time,
         load_report_interval: 200_000,
         pause_interval: 0,
-        pause: 0,
+        pause_duration: 0,
         overload_multiple: 0.0,
         overload_window: 1_000_000,
         overload_downtime: 0,
@@ -74,7 +74,7 @@
 }
 
 /// Starts the fleet; returns it with the entries of its endpoint list.
-pub async fn start(
+pub async fn start_demo_fleet(
     class_names: [&str; 2],
     zones: [&str; 2],
 ) -> std::io::Result<(EmulatedHosts, Vec<EndpointRecord>)> {
@@ -123,7 +123,7 @@
 fn model_settings(classes: Vec<ClassModel>, zones: [&str; 2]) -> CacheModelSettings {
     let zone = |name: &str| ZoneSpec {
         name: name.into(),
-        link: 0.0,
+        link_capacity: 0.0,
     };
     CacheModelSettings {
         classes,
@@ -136,7 +136,7 @@
 
 /// The size of a sample object in bytes.
 fn sample_size(request: &ModelRequest) -> Option<u64> {
-    let (_, _, bytes) = SAMPLES
+    let (_, _, bytes) = SAMPLE_OBJECTS
         .iter()
         .find(|(path, ..)| *path == &*request.object)?;
     Some(*bytes)
--- a/crates/testbed/src/emulated_hosts/hosts.rs
+++ b/crates/testbed/src/emulated_hosts/hosts.rs
@@ -1,7 +1,7 @@
 //! The state that the tasks of emulated hosts share.
 use super::options::EmulatedHostsOptions;
 use pointspindle::Micros;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_host::lease::{UserId, WorkLedger};
 use pointspindle_cache_model::{
     CacheModel, ClassModel, FillId, HostId, JobId, ModelOutput, ModelResponse,
--- a/crates/testbed/src/fleet_run/clients/attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/attempt.rs
@@ -1,7 +1,8 @@
 //! One attempt of a client's call.
 use super::target::Target;
 use pointspindle::Micros;
-use pointspindle_audit::trace::{ClientAttemptId, Recorder, TraceEvent};
+use pointspindle_audit::recorder::Recorder;
+use pointspindle_audit::trace::{ClientAttemptId, TraceEvent};
 use pointspindle_scenario::{PlannedCall, RequestClass};
 use pointspindle_transport::Network;
 
--- a/crates/testbed/src/fleet_run/clients/target.rs
+++ b/crates/testbed/src/fleet_run/clients/target.rs
@@ -1,6 +1,7 @@
 //! A dispatcher as clients see it.
 use crate::http_client::HttpPool;
-use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_audit::recorder::Recorder;
+use pointspindle_audit::trace::TraceEvent;
 use pointspindle_protocol::streams::Side;
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Incoming, Network};
 use std::net::SocketAddr;
--- a/crates/testbed/src/fleet_run/entry_points.rs
+++ b/crates/testbed/src/fleet_run/entry_points.rs
@@ -5,7 +5,7 @@
 use super::outcome::Outcome;
 use super::plan::RunPlan;
 use super::unreliable_etcd::UnreliableEtcd;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{derive_seed, Scenario};
 use pointspindle_transport::simulated::SimulatedNetwork;
@@ -13,13 +13,13 @@
 
 /// Runs a scenario in real time with dispatchers as processes. `program` is the dispatcher's binary; `folder` gets
 /// the settings, state and log of each.
-pub async fn run(
+pub async fn run_with_processes(
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
     injected_fault: Option<InjectedFault>,
 ) -> Result<Outcome, TestbedError> {
-    run_watched(
+    run_with_recorder(
         scenario,
         program,
         folder,
@@ -30,7 +30,7 @@
 }
 
 /// As [`run`], with a recorder that can be read during the run. Its times count from its creation.
-pub async fn run_watched(
+pub async fn run_with_recorder(
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
@@ -47,7 +47,7 @@
 
 /// As [`run`], with endpoint lists and purges through an emulated etcd whose streams break again and again and whose
 /// history is compacted.
-pub async fn run_by_etcd(
+pub async fn run_with_etcd(
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
@@ -62,7 +62,7 @@
 
 /// Runs a scenario with the dispatcher's network shell on a simulated network under a paused clock: with latency,
 /// loss and partitions, in the time that its work takes. Blocks; must not be called on a runtime's thread.
-pub fn shell(
+pub fn run_on_simulated_network(
     scenario: &Scenario,
     folder: &Path,
     injected_fault: Option<InjectedFault>,
--- a/crates/testbed/src/fleet_run/etcd_control_plane.rs
+++ b/crates/testbed/src/fleet_run/etcd_control_plane.rs
@@ -5,7 +5,7 @@
 use super::control_plane_change::{ControlPlaneChange, PurgeTarget};
 use super::endpoint_attributes::EndpointAttributesByHost;
 use crate::emulated_hosts::EmulatedHosts;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_model::{HostId, HostSpec};
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Etcd};
--- a/crates/testbed/src/fleet_run/execution.rs
+++ b/crates/testbed/src/fleet_run/execution.rs
@@ -11,7 +11,7 @@
 use super::setup::{Fleet, Setup};
 use super::traffic_player::play_traffic;
 use pointspindle::Micros;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use std::path::Path;
 use std::sync::Arc;
 
--- a/crates/testbed/src/fleet_run/mod.rs
+++ b/crates/testbed/src/fleet_run/mod.rs
@@ -24,6 +24,8 @@
 mod traffic_player;
 mod unreliable_etcd;
 
-pub use entry_points::{run, run_by_etcd, run_watched, shell};
+pub use entry_points::{
+    run_on_simulated_network, run_with_etcd, run_with_processes, run_with_recorder,
+};
 pub use error::{DispatcherFailure, TestbedError};
 pub use outcome::Outcome;
--- a/crates/testbed/src/fleet_run/outcome.rs
+++ b/crates/testbed/src/fleet_run/outcome.rs
@@ -2,8 +2,9 @@
 use super::plan::RunPlan;
 use crate::emulated_hosts::EmulatedHosts;
 use pointspindle::Micros;
+use pointspindle_audit::recorder::Recorder;
 use pointspindle_audit::service::Service;
-use pointspindle_audit::trace::{Recorder, TraceEntry, TraceEvent};
+use pointspindle_audit::trace::{TraceEntry, TraceEvent};
 use pointspindle_audit::{self as audit, RuleVerdict};
 
 /// What a run measured, and the verdicts on it.
@@ -30,7 +31,7 @@
     let trace = trace_since(recorder, began);
     let effect_counts = effect_counts(hosts);
     let mut rules = audit::judge(&plan.scenario, &trace, &effect_counts);
-    let service = audit::service::service(&plan.scenario, &plan.traffic, &trace);
+    let service = audit::service::measure_service(&plan.scenario, &plan.traffic, &trace);
     rules.push(audit::sizes::judge(&plan.scenario, &service));
     Outcome {
         service,
--- a/crates/testbed/src/fleet_run/plan.rs
+++ b/crates/testbed/src/fleet_run/plan.rs
@@ -45,7 +45,7 @@
 
     /// The hosts that run from the start and those that the script adds, by number.
     pub fn all_hosts(&self) -> Vec<HostSpec> {
-        let added = self.script.newcomers.iter();
+        let added = self.script.added_hosts.iter();
         self.initial_hosts.iter().chain(added).cloned().collect()
     }
 
--- a/crates/testbed/src/fleet_run/response_relay.rs
+++ b/crates/testbed/src/fleet_run/response_relay.rs
@@ -1,7 +1,7 @@
 //! A relay between clients and a dispatcher that drops or delays responses: an injected fault on an unchanged
 //! dispatcher.
 use pointspindle::Micros;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/testbed/src/fleet_run/run_clock.rs
+++ b/crates/testbed/src/fleet_run/run_clock.rs
@@ -1,6 +1,6 @@
 //! The time of a run, on the recorder's clock.
 use pointspindle::Micros;
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use std::time::Duration;
 
 /// The recorder's clock with the moment at which the run's script and traffic began.
--- a/crates/testbed/src/fleet_run/setup.rs
+++ b/crates/testbed/src/fleet_run/setup.rs
@@ -15,7 +15,8 @@
 use crate::emulated_hosts::{
     EmulatedHosts, EmulatedHostsOptions, LedgerFactory, ZonePartitionPlan, ZonePartitions,
 };
-use pointspindle_audit::trace::{Recorder, TraceEvent};
+use pointspindle_audit::recorder::Recorder;
+use pointspindle_audit::trace::TraceEvent;
 use pointspindle_cache_model::{CacheModel, Role};
 use pointspindle_fleet_model::control_plane::ControlPlane;
 use pointspindle_scenario::derive_seed;
@@ -143,7 +144,7 @@
             scenario.size_catalogue(),
             derive_seed(scenario.seed, "world"),
         );
-        for added in &self.plan.script.newcomers {
+        for added in &self.plan.script.added_hosts {
             model.add_host(added.clone());
         }
         model
--- a/crates/testbed/src/idle/connections.rs
+++ b/crates/testbed/src/idle/connections.rs
@@ -1,5 +1,5 @@
 //! Connections that are used once and then left idle.
-use super::plan::Plan;
+use super::plan::IdlePlan;
 use crate::http_client::HttpConnection;
 use pointspindle_protocol::http::HttpEvent;
 use pointspindle_protocol::streams::Side;
@@ -32,13 +32,13 @@
 }
 
 impl IdleConnection {
-    async fn open(number: usize, plan: &Plan) -> std::io::Result<Self> {
+    async fn open(number: usize, plan: &IdlePlan) -> std::io::Result<Self> {
         match &plan.framed {
             Some((address, class)) => {
                 let socket = connect(number, *address).await?;
                 open_framed(socket, &plan.path, class).await
             }
-            None => open_http(connect(number, plan.http).await?, &plan.path).await,
+            None => open_http(connect(number, plan.http_address).await?, &plan.path).await,
         }
     }
 
@@ -129,7 +129,7 @@
 pub(super) async fn open_up_to(
     connections: &mut Vec<IdleConnection>,
     wanted: usize,
-    plan: &Arc<Plan>,
+    plan: &Arc<IdlePlan>,
 ) -> Result<(), String> {
     let mut opening = JoinSet::new();
     let mut next = connections.len();
@@ -147,7 +147,10 @@
     }
 }
 
-async fn open_within_timeout(number: usize, plan: Arc<Plan>) -> std::io::Result<IdleConnection> {
+async fn open_within_timeout(
+    number: usize,
+    plan: Arc<IdlePlan>,
+) -> std::io::Result<IdleConnection> {
     tokio::time::timeout(OPEN_TIMEOUT, IdleConnection::open(number, &plan))
         .await
         .unwrap_or_else(|_| Err(std::io::Error::other("no answer in ten seconds")))
--- a/crates/testbed/src/idle/expiry.rs
+++ b/crates/testbed/src/idle/expiry.rs
@@ -1,7 +1,7 @@
 //! How a server closes many connections that became idle at the same moment.
 use super::connections::{connect, MAX_CONCURRENT_OPENS};
 use super::load::{run_load, LoadResult};
-use super::plan::Plan;
+use super::plan::IdlePlan;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,7 +13,7 @@
 
 /// What was measured while the connections expired. The field names are those of the report's JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Expiry {
+pub struct ExpiryMeasurement {
     /// The connections.
     pub connections: usize,
     /// How late after its idle timeout the last connection was closed, in milliseconds.
@@ -32,11 +32,11 @@
 
 /// Opens connections that request nothing, as fast as possible, and loads the server until it has closed all of them.
 /// Its idle timeout must be longer than it takes to open them and shorter than the plan's length.
-pub async fn expiry(
-    plan: Plan,
+pub async fn measure_expiry(
+    plan: IdlePlan,
     connections: usize,
     idle_timeout: Duration,
-) -> std::io::Result<Expiry> {
+) -> std::io::Result<ExpiryMeasurement> {
     let plan = Arc::new(plan);
     let closing = open_connections(&plan, connections).await?;
     let lifetimes = tokio::spawn(collect_lifetimes(closing));
@@ -53,7 +53,7 @@
         .map(|lifetime| lifetime.saturating_sub(idle_timeout))
         .collect();
     lateness.sort_unstable();
-    Ok(Expiry {
+    Ok(ExpiryMeasurement {
         connections,
         latest_ms: milliseconds(lateness.last()),
         late_p99_ms: milliseconds(lateness.get(lateness.len() * 99 / 100)),
@@ -69,14 +69,17 @@
 }
 
 /// Opens the connections; each task ends with the lifetime of one, when the server closes it.
-async fn open_connections(plan: &Plan, connections: usize) -> std::io::Result<JoinSet<Duration>> {
+async fn open_connections(
+    plan: &IdlePlan,
+    connections: usize,
+) -> std::io::Result<JoinSet<Duration>> {
     let mut closing = JoinSet::new();
     let mut opening = JoinSet::new();
     for number in 0..connections {
         if opening.len() >= MAX_CONCURRENT_OPENS {
             watch_next_opened(&mut opening, &mut closing).await?;
         }
-        opening.spawn(connect(number, plan.http));
+        opening.spawn(connect(number, plan.http_address));
     }
     while !opening.is_empty() {
         watch_next_opened(&mut opening, &mut closing).await?;
--- a/crates/testbed/src/idle/load.rs
+++ b/crates/testbed/src/idle/load.rs
@@ -1,6 +1,6 @@
 //! The steady open-loop load beside the idle connections.
 use super::connections::{connect, request_is_served};
-use super::plan::Plan;
+use super::plan::IdlePlan;
 use crate::http_client::HttpConnection;
 use hdrhistogram::Histogram;
 use std::sync::Arc;
@@ -38,9 +38,9 @@
 }
 
 /// Runs the plan's steady load to its end.
-pub(super) async fn run_load(plan: &Arc<Plan>) -> LoadResult {
+pub(super) async fn run_load(plan: &Arc<IdlePlan>) -> LoadResult {
     let (sender, mut results) = mpsc::unbounded_channel();
-    let rate = plan.rate.max(LEAST_RATE_PER_SECOND);
+    let rate = plan.requests_per_second.max(LEAST_RATE_PER_SECOND);
     let interval = Duration::from_secs_f64(LOAD_CONNECTIONS as f64 / rate);
     let began = Instant::now() + START_DELAY;
     let mut connections = JoinSet::new();
@@ -48,7 +48,7 @@
         let schedule = Schedule {
             first: began + interval.mul_f64(number as f64 / LOAD_CONNECTIONS as f64),
             interval,
-            end: began + plan.length,
+            end: began + plan.load_duration,
         };
         connections.spawn(load_connection(
             number,
@@ -79,11 +79,11 @@
 
 async fn load_connection(
     number: usize,
-    plan: Arc<Plan>,
+    plan: Arc<IdlePlan>,
     schedule: Schedule,
     results: mpsc::UnboundedSender<RequestResult>,
 ) {
-    let Ok(socket) = connect(number, plan.http).await else {
+    let Ok(socket) = connect(number, plan.http_address).await else {
         return;
     };
     let mut connection = HttpConnection::new(socket);
--- a/crates/testbed/src/idle/measurement.rs
+++ b/crates/testbed/src/idle/measurement.rs
@@ -1,7 +1,7 @@
 //! The steps of a measurement.
 use super::connections::{open_up_to, IdleConnection};
 use super::load::{run_load, LoadResult};
-use super::plan::Plan;
+use super::plan::IdlePlan;
 use super::process_usage::{kernel_tcp_bytes, processor_time, resident_bytes};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 
 /// What was measured at one step. The field names are those of the report's JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Step {
+pub struct IdleStep {
     /// The protocol of the idle connections.
     pub protocol: String,
     /// Idle connections that are open.
@@ -43,7 +43,10 @@
 pub type Stopped = Option<String>;
 
 /// Measures all steps until one cannot be reached. `on_step` is called after each step.
-pub async fn measure(plan: Plan, mut on_step: impl FnMut(&Step)) -> (Vec<Step>, Stopped) {
+pub async fn measure(
+    plan: IdlePlan,
+    mut on_step: impl FnMut(&IdleStep),
+) -> (Vec<IdleStep>, Stopped) {
     let plan = Arc::new(plan);
     let mut connections = Vec::new();
     let mut steps = Vec::new();
@@ -65,7 +68,7 @@
     (steps, stopped)
 }
 
-async fn measure_step(plan: &Arc<Plan>, idle: usize, made_per_s: f64) -> Step {
+async fn measure_step(plan: &Arc<IdlePlan>, idle: usize, made_per_s: f64) -> IdleStep {
     tokio::time::sleep(SETTLE_TIME).await;
     let program = resident_bytes(plan.pid);
     let kernel = kernel_tcp_bytes();
@@ -78,7 +81,7 @@
         Some(_) => "framed",
         None => "HTTP",
     };
-    Step {
+    IdleStep {
         protocol: protocol.into(),
         idle,
         made_per_s,
@@ -102,7 +105,7 @@
 }
 
 /// The growth of a measured value for each further connection: the slope of a line through the steps, by least squares.
-pub fn slope(steps: &[Step], value: impl Fn(&Step) -> u64) -> f64 {
+pub fn growth_per_connection(steps: &[IdleStep], value: impl Fn(&IdleStep) -> u64) -> f64 {
     let count = (steps.len() as f64).max(1.0);
     let mean_idle = steps.iter().map(|step| step.idle as f64).sum::<f64>() / count;
     let mean_value = steps.iter().map(|step| value(step) as f64).sum::<f64>() / count;
--- a/crates/testbed/src/idle/mod.rs
+++ b/crates/testbed/src/idle/mod.rs
@@ -10,7 +10,7 @@
 mod plan;
 mod process_usage;
 
-pub use expiry::{expiry, Expiry};
-pub use measurement::{measure, slope, Step, Stopped};
-pub use plan::Plan;
-pub use process_usage::usage;
+pub use expiry::{measure_expiry, ExpiryMeasurement};
+pub use measurement::{growth_per_connection, measure, IdleStep, Stopped};
+pub use plan::IdlePlan;
+pub use process_usage::process_usage;
--- a/crates/testbed/src/idle/plan.rs
+++ b/crates/testbed/src/idle/plan.rs
@@ -4,9 +4,9 @@
 
 /// The server to measure, and the steps and load of the measurement.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct IdlePlan {
     /// Where the server serves HTTP.
-    pub http: SocketAddr,
+    pub http_address: SocketAddr,
     /// The framed listener, and the class of the object: then the idle connections are framed.
     pub framed: Option<(SocketAddr, String)>,
     /// The server's process id.
@@ -16,7 +16,7 @@
     /// The number of idle connections at each step, ascending.
     pub steps: Vec<usize>,
     /// Requests per second of the steady load.
-    pub rate: f64,
+    pub requests_per_second: f64,
     /// How long the steady load lasts at each step.
-    pub length: Duration,
+    pub load_duration: Duration,
 }
--- a/crates/testbed/src/idle/process_usage.rs
+++ b/crates/testbed/src/idle/process_usage.rs
@@ -8,7 +8,7 @@
 const SYSTEM_TICKS_FIELD: usize = 12;
 
 /// User and system time of a process so far, and its resident memory in bytes; zero for a process that does not exist.
-pub fn usage(pid: u32) -> (Duration, u64) {
+pub fn process_usage(pid: u32) -> (Duration, u64) {
     (processor_time(pid), resident_bytes(pid))
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -10,8 +10,3 @@
 pub mod fleet_run;
 mod http_client;
 pub mod idle;
-
-/// The former path of [`emulated_hosts`].
-pub use emulated_hosts as sockets;
-/// The former path of [`fleet_run`].
-pub use fleet_run as day;
--- a/crates/testbed/tests/emulated_hosts.rs
+++ b/crates/testbed/tests/emulated_hosts.rs
@@ -1,5 +1,5 @@
 //! Emulated hosts on sockets: what their responses claim of their copies must be true.
-use pointspindle_audit::trace::Recorder;
+use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_model::{
     CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelInput, Role, ZoneSpec,
 };
@@ -57,7 +57,7 @@
     };
     let zone = ZoneSpec {
         name: "b".into(),
-        link: 0.0,
+        link_capacity: 0.0,
     };
     let settings = CacheModelSettings {
         classes: vec![class.clone()],
--- a/crates/testbed/tests/simulated_network.rs
+++ b/crates/testbed/tests/simulated_network.rs
@@ -14,7 +14,8 @@
 
 fn run(scenario: &Scenario, injected_fault: Option<InjectedFault>) -> Outcome {
     let folder = tempfile::tempdir().unwrap();
-    fleet_run::shell(scenario, folder.path(), injected_fault).unwrap_or_else(|e| panic!("{e}"))
+    fleet_run::run_on_simulated_network(scenario, folder.path(), injected_fault)
+        .unwrap_or_else(|e| panic!("{e}"))
 }
 
 #[test]
