--- a/crates/cache-model/src/lib.rs
+++ b/crates/cache-model/src/lib.rs
@@ -26,7 +26,7 @@
 pub use model::{CacheModel, SizeCatalogue};
 pub use pointspindle_config::Role;
 pub use request::{CachedCopy, ModelRequest, ModelResponse};
-pub use settings::{CacheModelSettings, ClassModel, HostSpec, ZoneSpec};
+pub use settings::{CacheModelSettings, ClassModel, HostSpec, OverloadSpec, ZoneSpec};
 pub use warm_up::WarmUpSpec;
 
 /// A host's index in the model.
--- a/crates/cache-model/src/model/overload.rs
+++ b/crates/cache-model/src/model/overload.rs
@@ -41,8 +41,8 @@
         let limit = WarmUpSpec {
             initial_share: 1.0,
             duration: 0,
-            overload_factor: state.spec.overload_multiple,
-            overload_window: state.spec.overload_window,
+            overload_factor: state.spec.overload.multiple,
+            overload_window: state.spec.overload.window,
         };
         if limit.overload_factor <= 0.0 || self.origin.outages >= MAX_ORIGIN_OUTAGES {
             return;
@@ -52,7 +52,7 @@
         if used > ROUNDING_TOLERANCE {
             self.origin.outages += 1;
             self.origin.load = WarmUpLoad::default();
-            state.hang_until(self.now + state.spec.overload_downtime);
+            state.hang_until(self.now + state.spec.overload.downtime);
             self.update_link(host);
         }
     }
--- a/crates/cache-model/src/settings.rs
+++ b/crates/cache-model/src/settings.rs
@@ -19,6 +19,17 @@
     pub deduplicates: bool,
 }
 
+/// How an overloaded origin stops.
+#[derive(Clone, Debug)]
+pub struct OverloadSpec {
+    /// Multiple of its capacity at which the origin is overloaded; 0: it never is.
+    pub multiple: f64,
+    /// How long such an overload lasts before the origin hangs, microseconds.
+    pub window: Micros,
+    /// How long the origin then hangs, microseconds.
+    pub downtime: Micros,
+}
+
 /// Settings of a host.
 #[derive(Clone, Debug)]
 pub struct HostSpec {
@@ -58,12 +69,8 @@
     pub pause_interval: Micros,
     /// Length of a pause, microseconds.
     pub pause_duration: Micros,
-    /// Multiple of its capacity at which the origin is overloaded; 0: it never is.
-    pub overload_multiple: f64,
-    /// How long such an overload lasts before the origin hangs, microseconds.
-    pub overload_window: Micros,
-    /// How long the origin then hangs, microseconds.
-    pub overload_downtime: Micros,
+    /// When the origin stops under overload.
+    pub overload: OverloadSpec,
 }
 
 /// A zone.
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -35,9 +35,11 @@
         load_report_interval: 100 * MS,
         pause_interval: 0,
         pause_duration: 0,
-        overload_multiple: if role == Role::Origin { 2.0 } else { 0.0 },
-        overload_window: 1_000 * MS,
-        overload_downtime: 3_000 * MS,
+        overload: OverloadSpec {
+            multiple: if role == Role::Origin { 2.0 } else { 0.0 },
+            window: 1_000 * MS,
+            downtime: 3_000 * MS,
+        },
     }
 }
 
--- a/crates/cli/benches/proxy.rs
+++ b/crates/cli/benches/proxy.rs
@@ -8,13 +8,13 @@
 use bytes::{Bytes, BytesMut};
 use http_body_util::Full;
 use hyper::service::service_fn;
+use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::{TokioExecutor, TokioIo};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{RequestHead, ResponseHead, WireCacheStatus};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, Inbound, ResponsePart};
 use std::net::SocketAddr;
 use std::process::{Child, Command, Stdio};
-use std::sync::Arc;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -55,81 +55,86 @@
 
 // ---- the middles and the stand-ins, each in a process of its own
 
+/// The bodies of small and large objects.
+#[derive(Clone)]
+struct Bodies {
+    small: Bytes,
+    large: Bytes,
+}
+
+type ProxyClient = hyper_util::client::legacy::Client<HttpConnector, Full<Bytes>>;
+
 async fn serve(what: &str, to: Option<&String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     println!("{}", listener.local_addr().unwrap());
     let to: Option<SocketAddr> = to.map(|t| t.parse().unwrap());
-    let bodies = Arc::new((
-        Bytes::from(vec![b's'; SMALL]),
-        Bytes::from(vec![b'l'; LARGE]),
-    ));
-    let client = hyper_util::client::legacy::Client::builder(TokioExecutor::new())
-        .build_http::<Full<Bytes>>();
+    let bodies = Bodies {
+        small: Bytes::from(vec![b's'; SMALL]),
+        large: Bytes::from(vec![b'l'; LARGE]),
+    };
+    let client: ProxyClient =
+        hyper_util::client::legacy::Client::builder(TokioExecutor::new()).build_http();
     loop {
         let (socket, _) = listener.accept().await.unwrap();
         let _ = socket.set_nodelay(true);
-        let bodies = bodies.clone();
         match what {
-            "http" => {
-                tokio::spawn(async move {
-                    let answer = service_fn(
-                        move |request: hyper::Request<hyper::body::Incoming>| {
-                            let body = if size_of(request.uri().path()) == LARGE {
-                                bodies.1.clone()
-                            } else {
-                                bodies.0.clone()
-                            };
-                            async move { Ok::<_, hyper::Error>(hyper::Response::new(Full::new(body))) }
-                        },
-                    );
-                    let server = hyper::server::conn::http1::Builder::new();
-                    let _ = server.serve_connection(TokioIo::new(socket), answer).await;
-                });
-            }
-            "hyper" => {
-                let (client, to) = (client.clone(), to.unwrap());
-                tokio::spawn(async move {
-                    let pass = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
-                        let uri = format!("http://{to}{}", request.uri().path());
-                        let onward = hyper::Request::get(uri)
-                            .body(Full::new(Bytes::new()))
-                            .unwrap();
-                        let client = client.clone();
-                        async move { client.request(onward).await }
-                    });
-                    let server = hyper::server::conn::http1::Builder::new();
-                    let _ = server.serve_connection(TokioIo::new(socket), pass).await;
-                });
-            }
-            "relay" => {
-                let to = to.unwrap();
-                tokio::spawn(async move {
-                    let (mut here, mut there) = (socket, TcpStream::connect(to).await.unwrap());
-                    let _ = there.set_nodelay(true);
-                    let _ = tokio::io::copy_bidirectional(&mut here, &mut there).await;
-                });
-            }
-            "silent" => {
-                tokio::spawn(async move {
-                    let options = ConnectionOptions {
-                        max_streams: 100_000,
-                    };
-                    let (_link, mut incoming) =
-                        FramedConnection::start(socket, Side::Answerer, options);
-                    let mut held = vec![];
-                    while let Some(inbound) = incoming.next().await {
-                        held.push(inbound);
-                    }
-                });
-            }
-            _ => {
-                tokio::spawn(framed_member(socket, bodies));
-            }
-        }
+            "http" => tokio::spawn(serve_http(socket, bodies.clone())),
+            "hyper" => tokio::spawn(serve_proxy(socket, client.clone(), to.unwrap())),
+            "relay" => tokio::spawn(relay(socket, to.unwrap())),
+            "silent" => tokio::spawn(serve_nothing(socket)),
+            _ => tokio::spawn(framed_member(socket, bodies.clone())),
+        };
+    }
+}
+
+/// An HTTP server with both bodies.
+async fn serve_http(socket: TcpStream, bodies: Bodies) {
+    let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
+        let body = if size_of(request.uri().path()) == LARGE {
+            bodies.large.clone()
+        } else {
+            bodies.small.clone()
+        };
+        async move { Ok::<_, hyper::Error>(hyper::Response::new(Full::new(body))) }
+    });
+    let server = hyper::server::conn::http1::Builder::new();
+    let _ = server.serve_connection(TokioIo::new(socket), service).await;
+}
+
+/// A plain proxy of hyper's own parts.
+async fn serve_proxy(socket: TcpStream, client: ProxyClient, to: SocketAddr) {
+    let service = service_fn(move |request: hyper::Request<hyper::body::Incoming>| {
+        let uri = format!("http://{to}{}", request.uri().path());
+        let forwarded = hyper::Request::get(uri)
+            .body(Full::new(Bytes::new()))
+            .unwrap();
+        let client = client.clone();
+        async move { client.request(forwarded).await }
+    });
+    let server = hyper::server::conn::http1::Builder::new();
+    let _ = server.serve_connection(TokioIo::new(socket), service).await;
+}
+
+/// Copies bytes both ways.
+async fn relay(mut here: TcpStream, to: SocketAddr) {
+    let mut there = TcpStream::connect(to).await.unwrap();
+    let _ = there.set_nodelay(true);
+    let _ = tokio::io::copy_bidirectional(&mut here, &mut there).await;
+}
+
+/// A cache host that accepts requests and answers none.
+async fn serve_nothing(socket: TcpStream) {
+    let options = ConnectionOptions {
+        max_streams: 100_000,
+    };
+    let (_connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let mut unanswered = vec![];
+    while let Some(inbound) = incoming.next().await {
+        unanswered.push(inbound);
     }
 }
 
-async fn framed_member(socket: TcpStream, bodies: Arc<(Bytes, Bytes)>) {
+async fn framed_member(socket: TcpStream, bodies: Bodies) {
     let (_link, mut incoming) = FramedConnection::start(
         socket,
         Side::Answerer,
@@ -140,9 +145,9 @@
             continue;
         };
         let body = if size_of(&head.object) == LARGE {
-            bodies.1.clone()
+            bodies.large.clone()
         } else {
-            bodies.0.clone()
+            bodies.small.clone()
         };
         tokio::spawn(async move {
             let size = Some(body.len() as u64);
@@ -380,30 +385,38 @@
         length,
     )
     .await;
+    measure_idle_connections(&hyper, &edge).await;
+    measure_open_requests().await;
+}
+
+const IDLE_CONNECTIONS: usize = 2_000;
+const OPEN_REQUESTS: usize = 500;
 
+async fn measure_idle_connections(hyper: &Process, edge: &Process) {
     println!("\n| idle connections | bytes each, program |\n| --- | --- |");
-    const IDLE: usize = 2_000;
     for (name, at, process) in [
-        ("hyper proxy, HTTP", hyper.at, &hyper),
-        ("dispatcher, HTTP", edge.at, &edge),
-        ("dispatcher, framed", edge.framed.unwrap(), &edge),
+        ("hyper proxy, HTTP", hyper.at, hyper),
+        ("dispatcher, HTTP", edge.at, edge),
+        ("dispatcher, framed", edge.framed.unwrap(), edge),
     ] {
         let before = usage(process).1;
         let mut held = vec![];
-        for _ in 0..IDLE {
+        for _ in 0..IDLE_CONNECTIONS {
             held.push(TcpStream::connect(at).await.unwrap());
         }
         tokio::time::sleep(Duration::from_millis(300)).await;
         let after = usage(process).1;
         println!(
             "| {name} | {} |",
-            after.saturating_sub(before) / IDLE as u64
+            after.saturating_sub(before) / IDLE_CONNECTIONS as u64
         );
         drop(held);
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
+}
 
-    // A dispatcher of its own, whose member takes requests and answers none.
+/// Of a dispatcher whose only endpoint accepts requests and answers none.
+async fn measure_open_requests() {
     let silent = start(&["silent"]);
     let folder = tempfile::tempdir().unwrap();
     let edge = dispatcher(silent.at, folder.path());
@@ -414,9 +427,8 @@
         ConnectionOptions { max_streams: 4096 },
     );
     let before = usage(&edge).1;
-    const OPEN: usize = 500;
     let mut calls = vec![];
-    for n in 0..OPEN {
+    for n in 0..OPEN_REQUESTS {
         let class = "page".into();
         let head = RequestHead {
             object: format!("/o{n}"),
@@ -427,6 +439,6 @@
         calls.push(link.call(head).unwrap());
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let each = usage(&edge).1.saturating_sub(before) / OPEN as u64;
-    println!("\nan open request, framed: {each} bytes of program memory ({OPEN} open)");
+    let each = usage(&edge).1.saturating_sub(before) / OPEN_REQUESTS as u64;
+    println!("\nan open request, framed: {each} bytes of program memory ({OPEN_REQUESTS} open)");
 }
--- a/crates/cli/tests/program/embedded_fleet.rs
+++ b/crates/cli/tests/program/embedded_fleet.rs
@@ -1,11 +1,23 @@
 //! `serve` without a file: a whole fleet on loopback.
 use crate::support::*;
+use std::net::SocketAddr;
 
 #[tokio::test]
 async fn serve_without_a_file_starts_a_whole_fleet() {
     let folder = tempfile::tempdir().unwrap();
     let fleet = DispatcherProcess::start(&["serve", "--port", "0"], folder.path());
-    let to = fleet.bound.http;
+    let http = fleet.bound.http;
+    let first = check_caching(http).await;
+    check_ranges(http, &first).await;
+    check_conditions_and_sizes(http, &first).await;
+    check_pipelining(http).await;
+    check_control_commands(&fleet).await;
+    fleet.signal("-TERM");
+    assert_eq!(fleet.wait(), 0);
+}
+
+/// The second response to the same request is a cached one. Returns the first.
+async fn check_caching(to: SocketAddr) -> Response {
     let first = http_get(to, "/page/welcome", "").await;
     assert_eq!(
         (
@@ -23,7 +35,10 @@
     let second = http_get(to, "/page/welcome", "").await;
     assert!(second.field("cache-status").contains("hit"));
     assert_eq!(first.body, second.body);
+    first
+}
 
+async fn check_ranges(to: SocketAddr, first: &Response) {
     let part = http_get(to, "/page/welcome", "Range: bytes=100-149\r\n").await;
     assert_eq!(
         (part.status, part.field("content-range")),
@@ -35,6 +50,9 @@
         (outside.status, outside.field("content-range")),
         (416, "bytes */2048")
     );
+}
+
+async fn check_conditions_and_sizes(to: SocketAddr, first: &Response) {
     let same = http_get(
         to,
         "/page/welcome",
@@ -56,8 +74,10 @@
     assert_eq!(http_get(to, "/page/none", "").await.status, 404);
     let large = http_get(to, "/video/lesson-2", "").await;
     assert_eq!((large.status, large.body.len()), (200, 4 << 20));
+}
 
-    // Pipelined requests are answered in order; one that two readers could read differently is refused.
+/// Pipelined requests are answered in order; one that two readers could read differently is rejected.
+async fn check_pipelining(to: SocketAddr) {
     let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
     let three = [
         ask("/video/lesson-1"),
@@ -73,7 +93,9 @@
     assert_eq!(sizes, [1 << 20, 2048, 6 * 1024]);
     let smuggled = "GET /page/welcome HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(http_exchange(to, smuggled, 1, false).await[0].status, 400);
+}
 
+async fn check_control_commands(fleet: &DispatcherProcess) {
     let control = fleet.bound.control.to_string();
     let list = text(&run_program(&["members", "--at", &control]).stdout);
     assert!(
@@ -85,7 +107,7 @@
             .status
             .success()
     );
-    let purged = http_get(to, "/page/welcome", "").await;
+    let purged = http_get(fleet.bound.http, "/page/welcome", "").await;
     assert!(
         purged.field("cache-status").contains("fwd=miss"),
         "a copy from before the purge does not do"
@@ -95,6 +117,4 @@
         metrics.contains("pointspindle_requests_total{class=\"test-page\",outcome=\"served\"}"),
         "{metrics}"
     );
-    fleet.signal("-TERM");
-    assert_eq!(fleet.wait(), 0);
 }
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -17,6 +17,8 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 const ETCD_PREFIX: &str = "/promise";
+/// Time within which the dispatchers promise that purges are in force.
+const PROMISE_MS: u64 = 1_500;
 /// Half of the promised time, microseconds: the oldest copy that a dispatcher accepts which cannot prove anything.
 const HALF_OF_PROMISE_US: u64 = 750_000;
 
@@ -178,16 +180,54 @@
     tokio::task::spawn_blocking(run).await.unwrap()
 }
 
-#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn dispatcher_without_proof_of_purges_limits_copy_ages_by_itself() {
-    let store = EtcdEmulator::new(None);
-    let etcd = store.listen().await.unwrap();
+/// A dispatcher that promises purges within a second and a half, the etcd that it follows, and its cache host.
+struct Platform {
+    etcd: EtcdEmulator,
+    etcd_address: SocketAddr,
+    ages: AcceptedAges,
+    folder: tempfile::TempDir,
+    dispatcher: Dispatcher,
+}
+
+impl Platform {
+    async fn start() -> Self {
+        let etcd = EtcdEmulator::new(None);
+        let etcd_address = etcd.listen().await.unwrap();
+        let (cache_host, ages) = cache_host().await;
+        register(etcd_address, cache_host).await;
+        let folder = tempfile::tempdir().unwrap();
+        let dispatcher = Dispatcher::start(folder.path(), "one", etcd_address, PROMISE_MS).await;
+        Self {
+            etcd,
+            etcd_address,
+            ages,
+            folder,
+            dispatcher,
+        }
+    }
+
+    /// Requests until the accepted age shows that the purges are proven to be known.
+    async fn wait_until_proven(&mut self, name: &str) {
+        let is_proven = |age| age > HALF_OF_PROMISE_US;
+        request_until(name, &self.dispatcher, &mut self.ages, is_proven).await;
+    }
+
+    fn partition(&self) {
+        self.etcd.set_faults(|faults| faults.silent = true);
+    }
+
+    fn heal(&self) {
+        self.etcd.set_faults(|faults| faults.silent = false);
+    }
+}
+
+/// Registers a cache host in etcd.
+async fn register(etcd: SocketAddr, cache_host: SocketAddr) {
     let access = Access {
         endpoints: vec![format!("http://{etcd}")],
         ..Default::default()
     };
     let client = Etcd::new(&access, Duration::from_secs(5)).unwrap();
-    let (at, mut ages) = cache_host().await;
     let record = MemberRecord {
         state: State::Ready,
         weight: 50.0,
@@ -197,81 +237,99 @@
         start: 1,
         started_unix_ms: None,
     };
-    writer::member(&client, ETCD_PREFIX, &at.to_string(), |_| {
+    writer::member(&client, ETCD_PREFIX, &cache_host.to_string(), |_| {
         Ok(Some(record.clone()))
     })
     .await
     .unwrap();
-    let folder = tempfile::tempdir().unwrap();
-    let dispatcher = Dispatcher::start(folder.path(), "one", etcd, 1_500).await;
-    request_until("proven", &dispatcher, &mut ages, |age| {
-        age > HALF_OF_PROMISE_US
-    })
-    .await;
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn dispatcher_without_proof_of_purges_limits_copy_ages_by_itself() {
+    let mut platform = Platform::start().await;
+    platform.wait_until_proven("proven").await;
+    check_partition(&mut platform).await;
+    check_pause_during_partition(&mut platform).await;
+    check_start_during_partition(&mut platform).await;
+    check_promise_of_all(&mut platform).await;
+}
 
-    // Cut off in silence: no connection breaks, nothing more is said.
-    store.set_faults(|f| f.silent = true);
-    request_until("cut", &dispatcher, &mut ages, |age| {
+/// No connection breaks, nothing more arrives.
+async fn check_partition(platform: &mut Platform) {
+    platform.partition();
+    request_until("cut", &platform.dispatcher, &mut platform.ages, |age| {
         age > 0 && age <= HALF_OF_PROMISE_US
     })
     .await;
-    let spared = dispatcher.get("/spared/1").await;
+    let spared = platform.dispatcher.get("/spared/1").await;
     assert!(spared.starts_with("HTTP/1.1 200"), "{spared}");
     assert!(
-        ages.recv().await.unwrap().1 > HALF_OF_PROMISE_US,
+        platform.ages.recv().await.unwrap().1 > HALF_OF_PROMISE_US,
         "exempt by its settings"
     );
-    store.set_faults(|f| f.silent = false);
-    request_until("back", &dispatcher, &mut ages, |age| {
-        age > HALF_OF_PROMISE_US
-    })
-    .await;
+    platform.heal();
+    platform.wait_until_proven("back").await;
+}
 
-    // Stopped for longer than its proof holds, and cut off meanwhile: the first request after is held back.
-    let mut first = TcpStream::connect(dispatcher.http).await.unwrap();
-    dispatcher.signal("-STOP");
-    store.set_faults(|f| f.silent = true);
+/// The dispatcher is stopped for longer than its proof holds: the first request after that gets no older copy.
+async fn check_pause_during_partition(platform: &mut Platform) {
+    let mut first = TcpStream::connect(platform.dispatcher.http).await.unwrap();
+    platform.dispatcher.signal("-STOP");
+    platform.partition();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
     ask(&mut first, "/page/woken").await;
-    dispatcher.signal("-CONT");
+    platform.dispatcher.signal("-CONT");
     let mut text = String::new();
     timeout(TEST_TIMEOUT, first.read_to_string(&mut text))
         .await
         .expect("an answer")
         .unwrap();
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
-    let (object, age) = ages.recv().await.unwrap();
+    let (object, age) = platform.ages.recv().await.unwrap();
     assert!(
         object.contains("woken") && age > 0 && age <= HALF_OF_PROMISE_US,
         "{object} {age}"
     );
+}
 
-    // Started while everything is cut, with the list of its state file.
-    let late = Dispatcher::start(folder.path(), "late", etcd, 1_500).await;
-    request_until("late", &late, &mut ages, |age| age > 0).await;
+/// A dispatcher is started with the endpoint list of its state file.
+async fn check_start_during_partition(platform: &mut Platform) {
+    let late = Dispatcher::start(
+        platform.folder.path(),
+        "late",
+        platform.etcd_address,
+        PROMISE_MS,
+    )
+    .await;
+    request_until("late", &late, &mut platform.ages, |age| age > 0).await;
     let answer = late.get("/page/late").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-    let (_, age) = ages.recv().await.unwrap();
+    let (_, age) = platform.ages.recv().await.unwrap();
     assert!(age > 0 && age <= HALF_OF_PROMISE_US, "{age}");
-    store.set_faults(|f| f.silent = false);
-    request_until("late-back", &late, &mut ages, |age| {
+    platform.heal();
+    request_until("late-back", &late, &mut platform.ages, |age| {
         age > HALF_OF_PROMISE_US
     })
     .await;
+}
 
-    // The operator is output when it is in force everywhere; and where one promises nothing, that.
-    let output = purge(etcd).await;
+/// An operator learns when a purge is in force everywhere, and that a dispatcher promises nothing.
+async fn check_promise_of_all(platform: &mut Platform) {
+    let output = purge(platform.etcd_address).await;
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
         output.status.success() && text.contains("in force everywhere"),
         "{text}"
     );
     assert!(text.contains("within 1500 ms"), "{text}");
-    let old = Dispatcher::start(folder.path(), "old", etcd, 0).await;
-    request_until("old", &old, &mut ages, |age| age > HALF_OF_PROMISE_US).await;
+    let old = Dispatcher::start(platform.folder.path(), "old", platform.etcd_address, 0).await;
+    request_until("old", &old, &mut platform.ages, |age| {
+        age > HALF_OF_PROMISE_US
+    })
+    .await;
     let registered = async {
         loop {
-            let output = purge(etcd).await;
+            let output = purge(platform.etcd_address).await;
             let text = String::from_utf8_lossy(&output.stdout).into_owned();
             if output.status.code() == Some(1) {
                 return text;
@@ -283,7 +341,7 @@
         .await
         .expect("it registers");
     assert!(
-        text.contains("no time can be output") && text.contains("old"),
+        text.contains("no time can be told") && text.contains("old"),
         "{text}"
     );
 }
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -22,6 +22,56 @@
     v.as_u64().unwrap_or_else(|| panic!("a count: {v}"))
 }
 
+/// The phase of a step with this name.
+fn phase<'a>(step: &'a Value, name: &str) -> &'a Value {
+    let phases = step["phases"].as_array().unwrap();
+    phases
+        .iter()
+        .find(|phase| phase["name"] == name)
+        .unwrap_or_else(|| panic!("no phase {name}"))
+}
+
+fn check_step(step: &Value) {
+    check_deliveries(step);
+    let n = count(&step["dispatchers"]);
+    assert_eq!(count(&step["hosts"]), (4 * n).div_ceil(6));
+    assert_eq!(count(&phase(step, "storm")["purges"]["written"]), 50);
+    // All have the complete state, and nothing more.
+    let items = &phase(step, "rest")["items"];
+    assert_eq!(
+        (count(&items["members"]), count(&items["dispatchers"])),
+        (count(&step["hosts"]), n)
+    );
+    assert!(phase(step, "compacted")["whole_ms"].as_f64().unwrap() > 0.0);
+    // A process of hollow dispatchers that is killed and restarted is delivered as that many removals and additions, to each
+    // dispatcher that is there.
+    let restarted = count(&phase(step, "restart")["traffic"]["events"]["dispatchers"]);
+    assert!(
+        restarted >= 4 * (n - 2) && restarted <= 4 * n,
+        "{restarted} at {n}"
+    );
+}
+
+/// Each write is delivered to each dispatcher once.
+fn check_deliveries(step: &Value) {
+    let n = count(&step["dispatchers"]);
+    for (name, what, kind) in [
+        ("purges", "purges", "purges"),
+        ("storm", "purges", "purges"),
+        ("changes", "changes", "members"),
+    ] {
+        let lag = &phase(step, name)[what];
+        assert!(count(&lag["written"]) > 0);
+        assert_eq!(
+            (count(&lag["heard"]), count(&lag["never"])),
+            (count(&lag["written"]) * n, 0),
+            "{name}"
+        );
+        let events = count(&phase(step, name)["traffic"]["events"][kind]);
+        assert_eq!(events, count(&lag["written"]) * n, "{name} at {n}");
+    }
+}
+
 #[test]
 fn update_counts_grow_with_the_fleet_and_every_update_arrives() {
     let folder = tempfile::tempdir().unwrap();
@@ -50,48 +100,7 @@
     let all: Value = serde_json::from_slice(&output.stdout).unwrap();
     let steps = all["runs"][0].as_array().unwrap();
     assert_eq!(steps.len(), 2);
-    for step in steps {
-        let n = count(&step["dispatchers"]);
-        assert_eq!(count(&step["hosts"]), (4 * n).div_ceil(6));
-        let phase = |name: &str| {
-            let phases = step["phases"].as_array().unwrap();
-            phases
-                .iter()
-                .find(|p| p["name"] == name)
-                .unwrap_or_else(|| panic!("no phase {name}"))
-        };
-        // Each write is delivered to each dispatcher once.
-        for (name, what, kind) in [
-            ("purges", "purges", "purges"),
-            ("storm", "purges", "purges"),
-            ("changes", "changes", "members"),
-        ] {
-            let lag = &phase(name)[what];
-            assert!(count(&lag["written"]) > 0);
-            assert_eq!(
-                (count(&lag["heard"]), count(&lag["never"])),
-                (count(&lag["written"]) * n, 0),
-                "{name}"
-            );
-            let events = count(&phase(name)["traffic"]["events"][kind]);
-            assert_eq!(events, count(&lag["written"]) * n, "{name} at {n}");
-        }
-        assert_eq!(count(&phase("storm")["purges"]["written"]), 50);
-        // All have the complete state, and nothing more.
-        let items = &phase("rest")["items"];
-        assert_eq!(
-            (count(&items["members"]), count(&items["dispatchers"])),
-            (count(&step["hosts"]), n)
-        );
-        assert!(phase("compacted")["whole_ms"].as_f64().unwrap() > 0.0);
-        // A process of hollow dispatchers that is killed and restarted is delivered as that many removals and additions, to each
-        // dispatcher that is there.
-        let restarted = count(&phase("restart")["traffic"]["events"]["dispatchers"]);
-        assert!(
-            restarted >= 4 * (n - 2) && restarted <= 4 * n,
-            "{restarted} at {n}"
-        );
-    }
+    steps.iter().for_each(check_step);
     let slope = &all["slopes"]["figures"]["rest/store bytes out"];
     assert_eq!((count(&slope["from"]), count(&slope["to"])), (3, 6));
     // The page can be written from what was kept.
--- a/crates/dispatcher/src/control_source.rs
+++ b/crates/dispatcher/src/control_source.rs
@@ -70,13 +70,17 @@
 
     /// An unknown set of purges may have been missed: every copy from before now counts as purged.
     pub fn updates_missed(&self) {
-        self.core.metrics.source_gaps.inc();
+        self.core.metrics.control_source.gaps.inc();
         self.core.apply(Input::UpdatesMissed);
     }
 
     /// Sets the registered dispatchers.
     pub fn roster(&self, roster: Roster) {
-        self.core.metrics.peers.set(roster.len() as i64);
+        self.core
+            .metrics
+            .control_source
+            .registered_dispatchers
+            .set(roster.len() as i64);
         self.core.apply(Input::Roster(roster));
     }
 
@@ -88,7 +92,7 @@
 
     /// Whether the applied updates are as current as they should be.
     pub fn set_current(&self, current: bool) {
-        self.core.metrics.source_current.set(current.into());
+        self.core.metrics.control_source.current.set(current.into());
         self.core.apply(Input::SourceFreshness(current));
         self.core.view.send_replace(current);
         self.notify_observer(ControlUpdate::Freshness(current));
@@ -101,7 +105,7 @@
 
     /// Counts an update of the source that was not usable.
     pub fn count_unusable(&self) {
-        self.core.metrics.source_bad.inc();
+        self.core.metrics.control_source.rejected_keys.inc();
     }
 
     /// The endpoint list in force.
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -206,9 +206,10 @@
             .state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        self.metrics.core_lock_waits.inc();
+        self.metrics.core_lock.waits.inc();
         self.metrics
-            .core_lock_wait_us
+            .core_lock
+            .wait_us
             .inc_by(wait_started.elapsed().as_micros() as u64);
         state
     }
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -146,7 +146,12 @@
 
     fn check_lease(&self) {
         if self.connection.time_since_last_frame() > self.lease {
-            self.context.core.metrics.lost_clients.inc();
+            self.context
+                .core
+                .metrics
+                .connection_counts
+                .lost_clients
+                .inc();
             self.connection.abort("no sign of life");
         }
     }
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -185,7 +185,10 @@
     let metrics = &core.metrics;
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
-        metrics.dead_endpoint_connections.inc_by(pool.sweep());
+        metrics
+            .connection_counts
+            .dead_endpoints
+            .inc_by(pool.sweep());
         let purges_confirmed = core.purges_confirmed().map_or(-1, i64::from);
         metrics.purges_confirmed.set(purges_confirmed);
         metrics
@@ -193,6 +196,6 @@
             .set(core.meter.buffered_bytes() as i64);
         let known_calls = core.transport.call_attempts.known_calls();
         metrics.known_calls.set(known_calls as i64);
-        metrics.endpoint_connections.set(pool.count() as i64);
+        metrics.connection_counts.endpoints.set(pool.count() as i64);
     }
 }
--- a/crates/dispatcher/src/net/frontend_context.rs
+++ b/crates/dispatcher/src/net/frontend_context.rs
@@ -45,7 +45,7 @@
             Ok(Err(e)) => e.to_string(),
             Err(_) => "not done in time".to_owned(),
         };
-        self.core.metrics.tls_failed.inc();
+        self.core.metrics.connection_counts.tls_failed.inc();
         tracing::info!(why, "TLS handshake failed");
         None
     }
--- a/crates/dispatcher/src/net/listeners.rs
+++ b/crates/dispatcher/src/net/listeners.rs
@@ -206,7 +206,7 @@
             Ok(permit) if self.context.identity.is_none() => self.serve_plain(socket, permit),
             Ok(permit) => self.serve_tls(socket, permit),
             Err(retry_after) => {
-                self.context.core.metrics.rejected_connections.inc();
+                self.context.core.metrics.connection_counts.rejected.inc();
                 // A TLS client reads no reply before a handshake, and that costs more than a rejection may.
                 if self.context.identity.is_none() {
                     let registry = self.context.registry.clone();
@@ -223,18 +223,18 @@
 
     fn serve_plain(&mut self, socket: Socket, permit: ConnectionPermit) {
         let core = self.context.core.clone();
-        core.metrics.connections.inc();
+        core.metrics.connection_counts.clients.inc();
         let served = (self.serve)(self.context.clone(), socket, permit);
         self.tasks.spawn(async move {
             served.await;
-            core.metrics.connections.dec();
+            core.metrics.connection_counts.clients.dec();
         });
     }
 
     fn serve_tls(&mut self, socket: Socket, permit: ConnectionPermit) {
         let context = self.context.clone();
         let serve = self.serve.clone();
-        context.core.metrics.connections.inc();
+        context.core.metrics.connection_counts.clients.inc();
         self.tasks.spawn(async move {
             // Boxed, so that an established connection does not hold the memory of its handshake.
             let handshake = Box::pin(context.complete_handshake(socket)).await;
@@ -242,7 +242,7 @@
             if let Some(socket) = handshake {
                 serve(context, socket, permit).await;
             }
-            core.metrics.connections.dec();
+            core.metrics.connection_counts.clients.dec();
         });
     }
 }
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -37,33 +37,51 @@
     last_byte: Histogram,
 }
 
+/// Connections of clients and to endpoints.
+#[derive(Debug)]
+pub(crate) struct ConnectionMetrics {
+    pub clients: Gauge,
+    pub endpoints: Gauge,
+    pub rejected: Counter,
+    pub lost_clients: Counter,
+    pub dead_endpoints: Counter,
+    pub tls_failed: Counter,
+}
+
+/// The source of endpoint lists and purges.
+#[derive(Debug)]
+pub(crate) struct ControlSourceMetrics {
+    pub current: Gauge,
+    pub gaps: Counter,
+    pub rejected_keys: Counter,
+    pub registered_dispatchers: Gauge,
+}
+
+/// Waits for the lock of the core.
+#[derive(Debug)]
+pub(crate) struct CoreLockMetrics {
+    pub waits: Counter,
+    pub wait_us: Counter,
+}
+
 /// All metrics of a dispatcher; fields are updated where the event happens.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
     classes: Vec<ClassMetrics>,
     attempts: Family<AttemptLabel, Counter>,
+    pub connection_counts: ConnectionMetrics,
+    pub control_source: ControlSourceMetrics,
+    pub core_lock: CoreLockMetrics,
     pub open_requests: Gauge,
-    pub connections: Gauge,
     pub attempts_not_begun: Counter,
     pub attempts_held_back: Counter,
     pub purges_confirmed: Gauge,
     pub requests_over_budget: Counter,
     pub slow_clients: Counter,
     pub buffered_bytes: Gauge,
-    pub core_lock_waits: Counter,
-    pub core_lock_wait_us: Counter,
-    pub dead_endpoint_connections: Counter,
-    pub lost_clients: Counter,
     pub known_calls: Gauge,
-    pub tls_failed: Counter,
-    pub source_current: Gauge,
-    pub source_gaps: Counter,
-    pub source_bad: Counter,
-    pub peers: Gauge,
     pub resumed_responses: Counter,
-    pub rejected_connections: Counter,
-    pub endpoint_connections: Gauge,
     pub endpoint_list_version: Gauge,
     pub purge_lag: Histogram,
 }
@@ -130,7 +148,7 @@
 const PURGE_LAG_HELP: &str = "From a purge's frame to its being in force";
 
 impl Metrics {
-    /// All metrics, registered, at zero.
+    /// All metrics, at zero, registered in the order of this function.
     #[rustfmt::skip] // One metric a line, as a table.
     pub fn new(settings: &DispatcherSettings) -> Self {
         let mut register = Registration(Registry::with_prefix("pointspindle"));
@@ -139,34 +157,63 @@
         let first_byte = register.latency("first_byte", "From the request to its answer's head");
         let last_byte = register.latency("last_byte", "From the request to its final answer");
         let class_metrics = |class| ClassMetrics::new(class, &requests, &first_byte, &last_byte);
-        // The fields are evaluated, and so registered, in the order written.
+        let classes = settings.classes.iter().map(class_metrics).collect();
+        let open_requests = register.gauge("open_requests", "Requests without a final answer");
+        let connections = register.gauge("connections", "Connections at all doors");
+        let attempts_not_begun = register.counter("not_begun", ATTEMPTS_NOT_BEGUN_HELP);
+        let attempts_held_back = register.counter("held_back", ATTEMPTS_HELD_BACK_HELP);
+        let purges_confirmed = register.gauge("purges_proven", PURGES_CONFIRMED_HELP);
+        let requests_over_budget = register.counter("no_room", REQUESTS_OVER_BUDGET_HELP);
+        let slow_clients = register.counter("slow_clients", SLOW_CLIENTS_HELP);
+        let buffered_bytes = register.gauge("buffered_bytes", BUFFERED_HELP);
+        let core_lock_waits = register.counter("core_lock_waits", LOCK_WAITS_HELP);
+        let core_lock_wait_us = register.counter("core_lock_wait_us", LOCK_WAIT_US_HELP);
+        let dead_endpoint_connections = register.counter("dead_member_connections", DEAD_CONNECTIONS_HELP);
+        let lost_clients = register.counter("lost_clients", LOST_CLIENTS_HELP);
+        let known_calls = register.gauge("known_calls", KNOWN_CALLS_HELP);
+        let tls_failed = register.counter("tls_failed", TLS_FAILED_HELP);
+        let source_current = register.gauge("source_current", SOURCE_CURRENT_HELP);
+        let source_gaps = register.counter("source_gaps", SOURCE_GAPS_HELP);
+        let source_bad = register.counter("source_bad", SOURCE_REJECTED_KEYS_HELP);
+        let peers = register.gauge("peers", "Dispatchers that are registered");
+        let resumed_responses = register.counter("resumed", "Answers that went on from another member");
+        let rejected_connections = register.counter("turned_away", "Connections turned away for want of a place");
+        let endpoint_connections = register.gauge("member_connections", "Connections to members");
+        let endpoint_list_version = register.gauge("list_version", "Number of the member list in force");
+        let purge_lag = register.seconds("purge_lag", PURGE_LAG_HELP, purge_lag_histogram());
         Self {
-            classes: settings.classes.iter().map(class_metrics).collect(),
-            attempts,
-            open_requests: register.gauge("open_requests", "Requests without a final answer"),
-            connections: register.gauge("connections", "Connections at all doors"),
-            attempts_not_begun: register.counter("not_begun", ATTEMPTS_NOT_BEGUN_HELP),
-            attempts_held_back: register.counter("held_back", ATTEMPTS_HELD_BACK_HELP),
-            purges_confirmed: register.gauge("purges_proven", PURGES_CONFIRMED_HELP),
-            requests_over_budget: register.counter("no_room", REQUESTS_OVER_BUDGET_HELP),
-            slow_clients: register.counter("slow_clients", SLOW_CLIENTS_HELP),
-            buffered_bytes: register.gauge("buffered_bytes", BUFFERED_HELP),
-            core_lock_waits: register.counter("core_lock_waits", LOCK_WAITS_HELP),
-            core_lock_wait_us: register.counter("core_lock_wait_us", LOCK_WAIT_US_HELP),
-            dead_endpoint_connections: register.counter("dead_member_connections", DEAD_CONNECTIONS_HELP),
-            lost_clients: register.counter("lost_clients", LOST_CLIENTS_HELP),
-            known_calls: register.gauge("known_calls", KNOWN_CALLS_HELP),
-            tls_failed: register.counter("tls_failed", TLS_FAILED_HELP),
-            source_current: register.gauge("source_current", SOURCE_CURRENT_HELP),
-            source_gaps: register.counter("source_gaps", SOURCE_GAPS_HELP),
-            source_bad: register.counter("source_bad", SOURCE_REJECTED_KEYS_HELP),
-            peers: register.gauge("peers", "Dispatchers that are registered"),
-            resumed_responses: register.counter("resumed", "Answers that went on from another member"),
-            rejected_connections: register.counter("turned_away", "Connections turned away for want of a place"),
-            endpoint_connections: register.gauge("member_connections", "Connections to members"),
-            endpoint_list_version: register.gauge("list_version", "Number of the member list in force"),
-            purge_lag: register.seconds("purge_lag", PURGE_LAG_HELP, purge_lag_histogram()),
             registry: register.0,
+            classes,
+            attempts,
+            connection_counts: ConnectionMetrics {
+                clients: connections,
+                endpoints: endpoint_connections,
+                rejected: rejected_connections,
+                lost_clients,
+                dead_endpoints: dead_endpoint_connections,
+                tls_failed,
+            },
+            control_source: ControlSourceMetrics {
+                current: source_current,
+                gaps: source_gaps,
+                rejected_keys: source_bad,
+                registered_dispatchers: peers,
+            },
+            core_lock: CoreLockMetrics {
+                waits: core_lock_waits,
+                wait_us: core_lock_wait_us,
+            },
+            open_requests,
+            attempts_not_begun,
+            attempts_held_back,
+            purges_confirmed,
+            requests_over_budget,
+            slow_clients,
+            buffered_bytes,
+            known_calls,
+            resumed_responses,
+            endpoint_list_version,
+            purge_lag,
         }
     }
 
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -256,7 +256,7 @@
             seed: candidate.seed,
             faults: candidate.faults,
             figures: candidate.figures,
-            runs: runs,
+            runs,
         };
         while self.reduce_once(&mut found, &candidate.figures)? {}
         Ok(found)
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -274,7 +274,7 @@
         |figure: fn(&Figures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
     let services = || runs.iter().map(|run| run.service);
     SweepRow {
-        name: name,
+        name,
         runs: runs.len(),
         service: mean(|run| run.service),
         min_service: services().fold(f64::MAX, f64::min),
--- a/crates/scenario/src/read/hosts.rs
+++ b/crates/scenario/src/read/hosts.rs
@@ -2,7 +2,7 @@
 use super::ranges::ValueReader;
 use crate::{Fleet, HostKind};
 use pointspindle_cache_model::WarmUpSpec;
-use pointspindle_cache_model::{HostSpec, Role};
+use pointspindle_cache_model::{HostSpec, OverloadSpec, Role};
 
 /// Shortest window of a host's overload, microseconds.
 const MIN_OVERLOAD_WINDOW_US: u64 = 1_000;
@@ -52,9 +52,11 @@
         load_report_interval: values.millis(section, "report_ms", 400.0),
         pause_interval: values.millis(section, "pause_every_ms", 0.0),
         pause_duration: values.millis(section, "pause_ms", 0.0),
-        overload_multiple: 0.0,
-        overload_window: 1,
-        overload_downtime: 0,
+        overload: OverloadSpec {
+            multiple: 0.0,
+            window: 1,
+            downtime: 0,
+        },
     };
     HostKind {
         spec: match role {
@@ -80,9 +82,11 @@
 fn origin_spec(values: &mut ValueReader, section: &str, spec: HostSpec) -> HostSpec {
     HostSpec {
         service_time: values.millis(section, "think_ms", 30.0),
-        overload_multiple: values.number(section, "fall_multiple", 0.0, 0.0, 1e6),
-        overload_window: values.millis(section, "fall_window_ms", 3_000.0),
-        overload_downtime: values.millis(section, "fall_down_ms", 5_000.0),
+        overload: OverloadSpec {
+            multiple: values.number(section, "fall_multiple", 0.0, 0.0, 1e6),
+            window: values.millis(section, "fall_window_ms", 3_000.0),
+            downtime: values.millis(section, "fall_down_ms", 5_000.0),
+        },
         ..spec
     }
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -4,7 +4,8 @@
 use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_model::warm_up::WarmUpSpec;
 use pointspindle_cache_model::{
-    CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelRequest, Role, ZoneSpec,
+    CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelRequest, OverloadSpec, Role,
+    ZoneSpec,
 };
 use pointspindle_protocol::{EndpointRecord, WireEndpointState};
 
@@ -61,9 +62,11 @@
         load_report_interval: 200_000,
         pause_interval: 0,
         pause_duration: 0,
-        overload_multiple: 0.0,
-        overload_window: 1_000_000,
-        overload_downtime: 0,
+        overload: OverloadSpec {
+            multiple: 0.0,
+            window: 1_000_000,
+            downtime: 0,
+        },
     }
 }
 
--- a/crates/testbed/src/emulated_hosts/attempt.rs
+++ b/crates/testbed/src/emulated_hosts/attempt.rs
@@ -210,7 +210,7 @@
             ..self.body
         };
         self.responder.head(converted.head).await?;
-        let (first_half, second_half) = converted.range.halves();
+        let (first_half, second_half) = converted.range.split_in_two();
         send_body(&mut self.responder, body, first_half).await?;
         self.unsent = Some(UnsentBody {
             body,
--- a/crates/testbed/src/emulated_hosts/conversions/mod.rs
+++ b/crates/testbed/src/emulated_hosts/conversions/mod.rs
@@ -97,8 +97,8 @@
 }
 
 impl BodyRange {
-    /// The range in two halves; the second has the odd byte.
-    pub fn halves(self) -> (Self, Self) {
+    /// The range in two split_in_two; the second has the odd byte.
+    pub fn split_in_two(self) -> (Self, Self) {
         let first = Self {
             start: self.start,
             length: self.length / 2,
--- a/crates/testbed/src/emulated_hosts/conversions/tests.rs
+++ b/crates/testbed/src/emulated_hosts/conversions/tests.rs
@@ -85,7 +85,7 @@
         start: 10,
         length: 5,
     };
-    let (first, second) = range.halves();
+    let (first, second) = range.split_in_two();
     assert_eq!((first.start, first.length), (10, 2));
     assert_eq!((second.start, second.length), (12, 3));
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -22,7 +22,7 @@
 }
 
 impl<W: Write> Host<W> {
-    fn tell(&mut self, dispatcher: u64, event: Event) -> Result<(), String> {
+    fn handle_event(&mut self, dispatcher: u64, event: Event) -> Result<(), String> {
         let unknown = || format!("message for unknown Dispatcher {dispatcher}");
         let instance = self.instances.get_mut(&dispatcher).ok_or_else(unknown)?;
         self.actions.clear();
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    fn line(&mut self, text: &str) -> Result<(), String> {
+    fn handle_line(&mut self, text: &str) -> Result<(), String> {
         match serde_json::from_str(text).map_err(|e| e.to_string())? {
             wire::Inbound::Round(r) => (self.now, self.round) = (settings::micros(r.t_ms), r.round),
             wire::Inbound::OverToYou(_) => {
@@ -64,19 +64,21 @@
                 let unknown = || format!("message for unknown Dispatcher {dispatcher}");
                 let instance = self.instances.get_mut(&dispatcher).ok_or_else(unknown)?;
                 let event = translate::endpoints(s, &mut instance.names)?;
-                self.tell(dispatcher, event)?;
+                self.handle_event(dispatcher, event)?;
             }
-            wire::Inbound::Incoming(r) => self.tell(r.dispatcher, translate::request(r))?,
-            wire::Inbound::Ended(o) => self.tell(o.dispatcher, translate::outcome(o)?)?,
+            wire::Inbound::Incoming(r) => self.handle_event(r.dispatcher, translate::request(r))?,
+            wire::Inbound::Ended(o) => self.handle_event(o.dispatcher, translate::outcome(o)?)?,
             wire::Inbound::Hangup(h) => {
-                self.tell(
+                self.handle_event(
                     h.dispatcher,
                     Event::ClientDisconnected(pointspindle::RequestId(h.req)),
                 )?;
             }
-            wire::Inbound::Reminder(r) => self.tell(r.dispatcher, Event::Timer(r.cookie))?,
-            wire::Inbound::Voided(v) => self.tell(v.dispatcher, translate::purge(v))?,
-            wire::Inbound::Begun(b) => self.tell(
+            wire::Inbound::Reminder(r) => {
+                self.handle_event(r.dispatcher, Event::Timer(r.cookie))?
+            }
+            wire::Inbound::Voided(v) => self.handle_event(v.dispatcher, translate::purge(v))?,
+            wire::Inbound::Begun(b) => self.handle_event(
                 b.dispatcher,
                 Event::ResponseStarted(EndpointId::named(&b.host)),
             )?,
@@ -113,7 +115,7 @@
             Ok(0) => break,
             Ok(_) if text.trim().is_empty() => {}
             Ok(_) => host
-                .line(&text)
+                .handle_line(&text)
                 .map_err(|e| format!("line {number}: {e}"))?,
             Err(e) => return Err(format!("line {number}: {e}")),
         }
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -8,6 +8,7 @@
     us as f64 / 1000.0
 }
 
+/// An update of the endpoint list; `names` learns the address of each endpoint.
 pub fn endpoints(s: wire::Sync, names: &mut BTreeMap<EndpointId, String>) -> Result<Event, String> {
     let update = match s.form.as_str() {
         "delta" => ListUpdate::Delta,
@@ -39,6 +40,7 @@
     Ok(Event::EndpointList { update, entries })
 }
 
+/// A client's request.
 pub fn request(r: wire::Incoming) -> Event {
     Event::Request(Request {
         id: RequestId(r.req),
@@ -51,6 +53,7 @@
     })
 }
 
+/// A purge of an object, or of a group of objects.
 pub fn purge(v: wire::Voided) -> Event {
     Event::Purge {
         object: v.content_id.as_deref().map(ObjectId::named),
@@ -59,6 +62,7 @@
     }
 }
 
+/// How an attempt has ended.
 pub fn outcome(o: wire::Ended) -> Result<Event, String> {
     let status = match o.state_code.as_str() {
         "pass" => AttemptStatus::Ok,
@@ -97,13 +101,12 @@
     }))
 }
 
-/// The wire's form of an action; none for a member whose address was never told.
+/// The wire's form of an action; none for an endpoint whose address was never received.
 pub fn action<'a>(
     dispatcher: u64,
     action: &Action,
     names: &'a BTreeMap<EndpointId, String>,
 ) -> Option<wire::Outbound<'a>> {
-    let host = |id: &EndpointId| names.get(id).map(String::as_str);
     Some(match action {
         Action::Send {
             request,
@@ -111,10 +114,11 @@
             timeout,
             fetch,
         } => {
-            let mut send = wire::Send {
+            let name = |id: &EndpointId| names.get(id).map(String::as_str);
+            let send = wire::Send {
                 dispatcher,
                 req: request.0,
-                host: host(endpoint)?,
+                host: name(endpoint)?,
                 timeout_ms: Some(millis(*timeout)),
                 fill_from: None,
                 store_as: None,
@@ -123,14 +127,8 @@
             };
             match fetch {
                 None => wire::Outbound::Dispatch(send),
-                Some(f) => {
-                    send.fill_from = Some(host(&f.source)?);
-                    send.store_as = Some(f.retention_rank);
-                    send.switches = Some(
-                        f.coalesce as u8 + 2 * f.only_if_cached as u8 + 8 * f.revalidate as u8,
-                    );
-                    send.how_old_ms = Some(millis(f.max_age));
-                    wire::Outbound::AnswerFrom(send)
+                Some(fetch) => {
+                    wire::Outbound::AnswerFrom(with_fetch(send, fetch, name(&fetch.source)?))
                 }
             }
         }
@@ -159,3 +157,24 @@
         }),
     })
 }
+
+/// Bits of the switches of a fetch.
+const COALESCE_BIT: u8 = 1;
+const ONLY_IF_CACHED_BIT: u8 = 2;
+const REVALIDATE_BIT: u8 = 8;
+
+/// A send with how the cache is to fetch what it lacks.
+fn with_fetch<'a>(send: wire::Send<'a>, fetch: &FetchDirective, source: &'a str) -> wire::Send<'a> {
+    let bit = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
+    wire::Send {
+        fill_from: Some(source),
+        store_as: Some(fetch.retention_rank),
+        switches: Some(
+            bit(fetch.coalesce, COALESCE_BIT)
+                | bit(fetch.only_if_cached, ONLY_IF_CACHED_BIT)
+                | bit(fetch.revalidate, REVALIDATE_BIT),
+        ),
+        how_old_ms: Some(millis(fetch.max_age)),
+        ..send
+    }
+}
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -2,6 +2,7 @@
 use pointspindle_platform_protocol::settings::SettingsDocument;
 use serde::{Deserialize, Serialize};
 
+/// A message from the bench.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Inbound {
@@ -29,6 +30,7 @@
     };
 }
 
+/// The beginning of a round, and its time.
 #[derive(Debug, Deserialize)]
 pub struct Round {
     #[serde(rename = "TMs")]
@@ -59,6 +61,7 @@
     }
 }
 
+/// A message to the bench.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Outbound<'a> {
@@ -93,6 +96,7 @@
     Schedule { has { dispatcher: u64, after_ms: f64, cookie: u64 } may {} }
 }
 
+/// The end of a round.
 #[derive(Debug, Serialize)]
 pub struct Eor {
     pub round: u64,
