--- a/crates/client/examples/idempotency_key.rs
+++ b/crates/client/examples/idempotency_key.rs
@@ -25,10 +25,8 @@
         match client.fetch(request.clone()).await?.outcome {
             Outcome::Served => break println!("done, once"),
             // Nothing was done: the same request may be sent again.
-            Outcome::Rejected {
-                retry_after: come_back,
-            } => {
-                tokio::time::sleep(come_back.unwrap_or(DEFAULT_RETRY_AFTER)).await;
+            Outcome::Rejected { retry_after } => {
+                tokio::time::sleep(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)).await;
             }
             // The client has retried for as long as the window allows: a further request could do the work twice.
             Outcome::Failed { may_have_run } => {
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -58,7 +58,7 @@
         self.state.attempts()
     }
 
-    /// The next piece of the response; none after [`Piece::End`]. The body is read only as fast as this is called:
+    /// The next piece of the response; none after [`CallEvent::End`]. The body is read only as fast as this is called:
     /// flow control holds back what is not taken.
     pub async fn next(&mut self) -> Option<CallEvent> {
         if self.ended {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,7 +1,7 @@
 //! Calls dispatchers by the framed protocol or HTTP/1.1, behind one interface.
 //!
 //! ```no_run
-//! use pointspindle_client::{Client, Outcome, Piece, Request};
+//! use pointspindle_client::{Client, Outcome, CallEvent, Request};
 //! use std::time::Duration;
 //!
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
@@ -9,11 +9,11 @@
 //! let mut call = client.call(Request::get("/video/12/a.mp4", "lesson-video", Duration::from_secs(6)))?;
 //! while let Some(piece) = call.next().await {
 //!     match piece {
-//!         Piece::Head(head) => println!("{:?} bytes", head.size),
-//!         Piece::Data(data) => println!("{} more", data.len()),
-//!         Piece::End(Outcome::Served) => println!("complete"),
-//!         Piece::End(Outcome::Refused { come_back }) => println!("nothing was done; retry after {come_back:?}"),
-//!         Piece::End(Outcome::Failed { may_have_run }) => println!("failed; may have run: {may_have_run}"),
+//!         CallEvent::Head(head) => println!("{:?} bytes", head.size),
+//!         CallEvent::Data(data) => println!("{} more", data.len()),
+//!         CallEvent::End(Outcome::Served) => println!("complete"),
+//!         CallEvent::End(Outcome::Rejected { retry_after }) => println!("nothing was done; retry after {retry_after:?}"),
+//!         CallEvent::End(Outcome::Failed { may_have_run }) => println!("failed; may have run: {may_have_run}"),
 //!     }
 //! }
 //! # Ok(())
@@ -22,7 +22,7 @@
 //!
 //! # Guarantee
 //!
-//! Each call has **one final outcome**, and **at most one live attempt** at any time: [`Piece::End`] comes exactly once
+//! Each call has **one final outcome**, and **at most one live attempt** at any time: [`CallEvent::End`] comes exactly once
 //! and last, by the deadline. A call dropped before it is cancelled. The test
 //! `every_call_has_one_outcome_and_at_most_one_live_attempt` (`src/call_state/tests.rs`) shows it for random ends of
 //! attempts, and `tests/cuts/` for real dispatchers behind connections that are cut.
--- a/crates/dispatcher/src/reconnect_backoff.rs
+++ b/crates/dispatcher/src/reconnect_backoff.rs
@@ -27,7 +27,7 @@
     RejectFor(Micros),
 }
 
-/// State of an address whose connection was lost or could not be made. Forgotten by its owner when [`Self::is_old`].
+/// State of an address whose connection was lost or could not be made. Forgotten by its owner when [`Self::is_expired`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReconnectBackoff {
     failures: u32,
--- a/crates/platform/src/connection_pool/mod.rs
+++ b/crates/platform/src/connection_pool/mod.rs
@@ -6,7 +6,7 @@
 //! their discovery id; a connection belongs to an id, whatever its address.
 //!
 //! A request that waits for a connection is woken by each change of its endpoint, and by each connection made or lost;
-//! the core decides whether it may still begin, then and again right before the first byte ([`crate::connection`]).
+//! the core decides whether it may still begin, then and again right before the first byte (`crate::connection`).
 //!
 //! State: an entry for each known endpoint, dropped once it is gone and its last connection has ended.
 mod call;
--- a/crates/platform/src/frontend/mod.rs
+++ b/crates/platform/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The FastCGI frontend: the listener, and what all client connections share. Each connection is a [`session`].
+//! The FastCGI frontend: the listener, and what all client connections share. Each connection is a `session`.
 mod client_stream;
 mod request_task;
 mod response_writer;
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //!
 //! After SIGTERM, requests in flight, and those that come for a while on open connections, on new ones and from the
 //! listener's queue, are served; then each connection finishes what it has, rejects what still comes, and closes
-//! ([`crate::frontend`]). All that is open has its final response before the process may be killed ([`crate::shutdown`]);
+//! ([`crate::frontend`]). All that is open has its final response before the process may be killed (`crate::shutdown`);
 //! it ends with its last connection. Discovery and configuration reloads go on to the end: attempts are still made.
 use crate::connection_pool::{connect_requested, run_maintenance, ConnectionPool, PlatformCore};
 use crate::endpoint_discovery::{lock, stream, DiscoveryState};
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -1,4 +1,4 @@
-//! Draws a [`View`] on a terminal.
+//! Draws a [`LiveView`] on a terminal.
 use crate::watch::{HostState, HostView, LiveView, OutcomeTally};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style, Stylize};
--- a/crates/scale/src/capacity/roles.rs
+++ b/crates/scale/src/capacity/roles.rs
@@ -3,10 +3,10 @@
 use crate::Target;
 
 pub(super) const CONTROL: &str = "`etcd/watcher/`, `dispatcher/net`; `cli/tests/scale.rs`";
-pub(super) const STORE: &str = "stand-in `lab/etcd`; `cli/tests/scale.rs`";
+pub(super) const STORE: &str = "emulated, `etcd-emulator`; `cli/tests/scale.rs`";
 const WRITER: &str = "`etcd/writer.rs`";
 const WATCHER: &str = "`etcd/watcher/`";
-const HOST: &str = "`host/net`";
+const HOST: &str = "`cache-host/net`";
 
 /// A kind of process of the fleet, or its promises.
 pub(super) struct Role {
@@ -21,7 +21,7 @@
             rows: dispatcher(target),
         },
         Role {
-            name: "Control store (one stand-in process without disk or quorum; \
+            name: "Control store (one emulated process without disk or quorum; \
                    budget assumed: a core a machine)",
             rows: control_store(target),
         },
@@ -33,14 +33,14 @@
             name: "Parent, origin gateway",
             rows: vec![not_measured(
                 "as a cache host; fills and connections by N",
-                "`host`, `docs/design/sums.md`",
+                "`cache-host`, `docs/design/sums.md`",
             )],
         },
         Role {
             name: "Client library, operator's command",
             rows: vec![not_measured(
                 "connections and tries by N; a command's bytes",
-                "`client`, `cli/etcd.rs`",
+                "`client`, `cli/commands/etcd_access.rs`",
             )],
         },
         Role {
@@ -89,7 +89,7 @@
         ),
         not_measured(
             "bytes by hellos, leases and probes",
-            "`link`, `host/lease.rs`",
+            "`transport`, `cache-host/lease.rs`",
         ),
         not_measured(
             "processor a request, a list line; \
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -82,7 +82,7 @@
     /// Purges of the burst.
     #[serde(rename = "storm")]
     pub burst_purges: usize,
-    /// Hollow dispatchers promise that purges are in force within [`Target::purge_ms`], and confirm it.
+    /// Hollow dispatchers promise that purges are in force within [`Target::purge_promise_ms`], and confirm it.
     #[serde(rename = "promise")]
     pub promises_purges: bool,
     /// Length of an outage of the control store, seconds.
--- a/crates/testbed/src/fleet_run/entry_points.rs
+++ b/crates/testbed/src/fleet_run/entry_points.rs
@@ -29,7 +29,7 @@
     .await
 }
 
-/// As [`run`], with a recorder that can be read during the run. Its times count from its creation.
+/// As [`run_with_processes`], with a recorder that can be read during the run. Its times count from its creation.
 pub async fn run_with_recorder(
     scenario: &Scenario,
     program: &Path,
@@ -45,7 +45,7 @@
     plan_and_execute(scenario, &environment, folder, injected_fault, recorder).await
 }
 
-/// As [`run`], with endpoint lists and purges through an emulated etcd whose streams break again and again and whose
+/// As [`run_with_processes`], with endpoint lists and purges through an emulated etcd whose streams break again and again and whose
 /// history is compacted.
 pub async fn run_with_etcd(
     scenario: &Scenario,
