--- a/src/router/attempts.rs
+++ b/src/router/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of a request: its next attempt, its wait, and its final response.
+//! Request lifecycle: sending the next attempt, waiting, and the final response.
 use super::fill_source::{Diversion, FillPlan};
 use super::requests::{Attempt, OpenRequest};
 use super::retry::{client_may_repeat, client_retry_after, may_retry};
@@ -25,18 +25,20 @@
         self.proceed(now, id, actions);
     }
 
-    /// Makes the next attempt of a request with none in flight, lets it wait, or finishes it.
+    /// Decides the next step of a request that has no attempt in flight: sends an attempt, waits, or finishes the
+    /// request.
     pub(super) fn proceed(&mut self, now: Micros, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else {
             return;
         };
-        let choice = if !self.has_attempts_left(now, request) || !self.may_retry(now, request) {
-            Choice::Finish
-        } else if now < request.backoff_until {
-            Choice::Wait
-        } else {
-            self.choose(now, request)
-        };
+        let choice =
+            if !self.has_attempts_and_time_left(now, request) || !self.may_retry(now, request) {
+                Choice::Finish
+            } else if now < request.backoff_until {
+                Choice::Wait
+            } else {
+                self.choose(now, request)
+            };
         match choice {
             Choice::Send(route) => self.send(now, id, route, actions),
             Choice::Wait => self.requests.start_waiting(id),
@@ -44,13 +46,13 @@
         }
     }
 
-    /// Attempts and time.
-    pub(super) fn has_attempts_left(&self, now: Micros, request: &OpenRequest) -> bool {
+    /// Whether the request has both attempts and time left for another attempt.
+    pub(super) fn has_attempts_and_time_left(&self, now: Micros, request: &OpenRequest) -> bool {
         request.attempts_sent < self.settings.max_attempts
             && now + CHECK_INTERVAL < request.deadline
     }
 
-    /// Whether an attempt that had to wait since its `Send` action may still begin.
+    /// Whether an attempt that was delayed after its `Send` action may still be started.
     pub fn may_begin(&self, now: Micros, id: RequestId) -> bool {
         self.requests
             .get(id)
@@ -62,7 +64,7 @@
         may_retry(now, request.first_run, idempotency)
     }
 
-    /// Final response: rejected where the client may repeat the request, else failed.
+    /// Gives the final response: a rejection if the client may repeat the request, otherwise a failure.
     pub(super) fn finish(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| !request.closed) else {
             return;
@@ -135,11 +137,11 @@
         open.in_flight.push(attempt.clone());
         open.attempts_sent += 1;
         open.cached_only_tried |= attempt.is_cached_only();
-        open.origin_spared |= plan.origin_spared;
+        open.avoid_origin |= plan.avoid_origin;
         Some(attempt)
     }
 
-    /// Adds an attempt to the load of its endpoint and of its source, and charges their warm-up budgets.
+    /// Adds an attempt to the load of its endpoint and of its source, and charges the warm-up budgets of both.
     fn account_for_attempt(&mut self, id: RequestId, attempt: &Attempt) {
         let Some(open) = self.requests.get(id) else {
             return;
--- a/src/router/copy_locations.rs
+++ b/src/router/copy_locations.rs
@@ -1,13 +1,13 @@
-//! Which cache last served each copy.
+//! Index of the caches that last served each copy.
 use super::random::mix;
 use crate::event::Request;
 use crate::ids::{EndpointId, ObjectId};
 use std::collections::BTreeMap;
 
-/// Copies in one generation; two generations are kept.
+/// Number of copies in one generation; the index holds two generations.
 const GENERATION_SIZE: usize = 50_000;
 
-/// A copy: one part of an object.
+/// Identifies a cached copy: one part of an object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct CopyKey {
     object: ObjectId,
@@ -22,16 +22,16 @@
         }
     }
 
-    /// Key of the copy's placement. The parts of an object are placed apart: a popular object would fill the link
-    /// of one parent.
+    /// Returns the key by which the copy is placed. Each part of an object is placed separately, since a popular
+    /// object would saturate the link of a single parent.
     pub(super) fn placement_key(&self) -> u64 {
         self.object.0 ^ mix(self.part)
     }
 }
 
-/// The cache that last served each copy, in two generations of bounded size.
+/// Maps each copy to the cache that last served it, in two generations of bounded size.
 ///
-/// A copy that is not served again is forgotten when both generations have been filled since.
+/// A copy that is not served again is evicted when the generation that follows its own is full.
 #[derive(Debug, Default)]
 pub(super) struct CopyLocations {
     newer: BTreeMap<CopyKey, EndpointId>,
@@ -54,7 +54,7 @@
             .copied()
     }
 
-    /// Retention rank of a copy: a repeated request outranks a first one.
+    /// Returns the retention rank of a copy: a copy that was served before ranks above one that was not.
     pub(super) fn retention_rank(&self, copy: CopyKey) -> u8 {
         1 + u8::from(self.last_server(copy).is_some())
     }
--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: entries, roles, draining and removal.
+//! Endpoint list: entries, roles, draining and removal.
 use super::concurrency_limit::ConcurrencyLimit;
 use super::fill_source::TrafficShare;
 use super::outlier::Health;
@@ -11,19 +11,20 @@
 use crate::settings::RouterSettings;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time from leaving to removal: longer than any ejection, window or purge, so that an endpoint that comes back
-/// under its id sooner is still known by its record.
+/// Time for which the record of an endpoint is retained after the endpoint has left. It is longer than any ejection,
+/// overload window or purge, so an endpoint that returns under the same id within it keeps its record.
 pub(super) const REMOVAL_DELAY: Micros = 60_000 * MS;
 
-/// Requests of this router in flight at an endpoint.
+/// Load that this router puts on an endpoint.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Load {
+    /// Number of requests in flight.
     pub(super) requests: u32,
-    /// Their size; a request of unknown size counts as 1.
+    /// Total size of the requests in flight; a request of unknown size counts as 1 KB.
     pub(super) requests_kb: f64,
-    /// Those among them that are answered from cached copies only.
+    /// Number of the requests in flight that are answered from cached copies only.
     pub(super) cached_only: u32,
-    /// Requests in flight elsewhere that name it as the source of a fill.
+    /// Number of requests in flight at other endpoints that name this one as the source of a fill.
     pub(super) fills: u32,
 }
 
@@ -45,7 +46,8 @@
     }
 }
 
-/// An endpoint and everything known of it. Removed a while after it left; see [`Endpoints`].
+/// An endpoint with its entry on the list and the state that this router has observed. [`Endpoints`] removes it some
+/// time after it has left.
 #[derive(Debug, Clone)]
 pub(super) struct Endpoint {
     pub(super) entry: EndpointEntry,
@@ -55,7 +57,7 @@
     pub(super) load: Load,
     pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) warm_up: WarmUpAccount,
-    pub(super) fill_share: TrafficShare,
+    pub(super) traffic_share: TrafficShare,
     departed_at: Option<Micros>,
 }
 
@@ -68,18 +70,18 @@
             load: Load::default(),
             concurrency_limit: ConcurrencyLimit::of_cache(entry.weight),
             warm_up: WarmUpAccount::default(),
-            fill_share: TrafficShare::default(),
+            traffic_share: TrafficShare::default(),
             departed_at: None,
             entry,
         }
     }
 
-    /// A start is never taken back: a list may be older than another report of it.
+    /// Replaces the entry but never moves the start time back: a list may be older than another report of the start.
     fn replace_entry(&mut self, mut entry: EndpointEntry, role: Role) {
         entry.started_at = entry.started_at.max(self.entry.started_at);
         if entry.started_at != self.entry.started_at {
             self.health = Health::default();
-            self.presence.start_listed(entry.started_at);
+            self.presence.apply_listed_start(entry.started_at);
         }
         self.entry = entry;
         self.role = role;
@@ -89,7 +91,7 @@
         self.entry.state == EndpointState::Ready
     }
 
-    /// Not ejected as an outlier; see [`Health::accepts_requests`].
+    /// Whether the endpoint is not ejected as an outlier; see [`Health::accepts_requests`].
     pub(super) fn is_healthy(&self, now: Micros) -> bool {
         self.health.accepts_requests(now, self.load.is_idle())
     }
@@ -101,9 +103,9 @@
 
 /// All endpoints of the list, in the order of their ids.
 ///
-/// Invariant: each endpoint has the role that its entry gives it. An endpoint that left is removed with the first
-/// list update after `REMOVAL_DELAY`, unless an open request is in flight at it, is filled from it or may have run
-/// at it: its zone and cell bound the retries.
+/// Invariant: each endpoint has the role that follows from its entry. An endpoint that has left is removed by the
+/// first list update after `REMOVAL_DELAY`, unless an open request is in flight at it, is filled from it or may have
+/// run at it: the zone and cell of the endpoint restrict where such a request may be retried.
 #[derive(Debug, Default)]
 pub(super) struct Endpoints {
     by_id: BTreeMap<EndpointId, Endpoint>,
@@ -170,12 +172,12 @@
         }
     }
 
-    /// What was inferred of an endpoint's process is replaced by its own report.
+    /// Replaces the inferred start of an endpoint's process by the start that its hello reports.
     pub(super) fn apply_hello(&mut self, now: Micros, id: EndpointId, started_at: Micros) {
         let Some(endpoint) = self.by_id.get_mut(&id) else {
             return;
         };
-        endpoint.presence = Presence::introduced(now);
+        endpoint.presence = Presence::after_hello(now);
         if started_at > endpoint.entry.started_at {
             endpoint.entry.started_at = started_at;
             endpoint.health = Health::default();
@@ -189,7 +191,7 @@
         }
     }
 
-    /// Removes endpoints that left long ago, but for those that an open request may have run at.
+    /// Removes endpoints that left at least `REMOVAL_DELAY` ago, except those at which an open request may have run.
     pub(super) fn remove_departed(
         &mut self,
         now: Micros,
@@ -208,7 +210,7 @@
             endpoint.may_be_removed(now) && !referenced.contains(id)
         });
         for (id, _) in removed {
-            self.roles.forget(id);
+            self.roles.unassign(id);
         }
     }
 }
--- a/src/router/fault_attribution.rs
+++ b/src/router/fault_attribution.rs
@@ -1,4 +1,4 @@
-//! Fault attribution: which endpoint a failed attempt counts against.
+//! Fault attribution: decides which endpoint a failed attempt counts against.
 use super::outcome::{EndedAttempt, Fault};
 use super::outlier::{Severity, SCORE_STEP};
 use super::requests::Attempt;
@@ -7,17 +7,18 @@
 use crate::ids::{EndpointId, Micros};
 use crate::settings::CacheStatusDetail;
 
-/// A rejection that takes longer than this came from beyond the caches of the zone.
+/// Longest time that a cache of the zone takes to reject a request; a slower rejection comes from the source.
 const LONGEST_LOCAL_REJECTION: Micros = 5 * MS;
-/// Where the cache status is not reported most responses are hits, which say little of the source.
+/// Weight of a response without a cache status in the failure score of the source: most such responses are hits,
+/// which say little about the source.
 const UNREPORTED_SCORE_STEP: f64 = SCORE_STEP / 4.0;
 
 impl Router {
-    /// Records the outcome at the endpoint and its source, and says whose fault it was.
+    /// Records the outcome at the endpoint and its source, and returns where the fault lies.
     pub(super) fn attribute_fault(&mut self, now: Micros, ended: &EndedAttempt) -> Fault {
         let attempt = &ended.attempt;
         let status = ended.outcome.status;
-        let answered_meanwhile = self.answered_since(attempt.endpoint, attempt.sent_at);
+        let answered_since_send = self.answered_since(attempt.endpoint, attempt.sent_at);
         self.record_presence(now, attempt.endpoint, status);
         match (status, ended.outcome.cache_status) {
             (AttemptStatus::Ok, cache_status) => {
@@ -40,17 +41,17 @@
                 Fault::Source
             }
             (_, CacheStatus::FillLimitReached) => Fault::Endpoint,
-            _ => self.attribute_by_status(now, attempt, status, answered_meanwhile),
+            _ => self.attribute_by_status(now, attempt, status, answered_since_send),
         }
     }
 
-    /// The fault of an attempt whose cache status says nothing about it.
+    /// Attributes the fault of an attempt by its status alone, where the cache status does not identify it.
     fn attribute_by_status(
         &mut self,
         now: Micros,
         attempt: &Attempt,
         status: AttemptStatus,
-        answered_meanwhile: bool,
+        answered_since_send: bool,
     ) -> Fault {
         match status {
             AttemptStatus::Ok | AttemptStatus::Miss | AttemptStatus::NotSent => Fault::None,
@@ -60,12 +61,13 @@
                 self.record_refused_connection(now, attempt);
                 Fault::Endpoint
             }
-            // The cache answers other requests: it lost this one or its source is slow.
-            AttemptStatus::Timeout if answered_meanwhile => {
+            // The cache has answered other requests since: either it lost this one or its source is slow.
+            AttemptStatus::Timeout if answered_since_send => {
                 self.record_slow_source(now, attempt.upstream());
                 Fault::Source
             }
-            // A dead process refuses the next connection; the network breaks connections of every endpoint alike.
+            // A reset is ambiguous: network failures reset connections to any endpoint. If the process has died, it
+            // also refuses the next connection.
             AttemptStatus::Reset => {
                 self.record_failure(now, attempt.endpoint, Severity::Ambiguous);
                 Fault::Endpoint
@@ -83,7 +85,7 @@
             .is_some_and(|endpoint| endpoint.presence.last_answer_at() >= sent_at)
     }
 
-    /// Any message of the endpoint shows that a process is there.
+    /// Records that the endpoint's process is alive if the outcome includes any message from it.
     fn record_presence(&mut self, now: Micros, id: EndpointId, status: AttemptStatus) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
@@ -93,15 +95,15 @@
             | AttemptStatus::Cancelled
             | AttemptStatus::NotSent
             | AttemptStatus::ConnectFailed => {}
-            AttemptStatus::Reset => endpoint.presence.connection_reset(now),
+            AttemptStatus::Reset => endpoint.presence.record_reset(now),
             AttemptStatus::Ok
             | AttemptStatus::Error
             | AttemptStatus::Rejected
-            | AttemptStatus::Miss => endpoint.presence.answered(now),
+            | AttemptStatus::Miss => endpoint.presence.record_answer(now),
         }
     }
 
-    /// Credits a response to the cache and to whoever filled it.
+    /// Records a response as a success of the cache and of the source that filled it.
     fn record_response(&mut self, attempt: &Attempt, cache_status: CacheStatus) {
         self.record_success(attempt.endpoint, SCORE_STEP);
         let Some(source) = attempt.upstream() else {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The cache reports that its source, or the origin behind it, failed.
+    /// Records a failure of the source, or of the origin behind it, that the cache reported.
     fn record_reported_source_failure(&mut self, now: Micros, ended: &EndedAttempt) {
         let cache_status = ended.outcome.cache_status;
         let origin = self
@@ -140,7 +142,8 @@
         self.record_source_failure(now, source, severity);
     }
 
-    /// Where no cache status is reported, an error or a slow rejection counts against the named source.
+    /// Whether a failure counts against the named source although no cache status was reported: an error, or a
+    /// rejection too slow to be the cache's own.
     fn is_presumed_source_failure(&self, ended: &EndedAttempt) -> bool {
         let outcome = &ended.outcome;
         let may_be_source = match outcome.status {
@@ -174,13 +177,13 @@
         if let Some(endpoint) = self.endpoints.get_mut(attempt.endpoint) {
             let other_requests_in_flight = endpoint.load.requests > 0;
             if !other_requests_in_flight {
-                endpoint.presence.refused(attempt.sent_at, now);
+                endpoint.presence.record_refusal(attempt.sent_at, now);
             }
         }
         self.record_failure(now, attempt.endpoint, Severity::Unreachable);
     }
 
-    /// Some of the fills go past a source that may be slow.
+    /// Lowers the traffic share of a source that may be slow, which diverts some of its fills.
     fn record_slow_source(&mut self, now: Micros, source: Option<EndpointId>) {
         self.adapt_traffic_share(source, true);
         if let Some(source) = source {
--- a/src/router/fill_source.rs
+++ b/src/router/fill_source.rs
@@ -1,4 +1,4 @@
-//! Where a miss is filled from (parent, sibling or origin), and how old a copy may be: stale-if-error.
+//! Source of a fill (parent, sibling or origin), and the maximum age of a copy, including stale-if-error.
 use super::copy_locations::CopyKey;
 use super::endpoints::Endpoint;
 use super::placement::PlacementLoad;
@@ -10,26 +10,27 @@
 use crate::ids::{EndpointId, Micros};
 use crate::settings::{RequestClass, Siblings};
 
-/// After a source failed, requests that are filled from it accept stale copies for this long.
+/// Time after the failure of a source during which requests that are filled from it accept stale copies.
 const STALE_WINDOW: Micros = 10_000 * MS;
-/// A timely fill raises the traffic share of its source by this share, a late or rejected one lowers it.
+/// Fraction by which a timely fill raises the traffic share of its source, and a late or rejected one lowers it.
 const TRAFFIC_SHARE_STEP: f64 = 0.5;
-/// Lowest traffic share: enough fills to find out when the source has recovered.
+/// Lowest traffic share: leaves enough fills to detect that the source has recovered.
 const MIN_TRAFFIC_SHARE: f64 = 0.04;
 
-/// Where an endpoint gets what it has not cached.
+/// Where an endpoint fetches objects that it has not cached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FillSource {
-    /// Nothing is to be filled: the request runs at the endpoint.
+    /// There is no fill: the request runs at the endpoint.
     Forwarded,
-    /// Not filled: the cache answers from its copies, within the stale-if-error time.
+    /// A miss is not filled: the cache answers from its copies, within the stale-if-error time.
     CachedOnly,
-    /// Filled from this endpoint. A parent that fills an uncacheable request from itself fetches from nowhere.
+    /// A miss is filled from this endpoint. A parent that is named as its own source for an uncacheable request does
+    /// not fetch.
     Endpoint(EndpointId),
 }
 
 impl FillSource {
-    /// The source, if that is another endpoint than the one that is filled.
+    /// Returns the source, if it is a different endpoint from the one that is filled.
     pub(super) fn upstream_of(self, endpoint: EndpointId) -> Option<EndpointId> {
         match self {
             Self::Endpoint(source) if source != endpoint => Some(source),
@@ -38,9 +39,9 @@
     }
 }
 
-/// Share of the fills from a parent or the origin that go there; the others are diverted.
+/// Share of the fills planned from a parent or the origin that are sent to it; the rest are diverted.
 ///
-/// Invariant: between `MIN_TRAFFIC_SHARE` and 1. Forgotten with its endpoint.
+/// Invariant: the share is between `MIN_TRAFFIC_SHARE` and 1. It is dropped with its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TrafficShare {
     share: f64,
@@ -62,39 +63,40 @@
         self.share = (self.share * factor).clamp(MIN_TRAFFIC_SHARE, 1.0);
     }
 
-    /// Whether a fill is diverted, by a uniform random number.
+    /// Whether a fill is diverted, given a uniform random number in `0.0..1.0`.
     fn diverts(&self, random: f64) -> bool {
         random >= self.share
     }
 }
 
-/// Which of the sources of a fill are to be avoided for now.
+/// Whether a fill is diverted from its source or from the origin.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Diversion {
     pub(super) from_source: bool,
     pub(super) from_origin: bool,
 }
 
-/// Where an attempt is filled from.
+/// The source of a fill for one attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FillPlan {
     pub(super) source: FillSource,
-    /// The source is not to fetch from the origin.
-    pub(super) origin_spared: bool,
+    /// Whether the source must not fetch from the origin.
+    pub(super) avoid_origin: bool,
 }
 
 impl Router {
-    /// Drawn for each fill, so that the traffic shares of all routers add up.
+    /// Decides at random whether a fill is diverted from an endpoint. The draw is made for each fill, so that the
+    /// traffic shares of all routers add up.
     pub(super) fn draw_diversion(&mut self, now: Micros, id: Option<EndpointId>) -> bool {
         let random = self.random.next_unit();
         id.and_then(|id| self.endpoints.get(id))
             .is_some_and(|endpoint| {
-                endpoint.fill_share.diverts(random) || !endpoint.is_healthy(now)
+                endpoint.traffic_share.diverts(random) || !endpoint.is_healthy(now)
             })
     }
 
-    /// Replaces the source of a route where it is to be avoided: a parent by the origin, the origin by the copies
-    /// that the parent has cached, or by those of the endpoint.
+    /// Replaces the source of a route from which the fill is diverted: a parent by the origin, and the origin by the
+    /// cached copies of the parent or of the endpoint.
     pub(super) fn plan_fill(
         &self,
         now: Micros,
@@ -103,20 +105,20 @@
         diversion: Diversion,
     ) -> FillPlan {
         let uncacheable = self.settings.classes[request.class].uncacheable;
-        let fills_from_above = !uncacheable
+        let fills_from_upper_tier = !uncacheable
             && route
                 .fetched_from()
                 .and_then(|source| self.endpoints.get(source))
                 .is_some_and(|source| source.role != Role::Cache);
-        let source_diverted = diversion.from_source && fills_from_above;
-        let origin_spared = diversion.from_origin && fills_from_above;
+        let source_diverted = diversion.from_source && fills_from_upper_tier;
+        let avoid_origin = diversion.from_origin && fills_from_upper_tier;
         let origin = self.endpoints.origin();
         let accepting_origin = origin
             .and_then(|id| self.endpoints.get(id))
             .filter(|origin| self.accepts_new_requests(now, origin, request.class));
         let source = match accepting_origin {
-            _ if origin_spared && route.fetched_from() == origin => FillSource::CachedOnly,
-            Some(origin) if source_diverted && !origin_spared => {
+            _ if avoid_origin && route.fetched_from() == origin => FillSource::CachedOnly,
+            Some(origin) if source_diverted && !avoid_origin => {
                 if origin.entry.id == route.endpoint {
                     FillSource::CachedOnly
                 } else {
@@ -127,7 +129,7 @@
         };
         FillPlan {
             source,
-            origin_spared,
+            avoid_origin,
         }
     }
 
@@ -147,7 +149,7 @@
             FillSource::Endpoint(source) => source,
         };
         let stores_no_copy = class.uncacheable || cached_only;
-        let accepts_stale = cached_only || plan.origin_spared || self.failed_recently(now, source);
+        let accepts_stale = cached_only || plan.avoid_origin || self.failed_recently(now, source);
         Some(FetchDirective {
             source,
             retention_rank: if stores_no_copy {
@@ -156,10 +158,10 @@
                 self.copy_locations.retention_rank(CopyKey::of(request))
             },
             max_age: max_age(class, accepts_stale, purge_age),
-            // Request coalescing. A fill begun before a purge would return the purged copy.
+            // After a purge requests are not coalesced: a fill begun before the purge would return the purged copy.
             coalesce: self.settings.coalesces_fills && purge_age.is_none() && !class.uncacheable,
-            only_if_cached: plan.origin_spared && !cached_only,
-            revalidate: class.fresh_for > 0 && !cached_only && !plan.origin_spared,
+            only_if_cached: plan.avoid_origin && !cached_only,
+            revalidate: class.fresh_for > 0 && !cached_only && !plan.avoid_origin,
         })
     }
 
@@ -170,8 +172,8 @@
             .is_some_and(|failed_at| now < failed_at + STALE_WINDOW)
     }
 
-    /// A sibling that served the copy last, for a request whose cache is another one: the fill stays within the
-    /// zone.
+    /// Returns the sibling that last served the copy, if it can be the source for a request at a different cache: such
+    /// a fill stays within the zone.
     pub(super) fn sibling_source(
         &self,
         now: Micros,
@@ -192,7 +194,8 @@
         .then_some(id)
     }
 
-    /// The parent in the rendezvous order of the copy, then the origin, then a parent that is ejected.
+    /// Returns the first healthy parent in the rendezvous order of the copy, else the origin if it is healthy, else an
+    /// ejected parent.
     pub(super) fn upstream_source(&self, now: Micros, request: &OpenRequest) -> Option<EndpointId> {
         let key = CopyKey::of(&request.request).placement_key();
         let placement = self.placement();
@@ -214,7 +217,8 @@
     }
 }
 
-/// The oldest copy that a request accepts. Age 0 means the fresh time of the class, so a purge gives at least 1.
+/// Returns the maximum age of a copy that a request accepts. An age of 0 stands for the fresh time of the class, so a
+/// limit set by a purge is at least 1.
 fn max_age(class: &RequestClass, accepts_stale: bool, purge_age: Option<Micros>) -> Micros {
     let class_age = if accepts_stale && class.fresh_for > 0 {
         class.fresh_for + class.stale_if_error
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -1,24 +1,26 @@
-//! This router's position among all routers, and its quota of what they share.
+//! This router's position among all routers, and its quota of limits that the routers share.
 use crate::settings::{FleetPosition, RouterSettings};
 
-/// Standard deviations by which a router's load may exceed its even quota: it sees a random sample of the requests.
+/// Standard deviations by which a router's load may exceed its even share of a limit: each router receives a random
+/// sample of the requests.
 const QUOTA_DEVIATIONS: f64 = 2.0;
 
-/// How many routers share the endpoints, and which one this is.
+/// Number of routers that share the endpoints, and the index of this one.
 ///
 /// Invariant: all counts are at least 1. Replaced as a whole by each [`FleetPosition`].
 #[derive(Debug)]
 pub(super) struct Fleet {
-    /// Routers that send to the caches of this zone.
+    /// Number of routers that send requests to the caches of this zone.
     pub(super) routers_in_zone: f64,
     pub(super) routers_total: u64,
     pub(super) router_index: Option<u32>,
-    /// Share of its quota of warm-up budgets that this router uses: 0 or 1.
+    /// Fraction of its quota of warm-up budgets that this router uses: 0 or 1.
     pub(super) warm_up_share: f64,
 }
 
 impl Fleet {
-    /// Of counts that are missing or contradict each other the largest is the safe one.
+    /// Takes the largest of the configured counts: if some are missing or contradict each other, the largest is safe,
+    /// since it gives the smallest quotas.
     pub(super) fn new(settings: &RouterSettings) -> Self {
         let in_all_zones = settings
             .zones
@@ -56,10 +58,10 @@
         };
     }
 
-    /// What this router may have in flight of a limit that the routers of the zone share: the even quota and a
-    /// margin for random variation.
+    /// Returns this router's quota of a limit that the routers of the zone share: an even share plus a margin for
+    /// random variation.
     pub(super) fn quota(&self, limit: f64) -> f64 {
-        let even = limit / self.routers_in_zone;
-        even + QUOTA_DEVIATIONS * (even * (1.0 - 1.0 / self.routers_in_zone)).sqrt()
+        let even_share = limit / self.routers_in_zone;
+        even_share + QUOTA_DEVIATIONS * (even_share * (1.0 - 1.0 / self.routers_in_zone)).sqrt()
     }
 }
--- a/src/router/latency.rs
+++ b/src/router/latency.rs
@@ -1,24 +1,27 @@
-//! Learned transfer times, the latency objective, and the relative slowness of caches.
+//! Learned transfer times, latency objective, and relative slowness of caches.
 use crate::event::AttemptStatus;
 use crate::ids::Micros;
 use crate::settings::{RequestClass, RouterSettings};
 
 /// Weight of one sample in a running mean over all requests.
 pub(super) const MEAN_STEP: f64 = 0.02;
-/// The initial mean of a class, its latency objective, counts like this many samples.
+/// Number of samples that the initial mean of a class, its latency objective, counts for.
 const INITIAL_MEAN_SAMPLES: f64 = 5.0;
-/// Where sizes are unknown the mean is learned from fast responses, so warm-up budgets are charged this much more.
+/// Factor on the charges to warm-up budgets where sizes are unknown: the mean is then learned from fast responses
+/// only and is too low.
 const UNKNOWN_SIZE_COST_FACTOR: f64 = 1.5;
-/// Where the size is unknown lateness is measured against this share of the mean: most objects are smaller.
+/// Share of the mean transfer time that lateness is measured against where the size is unknown: most objects are
+/// smaller than the mean.
 const UNKNOWN_SIZE_SHARE: f64 = 0.5;
-/// Weight of one response in the slowness of a cache.
+/// Weight of one response in the mean slowness of a cache.
 const CACHE_SLOWNESS_STEP: f64 = 0.1;
-/// A cache slower than the zone by more than this factor loses placement weight.
+/// Factor by which a cache may be slower than its zone before it loses placement weight.
 const TOLERATED_SLOWNESS: f64 = 2.0;
 
-/// Mean transfer time of each class.
+/// Mean transfer time of each request class, in seconds.
 ///
-/// Invariant: one mean and one sample count for each class. Never forgotten; older samples fade.
+/// Invariant: there is one mean and one sample count for each class. Means are never reset; older samples lose weight
+/// exponentially.
 #[derive(Debug)]
 pub(super) struct TransferTimes {
     mean_s: Vec<f64>,
@@ -42,18 +45,18 @@
         }
     }
 
-    /// A size, if a transfer time can be computed from it.
+    /// Returns the size if a transfer time can be computed from it.
     pub(super) fn usable_size(&self, size_kb: Option<f64>) -> Option<f64> {
         size_kb.filter(|_| self.stream_kb_per_s > 0.0)
     }
 
-    /// Transfer time of a response: by its size where known, else the mean of its class.
+    /// Returns the transfer time of a response in seconds: from its size where known, else the mean of its class.
     pub(super) fn seconds(&self, class: usize, size_kb: Option<f64>) -> f64 {
         self.usable_size(size_kb)
             .map_or(self.mean_s[class], |kb| kb / self.stream_kb_per_s)
     }
 
-    /// What a request of the class is charged against a warm-up budget, in seconds of transfer time.
+    /// Returns the charge of a request of the class to a warm-up budget, in seconds of transfer time.
     pub(super) fn budget_cost(&self, class: usize) -> f64 {
         let factor = if self.sizes_reported {
             1.0
@@ -77,7 +80,7 @@
         self.sizes_reported
     }
 
-    /// Learns from the size that a request gives, if any.
+    /// Updates the mean of a class from the size given with a request, if any.
     pub(super) fn learn_from_request(&mut self, class: usize, size_kb: Option<f64>) {
         if let Some(kb) = self.usable_size(size_kb) {
             self.sizes_reported = true;
@@ -92,17 +95,17 @@
     }
 }
 
-/// A response with what is known of its transfer.
+/// Response time and transfer time of a response.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ResponseTiming {
     pub(super) elapsed: Micros,
-    /// Transfer time by the size of the response, else by the mean of its class.
+    /// Transfer time in seconds, from the size of the response if known, else the mean of its class.
     pub(super) transfer_s: f64,
     pub(super) size_known: bool,
 }
 
 impl ResponseTiming {
-    /// Whether the response missed the latency objective of its class. A rejection always did.
+    /// Whether the response missed the latency objective of its class. A rejection always counts as late.
     pub(super) fn is_late(&self, class: &RequestClass, status: AttemptStatus) -> bool {
         let share = if self.size_known {
             1.0
@@ -114,13 +117,13 @@
         self.elapsed as f64 > objective || status == AttemptStatus::Rejected
     }
 
-    /// Logarithm of the response time over the transfer time.
+    /// Returns the logarithm of the ratio of response time to transfer time.
     pub(super) fn log_slowness(&self) -> f64 {
         (self.elapsed.max(1) as f64 / 1e6 / self.transfer_s.max(1e-6)).ln()
     }
 }
 
-/// Running mean of [`ResponseTiming::log_slowness`], of one cache or of all caches of the zone.
+/// Exponential moving average of [`ResponseTiming::log_slowness`], for one cache or for all caches of the zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Slowness {
     mean_log: f64,
@@ -135,7 +138,7 @@
         self.mean_log += CACHE_SLOWNESS_STEP * (log_slowness - self.mean_log);
     }
 
-    /// Factor of the placement weight: 1 unless the cache is much slower than its zone.
+    /// Returns the factor on the placement weight of a cache: 1 unless the cache is much slower than its zone.
     pub(super) fn weight_factor(&self, zone: Slowness) -> f64 {
         ((zone.mean_log - self.mean_log).exp() * TOLERATED_SLOWNESS).min(1.0)
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,7 +1,7 @@
-//! The router: events in, actions out.
+//! The router: handles events and returns actions.
 //!
-//! [`Router::handle`] passes each event to the module of its concern. The state types (`endpoints`, `requests`,
-//! `purge_log`, ...) know only their own state; the decisions that combine them are in `selection`, `fill_source`,
+//! [`Router::handle`] dispatches each event to the module that handles it. The state types (`endpoints`, `requests`,
+//! `purge_log`, ...) access only their own state; the decisions that combine them are in `selection`, `fill_source`,
 //! `pass_through`, `attempts`, `outcome`, `fault_attribution` and `silent_endpoints`.
 mod attempts;
 mod concurrency_limit;
@@ -44,15 +44,15 @@
 
 /// One millisecond.
 const MS: Micros = 1_000;
-/// Open requests are checked this often: short against any latency objective.
+/// Interval between checks of open requests: short compared to any latency objective.
 const CHECK_INTERVAL: Micros = 25 * MS;
-/// The checks of several routers are spread over this share of the interval.
+/// Range of the random delay added to each check interval, which spreads the checks of several routers.
 const CHECK_JITTER: Micros = CHECK_INTERVAL / 8;
 
-/// The decisions of one router. See [`Router::handle`].
+/// Routes requests to caches, as a pure state machine. See [`Router::handle`].
 ///
-/// Invariant: a timer is set while any request is open. Everything else is bounded and forgotten by the state
-/// types, as their documentation says.
+/// Invariant: a timer is set while any request is open. Each state type bounds its own size and documents when it
+/// discards entries.
 #[derive(Debug)]
 pub struct Router {
     settings: RouterSettings,
@@ -63,17 +63,17 @@
     requests: OpenRequests,
     timer_is_set: bool,
     transfer_times: TransferTimes,
-    /// Usual slowness of the caches of this zone.
+    /// Mean slowness of the caches of this zone.
     zone_slowness: Slowness,
     recent_demand: RecentDemand,
-    /// Limit that timely fills set for all caches together.
+    /// Limit for all caches of the zone together, adapted by the lateness of fills.
     fill_limit: ConcurrencyLimit,
     purges: PurgeLog,
     copy_locations: CopyLocations,
 }
 
 impl Router {
-    /// A router that knows nothing yet but its settings. The seed determines its random numbers.
+    /// Creates a router with empty state. The seed determines its random numbers.
     pub fn new(settings: RouterSettings, seed: u64) -> Self {
         Self {
             random: Random::new(seed),
@@ -92,14 +92,14 @@
         }
     }
 
-    /// Updates how many routers there are and which one this is.
+    /// Updates the number of routers and the index of this one.
     pub fn set_fleet_position(&mut self, position: FleetPosition) {
         self.fleet.reposition(position);
     }
 
-    /// Handles one event and appends the actions that follow from it. `now` never runs backwards.
+    /// Handles one event and appends the resulting actions. `now` must never decrease from one call to the next.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
-        self.slow_start.note_running(now);
+        self.slow_start.record_first_event(now);
         match event {
             Event::EndpointList { update, entries } => {
                 self.on_endpoint_list(now, update, entries);
@@ -139,7 +139,7 @@
 
     fn on_response_started(&mut self, now: Micros, id: EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.presence.answered(now);
+            endpoint.presence.record_answer(now);
         }
     }
 
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes of attempts: what is learned from them, and how the request goes on.
+//! Outcomes of attempts: updates the learned state and decides the next step of the request.
 use super::copy_locations::CopyKey;
 use super::latency::ResponseTiming;
 use super::requests::{Attempt, FirstRun, OpenRequest};
@@ -12,13 +12,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fault {
     None,
-    /// The endpoint that it was sent to.
+    /// The endpoint that the attempt was sent to.
     Endpoint,
-    /// The source of its fill.
+    /// The source of the fill.
     Source,
 }
 
-/// An attempt that ended, with what the request knew of it.
+/// An attempt that has ended, with its outcome and the properties of its request.
 #[derive(Debug)]
 pub(super) struct EndedAttempt {
     pub(super) attempt: Attempt,
@@ -30,7 +30,8 @@
 }
 
 impl EndedAttempt {
-    /// Ends the attempt that an outcome belongs to and notes on the request what follows from it.
+    /// Removes the attempt that an outcome belongs to from its request, and updates the request. Returns `None` if no
+    /// such attempt is in flight.
     fn take(request: &mut OpenRequest, outcome: AttemptOutcome) -> Option<Self> {
         let attempt = request.take_attempt(outcome.attempt)?;
         let ended = Self {
@@ -48,11 +49,11 @@
             });
         }
         request.rejections += u32::from(ended.lacked_capacity());
-        request.origin_spared |= ended.outcome.cache_status == CacheStatus::OriginFailed;
+        request.avoid_origin |= ended.outcome.cache_status == CacheStatus::OriginFailed;
         Some(ended)
     }
 
-    /// It never reached the endpoint.
+    /// Whether the attempt never reached the endpoint.
     fn was_not_sent(&self) -> bool {
         matches!(
             self.outcome.status,
@@ -61,11 +62,11 @@
     }
 
     fn may_have_run(&self) -> bool {
-        let nothing_ran = matches!(
+        let did_not_run = matches!(
             self.outcome.status,
             AttemptStatus::Rejected | AttemptStatus::Miss
         );
-        !self.was_not_sent() && !nothing_ran
+        !self.was_not_sent() && !did_not_run
     }
 
     fn lacked_capacity(&self) -> bool {
@@ -73,8 +74,8 @@
             || self.outcome.cache_status == CacheStatus::FillLimitReached
     }
 
-    /// Served from a copy of the cache, as far as reported.
-    fn was_cached(&self) -> bool {
+    /// Whether the response was served from a cached copy, as far as the cache status tells.
+    fn served_from_cache(&self) -> bool {
         matches!(
             self.outcome.cache_status,
             CacheStatus::Hit | CacheStatus::Stale | CacheStatus::Unreported
@@ -111,7 +112,7 @@
         self.follow_up(now, &ended, fault, actions);
     }
 
-    /// Takes the attempt off the load of its endpoint and source, and refunds warm-up work that was not done.
+    /// Removes the attempt from the load of its endpoint and source, and refunds warm-up work that was not done.
     fn release_load(&mut self, ended: &EndedAttempt) {
         let attempt = &ended.attempt;
         let request = ended.outcome.request;
@@ -140,7 +141,7 @@
         let endpoint = ended.attempt.endpoint;
         self.copy_locations.record(ended.copy, endpoint);
         let class = &self.settings.classes[ended.class];
-        if ended.was_cached() && !class.uncacheable {
+        if ended.served_from_cache() && !class.uncacheable {
             let log_slowness = timing.log_slowness();
             self.zone_slowness.observe_in_zone(log_slowness);
             if let Some(endpoint) = self.endpoints.get_mut(endpoint) {
@@ -150,19 +151,19 @@
         if ended.request_size_kb.is_some() {
             return;
         }
-        // Without a size only fast hits are learned from: slow ones would raise what counts as late. They leave
-        // large objects out, so they are not used where other responses report sizes.
+        // If the size is unknown, only fast hits are samples: slow ones would raise the threshold of lateness. Fast
+        // hits exclude large objects, so they are not used once requests have reported sizes.
         let is_fast = timing.elapsed <= class.latency_objective;
         if timing.size_known {
             self.transfer_times.learn(ended.class, timing.transfer_s);
-        } else if ended.was_cached() && is_fast && !self.transfer_times.sizes_reported() {
+        } else if ended.served_from_cache() && is_fast && !self.transfer_times.sizes_reported() {
             let elapsed_s = timing.elapsed as f64 / 1e6;
             self.transfer_times.learn(ended.class, elapsed_s);
         }
     }
 
-    /// Adapts the limit of what made the response late or timely: the origin, the source, the link into the zone,
-    /// or the cache. An attempt without a response says nothing about it.
+    /// Adapts the limit of the component that made the response late or timely: the origin, the source, the link into
+    /// the zone, or the cache. An attempt without a response changes no limit.
     fn adapt_limits(&mut self, ended: &EndedAttempt, timing: ResponseTiming) {
         let status = ended.outcome.status;
         let source = ended.attempt.upstream();
@@ -186,7 +187,7 @@
 
     pub(super) fn adapt_traffic_share(&mut self, id: Option<EndpointId>, late: bool) {
         if let Some(endpoint) = id.and_then(|id| self.endpoints.get_mut(id)) {
-            endpoint.fill_share.adapt(late);
+            endpoint.traffic_share.adapt(late);
         }
     }
 
@@ -200,7 +201,7 @@
         }
     }
 
-    /// The next step of the request: nothing, its final response, a cached-only attempt or another attempt.
+    /// Takes the next step of the request, if any: its final response, a cached-only attempt or another attempt.
     fn follow_up(
         &mut self,
         now: Micros,
@@ -218,7 +219,7 @@
         if !request.in_flight.is_empty() {
             return;
         }
-        exclude_faulty(request, &ended.attempt, fault);
+        exclude_at_fault(request, &ended.attempt, fault);
         let failed_repeatedly = fault != Fault::None && request.attempts_sent > 1;
         let uncacheable = self.settings.classes[ended.class].uncacheable;
         if uncacheable && (ended.lacked_capacity() || failed_repeatedly) {
@@ -234,7 +235,7 @@
         self.proceed(now, id, actions);
     }
 
-    /// Stale-if-error: a failed fill is answered from the copy of the same cache.
+    /// Whether a failed fill is followed by a cached-only attempt at the same cache (stale-if-error).
     fn may_serve_stale(&self, now: Micros, ended: &EndedAttempt, fault: Fault) -> bool {
         let class = &self.settings.classes[ended.class];
         let fill_failed =
@@ -246,7 +247,7 @@
         fill_failed
             && class_allows
             && !request.cached_only_tried
-            && self.has_attempts_left(now, request)
+            && self.has_attempts_and_time_left(now, request)
             && self
                 .endpoints
                 .get(ended.attempt.endpoint)
@@ -254,8 +255,8 @@
     }
 }
 
-/// The request avoids the endpoint that failed it.
-fn exclude_faulty(request: &mut OpenRequest, attempt: &Attempt, fault: Fault) {
+/// Excludes the endpoint at fault from further attempts of the request.
+fn exclude_at_fault(request: &mut OpenRequest, attempt: &Attempt, fault: Fault) {
     match fault {
         Fault::None => {}
         Fault::Endpoint => request.excluded.push(attempt.endpoint),
--- a/src/router/outlier.rs
+++ b/src/router/outlier.rs
@@ -1,32 +1,33 @@
-//! Outlier detection: failure score, ejection, and recovery.
+//! Outlier detection: failure score, ejection and recovery.
 use super::latency::Slowness;
 use super::MS;
 use crate::ids::Micros;
 
 /// Weight of one outcome in the failure score.
 pub(super) const SCORE_STEP: f64 = 0.2;
-/// Weight of a failure that may be another's.
+/// Weight of a failure that may be the fault of another endpoint or of the network.
 const AMBIGUOUS_SCORE_STEP: f64 = 0.1;
 /// Failure score at which an endpoint is ejected.
 const EJECTION_SCORE: f64 = 0.4;
-/// Failure score of an endpoint that cannot be reached or is silent, at least.
+/// Lowest failure score of an endpoint after it was unreachable or silent.
 const UNREACHABLE_SCORE: f64 = 0.5;
 /// Failure score below which an endpoint is trusted again after an ejection.
 const TRUSTED_SCORE: f64 = 0.3;
-/// The first ejection lasts this long, each further one twice as long, up to the longest.
+/// Mean duration of the first ejection. Each further ejection lasts twice as long, up to `LONGEST_EJECTION`.
 const FIRST_EJECTION: Micros = 500 * MS;
 const LONGEST_EJECTION: Micros = 4_000 * MS;
 
-/// What a failure says about an endpoint.
+/// How strongly a failure counts against an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Severity {
-    /// Possibly the fault of another endpoint or of the network.
+    /// The failure may be the fault of another endpoint or of the network.
     Ambiguous,
-    /// A failed request.
+    /// The endpoint failed a request.
     Ordinary,
-    /// It did not complete a fill: ejected at once.
+    /// The endpoint did not complete a fill: it is ejected at once.
     Interrupted,
-    /// No connection, or silent: ejected at once and for longer.
+    /// The endpoint refused a connection or is silent: it is ejected at once, and repeated ejections last at least the
+    /// probe interval.
     Unreachable,
 }
 
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The failure score afterwards, at least.
+    /// Returns the lowest failure score after the failure.
     fn min_score(self) -> f64 {
         match self {
             Self::Ambiguous | Self::Ordinary => 0.0,
@@ -48,27 +49,28 @@
     }
 }
 
-/// What one incarnation of an endpoint has shown of itself.
+/// Observed health of one incarnation of an endpoint.
 ///
-/// Reset when another incarnation starts in its place; forgotten with the endpoint.
+/// Reset when a new incarnation starts; dropped with the endpoint.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Health {
     failure_score: f64,
-    /// Ejections since it was last trusted.
+    /// Number of ejections since the endpoint was last trusted.
     ejections: u32,
     ejected_until: Micros,
     pub(super) slowness: Slowness,
-    /// When it last failed as the source of a fill.
+    /// Time at which the endpoint last failed as the source of a fill.
     pub(super) source_failed_at: Option<Micros>,
 }
 
 impl Health {
-    /// Not ejected; after an ejection it is probed with one request at a time until it is trusted again.
+    /// Whether the endpoint accepts a request. It accepts none while ejected; after an ejection it is probed with one
+    /// request at a time until it is trusted again.
     pub(super) fn accepts_requests(&self, now: Micros, idle: bool) -> bool {
         now >= self.ejected_until && (!self.is_suspect() || self.ejections == 0 || idle)
     }
 
-    /// A failure score that does not allow trust.
+    /// Whether the failure score is too high for the endpoint to be trusted.
     pub(super) fn is_suspect(&self) -> bool {
         self.failure_score >= TRUSTED_SCORE
     }
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Raises the failure score and ejects the endpoint where it exceeds the limit. `probe_interval` is the least
-    /// time between probes of an unreachable endpoint; `random` spreads the probes of several routers.
+    /// Raises the failure score and ejects the endpoint if the score reaches `EJECTION_SCORE`. `probe_interval` is the
+    /// shortest time between probes of an unreachable endpoint; `random` spreads the probes of several routers.
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
--- a/src/router/pass_through.rs
+++ b/src/router/pass_through.rs
@@ -1,4 +1,4 @@
-//! Uncacheable classes, which run at the origin.
+//! Routing of uncacheable requests, which run at the origin.
 use super::endpoints::Endpoint;
 use super::fill_source::FillSource;
 use super::placement::PlacementLoad;
@@ -8,7 +8,8 @@
 use crate::ids::{EndpointId, Micros};
 
 impl Router {
-    /// Forwards to the origin directly where that is allowed, else through a cache that names it as the source.
+    /// Chooses a route to the origin: directly where the settings allow it, else through a cache with the origin as the
+    /// source.
     pub(super) fn choose_pass_through(&self, now: Micros, request: &OpenRequest) -> Choice {
         let origin = self
             .eligible(now, request, Role::Origin)
@@ -33,7 +34,8 @@
         route.map_or(Choice::Wait, Choice::Send)
     }
 
-    /// A parent that is its own source fetches from nowhere.
+    /// Returns the route through a parent to the origin. Without an available origin the parent is named as its own
+    /// source and does not fetch.
     fn route_through_parent(
         &self,
         now: Micros,
@@ -56,7 +58,7 @@
         self.placement().pick_with_bounded_load(
             request.request.object.0,
             &candidates,
-            PlacementLoad::of_both,
+            PlacementLoad::of_requests_and_fills,
         )
     }
 }
--- a/src/router/placement.rs
+++ b/src/router/placement.rs
@@ -7,12 +7,12 @@
 use crate::ids::EndpointId;
 use crate::settings::Weights;
 
-/// An endpoint over this multiple of the mean load, for its weight, is skipped.
+/// An endpoint whose load exceeds this multiple of the mean load per weight is skipped.
 const LOAD_BOUND: f64 = 1.25;
-/// Below this many requests for each unit of weight no endpoint is skipped: its link is not full yet.
+/// An endpoint with fewer requests per unit of weight than this is not skipped: its link is not saturated yet.
 const UNBOUNDED_REQUESTS: f64 = 1.0;
 
-/// The load of an endpoint as it counts for a placement.
+/// Load of an endpoint, as measured for one kind of placement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlacementLoad {
     requests: u32,
@@ -20,7 +20,7 @@
 }
 
 impl PlacementLoad {
-    /// Requests at a cache, by their size.
+    /// Returns the load of a cache: its requests, measured by their size.
     pub(super) fn of_cache(load: &Load) -> Self {
         Self {
             requests: load.requests,
@@ -28,22 +28,22 @@
         }
     }
 
-    /// Fills from a source.
+    /// Returns the load of a source: the fills from it.
     pub(super) fn of_source(load: &Load) -> Self {
-        Self::counted(load.fills)
+        Self::from_count(load.fills)
     }
 
-    /// Requests and fills.
-    pub(super) fn of_both(load: &Load) -> Self {
-        Self::counted(load.requests + load.fills)
+    /// Returns the load by requests and fills together.
+    pub(super) fn of_requests_and_fills(load: &Load) -> Self {
+        Self::from_count(load.requests + load.fills)
     }
 
-    /// No bound on the load.
-    pub(super) fn ignored(_: &Load) -> Self {
-        Self::counted(0)
+    /// Returns a load of zero, for a placement without a load bound.
+    pub(super) fn unbounded(_: &Load) -> Self {
+        Self::from_count(0)
     }
 
-    fn counted(requests: u32) -> Self {
+    fn from_count(requests: u32) -> Self {
         Self {
             requests,
             size: requests as f64,
@@ -51,13 +51,14 @@
     }
 }
 
-/// Weighted rendezvous hash: the endpoint with the highest score is the home of the key.
+/// Returns the score of an endpoint in weighted rendezvous hashing. The endpoint with the highest score is the home
+/// of the key.
 fn rendezvous_score(key: u64, endpoint: EndpointId, weight: f64) -> f64 {
     let uniform = unit_interval(mix(key ^ mix(endpoint.0)));
     -weight / uniform.max(1e-12).ln().min(-1e-12)
 }
 
-/// What a placement depends on besides the endpoints. Built for each placement.
+/// Parameters of a placement other than the endpoints. Built anew for each placement.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Placement<'a> {
     pub(super) fleet: &'a Fleet,
@@ -72,14 +73,15 @@
             _ => 1.0,
         };
         let capacity = match self.weights {
-            // Live weights change with the load and would move the home of every object.
+            // Live weights change with the load and would continually move the home of every object.
             Weights::None | Weights::Live => 1.0,
             Weights::Nominal | Weights::Rough => endpoint.entry.weight,
         };
         slowness_factor * capacity
     }
 
-    /// The first endpoint in the rendezvous order of the key that is within the load bound, else the least loaded.
+    /// Returns the first endpoint in the rendezvous order of the key that is within the load bound, or the least loaded
+    /// one if none is.
     pub(super) fn pick_with_bounded_load(
         &self,
         key: u64,
--- a/src/router/presence.rs
+++ b/src/router/presence.rs
@@ -1,12 +1,12 @@
-//! Restart detection: whether a process answers at an endpoint, and since when.
+//! Restart detection: infers whether a process runs at an endpoint, and when it started.
 use super::MS;
 use crate::ids::Micros;
 
-/// Connections refused for this long, with no answer in between: no process is there, and what answers next is a
-/// new incarnation. A single refusal or a broken connection is no restart.
+/// If connections are refused for this long without an answer in between, no process is running and the next answer
+/// comes from a new incarnation. A single refused or reset connection does not indicate a restart.
 const MIN_OUTAGE: Micros = 250 * MS;
 
-/// Connections refused since the last answer.
+/// Times of the first and last refused connection since the last answer.
 #[derive(Debug, Clone, Copy)]
 struct Refusals {
     first_at: Micros,
@@ -19,39 +19,39 @@
     }
 }
 
-/// An outage that ended.
+/// An outage that has ended.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
     began_at: Micros,
     ended_at: Micros,
 }
 
-/// What this router observed of the processes at an endpoint.
+/// What this router has observed of the processes at an endpoint.
 ///
-/// An observed outage is forgotten when the endpoint list or a hello reports the start that ended it; everything
-/// is forgotten with the endpoint.
+/// An observed outage is discarded when the endpoint list or a hello reports the start that ended it. All state is
+/// dropped with the endpoint.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Presence {
     last_answer_at: Micros,
     refusals: Option<Refusals>,
-    /// Marked silent since the last answer.
+    /// Whether the endpoint has been marked silent since its last answer.
     silent: bool,
     outage: Option<Outage>,
-    /// The last outage was only silence: the process may have been paused and not replaced.
+    /// Whether the last outage consisted of silence only: the process may have been paused rather than replaced.
     possibly_paused: bool,
 }
 
 impl Presence {
-    /// A process that introduced itself: nothing is inferred any more.
-    pub(super) fn introduced(now: Micros) -> Self {
+    /// Returns the state after a hello, which reports the start time exactly and so replaces all inferred state.
+    pub(super) fn after_hello(now: Micros) -> Self {
         Self {
             last_answer_at: now,
             ..Self::default()
         }
     }
 
-    /// A process answered, a new incarnation if there was none before.
-    pub(super) fn answered(&mut self, now: Micros) {
+    /// Records an answer. If an outage preceded it, the answer comes from a new incarnation.
+    pub(super) fn record_answer(&mut self, now: Micros) {
         let refused = self.refusals.take().filter(Refusals::is_outage);
         if refused.is_some() || self.silent {
             self.outage = Some(Outage {
@@ -64,8 +64,8 @@
         self.silent = false;
     }
 
-    /// No process accepted a connection, or not the previous one.
-    pub(super) fn refused(&mut self, since: Micros, now: Micros) {
+    /// Records that the previous process no longer accepts connections, observed from `since` until `now`.
+    pub(super) fn record_refusal(&mut self, since: Micros, now: Micros) {
         let first_at = self.refusals.map_or(since, |refusals| refusals.first_at);
         self.refusals = Some(Refusals {
             first_at,
@@ -73,11 +73,11 @@
         });
     }
 
-    /// A broken connection may come from the old process as well as from a new one. A reset by a silent endpoint
-    /// means that its process does not know the connection: another incarnation.
-    pub(super) fn connection_reset(&mut self, now: Micros) {
+    /// Records a connection reset. It may come from the previous process as well as from a new one. A reset by a silent
+    /// endpoint means that its process does not know the connection, and is therefore a new incarnation.
+    pub(super) fn record_reset(&mut self, now: Micros) {
         if self.silent {
-            self.refused(self.last_answer_at, now);
+            self.record_refusal(self.last_answer_at, now);
         } else {
             self.last_answer_at = now;
         }
@@ -87,15 +87,15 @@
         self.silent = true;
     }
 
-    /// The endpoint list reports a start: observations of an earlier one are void.
-    pub(super) fn start_listed(&mut self, started_at: Micros) {
+    /// Discards observations that precede a start reported by the endpoint list.
+    pub(super) fn apply_listed_start(&mut self, started_at: Micros) {
         self.refusals = self
             .refusals
             .filter(|refusals| refusals.last_at >= started_at);
         self.outage = self.outage.filter(|outage| outage.began_at >= started_at);
     }
 
-    /// When the present incarnation started, as far as observed; 0: unknown. `now` while no process is there.
+    /// Returns when the current incarnation was observed to start: 0 if unknown, `now` while no process is running.
     pub(super) fn observed_start(&self, now: Micros) -> Micros {
         if self.refusals.is_some_and(|refusals| refusals.is_outage()) {
             return now;
--- a/src/router/priority.rs
+++ b/src/router/priority.rs
@@ -1,11 +1,11 @@
-//! Priority weight: requests that are worth more for their transfer time are admitted first.
+//! Priority weight: requests with a higher priority weight per second of transfer time are admitted first.
 use super::latency::MEAN_STEP;
 
-/// Bounds of the factor by which a request finds a concurrency limit stretched.
-const MIN_STRETCH: f64 = 0.5;
-const MAX_STRETCH: f64 = 2.0;
+/// Bounds of the factor by which the concurrency limits are scaled for a request.
+const MIN_LIMIT_FACTOR: f64 = 0.5;
+const MAX_LIMIT_FACTOR: f64 = 2.0;
 
-/// Priority weight and transfer time of recent requests, as running means. Older requests fade.
+/// Exponential moving averages of the priority weight and the transfer time of recent requests.
 #[derive(Debug, Default)]
 pub(super) struct RecentDemand {
     priority_weight: f64,
@@ -22,11 +22,12 @@
         self.transfer_s
     }
 
-    /// Factor of the concurrency limits for a request, by its priority weight per second against the recent mean.
-    pub(super) fn limit_stretch(&self, priority_weight: f64, transfer_s: f64) -> f64 {
-        let usual = self.priority_weight / self.transfer_s.max(1e-6);
-        let own = priority_weight / transfer_s.max(1e-6);
-        let relative = own / usual.max(1e-6);
-        relative.sqrt().clamp(MIN_STRETCH, MAX_STRETCH)
+    /// Returns the factor on the concurrency limits for a request: the square root of the ratio of its priority weight
+    /// per second to the recent mean, within bounds.
+    pub(super) fn limit_factor(&self, priority_weight: f64, transfer_s: f64) -> f64 {
+        let mean_weight_per_s = self.priority_weight / self.transfer_s.max(1e-6);
+        let weight_per_s = priority_weight / transfer_s.max(1e-6);
+        let relative = weight_per_s / mean_weight_per_s.max(1e-6);
+        relative.sqrt().clamp(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR)
     }
 }
--- a/src/router/purge_log.rs
+++ b/src/router/purge_log.rs
@@ -1,18 +1,18 @@
-//! Recent purges, which bound the age of acceptable copies.
+//! Log of recent purges, which limit the age of acceptable copies.
 use super::MS;
 use crate::event::Request;
 use crate::ids::{Micros, ObjectId};
 use std::collections::BTreeMap;
 
-/// Purges are remembered this much longer than copies from before them can last.
+/// Time for which a purge is retained beyond the purge horizon.
 const RETENTION_MARGIN: Micros = 1_000 * MS;
-/// Smallest number of purges at which expired ones are removed.
+/// Smallest number of logged purges that triggers a compaction.
 const MIN_COMPACTION_SIZE: usize = 1024;
 
-/// The latest purge of each object and of each group.
+/// Times of the latest purge of each object and of each purge group.
 ///
-/// A purge is ignored once no older copy can be left (the purge horizon and a margin), and forgotten at the next
-/// compaction: when the log holds more than `compaction_size` purges.
+/// A purge is ignored once no older copy can exist any more, which is after the purge horizon and a margin. The next
+/// compaction then removes it; a compaction runs when the log holds more than `compaction_size` purges.
 #[derive(Debug)]
 pub(super) struct PurgeLog {
     horizon: Micros,
@@ -47,7 +47,7 @@
         *newest = purged_at.max(*newest);
     }
 
-    /// The oldest copy that a purge allows, while copies from before it may exist.
+    /// Returns the maximum age of a copy under the latest purge, or `None` if no copy from before a purge can exist.
     pub(super) fn max_age(&self, now: Micros, request: &Request) -> Option<Micros> {
         let purged_at = self
             .objects
--- a/src/router/random.rs
+++ b/src/router/random.rs
@@ -1,4 +1,4 @@
-//! Seeded random numbers and the hash mix they share with placement.
+//! Seeded random numbers, and the mixing function that placement uses as a hash.
 
 /// Increment of the SplitMix64 generator.
 const SPLIT_MIX_INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -19,7 +19,7 @@
         self.state
     }
 
-    /// Uniform in `0.0..1.0`.
+    /// Returns a uniform random number in `0.0..1.0`.
     pub(super) fn next_unit(&mut self) -> f64 {
         unit_interval(self.next())
     }
@@ -32,7 +32,7 @@
     x ^ (x >> 31)
 }
 
-/// Maps the upper 53 bits to `0.0..1.0`.
+/// Maps the upper 53 bits of a number to `0.0..1.0`.
 pub(super) fn unit_interval(x: u64) -> f64 {
     (x >> 11) as f64 / (1_u64 << 53) as f64
 }
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -13,23 +13,23 @@
     pub(super) endpoint: EndpointId,
     pub(super) source: FillSource,
     pub(super) sent_at: Micros,
-    /// Cancelled, and whose fault that was.
+    /// If the attempt was cancelled: where the fault lies.
     pub(super) cancelled: Option<Fault>,
 }
 
 impl Attempt {
-    /// The source of a fill, if that is another endpoint.
+    /// Returns the source of the fill, if it is a different endpoint.
     pub(super) fn upstream(&self) -> Option<EndpointId> {
         self.source.upstream_of(self.endpoint)
     }
 
-    /// Answered from cached copies only, within the stale-if-error time.
+    /// Whether the attempt is answered from cached copies only, within the stale-if-error time.
     pub(super) fn is_cached_only(&self) -> bool {
         self.source == FillSource::CachedOnly
     }
 }
 
-/// The first attempt of a request that may have run.
+/// The first attempt of a request that may have been executed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FirstRun {
     pub(super) sent_at: Micros,
@@ -38,7 +38,7 @@
 
 /// A request without a final response, or with attempts in flight.
 ///
-/// Forgotten when it has its final response and its last attempt has ended.
+/// Removed when it has its final response and its last attempt has ended.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OpenRequest {
     pub(super) request: Request,
@@ -48,14 +48,15 @@
     /// Caches and sources that failed this request.
     pub(super) excluded: Vec<EndpointId>,
     pub(super) cached_only_tried: bool,
-    /// Rejections for lack of capacity.
+    /// Number of rejections for lack of capacity.
     pub(super) rejections: u32,
-    /// The origin is spared: a source was asked for its cached copies only, or the origin has failed.
-    pub(super) origin_spared: bool,
-    /// No attempt before this, after a rejection.
+    /// Whether the request must not reach the origin: an attempt was limited to the cached copies of a source, or the
+    /// origin has failed.
+    pub(super) avoid_origin: bool,
+    /// Earliest time of the next attempt after a rejection.
     pub(super) backoff_until: Micros,
     pub(super) first_run: Option<FirstRun>,
-    /// It has its final response; the attempts in flight are only accounted for.
+    /// Whether the request has its final response; the attempts in flight then only count as load.
     pub(super) closed: bool,
 }
 
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Ends an attempt in flight.
+    /// Removes and returns an attempt in flight.
     pub(super) fn take_attempt(&mut self, number: u32) -> Option<Attempt> {
         let index = self
             .in_flight
@@ -80,8 +81,8 @@
 
 /// All open requests, in the order of their ids.
 ///
-/// Invariant: a waiting request is open and has no attempt in flight. It stops waiting with its next attempt, its
-/// final response, or the next timer, which checks it again.
+/// Invariant: a waiting request is open and has no attempt in flight. It waits until its next attempt, its final
+/// response, or the next timer, which checks it again.
 #[derive(Debug, Default)]
 pub(super) struct OpenRequests {
     by_id: BTreeMap<RequestId, OpenRequest>,
@@ -113,7 +114,7 @@
         self.by_id.iter_mut().map(|(id, request)| (*id, request))
     }
 
-    /// Checks a request again at the next timer.
+    /// Marks a request to be checked again at the next timer.
     pub(super) fn start_waiting(&mut self, id: RequestId) {
         self.waiting.insert(id);
     }
@@ -126,7 +127,7 @@
         std::mem::take(&mut self.waiting)
     }
 
-    /// Endpoints that an open request may have run at.
+    /// Returns the endpoints at which an open request may have run.
     pub(super) fn first_run_endpoints(&self) -> BTreeSet<EndpointId> {
         self.by_id
             .values()
@@ -135,7 +136,7 @@
             .collect()
     }
 
-    /// Sends nothing further for a request; its attempts in flight are cancelled where that is possible.
+    /// Closes a request: no further attempts are sent, and attempts in flight are cancelled if `may_cancel` is set.
     pub(super) fn close(&mut self, id: RequestId, may_cancel: bool, actions: &mut Vec<Action>) {
         self.waiting.remove(&id);
         let Some(request) = self.by_id.get_mut(&id) else {
--- a/src/router/retry.rs
+++ b/src/router/retry.rs
@@ -1,21 +1,22 @@
-//! Which requests may be retried: idempotency and its window, the scope of keys, and backoff.
+//! Retry rules: idempotency and its window, the scope of idempotency keys, and backoff.
 use super::endpoints::{Endpoint, Endpoints};
 use super::requests::{FirstRun, OpenRequest};
 use super::MS;
 use crate::ids::Micros;
 use crate::settings::{Idempotency, KeyScope};
 
-/// A request with an idempotency key is not retried in the last stretch of its window: the retry takes time to
-/// arrive.
+/// Time before the end of its window in which a request with an idempotency key is no longer retried, since a retry
+/// takes time to arrive.
 const IDEMPOTENCY_WINDOW_MARGIN: Micros = 200 * MS;
-/// Rejections for lack of capacity after which a request is rejected: more attempts only add to the overload.
+/// Number of rejections for lack of capacity after which a request is rejected: more attempts only add to the
+/// overload.
 const MAX_REJECTIONS: u32 = 2;
-/// Backoff of an uncacheable request that was rejected; doubled by each rejection.
+/// Initial backoff of an uncacheable request; doubled by each rejection.
 const REJECTION_BACKOFF: Micros = 80 * MS;
-/// Retry-After of a rejected client: short, since its latency objective counts from its first attempt.
+/// Retry-After of a rejected client: short, since the latency objective counts from the client's first attempt.
 const CLIENT_RETRY_AFTER: Micros = 100 * MS;
 
-/// Whether another attempt has no effect twice.
+/// Whether another attempt cannot apply the effect of the request a second time.
 pub(super) fn may_retry(
     now: Micros,
     first_run: Option<FirstRun>,
@@ -30,7 +31,7 @@
     }
 }
 
-/// Whether an endpoint discards a retry that has run at the first endpoint already.
+/// Whether an endpoint discards a retry of a request that has already run at the endpoint of its first attempt.
 pub(super) fn is_in_key_scope(
     first_run: Option<FirstRun>,
     idempotency: Idempotency,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Whether the client may repeat a request that gets no response.
+/// Whether the client may safely repeat a request that gets no response.
 pub(super) fn client_may_repeat(request: &OpenRequest, idempotency: Idempotency) -> bool {
     match idempotency {
         Idempotency::Idempotent
@@ -64,7 +65,7 @@
     CLIENT_RETRY_AFTER.min(max_retry_after)
 }
 
-/// Backoff of an uncacheable request after so many rejections.
+/// Returns the backoff of an uncacheable request after a number of rejections.
 pub(super) fn rejection_backoff(rejections: u32) -> Micros {
     REJECTION_BACKOFF << rejections.min(6)
 }
--- a/src/router/roles.rs
+++ b/src/router/roles.rs
@@ -1,17 +1,17 @@
-//! Endpoints by role, so that a selection visits only those it may use and not the caches of other zones.
+//! Endpoints by role, so that a selection does not iterate over the caches of other zones.
 use crate::event::EndpointEntry;
 use crate::ids::EndpointId;
 use crate::settings::RouterSettings;
 use std::collections::BTreeSet;
 
-/// What an endpoint is to this router.
+/// Role of an endpoint from the point of view of this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Role {
     /// A cache of the router's own zone.
     Cache,
     Parent,
     Origin,
-    /// A cache of another zone: nothing is sent there.
+    /// A cache of another zone, to which this router sends no requests.
     OtherZone,
 }
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// Endpoint ids by role, each set in their order.
+/// Sets of endpoint ids by role, each in the order of the ids.
 ///
-/// Invariant: an endpoint is in the set of its role alone; caches of other zones are in none. Forgotten with the
-/// endpoint.
+/// Invariant: an endpoint is only in the set of its role, and caches of other zones are in none. An id is removed
+/// with its endpoint.
 #[derive(Debug, Default)]
 pub(super) struct Roles {
     caches: BTreeSet<EndpointId>,
@@ -38,9 +38,9 @@
 }
 
 impl Roles {
-    /// Sets the role of an endpoint, new or known.
+    /// Sets the role of an endpoint and removes any earlier role.
     pub(super) fn assign(&mut self, id: EndpointId, role: Role) {
-        self.forget(id);
+        self.unassign(id);
         match role {
             Role::Cache => self.caches.insert(id),
             Role::Parent => self.parents.insert(id),
@@ -49,13 +49,13 @@
         };
     }
 
-    pub(super) fn forget(&mut self, id: EndpointId) {
+    pub(super) fn unassign(&mut self, id: EndpointId) {
         for ids in [&mut self.caches, &mut self.parents, &mut self.origins] {
             ids.remove(&id);
         }
     }
 
-    /// Empty for the caches of other zones: they are never selected.
+    /// Returns the endpoints of a role. The result is empty for caches of other zones, which are never selected.
     pub(super) fn with_role(&self, role: Role) -> impl Iterator<Item = EndpointId> + '_ {
         let ids = match role {
             Role::Cache => Some(&self.caches),
--- a/src/router/roles/tests.rs
+++ b/src/router/roles/tests.rs
@@ -10,7 +10,7 @@
     roles.assign(a, Role::Parent);
     assert!(roles.with_role(Role::Cache).eq([b]) && roles.with_role(Role::Parent).eq([a]));
     roles.assign(b, Role::OtherZone);
-    roles.forget(a);
+    roles.unassign(a);
     for role in [Role::Cache, Role::Parent, Role::Origin, Role::OtherZone] {
         assert_eq!(roles.with_role(role).count(), 0, "{role:?}");
     }
--- a/src/router/selection.rs
+++ b/src/router/selection.rs
@@ -1,4 +1,4 @@
-//! Selection: the cache and the source for the next attempt of a request.
+//! Selection of the cache and the source for the next attempt of a request.
 use super::concurrency_limit::{accepts_cached_only, cache_has_capacity, zone_has_capacity};
 use super::copy_locations::CopyKey;
 use super::endpoints::Endpoint;
@@ -11,7 +11,7 @@
 use crate::event::Request;
 use crate::ids::{EndpointId, Micros};
 
-/// Where an attempt goes and what a miss is filled from.
+/// Endpoint to which an attempt is sent, and the source from which a miss is filled.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Route {
     pub(super) endpoint: EndpointId,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Where a miss would be fetched from; a cached-only attempt names its own endpoint, which may have changed its
-    /// role since it was chosen.
+    /// Returns where a miss would be fetched from. For a cached-only attempt that is its own endpoint, whose role may
+    /// have changed since it was chosen.
     pub(super) fn fetched_from(&self) -> Option<EndpointId> {
         match self.source {
             FillSource::Forwarded => None,
@@ -37,7 +37,7 @@
     }
 }
 
-/// What to do with a request that has no attempt in flight.
+/// Next step of a request that has no attempt in flight.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Choice {
     Send(Route),
@@ -61,11 +61,11 @@
     }
 
     fn pick_with_capacity(&self, request: &Request, caches: &[&Endpoint]) -> Option<EndpointId> {
-        let stretch = self.limit_stretch(request);
-        let zone_admits = zone_has_capacity(caches, self.fill_limit, stretch, &self.fleet);
+        let limit_factor = self.limit_factor(request);
+        let zone_admits = zone_has_capacity(caches, self.fill_limit, limit_factor, &self.fleet);
         let admitting: Vec<&Endpoint> = caches
             .iter()
-            .filter(|cache| zone_admits && cache_has_capacity(cache, stretch, &self.fleet))
+            .filter(|cache| zone_admits && cache_has_capacity(cache, limit_factor, &self.fleet))
             .copied()
             .collect();
         let key = CopyKey::of(request).placement_key();
@@ -73,30 +73,30 @@
             .pick_with_bounded_load(key, &admitting, PlacementLoad::of_cache)
     }
 
-    fn limit_stretch(&self, request: &Request) -> f64 {
+    fn limit_factor(&self, request: &Request) -> f64 {
         let priority_weight = self.settings.classes[request.class].priority_weight;
         let transfer_s = self.transfer_times.seconds(request.class, request.size_kb);
-        self.recent_demand
-            .limit_stretch(priority_weight, transfer_s)
+        self.recent_demand.limit_factor(priority_weight, transfer_s)
     }
 
     fn choose_source(&self, now: Micros, request: &OpenRequest, cache: EndpointId) -> Choice {
         let source = self
             .sibling_source(now, request, cache)
             .or_else(|| self.upstream_source(now, request));
-        // While the origin fails one source is asked for its cached copies: misses do not add to the origin's
-        // load, and uncacheable requests keep their capacity.
-        match source.filter(|_| !request.origin_spared) {
+        // While the origin fails, only one source is tried, for its cached copies: misses do not add to the load of the
+        // origin, and its remaining capacity is left to uncacheable requests.
+        match source.filter(|_| !request.avoid_origin) {
             Some(source) => Choice::Send(Route {
                 endpoint: cache,
                 source: FillSource::Endpoint(source),
             }),
-            None if request.cached_only_tried || request.origin_spared => Choice::Finish,
+            None if request.cached_only_tried || request.avoid_origin => Choice::Finish,
             None => Choice::Send(Route::cached_only(cache)),
         }
     }
 
-    /// Without capacity for what may need a fill a cached copy can still be served; a miss returns at once.
+    /// Chooses a cached-only attempt when there is no capacity for requests that may need a fill: a cached copy can
+    /// still be served, and a miss returns at once.
     fn choose_cached_only(&self, request: &OpenRequest, mut caches: Vec<&Endpoint>) -> Choice {
         caches.retain(|cache| accepts_cached_only(cache, &self.fleet));
         let copy = CopyKey::of(&request.request);
@@ -108,7 +108,7 @@
             self.placement().pick_with_bounded_load(
                 copy.placement_key(),
                 &caches,
-                PlacementLoad::ignored,
+                PlacementLoad::unbounded,
             )
         });
         cache
@@ -118,7 +118,7 @@
             })
     }
 
-    /// Endpoints of a role that accept the request and have not failed it.
+    /// Returns the endpoints of a role that accept the request and have not failed it.
     pub(super) fn eligible(
         &self,
         now: Micros,
@@ -137,7 +137,7 @@
             .collect()
     }
 
-    /// Neither draining nor gone, and its warm-up budget allows one more request.
+    /// Whether an endpoint is ready and its warm-up budget allows one more request of the class.
     pub(super) fn accepts_new_requests(
         &self,
         now: Micros,
@@ -167,8 +167,8 @@
         }
     }
 
-    /// The cache where a request would go, and the work it lacks, if that cache grants leases for its warm-up and
-    /// none is left.
+    /// Returns the cache to which a request would be sent and the work that the request needs there, in seconds of
+    /// transfer time, if that cache grants warm-up leases and its current lease does not cover the request.
     pub fn warm_up_shortfall(&self, now: Micros, request: &Request) -> Option<(EndpointId, f64)> {
         let class = self.settings.classes.get(request.class)?;
         if class.uncacheable {
@@ -184,18 +184,18 @@
             .placement()
             .pick_with_bounded_load(key, &ready, PlacementLoad::of_cache)
             .and_then(|id| self.endpoints.get(id))?;
-        let is_short = home.warm_up.lease.is_some()
+        let lease_exhausted = home.warm_up.lease.is_some()
             && class.priority_weight > 0.0
             && !self.warm_up_budget_allows(now, home, request.class);
-        is_short.then(|| {
+        lease_exhausted.then(|| {
             let work_s = self.transfer_times.budget_cost(request.class);
             (home.entry.id, work_s)
         })
     }
 }
 
-/// Leaves ejected caches out, unless they are most of the zone: the fault is not theirs alone then, and some of
-/// them respond.
+/// Removes ejected caches, unless they are the majority of the zone: in that case the caches alone are not at fault,
+/// and some of them still respond.
 fn prefer_healthy(now: Micros, caches: &mut Vec<&Endpoint>) {
     let healthy = caches.iter().filter(|cache| cache.is_healthy(now)).count();
     if 2 * healthy >= caches.len() {
--- a/src/router/silent_endpoints.rs
+++ b/src/router/silent_endpoints.rs
@@ -1,4 +1,4 @@
-//! Detection of silent endpoints: they accept requests and respond to none.
+//! Detection of silent endpoints, which accept requests but do not respond.
 use super::outcome::Fault;
 use super::outlier::Severity;
 use super::requests::Attempt;
@@ -9,22 +9,22 @@
 use crate::settings::Idempotency;
 use std::collections::BTreeMap;
 
-/// A response is overdue after this plus `OVERDUE_STRETCH` times its transfer time.
+/// A response is overdue after this time plus `OVERDUE_TRANSFER_FACTOR` times its transfer time.
 const OVERDUE_AFTER: Micros = 300 * MS;
-const OVERDUE_STRETCH: f64 = 2.0;
-/// Overdue responses at an endpoint that has not answered since they were sent: it is silent.
-const SILENT_AFTER_OVERDUE: usize = 2;
+const OVERDUE_TRANSFER_FACTOR: f64 = 2.0;
+/// Number of overdue responses after which an endpoint that has not answered since counts as silent.
+const MIN_OVERDUE_RESPONSES: usize = 2;
 
 impl Router {
-    /// Ejects silent endpoints and cancels their attempts, which are retried elsewhere. Sources are not judged
-    /// like this: a saturated link looks the same.
+    /// Ejects silent endpoints and cancels the attempts at them, which are then retried elsewhere. Sources of fills
+    /// are not checked, since a silent source cannot be told apart from a saturated link.
     pub(super) fn eject_silent_endpoints(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for (id, overdue) in self.count_overdue(now) {
             let is_probed = self
                 .endpoints
                 .get(id)
                 .is_some_and(|endpoint| endpoint.health.is_suspect());
-            if overdue >= SILENT_AFTER_OVERDUE || is_probed {
+            if overdue >= MIN_OVERDUE_RESPONSES || is_probed {
                 if let Some(endpoint) = self.endpoints.get_mut(id) {
                     endpoint.presence.mark_silent();
                 }
@@ -46,11 +46,13 @@
         overdue
     }
 
-    /// The response should have begun, and the endpoint has not answered anything since the attempt was sent.
+    /// Whether the response to an attempt is overdue and the endpoint has not answered any request since the attempt
+    /// was sent.
     fn is_overdue(&self, now: Micros, request: &Request, attempt: &Attempt) -> bool {
         let transfer_s = self.transfer_times.seconds(request.class, request.size_kb);
-        let due_at =
-            attempt.sent_at + OVERDUE_AFTER + (OVERDUE_STRETCH * 1e6 * transfer_s) as Micros;
+        let due_at = attempt.sent_at
+            + OVERDUE_AFTER
+            + (OVERDUE_TRANSFER_FACTOR * 1e6 * transfer_s) as Micros;
         let last_answer_at = self
             .endpoints
             .get(attempt.endpoint)
@@ -58,7 +60,7 @@
         now > due_at && last_answer_at < attempt.sent_at
     }
 
-    /// Cancels the attempts at an endpoint, but for those that could not be retried.
+    /// Cancels the attempts at an endpoint, except those that could not be retried.
     fn cancel_attempts_at(&mut self, id: EndpointId, actions: &mut Vec<Action>) {
         if !self.settings.may_cancel {
             return;
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much work endpoints that are warming up are given, by warm-up budgets and leases.
+//! Slow start: limits the work sent to endpoints that are warming up, by warm-up budgets and leases.
 use super::endpoints::{Endpoint, REMOVAL_DELAY};
 use super::fleet::Fleet;
 use super::latency::TransferTimes;
@@ -7,11 +7,12 @@
 use crate::settings::{RouterSettings, SlowStartRule};
 use std::collections::VecDeque;
 
-/// Share of a warm-up budget that is used: random variation and late arrivals take the rest.
+/// Share of a warm-up budget that is used; the rest is a margin for random variation and late arrivals.
 const BUDGET_UTILIZATION: f64 = 0.7;
-/// An endpoint that was silent and answers again may be a new incarnation for this many overload windows.
+/// Number of overload windows for which an endpoint that answers again after silence is treated as a new incarnation.
 const UNCERTAIN_WINDOWS: Micros = 2;
-/// A lease is void after this many times its duration without a next one: the connection may be gone.
+/// A lease is ignored after this multiple of its duration if it has not been replaced: the connection over which
+/// leases arrive may have been lost.
 const LEASE_EXPIRY_FACTOR: Micros = 3;
 /// Longest time between probes of an unreachable endpoint.
 const LONGEST_PROBE_INTERVAL: Micros = REMOVAL_DELAY / 5 * 4;
@@ -34,7 +35,7 @@
     }
 }
 
-/// Work charged to an endpoint for one attempt.
+/// Warm-up work charged to an endpoint for one attempt, in seconds of transfer time.
 #[derive(Debug, Clone, Copy)]
 struct Charge {
     sent_at: Micros,
@@ -42,10 +43,10 @@
     work_s: f64,
 }
 
-/// Work that this router sent to an endpoint within the last overload window, and the endpoint's lease.
+/// Work that this router has sent to an endpoint within the last overload window, and the endpoint's lease.
 ///
-/// Charges are forgotten at the first charge after the overload window, or when the attempt turns out not to have
-/// reached the endpoint. The account is forgotten with the endpoint.
+/// A charge is removed by the first new charge after the overload window, or when its attempt turns out not to have
+/// reached the endpoint. The account is dropped with the endpoint.
 #[derive(Debug, Clone, Default)]
 pub(super) struct WarmUpAccount {
     charges: VecDeque<Charge>,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Takes the charge of an attempt back.
+    /// Removes the charge of an attempt.
     pub(super) fn refund(&mut self, sent_at: Micros, request: RequestId) {
         self.charges
             .retain(|charge| (charge.sent_at, charge.request) != (sent_at, request));
@@ -87,10 +88,10 @@
     }
 }
 
-/// The slow-start rules, and since when this router has been running.
+/// The slow-start rules, and the time since which this router has been running.
 ///
-/// Invariant: the routers that share an endpoint send it no more in any overload window than the capacity it has
-/// at the start of the window bears.
+/// Invariant: in any overload window, the routers that share an endpoint together send it no more work than its
+/// capacity at the start of the window can sustain.
 #[derive(Debug)]
 pub(super) struct SlowStart {
     cache_rule: SlowStartRule,
@@ -107,19 +108,20 @@
         }
     }
 
-    /// The first event sets the start of this router.
-    pub(super) fn note_running(&mut self, now: Micros) {
+    /// Records the time of the first event as the start of this router.
+    pub(super) fn record_first_event(&mut self, now: Micros) {
         self.running_since.get_or_insert(now);
     }
 
-    /// How long charges are kept.
+    /// Returns how long charges are retained.
     pub(super) fn charge_window(&self) -> Micros {
         self.cache_rule
             .overload_window
             .max(self.parent_rule.overload_window)
     }
 
-    /// Whether an endpoint can take one more request of the class: it is warm, or the warm-up budget allows it.
+    /// Whether an endpoint can accept one more request of the class: it is warm, or its lease or the warm-up budget
+    /// allows it.
     pub(super) fn warm_up_budget_allows(
         &self,
         now: Micros,
@@ -139,7 +141,7 @@
         if let Some(lease) = lease {
             return lease.allows(now, cost);
         }
-        // A router that has just started does not know what it sent within the last window.
+        // A router that has just started does not know what its previous process sent within the last window.
         if now < self.running_since.unwrap_or(now) + rule.overload_window {
             return false;
         }
@@ -157,11 +159,12 @@
         endpoint.warm_up.work_since(window_start) + cost <= budget / routers
     }
 
-    /// When the present incarnation started: as listed, or later as observed.
+    /// Returns when the current incarnation started: the listed or the observed time, whichever is later.
     fn incarnation_start(&self, now: Micros, endpoint: &Endpoint) -> Micros {
         let observed_start = endpoint.presence.observed_start(now);
         let uncertain = UNCERTAIN_WINDOWS * self.rule(endpoint.role).overload_window;
-        // Silence may have been a pause; a replaced process is on the endpoint list by then.
+        // The silence may have been a pause. If the process had been replaced, the endpoint list would report its
+        // start by the end of this time.
         let was_pause = endpoint.presence.possibly_paused() && now >= observed_start + uncertain;
         if was_pause {
             endpoint.entry.started_at
@@ -170,8 +173,8 @@
         }
     }
 
-    /// Least time between this router's probes of an unreachable endpoint: the probes of all routers together are
-    /// within its warm-up budget, since it may come back cold.
+    /// Returns the shortest time between this router's probes of an unreachable endpoint. The probes of all routers
+    /// together stay within the warm-up budget of the endpoint, since it may return cold.
     pub(super) fn probe_interval(
         &self,
         endpoint: &Endpoint,
@@ -201,14 +204,15 @@
     }
 }
 
-/// Share of its capacity that an endpoint has at a moment of its slow start.
+/// Returns the share of its full capacity that an endpoint has at a given time of its slow start.
 fn capacity_share(rule: &SlowStartRule, started_at: Micros, at: Micros) -> f64 {
     let progress = at.saturating_sub(started_at) as f64 / rule.ramp.max(1) as f64;
     rule.initial_share + (1.0 - rule.initial_share) * progress.min(1.0)
 }
 
-/// How many routers share a warm-up budget, or `None` if this router gets none of it. The budget of a cache is
-/// shared evenly. One of a parent that is too small for all routers goes to some of them, by their indexes.
+/// Returns the number of routers that share a warm-up budget, or `None` if this router has no share. The budget of a
+/// cache is shared evenly. The budget of a parent that is too small for all routers is shared by some of them, chosen
+/// by their indexes.
 fn budget_sharers(
     endpoint: &Endpoint,
     budget: f64,
@@ -230,7 +234,8 @@
     Some(sharers as f64)
 }
 
-/// Order in which the routers get a share of an endpoint's budget; another one for each endpoint.
+/// Returns the rank of a router in the order in which routers get a share of an endpoint's budget. The order differs
+/// between endpoints.
 fn budget_rank(router_index: u32, endpoint: EndpointId, routers: u64) -> u64 {
     (router_index as u64 + endpoint.0 % routers) % routers
 }
