--- a/src/action.rs
+++ b/src/action.rs
@@ -1,61 +1,61 @@
 //! Actions that a [`Router`](crate::Router) requests from its host.
 use crate::ids::{EndpointId, Micros, RequestId};
 
-/// What a cache does on a miss, and which copies it may serve.
+/// Directs what a cache does on a miss, and which copies it may serve.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FetchDirective {
-    /// Where a miss is filled from; the endpoint itself: a miss is not filled.
+    /// Endpoint from which a miss is filled. If it is the endpoint of the attempt itself, a miss is not filled.
     pub source: EndpointId,
-    /// 0: store no copy; 1 to 3: the retention rank of the copy.
+    /// Retention rank of the copy, from 1 to 3; 0 if no copy is to be stored.
     pub retention_rank: u8,
-    /// The oldest acceptable copy; 0: the fresh time of the class.
+    /// Maximum age of an acceptable copy; 0 stands for the fresh time of the class.
     pub max_age: Micros,
-    /// Join a fill in progress.
+    /// Whether the request may join a fill in progress.
     pub coalesce: bool,
-    /// The source serves only what it has cached.
+    /// Whether the source may serve only what it has cached.
     pub only_if_cached: bool,
-    /// Revalidation in the background: serve an ageing copy and renew it.
+    /// Whether the cache may serve an ageing copy and revalidate it in the background.
     pub revalidate: bool,
 }
 
-/// What the host is to do, in this order.
+/// An action for the host to take. Actions are to be taken in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Make an attempt. The attempts of a request are numbered from 0 in the order of these actions.
+    /// Sends an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         request: RequestId,
-        /// Where to send it.
+        /// Endpoint to which the attempt is sent.
         endpoint: EndpointId,
-        /// How long to wait for the response.
+        /// Maximum time to wait for the response.
         timeout: Micros,
-        /// What a cache does on a miss; `None`: forwarded to the origin.
+        /// Directive for the cache; `None` if the request is forwarded to the origin.
         fetch: Option<FetchDirective>,
     },
-    /// Final response: nothing ran, or a retry is harmless.
+    /// Rejects the request, as its final response: it did not run, or a retry is safe.
     Reject {
         /// The request.
         request: RequestId,
-        /// When the client may retry.
+        /// Time after which the client may retry.
         retry_after: Option<Micros>,
     },
-    /// Final response: failed, and the request may have run.
+    /// Fails the request, as its final response: it may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt; its outcome is still reported.
+    /// Cancels an attempt; its outcome is still reported.
     Cancel {
         /// The request.
         request: RequestId,
         /// Number of the attempt.
         attempt: u32,
     },
-    /// Report [`Event::Timer`](crate::Event::Timer) later.
+    /// Sets a timer whose expiry is reported as [`Event::Timer`](crate::Event::Timer).
     SetTimer {
-        /// Time until then.
+        /// Time until the timer expires.
         after: Micros,
-        /// Passed back with the event.
+        /// Value returned with the event.
         token: u64,
     },
 }
--- a/src/event.rs
+++ b/src/event.rs
@@ -1,56 +1,56 @@
 //! Events that a [`Router`](crate::Router) handles.
 use crate::ids::{EndpointId, Micros, ObjectId, RequestId};
 
-/// State of an endpoint on the endpoint list.
+/// State of an endpoint as reported by the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Default)]
 pub enum EndpointState {
-    /// Takes new requests.
+    /// The endpoint accepts new requests.
     #[default]
     Ready,
-    /// Completes requests in flight and takes no new ones.
+    /// The endpoint completes requests in flight and accepts no new ones.
     Draining,
-    /// Has left.
+    /// The endpoint has left.
     Gone,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointEntry {
-    /// Whom it describes.
+    /// Id of the endpoint.
     pub id: EndpointId,
-    /// Whether it takes requests.
+    /// State of the endpoint.
     pub state: EndpointState,
     /// Relative capacity; 0 or less counts as 1.
     pub weight: f64,
-    /// Index of its zone.
+    /// Index of the zone of the endpoint.
     pub zone: usize,
-    /// Its kind; see `parent_kind` and `origin_kind` of the settings.
+    /// Kind of the endpoint; see `parent_kind` and `origin_kind` of the settings.
     pub kind: usize,
-    /// Its cell, the scope of idempotency keys.
+    /// Cell of the endpoint, which may be the scope of idempotency keys.
     pub cell: u64,
-    /// When it last started; 0: long ago.
+    /// Time of the last start of the endpoint; 0 if it has been running for long.
     pub started_at: Micros,
 }
 
 /// Kind of an update of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Changed entries only.
+    /// The update contains changed entries only.
     Delta,
-    /// The complete list: an endpoint that is absent has left.
+    /// The update is the complete list: an endpoint that is absent has left.
     Full,
-    /// The complete list as persisted before a restart, possibly stale.
+    /// The update is the complete list as persisted before a restart, and may be stale.
     Cached,
-    /// The list could not be fetched; the previous one stays valid.
+    /// The list could not be fetched; the previous one remains valid.
     Failed,
 }
 
-/// A request of a client.
+/// A client's request.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: RequestId,
-    /// Index of its class.
+    /// Index of the request class.
     pub class: usize,
     /// The requested object.
     pub object: ObjectId,
@@ -58,39 +58,39 @@
     pub part: u64,
     /// Purge group of the object.
     pub group: u64,
-    /// Time left before the client gives up.
+    /// Time left until the client's deadline.
     pub time_left: Micros,
-    /// Size of the response, where known.
+    /// Size of the response in KB, if known.
     pub size_kb: Option<f64>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// Complete response.
+    /// The response was complete.
     Ok,
     /// The endpoint replied with an error; the request may have run.
     Error,
-    /// Rejected by the endpoint or its source; nothing ran.
+    /// The endpoint or its source rejected the request; it did not run.
     Rejected,
-    /// No response in time; the request may have run.
+    /// There was no response before the timeout; the request may have run.
     Timeout,
-    /// No connection; nothing ran.
+    /// No connection could be established; the request did not run.
     ConnectFailed,
-    /// The connection broke; the request may have run.
+    /// The connection was reset; the request may have run.
     Reset,
-    /// Cancelled; the request may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
-    /// No suitable copy cached; nothing ran.
+    /// The cache has no suitable copy; the request did not run.
     Miss,
 }
 
 /// How a response was produced, or why its fill failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// Not reported.
+    /// The response does not report it.
     Unreported,
     /// Served from a fresh copy.
     Hit,
@@ -98,7 +98,7 @@
     Filled,
     /// Filled from the named source, which fetched from the origin.
     FilledByOrigin,
-    /// Joined a fill in progress (on a miss: there is one).
+    /// Joined a fill in progress. With [`AttemptStatus::Miss`] it reports that a fill is in progress.
     Coalesced,
     /// Served from a copy past its fresh time.
     Stale,
@@ -114,75 +114,76 @@
     OriginFailed,
 }
 
-/// The end of an attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
     /// The request.
     pub request: RequestId,
     /// Number of the attempt, from 0 in the order of [`Action::Send`](crate::Action::Send).
     pub attempt: u32,
-    /// Where it was sent.
+    /// Endpoint to which the attempt was sent.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
     /// How the response was produced.
     pub cache_status: CacheStatus,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub elapsed: Micros,
-    /// Size of the response, where it is reported and the request did not give it.
+    /// Size of the response in KB, if it is reported and was not given with the request.
     pub size_kb: Option<f64>,
-    /// The request is finished.
+    /// Whether the request has its final response.
     pub request_closed: bool,
 }
 
-/// What a router reacts to.
+/// An event that a router handles.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An update of the endpoint list.
     EndpointList {
-        /// What the entries stand for.
+        /// Kind of the update.
         update: ListUpdate,
-        /// The entries.
+        /// Entries of the list, complete or changed depending on the kind of the update.
         entries: Vec<EndpointEntry>,
     },
     /// A client sent a request.
     Request(Request),
-    /// An endpoint has begun to respond, so it is alive however long the rest takes. Optional for a host whose
-    /// responses arrive at once; required where they are streamed to slow clients, else the endpoint looks silent.
+    /// An endpoint has begun to respond, so it is alive however long the remainder of the response takes. Optional for
+    /// a host whose responses arrive as a whole; required if responses are streamed to slow clients, since the
+    /// endpoint is otherwise considered silent.
     ResponseStarted(EndpointId),
-    /// First message of an endpoint on each connection. Optional: without it restarts are known from lists, and
-    /// inferred from refused connections.
+    /// The first message of an endpoint on a connection. Optional: without it, restarts are learned from the endpoint
+    /// list and inferred from refused connections.
     Hello {
         /// The endpoint.
         endpoint: EndpointId,
-        /// When its process started; 0: long ago.
+        /// Time at which its process started; 0 if it has been running for long.
         started_at: Micros,
     },
-    /// Warm-up work that an endpoint accepts from this router for a while, in place of the router's own quota of
-    /// the warm-up budget, until the next lease. Optional.
+    /// An endpoint grants this router a lease for warm-up work, which replaces the router's own quota of the warm-up
+    /// budget until the next lease. Optional.
     Lease {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Accepted work, in seconds of transfer time.
+        /// Work that the endpoint accepts, in seconds of transfer time.
         work_s: f64,
-        /// How long the lease is valid.
+        /// Time for which the lease is valid.
         duration: Micros,
     },
     /// An attempt ended.
     Outcome(AttemptOutcome),
-    /// The client disconnected.
+    /// The client of the request disconnected.
     ClientDisconnected(RequestId),
-    /// The dispatcher shuts down: the request gets its final response now.
+    /// The dispatcher is shutting down: the request gets its final response now.
     FinishNow(RequestId),
     /// A timer set by [`Action::SetTimer`](crate::Action::SetTimer) expired.
     Timer(u64),
-    /// An object, or without one every object of the group, was purged.
+    /// An object was purged, or every object of a purge group.
     Purge {
-        /// The purged object; `None`: the group.
+        /// The purged object; `None` if the whole group was purged.
         object: Option<ObjectId>,
         /// The purge group.
         group: u64,
-        /// How long ago.
+        /// Time since the purge.
         age: Micros,
     },
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,9 +1,9 @@
 //! Identifiers of endpoints, objects and requests, and the unit of time.
 
-/// A moment or a span, in microseconds on the host's monotonic clock.
+/// A point in time or a duration, in microseconds of the host's monotonic clock.
 pub type Micros = u64;
 
-/// 64-bit FNV-1a with a final mix: every router computes the same number from the same name.
+/// Returns the 64-bit FNV-1a hash of a name with a final mix. It is the same in every router.
 fn stable_hash(name: &str) -> u64 {
     let mut hash = name.bytes().fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
         (hash ^ byte as u64).wrapping_mul(0x100_0000_01b3)
@@ -12,28 +12,28 @@
     hash ^ (hash >> 32)
 }
 
-/// A cache, a parent or the origin. Routers agree on the placement of an object only if they use the same ids.
+/// Id of a cache, a parent or the origin. Routers agree on the placement of an object only if they use the same ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct EndpointId(pub u64);
 
 impl EndpointId {
-    /// The id of the endpoint with this name or address.
+    /// Returns the id of the endpoint with this name or address.
     pub fn named(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
 
-/// An object; each of its parts is cached as a copy of its own.
+/// Id of an object; each part of an object is cached as a separate copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct ObjectId(pub u64);
 
 impl ObjectId {
-    /// The id of the object with this name.
+    /// Returns the id of the object with this name.
     pub fn named(name: &str) -> Self {
         Self(stable_hash(name))
     }
 }
 
-/// One request of a client; never reused.
+/// Id of a client's request; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct RequestId(pub u64);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions of a traffic router for a two-tier cache.
+//! The decision logic of a traffic router for a two-tier cache.
 //!
-//! A [`Router`] turns events ([`Event`]) into actions ([`Action`]): which cache gets a request, where a miss is
-//! filled from, how old a copy may be, and what follows a failure. It does no I/O, reads no clock and shares
-//! nothing: the same settings, seed and events give the same actions.
+//! A [`Router`] handles events ([`Event`]) and returns actions ([`Action`]). It decides which cache gets a request,
+//! where a miss is filled from, how old a copy may be, and what follows a failure. It does no I/O, reads no clock and
+//! shares no state: the same settings, seed and events give the same actions.
 //!
-//! The design is *stale-if-error*: every cacheable copy is cached, accepted up to its fresh time and revalidated
-//! after it; when a fill from the tier above fails, the cached copy is served within the stale-if-error time, but
-//! never one older than a purge. See `docs/design.md`.
+//! The design is *stale-if-error*: every cacheable response is cached, accepted up to its fresh time and revalidated
+//! after it. If a fill from the upper tier fails, the cached copy is served within the stale-if-error time, but a
+//! copy older than a purge is never served. See `docs/design.md`.
 //!
 //! ```
 //! use pointspindle::*;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,19 +1,19 @@
-//! Settings of a [`Router`](crate::Router), fixed when it is created, and its position among the routers.
+//! Settings of a [`Router`](crate::Router), which are fixed when it is created, and its position among all routers.
 use crate::ids::Micros;
 
 /// How often a request of a class may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// Endpoints discard a repeated idempotency key.
+    /// The request carries an idempotency key, and endpoints discard repeats of a key.
     WithKey {
         /// Which endpoints discard each other's repeats.
         scope: KeyScope,
-        /// How long after the first send repeats are discarded.
+        /// Time after the first send during which repeats are discarded.
         window: Micros,
     },
-    /// Once at most.
+    /// The request may run at most once.
     NotIdempotent,
 }
 
@@ -28,77 +28,77 @@
     Cell,
 }
 
-/// A class of requests.
+/// Settings of a class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// A response within this, plus `objective_stretch` times its transfer time, earns the full priority weight.
+    /// A response within this time, plus `objective_stretch` times its transfer time, earns the full priority weight.
     pub latency_objective: Micros,
     /// Multiple of the transfer time that is added to the latency objective.
     pub objective_stretch: f64,
-    /// Value of a timely response, relative to the other classes.
+    /// Value of a timely response relative to the other classes.
     pub priority_weight: f64,
-    /// Whether and when a request may be retried after an attempt that may have run.
+    /// Whether, and for how long, a request may be retried after an attempt that may have run.
     pub idempotency: Idempotency,
-    /// Runs at the origin and is never cached.
+    /// Whether requests of the class run at the origin and are never cached.
     pub uncacheable: bool,
-    /// How long a copy is fresh; 0: until it is purged.
+    /// Time for which a copy is fresh; 0 if it is fresh until it is purged.
     pub fresh_for: Micros,
-    /// How far past its fresh time a copy may be served when the fill fails.
+    /// Time beyond its fresh time for which a copy may be served if the fill fails.
     pub stale_if_error: Micros,
 }
 
-/// A zone, or a hub of parents.
+/// A zone of caches, or a hub of parents.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Zone {
-    /// Routers that serve it.
+    /// Number of routers that serve the zone.
     pub routers: u32,
 }
 
-/// What responses report of how they were produced.
+/// Detail in which responses report how they were produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatusDetail {
-    /// Every cache status.
+    /// Responses report every cache status.
     All,
-    /// Hits only.
+    /// Responses report hits only.
     HitOnly,
-    /// Nothing.
+    /// Responses report no cache status.
     None,
 }
 
 /// Which caches may be the source of a fill.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Siblings {
-    /// None.
+    /// No cache may be a source.
     None,
-    /// Caches of the router's own zone.
+    /// Caches of the router's own zone may be a source.
     OwnZone,
-    /// Any cache.
+    /// Any cache may be a source.
     Any,
 }
 
-/// What the weight of an endpoint means.
+/// Meaning of the weight of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing: all endpoints count alike.
+    /// Weights are ignored: all endpoints count alike.
     None,
-    /// The configured capacity.
+    /// The weight is the configured capacity.
     Nominal,
-    /// An estimate of the capacity.
+    /// The weight is an estimate of the capacity.
     Rough,
-    /// A measurement that changes with the load.
+    /// The weight is measured and changes with the load.
     Live,
 }
 
-/// How an endpoint warms up after a start, and how much load it bears meanwhile.
+/// Describes how an endpoint warms up after a start, and how much load it can sustain meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartRule {
-    /// Share of its capacity at the start, at least.
+    /// Smallest share of its full capacity that the endpoint has at the start.
     pub initial_share: f64,
-    /// Time until the full capacity at the latest; the capacity rises linearly.
+    /// Longest time until the endpoint has its full capacity; the capacity rises linearly.
     pub ramp: Micros,
-    /// Multiple of the present capacity at which the endpoint fails.
+    /// Multiple of its current capacity at which the endpoint fails.
     pub overload_factor: f64,
-    /// How long such an overload lasts before the endpoint fails.
+    /// Duration of such an overload after which the endpoint fails.
     pub overload_window: Micros,
 }
 
@@ -109,11 +109,11 @@
     pub zone: usize,
     /// All zones.
     pub zones: Vec<Zone>,
-    /// Routers in total.
+    /// Total number of routers.
     pub routers: u32,
-    /// Index of this router among all, from 0, where known.
+    /// Index of this router among all routers, from 0, if known.
     pub router_index: Option<u32>,
-    /// Classes of requests; a request names its class by index.
+    /// Request classes; a request refers to its class by index.
     pub classes: Vec<RequestClass>,
     /// Endpoint kind of the parents, if there are any.
     pub parent_kind: Option<usize>,
@@ -121,41 +121,41 @@
     pub origin_kind: Option<usize>,
     /// Meaning of the weights on the endpoint list.
     pub weights: Weights,
-    /// What responses report of how they were produced.
+    /// Detail in which responses report how they were produced.
     pub cache_status_detail: CacheStatusDetail,
     /// Which caches may be the source of a fill.
     pub siblings: Siblings,
-    /// Requests may go directly to a parent or to the origin.
+    /// Whether requests may be sent directly to a parent or to the origin.
     pub direct_forwarding: bool,
-    /// Request coalescing: a request may join a fill in progress.
+    /// Whether a request may join a fill in progress (request coalescing).
     pub coalesces_fills: bool,
-    /// Attempts can be cancelled.
+    /// Whether attempts can be cancelled.
     pub may_cancel: bool,
-    /// Rejected clients are given a Retry-After.
+    /// Whether a rejection gives the client a Retry-After.
     pub retry_after: bool,
     /// Longest Retry-After.
     pub max_retry_after: Micros,
-    /// Most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Highest transfer rate of one response, KB a second; 0: unknown.
+    /// Highest transfer rate of one response in KB per second; 0 if unknown.
     pub stream_kb_per_s: f64,
     /// Slow start of the caches.
     pub cache_slow_start: SlowStartRule,
     /// Slow start of the parents.
     pub parent_slow_start: SlowStartRule,
-    /// No copy older than a purge is left anywhere after this.
+    /// Time after a purge by which no copy older than the purge exists at any endpoint.
     pub purge_horizon: Micros,
 }
 
-/// The position of a router among all routers, as membership changes; replaces the counts in the settings.
+/// Position of a router among all routers. Replaces the counts in the settings when membership changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPosition {
-    /// Routers that send to the caches of this router's zone, itself included.
+    /// Number of routers that send requests to the caches of this router's zone, including this one.
     pub routers_in_zone: u32,
-    /// Routers in total, itself included.
+    /// Total number of routers, including this one.
     pub routers_total: u32,
-    /// Index of this router among all, from 0, where known.
+    /// Index of this router among all routers, from 0, if known.
     pub router_index: Option<u32>,
-    /// Whether it uses its quota of warm-up budgets; false while routers may count themselves differently.
+    /// Whether this router uses its quota of warm-up budgets; false while routers may disagree on their number.
     pub takes_warm_up_budget: bool,
 }
--- a/wirehost/src/main.rs
+++ b/wirehost/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts one [`Router`] for each instance on the wire: translates, decides nothing.
+//! Adapter that hosts one [`Router`] for each dispatcher of a bench, and translates between its wire messages on
+//! standard input and output and the events and actions of the routers. It makes no decisions of its own.
 mod translate;
 mod wire;
 
@@ -82,7 +83,7 @@
                 b.dispatcher,
                 Event::ResponseStarted(EndpointId::named(&b.host)),
             )?,
-            // Peer messages and probe results carry nothing that a router uses.
+            // Routers do not use peer messages and probe results.
             wire::Inbound::NeighbourSays(i) | wire::Inbound::Echo(i) => {
                 if !self.instances.contains_key(&i.dispatcher) {
                     return Err(format!("message for unknown Dispatcher {}", i.dispatcher));
@@ -126,8 +127,8 @@
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(problem) => {
-            eprintln!("pointspindle-wirehost: {problem}");
+        Err(error) => {
+            eprintln!("pointspindle-wirehost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -1,4 +1,4 @@
-//! Wire values to router values and back.
+//! Translation between wire messages and the events and actions of a router.
 use crate::wire;
 use pointspindle::*;
 use pointspindle_platform_protocol::settings::micros_or_zero;
@@ -8,14 +8,18 @@
     us as f64 / 1000.0
 }
 
-/// An update of the endpoint list; `names` learns the address of each endpoint.
+/// Translates an update of the endpoint list, and records the address of each endpoint in `names`.
 pub fn endpoints(s: wire::Sync, names: &mut BTreeMap<EndpointId, String>) -> Result<Event, String> {
     let update = match s.form.as_str() {
         "delta" => ListUpdate::Delta,
         "full" => ListUpdate::Full,
         "cached" => ListUpdate::Cached,
         "failed" => ListUpdate::Failed,
-        other => return Err(format!("unknown Form {other:?}")),
+        other => {
+            return Err(format!(
+                "unknown Form {other:?}, expected \"delta\", \"full\", \"cached\" or \"failed\""
+            ))
+        }
     };
     let mut entries = Vec::new();
     for e in s.members.into_iter().flatten() {
@@ -24,7 +28,11 @@
             Some("IN") => EndpointState::Ready,
             Some("LAME") => EndpointState::Draining,
             Some("OUT") => EndpointState::Gone,
-            other => return Err(format!("unknown Availability {other:?}")),
+            other => {
+                return Err(format!(
+                    "unknown Availability {other:?}, expected \"IN\", \"LAME\" or \"OUT\""
+                ))
+            }
         };
         entries.push(EndpointEntry {
             id,
@@ -40,7 +48,7 @@
     Ok(Event::EndpointList { update, entries })
 }
 
-/// A client's request.
+/// Translates a client's request.
 pub fn request(r: wire::Incoming) -> Event {
     Event::Request(Request {
         id: RequestId(r.req),
@@ -53,7 +61,7 @@
     })
 }
 
-/// A purge of an object, or of a group of objects.
+/// Translates a purge of an object, or of a group of objects.
 pub fn purge(v: wire::Voided) -> Event {
     Event::Purge {
         object: v.content_id.as_deref().map(ObjectId::named),
@@ -62,7 +70,7 @@
     }
 }
 
-/// How an attempt has ended.
+/// Translates the outcome of an attempt.
 pub fn outcome(o: wire::Ended) -> Result<Event, String> {
     let status = match o.state_code.as_str() {
         "pass" => AttemptStatus::Ok,
@@ -74,9 +82,9 @@
         "undone" => AttemptStatus::Cancelled,
         "stale_send" => AttemptStatus::NotSent,
         "none_here" => AttemptStatus::Miss,
-        other => return Err(format!("unknown StateCode {other:?}")),
+        other => return Err(format!("unknown StateCode {other:?} in a message ENDED")),
     };
-    let note = match o.remark.unwrap_or_default() {
+    let cache_status = match o.remark.unwrap_or_default() {
         1 => CacheStatus::Hit,
         2 => CacheStatus::Filled,
         3 => CacheStatus::FilledByOrigin,
@@ -94,14 +102,14 @@
         attempt: o.round_no.unwrap_or_default(),
         endpoint: EndpointId::named(&o.host),
         status,
-        cache_status: note,
+        cache_status,
         elapsed: micros_or_zero(o.elapsed_ms),
         size_kb: None,
         request_closed: o.over.unwrap_or_default(),
     }))
 }
 
-/// The wire's form of an action; none for an endpoint whose address was never received.
+/// Translates an action to a wire message. Returns `None` for an endpoint whose address has not been received.
 pub fn action<'a>(
     dispatcher: u64,
     action: &Action,
@@ -158,12 +166,12 @@
     })
 }
 
-/// Bits of the switches of a fetch.
+/// Bits of the `Switches` field of a send.
 const COALESCE_BIT: u8 = 1;
 const ONLY_IF_CACHED_BIT: u8 = 2;
 const REVALIDATE_BIT: u8 = 8;
 
-/// A send with how the cache is to fetch what it lacks.
+/// Adds the fetch directive of a cache to a send.
 fn with_fetch<'a>(send: wire::Send<'a>, fetch: &FetchDirective, source: &'a str) -> wire::Send<'a> {
     let bit = |is_set: bool, bit: u8| if is_set { bit } else { 0 };
     wire::Send {
--- a/wirehost/src/wire.rs
+++ b/wirehost/src/wire.rs
@@ -1,4 +1,4 @@
-//! The words of the wire, as they stand there. Absent and null values are both `None`.
+//! Messages of the wire, with the names of its messages and fields. Absent and null values are both `None`.
 use pointspindle_platform_protocol::settings::SettingsDocument;
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Inbound {
     Round(Round),
-    OverToYou(Nothing),
+    OverToYou(Empty),
     Provision(Box<Provision>),
     Sync(Sync),
     Incoming(Incoming),
@@ -21,16 +21,16 @@
     Ended(Ended),
 }
 
-/// Fields of inbound messages: those after `need` must be there, those after `may` may be absent or null.
+/// Defines inbound messages. Fields under `required` must be present; fields under `optional` may be absent or null.
 macro_rules! inbound {
-    ($($name:ident { need { $($n:ident: $nt:ty),* } may { $($m:ident: $mt:ty),* } })*) => {
+    ($($name:ident { required { $($n:ident: $nt:ty),* } optional { $($m:ident: $mt:ty),* } })*) => {
         $(#[derive(Debug, Deserialize)]
         #[serde(rename_all = "PascalCase")]
         pub struct $name { $(pub $n: $nt,)* $(#[serde(default)] pub $m: Option<$mt>,)* })*
     };
 }
 
-/// The beginning of a round, and its time.
+/// Start of a round, with its time in milliseconds.
 #[derive(Debug, Deserialize)]
 pub struct Round {
     #[serde(rename = "TMs")]
@@ -39,25 +39,25 @@
 }
 
 inbound! {
-    Nothing { need {} may {} }
-    Instance { need { dispatcher: u64 } may {} }
-    Provision { need { dispatcher: u64, config: SettingsDocument } may { nonce64: u64 } }
-    Sync { need { dispatcher: u64, form: String } may { members: Vec<Entry> } }
+    Empty { required {} optional {} }
+    Instance { required { dispatcher: u64 } optional {} }
+    Provision { required { dispatcher: u64, config: SettingsDocument } optional { nonce64: u64 } }
+    Sync { required { dispatcher: u64, form: String } optional { members: Vec<Entry> } }
     Entry {
-        need { host: String }
-        may { pod: u64, availability: String, scale: f64, hall: usize, sku: usize, came_up_ms: f64 }
+        required { host: String }
+        optional { pod: u64, availability: String, scale: f64, hall: usize, sku: usize, came_up_ms: f64 }
     }
     Incoming {
-        need { dispatcher: u64, req: u64 }
-        may { cls: usize, content_id: String, expires_in_ms: f64, kbytes: f64, set_no: f64, slice: f64 }
+        required { dispatcher: u64, req: u64 }
+        optional { cls: usize, content_id: String, expires_in_ms: f64, kbytes: f64, set_no: f64, slice: f64 }
     }
-    Reminder { need { dispatcher: u64, cookie: u64 } may {} }
-    Voided { need { dispatcher: u64 } may { group: u64, how_old_ms: f64, content_id: String } }
-    Begun { need { dispatcher: u64, host: String } may {} }
-    Hangup { need { dispatcher: u64, req: u64 } may {} }
+    Reminder { required { dispatcher: u64, cookie: u64 } optional {} }
+    Voided { required { dispatcher: u64 } optional { group: u64, how_old_ms: f64, content_id: String } }
+    Begun { required { dispatcher: u64, host: String } optional {} }
+    Hangup { required { dispatcher: u64, req: u64 } optional {} }
     Ended {
-        need { dispatcher: u64, req: u64, state_code: String, host: String }
-        may { round_no: u32, elapsed_ms: f64, remark: u8, over: bool }
+        required { dispatcher: u64, req: u64, state_code: String, host: String }
+        optional { round_no: u32, elapsed_ms: f64, remark: u8, over: bool }
     }
 }
 
@@ -74,9 +74,11 @@
     Eor(Eor),
 }
 
-/// Fields of outbound messages: `None` is left out.
+/// Defines outbound messages. Fields under `optional` are omitted if they are `None`.
 macro_rules! outbound {
-    ($($name:ident $(<$life:lifetime>)? { has { $($h:ident: $ht:ty),* } may { $($m:ident: $mt:ty),* } })*) => {
+    ($($name:ident $(<$life:lifetime>)? {
+        required { $($h:ident: $ht:ty),* } optional { $($m:ident: $mt:ty),* }
+    })*) => {
         $(#[derive(Debug, Serialize)]
         #[serde(rename_all = "PascalCase")]
         pub struct $name $(<$life>)? {
@@ -88,15 +90,15 @@
 
 outbound! {
     Send<'a> {
-        has { dispatcher: u64, req: u64, host: &'a str }
-        may { timeout_ms: f64, fill_from: &'a str, store_as: u8, switches: u8, how_old_ms: f64 }
+        required { dispatcher: u64, req: u64, host: &'a str }
+        optional { timeout_ms: f64, fill_from: &'a str, store_as: u8, switches: u8, how_old_ms: f64 }
     }
-    Final { has { dispatcher: u64, req: u64 } may { come_back_ms: f64 } }
-    DropAttempt { has { dispatcher: u64, req: u64, round_no: u32 } may {} }
-    Schedule { has { dispatcher: u64, after_ms: f64, cookie: u64 } may {} }
+    Final { required { dispatcher: u64, req: u64 } optional { come_back_ms: f64 } }
+    DropAttempt { required { dispatcher: u64, req: u64, round_no: u32 } optional {} }
+    Schedule { required { dispatcher: u64, after_ms: f64, cookie: u64 } optional {} }
 }
 
-/// The end of a round.
+/// End of a round.
 #[derive(Debug, Serialize)]
 pub struct Eor {
     pub round: u64,
