--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -1,4 +1,4 @@
-//! Time of a request after many deploys, each of which replaces twenty caches.
+//! Measures the time of a request after many deploys, each of which replaces twenty caches.
 //!
 //! `cargo bench --bench deploys`
 use pointspindle::*;
@@ -59,7 +59,7 @@
     }
 }
 
-/// A router with the clock and the request numbers of the run.
+/// State of the benchmark: the router, its clock and the number of the last request.
 struct Bench {
     router: Router,
     actions: Vec<Action>,
@@ -73,7 +73,7 @@
         self.router.handle(self.now, event, &mut self.actions);
     }
 
-    /// Twenty new caches replace the twenty of the deploy before.
+    /// Replaces the twenty caches of the previous deploy by twenty new ones.
     fn deploy(&mut self, deploy: usize) {
         let caches =
             |deploy: usize, state| (0..20).map(move |n| entry(&format!("d{deploy}-{n}"), 0, state));
--- a/tests/architecture_page.rs
+++ b/tests/architecture_page.rs
@@ -1,12 +1,12 @@
-//! The architecture page names files and functions; each of them has to exist.
+//! Checks that the files and functions named on the architecture page exist.
 use std::path::Path;
 
-/// The text between each pair of backquotes.
+/// Returns the text between each pair of backquotes.
 fn quoted(page: &str) -> impl Iterator<Item = &str> {
     page.split('`').skip(1).step_by(2)
 }
 
-/// Whether the source defines this function or type.
+/// Whether the source defines a function, type or constant of this name.
 fn defines(source: &str, name: &str) -> bool {
     ["fn", "struct", "enum", "trait", "type", "const"]
         .iter()
@@ -20,8 +20,9 @@
         })
 }
 
-/// What is wrong with a reference such as `crates/x/src/y.rs` or `crates/x/src/y.rs::function`; none: nothing.
-fn fault(root: &Path, reference: &str) -> Option<String> {
+/// Returns why a reference such as `crates/x/src/y.rs` or `crates/x/src/y.rs::function` is invalid, or `None` if it
+/// is valid.
+fn reference_error(root: &Path, reference: &str) -> Option<String> {
     let (path, name) = match reference.split_once("::") {
         Some((path, name)) => (path, Some(name)),
         None => (reference, None),
@@ -44,17 +45,19 @@
 fn architecture_page_names_only_files_and_functions_that_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = std::fs::read_to_string(root.join("docs/ARCHITECTURE.md")).expect("the page exists");
-    let faults: Vec<String> = quoted(&page).filter_map(|text| fault(root, text)).collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    let errors: Vec<String> = quoted(&page)
+        .filter_map(|text| reference_error(root, text))
+        .collect();
+    assert!(errors.is_empty(), "{}", errors.join("\n"));
     let functions = quoted(&page).filter(|text| text.contains(".rs::")).count();
     assert!(functions > 0, "the page names no function");
 }
 
 #[test]
-fn missing_file_or_function_is_found() {
+fn missing_file_or_function_is_reported() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    assert!(fault(root, "src/lib.rs").is_none());
-    assert!(fault(root, "src/nowhere.rs").is_some());
-    assert!(fault(root, "src/lib.rs::no_such_function").is_some());
-    assert!(fault(root, "tests/architecture_page.rs::fault").is_none());
+    assert!(reference_error(root, "src/lib.rs").is_none());
+    assert!(reference_error(root, "src/nowhere.rs").is_some());
+    assert!(reference_error(root, "src/lib.rs::no_such_function").is_some());
+    assert!(reference_error(root, "tests/architecture_page.rs::reference_error").is_none());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Test fixture: a router of a zone with three caches, two parents and the origin.
+//! Test fixture: a router in a zone with three caches, two parents and the origin.
 #![allow(dead_code)]
 use pointspindle::*;
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// Late enough that endpoints that started at 0 are long warm.
+/// Time at which a fixture starts: late enough for endpoints that started at 0 to be warm.
 pub const T0: Micros = 1_000 * S;
 
 pub const VIDEO: usize = 0;
@@ -96,7 +96,7 @@
     caches.into_iter().chain(upper).collect()
 }
 
-/// One attempt that a router made.
+/// An attempt sent by a router.
 #[derive(Clone, Debug)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -119,7 +119,7 @@
     pub router: Router,
     pub now: Micros,
     pub last_actions: Vec<Action>,
-    next: u64,
+    last_request: u64,
     attempts: std::collections::BTreeMap<RequestId, u32>,
 }
 
@@ -129,23 +129,23 @@
     }
     pub fn seeded(seed: u64, settings: RouterSettings, endpoints: Vec<EndpointEntry>) -> Self {
         let router = Router::new(settings, seed);
-        let mut stage = Self {
+        let mut fixture = Self {
             router,
             now: T0,
             last_actions: vec![],
-            next: 0,
+            last_request: 0,
             attempts: Default::default(),
         };
-        stage.handle(Event::EndpointList {
+        fixture.handle(Event::EndpointList {
             update: ListUpdate::Cached,
             entries: endpoints,
         });
-        stage
+        fixture
     }
     pub fn new() -> Self {
         Self::with(settings(), fleet())
     }
-    /// Handles an event and returns the attempts that the router made.
+    /// Handles an event and returns the attempts that the router sent.
     pub fn handle(&mut self, event: Event) -> Vec<SentAttempt> {
         self.last_actions.clear();
         self.router.handle(self.now, event, &mut self.last_actions);
@@ -177,9 +177,9 @@
         self.handle(Event::Timer(0))
     }
     pub fn request(&mut self, class: usize, object: &str) -> Vec<SentAttempt> {
-        self.next += 1;
+        self.last_request += 1;
         self.handle(Event::Request(Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             class,
             object: ObjectId::named(object),
             part: 0,
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Concurrency limits and the latency objective that adapts them.
+//! Concurrency limits, and their adaptation by the latency objective.
 mod common;
 use common::*;
 use pointspindle::*;
@@ -6,97 +6,114 @@
 #[test]
 fn late_responses_lower_the_concurrency_limit_of_a_zone() {
     let admitted = |elapsed: Micros| {
-        let mut s = RouterFixture::new();
+        let mut fixture = RouterFixture::new();
         for i in 0..200 {
-            let sent = s.request(VIDEO, &format!("o{i}")).remove(0);
-            s.complete_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
+            let sent = fixture.request(VIDEO, &format!("o{i}")).remove(0);
+            fixture.complete_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
         }
         (0..200)
-            .filter(|i| !s.request(VIDEO, &format!("n{i}")).is_empty())
+            .filter(|i| !fixture.request(VIDEO, &format!("n{i}")).is_empty())
             .count()
     };
-    let (quick, slow) = (admitted(50 * MS), admitted(2 * S));
-    assert!(slow > 0 && slow < quick && quick < 200, "{slow} {quick}");
+    let (fast, slow) = (admitted(50 * MS), admitted(2 * S));
+    assert!(slow > 0 && slow < fast && fast < 200, "{slow} {fast}");
 }
 
 #[test]
 fn request_is_rejected_after_two_rejections_for_lack_of_capacity() {
-    let mut s = RouterFixture::new();
-    let first = s.request(VIDEO, "a").remove(0);
-    let second = s
+    let mut fixture = RouterFixture::new();
+    let first = fixture.request(VIDEO, "a").remove(0);
+    let second = fixture
         .complete(&first, AttemptStatus::Rejected, CacheStatus::Unreported)
         .remove(0);
     assert_ne!(second.endpoint, first.endpoint);
-    assert!(s
+    assert!(fixture
         .complete(&second, AttemptStatus::Rejected, CacheStatus::Unreported)
         .is_empty());
-    assert!(matches!(s.final_responses()[..], [Action::Reject { .. }]));
+    assert!(matches!(
+        fixture.final_responses()[..],
+        [Action::Reject { .. }]
+    ));
 }
 
 #[test]
 fn request_without_fill_capacity_makes_a_cached_only_attempt() {
-    let mut s = RouterFixture::new();
-    let looked = (0..80)
-        .flat_map(|_| s.request(PAGE, "a"))
+    let mut fixture = RouterFixture::new();
+    let cached_only = (0..80)
+        .flat_map(|_| fixture.request(PAGE, "a"))
         .find(|sent| sent.source() == sent.endpoint)
         .unwrap();
     assert_eq!(
-        (looked.fetch().max_age, looked.fetch().retention_rank),
+        (
+            cached_only.fetch().max_age,
+            cached_only.fetch().retention_rank
+        ),
         (32 * S, 0)
     );
     assert!(
-        s.complete(&looked, AttemptStatus::Miss, CacheStatus::Unreported)
+        fixture
+            .complete(&cached_only, AttemptStatus::Miss, CacheStatus::Unreported)
             .is_empty(),
         "no second look"
     );
-    assert!(matches!(s.final_responses()[..], [Action::Reject { .. }]));
+    assert!(matches!(
+        fixture.final_responses()[..],
+        [Action::Reject { .. }]
+    ));
 }
 
-/// Some requests time out, all others are answered within the latency objective.
+/// Some requests time out, and all others are answered within the latency objective: a timeout says nothing about
+/// the load of the zone, so the limit must not fall.
 #[test]
 fn timeouts_do_not_lower_the_concurrency_limit_of_a_zone() {
-    let mut s = RouterFixture::new();
-    let taken = |s: &mut RouterFixture| {
-        let full: Vec<SentAttempt> = (0..200)
-            .flat_map(|i| s.request(PAGE, &format!("f{i}")))
+    let mut fixture = RouterFixture::new();
+    let count_admitted = |fixture: &mut RouterFixture| {
+        let burst: Vec<SentAttempt> = (0..200)
+            .flat_map(|i| fixture.request(PAGE, &format!("f{i}")))
             .collect();
-        let taken = full
+        let admitted = burst
             .iter()
             .filter(|sent| sent.source() != sent.endpoint)
             .count();
-        full.iter()
-            .for_each(|sent| drop(s.complete(sent, AttemptStatus::Ok, CacheStatus::Hit)));
-        taken
+        burst
+            .iter()
+            .for_each(|sent| drop(fixture.complete(sent, AttemptStatus::Ok, CacheStatus::Hit)));
+        admitted
     };
-    let before = taken(&mut s);
+    let before = count_admitted(&mut fixture);
     for i in 0..60 {
-        let lost = s.request(PAGE, &format!("l{i}")).remove(0);
-        let good: Vec<SentAttempt> = (0..4)
-            .flat_map(|k| s.request(PAGE, &format!("g{i}-{k}")))
+        let timed_out = fixture.request(PAGE, &format!("l{i}")).remove(0);
+        let timely: Vec<SentAttempt> = (0..4)
+            .flat_map(|k| fixture.request(PAGE, &format!("g{i}-{k}")))
             .collect();
-        s.now += 20 * MS;
-        good.iter()
-            .for_each(|sent| drop(s.complete(sent, AttemptStatus::Ok, CacheStatus::Hit)));
-        s.complete_after(
-            &lost,
+        fixture.now += 20 * MS;
+        timely
+            .iter()
+            .for_each(|sent| drop(fixture.complete(sent, AttemptStatus::Ok, CacheStatus::Hit)));
+        fixture.complete_after(
+            &timed_out,
             AttemptStatus::Timeout,
             CacheStatus::Unreported,
             3 * S,
         );
     }
-    s.now += 10 * S;
-    assert!(taken(&mut s) >= before, "{} of {before}", taken(&mut s));
+    fixture.now += 10 * S;
+    assert!(
+        count_admitted(&mut fixture) >= before,
+        "{} of {before}",
+        count_admitted(&mut fixture)
+    );
 }
 
-/// A large response is late only in relation to its own size, where that is reported.
+/// A large response must not count as late because of its size alone, where sizes are reported.
 #[test]
 fn lateness_is_measured_by_the_response_size() {
-    let takes = |kb: Option<f64>| {
-        let mut s = RouterFixture::new();
-        let ask = |s: &mut RouterFixture, i: usize| {
+    let admitted_with_size = |kb: Option<f64>| {
+        let mut fixture = RouterFixture::new();
+        let send_request = |fixture: &mut RouterFixture, i: usize| {
             let object = ObjectId::named(&format!("o{i}"));
             let (id, left) = (RequestId(1_000_000 + i as u64), 3 * S);
-            s.handle(Event::Request(Request {
+            fixture.handle(Event::Request(Request {
                 id,
                 class: VIDEO,
                 object,
@@ -107,9 +124,9 @@
             }))
         };
         for i in 0..200 {
-            let sent = ask(&mut s, i).remove(0);
-            s.now += 700 * MS;
-            // One in four is large: 700 ms of transfer at the highest rate.
+            let sent = send_request(&mut fixture, i).remove(0);
+            fixture.now += 700 * MS;
+            // One response in four is large: 700 ms of transfer time at the highest rate.
             let (elapsed, kb) = if i % 4 == 0 {
                 (700, kb)
             } else {
@@ -128,47 +145,49 @@
                 size_kb: kb,
                 request_closed: true,
             };
-            s.handle(Event::Outcome(outcome));
+            fixture.handle(Event::Outcome(outcome));
         }
         (200..400)
-            .flat_map(|i| ask(&mut s, i))
+            .flat_map(|i| send_request(&mut fixture, i))
             .filter(|sent| sent.source() != sent.endpoint)
             .count()
     };
-    let (with_sizes, without_sizes) = (takes(Some(4_200.0)), takes(None));
+    let (with_sizes, without_sizes) = (admitted_with_size(Some(4_200.0)), admitted_with_size(None));
     assert!(
         with_sizes > without_sizes,
         "{with_sizes} where sizes are reported, {without_sizes} where not"
     );
 }
 
-/// Late fills are due to the link or the origin: hits continue, and only what may need a fill is rejected.
+/// Late fills are due to the link or the origin: hits must continue, and only requests that may need a fill are
+/// rejected.
 #[test]
 fn late_fills_do_not_lower_the_concurrency_limits_of_caches() {
-    let taken_after = |cache_status: CacheStatus| {
-        let mut s = RouterFixture::new();
+    let admitted_after = |cache_status: CacheStatus| {
+        let mut fixture = RouterFixture::new();
         for i in 0..40 {
-            let sent = s.request(PAGE, &format!("w{i}")).remove(0);
-            s.complete_after(&sent, AttemptStatus::Ok, cache_status, 2 * S);
+            let sent = fixture.request(PAGE, &format!("w{i}")).remove(0);
+            fixture.complete_after(&sent, AttemptStatus::Ok, cache_status, 2 * S);
         }
-        // The link has recovered; the limits are unchanged, or have to be learned again.
+        // The link has recovered. The cache limits are either unchanged or have to be learned again.
         for i in 0..60 {
-            let sent = s.request(PAGE, &format!("v{i}")).remove(0);
-            s.complete(&sent, AttemptStatus::Ok, CacheStatus::Filled);
+            let sent = fixture.request(PAGE, &format!("v{i}")).remove(0);
+            fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Filled);
         }
-        let full: Vec<SentAttempt> = (0..200)
-            .flat_map(|i| s.request(PAGE, &format!("f{i}")))
+        let burst: Vec<SentAttempt> = (0..200)
+            .flat_map(|i| fixture.request(PAGE, &format!("f{i}")))
             .collect();
-        full.iter()
+        burst
+            .iter()
             .filter(|sent| sent.source() != sent.endpoint)
             .count()
     };
-    let (link, hosts) = (
-        taken_after(CacheStatus::Filled),
-        taken_after(CacheStatus::Hit),
+    let (after_fills, after_hits) = (
+        admitted_after(CacheStatus::Filled),
+        admitted_after(CacheStatus::Hit),
     );
     assert!(
-        link > 2 * hosts,
-        "{link} after late fills, {hosts} after late hits"
+        after_fills > 2 * after_hits,
+        "{after_fills} after late fills, {after_hits} after late hits"
     );
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -1,17 +1,17 @@
-//! The endpoint list: draining, removal and replacement.
+//! Endpoint list: draining, removal and replacement of endpoints.
 mod common;
 use common::*;
 use pointspindle::*;
 
 #[test]
 fn draining_cache_gets_no_new_requests() {
-    let mut s = RouterFixture::new();
-    let home = s.request(VIDEO, "a").remove(0).endpoint;
+    let mut fixture = RouterFixture::new();
+    let home = fixture.request(VIDEO, "a").remove(0).endpoint;
     let mut departing = fleet().into_iter().find(|e| e.id == home).unwrap();
     departing.state = EndpointState::Draining;
-    s.update(vec![departing]);
+    fixture.update(vec![departing]);
     for i in 0..50 {
-        assert!(s
+        assert!(fixture
             .request(VIDEO, &format!("o{i}"))
             .iter()
             .all(|sent| sent.endpoint != home));
@@ -20,13 +20,13 @@
 
 #[test]
 fn parent_that_left_is_no_fill_source() {
-    let mut s = RouterFixture::new();
-    let parent = s.request(VIDEO, "a").remove(0).source();
+    let mut fixture = RouterFixture::new();
+    let parent = fixture.request(VIDEO, "a").remove(0).source();
     let mut departing = fleet().into_iter().find(|e| e.id == parent).unwrap();
     departing.state = EndpointState::Gone;
-    s.update(vec![departing]);
+    fixture.update(vec![departing]);
     for i in 0..50 {
-        assert!(s
+        assert!(fixture
             .request(VIDEO, &format!("o{i}"))
             .iter()
             .all(|sent| sent.source() != parent));
@@ -35,26 +35,26 @@
 
 #[test]
 fn endpoint_absent_from_a_full_list_has_left() {
-    let mut s = RouterFixture::new();
-    let home = s.request(VIDEO, "a").remove(0).endpoint;
+    let mut fixture = RouterFixture::new();
+    let home = fixture.request(VIDEO, "a").remove(0).endpoint;
     let rest = fleet().into_iter().filter(|e| e.id != home).collect();
-    s.handle(Event::EndpointList {
+    fixture.handle(Event::EndpointList {
         update: ListUpdate::Full,
         entries: rest,
     });
-    assert_ne!(s.request(VIDEO, "a")[0].endpoint, home);
+    assert_ne!(fixture.request(VIDEO, "a")[0].endpoint, home);
 }
 
 #[test]
 fn caches_of_other_zones_are_never_selected() {
     let mut endpoints = fleet();
     for i in 0..4000 {
-        let mut far = entry(&format!("far{i}"), i % 2);
-        far.zone = 2 + i % 90;
-        endpoints.push(far);
+        let mut other_zone = entry(&format!("far{i}"), i % 2);
+        other_zone.zone = 2 + i % 90;
+        endpoints.push(other_zone);
     }
-    let mut s = RouterFixture::with(settings(), endpoints);
-    let sent = s.request(VIDEO, "a").remove(0);
+    let mut fixture = RouterFixture::with(settings(), endpoints);
+    let sent = fixture.request(VIDEO, "a").remove(0);
     assert!(
         ["c1", "c2", "c3"]
             .map(EndpointId::named)
@@ -65,21 +65,22 @@
 
 #[test]
 fn replaced_caches_are_used_at_once() {
-    let mut s = RouterFixture::new();
-    s.now += 3 * S;
-    let stuck = s.request(VIDEO, "a").remove(0);
-    let mut batch: Vec<EndpointEntry> = fleet().into_iter().filter(|e| e.kind == 0).collect();
-    batch
+    let mut fixture = RouterFixture::new();
+    fixture.now += 3 * S;
+    let in_flight = fixture.request(VIDEO, "a").remove(0);
+    let mut updated_entries: Vec<EndpointEntry> =
+        fleet().into_iter().filter(|e| e.kind == 0).collect();
+    updated_entries
         .iter_mut()
         .for_each(|e| e.state = EndpointState::Draining);
     for name in ["n1", "n2", "n3"] {
         let mut new = entry(name, 0);
-        (new.started_at, new.weight) = (s.now, 60.0);
-        batch.push(new);
+        (new.started_at, new.weight) = (fixture.now, 60.0);
+        updated_entries.push(new);
     }
-    s.update(batch);
-    let next = s
-        .complete(&stuck, AttemptStatus::Reset, CacheStatus::Unreported)
+    fixture.update(updated_entries);
+    let next = fixture
+        .complete(&in_flight, AttemptStatus::Reset, CacheStatus::Unreported)
         .remove(0);
     assert!(
         ["n1", "n2", "n3"]
@@ -91,12 +92,12 @@
 
 #[test]
 fn reset_request_of_a_draining_cache_is_retried_elsewhere() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(PAGE, "a").remove(0);
-    let mut dying = fleet().into_iter().find(|e| e.id == sent.endpoint).unwrap();
-    dying.state = EndpointState::Draining;
-    s.update(vec![dying]);
-    let next = s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(PAGE, "a").remove(0);
+    let mut leaving = fleet().into_iter().find(|e| e.id == sent.endpoint).unwrap();
+    leaving.state = EndpointState::Draining;
+    fixture.update(vec![leaving]);
+    let next = fixture
         .complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
         .remove(0);
     assert_ne!(next.endpoint, sent.endpoint);
--- a/tests/fleet_sums.rs
+++ b/tests/fleet_sums.rs
@@ -1,27 +1,27 @@
-//! Sums over many routers: each decides alone, and together they stay within what an endpoint can bear.
+//! Sums over many routers: each router decides alone, and their sum must stay within the capacity of an endpoint.
 mod common;
 use common::*;
 use pointspindle::*;
 
-/// An overloaded origin stays overloaded by the retries of its late responses. The sum of many routers' traffic shares is
-/// nearly zero while responses are late, complete soon after the recovery, and little changed by one late response in
-/// five.
+/// Retries of late responses keep an overloaded origin overloaded. The sum of the routers' traffic shares must
+/// therefore fall to nearly zero while responses are late, recover once they are timely again, and change
+/// little if one response in five is late.
 #[test]
 fn traffic_share_of_a_late_origin_falls_and_recovers() {
     let mut routers: Vec<RouterFixture> = (0..30)
         .map(|seed| RouterFixture::seeded(seed, settings(), fleet()))
         .collect();
-    let mut round = |name: &str, answers: usize, bad: fn(usize) -> bool| {
-        let mut passed = vec![0; answers];
-        for (r, s) in routers.iter_mut().enumerate() {
-            for (i, passed) in passed.iter_mut().enumerate() {
-                let sent = s.request(VIDEO, &format!("{name}-{i}")).remove(0);
+    let mut send_requests = |name: &str, count_per_router: usize, is_late: fn(usize) -> bool| {
+        let mut sent_to_origin = vec![0; count_per_router];
+        for (r, fixture) in routers.iter_mut().enumerate() {
+            for (i, sent_to_origin) in sent_to_origin.iter_mut().enumerate() {
+                let sent = fixture.request(VIDEO, &format!("{name}-{i}")).remove(0);
                 if sent.fetch().only_if_cached {
-                    s.complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss);
+                    fixture.complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss);
                 } else {
-                    *passed += 1;
-                    let elapsed = if bad(r + i) { 2 * S } else { 50 * MS };
-                    s.complete_after(
+                    *sent_to_origin += 1;
+                    let elapsed = if is_late(r + i) { 2 * S } else { 50 * MS };
+                    fixture.complete_after(
                         &sent,
                         AttemptStatus::Ok,
                         CacheStatus::FilledByOrigin,
@@ -30,47 +30,47 @@
                 }
             }
         }
-        passed.iter().rev().take(10).sum::<usize>()
+        sent_to_origin.iter().rev().take(10).sum::<usize>()
     };
-    let all = 10 * 30;
-    assert!(round("flaky", 60, |i| i % 5 == 0) > all / 2);
-    assert!(round("jam", 40, |_| true) < all / 10);
-    assert!(round("well", 150, |_| false) > all * 9 / 10);
+    let total = 10 * 30;
+    assert!(send_requests("flaky", 60, |i| i % 5 == 0) > total / 2);
+    assert!(send_requests("jam", 40, |_| true) < total / 10);
+    assert!(send_requests("well", 150, |_| false) > total * 9 / 10);
 }
 
-/// Fills that a parent answers late are diverted to the origin, and return after the recovery.
+/// Fills are diverted from a parent that answers late to the origin, and return to the parent after its recovery.
 #[test]
 fn traffic_share_of_a_late_parent_falls_and_recovers() {
-    let only = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
+    let endpoints = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
     let mut routers: Vec<RouterFixture> = (0..30)
-        .map(|seed| RouterFixture::seeded(seed, settings(), only.clone()))
+        .map(|seed| RouterFixture::seeded(seed, settings(), endpoints.clone()))
         .collect();
-    let mut round = |name: &str, answers: usize, late: bool| {
-        let mut straight = 0;
-        for s in &mut routers {
-            for i in 0..answers {
-                let sent = s.request(VIDEO, &format!("{name}-{i}")).remove(0);
+    let mut send_requests = |name: &str, count_per_router: usize, late: bool| {
+        let mut direct = 0;
+        for fixture in &mut routers {
+            for i in 0..count_per_router {
+                let sent = fixture.request(VIDEO, &format!("{name}-{i}")).remove(0);
                 if sent.source() == EndpointId::named("origin") {
-                    straight += (i >= answers - 10) as usize;
-                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
+                    direct += (i >= count_per_router - 10) as usize;
+                    fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
                 } else if sent.source() == EndpointId::named("p1") {
                     let elapsed = if late { 2 * S } else { 50 * MS };
-                    s.complete_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
+                    fixture.complete_after(&sent, AttemptStatus::Ok, CacheStatus::Filled, elapsed);
                 } else {
-                    s.complete(&sent, AttemptStatus::Miss, CacheStatus::Unreported);
+                    fixture.complete(&sent, AttemptStatus::Miss, CacheStatus::Unreported);
                 }
             }
         }
-        straight
+        direct
     };
-    let all = 30 * 10;
-    assert_eq!(round("well", 20, false), 0);
-    assert!(round("late", 30, true) > all * 8 / 10);
-    assert!(round("again", 300, false) < all / 10);
+    let total = 30 * 10;
+    assert_eq!(send_requests("well", 20, false), 0);
+    assert!(send_requests("late", 30, true) > total * 8 / 10);
+    assert!(send_requests("again", 300, false) < total / 10);
 }
 
-/// A parent fails, and no list reports when a new incarnation is in its place: the probes of 300 routers in any two
-/// seconds have to be within its warm-up budget, though all routers have waited equally long.
+/// A parent fails, and no list reports when a new incarnation replaces it. The probes of 300 routers within any two
+/// seconds must be within its warm-up budget, although all routers have waited for the same time.
 #[test]
 fn probes_of_an_unreachable_parent_stay_within_its_warm_up_budget() {
     let shared_settings = RouterSettings {
@@ -78,11 +78,11 @@
         zones: vec![Zone { routers: 0 }, Zone { routers: 6 }],
         ..settings()
     };
-    let seeded = |me: u32| {
+    let seeded = |index: u32| {
         RouterFixture::seeded(
-            me.into(),
+            index.into(),
             RouterSettings {
-                router_index: Some(me),
+                router_index: Some(index),
                 ..shared_settings.clone()
             },
             fleet(),
@@ -90,47 +90,48 @@
     };
     let mut routers: Vec<RouterFixture> = (0..300).map(seeded).collect();
     let unreachable = EndpointId::named("p1");
-    let mut trials = Vec::new();
-    for half in 0..240 {
-        let mut now = 0;
-        for s in &mut routers {
-            s.now += S / 2;
+    let mut probes_by_step = Vec::new();
+    for step in 0..240 {
+        let mut probes_in_step = 0;
+        for fixture in &mut routers {
+            fixture.now += S / 2;
             for i in 0..4 {
-                let mut sent = s.request(VIDEO, &format!("v{half}-{i}"));
-                while let Some(one) = sent.pop() {
-                    let lost = one.source() == unreachable;
-                    now += lost as u32;
+                let mut sent = fixture.request(VIDEO, &format!("v{step}-{i}"));
+                while let Some(attempt) = sent.pop() {
+                    let failed = attempt.source() == unreachable;
+                    probes_in_step += failed as u32;
                     let (status, cache_status) =
                         (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
-                    let (status, cache_status) = if lost {
+                    let (status, cache_status) = if failed {
                         (status, cache_status)
                     } else {
                         (AttemptStatus::Ok, CacheStatus::Filled)
                     };
-                    sent = s.complete(&one, status, cache_status);
+                    sent = fixture.complete(&attempt, status, cache_status);
                 }
             }
         }
-        trials.push(now);
+        probes_by_step.push(probes_in_step);
     }
     let rule = shared_settings.parent_slow_start;
-    let bears = rule.overload_factor * rule.initial_share * 6.0 * rule.overload_window as f64 / 1e6;
-    let seconds = 300.0 / shared_settings.stream_kb_per_s;
+    let sustainable_work =
+        rule.overload_factor * rule.initial_share * 6.0 * rule.overload_window as f64 / 1e6;
+    let transfer_s = 300.0 / shared_settings.stream_kb_per_s;
     // The failure is detected within the first ten seconds.
-    let worst = trials[20..]
+    let worst = probes_by_step[20..]
         .windows(4)
         .map(|w| w.iter().sum::<u32>())
         .max()
         .expect("windows");
     assert!(worst > 0, "somebody tries");
     assert!(
-        worst as f64 * seconds <= bears,
-        "{worst} trials of {seconds} s in two seconds, {bears} s borne"
+        worst as f64 * transfer_s <= sustainable_work,
+        "{worst} trials of {transfer_s} s in two seconds, {sustainable_work} s borne"
     );
 }
 
-/// However many routers share it an ejection ends: the origin, which needs no slow start, and a parent without a
-/// slow-start rule are probed again within seconds.
+/// The origin, which has no slow start, and a parent without a slow-start rule are probed within seconds of an
+/// ejection, however many routers share them.
 #[test]
 fn endpoint_without_slow_start_is_probed_within_seconds() {
     let without_slow_start = SlowStartRule {
@@ -147,64 +148,68 @@
         ..settings()
     };
     for (name, kind) in [("p1", 1), ("origin", 2)] {
-        let mut s = RouterFixture::with(
+        let mut fixture = RouterFixture::with(
             shared_settings.clone(),
             vec![entry("c1", 0), entry(name, kind)],
         );
-        let mut tries = Vec::new();
-        for half in 0..60 {
-            s.now += S / 2;
-            let mut sent = s.request(VIDEO, &format!("{half}"));
-            while let Some(one) = sent.pop() {
-                let lost = one.source() == EndpointId::named(name);
-                tries.extend(lost.then_some(half));
+        let mut probed_steps = Vec::new();
+        for step in 0..60 {
+            fixture.now += S / 2;
+            let mut sent = fixture.request(VIDEO, &format!("{step}"));
+            while let Some(attempt) = sent.pop() {
+                let failed = attempt.source() == EndpointId::named(name);
+                probed_steps.extend(failed.then_some(step));
                 let (status, cache_status) =
                     (AttemptStatus::Rejected, CacheStatus::SourceUnreachable);
-                let (status, cache_status) = if lost {
+                let (status, cache_status) = if failed {
                     (status, cache_status)
                 } else {
                     (AttemptStatus::Miss, CacheStatus::Unreported)
                 };
-                sent = s.complete(&one, status, cache_status);
+                sent = fixture.complete(&attempt, status, cache_status);
             }
         }
-        let longest = tries.windows(2).map(|w| w[1] - w[0]).max().expect("tries");
+        let longest = probed_steps
+            .windows(2)
+            .map(|w| w[1] - w[0])
+            .max()
+            .expect("tries");
         assert!(
             longest <= 12,
             "{name}: {longest} halves of a second between tries"
         );
         assert!(
-            tries.last().is_some_and(|last| *last >= 48),
-            "{name}: given up, {tries:?}"
+            probed_steps.last().is_some_and(|last| *last >= 48),
+            "{name}: given up, {probed_steps:?}"
         );
     }
 }
 
-/// A parent that leaves every second fill without a response is not down, and its failure score never ejects it. Its
-/// traffic share falls all the same, in the sum of all routers; a response lost now and then changes little.
+/// A parent that leaves every second fill without a response is never ejected by its failure score. Its traffic share,
+/// summed over all routers, must fall nevertheless, and change little if only one fill in twenty is lost.
 #[test]
 fn fill_timeouts_lower_the_traffic_share_of_the_source() {
-    let only = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
-    let straight = |every: usize| {
+    let endpoints = vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)];
+    let direct = |every: usize| {
         let mut count = 0;
         for seed in 0..30 {
-            let mut s = RouterFixture::seeded(seed, settings(), only.clone());
+            let mut fixture = RouterFixture::seeded(seed, settings(), endpoints.clone());
             for i in 0..60 {
-                let sent = s.request(VIDEO, &format!("v-{i}")).remove(0);
+                let sent = fixture.request(VIDEO, &format!("v-{i}")).remove(0);
                 if sent.source() == EndpointId::named("origin") {
                     count += (i >= 40) as usize;
-                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
+                    fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::FilledByOrigin);
                     continue;
                 }
                 if i % every != 0 {
-                    s.complete(&sent, AttemptStatus::Ok, CacheStatus::Filled);
+                    fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Filled);
                     continue;
                 }
-                // The cache answers other requests meanwhile, so it is not silent.
-                s.now += 100 * MS;
-                let other = s.request(VIDEO, &format!("other-{i}")).remove(0);
-                s.complete(&other, AttemptStatus::Ok, CacheStatus::Hit);
-                s.complete_after(
+                // The cache answers another request in the meantime, so it is not silent.
+                fixture.now += 100 * MS;
+                let other = fixture.request(VIDEO, &format!("other-{i}")).remove(0);
+                fixture.complete(&other, AttemptStatus::Ok, CacheStatus::Hit);
+                fixture.complete_after(
                     &sent,
                     AttemptStatus::Timeout,
                     CacheStatus::Unreported,
@@ -214,10 +219,10 @@
         }
         count
     };
-    let all = 30 * 20;
-    let (half, few) = (straight(2), straight(20));
+    let total = 30 * 20;
+    let (every_second, one_in_twenty) = (direct(2), direct(20));
     assert!(
-        half > all * 6 / 10 && few < all / 10,
-        "{half} and {few} of {all}"
+        every_second > total * 6 / 10 && one_in_twenty < total / 10,
+        "{every_second} and {one_in_twenty} of {total}"
     );
 }
--- a/tests/outlier.rs
+++ b/tests/outlier.rs
@@ -1,4 +1,4 @@
-//! Outlier detection: whose fault a failure is, ejection, probes and silent endpoints.
+//! Outlier detection: fault attribution, ejection, probes and silent endpoints.
 mod common;
 use common::*;
 use pointspindle::*;
@@ -7,9 +7,9 @@
 fn unreported_error_counts_against_the_named_source() {
     let mut unreported = settings();
     unreported.cache_status_detail = CacheStatusDetail::None;
-    let mut s = RouterFixture::with(unreported, fleet());
-    let sent = s.request(PAGE, "a").remove(0);
-    let stale = s
+    let mut fixture = RouterFixture::with(unreported, fleet());
+    let sent = fixture.request(PAGE, "a").remove(0);
+    let stale = fixture
         .complete(&sent, AttemptStatus::Error, CacheStatus::Unreported)
         .remove(0);
     assert_eq!(
@@ -20,32 +20,33 @@
 
 #[test]
 fn silent_cache_is_ejected_and_its_requests_are_retried() {
-    let mut s = RouterFixture::new();
-    let first = s.request(VIDEO, "a").remove(0);
-    let second = s.request(VIDEO, "a").remove(0);
+    let mut fixture = RouterFixture::new();
+    let first = fixture.request(VIDEO, "a").remove(0);
+    let second = fixture.request(VIDEO, "a").remove(0);
     assert_eq!(first.endpoint, second.endpoint);
     for _ in 0..30 {
-        s.advance(25 * MS);
-        if s.last_actions
+        fixture.advance(25 * MS);
+        if fixture
+            .last_actions
             .iter()
             .any(|a| matches!(a, Action::Cancel { .. }))
         {
             break;
         }
     }
-    assert!(s.now < T0 + 600 * MS, "found within the aim");
-    let next = s
+    assert!(fixture.now < T0 + 600 * MS, "found within the aim");
+    let next = fixture
         .complete(&first, AttemptStatus::Cancelled, CacheStatus::Unreported)
         .remove(0);
     assert_ne!(next.endpoint, first.endpoint);
-    assert_ne!(s.request(VIDEO, "a")[0].endpoint, first.endpoint);
+    assert_ne!(fixture.request(VIDEO, "a")[0].endpoint, first.endpoint);
 }
 
-/// Slow clients keep their responses open for long; the cache has begun to respond and is alive.
+/// Responses to slow clients stay open for long: a cache that has begun to respond is alive and must not be ejected.
 #[test]
 fn cache_with_a_started_response_is_not_silent() {
-    let run = |begun: bool| {
-        let mut stage = RouterFixture::with(
+    let count_cancellations = |response_started: bool| {
+        let mut fixture = RouterFixture::with(
             settings(),
             fleet()
                 .into_iter()
@@ -54,38 +55,43 @@
                 .collect(),
         );
         for n in 0..3 {
-            let sent = stage.request(VIDEO, &format!("o{n}"));
+            let sent = fixture.request(VIDEO, &format!("o{n}"));
             assert_eq!(sent[0].endpoint, EndpointId::named("c1"));
         }
-        stage.now += 10 * MS;
-        if begun {
-            stage.handle(Event::ResponseStarted(EndpointId::named("c1")));
+        fixture.now += 10 * MS;
+        if response_started {
+            fixture.handle(Event::ResponseStarted(EndpointId::named("c1")));
         }
-        stage.advance(2 * S);
-        stage
+        fixture.advance(2 * S);
+        fixture
             .last_actions
             .iter()
             .filter(|a| matches!(a, Action::Cancel { .. }))
             .count()
     };
-    assert_eq!(run(false), 3, "without a started response it is silent");
-    assert_eq!(run(true), 0);
+    assert_eq!(
+        count_cancellations(false),
+        3,
+        "without a started response it is silent"
+    );
+    assert_eq!(count_cancellations(true), 0);
 }
 
 #[test]
 fn slow_fills_do_not_make_a_source_silent() {
-    let mut s = RouterFixture::new();
-    let bound = s.request(PAGE, "a").remove(0);
+    let mut fixture = RouterFixture::new();
+    let slow_fill = fixture.request(PAGE, "a").remove(0);
     for i in 0..60 {
         // The caches are healthy: hits continue while five fills are slow.
-        for sent in s.request(PAGE, &format!("o{i}")) {
-            if i > 5 || sent.source() != bound.source() {
-                s.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
+        for sent in fixture.request(PAGE, &format!("o{i}")) {
+            if i > 5 || sent.source() != slow_fill.source() {
+                fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             }
         }
-        assert!(s.advance(25 * MS).is_empty(), "sent again elsewhere");
+        assert!(fixture.advance(25 * MS).is_empty(), "sent again elsewhere");
         assert!(
-            !s.last_actions
+            !fixture
+                .last_actions
                 .iter()
                 .any(|a| matches!(a, Action::Cancel { .. })),
             "cancelled"
@@ -95,34 +101,34 @@
 
 #[test]
 fn ejected_endpoint_is_probed_after_the_ejection() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
-    s.complete(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
-    assert_ne!(s.request(VIDEO, "a")[0].endpoint, sent.endpoint);
-    s.now += 4 * S;
-    assert_eq!(s.request(VIDEO, "a")[0].endpoint, sent.endpoint);
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
+    fixture.complete(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
+    assert_ne!(fixture.request(VIDEO, "a")[0].endpoint, sent.endpoint);
+    fixture.now += 4 * S;
+    assert_eq!(fixture.request(VIDEO, "a")[0].endpoint, sent.endpoint);
 }
 
 #[test]
 fn single_connection_reset_does_not_eject_a_cache() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
-    s.complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported);
-    assert_eq!(s.request(VIDEO, "a")[0].endpoint, sent.endpoint);
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
+    fixture.complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported);
+    assert_eq!(fixture.request(VIDEO, "a")[0].endpoint, sent.endpoint);
 }
 
-/// Completes every request: with a reset at the failing caches, else with a hit.
-fn fail_requests_at(s: &mut RouterFixture, failing: &[EndpointId]) {
+/// Completes every request, with a reset at the failing caches and with a hit at the others.
+fn fail_requests_at(fixture: &mut RouterFixture, failing: &[EndpointId]) {
     for i in 0..60 {
-        let mut sent = s.request(VIDEO, &format!("o{i}"));
+        let mut sent = fixture.request(VIDEO, &format!("o{i}"));
         while let Some(one) = sent.pop() {
-            let bad = failing.contains(&one.endpoint);
-            let (status, cache_status) = if bad {
+            let fails = failing.contains(&one.endpoint);
+            let (status, cache_status) = if fails {
                 (AttemptStatus::Reset, CacheStatus::Unreported)
             } else {
                 (AttemptStatus::Ok, CacheStatus::Hit)
             };
-            sent = s.complete(&one, status, cache_status);
+            sent = fixture.complete(&one, status, cache_status);
         }
     }
 }
@@ -131,11 +137,11 @@
 fn outlier_is_ejected_but_not_most_of_a_zone() {
     let [c1, c2, _] = ["c1", "c2", "c3"].map(EndpointId::named);
     for (failing, used) in [(vec![c1], false), (vec![c1, c2], true)] {
-        let mut s = RouterFixture::new();
-        fail_requests_at(&mut s, &failing);
+        let mut fixture = RouterFixture::new();
+        fail_requests_at(&mut fixture, &failing);
         let to_c1 = (0..40).any(|i| {
-            let sent = s.request(VIDEO, &format!("n{i}")).remove(0);
-            s.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
+            let sent = fixture.request(VIDEO, &format!("n{i}")).remove(0);
+            fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             sent.endpoint == c1
         });
         assert_eq!(to_c1, used, "{} failing", failing.len());
@@ -146,10 +152,10 @@
 fn slow_rejection_counts_against_the_source_where_unreported() {
     let mut unreported = settings();
     unreported.cache_status_detail = CacheStatusDetail::None;
-    for (elapsed, blamed) in [(MS, false), (400 * MS, true)] {
-        let mut s = RouterFixture::with(unreported.clone(), fleet());
-        let sent = s.request(VIDEO, "a").remove(0);
-        let next = s
+    for (elapsed, source_at_fault) in [(MS, false), (400 * MS, true)] {
+        let mut fixture = RouterFixture::with(unreported.clone(), fleet());
+        let sent = fixture.request(VIDEO, "a").remove(0);
+        let next = fixture
             .complete_after(
                 &sent,
                 AttemptStatus::Rejected,
@@ -162,48 +168,48 @@
                 next.endpoint == sent.endpoint,
                 next.source() != sent.source()
             ),
-            (blamed, blamed),
+            (source_at_fault, source_at_fault),
             "{elapsed}"
         );
     }
 }
 
 #[test]
-fn request_is_rejected_after_one_attempt_at_each_dead_cache() {
-    let mut s = RouterFixture::new();
-    let (mut sent, mut tried) = (s.request(VIDEO, "a"), vec![]);
+fn request_is_rejected_after_one_attempt_at_each_unreachable_cache() {
+    let mut fixture = RouterFixture::new();
+    let (mut sent, mut tried) = (fixture.request(VIDEO, "a"), vec![]);
     while let Some(one) = sent.pop() {
         tried.push(one.endpoint);
-        sent = s.complete(&one, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
+        sent = fixture.complete(&one, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
     }
     tried.sort();
     tried.dedup();
     assert_eq!(tried.len(), 3);
     assert!(
-        matches!(s.final_responses()[..], [Action::Reject { .. }]),
+        matches!(fixture.final_responses()[..], [Action::Reject { .. }]),
         "not left open until its deadline"
     );
 }
 
-/// The source fills three times as many requests as are lost, and the cache may be at fault: it is not ejected. Some
-/// fills are diverted to the origin, and from an origin that loses some as well to stale copies.
+/// The source completes three times as many fills as are lost, and the cache may be at fault, so the source must not
+/// be ejected. Some fills are diverted to the origin, and from an origin that loses some as well to stale copies.
 #[test]
 fn timeouts_at_a_live_cache_do_not_eject_its_source() {
     let parent = EndpointId::named("p1");
     let mut endpoints = fleet();
     endpoints.retain(|m| m.kind != 1 || m.id == parent);
-    let mut s = RouterFixture::with(settings(), endpoints);
-    let (mut there, mut spared) = (0, 0);
+    let mut fixture = RouterFixture::with(settings(), endpoints);
+    let (mut via_parent, mut accepting_stale) = (0, 0);
     for i in 0..60 {
-        let lost = s.request(VIDEO, &format!("l{i}")).remove(0);
-        there += (lost.source() == parent) as u32;
-        // Every cache responds meanwhile, and the source fills three.
-        let good: Vec<SentAttempt> = (0..9)
-            .flat_map(|k| s.request(VIDEO, &format!("g{i}-{k}")))
+        let timed_out = fixture.request(VIDEO, &format!("l{i}")).remove(0);
+        via_parent += (timed_out.source() == parent) as u32;
+        // Every cache responds in the meantime, and the source completes three fills.
+        let answered: Vec<SentAttempt> = (0..9)
+            .flat_map(|k| fixture.request(VIDEO, &format!("g{i}-{k}")))
             .collect();
-        s.now += 20 * MS;
-        for (k, sent) in good.iter().enumerate() {
-            s.complete(
+        fixture.now += 20 * MS;
+        for (k, sent) in answered.iter().enumerate() {
+            fixture.complete(
                 sent,
                 AttemptStatus::Ok,
                 if k < 3 {
@@ -213,31 +219,31 @@
                 },
             );
         }
-        s.complete_after(
-            &lost,
+        fixture.complete_after(
+            &timed_out,
             AttemptStatus::Timeout,
             CacheStatus::Unreported,
             3 * S,
         );
-        let page = s.request(PAGE, &format!("p{i}")).remove(0);
+        let page = fixture.request(PAGE, &format!("p{i}")).remove(0);
         let fill = [parent, EndpointId::named("origin")].contains(&page.source());
         assert!(fill, "ejected after {i}");
-        spared += (page.fetch().max_age != 12 * S) as u32;
-        s.complete(&page, AttemptStatus::Ok, CacheStatus::Hit);
+        accepting_stale += (page.fetch().max_age != 12 * S) as u32;
+        fixture.complete(&page, AttemptStatus::Ok, CacheStatus::Hit);
     }
     assert!(
-        there >= 30 && spared <= 30,
-        "{there} there and {spared} spared of 60"
+        via_parent >= 30 && accepting_stale <= 30,
+        "{via_parent} there and {accepting_stale} spared of 60"
     );
 }
 
-/// The network breaks connections of every endpoint alike: the origin is not ejected for it.
+/// Network failures reset connections to any endpoint, so a few resets must not eject the origin.
 #[test]
 fn few_connection_resets_do_not_eject_the_origin() {
-    let mut s = RouterFixture::new();
+    let mut fixture = RouterFixture::new();
     for _ in 0..3 {
-        let write = s.request(KEYED, "w").remove(0);
-        s.complete(&write, AttemptStatus::Reset, CacheStatus::Unreported);
+        let write = fixture.request(KEYED, "w").remove(0);
+        fixture.complete(&write, AttemptStatus::Reset, CacheStatus::Unreported);
     }
-    assert!(!s.request(VIDEO, "a")[0].fetch().only_if_cached);
+    assert!(!fixture.request(VIDEO, "a")[0].fetch().only_if_cached);
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -28,12 +28,13 @@
     }
 }
 
-/// Loads the home of `name` until a request for it goes to another cache.
-fn exceed_load_bound(s: &mut RouterFixture, name: &str) -> (EndpointId, SentAttempt) {
-    let first = s.request(VIDEO, name).remove(0);
-    s.complete(&first, AttemptStatus::Ok, CacheStatus::Filled);
+/// Sends requests for `name` until one goes to a different cache than the home of the object. Returns the home and
+/// the attempt at the other cache.
+fn exceed_load_bound(fixture: &mut RouterFixture, name: &str) -> (EndpointId, SentAttempt) {
+    let first = fixture.request(VIDEO, name).remove(0);
+    fixture.complete(&first, AttemptStatus::Ok, CacheStatus::Filled);
     loop {
-        let sent = s.request(VIDEO, name).remove(0);
+        let sent = fixture.request(VIDEO, name).remove(0);
         if sent.endpoint != first.endpoint {
             return (first.endpoint, sent);
         }
@@ -42,11 +43,11 @@
 
 #[test]
 fn request_beyond_the_load_bound_is_filled_from_a_sibling() {
-    let mut s = RouterFixture::new();
-    let (home, spilled) = exceed_load_bound(&mut s, "a");
-    assert_eq!(spilled.source(), home);
-    let next = s
-        .complete(&spilled, AttemptStatus::Miss, CacheStatus::SourceMiss)
+    let mut fixture = RouterFixture::new();
+    let (home, overflow) = exceed_load_bound(&mut fixture, "a");
+    assert_eq!(overflow.source(), home);
+    let next = fixture
+        .complete(&overflow, AttemptStatus::Miss, CacheStatus::SourceMiss)
         .remove(0);
     assert_ne!(
         next.source(),
@@ -57,28 +58,28 @@
 
 #[test]
 fn request_beyond_the_load_bound_ignores_siblings_after_a_purge() {
-    let mut s = RouterFixture::new();
-    let (home, _) = exceed_load_bound(&mut s, "a");
-    s.handle(Event::Purge {
+    let mut fixture = RouterFixture::new();
+    let (home, _) = exceed_load_bound(&mut fixture, "a");
+    fixture.handle(Event::Purge {
         object: Some(ObjectId::named("a")),
         group: 5,
         age: 0,
     });
-    assert_ne!(s.request(VIDEO, "a")[0].source(), home);
+    assert_ne!(fixture.request(VIDEO, "a")[0].source(), home);
 }
 
 #[test]
 fn quota_of_one_router_allows_for_random_variation() {
-    let mut many = settings();
-    many.zones[1].routers = 12;
-    let mut s = RouterFixture::with(many, fleet());
-    let home = s.request(VIDEO, "a").remove(0).endpoint;
+    let mut settings_of_many_routers = settings();
+    settings_of_many_routers.zones[1].routers = 12;
+    let mut fixture = RouterFixture::with(settings_of_many_routers, fleet());
+    let home = fixture.request(VIDEO, "a").remove(0).endpoint;
     assert_eq!(
-        s.request(VIDEO, "a")[0].endpoint,
+        fixture.request(VIDEO, "a")[0].endpoint,
         home,
         "a second request at once is chance"
     );
-    let more = (0..40).flat_map(|i| s.request(VIDEO, &format!("o{i}")));
+    let more = (0..40).flat_map(|i| fixture.request(VIDEO, &format!("o{i}")));
     let fills = more.filter(|sent| sent.source() != sent.endpoint).count();
     assert!(
         (1..=2).contains(&fills),
@@ -89,22 +90,22 @@
 #[test]
 fn slow_cache_loses_placement_weight() {
     let slow = EndpointId::named("c1");
-    let mut s = RouterFixture::new();
-    let mut share = |of: usize| {
+    let mut fixture = RouterFixture::new();
+    let mut count_at_slow = |request_count: usize| {
         let mut at_slow = 0;
-        for i in 0..of {
-            let one = s.request(VIDEO, &format!("o{i}")).remove(0);
+        for i in 0..request_count {
+            let one = fixture.request(VIDEO, &format!("o{i}")).remove(0);
             let elapsed = if one.endpoint == slow {
                 900 * MS
             } else {
                 60 * MS
             };
-            s.complete_after(&one, AttemptStatus::Ok, CacheStatus::Hit, elapsed);
+            fixture.complete_after(&one, AttemptStatus::Ok, CacheStatus::Hit, elapsed);
             at_slow += (one.endpoint == slow) as usize;
         }
         at_slow
     };
-    let (before, _, after) = (share(120), share(300), share(120));
+    let (before, _, after) = (count_at_slow(120), count_at_slow(300), count_at_slow(120));
     assert!(
         before > 20 && after > 0 && 3 * after < 2 * before,
         "{before} {after}"
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -1,4 +1,4 @@
-//! Seeded random events: the invariants of requests hold, and the same events give the same actions.
+//! Seeded random events: the invariants of requests must hold, and the same events must give the same actions.
 mod common;
 use common::{entry, settings, MS, S, T0};
 use pointspindle::*;
@@ -44,7 +44,7 @@
     ("origin", 2),
 ];
 
-/// What is known of a request from the router's actions and the outcomes reported to it.
+/// State of a request, tracked from the router's actions and the outcomes reported to it.
 #[derive(Default)]
 struct TrackedRequest {
     deadline: Micros,
@@ -69,7 +69,7 @@
     in_flight: InFlight,
 }
 
-/// A router under random events.
+/// A router that handles random events.
 struct RandomRun {
     seed: u64,
     random: Random,
@@ -77,7 +77,7 @@
     router: Router,
     now: Micros,
     requests: BTreeMap<RequestId, TrackedRequest>,
-    /// Endpoints that are draining or gone.
+    /// Endpoints that are draining or have left.
     unavailable: Vec<EndpointId>,
     timers: Vec<Micros>,
     actions: Vec<(Micros, Action)>,
@@ -85,17 +85,17 @@
 
 fn settings_for(seed: u64) -> RouterSettings {
     let variant = (seed % 3) as usize;
-    let mut set = settings();
-    set.direct_forwarding = seed.is_multiple_of(2);
-    set.routers = [2, 0, 90][variant];
-    set.router_index = [Some(1), None, Some(200)][variant];
-    set.zones[1].routers = [1, 0, 12][variant];
-    set.cache_status_detail = [
+    let mut settings_of_seed = settings();
+    settings_of_seed.direct_forwarding = seed.is_multiple_of(2);
+    settings_of_seed.routers = [2, 0, 90][variant];
+    settings_of_seed.router_index = [Some(1), None, Some(200)][variant];
+    settings_of_seed.zones[1].routers = [1, 0, 12][variant];
+    settings_of_seed.cache_status_detail = [
         CacheStatusDetail::All,
         CacheStatusDetail::HitOnly,
         CacheStatusDetail::None,
     ][variant];
-    set
+    settings_of_seed
 }
 
 /// Runs one seed and returns every action, checking the invariants after each event.
@@ -120,7 +120,7 @@
 
 impl RandomRun {
     fn step(&mut self, step: u64) {
-        // The clock stands still until every event that is due has been handled.
+        // The clock does not advance until every due event has been handled.
         if !self.has_due_event() {
             self.now += self.random.below(8) * MS;
         }
@@ -334,7 +334,7 @@
         request.finished = true;
     }
 
-    /// Every request has an attempt in flight or its final response by the deadline.
+    /// Checks that every request past its deadline has an attempt in flight or its final response.
     fn check_final_responses(&mut self) {
         let (seed, now) = (self.seed, self.now);
         for (id, request) in &self.requests {
--- a/tests/restart_detection.rs
+++ b/tests/restart_detection.rs
@@ -1,36 +1,36 @@
-//! Restart detection: restarts that no endpoint list has reported yet, hellos and leases.
+//! Restart detection before the endpoint list reports a restart, hellos and leases.
 mod common;
 use common::*;
 use pointspindle::*;
 
-/// A zone of one cache, so that every request goes there.
+/// Returns a router in a zone with one cache, to which every request is sent.
 fn single_cache_fixture() -> RouterFixture {
-    let mut s = RouterFixture::with(
+    let mut fixture = RouterFixture::with(
         settings(),
         vec![entry("c1", 0), entry("p1", 1), entry("origin", 2)],
     );
-    // Beyond the overload window after the router's own start.
-    s.advance(60 * S);
-    s
+    // Skips the overload window after the router's own start.
+    fixture.advance(60 * S);
+    fixture
 }
 
-/// How many of 60 requests at once are sent to it.
-fn admitted_requests(s: &mut RouterFixture) -> usize {
+/// Returns how many of 60 simultaneous requests are sent.
+fn admitted_requests(fixture: &mut RouterFixture) -> usize {
     let sent: Vec<SentAttempt> = (0..60)
-        .flat_map(|n| s.request(VIDEO, &format!("x{n}-{}", s.now)))
+        .flat_map(|n| fixture.request(VIDEO, &format!("x{n}-{}", fixture.now)))
         .collect();
-    for one in &sent {
-        s.complete(one, AttemptStatus::Ok, CacheStatus::Hit);
+    for attempt in &sent {
+        fixture.complete(attempt, AttemptStatus::Ok, CacheStatus::Hit);
     }
     sent.len()
 }
 
-/// Refused connections, each so long after the one before it.
-fn refuse_connections(s: &mut RouterFixture, gaps: &[Micros]) {
+/// Sends requests whose connections are refused, each after a gap of the given time.
+fn refuse_connections(fixture: &mut RouterFixture, gaps: &[Micros]) {
     for gap in gaps {
-        s.now += gap;
-        for sent in s.request(VIDEO, "a") {
-            s.complete_after(
+        fixture.now += gap;
+        for sent in fixture.request(VIDEO, "a") {
+            fixture.complete_after(
                 &sent,
                 AttemptStatus::ConnectFailed,
                 CacheStatus::Unreported,
@@ -40,19 +40,19 @@
     }
 }
 
-fn answer_one_request(s: &mut RouterFixture) {
-    let sent = s.request(VIDEO, "b");
+fn answer_one_request(fixture: &mut RouterFixture) {
+    let sent = fixture.request(VIDEO, "b");
     assert_eq!(sent.len(), 1, "one may try");
-    s.complete(&sent[0], AttemptStatus::Ok, CacheStatus::Hit);
+    fixture.complete(&sent[0], AttemptStatus::Ok, CacheStatus::Hit);
 }
 
-/// Whether the router keeps to a warm-up budget.
-fn keeps_to_warm_up_budget(s: &mut RouterFixture) -> bool {
-    let was = s.now;
-    // Small budgets show with large responses: each as large as forty of the others.
-    let dear = |s: &mut RouterFixture, n: u64| {
-        s.handle(Event::Request(Request {
-            id: RequestId(1_000_000 + s.now + n),
+/// Whether the router limits requests to a warm-up budget.
+fn stays_within_warm_up_budget(fixture: &mut RouterFixture) -> bool {
+    let time_before = fixture.now;
+    // Large responses exhaust even a large budget quickly: each is forty times as large as the others.
+    let send_large_request = |fixture: &mut RouterFixture, n: u64| {
+        fixture.handle(Event::Request(Request {
+            id: RequestId(1_000_000 + fixture.now + n),
             class: VIDEO,
             object: ObjectId(n),
             part: 0,
@@ -63,226 +63,234 @@
     };
     let mut sent = Vec::new();
     for n in 0..40 {
-        sent.extend(dear(s, n));
+        sent.extend(send_large_request(fixture, n));
     }
-    for one in &sent {
-        s.complete(one, AttemptStatus::Ok, CacheStatus::Hit);
+    for attempt in &sent {
+        fixture.complete(attempt, AttemptStatus::Ok, CacheStatus::Hit);
     }
-    s.now = was;
+    fixture.now = time_before;
     sent.len() < 16
 }
 
 #[test]
 fn response_after_refused_connections_is_a_new_incarnation() {
-    let mut s = single_cache_fixture();
-    assert!(!keeps_to_warm_up_budget(&mut s), "warm");
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
+    let mut fixture = single_cache_fixture();
+    assert!(!stays_within_warm_up_budget(&mut fixture), "warm");
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
     assert!(
-        keeps_to_warm_up_budget(&mut s),
+        stays_within_warm_up_budget(&mut fixture),
         "no process is there: what answers next has just started"
     );
-    s.now += 3 * S;
-    answer_one_request(&mut s);
-    s.now += 3 * S;
-    assert!(keeps_to_warm_up_budget(&mut s), "its warm-up is not over");
-    s.now += 13 * S;
-    assert!(!keeps_to_warm_up_budget(&mut s));
+    fixture.now += 3 * S;
+    answer_one_request(&mut fixture);
+    fixture.now += 3 * S;
+    assert!(
+        stays_within_warm_up_budget(&mut fixture),
+        "its warm-up is not over"
+    );
+    fixture.now += 13 * S;
+    assert!(!stays_within_warm_up_budget(&mut fixture));
 }
 
 #[test]
 fn single_refused_or_reset_connection_is_no_restart() {
-    let mut s = single_cache_fixture();
-    refuse_connections(&mut s, &[S]);
-    s.now += S;
-    answer_one_request(&mut s);
-    assert!(!keeps_to_warm_up_budget(&mut s));
+    let mut fixture = single_cache_fixture();
+    refuse_connections(&mut fixture, &[S]);
+    fixture.now += S;
+    answer_one_request(&mut fixture);
+    assert!(!stays_within_warm_up_budget(&mut fixture));
     for _ in 0..3 {
-        s.now += S;
-        let sent = s.request(VIDEO, "a");
-        s.complete(&sent[0], AttemptStatus::Reset, CacheStatus::Unreported);
+        fixture.now += S;
+        let sent = fixture.request(VIDEO, "a");
+        fixture.complete(&sent[0], AttemptStatus::Reset, CacheStatus::Unreported);
     }
-    s.now += 5 * S;
-    answer_one_request(&mut s);
-    assert!(!keeps_to_warm_up_budget(&mut s));
+    fixture.now += 5 * S;
+    answer_one_request(&mut fixture);
+    assert!(!stays_within_warm_up_budget(&mut fixture));
 }
 
-/// An endpoint that accepts no further connections (a limit, a full backlog) still answers requests in flight.
+/// An endpoint that refuses further connections, because of a connection limit or a full backlog, still answers
+/// requests in flight. This must not count as a restart.
 #[test]
 fn refused_connections_with_requests_in_flight_are_no_restart() {
-    let mut s = single_cache_fixture();
-    let in_flight = s.request(VIDEO, "held");
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
-    s.complete(&in_flight[0], AttemptStatus::Ok, CacheStatus::Hit);
-    s.now += 3 * S;
-    answer_one_request(&mut s);
-    assert!(!keeps_to_warm_up_budget(&mut s));
+    let mut fixture = single_cache_fixture();
+    let in_flight = fixture.request(VIDEO, "held");
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
+    fixture.complete(&in_flight[0], AttemptStatus::Ok, CacheStatus::Hit);
+    fixture.now += 3 * S;
+    answer_one_request(&mut fixture);
+    assert!(!stays_within_warm_up_budget(&mut fixture));
 }
 
 #[test]
 fn listed_start_replaces_the_inferred_one_unless_older() {
-    let mut s = single_cache_fixture();
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
-    let down = s.now;
-    s.now += 3 * S;
-    answer_one_request(&mut s);
-    // A start before the outage: this incarnation came after it.
-    s.update(vec![EndpointEntry {
-        started_at: down - 30 * S,
+    let mut fixture = single_cache_fixture();
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
+    let last_refused_at = fixture.now;
+    fixture.now += 3 * S;
+    answer_one_request(&mut fixture);
+    // A start before the outage belongs to the previous incarnation.
+    fixture.update(vec![EndpointEntry {
+        started_at: last_refused_at - 30 * S,
         ..entry("c1", 0)
     }]);
-    assert!(keeps_to_warm_up_budget(&mut s));
-    // The start of this incarnation: exact from now on.
-    s.update(vec![EndpointEntry {
-        started_at: down + S,
+    assert!(stays_within_warm_up_budget(&mut fixture));
+    // A start after the outage belongs to the current incarnation and replaces the inferred time.
+    fixture.update(vec![EndpointEntry {
+        started_at: last_refused_at + S,
         ..entry("c1", 0)
     }]);
-    s.now = down + 14 * S;
+    fixture.now = last_refused_at + 14 * S;
     assert!(
-        !keeps_to_warm_up_budget(&mut s),
+        !stays_within_warm_up_budget(&mut fixture),
         "10 s of warm-up and a window after its start"
     );
-    // An older list that arrives late.
-    s.now = down + 4 * S;
-    s.update(vec![entry("c1", 0)]);
-    assert!(keeps_to_warm_up_budget(&mut s));
+    // An older list arrives late.
+    fixture.now = last_refused_at + 4 * S;
+    fixture.update(vec![entry("c1", 0)]);
+    assert!(stays_within_warm_up_budget(&mut fixture));
 }
 
 #[test]
 fn second_restart_within_a_warm_up_begins_slow_start_again() {
-    let mut s = single_cache_fixture();
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
-    s.now += S;
-    answer_one_request(&mut s);
-    s.now += 5 * S;
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
-    s.now += 3 * S;
-    answer_one_request(&mut s);
-    let second = s.now;
+    let mut fixture = single_cache_fixture();
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
+    fixture.now += S;
+    answer_one_request(&mut fixture);
+    fixture.now += 5 * S;
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
+    fixture.now += 3 * S;
+    answer_one_request(&mut fixture);
+    let second_start = fixture.now;
     // After the warm-up of the first incarnation.
-    s.now = second + 2 * S;
-    assert!(keeps_to_warm_up_budget(&mut s));
+    fixture.now = second_start + 2 * S;
+    assert!(stays_within_warm_up_budget(&mut fixture));
 }
 
-/// A process that was only paused, or a new incarnation: the endpoint list shows soon which it is.
+/// After silence the endpoint may be a new incarnation or a process that was paused. Slow start lasts until the
+/// endpoint list would have reported a restart.
 #[test]
 fn response_after_silence_begins_slow_start_for_two_windows() {
-    let mut s = single_cache_fixture();
-    let lost: Vec<SentAttempt> = (0..3)
-        .flat_map(|n| s.request(VIDEO, &format!("l{n}")))
+    let mut fixture = single_cache_fixture();
+    let unanswered: Vec<SentAttempt> = (0..3)
+        .flat_map(|n| fixture.request(VIDEO, &format!("l{n}")))
         .collect();
-    s.advance(2 * S);
-    for one in &lost {
-        s.complete(one, AttemptStatus::Cancelled, CacheStatus::Unreported);
+    fixture.advance(2 * S);
+    for attempt in &unanswered {
+        fixture.complete(attempt, AttemptStatus::Cancelled, CacheStatus::Unreported);
     }
-    s.now += 6 * S;
-    answer_one_request(&mut s);
-    assert!(keeps_to_warm_up_budget(&mut s));
-    s.now += 5 * S;
-    assert!(!keeps_to_warm_up_budget(&mut s));
+    fixture.now += 6 * S;
+    answer_one_request(&mut fixture);
+    assert!(stays_within_warm_up_budget(&mut fixture));
+    fixture.now += 5 * S;
+    assert!(!stays_within_warm_up_budget(&mut fixture));
 }
 
-/// A listed start stays valid when a silence after it turns out to have been a pause.
+/// A listed start stays valid if a later silence turns out to have been a pause.
 #[test]
 fn pause_within_a_warm_up_does_not_end_slow_start() {
-    let mut s = single_cache_fixture();
-    let started = s.now;
-    s.update(vec![EndpointEntry {
+    let mut fixture = single_cache_fixture();
+    let started = fixture.now;
+    fixture.update(vec![EndpointEntry {
         started_at: started,
         ..entry("c1", 0)
     }]);
-    s.now += S;
-    let lost: Vec<SentAttempt> = (0..3)
-        .flat_map(|n| s.request(VIDEO, &format!("l{n}")))
+    fixture.now += S;
+    let unanswered: Vec<SentAttempt> = (0..3)
+        .flat_map(|n| fixture.request(VIDEO, &format!("l{n}")))
         .collect();
-    s.advance(2 * S);
-    for one in &lost {
-        s.complete(one, AttemptStatus::Cancelled, CacheStatus::Unreported);
+    fixture.advance(2 * S);
+    for attempt in &unanswered {
+        fixture.complete(attempt, AttemptStatus::Cancelled, CacheStatus::Unreported);
     }
-    s.now = started + 4 * S;
-    answer_one_request(&mut s);
-    s.now = started + 4 * S + 4 * S + 100 * MS;
+    fixture.now = started + 4 * S;
+    answer_one_request(&mut fixture);
+    fixture.now = started + 4 * S + 4 * S + 100 * MS;
     assert!(
-        keeps_to_warm_up_budget(&mut s),
+        stays_within_warm_up_budget(&mut fixture),
         "eight seconds into a warm-up of ten"
     );
 }
 
 #[test]
 fn hello_replaces_every_inferred_start() {
-    let mut s = single_cache_fixture();
+    let mut fixture = single_cache_fixture();
     let endpoint = EndpointId::named("c1");
-    s.handle(Event::Hello {
+    fixture.handle(Event::Hello {
         endpoint,
-        started_at: s.now - S,
+        started_at: fixture.now - S,
     });
-    assert!(keeps_to_warm_up_budget(&mut s), "ahead of the list");
-    s.update(vec![EndpointEntry {
-        started_at: s.now - 300 * S,
+    assert!(
+        stays_within_warm_up_budget(&mut fixture),
+        "ahead of the list"
+    );
+    fixture.update(vec![EndpointEntry {
+        started_at: fixture.now - 300 * S,
         ..entry("c1", 0)
     }]);
     assert!(
-        keeps_to_warm_up_budget(&mut s),
+        stays_within_warm_up_budget(&mut fixture),
         "a list of before does not undo it"
     );
-    s.now += 13 * S;
-    refuse_connections(&mut s, &[S, 600 * MS, 600 * MS]);
-    assert!(keeps_to_warm_up_budget(&mut s));
-    s.handle(Event::Hello {
+    fixture.now += 13 * S;
+    refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
+    assert!(stays_within_warm_up_budget(&mut fixture));
+    fixture.handle(Event::Hello {
         endpoint,
         started_at: 0,
     });
     assert!(
-        !keeps_to_warm_up_budget(&mut s),
+        !stays_within_warm_up_budget(&mut fixture),
         "the same process as ever: the way to it was cut"
     );
 }
 
 #[test]
 fn lease_replaces_the_warm_up_budget_until_it_expires() {
-    let mut s = single_cache_fixture();
+    let mut fixture = single_cache_fixture();
     let endpoint = EndpointId::named("c1");
-    s.handle(Event::Hello {
+    fixture.handle(Event::Hello {
         endpoint,
-        started_at: s.now,
+        started_at: fixture.now,
     });
-    s.handle(Event::Lease {
+    fixture.handle(Event::Lease {
         endpoint,
         work_s: 0.0,
         duration: 250 * MS,
     });
-    assert_eq!(admitted_requests(&mut s), 0, "nothing yet");
-    s.now += 250 * MS;
-    s.handle(Event::Lease {
+    assert_eq!(admitted_requests(&mut fixture), 0, "nothing yet");
+    fixture.now += 250 * MS;
+    fixture.handle(Event::Lease {
         endpoint,
         work_s: 0.21,
         duration: 250 * MS,
     });
     assert!(
-        (2..=4).contains(&admitted_requests(&mut s)),
+        (2..=4).contains(&admitted_requests(&mut fixture)),
         "some four of 0.05 s"
     );
-    s.now += 300 * MS;
+    fixture.now += 300 * MS;
     assert_eq!(
-        admitted_requests(&mut s),
+        admitted_requests(&mut fixture),
         0,
         "lapsed, the next one is on its way"
     );
-    s.now += 600 * MS;
+    fixture.now += 600 * MS;
     assert!(
-        admitted_requests(&mut s) > 10,
+        admitted_requests(&mut fixture) > 10,
         "the connection is lost: its own part again"
     );
 }
 
 #[test]
 fn new_incarnation_starts_without_ejection() {
-    let mut s = RouterFixture::new();
-    s.now += 3 * S;
-    let home = s.request(VIDEO, "a").remove(0);
-    s.complete(&home, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
-    assert_ne!(s.request(VIDEO, "a")[0].endpoint, home.endpoint);
-    let mut back = fleet().into_iter().find(|e| e.id == home.endpoint).unwrap();
-    (back.started_at, back.weight) = (s.now, 60.0);
-    s.update(vec![back]);
-    assert_eq!(s.request(VIDEO, "a")[0].endpoint, home.endpoint);
+    let mut fixture = RouterFixture::new();
+    fixture.now += 3 * S;
+    let home = fixture.request(VIDEO, "a").remove(0);
+    fixture.complete(&home, AttemptStatus::ConnectFailed, CacheStatus::Unreported);
+    assert_ne!(fixture.request(VIDEO, "a")[0].endpoint, home.endpoint);
+    let mut new_incarnation = fleet().into_iter().find(|e| e.id == home.endpoint).unwrap();
+    (new_incarnation.started_at, new_incarnation.weight) = (fixture.now, 60.0);
+    fixture.update(vec![new_incarnation]);
+    assert_eq!(fixture.request(VIDEO, "a")[0].endpoint, home.endpoint);
 }
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -5,65 +5,69 @@
 
 #[test]
 fn timeout_at_the_deadline_gets_a_final_response() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
-    s.now += sent.timeout;
-    assert!(s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
+    fixture.now += sent.timeout;
+    assert!(fixture
         .complete(&sent, AttemptStatus::Timeout, CacheStatus::Unreported)
         .is_empty());
-    assert_eq!(s.final_responses().len(), 1);
+    assert_eq!(fixture.final_responses().len(), 1);
 }
 
 #[test]
 fn request_without_endpoints_is_rejected_before_its_deadline() {
-    let mut s = RouterFixture::with(settings(), vec![]);
-    assert!(s.request(VIDEO, "a").is_empty());
+    let mut fixture = RouterFixture::with(settings(), vec![]);
+    assert!(fixture.request(VIDEO, "a").is_empty());
     assert!(
-        matches!(s.final_responses()[..], [Action::Reject { .. }]),
+        matches!(fixture.final_responses()[..], [Action::Reject { .. }]),
         "the client comes back"
     );
     assert!(
-        s.request(UNSAFE, "a").is_empty() && s.final_responses().is_empty(),
+        fixture.request(UNSAFE, "a").is_empty() && fixture.final_responses().is_empty(),
         "this one can only wait"
     );
-    let mut answered = None;
+    let mut rejected_at = None;
     for _ in 0..200 {
-        s.advance(20 * MS);
-        if matches!(s.final_responses()[..], [Action::Reject { .. }]) {
-            answered = Some(s.now);
+        fixture.advance(20 * MS);
+        if matches!(fixture.final_responses()[..], [Action::Reject { .. }]) {
+            rejected_at = Some(fixture.now);
         }
     }
-    assert!(answered.is_some_and(|at| at <= T0 + 3 * S));
+    assert!(rejected_at.is_some_and(|at| at <= T0 + 3 * S));
 }
 
 #[test]
-fn nothing_is_sent_after_the_client_disconnected() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
-    s.handle(Event::ClientDisconnected(sent.request));
-    assert!(s
+fn no_attempt_is_sent_after_the_client_disconnected() {
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
+    fixture.handle(Event::ClientDisconnected(sent.request));
+    assert!(fixture
         .complete(&sent, AttemptStatus::Cancelled, CacheStatus::Unreported)
         .is_empty());
-    assert!(s.advance(50 * MS).is_empty());
-    assert!(s.final_responses().is_empty());
+    assert!(fixture.advance(50 * MS).is_empty());
+    assert!(fixture.final_responses().is_empty());
 }
 
 #[test]
 fn not_idempotent_request_that_may_have_run_fails() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(UNSAFE, "a").remove(0);
-    assert!(s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(UNSAFE, "a").remove(0);
+    assert!(fixture
         .complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
         .is_empty());
-    assert!(matches!(s.final_responses()[..], [Action::Fail { .. }]));
+    assert!(matches!(
+        fixture.final_responses()[..],
+        [Action::Fail { .. }]
+    ));
 }
 
 #[test]
 fn not_idempotent_request_that_did_not_run_is_retried() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(UNSAFE, "a").remove(0);
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(UNSAFE, "a").remove(0);
     assert_eq!(
-        s.complete(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported)
+        fixture
+            .complete(&sent, AttemptStatus::ConnectFailed, CacheStatus::Unreported)
             .len(),
         1
     );
@@ -72,11 +76,12 @@
 #[test]
 fn retry_is_not_sent_after_the_idempotency_window() {
     for (after, resent) in [(500 * MS, 1), (1_990 * MS, 0)] {
-        let mut s = RouterFixture::new();
-        let sent = s.request(KEYED, "a").remove(0);
-        s.now += after;
+        let mut fixture = RouterFixture::new();
+        let sent = fixture.request(KEYED, "a").remove(0);
+        fixture.now += after;
         assert_eq!(
-            s.complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
+            fixture
+                .complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
                 .len(),
             resent,
             "{after}"
@@ -86,47 +91,54 @@
 
 #[test]
 fn idempotency_window_begins_with_the_first_run() {
-    let mut s = RouterFixture::new();
-    let first = s.request(KEYED, "a").remove(0);
-    s.now += 1_000 * MS;
-    let second = s
+    let mut fixture = RouterFixture::new();
+    let first = fixture.request(KEYED, "a").remove(0);
+    fixture.now += 1_000 * MS;
+    let second = fixture
         .complete(&first, AttemptStatus::Reset, CacheStatus::Unreported)
         .remove(0);
-    s.now += 950 * MS;
-    assert!(s
+    fixture.now += 950 * MS;
+    assert!(fixture
         .complete(&second, AttemptStatus::Reset, CacheStatus::Unreported)
         .is_empty());
 }
 
-/// A retry that has to wait since its `Send` action may not begin once the idempotency window is over.
+/// A retry that was delayed after its `Send` action must not be started after the idempotency window.
 #[test]
-fn waiting_retry_may_begin_within_the_idempotency_window_only() {
-    let mut s = RouterFixture::new();
-    let first = s.request(KEYED, "a").remove(0);
-    s.now += 500 * MS;
-    let again = s
+fn delayed_retry_may_begin_only_within_the_idempotency_window() {
+    let mut fixture = RouterFixture::new();
+    let first = fixture.request(KEYED, "a").remove(0);
+    fixture.now += 500 * MS;
+    let again = fixture
         .complete(&first, AttemptStatus::Reset, CacheStatus::Unreported)
         .remove(0);
-    // Half a second of the two has passed; the margin at the end is for the transmission.
-    assert!(s.router.may_begin(s.now, again.request));
-    assert!(s.router.may_begin(s.now + 1_200 * MS, again.request));
-    assert!(!s.router.may_begin(s.now + 1_490 * MS, again.request));
-    let free = s.request(VIDEO, "b").remove(0);
+    // Half a second of the window of two seconds has passed; the margin before its end is for the transmission.
+    assert!(fixture.router.may_begin(fixture.now, again.request));
+    assert!(fixture
+        .router
+        .may_begin(fixture.now + 1_200 * MS, again.request));
+    assert!(!fixture
+        .router
+        .may_begin(fixture.now + 1_490 * MS, again.request));
+    let idempotent = fixture.request(VIDEO, "b").remove(0);
     assert!(
-        s.router.may_begin(s.now + 1_990 * MS, free.request),
+        fixture
+            .router
+            .may_begin(fixture.now + 1_990 * MS, idempotent.request),
         "safe classes have no window"
     );
 }
 
 #[test]
 fn request_has_one_attempt_in_flight_at_most() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
     for _ in 0..40 {
-        assert!(s.advance(25 * MS).is_empty());
+        assert!(fixture.advance(25 * MS).is_empty());
     }
     assert_eq!(
-        s.complete(&sent, AttemptStatus::Cancelled, CacheStatus::Unreported)
+        fixture
+            .complete(&sent, AttemptStatus::Cancelled, CacheStatus::Unreported)
             .len(),
         1
     );
@@ -134,15 +146,15 @@
 
 #[test]
 fn attempts_do_not_exceed_the_maximum() {
-    let mut s = RouterFixture::new();
-    let mut sent = s.request(VIDEO, "a");
+    let mut fixture = RouterFixture::new();
+    let mut sent = fixture.request(VIDEO, "a");
     let mut count = 0;
-    while let Some(one) = sent.pop() {
+    while let Some(attempt) = sent.pop() {
         count += 1;
-        sent = s.complete(&one, AttemptStatus::Rejected, CacheStatus::Unreported);
+        sent = fixture.complete(&attempt, AttemptStatus::Rejected, CacheStatus::Unreported);
         for _ in 0..20 {
             if sent.is_empty() {
-                sent = s.advance(25 * MS);
+                sent = fixture.advance(25 * MS);
             }
         }
     }
@@ -151,11 +163,11 @@
 
 #[test]
 fn rejected_uncacheable_request_is_retried_after_a_backoff() {
-    let mut s = RouterFixture::new();
-    let first = s.request(KEYED, "a").remove(0);
-    assert!(s
+    let mut fixture = RouterFixture::new();
+    let first = fixture.request(KEYED, "a").remove(0);
+    assert!(fixture
         .complete(&first, AttemptStatus::Rejected, CacheStatus::Unreported)
         .is_empty());
-    assert!(s.advance(50 * MS).is_empty());
-    assert_eq!(s.advance(150 * MS).len(), 1);
+    assert!(fixture.advance(50 * MS).is_empty());
+    assert_eq!(fixture.advance(150 * MS).len(), 1);
 }
--- a/tests/stale_if_error.rs
+++ b/tests/stale_if_error.rs
@@ -1,13 +1,13 @@
-//! Stale-if-error: a failed fill is answered from the cached copy.
+//! Stale-if-error: a failed fill must be answered from the cached copy.
 mod common;
 use common::*;
 use pointspindle::*;
 
 #[test]
 fn failed_fill_is_served_stale_from_the_same_cache() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(PAGE, "a").remove(0);
-    let stale = s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(PAGE, "a").remove(0);
+    let stale = fixture
         .complete(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_eq!(stale.endpoint, sent.endpoint);
@@ -18,12 +18,12 @@
 
 #[test]
 fn miss_of_cached_only_attempt_is_retried_at_another_source() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(PAGE, "a").remove(0);
-    let stale = s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(PAGE, "a").remove(0);
+    let stale = fixture
         .complete(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
-    let next = s
+    let next = fixture
         .complete(&stale, AttemptStatus::Miss, CacheStatus::Unreported)
         .remove(0);
     assert_ne!(next.source(), sent.source());
@@ -32,9 +32,9 @@
 
 #[test]
 fn class_without_stale_if_error_gets_no_cached_only_attempt() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(VIDEO, "a").remove(0);
-    let next = s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(VIDEO, "a").remove(0);
+    let next = fixture
         .complete(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_ne!(next.source(), next.endpoint);
@@ -44,22 +44,22 @@
 fn failed_source_makes_requests_accept_stale_for_ten_seconds() {
     let mut endpoints = fleet();
     endpoints.retain(|m| m.kind != 1 && m.id != EndpointId::named("c3"));
-    let mut s = RouterFixture::with(settings(), endpoints);
-    let sent = s.request(PAGE, "a").remove(0);
-    s.complete(&sent, AttemptStatus::Error, CacheStatus::SourceRejected);
-    s.now += 9_900 * MS;
-    assert_eq!(s.request(PAGE, "b")[0].fetch().max_age, 32 * S);
-    s.now += 200 * MS;
-    assert_eq!(s.request(PAGE, "c")[0].fetch().max_age, 12 * S);
+    let mut fixture = RouterFixture::with(settings(), endpoints);
+    let sent = fixture.request(PAGE, "a").remove(0);
+    fixture.complete(&sent, AttemptStatus::Error, CacheStatus::SourceRejected);
+    fixture.now += 9_900 * MS;
+    assert_eq!(fixture.request(PAGE, "b")[0].fetch().max_age, 32 * S);
+    fixture.now += 200 * MS;
+    assert_eq!(fixture.request(PAGE, "c")[0].fetch().max_age, 12 * S);
 }
 
 #[test]
 fn source_miss_is_not_a_source_failure() {
-    let mut s = RouterFixture::new();
-    let sent = s.request(PAGE, "a").remove(0);
-    let next = s
+    let mut fixture = RouterFixture::new();
+    let sent = fixture.request(PAGE, "a").remove(0);
+    let next = fixture
         .complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss)
         .remove(0);
     assert_ne!(next.source(), next.endpoint, "no stale try");
-    assert_eq!(s.request(PAGE, "a")[0].fetch().max_age, 12 * S);
+    assert_eq!(fixture.request(PAGE, "a")[0].fetch().max_age, 12 * S);
 }
