--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -172,7 +172,8 @@
         }
     }
 
-    /// Replaces the inferred start of an endpoint's process by the start that its hello reports.
+    /// Replaces the inferred start of an endpoint's process by the start that its hello reports. A newer start than the
+    /// known one also resets the endpoint's health and lease.
     pub(super) fn apply_hello(&mut self, now: Micros, id: EndpointId, started_at: Micros) {
         let Some(endpoint) = self.by_id.get_mut(&id) else {
             return;
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -49,7 +49,7 @@
 /// Range of the random delay added to each check interval, which spreads the checks of several routers.
 const CHECK_JITTER: Micros = CHECK_INTERVAL / 8;
 
-/// Routes requests to caches, as a pure state machine. See [`Router::handle`].
+/// Decides how requests are routed to caches, as a state machine without I/O. See [`Router::handle`].
 ///
 /// Invariant: a timer is set while any request is open. Each state type bounds its own size and documents when it
 /// discards entries.
--- a/src/router/purge_log.rs
+++ b/src/router/purge_log.rs
@@ -4,9 +4,9 @@
 use crate::ids::{Micros, ObjectId};
 use std::collections::BTreeMap;
 
-/// Time for which a purge is retained beyond the purge horizon.
+/// Time for which a purge is retained beyond the purge horizon, after which no older copy should exist.
 const RETENTION_MARGIN: Micros = 1_000 * MS;
-/// Smallest number of logged purges that triggers a compaction.
+/// Smallest number of logged purges above which the log is compacted.
 const MIN_COMPACTION_SIZE: usize = 1024;
 
 /// Times of the latest purge of each object and of each purge group.
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -50,8 +50,8 @@
     pub(super) cached_only_tried: bool,
     /// Number of rejections for lack of capacity.
     pub(super) rejections: u32,
-    /// Whether the request must not reach the origin: an attempt was limited to the cached copies of a source, or the
-    /// origin has failed.
+    /// Whether a fill for the request must not reach the origin: an attempt was limited to the cached copies of a source,
+    /// or the origin has failed.
     pub(super) avoid_origin: bool,
     /// Earliest time of the next attempt after a rejection.
     pub(super) backoff_until: Micros,
--- a/src/router/slow_start.rs
+++ b/src/router/slow_start.rs
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Records the time of the first event as the start of this router.
+    /// Records the time of the first event as the start of this router; later calls have no effect.
     pub(super) fn record_first_event(&mut self, now: Micros) {
         self.running_since.get_or_insert(now);
     }
