--- a/crates/dispatcher/src/core/attempt.rs
+++ b/crates/dispatcher/src/core/attempt.rs
@@ -1,56 +1,56 @@
-//! One attempt of a request: what was ordered, whether it has begun, and how it ended.
+//! One attempt of a request: its parameters, whether it has begun, and its result.
 use super::AttemptEnd;
 use pointspindle::{AttemptStatus, CacheStatus, EndpointId, FetchDirective, Micros};
 use pointspindle_protocol::{WireCacheStatus, WireStatus};
 
-/// What holds for an attempt at the moment of its first byte.
+/// The parameters of an attempt, determined immediately before its first byte is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptTerms {
-    /// Remaining time of the attempt.
+    /// Remaining time until the attempt's deadline.
     pub time_left: Micros,
-    /// Age of the oldest acceptable copy; 0: the limit of the request's class.
+    /// Age of the oldest acceptable copy; 0 stands for the limit of the request's class.
     pub max_copy_age: Micros,
-    /// The attempt may join a fill that is in progress.
+    /// Whether the attempt may join a fill that is in progress.
     pub may_coalesce: bool,
-    /// The age is limited because the purge lease has expired.
+    /// Whether the copy age is limited because there is no valid purge lease.
     pub limited_by_purge_lease: bool,
 }
 
-/// An attempt in flight. Created when it is ordered; removed when it ends, is cancelled or times out. Its end is owed to the
-/// router exactly once.
+/// An attempt in flight. It is created when the router requests it, and removed when it ends, is cancelled or times out. The
+/// router must be notified of its outcome exactly once.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub number: u32,
     pub endpoint: EndpointId,
-    pub ordered_at: Micros,
+    pub created_at: Micros,
     pub deadline: Micros,
     pub cache_status: WireCacheStatus,
     pub size_kb: Option<f64>,
-    /// Endpoint to fill from, where that is another one than the receiver.
+    /// Endpoint to fill from, if it is not the receiving endpoint itself.
     pub source: Option<EndpointId>,
-    /// Age of the oldest acceptable copy, as of the purges applied so far; 0: the limit of the class.
+    /// Age of the oldest acceptable copy, given the purges applied so far; 0 stands for the limit of the class.
     pub max_copy_age: Micros,
-    /// The attempt may join a fill that is in progress.
+    /// Whether the attempt may join a fill that is in progress.
     pub may_coalesce: bool,
-    /// The first byte may have been sent. Before that the request cannot have been executed.
+    /// Whether the first byte may have been sent. Before that the request cannot have been executed.
     pub has_begun: bool,
 }
 
 impl Attempt {
-    /// An attempt that has not begun.
+    /// Creates an attempt that has not begun.
     pub fn new(
         number: u32,
         endpoint: EndpointId,
         fetch: Option<&FetchDirective>,
-        ordered_at: Micros,
+        created_at: Micros,
         timeout: Micros,
     ) -> Self {
         let source = fetch.map(|directive| directive.source);
         Self {
             number,
             endpoint,
-            ordered_at,
-            deadline: ordered_at + timeout,
+            created_at,
+            deadline: created_at + timeout,
             cache_status: WireCacheStatus::Unreported,
             size_kb: None,
             source: source.filter(|source| *source != endpoint),
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Excludes older copies, and fills that began before.
+    /// Excludes copies older than `limit`, and fills in progress, which may have begun before that.
     pub fn limit_copy_age(&mut self, limit: Micros) {
         // 0 stands for "no limit", so the strictest limit is 1.
         let limit = limit.max(1);
@@ -71,29 +71,29 @@
         self.may_coalesce = false;
     }
 
-    /// The status that the router is notified of. An attempt that has not begun cannot have been executed, however it
-    /// ended.
+    /// Returns the status that is reported to the router. An attempt that has not begun cannot have been executed, however
+    /// it ended.
     pub fn effective_status(&self, status: AttemptStatus, request_is_done: bool) -> AttemptStatus {
         match status {
             AttemptStatus::Timeout | AttemptStatus::Cancelled if self.has_begun => status,
-            // No longer needed, which is no evidence about the endpoint.
+            // The attempt was no longer needed, which says nothing about the endpoint's health.
             AttemptStatus::Cancelled if request_is_done => AttemptStatus::NotSent,
-            // Nothing could be written to the endpoint in time.
+            // No byte could be written to the endpoint in time.
             AttemptStatus::Timeout | AttemptStatus::Cancelled => AttemptStatus::ConnectFailed,
             _ => status,
         }
     }
 }
 
-/// An attempt's end in the router's terms.
-pub(super) struct EndReport {
+/// The result of an attempt, as it is reported to the router.
+pub(super) struct AttemptResult {
     pub status: AttemptStatus,
-    /// None: as reported by the response head, if one arrived.
+    /// Cache status reported with the end of the attempt; if `None`, that of the response head is used.
     pub cache_status: Option<WireCacheStatus>,
 }
 
-impl EndReport {
-    /// An end without a cache status of its own.
+impl AttemptResult {
+    /// Creates a result without a cache status.
     pub fn new(status: AttemptStatus) -> Self {
         Self {
             status,
@@ -102,7 +102,7 @@
     }
 }
 
-impl From<AttemptEnd> for EndReport {
+impl From<AttemptEnd> for AttemptResult {
     fn from(end: AttemptEnd) -> Self {
         match end {
             AttemptEnd::Complete => Self::new(AttemptStatus::Ok),
@@ -121,7 +121,8 @@
     }
 }
 
-/// A status that promises a harmless retry is trusted only if the frame also says that the request was not executed.
+/// Translates the status of an error frame. A status that marks a retry as safe is accepted only if the frame also states that
+/// the request was not executed.
 fn reported_status(status: WireStatus, may_have_run: bool) -> AttemptStatus {
     if may_have_run {
         return AttemptStatus::Error;
@@ -134,7 +135,7 @@
     }
 }
 
-/// Label of a status in metrics.
+/// Returns the label of a status in metrics.
 pub(super) fn status_label(status: AttemptStatus) -> &'static str {
     match status {
         AttemptStatus::Ok => "ok",
@@ -149,7 +150,7 @@
     }
 }
 
-/// Translates a cache status of the protocol into the router's.
+/// Translates a cache status of the protocol into the router's type.
 pub(super) fn router_cache_status(status: WireCacheStatus) -> CacheStatus {
     match status {
         WireCacheStatus::Unreported => CacheStatus::Unreported,
--- a/crates/dispatcher/src/core/client_events.rs
+++ b/crates/dispatcher/src/core/client_events.rs
@@ -1,5 +1,6 @@
-//! Inputs of one request: its arrival, its attempts' progress, its client's disconnect, and its timers.
-use super::attempt::{AttemptTerms, EndReport};
+//! Handling of the inputs that concern one request: its arrival, the progress of its attempts, the disconnect of its client,
+//! and its timers.
+use super::attempt::{AttemptResult, AttemptTerms};
 use super::timers::Timer;
 use super::work_requests::WaitingRequest;
 use super::{ClientRequest, Core, Output, MICROS_PER_SECOND};
@@ -26,18 +27,19 @@
         };
         self.purge_if_missed(now, request.group, outputs);
         if !self.wait_for_lease(now, &request, outputs) {
-            self.drive(now, Event::Request(request), outputs);
+            self.process_event(now, Event::Request(request), outputs);
         }
     }
 
-    /// Lets a request wait for a lease of its home endpoint, if that grants work on request and none is left here.
+    /// Queues a request for a work lease, if its home endpoint grants work on request and the work granted to this
+    /// dispatcher does not cover the request. Returns whether the request was queued.
     fn wait_for_lease(
         &mut self,
         now: Micros,
         request: &Request,
         outputs: &mut Vec<Output>,
     ) -> bool {
-        if !self.work_requests.is_needed() {
+        if !self.work_requests.has_endpoint_on_request() {
             return false;
         }
         let Some((endpoint, work_s)) = self.router.warm_up_shortfall(now, request) else {
@@ -46,19 +48,19 @@
         let Some(address) = self.endpoints.address(endpoint) else {
             return false;
         };
-        let Some(deadline) = self.work_requests.wait(now, endpoint, request) else {
+        let Some(deadline) = self.work_requests.enqueue(now, endpoint, request) else {
             return false;
         };
         self.timers.set(deadline, Timer::WorkRequest(request.id.0));
         outputs.push(Output::RequestWork {
             endpoint: address,
-            // Rounded up, since the granted work is compared with the request's cost.
+            // Rounded up, since the request is admitted only if the granted work covers its cost.
             work_us: (work_s * MICROS_PER_SECOND) as u64 + 1,
         });
         true
     }
 
-    /// Lets the router decide about a request that no longer waits for a lease.
+    /// Passes a request that no longer waits for a lease to the router.
     pub(super) fn resume_waiting(
         &mut self,
         now: Micros,
@@ -67,7 +69,7 @@
     ) {
         let timer = Timer::WorkRequest(waiting.request.id.0);
         self.timers.cancel(waiting.deadline, timer);
-        self.drive(now, Event::Request(waiting.into_request(now)), outputs);
+        self.process_event(now, Event::Request(waiting.into_request(now)), outputs);
     }
 
     pub(super) fn on_response_started(
@@ -91,31 +93,31 @@
         open.is_committed = true;
         self.endpoints.mark_seen(now, endpoint);
         outputs.push(Output::ForwardResponse { request, attempt });
-        self.drive(now, Event::ResponseStarted(endpoint), outputs);
+        self.process_event(now, Event::ResponseStarted(endpoint), outputs);
     }
 
-    /// Ends an attempt in flight: the router is notified once, and a response that was being forwarded ends with it.
+    /// Ends an attempt in flight: notifies the router once, and completes or aborts a response that is being forwarded.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
         request: u64,
         attempt: u32,
-        report: EndReport,
+        result: AttemptResult,
         outputs: &mut Vec<Output>,
     ) {
         if !self.requests.is_in_flight(request, attempt) {
             return;
         }
         match self.requests.get_mut(request) {
-            Some(open) if open.is_committed && report.status == AttemptStatus::Ok => {
+            Some(open) if open.is_committed && result.status == AttemptStatus::Ok => {
                 open.is_done = true;
             }
             _ => self.abort_response(request, outputs),
         }
-        if let Some(event) = self.take_attempt(now, request, report) {
-            self.drive(now, event, outputs);
+        if let Some(event) = self.take_attempt(now, request, result) {
+            self.process_event(now, event, outputs);
         }
-        self.requests.remove_if_over(request);
+        self.requests.remove_if_finished(request);
     }
 
     pub(super) fn on_client_disconnected(
@@ -134,32 +136,32 @@
         }
         if !was_done {
             let event = Event::ClientDisconnected(RequestId(request));
-            self.drive(now, event, outputs);
+            self.process_event(now, event, outputs);
         }
-        self.requests.remove_if_over(request);
+        self.requests.remove_if_finished(request);
     }
 
-    /// Gives every request without a response its final one.
+    /// Gives a final response to every request whose response is not being forwarded yet.
     pub(super) fn finish_all(&mut self, now: Micros, outputs: &mut Vec<Output>) {
-        // The router does not know the requests that wait for a lease yet.
+        // Requests that wait for a lease have not been passed to the router yet.
         for waiting in self.work_requests.take_all() {
             self.resume_waiting(now, waiting, outputs);
         }
         for number in self.requests.unanswered() {
-            self.drive(now, Event::FinishNow(RequestId(number)), outputs);
+            self.process_event(now, Event::FinishNow(RequestId(number)), outputs);
         }
     }
 
     pub(super) fn on_tick(&mut self, now: Micros, outputs: &mut Vec<Output>) {
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Router(token) => self.drive(now, Event::Timer(token), outputs),
+                Timer::Router(token) => self.process_event(now, Event::Timer(token), outputs),
                 Timer::WorkRequest(request) => {
                     if let Some(waiting) = self.work_requests.take(request) {
                         self.resume_waiting(now, waiting, outputs);
                     }
                 }
-                // Each input refreshes the counts if they are due.
+                // `Core::handle` refreshes the counts on each input, when a refresh is due.
                 Timer::FleetCounts => {}
                 Timer::Attempt { request, attempt } => {
                     self.on_attempt_timeout(now, request, attempt, outputs);
@@ -177,49 +179,50 @@
     ) {
         if self.requests.is_in_flight(request, attempt) {
             outputs.push(Output::CancelAttempt { request, attempt });
-            let report = EndReport::new(AttemptStatus::Timeout);
-            self.end_attempt(now, request, attempt, report, outputs);
+            let result = AttemptResult::new(AttemptStatus::Timeout);
+            self.end_attempt(now, request, attempt, result, outputs);
         }
     }
 
-    /// Whether an attempt may begin, and on what terms. The shell calls this right before the attempt's first byte: since it
-    /// was ordered the client may have disconnected or been answered, the deadline or the window of its idempotency key may
-    /// have passed, the endpoint or the source of its fill may be draining or removed, or the object may have been purged.
-    /// None: nothing is sent, and the attempt ends as [`AttemptEnd::NotSent`](super::AttemptEnd::NotSent).
+    /// Begins an attempt and returns its terms, or returns `None` if the attempt may not begin. The shell calls this
+    /// immediately before it sends the attempt's first byte, since circumstances may have changed after the router requested
+    /// the attempt: the client may have disconnected or been answered, the deadline or the window of the idempotency key may
+    /// have passed, the endpoint or the source of the fill may be draining or removed, or the object may have been purged.
     ///
-    /// With terms, the attempt's end is owed to the core. Without, that end is owed if the request is still open.
+    /// If terms are returned, the shell must report the attempt's end to the core. If `None` is returned, the shell sends
+    /// nothing, and reports [`AttemptEnd::NotSent`](super::AttemptEnd::NotSent) if the request is still open.
     pub fn begin(&mut self, now: Micros, request: u64, attempt: u32) -> Option<AttemptTerms> {
         if !self.may_begin(now, request, attempt) {
             return None;
         }
         let open = self.requests.get_mut(request)?;
-        // Computed here and not by a timer: the first event of a process that was suspended may be a request.
+        // Evaluated here and not by a timer, since the first event after a suspension of the process may be a request.
         let lease = self.purge_lease.as_ref();
         let age_limit = lease.and_then(|lease| lease.max_copy_age(now, open.class));
-        let ordered = open.attempt.as_mut()?;
+        let pending = open.attempt.as_mut()?;
         if let Some(limit) = age_limit {
-            ordered.limit_copy_age(limit);
+            pending.limit_copy_age(limit);
         }
-        ordered.has_begun = true;
+        pending.has_begun = true;
         Some(AttemptTerms {
-            time_left: ordered.deadline - now,
-            max_copy_age: ordered.max_copy_age,
-            may_coalesce: ordered.may_coalesce,
+            time_left: pending.deadline - now,
+            max_copy_age: pending.max_copy_age,
+            may_coalesce: pending.may_coalesce,
             limited_by_purge_lease: age_limit.is_some(),
         })
     }
 
-    /// Whether an attempt could begin now, without beginning it; for attempts that wait in a queue.
+    /// Returns whether an attempt could begin now, without beginning it. Used for attempts that wait in a queue.
     pub fn may_begin(&self, now: Micros, request: u64, attempt: u32) -> bool {
         let open = self.requests.unfinished(request);
-        let Some(ordered) = open.and_then(|open| open.attempt(attempt)) else {
+        let Some(pending) = open.and_then(|open| open.attempt(attempt)) else {
             return false;
         };
         let is_ready = |id| self.endpoints.is_ready(id);
         self.router.may_begin(now, RequestId(request))
-            && now < ordered.deadline
-            && is_ready(ordered.endpoint)
-            && ordered.source.is_none_or(is_ready)
+            && now < pending.deadline
+            && is_ready(pending.endpoint)
+            && pending.source.is_none_or(is_ready)
     }
 }
 
--- a/crates/dispatcher/src/core/control_events.rs
+++ b/crates/dispatcher/src/core/control_events.rs
@@ -1,4 +1,4 @@
-//! Inputs of the control plane: endpoint lists, purges, endpoints' hellos and leases, and the fleet's size.
+//! Handling of control-plane inputs: endpoint lists, purges, endpoints' hellos and leases, and the size of the fleet.
 use super::{Core, Output, MICROS_PER_SECOND};
 use crate::dispatcher_registry::Roster;
 use pointspindle::{
@@ -7,7 +7,7 @@
 use pointspindle_config::Role;
 use pointspindle_protocol::{EndpointListHead, HelloHead, LeaseHead, PurgeHead};
 
-/// Longest lease that is accepted: slow start has no longer ones.
+/// Upper limit for the duration of a work lease; slow start uses none longer.
 const MAX_LEASE_US: Micros = 60_000_000;
 
 impl Core {
@@ -23,25 +23,25 @@
             return;
         };
         if let Event::EndpointList { entries, .. } = &event {
-            self.connect_caches(entries, outputs);
+            self.connect_local_caches(entries, outputs);
         }
-        self.drive(now, event, outputs);
+        self.process_event(now, event, outputs);
         let endpoints = &self.endpoints;
         self.work_requests
             .retain(|endpoint| endpoints.address(endpoint).is_some());
     }
 
-    /// Connects to the ready caches of the own zone before a request is sent there. Otherwise all dispatchers would send
-    /// their first requests to a new cache before its hello and its lease have arrived.
-    fn connect_caches(&self, entries: &[EndpointEntry], outputs: &mut Vec<Output>) {
-        let is_own_cache = |entry: &&EndpointEntry| {
+    /// Connects to the ready caches of the dispatcher's own zone before a request is sent to them. Otherwise all dispatchers
+    /// would send their first requests to a new cache before its hello and its lease have arrived.
+    fn connect_local_caches(&self, entries: &[EndpointEntry], outputs: &mut Vec<Output>) {
+        let is_local_cache = |entry: &&EndpointEntry| {
             entry.state == EndpointState::Ready
                 && entry.zone == self.zone
                 && entry.kind == Role::Cache.kind()
         };
         let addresses = entries
             .iter()
-            .filter(is_own_cache)
+            .filter(is_local_cache)
             .filter_map(|entry| self.endpoints.address(entry.id));
         outputs.extend(addresses.map(|endpoint| Output::Connect { endpoint }));
     }
@@ -59,7 +59,7 @@
             group: head.group,
             age: head.age_us,
         };
-        self.drive(now, event, outputs);
+        self.process_event(now, event, outputs);
     }
 
     pub(super) fn on_updates_missed(&mut self, now: Micros) {
@@ -67,9 +67,9 @@
         self.requests.limit_copy_age(0, |_| true);
     }
 
-    /// Purges a group whose purges may have been missed, as of the end of the gap.
+    /// Purges a group whose purges may have been missed, as of the end of the gap, if that has not been done yet.
     pub(super) fn purge_if_missed(&mut self, now: Micros, group: u64, outputs: &mut Vec<Output>) {
-        let Some(age) = self.missed_updates.claim_purge(now, group) else {
+        let Some(age) = self.missed_updates.take_pending_purge(now, group) else {
             return;
         };
         let head = PurgeHead {
@@ -84,12 +84,12 @@
             group,
             age,
         };
-        self.drive(now, event, outputs);
+        self.process_event(now, event, outputs);
     }
 
-    pub(super) fn on_purges_confirmed(&mut self, proven_at: Micros) {
+    pub(super) fn on_purges_confirmed(&mut self, confirmed_at: Micros) {
         if let Some(lease) = &mut self.purge_lease {
-            lease.renew(proven_at);
+            lease.renew(confirmed_at);
         }
     }
 
@@ -112,7 +112,7 @@
             endpoint: id,
             started_at: change.started_at,
         };
-        self.drive(now, event, outputs);
+        self.process_event(now, event, outputs);
     }
 
     pub(super) fn on_lease(
@@ -130,7 +130,7 @@
             work_s: lease.work_us as f64 / MICROS_PER_SECOND,
             duration: lease.duration_us.min(MAX_LEASE_US),
         };
-        self.drive(now, event, outputs);
+        self.process_event(now, event, outputs);
         if !lease.in_reply {
             return;
         }
@@ -159,7 +159,7 @@
         self.update_fleet_counts(now);
     }
 
-    /// Notifies the router of the fleet counts, where they have changed.
+    /// Passes the fleet counts to the router if they have changed.
     pub(super) fn update_fleet_counts(&mut self, now: Micros) {
         if let Some(counts) = self.fleet.refresh(now, &mut self.timers) {
             self.router.set_fleet_position(FleetPosition {
--- a/crates/dispatcher/src/core/endpoint_list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in force: ids, addresses, and when each endpoint's process started by this dispatcher's clock.
+//! The endpoint list in force: ids, addresses, and the starting time of each endpoint's process by this dispatcher's clock.
 use pointspindle::*;
 use pointspindle_config::Role;
 use pointspindle_protocol::{
@@ -6,8 +6,8 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Slots of removed endpoints are retained this long: an endpoint that returns in the same incarnation must keep its
-/// starting time, or the router would take it for another process.
+/// How long the slots of removed endpoints are retained. An endpoint that returns in the same incarnation must have the same
+/// starting time as before, or the router would treat it as a restarted process.
 const REMOVED_ENDPOINT_RETENTION_US: Micros = 60_000_000;
 
 /// The effect of a list update.
@@ -15,15 +15,15 @@
 pub struct EndpointListChange {
     /// Sequence number of the list in force.
     pub seq: u64,
-    /// Why the full list is needed; none: nothing is missing.
+    /// Reason why the full list must be requested; `None` if no update is missing.
     pub resync_reason: Option<String>,
-    /// Records that were not usable, with the reason.
+    /// Addresses of the records that could not be used, each with the reason.
     pub rejected_records: Vec<String>,
 }
 
-/// A list update with the router's part of it.
+/// The effect of a list update, with the event to be passed to the router.
 pub(super) struct AppliedUpdate {
-    /// None: the update was outdated.
+    /// Event for the router; `None` if the update was outdated.
     pub event: Option<Event>,
     pub change: EndpointListChange,
 }
@@ -31,20 +31,20 @@
 /// The effect of an endpoint's hello.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct IncarnationChange {
-    /// When the process started, by this dispatcher's clock; 0: long ago.
+    /// When the process started, by this dispatcher's clock; 0 stands for long ago.
     pub started_at: Micros,
-    /// Another process was there before.
+    /// Whether the process has replaced another one at the same address.
     pub is_replacement: bool,
 }
 
 #[derive(Debug)]
 struct EndpointSlot {
     record: EndpointRecord,
-    /// When the listed process started, by this dispatcher's clock; 0: long ago.
+    /// When the listed process started, by this dispatcher's clock; 0 stands for long ago.
     started_at: Micros,
-    /// Since when it is no longer listed.
+    /// When the endpoint was removed from the list; `None` while it is listed.
     removed_at: Option<Micros>,
-    /// The process by its own hello, if it has sent one.
+    /// The process according to its own hello, if it has sent one.
     incarnation: Option<Incarnation>,
 }
 
@@ -54,11 +54,11 @@
     }
 }
 
-/// A process, as it announced itself.
+/// An endpoint's process, according to its hello.
 #[derive(Clone, Copy, Debug)]
 struct Incarnation {
     id: u64,
-    /// By this dispatcher's clock; 0: long ago.
+    /// When the process started, by this dispatcher's clock; 0 stands for long ago.
     started_at: Micros,
     last_seen: Micros,
 }
@@ -66,11 +66,11 @@
 /// Endpoints by id.
 ///
 /// Invariant: `seq <= newest_seq`, and they differ only while an update is missing. Bound: one slot for each listed
-/// endpoint, and for each one removed within [`REMOVED_ENDPOINT_RETENTION_US`] before the latest update.
+/// endpoint, and one for each endpoint removed within [`REMOVED_ENDPOINT_RETENTION_US`] before the latest update.
 #[derive(Debug)]
 pub(super) struct EndpointList {
     zones: Vec<String>,
-    /// Names are ids and need not be socket addresses.
+    /// Whether endpoints are named by ids, which need not be socket addresses.
     names_are_ids: bool,
     slots: BTreeMap<EndpointId, EndpointSlot>,
     /// The latest sequence number up to which no update is missing.
@@ -79,7 +79,7 @@
 }
 
 impl EndpointList {
-    /// No endpoints; `zones` are the settings' zones in their order.
+    /// Creates an empty list. `zones` are the zones of the settings in their order.
     pub fn new(zones: &[String], names_are_ids: bool) -> Self {
         Self {
             names_are_ids,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Sequence number of the list in force; 0: none yet.
+    /// Sequence number of the list in force; 0 if there is none yet.
     pub fn seq(&self) -> u64 {
         self.seq
     }
 
-    /// Address of a listed endpoint.
+    /// Returns the address of a listed endpoint.
     pub fn address(&self, id: EndpointId) -> Option<String> {
         self.slots
             .get(&id)
@@ -103,15 +103,15 @@
             .map(|slot| slot.record.address.clone())
     }
 
-    /// Whether requests may be sent to the endpoint, or fills made from it.
+    /// Whether requests may be sent to the endpoint, and fills may use it as their source.
     pub fn is_ready(&self, id: EndpointId) -> bool {
         self.slots
             .get(&id)
             .is_some_and(|slot| slot.is_listed() && slot.record.state() == WireEndpointState::Ready)
     }
 
-    /// Applies an update. An outdated delta is ignored. After a gap the records of a delta are still newer than what is
-    /// known, so they are applied (a drain must not wait for the full list), and the full list is requested.
+    /// Applies an update. An outdated delta is ignored. The records of a delta that follows a gap are newer than the stored
+    /// ones, so they are applied at once (a drain must not wait for the full list), and the full list is requested.
     pub fn apply(&mut self, now: Micros, head: EndpointListHead) -> AppliedUpdate {
         let update = list_update(head.form());
         if update == ListUpdate::Delta && head.seq <= self.newest_seq {
@@ -161,11 +161,12 @@
         }
     }
 
-    /// Moves on to an update's sequence number; why the full list is needed, if an update before it is missing.
+    /// Advances to the sequence number of an update. Returns the reason for requesting the full list if a preceding update is
+    /// missing.
     fn advance_sequence(&mut self, is_delta: bool, seq: u64) -> Option<String> {
         self.newest_seq = seq;
         if is_delta && seq != self.seq + 1 {
-            return Some(format!("delta {seq} came after list {}", self.seq));
+            return Some(format!("delta {seq} does not follow list {}", self.seq));
         }
         self.seq = seq;
         None
@@ -182,7 +183,7 @@
         self.slots.insert(entry.id, slot);
     }
 
-    /// Marks all endpoints as removed that a full list does not contain.
+    /// Marks all endpoints that are not among the entries of a full list as removed.
     fn remove_unlisted(&mut self, now: Micros, entries: &[EndpointEntry]) {
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for (id, slot) in &mut self.slots {
@@ -199,10 +200,10 @@
         });
     }
 
-    /// Applies an endpoint's hello; none for an endpoint that is not listed.
+    /// Applies an endpoint's hello. Returns `None` for an endpoint that is not listed.
     ///
-    /// The same process keeps the starting time that was computed first, since reported ages jitter. Another process cannot
-    /// have started before the previous one was last seen, whatever its clock says.
+    /// For the same process the starting time that was computed first stays valid, since reported ages jitter. A new process
+    /// cannot have started before the previous one was last seen, whatever its clock says.
     pub fn apply_hello(
         &mut self,
         now: Micros,
@@ -211,7 +212,7 @@
     ) -> Option<IncarnationChange> {
         let slot = self.slots.get_mut(&id).filter(|slot| slot.is_listed())?;
         let previous = slot.incarnation;
-        let reported = moment_of(now, hello.started_ago_us);
+        let reported = time_from_age(now, hello.started_ago_us);
         let started_at = match previous {
             Some(process) if process.id == hello.incarnation => process.started_at,
             Some(process) => reported.max(process.last_seen),
@@ -228,7 +229,7 @@
         })
     }
 
-    /// A response of the endpoint has arrived: its process is still running.
+    /// Records that a response of the endpoint has arrived, which shows that its process is running.
     pub fn mark_seen(&mut self, now: Micros, id: EndpointId) {
         let slot = self.slots.get_mut(&id);
         if let Some(process) = slot.and_then(|slot| slot.incarnation.as_mut()) {
@@ -236,26 +237,27 @@
         }
     }
 
-    /// Translates a record for the router; why not, if it is unusable.
+    /// Translates a record for the router. Returns the reason if the record is unusable.
     fn entry(&self, now: Micros, record: &EndpointRecord) -> Result<EndpointEntry, String> {
         let id = EndpointId::named(&record.address);
         if !self.names_are_ids && record.address.parse::<std::net::SocketAddr>().is_err() {
-            return Err("not an address and port".into());
+            return Err("the address is not of the form IP:PORT".into());
         }
         let zone = self.zones.iter().position(|zone| *zone == record.zone);
         let role = Role::from_name(&record.kind)
-            .ok_or_else(|| format!("unknown kind {:?}", record.kind))?;
+            .ok_or_else(|| format!("unknown endpoint kind {:?}", record.kind))?;
         let state = match record.state() {
             WireEndpointState::Ready => EndpointState::Ready,
             WireEndpointState::Draining => EndpointState::Draining,
             WireEndpointState::Gone => EndpointState::Gone,
-            WireEndpointState::Unspecified => return Err("no state".into()),
+            WireEndpointState::Unspecified => return Err("the record has no valid state".into()),
         };
         Ok(EndpointEntry {
             id,
             state,
             weight: record.weight,
-            // A zone that is not in the settings is no dispatcher's here: its caches are not used, its parents are.
+            // A zone that is not in the settings gets an index that matches no configured zone: its caches are not used,
+            // its parents are.
             zone: zone.unwrap_or(self.zones.len()),
             kind: role.kind(),
             cell: record.cell,
@@ -263,13 +265,14 @@
         })
     }
 
-    /// The same incarnation keeps the starting time that was computed first, since reported ages jitter.
+    /// Returns the starting time of a listed process. For the same incarnation the time that was computed first stays valid,
+    /// since reported ages jitter.
     fn started_at(&self, now: Micros, id: EndpointId, record: &EndpointRecord) -> Micros {
         self.slots
             .get(&id)
             .filter(|slot| slot.record.incarnation == record.incarnation)
             .map_or_else(
-                || moment_of(now, record.started_ago_us),
+                || time_from_age(now, record.started_ago_us),
                 |slot| slot.started_at,
             )
     }
@@ -279,7 +282,7 @@
         self.slots.values().filter(|slot| slot.is_listed()).count()
     }
 
-    /// The list in force as a full list, with ages as of now.
+    /// Returns the list in force as a full list, with ages as of `now`.
     pub fn to_full_list(&self, now: Micros) -> EndpointListHead {
         let record = |slot: &EndpointSlot| EndpointRecord {
             started_ago_us: (slot.started_at > 0).then(|| now.saturating_sub(slot.started_at)),
@@ -294,8 +297,8 @@
     }
 }
 
-/// The moment of an age, by this dispatcher's clock; 0: long ago.
-fn moment_of(now: Micros, ago: Option<Micros>) -> Micros {
+/// Converts an age into a time by this dispatcher's clock; 0 stands for long ago.
+fn time_from_age(now: Micros, ago: Option<Micros>) -> Micros {
     ago.map_or(0, |ago| now.saturating_sub(ago).max(1))
 }
 
--- a/crates/dispatcher/src/core/fleet.rs
+++ b/crates/dispatcher/src/core/fleet.rs
@@ -1,22 +1,22 @@
-//! Fleet counts (how many dispatchers there are, and this one's index) as the router was last notified of them.
+//! Fleet counts (the number of dispatchers, and the index of this dispatcher) as they were last passed to the router.
 use super::timers::{Timer, Timers};
 use crate::dispatcher_registry::{DispatcherRegistry, FleetCounts, Roster};
 use pointspindle::Micros;
 use pointspindle_config::DispatcherSettings;
 
-/// The dispatcher registry, and the moment at which its counts change next.
+/// The dispatcher registry, and the time at which its counts change next.
 ///
 /// Invariant: after [`Fleet::refresh`] exactly one [`Timer::FleetCounts`] is set if `refresh_at` is set, and none otherwise.
 #[derive(Debug)]
 pub(super) struct Fleet {
     registry: DispatcherRegistry,
-    /// Counts that the router has.
+    /// Counts that were last passed to the router.
     counts: Option<FleetCounts>,
     refresh_at: Option<Micros>,
 }
 
 impl Fleet {
-    /// No roster yet: the router uses the settings' counts.
+    /// Creates an empty registry. Until the first roster arrives, the router uses the counts of the settings.
     pub fn new(settings: &DispatcherSettings) -> Self {
         let router = &settings.router;
         let longest_window = router
@@ -44,22 +44,22 @@
         self.registry.set_roster(now, roster);
     }
 
-    /// This dispatcher's registration was renewed.
+    /// Records that this dispatcher's registration was renewed.
     pub fn registration_renewed(&mut self, renewed_at: Micros, duration: Micros) {
         self.registry.registration_renewed(renewed_at, duration);
     }
 
-    /// Whether the control source's view is current.
+    /// Sets whether the control source's view is current.
     pub fn set_view_current(&mut self, is_current: bool) {
         self.registry.set_view_current(is_current);
     }
 
-    /// Whether the counts have to be refreshed.
+    /// Whether the counts must be refreshed.
     pub fn is_due(&self, now: Micros) -> bool {
         self.refresh_at.is_some_and(|at| now >= at)
     }
 
-    /// Sets the timer for the next change; the counts, where they differ from the router's.
+    /// Sets the timer for the next change. Returns the counts if they differ from those last passed to the router.
     pub fn refresh(&mut self, now: Micros, timers: &mut Timers) -> Option<FleetCounts> {
         let counts = self.registry.counts(now);
         let changed = counts.filter(|_| counts != self.counts);
--- a/crates/dispatcher/src/core/input.rs
+++ b/crates/dispatcher/src/core/input.rs
@@ -18,7 +18,7 @@
     pub group: u64,
     /// Remaining time until the client's deadline.
     pub time_left: Micros,
-    /// Size of the response in bytes, where it is known in advance.
+    /// Size of the response in bytes, if it is known in advance.
     pub size: Option<u64>,
 }
 
@@ -36,20 +36,20 @@
         /// Whether the request may have been executed.
         may_have_run: bool,
     },
-    /// No connection could be made; nothing was sent.
+    /// No connection could be established, so the request was not sent.
     ConnectFailed,
-    /// Nothing was sent: the connection had no free stream, or [`Core::begin`](super::Core::begin) denied the attempt.
+    /// The request was not sent: the connection had no free stream, or [`Core::begin`](super::Core::begin) denied the attempt.
     NotSent,
-    /// The connection broke; the request may have been executed.
+    /// The connection was lost; the request may have been executed.
     Broken,
 }
 
 /// An event for [`Core::handle`](super::Core::handle).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// A new request. The shell chooses its number and never uses one twice.
+    /// A new request. The shell chooses its number and never reuses one.
     Request(u64, ClientRequest),
-    /// The response head of an attempt has arrived; nothing of the response has been forwarded yet.
+    /// The response head of an attempt has arrived; no part of the response has been forwarded yet.
     ResponseStarted {
         /// Number of the request.
         request: u64,
@@ -57,10 +57,10 @@
         attempt: u32,
         /// What the endpoint's cache did.
         cache_status: WireCacheStatus,
-        /// Size of the response in bytes, where the head states it.
+        /// Size of the response in bytes, if the head states it.
         size: Option<u64>,
     },
-    /// An attempt is over.
+    /// An attempt has ended.
     AttemptEnded {
         /// Number of the request.
         request: u64,
@@ -71,29 +71,30 @@
     },
     /// The client has disconnected, or its response ended with an error on the client's side.
     ClientDisconnected(u64),
-    /// The process terminates: every request whose response is not being forwarded yet gets its final response now.
+    /// The process is shutting down: every request whose response is not being forwarded yet gets its final response now.
     FinishAll,
     /// A full endpoint list or a delta.
     EndpointList(EndpointListHead),
     /// An object or a group was purged.
     Purge(PurgeHead),
-    /// An endpoint's first message on a connection: which process it is. It precedes everything else of that connection.
-    /// Where [`Output::HelloApplied`](super::Output::HelloApplied) reports a replaced process, the shell ends whatever still
-    /// waits to be sent on the connection with [`AttemptEnd::NotSent`]: it was meant for the previous process.
+    /// An endpoint's first message on a connection, which identifies its process. It precedes all other inputs of that
+    /// connection. If [`Output::HelloApplied`](super::Output::HelloApplied) reports a replaced process, the shell ends all
+    /// attempts that still wait to be sent on the connection with [`AttemptEnd::NotSent`], since the router chose the previous
+    /// process for them.
     Hello {
         /// Address or id of the endpoint.
         endpoint: String,
-        /// The endpoint's message.
+        /// Content of the message.
         hello: HelloHead,
     },
-    /// The work that an endpoint in slow start grants to this dispatcher.
+    /// A work lease that an endpoint in slow start grants to this dispatcher.
     Lease {
         /// Address or id of the endpoint.
         endpoint: String,
         /// The granted work.
         lease: LeaseHead,
     },
-    /// An unknown set of purges may have been missed: every copy from before now counts as purged.
+    /// An unknown set of purges may have been missed: every copy stored before this input is treated as purged.
     UpdatesMissed,
     /// The set of registered dispatchers.
     Roster(Roster),
@@ -101,16 +102,16 @@
     RegistrationRenewed {
         /// Time since the renewal.
         ago: Micros,
-        /// Duration of the registration's lease, from the renewal on.
+        /// Duration of the registration's lease, counted from the renewal.
         duration: Micros,
     },
     /// Whether endpoint lists, purges and the roster are as current as they should be.
     SourceFreshness(bool),
-    /// All purges that were acknowledged up to a moment are in force here.
+    /// All purges that were acknowledged up to a given time are in force here.
     PurgesConfirmed {
-        /// Time since that moment.
+        /// Time elapsed since then.
         ago: Micros,
     },
-    /// Time has passed.
+    /// Time has passed; due timers fire.
     Tick,
 }
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatcher without I/O: request table, timers, endpoint list and purges around one router.
+//! The sans-IO state machine of a dispatcher: request table, timers, endpoint list and purges around one router.
 //!
-//! [`Core::handle`] takes one [`Input`] with the time at which it happened and appends [`Output`]s, to be carried out in
-//! order. Between inputs, call it with [`Input::Tick`] at [`Core::next_timer`] or soon after.
+//! [`Core::handle`] takes one [`Input`] with the time at which it occurred and appends [`Output`]s, which the caller carries
+//! out in order. Between inputs, the caller passes [`Input::Tick`] at [`Core::next_timer`] or soon after.
 //!
 //! `client_events` and `control_events` translate inputs into events of the router; `router_actions` translates the
 //! router's actions into outputs.
@@ -41,37 +41,38 @@
 
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Ended attempts by the label of their status, for metrics; see [`Core::take_attempt_counts`].
+/// Number of ended attempts by the label of their status, for metrics; see [`Core::take_attempt_counts`].
 pub type AttemptCounts = BTreeMap<&'static str, u64>;
 
 /// Sizes of the core's state that outlives requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoreStateCounts {
-    /// Listed endpoints.
+    /// Number of listed endpoints.
     pub endpoints: usize,
-    /// Recorded purges.
+    /// Number of recorded purges.
     pub purges: usize,
-    /// Registered dispatchers.
+    /// Number of registered dispatchers.
     pub dispatchers: usize,
 }
 
 /// The state machine of one dispatcher; see the module's documentation.
 ///
-/// Each field's type states its bound and when its entries are forgotten. For each open request the shell is owed exactly
-/// one final output ([`Output::Reject`], [`Output::Fail`] or [`Output::ForwardResponse`]), unless its client disconnects.
+/// The type of each field documents its bound and when its entries are removed. The core produces exactly one final output
+/// ([`Output::Reject`], [`Output::Fail`] or [`Output::ForwardResponse`]) for each open request whose client does not
+/// disconnect.
 #[derive(Debug)]
 pub struct Core {
     router: Router,
     endpoints: EndpointList,
     purges: PurgeLog,
-    /// None: the settings do not promise when a purge is in force.
+    /// `None` if the settings give no upper limit for the time until a purge is in force.
     purge_lease: Option<PurgeLease>,
     missed_updates: MissedUpdates,
     fleet: Fleet,
     requests: RequestTable,
     work_requests: WorkRequests,
     timers: Timers,
-    /// Subtracted from a client's remaining time, for the way back of the response.
+    /// Subtracted from a client's remaining time, to leave time for the delivery of the response.
     answer_slack: Micros,
     /// Index of the dispatcher's own zone.
     zone: usize,
@@ -81,7 +82,7 @@
 }
 
 impl Core {
-    /// A core without an endpoint list. `seed` determines all of the router's random choices.
+    /// Creates a core without an endpoint list. `seed` determines all random choices of the router.
     pub fn new(settings: &DispatcherSettings, seed: u64) -> Self {
         let purge_horizon = settings.router.purge_horizon;
         Self {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// When [`Input::Tick`] is needed next.
+    /// Returns the time at which [`Input::Tick`] is needed next.
     pub fn next_timer(&self) -> Option<Micros> {
         self.timers.next()
     }
@@ -111,27 +112,27 @@
         self.requests.unfinished_count()
     }
 
-    /// Sequence number of the endpoint list in force; 0: none yet.
+    /// Sequence number of the endpoint list in force; 0 if there is none yet.
     pub fn endpoint_list_seq(&self) -> u64 {
         self.endpoints.seq()
     }
 
-    /// The endpoint list in force, with ages as of now.
+    /// Returns the endpoint list in force, with ages as of `now`.
     pub fn endpoint_list(&self, now: Micros) -> EndpointListHead {
         self.endpoints.to_full_list(now)
     }
 
-    /// Attempts that ended since the previous call.
+    /// Returns the counts of the attempts that ended since the previous call.
     pub fn take_attempt_counts(&mut self) -> AttemptCounts {
         std::mem::take(&mut self.attempt_counts)
     }
 
-    /// Whether the purge lease is valid; none: there is no purge promise.
+    /// Whether the purge lease is valid; `None` if the settings use no purge lease.
     pub fn purges_confirmed(&self, now: Micros) -> Option<bool> {
         self.purge_lease.as_ref().map(|lease| lease.is_valid(now))
     }
 
-    /// Sizes of the endpoint list, the purge log and the dispatcher registry.
+    /// Returns the sizes of the endpoint list, the purge log and the dispatcher registry.
     pub fn state_counts(&mut self, now: Micros) -> CoreStateCounts {
         CoreStateCounts {
             endpoints: self.endpoints.listed_count(),
@@ -140,14 +141,15 @@
         }
     }
 
-    /// The state to be restored after a restart.
+    /// Returns the state to be restored after a restart.
     pub fn snapshot(&mut self, now: Micros) -> state::Snapshot {
         state::Snapshot::new(self.endpoints.to_full_list(now), self.purges.recent(now))
     }
 
     /// Handles one input and appends the resulting commands. `now` never decreases.
     pub fn handle(&mut self, now: Micros, input: Input, outputs: &mut Vec<Output>) {
-        // Not left to the timer: the first input of a process that was suspended may be a request.
+        // Checked on every input and not only by the timer, since the first input after a suspension of the process may be a
+        // request.
         if self.fleet.is_due(now) {
             self.update_fleet_counts(now);
         }
--- a/crates/dispatcher/src/core/output.rs
+++ b/crates/dispatcher/src/core/output.rs
@@ -5,17 +5,17 @@
 /// How a cache miss is to be filled, with the fill's source by address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AddressedFetch {
-    /// Endpoint to fill from; none: the receiving endpoint itself is the source.
+    /// Endpoint to fill from; `None` if the receiving endpoint itself is the source.
     pub source: Option<String>,
     /// Rank of the object for the cache's eviction order.
     pub retention_rank: u8,
-    /// Age of the oldest acceptable copy; 0: the limit of the request's class.
+    /// Age of the oldest acceptable copy; 0 stands for the limit of the request's class.
     pub max_age: Micros,
-    /// The request may join a fill that is in progress.
+    /// Whether the request may join a fill that is in progress.
     pub coalesce: bool,
-    /// Serve from the cache or report a miss; do not fill.
+    /// Whether the endpoint must report a miss instead of filling.
     pub only_if_cached: bool,
-    /// Revalidate the cached copy at the source before it is served.
+    /// Whether the cached copy must be revalidated at the source before it is served.
     pub revalidate: bool,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// A command to be carried out by the shell, in the order of the commands.
+/// A command to the shell, which carries out commands in their order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Send an attempt to an endpoint.
@@ -45,36 +45,36 @@
         endpoint: String,
         /// Time until the core cancels the attempt.
         timeout: Micros,
-        /// How a miss is to be filled; none: the endpoint executes the request itself.
+        /// How a miss is to be filled; `None` if the endpoint executes the request itself.
         fetch: Option<AddressedFetch>,
     },
-    /// Cancel the attempt at its endpoint. The core expects no further events of it.
+    /// Cancel the attempt at its endpoint. The core expects no further inputs for it.
     CancelAttempt {
         /// Number of the request.
         request: u64,
         /// Number of the attempt within the request.
         attempt: u32,
     },
-    /// Forward the response to the client, from its head on.
+    /// Forward the response to the client, starting with its head.
     ForwardResponse {
         /// Number of the request.
         request: u64,
         /// Number of the attempt within the request.
         attempt: u32,
     },
-    /// Final response: the request was not executed, and a retry is harmless.
+    /// Send the final response that the request was not executed, so that a retry is safe.
     Reject {
         /// Number of the request.
         request: u64,
-        /// When the client should retry.
+        /// Time after which the client should retry.
         retry_after: Option<Micros>,
     },
-    /// Final response: the request may have been executed.
+    /// Send the final response that the request failed and may have been executed.
     Fail {
         /// Number of the request.
         request: u64,
     },
-    /// Final, after the head was forwarded: the response stays incomplete, visibly for the client.
+    /// Abort a response whose head has been forwarded, so that the client detects that it is incomplete.
     AbortResponse {
         /// Number of the request.
         request: u64,
@@ -83,7 +83,7 @@
     EndpointListApplied(EndpointListChange),
     /// The effect of [`Input::Hello`](super::Input::Hello).
     HelloApplied {
-        /// Another process was at this address before.
+        /// Whether the process has replaced another one at the same address.
         replaced: bool,
     },
     /// Request work from an endpoint in slow start, which replies with an [`Input::Lease`](super::Input::Lease).
@@ -93,7 +93,7 @@
         /// Requested work, in microseconds of processing.
         work_us: u64,
     },
-    /// Connect to an endpoint ahead of its first request, so that its hello and its lease arrive before.
+    /// Connect to an endpoint ahead of its first request, so that its hello and its lease arrive before that request.
     Connect {
         /// Address or id of the endpoint.
         endpoint: String,
--- a/crates/dispatcher/src/core/purge_lease/tests.rs
+++ b/crates/dispatcher/src/core/purge_lease/tests.rs
@@ -1,4 +1,4 @@
-//! When copies are limited by their age.
+//! The copy age limit with and without a valid lease.
 use super::*;
 
 const EXEMPT_CLASS: usize = 1;
@@ -6,7 +6,7 @@
 fn lease() -> PurgeLease {
     PurgeLease {
         duration: 100,
-        proven_at: None,
+        confirmed_at: None,
         exempt_classes: vec![false, true],
     }
 }
@@ -14,12 +14,15 @@
 #[test]
 fn copy_age_is_limited_without_valid_lease() {
     let mut lease = lease();
-    assert_eq!(lease.max_copy_age(0, 0), Some(100), "nothing is proven yet");
+    assert_eq!(lease.max_copy_age(0, 0), Some(100), "no confirmation yet");
     lease.renew(50);
     assert_eq!(lease.max_copy_age(149, 0), None);
     assert_eq!(lease.max_copy_age(150, 0), Some(100));
     lease.renew(40);
-    assert!(!lease.is_valid(150), "an earlier proof changes nothing");
+    assert!(
+        !lease.is_valid(150),
+        "an earlier confirmation has no effect"
+    );
     lease.renew(60);
     assert!(lease.is_valid(150));
 }
--- a/crates/dispatcher/src/core/purge_log.rs
+++ b/crates/dispatcher/src/core/purge_log.rs
@@ -1,23 +1,23 @@
-//! Purges that copies may still be older than, for the state file. The router applies purges to requests.
+//! Recent purges, from before which copies may still exist, recorded for the state file. The router applies purges to requests.
 use pointspindle::Micros;
 use pointspindle_protocol::PurgeHead;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Purges that are recorded one by one. Beyond this they are merged by group, which purges more but never less.
+/// Number of purges that are recorded individually. Beyond it, purges are merged by group, which never purges less.
 const MAX_PURGES: usize = 16 * 1024;
-/// Added to the purge horizon, for clocks and restarts.
+/// Added to the purge horizon, to allow for clock differences and restarts.
 const RETENTION_MARGIN_US: Micros = 1_000_000;
 
 #[derive(Debug)]
 struct Purge {
     at: Micros,
-    /// None: all objects of the group.
+    /// The purged object; `None` for all objects of the group.
     object: Option<String>,
     group: u64,
 }
 
-/// Recent purges. Bound: [`MAX_PURGES`], or one for each group if there are more groups. A purge is forgotten when no copy
-/// from before it can be left.
+/// Recent purges. Bound: [`MAX_PURGES`], or one for each group if there are more groups. A purge is removed when no copy from
+/// before it can be left.
 #[derive(Debug)]
 pub(super) struct PurgeLog {
     retention: Micros,
@@ -25,7 +25,7 @@
 }
 
 impl PurgeLog {
-    /// No purges. `purge_horizon`: when no copy from before a purge can be left.
+    /// Creates an empty log. `purge_horizon` is the time after which no copy from before a purge can be left.
     pub fn new(purge_horizon: Micros) -> Self {
         Self {
             retention: purge_horizon + RETENTION_MARGIN_US,
@@ -33,7 +33,6 @@
         }
     }
 
-    /// Records a purge.
     pub fn add(&mut self, now: Micros, head: &PurgeHead) {
         self.remove_expired(now);
         self.purges.push_back(Purge {
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Replaces the purges of each group by one of the whole group, as of the newest.
+    /// Replaces the purges of each group with one purge of the whole group, as of the newest of them.
     fn merge_by_group(&mut self) {
         let mut groups: BTreeMap<u64, Micros> = BTreeMap::new();
         for purge in &self.purges {
@@ -66,7 +65,7 @@
         self.purges.retain(|purge| now < purge.at + retention);
     }
 
-    /// The purges that still matter, with their age.
+    /// Returns the purges that have not expired, with their ages.
     pub fn recent(&mut self, now: Micros) -> Vec<PurgeHead> {
         self.remove_expired(now);
         let head = |purge: &Purge| PurgeHead {
--- a/crates/dispatcher/src/core/request_table.rs
+++ b/crates/dispatcher/src/core/request_table.rs
@@ -4,21 +4,21 @@
 use pointspindle::{EndpointId, FetchDirective, Micros, ObjectId};
 use std::collections::BTreeMap;
 
-/// A request between its arrival and the later of its final response and its last attempt's end.
+/// A request between its arrival and the later of its final response and the end of its last attempt.
 ///
-/// At most one attempt is in flight. After the response has been committed no other attempt may follow.
+/// At most one attempt is in flight. No further attempt may follow after the response has been committed.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     /// Index of the request's class in the settings.
     pub class: usize,
     pub object: ObjectId,
     pub group: u64,
-    /// Attempts so far; the router numbers them in the same order.
+    /// Number of attempts so far; the router numbers them in the same order.
     attempt_count: u32,
     pub attempt: Option<Attempt>,
-    /// The response is being forwarded: no other attempt may follow.
+    /// Whether the response is being forwarded, so that no further attempt may follow.
     pub is_committed: bool,
-    /// The request has had its final response, or its client has disconnected.
+    /// Whether the request has had its final response, or its client has disconnected.
     pub is_done: bool,
 }
 
@@ -37,14 +37,14 @@
         self.attempt.insert(attempt)
     }
 
-    /// The attempt in flight, if it has this number.
+    /// Returns the attempt in flight, if it has this number.
     pub fn attempt(&self, number: u32) -> Option<&Attempt> {
         self.attempt
             .as_ref()
             .filter(|attempt| attempt.number == number)
     }
 
-    /// The attempt in flight, if it has this number.
+    /// Returns the attempt in flight, if it has this number.
     pub fn attempt_mut(&mut self, number: u32) -> Option<&mut Attempt> {
         self.attempt
             .as_mut()
@@ -52,10 +52,10 @@
     }
 }
 
-/// Requests by the shell's number.
+/// Open requests, by the number that the shell chose.
 ///
-/// Bound: one entry for each request that the shell admitted. An entry is removed as soon as its request is done and no
-/// attempt is in flight; until then the attempt's end is owed to the router.
+/// Bound: one entry for each request that the shell admitted. An entry is removed as soon as its request is done and has no
+/// attempt in flight, whose outcome must still be reported to the router.
 #[derive(Debug, Default)]
 pub(super) struct RequestTable {
     requests: BTreeMap<u64, OpenRequest>,
@@ -76,26 +76,26 @@
         self.requests.insert(number, open);
     }
 
-    /// The request, done or not.
+    /// Returns the request, done or not.
     pub fn get_mut(&mut self, number: u64) -> Option<&mut OpenRequest> {
         self.requests.get_mut(&number)
     }
 
-    /// The request, if it still waits for its final response.
+    /// Returns the request if it still waits for its final response.
     pub fn unfinished(&self, number: u64) -> Option<&OpenRequest> {
         self.requests
             .get(&number)
             .filter(|request| !request.is_done)
     }
 
-    /// The request, if it still waits for its final response.
+    /// Returns the request if it still waits for its final response.
     pub fn unfinished_mut(&mut self, number: u64) -> Option<&mut OpenRequest> {
         self.requests
             .get_mut(&number)
             .filter(|request| !request.is_done)
     }
 
-    /// Requests that still wait for their final response.
+    /// Number of requests that still wait for their final response.
     pub fn unfinished_count(&self) -> usize {
         self.requests
             .values()
@@ -103,7 +103,7 @@
             .count()
     }
 
-    /// Numbers of the requests whose client has received nothing yet.
+    /// Returns the numbers of the unfinished requests whose response is not being forwarded yet.
     pub fn unanswered(&self) -> Vec<u64> {
         self.requests
             .iter()
@@ -119,7 +119,7 @@
             .is_some_and(|request| request.attempt(attempt).is_some())
     }
 
-    /// Limits the copy age of the matching requests' attempts that have not begun.
+    /// Limits the copy age of the attempts of matching requests that have not begun.
     pub fn limit_copy_age(&mut self, limit: Micros, matches: impl Fn(&OpenRequest) -> bool) {
         self.requests
             .values_mut()
@@ -129,18 +129,18 @@
             .for_each(|attempt| attempt.limit_copy_age(limit));
     }
 
-    /// Marks a request as done; false if it was before, or is unknown.
+    /// Marks a request as done. Returns false if it was done before or is unknown.
     pub fn finish(&mut self, number: u64) -> bool {
         let Some(request) = self.requests.get_mut(&number) else {
             return false;
         };
         let was_done = std::mem::replace(&mut request.is_done, true);
-        self.remove_if_over(number);
+        self.remove_if_finished(number);
         !was_done
     }
 
-    /// Ends a response that is being forwarded and cannot be continued; false where none is. Its head is with the client
-    /// already, so no other endpoint's response can replace the rest.
+    /// Ends a response that is being forwarded and cannot be continued: the client has received its head, so the response of
+    /// another endpoint cannot replace the rest. Returns false if no response is being forwarded.
     pub fn abort_response(&mut self, number: u64) -> bool {
         let forwarded = self
             .unfinished_mut(number)
@@ -153,12 +153,12 @@
     }
 
     /// Removes a request that is done and has no attempt in flight.
-    pub fn remove_if_over(&mut self, number: u64) {
-        let is_over = self
+    pub fn remove_if_finished(&mut self, number: u64) {
+        let is_finished = self
             .requests
             .get(&number)
             .is_some_and(|request| request.is_done && request.attempt.is_none());
-        if is_over {
+        if is_finished {
             self.requests.remove(&number);
         }
     }
--- a/crates/dispatcher/src/core/router_actions.rs
+++ b/crates/dispatcher/src/core/router_actions.rs
@@ -1,5 +1,5 @@
-//! The router's actions, translated into outputs.
-use super::attempt::{router_cache_status, status_label, EndReport};
+//! Translation of the router's actions into outputs.
+use super::attempt::{router_cache_status, status_label, AttemptResult};
 use super::timers::Timer;
 use super::{AddressedFetch, Core, Output};
 use pointspindle::{
@@ -8,8 +8,8 @@
 use std::collections::VecDeque;
 
 impl Core {
-    /// Passes an event to the router, and the events that follow at once from its actions, until none is left.
-    pub(super) fn drive(&mut self, now: Micros, first: Event, outputs: &mut Vec<Output>) {
+    /// Passes an event to the router, followed by the events that its actions cause immediately, until none is left.
+    pub(super) fn process_event(&mut self, now: Micros, first: Event, outputs: &mut Vec<Output>) {
         let mut events = VecDeque::from([first]);
         while let Some(event) = events.pop_front() {
             let mut actions = std::mem::take(&mut self.actions);
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Performs an action; the event that follows from it at once, if any.
+    /// Performs an action. Returns the event that it causes immediately, if any.
     fn perform(&mut self, now: Micros, action: Action, outputs: &mut Vec<Output>) -> Option<Event> {
         match action {
             Action::Send {
@@ -61,8 +61,8 @@
         let source_address = source.and_then(|source| self.endpoints.address(source));
         let source_is_listed = source.is_none() || source_address.is_some();
         let Some(address) = address.filter(|_| source_is_listed) else {
-            // The receiver or the source is no longer listed: nothing is sent.
-            return self.take_attempt(now, request, EndReport::new(AttemptStatus::NotSent));
+            // The receiving endpoint or the source is no longer listed, so the attempt is not sent.
+            return self.take_attempt(now, request, AttemptResult::new(AttemptStatus::NotSent));
         };
         let timer = Timer::Attempt {
             request,
@@ -91,8 +91,8 @@
         }
         outputs.push(Output::CancelAttempt { request, attempt });
         self.abort_response(request, outputs);
-        let event = self.take_attempt(now, request, EndReport::new(AttemptStatus::Cancelled));
-        self.requests.remove_if_over(request);
+        let event = self.take_attempt(now, request, AttemptResult::new(AttemptStatus::Cancelled));
+        self.requests.remove_if_finished(request);
         event
     }
 
@@ -111,37 +111,37 @@
         }
     }
 
-    /// Aborts the response if it is being forwarded and its attempt ends early.
+    /// Aborts the response of a request, if it is being forwarded; called when its attempt ends early.
     pub(super) fn abort_response(&mut self, request: u64, outputs: &mut Vec<Output>) {
         if self.requests.abort_response(request) {
             outputs.push(Output::AbortResponse { request });
         }
     }
 
-    /// Takes the attempt in flight out of the table; its outcome for the router.
+    /// Removes the attempt in flight from the table. Returns its outcome as an event for the router.
     pub(super) fn take_attempt(
         &mut self,
         now: Micros,
         request: u64,
-        report: EndReport,
+        result: AttemptResult,
     ) -> Option<Event> {
         let open = self.requests.get_mut(request)?;
         let attempt = open.attempt.take()?;
-        let status = attempt.effective_status(report.status, open.is_done);
+        let status = attempt.effective_status(result.status, open.is_done);
         let timer = Timer::Attempt {
             request,
             attempt: attempt.number,
         };
         self.timers.cancel(attempt.deadline, timer);
         *self.attempt_counts.entry(status_label(status)).or_default() += 1;
-        let cache_status = report.cache_status.unwrap_or(attempt.cache_status);
+        let cache_status = result.cache_status.unwrap_or(attempt.cache_status);
         Some(Event::Outcome(AttemptOutcome {
             request: RequestId(request),
             attempt: attempt.number,
             endpoint: attempt.endpoint,
             status,
             cache_status: router_cache_status(cache_status),
-            elapsed: now.saturating_sub(attempt.ordered_at),
+            elapsed: now.saturating_sub(attempt.created_at),
             size_kb: attempt.size_kb,
             request_closed: open.is_committed,
         }))
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -1,5 +1,5 @@
-//! The state that survives a restart, and the format of its file: one line (magic, version, checksum, length) and a JSON
-//! text. A damaged or foreign file is distinguished from an absent one, and never read in part.
+//! The state that survives a restart, and its file format: a header line (magic, version, checksum, length) followed by a
+//! JSON text. A damaged file, or one of another program, is reported as an error and is never read in part.
 use pointspindle_clock::BootMoment;
 use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead};
 use serde::{Deserialize, Serialize};
@@ -7,9 +7,9 @@
 
 const MAGIC: &str = "pointspindle-state";
 const VERSION: u32 = 1;
-/// Bytes within which the first line must end.
+/// Number of bytes within which the header line must end.
 const MAX_HEADER_BYTES: usize = 128;
-/// A longer file was not written by this program: an endpoint list's frame is shorter.
+/// Largest accepted file, in bytes. This program writes no longer one, since the frame of an endpoint list is shorter.
 pub const MAX_FILE: u64 = 32 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -41,7 +41,7 @@
 }
 
 impl StoredEndpoint {
-    /// The record with its age grown by `elapsed_us`.
+    /// Returns the record with its age increased by `elapsed_us`.
     fn restore(&self, elapsed_us: u64) -> EndpointRecord {
         EndpointRecord {
             address: self.address.clone(),
@@ -76,7 +76,7 @@
 }
 
 impl StoredPurge {
-    /// The purge with its age grown by `elapsed_us`.
+    /// Returns the purge with its age increased by `elapsed_us`.
     fn restore(&self, elapsed_us: u64) -> PurgeHead {
         PurgeHead {
             object: self.object.clone(),
@@ -87,7 +87,7 @@
     }
 }
 
-/// A moment within one boot of the machine.
+/// The time at which a snapshot was saved, within one boot of the machine.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct SavedAt {
     boot: String,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Time until `now`; none across a reboot.
+    /// Returns the time elapsed until `now`; `None` if the machine was rebooted in between.
     fn elapsed_us(&self, now: &BootMoment) -> Option<u64> {
         let saved = BootMoment {
             boot: self.boot.clone(),
@@ -113,12 +113,13 @@
     }
 }
 
-/// The endpoint list in force and the recent purges, at a moment.
+/// The endpoint list in force and the recent purges at one time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Wall clock of the moment, in milliseconds since 1970: for operators, and for older programs that do not know `saved`.
+    /// Wall-clock time in milliseconds since 1970, for operators and for older versions of this program, which do not read
+    /// `saved`.
     saved_unix_ms: u64,
-    /// The same moment by the clock since the machine's boot, which is never stepped.
+    /// The same time by the clock since the machine's boot, which is never stepped.
     #[serde(default)]
     saved: Option<SavedAt>,
     seq: u64,
@@ -127,7 +128,7 @@
     purges: Vec<StoredPurge>,
 }
 
-/// A snapshot's content with ages as of its restoration.
+/// The content of a snapshot, with ages as of its restoration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RestoredState {
     /// The endpoint list, marked as cached.
@@ -136,22 +137,22 @@
     pub purges: Vec<PurgeHead>,
 }
 
-/// Why a state file is unusable.
+/// Reason why a state file is unusable.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum StateError {
-    /// The file does not begin with a state file's first line.
-    #[error("not a state file of this program")]
-    Foreign,
+    /// The file does not begin with the header line of a state file.
+    #[error("not a state file of this program: the header line is missing or malformed")]
+    NotAStateFile,
     /// The file has another format version.
-    #[error("state file of version {0}; this program writes {VERSION}")]
-    Version(u32),
+    #[error("the state file has format version {0}, expected {VERSION}")]
+    UnsupportedVersion(u32),
     /// The file is truncated or damaged.
-    #[error("torn: {0}")]
-    Torn(String),
+    #[error("the state file is torn or damaged: {0}")]
+    Damaged(String),
 }
 
 impl Snapshot {
-    /// A snapshot of a list and purges whose ages are as of now.
+    /// Creates a snapshot of a list and purges whose ages are current.
     pub fn new(list: EndpointListHead, purges: Vec<PurgeHead>) -> Self {
         Self {
             saved_unix_ms: 0,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The file's content, stamped with both clocks.
+    /// Returns the content of the file, stamped with the times of both clocks.
     pub fn to_bytes(&self, unix_ms: u64, now: Option<&BootMoment>) -> Vec<u8> {
         let stamped = Self {
             saved_unix_ms: unix_ms,
@@ -177,36 +178,39 @@
         bytes
     }
 
-    /// Parses a file's content.
+    /// Parses the content of a file.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, StateError> {
         let header_end = bytes
             .iter()
             .take(MAX_HEADER_BYTES)
             .position(|byte| *byte == b'\n')
-            .ok_or(StateError::Foreign)?;
-        let header = std::str::from_utf8(&bytes[..header_end]).map_err(|_| StateError::Foreign)?;
+            .ok_or(StateError::NotAStateFile)?;
+        let header =
+            std::str::from_utf8(&bytes[..header_end]).map_err(|_| StateError::NotAStateFile)?;
         let fields: Vec<&str> = header.split(' ').collect();
         let [MAGIC, version, checksum, length] = fields[..] else {
-            return Err(StateError::Foreign);
+            return Err(StateError::NotAStateFile);
         };
         match version.parse() {
             Ok(VERSION) => {}
-            Ok(other) => return Err(StateError::Version(other)),
-            Err(_) => return Err(StateError::Foreign),
+            Ok(other) => return Err(StateError::UnsupportedVersion(other)),
+            Err(_) => return Err(StateError::NotAStateFile),
         }
         let text = &bytes[header_end + 1..];
         if length.parse() != Ok(text.len()) {
-            let reason = format!("{} bytes, {length} were written", text.len());
-            return Err(StateError::Torn(reason));
+            let reason = format!("{} bytes of content, expected {length}", text.len());
+            return Err(StateError::Damaged(reason));
         }
         if u32::from_str_radix(checksum, 16) != Ok(crc32fast::hash(text)) {
-            return Err(StateError::Torn("the checksum does not fit".into()));
+            return Err(StateError::Damaged(
+                "the checksum does not match the content".into(),
+            ));
         }
-        serde_json::from_slice(text).map_err(|error| StateError::Torn(error.to_string()))
+        serde_json::from_slice(text).map_err(|error| StateError::Damaged(error.to_string()))
     }
 
-    /// The state after a restart. If the machine was rebooted in between, or may have been, the elapsed time is unknown: the
-    /// ages of purges and of processes then do not grow, which only excludes more copies and sends less work.
+    /// Returns the state after a restart. If the machine was rebooted in between, or may have been, the elapsed time is
+    /// unknown, and the ages of purges and of processes are not increased, which only excludes more copies and sends less work.
     pub fn restore(&self, now: Option<&BootMoment>) -> RestoredState {
         let saved = self.saved.as_ref();
         let elapsed_us = saved
--- a/crates/dispatcher/src/core/work_requests.rs
+++ b/crates/dispatcher/src/core/work_requests.rs
@@ -1,12 +1,12 @@
 //! Requests that wait for a work lease from an endpoint in slow start.
 //!
-//! An endpoint in slow start that has more dispatchers than requests to share grants its work on request. A request whose
-//! home it is waits for the lease, one round trip, before the router decides; without a lease in time the router decides
-//! without it.
+//! An endpoint in slow start that has more dispatchers than requests to share among them grants work on request. A request
+//! whose home endpoint does so waits one round trip for the lease before the router decides about it. If the lease does not
+//! arrive in time, the router decides without it.
 use pointspindle::{EndpointId, Micros, Request};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Longest wait. Endpoints in slow start are in the dispatcher's own zone, so a round trip is short.
+/// Longest wait for a lease. Endpoints in slow start are in the dispatcher's own zone, so a round trip is short.
 const MAX_WAIT_US: Micros = 20_000;
 const MAX_WAITING_PER_ENDPOINT: usize = 256;
 
@@ -15,14 +15,14 @@
 pub(super) struct WaitingRequest {
     pub request: Request,
     endpoint: EndpointId,
-    since: Micros,
+    waiting_since: Micros,
     pub deadline: Micros,
 }
 
 impl WaitingRequest {
-    /// The request with the time that is left for it now.
+    /// Returns the request with the time that remains for it at `now`.
     pub fn into_request(self, now: Micros) -> Request {
-        let waited = now.saturating_sub(self.since);
+        let waited = now.saturating_sub(self.waiting_since);
         let time_left = self.request.time_left.saturating_sub(waited);
         Request {
             time_left,
@@ -34,9 +34,9 @@
 /// Endpoints that grant work on request, and the requests that wait for their leases.
 ///
 /// Invariant: each waiting request is in its endpoint's queue exactly once; no queue is empty. Bound:
-/// [`MAX_WAITING_PER_ENDPOINT`] for each endpoint. A request is removed by a reply, its deadline, its client's disconnect or
-/// the process's end, and the router's decision is owed to all but the disconnected; an endpoint when it grants otherwise or
-/// is no longer listed.
+/// [`MAX_WAITING_PER_ENDPOINT`] for each endpoint. A request is removed by a reply, its deadline, the disconnect of its client
+/// or the shutdown of the process; unless the client has disconnected, the caller must then pass it to the router. An
+/// endpoint is removed when it no longer grants work on request or is no longer listed.
 #[derive(Debug, Default)]
 pub(super) struct WorkRequests {
     endpoints_on_request: BTreeSet<EndpointId>,
@@ -45,7 +45,7 @@
 }
 
 impl WorkRequests {
-    /// Whether an endpoint grants work on request, by its latest lease.
+    /// Records whether an endpoint grants work on request, according to its latest lease.
     pub fn set_on_request(&mut self, endpoint: EndpointId, on_request: bool) {
         if on_request {
             self.endpoints_on_request.insert(endpoint);
@@ -54,19 +54,25 @@
         }
     }
 
-    /// Forgets endpoints that are no longer listed.
+    /// Removes endpoints that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
         self.endpoints_on_request
             .retain(|endpoint| is_listed(*endpoint));
     }
 
     /// Whether any endpoint grants work on request.
-    pub fn is_needed(&self) -> bool {
+    pub fn has_endpoint_on_request(&self) -> bool {
         !self.endpoints_on_request.is_empty()
     }
 
-    /// Queues a request if its endpoint grants on request and the queue has capacity; the deadline of the wait.
-    pub fn wait(&mut self, now: Micros, endpoint: EndpointId, request: &Request) -> Option<Micros> {
+    /// Queues a request if its endpoint grants work on request and the queue has capacity. Returns the deadline of the wait, or
+    /// `None` if the request was not queued.
+    pub fn enqueue(
+        &mut self,
+        now: Micros,
+        endpoint: EndpointId,
+        request: &Request,
+    ) -> Option<Micros> {
         let queued = self.queues.get(&endpoint).map_or(0, VecDeque::len);
         let grants_on_request = self.endpoints_on_request.contains(&endpoint);
         if !grants_on_request || queued >= MAX_WAITING_PER_ENDPOINT {
@@ -76,7 +82,7 @@
         let waiting = WaitingRequest {
             request: request.clone(),
             endpoint,
-            since: now,
+            waiting_since: now,
             deadline,
         };
         self.waiting.insert(request.id.0, waiting);
@@ -85,20 +91,20 @@
         Some(deadline)
     }
 
-    /// Removes the endpoint's longest waiting request, for a reply. A reply that comes after its request's deadline serves
-    /// the next request, which requested as much work.
+    /// Removes and returns the endpoint's longest waiting request when a reply arrives. A reply that arrives after its own
+    /// request's deadline is used for the next waiting request, which has requested work as well.
     pub fn take_next(&mut self, endpoint: EndpointId) -> Option<WaitingRequest> {
         let first = self.queues.get(&endpoint)?.front().copied()?;
         self.take(first)
     }
 
-    /// Removes all waiting requests.
+    /// Removes and returns all waiting requests.
     pub fn take_all(&mut self) -> Vec<WaitingRequest> {
         self.queues.clear();
         std::mem::take(&mut self.waiting).into_values().collect()
     }
 
-    /// Removes a waiting request.
+    /// Removes and returns a waiting request.
     pub fn take(&mut self, request: u64) -> Option<WaitingRequest> {
         let found = self.waiting.remove(&request)?;
         if let Some(queue) = self.queues.get_mut(&found.endpoint) {
--- a/crates/dispatcher/src/core/work_requests/tests.rs
+++ b/crates/dispatcher/src/core/work_requests/tests.rs
@@ -1,4 +1,4 @@
-//! Order and bounds of requests that wait for a lease.
+//! Order and number of requests that wait for a lease.
 use super::*;
 use pointspindle::{ObjectId, RequestId};
 
@@ -20,14 +20,14 @@
     let mut work_requests = WorkRequests::default();
     let endpoint = EndpointId(1);
     assert_eq!(
-        work_requests.wait(0, endpoint, &request(1)),
+        work_requests.enqueue(0, endpoint, &request(1)),
         None,
-        "the endpoint does not grant on request"
+        "the endpoint does not grant work on request"
     );
     work_requests.set_on_request(endpoint, true);
     for id in 1..=3 {
         assert_eq!(
-            work_requests.wait(id, endpoint, &request(id)),
+            work_requests.enqueue(id, endpoint, &request(id)),
             Some(id + MAX_WAIT_US)
         );
     }
@@ -49,7 +49,7 @@
             && work_requests.queues.is_empty()
     );
     work_requests.retain(|_| false);
-    assert!(!work_requests.is_needed());
+    assert!(!work_requests.has_endpoint_on_request());
 }
 
 #[test]
@@ -58,7 +58,7 @@
     let endpoint = EndpointId(1);
     work_requests.set_on_request(endpoint, true);
     let waiting = (0..1_000)
-        .filter(|id| work_requests.wait(0, endpoint, &request(*id)).is_some())
+        .filter(|id| work_requests.enqueue(0, endpoint, &request(*id)).is_some())
         .count();
     assert_eq!(waiting, MAX_WAITING_PER_ENDPOINT);
 }
--- a/crates/dispatcher/tests/core/state_file.rs
+++ b/crates/dispatcher/tests/core/state_file.rs
@@ -87,14 +87,14 @@
     }
     assert_eq!(
         Snapshot::from_bytes(b"[dispatcher]\nname = x\n"),
-        Err(StateError::Foreign)
+        Err(StateError::NotAStateFile)
     );
     let later = String::from_utf8(good)
         .unwrap()
         .replacen("state 1", "state 2", 1);
     assert_eq!(
         Snapshot::from_bytes(later.as_bytes()),
-        Err(StateError::Version(2))
+        Err(StateError::UnsupportedVersion(2))
     );
 }
 
