--- a/crates/dispatcher/src/admission.rs
+++ b/crates/dispatcher/src/admission.rs
@@ -1,19 +1,21 @@
-//! Admission control for client connections: a decision without I/O.
+//! Admission control for client connections. This module performs no I/O.
 //!
-//! Over the soft limit idle connections are closed, longest idle first. At the hard limit, or over the quota of an address
-//! or of a network (a branch's), new connections are rejected with a Retry-After, unless an idle connection of the same
-//! address or network can be closed instead. A connection with a request in flight is never closed for another.
+//! Above the soft limit idle connections are closed, longest idle first. At the hard limit, or at the quota of an address
+//! or of a network (such as that of a branch), new connections are rejected with a Retry-After, unless an idle connection of
+//! the same address or network can be closed instead. A connection with a request in flight is never closed to admit another.
 //!
-//! Idle time-outs are decided here too. Idle connections are ordered by the moment at which they became idle, so it is
-//! enough to look at the first one: no connection has a timer, and using one touches none.
+//! This module also decides which connections have reached the idle time-out. Idle connections are ordered by the time at
+//! which they became idle, so only the first one must be checked: connections have no timers of their own, and using a
+//! connection does not set or cancel one.
 use pointspindle::Micros;
 use pointspindle_config::NetworkQuota;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::IpAddr;
 
-/// Retry-After of a rejected connection, ...
+/// Shortest Retry-After of a rejected connection.
 const RETRY_AFTER_US: Micros = 1_000_000;
-/// ... and so much more for each [`REJECTIONS_PER_STEP`] in the current second, so that a crowd does not return at once.
+/// Added to the Retry-After for every [`REJECTIONS_PER_STEP`] rejections in the current window, so that many rejected clients
+/// do not all return at the same time.
 const RETRY_AFTER_STEP_US: Micros = 50_000;
 const REJECTIONS_PER_STEP: u64 = 100;
 const REJECTION_WINDOW_US: Micros = 1_000_000;
@@ -21,18 +23,18 @@
 /// Limits on open connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// All connections.
+    /// Largest number of open connections.
     pub hard: usize,
-    /// Over this many, idle ones are closed.
+    /// Number of open connections above which idle ones are closed.
     pub soft: usize,
-    /// Connections of one client address.
+    /// Largest number of connections of one client address.
     pub per_address: usize,
-    /// Connections of all addresses of a network; the first network that contains an address counts.
+    /// Quotas of networks. An address counts towards the first network that contains it.
     pub networks: Vec<NetworkQuota>,
 }
 
 impl ConnectionLimits {
-    /// Index of the network that an address counts in.
+    /// Returns the index of the network that an address counts towards.
     fn network_of(&self, address: IpAddr) -> Option<usize> {
         self.networks
             .iter()
@@ -43,14 +45,14 @@
 /// Number of a connection, unique within an [`Admission`].
 pub type ConnectionId = u64;
 
-/// What happens to a new connection.
+/// The decision about a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It is admitted under this number.
+    /// The connection is admitted under this number.
     Admit(ConnectionId),
-    /// It is rejected.
+    /// The connection is rejected.
     Reject {
-        /// When the client should connect again.
+        /// Time after which the client should connect again.
         retry_after: Micros,
     },
 }
@@ -58,36 +60,36 @@
 /// The effect of a new connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// What happens to the new connection.
+    /// The decision about the new connection.
     pub decision: AdmissionDecision,
     /// Idle connections to be closed.
     pub close: Vec<ConnectionId>,
 }
 
-/// Where a connection comes from: what its quotas are counted by.
+/// The client address of a connection, and the index of its network; both have quotas.
 #[derive(Clone, Copy, Debug)]
-struct Origin {
+struct ClientAddress {
     address: IpAddr,
     network: Option<usize>,
 }
 
 #[derive(Debug)]
 struct Connection {
-    origin: Origin,
-    /// None: a request is in flight.
+    client: ClientAddress,
+    /// When the connection became idle; `None` while a request is in flight.
     idle_since: Option<Micros>,
-    /// Chosen to be closed: not chosen again.
+    /// Whether the connection has been chosen to be closed, and is not to be chosen again.
     is_closing: bool,
 }
 
-/// An idle connection, ordered by the time since which it is idle.
+/// An idle connection, ordered by the time at which it became idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct IdleConnection {
     since: Micros,
     id: ConnectionId,
 }
 
-/// Usage of one quota: the number of open connections, and the idle ones, longest first, without those that are closing.
+/// Usage of one quota: the number of open connections, and the idle connections that are not closing, longest idle first.
 #[derive(Debug, Default)]
 struct QuotaUsage {
     open: usize,
@@ -102,7 +104,7 @@
 }
 
 impl RejectionWindow {
-    /// Counts a rejection; when its client should connect again.
+    /// Counts a rejection. Returns the time after which the client should connect again.
     fn record(&mut self, now: Micros) -> Micros {
         if now >= self.started_at + REJECTION_WINDOW_US {
             self.started_at = now;
@@ -117,7 +119,7 @@
 ///
 /// Invariant: `idle`, and the idle set of each quota, contain exactly the idle connections that are not closing. Bound: one
 /// entry for each open connection, at most the hard limit, and one usage for each address with an open connection; both
-/// are removed by [`Admission::closed`], which is owed once for each admitted connection.
+/// are removed by [`Admission::closed`], which the caller must call once for each admitted connection.
 #[derive(Debug)]
 pub struct Admission {
     limits: ConnectionLimits,
@@ -131,7 +133,7 @@
 }
 
 impl Admission {
-    /// No connections yet.
+    /// Creates a state without connections.
     pub fn new(limits: ConnectionLimits) -> Self {
         Self {
             by_network: unused_quotas(&limits),
@@ -152,55 +154,56 @@
 
     /// Decides about a new connection.
     pub fn arrive(&mut self, now: Micros, address: IpAddr) -> Arrival {
-        let origin = Origin {
+        let client = ClientAddress {
             address,
             network: self.limits.network_of(address),
         };
         let mut close = Vec::new();
-        let Some(replaced) = self.replaced_by(origin) else {
+        let Some(to_replace) = self.idle_to_replace(client) else {
             return self.reject(now, close);
         };
-        for id in replaced {
+        for id in to_replace {
             self.start_closing(id, &mut close);
         }
         if self.open.len() >= self.limits.hard {
-            // The hard limit counts closing connections too: they still have a descriptor.
-            self.trim(self.limits.soft.saturating_sub(1), &mut close);
+            // Closing connections count towards the hard limit, since their descriptors are still open.
+            self.close_idle_above(self.limits.soft.saturating_sub(1), &mut close);
             return self.reject(now, close);
         }
         self.last_id += 1;
         let connection = Connection {
-            origin,
+            client,
             idle_since: Some(now),
             is_closing: false,
         };
         self.open.insert(self.last_id, connection);
-        self.quotas(origin).for_each(|quota| quota.open += 1);
-        // Trimmed before the new connection is idle, so that it is not closed for itself.
-        self.trim(self.limits.soft, &mut close);
+        self.quotas(client).for_each(|quota| quota.open += 1);
+        // Done before the new connection is among the idle ones, so that it is not closed itself.
+        self.close_idle_above(self.limits.soft, &mut close);
         let idle = IdleConnection {
             since: now,
             id: self.last_id,
         };
-        self.insert_idle(origin, idle);
+        self.insert_idle(client, idle);
         Arrival {
             decision: AdmissionDecision::Admit(self.last_id),
             close,
         }
     }
 
-    /// The longest idle connection of each exhausted quota of an origin; none if one of them has no idle connection.
-    fn replaced_by(&self, origin: Origin) -> Option<Vec<ConnectionId>> {
-        let of_address = self
+    /// Returns the longest idle connection of each exhausted quota of a client, or `None` if one of these quotas has no idle
+    /// connection.
+    fn idle_to_replace(&self, client: ClientAddress) -> Option<Vec<ConnectionId>> {
+        let address_usage = self
             .by_address
-            .get(&origin.address)
+            .get(&client.address)
             .map(|usage| (usage, self.limits.per_address));
-        let of_network = origin
+        let network_usage = client
             .network
             .map(|n| (&self.by_network[n], self.limits.networks[n].connections));
-        of_address
+        address_usage
             .into_iter()
-            .chain(of_network)
+            .chain(network_usage)
             .filter(|(usage, quota)| usage.open >= *quota)
             .map(|(usage, _)| usage.idle.first().map(|idle| idle.id))
             .collect()
@@ -214,30 +217,30 @@
         }
     }
 
-    /// The quotas that connections of an origin use.
-    fn quotas(&mut self, origin: Origin) -> impl Iterator<Item = &mut QuotaUsage> {
-        let of_network = origin.network.and_then(|n| self.by_network.get_mut(n));
-        [self.by_address.entry(origin.address).or_default()]
+    /// Returns the quotas that connections of a client use.
+    fn quotas(&mut self, client: ClientAddress) -> impl Iterator<Item = &mut QuotaUsage> {
+        let network_usage = client.network.and_then(|n| self.by_network.get_mut(n));
+        [self.by_address.entry(client.address).or_default()]
             .into_iter()
-            .chain(of_network)
+            .chain(network_usage)
     }
 
-    fn insert_idle(&mut self, origin: Origin, idle: IdleConnection) {
+    fn insert_idle(&mut self, client: ClientAddress, idle: IdleConnection) {
         self.idle.insert(idle);
-        self.quotas(origin).for_each(|quota| {
+        self.quotas(client).for_each(|quota| {
             quota.idle.insert(idle);
         });
     }
 
-    fn remove_idle(&mut self, origin: Origin, idle: IdleConnection) {
+    fn remove_idle(&mut self, client: ClientAddress, idle: IdleConnection) {
         self.idle.remove(&idle);
-        self.quotas(origin).for_each(|quota| {
+        self.quotas(client).for_each(|quota| {
             quota.idle.remove(&idle);
         });
     }
 
-    /// Closes connections that have been idle for `timeout`, longest first, and at most `max_count` in one call: a crowd
-    /// that became idle at once is closed in slices.
+    /// Starts closing connections that have been idle for `timeout`, longest idle first. At most `max_count` are closed in one
+    /// call, so that many connections that became idle at the same time are closed in batches.
     pub fn expire(&mut self, now: Micros, timeout: Micros, max_count: usize) -> Vec<ConnectionId> {
         let mut close = Vec::new();
         while close.len() < max_count {
@@ -251,13 +254,13 @@
         close
     }
 
-    /// When [`Admission::expire`] next finds a connection, if none is used before.
+    /// Returns the time at which [`Admission::expire`] next finds a connection, unless that connection is used before.
     pub fn next_expiry(&self, timeout: Micros) -> Option<Micros> {
         self.idle.first().map(|idle| idle.since + timeout)
     }
 
-    /// Closes idle connections until at most `max_count` are left.
-    fn trim(&mut self, max_count: usize, close: &mut Vec<ConnectionId>) {
+    /// Starts closing idle connections until at most `max_count` connections that are not closing are left.
+    fn close_idle_above(&mut self, max_count: usize, close: &mut Vec<ConnectionId>) {
         while self.open.len() - self.closing_count > max_count {
             let Some(idle) = self.idle.first().copied() else {
                 return;
@@ -272,16 +275,16 @@
             return;
         };
         connection.is_closing = true;
-        let origin = connection.origin;
+        let client = connection.client;
         let idle_since = connection.idle_since;
         self.closing_count += 1;
         close.push(id);
         if let Some(since) = idle_since {
-            self.remove_idle(origin, IdleConnection { since, id });
+            self.remove_idle(client, IdleConnection { since, id });
         }
     }
 
-    /// Closes up to `count` idle connections, whatever the limits: the process has no descriptors left.
+    /// Starts closing up to `count` idle connections regardless of the limits, for a process that has no descriptors left.
     pub fn close_idle(&mut self, count: usize) -> Vec<ConnectionId> {
         let longest_idle: Vec<IdleConnection> = self.idle.iter().take(count).copied().collect();
         let mut close = Vec::new();
@@ -291,19 +294,19 @@
         close
     }
 
-    /// A request has begun on a connection. If the connection was chosen to be closed at the same moment, the request is
+    /// Records that a request has begun on a connection. If the connection has just been chosen to be closed, the request is
     /// still answered, and the connection closes afterwards.
     pub fn mark_busy(&mut self, id: ConnectionId) {
         let Some(connection) = self.open.get_mut(&id) else {
             return;
         };
-        let origin = connection.origin;
+        let client = connection.client;
         if let Some(since) = connection.idle_since.take() {
-            self.remove_idle(origin, IdleConnection { since, id });
+            self.remove_idle(client, IdleConnection { since, id });
         }
     }
 
-    /// The last request in flight on a connection has ended.
+    /// Records that the last request in flight on a connection has ended.
     pub fn mark_idle(&mut self, now: Micros, id: ConnectionId) {
         let connection = self.open.get_mut(&id);
         let Some(connection) = connection.filter(|connection| connection.idle_since.is_none())
@@ -311,30 +314,30 @@
             return;
         };
         connection.idle_since = Some(now);
-        let origin = connection.origin;
+        let client = connection.client;
         if !connection.is_closing {
-            self.insert_idle(origin, IdleConnection { since: now, id });
+            self.insert_idle(client, IdleConnection { since: now, id });
         }
     }
 
-    /// A connection is closed: forgets it, and its address if this was the last one.
+    /// Removes a closed connection, and its address if this was the address's last connection.
     pub fn closed(&mut self, id: ConnectionId) {
         let Some(connection) = self.open.remove(&id) else {
             return;
         };
-        let origin = connection.origin;
+        let client = connection.client;
         if let Some(since) = connection.idle_since {
-            self.remove_idle(origin, IdleConnection { since, id });
+            self.remove_idle(client, IdleConnection { since, id });
         }
         self.closing_count -= usize::from(connection.is_closing);
-        self.quotas(origin).for_each(|quota| quota.open -= 1);
-        let of_address = self.by_address.get(&origin.address);
-        if of_address.is_some_and(|usage| usage.open == 0) {
-            self.by_address.remove(&origin.address);
+        self.quotas(client).for_each(|quota| quota.open -= 1);
+        let address_usage = self.by_address.get(&client.address);
+        if address_usage.is_some_and(|usage| usage.open == 0) {
+            self.by_address.remove(&client.address);
         }
     }
 
-    /// Sets other limits, and closes idle connections over them.
+    /// Sets new limits, and starts closing idle connections that exceed the soft limit or a network's quota.
     pub fn set_limits(&mut self, limits: ConnectionLimits) -> Vec<ConnectionId> {
         self.limits = limits;
         self.recount_networks();
@@ -342,16 +345,16 @@
         for id in self.idle_over_network_quotas() {
             self.start_closing(id, &mut close);
         }
-        self.trim(self.limits.soft, &mut close);
+        self.close_idle_above(self.limits.soft, &mut close);
         close
     }
 
-    /// Assigns all connections to the networks of the current limits.
+    /// Assigns all connections to the networks of the current limits, and counts their usage anew.
     fn recount_networks(&mut self) {
         self.by_network = unused_quotas(&self.limits);
         for (id, connection) in &mut self.open {
-            let network = self.limits.network_of(connection.origin.address);
-            connection.origin.network = network;
+            let network = self.limits.network_of(connection.client.address);
+            connection.client.network = network;
             let Some(usage) = network.and_then(|n| self.by_network.get_mut(n)) else {
                 continue;
             };
@@ -363,7 +366,7 @@
         }
     }
 
-    /// For each network over its quota, as many of its idle connections as it is over, longest idle first.
+    /// Returns the longest idle connections of each network that exceeds its quota, as many as are over the quota.
     fn idle_over_network_quotas(&self) -> Vec<ConnectionId> {
         let quotas = self.limits.networks.iter();
         self.by_network
--- a/crates/dispatcher/src/admission/tests.rs
+++ b/crates/dispatcher/src/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections are admitted, rejected and closed.
+//! Admission, rejection and closing of client connections.
 use super::*;
 
 const LIMITS: ConnectionLimits = ConnectionLimits {
@@ -38,7 +38,7 @@
     assert_eq!(
         close,
         [ids[1]],
-        "the longest idle one: it was never busy, so its idle time counts from its arrival"
+        "the longest idle connection: it was never busy, so its idle time counts from its arrival"
     );
     admission.closed(ids[1]);
     for id in &ids[2..] {
@@ -47,7 +47,7 @@
     let (last, close) = admit(&mut admission, 300, 51);
     assert!(
         !close.contains(&last),
-        "a new connection is not closed for itself"
+        "a new connection is not closed by its own admission"
     );
     assert_eq!(close.len(), 1, "the other new connection, idle since 200");
     let (_, close) = admit(&mut admission, 301, 52);
@@ -92,7 +92,7 @@
     assert_eq!(
         close,
         [ids[0]],
-        "not {other}, which has been idle for longer"
+        "not connection {other} of another address, which has been idle for longer"
     );
     admission.closed(ids[0]);
     admission.mark_busy(ids[1]);
@@ -105,8 +105,8 @@
     );
 }
 
-/// A request arrives on a connection that was just chosen to be closed: it is answered, the connection counts until it is
-/// closed, and it is not chosen twice.
+/// A request can arrive on a connection that has just been chosen to be closed. The request is answered; the connection counts
+/// until it is closed, and it must not be chosen twice.
 #[test]
 fn request_on_closing_connection_is_not_chosen_again() {
     let mut admission = Admission::new(ConnectionLimits {
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn lowered_limits_close_idle_connections_and_closed_ones_are_forgotten() {
+fn lowered_limits_close_idle_connections_and_closed_ones_are_removed() {
     let mut admission = Admission::new(LIMITS);
     let ids: Vec<ConnectionId> = (0..6)
         .map(|n| admit(&mut admission, n, n as u8).0)
@@ -145,7 +145,7 @@
     assert_eq!(
         admission.close_idle(10),
         [ids[4]],
-        "the last idle one; the busy one stays"
+        "the last idle connection; the busy one stays open"
     );
     ids.iter().for_each(|id| admission.closed(*id));
     assert_eq!(
@@ -168,7 +168,7 @@
     }
 }
 
-/// Two overlapping networks, of which the first that contains an address counts.
+/// Returns limits with two overlapping networks; an address counts towards the first one that contains it.
 fn network_limits(first_quota: usize, second_quota: usize) -> ConnectionLimits {
     ConnectionLimits {
         hard: 100,
@@ -181,7 +181,7 @@
     }
 }
 
-/// The new connection and those that are closed for it; none if it is rejected.
+/// Returns the new connection and those that are closed for it, or `None` if it is rejected.
 fn try_admit(
     admission: &mut Admission,
     now: Micros,
@@ -194,23 +194,23 @@
     }
 }
 
-/// A network with very many connections does not use the quotas of others, whichever addresses it connects from.
+/// A network with very many connections must not use up the quotas of other networks, whichever addresses it connects from.
 #[test]
 fn network_over_quota_does_not_affect_other_networks() {
     let mut admission = Admission::new(network_limits(2, 3));
     let (first, _) = try_admit(&mut admission, 0, [127, 1, 0, 1]).unwrap();
     let (second, _) = try_admit(&mut admission, 1, [127, 1, 7, 1]).unwrap();
     let (third, close) = try_admit(&mut admission, 2, [127, 1, 9, 9]).unwrap();
-    assert_eq!(close, [first], "its own longest idle one is closed");
+    assert_eq!(close, [first], "the longest idle connection of the network");
     admission.closed(first);
     admission.mark_busy(second);
     admission.mark_busy(third);
     let rejected = try_admit(&mut admission, 3, [127, 1, 0, 1]);
-    assert_eq!(rejected, None, "all of its own are busy");
+    assert_eq!(rejected, None, "all connections of the network are busy");
     let (other, close) = try_admit(&mut admission, 4, [127, 2, 0, 1]).unwrap();
     assert!(close.is_empty(), "another network is not affected");
     admission.mark_idle(5, second);
-    // Lowered while it is in use: idle ones are closed, busy ones stay.
+    // The quotas are lowered while they are in use: idle connections are closed, busy ones stay open.
     assert_eq!(admission.set_limits(network_limits(1, 1)), [second]);
     for id in [second, third, other] {
         admission.closed(id);
@@ -219,9 +219,9 @@
     assert!(quotas.all(|quota| quota.open == 0 && quota.idle.is_empty()));
 }
 
-/// Many connections that became idle at once are closed in slices; one that is used in between stays open.
+/// Many connections that became idle at the same time are closed in batches; one that is used in between stays open.
 #[test]
-fn idle_timeout_closes_longest_idle_first_in_slices() {
+fn idle_timeout_closes_longest_idle_first_in_batches() {
     let mut admission = Admission::new(ConnectionLimits {
         hard: 200_000,
         soft: 200_000,
@@ -238,12 +238,12 @@
     admission.mark_idle(900, used);
     let mut expired = vec![];
     loop {
-        let slice = admission.expire(1_007, 1_000, 256);
-        assert!(slice.len() <= 256);
-        if slice.is_empty() {
+        let batch = admission.expire(1_007, 1_000, 256);
+        assert!(batch.len() <= 256);
+        if batch.is_empty() {
             break;
         }
-        expired.extend(slice);
+        expired.extend(batch);
     }
     assert_eq!(expired.len(), 99_999);
     assert!(!expired.contains(&used));
--- a/crates/dispatcher/src/call_deduplication.rs
+++ b/crates/dispatcher/src/call_deduplication.rs
@@ -1,44 +1,45 @@
-//! Clients' calls by their idempotency key, so that a retried call never has two live attempts here: a decision without I/O.
+//! Registry of clients' calls by idempotency key, which ensures that a retried call never has two live attempts in this
+//! dispatcher. This module performs no I/O.
 //!
-//! A client that lost its connection does not know whether its dispatcher has noticed. It retries under the same key. The
-//! previous attempt is ended first, and the new one begins when that end is known. A call whose response was complete, small
-//! and of a request that must not be executed twice is answered from the remembered response.
+//! A client that lost its connection does not know whether its dispatcher has detected that, and retries under the same key.
+//! The previous attempt is ended first, and the new one begins when that end has been reported. If the request must not be
+//! executed twice, and its response was complete and small, a retry is answered from the stored response.
 use pointspindle::Micros;
 use std::collections::{HashMap, VecDeque};
 
 /// Bounds of a [`CallRegistry`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallRegistryLimits {
-    /// Calls at once, running or remembered.
+    /// Largest number of calls, running or ended.
     pub max_calls: usize,
-    /// How long a call is remembered after its end.
+    /// How long a call is retained after its end.
     pub retention: Micros,
-    /// Size of all remembered responses.
+    /// Largest size of all stored responses together, in bytes.
     pub max_response_bytes: usize,
 }
 
-/// Number of a client's attempt at a call, chosen by the caller and never used twice.
+/// Number of a client's attempt at a call, chosen by the caller and never reused.
 pub type CallAttemptId = u64;
 
-/// What happens to a new attempt at a call.
+/// The decision about a new attempt at a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallDecision<R> {
-    /// It runs now.
+    /// The attempt runs now.
     Run,
-    /// The caller ends these attempts; the new one runs when [`CallRegistry::end`] returns it.
+    /// The caller must end these attempts; the new one runs when [`CallRegistry::end`] returns its number.
     RunAfter(Vec<CallAttemptId>),
-    /// The call was answered with this response.
+    /// An earlier attempt at the call was answered with this response.
     Answered(R),
-    /// Too many calls are running or remembered.
+    /// The attempt is rejected, since too many calls are running or retained.
     Full,
 }
 
-/// A remembered response, with its size in bytes.
+/// A stored response, with its size in bytes.
 #[derive(Debug)]
 pub struct SizedResponse<R> {
     /// The response.
     pub response: R,
-    /// Its size, counted against [`CallRegistryLimits::max_response_bytes`].
+    /// Size of the response, which counts towards [`CallRegistryLimits::max_response_bytes`].
     pub bytes: usize,
 }
 
@@ -61,23 +62,23 @@
     key: String,
 }
 
-/// Running and remembered calls.
+/// Running and recently ended calls.
 ///
-/// Invariant: each ended call has an entry of its end's moment in `ended`; `response_bytes` is the size of all remembered
-/// responses. Bound: [`CallRegistryLimits`]; with too many calls a new one is refused, and no running call is forgotten for
-/// it. A call is forgotten after [`CallRegistryLimits::retention`]. For each attempt that may run, now or later, its
-/// end is owed once.
+/// Invariant: each ended call has an entry with the time of its end in `ended`; `response_bytes` is the size of all stored
+/// responses. Bound: [`CallRegistryLimits`]; when the registry is full, a new call is rejected and no running call is removed.
+/// An ended call is removed after [`CallRegistryLimits::retention`]. The caller must call [`CallRegistry::end`] once for each
+/// attempt that may run, now or later.
 #[derive(Debug)]
 pub struct CallRegistry<R> {
     limits: CallRegistryLimits,
     calls: HashMap<String, Call<R>>,
-    /// In the order of their ends.
+    /// Ended calls in the order of their ends.
     ended: VecDeque<EndedCall>,
     response_bytes: usize,
 }
 
 impl<R: Clone> CallRegistry<R> {
-    /// No calls yet.
+    /// Creates a registry without calls.
     pub fn new(limits: CallRegistryLimits) -> Self {
         Self {
             limits,
@@ -87,19 +88,19 @@
         }
     }
 
-    /// Number of running and remembered calls.
+    /// Number of running and retained calls.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether no call is running or remembered.
+    /// Whether no call is running or retained.
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
     }
 
     /// Decides about a new attempt at a call.
     pub fn begin(&mut self, now: Micros, key: &str, attempt: CallAttemptId) -> CallDecision<R> {
-        self.forget_expired(now);
+        self.remove_expired(now);
         let is_full = self.calls.len() >= self.limits.max_calls;
         match self.calls.get_mut(key) {
             Some(Call::Running {
@@ -110,9 +111,9 @@
                 return CallDecision::RunAfter(superseded.into_iter().chain([*running]).collect());
             }
             Some(Call::Ended {
-                response: Some(remembered),
+                response: Some(stored),
                 ..
-            }) => return CallDecision::Answered(remembered.response.clone()),
+            }) => return CallDecision::Answered(stored.response.clone()),
             Some(Call::Ended { response: None, .. }) => {}
             None if is_full => return CallDecision::Full,
             None => {}
@@ -125,7 +126,7 @@
         CallDecision::Run
     }
 
-    /// An attempt has ended, with the response to be remembered, if any. Returns the attempt that runs next.
+    /// Records the end of an attempt, with the response to be stored, if any. Returns the attempt that runs next.
     pub fn end(
         &mut self,
         now: Micros,
@@ -141,7 +142,7 @@
             return None;
         };
         if *running != attempt {
-            // It was still waiting for the running one's end.
+            // The attempt was still waiting for the end of the running one.
             next.take_if(|waiting| *waiting == attempt);
             return None;
         }
@@ -152,7 +153,7 @@
             *running = next;
             return Some(next);
         }
-        // A retry that arrived at the moment of the response finds it when it runs.
+        // A retry that has been waiting for this end finds the stored response when it runs.
         self.response_bytes += response_size(&response);
         let call = Call::Ended { at: now, response };
         self.calls.insert(key.to_owned(), call);
@@ -164,29 +165,29 @@
         waiting
     }
 
-    /// The remembered response of a call.
+    /// Returns the stored response of a call.
     pub fn remembered_response(&self, key: &str) -> Option<R> {
         match self.calls.get(key) {
             Some(Call::Ended {
-                response: Some(remembered),
+                response: Some(stored),
                 ..
-            }) => Some(remembered.response.clone()),
+            }) => Some(stored.response.clone()),
             _ => None,
         }
     }
 
-    fn forget_expired(&mut self, now: Micros) {
+    fn remove_expired(&mut self, now: Micros) {
         let retention = self.limits.retention;
         let is_expired = |ended: &&EndedCall| ended.at + retention <= now;
         while self.ended.front().filter(is_expired).is_some() {
             if let Some(ended) = self.ended.pop_front() {
-                self.forget(&ended);
+                self.remove_call(&ended);
             }
         }
     }
 
-    /// Forgets a call, unless it was retried since that end.
-    fn forget(&mut self, ended: &EndedCall) {
+    /// Removes a call, unless it was retried after that end.
+    fn remove_call(&mut self, ended: &EndedCall) {
         let Some(Call::Ended { at, response }) = self.calls.get(&ended.key) else {
             return;
         };
--- a/crates/dispatcher/src/client_pace/tests.rs
+++ b/crates/dispatcher/src/client_pace/tests.rs
@@ -1,4 +1,4 @@
-//! Which clients are slow enough to be disconnected.
+//! Detection of clients that read too slowly.
 use super::*;
 
 const RULE: PaceRule = PaceRule {
@@ -8,19 +8,22 @@
 
 #[test]
 fn slow_client_is_tolerated_and_trickling_one_is_not() {
-    let mut honest = Pace::new(RULE);
-    let mut trickle = Pace::new(RULE);
+    let mut slow_reader = Pace::new(RULE);
+    let mut trickling_reader = Pace::new(RULE);
     let mut rejected_at = None;
     for n in 0..100 {
-        assert!(honest.record_read(150, 100_000), "1,500 bytes a second");
-        if rejected_at.is_none() && !trickle.record_read(10, 100_000) {
+        assert!(
+            slow_reader.record_read(150, 100_000),
+            "1,500 bytes per second"
+        );
+        if rejected_at.is_none() && !trickling_reader.record_read(10, 100_000) {
             rejected_at = Some(n);
         }
     }
-    assert_eq!(rejected_at, Some(19), "when its first window is over");
+    assert_eq!(rejected_at, Some(19), "at the end of the first window");
 }
 
-/// A pause within a window is compensated by what was read around it; a pause of a whole window is not.
+/// A pause within a window is compensated by the bytes read before and after it; a pause of an entire window is not.
 #[test]
 fn short_pause_is_tolerated_and_window_long_one_is_not() {
     let mut pace = Pace::new(RULE);
@@ -32,7 +35,7 @@
     assert!(!pace.record_read(0, 2_000_000));
 }
 
-/// A slow endpoint is not a slow client: without a wait for the client no time counts.
+/// A slow endpoint must not make its client appear slow: only time spent waiting for the client counts.
 #[test]
 fn time_without_waiting_for_client_does_not_count() {
     let mut pace = Pace::new(RULE);
--- a/crates/dispatcher/src/control_source.rs
+++ b/crates/dispatcher/src/control_source.rs
@@ -1,5 +1,5 @@
-//! The interface of control sources, which supply a dispatcher with endpoint lists, purges and fleet counts: the control
-//! listener is one, etcd another.
+//! The interface of control sources, which supply a dispatcher with endpoint lists, purges and fleet counts. The control
+//! listener and etcd are control sources.
 use crate::core::{EndpointListChange, Input};
 use crate::dispatcher_registry::Roster;
 use crate::net::FramedCore;
@@ -9,11 +9,11 @@
 
 /// Supplies a dispatcher with updates for as long as it runs.
 pub trait ControlSource: Send + 'static {
-    /// Applies updates to the sink until the task is dropped.
+    /// Applies updates to the sink until the returned future is dropped.
     fn run(self, sink: ControlSink) -> impl std::future::Future<Output = ()> + Send;
 }
 
-/// An update that has just come into force, for measurements of a source.
+/// An update that has just come into force, passed to a [`ControlObserver`] to measure a source.
 #[derive(Clone, Copy, Debug)]
 pub enum ControlUpdate<'a> {
     /// A full endpoint list or a delta.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// An unknown set of purges may have been missed: every copy from before now counts as purged.
+    /// Records that an unknown set of purges may have been missed: every copy stored before this call is treated as purged.
     pub fn updates_missed(&self) {
         self.core.metrics.control_source.gaps.inc();
         self.core.apply(Input::UpdatesMissed);
@@ -84,13 +84,13 @@
         self.core.apply(Input::Roster(roster));
     }
 
-    /// This dispatcher's own registration was renewed `ago` ago, for `duration`.
+    /// Records that this dispatcher's registration was renewed `ago` microseconds ago, for `duration` microseconds.
     pub fn registration_renewed(&self, ago: Micros, duration: Micros) {
         self.core
             .apply(Input::RegistrationRenewed { ago, duration });
     }
 
-    /// Whether the applied updates are as current as they should be.
+    /// Sets whether the applied updates are as current as they should be.
     pub fn set_current(&self, current: bool) {
         self.core.metrics.control_source.current.set(current.into());
         self.core.apply(Input::SourceFreshness(current));
@@ -98,17 +98,17 @@
         self.notify_observer(ControlUpdate::Freshness(current));
     }
 
-    /// All purges that were acknowledged up to `ago` ago are in force.
+    /// Confirms that all purges acknowledged up to `ago` microseconds ago are in force.
     pub fn confirm_purges(&self, ago: Micros) {
         self.core.confirm_purges(ago);
     }
 
-    /// Counts an update of the source that was not usable.
+    /// Counts an update of the source that could not be used.
     pub fn count_unusable(&self) {
         self.core.metrics.control_source.rejected_keys.inc();
     }
 
-    /// The endpoint list in force.
+    /// Returns the endpoint list in force.
     pub fn endpoint_list(&self) -> EndpointListHead {
         self.core.endpoint_list()
     }
--- a/crates/dispatcher/src/core/endpoint_list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -142,7 +142,7 @@
         if update != ListUpdate::Delta {
             self.remove_unlisted(now, &entries);
         }
-        self.forget_removed(now);
+        self.remove_expired_slots(now);
         AppliedUpdate {
             event: Some(Event::EndpointList { update, entries }),
             change: self.change(resync_reason, rejected_records),
@@ -193,7 +193,7 @@
         }
     }
 
-    fn forget_removed(&mut self, now: Micros) {
+    fn remove_expired_slots(&mut self, now: Micros) {
         self.slots.retain(|_, slot| {
             slot.removed_at
                 .is_none_or(|at| now < at + REMOVED_ENDPOINT_RETENTION_US)
--- a/crates/dispatcher/src/dispatcher_registry.rs
+++ b/crates/dispatcher/src/dispatcher_registry.rs
@@ -1,39 +1,41 @@
-//! How many dispatchers there are, and which of them this one is, while they come and go: a decision without I/O.
+//! The number of dispatchers, and the index of this one among them, while dispatchers start and stop. This module performs no
+//! I/O.
 //!
-//! Warm-up budgets are divided by these counts, and every dispatcher learns of a change at a moment of its own. The parts
-//! that are taken still add up to no more than the whole, because a dispatcher that may be wrong takes less:
+//! Warm-up budgets are divided by these counts, and dispatchers learn of the same change at different times. The used parts
+//! nevertheless never exceed the whole budget, because a dispatcher whose counts may be wrong uses less:
 //!
-//! * a count rises at once, and falls after [`PROPAGATION_DELAY_US`] and a budget's window, when every dispatcher has learned
-//!   of the change and whatever was sent under the old count has left the window;
-//! * a new dispatcher takes no warm-up budget for as long, since others may not know of it;
-//! * indices (which parent in slow start belongs to which dispatcher) shift with every change, so for as long none is used;
-//! * a dispatcher that is not registered, whose lease is two thirds over without renewal, or whose view is stale takes
-//!   nothing either. Others count a lost one until its lease has ended, so it stops before they begin to divide its part.
+//! * A count rises at once. It falls after [`PROPAGATION_DELAY_US`] and the window of a budget, when every dispatcher has
+//!   learned of the change and all work that was sent under the old count has left the window.
+//! * A new dispatcher uses no warm-up budget for the same time, since others may not know of it.
+//! * Indices (which assign parents in slow start to dispatchers) shift with every change, so none is used for the same time.
+//! * A dispatcher uses no warm-up budget while it is not registered, while its view is stale, or when two thirds of its lease
+//!   have passed without a renewal. The others count a lost dispatcher until its lease has expired, so it stops before they
+//!   begin to divide its part.
 //!
-//! The endpoints' own leases of their warm-up are not affected: an endpoint knows whom it grants work to.
+//! The work leases that endpoints grant are not affected, since an endpoint knows which dispatchers it grants work to.
 use pointspindle::Micros;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Longest time between two dispatchers' learning of the same change while both consider their view current.
+/// Longest time between the arrival of the same change at two dispatchers while both consider their view current.
 pub const PROPAGATION_DELAY_US: Micros = 1_000_000;
 
 /// All registered dispatchers by name, each with its zone.
 pub type Roster = BTreeMap<String, String>;
 
-/// What holds for this dispatcher now.
+/// The counts that apply to this dispatcher at one time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetCounts {
-    /// Dispatchers in its own zone.
+    /// Number of dispatchers in its own zone.
     pub in_zone: u32,
-    /// All dispatchers.
+    /// Number of all dispatchers.
     pub total: u32,
-    /// Its index among all; none: not agreed on now.
+    /// Its index among all dispatchers; `None` while they may disagree about it.
     pub index: Option<u32>,
-    /// It takes its part of warm-up budgets.
+    /// Whether it uses its part of warm-up budgets.
     pub takes_warm_up_budget: bool,
 }
 
-/// Numbers of registered dispatchers.
+/// Numbers of registered dispatchers at one time.
 #[derive(Clone, Copy, Debug)]
 struct FleetSize {
     in_zone: u32,
@@ -49,42 +51,42 @@
     }
 }
 
-/// A size from before a change, which still counts until a moment.
+/// The size of the fleet before a change, which counts until the change takes full effect.
 #[derive(Debug)]
-struct FormerSize {
+struct PreviousSize {
     until: Micros,
     size: FleetSize,
 }
 
-/// The registered dispatchers, and the sizes that still count from before recent changes.
+/// The registered dispatchers, and the sizes from before recent changes that still count.
 ///
-/// Bound: one roster, and one former size for each change within the settling time; expired sizes are forgotten at the next
+/// Bound: one roster, and one previous size for each change within the settling time; expired sizes are removed at the next
 /// change.
 #[derive(Debug)]
 pub struct DispatcherRegistry {
     name: String,
     zone: String,
-    /// A change takes full effect after this.
+    /// Time after which a change takes full effect.
     settling_time: Micros,
     roster: Option<Roster>,
-    former_sizes: VecDeque<FormerSize>,
+    previous_sizes: VecDeque<PreviousSize>,
     changed_at: Micros,
-    /// Since when the roster contains this dispatcher.
+    /// When this dispatcher entered the roster; `None` while the roster does not contain it.
     joined_at: Option<Micros>,
-    /// Until when this dispatcher relies on its lease.
+    /// Time until which this dispatcher relies on its lease.
     lease_until: Micros,
     is_view_current: bool,
 }
 
 impl DispatcherRegistry {
-    /// `longest_window`: the longest window of a warm-up budget.
+    /// Creates a registry without a roster. `longest_window` is the longest window of a warm-up budget.
     pub fn new(name: &str, zone: &str, longest_window: Micros) -> Self {
         Self {
             name: name.to_owned(),
             zone: zone.to_owned(),
             settling_time: PROPAGATION_DELAY_US + longest_window,
             roster: None,
-            former_sizes: VecDeque::new(),
+            previous_sizes: VecDeque::new(),
             changed_at: 0,
             joined_at: None,
             lease_until: 0,
@@ -107,9 +109,9 @@
         }
         if let Some(size) = self.roster.as_ref().map(|old| self.size(old)) {
             let until = now + self.settling_time;
-            self.former_sizes.push_back(FormerSize { until, size });
+            self.previous_sizes.push_back(PreviousSize { until, size });
         }
-        self.former_sizes.retain(|former| now < former.until);
+        self.previous_sizes.retain(|previous| now < previous.until);
         self.joined_at = if roster.contains_key(&self.name) {
             self.joined_at.or(Some(now))
         } else {
@@ -119,7 +121,8 @@
         self.changed_at = now;
     }
 
-    /// The registration's lease was renewed, for `duration` from the moment of the renewal's request on.
+    /// Records that the registration's lease was renewed for `duration`, counted from the time at which the renewal was
+    /// requested.
     pub fn registration_renewed(&mut self, requested_at: Micros, duration: Micros) {
         self.lease_until = self.lease_until.max(requested_at + duration / 3 * 2);
     }
@@ -134,19 +137,19 @@
         self.len() == 0
     }
 
-    /// Whether the control source's view is current.
+    /// Sets whether the control source's view is current.
     pub fn set_view_current(&mut self, is_current: bool) {
         self.is_view_current = is_current;
     }
 
-    /// None: no roster has arrived yet, and the settings' counts hold.
+    /// Returns the counts at `now`; `None` before the first roster, while the counts of the settings apply.
     pub fn counts(&self, now: Micros) -> Option<FleetCounts> {
         let roster = self.roster.as_ref()?;
         let size = self
-            .former_sizes
+            .previous_sizes
             .iter()
-            .filter(|former| now < former.until)
-            .fold(self.size(roster), |size, former| size.max(former.size));
+            .filter(|previous| now < previous.until)
+            .fold(self.size(roster), |size, previous| size.max(previous.size));
         let is_settled = now >= self.changed_at + self.settling_time;
         let has_joined = self
             .joined_at
@@ -164,13 +167,13 @@
         })
     }
 
-    /// When [`DispatcherRegistry::counts`] changes next without further input.
+    /// Returns the time at which [`DispatcherRegistry::counts`] changes next without further input.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         self.roster.as_ref()?;
-        let former_sizes = self.former_sizes.iter().map(|former| former.until);
+        let previous_sizes = self.previous_sizes.iter().map(|previous| previous.until);
         let joined = self.joined_at.map(|at| at + self.settling_time);
         let settled = self.changed_at + self.settling_time;
-        former_sizes
+        previous_sizes
             .chain(joined)
             .chain([settled, self.lease_until])
             .filter(|at| *at > now)
--- a/crates/dispatcher/src/dispatcher_registry/tests.rs
+++ b/crates/dispatcher/src/dispatcher_registry/tests.rs
@@ -1,4 +1,4 @@
-//! What dispatchers with differing views take in sum, and who takes nothing.
+//! The sum of the budget parts that dispatchers with differing views use, and the conditions under which one uses none.
 use super::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -6,8 +6,8 @@
 const WINDOW: Micros = 2_000_000;
 const LEASE: Micros = 3_000_000;
 
-/// Dispatchers join, leave, pause and lose their leases; each learns of it late, at a moment of its own. The parts that they
-/// take of one warm-up budget never exceed it, and at most one dispatcher owns a parent in slow start.
+/// Dispatchers join, leave, pause and lose their leases; each learns of a change with a different delay. The parts of one
+/// warm-up budget that they use never exceed it, and at most one dispatcher owns a parent in slow start.
 #[test]
 fn differing_views_never_exceed_budget_in_sum() {
     for seed in 0..300 {
@@ -20,11 +20,14 @@
             let taken_parts = fleet.taken_parts();
             taken += taken_parts.dispatchers;
             let sum = taken_parts.sum;
-            assert!(sum <= 1.0 + 1e-9, "seed {seed}: {sum} of a budget at {now}");
+            assert!(
+                sum <= 1.0 + 1e-9,
+                "seed {seed}: {sum} times the budget used at {now}"
+            );
             let owners = taken_parts.parent_owners;
             assert!(
                 owners <= 1,
-                "seed {seed}: {owners} dispatchers for one parent at {now}"
+                "seed {seed}: {owners} dispatchers own the same parent at {now}"
             );
             largest_sum = largest_sum.max(sum);
         }
@@ -34,21 +37,21 @@
 
 struct SimulatedDispatcher {
     registry: DispatcherRegistry,
-    /// Delay until it learns of a change.
+    /// Delay until the dispatcher learns of a change.
     lag: Micros,
     renewed_at: Option<Micros>,
-    /// It neither runs nor renews its lease until then.
+    /// Time until which the dispatcher neither runs nor renews its lease.
     paused_until: Micros,
 }
 
-/// What running dispatchers take at one moment.
+/// The budget parts that running dispatchers use at one time.
 #[derive(Default)]
 struct TakenParts {
-    /// Parts of one warm-up budget.
+    /// Sum of the used parts of one warm-up budget.
     sum: f64,
-    /// Dispatchers that take a part.
+    /// Number of dispatchers that use a part.
     dispatchers: u32,
-    /// Dispatchers that own the same parent in slow start.
+    /// Number of dispatchers that own the same parent in slow start.
     parent_owners: u32,
 }
 
@@ -56,7 +59,7 @@
     random: StdRng,
     now: Micros,
     dispatchers: Vec<SimulatedDispatcher>,
-    /// The registered dispatchers as of each moment.
+    /// The registered dispatchers, with the time from which on they were registered.
     rosters: Vec<(Micros, Roster)>,
 }
 
@@ -94,7 +97,7 @@
                 self.dispatchers[n].paused_until = self.now + pause;
             }
             2 if !self.dispatchers.is_empty() => {
-                // Terminates, gracefully or not: the others count it until its lease has ended.
+                // The dispatcher terminates, gracefully or not. The others count it until its lease has expired.
                 let n = self.random.gen_range(0..self.dispatchers.len());
                 self.dispatchers[n].paused_until = Micros::MAX;
             }
@@ -144,7 +147,7 @@
                 taken.sum += 1.0 / f64::from(counts.in_zone);
                 taken.dispatchers += 1;
             }
-            // The owner of a parent in slow start: the first of all.
+            // The dispatcher with the first index owns the parent in slow start.
             taken.parent_owners += u32::from(counts.index == Some(0));
         }
         taken
@@ -156,7 +159,7 @@
     names.iter().map(entry).collect()
 }
 
-/// Counts of a fleet that is in one zone.
+/// Returns the counts of a fleet in a single zone.
 fn counts(total: u32, index: Option<u32>, takes_warm_up_budget: bool) -> Option<FleetCounts> {
     Some(FleetCounts {
         in_zone: total,
@@ -167,9 +170,13 @@
 }
 
 #[test]
-fn expired_lease_stale_view_or_recent_join_takes_no_budget() {
+fn dispatcher_with_expired_lease_stale_view_or_recent_join_takes_no_budget() {
     let mut registry = DispatcherRegistry::new("a", "b", WINDOW);
-    assert_eq!(registry.counts(5), None, "no roster: the settings hold");
+    assert_eq!(
+        registry.counts(5),
+        None,
+        "no roster: the counts of the settings apply"
+    );
     registry.set_view_current(true);
     registry.registration_renewed(0, 30 * LEASE);
     registry.set_roster(0, roster(&["a"]));
@@ -177,7 +184,7 @@
     let settled = PROPAGATION_DELAY_US + WINDOW;
     assert_eq!(registry.next_change(0), Some(settled));
     assert_eq!(registry.counts(settled), counts(1, Some(0), true));
-    // Another one: counted at once, and no longer counted late.
+    // Another dispatcher is counted at once when it joins, and after a delay no longer counted when it leaves.
     registry.set_roster(settled, roster(&["a", "c"]));
     assert_eq!(registry.counts(settled), counts(2, None, true));
     registry.set_roster(settled + 1, roster(&["a"]));
@@ -188,6 +195,6 @@
     registry.set_view_current(true);
     assert!(
         !registry.counts(20 * LEASE).unwrap().takes_warm_up_budget,
-        "two thirds of the lease are over"
+        "two thirds of the lease have passed"
     );
 }
--- a/crates/dispatcher/src/keep_alive.rs
+++ b/crates/dispatcher/src/keep_alive.rs
@@ -1,43 +1,43 @@
-//! Detection of connections that no longer carry anything: a decision without I/O. (Whether the endpoint itself is healthy
-//! is decided by the router.)
+//! Detection of dead connections. This module performs no I/O. (The router decides whether the endpoint itself is healthy.)
 //!
-//! A machine that loses power, or a network device that drops a flow's state, leaves a connection that accepts data and
-//! delivers none for as long as the kernel retransmits. Where a response is pending a ping detects that within seconds;
-//! on an idle connection it takes longer, but the next request does not have to find out. Any frame of the peer counts as
-//! the reply to a ping.
+//! After a machine loses power, or a network device drops the state of a flow, a connection accepts data but delivers none
+//! for as long as the kernel retransmits. While a response is pending, a ping detects that within seconds. On an idle
+//! connection the detection takes longer, but happens before the next request needs the connection. Any frame of the peer
+//! counts as the reply to a ping.
 use pointspindle::Micros;
 
-/// When to send pings.
+/// Intervals and time-out of pings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepAliveRule {
-    /// Silence after which a ping is sent while a response is pending.
+    /// Time without a received frame after which a ping is sent while a response is pending; 0 stands for never.
     pub ping_when_awaiting: Micros,
-    /// Silence after which a ping is sent on an idle connection; 0: never.
+    /// Time without a received frame after which a ping is sent on an idle connection; 0 stands for never.
     pub ping_when_idle: Micros,
-    /// Silence after a ping after which the connection is dead.
+    /// Time after a ping without a received frame after which the connection is considered dead.
     pub ping_timeout: Micros,
 }
 
-/// What to do with a connection now.
+/// The action that a connection requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepAliveVerdict {
-    /// Nothing.
+    /// No action is required.
     Healthy,
     /// Send a ping.
     SendPing,
-    /// Close it: it carries nothing any more.
+    /// Close the connection, which is dead.
     Close,
 }
 
-/// State of one connection. It lives as long as the connection.
+/// Keep-alive state of one connection. It exists as long as the connection.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeepAlive {
-    /// When the ping was sent that has no reply yet.
+    /// When the outstanding ping was sent; `None` if there is none.
     ping_sent_at: Option<Micros>,
 }
 
 impl KeepAlive {
-    /// `last_seen`: when the last frame arrived; `is_response_pending`: streams are open.
+    /// Returns the action that is required at `now`. `last_seen` is the time at which the last frame arrived, and
+    /// `is_response_pending` states whether streams are open.
     pub fn check(
         &mut self,
         rule: &KeepAliveRule,
--- a/crates/dispatcher/src/keep_alive/tests.rs
+++ b/crates/dispatcher/src/keep_alive/tests.rs
@@ -1,4 +1,4 @@
-//! When a ping is sent, and when a connection is closed.
+//! The times at which a ping is sent and a connection is closed.
 use super::*;
 
 const RULE: KeepAliveRule = KeepAliveRule {
@@ -21,18 +21,18 @@
     assert_eq!(
         keep_alive.check(&RULE, 2_999, 0, true),
         KeepAliveVerdict::Healthy,
-        "ping sent, and still in time"
+        "a ping was sent, and its time-out has not passed"
     );
-    let mut answered = keep_alive;
+    let mut replied = keep_alive;
     assert_eq!(
-        answered.check(&RULE, 3_000, 2_900, true),
+        replied.check(&RULE, 3_000, 2_900, true),
         KeepAliveVerdict::Healthy,
         "a frame of any kind arrived"
     );
     assert_eq!(
-        answered.check(&RULE, 4_900, 2_900, true),
+        replied.check(&RULE, 4_900, 2_900, true),
         KeepAliveVerdict::SendPing,
-        "quiet again"
+        "no frame since then"
     );
     assert_eq!(
         keep_alive.check(&RULE, 3_000, 0, true),
@@ -66,7 +66,8 @@
     );
 }
 
-/// Checks may be late (a suspended process, a jump of the clock), which is no silence of the peer after a ping.
+/// A check can be late, after a suspension of the process or a jump of the clock. The connection must not be closed before a
+/// ping was sent and had time for a reply.
 #[test]
 fn late_check_sends_ping_before_close() {
     let mut keep_alive = KeepAlive::default();
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -1,16 +1,16 @@
 //! The dispatcher: a sans-IO [`core`] around one [`pointspindle::Router`], and a tokio shell, [`net`].
 //!
-//! The core receives events with their time and returns commands; the shell moves bytes. Neither chooses an endpoint, a
-//! fill's source, a copy's age, a time-out, a retry, a rejection or a Retry-After: the router does. Further decisions
-//! without I/O:
+//! The core receives inputs with their time and returns commands; the shell performs the I/O. The router, and neither of
+//! these, chooses endpoints, fill sources, copy ages, time-outs, retries, rejections and Retry-After values. Other modules
+//! with decision logic and without I/O:
 //!
 //! * [`admission`]: which client connections are admitted,
 //! * [`request_budget`]: whether a request may begin while many are in flight,
 //! * [`client_pace`]: whether a client reads too slowly,
-//! * [`call_deduplication`]: that a retried call has one live attempt,
-//! * [`keep_alive`]: whether a connection to an endpoint still carries anything,
-//! * [`reconnect_backoff`]: when a lost connection is made again,
-//! * [`dispatcher_registry`]: which part of a shared budget this dispatcher takes.
+//! * [`call_deduplication`]: ensures that a retried call has one live attempt,
+//! * [`keep_alive`]: whether a connection to an endpoint is still alive,
+//! * [`reconnect_backoff`]: when a lost connection is established again,
+//! * [`dispatcher_registry`]: which part of a shared budget this dispatcher uses.
 //!
 //! Endpoint lists, purges and fleet counts come from a [`control_source`].
 #![forbid(unsafe_code)]
--- a/crates/dispatcher/src/reconnect_backoff.rs
+++ b/crates/dispatcher/src/reconnect_backoff.rs
@@ -1,33 +1,34 @@
-//! Backoff for connecting to an address again: a decision without I/O.
+//! Backoff for reconnecting to an address. This module performs no I/O.
 //!
-//! After a mass restart, or a network device's return, thousands of dispatchers have lost the same connections at the same
-//! moment. Each waits a random time before it connects again, and longer after each failure, so that an endpoint that starts
-//! does not repeatedly receive all of them at once. While an address must not be connected to, an attempt at it ends at once
+//! After a mass restart, or the recovery of a network device, thousands of dispatchers have lost the same connections at the
+//! same time. Each waits a random time before it reconnects, and longer after each failure, so that a starting endpoint does
+//! not repeatedly receive all of them at once. While an address is in backoff after a failure, an attempt to it fails at once
 //! as not connected, and the router chooses another endpoint.
 use pointspindle::Micros;
 
-/// Longest wait after a connection was lost.
+/// Longest delay before reconnecting after an established connection was lost.
 const MAX_LOST_DELAY_US: Micros = 10_000;
-/// Backoff after the first failure; doubled by each.
+/// Backoff after the first failure. Each further failure doubles it.
 const INITIAL_BACKOFF_US: Micros = 10_000;
 const MAX_BACKOFF_US: Micros = 400_000;
-/// Keeps the shift below the width of the number.
+/// Limits the shift by the number of doublings to less than the width of the integer.
 const MAX_DOUBLINGS: u32 = 16;
-/// How long an address is remembered after its latest loss or failure.
+/// How long the state of an address is retained after its latest loss or failure.
 const RETENTION_US: Micros = 60_000_000;
 
 /// Whether an address may be connected to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectDecision {
-    /// At once.
+    /// The address may be connected to at once.
     Now,
-    /// After this time; requests for it wait.
+    /// The address may be connected to after this time; its requests wait.
     After(Micros),
-    /// Not for this time; requests for it are sent elsewhere.
+    /// The address must not be connected to for this time; its requests are sent to other endpoints.
     RejectFor(Micros),
 }
 
-/// State of an address whose connection was lost or could not be made. Forgotten by its owner when [`Self::is_expired`].
+/// State of an address whose connection was lost or could not be established. The owner removes it when
+/// [`Self::is_expired`] returns true.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ReconnectBackoff {
     failures: u32,
@@ -36,13 +37,13 @@
 }
 
 impl ReconnectBackoff {
-    /// The connection ended without notice. `random` is drawn from 0 to 1.
+    /// Records that an established connection was lost. `random` is drawn uniformly from 0 to 1.
     pub fn connection_lost(&mut self, now: Micros, random: f64) {
         self.failures = 0;
         self.wait(now, MAX_LOST_DELAY_US as f64 * random);
     }
 
-    /// The connection could not be made. `random` is drawn from 0 to 1.
+    /// Records that the connection could not be established. `random` is drawn uniformly from 0 to 1.
     pub fn connect_failed(&mut self, now: Micros, random: f64) {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let backoff = (INITIAL_BACKOFF_US << doublings).min(MAX_BACKOFF_US);
@@ -55,7 +56,7 @@
         self.not_before = now + delay as Micros;
     }
 
-    /// Whether the address may be connected to now.
+    /// Returns whether the address may be connected to at `now`.
     pub fn decide(&self, now: Micros) -> ConnectDecision {
         match (self.not_before.saturating_sub(now), self.failures) {
             (0, _) => ConnectDecision::Now,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Whether the address may be forgotten.
+    /// Whether the state of the address may be removed.
     pub fn is_expired(&self, now: Micros) -> bool {
         now >= self.updated_at + RETENTION_US
     }
--- a/crates/dispatcher/src/reconnect_backoff/tests.rs
+++ b/crates/dispatcher/src/reconnect_backoff/tests.rs
@@ -1,4 +1,4 @@
-//! How long a new connection waits after losses and failures.
+//! Delay of reconnects after losses and failures.
 use super::*;
 
 #[test]
@@ -26,7 +26,7 @@
     assert_eq!(*waits.last().unwrap(), MAX_BACKOFF_US);
 }
 
-/// A thousand dispatchers that lose an endpoint at one moment do not reconnect at one.
+/// A thousand dispatchers that lose an endpoint at the same time must not reconnect at the same time.
 #[test]
 fn connections_lost_together_reconnect_spread_over_time() {
     let at = |random: f64| {
@@ -35,14 +35,14 @@
         match backoff.decide(0) {
             ConnectDecision::After(wait) => wait,
             ConnectDecision::Now => 0,
-            other => panic!("{other:?}: a lost connection is no failure"),
+            other => panic!("{other:?}: a lost connection does not count as a failure"),
         }
     };
     let times: Vec<Micros> = (0..1_000).map(|n| at(n as f64 / 1_000.0)).collect();
     let most = (0..10)
         .map(|ms| times.iter().filter(|t| **t / 1_000 == ms).count())
         .max();
-    assert_eq!(most, Some(100), "in any one millisecond");
+    assert_eq!(most, Some(100), "reconnects in any one millisecond");
 }
 
 #[test]
--- a/crates/dispatcher/src/request_budget.rs
+++ b/crates/dispatcher/src/request_budget.rs
@@ -1,49 +1,49 @@
-//! Whether a new request may begin while many are in flight: a decision without I/O.
+//! Admission of new requests while many are in flight. This module performs no I/O.
 //!
 //! Memory is bounded in three steps. Every stream has a window, so a slow reader stops its own stream. From
-//! [`RequestBudget::crowded_bytes`] buffered bytes on, over all connections, windows shrink to a quarter: back-pressure reaches the
-//! endpoints. From [`RequestBudget::max_buffered_bytes`] on, and with [`RequestBudget::max_requests`] open, new requests are rejected with a
-//! Retry-After; admitted requests continue. An open request can only grow by its windows, so nothing begins that could not
-//! be buffered.
+//! [`RequestBudget::crowded_bytes`] buffered bytes on, counted over all connections, windows shrink to a quarter, so that
+//! back-pressure reaches the endpoints. From [`RequestBudget::max_buffered_bytes`] on, or with
+//! [`RequestBudget::max_requests`] open requests, new requests are rejected with a Retry-After; admitted requests continue. The
+//! buffers of an open request are limited by its windows, so no request is admitted that could not be buffered.
 use pointspindle::Micros;
 
-/// Shortest Retry-After of a rejected request; the longest is twice this, at random.
+/// Shortest Retry-After of a rejected request. The value is drawn at random from this to twice this.
 const MIN_RETRY_AFTER_US: Micros = 500_000;
 
-/// Bounds of what is in flight. It keeps no state.
+/// Bounds of open requests and buffered bytes. It holds no state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestBudget {
-    /// Open requests.
+    /// Largest number of open requests.
     pub max_requests: usize,
-    /// Buffered bytes from which on windows shrink.
+    /// Number of buffered bytes from which on windows shrink.
     pub crowded_bytes: u64,
-    /// Buffered bytes from which on new requests are rejected.
+    /// Number of buffered bytes from which on new requests are rejected.
     pub max_buffered_bytes: u64,
 }
 
-/// Whether a new request may begin.
+/// The decision about a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BudgetDecision {
-    /// It may.
+    /// The request is admitted.
     Admit,
-    /// It is rejected.
+    /// The request is rejected.
     Reject {
-        /// When the client should retry.
+        /// Time after which the client should retry.
         retry_after: Micros,
     },
 }
 
 impl RequestBudget {
-    /// Windows shrink from half of the bytes on.
-    pub fn new(requests: usize, full: u64) -> Self {
+    /// Creates a budget in which windows shrink from half of `max_buffered_bytes` on.
+    pub fn new(max_requests: usize, max_buffered_bytes: u64) -> Self {
         Self {
-            max_requests: requests,
-            crowded_bytes: full / 2,
-            max_buffered_bytes: full,
+            max_requests,
+            crowded_bytes: max_buffered_bytes / 2,
+            max_buffered_bytes,
         }
     }
 
-    /// Decides about a new request. `random` draws from 0 to 1, and is called for rejected requests only.
+    /// Decides about a new request. `random` draws uniformly from 0 to 1, and is called for rejected requests only.
     pub fn decide(
         &self,
         open_requests: usize,
--- a/crates/dispatcher/src/request_budget/tests.rs
+++ b/crates/dispatcher/src/request_budget/tests.rs
@@ -1,4 +1,4 @@
-//! Both bounds of the budget.
+//! The bounds on open requests and on buffered bytes.
 use super::*;
 
 #[test]
--- a/crates/dispatcher/tests/core/attempt_begin.rs
+++ b/crates/dispatcher/tests/core/attempt_begin.rs
@@ -1,5 +1,5 @@
-//! The check right before an attempt's first byte. Whatever happened since the attempt was ordered, an attempt that may not
-//! begin has not been executed, which makes a retry harmless even for unsafe requests.
+//! The check immediately before the first byte of an attempt. An attempt that may not begin has not been executed, so a retry
+//! is safe even for unsafe requests, whatever has changed after the router requested the attempt.
 use crate::harness::*;
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::{Input, Output};
@@ -14,7 +14,8 @@
     assert_eq!(harness.core.begin(START, 1, attempt), None);
 }
 
-/// Removes or drains the receiver of an attempt, or the source of its fill: the request is sent elsewhere.
+/// Removes or drains the receiving endpoint of an attempt or the source of its fill, and checks that the request is sent to
+/// another endpoint.
 fn check_endpoint_change(state: WireEndpointState, affects_source: bool) {
     let mut harness = Harness::new();
     let sent = harness.sent_request(1, VIDEO);
@@ -58,7 +59,7 @@
     assert_eq!(
         late.map(|terms| terms.time_left),
         Some(980 * MS),
-        "less time is left by then"
+        "the remaining time has decreased"
     );
     let too_late = harness.core.begin(START + 1_980 * MS, 1, attempt);
     assert_eq!(too_late, None);
@@ -77,7 +78,7 @@
             .iter()
             .any(|output| matches!(output, Output::Reject { .. }));
         assert_eq!(is_rejected, !has_begun, "{outputs:?}");
-        // An endpoint to which nothing could be written in time counts as not reached.
+        // An endpoint to which no byte could be written in time counts as not reached.
         let status = if has_begun {
             "timeout"
         } else {
@@ -88,7 +89,7 @@
     }
 }
 
-/// Applies a purge after an attempt was ordered; the terms on which it begins.
+/// Applies a purge after the router requested an attempt. Returns the terms with which the attempt begins.
 fn terms_after_purge(object: Option<&str>) -> pointspindle_dispatcher::core::AttemptTerms {
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, VIDEO).number;
@@ -103,7 +104,8 @@
     terms.expect("the attempt may begin")
 }
 
-/// A purge between the order and the first byte, of the object or of its group: no older copy is acceptable.
+/// After a purge of the object or of its group, between the router's request for the attempt and the first byte, no older copy
+/// is acceptable.
 #[test]
 fn purge_before_first_byte_limits_copy_age() {
     let mut harness = Harness::new();
--- a/crates/dispatcher/tests/core/bounds.rs
+++ b/crates/dispatcher/tests/core/bounds.rs
@@ -3,7 +3,7 @@
 use pointspindle_dispatcher::Input;
 use pointspindle_protocol::PurgeHead;
 
-/// Capacity of the purge log; beyond it purges are merged by group.
+/// Capacity of the purge log; beyond it, purges are merged by group.
 const MAX_PURGES: usize = 16 * 1024;
 
 #[test]
@@ -23,9 +23,9 @@
         }
         harness.now += 1;
     }
-    println!("{largest_count} purges recorded at most");
+    println!("largest number of recorded purges: {largest_count}");
     assert!(largest_count <= MAX_PURGES, "{largest_count}");
-    // No copy that is older than a purge is left by then.
+    // After this time no copy that is older than a purge is left.
     harness.now += 600_000 * MS;
     assert_eq!(harness.core.state_counts(harness.now).purges, 0);
 }
--- a/crates/dispatcher/tests/core/endpoint_list.rs
+++ b/crates/dispatcher/tests/core/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! Endpoint lists, and which process is behind an address.
+//! Endpoint list updates, and the identification of the process at an address.
 use crate::harness::*;
 use pointspindle_protocol::{EndpointListForm, EndpointRecord, WireEndpointState};
 
-/// A drain must not wait for the list that was lost before it.
+/// A drain must take effect even if a preceding update was lost.
 #[test]
 fn delta_after_gap_is_applied_and_full_list_requested() {
     let mut harness = Harness::new();
@@ -12,7 +12,7 @@
     for id in 1..=6 {
         assert_eq!(harness.sent_request(id, VIDEO).endpoint, CACHE_2);
     }
-    // An outdated delta must not bring it back.
+    // An outdated delta must not make the draining cache ready again.
     let ready = endpoint_record(CACHE_1, "cache", WireEndpointState::Ready);
     harness.apply_list(EndpointListForm::Delta, 4, vec![ready]);
     assert_eq!(harness.sent_request(40, VIDEO).endpoint, CACHE_2);
@@ -21,7 +21,8 @@
     assert_eq!(harness.core.endpoint_list_seq(), 9);
 }
 
-/// Reported ages jitter: the same incarnation must not look like another process, and another incarnation must.
+/// Since reported ages jitter, a different age of the same incarnation must not be treated as a restart; another incarnation
+/// must be.
 #[test]
 fn same_incarnation_keeps_starting_time() {
     let mut harness = Harness::new();
@@ -42,7 +43,7 @@
     assert_eq!(
         started_ago(&harness),
         Some(1_500 * MS),
-        "as reported at first"
+        "the starting time that was reported first"
     );
     harness.apply_list(EndpointListForm::Delta, 4, vec![cache(2, 100 * MS)]);
     assert_eq!(started_ago(&harness), Some(100 * MS), "another incarnation");
--- a/crates/dispatcher/tests/core/harness.rs
+++ b/crates/dispatcher/tests/core/harness.rs
@@ -1,4 +1,4 @@
-//! One core with a made-up clock.
+//! A test harness around one core with a simulated clock.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::core::{AddressedFetch, AttemptEnd};
 use pointspindle_dispatcher::{ClientRequest, Core, Input, Output};
@@ -7,7 +7,7 @@
 };
 
 pub const MS: u64 = 1_000;
-/// When each test begins.
+/// Time at which each test begins.
 pub const START: u64 = 1_000_000_000;
 
 pub const CACHE_1: &str = "127.0.0.1:1";
@@ -46,7 +46,7 @@
     pub now: u64,
 }
 
-/// An [`Output::Send`].
+/// The content of an [`Output::Send`].
 pub struct SentAttempt {
     pub number: u32,
     pub endpoint: String,
@@ -54,7 +54,7 @@
 }
 
 impl Harness {
-    /// Two caches, a parent and an origin.
+    /// Creates a core with two caches, a parent and an origin.
     pub fn new() -> Self {
         let ready = WireEndpointState::Ready;
         Self::with_endpoints(vec![
@@ -65,7 +65,7 @@
         ])
     }
 
-    /// One cache, out of slow start, and an origin.
+    /// Creates a core with one cache that has completed slow start, and an origin.
     pub fn with_single_cache() -> Self {
         let ready = WireEndpointState::Ready;
         let mut harness = Self::with_endpoints(vec![
@@ -92,7 +92,7 @@
         outputs
     }
 
-    /// Why the full list is needed, if it is.
+    /// Applies an endpoint list. Returns the reason for requesting the full list, if that is needed.
     pub fn apply_list(
         &mut self,
         form: EndpointListForm,
@@ -110,7 +110,7 @@
         })
     }
 
-    /// A request for an object of its own.
+    /// Starts a request for an object that no other request uses.
     pub fn request(&mut self, id: u64, class: usize) -> Vec<Output> {
         let request = ClientRequest {
             class,
@@ -120,7 +120,7 @@
         self.handle(Input::Request(id, request))
     }
 
-    /// A request that is sent to an endpoint.
+    /// Starts a request, and expects that it is sent to an endpoint.
     pub fn sent_request(&mut self, id: u64, class: usize) -> SentAttempt {
         let outputs = self.request(id, class);
         sent_attempt(&outputs).expect("the request is sent")
@@ -143,7 +143,7 @@
         })
     }
 
-    /// Advances the clock, timer by timer.
+    /// Advances the clock to `until`, and fires each timer on the way.
     pub fn advance_to(&mut self, until: u64) -> Vec<Output> {
         let mut outputs = Vec::new();
         while let Some(at) = self.core.next_timer().filter(|at| *at <= until) {
@@ -155,7 +155,7 @@
     }
 }
 
-/// A request for an object of its own, without a group.
+/// Returns a request for an object that no other request uses, without a purge group.
 pub fn video_request(id: u64) -> ClientRequest {
     ClientRequest {
         class: VIDEO,
@@ -177,7 +177,7 @@
     }
 }
 
-/// The first attempt that is sent.
+/// Returns the first attempt that is sent.
 pub fn sent_attempt(outputs: &[Output]) -> Option<SentAttempt> {
     outputs.iter().find_map(|output| match output {
         Output::Send {
@@ -194,7 +194,7 @@
     })
 }
 
-/// Final responses, and responses that begin to be forwarded.
+/// Number of final, forwarded and aborted responses.
 pub fn final_output_count(outputs: &[Output]) -> usize {
     let is_final = |output: &&Output| {
         matches!(
--- a/crates/dispatcher/tests/core/main.rs
+++ b/crates/dispatcher/tests/core/main.rs
@@ -1,4 +1,4 @@
-//! The core without sockets: properties that hold for every order of events.
+//! Tests of the core without sockets, for inputs in different orders.
 mod attempt_begin;
 mod bounds;
 mod endpoint_list;
--- a/crates/dispatcher/tests/core/requests.rs
+++ b/crates/dispatcher/tests/core/requests.rs
@@ -6,7 +6,8 @@
     EndpointListForm, PurgeHead, WireCacheStatus, WireEndpointState, WireStatus,
 };
 
-/// Whichever of the two comes first at the same moment, there is one final response and the other has no effect.
+/// If the response and the deadline occur at the same time, the first one processed determines the single final response, and
+/// the second has no effect.
 #[test]
 fn response_and_deadline_at_same_moment_give_one_final_response() {
     for response_first in [true, false] {
@@ -46,7 +47,7 @@
     assert_eq!(harness.core.open_requests(), 0);
 }
 
-/// After the head was forwarded there is no other attempt: the client would get two responses in one.
+/// After the head was forwarded there must be no other attempt, or the client would receive parts of two responses.
 #[test]
 fn connection_broken_after_head_aborts_response() {
     let mut harness = Harness::new();
@@ -58,8 +59,8 @@
     assert!(late.is_empty(), "{late:?}");
 }
 
-/// Found in virtual time: an endpoint hangs in mid-body, others sent to it are overdue, and it is ejected with all its
-/// attempts. The response that had begun must end too, or its client waits for ever.
+/// An endpoint hangs in the middle of a response body, other attempts at it time out, and it is ejected, which cancels all its
+/// attempts. The response in progress must be aborted too, or its client waits forever.
 #[test]
 fn response_from_ejected_endpoint_is_aborted() {
     let mut harness = Harness::new();
@@ -109,7 +110,7 @@
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, SUBMIT).number;
     let outputs = harness.end_attempt(1, attempt, AttemptEnd::ConnectFailed);
-    let retry = sent_attempt(&outputs).expect("not executed: sent again");
+    let retry = sent_attempt(&outputs).expect("not executed, so sent again");
     let end = AttemptEnd::ErrorReported {
         status: WireStatus::Rejected,
         cache_status: WireCacheStatus::Unreported,
@@ -118,7 +119,7 @@
     assert_eq!(
         harness.end_attempt(1, retry.number, end),
         [Output::Fail { request: 1 }],
-        "a status that promises more than its frame is not trusted"
+        "a rejection is not retried if its frame says that the request may have been executed"
     );
 }
 
@@ -126,7 +127,11 @@
 fn purge_of_object_in_flight_limits_next_attempt() {
     let mut harness = Harness::new();
     let first = harness.sent_request(1, VIDEO);
-    assert_eq!(first.fetch.unwrap().max_age, 0, "valid until purged");
+    assert_eq!(
+        first.fetch.unwrap().max_age,
+        0,
+        "a copy is valid until it is purged"
+    );
     harness.handle(Input::Purge(PurgeHead {
         object: None,
         group: GROUP,
--- a/crates/dispatcher/tests/core/slow_start.rs
+++ b/crates/dispatcher/tests/core/slow_start.rs
@@ -1,4 +1,4 @@
-//! Endpoints in slow start: restarts, and work leases.
+//! Slow start of endpoints: detection of restarts, and work leases.
 use crate::harness::*;
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::{ClientRequest, Input, Output};
@@ -6,7 +6,7 @@
     EndpointListForm, EndpointRecord, HelloHead, LeaseHead, WireEndpointState,
 };
 
-/// A hello of the first cache; whether it replaced another process.
+/// Applies a hello of the first cache. Returns whether its process replaced another one.
 fn hello(harness: &mut Harness, incarnation: u64, started_ago_us: Option<u64>) -> bool {
     let hello = HelloHead {
         incarnation,
@@ -20,7 +20,7 @@
     matches!(outputs[..], [Output::HelloApplied { replaced: true }])
 }
 
-/// Number of simultaneous requests that are sent to the only cache; the others are rejected.
+/// Starts 60 simultaneous requests. Returns how many of them are sent to the only cache; the others are rejected.
 fn sent_count(harness: &mut Harness, first_id: u64) -> usize {
     let is_sent = |harness: &mut Harness, id: u64| {
         let request = ClientRequest {
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn new_incarnation_is_restart_whatever_clock_and_late_list_say() {
+fn new_incarnation_is_restart_despite_wrong_clock_and_outdated_list() {
     let mut harness = Harness::with_single_cache();
     let one_day = Some(86_400_000 * MS);
     assert!(!hello(&mut harness, 7, one_day), "the first hello");
@@ -57,7 +57,7 @@
     );
     let restarted = sent_count(&mut harness, 200);
     assert!(restarted < warm / 2, "{restarted} of {warm}");
-    // Written before the restart, received after it.
+    // A record written before the restart and received after it.
     let outdated = EndpointRecord {
         incarnation: 1,
         started_ago_us: Some(300_000 * MS),
@@ -98,7 +98,7 @@
     }
 }
 
-/// The only cache is in slow start and grants its work on request.
+/// Returns a harness whose only cache is in slow start and grants work on request.
 fn with_work_on_request() -> Harness {
     let mut harness = Harness::with_single_cache();
     hello(&mut harness, 7, Some(60_000_000 * MS));
@@ -123,8 +123,8 @@
         .count()
 }
 
-/// A request waits for the lease and is decided by it; without a lease in time it is decided without, and a client that
-/// disconnects meanwhile leaves nothing behind.
+/// A request waits for a work lease, which decides whether it is sent. If no lease arrives in time, the router decides without
+/// one. A client that disconnects while its request waits leaves no state behind.
 #[test]
 fn request_waits_for_work_lease_and_is_decided_by_it() {
     let mut harness = with_work_on_request();
@@ -149,7 +149,7 @@
     let denied = harness.handle(lease(0, true, true));
     assert!(
         sent_attempt(&denied).is_none() && final_output_count(&denied) == 1,
-        "not granted, and there is no other endpoint: {denied:?}"
+        "no work granted, and there is no other endpoint: {denied:?}"
     );
 
     small_request(&mut harness, 3);
@@ -161,11 +161,15 @@
     assert_eq!(
         final_output_count(&outputs),
         1,
-        "no lease in time: decided without: {outputs:?}"
+        "no lease arrived in time, so the router decided without one: {outputs:?}"
     );
     assert_eq!(harness.core.open_requests(), 0);
 
     harness.handle(lease(0, false, false));
     let outputs = small_request(&mut harness, 5);
-    assert_eq!(work_request_count(&outputs), 0, "it grants otherwise");
+    assert_eq!(
+        work_request_count(&outputs),
+        0,
+        "the endpoint no longer grants work on request"
+    );
 }
--- a/crates/dispatcher/tests/core/state_file.rs
+++ b/crates/dispatcher/tests/core/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file's format, and the ages that a restart restores.
+//! The format of the state file, and the ages that are restored after a restart.
 use crate::harness::*;
 use pointspindle_clock::BootMoment;
 use pointspindle_dispatcher::core::state::{Snapshot, StateError};
@@ -33,13 +33,14 @@
         (EndpointListForm::Cached, 4, 1)
     );
     assert_eq!(restored.purges[0].age_us, 2_005 * MS);
-    // Where the elapsed time is unknown, a purge counts as young as it was, never as older than it is.
+    // If the elapsed time is unknown, the saved age is used, so a purge never counts as older than it is.
     for unknown in [Some(boot_moment("another", 3_000)), None] {
         assert_eq!(restore(unknown).purges[0].age_us, 5 * MS);
     }
 }
 
-/// The file was written by the program before its types were renamed: the keys of its JSON must stay.
+/// The file was written by a version of the program from before its types were renamed, so the keys of its JSON must not
+/// change.
 #[test]
 fn state_file_of_previous_version_is_read_completely() {
     let bytes = include_bytes!("../data/state-version-1.state");
@@ -70,11 +71,11 @@
     };
     assert_eq!(restored.purges, [object_purge, group_purge]);
     let written = snapshot.to_bytes(1_700_000_000_000, Some(&boot_moment("boot-1", 100_000)));
-    assert_eq!(written, bytes, "written again it is the same");
+    assert_eq!(written, bytes, "the rewritten file is identical");
 }
 
 #[test]
-fn torn_or_foreign_file_is_rejected() {
+fn damaged_or_unrecognized_file_is_rejected() {
     let mut harness = Harness::new();
     let good = harness.core.snapshot(harness.now).to_bytes(1, None);
     for cut in [0, 5, 20, 40, good.len() - 1] {
@@ -118,5 +119,5 @@
     assert_eq!(merged_groups, (0..7).collect::<Vec<u64>>());
     harness.now += 60_000 * MS;
     let purges = harness.core.snapshot(harness.now).restore(None).purges;
-    assert!(purges.is_empty(), "forgotten after the purge horizon");
+    assert!(purges.is_empty(), "expired after the purge horizon");
 }
