--- a/crates/dispatcher/src/core/output.rs
+++ b/crates/dispatcher/src/core/output.rs
@@ -7,7 +7,7 @@
 pub struct AddressedFetch {
     /// Endpoint to fill from; `None` if the receiving endpoint itself is the source.
     pub source: Option<String>,
-    /// Rank of the object for the cache's eviction order.
+    /// Rank of the object in the cache's eviction order.
     pub retention_rank: u8,
     /// Age of the oldest acceptable copy; 0 stands for the limit of the request's class.
     pub max_age: Micros,
--- a/crates/dispatcher/src/core/purge_log.rs
+++ b/crates/dispatcher/src/core/purge_log.rs
@@ -1,9 +1,10 @@
-//! Recent purges, from before which copies may still exist, recorded for the state file. The router applies purges to requests.
+//! Log of recent purges for the state file: copies from before them may still exist. The router applies purges to requests.
 use pointspindle::Micros;
 use pointspindle_protocol::PurgeHead;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Number of purges that are recorded individually. Beyond it, purges are merged by group, which never purges less.
+/// Number of purges that are recorded individually. Beyond it, purges are merged by group, which may purge more copies but
+/// never fewer.
 const MAX_PURGES: usize = 16 * 1024;
 /// Added to the purge horizon, to allow for clock differences and restarts.
 const RETENTION_MARGIN_US: Micros = 1_000_000;
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -95,10 +95,10 @@
 }
 
 impl SavedAt {
-    fn new(moment: &BootMoment) -> Self {
+    fn new(boot_moment: &BootMoment) -> Self {
         Self {
-            boot: moment.boot.clone(),
-            since_boot_us: moment.since.as_micros() as u64,
+            boot: boot_moment.boot.clone(),
+            since_boot_us: boot_moment.since.as_micros() as u64,
         }
     }
 
--- a/crates/dispatcher/src/reconnect_backoff.rs
+++ b/crates/dispatcher/src/reconnect_backoff.rs
@@ -40,7 +40,7 @@
     /// Records that an established connection was lost. `random` is drawn uniformly from 0 to 1.
     pub fn connection_lost(&mut self, now: Micros, random: f64) {
         self.failures = 0;
-        self.wait(now, MAX_LOST_DELAY_US as f64 * random);
+        self.set_delay(now, MAX_LOST_DELAY_US as f64 * random);
     }
 
     /// Records that the connection could not be established. `random` is drawn uniformly from 0 to 1.
@@ -48,10 +48,10 @@
         let doublings = self.failures.min(MAX_DOUBLINGS);
         let backoff = (INITIAL_BACKOFF_US << doublings).min(MAX_BACKOFF_US);
         self.failures += 1;
-        self.wait(now, backoff as f64 * (0.5 + random));
+        self.set_delay(now, backoff as f64 * (0.5 + random));
     }
 
-    fn wait(&mut self, now: Micros, delay: f64) {
+    fn set_delay(&mut self, now: Micros, delay: f64) {
         self.updated_at = now;
         self.not_before = now + delay as Micros;
     }
