--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -1,21 +1,21 @@
-//! Moments since the machine's boot, which a later process on the same machine can compare with its own.
+//! Points in time since the machine's boot, which processes on the same machine can compare across a restart.
 use std::time::Duration;
 
-/// The kernel draws a new identifier at each boot.
+/// File with the boot identifier, which the kernel generates anew at each boot.
 const BOOT_ID_PATH: &str = "/proc/sys/kernel/random/boot_id";
 
-/// A moment on the machine's boot clock. Steps of the wall clock do not move it, and it advances while the machine is
-/// suspended.
+/// A point in time on the machine's boot clock. The boot clock is unaffected by steps of the wall clock and advances
+/// while the machine is suspended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootMoment {
-    /// Identifier of the boot.
+    /// Identifier of the boot, as reported by the kernel.
     pub boot: String,
-    /// Time since that boot.
+    /// Time elapsed since that boot.
     pub since: Duration,
 }
 
 impl BootMoment {
-    /// The current moment; `None` if the system does not expose an identifier of its boot.
+    /// Returns the current time; `None` if the system does not expose a boot identifier.
     pub fn now() -> Option<Self> {
         let boot = std::fs::read_to_string(BOOT_ID_PATH)
             .ok()?
@@ -29,7 +29,8 @@
         Some(Self { boot, since })
     }
 
-    /// The span up to a later moment; `None` if the machine was booted in between, so that the span is unknown.
+    /// Returns the duration up to `later`; `None` if the machine was rebooted in between, which leaves the duration
+    /// unknown.
     pub fn until(&self, later: &Self) -> Option<Duration> {
         (self.boot == later.boot)
             .then(|| later.since.checked_sub(self.since))
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,8 +1,9 @@
-//! Wall-clock moments converted to spans of real time.
+//! Converts wall-clock timestamps to ages.
 //!
-//! Other machines timestamp events (purges, process starts, cached copies) with their wall clocks. This crate is the one
-//! place that converts such a timestamp to an age: a wall clock may be stepped at any time, by seconds or by an hour, while
-//! the monotonic clock advances steadily. Ages of this process's own events never come from a wall clock.
+//! Other machines timestamp events (purges, process starts, cached copies) with their wall clocks. Only this crate
+//! converts such a timestamp to an age, because a wall clock may be stepped at any time, by seconds or by an hour,
+//! while the monotonic clock advances steadily. Ages of events within this process are measured with the monotonic
+//! clock alone.
 //!
 //! A wall clock that is wrong when the process starts and stays wrong cannot be detected.
 #![forbid(unsafe_code)]
@@ -14,19 +15,20 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Smaller differences between the two clocks may come from reading them one after the other.
+/// Smallest difference that counts as a step. The two clocks are read one after the other, which alone causes small
+/// differences.
 const MIN_REPORTED_STEP: Duration = Duration::from_millis(100);
 
-/// Both clocks of the machine, read at one moment.
+/// The machine's wall clock and monotonic clock, read at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClockReading {
-    /// Wall clock: time since 1970; zero if it is set to an earlier moment.
+    /// Wall clock: time since the Unix epoch; zero if the clock is set to an earlier time.
     pub wall: Duration,
     /// Monotonic clock: time since [`WallClock::start`].
     pub elapsed: Duration,
 }
 
-/// The wall clock as read when the process started, advanced by the monotonic clock. Holds no other state.
+/// The wall clock as read at the start of the process, advanced by the monotonic clock since then.
 #[derive(Clone, Copy, Debug)]
 pub struct WallClock {
     at_start: Duration,
@@ -34,7 +36,7 @@
 }
 
 impl WallClock {
-    /// Reads both clocks. Call it once, early in the process.
+    /// Reads both clocks; to be called once, early in the process.
     pub fn start() -> Self {
         Self {
             at_start: wall_clock_now(),
@@ -50,32 +52,33 @@
         }
     }
 
-    /// Time since 1970, without the steps of the wall clock since the start.
+    /// Returns the time since the Unix epoch, without the steps that the wall clock has made since the start.
     pub fn steady(&self) -> Duration {
         self.steady_at(self.read())
     }
 
-    /// [`WallClock::steady`] in whole milliseconds.
+    /// Returns [`WallClock::steady`] in whole milliseconds.
     pub fn steady_ms(&self) -> u64 {
         self.steady().as_millis() as u64
     }
 
-    /// The earlier of the wall clock and the steady time, in milliseconds: ages computed from it are the shorter ones, as
-    /// in [`WallClock::age_of_ms`].
+    /// Returns the earlier of the wall clock and the steady time, in milliseconds since the Unix epoch. Ages computed
+    /// from it are the shorter ones, as in [`WallClock::age_of_ms`].
     pub fn earlier_ms(&self) -> u64 {
         self.earlier_at(self.read()).as_millis() as u64
     }
 
-    /// The age of a timestamp from another machine's wall clock (milliseconds since 1970).
+    /// Returns the age of a timestamp from another machine's wall clock, in milliseconds since the Unix epoch.
     ///
-    /// If this machine's clock has been stepped since the start, it is unknown which of its two times is right, and the
-    /// shorter age is returned. An age that is too short only rejects copies that are still fresh, or spares an endpoint
-    /// that could take more load.
+    /// If this machine's wall clock has been stepped since the start, it is unknown whether the wall clock or the steady
+    /// time is right, and the shorter age is returned. An age that is too short does limited harm: copies that are still
+    /// fresh are rejected, or an endpoint receives less load than it could take.
     pub fn age_of_ms(&self, unix_ms: f64) -> Duration {
         self.age_at(self.read(), unix_ms)
     }
 
-    /// How far the wall clock has been stepped since the start, in milliseconds; `None` if it has not.
+    /// Returns how far the wall clock has been stepped since the start, in milliseconds; `None` if it has not been
+    /// stepped.
     pub fn step_ms(&self) -> Option<i64> {
         self.step_at(self.read())
     }
@@ -85,9 +88,9 @@
     }
 
     fn age_at(&self, now: ClockReading, unix_ms: f64) -> Duration {
-        // A moment before 1970, or not a number, counts as 1970: the longest age that can be expressed.
-        let moment = Duration::try_from_secs_f64(unix_ms / 1_000.0).unwrap_or_default();
-        self.earlier_at(now).saturating_sub(moment)
+        // A negative timestamp, or one that is not a number, is treated as the Unix epoch, which gives the longest age.
+        let timestamp = Duration::try_from_secs_f64(unix_ms / 1_000.0).unwrap_or_default();
+        self.earlier_at(now).saturating_sub(timestamp)
     }
 
     fn earlier_at(&self, now: ClockReading) -> Duration {
@@ -100,7 +103,7 @@
     }
 }
 
-/// The wall clock now, in milliseconds since 1970: for timestamps that other machines read.
+/// Returns the wall-clock time in milliseconds since the Unix epoch, for timestamps that other machines read.
 pub fn wall_clock_unix_ms() -> u64 {
     wall_clock_now().as_millis() as u64
 }
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -1,4 +1,4 @@
-//! Ages under steps of the wall clock, and spans within one boot.
+//! Ages while the wall clock is stepped, and durations between two points of the boot clock.
 use super::*;
 
 const HOUR_S: u64 = 3_600;
@@ -11,7 +11,7 @@
     }
 }
 
-/// `elapsed` seconds after the start, with a wall clock that is off by `step` seconds.
+/// Returns a clock reading `elapsed` seconds after the start, with the wall clock stepped by `step` seconds.
 fn reading(elapsed: u64, step: i64) -> ClockReading {
     let wall = (START_UNIX_S + elapsed).saturating_add_signed(step);
     ClockReading {
@@ -20,7 +20,7 @@
     }
 }
 
-/// The age, in seconds, of something that happened `at` seconds after the start.
+/// Returns the age, in seconds, of an event `at` seconds after the start.
 fn age(at: i64, now: ClockReading) -> u64 {
     clock()
         .age_at(now, (START_UNIX_S.saturating_add_signed(at) * 1_000) as f64)
@@ -32,12 +32,12 @@
     for step in [1, 5, HOUR_S as i64] {
         assert_eq!(age(10, reading(12, step)), 2, "{step} s forward");
     }
-    // Backward it may count as younger, which is the safe side.
+    // After a backward step the age may be too short, which is the safe direction.
     for step in [-1, -5, -(HOUR_S as i64)] {
         assert!(age(10, reading(12, step)) <= 2, "{step} s backward");
     }
     assert_eq!(age(10, reading(12, 0)), 2);
-    assert_eq!(age(-30, reading(12, 0)), 42, "before the start");
+    assert_eq!(age(-30, reading(12, 0)), 42, "an event before the start");
     assert_eq!(
         age(20, reading(12, 0)),
         0,
@@ -47,7 +47,7 @@
 
 #[test]
 fn age_after_clock_correction_is_never_longer() {
-    // It was an hour ahead at the start; what happens now is stamped with the right time.
+    // The wall clock was an hour ahead at the start and was corrected; later events have correct timestamps.
     let ahead = WallClock {
         at_start: Duration::from_secs(START_UNIX_S + HOUR_S),
         started: Instant::now(),
@@ -72,20 +72,20 @@
 }
 
 #[test]
-fn age_of_invalid_moment_is_longest_and_future_is_zero() {
-    for odd in [f64::NAN, -1.0, f64::NEG_INFINITY] {
-        assert!(clock().age_at(reading(1, 0), odd).as_secs() >= START_UNIX_S);
+fn age_of_invalid_timestamp_is_longest_and_of_future_one_zero() {
+    for invalid in [f64::NAN, -1.0, f64::NEG_INFINITY] {
+        assert!(clock().age_at(reading(1, 0), invalid).as_secs() >= START_UNIX_S);
     }
     assert_eq!(clock().age_at(reading(1, 0), 9e15), Duration::ZERO);
 }
 
 #[test]
-fn span_between_boot_moments_requires_same_boot() {
-    let first = BootMoment::now().expect("a Linux machine");
+fn duration_between_boot_moments_requires_same_boot() {
+    let first = BootMoment::now().expect("a Linux kernel exposes its boot identifier");
     let second = BootMoment::now().unwrap();
     assert!(first
         .until(&second)
-        .is_some_and(|span| span < Duration::from_secs(60)));
+        .is_some_and(|duration| duration < Duration::from_secs(60)));
     let other = BootMoment {
         boot: "another".into(),
         ..second
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,7 +1,8 @@
-//! Frames of the main protocol.
+//! Frames of the framed protocol.
 //!
-//! A connection begins in each direction with the preface (8 bytes); then come frames: a frame head of 9 bytes (payload
-//! length 32 bit, type 8 bit, stream 32 bit, big endian) and the payload. [`FrameCodec`] reads and writes them.
+//! In each direction, a connection begins with the preface (8 bytes), which is followed by frames. A frame consists of a
+//! header of 9 bytes (payload length 32 bits, type 8 bits, stream 32 bits, big endian) and the payload. [`FrameCodec`]
+//! decodes and encodes them.
 mod codec;
 mod kind;
 
@@ -10,35 +11,35 @@
 use crate::messages::*;
 use bytes::Bytes;
 
-/// First bytes in each direction: magic, major version, minor version, two reserved.
+/// First bytes sent in each direction: 4 magic bytes, the major version, the minor version and 2 reserved bytes.
 pub const PREFACE: [u8; 8] = *b"PSPN\x01\x02\x00\x00";
-/// Length of a frame's head in bytes.
-pub const FRAME_HEAD: usize = 9;
-/// Most bytes of body in one frame, so that one frame never occupies the connection for long.
+/// Length of a frame header, in bytes.
+pub const FRAME_HEADER_LEN: usize = 9;
+/// Maximum length of the body in a data frame, in bytes. It bounds how long one frame occupies the connection.
 pub const MAX_DATA: usize = 64 * 1024;
-/// Most bytes of a message: heads of requests and responses are small.
+/// Maximum length of a message other than an endpoint list, in bytes. Heads of requests and responses are small.
 pub const MAX_HEAD: usize = 16 * 1024;
-/// Most bytes of an endpoint list: some thousands of endpoints.
-pub const MAX_LIST: usize = 1024 * 1024;
+/// Maximum length of an endpoint list, in bytes; enough for some thousands of endpoints.
+pub const MAX_ENDPOINT_LIST: usize = 1024 * 1024;
 
-/// One frame. The first field of a stream's frame is the stream's number; control frames have none.
+/// A frame. The first field of a frame that belongs to a stream is the stream number; control frames have no such field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Frame {
-    /// Opens a stream.
+    /// The head of a request; opens a stream.
     Request(u32, RequestHead),
     /// The head of a response.
     Head(u32, ResponseHead),
-    /// A piece of a response's body.
+    /// A piece of the body of a response.
     Data(u32, Bytes),
     /// The end of a complete response.
     End(u32, EndHead),
     /// The end of a request without a complete response.
     Error(u32, ErrorHead),
-    /// The caller needs nothing more of the stream.
+    /// The caller cancels its request.
     Cancel(u32, CancelHead),
-    /// The receiver may send this many more bytes of body on the stream; stream 0: on the connection.
+    /// Allows the receiver to send this many more bytes of body on a stream, or on the connection for stream 0.
     Credit(u32, u32),
-    /// The sender accepts no new streams.
+    /// The sender no longer accepts new streams.
     Goaway(GoawayHead),
     /// An update of the endpoint list.
     EndpointList(EndpointListHead),
@@ -48,46 +49,46 @@
     Ack(AckHead),
     /// A ping or its echo.
     Probe(ProbeHead),
-    /// Identifies the process that answers on this connection; its first frame.
+    /// Identifies the process at the sender's end of the connection; the first frame that it sends.
     Hello(HelloHead),
-    /// The work that a warming endpoint accepts from this connection for a while.
+    /// The work that an endpoint in warm-up accepts from this connection for a limited time.
     Lease(LeaseHead),
-    /// Requests a lease from a warming endpoint (`WANT` in the specification).
+    /// Requests a lease from an endpoint in warm-up (`WANT` in the specification).
     WorkRequest(WorkRequestHead),
-    /// A type of a later minor version, which is skipped.
+    /// A frame of a type that this version does not know; it is skipped.
     Unknown(u8),
 }
 
-/// A peer's bytes that are not the protocol, or a connection that failed.
+/// A violation of the frame format by the peer, or a failed connection.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The peer does not speak the protocol.
+    /// The peer does not use this protocol.
     #[error("not this protocol: the preface is {0:02x?}")]
     Preface([u8; 8]),
-    /// The peer speaks another major version.
+    /// The peer uses another major version.
     #[error("protocol version {0} is not spoken here (1 is)")]
     Version(u8),
-    /// A frame's payload is longer than its type allows.
+    /// The payload of a frame is longer than its type allows.
     #[error("frame of type {kind} and {len} bytes is longer than the {max} allowed")]
     TooLong {
-        /// The frame's type.
+        /// Type of the frame.
         kind: u8,
-        /// Length of the payload.
+        /// Length of the payload, in bytes.
         len: usize,
-        /// Longest payload of this type.
+        /// Maximum payload length of this type, in bytes.
         max: usize,
     },
-    /// A frame's payload is not the message of its type.
+    /// The payload of a frame cannot be decoded as the message of its type.
     #[error("frame of type {kind} on stream {stream} cannot be read: {reason}")]
     Malformed {
-        /// The frame's type.
+        /// Type of the frame.
         kind: u8,
-        /// The frame's stream.
+        /// Stream of the frame.
         stream: u32,
-        /// What is wrong with the payload.
+        /// Reason why the payload is invalid.
         reason: String,
     },
-    /// The peer closed the connection inside a frame.
+    /// The peer closed the connection within a frame; holds the number of bytes received of it.
     #[error("the connection ended inside a frame ({0} bytes of it had come)")]
     Truncated(usize),
     /// The connection failed.
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -1,26 +1,27 @@
-//! Reads and writes the frames of one connection.
-use super::{kind, Frame, FrameError, FRAME_HEAD, PREFACE};
+//! Decodes and encodes the frames of one connection.
+use super::{kind, Frame, FrameError, FRAME_HEADER_LEN, PREFACE};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use prost::Message;
 use tokio_util::codec::{Decoder, Encoder};
 
 /// Offset of the major version in the preface.
-const MAJOR_VERSION_AT: usize = 4;
-/// Bytes to read beyond a frame of known length: the next frame's head, or a complete short end frame. More would read, and
-/// later copy, the first part of a large next frame.
+const MAJOR_VERSION_OFFSET: usize = 4;
+/// Number of bytes to read beyond a frame of known length: enough for the next frame's header or a complete short end
+/// frame. Reading more could receive the first part of a large next frame, which would then have to be copied.
 const READ_AHEAD: usize = 64;
-/// Bodies from this size on share the buffer that they were read into instead of being copied.
+/// Smallest body, in bytes, that shares the buffer that it was read into; shorter ones are copied.
 const MIN_SHARED_BODY: usize = 8 * 1024;
 
-/// A decoder that may know how many bytes it waits for.
+/// A decoder that may know how many bytes it still needs.
 pub trait ReadSizeHint: Decoder {
-    /// After a decode without a frame: bytes worth reading at once, where the frame's length is known.
+    /// Returns the number of bytes worth reading at once after a decode that returned no frame; `None` if the length of
+    /// the frame is not known.
     fn read_size_hint(&self) -> Option<usize> {
         None
     }
 }
 
-/// Codec of one connection; sends and expects the preface first.
+/// Codec of one connection. It sends the preface before the first frame and expects the same from the peer.
 #[derive(Clone, Debug, Default)]
 pub struct FrameCodec {
     preface_sent: bool,
@@ -34,27 +35,27 @@
     }
 }
 
-/// The fixed part of a frame.
-struct FrameHead {
+/// The header of a frame.
+struct FrameHeader {
     payload_len: usize,
     kind: u8,
     stream: u32,
 }
 
-impl FrameHead {
-    /// Parses a head; `None` if it is not complete yet.
+impl FrameHeader {
+    /// Parses a header; `None` if `src` does not hold a complete one yet.
     fn parse(src: &[u8]) -> Option<Self> {
-        let head = src.first_chunk::<FRAME_HEAD>()?;
+        let header = src.first_chunk::<FRAME_HEADER_LEN>()?;
         Some(Self {
-            payload_len: u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize,
-            kind: head[4],
-            stream: u32::from_be_bytes([head[5], head[6], head[7], head[8]]),
+            payload_len: u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize,
+            kind: header[4],
+            stream: u32::from_be_bytes([header[5], header[6], header[7], header[8]]),
         })
     }
 
     fn write(&self, dst: &mut BytesMut) -> Result<(), FrameError> {
         self.check_length()?;
-        dst.reserve(FRAME_HEAD);
+        dst.reserve(FRAME_HEADER_LEN);
         dst.put_u32(self.payload_len as u32);
         dst.put_u8(self.kind);
         dst.put_u32(self.stream);
@@ -85,16 +86,16 @@
         M::decode(payload).map_err(|error| self.malformed(error))
     }
 
-    /// The frame with this head and payload.
+    /// Returns the frame with this header and payload.
     fn frame(&self, payload: Bytes) -> Result<Frame, FrameError> {
-        if kind::is_of_stream(self.kind) && self.stream == 0 {
+        if kind::belongs_to_stream(self.kind) && self.stream == 0 {
             return Err(self.malformed("stream 0 carries no requests"));
         }
         let stream = self.stream;
         Ok(match self.kind {
             kind::REQUEST => Frame::Request(stream, self.message(payload)?),
             kind::HEAD => Frame::Head(stream, self.message(payload)?),
-            kind::DATA => Frame::Data(stream, unshared_if_small(payload)),
+            kind::DATA => Frame::Data(stream, copy_if_small(payload)),
             kind::END => Frame::End(stream, self.message(payload)?),
             kind::ERROR => Frame::Error(stream, self.message(payload)?),
             kind::CANCEL => Frame::Cancel(stream, self.message(payload)?),
@@ -119,8 +120,9 @@
     }
 }
 
-/// Copies a small body: it would keep the whole buffer that it was read into alive until a slow reader takes it.
-fn unshared_if_small(body: Bytes) -> Bytes {
+/// Copies a small body. Without the copy, the complete read buffer would stay allocated until a slow reader consumes the
+/// body.
+fn copy_if_small(body: Bytes) -> Bytes {
     if body.len() < MIN_SHARED_BODY {
         return Bytes::copy_from_slice(&body);
     }
@@ -139,18 +141,18 @@
             }
         }
         self.read_size_hint = None;
-        let Some(head) = FrameHead::parse(src) else {
+        let Some(header) = FrameHeader::parse(src) else {
             return Ok(None);
         };
-        head.check_length()?;
-        let frame_len = FRAME_HEAD + head.payload_len;
+        header.check_length()?;
+        let frame_len = FRAME_HEADER_LEN + header.payload_len;
         if src.len() < frame_len {
             self.read_size_hint = Some(frame_len - src.len() + READ_AHEAD);
             return Ok(None);
         }
-        src.advance(FRAME_HEAD);
-        let payload = src.split_to(head.payload_len).freeze();
-        head.frame(payload).map(Some)
+        src.advance(FRAME_HEADER_LEN);
+        let payload = src.split_to(header.payload_len).freeze();
+        header.frame(payload).map(Some)
     }
 
     fn decode_eof(&mut self, src: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
@@ -162,11 +164,11 @@
     }
 }
 
-/// Removes the preface; false if it is not complete yet. The magic is checked as far as it was received: a peer of another
-/// protocol may send less than a preface and then wait.
+/// Removes the preface from `src`; returns false if it is not complete yet. The magic bytes received so far are checked
+/// at once, because a peer of another protocol may send less than a preface and then wait.
 fn take_preface(src: &mut BytesMut) -> Result<bool, FrameError> {
     let received = src.len().min(PREFACE.len());
-    let magic = received.min(MAJOR_VERSION_AT);
+    let magic = received.min(MAJOR_VERSION_OFFSET);
     if src[..magic] != PREFACE[..magic] {
         let mut shown = [0; PREFACE.len()];
         shown[..received].copy_from_slice(&src[..received]);
@@ -175,8 +177,8 @@
     if src.len() < PREFACE.len() {
         return Ok(false);
     }
-    let major_version = src[MAJOR_VERSION_AT];
-    if major_version != PREFACE[MAJOR_VERSION_AT] {
+    let major_version = src[MAJOR_VERSION_OFFSET];
+    if major_version != PREFACE[MAJOR_VERSION_OFFSET] {
         return Err(FrameError::Version(major_version));
     }
     src.advance(PREFACE.len());
@@ -184,7 +186,8 @@
 }
 
 impl FrameCodec {
-    /// Writes a data frame except its body, for a sender that passes the body to the socket without copying it.
+    /// Writes the header of a data frame, for a sender that passes the body to the socket without copying it. `body` is
+    /// the length of the body in bytes.
     pub fn encode_data_head(
         &mut self,
         stream: u32,
@@ -192,7 +195,7 @@
         dst: &mut BytesMut,
     ) -> Result<(), FrameError> {
         self.put_preface_once(dst);
-        put_head(kind::DATA, stream, body, dst)
+        put_header(kind::DATA, stream, body, dst)
     }
 
     fn put_preface_once(&mut self, dst: &mut BytesMut) {
@@ -226,27 +229,27 @@
             Frame::Hello(hello) => put_message(kind::HELLO, 0, hello, dst),
             Frame::Lease(lease) => put_message(kind::LEASE, 0, lease, dst),
             Frame::WorkRequest(request) => put_message(kind::WORK_REQUEST, 0, request, dst),
-            Frame::Unknown(kind) => put_head(*kind, 0, 0, dst),
+            Frame::Unknown(kind) => put_header(*kind, 0, 0, dst),
         }
     }
 }
 
-fn put_head(
+fn put_header(
     kind: u8,
     stream: u32,
     payload_len: usize,
     dst: &mut BytesMut,
 ) -> Result<(), FrameError> {
-    let head = FrameHead {
+    let header = FrameHeader {
         payload_len,
         kind,
         stream,
     };
-    head.write(dst)
+    header.write(dst)
 }
 
 fn put_bytes(kind: u8, stream: u32, payload: &[u8], dst: &mut BytesMut) -> Result<(), FrameError> {
-    put_head(kind, stream, payload.len(), dst)?;
+    put_header(kind, stream, payload.len(), dst)?;
     dst.put_slice(payload);
     Ok(())
 }
@@ -257,9 +260,7 @@
     message: &impl Message,
     dst: &mut BytesMut,
 ) -> Result<(), FrameError> {
-    put_head(kind, stream, message.encoded_len(), dst)?;
-    message
-        .encode(dst)
-        .expect("a growing buffer has space for every message");
+    put_header(kind, stream, message.encoded_len(), dst)?;
+    message.encode(dst).expect("a BytesMut grows as needed");
     Ok(())
 }
--- a/crates/protocol/src/frame/kind.rs
+++ b/crates/protocol/src/frame/kind.rs
@@ -1,5 +1,5 @@
-//! Frame types on the wire. The numbers are part of the protocol.
-use super::{MAX_DATA, MAX_HEAD, MAX_LIST};
+//! Frame types as sent on the wire. The numbers are part of the protocol.
+use super::{MAX_DATA, MAX_ENDPOINT_LIST, MAX_HEAD};
 
 pub(super) const REQUEST: u8 = 1;
 pub(super) const HEAD: u8 = 2;
@@ -17,16 +17,16 @@
 pub(super) const LEASE: u8 = 14;
 pub(super) const WORK_REQUEST: u8 = 15;
 
-/// Longest payload of a type in bytes.
+/// Returns the maximum payload length of a frame type, in bytes.
 pub(super) fn max_payload(kind: u8) -> usize {
     match kind {
         DATA => MAX_DATA,
-        ENDPOINT_LIST => MAX_LIST,
+        ENDPOINT_LIST => MAX_ENDPOINT_LIST,
         _ => MAX_HEAD,
     }
 }
 
-/// Whether frames of a type belong to a stream, which then is not stream 0.
-pub(super) fn is_of_stream(kind: u8) -> bool {
+/// Whether frames of a type belong to a stream. Their stream number is never 0.
+pub(super) fn belongs_to_stream(kind: u8) -> bool {
     matches!(kind, REQUEST..=CANCEL)
 }
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,7 +1,7 @@
-//! HTTP/1.1 (RFC 9110, 9112) over `httparse`: requests at a listener, responses at a client.
+//! HTTP/1.1 (RFC 9110, RFC 9112), parsed with `httparse`: requests at a listener, responses at a client.
 //!
-//! Only GET and HEAD without a body are accepted, so that the end of a request is never ambiguous: a message with a transfer
-//! coding, two lengths, or a length above 0 is rejected and its connection closed.
+//! Only GET and HEAD requests without a body are accepted, so that the end of a request is never ambiguous: a request
+//! with a transfer coding, two lengths, or a length above 0 is rejected and its connection closed.
 mod request;
 mod response;
 mod response_codec;
@@ -10,35 +10,36 @@
 pub use response::{write_chunk, HttpResponse};
 pub use response_codec::{HttpEvent, ResponseCodec};
 
-/// Most bytes of the head of a request or response.
+/// Maximum length of the head of a request or response, in bytes.
 pub const MAX_HTTP_HEAD: usize = 16 * 1024;
-/// Most fields of a head.
+/// Maximum number of header fields in a head.
 pub const MAX_FIELDS: usize = 64;
-/// Most bytes of a request target.
+/// Maximum length of a request target, in bytes.
 pub const MAX_TARGET: usize = 4 * 1024;
 
-/// Why a message is rejected; a request's text begins with the status of the response. The connection is closed after it.
+/// Reason why a message is rejected, after which the connection is closed. The text of an error about a request begins
+/// with the status code of the response and is sent as its body.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
     /// The message is not HTTP/1.1.
     #[error("400 the request cannot be read: {0}")]
     Malformed(String),
-    /// Two readers could disagree on where the message ends.
+    /// Two recipients could disagree on where the message ends.
     #[error("400 {0}")]
     Ambiguous(&'static str),
-    /// A request with a body of this many bytes.
+    /// The request has a body of this many bytes.
     #[error("413 a body of {0} bytes is not taken here")]
     BodyNotAllowed(u64),
     /// The request target is too long.
     #[error("414 the target has over {MAX_TARGET} bytes")]
     TargetTooLong,
-    /// The head is too long or has too many fields.
+    /// The head is too long or has too many header fields.
     #[error("431 the head has over {MAX_HTTP_HEAD} bytes or {MAX_FIELDS} fields")]
     HeadTooLarge,
-    /// A method other than GET and HEAD.
+    /// The method of the request is neither GET nor HEAD.
     #[error("501 method {0} is not served here (GET and HEAD are)")]
     UnsupportedMethod(String),
-    /// A version other than 1.0 and 1.1.
+    /// The version of the request is neither 1.0 nor 1.1.
     #[error("505 HTTP version is not 1.0 or 1.1")]
     UnsupportedVersion,
     /// The connection failed.
@@ -47,7 +48,7 @@
 }
 
 impl HttpError {
-    /// The status code; 0 where no response can be sent.
+    /// Returns the status code of the response; 0 if no response can be sent.
     pub fn status(&self) -> u16 {
         match self {
             Self::Malformed(_) | Self::Ambiguous(_) => 400,
@@ -61,15 +62,15 @@
     }
 }
 
-/// Whether a list of validators (`If-None-Match`) contains this one; compared weakly (RFC 9110, 13.1.2).
+/// Whether the value of an `If-None-Match` field matches a validator, by weak comparison (RFC 9110, section 13.1.2).
 pub fn matches_validator(list: &str, validator: &str) -> bool {
-    let opaque_tag = |validator: &str| {
-        validator
+    let opaque_tag = |entity_tag: &str| {
+        entity_tag
             .trim()
             .trim_start_matches("W/")
             .trim_matches('"')
             .to_owned()
     };
-    let wanted = opaque_tag(validator);
-    list.trim() == "*" || list.split(',').any(|listed| opaque_tag(listed) == wanted)
+    let tag = opaque_tag(validator);
+    list.trim() == "*" || list.split(',').any(|listed| opaque_tag(listed) == tag)
 }
--- a/crates/protocol/src/http/request.rs
+++ b/crates/protocol/src/http/request.rs
@@ -1,14 +1,14 @@
-//! Requests as a listener reads them.
+//! Decoding of requests at a listener.
 use super::{HttpError, MAX_FIELDS, MAX_HTTP_HEAD, MAX_TARGET};
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// Most characters of an `X-Request-Id` that are used.
+/// Number of characters after which an `X-Request-Id` is truncated.
 const MAX_TRACE_CHARS: usize = 128;
-/// Most characters of an unsupported method that are shown in the error.
+/// Number of characters after which an unsupported method is truncated in the error.
 const MAX_SHOWN_METHOD_CHARS: usize = 32;
 
-/// A method that is served.
+/// A supported request method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Method {
     /// GET.
@@ -17,30 +17,30 @@
     Head,
 }
 
-/// A request as a listener needs it.
+/// The head of a decoded request, with the fields that a listener uses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// The method.
+    /// Request method.
     pub method: Method,
-    /// Path of the target; begins with `/`.
+    /// Path of the request target; begins with `/`.
     pub path: String,
-    /// Query of the target, without the question mark.
+    /// Query of the request target, without the question mark.
     pub query: String,
-    /// Whether the connection may serve further requests.
+    /// Whether the connection may be used for further requests.
     pub keep_alive: bool,
-    /// `Range`.
+    /// Value of the `Range` field.
     pub range: Option<String>,
-    /// `If-Range`.
+    /// Value of the `If-Range` field.
     pub if_range: Option<String>,
-    /// `If-None-Match`.
+    /// Value of the `If-None-Match` field.
     pub if_none_match: Option<String>,
-    /// `X-Request-Id`: the caller's identifier of the request.
+    /// Value of the `X-Request-Id` field: the client's identifier of the request.
     pub trace: Option<String>,
-    /// `X-Deadline-Ms`: time that the caller waits.
+    /// Value of the `X-Deadline-Ms` field: time in milliseconds that the client waits for the response.
     pub deadline_ms: Option<u64>,
 }
 
-/// Reads requests.
+/// Decodes requests.
 #[derive(Debug, Default)]
 pub struct RequestCodec;
 
@@ -51,7 +51,7 @@
     type Error = HttpError;
 
     fn decode(&mut self, src: &mut BytesMut) -> Result<Option<HttpRequest>, HttpError> {
-        // Empty lines before a request are skipped (RFC 9112, 2.2).
+        // Empty lines before a request are skipped (RFC 9112, section 2.2).
         while src.starts_with(b"\r\n") {
             src.advance(2);
         }
@@ -61,14 +61,14 @@
         let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut parsed = httparse::Request::new(&mut fields);
         let head = &src[..src.len().min(MAX_HTTP_HEAD)];
-        let head_len = match parsed.parse(head).map_err(parse_error)? {
+        let head_len = match parsed.parse(head).map_err(error_from_httparse)? {
             httparse::Status::Complete(len) => len,
             httparse::Status::Partial if src.len() >= MAX_HTTP_HEAD => {
                 return Err(HttpError::HeadTooLarge)
             }
             httparse::Status::Partial => return Ok(None),
         };
-        let request = request_of(&parsed)?;
+        let request = build_request(&parsed)?;
         src.advance(head_len);
         Ok(Some(request))
     }
@@ -84,7 +84,7 @@
     }
 }
 
-fn parse_error(error: httparse::Error) -> HttpError {
+fn error_from_httparse(error: httparse::Error) -> HttpError {
     match error {
         httparse::Error::TooManyHeaders => HttpError::HeadTooLarge,
         httparse::Error::Version => HttpError::UnsupportedVersion,
@@ -92,7 +92,7 @@
     }
 }
 
-fn request_of(parsed: &httparse::Request<'_, '_>) -> Result<HttpRequest, HttpError> {
+fn build_request(parsed: &httparse::Request<'_, '_>) -> Result<HttpRequest, HttpError> {
     let is_http_1_1 = parsed.version == Some(1);
     let method = parse_method(parsed.method.unwrap_or_default())?;
     let target = origin_form(parsed.path.unwrap_or_default())?;
@@ -110,7 +110,7 @@
     };
     let mut framing = MessageFraming::default();
     for field in parsed.headers.iter() {
-        read_field(field, &mut request, &mut framing)?;
+        apply_field(field, &mut request, &mut framing)?;
     }
     framing.check(is_http_1_1)?;
     Ok(request)
@@ -127,7 +127,8 @@
     }
 }
 
-/// Path and query of a target. The absolute form is what proxies receive; its authority is not checked.
+/// Returns the path and query of a request target. The absolute form, which proxies receive, is accepted as well; its
+/// authority is not checked.
 fn origin_form(target: &str) -> Result<&str, HttpError> {
     if target.len() > MAX_TARGET {
         return Err(HttpError::TargetTooLong);
@@ -144,11 +145,11 @@
     Ok(target)
 }
 
-/// The fields that decide where a message ends and to whom it goes.
+/// The header fields that determine where a message ends and which host it addresses.
 #[derive(Default)]
 struct MessageFraming {
     content_length: Option<u64>,
-    hosts: usize,
+    host_count: usize,
 }
 
 impl MessageFraming {
@@ -163,7 +164,7 @@
     }
 
     fn check(&self, is_http_1_1: bool) -> Result<(), HttpError> {
-        if self.hosts > 1 || (self.hosts == 0 && is_http_1_1) {
+        if self.host_count > 1 || (self.host_count == 0 && is_http_1_1) {
             return Err(HttpError::Ambiguous("HTTP/1.1 wants exactly one Host"));
         }
         match self.content_length {
@@ -173,7 +174,7 @@
     }
 }
 
-fn read_field(
+fn apply_field(
     field: &httparse::Header<'_>,
     request: &mut HttpRequest,
     framing: &mut MessageFraming,
@@ -190,7 +191,7 @@
             ))
         }
         "content-length" => framing.add_content_length(&value()?)?,
-        "host" => framing.hosts += 1,
+        "host" => framing.host_count += 1,
         "connection" => request.keep_alive = keep_alive(&value()?).unwrap_or(request.keep_alive),
         "range" => request.range = Some(value()?),
         "if-range" => request.if_range = Some(value()?),
@@ -202,7 +203,8 @@
     Ok(())
 }
 
-/// Whether a `Connection` field keeps the connection open; its last such option counts, `None` if it has none.
+/// Whether a `Connection` field keeps the connection open, by its last `close` or `keep-alive` option; `None` if it has
+/// neither.
 fn keep_alive(options: &str) -> Option<bool> {
     let options = options.to_ascii_lowercase();
     let decision = |option: &str| match option.trim() {
--- a/crates/protocol/src/http/response.rs
+++ b/crates/protocol/src/http/response.rs
@@ -1,25 +1,25 @@
-//! Responses as a listener writes them.
+//! Encoding of responses at a listener.
 use bytes::BytesMut;
 use std::fmt::Write;
 
-/// Usual size of a response's head.
+/// Initial capacity of the buffer for a response head, in bytes.
 const TYPICAL_HEAD_BYTES: usize = 256;
 
-/// The head of a response, to be written.
+/// The head of a response to be written.
 #[derive(Clone, Debug)]
 pub struct HttpResponse {
-    /// The status code.
+    /// Status code.
     pub status: u16,
-    /// Length of the body; `None`: it is not known and chunks follow.
+    /// Length of the body in bytes; `None`: the length is not known and the body is sent in chunks.
     pub length: Option<u64>,
-    /// The connection is closed after the response.
+    /// Whether the connection is closed after the response.
     pub close: bool,
-    /// Further fields, with names in lower case.
+    /// Further header fields, with names in lower case.
     pub fields: Vec<(&'static str, String)>,
 }
 
 impl HttpResponse {
-    /// Writes the head. Control characters in values would end a line early and are left out.
+    /// Writes the head. Control characters are removed from field values, because a line break would start another field.
     pub fn write(&self, dst: &mut BytesMut) {
         let mut text = String::with_capacity(TYPICAL_HEAD_BYTES);
         let reason = reason_phrase(self.status);
@@ -46,7 +46,7 @@
     }
 }
 
-/// Writes one chunk; an empty one ends the body.
+/// Writes one chunk of a body; an empty chunk ends the body.
 pub fn write_chunk(data: &[u8], dst: &mut BytesMut) {
     dst.extend_from_slice(format!("{:x}\r\n", data.len()).as_bytes());
     dst.extend_from_slice(data);
--- a/crates/protocol/src/http/response_codec.rs
+++ b/crates/protocol/src/http/response_codec.rs
@@ -1,62 +1,62 @@
-//! Responses as a client reads them.
+//! Decoding of responses at a client.
 use super::{HttpError, MAX_FIELDS, MAX_HTTP_HEAD};
 use bytes::{Buf, Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// Most bytes of a chunk's size line; extensions are not supported.
+/// Number of bytes after which an incomplete chunk size line is rejected; only lines with chunk extensions are longer.
 const MAX_CHUNK_SIZE_LINE: usize = 64;
 
-/// A part of a response.
+/// A decoded part of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HttpEvent {
-    /// The head.
+    /// The head of a response.
     Head {
-        /// The status code.
+        /// Status code.
         status: u16,
-        /// The fields, with names in lower case.
+        /// Header fields, with names in lower case.
         fields: Vec<(String, String)>,
-        /// Whether the connection may be used again.
+        /// Whether the connection may be used for further requests.
         keep_alive: bool,
     },
     /// A piece of the body.
     Data(Bytes),
-    /// The end of the response; the next event is another response's head.
+    /// The end of the response; the next event is the head of another response.
     End,
 }
 
-/// Reads responses. Set `head_only` before each response.
+/// Decodes responses. `head_only` must be set before each response.
 #[derive(Debug, Default)]
 pub struct ResponseCodec {
-    /// The next response answers a HEAD request, and so has no body.
+    /// Whether the next response answers a HEAD request and therefore has no body.
     pub head_only: bool,
     state: DecodeState,
 }
 
 impl crate::ReadSizeHint for ResponseCodec {}
 
-/// What comes next.
+/// The element of a response that is decoded next.
 #[derive(Debug, Default, PartialEq)]
 enum DecodeState {
     #[default]
     Head,
-    /// A body of known length, of which this much remains.
+    /// A body of known length, of which this many bytes remain.
     Body { remaining: u64 },
     /// The size line of a chunk.
     ChunkSize,
-    /// A chunk of which this much remains.
+    /// The data of a chunk, of which this many bytes remain.
     ChunkData { remaining: u64 },
-    /// The line end after a chunk.
+    /// The line break after the data of a chunk.
     ChunkEnd,
     /// The empty line after the last chunk.
     Trailer,
-    /// A body that ends with the connection.
+    /// A body that ends when the connection is closed.
     BodyUntilClose,
 }
 
-/// The result of reading in one state.
+/// The result of one decoding step.
 enum Step {
     Event(HttpEvent),
-    /// The state has changed; reading goes on in the new one.
+    /// The state has changed, and decoding continues in the new state.
     Continue,
     NeedMoreBytes,
 }
@@ -93,7 +93,7 @@
 }
 
 impl ResponseCodec {
-    /// A reader of responses to HEAD requests, or to others.
+    /// Returns a decoder; `head_only` tells whether the first response answers a HEAD request.
     pub fn new(head_only: bool) -> Self {
         Self {
             head_only,
@@ -130,14 +130,14 @@
                 }
             }),
             DecodeState::ChunkEnd => {
-                if !take_line_end(src, "a chunk is longer than it says")? {
+                if !take_line_break(src, "a chunk is longer than it says")? {
                     return Ok(Step::NeedMoreBytes);
                 }
                 self.state = DecodeState::ChunkSize;
                 Ok(Step::Continue)
             }
             DecodeState::Trailer => {
-                if !take_line_end(src, "trailers are not taken")? {
+                if !take_line_break(src, "trailers are not taken")? {
                     return Ok(Step::NeedMoreBytes);
                 }
                 self.state = DecodeState::Head;
@@ -182,7 +182,8 @@
         let fields: Vec<(String, String)> = parsed.headers.iter().map(owned_field).collect();
         self.state = self.body_state(status, &fields)?;
         src.advance(head_len);
-        let closes = find(&fields, "connection").is_some_and(|value| value.contains("close"));
+        let closes =
+            field_value(&fields, "connection").is_some_and(|value| value.contains("close"));
         Ok(Step::Event(HttpEvent::Head {
             status,
             fields,
@@ -190,15 +191,15 @@
         }))
     }
 
-    /// How the body behind a head is delimited (RFC 9112, 6.3).
+    /// Returns the state that decodes the body after a head (RFC 9112, section 6.3).
     fn body_state(
         &self,
         status: u16,
         fields: &[(String, String)],
     ) -> Result<DecodeState, HttpError> {
-        let chunked = find(fields, "transfer-encoding")
+        let chunked = field_value(fields, "transfer-encoding")
             .is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
-        let length = find(fields, "content-length");
+        let length = field_value(fields, "content-length");
         if chunked && length.is_some() {
             return Err(HttpError::Ambiguous("an answer with both lengths"));
         }
@@ -222,12 +223,12 @@
     (field.name.to_ascii_lowercase(), value.trim().to_owned())
 }
 
-fn find<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
+fn field_value<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let (_, value) = fields.iter().find(|(known, _)| known == name)?;
     Some(value)
 }
 
-/// Takes up to `remaining` bytes of a body; `None` if there are none yet.
+/// Removes up to `remaining` bytes of a body from `src`; returns `None` if `src` is empty.
 fn take_body(src: &mut BytesMut, remaining: u64) -> Option<Bytes> {
     if src.is_empty() {
         return None;
@@ -238,8 +239,9 @@
     Some(src.split_to(available).freeze())
 }
 
-/// Takes a line end; false if it is not complete yet. Anything else is malformed for the given reason.
-fn take_line_end(src: &mut BytesMut, reason: &str) -> Result<bool, HttpError> {
+/// Removes a line break from `src`; returns false if it is not complete yet. Other bytes are reported as malformed,
+/// with the given reason.
+fn take_line_break(src: &mut BytesMut, reason: &str) -> Result<bool, HttpError> {
     if src.len() < 2 {
         return Ok(false);
     }
--- a/crates/protocol/src/range.rs
+++ b/crates/protocol/src/range.rs
@@ -1,31 +1,31 @@
-//! One byte range, as defined by RFC 9110, section 14.
+//! Single byte ranges, as defined by RFC 9110, section 14.
 
 /// A range requested by a `Range` header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Range {
-    /// From a first byte to a last one, both counted from 0 and included.
+    /// A range between two byte positions, which count from 0 and are both included.
     From {
-        /// First byte.
+        /// Position of the first byte.
         first: u64,
-        /// Last byte; `None`: up to the end.
+        /// Position of the last byte; `None`: the range extends to the end.
         last: Option<u64>,
     },
-    /// The last bytes, this many.
+    /// The given number of bytes at the end.
     Suffix(u64),
 }
 
-/// A range applied to a size.
+/// A range resolved against the size of the content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResolvedRange {
-    /// First and last byte, inclusive.
+    /// Positions of the first and the last byte, both included.
     Part(u64, u64),
     /// No byte of the content lies in the range.
     Unsatisfiable,
 }
 
 impl Range {
-    /// Parses `bytes=a-b`, `bytes=a-` or `bytes=-n`. Anything else (another unit, several ranges, a last byte before the
-    /// first) gives `None`: the header is ignored, as section 14.2 allows.
+    /// Parses `bytes=a-b`, `bytes=a-` or `bytes=-n`. Returns `None` for any other value (another unit, several ranges,
+    /// a last byte before the first); the header is then ignored, as section 14.2 allows.
     pub fn parse(text: &str) -> Option<Self> {
         let (unit, spec) = text.split_once('=')?;
         if !unit.trim().eq_ignore_ascii_case("bytes") {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The bytes that the range covers in content of a size.
+    /// Resolves the range against content of `size` bytes.
     pub fn apply(self, size: u64) -> ResolvedRange {
         match self {
             Self::From { first, .. } if first >= size => ResolvedRange::Unsatisfiable,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A number of digits only: no sign and no spaces.
+/// Parses a number that consists of digits only, without a sign or spaces.
 fn parse_digits(text: &str) -> Option<u64> {
     let is_number = !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_digit());
     is_number.then(|| text.parse().ok()).flatten()
--- a/crates/protocol/src/streams.rs
+++ b/crates/protocol/src/streams.rs
@@ -1,69 +1,69 @@
-//! Which frames a peer may send on which stream, and how many bytes: the receiving half of a connection.
+//! The receiving half of a connection: checks which frames the peer may send on which stream, and how many bytes of body.
 //!
-//! The side that opened the connection numbers its streams upwards by any step; a number is never used again. A stream's
-//! credit is returned as its reader takes bytes, so that a slow reader stalls its own stream. The connection's credit is
-//! returned as bytes reach their streams' buffers, so that no stream stalls another. A connection therefore buffers at most
-//! the number of its streams times [`STREAM_WINDOW`].
+//! The side that opened the connection assigns increasing stream numbers, with any step, and never reuses one. The
+//! credit of a stream is returned as its reader consumes bytes, so that a slow reader stalls only its own stream. The
+//! credit of the connection is returned as bytes reach the buffers of their streams, so that no stream stalls another.
+//! A connection therefore buffers at most [`STREAM_WINDOW`] bytes for each of its streams.
 use crate::frame::Frame;
 use crate::messages::EndHead;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes of body that may be in flight, unread, on one stream.
+/// Maximum number of body bytes in flight or unread on one stream.
 pub const STREAM_WINDOW: u32 = 256 * 1024;
-/// Window of a stream while the receiver is short of buffer memory: it returns no more credit than this.
+/// Window of a stream, in bytes, while the receiver is short of buffer memory: it returns no more credit than this.
 pub const CROWDED_WINDOW: u32 = 64 * 1024;
-/// Bytes of body that may be in flight on a connection before its reader has assigned them to streams.
+/// Maximum number of body bytes in flight on a connection that its reader has not yet assigned to streams.
 pub const CONNECTION_WINDOW: u32 = 1024 * 1024;
-/// Streams that may be open at once on a connection, unless a listener allows fewer.
+/// Maximum number of streams open at once on a connection, unless a listener allows fewer.
 pub const MAX_STREAMS: usize = 1024;
 
-/// Cancelled streams that are remembered one by one.
-const MAX_REMEMBERED_CANCELS: usize = 4096;
+/// Maximum number of cancelled streams that are recorded individually.
+const MAX_RECORDED_CANCELS: usize = 4096;
 
-/// A frame that the peer may not send.
+/// A violation of the stream states or the flow control by the peer.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum StreamError {
-    /// A request on a stream that is not above all earlier ones.
+    /// A request whose stream number is not higher than all earlier ones.
     #[error("stream {0} was used before; numbers only grow")]
     Reused(u32),
-    /// A request above the limit of open streams; the stream may be rejected and the connection kept.
+    /// A request beyond the limit of open streams. The receiver may reject the request and keep the connection open.
     #[error("{0} streams are open, no more are allowed")]
     TooManyStreams(usize),
-    /// Data beyond the credit of its stream.
+    /// Data beyond the credit of the stream; holds the stream number and the number of excess bytes.
     #[error("stream {0} sent {1} bytes more than its credit allows")]
     OverCredit(u32, u64),
-    /// Data beyond the credit of the connection.
+    /// Data beyond the credit of the connection; holds the number of excess bytes.
     #[error("the connection sent {0} bytes more than its credit allows")]
     OverConnectionCredit(u64),
-    /// A frame that does not follow the frames before it.
+    /// A frame that must not follow the earlier frames of its stream.
     #[error("frame on stream {0} out of order: {1}")]
     OutOfOrder(u32, &'static str),
-    /// A frame after the end of its stream.
+    /// A frame that arrived after the end of its stream.
     #[error("stream {0} was answered before; this comes after its end")]
     AfterEnd(u32),
-    /// A frame that only this side may send.
+    /// A frame that the peer's end of the connection may not send, such as a request from the answerer.
     #[error("a frame that only the other side may send: {0}")]
     WrongSide(&'static str),
-    /// More credit than a window can have.
+    /// Credit that exceeds the maximum window.
     #[error("credit on stream {0} grows past what a window can be")]
     CreditTooLarge(u32),
 }
 
-/// Which end of the connection this is.
+/// An end of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Side {
-    /// Opened the connection: sends requests.
+    /// The end that opened the connection and sends requests.
     Caller,
-    /// Accepted it: answers them.
+    /// The end that accepted the connection and responds to requests.
     Answerer,
 }
 
-/// What the peer may send next on a stream.
+/// State of a stream, which determines what the peer may send next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// This side sent the request, and the response's head has not been received.
+    /// This side sent the request and has not received the head of the response.
     AwaitingHead,
-    /// The response's head was received; data may follow.
+    /// The head of the response was received; data may follow.
     Body,
     /// The peer sent the request; only a cancel may follow.
     RequestReceived,
@@ -80,15 +80,15 @@
 #[derive(Debug)]
 struct Stream {
     phase: Phase,
-    /// Bytes of body that the peer may still send.
+    /// Number of body bytes that the peer may still send.
     credit: u32,
-    /// Bytes of body received.
+    /// Number of body bytes received.
     body: u64,
 }
 
 impl Stream {
-    /// A stream for a request of this side.
-    fn of_call() -> Self {
+    /// Returns a stream for a request that this side sends.
+    fn awaiting_response() -> Self {
         Self {
             phase: Phase::AwaitingHead,
             credit: STREAM_WINDOW,
@@ -96,8 +96,8 @@
         }
     }
 
-    /// A stream for a request of the peer.
-    fn of_request() -> Self {
+    /// Returns a stream for a request that the peer sent.
+    fn with_request_received() -> Self {
         Self {
             phase: Phase::RequestReceived,
             credit: 0,
@@ -130,8 +130,8 @@
         Ok(Progress::Closed)
     }
 
-    /// Counts data of a body; an error holds the number of bytes beyond the credit. Data out of order is not counted: it is
-    /// rejected as such.
+    /// Counts body data against the credit; an error holds the number of excess bytes. Data that arrives out of order
+    /// is not counted, because the caller rejects it for its order.
     fn use_credit(&mut self, len: u32) -> Result<(), u64> {
         if self.phase != Phase::Body {
             return Ok(());
@@ -145,94 +145,95 @@
     }
 }
 
-/// What a received frame means for the connection's owner.
+/// The result of checking a received frame, for the owner of the connection.
 #[derive(Debug, PartialEq)]
 pub enum Received {
-    /// A frame for the stream's owner.
+    /// A frame to pass to the owner of a stream.
     Stream {
-        /// The stream.
+        /// Number of the stream.
         id: u32,
         /// The frame.
         frame: Frame,
-        /// The peer's last frame on the stream, which is now forgotten.
+        /// Whether this is the peer's last frame on the stream; if so, the stream has been removed.
         closed: bool,
     },
-    /// A frame of no stream (endpoint lists, purges, pings, go-away).
+    /// A frame that belongs to no stream, such as an endpoint list, a purge, a ping or a go-away.
     Control(Frame),
-    /// More may be sent.
+    /// Credit granted by the peer for sending body data.
     Credit {
-        /// On this stream; 0: on the connection.
+        /// Number of the stream; 0: the connection.
         id: u32,
-        /// Bytes.
+        /// Number of additional bytes.
         more: u32,
     },
-    /// A frame for a stream that is closed here.
+    /// A frame without effect, because its stream is closed on this side or its type is unknown.
     Ignored {
-        /// Bytes of body that it carried.
+        /// Number of body bytes that the frame carried.
         body: u32,
     },
 }
 
 /// The receiving half of a connection.
 ///
-/// Holds an entry for each open stream, at most the limit that it was created with. An entry is forgotten when the stream
-/// ends or its owner closes it; of streams that a caller closed, the last 4096 numbers are
-/// remembered.
+/// Holds an entry for each open stream, up to the limit given to [`Streams::new`]. An entry is removed when the stream
+/// ends or its owner closes it. Of the streams that a caller closed, the 4096 highest numbers are recorded.
 #[derive(Debug)]
 pub struct Streams {
     side: Side,
     max_open: usize,
     open: BTreeMap<u32, Stream>,
-    /// The highest stream number so far.
-    highest: u32,
-    /// Bytes of body that the peer may still send on the connection.
+    /// Highest stream number used so far.
+    highest_id: u32,
+    /// Number of body bytes that the peer may still send on the connection.
     credit: u32,
-    /// Streams closed by this side before their end, on which the peer may still send.
+    /// Numbers of streams that this side closed before their end, and on which the peer may still send.
     cancelled: BTreeSet<u32>,
-    /// Numbers dropped from `cancelled` lie up to here: a late frame on such a stream is ignored as well.
-    forgotten_up_to: u32,
+    /// Highest number removed from `cancelled` to limit its size. Late frames on streams up to it are ignored as well.
+    highest_evicted_cancel: u32,
 }
 
 impl Streams {
-    /// The state at the start of a connection; `max_open` limits the open streams.
+    /// Returns the state at the start of a connection; `max_open` limits the number of open streams.
     pub fn new(side: Side, max_open: usize) -> Self {
         Self {
             side,
             max_open,
             open: BTreeMap::new(),
-            highest: 0,
+            highest_id: 0,
             credit: CONNECTION_WINDOW,
             cancelled: BTreeSet::new(),
-            forgotten_up_to: 0,
+            highest_evicted_cancel: 0,
         }
     }
 
-    /// Open streams.
+    /// Returns the number of open streams.
     pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Opens a stream for a request of this side; `None` if too many are open or the numbers are used up.
+    /// Opens a stream for a request of this side and returns its number; `None` if the limit of open streams is reached
+    /// or the stream numbers are used up.
     pub fn open_call(&mut self) -> Option<u32> {
-        if self.open.len() >= self.max_open || self.highest == u32::MAX {
+        if self.open.len() >= self.max_open || self.highest_id == u32::MAX {
             return None;
         }
-        self.highest += 1;
-        self.open.insert(self.highest, Stream::of_call());
-        Some(self.highest)
+        self.highest_id += 1;
+        self.open
+            .insert(self.highest_id, Stream::awaiting_response());
+        Some(self.highest_id)
     }
 
-    /// The owner has finished with a stream (answered or cancelled it): further frames on it are ignored.
+    /// Closes a stream that its owner has answered or cancelled; further frames on it are ignored.
     pub fn close(&mut self, id: u32) {
         if self.open.remove(&id).is_some() && self.side == Side::Caller {
             self.cancelled.insert(id);
-            if self.cancelled.len() > MAX_REMEMBERED_CANCELS {
-                self.forgotten_up_to = self.cancelled.pop_first().unwrap_or(0);
+            if self.cancelled.len() > MAX_RECORDED_CANCELS {
+                self.highest_evicted_cancel = self.cancelled.pop_first().unwrap_or(0);
             }
         }
     }
 
-    /// Returns credit for bytes that the owner has taken; false if the stream is closed.
+    /// Returns credit to the stream for bytes that its owner has consumed; returns false if the stream is closed.
     pub fn return_credit(&mut self, id: u32, taken: u32) -> bool {
         let Some(stream) = self.open.get_mut(&id) else {
             return false;
@@ -241,26 +242,26 @@
         true
     }
 
-    /// Returns credit of the connection for bytes that have been assigned to their streams.
+    /// Returns credit to the connection for bytes that have been assigned to their streams.
     pub fn return_connection_credit(&mut self, taken: u32) {
         self.credit += taken;
     }
 
-    /// Checks a frame. After an error the connection must be closed, except that a request rejected by
-    /// [`StreamError::TooManyStreams`] may be answered on its stream.
+    /// Checks a received frame. After an error the connection must be closed, except after
+    /// [`StreamError::TooManyStreams`]: that request may instead be rejected on its stream.
     pub fn receive(&mut self, frame: Frame) -> Result<Received, StreamError> {
         match frame {
             Frame::Request(id, _) => self.receive_request(id, frame),
             Frame::Cancel(id, _) => self.receive_cancel(id, frame),
-            Frame::Head(id, _) => self.receive_answer(id, frame, Stream::receive_head),
+            Frame::Head(id, _) => self.receive_response(id, frame, Stream::receive_head),
             Frame::Data(id, ref data) => {
                 let len = data.len() as u32;
                 self.receive_data(id, len, frame)
             }
             Frame::End(id, EndHead { bytes, .. }) => {
-                self.receive_answer(id, frame, |stream| stream.receive_end(bytes))
+                self.receive_response(id, frame, |stream| stream.receive_end(bytes))
             }
-            Frame::Error(id, _) => self.receive_answer(id, frame, |_| Ok(Progress::Closed)),
+            Frame::Error(id, _) => self.receive_response(id, frame, |_| Ok(Progress::Closed)),
             Frame::Credit(id, more) => Ok(Received::Credit { id, more }),
             Frame::Unknown(_) => Ok(Received::Ignored { body: 0 }),
             control => Ok(Received::Control(control)),
@@ -271,14 +272,14 @@
         if self.side == Side::Caller {
             return Err(StreamError::WrongSide("request"));
         }
-        if id <= self.highest {
+        if id <= self.highest_id {
             return Err(StreamError::Reused(id));
         }
-        self.highest = id;
+        self.highest_id = id;
         if self.open.len() >= self.max_open {
             return Err(StreamError::TooManyStreams(self.max_open));
         }
-        self.open.insert(id, Stream::of_request());
+        self.open.insert(id, Stream::with_request_received());
         let closed = false;
         Ok(Received::Stream { id, frame, closed })
     }
@@ -305,15 +306,15 @@
                 .use_credit(len)
                 .map_err(|excess| StreamError::OverCredit(id, excess))?;
         }
-        let received = self.receive_answer(id, frame, Stream::receive_data)?;
+        let received = self.receive_response(id, frame, Stream::receive_data)?;
         Ok(match received {
             Received::Ignored { .. } => Received::Ignored { body: len },
             other => other,
         })
     }
 
-    /// Checks a frame of a response, which belongs to a stream that this side opened.
-    fn receive_answer(
+    /// Checks a frame of a response on a stream that this side opened.
+    fn receive_response(
         &mut self,
         id: u32,
         frame: Frame,
@@ -322,12 +323,12 @@
         if self.side == Side::Answerer {
             return Err(StreamError::WrongSide("answer"));
         }
-        if id > self.highest {
+        if id > self.highest_id {
             let reason = "an answer to nothing that was asked";
             return Err(StreamError::OutOfOrder(id, reason));
         }
         let Some(stream) = self.open.get_mut(&id) else {
-            return self.receive_late(id);
+            return self.receive_on_closed(id);
         };
         let progress = receive(stream).map_err(|reason| StreamError::OutOfOrder(id, reason))?;
         let closed = progress == Progress::Closed;
@@ -337,9 +338,10 @@
         Ok(Received::Stream { id, frame, closed })
     }
 
-    /// A response on a closed stream: after a cancel it may have been in flight, otherwise the peer had ended it.
-    fn receive_late(&self, id: u32) -> Result<Received, StreamError> {
-        if self.cancelled.contains(&id) || id <= self.forgotten_up_to {
+    /// Handles a response frame on a closed stream. After a cancel by this side the frame may have been in flight;
+    /// otherwise the peer sent it after ending the stream.
+    fn receive_on_closed(&self, id: u32) -> Result<Received, StreamError> {
+        if self.cancelled.contains(&id) || id <= self.highest_evicted_cancel {
             return Ok(Received::Ignored { body: 0 });
         }
         Err(StreamError::AfterEnd(id))
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,10 +1,10 @@
-//! The framed codec and the checks of streams against broken or hostile peers.
+//! Encoding and decoding of frames, and the checks of streams against faulty or hostile peers.
 use bytes::{BufMut, Bytes, BytesMut};
 use pointspindle_protocol::streams::*;
 use pointspindle_protocol::*;
 use tokio_util::codec::{Decoder, Encoder};
 
-fn bytes_of(frames: &[Frame]) -> BytesMut {
+fn encode_all(frames: &[Frame]) -> BytesMut {
     let mut codec = FrameCodec::default();
     let mut out = BytesMut::new();
     for frame in frames {
@@ -89,25 +89,25 @@
 #[test]
 fn frames_decode_as_encoded_for_any_chunk_size() {
     let sent = sample_frames();
-    let encoded = bytes_of(&sent);
-    for step in [1, 2, 7, 64, encoded.len()] {
+    let encoded = encode_all(&sent);
+    for chunk_size in [1, 2, 7, 64, encoded.len()] {
         let mut codec = FrameCodec::default();
         let mut src = BytesMut::new();
         let mut decoded = vec![];
-        for piece in encoded.chunks(step) {
-            src.extend_from_slice(piece);
+        for chunk in encoded.chunks(chunk_size) {
+            src.extend_from_slice(chunk);
             while let Some(frame) = codec.decode(&mut src).unwrap() {
                 decoded.push(frame);
             }
         }
-        assert_eq!(decoded, sent, "chunks of {step} bytes");
+        assert_eq!(decoded, sent, "chunks of {chunk_size} bytes");
     }
 }
 
 #[test]
 fn unknown_fields_and_frame_types_are_skipped() {
     let mut raw = BytesMut::from(&pointspindle_protocol::frame::PREFACE[..]);
-    // A frame type of a later minor version, then a cancel with a field (tag 15) that is not known answerer.
+    // A frame of an unknown type, then a cancel frame with an unknown field (tag 15).
     raw.put_slice(&[0, 0, 0, 2, 200, 0, 0, 0, 0, 9, 9]);
     raw.put_slice(&[0, 0, 0, 5, 6, 0, 0, 0, 1, 10, 1, b'x', 120, 1]);
     let mut codec = FrameCodec::default();
@@ -117,22 +117,22 @@
 }
 
 #[test]
-fn invalid_preface_long_frame_and_truncated_frame_are_distinct_errors() {
+fn invalid_preface_oversized_frame_and_truncated_frame_are_distinct_errors() {
     let mut codec = FrameCodec::default();
     let mut http = BytesMut::from("GE");
     assert!(
         matches!(codec.decode(&mut http), Err(FrameError::Preface(_))),
-        "two bytes are enough"
+        "two bytes suffice to reject another protocol"
     );
-    let mut later = BytesMut::from(&b"PSPN\x02\0\0\0"[..]);
+    let mut later_version = BytesMut::from(&b"PSPN\x02\0\0\0"[..]);
     assert!(matches!(
-        FrameCodec::default().decode(&mut later),
+        FrameCodec::default().decode(&mut later_version),
         Err(FrameError::Version(2))
     ));
-    let mut long = bytes_of(&[]);
-    long.put_slice(&pointspindle_protocol::frame::PREFACE);
-    long.put_slice(&[0, 1, 0, 1, 3, 0, 0, 0, 1]);
-    let decoded = FrameCodec::default().decode(&mut long);
+    let mut oversized = encode_all(&[]);
+    oversized.put_slice(&pointspindle_protocol::frame::PREFACE);
+    oversized.put_slice(&[0, 1, 0, 1, 3, 0, 0, 0, 1]);
+    let decoded = FrameCodec::default().decode(&mut oversized);
     assert!(
         matches!(
             decoded,
@@ -144,16 +144,16 @@
         ),
         "{decoded:?}"
     );
-    let mut cut = bytes_of(&[Frame::Request(1, request("a"))]);
-    cut.truncate(cut.len() - 1);
+    let mut truncated = encode_all(&[Frame::Request(1, request("a"))]);
+    truncated.truncate(truncated.len() - 1);
     assert!(matches!(
-        FrameCodec::default().decode_eof(&mut cut),
+        FrameCodec::default().decode_eof(&mut truncated),
         Err(FrameError::Truncated(_))
     ));
 }
 
 #[test]
-fn requests_with_used_number_or_above_limit_are_errors() {
+fn requests_on_used_stream_or_above_limit_are_errors() {
     let mut answerer = Streams::new(Side::Answerer, 2);
     assert!(answerer.receive(Frame::Request(5, request("a"))).is_ok());
     assert_eq!(
@@ -172,7 +172,7 @@
     answerer.close(5);
     assert!(
         answerer.receive(Frame::Request(8, request("a"))).is_ok(),
-        "a closed stream frees its place"
+        "a closed stream no longer counts towards the limit"
     );
 }
 
@@ -196,32 +196,39 @@
             load: None,
         },
     );
-    assert!(caller.receive(short).is_err(), "a silently short response");
+    assert!(
+        caller.receive(short).is_err(),
+        "an end frame that counts more bytes than were received"
+    );
 }
 
 #[test]
-fn response_after_end_is_error_and_after_cancel_ignored() {
+fn response_after_end_is_error_and_after_cancel_is_ignored() {
     let mut caller = Streams::new(Side::Caller, 3);
-    let done = caller.open_call().unwrap();
+    let ended = caller.open_call().unwrap();
     caller
-        .receive(Frame::Head(done, ResponseHead::default()))
+        .receive(Frame::Head(ended, ResponseHead::default()))
         .unwrap();
     caller
-        .receive(Frame::End(done, EndHead::default()))
+        .receive(Frame::End(ended, EndHead::default()))
         .unwrap();
-    let twice = caller.receive(Frame::End(done, EndHead::default()));
-    assert_eq!(twice, Err(StreamError::AfterEnd(done)), "a second end");
-    let left = caller.open_call().unwrap();
-    caller.close(left);
-    let late = caller.receive(Frame::Head(left, ResponseHead::default()));
+    let second_end = caller.receive(Frame::End(ended, EndHead::default()));
+    assert_eq!(
+        second_end,
+        Err(StreamError::AfterEnd(ended)),
+        "a second end frame"
+    );
+    let cancelled = caller.open_call().unwrap();
+    caller.close(cancelled);
+    let late = caller.receive(Frame::Head(cancelled, ResponseHead::default()));
     assert_eq!(
         late,
         Ok(Received::Ignored { body: 0 }),
-        "a response that crossed the cancel"
+        "a response that was in flight when the stream was cancelled"
     );
-    let stray = Frame::Head(99, ResponseHead::default());
+    let unrequested = Frame::Head(99, ResponseHead::default());
     assert!(matches!(
-        caller.receive(stray),
+        caller.receive(unrequested),
         Err(StreamError::OutOfOrder(99, _))
     ));
 }
@@ -230,8 +237,8 @@
 fn exhausted_stream_credit_stalls_only_that_stream() {
     let mut caller = Streams::new(Side::Caller, 8);
     let slow = caller.open_call().unwrap();
-    let quick = caller.open_call().unwrap();
-    for id in [slow, quick] {
+    let fast = caller.open_call().unwrap();
+    for id in [slow, fast] {
         caller
             .receive(Frame::Head(id, ResponseHead::default()))
             .unwrap();
@@ -242,10 +249,10 @@
         caller.return_connection_credit(MAX_DATA as u32);
     }
     for _ in 0..100 {
-        caller.receive(Frame::Data(quick, chunk.clone())).unwrap();
+        caller.receive(Frame::Data(fast, chunk.clone())).unwrap();
         caller.return_connection_credit(MAX_DATA as u32);
-        assert!(caller.return_credit(quick, MAX_DATA as u32));
+        assert!(caller.return_credit(fast, MAX_DATA as u32));
     }
-    let over = caller.receive(Frame::Data(slow, Bytes::from_static(b"x")));
-    assert_eq!(over, Err(StreamError::OverCredit(slow, 1)));
+    let excess = caller.receive(Frame::Data(slow, Bytes::from_static(b"x")));
+    assert_eq!(excess, Err(StreamError::OverCredit(slow, 1)));
 }
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 messages: valid ones, ambiguous ones (request smuggling) and oversized ones.
+//! HTTP/1.1 messages: valid ones, ambiguous ones that enable request smuggling, and oversized ones.
 use bytes::BytesMut;
 use pointspindle_protocol::http::*;
 use pointspindle_protocol::range::{Range, ResolvedRange};
@@ -31,7 +31,7 @@
     assert_eq!(RequestCodec.decode(&mut src).unwrap(), None);
     assert!(
         RequestCodec.decode_eof(&mut src).is_err(),
-        "a head cut short"
+        "the connection ended within a head"
     );
 }
 
@@ -50,7 +50,7 @@
     assert_eq!(status(&with("Content-Length: 4")), 413);
     assert_eq!(status(&with("Host: y")), 400);
     assert_eq!(status(&with(" folded: x")), 400);
-    assert_eq!(status("GET /a HTTP/1.1\r\n\r\n"), 400, "no host");
+    assert_eq!(status("GET /a HTTP/1.1\r\n\r\n"), 400, "missing Host field");
     assert_eq!(status("POST /a HTTP/1.1\r\nHost: x\r\n\r\n"), 501);
     assert_eq!(status("GET /a HTTP/2.0\r\nHost: x\r\n\r\n"), 505);
     assert!(decode(&with("Content-Length: 0")).unwrap().is_some());
@@ -76,22 +76,22 @@
     let mut codec = ResponseCodec::new(head_only);
     let mut src = BytesMut::from(text);
     let mut out = vec![];
-    while let Some(piece) = codec.decode_eof(&mut src)? {
-        out.push(piece);
+    while let Some(event) = codec.decode_eof(&mut src)? {
+        out.push(event);
     }
     Ok(out)
 }
 
 #[test]
-fn response_ends_at_its_length_and_short_one_is_error() {
+fn response_ends_at_its_length_and_truncated_one_is_error() {
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let body: Vec<u8> = events(chunked, false)
         .unwrap()
         .into_iter()
-        .filter_map(|p| {
-            if let HttpEvent::Data(d) = p {
-                Some(d.to_vec())
+        .filter_map(|event| {
+            if let HttpEvent::Data(data) = event {
+                Some(data.to_vec())
             } else {
                 None
             }
@@ -101,16 +101,16 @@
     assert_eq!(body, b"abcde");
     assert!(
         events(&chunked[..chunked.len() - 5], false).is_err(),
-        "no last chunk"
+        "missing last chunk"
     );
     assert!(events(&chunked.replace("3\r\n", "z\r\n"), false).is_err());
     assert!(events(&chunked.replace("3\r\nabc", "2\r\nabc"), false).is_err());
     assert!(events("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nshort", false).is_err());
     let head = events("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", true).unwrap();
-    assert_eq!(head.len(), 2, "a HEAD answer has a length and no body");
-    let both =
+    assert_eq!(head.len(), 2, "a response to HEAD has a length and no body");
+    let chunked_with_length =
         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert!(events(both, false).is_err());
+    assert!(events(chunked_with_length, false).is_err());
 }
 
 #[test]
@@ -130,10 +130,10 @@
         keep_alive,
     } = ResponseCodec::default().decode(&mut dst).unwrap().unwrap()
     else {
-        panic!("no head")
+        panic!("the first event is not a head")
     };
     assert_eq!((status, keep_alive), (200, false));
-    assert!(!fields.iter().any(|(n, _)| n == "evil"));
+    assert!(!fields.iter().any(|(name, _)| name == "evil"));
 }
 
 #[test]
