--- a/crates/config/src/cache_host.rs
+++ b/crates/config/src/cache_host.rs
@@ -6,98 +6,98 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A request class as a cache host needs it.
+/// Settings of a request class that a cache host uses.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CacheClass {
     /// Name on the wire.
     pub name: String,
-    /// Age from which a copy is stale where the origin gives none; 0: never.
+    /// Freshness lifetime of copies for which the origin gives none, in microseconds; 0: they never become stale.
     pub fresh_for_us: u64,
-    /// Runs at the origin and is never cached.
+    /// Whether requests of the class are executed at the origin and never cached.
     pub uncacheable: bool,
-    /// Sending time of a typical response, for dividing capacity during slow start.
+    /// Sending time of a typical response in microseconds, used to divide capacity during slow start.
     pub mean_send_time_us: u64,
 }
 
-/// The store of copies on disk. Sizes in bytes.
+/// Settings of the on-disk store of cached copies. Sizes are in bytes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
     /// Directory of the store.
     pub path: PathBuf,
-    /// Space on disk; at least six segments.
+    /// Capacity on disk; at least six segments.
     pub capacity: u64,
     /// Size of one segment file.
     pub segment: u32,
     /// Size of one block of a copy; at most a quarter of a segment.
     pub block: u32,
-    /// Copies cached in memory.
+    /// Capacity for blocks cached in memory.
     pub memory: u64,
-    /// A recovered store filled to at least this share of its capacity needs no slow start.
+    /// Share of the capacity from which a recovered store counts as warm and needs no slow start.
     pub warm_share: f64,
-    /// Longest time until a copy is on disk; purges are written at once.
+    /// Maximum time in microseconds until a copy is written to disk; purges are written at once.
     pub sync_us: u64,
 }
 
-/// An HTTP/1.1 origin.
+/// Settings of an HTTP/1.1 origin.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OriginSettings {
     /// Address and port of the origin.
     pub address: SocketAddr,
-    /// Value of the `Host` header; the address by default.
+    /// Value of the `Host` field; by default the address.
     pub host: String,
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
 /// All settings of a cache host.
 #[derive(Clone, Debug)]
 pub struct CacheHostSettings {
-    /// Name in logs.
+    /// Name of the host in logs.
     pub name: String,
-    /// What the host serves as.
+    /// Role of the host.
     pub role: Role,
-    /// Listener of the framed protocol.
+    /// Address of the listener for the framed protocol.
     pub framed: SocketAddr,
-    /// Listener for purges and operators' queries.
+    /// Address of the listener for purges and operators' queries; `None`: there is no such listener.
     pub control: Option<SocketAddr>,
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Streams that may be open at once on a connection.
+    /// Maximum number of open streams on a connection.
     pub max_streams: usize,
-    /// Requests in flight at once; more are rejected.
+    /// Maximum number of requests in flight; further ones are rejected.
     pub max_requests: usize,
-    /// Longest wait of a draining host for responses in flight.
+    /// Maximum time in microseconds that a draining host waits for responses in flight.
     pub drain_timeout_us: u64,
-    /// Where copies are cached; `None`: nothing is cached, everything passes through.
+    /// Store of cached copies; `None`: objects are passed through without caching.
     pub store: Option<StoreSettings>,
-    /// The HTTP origin behind a gateway.
+    /// HTTP origin that the host fills from; required for a gateway to an origin.
     pub origin: Option<OriginSettings>,
-    /// Fills that may run at once.
+    /// Maximum number of running fills.
     pub max_fills: usize,
-    /// Fills that may wait for one of those.
+    /// Maximum number of requests that wait for a fill to end before they start their own.
     pub fill_queue: usize,
-    /// Longest wait for a connection to a source.
+    /// Maximum time in microseconds for connecting to a source.
     pub connect_timeout_us: u64,
-    /// Longest duration of a fill.
+    /// Maximum duration of a fill, in microseconds.
     pub fill_timeout_us: u64,
-    /// Longest wait of a fill for its slowest reader.
+    /// Maximum time in microseconds that a fill waits for its slowest reader.
     pub slow_reader_timeout_us: u64,
-    /// Transfers at full pace that the host's link carries.
+    /// Number of simultaneous transfers at full rate that the host's link carries.
     pub weight: f64,
-    /// Load that the host accepts while its cache is cold.
+    /// Limits of the load that the host accepts while its cache is cold.
     pub slow_start: SlowStartRule,
     /// Request classes; at least one.
     pub classes: Vec<CacheClass>,
 }
 
-/// Segments that a store needs at least.
+/// Minimum number of segments in a store.
 const MIN_SEGMENTS: u64 = 6;
 const MIN_BLOCKS_PER_SEGMENT: u32 = 4;
 const BYTES_PER_KB: f64 = 1024.0;
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 
-/// Reads every section of a cache host's file. Errors stay in the reader; the returned settings are valid only if there are
-/// none.
+/// Reads all sections of a cache host's file. Errors are collected in the reader; the returned settings are valid only
+/// if it has none.
 pub(crate) fn read(reader: &mut Reader) -> CacheHostSettings {
     let name = reader.value("cache", "name", "cache".to_owned(), "a name");
     let role = reader.choice("cache", "role", Role::Cache, &Role::WORDS);
@@ -133,18 +133,18 @@
 fn read_origin(reader: &mut Reader, role: Role) -> Option<OriginSettings> {
     let Some(address) = read_address(reader, "origin", "address") else {
         if reader.has("origin") {
-            let reason = "missing, such as 127.0.0.1:9100";
+            let reason = "missing; expected an address and port, such as 127.0.0.1:9100";
             reader.report("origin", "address", reason);
         }
         if role == Role::Origin {
-            let reason = "origin: a gateway to an HTTP origin needs [origin] address";
+            let reason = "role origin requires [origin] address, the address of an HTTP origin";
             reader.report("cache", "role", reason);
         }
         return None;
     };
     Some(OriginSettings {
         address,
-        host: reader.value("origin", "host", address.to_string(), "a host's name"),
+        host: reader.value("origin", "host", address.to_string(), "a host name"),
         connections: reader.number("origin", "connections", 64, 1, 10_000),
     })
 }
@@ -152,7 +152,11 @@
 fn read_classes(reader: &mut Reader) -> Vec<CacheClass> {
     let names = reader.named("class");
     if names.is_empty() {
-        reader.report("class NAME", "", "no class: at least one section is needed");
+        reader.report(
+            "class NAME",
+            "",
+            "no class is defined; at least one section is required",
+        );
     }
     names
         .into_iter()
@@ -183,15 +187,15 @@
         sync_us: reader.ms(SECTION, "sync_ms", 1_000.0, 1.0, 600_000.0),
     };
     if store.capacity < MIN_SEGMENTS * u64::from(store.segment) {
-        let reason = "at least six segments (segment_mb)";
+        let reason = "must hold at least six segments (segment_mb)";
         reader.report(SECTION, "capacity_mb", reason);
     }
     if store.block > store.segment / MIN_BLOCKS_PER_SEGMENT {
-        let reason = "at most a quarter of a segment (segment_mb)";
+        let reason = "must be at most a quarter of a segment (segment_mb)";
         reader.report(SECTION, "block_kb", reason);
     }
     if path.is_none() && role != Role::Origin {
-        let reason = "missing: a cache host or parent keeps copies";
+        let reason = "missing; required for the roles cache and parent";
         reader.report(SECTION, "path", reason);
     }
     path.map(|_| store)
--- a/crates/config/src/dispatcher/classes.rs
+++ b/crates/config/src/dispatcher/classes.rs
@@ -3,53 +3,62 @@
 use crate::reader::Reader;
 use pointspindle::{Idempotency, KeyScope, RequestClass};
 
-/// A request class as the listeners need it; the decision module's view is in [`super::DispatcherSettings::router`].
+/// Settings of a request class that the listeners use; those of the decision module are in
+/// [`super::DispatcherSettings::router`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Name on the wire.
+    /// Name of the class on the wire.
     pub name: String,
-    /// HTTP paths that begin so are of this class; the longest prefix counts. No two classes have the same.
+    /// Prefix of the HTTP paths that belong to this class; the longest matching prefix decides. Unique among the classes.
     pub path_prefix: Option<String>,
-    /// Deadline of a request that gives none, and the longest that one may give.
+    /// Deadline in microseconds of a request that states none, and the maximum that a request may state.
     pub deadline_us: u64,
-    /// Copies are served even while purges cannot be proven to be known (`etcd.purge_within_ms`).
+    /// Whether copies are served even while it is not certain that all purges are known (`etcd.purge_within_ms`).
     pub purge_exempt: bool,
 }
 
-/// Both views of the request classes, by class number.
+/// The request classes by class number: the settings for the listeners and those for the decision module.
 #[derive(Default)]
 pub(super) struct Classes {
     pub(super) settings: Vec<ClassSettings>,
     pub(super) router: Vec<RequestClass>,
 }
 
-/// Reads every `[class NAME]` section in the order of the file.
+/// Reads all `[class NAME]` sections, in the order of the file.
 pub(super) fn read(reader: &mut Reader) -> Classes {
     let mut classes = Classes::default();
     for name in reader.named("class") {
         let class = read_class(reader, name);
-        report_repeated_prefix(reader, &class.settings, &classes.settings);
+        report_duplicate_path_prefix(reader, &class.settings, &classes.settings);
         classes.settings.push(class.settings);
         classes.router.push(class.router);
     }
     if classes.settings.is_empty() {
-        reader.report("class NAME", "", "no class: at least one section is needed");
+        reader.report(
+            "class NAME",
+            "",
+            "no class is defined; at least one section is required",
+        );
     }
     classes
 }
 
-fn report_repeated_prefix(reader: &mut Reader, class: &ClassSettings, earlier: &[ClassSettings]) {
-    let has_same_prefix = |other: &&ClassSettings| {
+fn report_duplicate_path_prefix(
+    reader: &mut Reader,
+    class: &ClassSettings,
+    earlier: &[ClassSettings],
+) {
+    let has_same_path_prefix = |other: &&ClassSettings| {
         other.path_prefix.is_some() && other.path_prefix == class.path_prefix
     };
-    if let Some(other) = earlier.iter().find(has_same_prefix) {
+    if let Some(other) = earlier.iter().find(has_same_path_prefix) {
         let section = format!("class {}", class.name);
-        let reason = format!("class {} has the same", other.name);
+        let reason = format!("class {} has the same path prefix", other.name);
         reader.report(&section, "path_prefix", &reason);
     }
 }
 
-/// Both views of one class.
+/// A class: the settings for the listeners and those for the decision module.
 struct Class {
     settings: ClassSettings,
     router: RequestClass,
@@ -63,12 +72,13 @@
     let idempotency = read_idempotency(reader, &section);
     let uncacheable = reader.flag(&section, "uncacheable", false);
     if uncacheable && path_prefix.is_some() {
-        // The HTTP listener serves GET and HEAD only, which by definition change nothing.
-        let reason = "uncacheable classes come by the framed protocol only";
+        // The HTTP listener serves only GET and HEAD, which by definition have no side effects.
+        let reason =
+            "not allowed for an uncacheable class, which is served by the framed protocol only";
         reader.report(&section, "path_prefix", reason);
     }
     if !uncacheable && idempotency != Idempotency::Idempotent {
-        let reason = "what may be kept is safe to repeat; set uncacheable = yes";
+        let reason = "must be safe unless uncacheable = yes";
         reader.report(&section, "repeat", reason);
     }
     let router = RequestClass {
@@ -81,7 +91,7 @@
         stale_if_error: reader.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
     };
     if router.stale_if_error > 0 && router.fresh_for == 0 {
-        let reason = "without fresh_ms a copy never grows old";
+        let reason = "has no effect without fresh_ms, because copies then never become stale";
         reader.report(&section, "grace_ms", reason);
     }
     let settings = ClassSettings {
@@ -96,7 +106,7 @@
 fn read_path_prefix(reader: &mut Reader, section: &str) -> Option<String> {
     let prefix = reader.non_empty_text(section, "path_prefix")?;
     if !prefix.starts_with('/') {
-        reader.report(section, "path_prefix", "a path begins with /");
+        reader.report(section, "path_prefix", "does not begin with /");
     }
     Some(prefix)
 }
@@ -104,7 +114,7 @@
 fn read_latency_objective(reader: &mut Reader, section: &str, deadline_us: u64) -> u64 {
     let objective_us = reader.ms(section, "aim_ms", 300.0, 1.0, HOUR_MS);
     if objective_us > deadline_us {
-        reader.report(section, "aim_ms", "later than deadline_ms");
+        reader.report(section, "aim_ms", "greater than deadline_ms");
     }
     objective_us
 }
--- a/crates/config/src/dispatcher/etcd.rs
+++ b/crates/config/src/dispatcher/etcd.rs
@@ -4,33 +4,35 @@
 use std::path::PathBuf;
 
 const SECTION: &str = "etcd";
-/// A purge cannot be promised to be in force sooner than this.
+/// Shortest time, in microseconds, within which a purge can be guaranteed to be in force.
 const MIN_PURGE_WITHIN_US: u64 = 300_000;
 
-/// Source of endpoint lists, purges and the number of dispatchers.
+/// Access to etcd, the source of endpoint lists, purges and the number of dispatchers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EtcdSettings {
     /// URLs of the etcd members; at least one.
     pub endpoints: Vec<String>,
-    /// Keys begin with this, then `/v1/`. Not empty, and does not end with `/`.
+    /// Prefix of all keys, followed by `/v1/`. Not empty, and does not end with `/`.
     pub prefix: String,
-    /// PEM file of the authority that signed the etcd members' certificates.
+    /// PEM file with the certificate of the authority that signed the certificates of the etcd members.
     pub authority: Option<PathBuf>,
-    /// The dispatcher's own certificate and key, as PEM files.
+    /// PEM files with the dispatcher's own certificate and key.
     pub identity: Option<(PathBuf, PathBuf)>,
-    /// User, and the file with the password on its first line.
+    /// User name, and the file whose first line is the password.
     pub user: Option<(String, PathBuf)>,
-    /// Lease of this dispatcher's registration.
+    /// Lease of this dispatcher's registration, in seconds.
     pub lease_s: i64,
-    /// Longest wait for a unary call.
+    /// Timeout of a unary call, in microseconds.
     pub call_timeout_us: u64,
-    /// Longest wait for the lists before the listeners open with the state of the previous run.
+    /// Maximum time in microseconds to wait for the lists, after which the listeners open with the state of the
+    /// previous run.
     pub start_wait_us: u64,
-    /// Time after which an acknowledged purge is guaranteed to be in force here; 0: no guarantee.
+    /// Time in microseconds within which an acknowledged purge is guaranteed to be in force at this dispatcher; 0: no
+    /// guarantee.
     pub purge_within_us: u64,
 }
 
-/// Files and user with which the dispatcher authenticates.
+/// Files and user for authentication between the dispatcher and etcd.
 struct Credentials {
     authority: Option<PathBuf>,
     identity: Option<(PathBuf, PathBuf)>,
@@ -46,12 +48,12 @@
     let start_wait_us = reader.ms(SECTION, "start_wait_ms", 2_000.0, 0.0, MINUTE_MS);
     let purge_within_us = reader.ms(SECTION, "purge_within_ms", 0.0, 0.0, MINUTE_MS);
     if (1..MIN_PURGE_WITHIN_US).contains(&purge_within_us) {
-        let reason = "0 for no promise, or at least 300";
+        let reason = "must be at least 300, or 0 for no guarantee";
         reader.report(SECTION, "purge_within_ms", reason);
     }
     if endpoints.is_empty() {
         if reader.has(SECTION) {
-            let reason = "missing, such as http://127.0.0.1:2379";
+            let reason = "missing; expected URLs, such as http://127.0.0.1:2379";
             reader.report(SECTION, "endpoints", reason);
         }
         return None;
@@ -79,7 +81,9 @@
     let is_url =
         |endpoint: &str| endpoint.starts_with("http://") || endpoint.starts_with("https://");
     if let Some(invalid) = endpoints.iter().find(|endpoint| !is_url(endpoint)) {
-        let reason = format!("{invalid:?} is not http://ADDRESS:PORT or https://ADDRESS:PORT");
+        let reason = format!(
+            "{invalid:?} is not a URL of the form http://ADDRESS:PORT or https://ADDRESS:PORT"
+        );
         reader.report(SECTION, "endpoints", &reason);
     }
     endpoints
@@ -87,9 +91,9 @@
 
 fn read_prefix(reader: &mut Reader) -> String {
     let default = "/pointspindle".to_owned();
-    let prefix = reader.value(SECTION, "prefix", default, "what keys begin with");
+    let prefix = reader.value(SECTION, "prefix", default, "the prefix of all keys");
     if prefix.ends_with('/') || prefix.is_empty() {
-        let reason = "keys begin with it and /v1/: it is not empty and ends with no /";
+        let reason = "must not be empty or end with /";
         reader.report(SECTION, "prefix", reason);
     }
     prefix
@@ -102,7 +106,11 @@
     let password_file = reader.path(SECTION, "password_file");
     if certificate.is_some() != key.is_some() {
         let missing = if key.is_none() { "key" } else { "certificate" };
-        reader.report(SECTION, missing, "missing: both or none");
+        reader.report(
+            SECTION,
+            missing,
+            "missing; certificate and key must be set together",
+        );
     }
     let user = reader.non_empty_text(SECTION, "user");
     if user.is_some() != password_file.is_some() {
@@ -111,7 +119,11 @@
         } else {
             "password_file"
         };
-        reader.report(SECTION, missing, "missing: both or none");
+        reader.report(
+            SECTION,
+            missing,
+            "missing; user and password_file must be set together",
+        );
     }
     Credentials {
         authority,
--- a/crates/config/src/dispatcher/listen.rs
+++ b/crates/config/src/dispatcher/listen.rs
@@ -8,47 +8,48 @@
 const MAX_CONNECTIONS: usize = 10_000_000;
 const TEN_MINUTES_MS: f64 = 10.0 * MINUTE_MS;
 
-/// Listeners of a dispatcher, of which at least one is for clients, and the limits of client connections. Port 0 stands for
-/// any free port.
+/// Listeners of a dispatcher, at least one of which is for clients, and the limits of client connections. Port 0 stands
+/// for any free port.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListenSettings {
-    /// HTTP/1.1 for clients.
+    /// Address of the listener for HTTP/1.1.
     pub http: Option<SocketAddr>,
-    /// The framed protocol for clients.
+    /// Address of the listener for the framed protocol.
     pub framed: Option<SocketAddr>,
-    /// HTTP/1.1 over TLS.
+    /// Address of the listener for HTTP/1.1 over TLS.
     pub https: Option<SocketAddr>,
-    /// The framed protocol over TLS.
+    /// Address of the listener for the framed protocol over TLS.
     pub framed_tls: Option<SocketAddr>,
-    /// Endpoint lists, purges and operators' queries.
+    /// Address of the listener for endpoint lists, purges and operators' queries.
     pub control: Option<SocketAddr>,
-    /// Metrics as text.
+    /// Address of the listener for metrics in text format.
     pub metrics: Option<SocketAddr>,
-    /// Connections that may be open at once.
+    /// Maximum number of open client connections.
     pub max_connections: usize,
-    /// Above this many, idle connections are closed, longest idle first.
+    /// Number of connections above which idle ones are closed, the longest idle first.
     pub soft_connections: usize,
-    /// Connections that one client address may have at once.
+    /// Maximum number of open connections from one client address.
     pub address_connections: usize,
-    /// Streams that may be open at once on a connection.
+    /// Maximum number of open streams on a connection.
     pub max_streams: usize,
-    /// A connection without a request in flight is closed after this.
+    /// Time in microseconds after which a connection without a request in flight is closed.
     pub idle_timeout_us: u64,
-    /// Longest time in which a request's head must be complete.
+    /// Time in microseconds within which the head of a request must be complete.
     pub head_timeout_us: u64,
-    /// Longest wait of a draining dispatcher for responses in flight.
+    /// Maximum time in microseconds that a draining dispatcher waits for responses in flight.
     pub drain_timeout_us: u64,
-    /// A client that reads more slowly than this over a pace window, while data waits for it, is disconnected.
+    /// Minimum reading rate of a client, measured over a pace window in which data is waiting for it. A slower client is
+    /// disconnected.
     pub min_client_bytes_per_s: u64,
-    /// Length of the window over which a client's pace is measured.
+    /// Length in microseconds of the window over which the reading rate of a client is measured.
     pub pace_window_us: u64,
-    /// Requests of a client that renews leases are cancelled if it sends nothing for this long.
+    /// Time in microseconds without a frame from a client that renews leases, after which its requests are cancelled.
     pub client_lease_us: u64,
-    /// Quotas of connections for networks of clients.
+    /// Connection quotas of client networks.
     pub network_quotas: Vec<NetworkQuota>,
 }
 
-/// The addresses of the listeners.
+/// Addresses of the listeners.
 struct Listeners {
     http: Option<SocketAddr>,
     framed: Option<SocketAddr>,
@@ -109,7 +110,7 @@
         listeners.framed_tls,
     ];
     if client_listeners.iter().all(Option::is_none) {
-        let reason = "neither http, framed, https nor framed_tls: no client could come";
+        let reason = "no listener for clients; set http, framed, https or framed_tls";
         reader.report(SECTION, "", reason);
     }
     listeners
@@ -119,7 +120,7 @@
     let default = (max_connections - max_connections / 10).max(1);
     let soft = reader.number(SECTION, "soft_connections", default, 1, MAX_CONNECTIONS);
     if soft > max_connections {
-        reader.report(SECTION, "soft_connections", "more than max_connections");
+        reader.report(SECTION, "soft_connections", "greater than max_connections");
     }
     soft
 }
--- a/crates/config/src/dispatcher/mod.rs
+++ b/crates/config/src/dispatcher/mod.rs
@@ -1,6 +1,6 @@
 //! Settings of a dispatcher: one module per section of its file.
 //!
-//! Sections are read in a fixed order, which is the order of errors that concern no line.
+//! Sections are read in a fixed order, which determines the order of errors without a line number.
 mod classes;
 mod etcd;
 mod listen;
@@ -39,23 +39,23 @@
     pub classes: Vec<ClassSettings>,
     /// Listeners and the limits of client connections.
     pub listen: ListenSettings,
-    /// Certificate of the TLS listeners; present if there is such a listener.
+    /// Certificate of the TLS listeners; present if there is a TLS listener.
     pub tls: Option<TlsSettings>,
     /// Source of endpoint lists and purges; `None` if etcd is not used.
     pub etcd: Option<EtcdSettings>,
     /// Connections to endpoints.
     pub upstream: UpstreamSettings,
-    /// Time reserved from the client's deadline for returning the response.
+    /// Time in microseconds reserved within the client's deadline for returning the response.
     pub answer_slack_us: u64,
-    /// Segments of an HTTP path that name an object's group for purges.
+    /// Number of leading segments of an HTTP path that form the purge group of an object.
     pub group_segments: usize,
-    /// File that keeps the last endpoint list and purges across restarts.
+    /// File that preserves the latest endpoint list and purges across restarts.
     pub state_file: Option<PathBuf>,
-    /// Statically configured endpoints.
+    /// Endpoints of the static list.
     pub endpoints: Vec<EndpointSpec>,
-    /// Requests that may be open at once.
+    /// Maximum number of open requests.
     pub max_requests: usize,
-    /// Body bytes that may be buffered, read from one side and not yet written to the other, before new requests are
+    /// Number of buffered body bytes, read from one side and not yet written to the other, above which new requests are
     /// rejected.
     pub buffer_bytes: u64,
 }
@@ -64,9 +64,9 @@
 struct DispatcherSection {
     name: String,
     zone: String,
-    /// Number of this dispatcher, from 0 and below `count`, where known.
+    /// Number of this dispatcher, from 0 and less than `count`, if known.
     number: Option<u32>,
-    /// Dispatchers in the fleet.
+    /// Number of dispatchers in the fleet.
     count: u32,
     state_file: Option<PathBuf>,
     answer_slack_us: u64,
@@ -74,8 +74,8 @@
     buffer_bytes: u64,
 }
 
-/// Reads every section of a dispatcher's file. Errors stay in the reader; the returned settings are valid only if there are
-/// none.
+/// Reads all sections of a dispatcher's file. Errors are collected in the reader; the returned settings are valid only
+/// if it has none.
 pub(crate) fn read(reader: &mut Reader) -> DispatcherSettings {
     let dispatcher = read_dispatcher(reader);
     let zones = zones::read(reader, &dispatcher.zone, dispatcher.count);
@@ -86,7 +86,7 @@
     let upstream = upstream::read(reader);
     let endpoints = endpoints::read(reader, &zones.names);
     let placement = router::Placement {
-        zone: zones.own,
+        zone: zones.own_index,
         zones: zones.fleet,
         routers: dispatcher.count,
         router_index: dispatcher.number,
@@ -114,13 +114,13 @@
 fn read_dispatcher(reader: &mut Reader) -> DispatcherSection {
     const SECTION: &str = "dispatcher";
     let name = reader.value(SECTION, "name", "dispatcher".to_owned(), "a name");
-    let zone = reader.required(SECTION, "zone", String::new(), "the zone that it serves");
+    let zone = reader.required(SECTION, "zone", String::new(), "the zone of the dispatcher");
     let number = reader
         .text(SECTION, "number")
         .and_then(|text| reader.parse_or_report(SECTION, "number", &text, "a whole number"));
     let count = reader.number(SECTION, "count", 1, 1, 100_000);
     if number.is_some_and(|number| number >= count) {
-        let reason = "numbers count from 0 and lie below count";
+        let reason = "must be less than count; numbers start at 0";
         reader.report(SECTION, "number", reason);
     }
     DispatcherSection {
--- a/crates/config/src/dispatcher/network_quota.rs
+++ b/crates/config/src/dispatcher/network_quota.rs
@@ -1,19 +1,19 @@
-//! The `[network NAME]` sections: quotas of connections for networks of clients.
+//! The `[network NAME]` sections: connection quotas of client networks.
 use crate::reader::Reader;
 use std::net::IpAddr;
 
 const PREFIX_EXAMPLE: &str = "such as 10.20.0.0/16";
 
-/// Client addresses that share a quota of connections, such as those of one branch.
+/// A network of client addresses that share a connection quota, such as that of one branch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NetworkQuota {
-    /// Name in logs and metrics.
+    /// Name of the network in logs and metrics.
     pub name: String,
     /// An address of the network.
     pub address: IpAddr,
-    /// Leading bits of the address that identify the network.
+    /// Number of leading bits of the address that identify the network.
     pub bits: u8,
-    /// Connections that the network may have at once.
+    /// Maximum number of open connections from the network.
     pub connections: usize,
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// An address as a number, aligned to the most significant bit.
+/// An address as a number whose leading bits are the most significant ones.
 struct AddressBits {
     bits: u128,
     width: u8,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Reads every `[network NAME]` section in the order of the file.
+/// Reads all `[network NAME]` sections, in the order of the file.
 pub(super) fn read(reader: &mut Reader, max_connections: usize) -> Vec<NetworkQuota> {
     reader
         .named("network")
@@ -61,11 +61,11 @@
 fn read_network(reader: &mut Reader, name: String, max_connections: usize) -> Option<NetworkQuota> {
     let section = format!("network {name}");
     let connections = reader.number(&section, "connections", max_connections, 1, 10_000_000);
-    let expected = format!("addresses, {PREFIX_EXAMPLE}");
+    let expected = format!("a network prefix, {PREFIX_EXAMPLE}");
     let text = reader.required(&section, "prefix", String::new(), &expected);
     let Some((address, bits)) = parse_prefix(&text) else {
         if !text.is_empty() {
-            let reason = format!("{text:?} is no address with its leading bits, {PREFIX_EXAMPLE}");
+            let reason = format!("{text:?} is not a network prefix, {PREFIX_EXAMPLE}");
             reader.report(&section, "prefix", &reason);
         }
         return None;
@@ -78,7 +78,7 @@
     })
 }
 
-/// Parses `ADDRESS/BITS`.
+/// Parses a network prefix of the form `ADDRESS/BITS`.
 fn parse_prefix(text: &str) -> Option<(IpAddr, u8)> {
     let (address, bits) = text.split_once('/')?;
     let address: IpAddr = address.trim().parse().ok()?;
--- a/crates/config/src/dispatcher/router.rs
+++ b/crates/config/src/dispatcher/router.rs
@@ -24,15 +24,15 @@
     ("any", Siblings::Any),
 ];
 
-/// The dispatcher's place in the fleet.
+/// The position of the dispatcher in the fleet.
 pub(super) struct Placement {
     /// Number of the dispatcher's own zone.
     pub(super) zone: usize,
-    /// Zones by number.
+    /// Zones, by zone number.
     pub(super) zones: Vec<Zone>,
-    /// Dispatchers in the fleet.
+    /// Number of dispatchers in the fleet.
     pub(super) routers: u32,
-    /// Number of this dispatcher, where known.
+    /// Number of this dispatcher, if known.
     pub(super) router_index: Option<u32>,
 }
 
--- a/crates/config/src/dispatcher/tls.rs
+++ b/crates/config/src/dispatcher/tls.rs
@@ -1,18 +1,19 @@
-//! The `[tls]` section: certificate of the TLS listeners.
+//! The `[tls]` section: certificate and key of the TLS listeners.
 use super::ListenSettings;
 use crate::reader::Reader;
 use std::path::PathBuf;
 
 const SECTION: &str = "tls";
 
-/// Certificate and key of the TLS listeners, as PEM files.
+/// PEM files of the TLS listeners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// The certificate chain.
+    /// File with the certificate chain.
     pub certificate: PathBuf,
-    /// The private key.
+    /// File with the private key.
     pub key: PathBuf,
-    /// Authorities of which clients must present a certificate; `None`: clients need none.
+    /// File with the authorities, one of which must have signed the certificate of a client; `None`: clients need no
+    /// certificate.
     pub client_authority: Option<PathBuf>,
 }
 
@@ -32,7 +33,7 @@
         (None, Some(_)) => report_missing(reader, "certificate"),
         (None, None) => match first_tls_listener(listen) {
             Some(listener) => {
-                reader.report("listen", listener, "needs certificate and key in [tls]")
+                reader.report("listen", listener, "requires certificate and key in [tls]")
             }
             None if client_authority.is_some() => report_missing(reader, "certificate"),
             None => {}
@@ -49,5 +50,5 @@
 }
 
 fn report_missing(reader: &mut Reader, key: &str) {
-    reader.report(SECTION, key, "missing (a PEM file)");
+    reader.report(SECTION, key, "missing; expected the path of a PEM file");
 }
--- a/crates/config/src/dispatcher/upstream.rs
+++ b/crates/config/src/dispatcher/upstream.rs
@@ -8,24 +8,26 @@
 /// Connections to endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct UpstreamSettings {
-    /// Endpoints are identified by ids of their own rather than by their addresses: an address may return under another id.
-    /// Not read from the file.
+    /// Whether endpoints are identified by ids of their own rather than by their addresses, so that an address may be
+    /// reused under another id. Not read from the file.
     pub endpoints_have_ids: bool,
-    /// Longest wait for a connection to be established.
+    /// Timeout for establishing a connection, in microseconds.
     pub connect_timeout_us: u64,
-    /// Streams that may be open at once on a connection.
+    /// Maximum number of open streams on a connection.
     pub max_streams: usize,
-    /// Unused connections are closed after this.
+    /// Time in microseconds after which an unused connection is closed.
     pub idle_timeout_us: u64,
-    /// Longest wait for the hello frame of an endpoint that sends one; no request is sent on a new connection before it.
+    /// Maximum time in microseconds to wait for the hello frame of an endpoint that sends one. No request is sent on a
+    /// new connection before its hello frame.
     pub hello_timeout_us: u64,
-    /// Local address of connections to endpoints.
+    /// Local address of connections to endpoints; `None`: chosen by the operating system.
     pub bind: Option<IpAddr>,
-    /// A ping is sent if nothing was received for this long while responses are outstanding.
+    /// Time in microseconds without a received frame, while responses are outstanding, after which a ping is sent.
     pub ping_when_awaiting_us: u64,
-    /// A ping is sent if nothing was received for this long while no response is outstanding; 0: never.
+    /// Time in microseconds without a received frame, while no response is outstanding, after which a ping is sent; 0:
+    /// never.
     pub ping_when_idle_us: u64,
-    /// A connection is closed if nothing was received for this long after a ping.
+    /// Time in microseconds without a received frame after a ping, after which the connection is closed.
     pub ping_timeout_us: u64,
 }
 
--- a/crates/config/src/dispatcher/zones.rs
+++ b/crates/config/src/dispatcher/zones.rs
@@ -1,15 +1,15 @@
-//! The `[zone NAME]` sections.
+//! The `[zone NAME]` sections: zones of the fleet.
 use crate::reader::Reader;
 use pointspindle::Zone;
 
-/// The zones of the fleet. Without any `[zone …]` section, the dispatcher's own zone is the only one.
+/// The zones of the fleet. If the file has no `[zone NAME]` section, the dispatcher's own zone is the only one.
 pub(super) struct Zones {
-    /// Names, by the decision module's zone number.
+    /// Names of the zones, by the decision module's zone number.
     pub(super) names: Vec<String>,
-    /// The decision module's view, by zone number.
+    /// Settings of the zones for the decision module, by zone number.
     pub(super) fleet: Vec<Zone>,
     /// Number of the dispatcher's own zone.
-    pub(super) own: usize,
+    pub(super) own_index: usize,
 }
 
 pub(super) fn read(reader: &mut Reader, own_zone: &str, dispatchers: u32) -> Zones {
@@ -21,15 +21,15 @@
             routers: dispatchers,
         });
     }
-    let own = names.iter().position(|name| name == own_zone);
-    if own.is_none() && !own_zone.is_empty() {
-        let reason = format!("{own_zone:?} is none of the [zone …] sections");
+    let own_index = names.iter().position(|name| name == own_zone);
+    if own_index.is_none() && !own_zone.is_empty() {
+        let reason = format!("{own_zone:?} has no [zone …] section");
         reader.report("dispatcher", "zone", &reason);
     }
     Zones {
         names,
         fleet,
-        own: own.unwrap_or(0),
+        own_index: own_index.unwrap_or(0),
     }
 }
 
--- a/crates/config/src/endpoints.rs
+++ b/crates/config/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The `[member NAME]` sections: endpoints of a statically configured list, and the roles that endpoints may have.
+//! The `[member NAME]` sections, which configure a static list of endpoints, and the roles that endpoints can have.
 use crate::reader::Reader;
 
 #[derive(
@@ -6,33 +6,33 @@
 )]
 /// Role of an endpoint, in settings, endpoint lists and on the wire.
 pub enum Role {
-    /// A cache of one location.
+    /// A cache that serves one location.
     Cache,
-    /// A cache from which other caches fill.
+    /// A cache that is a source of fills for other caches.
     Parent,
-    /// The source of the objects, or a gateway to it.
+    /// The origin of the objects, or a gateway to it.
     Origin,
 }
 
 impl Role {
-    /// Every role with its name, in the order of [`Role::kind`].
+    /// All roles with their names, in the order of [`Role::kind`].
     pub const WORDS: [(&'static str, Self); 3] = [
         ("cache", Self::Cache),
         ("parent", Self::Parent),
         ("origin", Self::Origin),
     ];
 
-    /// The name in settings and on the wire.
+    /// Returns the name of the role in settings and on the wire.
     pub fn name(self) -> &'static str {
         Self::WORDS[self.kind()].0
     }
 
-    /// The decision module's number for it.
+    /// Returns the number of the role in the decision module.
     pub fn kind(self) -> usize {
         self as usize
     }
 
-    /// The role with this name.
+    /// Returns the role with the given name.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::WORDS
             .iter()
@@ -41,18 +41,18 @@
     }
 }
 
-/// One endpoint of a static list.
+/// An endpoint of the static list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointSpec {
-    /// Address and port; unique in the list.
+    /// Address and port, unique within the list.
     pub address: String,
-    /// What the endpoint serves as.
+    /// Role of the endpoint.
     pub role: Role,
-    /// Name of its zone.
+    /// Name of the endpoint's zone.
     pub zone: String,
-    /// Capacity in relation to other endpoints.
+    /// Capacity relative to other endpoints.
     pub weight: f64,
-    /// Number of the cell to which it belongs.
+    /// Number of the cell to which the endpoint belongs.
     pub cell: u64,
 }
 
@@ -79,12 +79,16 @@
         reader.report(&section, "address", &reason);
     }
     if earlier.iter().any(|other| other.address == address) {
-        reader.report(&section, "address", "another member has this address");
+        reader.report(
+            &section,
+            "address",
+            "another [member …] section has the same address",
+        );
     }
     let role = reader.choice(&section, "kind", Role::Cache, &Role::WORDS);
-    let zone = reader.required(&section, "zone", String::new(), "a zone's name");
+    let zone = reader.required(&section, "zone", String::new(), "the name of a zone");
     if !zone.is_empty() && !zones.contains(&zone) {
-        reader.report(&section, "zone", &format!("{zone:?} is none of the zones"));
+        reader.report(&section, "zone", &format!("{zone:?} is not a known zone"));
     }
     EndpointSpec {
         address,
--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,21 +1,21 @@
-//! Errors of a settings file, each with its file, line, key and reason.
+//! Errors in a settings file, each with file, line, key and reason.
 use std::fmt;
 
-/// One thing that is wrong in a settings file.
+/// An error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigError {
     /// Name of the file.
     pub file: String,
-    /// Line, counted from 1; 0 concerns the file as a whole.
+    /// Line number, counted from 1; 0: the error concerns no particular line.
     pub line: usize,
-    /// `section.key`, or the section in brackets; empty concerns the file as a whole.
+    /// `section.key`, or the section in brackets; empty: the error concerns the file as a whole.
     pub key: String,
-    /// What is wrong, and what would be accepted.
+    /// What is wrong and what is expected.
     pub reason: String,
 }
 
 impl ConfigError {
-    /// An error at a line of a file.
+    /// Returns an error at a line of a file.
     pub fn new(file: &str, line: usize, key: &str, reason: &str) -> Self {
         Self {
             file: file.to_owned(),
@@ -39,24 +39,29 @@
     }
 }
 
-/// Every error of a file, sorted by line; never empty.
+/// All errors in a file, sorted by line; never empty.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub struct ConfigErrors(pub Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// A single error.
+    /// Returns a list with a single error.
     pub fn single(file: &str, line: usize, key: &str, reason: &str) -> Self {
         Self(vec![ConfigError::new(file, line, key, reason)])
     }
 
-    /// The file cannot be opened or read.
+    /// Returns the error for a file that cannot be opened or read.
     pub fn unreadable(file: &str, error: &std::io::Error) -> Self {
         Self::single(file, 0, "", &format!("cannot be read: {error}"))
     }
 
-    /// The text is not INI.
-    pub fn not_ini(file: &str, error: &ini::ParseError) -> Self {
-        Self::single(file, error.line, "", &format!("not INI: {}", error.msg))
+    /// Returns the error for a text that is not valid INI.
+    pub fn invalid_ini(file: &str, error: &ini::ParseError) -> Self {
+        Self::single(
+            file,
+            error.line,
+            "",
+            &format!("invalid INI syntax: {}", error.msg),
+        )
     }
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of a dispatcher and of a cache host as INI: one section per concern, every error with file, line, key and
-//! reason.
+//! Settings of a dispatcher and of a cache host, read from INI files with one section per concern. Each error names file,
+//! line, key and reason.
 //!
-//! [`load`] and [`load_cache_host`] read a file and fail if anything in it is wrong. `examples/edge.ini` and
+//! [`load`] and [`load_cache_host`] read a file and return all its errors if there are any. `examples/edge.ini` and
 //! `examples/cache.ini` show every key.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, missing_debug_implementations)]
@@ -35,7 +35,7 @@
     parse_cache_host(&file_name(path), &read_file(path)?)
 }
 
-/// Reads and checks a cache host's settings from a text; `name` stands for the file in errors.
+/// Reads and checks the settings of a cache host from a text; `name` is the file name in errors.
 pub fn parse_cache_host(name: &str, text: &str) -> Result<CacheHostSettings, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     let settings = cache_host::read(&mut reader);
@@ -43,7 +43,7 @@
     Ok(settings)
 }
 
-/// Reads and checks a dispatcher's settings from a text; `name` stands for the file in errors.
+/// Reads and checks the settings of a dispatcher from a text; `name` is the file name in errors.
 pub fn parse(name: &str, text: &str) -> Result<DispatcherSettings, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     let settings = dispatcher::read(&mut reader);
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,7 +1,7 @@
 //! Typed access to the sections and keys of a settings file.
 //!
-//! A [`Reader`] records which keys were read and collects errors, so that one run reports everything that is wrong in a
-//! file. A value that cannot be read is replaced by its default and reported; [`Reader::finish`] then fails.
+//! A [`Reader`] records which keys were read and collects errors, so that one run reports all errors in a file. An
+//! invalid value is reported and replaced by its default; [`Reader::finish`] then fails.
 use crate::document::Document;
 use crate::error::ConfigErrors;
 use std::collections::BTreeMap;
@@ -9,7 +9,7 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// The sections of one file, the keys read so far, and the errors found so far.
+/// The sections of a file, the keys read so far, and the errors found so far.
 #[derive(Debug)]
 pub struct Reader {
     document: Document,
@@ -18,7 +18,7 @@
 }
 
 impl Reader {
-    /// Parses a text; `file` names it in errors.
+    /// Parses a text; `file` is the file name in errors.
     pub fn new(file: &str, text: &str) -> Result<Self, ConfigErrors> {
         Ok(Self {
             document: Document::parse(file, text)?,
@@ -26,13 +26,13 @@
         })
     }
 
-    /// Puts a value in place of the file's, or beside it; errors about it name no line.
+    /// Sets a value, replacing that of the file if there is one. Errors about the value name no line.
     pub fn set(&mut self, section: &str, key: &str, value: &str) {
         self.document.set(section, key, value);
     }
 
-    /// Records an error about a key, at its line, or at its section's line if the key is missing. An empty key concerns the
-    /// section as a whole.
+    /// Records an error about a key, at the line of the key, or at that of its section if the key is missing. An empty
+    /// `key` stands for the section as a whole.
     pub fn report(&mut self, section: &str, key: &str, reason: &str) {
         let line = self.document.line_of(section, key);
         let name = if key.is_empty() {
@@ -43,21 +43,25 @@
         self.document.report(line, &name, reason);
     }
 
-    /// Names of the sections `prefix NAME`, in the order of the file.
+    /// Returns the `NAME` of each section `prefix NAME`, in the order of the file.
     pub fn named(&mut self, prefix: &str) -> Vec<String> {
         let name_of = |section: &String| {
             let name = section.strip_prefix(prefix)?.strip_prefix(' ')?.trim();
             (!name.is_empty()).then(|| name.to_owned())
         };
-        self.document.order.iter().filter_map(name_of).collect()
+        self.document
+            .section_order
+            .iter()
+            .filter_map(name_of)
+            .collect()
     }
 
-    /// Whether the file has a section. Does not mark it as known.
+    /// Whether the file has a section. Does not mark the section as known.
     pub fn has(&self, section: &str) -> bool {
         self.document.sections.contains_key(section)
     }
 
-    /// The text of a key. Marks the section and the key as known.
+    /// Returns the text of a key, and marks the section and the key as known.
     pub fn text(&mut self, section: &str, key: &str) -> Option<String> {
         self.known_keys
             .entry(section.to_owned())
@@ -67,17 +71,17 @@
         entries.get(key).map(|entry| entry.value.clone())
     }
 
-    /// The text of a key; `None` if the key is absent or its value empty.
+    /// Returns the text of a key; `None` if the key is absent or its value is empty.
     pub(crate) fn non_empty_text(&mut self, section: &str, key: &str) -> Option<String> {
         self.text(section, key).filter(|text| !text.is_empty())
     }
 
-    /// The path in a key; `None` if the key is absent or its value empty.
+    /// Returns the path in a key; `None` if the key is absent or its value is empty.
     pub(crate) fn path(&mut self, section: &str, key: &str) -> Option<PathBuf> {
         self.non_empty_text(section, key).map(PathBuf::from)
     }
 
-    /// A value that may be absent or empty; `expected` describes it in the error for one that cannot be read.
+    /// Returns a value that may be absent or empty; `expected` describes a valid value in the error for an invalid one.
     pub(crate) fn optional<T: FromStr>(
         &mut self,
         section: &str,
@@ -88,7 +92,8 @@
         self.parse_or_report(section, key, &text, expected)
     }
 
-    /// A value, or the default if the key is absent; `expected` describes it in the error for one that cannot be read.
+    /// Returns a value, or the default if the key is absent; `expected` describes a valid value in the error for an
+    /// invalid one.
     pub fn value<T: FromStr>(&mut self, section: &str, key: &str, default: T, expected: &str) -> T {
         match self.text(section, key) {
             None => default,
@@ -98,7 +103,7 @@
         }
     }
 
-    /// A value that must be present; reports and returns the placeholder if it is not.
+    /// Returns a value that must be present. If the key is absent, reports an error and returns the placeholder.
     pub fn required<T: FromStr>(
         &mut self,
         section: &str,
@@ -109,13 +114,13 @@
         match self.text(section, key) {
             Some(_) => self.value(section, key, placeholder, expected),
             None => {
-                self.report(section, key, &format!("missing ({expected})"));
+                self.report(section, key, &format!("missing; expected {expected}"));
                 placeholder
             }
         }
     }
 
-    /// Parses a value; reports it and returns `None` if it cannot be read.
+    /// Parses a value; reports an error and returns `None` if the value is invalid.
     pub(crate) fn parse_or_report<T: FromStr>(
         &mut self,
         section: &str,
@@ -130,7 +135,7 @@
         parsed
     }
 
-    /// A number within bounds, both included.
+    /// Returns a number within bounds, both included; an absent or invalid one is replaced by the default.
     pub fn number<T>(&mut self, section: &str, key: &str, default: T, min: T, max: T) -> T
     where
         T: FromStr + PartialOrd + Copy + fmt::Display,
@@ -144,7 +149,7 @@
         default
     }
 
-    /// A span given in milliseconds, returned in microseconds.
+    /// Returns a duration in microseconds that the file states in milliseconds.
     pub fn ms(
         &mut self,
         section: &str,
@@ -156,7 +161,7 @@
         (self.number(section, key, default_ms, min_ms, max_ms) * 1000.0).round() as u64
     }
 
-    /// yes or no.
+    /// Returns a yes-or-no value.
     pub fn flag(&mut self, section: &str, key: &str, default: bool) -> bool {
         match self.text(section, key).as_deref() {
             None => default,
@@ -170,7 +175,7 @@
         }
     }
 
-    /// One of a list of names.
+    /// Returns the value that belongs to one of a list of names.
     pub fn choice<T: Copy>(
         &mut self,
         section: &str,
@@ -185,12 +190,12 @@
             return *value;
         }
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
-        let reason = format!("{text:?} is none of {}", names.join(", "));
+        let reason = format!("{text:?} is not one of {}", names.join(", "));
         self.report(section, key, &reason);
         default
     }
 
-    /// Reports sections and keys that nothing has read, then returns every error, sorted by line.
+    /// Reports sections and keys that were never read, then returns all errors, sorted by line.
     pub fn finish(mut self) -> Result<(), ConfigErrors> {
         for unknown in self.unknown_names() {
             self.document
@@ -217,11 +222,12 @@
             };
             for (key, entry) in &section.entries {
                 if !known.contains(key) {
-                    let near = nearest(key, known).map(|near| format!("; did you mean {near}?"));
+                    let suggestion =
+                        nearest_key(key, known).map(|near| format!("; did you mean {near}?"));
                     unknown.push(UnknownName {
                         line: entry.line,
                         name: format!("{name}.{key}"),
-                        reason: format!("no such key{}", near.unwrap_or_default()),
+                        reason: format!("no such key{}", suggestion.unwrap_or_default()),
                     });
                 }
             }
@@ -230,18 +236,18 @@
     }
 }
 
-/// A section or key of the file that no setting has.
+/// A section or key of the file that no setting uses.
 struct UnknownName {
     line: usize,
     name: String,
     reason: String,
 }
 
-/// The known key that shares the longest beginning or end with this one, if that is at least half of the longer key.
-fn nearest<'a>(key: &str, known: &'a [String]) -> Option<&'a String> {
+/// Returns the known key that shares the longest prefix or suffix with `key`, if that is at least half of the longer key.
+fn nearest_key<'a>(key: &str, known: &'a [String]) -> Option<&'a String> {
     let similarity = |candidate: &str| {
-        let prefix = common_prefix(candidate.bytes(), key.bytes());
-        let suffix = common_prefix(candidate.bytes().rev(), key.bytes().rev());
+        let prefix = common_prefix_len(candidate.bytes(), key.bytes());
+        let suffix = common_prefix_len(candidate.bytes().rev(), key.bytes().rev());
         prefix.max(suffix)
     };
     known
@@ -250,6 +256,6 @@
         .filter(|candidate| 2 * similarity(candidate) >= key.len().max(candidate.len()))
 }
 
-fn common_prefix(left: impl Iterator<Item = u8>, right: impl Iterator<Item = u8>) -> usize {
+fn common_prefix_len(left: impl Iterator<Item = u8>, right: impl Iterator<Item = u8>) -> usize {
     left.zip(right).take_while(|(a, b)| a == b).count()
 }
--- a/crates/config/src/slow_start.rs
+++ b/crates/config/src/slow_start.rs
@@ -1,8 +1,9 @@
-//! The `[cold …]` sections: how much an endpoint with a cold cache may be given.
+//! The slow-start settings in the `[cold]`, `[cold cache]` and `[cold parent]` sections: the load that an endpoint with a
+//! cold cache receives.
 use crate::reader::Reader;
 use pointspindle::SlowStartRule;
 
-/// Reads one section of slow-start settings.
+/// Reads a section of slow-start settings.
 pub(crate) fn read(reader: &mut Reader, section: &str) -> SlowStartRule {
     SlowStartRule {
         initial_share: reader.number(section, "start_share", 0.2, 0.0, 1.0),
--- a/crates/config/tests/network_quota.rs
+++ b/crates/config/tests/network_quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of client networks: which addresses belong to a network, and which prefixes are accepted.
+//! Quotas of client networks: which addresses belong to a network, and which prefixes are valid.
 use pointspindle_config::{parse, ConfigErrors, NetworkQuota};
 
 fn quotas(prefix: &str) -> Result<Vec<NetworkQuota>, ConfigErrors> {
@@ -11,7 +11,7 @@
 #[test]
 fn network_contains_addresses_with_its_leading_bits() {
     let contains = |prefix: &str, address: &str| {
-        let quotas = quotas(prefix).unwrap_or_else(|e| panic!("{e}"));
+        let quotas = quotas(prefix).unwrap_or_else(|error| panic!("{error}"));
         quotas[0].contains(address.parse().unwrap())
     };
     assert!(contains("10.20.0.0/16", "10.20.255.1"));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn network_prefix_that_is_no_prefix_is_rejected() {
+fn invalid_network_prefix_is_rejected() {
     for invalid in ["10.20.0.0", "10.20.0.0/33", "::/129", "10.20/16"] {
         let errors = quotas(invalid).expect_err(invalid).to_string();
         assert!(errors.contains("network n.prefix"), "{errors}");
--- a/crates/config/tests/settings_errors.rs
+++ b/crates/config/tests/settings_errors.rs
@@ -1,11 +1,11 @@
-//! Examples are accepted; errors of a settings file name line, key and reason.
+//! The example settings are accepted, and errors in a settings file name line, key and reason.
 use pointspindle_config::parse;
 
 const EXAMPLE: &str = include_str!("../../../examples/edge.ini");
 
 fn errors_of(text: &str) -> Vec<String> {
     parse("f.ini", text)
-        .expect_err("the text is invalid")
+        .expect_err("the settings are invalid")
         .0
         .iter()
         .map(|error| error.to_string())
@@ -14,7 +14,7 @@
 
 #[test]
 fn dispatcher_example_is_accepted_with_its_values() {
-    let settings = parse("edge.ini", EXAMPLE).unwrap_or_else(|e| panic!("{e}"));
+    let settings = parse("edge.ini", EXAMPLE).unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         (
             settings.endpoints.len(),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn every_error_is_reported_at_once_with_its_line() {
+fn all_errors_are_reported_together_with_their_lines() {
     let text = EXAMPLE
         .replace("max_attempts = 6", "max_atempts = 6")
         .replace("siblings = zone ", "siblings = near ")
@@ -51,10 +51,10 @@
             .unwrap()
     };
     let errors = errors_of(&text);
-    let assert_reported = |what: String| {
+    let assert_reported = |expected: String| {
         assert!(
-            errors.iter().any(|error| error.starts_with(&what)),
-            "{what} in {errors:#?}"
+            errors.iter().any(|error| error.starts_with(&expected)),
+            "{expected:?} is missing in {errors:#?}"
         )
     };
     assert_reported(format!(
@@ -62,7 +62,7 @@
         line("max_atempts")
     ));
     assert_reported(format!(
-        "f.ini:{}: fleet.siblings: \"near\" is none of none, zone, any",
+        "f.ini:{}: fleet.siblings: \"near\" is not one of none, zone, any",
         line("siblings")
     ));
     assert_reported(format!(
@@ -87,7 +87,7 @@
         let errors = errors_of(&EXAMPLE.replacen(from, to, 1));
         assert!(
             errors.iter().any(|error| error.contains(key)),
-            "{key} in {errors:#?}"
+            "no error about {key} in {errors:#?}"
         );
     };
     assert_rejected("number = 0 ", "number = 3 ", "dispatcher.number");
@@ -121,7 +121,7 @@
     );
     assert!(
         errors_of("[dispatcher\nname = x")[0].starts_with("f.ini:"),
-        "not INI, with its line"
+        "a text that is not valid INI is reported with the file name"
     );
 }
 
@@ -129,7 +129,7 @@
 fn cache_host_example_is_accepted_and_gateway_without_origin_rejected() {
     let example = include_str!("../../../examples/cache.ini");
     let settings = pointspindle_config::parse_cache_host("cache.ini", example)
-        .unwrap_or_else(|e| panic!("{e}"));
+        .unwrap_or_else(|error| panic!("{error}"));
     assert_eq!(
         (
             settings.classes.len(),
--- a/crates/scenario/tests/read.rs
+++ b/crates/scenario/tests/read.rs
@@ -44,7 +44,7 @@
 fn malformed_file_reports_every_error_with_its_key() {
     let text = "[day]\nabout = a test\nrate = 9..3\n[class page]\neffect = odd\n[trouble x]\nkind = crash\nzone = none\n";
     let errors = parse("test.ini", text, None).unwrap_err().to_string();
-    for expected in ["not a range within", "\"odd\" is none of", "branch-1"] {
+    for expected in ["not a range within", "\"odd\" is not one of", "branch-1"] {
         assert!(errors.contains(expected), "{expected} is missing: {errors}");
     }
 }
