--- a/crates/config/src/dispatcher/listen.rs
+++ b/crates/config/src/dispatcher/listen.rs
@@ -38,8 +38,8 @@
     pub head_timeout_us: u64,
     /// Maximum time in microseconds that a draining dispatcher waits for responses in flight.
     pub drain_timeout_us: u64,
-    /// Minimum reading rate of a client, measured over a pace window in which data is waiting for it. A slower client is
-    /// disconnected.
+    /// Minimum reading rate of a client in bytes per second, measured over a window in which data is waiting for the
+    /// client. A slower client is disconnected.
     pub min_client_bytes_per_s: u64,
     /// Length in microseconds of the window over which the reading rate of a client is measured.
     pub pace_window_us: u64,
--- a/crates/config/src/dispatcher/mod.rs
+++ b/crates/config/src/dispatcher/mod.rs
@@ -55,8 +55,7 @@
     pub endpoints: Vec<EndpointSpec>,
     /// Maximum number of open requests.
     pub max_requests: usize,
-    /// Number of buffered body bytes, read from one side and not yet written to the other, above which new requests are
-    /// rejected.
+    /// Number of body bytes read from one side and not yet written to the other, above which new requests are rejected.
     pub buffer_bytes: u64,
 }
 
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -18,7 +18,7 @@
 /// Maximum length of the body in a data frame, in bytes. It bounds how long one frame occupies the connection.
 pub const MAX_DATA: usize = 64 * 1024;
 /// Maximum length of a message other than an endpoint list, in bytes. Heads of requests and responses are small.
-pub const MAX_HEAD: usize = 16 * 1024;
+pub const MAX_MESSAGE: usize = 16 * 1024;
 /// Maximum length of an endpoint list, in bytes; enough for some thousands of endpoints.
 pub const MAX_ENDPOINT_LIST: usize = 1024 * 1024;
 
@@ -49,7 +49,7 @@
     Ack(AckHead),
     /// A ping or its echo.
     Probe(ProbeHead),
-    /// Identifies the process at the sender's end of the connection; the first frame that it sends.
+    /// Identifies the sender's process. The end that accepted the connection sends it as its first frame.
     Hello(HelloHead),
     /// The work that an endpoint in warm-up accepts from this connection for a limited time.
     Lease(LeaseHead),
--- a/crates/protocol/src/frame/kind.rs
+++ b/crates/protocol/src/frame/kind.rs
@@ -1,5 +1,5 @@
 //! Frame types as sent on the wire. The numbers are part of the protocol.
-use super::{MAX_DATA, MAX_ENDPOINT_LIST, MAX_HEAD};
+use super::{MAX_DATA, MAX_ENDPOINT_LIST, MAX_MESSAGE};
 
 pub(super) const REQUEST: u8 = 1;
 pub(super) const HEAD: u8 = 2;
@@ -22,7 +22,7 @@
     match kind {
         DATA => MAX_DATA,
         ENDPOINT_LIST => MAX_ENDPOINT_LIST,
-        _ => MAX_HEAD,
+        _ => MAX_MESSAGE,
     }
 }
 
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -58,16 +58,23 @@
 
 #[test]
 fn oversized_heads_and_targets_are_rejected() {
-    let many = "a: b\r\n".repeat(MAX_FIELDS + 1);
-    assert_eq!(status(&format!("GET / HTTP/1.1\r\nHost: x\r\n{many}")), 431);
-    let long = "x".repeat(MAX_HTTP_HEAD);
+    let excess_fields = "a: b\r\n".repeat(MAX_FIELDS + 1);
     assert_eq!(
-        status(&format!("GET / HTTP/1.1\r\nHost: x\r\na: {long}")),
+        status(&format!("GET / HTTP/1.1\r\nHost: x\r\n{excess_fields}")),
         431
     );
-    let target = "y".repeat(MAX_TARGET);
+    let oversized_value = "x".repeat(MAX_HTTP_HEAD);
     assert_eq!(
-        status(&format!("GET /{target} HTTP/1.1\r\nHost: x\r\n\r\n")),
+        status(&format!(
+            "GET / HTTP/1.1\r\nHost: x\r\na: {oversized_value}"
+        )),
+        431
+    );
+    let oversized_target = "y".repeat(MAX_TARGET);
+    assert_eq!(
+        status(&format!(
+            "GET /{oversized_target} HTTP/1.1\r\nHost: x\r\n\r\n"
+        )),
         414
     );
 }
