--- a/crates/dispatcher/src/net/connection_pool/connect.rs
+++ b/crates/dispatcher/src/net/connection_pool/connect.rs
@@ -1,4 +1,4 @@
-//! One connection's task: opens it, waits for the hello where one is expected, and reads what the endpoint sends.
+//! The task of one connection: opens it, waits for the hello where one is expected, and reads the endpoint's frames.
 use super::{ConnectionEvents, ConnectionPool, ConnectionState};
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead};
@@ -19,19 +19,20 @@
     pub address: String,
 }
 
-/// The connection ended before the hello of an endpoint that said one before. Whether the process is still the same is not
-/// known, so the next connection waits for the hello too.
-struct CutBeforeHello;
+/// The connection closed before the hello of an endpoint that has sent one before. It is not known whether the endpoint's
+/// process is still the same, so the next connection waits for the hello as well.
+struct ClosedBeforeHello;
 
 impl<E: ConnectionEvents> Connect<E> {
-    /// Opens the connection after a delay and runs it to its end; `state` is shared with all who wait for it.
+    /// Opens the connection after a delay and runs it to its end. `state` is shared with all tasks that wait for the
+    /// connection.
     pub async fn run(self, state: watch::Sender<ConnectionState>, delay: Duration) {
         tokio::time::sleep(delay).await;
         let socket = match open_socket(&self.pool, &self.address).await {
             Ok(socket) => socket,
             Err(e) if e.is_peer_failure() => return self.failed(&state, e.to_string()),
             Err(e) => {
-                tracing::warn!(endpoint = self.address, error = %e, "no connection");
+                tracing::warn!(endpoint = self.address, error = %e, "no connection: local resource shortage");
                 state.send_replace(ConnectionState::LocalShortage);
                 return;
             }
@@ -42,11 +43,13 @@
         let meter = self.pool.meter.clone();
         let (connection, mut incoming) =
             FramedConnection::start_metered(socket, Side::Caller, options, meter);
-        let hello = own_hello(&self.pool);
+        let hello = dispatcher_hello(&self.pool);
         let _ = connection.control(Frame::Hello(hello)).await;
         let replaced = match self.await_hello(&mut incoming).await {
             Ok(replaced) => replaced,
-            Err(CutBeforeHello) => return self.failed(&state, "cut before its hello".into()),
+            Err(ClosedBeforeHello) => {
+                return self.failed(&state, "connection closed before its hello".into())
+            }
         };
         state.send_replace(ConnectionState::Ready {
             connection: connection.clone(),
@@ -58,35 +61,36 @@
         self.ended(connection.ended_unexpectedly());
     }
 
-    fn failed(&self, state: &watch::Sender<ConnectionState>, why: String) {
+    fn failed(&self, state: &watch::Sender<ConnectionState>, reason: String) {
         self.pool.connect_failed(&self.address);
-        state.send_replace(ConnectionState::Failed(why));
+        state.send_replace(ConnectionState::Failed(reason));
     }
 
-    /// Waits for the hello where one is expected: a request sent before it could reach a process that has just started, and
-    /// was decided for the one before. An endpoint that says nothing in time counts as one that never does. Returns whether
-    /// another process was there before.
-    async fn await_hello(&self, incoming: &mut Incoming) -> Result<bool, CutBeforeHello> {
-        if !self.pool.greeted().contains_key(&self.address) {
+    /// Waits for the hello where one is expected: a request sent earlier could reach a newly started process, although the
+    /// core chose the endpoint by the state of the previous process. An endpoint that sends no hello before the timeout is
+    /// treated as one that never sends it. Returns whether another process was at the address before.
+    async fn await_hello(&self, incoming: &mut Incoming) -> Result<bool, ClosedBeforeHello> {
+        if !self.pool.hello_senders().contains_key(&self.address) {
             return Ok(false);
         }
         let timeout = Duration::from_micros(self.pool.settings.hello_timeout_us);
         match tokio::time::timeout(timeout, incoming.next()).await {
-            Ok(None) => Err(CutBeforeHello),
+            Ok(None) => Err(ClosedBeforeHello),
             Ok(Some(Inbound::Control(Frame::Hello(hello)))) => Ok(self.handle_hello(hello)),
             Ok(Some(first)) => {
-                self.pool.greeted().remove(&self.address);
+                self.pool.hello_senders().remove(&self.address);
                 self.handle_inbound(first);
                 Ok(false)
             }
             Err(_) => {
-                self.pool.greeted().remove(&self.address);
+                self.pool.hello_senders().remove(&self.address);
                 Ok(false)
             }
         }
     }
 
-    /// Endpoints send no requests to a dispatcher; a go-away is handled by the connection itself.
+    /// Handles a hello or lease frame. Endpoints send no requests to a dispatcher, and the connection handles a go-away
+    /// itself.
     fn handle_inbound(&self, inbound: Inbound) {
         match inbound {
             Inbound::Control(Frame::Hello(hello)) => {
@@ -99,24 +103,25 @@
         }
     }
 
-    /// True if another process was at the address before.
+    /// Returns whether another process was at the address before.
     fn handle_hello(&self, hello: HelloHead) -> bool {
         self.pool
-            .greeted()
+            .hello_senders()
             .insert(self.address.clone(), Instant::now());
         let replaced = self.events.hello_received(&self.address, hello);
         if replaced {
-            let ago_us = hello.started_ago_us;
+            let started_ago_us = hello.started_ago_us;
             tracing::info!(
                 endpoint = self.address,
-                ago_us,
+                started_ago_us,
                 "endpoint has restarted, by its hello"
             );
         }
         replaced
     }
 
-    /// Sets the backoff of the address; an endpoint that says hello is connected to again without waiting for a request.
+    /// Updates the backoff of the address after the connection has ended. An endpoint that sends a hello is reconnected to
+    /// without waiting for a request.
     fn ended(self, unexpectedly: bool) {
         let Self {
             pool,
@@ -133,7 +138,7 @@
             .entry(address.clone())
             .or_default()
             .connection_lost(now, random_unit);
-        if pool.greeted().contains_key(&address) {
+        if pool.hello_senders().contains_key(&address) {
             events.connection_lost(address);
         }
     }
@@ -148,10 +153,10 @@
         .await
 }
 
-/// Identifies this dispatcher, so that an endpoint that is warming up can lease its work to it.
-fn own_hello(pool: &ConnectionPool) -> HelloHead {
+/// Returns the hello that identifies this dispatcher, so that an endpoint in warm-up can lease its capacity to it.
+fn dispatcher_hello(pool: &ConnectionPool) -> HelloHead {
     HelloHead {
-        incarnation: pool.process,
+        incarnation: pool.incarnation,
         started_ago_us: None,
         dispatcher: true,
         requests_work: true,
--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -1,5 +1,5 @@
-//! Connections to endpoints: one for each address, opened when first needed, closed when unused or dead
-//! ([`crate::keep_alive`]), opened again with a backoff for each address ([`crate::reconnect_backoff`]).
+//! Connections to endpoints: one per address, opened when first needed, closed when unused or unresponsive
+//! ([`crate::keep_alive`]), and reopened with a backoff per address ([`crate::reconnect_backoff`]).
 mod connect;
 
 use crate::keep_alive::{KeepAlive, KeepAliveRule, KeepAliveVerdict};
@@ -17,16 +17,16 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// An address without a connection for so long is no longer expected to say hello.
-const GREETING_RETENTION: Duration = Duration::from_secs(600);
+/// An address that has sent no hello for this long is no longer expected to send one.
+const HELLO_SENDER_RETENTION: Duration = Duration::from_secs(600);
 
-/// What the pool's connections report to its owner, and need of it.
+/// Events of the pool's connections, handled by the owner of the pool.
 pub(super) trait ConnectionEvents: Send + Sync + 'static {
-    /// An endpoint said hello. True if another process was at its address before.
+    /// An endpoint sent a hello. Returns whether another process was at its address before.
     fn hello_received(&self, endpoint: &str, hello: HelloHead) -> bool;
     /// An endpoint leased capacity to this dispatcher.
     fn lease_received(&self, endpoint: &str, lease: LeaseHead);
-    /// The connection to an endpoint that says hello was lost: it is to be connected to again.
+    /// The connection to an endpoint that sends a hello was lost, so a new one is to be opened.
     fn connection_lost(&self, endpoint: String);
 }
 
@@ -35,11 +35,11 @@
     Connecting,
     Ready {
         connection: FramedConnection,
-        /// Another process than before answers; what waited was meant for the old one.
+        /// Whether another process than before answered: requests that waited were meant for the previous process.
         replaced: bool,
     },
     Failed(String),
-    /// This machine could open no connection, which is no sign of the endpoint's health.
+    /// This machine lacks the resources to open a connection, which says nothing about the endpoint's health.
     LocalShortage,
 }
 
@@ -53,14 +53,14 @@
     }
 }
 
-/// Why there is no connection for an attempt.
+/// Reason reason there is no connection for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum NoConnection {
-    /// Connecting failed, or is in backoff.
+    /// Connecting failed or is in backoff.
     Failed(String),
-    /// There is one, to another process than the attempt was decided for.
+    /// The connection leads to another process than the one for which the attempt was decided.
     Replaced,
-    /// This machine could open none.
+    /// This machine lacks the resources to open a connection.
     LocalShortage,
 }
 
@@ -71,45 +71,45 @@
     health: KeepAlive,
 }
 
-/// One connection for each endpoint address. An entry is removed when its connection has ended or failed.
+/// At most one connection per endpoint address. An entry is removed once its connection has ended or failed.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionPool {
     settings: UpstreamSettings,
     entries: Arc<Mutex<HashMap<String, PoolEntry>>>,
-    /// Addresses that said hello on their last connection, and when: a new connection is used after its hello. Removed after
-    /// [`GREETING_RETENTION`], or when a connection brings no hello.
-    greeted: Arc<Mutex<HashMap<String, Instant>>>,
-    /// Addresses that broke or could not be reached; removed a minute after the last failure.
+    /// Addresses that sent a hello on their last connection, with its time: a new connection to them is used only after its
+    /// hello. An entry is removed after [`HELLO_SENDER_RETENTION`], or when a connection yields no hello.
+    hello_senders: Arc<Mutex<HashMap<String, Instant>>>,
+    /// Backoffs of addresses whose connections broke or could not be opened; removed a minute after the last failure.
     backoffs: Arc<Mutex<HashMap<String, ReconnectBackoff>>>,
     rng: Arc<Mutex<StdRng>>,
     meter: BufferMeter,
     network: Network,
     started_at: Instant,
-    /// Identifies this process to endpoints.
-    pub process: u64,
+    /// Incarnation of this process, sent to endpoints in the hello.
+    pub incarnation: u64,
 }
 
 impl ConnectionPool {
-    /// A pool without connections.
+    /// Creates a pool without connections.
     pub fn new(
         settings: UpstreamSettings,
         seed: u64,
         meter: BufferMeter,
         network: Network,
     ) -> Self {
-        let process = std::hash::RandomState::new().build_hasher().finish().max(1);
-        // Differs between processes: dispatchers with the same seed must not reconnect at the same time.
-        let rng = StdRng::seed_from_u64(seed ^ process);
+        let incarnation = std::hash::RandomState::new().build_hasher().finish().max(1);
+        // The seed must differ between processes: dispatchers with the same seed must not reconnect at the same time.
+        let rng = StdRng::seed_from_u64(seed ^ incarnation);
         Self {
             settings,
             entries: Arc::default(),
-            greeted: Arc::default(),
+            hello_senders: Arc::default(),
             backoffs: Arc::default(),
             rng: Arc::new(Mutex::new(rng)),
             meter,
             network,
             started_at: Instant::now(),
-            process,
+            incarnation,
         }
     }
 
@@ -117,7 +117,7 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Uniform from 0 to 1.
+    /// Returns a random number, uniformly distributed from 0 to 1.
     pub fn random_unit(&self) -> f64 {
         lock(&self.rng).gen()
     }
@@ -126,37 +126,38 @@
         lock(&self.entries)
     }
 
-    fn greeted(&self) -> MutexGuard<'_, HashMap<String, Instant>> {
-        lock(&self.greeted)
+    fn hello_senders(&self) -> MutexGuard<'_, HashMap<String, Instant>> {
+        lock(&self.hello_senders)
     }
 
     fn backoffs(&self) -> MutexGuard<'_, HashMap<String, ReconnectBackoff>> {
         lock(&self.backoffs)
     }
 
-    /// The connection to an address, shared with all who wait for it. Safe to drop while waiting: connecting goes on for
-    /// the others.
+    /// Returns the connection to an address, shared with all tasks that wait for it. The future may be dropped at any time:
+    /// connecting continues for the other tasks.
     pub(super) async fn connection<E: ConnectionEvents>(
         &self,
         events: &Arc<E>,
         address: &str,
     ) -> Result<FramedConnection, NoConnection> {
-        let (mut state, waited) = self.current_or_new(events, address)?;
+        let (mut state, was_connecting) = self.current_or_new(events, address)?;
         let state = state
             .wait_for(|state| !matches!(state, ConnectionState::Connecting))
             .await;
         match state.as_deref() {
-            Ok(ConnectionState::Ready { replaced: true, .. }) if waited => {
+            Ok(ConnectionState::Ready { replaced: true, .. }) if was_connecting => {
                 Err(NoConnection::Replaced)
             }
             Ok(ConnectionState::Ready { connection, .. }) => Ok(connection.clone()),
-            Ok(ConnectionState::Failed(why)) => Err(NoConnection::Failed(why.clone())),
+            Ok(ConnectionState::Failed(reason)) => Err(NoConnection::Failed(reason.clone())),
             Ok(ConnectionState::LocalShortage) => Err(NoConnection::LocalShortage),
-            _ => Err(NoConnection::Failed("connecting was given up".into())),
+            _ => Err(NoConnection::Failed("connecting was aborted".into())),
         }
     }
 
-    /// The state of the address's connection, started where there is none; and whether it is still being opened.
+    /// Returns the state of the connection to an address, which is opened if there is none, and whether it is still being
+    /// opened.
     fn current_or_new<E: ConnectionEvents>(
         &self,
         events: &Arc<E>,
@@ -166,8 +167,8 @@
         if let Some(entry) = entries.get_mut(address) {
             if entry.state.borrow().accepts_calls() {
                 entry.last_used = Instant::now();
-                let waits = matches!(*entry.state.borrow(), ConnectionState::Connecting);
-                return Ok((entry.state.clone(), waits));
+                let still_connecting = matches!(*entry.state.borrow(), ConnectionState::Connecting);
+                return Ok((entry.state.clone(), still_connecting));
             }
         }
         let delay = self.reconnect_delay(address)?;
@@ -198,8 +199,9 @@
             ConnectDecision::After(wait) => Ok(Duration::from_micros(wait)),
             ConnectDecision::RejectFor(wait) => {
                 let ms = wait.div_ceil(1_000);
-                let why = format!("it failed lately; next try in {ms} ms");
-                Err(NoConnection::Failed(why))
+                let reason =
+                    format!("endpoint failed recently; next connection attempt in {ms} ms");
+                Err(NoConnection::Failed(reason))
             }
         }
     }
@@ -213,7 +215,7 @@
             .connect_failed(now, random_unit);
     }
 
-    /// Requests work from an endpoint, if there is a connection to it.
+    /// Sends a work request to an endpoint if there is a connection to it.
     pub fn request_work(&self, address: &str, work_us: u64) {
         let entries = self.entries();
         let state = entries.get(address).map(|entry| entry.state.borrow());
@@ -222,32 +224,32 @@
         }
     }
 
-    /// Addresses with a connection or an attempt to open one.
+    /// Number of addresses with a connection, open or being opened.
     pub fn count(&self) -> usize {
         self.entries().len()
     }
 
-    /// Closes connections that are unused for too long or dead, and removes those that take no calls any more. Returns how
-    /// many were dead.
+    /// Closes connections that have been unused for too long or are unresponsive, and removes those that accept no more
+    /// calls. Returns the number of unresponsive connections.
     pub fn sweep(&self) -> u64 {
         let now = self.now();
-        let mut dead = 0;
-        let mut greeted = self.greeted();
+        let mut unresponsive = 0;
+        let mut hello_senders = self.hello_senders();
         self.entries().retain(|address, entry| {
-            let verdict = self.sweep_entry(entry, greeted.contains_key(address), now);
-            if verdict == SweepVerdict::Dead {
+            let verdict = self.sweep_entry(entry, hello_senders.contains_key(address), now);
+            if verdict == SweepVerdict::Unresponsive {
                 tracing::warn!(endpoint = %address, "endpoint connection closed: no keep-alive reply");
-                dead += 1;
+                unresponsive += 1;
             }
             verdict == SweepVerdict::Keep
         });
-        greeted.retain(|_, at| at.elapsed() < GREETING_RETENTION);
+        hello_senders.retain(|_, at| at.elapsed() < HELLO_SENDER_RETENTION);
         self.backoffs()
             .retain(|_, backoff| !backoff.is_expired(now));
-        dead
+        unresponsive
     }
 
-    fn sweep_entry(&self, entry: &mut PoolEntry, greeted: bool, now: Micros) -> SweepVerdict {
+    fn sweep_entry(&self, entry: &mut PoolEntry, sends_hello: bool, now: Micros) -> SweepVerdict {
         let state = entry.state.borrow();
         if !state.accepts_calls() {
             return SweepVerdict::Remove;
@@ -258,11 +260,11 @@
         let idle_timeout = Duration::from_micros(self.settings.idle_timeout_us);
         let active = connection.open_streams() > 0;
         if !active && entry.last_used.elapsed() > idle_timeout {
-            connection.close("unused");
+            connection.close("idle timeout expired");
             return SweepVerdict::Remove;
         }
-        // Only endpoints that say hello answer probes; the silence of others is no sign of death.
-        if !greeted {
+        // Only endpoints that send a hello answer probes; other endpoints may be silent for as long as they like.
+        if !sends_hello {
             return SweepVerdict::Keep;
         }
         let since_last_frame = connection.time_since_last_frame().as_micros() as Micros;
@@ -279,7 +281,7 @@
             }
             KeepAliveVerdict::Close => {
                 connection.abort("no keep-alive reply");
-                SweepVerdict::Dead
+                SweepVerdict::Unresponsive
             }
         }
     }
@@ -293,13 +295,13 @@
     }
 }
 
-/// What a sweep does with an entry.
+/// Action of a sweep on an entry.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SweepVerdict {
     Keep,
     Remove,
-    /// Removed because the endpoint sent no keep-alive reply.
-    Dead,
+    /// The entry is removed because the endpoint sent no keep-alive reply.
+    Unresponsive,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -1,7 +1,7 @@
-//! The core behind a lock, its clock and timers, and the delivery of its commands to the requests' tasks.
+//! The core behind a lock, with its clock and timers, and the delivery of its commands to the request tasks.
 //!
-//! A [`CoreHandle`] is tied to no protocol: requests reach endpoints through its [`EndpointTransport`]. The framed protocol
-//! is one; the platform's, in a package of its own, is another.
+//! A [`CoreHandle`] is independent of the protocol: requests reach endpoints through its [`EndpointTransport`]. One
+//! implementation is for the framed protocol; the one for the platform's protocol is in a separate package.
 use super::metrics::Metrics;
 use crate::core::{
     AddressedFetch, AttemptEnd, AttemptTerms, ClientRequest, Core, CoreStateCounts,
@@ -22,19 +22,19 @@
 use tokio::sync::{mpsc, watch, Notify};
 use tokio::time::Instant;
 
-/// The core's clock starts here and not at 0, so that endpoints may have started before the dispatcher.
+/// Initial value of the core's clock. It is not 0, so that start times of endpoints may precede that of the dispatcher.
 const CLOCK_START_US: Micros = 1_000_000_000_000;
-/// Longest time between two checks whether all requests have ended.
+/// Maximum time between two checks whether all requests have ended.
 const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Connections to endpoints, in one protocol.
+/// Connections to endpoints over one protocol.
 pub trait EndpointTransport: std::fmt::Debug + Send + Sync + Sized + 'static {
-    /// A request under way.
+    /// A request in progress at an endpoint.
     type Call: UpstreamCall;
 
-    /// Sends a request once [`CoreHandle::begin_attempt`] permits it, which is called right before the first byte, after
-    /// every wait for a connection or a stream on it. The future may be dropped at any time; what was sent is then
-    /// cancelled at the endpoint.
+    /// Sends a request once [`CoreHandle::begin_attempt`] permits it. That function is called immediately before the first
+    /// byte, after every wait for a connection or for a stream on it. The future may be dropped at any time; a request that
+    /// has been sent is then cancelled at the endpoint.
     fn call(
         core: &Arc<CoreHandle<Self>>,
         attempt: AttemptId,
@@ -43,24 +43,25 @@
         body: &Bytes,
     ) -> impl std::future::Future<Output = Result<Self::Call, AttemptEnd>> + Send;
 
-    /// Opens a connection that no request needs, so that the endpoint can say hello. Must not block.
+    /// Opens a connection without a request, so that the endpoint can send its hello. Must not block.
     fn connect(&self, endpoint: String);
 
-    /// Requests work from an endpoint that leases its capacity. Nothing where the protocol has no such request. Must not block.
+    /// Requests work from an endpoint that leases its capacity. Does nothing if the protocol has no such request. Must not
+    /// block.
     fn request_work(&self, _endpoint: &str, _work_us: u64) {}
 }
 
-/// An attempt, as the core knows it.
+/// Identifies an attempt at the core.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request's number at the core.
+    /// Number of the request at the core.
     pub request: u64,
-    /// The attempt's number within the request.
+    /// Number of the attempt within the request.
     pub attempt: u32,
 }
 
 impl AttemptTerms {
-    /// Puts the present time budget and age limits into a request head that was made when the core decided the attempt.
+    /// Writes the current time budget and age limit into a request head that was created when the core decided the attempt.
     pub fn apply_to(&self, request: &mut RequestHead) {
         request.time_left_us = self.time_left;
         if let Some(fetch) = &mut request.fetch {
@@ -70,15 +71,15 @@
     }
 }
 
-/// A request under way at an endpoint. Dropped before its end it is cancelled there.
+/// A request in progress at an endpoint. Dropping it before its end cancels it there.
 pub trait UpstreamCall: Send {
-    /// The next part of the response; none after the end.
+    /// Returns the next part of the response, or `None` after the end.
     fn next(&mut self) -> impl std::future::Future<Output = Option<ResponsePart>> + Send;
-    /// The next part, if it has arrived already.
+    /// Returns the next part of the response if it has arrived already.
     fn try_next(&mut self) -> Option<ResponsePart>;
 }
 
-/// What a request's task is to do; the core's outputs without the request's number.
+/// A command to a request's task: one of the core's outputs without the request's number.
 #[derive(Debug)]
 pub enum RequestCommand {
     /// Make an attempt at an endpoint.
@@ -89,10 +90,10 @@
         endpoint: String,
         /// Time until the attempt is cancelled.
         timeout: Micros,
-        /// What a cache does on a miss; none: the request is forwarded as it is.
+        /// Instructions for a cache on a miss; `None` if the request is forwarded unchanged.
         fetch: Option<AddressedFetch>,
     },
-    /// Cancel an attempt; the request goes on.
+    /// Cancel an attempt; the request continues.
     CancelAttempt {
         /// Number of the attempt within the request.
         attempt: u32,
@@ -104,12 +105,12 @@
     },
     /// Final: shed the request.
     Reject {
-        /// Time after which the client may retry, where it is notified of one.
+        /// Time after which the client may retry, if the client is to be given one.
         retry_after: Option<Micros>,
     },
-    /// Final: no attempt has answered.
+    /// Final: fail the request, because no attempt received a response.
     Fail,
-    /// Final: cut the response that is being forwarded.
+    /// Final: abort the response that is being forwarded.
     AbortResponse,
 }
 
@@ -118,42 +119,42 @@
     core: Core,
     /// One entry for each open request, removed by [`CoreHandle::close_request`].
     commands: HashMap<u64, mpsc::UnboundedSender<RequestCommand>>,
-    /// Empty between inputs; kept for its capacity.
+    /// Buffer for the outputs of one input; empty between inputs and reused for its capacity.
     outputs: Vec<Output>,
-    /// When the timer task wakes by itself.
+    /// Time at which the timer task wakes without a notification.
     timer_set_to: Option<Micros>,
     last_request: u64,
     rng: StdRng,
 }
 
-/// What the core reports of an input, beside commands.
+/// Results of an input other than commands to request tasks.
 #[derive(Debug, Default)]
 struct InputEffects {
     endpoint_list: Option<EndpointListChange>,
-    /// Another process was at the address of a hello before.
+    /// Whether another process was at the address of a hello before.
     replaced: bool,
 }
 
-/// One dispatcher's core, for all tasks of its shell.
+/// The core of one dispatcher, shared by all of its tasks.
 #[derive(Debug)]
 pub struct CoreHandle<S> {
     state: Mutex<CoreState>,
     started_at: Instant,
-    /// The next timer is due earlier than the timer task knows.
+    /// Notified when the next timer is due earlier than the timer task expects.
     timer_changed: Notify,
-    /// The last open request has closed.
+    /// Notified when the last open request has closed.
     idle: Notify,
-    /// The state file is out of date.
+    /// Notified when the state file is out of date.
     pub(crate) dirty: Notify,
-    /// The settings that the core was made with.
+    /// The settings of the dispatcher.
     pub settings: Arc<DispatcherSettings>,
     pub(crate) metrics: Metrics,
-    /// Bytes of bodies that all connections buffer.
+    /// Counts the bytes of bodies that all connections buffer.
     pub meter: BufferMeter,
     budget: RequestBudget,
     /// Whether the control source reports that its view is current.
     pub(crate) view: watch::Sender<bool>,
-    /// Cached copies have been withheld since the last confirmation ([`Input::PurgesConfirmed`]).
+    /// Whether cached copies have been withheld since the last confirmation of purges ([`Input::PurgesConfirmed`]).
     withholding_copies: AtomicBool,
     /// Connections to endpoints.
     pub transport: S,
@@ -161,7 +162,7 @@
 
 /// Requests.
 impl<S: EndpointTransport> CoreHandle<S> {
-    /// A core in its initial state. `transport` is given the meter that all connections share.
+    /// Creates a core in its initial state. `transport` receives the meter that all connections share.
     pub fn new(
         settings: Arc<DispatcherSettings>,
         seed: u64,
@@ -218,8 +219,8 @@
         CLOCK_START_US + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Opens a request; or, over the request budget, the time after which its client may retry. Who opens it owes a
-    /// [`CoreHandle::close_request`].
+    /// Opens a request, or returns the time after which its client may retry if the request budget is exhausted. The caller
+    /// must close an open request with [`CoreHandle::close_request`].
     pub fn open_request(
         &self,
         request: ClientRequest,
@@ -240,10 +241,11 @@
         Ok((id, commands))
     }
 
-    /// The present terms of an attempt, right before its first byte ([`Core::begin`]); none if it may not begin any more.
+    /// Returns the current terms of an attempt, immediately before its first byte is sent ([`Core::begin`]), or `None` if
+    /// the attempt must no longer begin.
     pub fn begin_attempt(&self, attempt: AttemptId) -> Option<AttemptTerms> {
         let mut state = self.lock();
-        // The clock is read under the lock: the core's time never runs backwards.
+        // The clock is read under the lock, so that the core's time never runs backwards.
         let now = self.now();
         let terms = state.core.begin(now, attempt.request, attempt.attempt);
         let Some(terms) = terms else {
@@ -259,7 +261,7 @@
         Some(terms)
     }
 
-    /// Whether an attempt that still waits may begin.
+    /// Whether an attempt that has not begun yet may begin.
     pub fn may_begin(&self, attempt: AttemptId) -> bool {
         let now = self.now();
         self.lock()
@@ -267,7 +269,7 @@
             .may_begin(now, attempt.request, attempt.attempt)
     }
 
-    /// The request's task has ended, with whatever outcome.
+    /// Closes a request whose task has ended, with any outcome.
     pub fn close_request(&self, id: u64) {
         let mut state = self.lock();
         state.commands.remove(&id);
@@ -277,19 +279,19 @@
         }
     }
 
-    /// Requests without a final response.
+    /// Number of requests without a final response.
     pub fn open_requests(&self) -> usize {
         self.lock().commands.len()
     }
 
-    /// Returns when no request is open.
+    /// Waits until no request is open.
     pub async fn drained(&self) {
         loop {
             let idle = self.idle.notified();
             if self.open_requests() == 0 {
                 return;
             }
-            // The timeout covers a close between the check and the wait.
+            // The timeout covers a request that closes between the check and the wait.
             let _ = tokio::time::timeout(DRAIN_CHECK_INTERVAL, idle).await;
         }
     }
@@ -297,7 +299,7 @@
 
 /// Control inputs and reports.
 impl<S: EndpointTransport> CoreHandle<S> {
-    /// All purges that were acknowledged up to `ago` ago are in force.
+    /// Records that all purges acknowledged at least `ago` microseconds ago are in force.
     pub fn confirm_purges(&self, ago: Micros) {
         self.apply(Input::PurgesConfirmed { ago });
         if self.withholding_copies.swap(false, Ordering::Relaxed) {
@@ -305,7 +307,8 @@
         }
     }
 
-    /// Whether purges are confirmed to be known; none where that is not promised.
+    /// Whether the purge lease is valid, so that all purges are confirmed to be in force; `None` if the settings promise no
+    /// time within which purges are in force.
     pub fn purges_confirmed(&self) -> Option<bool> {
         let now = self.now();
         self.lock().core.purges_confirmed(now)
@@ -316,7 +319,7 @@
         self.handle(self.lock(), input);
     }
 
-    /// Applies an endpoint list or a change of one.
+    /// Applies a full endpoint list or a change to it.
     pub fn apply_endpoint_list(&self, head: EndpointListHead) -> EndpointListChange {
         let effects = self.handle(self.lock(), Input::EndpointList(head));
         let change = effects
@@ -330,7 +333,7 @@
         change
     }
 
-    /// Applies an endpoint's hello. True if another process was at this address before.
+    /// Applies an endpoint's hello. Returns whether another process was at this address before.
     pub fn apply_hello(&self, endpoint: &str, hello: HelloHead) -> bool {
         let input = Input::Hello {
             endpoint: endpoint.to_owned(),
@@ -345,30 +348,30 @@
         self.dirty.notify_one();
     }
 
-    /// Version of the endpoint list in force; 0: none yet.
+    /// Version of the endpoint list in force; 0 if there is none yet.
     pub fn endpoint_list_seq(&self) -> u64 {
         self.lock().core.endpoint_list_seq()
     }
 
-    /// The endpoint list in force.
+    /// Returns the endpoint list in force.
     pub fn endpoint_list(&self) -> EndpointListHead {
         let now = self.now();
         self.lock().core.endpoint_list(now)
     }
 
-    /// How many endpoints, purges and dispatchers the core's state holds.
+    /// Number of endpoints, purges and dispatchers in the core's state.
     pub fn state_counts(&self) -> CoreStateCounts {
         let now = self.now();
         self.lock().core.state_counts(now)
     }
 
-    /// What the state file holds.
+    /// Returns the state to be written to the state file.
     pub fn snapshot(&self) -> crate::core::state::Snapshot {
         let now = self.now();
         self.lock().core.snapshot(now)
     }
 
-    /// Outcomes of requests and attempts so far, in a line for the log.
+    /// Returns the number of requests and attempts so far by outcome, as one line for the log.
     pub fn counters_line(&self) -> String {
         let text = self.metrics.text();
         let counts = text
@@ -382,14 +385,15 @@
         counts.map(short).collect::<Vec<_>>().join(" ")
     }
 
-    /// Handles an input and sends its commands, under the lock so that their order is the core's.
+    /// Handles an input and sends the resulting commands. Sending happens under the lock, so that the order of the commands
+    /// is the core's.
     fn handle(&self, mut state: MutexGuard<'_, CoreState>, input: Input) -> InputEffects {
         let now = self.now();
         let mut outputs = std::mem::take(&mut state.outputs);
         state.core.handle(now, input, &mut outputs);
         let mut effects = InputEffects::default();
         for output in outputs.drain(..) {
-            self.carry_out(&state, output, &mut effects);
+            self.dispatch_output(&state, output, &mut effects);
         }
         state.outputs = outputs;
         for (outcome, count) in state.core.take_attempt_counts() {
@@ -403,7 +407,7 @@
         effects
     }
 
-    fn carry_out(&self, state: &CoreState, output: Output, effects: &mut InputEffects) {
+    fn dispatch_output(&self, state: &CoreState, output: Output, effects: &mut InputEffects) {
         let (request, command) = match output {
             Output::Send {
                 request,
@@ -451,7 +455,7 @@
     }
 }
 
-/// Ticks the core when its next timer is due.
+/// Sends a tick to the core whenever its next timer is due.
 pub async fn run_timers<S: EndpointTransport>(core: Arc<CoreHandle<S>>) {
     loop {
         let next = {
--- a/crates/dispatcher/src/net/exchange/attempts.rs
+++ b/crates/dispatcher/src/net/exchange/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a request, as the core commands them, until one of them answers.
+//! Runs the attempts that the core commands for a request, until one of them receives a response head.
 use super::super::core_handle::{
     AttemptId, CoreHandle, EndpointTransport, RequestCommand, UpstreamCall,
 };
@@ -10,33 +10,33 @@
 use pointspindle_transport::ResponsePart;
 use std::sync::Arc;
 
-/// An attempt under way. Dropped, it is cancelled at its endpoint.
+/// An attempt in progress. Dropping it cancels it at its endpoint.
 struct Attempt<C> {
     id: AttemptId,
     endpoint: String,
     request: RequestHead,
-    /// None while connecting.
+    /// The call at the endpoint; `None` while connecting.
     call: Option<C>,
-    /// Received, and not forwarded before the core says so.
+    /// Response head that has been received. It is forwarded only on the core's command.
     head: Option<ResponseHead>,
 }
 
-/// A response whose head has been received and whose body follows.
-pub(super) struct Answer<C> {
+/// A response whose head has been received and whose body has not been read yet.
+pub(super) struct StartedResponse<C> {
     pub attempt: u32,
     pub call: C,
     pub head: ResponseHead,
 }
 
-/// How the attempts ended.
+/// Result of the attempts of a request.
 pub(super) enum AttemptsOutcome<C> {
-    Answered(Answer<C>),
+    ResponseStarted(StartedResponse<C>),
     Rejected { retry_after: Option<Micros> },
     Failed,
     ClientDisconnected,
 }
 
-/// What happened while waiting for a response head.
+/// An event that occurred while waiting for a response head.
 enum AttemptEvent<C> {
     Command(Option<RequestCommand>),
     ClientDisconnected,
@@ -45,7 +45,8 @@
 }
 
 impl<S: EndpointTransport> Exchange<'_, S> {
-    /// Carries out the core's commands until one attempt's response is to be forwarded, or there will be none.
+    /// Executes the core's commands until the response of one attempt is to be forwarded or the request has ended
+    /// without one.
     pub(super) async fn run_attempts<C: ClientStream>(
         &mut self,
         client: &mut C,
@@ -54,8 +55,8 @@
         loop {
             let event = tokio::select! {
                 biased;
-                // Commands first: a response that arrives with its own cancellation is not forwarded. Then the client:
-                // no attempt is made for one that has left.
+                // Commands are polled first, so that a response that arrives together with its cancellation is not
+                // forwarded; then the client, so that no attempt is made for a client that has disconnected.
                 command = self.commands.recv() => AttemptEvent::Command(command),
                 _ = client.disconnected() => AttemptEvent::ClientDisconnected,
                 event = advance(self.core, &self.incoming.body, &mut current) => event,
@@ -63,15 +64,15 @@
             match event {
                 AttemptEvent::ClientDisconnected => return AttemptsOutcome::ClientDisconnected,
                 AttemptEvent::Command(None) => {
-                    // No further command will come; the client is there and is owed an end.
-                    tracing::error!("a request's commands ended without a final one");
+                    // The command channel is closed. The client is still connected and must receive a final response.
+                    tracing::error!("command channel of a request closed without a final command; request fails");
                     drop(current.take());
                     self.core
                         .apply(Input::ClientDisconnected(self.open_request.id));
                     return AttemptsOutcome::Failed;
                 }
                 AttemptEvent::Command(Some(command)) => {
-                    if let Some(outcome) = self.carry_out(command, &mut current) {
+                    if let Some(outcome) = self.execute(command, &mut current) {
                         return outcome;
                     }
                 }
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Carries out one command; an outcome if it ends the attempts.
-    fn carry_out(
+    /// Executes one command. Returns the outcome if the command ends the attempts.
+    fn execute(
         &mut self,
         command: RequestCommand,
         current: &mut Option<Attempt<S::Call>>,
@@ -107,18 +108,18 @@
                 timeout,
                 fetch,
             } => {
-                tracing::debug!(attempt, endpoint, ?fetch, "attempt");
+                tracing::debug!(attempt, endpoint, ?fetch, "attempt started");
                 *current = Some(self.new_attempt(attempt, endpoint, timeout, fetch));
                 None
             }
             RequestCommand::CancelAttempt { attempt } => {
-                // Dropping the call notifies the endpoint; the next attempt goes out after that.
+                // Dropping the call notifies the endpoint before the next attempt is sent.
                 *current = current.take().filter(|a| a.id.attempt != attempt);
                 None
             }
             RequestCommand::ForwardResponse { attempt } => {
                 let found = current.take().filter(|a| a.id.attempt == attempt)?;
-                Some(AttemptsOutcome::Answered(Answer {
+                Some(AttemptsOutcome::ResponseStarted(StartedResponse {
                     attempt,
                     call: found.call?,
                     head: found.head?,
@@ -163,8 +164,8 @@
     fn response_started(&self, attempt: &mut Attempt<S::Call>, head: ResponseHead) {
         let cache_status = head.cache_status();
         let number = attempt.id.attempt;
-        tracing::debug!(attempt = number, note = ?cache_status, "answer");
-        // Without a body the size tells nothing of what sending costs.
+        tracing::debug!(attempt = number, cache_status = ?cache_status, "response head received");
+        // The size of a response without a body says nothing about the cost of sending it.
         let size = head
             .size
             .filter(|_| !head.not_modified && head.origin_status == 0);
@@ -196,7 +197,8 @@
     }
 }
 
-/// Advances the current attempt; pending for ever where there is none, or its head waits for the core.
+/// Advances the current attempt. Never completes if there is no attempt or if its response head awaits the core's
+/// command.
 async fn advance<S: EndpointTransport>(
     core: &Arc<CoreHandle<S>>,
     body: &Bytes,
--- a/crates/dispatcher/src/net/exchange/forwarding.rs
+++ b/crates/dispatcher/src/net/exchange/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwards a response to the client: its head, its body as the client takes it, and its end.
+//! Forwards a response to the client: its head, its body at the client's pace, and its end.
 use super::super::core_handle::{EndpointTransport, UpstreamCall};
 use super::resumption::DeliveryProgress;
 use super::{attempt_end, ClientDisconnected, ClientStream, Exchange, RequestOutcome};
@@ -8,28 +8,28 @@
 use pointspindle_transport::{CallEnd, ResponsePart};
 use std::ops::ControlFlow;
 
-/// How forwarding a response ended.
+/// Result of forwarding a response.
 pub(super) enum ForwardingOutcome {
-    /// The request has its outcome.
+    /// The request has ended with this outcome.
     Ended(RequestOutcome),
-    /// The endpoint's side broke, and nothing of it is under way any more: it can be resumed or aborted.
-    EndpointBroke,
+    /// The endpoint's side failed and its attempt has ended: the response can be resumed or aborted.
+    EndpointFailed,
 }
 
 const CLIENT_DISCONNECTED: ForwardingOutcome =
     ForwardingOutcome::Ended(RequestOutcome::ClientDisconnected);
 
-/// What came next of a response.
+/// The next event of a response.
 enum NextPart {
     Part(ResponsePart),
-    /// The core has ended the attempt, or the call is over without an end.
-    EndpointBroke,
+    /// The core has ended the attempt, or the call has ended without an end part.
+    EndpointFailed,
     ClientDisconnected,
 }
 
 impl<S: EndpointTransport> Exchange<'_, S> {
-    /// Streams a response to the client until it is complete, broken, or the client has left. `head`: none where it was
-    /// forwarded before.
+    /// Streams a response to the client until the response is complete, the endpoint fails or the client disconnects.
+    /// `head` is `None` if the head has been forwarded already.
     pub(super) async fn forward_response<C: ClientStream>(
         &mut self,
         client: &mut C,
@@ -38,7 +38,7 @@
         head: Option<ResponseHead>,
         progress: &mut Option<DeliveryProgress>,
     ) -> ForwardingOutcome {
-        // A client that has all bytes may leave before the endpoint's end arrives.
+        // A client that has received all bytes may disconnect before the end part arrives from the endpoint.
         let mut missing_bytes = progress.as_ref().map(DeliveryProgress::missing_bytes);
         if let Some(head) = head {
             if let ControlFlow::Break(outcome) = self.forward_head(client, &head).await {
@@ -49,7 +49,7 @@
         loop {
             let part = match self.next_part(client, &mut call, missing_bytes).await {
                 NextPart::Part(part) => part,
-                NextPart::EndpointBroke => return ForwardingOutcome::EndpointBroke,
+                NextPart::EndpointFailed => return ForwardingOutcome::EndpointFailed,
                 NextPart::ClientDisconnected => return CLIENT_DISCONNECTED,
             };
             match part {
@@ -66,7 +66,7 @@
                 }
                 ResponsePart::End(end) => {
                     self.report_attempt_end(attempt, attempt_end(end));
-                    return ForwardingOutcome::EndpointBroke;
+                    return ForwardingOutcome::EndpointFailed;
                 }
                 ResponsePart::Head(_) => {}
             }
@@ -83,7 +83,7 @@
             .first_byte(self.class, self.started_at.elapsed());
         tokio::select! {
             biased;
-            _ = self.commands.recv() => ControlFlow::Break(ForwardingOutcome::EndpointBroke),
+            _ = self.commands.recv() => ControlFlow::Break(ForwardingOutcome::EndpointFailed),
             written = client.head(head) => match written {
                 Ok(()) => ControlFlow::Continue(()),
                 Err(ClientDisconnected) => ControlFlow::Break(CLIENT_DISCONNECTED),
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Bytes of body that follow a head; none where that is not known.
+    /// Returns the size of the body that follows a head, in bytes; `None` if it is not known.
     fn body_size(&self, head: &ResponseHead) -> Option<u64> {
         let bodyless =
             head.not_modified || head.unsatisfiable || self.incoming.head_template.head_only;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The next part; what the client has buffered is flushed before a wait.
+    /// Returns the next part of the response. Flushes the client's buffered bytes before waiting.
     async fn next_part<C: ClientStream>(
         &mut self,
         client: &mut C,
@@ -121,10 +121,10 @@
         };
         tokio::select! {
             biased;
-            _ = self.commands.recv() => NextPart::EndpointBroke,
+            _ = self.commands.recv() => NextPart::EndpointFailed,
             part = wait => match part {
                 Ok(Some(part)) => NextPart::Part(part),
-                Ok(None) => NextPart::EndpointBroke,
+                Ok(None) => NextPart::EndpointFailed,
                 Err(ClientDisconnected) => NextPart::ClientDisconnected,
             },
         }
@@ -151,9 +151,9 @@
             }
             Some(Err(ClientDisconnected)) => ControlFlow::Break(CLIENT_DISCONNECTED),
             None => {
-                // How much of this piece went out is not known: the response cannot be resumed behind it.
+                // It is not known how many bytes of this part were sent, so the response cannot be resumed after it.
                 *progress = None;
-                ControlFlow::Break(ForwardingOutcome::EndpointBroke)
+                ControlFlow::Break(ForwardingOutcome::EndpointFailed)
             }
         }
     }
--- a/crates/dispatcher/src/net/exchange/mod.rs
+++ b/crates/dispatcher/src/net/exchange/mod.rs
@@ -1,10 +1,11 @@
-//! One request: carries out the core's commands, from the first attempt to the final response.
+//! Runs one request: executes the core's commands from the first attempt to the final response.
 //!
-//! In flight for a transfer: at most one stream window of unread body from the endpoint, one chunk in hand, and what the
-//! client's connection has buffered. A client that reads slowly stops its own stream at the endpoint.
+//! A transfer buffers at most one stream window of unread body from the endpoint, one chunk being forwarded, and the
+//! send buffer of the client's connection. A slow client therefore stalls only its own stream at the endpoint.
 //!
-//! [`attempts`] runs attempts until one answers, [`forwarding`] passes its response on to the client, and [`resumption`]
-//! requests the remainder where an endpoint dies in the middle of a body.
+//! [`attempts`] runs attempts until one of them receives a response head, [`forwarding`] forwards that response to the
+//! client, and [`resumption`] requests the remainder from another endpoint when an endpoint fails in the middle of a
+//! body.
 mod attempts;
 mod client_stream;
 mod forwarding;
@@ -15,7 +16,7 @@
 
 use super::core_handle::{CoreHandle, EndpointTransport, RequestCommand};
 use crate::core::{AttemptEnd, ClientRequest, Input};
-use attempts::{Answer, AttemptsOutcome};
+use attempts::{AttemptsOutcome, StartedResponse};
 use bytes::Bytes;
 use forwarding::ForwardingOutcome;
 use pointspindle::Micros;
@@ -26,18 +27,19 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::Instant;
 
-/// A request as it goes to endpoints, without what the core adds.
+/// A client's request, before the core adds the fields that depend on the endpoint.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// What the core decides by.
+    /// Properties of the request on which the core bases its decisions.
     pub request: ClientRequest,
-    /// The head of each attempt, but for what the core fills in.
+    /// Request head of each attempt; the core fills in the remaining fields.
     pub head_template: RequestHead,
-    /// Of a write, where the protocol has one.
+    /// Body of a write request; empty where the protocol has no request bodies.
     pub body: Bytes,
 }
 
-/// Runs a request to its end. It leaves the request table on every way out, a panic's included.
+/// Runs a request to its end and returns its outcome. The request is removed from the core's table in every case, also
+/// on a panic.
 pub async fn run<S: EndpointTransport, C: ClientStream>(
     core: &Arc<CoreHandle<S>>,
     incoming: IncomingRequest,
@@ -76,7 +78,7 @@
     outcome
 }
 
-/// Over the request budget: nothing of this request has reached the core or an endpoint.
+/// Rejects a request that exceeds the request budget. It has reached neither the core nor an endpoint.
 async fn reject_over_budget<S: EndpointTransport, C: ClientStream>(
     core: &CoreHandle<S>,
     client: &mut C,
@@ -89,16 +91,16 @@
     client.reject(retry_after).await;
 }
 
-fn log_outcome(outcome: RequestOutcome, took: Duration) {
-    let fate = outcome.as_str();
-    let us = took.as_micros() as u64;
-    match outcome {
-        RequestOutcome::Served => tracing::debug!(fate, us, "request ended"),
-        _ => tracing::info!(fate, us, "request ended"),
+fn log_outcome(request_outcome: RequestOutcome, duration: Duration) {
+    let outcome = request_outcome.as_str();
+    let duration_us = duration.as_micros() as u64;
+    match request_outcome {
+        RequestOutcome::Served => tracing::debug!(outcome, duration_us, "request ended"),
+        _ => tracing::info!(outcome, duration_us, "request ended"),
     }
 }
 
-/// Takes the request off the core's table when dropped.
+/// Removes the request from the core's table when dropped.
 struct OpenRequestGuard<'a, S: EndpointTransport> {
     core: &'a Arc<CoreHandle<S>>,
     id: u64,
@@ -110,7 +112,8 @@
     }
 }
 
-/// The state machine of one request. Its end owes the client exactly one final call of [`ClientStream`].
+/// State of one request. Every path ends with exactly one final method of [`ClientStream`], unless the client
+/// disconnects.
 struct Exchange<'a, S: EndpointTransport> {
     core: &'a Arc<CoreHandle<S>>,
     open_request: OpenRequestGuard<'a, S>,
@@ -118,14 +121,15 @@
     incoming: IncomingRequest,
     commands: UnboundedReceiver<RequestCommand>,
     started_at: Instant,
-    /// Attempts that earlier requests to the core could make, before a resumption: numbers go on, as endpoints see them.
+    /// Maximum number of attempts of the core requests that preceded a resumption. Added to attempt numbers, so that
+    /// they keep increasing from the endpoints' point of view.
     attempts_before: u32,
 }
 
 impl<S: EndpointTransport> Exchange<'_, S> {
     async fn run<C: ClientStream>(&mut self, client: &mut C) -> RequestOutcome {
-        let answer = match self.run_attempts(client).await {
-            AttemptsOutcome::Answered(answer) => answer,
+        let response = match self.run_attempts(client).await {
+            AttemptsOutcome::ResponseStarted(response) => response,
             AttemptsOutcome::Rejected { retry_after } => {
                 client.reject(retry_after).await;
                 return RequestOutcome::Rejected;
@@ -136,21 +140,22 @@
             }
             AttemptsOutcome::ClientDisconnected => return RequestOutcome::ClientDisconnected,
         };
-        self.deliver(client, answer).await
+        self.deliver(client, response).await
     }
 
-    /// Passes the response on, resumed from other endpoints where one dies in the middle.
+    /// Forwards the response to the client, and resumes it from another endpoint when one fails in the middle of the
+    /// body.
     async fn deliver<C: ClientStream>(
         &mut self,
         client: &mut C,
-        answer: Answer<S::Call>,
+        response: StartedResponse<S::Call>,
     ) -> RequestOutcome {
-        let Answer {
+        let StartedResponse {
             mut attempt,
             mut call,
             head,
-        } = answer;
-        let mut progress = self.resumable_progress(&head);
+        } = response;
+        let mut progress = self.initial_progress(&head);
         let mut unsent_head = Some(head);
         loop {
             let forwarded = self
@@ -158,10 +163,10 @@
                 .await;
             match forwarded {
                 ForwardingOutcome::Ended(outcome) => return outcome,
-                ForwardingOutcome::EndpointBroke => {}
+                ForwardingOutcome::EndpointFailed => {}
             }
             match self.resume(client, &mut progress).await {
-                AttemptsOutcome::Answered(remainder) => {
+                AttemptsOutcome::ResponseStarted(remainder) => {
                     attempt = remainder.attempt;
                     call = remainder.call;
                 }
@@ -183,7 +188,7 @@
     }
 }
 
-/// The end of a call, in the core's terms.
+/// Converts the end of a call to the core's type.
 fn attempt_end(end: CallEnd) -> AttemptEnd {
     match end {
         CallEnd::Complete(_) => AttemptEnd::Complete,
--- a/crates/dispatcher/src/net/exchange/resumption.rs
+++ b/crates/dispatcher/src/net/exchange/resumption.rs
@@ -1,4 +1,5 @@
-//! Resumption of a response whose endpoint died in the middle of the body: the remainder is requested elsewhere.
+//! Resumption of a response whose endpoint failed in the middle of the body: requests the remainder from another
+//! endpoint.
 use super::super::core_handle::EndpointTransport;
 use super::attempts::AttemptsOutcome;
 use super::{ClientStream, Exchange, OpenRequestGuard};
@@ -6,25 +7,25 @@
 use pointspindle::Micros;
 use pointspindle_protocol::ResponseHead;
 
-/// Resumptions of one response.
+/// Maximum number of resumptions of one response.
 const MAX_RESUMPTIONS: u32 = 3;
-/// With less time left than this no resumption is begun.
+/// A resumption is not started with less time left than this.
 const MIN_RESUMPTION_TIME_US: Micros = 50_000;
 
-/// How far a response has been delivered. Exists only for responses whose version and end are known.
+/// Delivery progress of a response. Exists only for responses whose version and size are known.
 pub(super) struct DeliveryProgress {
     validator: String,
     complete_size: u64,
-    /// Offset of the next byte.
+    /// Offset of the next byte to deliver.
     next: u64,
-    /// Offset behind the last byte that the client requested.
+    /// Offset past the last byte that the client requested.
     end: u64,
     resumptions: u32,
 }
 
 impl DeliveryProgress {
-    /// None where the version is not known by a strong validator, or the end is not known.
-    fn of(head: &ResponseHead) -> Option<Self> {
+    /// Returns `None` if the response has no strong validator or its size is not known.
+    fn from_head(head: &ResponseHead) -> Option<Self> {
         let strong = !head.validator.is_empty() && !head.validator.starts_with("W/");
         let size = head
             .size
@@ -43,22 +44,22 @@
         })
     }
 
-    /// Bytes that the client still lacks.
+    /// Number of bytes that have not been delivered yet.
     pub fn missing_bytes(&self) -> u64 {
         self.end - self.next
     }
 
-    /// The client was sent so many more bytes.
+    /// Records that `bytes` more bytes have been delivered to the client.
     pub fn add_delivered(&mut self, bytes: u64) {
         self.next += bytes;
     }
 
-    fn may_resume(&self) -> bool {
+    fn can_resume(&self) -> bool {
         self.resumptions < MAX_RESUMPTIONS && self.next < self.end
     }
 
-    /// Whether a response is the remainder: of the same version, from the next byte to the end.
-    fn is_continued_by(&self, head: &ResponseHead) -> bool {
+    /// Whether a response is the remainder: the same version, from the next byte to the end.
+    fn is_remainder(&self, head: &ResponseHead) -> bool {
         head.validator == self.validator
             && head.range_first == Some(self.next)
             && head.size == Some(self.missing_bytes())
@@ -67,27 +68,29 @@
 }
 
 impl<S: EndpointTransport> Exchange<'_, S> {
-    /// The progress to keep for a response; none where it cannot be resumed. Uncacheable work is not requested in parts.
-    pub(super) fn resumable_progress(&self, head: &ResponseHead) -> Option<DeliveryProgress> {
+    /// Returns the initial progress of a response, or `None` if it cannot be resumed. Uncacheable responses are never
+    /// requested in parts.
+    pub(super) fn initial_progress(&self, head: &ResponseHead) -> Option<DeliveryProgress> {
         let cacheable = !self.core.settings.router.classes[self.class].uncacheable;
         let head_only = self.incoming.head_template.head_only;
-        DeliveryProgress::of(head).filter(|_| cacheable && !head_only)
+        DeliveryProgress::from_head(head).filter(|_| cacheable && !head_only)
     }
 
-    /// The remainder of a broken response, from elsewhere: a request of its own to the core, for the bytes from the next one
-    /// on and under the same validator. The broken attempt is over by now, so no two are under way.
+    /// Requests the remainder of an interrupted response from another endpoint. It is a separate request to the core,
+    /// for the bytes from the next one on and with the same validator. The failed attempt has ended by then, so that at
+    /// most one attempt is in progress.
     pub(super) async fn resume<C: ClientStream>(
         &mut self,
         client: &mut C,
         progress: &mut Option<DeliveryProgress>,
     ) -> AttemptsOutcome<S::Call> {
-        let Some(progress) = progress.as_mut().filter(|p| p.may_resume()) else {
+        let Some(progress) = progress.as_mut().filter(|p| p.can_resume()) else {
             return AttemptsOutcome::Failed;
         };
         let elapsed = self.started_at.elapsed().as_micros() as Micros;
         let time_left = self.incoming.request.time_left.saturating_sub(elapsed);
         if time_left < MIN_RESUMPTION_TIME_US {
-            tracing::info!("no time is left to resume the response");
+            tracing::info!("response not resumed: too little time left");
             return AttemptsOutcome::Failed;
         }
         progress.resumptions += 1;
@@ -95,10 +98,10 @@
             return AttemptsOutcome::Failed;
         }
         let outcome = self.run_attempts(client).await;
-        self.checked_remainder(outcome, progress)
+        self.verify_remainder(outcome, progress)
     }
 
-    /// Replaces the request at the core by one for the remainder. False if the request budget has no place for it.
+    /// Replaces the core's request with one for the remainder. Returns false if that would exceed the request budget.
     fn open_remainder_request(&mut self, progress: &DeliveryProgress, time_left: Micros) -> bool {
         self.core.close_request(self.open_request.id);
         let opened = self.core.open_request(ClientRequest {
@@ -121,29 +124,29 @@
         true
     }
 
-    /// Accepts an answer only if it is the remainder of what the client has received.
-    fn checked_remainder(
+    /// Accepts a response only if it is the remainder of what the client has received.
+    fn verify_remainder(
         &self,
         outcome: AttemptsOutcome<S::Call>,
         progress: &DeliveryProgress,
     ) -> AttemptsOutcome<S::Call> {
         let DeliveryProgress { next, end, .. } = *progress;
-        let AttemptsOutcome::Answered(answer) = outcome else {
+        let AttemptsOutcome::ResponseStarted(response) = outcome else {
             tracing::info!(next, end, "no endpoint has the remainder of the response");
             return outcome;
         };
-        if progress.is_continued_by(&answer.head) {
+        if progress.is_remainder(&response.head) {
             self.core.metrics.resumed_responses.inc();
             tracing::info!(next, end, "response resumed from another endpoint");
-            return AttemptsOutcome::Answered(answer);
+            return AttemptsOutcome::ResponseStarted(response);
         }
-        // Another version, or one without ranges: the bytes would not belong together.
-        drop(answer.call);
+        // The response is of another version or ignores the range: its bytes cannot be joined to the delivered ones.
+        drop(response.call);
         tracing::info!(
-            wanted = progress.validator,
-            got = answer.head.validator,
-            first = answer.head.range_first,
-            "response not resumed: the remainder is of another version"
+            expected_validator = progress.validator,
+            validator = response.head.validator,
+            range_first = response.head.range_first,
+            "response not resumed: the endpoint did not return the requested range of the same version"
         );
         self.core
             .apply(Input::ClientDisconnected(self.open_request.id));
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -31,7 +31,7 @@
     let (connection, incoming) =
         FramedConnection::start_metered(socket, Side::Answerer, options, meter);
     connection.push_control(Frame::Hello(HelloHead {
-        incarnation: context.core.transport.pool.process,
+        incarnation: context.core.transport.pool.incarnation,
         lease_us: Some(lease_us),
         ..Default::default()
     }));
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The reply to a control frame, if it has one. Endpoint lists and purges are taken at the control listener only. A probe
-    /// does not count as use: a client that sends nothing else is idle.
+    /// The reply to a control frame, if it has one. Endpoint lists and purges are taken at the control listener only. A
+    /// probe does not count as use: a client that sends nothing else is idle.
     fn handle_control(&mut self, frame: Frame) -> Option<Frame> {
         match frame {
             Frame::Probe(probe) if !probe.echo => Some(Frame::Probe(ProbeHead {
--- a/crates/dispatcher/src/net/listeners.rs
+++ b/crates/dispatcher/src/net/listeners.rs
@@ -1,7 +1,7 @@
-//! Listeners: bound addresses, the accept loop, and admission of each connection.
+//! Listeners: their addresses, the accept loop, and the admission of each connection.
 //!
-//! A listener that closes still serves what waits in its accept queue: those connections were accepted by the system, with
-//! the requests that are written on them.
+//! A closing listener still serves the connections in its accept queue: the operating system has accepted them, and
+//! clients may have sent requests on them.
 use super::connection_registry::{ConnectionPermit, ConnectionRegistry};
 use super::connection_rejection::{ClientProtocol, ConnectionRejection};
 use super::frontend_context::FrontendContext;
@@ -14,39 +14,39 @@
 use std::net::SocketAddr;
 use tokio::task::JoinSet;
 
-/// Connections to each of the operators' listeners.
+/// Maximum number of connections to each of the operators' listeners.
 const OPERATOR_CONNECTIONS: usize = 64;
 
-/// The addresses that a dispatcher listens on, with the ports that the system assigned.
+/// The addresses that a dispatcher listens on, with the ports that the operating system assigned.
 #[derive(Clone, Debug, Default, serde::Serialize, serde::Deserialize)]
 pub struct BoundAddresses {
-    /// Clients on HTTP/1.1.
+    /// Address for clients on HTTP/1.1.
     pub http: Option<SocketAddr>,
-    /// Clients on the framed protocol.
+    /// Address for clients on the framed protocol.
     pub framed: Option<SocketAddr>,
-    /// Clients on HTTP/1.1 over TLS.
+    /// Address for clients on HTTP/1.1 over TLS.
     #[serde(default)]
     pub https: Option<SocketAddr>,
-    /// Clients on the framed protocol over TLS.
+    /// Address for clients on the framed protocol over TLS.
     #[serde(default)]
     pub framed_tls: Option<SocketAddr>,
-    /// Operators' endpoint lists and purges.
+    /// Address for operators' endpoint lists and purges.
     pub control: Option<SocketAddr>,
-    /// Metrics as text.
+    /// Address for scrapes of the metrics.
     pub metrics: Option<SocketAddr>,
 }
 
-/// Why a dispatcher could not start.
+/// An error that prevents a dispatcher from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// An address could not be bound.
-    #[error("cannot listen on {address} ({what}): {source}")]
+    #[error("cannot listen on {address} (listener setting `{setting}`): {source}")]
     Listen {
-        /// The listener's setting.
-        what: &'static str,
-        /// The address that was to be bound.
+        /// Name of the listener's setting.
+        setting: &'static str,
+        /// Address that could not be bound.
         address: SocketAddr,
-        /// What the system reported.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A certificate or key could not be used.
@@ -54,13 +54,13 @@
     Tls(#[from] TlsError),
 }
 
-/// What each client listener serves its connections with.
+/// Contexts of the client listeners, without and with TLS.
 pub(super) struct ClientContexts {
     pub plain: FrontendContext,
     pub tls: FrontendContext,
 }
 
-/// Binds all listeners of the settings; each accepts on a task of `tasks` until the dispatcher stops.
+/// Binds all listeners of the settings. Each listener accepts connections in a task of `tasks` until the dispatcher stops.
 pub(super) async fn open_all(
     network: &Network,
     settings: &ListenSettings,
@@ -114,7 +114,8 @@
     Ok(bound)
 }
 
-/// Operators get a connection limit of their own: clients that use theirs up must not lock them out.
+/// Returns a context with a connection limit for operators only, so that clients that reach the limit for clients cannot
+/// lock out operators.
 fn operator_context(client: &FrontendContext) -> FrontendContext {
     let registry = ConnectionRegistry::new(ConnectionLimits {
         hard: OPERATOR_CONNECTIONS,
@@ -131,14 +132,14 @@
 
 async fn listen(
     network: &Network,
-    what: &'static str,
+    setting: &'static str,
     address: Option<SocketAddr>,
 ) -> Result<Option<(Listener, SocketAddr)>, StartError> {
     let Some(address) = address else {
         return Ok(None);
     };
     let failed = |source| StartError::Listen {
-        what,
+        setting,
         address,
         source,
     };
@@ -147,7 +148,8 @@
     Ok(Some((listener, bound)))
 }
 
-/// Accepts until the dispatcher stops, then drains the accept queue; returns when the last connection has ended.
+/// Accepts connections until the dispatcher stops, then drains the accept queue. Returns when the last connection has
+/// ended.
 async fn accept<F, Fut>(
     mut listener: Listener,
     context: FrontendContext,
@@ -178,7 +180,7 @@
     while connections.tasks.join_next().await.is_some() {}
 }
 
-/// The connections of one listener, each a task.
+/// The connections of one listener; each runs in a task.
 struct ListenerConnections<F> {
     context: FrontendContext,
     protocol: ClientProtocol,
@@ -200,14 +202,14 @@
             .await;
     }
 
-    /// Serves a new connection if there is a permit for it, or rejects it.
+    /// Serves a new connection if it receives a permit, and rejects it otherwise.
     fn admit(&mut self, socket: Socket, peer: SocketAddr) {
         match self.context.registry.admit(peer.ip()) {
             Ok(permit) if self.context.identity.is_none() => self.serve_plain(socket, permit),
             Ok(permit) => self.serve_tls(socket, permit),
             Err(retry_after) => {
                 self.context.core.metrics.connection_counts.rejected.inc();
-                // A TLS client reads no reply before a handshake, and that costs more than a rejection may.
+                // A TLS client reads no reply before the handshake, and a handshake is too expensive for a rejection.
                 if self.context.identity.is_none() {
                     let registry = self.context.registry.clone();
                     let rejection = ConnectionRejection {
@@ -236,7 +238,7 @@
         let serve = self.serve.clone();
         context.core.metrics.connection_counts.clients.inc();
         self.tasks.spawn(async move {
-            // Boxed, so that an established connection does not hold the memory of its handshake.
+            // The future is boxed, so that an established connection does not hold the memory of its handshake.
             let handshake = Box::pin(context.complete_handshake(socket)).await;
             let core = context.core.clone();
             if let Some(socket) = handshake {
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -1,7 +1,7 @@
-//! The dispatcher's shell on tokio: listeners, connections to endpoints, timers and files around one core.
+//! The dispatcher's I/O layer on tokio: listeners, connections to endpoints, timers and the state file around one core.
 //!
-//! Each request is a task ([`exchange`]) that carries out the core's commands. The core sits behind one lock
-//! ([`core_handle`]) that is held while one event is handled and never across an await.
+//! Each request runs in a task ([`exchange`]) that executes the core's commands. The core is protected by one lock
+//! ([`core_handle`]), which is held while one event is handled and never across an await.
 mod call_attempts;
 mod connection_pool;
 pub mod connection_registry;
--- a/crates/dispatcher/tests/exchange.rs
+++ b/crates/dispatcher/tests/exchange.rs
@@ -67,7 +67,8 @@
 }
 
 /// Found on a simulated network: the endpoint broke in the instant in which its head had arrived and waited to go out with
-/// the first bytes, and the connection was closed without a byte. The client could not know whether its request had arrived.
+/// the first bytes, and the connection was closed without a byte. The client could not know whether its request had
+/// arrived.
 #[tokio::test]
 async fn endpoint_failure_behind_head_still_yields_a_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -188,8 +189,8 @@
     HalfClose,
 }
 
-/// A client's disconnect is detected though it stands behind requests that are not read yet: what is under way is cancelled,
-/// and none of those that wait is forwarded.
+/// A client's disconnect is detected though it stands behind requests that are not read yet: what is under way is
+/// cancelled, and none of those that wait is forwarded.
 #[tokio::test]
 async fn client_disconnect_behind_unread_requests_cancels_the_attempt() {
     for disconnect in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
