--- a/crates/dispatcher/src/net/call_attempts.rs
+++ b/crates/dispatcher/src/net/call_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of clients' calls: [`crate::call_deduplication`] behind a lock, and the notification of each attempt's task.
+//! Attempts of client calls: [`crate::call_deduplication`] behind a lock, and the notification of each attempt's task.
 use crate::call_deduplication::{
     CallAttemptId, CallDecision, CallRegistry, CallRegistryLimits, SizedResponse,
 };
@@ -10,16 +10,16 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// A call is remembered for so long after its end, for a client that lost its response.
+/// Time for which a call is remembered after its end, for a client that lost its response.
 const CALL_RETENTION_US: Micros = 2_000_000;
-/// All cached responses together.
+/// Maximum total size of all cached responses.
 const MAX_CACHED_BYTES: usize = 8 * 1024 * 1024;
-/// Largest response that is cached.
+/// Maximum size of a cached response body.
 pub(super) const MAX_CACHED_RESPONSE_BYTES: usize = 16 * 1024;
-/// What a cached response costs beside its body.
+/// Memory accounted for a cached response in addition to its body.
 const CACHED_RESPONSE_OVERHEAD_BYTES: usize = 256;
 
-/// A complete response, to be given again.
+/// A complete response that can be sent again.
 #[derive(Clone, Debug)]
 pub(super) struct CachedResponse {
     pub head: ResponseHead,
@@ -33,11 +33,11 @@
     }
 }
 
-/// How an attempt's task is notified.
+/// Channels that notify the task of an attempt.
 #[derive(Debug)]
 struct AttemptSignals {
     superseded: Arc<Notify>,
-    /// Of an attempt that waits for the ones before it.
+    /// Present while the attempt waits for earlier attempts of the call to end.
     turn: Option<oneshot::Sender<()>>,
 }
 
@@ -45,7 +45,7 @@
 struct CallTable {
     calls: CallRegistry<CachedResponse>,
     last_attempt_id: CallAttemptId,
-    /// Of attempts that run or wait; removed with their end.
+    /// Signals of the attempts that run or wait; removed when the attempt ends.
     signals: HashMap<CallAttemptId, AttemptSignals>,
 }
 
@@ -56,7 +56,7 @@
     started_at: Instant,
 }
 
-/// One attempt of a call. Dropped, it has ended: the next attempt of the call begins, and a response given to
+/// One attempt of a call. Dropping it ends the attempt: the next attempt of the call may begin, and a response passed to
 /// [`CallAttempt::cache`] is remembered.
 pub(super) struct CallAttempt {
     attempts: Arc<CallAttempts>,
@@ -70,21 +70,21 @@
 
 /// Whether an attempt of a call may begin.
 pub(super) enum AttemptAdmission {
-    /// It may, once [`CallAttempt::wait_for_turn`] returns.
+    /// The attempt may begin once [`CallAttempt::wait_for_turn`] returns.
     Admitted(CallAttempt),
-    /// The call has been answered with this response.
+    /// An earlier attempt has completed the call with this response.
     Answered(CachedResponse),
-    /// Too many calls are known.
+    /// The table of calls is full.
     Full,
 }
 
-/// The client has made another attempt of the call; nothing of this one was begun.
+/// The client has made a later attempt of the call, and this one has not begun.
 #[derive(Debug, thiserror::Error)]
 #[error("superseded by a later attempt of the call")]
 pub(super) struct Superseded;
 
 impl CallAttempts {
-    /// A table of at most so many calls.
+    /// Creates a table for at most `max_calls` calls.
     pub fn new(max_calls: usize) -> Arc<Self> {
         let calls = CallRegistry::new(CallRegistryLimits {
             max_calls,
@@ -112,12 +112,12 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Calls that run or are remembered.
+    /// Number of calls that are running or remembered.
     pub fn known_calls(&self) -> usize {
         self.lock().calls.len()
     }
 
-    /// An attempt of a call has arrived; the attempts of the same call before it are notified to end.
+    /// Registers an attempt of a call. Earlier attempts of the same call are notified that they are superseded.
     pub fn begin(self: &Arc<Self>, call: &str) -> AttemptAdmission {
         let mut table = self.lock();
         table.last_attempt_id += 1;
@@ -152,7 +152,8 @@
 }
 
 impl CallAttempt {
-    /// Returns when the attempts before it have ended: the cached response, if the call was answered meanwhile.
+    /// Waits until the earlier attempts of the call have ended. Returns the cached response if one of them completed the
+    /// call.
     pub async fn wait_for_turn(&mut self) -> Result<Option<CachedResponse>, Superseded> {
         let Some(turn) = self.turn.take() else {
             return Ok(None);
@@ -164,7 +165,7 @@
         Ok(self.attempts.lock().calls.remembered_response(&self.call))
     }
 
-    /// The response was complete: it is remembered for a client that lost it.
+    /// Stores a complete response, which is remembered for a client that lost it.
     pub fn cache(&mut self, response: CachedResponse) {
         self.response = Some(response);
     }
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -1,4 +1,4 @@
-//! The client connections of a process: [`crate::admission`] behind a lock, and the notification of each connection's task.
+//! Client connections of the process: [`crate::admission`] behind a lock, and the notification of each connection's task.
 use super::connection_rejection::ConnectionRejection;
 use crate::admission::{Admission, AdmissionDecision, ConnectionId, ConnectionLimits};
 use pointspindle::Micros;
@@ -10,21 +10,21 @@
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
 
-/// Connections whose rejection is being sent at once; more are dropped without a reply.
+/// Maximum number of rejections sent concurrently; further connections are closed without a reply.
 const MAX_CONCURRENT_REJECTIONS: usize = 64;
-/// Idle connections that are closed when descriptors have run out.
+/// Number of idle connections that are closed when the process has run out of file descriptors.
 const CLOSED_ON_DESCRIPTOR_SHORTAGE: usize = 16;
-/// Pause in accepting after a shortage, in which the connections that were notified close.
+/// Pause in accepting after a resource shortage, during which the notified connections close.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// Expired connections notified under one lock; requests under way have their turn before the next batch.
+/// Maximum number of expired connections notified under one lock; other tasks can take the lock between batches.
 const EXPIRY_BATCH: usize = 256;
-/// Least time between two expiry checks, each of which takes the lock.
+/// Minimum time between two expiry checks, each of which takes the lock.
 const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Debug)]
 struct AdmissionState {
     admission: Admission,
-    /// One entry for each permit, removed when it is dropped.
+    /// Notifications to close, one entry per permit; removed when the permit is dropped.
     closing: HashMap<ConnectionId, Arc<Notify>>,
 }
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// Admits connections and keeps count of them. One is shared by all listeners with a common limit.
+/// Admits and counts connections. Listeners with a common limit share one registry.
 #[derive(Debug)]
 pub struct ConnectionRegistry {
     state: Mutex<AdmissionState>,
@@ -44,7 +44,7 @@
     rejections: Semaphore,
 }
 
-/// The right to hold a connection; given back when it is dropped.
+/// Permission to hold a connection; released when it is dropped.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     registry: Arc<ConnectionRegistry>,
@@ -53,7 +53,7 @@
 }
 
 impl ConnectionRegistry {
-    /// A registry without connections.
+    /// Creates a registry without connections.
     pub fn new(limits: ConnectionLimits) -> Arc<Self> {
         let state = AdmissionState {
             admission: Admission::new(limits),
@@ -76,7 +76,7 @@
         self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A permit for a new connection, or the time after which its client may reconnect.
+    /// Returns a permit for a new connection, or the time after which its client may reconnect.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<ConnectionPermit, Micros> {
         let mut state = self.lock();
         let arrival = state.admission.arrive(self.now(), address);
@@ -95,22 +95,23 @@
         }
     }
 
-    /// A connection could not be accepted. Where this process has no descriptor left, idle connections are closed; what the
-    /// machine is short of, or one connection that died in the queue, is no reason for that. Returns when to accept again.
+    /// Handles a failed accept, and returns when the next one may be tried. Idle connections are closed only if this
+    /// process has run out of file descriptors; closing them would not help against a shortage of the whole machine or a
+    /// connection that failed in the accept queue.
     pub async fn accept_failed(&self, error: std::io::Error) {
-        let closing = match AcceptFailure::of(&error) {
+        let closed_connections = match AcceptFailure::of(&error) {
             AcceptFailure::Connection => {
-                tracing::debug!(%error, "a connection died before it was accepted");
+                tracing::debug!(%error, "connection failed before it was accepted");
                 return tokio::task::yield_now().await;
             }
             AcceptFailure::Shortage => 0,
             AcceptFailure::Descriptors => self.close_idle(CLOSED_ON_DESCRIPTOR_SHORTAGE),
         };
-        tracing::warn!(%error, closing, "accept failed");
+        tracing::warn!(%error, closed_connections, "accept failed");
         tokio::time::sleep(ACCEPT_BACKOFF).await;
     }
 
-    /// Notifies up to `count` idle connections to close; returns how many.
+    /// Notifies up to `count` idle connections to close, and returns their number.
     fn close_idle(&self, count: usize) -> usize {
         let mut state = self.lock();
         let close = state.admission.close_idle(count);
@@ -118,7 +119,7 @@
         close.len()
     }
 
-    /// Sends a rejection and closes the connection; only closes where many are being rejected.
+    /// Sends a rejection and closes the connection. Closes without a reply if too many rejections are being sent.
     pub(super) async fn reject(&self, socket: Socket, rejection: ConnectionRejection) {
         let Ok(_sending) = self.rejections.try_acquire() else {
             return;
@@ -139,7 +140,7 @@
         };
         match next {
             Some(at) if at <= now => tokio::task::yield_now().await,
-            // A connection that becomes idle later expires later than this.
+            // A connection that becomes idle after this check expires later than this time.
             at => {
                 let wait = Duration::from_micros(at.unwrap_or(now + idle_us).saturating_sub(now));
                 tokio::time::sleep(wait.max(MIN_EXPIRY_INTERVAL)).await;
@@ -149,18 +150,18 @@
 }
 
 impl ConnectionPermit {
-    /// A request is under way on the connection: it is not closed for another.
+    /// Marks the connection as busy: while a request is in progress, it is not closed to admit another connection.
     pub fn busy(&self) {
         self.registry.lock().admission.mark_busy(self.id);
     }
 
-    /// No request is under way on the connection.
+    /// Marks the connection as idle: no request is in progress.
     pub fn idle(&self) {
         let now = self.registry.now();
         self.registry.lock().admission.mark_idle(now, self.id);
     }
 
-    /// Returns when this connection, being idle, is to close. Safe to drop while waiting.
+    /// Waits until this idle connection is to close. The future may be dropped at any time.
     pub async fn close_requested(&self) {
         self.closing.notified().await;
     }
--- a/crates/dispatcher/src/net/connection_rejection.rs
+++ b/crates/dispatcher/src/net/connection_rejection.rs
@@ -6,10 +6,10 @@
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Socket};
 use std::time::Duration;
 
-/// Time for a rejected client to take its reply.
+/// Maximum time to send the reply to a rejected client.
 const REJECTION_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that are read of a rejected client's request before the connection is closed.
-const MAX_UNREAD_BYTES: usize = 16 * 1024;
+/// Maximum number of bytes of a rejected client's request that are read and discarded before the connection is closed.
+const MAX_DISCARDED_BYTES: usize = 16 * 1024;
 const READ_BUFFER_BYTES: usize = 1024;
 
 /// The protocol that clients of a listener speak.
@@ -19,7 +19,7 @@
     Framed,
 }
 
-/// Notifies a client when it may reconnect. Nothing is owed to the connection afterwards.
+/// Tells a client when it may reconnect; the connection is closed afterwards.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ConnectionRejection {
     pub protocol: ClientProtocol,
@@ -47,13 +47,13 @@
         return;
     }
     write.shutdown();
-    // A close with bytes unread would reset the connection before the client has read the reply.
-    let mut unread_bytes = MAX_UNREAD_BYTES;
+    // Closing a socket with unread bytes would reset the connection before the client has read the reply.
+    let mut remaining_bytes = MAX_DISCARDED_BYTES;
     let mut buffer = BytesMut::with_capacity(READ_BUFFER_BYTES);
-    while let Ok(taken @ 1..) = read.read_buf(&mut buffer).await {
+    while let Ok(read_bytes @ 1..) = read.read_buf(&mut buffer).await {
         buffer.clear();
-        unread_bytes = unread_bytes.saturating_sub(taken);
-        if unread_bytes == 0 {
+        remaining_bytes = remaining_bytes.saturating_sub(read_bytes);
+        if remaining_bytes == 0 {
             return;
         }
     }
@@ -85,6 +85,6 @@
     connection.goaway(&format!(
         "too many connections; come back after {retry_after_ms} ms"
     ));
-    connection.close("turned away");
+    connection.close("connection rejected");
     connection.flushed().await;
 }
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: endpoint lists and purges, acknowledged once they are in force.
+//! The operators' listener: receives endpoint lists and purges, and acknowledges them once they are in force.
 use super::connection_registry::ConnectionPermit;
 use super::frontend_context::FrontendContext;
 use crate::control_source::ControlSink;
@@ -33,10 +33,10 @@
             break;
         }
     }
-    connection.close("the control connection is done with");
+    connection.close("control connection ended");
 }
 
-/// Applies a control frame; its reply, if it has one.
+/// Applies a control frame and returns the reply, if the frame has one.
 fn reply_to(frame: Frame, sink: &ControlSink, context: &FrontendContext) -> Option<Frame> {
     match frame {
         Frame::EndpointList(head) if head.form() == EndpointListForm::Unspecified => {
@@ -54,7 +54,7 @@
 
 fn apply_endpoint_list(head: EndpointListHead, sink: &ControlSink) -> Frame {
     let seq = head.seq;
-    tracing::info!(form = ?head.form(), seq, lines = head.endpoints.len(), "member list");
+    tracing::info!(form = ?head.form(), seq, endpoints = head.endpoints.len(), "endpoint list received");
     let change = sink.apply_endpoint_list(head);
     let rejection = change
         .resync_reason
@@ -68,7 +68,7 @@
 fn apply_purge(head: PurgeHead, sink: &ControlSink, context: &FrontendContext) -> Frame {
     let seq = head.seq;
     let received_at = Instant::now();
-    tracing::info!(object = ?head.object, group = head.group, seq, "purge");
+    tracing::info!(object = ?head.object, group = head.group, seq, "purge received");
     sink.apply_purge(head);
     let lag = received_at.elapsed();
     context.core.metrics.purge_lag.observe(lag.as_secs_f64());
--- a/crates/dispatcher/src/net/dispatcher.rs
+++ b/crates/dispatcher/src/net/dispatcher.rs
@@ -1,6 +1,6 @@
-//! A dispatcher's life: prepared, listening, stopped by a graceful shutdown.
+//! Lifecycle of a dispatcher: preparation, listening, graceful shutdown.
 use super::connection_registry::{self, ConnectionRegistry};
-use super::framed_transport::{self, EndpointIntent};
+use super::framed_transport::{self, EndpointCommand};
 use super::frontend_context::FrontendContext;
 use super::listeners::{self, BoundAddresses, ClientContexts, StartError};
 use super::{core_handle, state_file, FramedCore, StateCounts};
@@ -17,20 +17,20 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// A dispatcher that has read its state file and does not listen yet, so that it can learn of drains and purges first.
+/// A dispatcher that has read its state file and does not listen yet, so that it can receive drains and purges first.
 #[derive(Debug)]
 pub struct PreparedDispatcher {
     network: Network,
     core: Arc<FramedCore>,
-    endpoint_intents: mpsc::UnboundedReceiver<EndpointIntent>,
+    endpoint_commands: mpsc::UnboundedReceiver<EndpointCommand>,
     background_tasks: JoinSet<()>,
 }
 
 impl PreparedDispatcher {
-    /// Reads the state file, and takes the static endpoint list if there is no state.
+    /// Reads the state file, and applies the static endpoint list if the file contains none.
     pub async fn new(network: Network, settings: DispatcherSettings, seed: u64) -> Self {
         let settings = Arc::new(settings);
-        let (core, endpoint_intents) = FramedCore::framed(settings.clone(), seed, network.clone());
+        let (core, endpoint_commands) = FramedCore::framed(settings.clone(), seed, network.clone());
         let core = Arc::new(core);
         if !state_file::restore(&core).await && !settings.endpoints.is_empty() {
             core.apply_endpoint_list(static_endpoint_list(&settings));
@@ -38,12 +38,12 @@
         Self {
             network,
             core,
-            endpoint_intents,
+            endpoint_commands,
             background_tasks: JoinSet::new(),
         }
     }
 
-    /// Takes endpoint lists, purges and dispatcher counts from this source too, for as long as the dispatcher runs.
+    /// Applies endpoint lists, purges and dispatcher counts from this source as well, for as long as the dispatcher runs.
     pub fn follow(&mut self, source: impl ControlSource) {
         let sink = ControlSink {
             core: self.core.clone(),
@@ -52,7 +52,7 @@
         self.background_tasks.spawn(source.run(sink));
     }
 
-    /// The dispatcher without listeners; all its control code runs as in production. For scale tests with many
+    /// Turns this into a dispatcher without listeners, whose control code runs as in production, for scale tests with many
     /// dispatchers on one machine. The observer is called with each update once it is in force.
     pub fn into_hollow(
         self,
@@ -61,7 +61,7 @@
     ) -> HollowDispatcher {
         let Self {
             core,
-            endpoint_intents,
+            endpoint_commands,
             mut background_tasks,
             ..
         } = self;
@@ -70,14 +70,14 @@
             observer: Some(observer),
         };
         background_tasks.spawn(source.run(sink));
-        spawn_background_tasks(&core, endpoint_intents, &mut background_tasks);
+        spawn_background_tasks(&core, endpoint_commands, &mut background_tasks);
         HollowDispatcher {
             core,
             _background_tasks: background_tasks,
         }
     }
 
-    /// Waits until the source's view is current. False if it was not within the timeout.
+    /// Waits until the source's view is current. Returns false if it is not current within the timeout.
     pub async fn wait_until_current(&self, timeout: Duration) -> bool {
         let mut view = self.core.view.subscribe();
         let current = tokio::time::timeout(timeout, view.wait_for(|current| *current)).await;
@@ -89,14 +89,14 @@
         let Self {
             network,
             core,
-            endpoint_intents,
+            endpoint_commands,
             mut background_tasks,
         } = self;
         let settings = core.settings.clone();
         let identity = settings.tls.as_ref().map(load_identity).transpose()?;
         let identity = identity.map(Arc::new);
         let (stop, stopping) = watch::channel(false);
-        // One registry for all client listeners: they share the process's descriptors.
+        // All client listeners share one registry, because they share the file descriptors of the process.
         let registry = ConnectionRegistry::new(connection_limits(&settings.listen));
         background_tasks.spawn(connection_registry::close_idle_connections(
             registry.clone(),
@@ -116,7 +116,7 @@
         let mut listeners = JoinSet::new();
         let bound =
             listeners::open_all(&network, &settings.listen, clients, &mut listeners).await?;
-        spawn_background_tasks(&core, endpoint_intents, &mut background_tasks);
+        spawn_background_tasks(&core, endpoint_commands, &mut background_tasks);
         tracing::info!(name = %settings.name, ?bound, "dispatcher listens");
         Ok(Dispatcher {
             core,
@@ -129,7 +129,7 @@
     }
 }
 
-/// A dispatcher without listeners ([`PreparedDispatcher::into_hollow`]); it ends when it is dropped.
+/// A dispatcher without listeners ([`PreparedDispatcher::into_hollow`]); it stops when it is dropped.
 #[derive(Debug)]
 pub struct HollowDispatcher {
     core: Arc<FramedCore>,
@@ -160,12 +160,12 @@
         self.core.all_state_counts()
     }
 
-    /// Reads the state file, takes the static endpoint list if there is no state, and listens.
+    /// Reads the state file, applies the static endpoint list if the file contains none, and listens.
     pub async fn start(settings: DispatcherSettings, seed: u64) -> Result<Self, StartError> {
         Self::start_on(Network::Tcp, settings, seed).await
     }
 
-    /// As [`Dispatcher::start`], on another network than the machine's own.
+    /// Starts a dispatcher like [`Dispatcher::start`], on the given network.
     pub async fn start_on(
         network: Network,
         settings: DispatcherSettings,
@@ -177,31 +177,31 @@
             .await
     }
 
-    /// The addresses it listens on.
+    /// The addresses that the dispatcher listens on.
     pub fn bound_addresses(&self) -> &BoundAddresses {
         &self.bound
     }
 
-    /// Reads certificates and keys again, for connections from now on; after an error the old ones stay in use.
+    /// Reloads certificates and keys for new connections. After an error the previous ones stay in use.
     pub fn reload_tls(&self) -> Result<(), TlsError> {
         self.identity
             .as_ref()
             .map_or(Ok(()), |identity| identity.reload())
     }
 
-    /// Graceful shutdown: accepts nothing new, answers what was accepted, and ends. True if every request was answered
-    /// before the drain timeout; otherwise clients of the remaining ones see their connections cut.
+    /// Shuts down gracefully: accepts no new connections, answers the accepted requests and stops. Returns true if every
+    /// request was answered before the drain timeout; otherwise the connections of the remaining requests are closed.
     pub async fn stop(mut self) -> bool {
         let _ = self.stop.send(true);
         let timeout = Duration::from_micros(self.core.settings.listen.drain_timeout_us);
-        // A listener's task ends with its last connection, and that with its last response written.
+        // A listener's task ends with its last connection, which ends when its last response has been written.
         let drain = async {
             self.core.drained().await;
             while self.listeners.join_next().await.is_some() {}
         };
         let drained = tokio::time::timeout(timeout, drain).await.is_ok();
-        let left = self.core.open_requests();
-        tracing::info!(drained, left, "dispatcher stops");
+        let open_requests = self.core.open_requests();
+        tracing::info!(drained, open_requests, "dispatcher stops");
         state_file::save_before_exit(&self.core).await;
         self.listeners.shutdown().await;
         self.background_tasks.shutdown().await;
@@ -209,17 +209,17 @@
     }
 }
 
-/// Spawns what runs beside the listeners.
+/// Spawns the background tasks that run beside the listeners.
 fn spawn_background_tasks(
     core: &Arc<FramedCore>,
-    endpoint_intents: mpsc::UnboundedReceiver<EndpointIntent>,
+    endpoint_commands: mpsc::UnboundedReceiver<EndpointCommand>,
     tasks: &mut JoinSet<()>,
 ) {
     tasks.spawn(core_handle::run_timers(core.clone()));
     tasks.spawn(framed_transport::run_sweeps(core.clone()));
-    tasks.spawn(framed_transport::run_endpoint_intents(
+    tasks.spawn(framed_transport::run_endpoint_commands(
         core.clone(),
-        endpoint_intents,
+        endpoint_commands,
     ));
     if core.settings.state_file.is_some() {
         tasks.spawn(state_file::run(core.clone()));
--- a/crates/dispatcher/src/net/framed_frontend/client.rs
+++ b/crates/dispatcher/src/net/framed_frontend/client.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What was sent of a response, as long as it is small enough to be cached.
+/// Records a response as it is sent, as long as it is small enough to be cached.
 #[derive(Default)]
 pub(super) struct ResponseRecorder {
     head: Option<ResponseHead>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The response, if it is complete and small enough.
+    /// Returns the response if it is complete and small enough to be cached.
     pub fn into_complete(self) -> Option<CachedResponse> {
         let cacheable = self.ended && self.bytes <= MAX_CACHED_RESPONSE_BYTES;
         let head = self.head.filter(|_| cacheable)?;
@@ -42,13 +42,13 @@
     }
 }
 
-/// The stream of one request. Without a final response its drop cancels the stream.
+/// The stream of one request. Dropping it without a final response cancels the stream.
 pub(super) struct FramedClient {
-    /// Taken by the final response.
+    /// Present until the final response takes it.
     pub responder: Option<Responder>,
     pub pace: Pace,
     pub slow_clients: Counter,
-    /// Notified when the client has made another attempt of the call.
+    /// Notified when the client has made a later attempt of the call.
     pub superseded: Option<Arc<Notify>>,
     pub recorder: Option<ResponseRecorder>,
 }
@@ -109,8 +109,8 @@
         }
         let bytes = data.len() as u64;
         let superseded = self.superseded.clone();
-        let patience = self.pace.max_wait();
-        let timeout = patience.map_or(Duration::MAX, Duration::from_micros);
+        let max_wait = self.pace.max_wait();
+        let timeout = max_wait.map_or(Duration::MAX, Duration::from_micros);
         let started_at = Instant::now();
         let sending = tokio::time::timeout(timeout, self.open_responder()?.data(data));
         let sent = match superseded {
@@ -121,8 +121,8 @@
             None => sending.await,
         };
         let taken = if sent.is_ok() { bytes } else { 0 };
-        let took = started_at.elapsed().as_micros() as Micros;
-        if !self.pace.record_read(taken, took) {
+        let duration = started_at.elapsed().as_micros() as Micros;
+        if !self.pace.record_read(taken, duration) {
             self.slow_clients.inc();
             return Err(ClientDisconnected);
         }
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -1,4 +1,4 @@
-//! Clients on the framed protocol: one session for each connection, whose requests run side by side.
+//! Clients on the framed protocol: one session per connection, whose requests run concurrently.
 mod client;
 mod request;
 #[cfg(test)]
@@ -15,12 +15,12 @@
 use tokio::task::JoinSet;
 use tracing::Instrument;
 
-/// Time for requests that a client sent before it received the go-away.
+/// Time without further requests after which all requests that the client sent before receiving the go-away have arrived.
 const GOAWAY_GRACE: Duration = Duration::from_millis(100);
-/// Checks for signs of life within one lease of the client.
-const LEASE_CHECKS: u32 = 4;
+/// Number of checks within one client lease whether the client has renewed it.
+const CHECKS_PER_LEASE: u32 = 4;
 
-/// Serves one client's connection to its end.
+/// Serves one client connection until its end.
 pub(super) async fn serve(context: FrontendContext, socket: Socket, permit: ConnectionPermit) {
     let settings = &context.core.settings.listen;
     let options = ConnectionOptions {
@@ -46,31 +46,31 @@
     };
     let end = session.serve_requests().await;
     if session.context.is_stopping() || matches!(end, SessionEnd::CloseRequested) {
-        // Boxed, so that an open connection does not hold the memory of its end.
+        // The future is boxed, so that an open connection does not hold the memory of its shutdown.
         Box::pin(session.goaway(end)).await;
     }
-    session.connection.close("the connection is done with");
-    // The last responses are on their way when they are written, not when they are queued.
+    session.connection.close("session ended");
+    // The last responses have been sent only when they are written, not when they are queued.
     session.connection.flushed().await;
 }
 
-/// Why a session takes no further requests.
+/// Reason why a session accepts no further requests.
 #[derive(Clone, Copy)]
 enum SessionEnd {
     /// The connection is closed, or the dispatcher stops.
     Closed,
-    /// The connection was idle for too long, or is closed for another.
+    /// The connection was idle for too long, or is closed to admit another connection.
     CloseRequested,
 }
 
-/// One connection of a client. At its end the responses under way are still owed where it announced the close.
+/// One connection of a client. If the session announces its close, it completes the requests in progress first.
 struct Session {
     context: FrontendContext,
     permit: ConnectionPermit,
     connection: FramedConnection,
     incoming: Incoming,
     lease: Duration,
-    /// Whether the client gives signs of life while it waits.
+    /// Whether the client renews its lease by sending frames while it waits.
     renews_lease: bool,
     requests: JoinSet<()>,
 }
@@ -80,7 +80,7 @@
         loop {
             let active = !self.requests.is_empty();
             let inbound = tokio::select! {
-                // First: a request that has arrived is answered, though its connection is to close.
+                // Polled first, so that a request that has arrived is answered although its connection is to close.
                 biased;
                 inbound = self.incoming.next() => inbound,
                 _ = self.requests.join_next(), if active => {
@@ -88,7 +88,7 @@
                     continue;
                 }
                 _ = self.permit.close_requested(), if !active => return SessionEnd::CloseRequested,
-                _ = tokio::time::sleep(self.lease / LEASE_CHECKS), if self.renews_lease && active => {
+                _ = tokio::time::sleep(self.lease / CHECKS_PER_LEASE), if self.renews_lease && active => {
                     self.check_lease();
                     continue;
                 }
@@ -115,8 +115,8 @@
         }
     }
 
-    /// The reply to a control frame, if it has one. Endpoint lists and purges are taken at the control listener only. A
-    /// probe does not count as use: a client that sends nothing else is idle.
+    /// Handles a control frame and returns the reply, if it has one. Endpoint lists and purges are accepted only at the
+    /// control listener. A probe does not count as use: a client that sends only probes is idle.
     fn handle_control(&mut self, frame: Frame) -> Option<Frame> {
         match frame {
             Frame::Probe(probe) if !probe.echo => Some(Frame::Probe(ProbeHead {
@@ -152,11 +152,11 @@
                 .connection_counts
                 .lost_clients
                 .inc();
-            self.connection.abort("no sign of life");
+            self.connection.abort("client lease expired");
         }
     }
 
-    /// Announces the close, and answers all requests that were sent before the client received the announcement.
+    /// Announces the close, and answers all requests that the client sent before it received the announcement.
     async fn goaway(&mut self, end: SessionEnd) {
         self.connection.goaway(match end {
             SessionEnd::CloseRequested => "idle for too long, or its place is wanted",
--- a/crates/dispatcher/src/net/framed_frontend/request.rs
+++ b/crates/dispatcher/src/net/framed_frontend/request.rs
@@ -1,4 +1,4 @@
-//! One request on the framed protocol: its class, its deduplication by call name, its exchange.
+//! One request on the framed protocol: its class, its deduplication by call id, and its exchange.
 use super::super::call_attempts::{AttemptAdmission, CachedResponse, CallAttempt, Superseded};
 use super::super::exchange::{self, IncomingRequest, RequestOutcome};
 use super::super::frontend_context::FrontendContext;
@@ -12,10 +12,10 @@
 use pointspindle_transport::Responder;
 use tokio::time::Instant;
 
-/// A call that finds the table of calls full may be retried after this.
-const FULL_RETRY_AFTER_US: Micros = 1_000_000;
+/// Time after which a client may retry a call that was rejected because the table of calls is full.
+const CALL_TABLE_FULL_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// Answers a request; the responder gets exactly one end.
+/// Answers a request. The responder is ended exactly once.
 pub(super) async fn answer(context: FrontendContext, mut head: RequestHead, responder: Responder) {
     let received_at = Instant::now();
     let settings = &context.core.settings;
@@ -24,25 +24,25 @@
         return respond_error(responder, WireStatus::Failed, None, detail).await;
     };
     head.fetch = None;
-    let call = std::mem::take(&mut head.call_id);
-    let mut attempt = match admit_attempt(&context, &call).await {
-        CallState::Unnamed => None,
-        CallState::Admitted(attempt) => Some(attempt),
-        CallState::Answered(response) => return replay(responder, response).await,
-        CallState::Full => {
+    let call_id = std::mem::take(&mut head.call_id);
+    let mut attempt = match admit_attempt(&context, &call_id).await {
+        CallAdmission::WithoutCallId => None,
+        CallAdmission::Admitted(attempt) => Some(attempt),
+        CallAdmission::Answered(response) => return replay(responder, response).await,
+        CallAdmission::Full => {
             let detail = "too many calls are known by name".to_owned();
-            let retry_after = Some(FULL_RETRY_AFTER_US);
+            let retry_after = Some(CALL_TABLE_FULL_RETRY_AFTER_US);
             return respond_error(responder, WireStatus::Refused, retry_after, detail).await;
         }
-        CallState::Superseded => {
+        CallAdmission::Superseded => {
             let detail = "tried again".to_owned();
             return respond_error(responder, WireStatus::Refused, None, detail).await;
         }
     };
-    let max_time = settings.classes[class].deadline_us;
+    let class_deadline = settings.classes[class].deadline_us;
     let waited = received_at.elapsed().as_micros() as Micros;
-    let time_left = requested_time(&head, max_time).saturating_sub(waited);
-    // Only what must not run twice is recorded: of all else a second response costs a cache hit.
+    let time_left = requested_time(&head, class_deadline).saturating_sub(waited);
+    // Only responses to requests that must not run twice are recorded; repeating any other request costs a cache hit.
     let record = attempt.is_some() && settings.router.classes[class].uncacheable;
     let mut client = FramedClient {
         responder: Some(responder),
@@ -62,12 +62,12 @@
     }
 }
 
-/// The time that the client asks for, within its class's deadline.
-fn requested_time(head: &RequestHead, max_time: Micros) -> Micros {
+/// Returns the time that the client requests, limited by the deadline of its class.
+fn requested_time(head: &RequestHead, class_deadline: Micros) -> Micros {
     if head.time_left_us == 0 {
-        max_time
+        class_deadline
     } else {
-        head.time_left_us.min(max_time)
+        head.time_left_us.min(class_deadline)
     }
 }
 
@@ -82,7 +82,8 @@
     }
 }
 
-/// Stream credit comes in halves of a window, so less than one window is no sign of a slow client.
+/// Returns the pace required of a client. The window is at least the time for one stream window at the minimum rate: stream
+/// credit is granted in halves of a window, so a client that lacks less than that is not necessarily slow.
 fn client_pace(settings: &ListenSettings) -> Pace {
     let min_bytes_per_s = settings.min_client_bytes_per_s;
     let time_for_stream_window = (u64::from(streams::STREAM_WINDOW) * 1_000_000)
@@ -94,7 +95,7 @@
     })
 }
 
-/// A response that reached its end is cached, though the client may have left before.
+/// Caches a response that is complete, even if the client disconnected before its end.
 fn cache_response(attempt: &mut CallAttempt, recorder: ResponseRecorder, outcome: RequestOutcome) {
     if !matches!(
         outcome,
@@ -107,30 +108,30 @@
     }
 }
 
-/// What becomes of a request by the name of its call.
-enum CallState {
-    /// It has no name: nothing is deduplicated.
-    Unnamed,
+/// Decision about a request by its call id.
+enum CallAdmission {
+    /// The request has no call id and is not deduplicated.
+    WithoutCallId,
     Admitted(CallAttempt),
     Answered(CachedResponse),
     Full,
     Superseded,
 }
 
-/// Waits for the turn of a call's attempt; the attempts of the same call before it are ended first.
-async fn admit_attempt(context: &FrontendContext, call: &str) -> CallState {
-    if call.is_empty() {
-        return CallState::Unnamed;
+/// Waits until an attempt of a call may begin. Earlier attempts of the same call are ended first.
+async fn admit_attempt(context: &FrontendContext, call_id: &str) -> CallAdmission {
+    if call_id.is_empty() {
+        return CallAdmission::WithoutCallId;
     }
-    let mut attempt = match context.core.transport.call_attempts.begin(call) {
-        AttemptAdmission::Full => return CallState::Full,
-        AttemptAdmission::Answered(response) => return CallState::Answered(response),
+    let mut attempt = match context.core.transport.call_attempts.begin(call_id) {
+        AttemptAdmission::Full => return CallAdmission::Full,
+        AttemptAdmission::Answered(response) => return CallAdmission::Answered(response),
         AttemptAdmission::Admitted(attempt) => attempt,
     };
     match attempt.wait_for_turn().await {
-        Ok(None) => CallState::Admitted(attempt),
-        Ok(Some(response)) => CallState::Answered(response),
-        Err(Superseded) => CallState::Superseded,
+        Ok(None) => CallAdmission::Admitted(attempt),
+        Ok(Some(response)) => CallAdmission::Answered(response),
+        Err(Superseded) => CallAdmission::Superseded,
     }
 }
 
@@ -146,7 +147,7 @@
     let _ = responder.end(None).await;
 }
 
-/// Ends a request of which nothing has run.
+/// Ends a request that has not been executed.
 async fn respond_error(
     responder: Responder,
     status: WireStatus,
--- a/crates/dispatcher/src/net/framed_frontend/tests.rs
+++ b/crates/dispatcher/src/net/framed_frontend/tests.rs
@@ -1,6 +1,6 @@
 use crate::net::test_support::accepted_connection;
 
-/// As at the HTTP listener: an idle connection does not hold the memory that a request needs.
+/// An idle connection must not hold the memory that a request needs, as for the HTTP listener.
 #[tokio::test]
 async fn idle_framed_connection_holds_no_request_state() {
     let accepted = accepted_connection("framed").await;
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -1,4 +1,4 @@
-//! Endpoints on the framed protocol: the core's transport over a [`ConnectionPool`].
+//! Transport of the core to endpoints on the framed protocol, over a [`ConnectionPool`].
 use super::call_attempts::CallAttempts;
 use super::connection_pool::{ConnectionEvents, ConnectionPool, NoConnection};
 use super::core_handle::{AttemptId, CoreHandle, EndpointTransport, UpstreamCall};
@@ -16,49 +16,49 @@
 /// The core of a dispatcher whose endpoints speak the framed protocol.
 pub(crate) type FramedCore = CoreHandle<FramedTransport>;
 
-/// How long a connection that no request needs is retried.
-const CONNECT_INTENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// Mean pause between such retries; each is drawn from half to one and a half of it.
-const CONNECT_RETRY_MS: f64 = 25.0;
-/// Time between two sweeps of all connections; no connection has a timer of its own.
+/// Maximum time for which opening a connection without a request is retried.
+const CONNECT_RETRY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Mean pause between these retries; each pause is drawn uniformly from half to one and a half times the mean.
+const MEAN_CONNECT_RETRY_PAUSE_MS: f64 = 25.0;
+/// Time between two sweeps of all connections; connections have no timers of their own.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Connections to endpoints, and the calls of clients that are deduplicated.
+/// Connections to endpoints, and the deduplicated calls of clients.
 #[derive(Debug)]
 pub(crate) struct FramedTransport {
     pub pool: ConnectionPool,
-    /// Carried out by [`run_endpoint_intents`] and not at once: the core sends them under its lock, which a connection's
-    /// writer takes for each request that begins.
-    intents: mpsc::UnboundedSender<EndpointIntent>,
+    /// Commands for [`run_endpoint_commands`]. They are not executed immediately: the core sends them under its lock, which
+    /// the writer of a connection takes for each request that begins.
+    commands: mpsc::UnboundedSender<EndpointCommand>,
     pub(super) call_attempts: Arc<CallAttempts>,
 }
 
-/// What the core wants of an endpoint beside requests.
+/// A command of the core to an endpoint that is not part of a request.
 #[derive(Debug)]
-pub(crate) enum EndpointIntent {
-    /// A connection, so that the endpoint can say hello.
+pub(crate) enum EndpointCommand {
+    /// Open a connection, so that the endpoint can send its hello.
     Connect { endpoint: String },
-    /// Work from an endpoint that leases its capacity on request.
+    /// Request work from an endpoint that leases its capacity on request.
     RequestWork { endpoint: String, work_us: u64 },
 }
 
 impl FramedCore {
-    /// A core, and its intents for [`run_endpoint_intents`].
+    /// Creates a core, and returns it with the receiver of its commands for [`run_endpoint_commands`].
     pub fn framed(
         settings: Arc<DispatcherSettings>,
         seed: u64,
         network: Network,
-    ) -> (Self, mpsc::UnboundedReceiver<EndpointIntent>) {
-        let (intents, intent_receiver) = mpsc::unbounded_channel();
-        // As many calls are remembered as may run.
+    ) -> (Self, mpsc::UnboundedReceiver<EndpointCommand>) {
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        // Twice the maximum of running requests, so that as many calls can be remembered as can run.
         let call_attempts = CallAttempts::new(2 * settings.max_requests);
         let upstream = settings.upstream.clone();
         let transport = |meter: &BufferMeter| FramedTransport {
             pool: ConnectionPool::new(upstream, seed, meter.clone(), network),
-            intents,
+            commands,
             call_attempts,
         };
-        (Self::new(settings, seed, transport), intent_receiver)
+        (Self::new(settings, seed, transport), command_receiver)
     }
 
     /// Sizes of the core's state and of the connection pool.
@@ -76,7 +76,7 @@
 impl EndpointTransport for FramedTransport {
     type Call = Call;
 
-    /// Requests of the framed protocol have no body.
+    /// Sends a request to an endpoint. The body is ignored, because requests of the framed protocol have none.
     async fn call(
         core: &Arc<FramedCore>,
         attempt: AttemptId,
@@ -86,23 +86,24 @@
     ) -> Result<Call, AttemptEnd> {
         let connection = match core.transport.pool.connection(core, endpoint).await {
             Ok(connection) => connection,
-            Err(NoConnection::Failed(why)) => {
-                tracing::debug!(endpoint, why, "no connection");
+            Err(NoConnection::Failed(reason)) => {
+                tracing::debug!(endpoint, reason, "no connection to endpoint");
                 return Err(AttemptEnd::ConnectFailed);
             }
-            // The attempt was decided for a process that is gone: the core decides again, with the new one's hello.
+            // The attempt was decided for a process that has been replaced: the core decides again, knowing the hello of
+            // the new process.
             Err(NoConnection::Replaced | NoConnection::LocalShortage) => {
                 return Err(AttemptEnd::NotSent);
             }
         };
         let core = core.clone();
-        // Called again wherever the socket takes its first byte: it may be full now.
-        let begin = move || {
+        // Runs when the socket accepts the first byte of the request, which may be later if the socket is full now.
+        let compose = move || {
             core.begin_attempt(attempt)?.apply_to(&mut request);
             Some(request.clone())
         };
         connection
-            .call_deferred(Box::new(begin))
+            .call_deferred(Box::new(compose))
             .map_err(|e| match e {
                 ConnectionError::NoStream(_) => AttemptEnd::NotSent,
                 _ => AttemptEnd::ConnectFailed,
@@ -110,11 +111,11 @@
     }
 
     fn connect(&self, endpoint: String) {
-        let _ = self.intents.send(EndpointIntent::Connect { endpoint });
+        let _ = self.commands.send(EndpointCommand::Connect { endpoint });
     }
 
     fn request_work(&self, endpoint: &str, work_us: u64) {
-        let _ = self.intents.send(EndpointIntent::RequestWork {
+        let _ = self.commands.send(EndpointCommand::RequestWork {
             endpoint: endpoint.to_owned(),
             work_us,
         });
@@ -148,20 +149,20 @@
     }
 }
 
-/// Carries out what the core wants of endpoints beside requests. It connects to endpoints whose hello is needed: one that
-/// sent a hello before and whose connection broke may be another process now, and one that is reported as just started.
-pub(super) async fn run_endpoint_intents(
+/// Executes the core's commands to endpoints. It connects to endpoints whose hello is needed: those that sent a hello
+/// before and whose connection was lost, since another process may have replaced them, and those reported as just started.
+pub(super) async fn run_endpoint_commands(
     core: Arc<FramedCore>,
-    mut intents: mpsc::UnboundedReceiver<EndpointIntent>,
+    mut commands: mpsc::UnboundedReceiver<EndpointCommand>,
 ) {
     let mut connecting = JoinSet::new();
-    while let Some(intent) = intents.recv().await {
+    while let Some(command) = commands.recv().await {
         while connecting.try_join_next().is_some() {}
-        match intent {
-            EndpointIntent::Connect { endpoint } => {
+        match command {
+            EndpointCommand::Connect { endpoint } => {
                 connecting.spawn(connect_with_retries(core.clone(), endpoint));
             }
-            EndpointIntent::RequestWork { endpoint, work_us } => {
+            EndpointCommand::RequestWork { endpoint, work_us } => {
                 core.transport.pool.request_work(&endpoint, work_us);
             }
         }
@@ -172,14 +173,14 @@
     let pool = &core.transport.pool;
     let connect = async {
         while let Err(NoConnection::Failed(_)) = pool.connection(&core, &endpoint).await {
-            let pause_ms = CONNECT_RETRY_MS * (0.5 + pool.random_unit());
+            let pause_ms = MEAN_CONNECT_RETRY_PAUSE_MS * (0.5 + pool.random_unit());
             tokio::time::sleep(Duration::from_secs_f64(pause_ms / 1e3)).await;
         }
     };
-    let _ = tokio::time::timeout(CONNECT_INTENT_TIMEOUT, connect).await;
+    let _ = tokio::time::timeout(CONNECT_RETRY_TIMEOUT, connect).await;
 }
 
-/// Sweeps the connection pool and updates the metrics that nothing else does.
+/// Sweeps the connection pool periodically, and updates the metrics that are sampled instead of updated on events.
 pub(super) async fn run_sweeps(core: Arc<FramedCore>) {
     let pool = &core.transport.pool;
     let metrics = &core.metrics;
--- a/crates/dispatcher/src/net/http_frontend/client.rs
+++ b/crates/dispatcher/src/net/http_frontend/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of an HTTP/1.1 connection: reads requests and writes their responses.
+//! The client's side of an HTTP/1.1 connection: reads requests and writes responses.
 use super::super::exchange::{ClientDisconnected, ClientStream};
 use crate::client_pace::{Pace, PaceRule};
 use bytes::{Buf, Bytes, BytesMut};
@@ -13,20 +13,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Small pieces of a body are gathered up to this before they are written.
+/// Small parts of a body are gathered up to this size before they are written.
 const GATHER_BYTES: usize = 16 * 1024;
-/// A larger buffer is freed once it is empty.
+/// A write buffer with a larger capacity is freed once it is empty.
 const MAX_IDLE_BUFFER_BYTES: usize = 1024;
-/// Time to write an error response to a client that may not read.
+/// Maximum time to write an error response, since the client may not be reading.
 const ERROR_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Header fields of a response.
 type Fields = Vec<(&'static str, String)>;
 
-/// One connection: between requests it holds no response state beyond an empty buffer.
+/// A client's connection. Between requests it holds no response state except an empty buffer.
 pub(super) struct HttpClient {
     requests: FrameReader<RequestCodec>,
-    /// A request that arrived while another was being answered: one at most, further ones wait in the socket.
+    /// Request that arrived while another was being answered. At most one is buffered; further ones wait in the socket.
     pipelined_request: Option<Box<Result<HttpRequest, HttpError>>>,
     disconnected: bool,
     write: WriteHalf,
@@ -35,16 +35,16 @@
     close: bool,
     chunked: bool,
     body_allowed: bool,
-    /// Something of this response was handed to the connection.
+    /// Whether any bytes of the current response have been passed to the connection.
     response_started: bool,
     pace_rule: PaceRule,
-    /// Of the response that is being written.
+    /// Pace of the client for the response that is being written.
     pace: Option<Box<Pace>>,
     slow_clients: Counter,
 }
 
 impl HttpClient {
-    /// A connection without requests.
+    /// Creates the client's side of a new connection.
     pub fn new(socket: Socket, settings: &ListenSettings, slow_clients: Counter) -> Self {
         let (read, write) = socket.split();
         Self {
@@ -67,27 +67,27 @@
         }
     }
 
-    /// Whether something of a request has been read already.
+    /// Whether a request or a part of one has been read already.
     pub fn has_request(&self) -> bool {
         self.pipelined_request.is_some() || self.has_partial_request()
     }
 
-    /// Whether bytes of a request have been read that are not complete.
+    /// Whether a request has been read in part.
     pub fn has_partial_request(&self) -> bool {
         !self.requests.is_empty()
     }
 
-    /// Returns when there is something to read.
+    /// Waits until there are bytes to read.
     pub async fn readable(&self) -> std::io::Result<()> {
         self.requests.readable().await
     }
 
-    /// A request that arrived while another was being answered.
+    /// Takes the request that arrived while another was being answered.
     pub fn take_pipelined_request(&mut self) -> Option<Box<Result<HttpRequest, HttpError>>> {
         self.pipelined_request.take()
     }
 
-    /// Reads the next request; none at the connection's end.
+    /// Reads the next request; returns `None` at the end of the connection.
     pub async fn next_request(&mut self) -> Option<Result<HttpRequest, HttpError>> {
         self.requests.next().await
     }
@@ -98,7 +98,7 @@
         self.close = !request.keep_alive || stopping;
     }
 
-    /// Drops the state of a response; true if the connection is to close behind it.
+    /// Drops the state of a response. Returns whether the connection is to be closed after it.
     pub fn end_request(&mut self) -> bool {
         self.pace = None;
         self.close
@@ -109,7 +109,7 @@
         self.write.shutdown();
     }
 
-    /// Sends a complete response of the dispatcher's own.
+    /// Sends a complete response that the dispatcher generates itself.
     pub async fn send_response(&mut self, status: u16, text: &str, mut fields: Fields) {
         fields.push(("content-type", "text/plain; charset=utf-8".into()));
         let response = HttpResponse {
@@ -128,16 +128,16 @@
         }
     }
 
-    /// Sends the last response on a connection that cannot be read any further.
-    pub async fn reject_request(&mut self, status: u16, why: &str) {
+    /// Sends the last response on a connection on which no further request can be read.
+    pub async fn reject_request(&mut self, status: u16, reason: &str) {
         self.close = true;
         self.method = Method::Get;
-        self.send_response(status, &format!("{why}\n"), vec![])
+        self.send_response(status, &format!("{reason}\n"), vec![])
             .await;
         self.shutdown();
     }
 
-    /// Writes what is buffered. Dropped while waiting, what is not written is still buffered.
+    /// Writes the buffered bytes. If the future is dropped, the bytes that are not written stay in the buffer.
     async fn write_buffered(&mut self) -> Result<(), ClientDisconnected> {
         while !self.out.is_empty() {
             self.response_started = true;
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Writes a large piece from its own memory, behind what is buffered.
+    /// Writes the buffered bytes and then a large part of a body, without copying it into the buffer.
     async fn write_behind_buffered(&mut self, data: Bytes) -> Result<(), ClientDisconnected> {
         let mut both = std::mem::take(&mut self.out).chain(data);
         self.response_started = true;
@@ -172,7 +172,7 @@
     }
 }
 
-/// Writes while the client takes its response fast enough.
+/// Writes to the client as long as it reads its response fast enough.
 struct PacedWriter<'a> {
     write: &'a WriteHalf,
     pace: &'a mut Option<Box<Pace>>,
@@ -188,7 +188,7 @@
         Ok(())
     }
 
-    /// Writes what the client takes next. Safe to drop while waiting.
+    /// Writes as many bytes as the socket accepts next. The future may be dropped at any time.
     async fn write_some(
         &mut self,
         bytes: &mut (impl Buf + Send),
@@ -204,7 +204,7 @@
         };
         if !pace.record_read(taken, started_at.elapsed().as_micros() as Micros) {
             self.slow_clients.inc();
-            tracing::info!("client too slow: response given up");
+            tracing::info!("client reads its response too slowly; connection closed");
             return Err(ClientDisconnected);
         }
         Ok(())
@@ -214,7 +214,7 @@
 impl ClientStream for HttpClient {
     async fn disconnected(&mut self) {
         if self.pipelined_request.is_some() {
-            // Reading further would buffer without bound: the connection's end is detected behind the unread bytes.
+            // Reading on would buffer without bound, so the end of the connection is detected behind the unread bytes.
             return self.requests.peer_closed().await;
         }
         if !self.disconnected {
@@ -299,8 +299,9 @@
             .await;
     }
 
-    /// What has been written stays short of its length, or without its last chunk: the client sees a cut. A head that is
-    /// still buffered is replaced by an error response, since a connection closed without a byte would be no response.
+    /// Leaves the response shorter than its length or without its last chunk, so that the client detects the truncation. A
+    /// head that is still buffered is replaced by an error response, since the client would receive no response at all from
+    /// a connection that is closed without a byte.
     async fn abort(&mut self) {
         self.out.clear();
         self.close = true;
@@ -310,7 +311,7 @@
     }
 }
 
-/// The status, and the body's length where it is known.
+/// Returns the status, and the length of the body if it is known.
 fn status_and_length(head: &ResponseHead) -> (u16, Option<u64>) {
     if head.not_modified {
         (304, Some(0))
@@ -357,7 +358,7 @@
     }
 }
 
-/// RFC 9211: how the response came about at the cache.
+/// Returns the `Cache-Status` field (RFC 9211): how the cache produced the response.
 fn cache_status(head: &ResponseHead) -> String {
     let ttl = head
         .fresh_left_us
--- a/crates/dispatcher/src/net/http_frontend/mod.rs
+++ b/crates/dispatcher/src/net/http_frontend/mod.rs
@@ -14,14 +14,14 @@
 use std::time::Duration;
 use tracing::Instrument;
 
-/// Serves one client's connection until it closes, is closed for another, or the dispatcher stops.
+/// Serves one client connection until it closes, is closed to admit another connection, or the dispatcher stops.
 pub(super) async fn serve(context: FrontendContext, socket: Socket, permit: ConnectionPermit) {
     let slow_clients = context.core.metrics.slow_clients.clone();
     let mut client = HttpClient::new(socket, &context.core.settings.listen, slow_clients);
     loop {
         if !client.has_request() {
             let readable = tokio::select! {
-                // First: a request that has arrived is answered, though its connection is to close.
+                // Polled first, so that a request that has arrived is answered although its connection is to close.
                 biased;
                 readable = client.readable() => readable,
                 _ = permit.close_requested() => return,
@@ -31,7 +31,7 @@
                 return;
             }
         }
-        // Boxed, as all that only an active connection needs: an idle one holds its socket, its permit and little more.
+        // The future is boxed, so that an idle connection holds little more than its socket and its permit.
         match Box::pin(serve_request(&context, &permit, &mut client)).await {
             NextStep::KeepAlive => {}
             NextStep::Close => return,
@@ -39,7 +39,7 @@
     }
 }
 
-/// What becomes of a connection after a request.
+/// What happens to a connection after a request.
 enum NextStep {
     KeepAlive,
     Close,
@@ -55,8 +55,8 @@
         Ok(request) => request,
         Err(NoRequest::NothingReceived) => return NextStep::KeepAlive,
         Err(NoRequest::Closed) => return NextStep::Close,
-        Err(NoRequest::Invalid { status, why }) => {
-            client.reject_request(status, &why).await;
+        Err(NoRequest::Invalid { status, reason }) => {
+            client.reject_request(status, &reason).await;
             return NextStep::Close;
         }
     };
@@ -68,11 +68,11 @@
         trace = request.trace.as_deref().unwrap_or_default()
     );
     let outcome = answer(context, request, client).instrument(span).await;
-    let cut = matches!(
+    let interrupted = matches!(
         outcome,
         Some(RequestOutcome::Broken | RequestOutcome::ClientDisconnected)
     );
-    if client.end_request() || cut {
+    if client.end_request() || interrupted {
         client.shutdown();
         return NextStep::Close;
     }
@@ -80,15 +80,15 @@
     NextStep::KeepAlive
 }
 
-/// Why there is no request to answer.
+/// Reason reason there is no request to answer.
 enum NoRequest {
-    /// No byte arrived in time.
+    /// No byte arrived before the timeout.
     NothingReceived,
     Closed,
-    /// The connection cannot be read any further.
+    /// No further request can be read on the connection.
     Invalid {
         status: u16,
-        why: String,
+        reason: String,
     },
 }
 
@@ -98,13 +98,13 @@
             0 => Self::Closed,
             status => Self::Invalid {
                 status,
-                why: error.to_string(),
+                reason: error.to_string(),
             },
         }
     }
 }
 
-/// The next request; from its first byte on, its head has a time limit.
+/// Reads the next request. Its head must be complete within the head timeout.
 async fn read_request(
     context: &FrontendContext,
     client: &mut HttpClient,
@@ -118,13 +118,13 @@
         Ok(None) => Err(NoRequest::Closed),
         Err(_) if client.has_partial_request() => Err(NoRequest::Invalid {
             status: 408,
-            why: "the head did not come in time".to_owned(),
+            reason: "the head did not come in time".to_owned(),
         }),
         Err(_) => Err(NoRequest::NothingReceived),
     }
 }
 
-/// The outcome of the request's exchange; none where no class serves the path.
+/// Answers a request. Returns the outcome of its exchange, or `None` if no class serves the path.
 async fn answer(
     context: &FrontendContext,
     request: HttpRequest,
--- a/crates/dispatcher/src/net/http_frontend/request.rs
+++ b/crates/dispatcher/src/net/http_frontend/request.rs
@@ -1,4 +1,4 @@
-//! An HTTP request in the dispatcher's terms: its class, object, part and purge group.
+//! Conversion of an HTTP request: determines its class, object, part and purge group.
 use super::super::exchange::IncomingRequest;
 use crate::core::ClientRequest;
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use pointspindle_protocol::http::{HttpRequest, Method};
 use pointspindle_protocol::RequestHead;
 
-/// The request for the core; none where no class serves the path.
+/// Returns the request for the core, or `None` if no class serves the path.
 pub(super) fn incoming_request(
     settings: &DispatcherSettings,
     request: &HttpRequest,
@@ -16,10 +16,10 @@
     let class_settings = &settings.classes[class];
     let (object, part) = object_and_part(request);
     let group = group_of(&request.path, settings.group_segments);
-    let max_time = class_settings.deadline_us;
-    let time_left = request
-        .deadline_ms
-        .map_or(max_time, |ms| ms.saturating_mul(1000).min(max_time));
+    let class_deadline = class_settings.deadline_us;
+    let time_left = request.deadline_ms.map_or(class_deadline, |ms| {
+        ms.saturating_mul(1000).min(class_deadline)
+    });
     let client_request = ClientRequest {
         class,
         object: object.clone(),
@@ -47,7 +47,7 @@
     })
 }
 
-/// The class with the longest prefix of the path; the first of several.
+/// Returns the index of the class whose prefix of the path is longest; the first one if several are equally long.
 fn class_of(settings: &DispatcherSettings, path: &str) -> Option<usize> {
     let mut longest: Option<(usize, usize)> = None;
     for (class, class_settings) in settings.classes.iter().enumerate() {
@@ -62,7 +62,8 @@
     longest.map(|(_, class)| class)
 }
 
-/// A query of the form `part=N` names a part of the object; any other belongs to the object's name.
+/// Returns the object and the number of its part. A query of the form `part=N` selects a part; any other query belongs to
+/// the object's name.
 fn object_and_part(request: &HttpRequest) -> (String, u64) {
     if request.query.is_empty() {
         return (request.path.clone(), 0);
@@ -77,7 +78,7 @@
     }
 }
 
-/// The purge group of an HTTP path: the hash of its first segments, as `purge --group-of` computes it too.
+/// Returns the purge group of an HTTP path: the hash of its first segments, as `purge --group-of` computes it.
 fn group_of(path: &str, segments: usize) -> u64 {
     let mut segment_ends = path.match_indices('/').map(|(at, _)| at).skip(1);
     let end = segment_ends.nth(segments - 1).unwrap_or(path.len());
--- a/crates/dispatcher/src/net/http_frontend/tests.rs
+++ b/crates/dispatcher/src/net/http_frontend/tests.rs
@@ -1,7 +1,8 @@
 use crate::net::test_support::accepted_connection;
 
-/// What a hundred thousand idle connections cost is this, a task's header, a socket's registration and a permit. Guards
-/// against state of the active connection (a head's time-out, a response) finding its way into the idle one.
+/// Limits the size of the future of an idle connection, on which, besides the task header, the registration of the socket
+/// and the permit, the memory of a hundred thousand idle connections depends. Guards against state that only an active
+/// connection needs, such as the timeout of a head or a response, becoming part of the idle state.
 #[tokio::test]
 async fn idle_http_connection_holds_little_beyond_its_socket() {
     let accepted = accepted_connection("http").await;
--- a/crates/dispatcher/src/net/metrics.rs
+++ b/crates/dispatcher/src/net/metrics.rs
@@ -28,7 +28,7 @@
 /// A latency histogram for each class.
 type LatencyFamily = Family<ClassLabel, Histogram, fn() -> Histogram>;
 
-/// The metrics of one class, looked up once so that no request pays for labels.
+/// Metrics of one class, looked up once so that requests need no label lookups.
 #[derive(Debug)]
 struct ClassMetrics {
     /// Indexed by [`RequestOutcome`].
@@ -37,7 +37,7 @@
     last_byte: Histogram,
 }
 
-/// Connections of clients and to endpoints.
+/// Metrics of client and endpoint connections.
 #[derive(Debug)]
 pub(crate) struct ConnectionMetrics {
     pub clients: Gauge,
@@ -48,7 +48,7 @@
     pub tls_failed: Counter,
 }
 
-/// The source of endpoint lists and purges.
+/// Metrics of the source of endpoint lists and purges.
 #[derive(Debug)]
 pub(crate) struct ControlSourceMetrics {
     pub current: Gauge,
@@ -57,14 +57,14 @@
     pub registered_dispatchers: Gauge,
 }
 
-/// Waits for the lock of the core.
+/// Metrics of waits for the core's lock.
 #[derive(Debug)]
 pub(crate) struct CoreLockMetrics {
     pub waits: Counter,
     pub wait_us: Counter,
 }
 
-/// All metrics of a dispatcher; fields are updated where the event happens.
+/// All metrics of a dispatcher. Fields are updated where the event occurs.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
@@ -115,51 +115,52 @@
     }
 }
 
-/// 0.25 ms to some 8 s, doubling.
+/// Creates a histogram with buckets from 0.25 ms to about 8 s; each bound is twice the previous one.
 fn latency_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_25, 2.0, 16))
 }
 
-/// 10 us to some 2.6 s, by fours.
+/// Creates a histogram with buckets from 10 us to about 2.6 s; each bound is four times the previous one.
 fn purge_lag_histogram() -> Histogram {
     Histogram::new(exponential_buckets(0.000_01, 4.0, 10))
 }
 
 const ATTEMPTS_NOT_BEGUN_HELP: &str =
-    "Attempts held back right before their first byte: client, time, member or source gone meanwhile";
+    "Attempts not sent because client, deadline, endpoint or fill source no longer permitted it at the first byte";
 const ATTEMPTS_HELD_BACK_HELP: &str =
-    "Attempts that used no older copy, since purges could not be proven to be known";
+    "Attempts that could use no older cached copy because purges were not confirmed to be in force";
 const PURGES_CONFIRMED_HELP: &str =
-    "Purges are proven to be known (1) or not (0); -1: that is not promised";
-const REQUESTS_OVER_BUDGET_HELP: &str = "Requests refused because as much is under way as may be";
-const SLOW_CLIENTS_HELP: &str = "Answers given up because the client took too little";
-const BUFFERED_HELP: &str = "Bytes of bodies read and not yet taken, as last looked at";
-const LOCK_WAITS_HELP: &str = "Times that somebody waited for the core";
-const LOCK_WAIT_US_HELP: &str = "Time that was waited for the core, microseconds";
+    "Whether purges are confirmed to be in force (1) or not (0); -1 if no purge delay is promised";
+const REQUESTS_OVER_BUDGET_HELP: &str = "Requests refused because the request budget was exhausted";
+const SLOW_CLIENTS_HELP: &str = "Responses aborted because the client read too slowly";
+const BUFFERED_HELP: &str = "Bytes of bodies buffered by connections, sampled periodically";
+const LOCK_WAITS_HELP: &str = "Number of waits for the lock of the core";
+const LOCK_WAIT_US_HELP: &str = "Total time of waits for the lock of the core, in microseconds";
 const DEAD_CONNECTIONS_HELP: &str =
-    "Connections to members closed because they gave no sign of life";
+    "Connections to endpoints closed because the endpoint sent no keep-alive reply";
 const LOST_CLIENTS_HELP: &str =
-    "Connections of clients closed because they gave no sign of life while they waited";
-const KNOWN_CALLS_HELP: &str = "Calls of clients that run or are remembered";
-const TLS_FAILED_HELP: &str = "TLS handshakes that came to nothing";
-const SOURCE_CURRENT_HELP: &str = "1: lists and purges are as new as they should be";
-const SOURCE_GAPS_HELP: &str = "Times that purges may have been missed";
-const SOURCE_REJECTED_KEYS_HELP: &str = "Keys of the source that could not be used";
-const PURGE_LAG_HELP: &str = "From a purge's frame to its being in force";
+    "Client connections closed because the client did not renew its lease while it waited";
+const KNOWN_CALLS_HELP: &str = "Client calls that are running or remembered";
+const TLS_FAILED_HELP: &str = "Failed TLS handshakes";
+const SOURCE_CURRENT_HELP: &str =
+    "Whether endpoint lists and purges from the control source are current (1) or not (0)";
+const SOURCE_GAPS_HELP: &str = "Number of gaps in which purges may have been missed";
+const SOURCE_REJECTED_KEYS_HELP: &str = "Keys of the control source that were rejected as invalid";
+const PURGE_LAG_HELP: &str = "Time from the receipt of a purge frame until the purge is in force";
 
 impl Metrics {
-    /// All metrics, at zero, registered in the order of this function.
+    /// Creates all metrics with the value 0, registered in the order of this function.
     #[rustfmt::skip] // One metric a line, as a table.
     pub fn new(settings: &DispatcherSettings) -> Self {
         let mut register = Registration(Registry::with_prefix("pointspindle"));
         let requests = register.add("requests", "Requests by class and final outcome", Family::default());
         let attempts = register.add("attempts", "Attempts by outcome", Family::default());
-        let first_byte = register.latency("first_byte", "From the request to its answer's head");
-        let last_byte = register.latency("last_byte", "From the request to its final answer");
+        let first_byte = register.latency("first_byte", "Time from the start of a request to its response head");
+        let last_byte = register.latency("last_byte", "Time from the start of a request to the end of its response");
         let class_metrics = |class| ClassMetrics::new(class, &requests, &first_byte, &last_byte);
         let classes = settings.classes.iter().map(class_metrics).collect();
-        let open_requests = register.gauge("open_requests", "Requests without a final answer");
-        let connections = register.gauge("connections", "Connections at all doors");
+        let open_requests = register.gauge("open_requests", "Requests without a final response");
+        let connections = register.gauge("connections", "Connections to all listeners");
         let attempts_not_begun = register.counter("not_begun", ATTEMPTS_NOT_BEGUN_HELP);
         let attempts_held_back = register.counter("held_back", ATTEMPTS_HELD_BACK_HELP);
         let purges_confirmed = register.gauge("purges_proven", PURGES_CONFIRMED_HELP);
@@ -174,12 +175,12 @@
         let tls_failed = register.counter("tls_failed", TLS_FAILED_HELP);
         let source_current = register.gauge("source_current", SOURCE_CURRENT_HELP);
         let source_gaps = register.counter("source_gaps", SOURCE_GAPS_HELP);
-        let source_bad = register.counter("source_bad", SOURCE_REJECTED_KEYS_HELP);
-        let peers = register.gauge("peers", "Dispatchers that are registered");
-        let resumed_responses = register.counter("resumed", "Answers that went on from another member");
-        let rejected_connections = register.counter("turned_away", "Connections turned away for want of a place");
-        let endpoint_connections = register.gauge("member_connections", "Connections to members");
-        let endpoint_list_version = register.gauge("list_version", "Number of the member list in force");
+        let source_rejected_keys = register.counter("source_bad", SOURCE_REJECTED_KEYS_HELP);
+        let registered_dispatchers = register.gauge("peers", "Dispatchers that are registered");
+        let resumed_responses = register.counter("resumed", "Responses resumed from another endpoint");
+        let rejected_connections = register.counter("turned_away", "Connections rejected because of a connection limit");
+        let endpoint_connections = register.gauge("member_connections", "Connections to endpoints");
+        let endpoint_list_version = register.gauge("list_version", "Version of the endpoint list in force");
         let purge_lag = register.seconds("purge_lag", PURGE_LAG_HELP, purge_lag_histogram());
         Self {
             registry: register.0,
@@ -196,8 +197,8 @@
             control_source: ControlSourceMetrics {
                 current: source_current,
                 gaps: source_gaps,
-                rejected_keys: source_bad,
-                registered_dispatchers: peers,
+                rejected_keys: source_rejected_keys,
+                registered_dispatchers,
             },
             core_lock: CoreLockMetrics {
                 waits: core_lock_waits,
@@ -217,30 +218,30 @@
         }
     }
 
-    /// A request has its final outcome.
-    pub fn request_ended(&self, class: usize, outcome: RequestOutcome, took: Duration) {
+    /// Records the final outcome and the duration of a request.
+    pub fn request_ended(&self, class: usize, outcome: RequestOutcome, duration: Duration) {
         let Some(class) = self.classes.get(class) else {
             return;
         };
-        class.last_byte.observe(took.as_secs_f64());
+        class.last_byte.observe(duration.as_secs_f64());
         class.outcomes[outcome as usize].inc();
     }
 
-    /// The response head is about to go out to the client.
-    pub fn first_byte(&self, class: usize, took: Duration) {
+    /// Records that the response head is about to be sent to the client.
+    pub fn first_byte(&self, class: usize, duration: Duration) {
         if let Some(class) = self.classes.get(class) {
-            class.first_byte.observe(took.as_secs_f64());
+            class.first_byte.observe(duration.as_secs_f64());
         }
     }
 
-    /// So many attempts have ended this way.
+    /// Records that `count` attempts have ended with this outcome.
     pub fn attempt_ended(&self, outcome: &'static str, count: u64) {
         self.attempts
             .get_or_create(&AttemptLabel { outcome })
             .inc_by(count);
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut out = String::new();
         let _ = text::encode(&mut out, &self.registry);
--- a/crates/dispatcher/src/net/metrics_frontend.rs
+++ b/crates/dispatcher/src/net/metrics_frontend.rs
@@ -1,4 +1,4 @@
-//! The metrics listener: one scrape a connection; whatever is requested, the response is the metrics as text.
+//! The metrics listener: serves one scrape per connection, and returns the metrics as text for any request.
 use super::connection_registry::ConnectionPermit;
 use super::frontend_context::FrontendContext;
 use bytes::BytesMut;
@@ -6,7 +6,7 @@
 use pointspindle_transport::Socket;
 use std::time::Duration;
 
-/// Time for a scrape's request to arrive, and again for its response to be written.
+/// Maximum time for the request of a scrape to arrive, and likewise for its response to be written.
 const SCRAPE_TIMEOUT: Duration = Duration::from_secs(2);
 const REQUEST_BUFFER_BYTES: usize = 2048;
 
--- a/crates/dispatcher/src/net/request_outcome.rs
+++ b/crates/dispatcher/src/net/request_outcome.rs
@@ -1,22 +1,22 @@
-//! How a request ended, as its client sees it.
+//! Outcome of a request as its client sees it.
 
 /// The final outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered completely.
+    /// The response was complete.
     Served,
-    /// Load was shed; nothing of it has run.
+    /// The request was rejected to shed load, and was not executed.
     Rejected,
-    /// Failed before the response head.
+    /// The request failed before the response head was sent.
     Failed,
-    /// Failed after the response head.
+    /// The request failed after the response head was sent.
     Broken,
-    /// The client left before the end of its response.
+    /// The client disconnected before the end of its response.
     ClientDisconnected,
 }
 
 impl RequestOutcome {
-    /// All outcomes, in the order of their discriminants.
+    /// All outcomes in the order of their discriminants.
     pub const ALL: [Self; 5] = [
         Self::Served,
         Self::Rejected,
@@ -25,7 +25,7 @@
         Self::ClientDisconnected,
     ];
 
-    /// The outcome's label in metrics and logs.
+    /// Returns the label of the outcome in metrics and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Served => "served",
--- a/crates/dispatcher/src/net/state_counts.rs
+++ b/crates/dispatcher/src/net/state_counts.rs
@@ -1,15 +1,15 @@
-//! Sizes of a dispatcher's state, for capacity measurements.
+//! Size of a dispatcher's state, for capacity measurements.
 
-/// How many entries a dispatcher holds of each kind.
+/// Number of entries of each kind that a dispatcher holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct StateCounts {
-    /// Endpoints in the list in force.
+    /// Number of endpoints in the list in force.
     #[serde(rename = "members")]
     pub endpoints: usize,
-    /// Purges that are remembered.
+    /// Number of remembered purges.
     pub purges: usize,
-    /// Dispatchers that are registered.
+    /// Number of registered dispatchers.
     pub dispatchers: usize,
-    /// Connections to endpoints.
+    /// Number of connections to endpoints.
     pub connections: usize,
 }
--- a/crates/dispatcher/src/net/state_file.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -1,4 +1,4 @@
-//! The state file: written to a temporary file beside it, synced, renamed; read once at the start.
+//! The state file: written to a temporary file in the same directory, synced and renamed; read once at the start.
 use super::framed_transport::FramedCore;
 use crate::core::state::{Snapshot, StateError, MAX_FILE};
 use pointspindle_clock::{wall_clock_unix_ms, BootMoment};
@@ -7,14 +7,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Least time between two writes: many purges in a moment are one file.
+/// Minimum time between two writes, so that purges in quick succession share one write.
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(20);
-/// First pause after a failed write; it doubles with each further failure.
+/// Pause after the first failed write; it doubles with each further failure.
 const RETRY_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_RETRY_BACKOFF: Duration = Duration::from_secs(1);
 const WRITE_ATTEMPTS_BEFORE_EXIT: u32 = 5;
 
-/// Why a state file could not be read.
+/// An error that prevents a state file from being read.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error(transparent)]
@@ -23,7 +23,7 @@
     Invalid(#[from] StateError),
 }
 
-/// Applies the state that an earlier run left; false if there is no endpoint list in it.
+/// Applies the state that an earlier run saved. Returns false if it contains no endpoints.
 pub(super) async fn restore(core: &Arc<FramedCore>) -> bool {
     let Some(path) = core.settings.state_file.clone() else {
         return false;
@@ -33,15 +33,19 @@
     match read {
         Ok(Ok(Some(snapshot))) => apply(core, &file, &snapshot),
         Ok(Ok(None)) => false,
-        Ok(Err(why)) => {
-            tracing::warn!(file, why = why.to_string(), "the state file is not used");
+        Ok(Err(error)) => {
+            tracing::warn!(
+                file,
+                error = error.to_string(),
+                "the state file is not used"
+            );
             false
         }
         Err(_) => false,
     }
 }
 
-/// Applies a snapshot; false if it has no endpoints.
+/// Applies a snapshot. Returns false if it contains no endpoints.
 fn apply(core: &FramedCore, file: &str, snapshot: &Snapshot) -> bool {
     let state = snapshot.restore(BootMoment::now().as_ref());
     let list = state.endpoint_list;
@@ -50,7 +54,7 @@
         file,
         endpoints = list.endpoints.len(),
         purges = purges.len(),
-        "state read"
+        "state file read"
     );
     for purge in purges {
         core.apply_purge(purge);
@@ -74,7 +78,8 @@
 }
 
 fn write(path: &Path, snapshot: &Snapshot) -> std::io::Result<()> {
-    // The suffix is appended, not exchanged: state files that differ in their extensions must not share a temporary file.
+    // The suffix is appended instead of replacing the extension: state files that differ only in their extensions must not
+    // share a temporary file.
     let mut temporary = path.as_os_str().to_owned();
     temporary.push(".new");
     let temporary = Path::new(&temporary);
@@ -83,7 +88,7 @@
     file.write_all(&bytes)?;
     file.sync_all()?;
     std::fs::rename(temporary, path)?;
-    // The rename is durable once the directory is.
+    // The rename is durable only once the directory has been synced.
     let directory = path
         .parent()
         .filter(|p| !p.as_os_str().is_empty())
@@ -91,7 +96,7 @@
     std::fs::File::open(directory)?.sync_all()
 }
 
-/// Writes the present state; false if that failed, and the old file stays.
+/// Writes the current state. Returns false if that failed; the previous file then stays in place.
 async fn save(core: &Arc<FramedCore>) -> bool {
     let Some(path) = core.settings.state_file.clone() else {
         return true;
@@ -105,7 +110,7 @@
     matches!(written, Ok(Ok(())))
 }
 
-/// The last write of a process, retried a few times.
+/// Writes the state before the process exits, with a limited number of attempts.
 pub(super) async fn save_before_exit(core: &Arc<FramedCore>) {
     let mut pause = RETRY_BACKOFF;
     for _ in 1..WRITE_ATTEMPTS_BEFORE_EXIT {
@@ -118,7 +123,7 @@
     save(core).await;
 }
 
-/// Writes the file after each change; a failed write is retried until it succeeds.
+/// Writes the state file after each change. A failed write is retried until it succeeds.
 pub(super) async fn run(core: Arc<FramedCore>) {
     loop {
         core.dirty.notified().await;
--- a/crates/dispatcher/src/net/test_support.rs
+++ b/crates/dispatcher/src/net/test_support.rs
@@ -1,4 +1,4 @@
-//! What the unit tests of the frontends share.
+//! Helpers for the unit tests of the frontends.
 use super::connection_registry::{ConnectionPermit, ConnectionRegistry};
 use super::frontend_context::FrontendContext;
 use super::FramedCore;
@@ -7,16 +7,16 @@
 use std::sync::Arc;
 use tokio::sync::watch;
 
-/// The arguments of a frontend's task for one accepted connection.
+/// Arguments of a frontend's task for one accepted connection.
 pub(crate) struct AcceptedConnection {
     pub context: FrontendContext,
     pub socket: Socket,
     pub permit: ConnectionPermit,
-    /// The dispatcher counts as stopping once this is dropped.
+    /// Sender of the stop signal; [`FrontendContext::stopped`] returns once it is dropped.
     pub _stop: watch::Sender<bool>,
 }
 
-/// An accepted connection at the listener that the setting `listener` names.
+/// Returns an accepted connection at the listener whose setting is named `listener`.
 pub(crate) async fn accepted_connection(listener: &str) -> AcceptedConnection {
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\n{listener} = 127.0.0.1:0\n[class page]\npath_prefix = /\n"
@@ -40,7 +40,7 @@
     let permit = registry
         .admit([127, 0, 0, 1].into())
         .unwrap_or_else(|_| panic!("a free connection permit"));
-    let (core, _endpoint_intents) = FramedCore::framed(Arc::new(settings), 1, Network::Tcp);
+    let (core, _endpoint_commands) = FramedCore::framed(Arc::new(settings), 1, Network::Tcp);
     AcceptedConnection {
         context: FrontendContext {
             core: Arc::new(core),
