--- a/crates/dispatcher/src/net/framed_frontend/request.rs
+++ b/crates/dispatcher/src/net/framed_frontend/request.rs
@@ -82,8 +82,9 @@
     }
 }
 
-/// Returns the pace required of a client. The window is at least the time for one stream window at the minimum rate: stream
-/// credit is granted in halves of a window, so a client that lacks less than that is not necessarily slow.
+/// Returns the pace required of a client. Stream credit is granted in halves of a stream window, so a gap of less than one
+/// stream window does not mean that the client is slow. The pace window is therefore at least the time for one stream
+/// window at the minimum rate.
 fn client_pace(settings: &ListenSettings) -> Pace {
     let min_bytes_per_s = settings.min_client_bytes_per_s;
     let time_for_stream_window = (u64::from(streams::STREAM_WINDOW) * 1_000_000)
--- a/crates/dispatcher/src/net/http_frontend/mod.rs
+++ b/crates/dispatcher/src/net/http_frontend/mod.rs
@@ -80,7 +80,7 @@
     NextStep::KeepAlive
 }
 
-/// Reason reason there is no request to answer.
+/// Reason why there is no request to answer.
 enum NoRequest {
     /// No byte arrived before the timeout.
     NothingReceived,
@@ -104,7 +104,7 @@
     }
 }
 
-/// Reads the next request. Its head must be complete within the head timeout.
+/// Reads the next request. From its first byte on, its head must be complete within the head timeout.
 async fn read_request(
     context: &FrontendContext,
     client: &mut HttpClient,
--- a/crates/dispatcher/tests/connection_pool.rs
+++ b/crates/dispatcher/tests/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints over sockets: what a half-open one, a cut hello and a stalled endpoint do to requests.
+//! Tests of connections to endpoints over sockets: a half-open connection, a truncated hello and a stalled endpoint.
 mod support;
 
 use pointspindle_dispatcher::Dispatcher;
@@ -21,8 +21,8 @@
     .await
 }
 
-/// A machine that lost power: its connection takes everything and brings nothing. Without a probe every request until the
-/// kernel gives up would go there.
+/// Simulates an endpoint machine that lost power: its connection accepts all bytes and returns none. Without probes, every
+/// request would be sent there until the kernel's TCP timeout.
 #[tokio::test]
 async fn half_open_connection_to_old_process_is_closed() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -39,7 +39,7 @@
     old.respond(id).await;
     assert!(first.await.unwrap().starts_with("HTTP/1.1 200"));
 
-    // From here on the old process's end is neither read nor closed.
+    // From here on the connection of the old process is neither read nor closed.
     let second = tokio::spawn(get_with_retries(http, "/page/2"));
     let mut new = ScriptedEndpoint::accept(&listener).await;
     new.send_hello(2).await;
@@ -52,7 +52,7 @@
     }
     assert_eq!(
         requests_at_old, 1,
-        "one attempt, and the connection is closed"
+        "only one request is sent before the connection is closed"
     );
     let metrics = get(dispatcher.bound_addresses().metrics.unwrap(), "/").await;
     assert!(
@@ -62,7 +62,7 @@
     dispatcher.stop().await;
 }
 
-/// A hello that is cut in its middle says nothing: neither that the process is the old one, nor that none will come.
+/// A truncated hello proves nothing: neither that the process is still the same, nor that the endpoint sends no hello.
 #[tokio::test]
 async fn connection_cut_before_hello_carries_no_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -78,7 +78,7 @@
 
     let second = tokio::spawn(get_with_retries(http, "/page/2"));
     for _ in 0..3 {
-        cut_before_hello(&listener).await;
+        send_truncated_hello(&listener).await;
     }
     let mut endpoint = ScriptedEndpoint::accept(&listener).await;
     endpoint.send_hello(2).await;
@@ -88,8 +88,8 @@
     dispatcher.stop().await;
 }
 
-/// Accepts a connection, sends all but the last byte of a hello and closes; no request may arrive on it.
-async fn cut_before_hello(listener: &TcpListener) {
+/// Accepts a connection, sends all but the last byte of a hello and closes it. No request may arrive on the connection.
+async fn send_truncated_hello(listener: &TcpListener) {
     let mut endpoint = ScriptedEndpoint::accept(listener).await;
     let hello = endpoint.encode(Frame::Hello(HelloHead {
         incarnation: 2,
@@ -104,20 +104,21 @@
     while let Some(frame) = endpoint.receive().await {
         assert!(
             !matches!(frame, Frame::Request(..)),
-            "sent before the hello"
+            "a request was sent before the hello"
         );
     }
 }
 
-/// Requests of [`stalled_endpoint_receives_no_requests_of_disconnected_clients`]; those with an odd number disconnect.
+/// Number of requests in [`stalled_endpoint_receives_no_requests_of_disconnected_clients`]; the clients of those with an
+/// odd number disconnect.
 const REQUESTS: usize = 600;
 
 fn disconnects(request: usize) -> bool {
     request & 1 == 1
 }
 
-/// Requests that wait behind a connection which takes nothing begin only where that still holds when it does: those of
-/// clients that have left never go out, the others do.
+/// Requests that wait for a connection which accepts no bytes are checked again before they are sent: those of clients
+/// that have disconnected are never sent, the others are.
 #[tokio::test]
 async fn stalled_endpoint_receives_no_requests_of_disconnected_clients() {
     let listener = listener_with_small_buffer();
@@ -132,34 +133,38 @@
     let bound = dispatcher.bound_addresses();
     let (_clients, _incoming, calls) = start_calls(bound.framed.unwrap()).await;
     let metrics = bound.metrics.unwrap();
-    // All have been sent to the endpoint's connection: whatever still comes goes behind them.
+    // All requests are queued on the connection to the endpoint by now; later frames are queued behind them.
     wait_until(async || open_requests(metrics).await == REQUESTS).await;
     let mut endpoint = ScriptedEndpoint::accept(&listener).await;
-    // Every second client leaves while nothing is read; that is known once none of their requests is open any more.
-    let staying: Vec<_> = calls.into_iter().step_by(2).collect();
-    wait_until(async || open_requests(metrics).await == staying.len()).await;
-    let begun = receive_all(&mut endpoint, staying.len()).await;
-
-    // What the kernel took before the clients left has numbers without a gap; behind the first gap nothing of those who
-    // left may go out.
-    let first = begun[0].stream;
-    let in_kernel = begun
+    // Every second client disconnects while the endpoint reads nothing. The dispatcher has detected that once none of their
+    // requests is open.
+    let connected_clients: Vec<_> = calls.into_iter().step_by(2).collect();
+    wait_until(async || open_requests(metrics).await == connected_clients.len()).await;
+    let received = receive_all(&mut endpoint, connected_clients.len()).await;
+
+    // The requests that the kernel buffered before the clients disconnected have consecutive stream numbers. After the
+    // first gap, no request of a disconnected client may be sent.
+    let first = received[0].stream;
+    let buffered_by_kernel = received
         .iter()
         .zip(first..)
         .take_while(|(request, next)| request.stream == *next)
         .count();
-    let late = begun[in_kernel..]
+    let sent_after_disconnect = received[buffered_by_kernel..]
         .iter()
         .filter(|request| disconnects(request.number))
         .count();
     println!(
-        "{} of {REQUESTS} requests went out, {in_kernel} of them in the kernel by then",
-        begun.len()
+        "{} of {REQUESTS} requests were sent, {buffered_by_kernel} of them in the kernel's buffer before the disconnects",
+        received.len()
+    );
+    assert_eq!(
+        sent_after_disconnect, 0,
+        "requests of disconnected clients were sent"
     );
-    assert_eq!(late, 0, "went out for clients that had left");
     assert!(
-        in_kernel < REQUESTS,
-        "the kernel's own buffer has to be smaller than all of them"
+        buffered_by_kernel < REQUESTS,
+        "the kernel's buffer must be smaller than all requests together"
     );
     dispatcher.stop().await;
 }
@@ -175,7 +180,7 @@
     TcpListener::from_std(socket.into()).unwrap()
 }
 
-/// Starts all requests on one connection of clients, each too large for many to fit into the kernel's buffers.
+/// Starts all requests on one client connection. Each request is so large that only few fit into the kernel's buffers.
 async fn start_calls(framed: SocketAddr) -> (FramedConnection, Incoming, Vec<Call>) {
     let socket = TcpStream::connect(framed).await.unwrap();
     let options = ConnectionOptions { max_streams: 4_000 };
@@ -197,36 +202,39 @@
     let line = text
         .lines()
         .find(|line| line.starts_with("pointspindle_open_requests "))
-        .expect("the gauge is there");
+        .expect("the metrics contain the gauge of open requests");
     line.rsplit(' ').next().unwrap().parse().unwrap()
 }
 
 /// A request that reached the endpoint.
-struct BegunRequest {
+struct ReceivedRequest {
     stream: u32,
     number: usize,
 }
 
-/// Reads until all requests of staying clients have arrived, and every other one that arrived is cancelled: what the kernel
-/// had taken before its client left cannot be called back.
-async fn receive_all(endpoint: &mut ScriptedEndpoint, staying: usize) -> Vec<BegunRequest> {
-    let mut begun: Vec<BegunRequest> = Vec::new();
+/// Reads until all requests of connected clients have arrived and every other request that arrived has been cancelled:
+/// requests that the kernel had buffered before their client disconnected cannot be withdrawn.
+async fn receive_all(
+    endpoint: &mut ScriptedEndpoint,
+    connected_clients: usize,
+) -> Vec<ReceivedRequest> {
+    let mut received: Vec<ReceivedRequest> = Vec::new();
     let mut cancelled = BTreeSet::new();
-    let mut staying_left = staying;
-    while staying_left > 0
-        || begun
+    let mut missing_requests = connected_clients;
+    while missing_requests > 0
+        || received
             .iter()
             .any(|request| disconnects(request.number) && !cancelled.contains(&request.stream))
     {
-        match endpoint.receive().await.expect("the connection stays") {
+        match endpoint.receive().await.expect("the connection stays open") {
             Frame::Request(stream, head) => {
                 let number: usize = head.object.split('/').nth(2).unwrap().parse().unwrap();
-                begun.push(BegunRequest { stream, number });
-                staying_left -= !disconnects(number) as usize;
+                received.push(ReceivedRequest { stream, number });
+                missing_requests -= !disconnects(number) as usize;
             }
             Frame::Cancel(stream, _) => drop(cancelled.insert(stream)),
             _ => {}
         }
     }
-    begun
+    received
 }
--- a/crates/dispatcher/tests/exchange.rs
+++ b/crates/dispatcher/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests over sockets: clients that are slow or disconnect, and endpoints that break in the middle of a response.
+//! Tests of requests over sockets: slow or disconnecting clients, and endpoints that fail in the middle of a response.
 mod support;
 
 use pointspindle_dispatcher::Dispatcher;
@@ -10,7 +10,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// One client that takes its response in drops is given up; the capacity at the endpoint is free again.
+/// A client that reads its response too slowly is disconnected, and its attempt is cancelled to free the endpoint's
+/// capacity.
 #[tokio::test]
 async fn slow_client_is_disconnected_and_its_attempt_cancelled() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -40,14 +41,14 @@
     let mut rest = Vec::new();
     timeout(TEST_TIMEOUT, client.read_to_end(&mut rest))
         .await
-        .expect("cut")
+        .expect("the connection of the slow client is closed")
         .ok();
     assert!(rest.len() < 1 << 30);
     dispatcher.stop().await;
 }
 
-/// Sends as much as the credit of the stream allows, so that the client is what is waited for; returns the stream that is
-/// cancelled.
+/// Sends as many bytes as the credit of the stream allows, so that only the client delays the response. Returns the stream
+/// that is cancelled.
 async fn send_until_cancelled(endpoint: &mut ScriptedEndpoint, id: u32) -> u32 {
     let mut sent = 0;
     loop {
@@ -61,16 +62,15 @@
             Some(Frame::Credit(stream, _)) if stream == id => sent -= 2,
             Some(Frame::Cancel(stream, _)) => return stream,
             Some(_) => {}
-            None => panic!("the connection to the endpoint must stay"),
+            None => panic!("the dispatcher closed the connection to the endpoint"),
         }
     }
 }
 
-/// Found on a simulated network: the endpoint broke in the instant in which its head had arrived and waited to go out with
-/// the first bytes, and the connection was closed without a byte. The client could not know whether its request had
-/// arrived.
+/// Guards against a connection that is closed without a byte, so that the client cannot know whether its request has
+/// arrived. This happened when an endpoint failed while its response head was buffered until the first bytes of the body.
 #[tokio::test]
-async fn endpoint_failure_behind_head_still_yields_a_response() {
+async fn endpoint_failure_after_buffered_head_yields_a_response() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dispatcher = start_with(&format!(
         "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\nmetrics = 127.0.0.1:0\ndrain_ms = 100\n\
@@ -108,8 +108,8 @@
     }
 }
 
-/// An endpoint that dies in the middle of a body: the rest comes from another one, from the next byte on and under the same
-/// validator; of another version not a byte is joined, and the client sees that its response is short.
+/// When an endpoint fails in the middle of a body, the remainder comes from another endpoint if it has the same validator.
+/// No bytes of another version are appended; the client then receives a truncated response.
 #[tokio::test]
 async fn broken_response_resumes_only_with_matching_validator() {
     for (validator, resumed) in [("\"v1\"", true), ("\"v2\"", false)] {
@@ -122,30 +122,30 @@
     }
 }
 
-/// What a client receives whose response broke after four bytes of ten, with the remainder under this validator.
+/// Returns the response to a client whose endpoint failed after four bytes of ten, where the remainder has this validator.
 async fn response_resumed_with(validator: &str) -> String {
-    let one = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let two = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let first_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let second_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dispatcher = start_with(&format!(
         "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\ndrain_ms = 100\n[zone b]\ndispatchers = 1\n\
          [member one]\naddress = {}\nkind = cache\nzone = b\nweight = 50\n\
          [member two]\naddress = {}\nkind = cache\nzone = b\nweight = 50\n\
          [member origin]\naddress = 127.0.0.1:1\nkind = origin\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /page/\ndeadline_ms = 8000\n",
-        one.local_addr().unwrap(),
-        two.local_addr().unwrap()
+        first_listener.local_addr().unwrap(),
+        second_listener.local_addr().unwrap()
     ))
     .await;
     let http = dispatcher.bound_addresses().http.unwrap();
     let client = tokio::spawn(async move { get(http, "/page/1").await });
-    let mut a = ScriptedEndpoint::accept(&one).await;
-    let mut b = ScriptedEndpoint::accept(&two).await;
-    a.send_hello(1).await;
-    b.send_hello(2).await;
-    // Whichever gets the request dies, and its address with it.
-    let ((id, request), mut dying, mut surviving, dying_listener) = tokio::select! {
-        request = a.receive_request() => (request, a, b, one),
-        request = b.receive_request() => (request, b, a, two),
+    let mut first_endpoint = ScriptedEndpoint::accept(&first_listener).await;
+    let mut second_endpoint = ScriptedEndpoint::accept(&second_listener).await;
+    first_endpoint.send_hello(1).await;
+    second_endpoint.send_hello(2).await;
+    // The endpoint that receives the request fails, and its listener closes.
+    let ((id, request), mut failing, mut surviving, failing_listener) = tokio::select! {
+        request = first_endpoint.receive_request() => (request, first_endpoint, second_endpoint, first_listener),
+        request = second_endpoint.receive_request() => (request, second_endpoint, first_endpoint, second_listener),
     };
     assert_eq!(request.range, "");
     let head = ResponseHead {
@@ -154,15 +154,15 @@
         cache_status: WireCacheStatus::Hit as i32,
         ..Default::default()
     };
-    dying.send(Frame::Head(id, head.clone())).await;
-    dying.send(Frame::Data(id, "0123".into())).await;
+    failing.send(Frame::Head(id, head.clone())).await;
+    failing.send(Frame::Data(id, "0123".into())).await;
     tokio::time::sleep(Duration::from_millis(30)).await;
-    drop((dying, dying_listener));
+    drop((failing, failing_listener));
     send_remainder(&mut surviving, validator, head).await;
     client.await.unwrap()
 }
 
-/// Expects the request for the remainder, and answers it under this validator.
+/// Expects the request for the remainder and answers it with this validator.
 async fn send_remainder(endpoint: &mut ScriptedEndpoint, validator: &str, head: ResponseHead) {
     let (id, request) = timeout(TEST_TIMEOUT, endpoint.receive_request())
         .await
@@ -181,7 +181,7 @@
     endpoint.send_end(id, 6).await;
 }
 
-/// How a client disconnects.
+/// Way in which a client disconnects.
 #[derive(Clone, Copy, Debug)]
 enum Disconnect {
     Close,
@@ -189,8 +189,8 @@
     HalfClose,
 }
 
-/// A client's disconnect is detected though it stands behind requests that are not read yet: what is under way is
-/// cancelled, and none of those that wait is forwarded.
+/// A client's disconnect is detected although unread requests precede it in the socket: the attempt in progress is
+/// cancelled, and none of the waiting requests is forwarded.
 #[tokio::test]
 async fn client_disconnect_behind_unread_requests_cancels_the_attempt() {
     for disconnect in [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose] {
@@ -207,12 +207,12 @@
         let _half_closed = disconnect_client(client, disconnect).await;
         let cancelled = receive_cancel(&mut endpoint, disconnect).await;
         assert_eq!(cancelled, id, "{disconnect:?}");
-        // The request of a client that is connected comes next, and nothing in between.
+        // The next request must be that of a connected client.
         let last = tokio::spawn(get(http, "/page/last"));
         let (id, head) = endpoint.receive_request().await;
         assert_eq!(
             head.object, "/page/last",
-            "{disconnect:?}: forwarded for a client that has left"
+            "{disconnect:?}: a request of the disconnected client was forwarded"
         );
         endpoint.respond(id).await;
         assert!(last.await.unwrap().starts_with("HTTP/1.1 200"));
@@ -229,7 +229,7 @@
     .await
 }
 
-/// The client's socket where it stays open in one direction.
+/// Disconnects the client. Returns its socket if that stays open in one direction.
 async fn disconnect_client(mut client: TcpStream, disconnect: Disconnect) -> Option<TcpStream> {
     match disconnect {
         Disconnect::Close => None,
@@ -246,17 +246,17 @@
     }
 }
 
-/// The next stream that is cancelled; no further request may come before it.
+/// Returns the next stream that is cancelled. No request may arrive before that.
 async fn receive_cancel(endpoint: &mut ScriptedEndpoint, disconnect: Disconnect) -> u32 {
     loop {
         match endpoint
             .receive()
             .await
-            .expect("the connection to the endpoint stays")
+            .expect("the connection to the endpoint stays open")
         {
             Frame::Cancel(stream, _) => return stream,
             Frame::Request(..) => {
-                panic!("{disconnect:?}: forwarded for a client that has left")
+                panic!("{disconnect:?}: a request of the disconnected client was forwarded")
             }
             Frame::Probe(probe) if !probe.echo => endpoint.echo(probe).await,
             _ => {}
--- a/crates/dispatcher/tests/frontends.rs
+++ b/crates/dispatcher/tests/frontends.rs
@@ -1,4 +1,4 @@
-//! Frontends over sockets: which connections are closed or rejected, and that no response is lost by it.
+//! Tests of the frontends over sockets: which connections are closed or rejected, and that no response is lost thereby.
 mod support;
 
 use pointspindle_dispatcher::Dispatcher;
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// An endpoint that takes everything and answers nothing, so that requests stay under way.
+/// Starts an endpoint that accepts connections and never answers, so that requests stay in progress.
 async fn silent_endpoint() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -42,23 +42,23 @@
         .unwrap();
 }
 
-/// Everything until the peer closes.
+/// Reads until the peer closes, and returns the text.
 async fn read_to_close(socket: &mut TcpStream) -> String {
     let mut text = Vec::new();
     timeout(TEST_TIMEOUT, socket.read_to_end(&mut text))
         .await
-        .expect("closed in time")
+        .expect("the connection is closed before the timeout")
         .unwrap();
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// A response that leaves the connection open: to a path that no class serves.
+/// Requests a path that no class serves, whose response leaves the connection open, and returns the response.
 async fn request_not_found(socket: &mut TcpStream) -> String {
     send_request(socket, "/none").await;
     let mut buffer = vec![0; 4096];
     let read = timeout(TEST_TIMEOUT, socket.read(&mut buffer))
         .await
-        .expect("answered")
+        .expect("the request is answered before the timeout")
         .unwrap();
     String::from_utf8_lossy(&buffer[..read]).into_owned()
 }
@@ -70,13 +70,13 @@
     let mut open = Vec::new();
     for _ in 0..3 {
         let mut socket = connect(address).await;
-        // The dispatcher has accepted it: it has answered something.
+        // The response shows that the dispatcher has accepted the connection.
         assert!(request_not_found(&mut socket)
             .await
             .starts_with("HTTP/1.1 404"));
         open.push(socket);
     }
-    // Used again: it is not the longest idle one any more.
+    // Used again, so that it is no longer the connection that has been idle for longest.
     assert!(request_not_found(&mut open[0])
         .await
         .starts_with("HTTP/1.1 404"));
@@ -84,7 +84,7 @@
     assert_eq!(
         read_to_close(&mut open[1]).await,
         "",
-        "closed between requests"
+        "the connection is closed without a byte"
     );
     assert!(request_not_found(&mut open[0])
         .await
@@ -109,7 +109,7 @@
         send_request(&mut socket, &format!("/page/{n}")).await;
         open.push(socket);
     }
-    // Their requests have been read once none of the three is closed for a new connection any more.
+    // Once none of the three connections is closed in favour of a new one, their requests have been read.
     let rejection = loop {
         let mut rejected = connect(http).await;
         send_request(&mut rejected, "/page/late").await;
@@ -133,11 +133,11 @@
         let mut buffer = vec![0; 4096];
         let read = timeout(TEST_TIMEOUT, socket.read(&mut buffer))
             .await
-            .expect("answered by its deadline")
+            .expect("the request is answered by its deadline")
             .unwrap();
         assert!(
             read > 0,
-            "a request under way was given up for a new connection"
+            "a request in progress was aborted for a new connection"
         );
     }
     dispatcher.stop().await;
@@ -162,13 +162,13 @@
         request_not_found(&mut other)
             .await
             .starts_with("HTTP/1.1 404"),
-        "another address is not touched"
+        "the connection of another address stays open"
     );
     let mut third = connect(address).await;
     assert_eq!(
         read_to_close(&mut first_two[0]).await,
         "",
-        "its own longest idle one was closed"
+        "the connection of the same address that was idle for longest is closed"
     );
     assert!(request_not_found(&mut third)
         .await
@@ -185,10 +185,10 @@
     let http = dispatcher.bound_addresses().http.unwrap();
     let framed = dispatcher.bound_addresses().framed.unwrap();
     let idle = connect(http).await;
-    let mut used = connect(http).await;
-    // Sends nothing but probes: as idle as the other.
-    let mut pinging = connect(framed).await;
-    pinging
+    let mut active = connect(http).await;
+    // Sends only probes, which do not count as use.
+    let mut probing = connect(framed).await;
+    probing
         .write_all(
             &[
                 &pointspindle_protocol::frame::PREFACE[..],
@@ -200,8 +200,8 @@
         .unwrap();
     let mut buffer = [0; 64];
     let closed = loop {
-        // In use all the time, without a wait in between.
-        assert!(request_not_found(&mut used)
+        // Sends requests without a pause.
+        assert!(request_not_found(&mut active)
             .await
             .starts_with("HTTP/1.1 404"));
         match idle.try_read(&mut buffer) {
@@ -210,23 +210,23 @@
             Err(e) => panic!("{e}"),
         }
     };
-    assert_eq!(closed, 0, "closed between requests, without a byte");
-    // Its last use was a moment ago, and not a second.
-    assert!(request_not_found(&mut used)
+    assert_eq!(closed, 0, "the connection is closed without a byte");
+    // The active connection stays open, because its last use is more recent than the idle timeout.
+    assert!(request_not_found(&mut active)
         .await
         .starts_with("HTTP/1.1 404"));
-    assert!(read_to_close(&mut pinging)
+    assert!(read_to_close(&mut probing)
         .await
         .contains("idle for too long"));
     dispatcher.stop().await;
 }
 
-/// Connections that wait in the accept queue, each with a request on it, when the dispatcher stops: none is reset unread.
+/// Connections that wait in the accept queue with a request when the dispatcher stops are answered instead of being reset.
 #[tokio::test]
 async fn accept_queue_of_stopping_dispatcher_is_answered() {
     let dispatcher = start("").await;
     let address = dispatcher.bound_addresses().http.unwrap();
-    // Blocking, on the runtime's one thread: none of them is accepted meanwhile.
+    // These calls block the only thread of the runtime, so that no connection is accepted in the meantime.
     let queued: Vec<std::net::TcpStream> = (0..16)
         .map(|_| {
             let mut socket = std::net::TcpStream::connect(address).unwrap();
@@ -236,18 +236,18 @@
             socket
         })
         .collect();
-    let stopped = tokio::spawn(dispatcher.stop());
+    let stopping = tokio::spawn(dispatcher.stop());
     for (n, socket) in queued.into_iter().enumerate() {
         let mut text = Vec::new();
         let mut socket = TcpStream::from_std(socket).unwrap();
         let read = timeout(TEST_TIMEOUT, socket.read_to_end(&mut text))
             .await
-            .expect("closed in time");
+            .expect("the connection is closed before the timeout");
         let text = String::from_utf8_lossy(&text).into_owned();
         assert!(
             read.is_ok() && text.starts_with("HTTP/1.1 404"),
             "connection {n}: {read:?}, {text:?}"
         );
     }
-    assert!(stopped.await.unwrap());
+    assert!(stopping.await.unwrap());
 }
--- a/crates/dispatcher/tests/state.rs
+++ b/crates/dispatcher/tests/state.rs
@@ -1,5 +1,5 @@
-//! The state file across restarts and failures of its directory: its content never replaces what is newer, and a failed
-//! write is retried.
+//! Tests of the state file across restarts and failures of its directory: its content never replaces newer state, and a
+//! failed write is retried.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::core::state::Snapshot;
 use pointspindle_dispatcher::{ControlSink, ControlSource, PreparedDispatcher};
@@ -39,7 +39,7 @@
     }
 }
 
-/// Applies one list, then passes its sink to the test.
+/// Control source that applies one endpoint list and then passes its sink to the test.
 struct SingleListSource {
     list: EndpointListHead,
     sink: oneshot::Sender<ControlSink>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// The endpoint was ready when the file was written, and is draining according to the source.
+/// The state file lists the endpoint as ready, and the control source reports a newer list in which it is draining.
 #[tokio::test]
 async fn source_list_before_listeners_open_is_not_replaced_by_state_file() {
     let directory = tempfile::tempdir().unwrap();
@@ -76,13 +76,13 @@
     assert_eq!(
         (now.seq, now.endpoints[0].state()),
         (9, WireEndpointState::Draining),
-        "the older list replaced it"
+        "the older list of the state file replaced the newer one"
     );
     dispatcher.stop().await;
 }
 
-/// Returns when the state file contains this number of purges.
-async fn purges_written(state: &Path, count: usize) {
+/// Waits until the state file contains `count` purges.
+async fn wait_for_purges_in_file(state: &Path, count: usize) {
     let is_written = || {
         let bytes = std::fs::read(state).unwrap_or_default();
         let snapshot = Snapshot::from_bytes(&bytes).ok();
@@ -102,14 +102,14 @@
     }
 }
 
-/// The directory is missing for a while: a purge applied meanwhile is written later, without another update.
+/// A purge that is applied while the directory of the state file is missing is written later, without a further update.
 #[tokio::test]
 async fn state_that_could_not_be_written_is_written_later() {
     let directory = tempfile::tempdir().unwrap();
-    let place = directory.path().join("state");
-    let away = directory.path().join("away");
-    std::fs::create_dir(&place).unwrap();
-    let state = place.join("edge.state");
+    let state_directory = directory.path().join("state");
+    let moved_directory = directory.path().join("away");
+    std::fs::create_dir(&state_directory).unwrap();
+    let state = state_directory.join("edge.state");
     let mut prepared = PreparedDispatcher::new(Network::Tcp, settings(&state), 1).await;
     let (sender, sink) = oneshot::channel();
     prepared.follow(SingleListSource {
@@ -119,15 +119,15 @@
     let sink = sink.await.unwrap();
     let dispatcher = prepared.open().await.unwrap();
     sink.apply_purge(object_purge("/page/1"));
-    tokio::time::timeout(TIMEOUT, purges_written(&state, 1))
+    tokio::time::timeout(TIMEOUT, wait_for_purges_in_file(&state, 1))
         .await
         .expect("the first purge is written");
-    std::fs::rename(&place, &away).unwrap();
+    std::fs::rename(&state_directory, &moved_directory).unwrap();
     sink.apply_purge(object_purge("/page/2"));
-    // Time for a write that fails; a later one finds the directory again.
+    // Leaves time for a write to fail; a later one finds the directory again.
     tokio::time::sleep(Duration::from_millis(300)).await;
-    std::fs::rename(&away, &place).unwrap();
-    tokio::time::timeout(TIMEOUT, purges_written(&state, 2))
+    std::fs::rename(&moved_directory, &state_directory).unwrap();
+    tokio::time::timeout(TIMEOUT, wait_for_purges_in_file(&state, 2))
         .await
         .expect("the second purge is written eventually");
     dispatcher.stop().await;
--- a/crates/dispatcher/tests/support/mod.rs
+++ b/crates/dispatcher/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What the dispatcher's tests over sockets share: HTTP clients and an endpoint that follows a script.
-#![allow(dead_code)] // Each test file uses its own part.
+//! Helpers for the dispatcher's tests over sockets: HTTP clients and a scripted endpoint.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 use bytes::BytesMut;
 use pointspindle_config::parse;
 use pointspindle_dispatcher::Dispatcher;
@@ -11,16 +11,16 @@
 use tokio::time::timeout;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Longest wait for anything that must happen.
+/// Maximum wait for an expected event.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A dispatcher with these settings.
+/// Starts a dispatcher with these settings.
 pub async fn start_with(settings: &str) -> Dispatcher {
     let settings = parse("test", settings).unwrap_or_else(|e| panic!("{e}"));
     Dispatcher::start(settings, 1).await.unwrap()
 }
 
-/// A response to a request on a connection of its own, as far as it came.
+/// Sends a request on a new connection and returns its response, which may be truncated.
 pub async fn get(address: SocketAddr, path: &str) -> String {
     let mut socket = TcpStream::connect(address).await.unwrap();
     let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
@@ -28,11 +28,11 @@
     let mut text = String::new();
     let _ = timeout(TEST_TIMEOUT, socket.read_to_string(&mut text))
         .await
-        .expect("answered in time");
+        .expect("the request is answered before the timeout");
     text
 }
 
-/// Retries until the request is served: with one endpoint alone a broken attempt has nowhere else to go.
+/// Retries until the request is served: with a single endpoint, a failed attempt cannot be repeated elsewhere.
 pub async fn get_with_retries(address: SocketAddr, path: &'static str) {
     let retries = async {
         while !get(address, path).await.starts_with("HTTP/1.1 200") {
@@ -41,10 +41,10 @@
     };
     timeout(TEST_TIMEOUT, retries)
         .await
-        .expect("served in the end");
+        .expect("a retry is served before the timeout");
 }
 
-/// Polls until the condition holds, with a bound.
+/// Polls until the condition holds, for at most [`TEST_TIMEOUT`].
 pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     let polling = async {
         while !condition().await {
@@ -53,10 +53,10 @@
     };
     timeout(TEST_TIMEOUT, polling)
         .await
-        .expect("the condition holds in time");
+        .expect("the condition holds before the timeout");
 }
 
-/// One connection of the dispatcher, to an endpoint that does just what the test says.
+/// One connection of the dispatcher to an endpoint whose frames the test controls.
 pub struct ScriptedEndpoint {
     pub socket: TcpStream,
     decoder: FrameCodec,
@@ -99,7 +99,7 @@
         .await;
     }
 
-    /// The next frame; none when the dispatcher has closed.
+    /// Returns the next frame, or `None` if the dispatcher has closed the connection.
     pub async fn receive(&mut self) -> Option<Frame> {
         loop {
             if let Some(frame) = self.decoder.decode(&mut self.received).unwrap() {
@@ -107,19 +107,19 @@
             }
             let read = timeout(TEST_TIMEOUT, self.socket.read_buf(&mut self.received))
                 .await
-                .expect("the dispatcher sends something");
+                .expect("the dispatcher sends a frame before the timeout");
             if !matches!(read, Ok(n) if n > 0) {
                 return None;
             }
         }
     }
 
-    /// The next request's stream.
+    /// Returns the stream of the next request.
     pub async fn receive_stream(&mut self) -> u32 {
         self.receive_request().await.0
     }
 
-    /// The next request, with its stream; probes before it are answered.
+    /// Returns the next request and its stream. Probes that precede it are answered.
     pub async fn receive_request(&mut self) -> (u32, RequestHead) {
         loop {
             match self.receive().await.expect("the connection is open") {
@@ -138,7 +138,7 @@
         self.send(Frame::Probe(echo)).await;
     }
 
-    /// A complete response of two bytes.
+    /// Sends a complete response with a body of two bytes.
     pub async fn respond(&mut self, id: u32) {
         let head = ResponseHead {
             size: Some(2),
