--- a/crates/dispatcher/src/net/connection_pool/connect.rs
+++ b/crates/dispatcher/src/net/connection_pool/connect.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// The task of one connection.
-pub(super) struct Connect<E> {
+pub(super) struct ConnectionTask<E> {
     pub pool: ConnectionPool,
     pub events: Arc<E>,
     pub address: String,
@@ -23,7 +23,7 @@
 /// process is still the same, so the next connection waits for the hello as well.
 struct ClosedBeforeHello;
 
-impl<E: ConnectionEvents> Connect<E> {
+impl<E: ConnectionEvents> ConnectionTask<E> {
     /// Opens the connection after a delay and runs it to its end. `state` is shared with all tasks that wait for the
     /// connection.
     pub async fn run(self, state: watch::Sender<ConnectionState>, delay: Duration) {
@@ -33,7 +33,7 @@
             Err(e) if e.is_peer_failure() => return self.failed(&state, e.to_string()),
             Err(e) => {
                 tracing::warn!(endpoint = self.address, error = %e, "no connection: local resource shortage");
-                state.send_replace(ConnectionState::LocalShortage);
+                state.send_replace(ConnectionState::LocalResourceShortage);
                 return;
             }
         };
--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -40,7 +40,7 @@
     },
     Failed(String),
     /// This machine lacks the resources to open a connection, which says nothing about the endpoint's health.
-    LocalShortage,
+    LocalResourceShortage,
 }
 
 impl ConnectionState {
@@ -48,7 +48,7 @@
         match self {
             Self::Connecting => true,
             Self::Ready { connection, .. } => connection.accepts_calls(),
-            Self::Failed(_) | Self::LocalShortage => false,
+            Self::Failed(_) | Self::LocalResourceShortage => false,
         }
     }
 }
@@ -61,14 +61,14 @@
     /// The connection leads to another process than the one for which the attempt was decided.
     Replaced,
     /// This machine lacks the resources to open a connection.
-    LocalShortage,
+    LocalResourceShortage,
 }
 
 #[derive(Debug)]
 struct PoolEntry {
     state: watch::Receiver<ConnectionState>,
     last_used: Instant,
-    health: KeepAlive,
+    keep_alive: KeepAlive,
 }
 
 /// At most one connection per endpoint address. An entry is removed once its connection has ended or failed.
@@ -141,7 +141,7 @@
         events: &Arc<E>,
         address: &str,
     ) -> Result<FramedConnection, NoConnection> {
-        let (mut state, was_connecting) = self.current_or_new(events, address)?;
+        let (mut state, was_connecting) = self.get_or_connect(events, address)?;
         let state = state
             .wait_for(|state| !matches!(state, ConnectionState::Connecting))
             .await;
@@ -151,14 +151,14 @@
             }
             Ok(ConnectionState::Ready { connection, .. }) => Ok(connection.clone()),
             Ok(ConnectionState::Failed(reason)) => Err(NoConnection::Failed(reason.clone())),
-            Ok(ConnectionState::LocalShortage) => Err(NoConnection::LocalShortage),
+            Ok(ConnectionState::LocalResourceShortage) => Err(NoConnection::LocalResourceShortage),
             _ => Err(NoConnection::Failed("connecting was aborted".into())),
         }
     }
 
     /// Returns the state of the connection to an address, which is opened if there is none, and whether it is still being
     /// opened.
-    fn current_or_new<E: ConnectionEvents>(
+    fn get_or_connect<E: ConnectionEvents>(
         &self,
         events: &Arc<E>,
         address: &str,
@@ -176,15 +176,15 @@
         let entry = PoolEntry {
             state: state.clone(),
             last_used: Instant::now(),
-            health: KeepAlive::default(),
+            keep_alive: KeepAlive::default(),
         };
         entries.insert(address.to_owned(), entry);
-        let connect = connect::Connect {
+        let task = connect::ConnectionTask {
             pool: self.clone(),
             events: events.clone(),
             address: address.to_owned(),
         };
-        tokio::spawn(connect.run(sender, delay));
+        tokio::spawn(task.run(sender, delay));
         Ok((state, true))
     }
 
@@ -270,7 +270,7 @@
         let since_last_frame = connection.time_since_last_frame().as_micros() as Micros;
         let last_frame_at = now.saturating_sub(since_last_frame);
         let rule = self.keep_alive_rule();
-        match entry.health.check(&rule, now, last_frame_at, active) {
+        match entry.keep_alive.check(&rule, now, last_frame_at, active) {
             KeepAliveVerdict::Healthy => SweepVerdict::Keep,
             KeepAliveVerdict::SendPing => {
                 connection.push_control(Frame::Probe(ProbeHead {
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -122,8 +122,8 @@
     /// Buffer for the outputs of one input; empty between inputs and reused for its capacity.
     outputs: Vec<Output>,
     /// Time at which the timer task wakes without a notification.
-    timer_set_to: Option<Micros>,
-    last_request: u64,
+    timer_wakes_at: Option<Micros>,
+    last_request_id: u64,
     rng: StdRng,
 }
 
@@ -143,7 +143,7 @@
     /// Notified when the next timer is due earlier than the timer task expects.
     timer_changed: Notify,
     /// Notified when the last open request has closed.
-    idle: Notify,
+    all_closed: Notify,
     /// Notified when the state file is out of date.
     pub(crate) dirty: Notify,
     /// The settings of the dispatcher.
@@ -173,8 +173,8 @@
             core,
             commands: HashMap::new(),
             outputs: Vec::new(),
-            timer_set_to: None,
-            last_request: 0,
+            timer_wakes_at: None,
+            last_request_id: 0,
             rng: StdRng::seed_from_u64(seed),
         };
         let budget = RequestBudget::new(settings.max_requests, settings.buffer_bytes);
@@ -183,7 +183,7 @@
             state: Mutex::new(state),
             started_at: Instant::now(),
             timer_changed: Notify::new(),
-            idle: Notify::new(),
+            all_closed: Notify::new(),
             dirty: Notify::new(),
             transport: transport(&meter),
             meter,
@@ -233,8 +233,8 @@
         if let BudgetDecision::Reject { retry_after } = decision {
             return Err(retry_after);
         }
-        state.last_request += 1;
-        let id = state.last_request;
+        state.last_request_id += 1;
+        let id = state.last_request_id;
         state.commands.insert(id, sender);
         self.metrics.open_requests.set(state.commands.len() as i64);
         self.handle(state, Input::Request(id, request));
@@ -275,7 +275,7 @@
         state.commands.remove(&id);
         self.metrics.open_requests.set(state.commands.len() as i64);
         if state.commands.is_empty() {
-            self.idle.notify_waiters();
+            self.all_closed.notify_waiters();
         }
     }
 
@@ -287,12 +287,12 @@
     /// Waits until no request is open.
     pub async fn drained(&self) {
         loop {
-            let idle = self.idle.notified();
+            let all_closed = self.all_closed.notified();
             if self.open_requests() == 0 {
                 return;
             }
             // The timeout covers a request that closes between the check and the wait.
-            let _ = tokio::time::timeout(DRAIN_CHECK_INTERVAL, idle).await;
+            let _ = tokio::time::timeout(DRAIN_CHECK_INTERVAL, all_closed).await;
         }
     }
 }
@@ -377,12 +377,12 @@
         let counts = text
             .lines()
             .filter(|line| line.contains("s_total{") && !line.ends_with(" 0"));
-        let short = |line: &str| {
+        let shorten = |line: &str| {
             line.trim_start_matches("pointspindle_")
                 .replace("_total", "")
                 .replace('"', "")
         };
-        counts.map(short).collect::<Vec<_>>().join(" ")
+        counts.map(shorten).collect::<Vec<_>>().join(" ")
     }
 
     /// Handles an input and sends the resulting commands. Sending happens under the lock, so that the order of the commands
@@ -400,8 +400,8 @@
             self.metrics.attempt_ended(outcome, count);
         }
         let next_timer = state.core.next_timer();
-        if next_timer.is_some_and(|at| state.timer_set_to.is_none_or(|set_to| at < set_to)) {
-            state.timer_set_to = next_timer;
+        if next_timer.is_some_and(|at| state.timer_wakes_at.is_none_or(|wakes_at| at < wakes_at)) {
+            state.timer_wakes_at = next_timer;
             self.timer_changed.notify_one();
         }
         effects
@@ -460,8 +460,8 @@
     loop {
         let next = {
             let mut state = core.lock();
-            state.timer_set_to = state.core.next_timer();
-            state.timer_set_to
+            state.timer_wakes_at = state.core.next_timer();
+            state.timer_wakes_at
         };
         match next {
             None => core.timer_changed.notified().await,
--- a/crates/dispatcher/src/net/exchange/attempts.rs
+++ b/crates/dispatcher/src/net/exchange/attempts.rs
@@ -146,7 +146,7 @@
         let request = RequestHead {
             fetch: fetch.map(fetch_head),
             time_left_us: timeout,
-            attempt: self.attempts_before + attempt,
+            attempt: self.previous_attempts + attempt,
             ..self.incoming.head_template.clone()
         };
         Attempt {
--- a/crates/dispatcher/src/net/exchange/mod.rs
+++ b/crates/dispatcher/src/net/exchange/mod.rs
@@ -65,7 +65,7 @@
         incoming,
         commands,
         started_at,
-        attempts_before: 0,
+        previous_attempts: 0,
     };
     let outcome = exchange.run(client).await;
     if matches!(outcome, RequestOutcome::ClientDisconnected) {
@@ -123,7 +123,7 @@
     started_at: Instant,
     /// Maximum number of attempts of the core requests that preceded a resumption. Added to attempt numbers, so that
     /// they keep increasing from the endpoints' point of view.
-    attempts_before: u32,
+    previous_attempts: u32,
 }
 
 impl<S: EndpointTransport> Exchange<'_, S> {
--- a/crates/dispatcher/src/net/exchange/resumption.rs
+++ b/crates/dispatcher/src/net/exchange/resumption.rs
@@ -111,7 +111,7 @@
         let Ok((id, commands)) = opened else {
             return false;
         };
-        self.attempts_before += self.core.settings.router.max_attempts;
+        self.previous_attempts += self.core.settings.router.max_attempts;
         self.open_request = OpenRequestGuard {
             core: self.core,
             id,
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -92,7 +92,7 @@
             }
             // The attempt was decided for a process that has been replaced: the core decides again, knowing the hello of
             // the new process.
-            Err(NoConnection::Replaced | NoConnection::LocalShortage) => {
+            Err(NoConnection::Replaced | NoConnection::LocalResourceShortage) => {
                 return Err(AttemptEnd::NotSent);
             }
         };
--- a/crates/dispatcher/tests/connection_pool.rs
+++ b/crates/dispatcher/tests/connection_pool.rs
@@ -64,7 +64,7 @@
 
 /// A truncated hello proves nothing: neither that the process is still the same, nor that the endpoint sends no hello.
 #[tokio::test]
-async fn connection_cut_before_hello_carries_no_request() {
+async fn connection_closed_during_hello_carries_no_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let dispatcher = start(listener.local_addr().unwrap(), "hello_timeout_ms = 5000").await;
     let http = dispatcher.bound_addresses().http.unwrap();
--- a/crates/dispatcher/tests/frontends.rs
+++ b/crates/dispatcher/tests/frontends.rs
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn idle_connection_is_closed_and_active_one_is_kept() {
+async fn idle_connection_is_closed_and_active_one_stays_open() {
     let dispatcher = start("idle_ms = 1000").await;
     let http = dispatcher.bound_addresses().http.unwrap();
     let framed = dispatcher.bound_addresses().framed.unwrap();
