--- a/crates/platform-protocol/src/client_request.rs
+++ b/crates/platform-protocol/src/client_request.rs
@@ -1,8 +1,8 @@
-//! Client requests, parsed and validated from the params of a FastCGI request.
+//! Parses and validates client requests from the params of a FastCGI request.
 //!
-//! Validation is strict because fields are passed on: a cache host closes a connection on a line that it cannot parse,
-//! with all other requests that are open on it.
-use crate::fastcgi::pairs;
+//! Validation is strict because the values are forwarded to cache hosts: a cache host that cannot parse a line closes
+//! the connection, and all other requests in flight on it are lost.
+use crate::fastcgi::decode_pairs;
 use bytes::Bytes;
 
 /// Prefix of the paths of request classes.
@@ -10,98 +10,98 @@
 /// Path of the health check.
 const HEALTH_CHECK_PATH: &str = "/alive";
 
-/// The platform does not name the largest part number; a larger one than this is rejected.
-const MAX_PART: u64 = 1_000_000;
+/// Largest part number that is accepted; the platform does not define a limit.
+const MAX_PART_NUMBER: u64 = 1_000_000;
 /// Largest group number.
 const MAX_GROUP: u64 = 255;
-/// Longest decimal number that is parsed.
+/// Largest number of digits of a decimal number.
 const MAX_NUMBER_DIGITS: usize = 12;
-/// Hex digits of transaction ids, objects and validators.
+/// Number of hex digits of a transaction id, an object id and a validator.
 const ID_HEX_DIGITS: usize = 16;
-/// Hex digits of idempotency keys.
+/// Number of hex digits of an idempotency key.
 const KEY_HEX_DIGITS: usize = 32;
 
-/// What requests of one class must carry and may carry.
+/// Rules by which requests of one class are validated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClassRules {
-    /// The class as its path names it.
+    /// Name of the class, as it stands in the path.
     pub name: String,
-    /// Requests carry an idempotency key.
+    /// Whether requests must carry an idempotency key.
     pub requires_key: bool,
-    /// Requests may have a body.
+    /// Whether requests are writes, which may have a body.
     pub is_write: bool,
-    /// The longest time-out that a client may set.
+    /// Longest time-out that a client may set, in milliseconds.
     pub deadline_ms: u64,
 }
 
 /// A client's request for one part of an object.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClientRequest {
-    /// Unique among all requests that are open.
+    /// Transaction id, unique among the open requests of all connections.
     pub transaction_id: String,
-    /// Index of the class in the settings.
+    /// Index of the request class in the settings.
     pub class: usize,
-    /// Time that the client still waits.
+    /// Time for which the client waits for the response, in milliseconds.
     pub timeout_ms: u64,
-    /// Idempotency key; empty in classes without one.
+    /// Idempotency key; empty if the class does not require one.
     pub idempotency_key: String,
-    /// The object's id.
+    /// Id of the object.
     pub object: String,
-    /// Number of the part.
+    /// Number of the part within the object.
     pub part: u64,
-    /// Group of the object, by which it can be purged.
+    /// Purge group of the object.
     pub group: u64,
-    /// Validator of a copy that the client holds; empty: none.
+    /// Validator of the client's copy; empty if it has none.
     pub client_validator: String,
 }
 
-/// What a client can send.
+/// A message from a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClientMessage {
-    /// Whether requests can be served.
+    /// A health check, which asks whether requests can be served.
     HealthCheck,
-    /// A request to be served.
+    /// A request for a part of an object.
     Request(ClientRequest),
 }
 
-/// Why a request is rejected.
+/// Reason for which a client request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClientRequestError {
-    /// Lengths of names and values that exceed the params.
-    #[error("params whose lengths do not fit")]
+    /// The length of a name or a value exceeds the encoded params.
+    #[error("length of a name or value exceeds the params")]
     MalformedParams,
-    /// A param that occurs twice.
+    /// A param occurs more than once.
     #[error("duplicate param {0}")]
     DuplicateParam(&'static str),
-    /// A param that is not UTF-8.
+    /// The value of a param is not valid UTF-8.
     #[error("param {0} is not UTF-8")]
     NotUtf8(&'static str),
-    /// A param that the class requires.
+    /// A required param is missing.
     #[error("param {0} is missing")]
     MissingParam(&'static str),
-    /// A param whose value is malformed or out of range.
+    /// The value of a param is malformed or out of range.
     #[error("param {0} is malformed or out of range")]
     InvalidParam(&'static str),
-    /// A path that is neither the health check nor a class.
-    #[error("no such path")]
+    /// The path is neither that of the health check nor that of a request class.
+    #[error("param SCRIPT_NAME is neither the health check nor a path of a request class")]
     UnknownPath,
-    /// A path of a class that the settings do not have.
-    #[error("no such class")]
+    /// The path names a request class that the settings do not define.
+    #[error("param SCRIPT_NAME names a request class that is not configured")]
     UnknownClass,
-    /// CONTENT_LENGTH is not the length of the body.
-    #[error("CONTENT_LENGTH is not the length of the body")]
+    /// The param CONTENT_LENGTH differs from the length of the body.
+    #[error("param CONTENT_LENGTH differs from the length of the body")]
     ContentLengthMismatch,
-    /// A body in a class without writes.
-    #[error("a body in a class without writes")]
+    /// The request has a body, but its class is not one of writes.
+    #[error("request has a body, but its class does not permit one")]
     UnexpectedBody,
 }
 
-/// Params by name, each at most once.
+/// Names and values of the params, in the order in which they were sent.
 struct Params<'a>(Vec<(&'a [u8], &'a [u8])>);
 
 impl<'a> Params<'a> {
     fn parse(params: &'a [u8]) -> Result<Self, ClientRequestError> {
-        pairs(params)
+        decode_pairs(params)
             .map(Self)
             .ok_or(ClientRequestError::MalformedParams)
     }
@@ -137,7 +137,7 @@
         }
     }
 
-    /// A number up to `max`, or 0 where the param is absent.
+    /// Returns the number in a param, or 0 if the param is absent. Numbers above `max` are errors.
     fn number_or_zero(&self, name: &'static str, max: u64) -> Result<u64, ClientRequestError> {
         match self.optional(name)? {
             None => Ok(0),
@@ -150,7 +150,7 @@
     value.len() == digits && value.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// A number of decimal digits only: no sign, space, fraction or exponent.
+/// Parses a number of at most `max` that consists of decimal digits only, without sign, space, fraction or exponent.
 fn parse_number(value: &str, max: u64) -> Option<u64> {
     let is_plain = !value.is_empty()
         && value.len() <= MAX_NUMBER_DIGITS
@@ -158,7 +158,7 @@
     value.parse().ok().filter(|n| is_plain && *n <= max)
 }
 
-/// Parses and validates what a client has sent.
+/// Parses and validates a client message from the params and the body of a FastCGI request.
 pub fn parse(
     params: &Bytes,
     body: &[u8],
@@ -180,7 +180,7 @@
     let transaction_id = params.required_hex("HTTP_X_TXN", ID_HEX_DIGITS)?;
     let object = params.required_hex("HTTP_X_ROW", ID_HEX_DIGITS)?;
     let timeout_ms = timeout_ms(&params, rules)?;
-    let part = params.number_or_zero("HTTP_X_NTH", MAX_PART)?;
+    let part = params.number_or_zero("HTTP_X_NTH", MAX_PART_NUMBER)?;
     let group = params.number_or_zero("HTTP_X_BATCH", MAX_GROUP)?;
     if !matches!(params.optional("HTTP_X_SECOND_TRY")?, None | Some("1")) {
         return Err(ClientRequestError::InvalidParam("HTTP_X_SECOND_TRY"));
@@ -188,7 +188,7 @@
     let idempotency_key = if rules.requires_key {
         params.required_hex("HTTP_X_TXN_KEY", KEY_HEX_DIGITS)?
     } else {
-        // A key is not passed on in such a class, but it must be readable.
+        // A key is not forwarded in such a class, but a duplicate or one that is not UTF-8 is an error nevertheless.
         params.optional("HTTP_X_TXN_KEY")?;
         ""
     };
@@ -208,7 +208,7 @@
 
 fn timeout_ms(params: &Params<'_>, rules: &ClassRules) -> Result<u64, ClientRequestError> {
     const NAME: &str = "HTTP_X_TTL_MS";
-    // A client that rounds up may exceed the deadline by one.
+    // A client that rounds up may exceed the deadline by one millisecond.
     let max = rules.deadline_ms + 1;
     parse_number(params.required(NAME)?, max)
         .filter(|ms| *ms > 0)
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -1,22 +1,22 @@
-//! Endpoint discovery: numbered events of endpoints and purges, as the start configuration holds them and as the
-//! discovery stream sends them (server-sent events).
+//! Endpoint discovery: numbered events for endpoint changes and purges, as the start configuration contains them and as
+//! the discovery stream sends them (server-sent events).
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
 use tokio_util::codec::Decoder;
 
-/// One event with the full endpoint list of a large fleet.
+/// Largest size of an event; it fits the full endpoint list of a large fleet.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// One event of the discovery stream.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct DiscoveryEvent {
-    /// Events are numbered without gaps.
+    /// Revision of the event; revisions are numbered without gaps.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// A change of the endpoint list.
+    /// Change of the endpoint list, if the event carries one.
     #[serde(default, rename = "pool")]
     pub endpoint_update: Option<EndpointUpdate>,
-    /// A purge.
+    /// Purge, if the event carries one.
     #[serde(default, rename = "flush")]
     pub purge: Option<PurgeNotice>,
 }
@@ -24,54 +24,54 @@
 /// A change of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct EndpointUpdate {
-    /// The update is the full list: endpoints that it does not name are gone.
+    /// Whether the update is the full list, so that endpoints absent from it have been removed.
     #[serde(default, rename = "whole")]
     pub is_full: bool,
-    /// The endpoints that have changed, or all of them.
+    /// Endpoints that have changed, or all endpoints in a full list.
     #[serde(default, rename = "hosts")]
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// One endpoint as discovery describes it.
+/// Description of one endpoint.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct DiscoveredEndpoint {
-    /// Names the endpoint, whatever its address.
+    /// Id of the endpoint, which does not depend on its address.
     #[serde(rename = "host")]
     pub id: String,
-    /// Where to connect; an endpoint that is gone may have none.
+    /// Address to connect to; it may be empty for an endpoint that has been removed.
     #[serde(default, rename = "dial")]
     pub address: String,
-    /// Name of its zone.
+    /// Name of the endpoint's zone.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// Name of its kind, which decides its role.
+    /// Name of the endpoint's kind, which determines its role.
     #[serde(default, rename = "class")]
     pub kind: String,
-    /// Number of its cell.
+    /// Number of the endpoint's cell.
     #[serde(default, rename = "block")]
     pub cell: u64,
-    /// Whether it takes requests.
+    /// State of the endpoint.
     #[serde(rename = "health")]
     pub state: DiscoveredState,
-    /// Its relative capacity.
+    /// Relative capacity of the endpoint.
     #[serde(default, rename = "share")]
     pub weight: f64,
-    /// Unix milliseconds of its start where that was late, or 0.
+    /// Unix time in milliseconds at which the endpoint started, reported for late starts; otherwise 0.
     #[serde(default, rename = "born_ms")]
     pub started_at_unix_ms: f64,
 }
 
-/// Whether an endpoint takes requests.
+/// State of an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum DiscoveredState {
-    /// It takes requests.
+    /// The endpoint accepts requests.
     Ready,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint finishes its open requests and accepts no new ones.
     Draining,
-    /// It is no longer there.
-    Gone,
-    /// A state that a later version of the platform has added.
+    /// The endpoint has been removed.
+    Removed,
+    /// A state that this version does not know, as sent.
     Unknown(String),
 }
 
@@ -80,33 +80,33 @@
         match state.as_str() {
             "Ready" => Self::Ready,
             "Terminating" => Self::Draining,
-            "Gone" => Self::Gone,
+            "Gone" => Self::Removed,
             _ => Self::Unknown(state),
         }
     }
 }
 
-/// A purge of an object, or of a group.
+/// A purge of an object or of a purge group.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct PurgeNotice {
-    /// The purged object.
+    /// Id of the purged object.
     #[serde(default, rename = "asset")]
     pub object: Option<String>,
-    /// The purged group.
+    /// Number of the purged group.
     #[serde(default, rename = "collection")]
     pub group: Option<u64>,
-    /// Unix milliseconds of the purge.
+    /// Unix time of the purge, in milliseconds.
     #[serde(rename = "ms")]
     pub purged_at_unix_ms: f64,
 }
 
-/// What the start configuration holds of the discovery stream.
+/// State of discovery as of the start configuration.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 pub struct KnownState {
-    /// The last revision that the events cover.
+    /// Last revision that the events cover.
     #[serde(default, rename = "rev")]
     pub revision: u64,
-    /// Events up to that revision.
+    /// Events up to and including that revision.
     #[serde(default, rename = "notices")]
     pub events: Vec<DiscoveryEvent>,
 }
@@ -116,40 +116,40 @@
 pub enum ServerSentEvent {
     /// A comment, sent as a keep-alive.
     Comment,
-    /// An event.
+    /// An event with data.
     Event {
-        /// Its id, where it is a number.
+        /// Id of the event, if it has one that is a number.
         id: Option<u64>,
-        /// Its data lines, joined by line feeds.
+        /// Data lines of the event, joined by line feeds.
         data: String,
     },
 }
 
-/// Why a stream of server-sent events cannot be decoded any further.
+/// Error that ends the decoding of a stream of server-sent events.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerSentEventError {
-    /// An event that exceeds the limit.
-    #[error("an event of over {MAX_EVENT_BYTES} bytes")]
+    /// An event exceeds the size limit.
+    #[error("server-sent event exceeds {MAX_EVENT_BYTES} bytes")]
     TooLong,
-    /// A line that is not UTF-8.
-    #[error("an event that is not UTF-8")]
+    /// A line is not valid UTF-8.
+    #[error("server-sent event is not valid UTF-8")]
     NotUtf8,
-    /// The stream could not be read.
+    /// Reading from the stream failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Decodes server-sent events; an event counts once its blank line has come.
+/// Decodes server-sent events. An event is returned once the blank line that ends it has been received.
 #[derive(Debug, Default)]
 pub struct ServerSentEventCodec {
     id: Option<u64>,
     data: Option<String>,
-    /// Bytes of the buffer that hold no line end.
+    /// Number of bytes at the start of the buffer that have been searched and contain no line end.
     searched: usize,
 }
 
 impl ServerSentEventCodec {
-    /// The next line without its end, or none before its end has come.
+    /// Returns the next line without its line feed, or `None` if the line is incomplete.
     fn next_line(&mut self, from: &mut BytesMut) -> Result<Option<BytesMut>, ServerSentEventError> {
         let Some(end) = from[self.searched..].iter().position(|b| *b == b'\n') else {
             self.searched = from.len();
@@ -166,8 +166,8 @@
         Ok(Some(line))
     }
 
-    /// Ends the event: what it was, unless it had no data.
-    fn dispatch(&mut self) -> Option<ServerSentEvent> {
+    /// Ends the current event and returns it, or `None` if it has no data.
+    fn finish_event(&mut self) -> Option<ServerSentEvent> {
         let id = self.id.take();
         let data = self.data.take()?;
         Some(ServerSentEvent::Event { id, data })
@@ -208,7 +208,7 @@
             let line = std::str::from_utf8(&line).map_err(|_| ServerSentEventError::NotUtf8)?;
             let line = line.strip_suffix('\r').unwrap_or(line);
             if line.is_empty() {
-                if let Some(event) = self.dispatch() {
+                if let Some(event) = self.finish_event() {
                     return Ok(Some(event));
                 }
             } else if line.starts_with(':') {
--- a/crates/platform-protocol/src/fastcgi.rs
+++ b/crates/platform-protocol/src/fastcgi.rs
@@ -1,17 +1,17 @@
-//! FastCGI 1.0: decodes a client's records and encodes a responder's.
+//! FastCGI 1.0: decodes the records of a web server and encodes those of a responder.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use tokio_util::codec::Decoder;
 
-/// The protocol's version.
+/// Version of the protocol.
 pub const VERSION: u8 = 1;
-/// Length of a record's header.
+/// Length of a record header.
 pub(crate) const HEADER_BYTES: usize = 8;
 
-/// Type of a record that begins a request.
+/// Type of the record that begins a request.
 pub const BEGIN_REQUEST: u8 = 1;
-/// Type of a record that cancels a request.
+/// Type of the record that cancels a request.
 pub const ABORT_REQUEST: u8 = 2;
-/// Type of a record that ends a request.
+/// Type of the record that ends a request.
 pub const END_REQUEST: u8 = 3;
 /// Type of the records of a request's params.
 pub const PARAMS: u8 = 4;
@@ -19,55 +19,55 @@
 pub const STDIN: u8 = 5;
 /// Type of the records of a response.
 pub const STDOUT: u8 = 6;
-/// Type of a record that queries the application's values.
+/// Type of the record that queries values of the application.
 pub const GET_VALUES: u8 = 9;
 /// Type of the reply to [`GET_VALUES`].
 pub const GET_VALUES_RESULT: u8 = 10;
 /// Type of the reply to a record of an unknown type.
 pub const UNKNOWN_TYPE: u8 = 11;
 
-/// The only role that is served.
+/// Role of a responder, the only one that is supported.
 pub const RESPONDER: u16 = 1;
-/// Flag of a request: the connection stays open after it.
+/// Flag of a begin record: the connection stays open after the request.
 pub const KEEP_CONN: u8 = 1;
 
-/// How a request ended, as [`END_REQUEST`] carries it.
+/// Protocol status in an [`END_REQUEST`] record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolStatus {
-    /// It was served.
+    /// The request was served.
     Complete = 0,
-    /// Too many requests are open.
+    /// The request was rejected because too many requests are open.
     Overloaded = 2,
-    /// Its role is not served.
+    /// The request was rejected because its role is not supported.
     UnknownRole = 3,
 }
 
-/// Content of one STDOUT record: a multiple of eight bytes, as the specification advises.
+/// Largest content of one STDOUT record: a multiple of eight bytes, as the specification recommends.
 const MAX_STDOUT_BYTES: usize = 65_528;
 
-/// One record.
+/// A decoded record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// Its type.
+    /// Type of the record.
     pub kind: u8,
-    /// Number of its request; 0: the connection's own.
+    /// Id of the request that the record belongs to; 0 for a management record.
     pub id: u16,
-    /// Its content without padding.
+    /// Content of the record, without padding.
     pub content: Bytes,
 }
 
-/// Why a connection cannot be decoded any further.
+/// Error that ends the decoding of a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum RecordError {
-    /// A record of another version of the protocol, or bytes that are no record.
-    #[error("a record of version {0}")]
+    /// The version byte is not [`VERSION`]: the peer uses another version or another protocol.
+    #[error("unsupported FastCGI version {0}, expected {VERSION}")]
     Version(u8),
-    /// The connection could not be read.
+    /// Reading from the connection failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Decodes records, whose length field limits them to 64 KiB.
+/// Decodes records. Their length field limits the content to 64 KiB.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RecordCodec;
 
@@ -114,15 +114,15 @@
     out.put_slice(content);
 }
 
-/// Appends the end of a request; nothing follows it under this number.
-pub fn end_request(out: &mut BytesMut, id: u16, app_status: u32, status: ProtocolStatus) {
+/// Appends the record that ends a request. It must be the last record with this request id.
+pub fn write_end_request(out: &mut BytesMut, id: u16, app_status: u32, status: ProtocolStatus) {
     header(out, END_REQUEST, id, 8);
     out.put_u32(app_status);
     out.put_slice(&[status as u8, 0, 0, 0]);
 }
 
-/// A complete response: head and body in STDOUT records, then the end. The body is not copied.
-pub fn response(id: u16, head: &[u8], mut body: Bytes, app_status: u32) -> Vec<Bytes> {
+/// Encodes a complete response: head and body in STDOUT records, then the end record. The body is not copied.
+pub fn encode_response(id: u16, head: &[u8], mut body: Bytes, app_status: u32) -> Vec<Bytes> {
     let mut pieces = Vec::with_capacity(2 + 2 * (body.len() / MAX_STDOUT_BYTES + 1));
     let mut out = BytesMut::with_capacity(head.len() + 4 * HEADER_BYTES + 16);
     record(&mut out, STDOUT, id, head);
@@ -133,27 +133,27 @@
         pieces.push(piece);
     }
     record(&mut out, STDOUT, id, &[]);
-    end_request(&mut out, id, app_status, ProtocolStatus::Complete);
+    write_end_request(&mut out, id, app_status, ProtocolStatus::Complete);
     pieces.push(out.freeze());
     pieces
 }
 
-/// Decodes one length of a name-value pair.
+/// Decodes the length of a name or a value: one byte, or four bytes if the highest bit is set.
 fn take_length(from: &mut &[u8]) -> Option<usize> {
     let first = *from.first()?;
     if first < 0x80 {
         from.advance(1);
         return Some(first.into());
     }
-    let four = from.get(..4)?;
-    let long = u32::from_be_bytes([four[0] & 0x7f, four[1], four[2], four[3]]);
+    let bytes = from.get(..4)?;
+    let length = u32::from_be_bytes([bytes[0] & 0x7f, bytes[1], bytes[2], bytes[3]]);
     from.advance(4);
-    Some(long as usize)
+    Some(length as usize)
 }
 
-/// Decodes name-value pairs; none where lengths and bytes do not fit.
-pub fn pairs(mut from: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
-    let mut found = Vec::new();
+/// Decodes name-value pairs. Returns `None` if a length exceeds the remaining bytes.
+pub fn decode_pairs(mut from: &[u8]) -> Option<Vec<(&[u8], &[u8])>> {
+    let mut pairs = Vec::new();
     while !from.is_empty() {
         let name_bytes = take_length(&mut from)?;
         let value_bytes = take_length(&mut from)?;
@@ -162,10 +162,10 @@
             return None;
         }
         let (pair, rest) = from.split_at(pair_bytes);
-        found.push(pair.split_at(name_bytes));
+        pairs.push(pair.split_at(name_bytes));
         from = rest;
     }
-    Some(found)
+    Some(pairs)
 }
 
 /// Appends a name-value pair.
--- a/crates/platform-protocol/src/lib.rs
+++ b/crates/platform-protocol/src/lib.rs
@@ -1,9 +1,10 @@
-//! The platform's protocols as codecs, without I/O: FastCGI from clients, the line protocol to cache hosts, the
+//! Codecs for the platform's protocols, without I/O: FastCGI from clients, the line protocol to cache hosts, the
 //! discovery stream of endpoints and purges, the start configuration and its settings.
 //!
-//! The platform's own words are string literals and serde names of this crate only; its types carry the terms of the
-//! field. Every length from outside has a limit here, named as a constant. Nothing is decided: a request that cannot be
-//! used is an error with its reason, a response that cannot be parsed ends its connection.
+//! The platform's own names occur only as string literals and serde names in this crate; types and fields use the terms
+//! of HTTP caching and load balancing. Every length that a peer controls is limited by a named constant. The crate
+//! makes no routing decisions: an invalid request is returned as an error with its reason, and a response that cannot
+//! be parsed is an error that ends its connection.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform-protocol/src/line_protocol.rs
+++ b/crates/platform-protocol/src/line_protocol.rs
@@ -1,11 +1,12 @@
-//! The line protocol to cache hosts, parents and the origin: requests and controls out, responses in.
+//! The line protocol to cache hosts, parents and the origin: encodes requests, cancellations and health checks, and
+//! decodes responses.
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use std::fmt::Write;
 use tokio_util::codec::Decoder;
 
-/// The platform's limit on the size of an object.
+/// Largest size of an object, as the platform defines it.
 pub const MAX_OBJECT_BYTES: usize = 240_000;
-/// A response's line: an id, a status, a handful of short fields, a length.
+/// Largest length of a response line: an id, a status, a handful of short fields and a body length.
 const MAX_LINE_BYTES: usize = 512;
 const MAX_ID_BYTES: usize = 64;
 const LINE_END: &[u8] = b"\r\n";
@@ -13,38 +14,38 @@
 /// A request to an endpoint.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheRequest<'a> {
-    /// Unique on the connection.
+    /// Id of the request, unique on the connection.
     pub id: &'a str,
-    /// Name of the class.
+    /// Name of the request class.
     pub class: &'a str,
-    /// The object's id.
+    /// Id of the object.
     pub object: &'a str,
-    /// Number of the part.
+    /// Number of the part within the object.
     pub part: u64,
-    /// How long a response is of use.
+    /// Time within which the response must arrive, in milliseconds.
     pub timeout_ms: u64,
-    /// Empty: none.
+    /// Idempotency key; empty for none.
     pub idempotency_key: &'a str,
-    /// Id of the endpoint to fill from; empty: no fill.
+    /// Id of the endpoint to fill from; empty for no fill.
     pub fill_source: &'a str,
-    /// How long the copy is retained against others; 0: the endpoint's default.
+    /// Rank of the copy when the cache evicts; 0 for the endpoint's default.
     pub retention_rank: u32,
-    /// 0: the fresh time of the class.
+    /// Largest age of the copy in milliseconds; 0 for the freshness lifetime of the class.
     pub max_age_ms: u64,
-    /// The request may join a fill in flight.
+    /// Whether the request may be coalesced with a fill in flight.
     pub coalesce: bool,
-    /// The endpoint does not fill.
+    /// Whether the endpoint must respond from its cache, without a fill.
     pub only_if_cached: bool,
-    /// The endpoint revalidates its copy at the source.
+    /// Whether the endpoint revalidates its copy with the fill source.
     pub revalidate: bool,
-    /// Validator of the client's copy; empty: none.
+    /// Validator of the client's copy; empty for none.
     pub if_none_match: &'a str,
-    /// The body of a write.
+    /// Body of a write.
     pub body: &'a [u8],
 }
 
 impl CacheRequest<'_> {
-    /// Appends the request.
+    /// Appends the encoded request.
     pub fn write(&self, out: &mut BytesMut) {
         // Writing to a buffer cannot fail.
         let _ = write!(
@@ -52,19 +53,19 @@
             "PULL {} kind={},obj={},seg={},ms={}",
             self.id, self.class, self.object, self.part, self.timeout_ms
         );
-        let texts = [
+        let text_fields = [
             ("token", self.idempotency_key),
             ("up", self.fill_source),
             ("inm", self.if_none_match),
         ];
-        for (name, value) in texts.iter().filter(|(_, value)| !value.is_empty()) {
+        for (name, value) in text_fields.iter().filter(|(_, value)| !value.is_empty()) {
             let _ = write!(out, ",{name}={value}");
         }
-        let numbers = [
+        let number_fields = [
             ("store", u64::from(self.retention_rank)),
             ("cap", self.max_age_ms),
         ];
-        for (name, value) in numbers.iter().filter(|(_, value)| *value > 0) {
+        for (name, value) in number_fields.iter().filter(|(_, value)| *value > 0) {
             let _ = write!(out, ",{name}={value}");
         }
         let flags = [
@@ -88,25 +89,25 @@
     let _ = write!(out, "KILL {id}\r\n");
 }
 
-/// Appends a health check, whose reply carries the same id.
+/// Appends a health check. Its reply carries the same id.
 pub fn write_health_check(out: &mut BytesMut, id: &str) {
     let _ = write!(out, "ECHO {id}\r\n");
 }
 
-/// How a request ended at the endpoint.
+/// Status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseStatus {
-    /// The response carries the object.
+    /// The response contains the object.
     Served,
     /// The client's copy is current.
     NotModified,
-    /// The endpoint has no copy and made no fill.
+    /// The endpoint has no copy and did not fill.
     NotCached,
-    /// The endpoint rejected the request for want of capacity.
+    /// The endpoint rejected the request because it is overloaded.
     Overloaded,
-    /// The request may have run and failed.
+    /// The request failed and may have been executed.
     Failed,
-    /// The request was cancelled: no response is awaited.
+    /// The request was cancelled.
     Cancelled,
     /// The reply to a health check.
     HealthCheckReply,
@@ -127,7 +128,7 @@
     }
 }
 
-/// Cache statuses in the order of their codes, from 1.
+/// Cache statuses in the order of their codes, which begin at 1.
 const CACHE_STATUSES: [&str; 10] = [
     "mem",
     "parent",
@@ -141,46 +142,46 @@
     "behind",
 ];
 
-/// A response of an endpoint.
+/// A response from an endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CacheResponse {
     /// Id of the request.
     pub id: String,
-    /// How the request ended.
+    /// Status of the response.
     pub status: ResponseStatus,
-    /// Code of the cache status, as the decision module numbers these; 0: not reported.
+    /// Code of the cache status, as the router numbers them; 0 if it is not reported.
     pub cache_status_code: u8,
-    /// Validator of the copy; empty: none.
+    /// Validator of the copy; empty for none.
     pub validator: String,
-    /// Unix milliseconds at which the origin produced this copy; 0: not reported.
+    /// Unix time in milliseconds at which the origin produced the copy; 0 if it is not reported.
     pub produced_at_unix_ms: u64,
-    /// Time that was spent waiting for the fill's source.
+    /// Time that the endpoint waited for the fill source, in milliseconds.
     pub fill_wait_ms: u64,
-    /// The object.
+    /// Content of the object.
     pub body: Bytes,
 }
 
-/// Why a connection cannot be decoded any further.
+/// Error that ends the decoding of a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
-    /// A line that exceeds the limit.
-    #[error("a line of over {MAX_LINE_BYTES} bytes")]
+    /// A response line exceeds the size limit.
+    #[error("response line exceeds {MAX_LINE_BYTES} bytes")]
     LineTooLong,
-    /// A line that is not a response.
-    #[error("a line that is not a response")]
+    /// A line is not a valid response line.
+    #[error("malformed response line")]
     MalformedResponse,
-    /// A body that exceeds the limit.
-    #[error("a response of {0} bytes")]
+    /// The length of a response body exceeds [`MAX_OBJECT_BYTES`].
+    #[error("response body of {0} bytes exceeds the limit of {MAX_OBJECT_BYTES} bytes")]
     BodyTooLong(u64),
-    /// A body that does not end where its length says.
-    #[error("bytes beyond a response's length")]
+    /// A response body is not followed by a line end.
+    #[error("response body is not followed by a line end at its declared length")]
     MissingBodyEnd,
-    /// The connection could not be read.
+    /// Reading from the connection failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// A response whose line has been decoded and whose body has not.
+/// A response whose line has been decoded and whose body is incomplete.
 #[derive(Debug)]
 struct PartialResponse {
     response: CacheResponse,
@@ -191,17 +192,17 @@
 #[derive(Debug, Default)]
 pub struct CacheResponseCodec {
     partial: Option<PartialResponse>,
-    /// Bytes of the buffer that hold no line end.
+    /// Number of bytes at the start of the buffer that have been searched and contain no line end.
     searched: usize,
 }
 
 impl CacheResponseCodec {
-    /// Length of the body that is being received.
+    /// Returns the full length of the response body that is being received, or 0.
     pub fn incomplete_body_bytes(&self) -> usize {
         self.partial.as_ref().map_or(0, |p| p.body_bytes)
     }
 
-    /// Id of the response that is being received.
+    /// Returns the request id of the response whose body is being received.
     pub fn incomplete_response_id(&self) -> Option<&str> {
         self.partial.as_ref().map(|p| p.response.id.as_str())
     }
@@ -298,7 +299,7 @@
     Ok(length as usize)
 }
 
-/// Sets what a field of the line says; fields of later versions are skipped.
+/// Sets the response's field from a field of its line. Unknown fields are skipped: later versions may add some.
 fn set_field(response: &mut CacheResponse, name: &str, value: &str) -> Result<(), LineError> {
     match name {
         "res" => response.cache_status_code = parse_cache_status(value)?,
--- a/crates/platform-protocol/src/request_assembly.rs
+++ b/crates/platform-protocol/src/request_assembly.rs
@@ -1,92 +1,92 @@
-//! Assembles the requests of one FastCGI connection: records in, complete requests out. A state machine without I/O.
+//! Assembles the requests of one FastCGI connection from its records. A state machine without I/O.
 //!
-//! State: for each open request, at most [`MAX_OPEN_REQUESTS`], its params and body until it is complete; both bounded.
-//! A protocol violation ends the session; an invalid request is only reported as such, and what still comes of it is
-//! discarded, up to a bound.
+//! The state has an entry for each open request, at most [`MAX_OPEN_REQUESTS`], with the params and body received so
+//! far; the sizes of both are limited. A protocol violation ends the session. An invalid request does not: it is
+//! reported, and its further records are discarded, up to a limit in bytes.
 use crate::fastcgi::*;
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
 
-/// The platform's limit on requests open on one connection.
+/// Largest number of open requests on one connection, as the platform defines it.
 pub const MAX_OPEN_REQUESTS: usize = 32;
-/// All params of a request: some twenty names of CGI and the platform's own.
+/// Largest size of the encoded params of a request: about twenty CGI params and those of the platform.
 const MAX_PARAMS_BYTES: usize = 8 * 1024;
-/// The platform's limit on a write's body.
+/// Largest size of the body of a write, as the platform defines it.
 pub const MAX_BODY_BYTES: usize = 48_000;
-/// Bytes that are discarded of requests which are no longer open, over the life of a connection.
+/// Largest number of bytes that are discarded over the life of a connection.
 const MAX_DISCARDED_BYTES: usize = 256 * 1024;
-/// Content of a record that begins a request.
+/// Length of the content of a begin record.
 const BEGIN_BODY_BYTES: usize = 8;
 
-/// What came of a record.
+/// Outcome of handling a record.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecordOutcome {
-    /// Nothing to do yet.
+    /// The record requires no action.
     Pending,
-    /// A request is complete; it stays open until [`RequestAssembler::finish`].
+    /// A request is complete. It stays open until [`RequestAssembler::finish`] is called.
     Complete {
-        /// Number of the request.
+        /// Id of the request.
         id: u16,
-        /// Its params, still encoded.
+        /// Encoded params of the request.
         params: Bytes,
-        /// Its body.
+        /// Body of the request.
         body: Bytes,
-        /// The client wants the connection kept alive.
+        /// Whether the connection stays open after the request.
         keep_alive: bool,
     },
-    /// A request that cannot be used; it is no longer open.
+    /// A request is invalid and no longer open.
     Invalid {
-        /// Number of the request.
+        /// Id of the request.
         id: u16,
-        /// Why it cannot be used.
+        /// Reason for which the request is invalid.
         reason: InvalidRequest,
     },
-    /// A request beyond [`MAX_OPEN_REQUESTS`].
+    /// A request was not opened because [`MAX_OPEN_REQUESTS`] are open.
     TooManyOpen {
-        /// Number of the request.
+        /// Id of the request.
         id: u16,
     },
-    /// A request for a role other than the responder's.
+    /// A request was not opened because its role is not that of a responder.
     UnknownRole {
-        /// Number of the request.
+        /// Id of the request.
         id: u16,
     },
-    /// The client has cancelled a request.
+    /// The client has aborted a request.
     Aborted {
-        /// Number of the request.
+        /// Id of the request.
         id: u16,
-        /// The request was complete and is open until [`RequestAssembler::finish`].
+        /// Whether the request was complete, so that it stays open until [`RequestAssembler::finish`] is called.
         was_complete: bool,
     },
-    /// Bytes to send back at once: a reply to a management record.
+    /// The encoded reply to a management record or to one of an unknown type, which is to be sent at once.
     Reply(Bytes),
 }
 
-/// Why a request cannot be used.
+/// Reason for which a request is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// Params beyond the limit.
-    #[error("its params are too long")]
+    /// The params exceed the size limit.
+    #[error("params exceed {MAX_PARAMS_BYTES} bytes")]
     ParamsTooLong,
-    /// A body beyond the limit.
-    #[error("its body is too long")]
+    /// The body exceeds the size limit.
+    #[error("body exceeds {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
-    /// Params after their end, or a body before it.
-    #[error("its records are out of order")]
+    /// Params were sent after their end, or the body before it.
+    #[error("PARAMS or STDIN records are out of order")]
     RecordsOutOfOrder,
 }
 
 /// A protocol violation that ends the session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SessionError {
-    /// A request begins under the number of an open one.
-    #[error("a request under the number of an open one")]
+    /// A request begins with the id of an open request.
+    #[error("begin record with the id of an open request")]
     DuplicateId,
-    /// A request begins without a number, or its record is too short.
-    #[error("a request without a number, or a truncated begin record")]
+    /// A begin record has the id 0 or is truncated.
+    #[error("begin record with id 0 or of less than {BEGIN_BODY_BYTES} bytes")]
     MalformedBegin,
-    /// Too many bytes came for requests that are not open.
-    #[error("too many bytes came for requests that are not open")]
+    /// Too many bytes were received for requests that are not open and in records of unknown types.
+    #[error("more than {MAX_DISCARDED_BYTES} bytes received that belong to no open request")]
     TooMuchDiscarded,
 }
 
@@ -108,7 +108,8 @@
         matches!(self.state, AssemblyState::Complete)
     }
 
-    /// Takes a record's content, empty at the end of its stream. None: the request is complete already.
+    /// Adds the content of a record, which is empty at the end of its stream. Returns `None` if the request is already
+    /// complete and the content is to be discarded.
     fn add(
         &mut self,
         id: u16,
@@ -159,17 +160,17 @@
 }
 
 impl RequestAssembler {
-    /// Requests that are open.
-    pub fn open(&self) -> usize {
+    /// Returns the number of open requests.
+    pub fn open_count(&self) -> usize {
         self.open.len()
     }
 
-    /// Open requests that are not complete.
-    pub fn incomplete(&self) -> usize {
+    /// Returns the number of open requests that are not complete.
+    pub fn incomplete_count(&self) -> usize {
         self.open.values().filter(|r| !r.is_complete()).count()
     }
 
-    /// Drops the requests that are not complete and names them; what still comes of them is discarded.
+    /// Drops the requests that are not complete and returns their ids. Their further records are discarded.
     pub fn drop_incomplete(&mut self) -> Vec<u16> {
         let incomplete = self.open.iter().filter(|(_, r)| !r.is_complete());
         let ids: Vec<u16> = incomplete.map(|(id, _)| *id).collect();
@@ -177,22 +178,22 @@
         ids
     }
 
-    /// Forgets a request: its response is written, or none is owed.
+    /// Removes a request: its response has been written, or none will be.
     pub fn finish(&mut self, id: u16) {
         self.open.remove(&id);
     }
 
-    /// Takes the next record of the connection.
+    /// Handles the next record of the connection.
     pub fn handle(&mut self, record: Record) -> Result<RecordOutcome, SessionError> {
         let Record { kind, id, content } = record;
         match kind {
             BEGIN_REQUEST => self.begin(id, &content),
             ABORT_REQUEST => Ok(self.abort(id)),
             PARAMS | STDIN => self.add(kind, id, &content),
-            GET_VALUES => Ok(RecordOutcome::Reply(values_result(&content))),
+            GET_VALUES => Ok(RecordOutcome::Reply(values_reply(&content))),
             other => {
                 self.discard(content.len())?;
-                Ok(RecordOutcome::Reply(unknown_type(other)))
+                Ok(RecordOutcome::Reply(unknown_type_reply(other)))
             }
         }
     }
@@ -253,16 +254,16 @@
     }
 }
 
-fn unknown_type(kind: u8) -> Bytes {
+fn unknown_type_reply(kind: u8) -> Bytes {
     let mut out = BytesMut::new();
     record(&mut out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
     out.freeze()
 }
 
-/// The values that a web server may query; unknown names are left out.
-fn values_result(query: &[u8]) -> Bytes {
+/// Encodes the reply to a query of values; unknown names are left out.
+fn values_reply(query: &[u8]) -> Bytes {
     let mut values = BytesMut::new();
-    for (name, _) in pairs(query).into_iter().flatten() {
+    for (name, _) in decode_pairs(query).into_iter().flatten() {
         match name {
             b"FCGI_MAX_REQS" => pair(&mut values, name, MAX_OPEN_REQUESTS.to_string().as_bytes()),
             b"FCGI_MPXS_CONNS" => pair(&mut values, name, b"1"),
--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -1,10 +1,10 @@
-//! The settings document, as the simulator's first message and the start configuration carry it, and its translation
-//! into the router's settings. Absent and null values are both `None`; keys that are not known are skipped.
+//! The settings document, as the first message of the simulator and the start configuration contain it, and its
+//! translation into the router's settings. Absent and null values are both `None`; unknown keys are skipped.
 use pointspindle::*;
 use serde::Deserialize;
 
-/// Declares parts of the document: fields after `required` must be there, fields after `optional` may be absent or null.
-/// Each field names its key.
+/// Declares the structs of the document. Fields after `required` must be present, fields after `optional` may be absent
+/// or null. Each field is declared with its key in the document.
 macro_rules! settings_documents {
     ($($(#[doc = $doc:literal])* $name:ident {
         required { $(
@@ -36,26 +36,26 @@
 }
 
 settings_documents! {
-    /// The whole document.
+    /// The complete document.
     SettingsDocument {
         required {
-            /// Slow start of caches.
+            /// Rule of the slow start of caches.
             slow_start = "Rules": SlowStartDocument,
-            /// How caches fill, age and are laid out.
+            /// Rules of filling, freshness and the layout of caches.
             caching = "FamilyInfo": CachingDocument,
         }
         optional {
-            /// What a router may do; required by [`router_settings`].
+            /// Limits on what a router does with endpoints; required by [`router_settings`].
             upstream_limits = "Allowed": UpstreamLimitsDocument,
             /// Number of routers.
             routers = "Balancers": u32,
-            /// This router's index among them.
+            /// Index of this router among the routers.
             router_index = "Me": u32,
             /// Request classes.
             classes = "Classes": Vec<ClassDocument>,
-            /// What an endpoint's weight means.
+            /// Meaning of the weight of an endpoint.
             weight_source = "WeightSource": String,
-            /// Index of the router's own zone.
+            /// Index of this router's zone.
             zone = "Zone": usize,
             /// Names of the zones.
             zones = "Zones": Vec<String>,
@@ -63,39 +63,39 @@
             kinds = "Kinds": Vec<String>,
         }
     }
-    /// Slow start of caches.
+    /// Rule of the slow start of caches.
     SlowStartDocument {
         required {}
         optional {
-            /// Share of its capacity that a cache starts with.
+            /// Share of its capacity with which a cache starts.
             initial_share = "StartCapacity": f64,
-            /// Time until it has its full capacity.
+            /// Time after which a cache has its full capacity, in milliseconds.
             ramp_ms = "WarmWithinMs": f64,
-            /// Load beyond its share at which it overloads, as a factor.
+            /// Factor by which the load must exceed the current capacity for a cache to overload.
             overload_factor = "OverloadFactor": f64,
-            /// Time over which that load is measured.
+            /// Time over which the load is measured, in milliseconds.
             overload_window_ms = "FallMs": f64,
         }
     }
-    /// What a router may do with endpoints.
+    /// Limits on what a router does with endpoints.
     UpstreamLimitsDocument {
         required {}
         optional {
-            /// Attempts of one request.
+            /// Largest number of attempts of one request.
             max_attempts = "MaxAttempts": u32,
-            /// Attempts may be cancelled.
+            /// Whether attempts may be cancelled.
             may_cancel = "MayCancel": bool,
-            /// Rejections carry a Retry-After.
+            /// Whether rejections carry a time to retry after.
             retry_after = "RetryAfter": bool,
-            /// The longest such time.
+            /// Longest time to retry after, in milliseconds.
             max_retry_after_ms = "MaxRetryAfterMs": f64,
-            /// Time-out of a connection attempt.
+            /// Time-out of a connection attempt, in milliseconds.
             connect_timeout_ms = "DialTimeoutMs": f64,
-            /// Time after which endpoints close unused connections.
+            /// Time after which endpoints close idle connections, in milliseconds.
             idle_timeout_ms = "KeepaliveMs": f64,
-            /// Requests open on one connection.
+            /// Largest number of open requests on one connection.
             max_streams = "StreamsPerConn": usize,
-            /// Requests open in the router.
+            /// Largest number of open requests in the router.
             max_open_requests = "MaxOpen": usize,
         }
     }
@@ -103,98 +103,98 @@
     ClassDocument {
         required {}
         optional {
-            /// Its name.
+            /// Name of the class.
             name = "Name": String,
-            /// The longest that a client waits.
+            /// Longest time that a client waits, in milliseconds.
             deadline_ms = "DeadlineMs": f64,
-            /// Latency objective.
+            /// Latency objective, in milliseconds.
             latency_objective_ms = "AimMs": f64,
             /// Factor of the objective for large objects.
             objective_stretch = "AimStretch": f64,
-            /// Priority when load is shed.
+            /// Priority weight when load is shed.
             priority_weight = "Worth": f64,
             /// Whether requests may be repeated.
             idempotency = "Repeat": String,
-            /// Where an idempotency key is known.
+            /// Scope in which an idempotency key is recognized.
             key_scope = "Group": String,
-            /// How long an idempotency key is known.
+            /// Time for which an idempotency key is recognized, in milliseconds.
             key_window_ms = "KeyTtlMs": f64,
         }
     }
-    /// How caches fill, age and are laid out.
+    /// Rules of filling, freshness and the layout of caches.
     CachingDocument {
         required {}
         optional {
-            /// Kind of the parent tier; negative: none.
+            /// Index of the kind of the parent tier; negative for none.
             parent_kind = "SecondTierKind": i64,
-            /// Kind of the origin; negative: none.
+            /// Index of the kind of the origin; negative for none.
             origin_kind = "MasterKind": i64,
-            /// Routers by zone.
+            /// Number of routers, by zone.
             routers_by_zone = "InstancesByZone": Vec<u32>,
-            /// Time for which a copy is fresh, by class.
+            /// Time for which a copy is fresh, in milliseconds, by class.
             fresh_for_ms = "MaxAgeMs": Vec<f64>,
-            /// Time for which a copy may be served on errors, by class.
+            /// Time for which a stale copy may be served on errors, in milliseconds, by class.
             stale_if_error_ms = "UsableAfterMs": Vec<f64>,
             /// Whether responses are never cached, by class.
             uncacheable = "NeverKept": Vec<bool>,
-            /// Requests may be forwarded to the origin directly.
+            /// Whether requests may be forwarded to the origin directly.
             direct_forwarding = "Straight": bool,
-            /// Rate of one response.
+            /// Transfer rate of one response, in KB per second.
             stream_kb_per_s = "StreamKbPerS": f64,
-            /// Caches coalesce fills of one object.
+            /// Whether caches coalesce fills of one object.
             coalesces_fills = "MergesFills": bool,
-            /// Which caches may be the source of a fill.
+            /// Caches that may be the source of a fill for another cache.
             siblings = "Neighbours": String,
-            /// Which cache statuses are reported.
+            /// Cache statuses that are reported.
             cache_status_detail = "Tells": String,
-            /// Share of its capacity that a parent starts with.
+            /// Share of its capacity with which a parent starts.
             parent_initial_share = "ParentStartsAt": f64,
-            /// Time until a parent has its full capacity.
+            /// Time after which a parent has its full capacity, in milliseconds.
             parent_ramp_ms = "UpperColdMs": f64,
-            /// Load beyond its share at which a parent overloads, as a factor.
+            /// Factor by which the load must exceed the current capacity for a parent to overload.
             parent_overload_factor = "ParentFallMultiple": f64,
-            /// Time by which a purge has reached all caches.
+            /// Time after which a purge has reached all caches, in milliseconds.
             purge_horizon_ms = "GoneEverywhereMs": f64,
         }
     }
 }
 
-/// Why the settings document cannot be used.
+/// Error in the settings document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The section of upstream limits is missing.
-    #[error("settings without Allowed")]
+    #[error("key Allowed is missing")]
     MissingUpstreamLimits,
-    /// A value that is none of those known.
-    #[error("unknown {key} {value:?}")]
+    /// The value of a key is missing or unknown.
+    #[error("value of key {key} is missing or unknown: {value:?}")]
     UnknownValue {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
-        /// What the document holds.
+        /// Value in the document.
         value: Option<String>,
     },
-    /// A value that is none of those known, of a key that may be absent.
-    #[error("unknown {key} {value:?}")]
+    /// The value of a key that may be absent is unknown.
+    #[error("value of key {key} is unknown: {value:?}")]
     UnknownOptionalValue {
-        /// Its key.
+        /// Key of the value.
         key: &'static str,
-        /// What the document holds.
+        /// Value in the document.
         value: String,
     },
 }
 
-/// Milliseconds as microseconds; negative values are zero.
+/// Converts milliseconds to microseconds; negative values become zero.
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// Milliseconds as microseconds, or zero where there are none.
+/// Converts milliseconds to microseconds; `None` becomes zero.
 pub fn micros_or_zero(ms: Option<f64>) -> Micros {
     micros(ms.unwrap_or_default())
 }
 
-/// The value of a list by class or zone, or the default where the list is too short.
-fn at<T: Copy + Default>(list: &Option<Vec<T>>, index: usize) -> T {
+/// Returns the value at an index of a list, or the default value if the list is absent or too short.
+fn value_or_default<T: Copy + Default>(list: &Option<Vec<T>>, index: usize) -> T {
     list.as_ref()
         .and_then(|values| values.get(index))
         .copied()
@@ -232,7 +232,7 @@
         Some("all") => Ok(KeyScope::All),
         Some("zone") => Ok(KeyScope::Zone),
         Some("cell") => Ok(KeyScope::Cell),
-        other => Err(unknown_value("key group", other)),
+        other => Err(unknown_value("Group", other)),
     }
 }
 
@@ -246,9 +246,9 @@
         objective_stretch: class.objective_stretch.unwrap_or_default(),
         priority_weight: class.priority_weight.unwrap_or_default(),
         idempotency: idempotency(class)?,
-        uncacheable: at(&caching.uncacheable, index),
-        fresh_for: micros(at(&caching.fresh_for_ms, index)),
-        stale_if_error: micros(at(&caching.stale_if_error_ms, index)),
+        uncacheable: value_or_default(&caching.uncacheable, index),
+        fresh_for: micros(value_or_default(&caching.fresh_for_ms, index)),
+        stale_if_error: micros(value_or_default(&caching.stale_if_error_ms, index)),
     })
 }
 
@@ -257,13 +257,13 @@
     names
         .enumerate()
         .map(|(index, _)| Zone {
-            routers: at(&document.caching.routers_by_zone, index),
+            routers: value_or_default(&document.caching.routers_by_zone, index),
         })
         .collect()
 }
 
-/// An index of a kind; negative values are none.
-fn kind(kind: Option<i64>) -> Option<usize> {
+/// Converts the index of a kind; negative values mean none.
+fn kind_index(kind: Option<i64>) -> Option<usize> {
     kind.and_then(|kind| usize::try_from(kind).ok())
 }
 
@@ -330,8 +330,8 @@
         routers: document.routers.unwrap_or_default(),
         router_index: document.router_index,
         classes: classes?,
-        parent_kind: kind(caching.parent_kind),
-        origin_kind: kind(caching.origin_kind),
+        parent_kind: kind_index(caching.parent_kind),
+        origin_kind: kind_index(caching.origin_kind),
         weights: weights(document)?,
         cache_status_detail: cache_status_detail(caching)?,
         siblings: siblings(caching)?,
--- a/crates/platform-protocol/src/start_config.rs
+++ b/crates/platform-protocol/src/start_config.rs
@@ -1,5 +1,5 @@
-//! The start configuration: the dispatcher's name, its limits, its settings and the discovery state at its start. Keys
-//! that are not known are skipped.
+//! The start configuration: name, limits and settings of the dispatcher, and the discovery state at its start. Unknown
+//! keys are skipped.
 use crate::discovery::KnownState;
 use crate::settings::SettingsDocument;
 use serde::Deserialize;
@@ -8,54 +8,54 @@
 /// The start configuration.
 #[derive(Debug, Deserialize)]
 pub struct StartConfig {
-    /// The dispatcher's name.
+    /// Name of the dispatcher.
     pub name: String,
-    /// Address on which clients are accepted.
+    /// Address on which client connections are accepted.
     pub listen: String,
-    /// Seed of the random numbers: 16 hex digits, new with each start.
+    /// Seed of the random numbers: 16 hex digits that differ with each start.
     #[serde(default)]
     pub seed: String,
-    /// Bounds of the process.
+    /// Resource limits of the process.
     pub limits: ResourceLimits,
-    /// Address of the discovery stream.
+    /// Address of the server of the discovery stream.
     #[serde(rename = "board")]
     pub discovery_address: String,
-    /// The highest rate of one response on a connection.
+    /// Highest transfer rate of one response on a connection.
     #[serde(default, rename = "flow_bytes_per_s")]
     pub response_bytes_per_s: f64,
-    /// The discovery state at the start.
+    /// Discovery state at the start.
     #[serde(default, rename = "known")]
     pub known_state: KnownState,
-    /// The router's settings.
+    /// Settings of the router.
     pub settings: SettingsDocument,
 }
 
-/// What the process may use.
+/// Resource limits of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 pub struct ResourceLimits {
-    /// Memory.
+    /// Memory, in MB.
     pub memory_mb: u64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
-/// Why the start configuration cannot be used.
+/// Error reading the start configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum StartConfigError {
     /// The file cannot be read.
-    #[error("{file}: {source}")]
+    #[error("cannot read {file}: {source}")]
     File {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not such a configuration; the text names the key, the line and the column.
-    #[error("{file}: {source}")]
+    /// The file is not a valid start configuration.
+    #[error("invalid start configuration {file}: {source}")]
     Json {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// What is wrong and where.
+        /// Error with the key, the line and the column.
         source: serde_json::Error,
     },
 }
--- a/crates/platform-protocol/tests/fastcgi.rs
+++ b/crates/platform-protocol/tests/fastcgi.rs
@@ -1,4 +1,5 @@
-//! Client requests over FastCGI: independent of how their bytes are split, invalid ones rejected.
+//! Client requests over FastCGI: decoding does not depend on how the bytes are split, and invalid requests are
+//! rejected.
 use bytes::{Bytes, BytesMut};
 use pointspindle_platform_protocol::client_request::{
     parse, ClassRules, ClientMessage, ClientRequest, ClientRequestError,
@@ -38,28 +39,28 @@
     out
 }
 
-/// The outcomes of bytes that arrive in these pieces, without the pending ones.
+/// Returns the outcomes of bytes that arrive in these pieces, except [`RecordOutcome::Pending`].
 fn feed<'a>(
     assembler: &mut RequestAssembler,
     pieces: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<Vec<RecordOutcome>, String> {
-    let (mut codec, mut buffer, mut all) = (RecordCodec, BytesMut::new(), Vec::new());
+    let (mut codec, mut buffer, mut outcomes) = (RecordCodec, BytesMut::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
         while let Some(record) = codec.decode(&mut buffer).map_err(|e| e.to_string())? {
-            all.push(assembler.handle(record).map_err(|e| e.to_string())?);
+            outcomes.push(assembler.handle(record).map_err(|e| e.to_string())?);
         }
     }
-    all.retain(|t| *t != RecordOutcome::Pending);
-    Ok(all)
+    outcomes.retain(|outcome| *outcome != RecordOutcome::Pending);
+    Ok(outcomes)
 }
 
 #[test]
 fn request_assembler_split_input_gives_same_requests() {
-    // A long value has a length of four bytes.
+    // The length of a value of 128 bytes or more is encoded in four bytes.
     let long = "x".repeat(300);
     let mut bytes = unfinished_request(1, &[("A", "1"), ("LONG", &long)], b"");
-    // Interleaved with another one, which is complete first.
+    // The records of the second request are interleaved with those of the first; it is complete first.
     bytes.extend(complete_request(2, &[("B", "2")], b"body of two"));
     record(&mut bytes, STDIN, 1, b"in ");
     record(&mut bytes, STDIN, 1, b"parts");
@@ -71,7 +72,7 @@
             params,
             body,
             keep_alive: true,
-        } => (*id, pairs(params).unwrap().len(), body.clone()),
+        } => (*id, decode_pairs(params).unwrap().len(), body.clone()),
         other => panic!("{other:?}"),
     };
     let summaries: Vec<_> = at_once.iter().map(summary).collect();
@@ -98,18 +99,27 @@
 
 #[test]
 fn request_assembler_protocol_violation_ends_session() {
-    let ended = |bytes: &[u8]| feed(&mut RequestAssembler::default(), [bytes]).unwrap_err();
-    assert!(ended(b"GET / HTTP/1.1\r\n\r\n").contains("version 71"));
-    let mut two = unfinished_request(7, &[], b"");
-    record(&mut two, BEGIN_REQUEST, 7, &BEGIN);
-    assert_eq!(ended(&two), SessionError::DuplicateId.to_string());
-    let mut zero = BytesMut::new();
-    record(&mut zero, BEGIN_REQUEST, 0, &BEGIN);
-    assert_eq!(ended(&zero), SessionError::MalformedBegin.to_string());
-    // Bytes without end for a request that is over.
-    let mut more = complete_request(1, &[], b"");
-    (0..20).for_each(|_| record(&mut more, STDIN, 1, &[0; 60_000]));
-    assert_eq!(ended(&more), SessionError::TooMuchDiscarded.to_string());
+    let session_error = |bytes: &[u8]| feed(&mut RequestAssembler::default(), [bytes]).unwrap_err();
+    assert!(session_error(b"GET / HTTP/1.1\r\n\r\n").contains("version 71"));
+    let mut duplicate_id = unfinished_request(7, &[], b"");
+    record(&mut duplicate_id, BEGIN_REQUEST, 7, &BEGIN);
+    assert_eq!(
+        session_error(&duplicate_id),
+        SessionError::DuplicateId.to_string()
+    );
+    let mut zero_id = BytesMut::new();
+    record(&mut zero_id, BEGIN_REQUEST, 0, &BEGIN);
+    assert_eq!(
+        session_error(&zero_id),
+        SessionError::MalformedBegin.to_string()
+    );
+    // Body bytes for a request that is already complete, beyond the limit on discarded bytes.
+    let mut excess_body = complete_request(1, &[], b"");
+    (0..20).for_each(|_| record(&mut excess_body, STDIN, 1, &[0; 60_000]));
+    assert_eq!(
+        session_error(&excess_body),
+        SessionError::TooMuchDiscarded.to_string()
+    );
 }
 
 #[test]
@@ -131,7 +141,7 @@
         ),
         "{outcomes:?}"
     );
-    assert_eq!(assembler.open(), 0);
+    assert_eq!(assembler.open_count(), 0);
 }
 
 #[test]
@@ -140,16 +150,16 @@
     for id in 1..=MAX_OPEN_REQUESTS as u16 {
         feed(&mut assembler, [&complete_request(id, &[], b"")[..]]).unwrap();
     }
-    let one_more = |assembler: &mut RequestAssembler, id| {
+    let feed_request = |assembler: &mut RequestAssembler, id| {
         feed(assembler, [&complete_request(id, &[], b"")[..]]).unwrap()
     };
     assert_eq!(
-        one_more(&mut assembler, 99),
+        feed_request(&mut assembler, 99),
         [RecordOutcome::TooManyOpen { id: 99 }]
     );
     assembler.finish(5);
     assert!(matches!(
-        one_more(&mut assembler, 99)[..],
+        feed_request(&mut assembler, 99)[..],
         [RecordOutcome::Complete { id: 99, .. }]
     ));
 }
@@ -175,13 +185,13 @@
     ];
     assert_eq!(outcomes[1..], aborted);
     assert_eq!(
-        assembler.open(),
+        assembler.open_count(),
         1,
-        "the first one is open until its end is written"
+        "the aborted request that was complete stays open until `finish`"
     );
 }
 
-/// However many come, nothing of finished ones remains.
+/// Requests that are never removed would fill the table of open requests over the life of a connection.
 #[test]
 fn request_assembler_many_requests_retains_only_open_ones() {
     let mut assembler = RequestAssembler::default();
@@ -194,24 +204,24 @@
         .unwrap();
         assert!(matches!(outcomes[..], [RecordOutcome::Complete { .. }]));
         assembler.finish(id);
-        assert_eq!(assembler.open(), 0);
+        assert_eq!(assembler.open_count(), 0);
     }
 }
 
 fn classes() -> Vec<ClassRules> {
-    let form = |name: &str, is_write| ClassRules {
+    let rules = |name: &str, is_write| ClassRules {
         name: name.into(),
         requires_key: is_write,
         is_write,
         deadline_ms: 3_000,
     };
-    vec![form("page", false), form("submit", true)]
+    vec![rules("page", false), rules("submit", true)]
 }
 
 const TXN: &str = "9b1f03aa5c7e2d41";
 const KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 
-/// Parses a valid request with some of its params replaced or added; an empty value removes one.
+/// Parses a valid request with some of its params replaced or added; an empty value removes the param.
 fn parse_with(
     changes: &[(&'static str, &'static str)],
     body: &[u8],
@@ -300,7 +310,7 @@
     assert!(parse_with(&[], b"a body").is_err());
     assert!(
         parse(&Bytes::from_static(&[200, 0, 0]), b"", &classes()).is_err(),
-        "lengths that do not fit"
+        "a length exceeds the params"
     );
     let twice = params(&[("SCRIPT_NAME", "/ops/page"), ("SCRIPT_NAME", "/ops/page")]).freeze();
     assert!(parse(&twice, b"", &classes()).is_err());
--- a/crates/platform-protocol/tests/line_protocol.rs
+++ b/crates/platform-protocol/tests/line_protocol.rs
@@ -1,4 +1,5 @@
-//! The line protocol and the discovery stream: independent of how their bytes are split, malformed ones rejected.
+//! The line protocol and the discovery stream: decoding does not depend on how the bytes are split, and malformed input
+//! is rejected.
 use bytes::{Bytes, BytesMut};
 use pointspindle_platform_protocol::discovery::{
     DiscoveryEvent, ServerSentEvent, ServerSentEventCodec,
@@ -6,19 +7,19 @@
 use pointspindle_platform_protocol::line_protocol::*;
 use tokio_util::codec::Decoder;
 
-/// What a decoder makes of bytes that arrive in these pieces.
+/// Returns the items that a decoder produces from bytes that arrive in these pieces.
 fn decode<'a, D: Decoder>(
     mut decoder: D,
     pieces: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<Vec<D::Item>, D::Error> {
-    let (mut buffer, mut all) = (BytesMut::new(), Vec::new());
+    let (mut buffer, mut items) = (BytesMut::new(), Vec::new());
     for piece in pieces {
         buffer.extend_from_slice(piece);
         while let Some(item) = decoder.decode(&mut buffer)? {
-            all.push(item);
+            items.push(item);
         }
     }
-    Ok(all)
+    Ok(items)
 }
 
 #[test]
@@ -58,7 +59,7 @@
     let mut bytes = BytesMut::from(
         &b"a1 served rev=77aa,since=1764576000123,res=parent,fill=12.5,new=1 7\r\n"[..],
     );
-    // Bytes of a body may look like a line's end.
+    // A body may contain line ends.
     bytes.extend_from_slice(b"\r\n\r\nx\r\n\r\n");
     bytes.extend_from_slice(b"a2 not_here res=crowded 0\r\n\r\nsign green - 0\r\n\r\n");
     let at_once = decode(CacheResponseCodec::default(), [&bytes[..]]).unwrap();
@@ -74,7 +75,7 @@
     assert_eq!(at_once[0], first);
     let statuses: Vec<_> = at_once
         .iter()
-        .map(|a| (&a.id[..], a.status, a.cache_status_code))
+        .map(|r| (&r.id[..], r.status, r.cache_status_code))
         .collect();
     let rest = [
         ("a2", ResponseStatus::NotCached, 9),
@@ -149,7 +150,7 @@
             [&vec![b'x'; 2_000_000][..]]
         )
         .is_err(),
-        "a line without end"
+        "an unterminated line exceeds the size limit"
     );
 }
 
--- a/crates/platform/src/endpoint_discovery/mod.rs
+++ b/crates/platform/src/endpoint_discovery/mod.rs
@@ -186,7 +186,7 @@
         let state = match endpoint.state {
             DiscoveredState::Ready => WireEndpointState::Ready,
             DiscoveredState::Draining => WireEndpointState::Draining,
-            DiscoveredState::Gone => WireEndpointState::Gone,
+            DiscoveredState::Removed => WireEndpointState::Gone,
             DiscoveredState::Unknown(state) => {
                 tracing::warn!(
                     endpoint = endpoint.id,
--- a/crates/platform/src/frontend/response_writer.rs
+++ b/crates/platform/src/frontend/response_writer.rs
@@ -61,7 +61,7 @@
             body.len()
         );
         Self {
-            pieces: fastcgi::response(id, head.as_bytes(), body, 0),
+            pieces: fastcgi::encode_response(id, head.as_bytes(), body, 0),
             finishes: Some(id),
         }
     }
@@ -82,7 +82,7 @@
     /// The end of a request that was not opened.
     pub fn end_unopened(id: u16, status: ProtocolStatus) -> Self {
         let mut out = BytesMut::new();
-        fastcgi::end_request(&mut out, id, NO_RESPONSE_STATUS, status);
+        fastcgi::write_end_request(&mut out, id, NO_RESPONSE_STATUS, status);
         Self::bytes(out.freeze())
     }
 }
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -226,7 +226,7 @@
     fn plan(&mut self) -> WaitPlan {
         let (open, incomplete) = {
             let requests = self.requests.lock();
-            (requests.open(), requests.incomplete())
+            (requests.open_count(), requests.incomplete_count())
         };
         self.deadlines.plan(SessionStatus {
             open,
@@ -276,7 +276,7 @@
     }
 
     fn update_permit(&self, permit: &ConnectionPermit) {
-        if self.requests.lock().open() == 0 {
+        if self.requests.lock().open_count() == 0 {
             permit.idle();
         }
     }
