--- a/crates/platform/src/connection/in_flight_request.rs
+++ b/crates/platform/src/connection/in_flight_request.rs
@@ -1,11 +1,11 @@
-//! A request in flight, as its owner sees it.
-use super::state::{RequestLoss, RequestProgress, RequestResult};
+//! The owner's handle of a request in flight.
+use super::state::{RequestError, RequestProgress, RequestResult};
 use super::Connection;
 use pointspindle_platform_protocol::line_protocol::CacheResponse;
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A queued request. Dropped before its end, it is cancelled.
+/// Handle of a queued request. Dropping it before the request has ended cancels the request.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
     connection: Arc<Connection>,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Returns when the request is written completely; an error: it never was.
-    pub async fn written(&mut self) -> Result<(), RequestLoss> {
+    /// Waits until the request is written completely. Returns an error if it was not.
+    pub async fn written(&mut self) -> Result<(), RequestError> {
         let Some(written) = self.written.as_mut() else {
             return Ok(());
         };
@@ -35,15 +35,15 @@
         self.written = None;
         outcome.map_err(|_| {
             self.has_ended = true;
-            RequestLoss::NotSent
+            RequestError::NotSent
         })
     }
 
-    /// Returns how the request ends.
-    pub async fn response(&mut self) -> Result<CacheResponse, RequestLoss> {
+    /// Waits for the response, or for the error that ends the request.
+    pub async fn response(&mut self) -> Result<CacheResponse, RequestError> {
         let result = (&mut self.result).await;
         self.has_ended = true;
-        result.unwrap_or(Err(RequestLoss::ConnectionBroken))
+        result.unwrap_or(Err(RequestError::ConnectionBroken))
     }
 }
 
--- a/crates/platform/src/connection/metered_codec.rs
+++ b/crates/platform/src/connection/metered_codec.rs
@@ -1,4 +1,4 @@
-//! Decodes responses, accounts for their bytes, and reports whatever arrives to the connection.
+//! Decodes responses, accounts for their bytes, and reports received bytes to the connection.
 use super::Connection;
 use bytes::{Bytes, BytesMut};
 use pointspindle_platform_protocol::line_protocol::{CacheResponse, CacheResponseCodec, LineError};
@@ -6,7 +6,8 @@
 use std::sync::Arc;
 use tokio_util::codec::Decoder;
 
-/// A response codec that meters what it holds; bytes of incomplete responses are reported too.
+/// A response codec that accounts for the bytes of bodies. It reports received bytes to the connection, those of
+/// incomplete responses too.
 pub(super) struct MeteredCodec {
     codec: CacheResponseCodec,
     connection: Arc<Connection>,
@@ -14,7 +15,7 @@
 }
 
 impl MeteredCodec {
-    /// A codec for one connection.
+    /// Creates the codec of one connection.
     pub fn new(connection: Arc<Connection>, meter: BufferMeter) -> Self {
         Self {
             codec: CacheResponseCodec::default(),
@@ -44,7 +45,7 @@
     }
 }
 
-/// What a connection holds of an incomplete response, on the meter of all connections.
+/// Size of the response body that a connection is receiving, as counted on the meter that all connections share.
 struct IncompleteBody {
     meter: BufferMeter,
     bytes: usize,
@@ -66,7 +67,7 @@
     }
 }
 
-/// A complete body, on the meter until its last reference is dropped.
+/// Counts a complete body on the meter until its last reference is dropped.
 fn metered(body: Bytes, meter: &BufferMeter) -> Bytes {
     if body.is_empty() {
         return body;
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -1,23 +1,23 @@
-//! One connection to an endpoint over the line protocol: requests out, responses in.
+//! One connection to an endpoint over the line protocol.
 //!
-//! A request is encoded right before its first byte, when the socket is writable: its owner decides then whether it may
-//! still begin, and until then nothing of it is in any buffer. What has arrived is read before anything is written, so
-//! that a connection which the endpoint has closed takes no new request.
+//! A request is encoded right before its first byte is sent, when the socket is writable. Its owner decides at this
+//! moment whether it may still begin; before, none of its bytes are in any buffer. Received bytes are read before
+//! anything is written, so that no new request is sent on a connection that the endpoint has closed.
 //!
-//! What is owed when a request is dropped: nothing before its first byte; a cancellation once all its bytes are sent; in
-//! the middle of its bytes their rest and a cancellation, and where the endpoint does not take the rest, the connection
-//! is closed ([`Connection::close_if_unusable`]), so that the request is never complete there. When the connection ends,
-//! each request learns whether it may have run.
+//! A request that is dropped before its first byte is sent is removed from the queue. If all its bytes are sent, a
+//! cancellation follows. If a part of its bytes is sent, the rest and a cancellation follow; if the endpoint does not
+//! accept the rest, the connection is closed ([`Connection::close_if_unusable`]), so that the endpoint never receives
+//! the complete request. When the connection ends, each request ends with an error that says whether it may have run.
 //!
-//! State: an entry for each request in flight, dropped when it ends; what waits to be written; a bounded number of ids
-//! that ended lately, whose responses may still arrive.
+//! The state consists of an entry for each request in flight, which is removed when the request ends, the queue of
+//! writes, and a limited number of ids of requests that ended recently, whose responses may still arrive.
 mod in_flight_request;
 mod metered_codec;
 mod state;
 mod write_queue;
 
 pub(crate) use in_flight_request::InFlightRequest;
-pub(crate) use state::RequestLoss;
+pub(crate) use state::RequestError;
 pub(crate) use write_queue::RequestEncoder;
 
 use bytes::{Bytes, BytesMut};
@@ -38,15 +38,16 @@
 use tokio_util::codec::FramedRead;
 use write_queue::NextWrite;
 
-/// Fits the lines of responses; a body allocates its own space.
+/// Initial capacity of the read buffer, which fits response lines; space for a body is reserved when its length is
+/// known.
 const READ_BUFFER_BYTES: usize = 2 * 1024;
-/// Id of health checks; no request has it.
+/// Id of health checks, which differs from all request ids: these have only hex digits.
 const HEALTH_CHECK_ID: &str = "sign";
 
-/// A connection to an endpoint, shared by its requests; [`Connection::run`] serves it.
+/// A connection to an endpoint, shared by its requests. [`Connection::run`] reads from and writes to its socket.
 pub(crate) struct Connection {
     state: Mutex<ConnectionState>,
-    /// Something is to be written.
+    /// Signals that a write was queued.
     write_pending: Notify,
     close_requested: Notify,
 }
@@ -60,7 +61,7 @@
 }
 
 impl Connection {
-    /// An open connection without requests.
+    /// Creates an open connection without requests.
     pub fn new() -> Arc<Self> {
         Arc::new(Self {
             state: Mutex::new(ConnectionState::new(Instant::now())),
@@ -75,12 +76,12 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Requests in flight, if this one could be sent now.
+    /// Returns the number of requests in flight if a request with this id can be sent now.
     pub fn in_flight_if_available(&self, id: &str, max_streams: usize) -> Option<usize> {
         self.lock().in_flight_if_available(id, max_streams)
     }
 
-    /// Queues a request; none where the connection is closed or the id is in flight.
+    /// Queues a request. Returns `None` if the connection is closed or the id is in flight.
     pub fn send(self: &Arc<Self>, id: &str, encode: RequestEncoder) -> Option<InFlightRequest> {
         let mut state = self.lock();
         let progress = state.enqueue(id, encode, Instant::now())?;
@@ -90,7 +91,7 @@
         Some(InFlightRequest::new(self.clone(), id.to_owned(), progress))
     }
 
-    /// Gives up a request that has not ended.
+    /// Cancels a request that has not ended.
     fn cancel(&self, id: &str) {
         let needs_write = self.lock().cancel(id, Instant::now());
         if needs_write {
@@ -107,12 +108,13 @@
         self.write_pending.notify_one();
     }
 
-    /// Closes the connection with all that is in flight.
+    /// Closes the connection; requests in flight end with an error.
     pub fn close(&self) {
         self.close_requested.notify_one();
     }
 
-    /// Closes the connection if nothing is in flight; from then on it takes no request.
+    /// Closes the connection if no request is in flight, and returns whether it does. A closed connection accepts no
+    /// request.
     pub fn close_if_idle(&self) -> bool {
         let mut state = self.lock();
         let is_idle = state.in_flight.is_empty();
@@ -123,18 +125,18 @@
         is_idle
     }
 
-    /// Closes the connection if a response that nobody awaits has been arriving, or the rest of a cancelled request has
-    /// been unsent, for the respective time.
-    pub fn close_if_unusable(&self, unawaited_limit: Duration, unsent_limit: Duration) -> bool {
+    /// Closes the connection if it has been receiving an orphaned response, or has been unable to send the rest of a
+    /// cancelled request, for the respective time-out. Returns whether it does.
+    pub fn close_if_unusable(&self, orphan_timeout: Duration, unsent_timeout: Duration) -> bool {
         let mut state = self.lock();
         let is_blocked = state
             .blocked_since()
-            .is_some_and(|since| since.elapsed() >= unawaited_limit);
-        let is_stuck = state
+            .is_some_and(|since| since.elapsed() >= orphan_timeout);
+        let is_stalled = state
             .write_queue
             .cancelled_since()
-            .is_some_and(|since| since.elapsed() >= unsent_limit);
-        let is_unusable = is_blocked || is_stuck;
+            .is_some_and(|since| since.elapsed() >= unsent_timeout);
+        let is_unusable = is_blocked || is_stalled;
         state.is_open &= !is_unusable;
         if is_unusable {
             self.close_requested.notify_one();
@@ -142,7 +144,7 @@
         is_unusable
     }
 
-    /// Decides whether the connection still carries anything.
+    /// Decides whether the connection is healthy, is to be sent a health check, or is to be closed.
     pub fn check_keep_alive(
         &self,
         rule: &KeepAliveRule,
@@ -155,7 +157,7 @@
         state.keep_alive.check(rule, now, last_received, is_awaited)
     }
 
-    /// Since when nothing is in flight; none: something is.
+    /// Returns the time since which no request has been in flight, or `None` if one is.
     pub fn idle_since(&self) -> Option<Instant> {
         let state = self.lock();
         state.in_flight.is_empty().then_some(state.last_used)
@@ -165,28 +167,29 @@
         let mut state = self.lock();
         state.last_received = Instant::now();
         if response.status == ResponseStatus::HealthCheckReply {
-            tracing::debug!(connection = ?std::ptr::from_ref(self), "health check answered");
+            tracing::debug!(connection = ?std::ptr::from_ref(self), "health check reply received");
             return;
         }
         state.complete(response);
     }
 
-    /// Bytes have arrived, of which the last ones belong to this incomplete response.
+    /// Records that bytes were received, the last of which belong to this incomplete response.
     fn bytes_received(&self, incomplete_response_id: Option<&str>) {
         self.lock()
             .bytes_received(incomplete_response_id, Instant::now());
     }
 
-    /// Makes the next write current: the rest of the last one, or a new one that may begin. False: there is none.
+    /// Makes the next write current: the rest of the last one, or a new one that may begin. Returns whether there is
+    /// one.
     fn prepare_write(&self) -> bool {
         loop {
             let next = self.lock().write_queue.begin_next();
             let (id, mut encode) = match next {
                 NextWrite::Current => return true,
-                NextWrite::Nothing => return false,
+                NextWrite::Empty => return false,
                 NextWrite::Request { id, encode } => (id, encode),
             };
-            // Called without the lock: the encoder takes the core's.
+            // The encoder is called without holding the lock because it locks the core.
             let encoded = encode();
             if self.lock().begin_request(id, encode, encoded) {
                 return true;
@@ -194,7 +197,7 @@
         }
     }
 
-    /// Writes what is queued, as far as the socket takes it.
+    /// Writes the queue until the socket accepts no more bytes.
     fn write(&self, socket: &OwnedWriteHalf) -> io::Result<()> {
         while self.prepare_write() {
             let unsent = self.lock().write_queue.unsent();
@@ -212,7 +215,8 @@
         Ok(())
     }
 
-    /// Moves bytes until the connection ends. Returns why it did; none: it was closed from here.
+    /// Reads and writes until the connection ends. Returns the reason, or `None` if the dispatcher closed the
+    /// connection.
     pub async fn run(self: Arc<Self>, socket: TcpStream, meter: BufferMeter) -> Option<String> {
         let (read, write) = socket.into_split();
         let codec = MeteredCodec::new(self.clone(), meter);
@@ -230,8 +234,8 @@
                     None => break Some("closed by the endpoint".to_owned()),
                 },
                 writable = write.writable(), if has_writes => {
-                    // An idle connection may have been closed by the endpoint: the runtime polls its sockets once more
-                    // before the first request.
+                    // The endpoint may have closed an idle connection: yields once before the first request, so that
+                    // the runtime polls its sockets.
                     if self.lock().is_idle_before_request() && !has_yielded {
                         has_yielded = true;
                         tokio::task::yield_now().await;
@@ -250,8 +254,8 @@
     }
 }
 
-/// The cancellation of a request, encoded.
-fn cancellation(id: &str) -> Bytes {
+/// Encodes the cancellation of a request.
+fn encode_cancellation(id: &str) -> Bytes {
     let mut out = BytesMut::new();
     line_protocol::write_cancel(&mut out, id);
     out.freeze()
--- a/crates/platform/src/connection/state.rs
+++ b/crates/platform/src/connection/state.rs
@@ -1,5 +1,5 @@
-//! The state of a connection: its requests in flight, and what has arrived for them.
-use super::cancellation;
+//! State of a connection: the requests in flight and the progress of their responses.
+use super::encode_cancellation;
 use super::write_queue::{RequestEncoder, WriteQueue};
 use bytes::Bytes;
 use pointspindle_dispatcher::keep_alive::KeepAlive;
@@ -9,69 +9,69 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Ids that ended lately. One of them is not sent again on this connection: a response that crossed its cancellation, or
-/// a duplicate of a response, would be taken for the new one's.
+/// Number of recently ended ids that are retained. A request with one of these ids is not sent on this connection: a
+/// response that crossed the cancellation, or a duplicate of a response, would be taken for the new request's response.
 pub(super) const MAX_ENDED_IDS: usize = 256;
 
-/// Why a request has no response.
+/// Error of a request without a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestLoss {
-    /// It was not sent completely.
+pub(crate) enum RequestError {
+    /// The request was not sent completely.
     NotSent,
-    /// It may have run: the connection broke, or can no longer be decoded.
+    /// The connection broke or cannot be decoded any further; the request may have run.
     ConnectionBroken,
 }
 
-/// How a request ends.
-pub(super) type RequestResult = Result<CacheResponse, RequestLoss>;
+/// Result of a request.
+pub(super) type RequestResult = Result<CacheResponse, RequestError>;
 
-/// A request in flight, with the senders of its [`RequestProgress`].
+/// A request in flight, with the senders for its [`RequestProgress`].
 #[derive(Debug)]
-pub(super) struct Pending {
-    /// Some: it is not written yet.
+pub(super) struct PendingRequest {
+    /// Present until the request is written completely.
     written: Option<oneshot::Sender<()>>,
     result: oneshot::Sender<RequestResult>,
 }
 
-impl Pending {
+impl PendingRequest {
     fn is_written(&self) -> bool {
         self.written.is_none()
     }
 }
 
-/// Where the owner of a request learns of its progress.
+/// Receivers for the progress of a request.
 pub(super) struct RequestProgress {
-    /// The request is written.
+    /// Receives a message when the request is written completely.
     pub written: oneshot::Receiver<()>,
-    /// The request has ended.
+    /// Receives the result when the request has ended.
     pub result: oneshot::Receiver<RequestResult>,
 }
 
-/// A response that has begun to arrive.
+/// A response that is being received.
 struct IncomingResponse {
     id: String,
     since: Instant,
 }
 
-/// See the module's documentation.
+/// State of a connection; see the documentation of the module.
 pub(super) struct ConnectionState {
-    /// It takes new requests.
+    /// Whether the connection accepts new requests.
     pub is_open: bool,
-    /// Requests by id.
-    pub in_flight: HashMap<String, Pending>,
+    /// Requests in flight, by id.
+    pub in_flight: HashMap<String, PendingRequest>,
     pub write_queue: WriteQueue,
-    /// Hashes of ids that ended; an id that collides with one of them is sent over another connection.
+    /// Hashes of recently ended ids. A request whose id collides with one of them is sent over another connection.
     pub ended_ids: VecDeque<u64>,
     incoming: Option<IncomingResponse>,
-    /// When bytes last arrived, or were first awaited.
+    /// Time at which bytes were last received, or at which a response was first awaited.
     pub last_received: Instant,
-    /// When a request was last queued or completed.
+    /// Time at which a request was last queued or completed.
     pub last_used: Instant,
     pub keep_alive: KeepAlive,
 }
 
 impl ConnectionState {
-    /// An open connection without requests.
+    /// Creates the state of an open connection without requests.
     pub fn new(now: Instant) -> Self {
         Self {
             is_open: true,
@@ -85,7 +85,8 @@
         }
     }
 
-    /// Since when a response has been arriving that nobody awaits: all responses behind it wait for its end.
+    /// Returns the time since which an orphaned response has been received: a response to a request that is no longer
+    /// in flight. It blocks all responses after it.
     pub fn blocked_since(&self) -> Option<Instant> {
         self.incoming
             .as_ref()
@@ -93,7 +94,7 @@
             .map(|incoming| incoming.since)
     }
 
-    /// Requests in flight, if this one could be sent now.
+    /// Returns the number of requests in flight if a request with this id can be sent now.
     pub fn in_flight_if_available(&self, id: &str, max_streams: usize) -> Option<usize> {
         let in_flight = self.in_flight.len();
         let is_available = self.is_open
@@ -105,7 +106,7 @@
         is_available.then_some(in_flight)
     }
 
-    /// Queues a request; none where the connection is closed or the id is in flight.
+    /// Queues a request. Returns `None` if the connection is closed or the id is in flight.
     pub fn enqueue(
         &mut self,
         id: &str,
@@ -117,14 +118,14 @@
         }
         let (written, written_receiver) = oneshot::channel();
         let (result, result_receiver) = oneshot::channel();
-        let pending = Pending {
+        let pending = PendingRequest {
             written: Some(written),
             result,
         };
         self.in_flight.insert(id.to_owned(), pending);
         self.write_queue.push_request(id.to_owned(), encode);
         if self.in_flight.len() == 1 {
-            // Nothing was awaited before: silence counts from now.
+            // No response was awaited before: the keep-alive time-out counts from now.
             self.last_received = now;
         }
         self.last_used = now;
@@ -134,7 +135,8 @@
         })
     }
 
-    /// Makes an encoded request the current write. False: it is not to begin, or was cancelled meanwhile.
+    /// Makes an encoded request the current write. Returns false if the request must not begin or was cancelled
+    /// meanwhile.
     pub fn begin_request(
         &mut self,
         id: String,
@@ -143,19 +145,19 @@
     ) -> bool {
         let Some(bytes) = encoded else {
             if let Some(pending) = self.in_flight.remove(&id) {
-                let _ = pending.result.send(Err(RequestLoss::NotSent));
+                let _ = pending.result.send(Err(RequestError::NotSent));
             }
             return false;
         };
         if !self.in_flight.contains_key(&id) {
             return false;
         }
-        tracing::debug!(txn = id, "request started");
+        tracing::debug!(transaction_id = id, "request started");
         self.write_queue.start_request(id, encode, bytes);
         true
     }
 
-    /// Bytes of the current write were sent.
+    /// Records that bytes of the current write were sent.
     pub fn bytes_sent(&mut self, sent: usize) {
         let Some(id) = self.write_queue.advance(sent) else {
             return;
@@ -166,12 +168,13 @@
         }
     }
 
-    /// Whether a request is next while no response can be outstanding: the endpoint may have closed the connection.
+    /// Returns whether the next write is a request and no written request is in flight. The endpoint may have closed
+    /// such a connection.
     pub fn is_idle_before_request(&self) -> bool {
         self.write_queue.is_next_a_request() && self.in_flight.values().all(|p| !p.is_written())
     }
 
-    /// Bytes have arrived, of which the last ones belong to this incomplete response.
+    /// Records that bytes were received, the last of which belong to this incomplete response.
     pub fn bytes_received(&mut self, incomplete_response_id: Option<&str>, now: Instant) {
         self.last_received = now;
         let known_id = self.incoming.as_ref().map(|incoming| incoming.id.as_str());
@@ -183,13 +186,13 @@
         }
     }
 
-    /// Hands a response to its request. One that nobody awaits is dropped and does no harm: a duplicate, one of a
-    /// cancelled request, or one to a request that is not written yet.
+    /// Completes the request that a response belongs to. An orphaned response is dropped: a duplicate, a response to a
+    /// cancelled request, or a response to a request that is not written yet.
     pub fn complete(&mut self, response: CacheResponse) {
         let is_awaited = self
             .in_flight
             .get(&response.id)
-            .is_some_and(Pending::is_written);
+            .is_some_and(PendingRequest::is_written);
         if !is_awaited {
             return;
         }
@@ -200,7 +203,7 @@
         }
     }
 
-    /// Gives up a request. True: there is something to write for that.
+    /// Cancels a request. Returns whether a write was queued for it.
     pub fn cancel(&mut self, id: &str, now: Instant) -> bool {
         if self.in_flight.remove(id).is_none() {
             return false;
@@ -208,24 +211,24 @@
         if self.write_queue.remove_request(id) {
             return false;
         }
-        // The rest of a request that has begun is owed, or what follows could not be parsed.
+        // The rest of a partly written request must be sent, or the endpoint could not parse the next line.
         self.write_queue.cancel_current(id, now);
-        self.write_queue.push_control(cancellation(id));
+        self.write_queue.push_control(encode_cancellation(id));
         self.remember_ended(id);
         true
     }
 
-    /// The connection is over: ends all that is in flight.
+    /// Ends the connection and all requests in flight.
     pub fn end(&mut self) {
         self.is_open = false;
         self.write_queue.clear();
         for (_, pending) in std::mem::take(&mut self.in_flight) {
-            let loss = if pending.is_written() {
-                RequestLoss::ConnectionBroken
+            let error = if pending.is_written() {
+                RequestError::ConnectionBroken
             } else {
-                RequestLoss::NotSent
+                RequestError::NotSent
             };
-            let _ = pending.result.send(Err(loss));
+            let _ = pending.result.send(Err(error));
         }
     }
 
--- a/crates/platform/src/connection/tests.rs
+++ b/crates/platform/src/connection/tests.rs
@@ -9,10 +9,10 @@
     let line = Bytes::from(format!("PULL {id}"));
     connection
         .send(id, Box::new(move || Some(line.clone())))
-        .expect("it is open")
+        .expect("the connection is open")
 }
 
-/// Counts everything queued as written.
+/// Treats all queued writes as sent.
 fn write_all(connection: &Connection) {
     while connection.prepare_write() {
         let mut state = connection.lock();
@@ -37,19 +37,22 @@
 async fn connection_end_reports_whether_each_request_may_have_run() {
     let connection = Connection::new();
     let mut written = send(&connection, "a");
-    let mut answered = send(&connection, "b");
+    let mut completed = send(&connection, "b");
     write_all(&connection);
     let mut unwritten = send(&connection, "c");
     connection.handle_response(response("b"));
     connection.lock().end();
     assert_eq!(written.written().await, Ok(()));
-    assert_eq!(written.response().await, Err(RequestLoss::ConnectionBroken));
     assert_eq!(
-        answered.response().await.map(|a| a.id),
+        written.response().await,
+        Err(RequestError::ConnectionBroken)
+    );
+    assert_eq!(
+        completed.response().await.map(|r| r.id),
         Ok("b".to_owned()),
-        "its response came before the end"
+        "the response was received before the connection ended"
     );
-    assert_eq!(unwritten.written().await, Err(RequestLoss::NotSent));
+    assert_eq!(unwritten.written().await, Err(RequestError::NotSent));
     assert!(connection.send("d", Box::new(|| None)).is_none());
 }
 
@@ -65,15 +68,15 @@
     assert_eq!(
         connection.in_flight_if_available("b", 9),
         None,
-        "a response that crossed the cancellation would be taken for the new one"
+        "a response that crossed the cancellation would be taken for the new request's"
     );
-    // The response arrives now, and a duplicate: nobody awaits them.
+    // The response to the cancelled request and a duplicate of it are dropped.
     connection.handle_response(response("b"));
     connection.handle_response(response("b"));
     assert_eq!(connection.in_flight_if_available("c", 9), Some(0));
 }
 
-/// A long-lived connection holds what is in flight, and the last ids that ended.
+/// The state of a long-lived connection must not grow with the number of requests that it has carried.
 #[tokio::test]
 async fn connection_many_finished_requests_retains_bounded_state() {
     let connection = Connection::new();
@@ -91,7 +94,8 @@
     assert!(state.in_flight.is_empty() && state.ended_ids.len() <= MAX_ENDED_IDS);
 }
 
-/// A connection that runs, and its other end, which reads nothing yet.
+/// Starts a connection. Returns it with the socket of the peer, which does not read yet, and the task of the
+/// connection.
 async fn running_connection() -> (
     Arc<Connection>,
     TcpStream,
@@ -110,8 +114,8 @@
     (connection, peer, task)
 }
 
-/// An endpoint that reads nothing: what is queued behind a request is not encoded before that one is sent, and not at
-/// all once dropped. A request that is dropped in the middle of its bytes is never complete at the endpoint.
+/// While the endpoint does not read, a request that is queued behind another one is not encoded, and never if it is
+/// dropped. The endpoint never receives a complete request that was dropped while it was partly sent.
 #[tokio::test]
 async fn request_is_encoded_only_when_its_first_byte_is_writable() {
     let (connection, mut peer, task) = running_connection().await;
@@ -124,11 +128,13 @@
             encoded.lock().unwrap().push(name.clone());
             Some(line.clone())
         };
-        connection.send(id, Box::new(encode)).expect("it is open")
+        connection
+            .send(id, Box::new(encode))
+            .expect("the connection is open")
     };
     let large_bytes = 8 << 20;
     let large = send("large", large_bytes);
-    // It has begun, and the socket takes no more.
+    // Waits until a part of the request is sent and the socket accepts no more bytes.
     loop {
         let unsent_bytes = connection.lock().write_queue.unsent().len();
         if unsent_bytes > 0 && unsent_bytes < large_bytes {
@@ -148,22 +154,25 @@
     assert_eq!(
         connection.in_flight_if_available("new", 9),
         None,
-        "nothing new behind the rest of a cancelled request"
+        "no new request is accepted behind the rest of a cancelled request"
     );
     assert!(
         !connection.close_if_unusable(Duration::from_secs(60), Duration::from_secs(60)),
-        "its rest may still be sent"
+        "the rest may still be sent within the time-out"
     );
     assert!(connection.close_if_unusable(Duration::from_secs(60), Duration::ZERO));
     assert_eq!(task.await.unwrap(), None);
-    assert_eq!(queued.written().await, Err(RequestLoss::NotSent));
+    assert_eq!(queued.written().await, Err(RequestError::NotSent));
     let mut received = Vec::new();
     let _ = tokio::io::AsyncReadExt::read_to_end(&mut peer, &mut received).await;
-    assert!(received.len() < large_bytes, "never complete there");
+    assert!(
+        received.len() < large_bytes,
+        "the endpoint received the complete request"
+    );
     assert_eq!(*encoded.lock().unwrap(), ["large"]);
 }
 
-/// Where the endpoint takes the rest after all, a cancellation follows and the connection stays usable.
+/// If the endpoint accepts the rest of a cancelled request, the cancellation follows and the connection stays usable.
 #[tokio::test]
 async fn request_dropped_mid_write_is_followed_by_cancellation() {
     let (connection, peer, _task) = running_connection().await;
--- a/crates/platform/src/connection/write_queue.rs
+++ b/crates/platform/src/connection/write_queue.rs
@@ -1,9 +1,10 @@
-//! What a connection is to write, in order: requests, encoded at their first byte, and controls.
+//! The ordered queue of writes of a connection: requests, which are encoded right before their first byte is sent, and
+//! control messages.
 use bytes::{Buf, Bytes};
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Encodes a request at the moment of its first byte; none: it is not to begin any more.
+/// Encodes a request right before its first byte is sent. Returns `None` if the request must not begin any more.
 pub(crate) type RequestEncoder = Box<dyn FnMut() -> Option<Bytes> + Send>;
 
 enum QueuedWrite {
@@ -11,30 +12,28 @@
     Control(Bytes),
 }
 
-/// What is being written.
+/// A write in progress.
 struct CurrentWrite {
-    /// None: a control.
+    /// Id of the request; `None` for a control message.
     request_id: Option<String>,
-    /// Some: no byte of the request is sent, and it is encoded anew before the next try.
+    /// Present while no byte of the request is sent: it is encoded again before the next try.
     reencode: Option<RequestEncoder>,
     unsent: Bytes,
-    /// When the request was cancelled in the middle of its bytes.
+    /// Time at which the request was cancelled while it was partly sent.
     cancelled_at: Option<Instant>,
 }
 
-/// What is to be written next.
+/// The next write.
 pub(super) enum NextWrite {
-    /// The current write.
+    /// The rest of the current write.
     Current,
-    /// A request that is to be encoded.
-    Request {
-        id: String,
-        encode: RequestEncoder,
-    },
-    Nothing,
+    /// A request that has to be encoded first.
+    Request { id: String, encode: RequestEncoder },
+    /// No write is queued.
+    Empty,
 }
 
-/// See the module's documentation.
+/// Queue of writes; see the documentation of the module.
 #[derive(Default)]
 pub(super) struct WriteQueue {
     queue: VecDeque<QueuedWrite>,
@@ -47,29 +46,29 @@
         self.queue.push_back(QueuedWrite::Request { id, encode });
     }
 
-    /// Queues the bytes of a control.
+    /// Queues an encoded control message.
     pub fn push_control(&mut self, bytes: Bytes) {
         self.queue.push_back(QueuedWrite::Control(bytes));
     }
 
-    /// Whether anything is to be written.
+    /// Returns whether a write is in progress or queued.
     pub fn has_writes(&self) -> bool {
         self.current.is_some() || !self.queue.is_empty()
     }
 
-    /// Whether nothing is being written and a request is first in the queue.
+    /// Returns whether no write is in progress and a request is first in the queue.
     pub fn is_next_a_request(&self) -> bool {
         let is_request = matches!(self.queue.front(), Some(QueuedWrite::Request { .. }));
         is_request && self.current.is_none()
     }
 
-    /// Takes the next write from the queue, unless one is current.
+    /// Begins the next write of the queue, unless a write is in progress.
     pub fn begin_next(&mut self) -> NextWrite {
         if self.current.is_some() {
             return NextWrite::Current;
         }
         match self.queue.pop_front() {
-            None => NextWrite::Nothing,
+            None => NextWrite::Empty,
             Some(QueuedWrite::Request { id, encode }) => NextWrite::Request { id, encode },
             Some(QueuedWrite::Control(unsent)) => {
                 self.current = Some(CurrentWrite {
@@ -93,7 +92,7 @@
         });
     }
 
-    /// The rest of the current write.
+    /// Returns the unsent rest of the current write.
     pub fn unsent(&self) -> Bytes {
         self.current
             .as_ref()
@@ -101,7 +100,7 @@
             .unwrap_or_default()
     }
 
-    /// Bytes of the current write were sent. Returns the request that is now sent completely.
+    /// Records that bytes of the current write were sent. Returns the id of the request that is now sent completely.
     pub fn advance(&mut self, sent: usize) -> Option<String> {
         let current = self.current.as_mut()?;
         current.unsent.advance(sent);
@@ -112,7 +111,7 @@
         self.current.take()?.request_id
     }
 
-    /// Puts a request of which no byte was sent back into the queue.
+    /// Puts the current request back into the queue if no byte of it was sent.
     pub fn requeue_unstarted(&mut self) {
         let Some(mut current) = self.current.take() else {
             return;
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Removes a request that has not begun. False: there is none.
+    /// Removes a request that has not begun. Returns whether there was one.
     pub fn remove_request(&mut self, id: &str) -> bool {
         let before = self.queue.len();
         self.queue.retain(
@@ -139,7 +138,7 @@
         self.queue.len() < before
     }
 
-    /// Notes that the request is cancelled, if it is being written.
+    /// Records that the request is cancelled, if it is the current write.
     pub fn cancel_current(&mut self, id: &str, now: Instant) {
         if let Some(current) = &mut self.current {
             if current.request_id.as_deref() == Some(id) {
@@ -148,20 +147,20 @@
         }
     }
 
-    /// Since when the rest of a cancelled request is being written.
+    /// Returns the time since which the current write has been the rest of a cancelled request.
     pub fn cancelled_since(&self) -> Option<Instant> {
         self.current
             .as_ref()
             .and_then(|current| current.cancelled_at)
     }
 
-    /// Drops everything.
+    /// Drops all writes.
     pub fn clear(&mut self) {
         self.queue.clear();
         self.current = None;
     }
 
-    /// The queue as text: requests as `PULL id`.
+    /// Returns the queue as text, with requests as `PULL id`.
     #[cfg(test)]
     pub fn queued(&self) -> Vec<String> {
         let text = |write: &QueuedWrite| match write {
--- a/crates/platform/src/connection_pool/call.rs
+++ b/crates/platform/src/connection_pool/call.rs
@@ -1,6 +1,6 @@
-//! One attempt over the line protocol: the request that goes out, and the parts of its response.
+//! Sends one attempt over the line protocol and converts its response to response parts.
 use super::{ConnectionPool, PlatformCore};
-use crate::connection::{InFlightRequest, RequestLoss};
+use crate::connection::{InFlightRequest, RequestError};
 use bytes::{Bytes, BytesMut};
 use pointspindle_dispatcher::core::AttemptEnd;
 use pointspindle_dispatcher::net::core_handle::{AttemptId, EndpointTransport, UpstreamCall};
@@ -11,18 +11,18 @@
 use pointspindle_transport::{CallEnd, ResponsePart};
 use std::sync::Arc;
 
-/// Fits the line of a request.
+/// Initial capacity for the encoded line of a request, which fits nearly all lines.
 const REQUEST_LINE_BYTES: usize = 256;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// An attempt whose response is handed on once it is complete: until then another attempt is possible.
+/// An attempt whose response is passed on only when it is complete, so that another attempt is possible until then.
 #[derive(Debug)]
 pub struct LineProtocolCall {
     request: InFlightRequest,
-    /// Validator of the client's copy, as it was sent.
+    /// Validator of the client's copy, as it was sent to the endpoint.
     client_validator: String,
     has_response: bool,
-    /// Parts that are not handed on yet, last first.
+    /// Parts of the response that are not passed on yet, in reverse order.
     remaining_parts: Vec<ResponsePart>,
 }
 
@@ -36,7 +36,7 @@
         mut request: RequestHead,
         body: &Bytes,
     ) -> Result<LineProtocolCall, AttemptEnd> {
-        // Cancellations that arrived while the process was paused are handled first: they may end this attempt.
+        // Cancellations that arrived while the process was paused are handled first, since they may end this attempt.
         core.transport.pause_detector.caught_up().await;
         let connection = Self::acquire(core, attempt, endpoint, &request.trace).await?;
         let request_id = request.trace.clone();
@@ -71,7 +71,7 @@
             self.has_response = true;
             self.remaining_parts = match result {
                 Ok(response) => response_parts(response, &self.client_validator),
-                Err(loss) => vec![loss_part(loss)],
+                Err(error) => vec![failure_part(error)],
             };
         }
         self.remaining_parts.pop()
@@ -105,7 +105,8 @@
     out.freeze()
 }
 
-/// Rounded down, so that no copy is too old, but not to 0, which stands for the class's fresh time.
+/// Converts a largest age to milliseconds. It is rounded down, so that no copy is too old, but not to 0, which would
+/// mean the freshness lifetime of the class.
 fn max_age_ms(max_age_us: u64) -> u64 {
     match max_age_us {
         0 => 0,
@@ -113,14 +114,14 @@
     }
 }
 
-/// The parts of a response, last first.
+/// Converts a response to its parts, in reverse order.
 fn response_parts(response: CacheResponse, client_validator: &str) -> Vec<ResponsePart> {
     let cache_status = WireCacheStatus::try_from(i32::from(response.cache_status_code))
         .unwrap_or(WireCacheStatus::Unreported);
     let error = |status, may_have_run| vec![error_part(status, may_have_run, cache_status)];
     match response.status {
         ResponseStatus::Served => content_parts(response, cache_status, false),
-        // Revalidation succeeds only for the very copy that the client holds.
+        // The client's copy is current only if the validator of the response is that of the client's copy.
         ResponseStatus::NotModified
             if !client_validator.is_empty() && response.validator == client_validator =>
         {
@@ -135,7 +136,7 @@
     }
 }
 
-/// The parts of a successful response, last first.
+/// Converts a successful response to its parts, in reverse order.
 fn content_parts(
     response: CacheResponse,
     cache_status: WireCacheStatus,
@@ -160,12 +161,12 @@
     parts
 }
 
-fn loss_part(loss: RequestLoss) -> ResponsePart {
-    match loss {
-        RequestLoss::ConnectionBroken => {
-            ResponsePart::End(CallEnd::Broken("the connection broke".to_owned()))
-        }
-        RequestLoss::NotSent => {
+fn failure_part(error: RequestError) -> ResponsePart {
+    match error {
+        RequestError::ConnectionBroken => ResponsePart::End(CallEnd::Broken(
+            "endpoint connection lost before the response was complete".to_owned(),
+        )),
+        RequestError::NotSent => {
             error_part(WireStatus::Unspecified, false, WireCacheStatus::Unreported)
         }
     }
--- a/crates/platform/src/connection_pool/connector.rs
+++ b/crates/platform/src/connection_pool/connector.rs
@@ -1,4 +1,4 @@
-//! Makes connections to endpoints and serves them to their end.
+//! Opens connections to endpoints and runs them until they end.
 use super::{ConnectionPool, PlatformCore};
 use crate::connection::Connection;
 use pointspindle_transport::{ConnectFailure, Network, Socket};
@@ -8,10 +8,10 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// What came of a connection attempt; none: the endpoint was gone before it.
+/// Result of a connection attempt; `None` if the endpoint was removed before it.
 type ConnectResult = Option<Result<Socket, ConnectFailure>>;
 
-/// Connects to endpoints before a request goes there.
+/// Connects to the requested endpoints that have no connection, ahead of requests.
 pub async fn connect_requested(
     core: Arc<PlatformCore>,
     mut requests: mpsc::UnboundedReceiver<String>,
@@ -32,12 +32,12 @@
     }
 }
 
-/// Starts to make a connection that is reserved.
+/// Starts a task that opens and runs a reserved connection.
 pub(super) fn spawn_connect(core: &Arc<PlatformCore>, id: &str, delay: Duration) {
     tokio::spawn(connect(core.clone(), id.to_owned(), delay));
 }
 
-/// Makes a connection and serves it to its end.
+/// Opens a reserved connection after a delay and runs it until it ends.
 async fn connect(core: Arc<PlatformCore>, id: String, delay: Duration) {
     let pool = &core.transport;
     tokio::time::sleep(delay).await;
@@ -65,7 +65,7 @@
             .lock()
             .endpoints
             .get(id)
-            .filter(|endpoint| !endpoint.is_gone)
+            .filter(|endpoint| !endpoint.is_removed)
             .map(|endpoint| endpoint.address)?;
         let timeout = Duration::from_micros(self.settings.connect_timeout_us);
         Some(Network::Tcp.connect_within(None, address, timeout).await)
@@ -81,7 +81,7 @@
             return;
         };
         endpoint.connecting -= 1;
-        endpoint.had_local_shortage = matches!(result, Some(Err(ConnectFailure::Local(_))));
+        endpoint.had_local_connect_failure = matches!(result, Some(Err(ConnectFailure::Local(_))));
         match result {
             Some(Ok(_)) => endpoint.connections.push(connection.clone()),
             Some(Err(error)) if error.is_peer_failure() => endpoint
@@ -92,8 +92,8 @@
         endpoint.changed.notify_waiters();
     }
 
-    /// `is_failure`: it was not closed from here.
-    fn connection_ended(&self, id: &str, connection: &Arc<Connection>, is_failure: bool) {
+    /// Removes a connection that has ended. `was_lost`: the dispatcher did not close it.
+    fn connection_ended(&self, id: &str, connection: &Arc<Connection>, was_lost: bool) {
         let mut state = self.lock();
         state.connections -= 1;
         state
@@ -106,7 +106,7 @@
         endpoint
             .connections
             .retain(|other| !Arc::ptr_eq(other, connection));
-        if is_failure && endpoint.connections.is_empty() {
+        if was_lost && endpoint.connections.is_empty() {
             endpoint
                 .backoff
                 .connection_lost(self.micros(Instant::now()), jitter);
--- a/crates/platform/src/connection_pool/endpoint.rs
+++ b/crates/platform/src/connection_pool/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of the pool, with its connections.
+//! An endpoint of the pool and its connections.
 use crate::connection::Connection;
 use pointspindle::Micros;
 use pointspindle_dispatcher::core::AttemptEnd;
@@ -8,61 +8,63 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// See the module's documentation.
+/// An endpoint and its connections.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub address: SocketAddr,
-    /// It takes no new connections.
-    pub is_gone: bool,
+    /// Whether the endpoint has been removed, so that no new connections are opened.
+    pub is_removed: bool,
     pub connections: Vec<Arc<Connection>>,
-    /// Connections that are being made.
+    /// Number of connections that are being opened.
     pub connecting: usize,
     pub backoff: ReconnectBackoff,
-    /// The last connection could not be made for a shortage of this machine, which says nothing of the endpoint.
-    pub had_local_shortage: bool,
-    /// A connection was made or lost, or the endpoint has changed.
+    /// Whether the last connection attempt failed for lack of a local resource, which does not indicate a fault of the
+    /// endpoint.
+    pub had_local_connect_failure: bool,
+    /// Signals that a connection was opened or has ended, or that the endpoint has changed.
     pub changed: Arc<Notify>,
 }
 
-/// Connections of an endpoint that can take a request.
+/// Connections of an endpoint that can carry a request.
 pub(super) struct AvailableConnections {
+    /// Connection with the fewest requests in flight.
     pub least_loaded: Option<Arc<Connection>>,
-    /// How many have nothing in flight.
+    /// Number of connections without a request in flight.
     pub idle: usize,
 }
 
 impl Endpoint {
-    /// An endpoint without connections.
-    pub fn new(address: SocketAddr, is_gone: bool) -> Self {
+    /// Creates an endpoint without connections.
+    pub fn new(address: SocketAddr, is_removed: bool) -> Self {
         Self {
             address,
-            is_gone,
+            is_removed,
             connections: Vec::new(),
             connecting: 0,
             backoff: ReconnectBackoff::default(),
-            had_local_shortage: false,
+            had_local_connect_failure: false,
             changed: Arc::new(Notify::new()),
         }
     }
 
-    /// Takes the endpoint's current description; connections to an earlier address are closed.
-    pub fn update(&mut self, address: SocketAddr, is_gone: bool) {
+    /// Updates the description of the endpoint. If the address has changed, connections to the previous one are closed.
+    pub fn update(&mut self, address: SocketAddr, is_removed: bool) {
         if self.address != address {
             self.connections.iter().for_each(|c| c.close());
             self.backoff = ReconnectBackoff::default();
         }
         self.address = address;
-        self.is_gone = is_gone;
+        self.is_removed = is_removed;
     }
 
-    /// Connections open or being made.
+    /// Returns the number of connections that are open or being opened.
     pub fn total_connections(&self) -> usize {
         self.connections.len() + self.connecting
     }
 
-    /// Counts a new connection, if one may be made. Returns the delay before it.
+    /// Reserves a new connection and returns the delay before it is opened, or `None` if none may be opened.
     pub fn reserve_connection(&mut self, now: Micros) -> Option<Duration> {
-        if self.is_gone {
+        if self.is_removed {
             return None;
         }
         let delay = match self.backoff.decide(now) {
@@ -74,7 +76,7 @@
         Some(Duration::from_micros(delay))
     }
 
-    /// The connections that can take this request.
+    /// Returns the connections that can carry a request with this id.
     pub fn available_connections(
         &self,
         request_id: &str,
@@ -99,9 +101,9 @@
         }
     }
 
-    /// How an attempt ends that finds no connection.
+    /// Returns how an attempt ends for which there is no connection.
     pub fn end_without_connection(&self, is_pool_full: bool) -> AttemptEnd {
-        if is_pool_full || self.had_local_shortage {
+        if is_pool_full || self.had_local_connect_failure {
             AttemptEnd::NotSent
         } else {
             AttemptEnd::ConnectFailed
--- a/crates/platform/src/connection_pool/maintenance.rs
+++ b/crates/platform/src/connection_pool/maintenance.rs
@@ -1,5 +1,5 @@
-//! Periodic maintenance of the pool: closes connections that are idle, unusable or lead to endpoints that are gone,
-//! checks their keep-alive, and forgets endpoints that are gone.
+//! Periodic maintenance of the pool: closes connections that are idle, unusable or to removed endpoints, performs the
+//! keep-alive checks, and drops removed endpoints.
 use super::{ConnectionPool, PlatformCore};
 use crate::connection::Connection;
 use pointspindle::Micros;
@@ -9,12 +9,13 @@
 use tokio::time::Instant;
 
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(100);
-/// The rest of a request that was cancelled in the middle of its bytes is sent by then, or its connection is closed.
+/// Time within which the rest of a request that was cancelled while it was partly sent must be sent, or its connection
+/// is closed.
 const UNSENT_REST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Idle connections beyond an endpoint's first are closed after this.
+/// Time after which idle connections beyond the first of an endpoint are closed.
 const SPARE_IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Maintains the pool for as long as the dispatcher runs.
+/// Maintains the pool periodically; never returns.
 pub async fn run_maintenance(core: Arc<PlatformCore>) {
     loop {
         tokio::time::sleep(MAINTENANCE_INTERVAL).await;
@@ -22,35 +23,34 @@
     }
 }
 
-/// The limits of one pass, and its time.
+/// Time and limits of one maintenance pass.
 struct MaintenancePass {
     now: Instant,
     now_us: Micros,
     keep_alive: KeepAliveRule,
     idle_timeout: Duration,
-    unawaited_response_timeout: Duration,
+    orphaned_response_timeout: Duration,
 }
 
 impl ConnectionPool {
-    /// One pass over all connections.
+    /// Performs one maintenance pass over all connections.
     pub(super) fn maintain(&self) {
         let pass = self.maintenance_pass();
         let mut state = self.lock();
         for (id, endpoint) in &state.endpoints {
             let mut idle_connections = 0;
             for connection in &endpoint.connections {
-                if connection
-                    .close_if_unusable(pass.unawaited_response_timeout, UNSENT_REST_TIMEOUT)
+                if connection.close_if_unusable(pass.orphaned_response_timeout, UNSENT_REST_TIMEOUT)
                 {
                     tracing::info!(
                         endpoint = id,
-                        "endpoint connection closed: unawaited response or unsent request"
+                        "endpoint connection closed: blocked by an orphaned response or an unsent cancelled request"
                     );
                 } else if let Some(since) = connection.idle_since() {
                     idle_connections += 1;
                     let idle = pass.now.saturating_duration_since(since);
                     let is_spare = idle_connections > 1;
-                    if endpoint.is_gone
+                    if endpoint.is_removed
                         || idle > pass.idle_timeout
                         || (is_spare && idle > SPARE_IDLE_TIMEOUT)
                     {
@@ -63,7 +63,7 @@
         }
         state
             .endpoints
-            .retain(|_, endpoint| !endpoint.is_gone || endpoint.total_connections() > 0);
+            .retain(|_, endpoint| !endpoint.is_removed || endpoint.total_connections() > 0);
     }
 
     fn maintenance_pass(&self) -> MaintenancePass {
@@ -78,7 +78,7 @@
                 ping_timeout: settings.ping_timeout_us,
             },
             idle_timeout: Duration::from_micros(settings.idle_timeout_us),
-            unawaited_response_timeout: Duration::from_micros(settings.ping_timeout_us),
+            orphaned_response_timeout: Duration::from_micros(settings.ping_timeout_us),
         }
     }
 
--- a/crates/platform/src/connection_pool/mod.rs
+++ b/crates/platform/src/connection_pool/mod.rs
@@ -1,14 +1,17 @@
-//! Connections to cache hosts, parents and the origin: several for each endpoint, opened before they are needed, bounded
-//! in total.
+//! Pool of connections to cache hosts, parents and the origin: several for each endpoint, opened before they are
+//! needed, limited in total.
 //!
-//! A response that cannot be decoded ends its connection with all that is in flight there, so requests are spread: each
-//! goes to the connection with the fewest in flight, and where none is idle another one is opened. Endpoints are known by
-//! their discovery id; a connection belongs to an id, whatever its address.
+//! A response that cannot be decoded ends its connection and all requests in flight on it. Requests are therefore
+//! spread: each is sent over the connection with the fewest requests in flight, and another connection is opened while
+//! spare ones are short. Endpoints are identified by their discovery id, and connections belong to an id, not to an
+//! address.
 //!
-//! A request that waits for a connection is woken by each change of its endpoint, and by each connection made or lost;
-//! the core decides whether it may still begin, then and again right before the first byte (`crate::connection`).
+//! A request that waits for a connection is woken by each change of its endpoint and by each connection that is opened
+//! or ends. The core then decides whether the request may still begin, and again right before its first byte is sent
+//! (`crate::connection`).
 //!
-//! State: an entry for each known endpoint, dropped once it is gone and its last connection has ended.
+//! The state has an entry for each endpoint, which is dropped when the endpoint has been removed and its last
+//! connection has ended.
 mod call;
 mod connector;
 mod endpoint;
@@ -37,48 +40,48 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Connections to an endpoint that are idle or being made: with fewer, another one is opened for the next request.
+/// Number of connections to an endpoint that are idle or being opened, below which a request opens another one.
 const MIN_SPARE_CONNECTIONS: usize = 2;
 
-/// The dispatcher's core with the platform's endpoint connections.
+/// The core of the dispatcher, with the connections of the platform.
 pub type PlatformCore = CoreHandle<ConnectionPool>;
 
-/// An endpoint as discovery describes it to the pool.
+/// Description of an endpoint for the pool.
 #[derive(Clone, Debug)]
 pub struct EndpointAddress {
-    /// Its id.
+    /// Id of the endpoint.
     pub id: String,
-    /// Where to connect.
+    /// Address to connect to.
     pub address: SocketAddr,
-    /// What it serves.
+    /// Role of the endpoint.
     pub role: Role,
-    /// It takes no new connections.
-    pub is_gone: bool,
+    /// Whether the endpoint has been removed, so that no new connections are opened.
+    pub is_removed: bool,
 }
 
-/// Sizes of the pool.
+/// Number of connections and endpoints in the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PoolCounts {
-    /// Connections open or being made.
+    /// Number of connections that are open or being opened.
     pub connections: usize,
-    /// Endpoints known.
+    /// Number of endpoints.
     pub endpoints: usize,
 }
 
 #[derive(Debug)]
 struct PoolState {
     endpoints: BTreeMap<String, Endpoint>,
-    /// Connections open or being made.
+    /// Number of connections that are open or being opened.
     connections: usize,
-    /// Those of them that are closed to free capacity, until they are. A connection that is made in such a place exceeds
-    /// the limit for that moment: the process's own descriptors cover it.
+    /// Connections that are being closed to free capacity. A connection that is opened in place of one of them exceeds
+    /// the limit until that one is closed; the descriptors reserved for the process cover it.
     closing: Vec<Weak<Connection>>,
     rng: StdRng,
 }
 
 impl PoolState {
-    /// Closes the connection that has been idle for the longest, unless one is closing already: a request without a
-    /// connection to its endpoint takes precedence over idle connections.
+    /// Closes the connection that has been idle for the longest time, unless one is already being closed to free
+    /// capacity. A request without a connection to its endpoint takes precedence over idle connections.
     fn close_longest_idle(&mut self) {
         if !self.closing.is_empty() {
             return;
@@ -95,7 +98,7 @@
     }
 }
 
-/// See the module's documentation.
+/// The pool of connections; see the documentation of the module.
 #[derive(Debug)]
 pub struct ConnectionPool {
     state: Mutex<PoolState>,
@@ -103,22 +106,23 @@
     max_connections: usize,
     max_connections_per_endpoint: usize,
     meter: BufferMeter,
-    /// Zero of the pool's times.
+    /// Origin of the pool's time values.
     started_at: Instant,
     pause_detector: Arc<PauseDetector>,
-    /// Endpoints to connect to before a request goes there ([`connect_requested`]).
+    /// Ids of endpoints to connect to ahead of requests ([`connect_requested`]).
     connect_requests: mpsc::UnboundedSender<String>,
 }
 
-/// What a request finds that needs a connection.
+/// Result of acquiring a connection for a request.
 enum Acquisition {
     Acquired(Arc<Connection>),
-    /// A connection is being made: ask again once something has changed.
+    /// A connection is being opened: the caller tries again when the endpoint has changed.
     Connecting(OwnedNotified),
 }
 
 impl ConnectionPool {
-    /// An empty pool. `connect_requests`: endpoints to connect to ahead of requests ([`connect_requested`]).
+    /// Creates an empty pool. `connect_requests` receives the ids of endpoints to connect to ahead of requests
+    /// ([`connect_requested`]).
     pub fn new(
         settings: &PlatformSettings,
         meter: &BufferMeter,
@@ -153,7 +157,7 @@
         at.saturating_duration_since(self.started_at).as_micros() as Micros
     }
 
-    /// How large the pool is.
+    /// Returns the number of connections and endpoints.
     pub fn counts(&self) -> PoolCounts {
         let state = self.lock();
         PoolCounts {
@@ -162,51 +166,53 @@
         }
     }
 
-    /// A random number of this dispatcher, from 0 to 1.
+    /// Returns a random number from 0 to 1.
     pub fn random_fraction(&self) -> f64 {
         self.lock().rng.gen()
     }
 
-    /// Adds or changes an endpoint. Called before the core learns of it, so that the core's commands can be carried out.
+    /// Adds or changes an endpoint. Must be called before the core is notified of the change, so that the pool can
+    /// execute the core's commands for the endpoint.
     pub fn update_endpoint(&self, update: EndpointAddress) {
         let mut state = self.lock();
         state
             .endpoints
             .entry(update.id.clone())
-            .or_insert_with(|| Endpoint::new(update.address, update.is_gone))
-            .update(update.address, update.is_gone);
+            .or_insert_with(|| Endpoint::new(update.address, update.is_removed))
+            .update(update.address, update.is_removed);
         drop(state);
-        // Caches are connected to on the core's request; the origin may be sent to without one.
-        if update.role == Role::Origin && !update.is_gone {
+        // The core requests connections to caches. It may send requests to the origin without requesting one.
+        if update.role == Role::Origin && !update.is_removed {
             self.request_connection(update.id);
         }
     }
 
-    /// Marks all endpoints that are absent from a full list as gone.
+    /// Marks all endpoints that are absent from a full list as removed.
     pub fn retain_only(&self, ids: &[String]) {
         let listed: HashSet<&String> = ids.iter().collect();
         let mut state = self.lock();
         for (id, endpoint) in &mut state.endpoints {
             if !listed.contains(id) {
-                endpoint.is_gone = true;
+                endpoint.is_removed = true;
             }
         }
     }
 
-    /// Wakes the requests that wait for these endpoints. Called once the core has learnt of changes, so that they find
-    /// out whether they may still begin.
+    /// Wakes the requests that wait for these endpoints. Must be called after the core has applied the changes, so that
+    /// each request is checked for whether it may still begin.
     pub fn notify_changed<'a>(&self, ids: impl Iterator<Item = &'a str>) {
         let state = self.lock();
         ids.filter_map(|id| state.endpoints.get(id))
             .for_each(|endpoint| endpoint.changed.notify_waiters());
     }
 
-    /// Connects to an endpoint ahead of requests, unless it has a connection.
+    /// Requests a connection to an endpoint ahead of requests; no effect if it has one.
     fn request_connection(&self, id: String) {
         let _ = self.connect_requests.send(id);
     }
 
-    /// Counts a new connection to an endpoint, if one may be made. Returns the delay before it.
+    /// Reserves a new connection to an endpoint and returns the delay before it is opened, or `None` if none may be
+    /// opened.
     fn reserve_connection(&self, state: &mut PoolState, id: &str) -> Option<Duration> {
         let now = self.micros(Instant::now());
         let is_full = state.connections - state.closing.len() >= self.max_connections;
@@ -219,7 +225,7 @@
         Some(delay)
     }
 
-    /// The best connection for a request, once there is one.
+    /// Waits for a connection and returns the least loaded one for a request.
     async fn acquire(
         core: &Arc<PlatformCore>,
         attempt: AttemptId,
@@ -237,7 +243,8 @@
         }
     }
 
-    /// The best connection for a request, if there is one; opens another one where spare connections are short.
+    /// Returns the least loaded connection for a request, if there is one. Opens another connection if there are fewer
+    /// than [`MIN_SPARE_CONNECTIONS`] spare ones.
     fn try_acquire(
         core: &Arc<PlatformCore>,
         endpoint_id: &str,
@@ -270,7 +277,7 @@
         if endpoint.connecting == 0 {
             return Err(endpoint.end_without_connection(is_full));
         }
-        // Created under the lock, so that no change is missed.
+        // The future is created while the lock is held, so that no change is missed.
         Ok(Acquisition::Connecting(
             endpoint.changed.clone().notified_owned(),
         ))
--- a/crates/platform/src/connection_pool/tests.rs
+++ b/crates/platform/src/connection_pool/tests.rs
@@ -1,9 +1,10 @@
 use super::*;
 use pointspindle_platform_protocol::start_config::StartConfig;
 
-/// Endpoints are replaced without end, by new ids at the same address.
+/// Entries of removed endpoints would accumulate over the life of the dispatcher if each replacement has a new id at
+/// the same address.
 #[test]
-fn endpoints_gone_without_connections_are_forgotten() {
+fn removed_endpoints_without_connections_are_dropped() {
     let start: StartConfig = serde_json::from_str(
         r#"{"name":"n","listen":"127.0.0.1:1","board":"127.0.0.1:2",
             "limits":{"cores":1,"memory_mb":32,"sockets":256},
@@ -21,11 +22,11 @@
     );
     let address: SocketAddr = ([127, 0, 0, 1], 9).into();
     for n in 0..100_000 {
-        let endpoint = |n: u32, is_gone| EndpointAddress {
+        let endpoint = |n: u32, is_removed| EndpointAddress {
             id: format!("s-{n}"),
             address,
             role: Role::Cache,
-            is_gone,
+            is_removed,
         };
         pool.update_endpoint(endpoint(n, false));
         pool.update_endpoint(endpoint(n.saturating_sub(3), n > 3));
--- a/crates/platform/src/endpoint_discovery/mod.rs
+++ b/crates/platform/src/endpoint_discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Endpoint discovery: the state that the start configuration holds first, then the events of the discovery stream, for
-//! as long as the dispatcher runs.
+//! Endpoint discovery: applies first the state in the start configuration and then the events of the discovery stream,
+//! for as long as the dispatcher runs.
 //!
-//! Events are applied in the order of their revisions and once. After a gap the stream is requested again from the last
-//! revision that was applied ([`stream`]).
+//! Events are applied once, in the order of their revisions. After a gap, the stream is requested again from the last
+//! applied revision ([`stream`]).
 pub mod stream;
 
 use crate::connection_pool::{EndpointAddress, PlatformCore};
@@ -21,47 +21,48 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A gap that the stream repeats from the same revision is accepted after this many requests: the revisions in between
-/// cannot be had.
+/// Number of times that the stream is requested again because of a gap before the gap is accepted: the missing
+/// revisions are then no longer available.
 const MAX_GAP_RETRIES: u32 = 2;
 
 fn micros(span: Duration) -> Micros {
     span.as_micros() as Micros
 }
 
-/// What has been applied of discovery, shared by all streams that are read.
+/// Progress of discovery, shared by all streams that are read.
 pub struct DiscoveryState {
     core: Arc<PlatformCore>,
     settings: Arc<PlatformSettings>,
     clock: WallClock,
     last_revision: u64,
-    /// Number of the last endpoint list that the core was given.
+    /// Sequence number of the last endpoint list that was applied to the core.
     list_seq: u64,
-    /// Successive requests that met a gap.
+    /// Number of successive streams that ended with a gap.
     gap_retries: u32,
-    /// When all events that the stream had sent by then were applied: later events are not older. None: never.
+    /// Latest time by which all events sent so far had been applied, so that events received later were sent after it.
+    /// `None` if there is no such time yet.
     up_to_date_at: Option<Instant>,
 }
 
-/// Locks the state; never held across a wait.
+/// Locks the state. The lock must not be held across an await.
 pub fn lock(state: &Mutex<DiscoveryState>) -> MutexGuard<'_, DiscoveryState> {
     state
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// An event was missed: the stream is to be requested again.
+/// One or more events were missed, and the stream must be requested again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("revision {expected} is missing before {found}")]
+#[error("discovery events missing: expected revision {expected}, received {found}")]
 pub struct RevisionGap {
-    /// The revision that was next.
+    /// Revision that was expected.
     pub expected: u64,
-    /// The revision that came.
+    /// Revision that was received.
     pub found: u64,
 }
 
 impl DiscoveryState {
-    /// A state before any event.
+    /// Creates the state before any event.
     pub fn new(core: Arc<PlatformCore>, settings: Arc<PlatformSettings>, clock: WallClock) -> Self {
         Self {
             core,
@@ -74,13 +75,13 @@
         }
     }
 
-    /// The last revision that was applied.
+    /// Returns the last applied revision.
     pub fn last_revision(&self) -> u64 {
         self.last_revision
     }
 
-    /// Applies what a configuration holds. At the start all of it; later only what follows the last revision without a
-    /// gap: the rest comes from the stream.
+    /// Applies the events in a configuration: at the start all of them, at a reload only those that follow the last
+    /// applied revision without a gap. The stream sends the others.
     pub fn apply_known_state(&mut self, known: KnownState) {
         let is_first = self.last_revision == 0;
         for event in known.events {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Applies an event of the stream; one that was applied already is skipped.
+    /// Applies an event of the stream. An event that was already applied is skipped.
     pub fn apply_next(&mut self, event: DiscoveryEvent) -> Result<(), RevisionGap> {
         if event.revision <= self.last_revision {
             return Ok(());
@@ -110,8 +111,8 @@
                 });
             }
             tracing::warn!(
-                last = self.last_revision,
-                next = event.revision,
+                last_revision = self.last_revision,
+                next_revision = event.revision,
                 "discovery stream has a gap; purges may have been missed"
             );
             self.core.apply(Input::UpdatesMissed);
@@ -121,15 +122,15 @@
         Ok(())
     }
 
-    /// All events that were sent before `at` are applied.
+    /// Records that all events sent before `at` are applied.
     fn mark_up_to_date(&mut self, at: Instant) {
         self.up_to_date_at = self.up_to_date_at.max(Some(at));
     }
 
-    /// The age of a purge by its time stamp, and not longer than since the earliest moment at which it can have been sent.
-    /// Too short an age only excludes copies that could be served.
+    /// Returns the age of a purge by its time stamp, limited to the time since the earliest moment at which the purge
+    /// can have been sent. An age that is too short only excludes copies that could have been served.
     fn purge_age(&self, purged_at_unix_ms: f64) -> Duration {
-        // The purge may have happened at the end of that millisecond.
+        // The purge may have happened at the end of the millisecond in its time stamp.
         let stamped = self.clock.age_of_ms(purged_at_unix_ms + 1.0);
         self.up_to_date_at
             .map_or(stamped, |at| stamped.min(at.elapsed()))
@@ -181,7 +182,8 @@
         self.core.transport.notify_changed(ids);
     }
 
-    /// Updates the endpoint in the connection pool, and returns its record for the core; none: it cannot be used.
+    /// Updates an endpoint in the connection pool and returns its record for the core, or `None` if the endpoint has an
+    /// unknown state or an invalid address.
     fn apply_endpoint(&self, endpoint: DiscoveredEndpoint) -> Option<EndpointRecord> {
         let state = match endpoint.state {
             DiscoveredState::Ready => WireEndpointState::Ready,
@@ -197,18 +199,18 @@
             }
         };
         let role = self.settings.role(&endpoint.kind);
-        let is_gone = state == WireEndpointState::Gone;
+        let is_removed = state == WireEndpointState::Gone;
         match endpoint.address.parse::<SocketAddr>() {
             Ok(address) => self.core.transport.update_endpoint(EndpointAddress {
                 id: endpoint.id.clone(),
                 address,
                 role,
-                is_gone,
+                is_removed,
             }),
-            // One that is gone needs no address.
-            Err(_) if is_gone => {}
+            // A removed endpoint needs no address.
+            Err(_) if is_removed => {}
             Err(error) => {
-                tracing::warn!(endpoint = endpoint.id, %error, "endpoint skipped: no address");
+                tracing::warn!(endpoint = endpoint.id, %error, "endpoint skipped: invalid address");
                 return None;
             }
         }
--- a/crates/platform/src/endpoint_discovery/stream.rs
+++ b/crates/platform/src/endpoint_discovery/stream.rs
@@ -1,7 +1,7 @@
-//! Reads the discovery stream and requests it again whenever it ends.
+//! Reads the discovery stream and requests it again when it ends.
 //!
-//! A stream that ends, breaks or falls silent is requested again at once: purges that it would have sent count as known
-//! soon, whether they were received or not.
+//! A stream that ends, fails or sends no data for too long is requested again at once: the platform soon assumes that
+//! the dispatcher has received the purges of the meantime, whether it has or not.
 use super::{lock, DiscoveryState, RevisionGap};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
@@ -21,36 +21,37 @@
 /// Path of the discovery stream.
 const STREAM_PATH: &str = "/board/poll";
 
-/// The stream sends a comment each second: one that is silent for longer is dead.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// A request without a response by then is hedged: from the last sign of a stream that falls silent, two requests without
-/// a response are given up within four seconds.
+/// Time without data after which a stream is considered dead; the server sends a comment each second.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_600);
+/// Time without a response after which a request is hedged. If two requests get no response, the third one is sent
+/// within four seconds of the last data of the previous stream.
 const HEDGE_DELAY: Duration = Duration::from_millis(700);
-/// Requests that await a response at once, and for how long.
+/// Largest number of concurrent requests that await a response.
 const MAX_HEDGED_REQUESTS: usize = 4;
+/// Time after which all requests that await a response are cancelled.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Backoff between streams, doubled each time, with jitter.
+/// First backoff between streams, which is doubled each time and has jitter.
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
 const MAX_BACKOFF: Duration = Duration::from_millis(400);
 
-/// Why a stream has ended.
+/// Error that ends a stream.
 #[derive(Debug, thiserror::Error)]
 enum StreamError {
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    #[error("HTTP failed: {0}")]
+    #[error("HTTP request failed: {0}")]
     Http(#[from] hyper::Error),
     #[error("request cannot be built: {0}")]
     Request(#[from] hyper::http::Error),
-    #[error("status {0}")]
+    #[error("unexpected HTTP status {0}")]
     Status(hyper::StatusCode),
     #[error("no response within {RESPONSE_TIMEOUT:?}")]
     ResponseTimeout,
-    #[error("no data within {SILENCE_TIMEOUT:?}")]
-    Silence,
-    #[error("cannot be decoded: {0}")]
+    #[error("no data within {IDLE_TIMEOUT:?}")]
+    IdleTimeout,
+    #[error("stream cannot be decoded: {0}")]
     Decode(#[from] ServerSentEventError),
-    #[error("event is malformed: {0}")]
+    #[error("malformed discovery event: {0}")]
     MalformedEvent(#[from] serde_json::Error),
     #[error(transparent)]
     Gap(#[from] RevisionGap),
@@ -58,8 +59,8 @@
     Task(#[from] tokio::task::JoinError),
 }
 
-/// Follows the stream at the latest address. The stream at the address before it is read until the new one has sent
-/// something.
+/// Reads the stream at the latest address. The stream at the previous address is read until the new one has sent an
+/// item.
 pub async fn follow(state: Arc<Mutex<DiscoveryState>>, mut address: watch::Receiver<String>) {
     let mut previous: Option<AbortOnDrop> = None;
     loop {
@@ -82,7 +83,7 @@
     }
 }
 
-/// Requests the stream at one address again and again, from the last revision that was applied.
+/// Requests the stream at one address repeatedly, each time from the last applied revision; never returns.
 async fn read_repeatedly(
     state: Arc<Mutex<DiscoveryState>>,
     address: String,
@@ -94,7 +95,7 @@
         if let Err(reason) = read_once(&state, &address, &received).await {
             tracing::info!(address, %reason, "discovery stream ended");
         }
-        // A stream that lasted is requested again at once.
+        // The backoff restarts after a stream that lasted longer than the longest backoff.
         if started.elapsed() > MAX_BACKOFF {
             backoff = MIN_BACKOFF;
         }
@@ -113,7 +114,8 @@
     read_stream(state, stream, received).await
 }
 
-/// The first stream that begins. A request without a response is hedged: the peer may be gone, or only slow.
+/// Returns the first stream that begins. A request without a response is hedged, since the peer may be down or only
+/// slow.
 async fn open_hedged(
     state: &Arc<Mutex<DiscoveryState>>,
     address: &str,
@@ -137,17 +139,17 @@
         };
         match opened.unwrap_or_else(|error| Err(error.into())) {
             Ok(stream) => return Ok(stream),
-            // The last request's error is the result; others are still awaited.
+            // An error is returned only if no other request is awaited.
             Err(reason) if requests.is_empty() => return Err(reason),
             Err(reason) => tracing::debug!(address, %reason, "hedged discovery request failed"),
         }
     }
 }
 
-/// A stream of events that has begun.
+/// An open stream of events.
 struct Stream {
     body: hyper::body::Incoming,
-    /// Serves it.
+    /// Task of the HTTP connection.
     _connection: AbortOnDrop,
 }
 
@@ -176,7 +178,7 @@
     })
 }
 
-/// Applies the events of a stream until it ends, breaks or falls silent.
+/// Applies the events of a stream until it ends, fails or sends no data for [`IDLE_TIMEOUT`].
 async fn read_stream(
     state: &Arc<Mutex<DiscoveryState>>,
     mut stream: Stream,
@@ -186,9 +188,9 @@
     let mut buffer = BytesMut::new();
     loop {
         let waiting_since = Instant::now();
-        let frame = tokio::time::timeout(SILENCE_TIMEOUT, stream.body.frame())
+        let frame = tokio::time::timeout(IDLE_TIMEOUT, stream.body.frame())
             .await
-            .map_err(|_| StreamError::Silence)?;
+            .map_err(|_| StreamError::IdleTimeout)?;
         let Some(frame) = frame else { return Ok(()) };
         let Ok(data) = frame?.into_data() else {
             continue;
@@ -202,12 +204,12 @@
                 lock(state).apply_next(event)?;
             }
         }
-        // Whatever arrives next was sent after this wait had begun.
+        // All events that were sent before this wait began are applied.
         lock(state).mark_up_to_date(waiting_since);
     }
 }
 
-/// A task that ends with its owner.
+/// A task that is aborted when its owner is dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/crates/platform/src/frontend/client_stream.rs
+++ b/crates/platform/src/frontend/client_stream.rs
@@ -1,4 +1,4 @@
-//! A FastCGI client as the core's exchange sees it: its response is assembled completely and handed to the writer.
+//! The client side of an exchange over FastCGI: assembles the complete response and passes it to the writer.
 use super::response_writer::{HttpStatus, Outgoing, ResponseSender};
 use bytes::Bytes;
 use pointspindle::Micros;
@@ -8,19 +8,20 @@
 
 const MICROS_PER_MILLI: Micros = 1_000;
 
-/// The client's end of one request.
+/// The client side of one request.
 pub(super) struct FastCgiClient {
-    /// Number of the request.
+    /// Id of the request on its connection.
     pub id: u16,
+    /// Queue of the session's writer.
     pub responses: ResponseSender,
-    /// Cancelled when the client aborts the request, or with the session.
+    /// Cancelled when the client aborts the request, when the request ends, and when the session ends.
     pub cancelled: CancellationToken,
     head: Option<ResponseHead>,
     body: Vec<Bytes>,
 }
 
 impl FastCgiClient {
-    /// The client of a request that begins.
+    /// Creates the client side of a request that begins.
     pub fn new(id: u16, responses: ResponseSender, cancelled: CancellationToken) -> Self {
         Self {
             id,
@@ -61,7 +62,7 @@
 
     async fn end(&mut self) -> Result<(), ClientDisconnected> {
         let not_modified = self.head.take().is_some_and(|head| head.not_modified);
-        // Nearly always one piece.
+        // The body is nearly always one piece.
         let body = match self.body.len() {
             0 | 1 => self.body.pop().unwrap_or_default(),
             _ => Bytes::from(self.body.concat()),
@@ -83,7 +84,7 @@
         let _ = self.send(Outgoing::empty_response(self.id, HttpStatus::BadGateway));
     }
 
-    /// No byte of the response is sent yet, so it can still fail.
+    /// Sends an error response, which is still possible since no byte of the response is sent before it is complete.
     async fn abort(&mut self) {
         self.fail().await;
     }
--- a/crates/platform/src/frontend/mod.rs
+++ b/crates/platform/src/frontend/mod.rs
@@ -1,4 +1,4 @@
-//! The FastCGI frontend: the listener, and what all client connections share. Each connection is a `session`.
+//! The FastCGI frontend: the listener and the state that all client connections share. Each connection is a `session`.
 mod client_stream;
 mod request_task;
 mod response_writer;
@@ -20,10 +20,11 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// The platform's bound on what is in transit when a connection is closed: it has arrived by then, or is sent again.
+/// Longest transit time of input, as the platform defines it: input that is in transit when a connection is closed
+/// arrives within this time, or the client sends it again.
 const TRANSIT_TIME: Duration = Duration::from_millis(50);
 
-/// What all client connections share.
+/// State that all client connections share.
 #[derive(Clone)]
 pub struct Frontend {
     core: Arc<PlatformCore>,
@@ -31,12 +32,12 @@
     registry: Arc<ConnectionRegistry>,
     phase: watch::Receiver<ShutdownPhase>,
     pause_detector: Arc<PauseDetector>,
-    /// Transaction ids of the requests in flight, from all connections.
+    /// Transaction ids of the requests in flight on all connections.
     transactions: Arc<Mutex<HashSet<String>>>,
 }
 
 impl Frontend {
-    /// A frontend without connections.
+    /// Creates a frontend without connections.
     pub(crate) fn new(
         core: Arc<PlatformCore>,
         settings: Arc<PlatformSettings>,
@@ -62,7 +63,7 @@
         *self.phase.borrow()
     }
 
-    /// Serves a new connection. Beyond the connection limit it is closed at once, without a response.
+    /// Serves a new connection. A connection beyond the limit is closed at once, without a response.
     fn serve(&self, sessions: &mut JoinSet<()>, socket: Socket, peer: SocketAddr) {
         let Socket::Tcp(socket) = socket else { return };
         if let Ok(permit) = self.registry.admit(peer.ip()) {
@@ -82,8 +83,8 @@
     session::run(frontend, socket, &permit).await;
 }
 
-/// Accepts connections until the listener is to close, or until the dispatcher shuts down and has had no connection for a
-/// while; returns when the last connection has ended.
+/// Accepts connections until the listener has to close, or until the dispatcher is shutting down and has had no
+/// connection for [`TRANSIT_TIME`]. Returns when the last connection has ended.
 pub async fn accept(mut listener: Listener, frontend: Frontend, mut close: watch::Receiver<bool>) {
     let mut sessions = JoinSet::new();
     loop {
@@ -92,7 +93,7 @@
             accepted = listener.accept() => accepted,
             _ = sessions.join_next(), if !sessions.is_empty() => continue,
             _ = close.wait_for(|close| *close) => break,
-            // A request that crossed the last close is retried on a new connection.
+            // A client may retry a request that crossed the last close on a new connection.
             () = tokio::time::sleep(TRANSIT_TIME), if is_unused => break,
         };
         match accepted {
@@ -100,7 +101,7 @@
             Err(error) => frontend.registry.accept_failed(error).await,
         }
     }
-    // The system has accepted the connections in the queue, with the requests sent on them.
+    // The system has already accepted the connections in the accept queue, and clients may have sent requests on them.
     let registry = frontend.registry.clone();
     let serve = |socket, peer| frontend.serve(&mut sessions, socket, peer);
     let pause = |error| registry.accept_failed(error);
--- a/crates/platform/src/frontend/request_task.rs
+++ b/crates/platform/src/frontend/request_task.rs
@@ -1,4 +1,4 @@
-//! The task of one client request: runs it through the core's exchange.
+//! The task of one client request, which runs the exchange of the core for it.
 use super::client_stream::FastCgiClient;
 use super::response_writer::Outgoing;
 use super::Frontend;
@@ -13,14 +13,14 @@
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// A transaction id in flight; released when the request ends.
+/// Reservation of a transaction id, which is released when the request ends.
 pub(super) struct TransactionGuard {
     transactions: Arc<Mutex<HashSet<String>>>,
     id: String,
 }
 
 impl TransactionGuard {
-    /// None: the id is in flight already.
+    /// Reserves a transaction id. Returns `None` if a request with this id is in flight.
     pub fn reserve(frontend: &Frontend, id: &str) -> Option<Self> {
         let is_new = frontend.transactions().insert(id.to_owned());
         is_new.then(|| Self {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Serves a request to its end.
+/// Runs a request until it ends.
 pub(super) async fn run(
     frontend: Frontend,
     transaction: TransactionGuard,
@@ -47,11 +47,11 @@
     let incoming = incoming_request(&frontend, request, body);
     let outcome = exchange::run(&frontend.core, incoming, &mut client).await;
     if outcome == RequestOutcome::ClientDisconnected {
-        // No response is owed, but the request's number is free again only with its end.
-        let end = Outgoing::end(client.id, ProtocolStatus::Complete);
+        // No response is sent, but the client may reuse the request id only after the end record.
+        let end = Outgoing::end_request(client.id, ProtocolStatus::Complete);
         client.responses.send(end);
     }
-    // The session forgets requests whose token is cancelled.
+    // The session drops requests whose token is cancelled.
     client.cancelled.cancel();
     drop(transaction);
 }
--- a/crates/platform/src/frontend/response_writer.rs
+++ b/crates/platform/src/frontend/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the responses of a FastCGI session, in the order in which they are complete.
+//! Writes the responses of a FastCGI session in the order in which they are completed.
 use super::session::SessionRequests;
 use bytes::{Bytes, BytesMut};
 use pointspindle_platform_protocol::fastcgi::{self, ProtocolStatus};
@@ -10,23 +10,23 @@
 use tokio::io::AsyncWriteExt;
 use tokio::sync::mpsc;
 
-/// A client that takes no byte of a response for this time is disconnected.
+/// Time within which a client must accept a message, or it is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Application status of a request that ends without a response.
+/// Application status in the end record of a request without a response.
 const NO_RESPONSE_STATUS: u32 = 1;
 
-/// Status of a response.
+/// HTTP status of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HttpStatus {
     Ok,
     BadRequest,
     BadGateway,
-    /// Rejected: a retry is harmless.
+    /// The request was rejected without being executed, so that the client may retry it.
     ServiceUnavailable,
 }
 
 impl HttpStatus {
-    fn line(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Ok => "200 OK",
             Self::BadRequest => "400 Bad Request",
@@ -36,50 +36,50 @@
     }
 }
 
-/// What a session's writer is given.
+/// A message for the writer of a session.
 #[derive(Debug)]
 pub(super) struct Outgoing {
     pieces: Vec<Bytes>,
-    /// The request that is finished once this is written.
-    finishes: Option<u16>,
+    /// Id of the request that is finished once this message is written.
+    finished_request: Option<u16>,
 }
 
 impl Outgoing {
-    /// Bytes that belong to no request.
+    /// Creates a message of bytes that finishes no request.
     pub fn bytes(bytes: Bytes) -> Self {
         Self {
             pieces: vec![bytes],
-            finishes: None,
+            finished_request: None,
         }
     }
 
-    /// A complete response. `fields`: header lines, each with its end.
+    /// Creates a complete response. `fields` holds additional header lines, each with its line end.
     pub fn response(id: u16, status: HttpStatus, fields: &str, body: Bytes) -> Self {
         let head = format!(
             "Status: {}\r\nContent-Type: application/octet-stream\r\nContent-Length: {}\r\n{fields}\r\n",
-            status.line(),
+            status.as_str(),
             body.len()
         );
         Self {
             pieces: fastcgi::encode_response(id, head.as_bytes(), body, 0),
-            finishes: Some(id),
+            finished_request: Some(id),
         }
     }
 
-    /// A complete response without header lines and body.
+    /// Creates a complete response without additional header lines and without a body.
     pub fn empty_response(id: u16, status: HttpStatus) -> Self {
         Self::response(id, status, "", Bytes::new())
     }
 
-    /// The end of an open request without a response.
-    pub fn end(id: u16, status: ProtocolStatus) -> Self {
+    /// Creates the end of an open request without a response.
+    pub fn end_request(id: u16, status: ProtocolStatus) -> Self {
         Self {
-            finishes: Some(id),
+            finished_request: Some(id),
             ..Self::end_unopened(id, status)
         }
     }
 
-    /// The end of a request that was not opened.
+    /// Creates the end of a request that was not opened.
     pub fn end_unopened(id: u16, status: ProtocolStatus) -> Self {
         let mut out = BytesMut::new();
         fastcgi::write_end_request(&mut out, id, NO_RESPONSE_STATUS, status);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The way to a session's writer.
+/// Sender of messages to the writer of a session.
 #[derive(Clone, Debug)]
 pub(super) struct ResponseSender {
     queue: mpsc::UnboundedSender<Outgoing>,
@@ -95,25 +95,25 @@
 }
 
 impl ResponseSender {
-    /// False: the session is over.
+    /// Queues a message. Returns false if the session has ended.
     pub fn send(&self, outgoing: Outgoing) -> bool {
         self.unwritten.fetch_add(1, Ordering::Relaxed);
         self.queue.send(outgoing).is_ok()
     }
 
-    /// How many were sent here and are not written.
-    pub fn unwritten(&self) -> usize {
+    /// Returns the number of queued messages that are not written.
+    pub fn unwritten_count(&self) -> usize {
         self.unwritten.load(Ordering::Relaxed)
     }
 }
 
-/// Writes what a [`ResponseSender`] is given.
+/// Writer of the messages from a [`ResponseSender`].
 pub(super) struct ResponseWriter {
     queue: mpsc::UnboundedReceiver<Outgoing>,
     unwritten: Arc<AtomicUsize>,
 }
 
-/// A sender and its writer.
+/// Creates a sender and its writer.
 pub(super) fn response_channel() -> (ResponseSender, ResponseWriter) {
     let (sender, receiver) = mpsc::unbounded_channel();
     let unwritten = Arc::new(AtomicUsize::new(0));
@@ -129,7 +129,7 @@
 }
 
 impl ResponseWriter {
-    /// Writes until all senders are dropped, or the client takes nothing.
+    /// Writes until all senders are dropped, or until the client is disconnected or does not accept a message in time.
     pub async fn run(mut self, mut socket: RetryingWriteHalf, requests: Arc<SessionRequests>) {
         while let Some(outgoing) = self.queue.recv().await {
             let write = write_all(&mut socket, outgoing.pieces);
@@ -138,8 +138,8 @@
                 return;
             }
             self.unwritten.fetch_sub(1, Ordering::Relaxed);
-            // No wait in between: a client that has the end may use the number again.
-            if let Some(id) = outgoing.finishes {
+            // The request is finished without an await in between: a client that has received the end may reuse the id.
+            if let Some(id) = outgoing.finished_request {
                 requests.finish(id);
             }
         }
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -1,14 +1,21 @@
 //! A FastCGI session: one client connection with a reader, a writer, and a task for each request.
 //!
-//! A request is open on its session until its response is written, so what is buffered for a client that does not read is
-//! bounded by the requests that it may have open. A client that sends no complete request in time loses its connection;
-//! one that sends invalid requests gets an error for each, a few times.
+//! A request is open on its session until its response is written, so the limit on open requests also limits what is
+//! buffered for a client that does not read. If a client sends no complete request in time, its connection is closed,
+//! or, while complete requests are open, only the incomplete ones are rejected. Each invalid request gets an error
+//! response, up to a limit.
 //!
-//! What is owed when a session ends. The client's close: nothing, all its requests are cancelled. Undecodable bytes, a
-//! protocol violation, too many invalid requests, a request without keep-alive, an incomplete request that times out beside
-//! others, graceful shutdown: the responses to all requests that were complete before; nothing that follows is accepted,
-//! the client's close is still noticed, and the connection closes after the last response. Eviction for a new connection,
-//! idle time-out, graceful shutdown: what has arrived in the same moment is read first, and served.
+//! A session ends for one of these reasons:
+//! - The client closes the connection: all its requests are cancelled.
+//! - The input cannot be decoded, the protocol is violated, or too many requests were invalid: no further request is
+//!   accepted. The requests that were complete before are served, unless the client closes the connection, and the
+//!   connection closes after the last response.
+//! - A request without keep-alive was received, or the dispatcher is shutting down: the connection closes after the
+//!   last response.
+//! - The connection is evicted for a new one or is idle for too long: it closes when no request is open.
+//!
+//! Before the dispatcher closes a connection for one of the last two reasons, it reads and serves what has already
+//! arrived.
 use super::client_stream::FastCgiClient;
 use super::request_task::{self, TransactionGuard};
 use super::response_writer::{response_channel, HttpStatus, Outgoing, ResponseSender};
@@ -35,20 +42,21 @@
 use tokio_util::sync::CancellationToken;
 use tracing::Instrument;
 
-/// Invalid requests of one session, after which it is closed.
+/// Number of invalid requests after which a session is closed.
 const MAX_INVALID_REQUESTS: usize = 8;
-/// Responses that wait for a client which does not read, beyond which it is disconnected.
+/// Number of unwritten responses beyond which a client that does not read is disconnected.
 const MAX_UNWRITTEN_RESPONSES: usize = 256;
-/// Time for the client to take the last responses once its session is over, and for what it still sends to be read.
+/// Time-out, after the end of a session, of writing the last responses, and then of discarding what the client still
+/// sends.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Times that input keeps a session open which was due to close.
+/// Number of times that input may delay the close of a session.
 const MAX_CLOSE_DELAYS: usize = 256;
 
-/// The requests of one session, for its reader, its writer and the requests' own tasks.
+/// Requests of one session, shared by its reader and its writer.
 #[derive(Default)]
 pub(super) struct SessionRequests {
     assembler: Mutex<RequestAssembler>,
-    /// A request was finished.
+    /// Signals that a request was finished.
     finished: Notify,
 }
 
@@ -59,14 +67,14 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// The response of a request is written.
+    /// Finishes a request whose response is written.
     pub fn finish(&self, id: u16) {
         self.lock().finish(id);
         self.finished.notify_one();
     }
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends.
 pub(super) async fn run(frontend: Frontend, socket: TcpStream, permit: &ConnectionPermit) {
     let (read, write) = socket.into_split();
     let requests = Arc::new(SessionRequests::default());
@@ -87,33 +95,33 @@
     }
     if end == SessionEnd::Closed {
         // A close with bytes unread would reset the connection and lose the last responses.
-        let _ = tokio::time::timeout(CLOSE_TIMEOUT, input.discard_until_silent()).await;
+        let _ = tokio::time::timeout(CLOSE_TIMEOUT, input.discard_until_idle()).await;
     }
 }
 
 /// How a session has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum SessionEnd {
-    /// The client has closed, or is disconnected.
+    /// The client has closed the connection, or is disconnected.
     Disconnected,
-    /// It is closed from here, and no response is owed.
+    /// The dispatcher closes the connection, and no response is pending.
     Closed,
 }
 
-/// Why a request is answered with an error.
+/// Reason for which a request gets an error response.
 #[derive(Debug, thiserror::Error)]
 enum RejectReason {
     #[error(transparent)]
     Assembly(#[from] InvalidRequest),
     #[error(transparent)]
     Parse(#[from] ClientRequestError),
-    #[error("it is not complete in time")]
+    #[error("request was not complete within the head time-out")]
     IncompleteTimeout,
-    #[error("its transaction id is in flight")]
+    #[error("a request with the same transaction id is in flight")]
     DuplicateTransaction,
 }
 
-/// Why the input of a session is not decoded any more.
+/// Error that ends the decoding of a session's input.
 #[derive(Debug, thiserror::Error)]
 enum InputError {
     #[error(transparent)]
@@ -122,24 +130,24 @@
     Session(#[from] SessionError),
 }
 
-/// What a session sees.
+/// An event that a session handles.
 enum SessionEvent {
     Input(InputEvent),
     CloseDue,
     RequestFinished,
-    /// Eviction for a new connection, or the idle time-out.
+    /// The connection is evicted for a new one, or has been idle for too long.
     CloseRequested,
     IncompleteTimeout,
-    /// The plan is to be made anew.
+    /// The session has to make a new plan.
     PlanChanged,
 }
 
-/// What is done when input was awaited for long enough.
+/// Action at the end of a wait for input.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WaitEnd {
-    /// The session is closed: nothing is owed.
+    /// The session is closed; no response is pending.
     Close,
-    /// Incomplete requests are rejected; others are open.
+    /// Incomplete requests are rejected while complete ones are open.
     RejectIncomplete,
 }
 
@@ -147,18 +155,18 @@
     frontend: Frontend,
     requests: Arc<SessionRequests>,
     responses: ResponseSender,
-    /// Cancelled when the session is over.
+    /// Cancelled when the session ends.
     cancelled: CancellationToken,
-    /// Cancellation of the requests in flight.
+    /// Cancellation tokens of the requests in flight, by request id.
     in_flight: HashMap<u16, CancellationToken>,
     invalid_requests: usize,
-    /// The client has sent a complete request, or is not to be timed out for want of one.
+    /// Whether the client has sent a complete request, or must not be timed out for not having sent one.
     has_received_request: bool,
     mode: InputMode,
-    /// It is closed once nothing is open.
+    /// Whether the session is closed once no request is open.
     is_finishing: bool,
     deadlines: SessionDeadlines,
-    /// Times that input has kept it open when it was due to close.
+    /// Number of times that input has delayed the close.
     close_delays: usize,
 }
 
@@ -181,7 +189,7 @@
         }
     }
 
-    /// Serves requests until the session is over.
+    /// Serves requests until the session ends.
     async fn serve(&mut self, input: &mut SessionInput, permit: &ConnectionPermit) -> SessionEnd {
         let mut phase = self.frontend.phase.clone();
         loop {
@@ -189,8 +197,8 @@
                 self.reject_incomplete();
             }
             let plan = self.plan();
-            if self.responses.unwritten() > MAX_UNWRITTEN_RESPONSES {
-                tracing::debug!("client disconnected: it does not read its responses");
+            if self.responses.unwritten_count() > MAX_UNWRITTEN_RESPONSES {
+                tracing::debug!("client disconnected: too many responses are unwritten");
                 return SessionEnd::Disconnected;
             }
             let is_close_due = plan.is_close_due();
@@ -199,17 +207,17 @@
                 if self.close_delays > MAX_CLOSE_DELAYS {
                     return SessionEnd::Closed;
                 }
-                // The runtime polls its sockets first: what arrived by now, also while the process was paused, is seen.
+                // Yields so that the runtime polls its sockets: input that has arrived, also during a pause, is read.
                 tokio::task::yield_now().await;
             }
             let event = tokio::select! {
-                // Input first: a request that has arrived is served, though its connection is to be closed.
+                // Input is polled first: a request that has arrived is served although its connection has to close.
                 biased;
                 event = input.next(self.mode) => SessionEvent::Input(event),
                 () = std::future::ready(()), if is_close_due => SessionEvent::CloseDue,
                 () = self.requests.finished.notified() => SessionEvent::RequestFinished,
                 () = sleep_until(plan.close_at), if plan.close_at.is_some() => SessionEvent::PlanChanged,
-                () = permit.close_requested(), if !plan.has_open_requests && !plan.is_leaving => {
+                () = permit.close_requested(), if !plan.has_open_requests && !plan.is_closing => {
                     SessionEvent::CloseRequested
                 }
                 () = sleep_until(plan.complete_by), if plan.complete_by.is_some() => {
@@ -238,7 +246,7 @@
         })
     }
 
-    /// Handles what was seen. Returns how the session ends, if it does.
+    /// Handles an event. Returns how the session ends, if it does.
     fn handle(
         &mut self,
         event: SessionEvent,
@@ -261,11 +269,11 @@
             SessionEvent::CloseDue => return self.end_wait(WaitEnd::Close, input),
             SessionEvent::RequestFinished => self.update_permit(permit),
             SessionEvent::CloseRequested => {
-                // What arrived in this very moment is served first.
+                // The session does not close at once: input that has already arrived is served first.
                 self.is_finishing = true;
                 self.has_received_request = true;
             }
-            SessionEvent::IncompleteTimeout if plan.nothing_owed => {
+            SessionEvent::IncompleteTimeout if plan.no_response_pending => {
                 return self.end_wait(WaitEnd::Close, input)
             }
             SessionEvent::IncompleteTimeout => {
@@ -281,17 +289,17 @@
         }
     }
 
-    /// Ends a wait for input, unless something has arrived: looked for in the very moment before, since the process may have
-    /// been paused through the wait.
+    /// Ends a wait for input, unless input has arrived. This is checked right before, since the process may have been
+    /// paused during the wait.
     fn end_wait(&mut self, end: WaitEnd, input: &mut SessionInput) -> Option<SessionEnd> {
         match input.read_now(self.mode) {
             ImmediateInput::Disconnected => return Some(SessionEnd::Disconnected),
             ImmediateInput::Buffered => return None,
-            ImmediateInput::Nothing | ImmediateInput::Discarded => {}
+            ImmediateInput::Empty | ImmediateInput::Discarded => {}
         }
         match end {
             WaitEnd::Close => {
-                if self.responses.unwritten() == 0 {
+                if self.responses.unwritten_count() == 0 {
                     input.close_write_half();
                 }
                 Some(SessionEnd::Closed)
@@ -303,7 +311,7 @@
         }
     }
 
-    /// Accepts nothing more: requests that were complete before are served.
+    /// Stops decoding the input. Requests that were complete before are still served.
     fn stop_decoding(&mut self, error: InputError) {
         tracing::debug!(%error, "client input cannot be decoded");
         let _ = self.requests.lock().drop_incomplete();
@@ -337,12 +345,12 @@
             Ok(outcome) if self.mode == InputMode::Accepting => {
                 self.handle_outcome(outcome, unread_time);
             }
-            Ok(outcome) => self.ignore_outcome(outcome),
+            Ok(outcome) => self.handle_cancellation_only(outcome),
             Err(error) => self.stop_decoding(error.into()),
         }
     }
 
-    /// `unread_time`: the longest that the record may have been buffered.
+    /// Handles the outcome of a record. `unread_time` is the longest time for which the record may have been buffered.
     fn handle_outcome(&mut self, outcome: RecordOutcome, unread_time: Duration) {
         match outcome {
             RecordOutcome::Pending => {}
@@ -369,8 +377,8 @@
         }
     }
 
-    /// Obeys cancellations only.
-    fn ignore_outcome(&mut self, outcome: RecordOutcome) {
+    /// Handles the outcome of a record if it is a cancellation, and otherwise ignores it.
+    fn handle_cancellation_only(&mut self, outcome: RecordOutcome) {
         match outcome {
             RecordOutcome::Aborted { id, was_complete } => self.abort(id, was_complete),
             RecordOutcome::Complete { id, .. } => self.requests.lock().finish(id),
@@ -384,7 +392,7 @@
 
     fn abort(&mut self, id: u16, was_complete: bool) {
         if !was_complete {
-            self.send(Outgoing::end(id, ProtocolStatus::Complete));
+            self.send(Outgoing::end_request(id, ProtocolStatus::Complete));
         } else if let Some(request) = self.in_flight.get(&id) {
             request.cancel();
         }
@@ -397,12 +405,12 @@
         self.count_invalid();
     }
 
-    /// After some invalid requests the session is closed, once the valid ones are served.
+    /// Counts an invalid request. After [`MAX_INVALID_REQUESTS`], the session is closed once the valid ones are served.
     fn count_invalid(&mut self) {
         self.invalid_requests += 1;
         if self.invalid_requests >= MAX_INVALID_REQUESTS {
             self.is_finishing = true;
-            self.mode = InputMode::Ignoring;
+            self.mode = InputMode::CancellationsOnly;
         }
     }
 
@@ -421,7 +429,7 @@
 
     fn reply_to_health_check(&self, id: u16) {
         let is_serving = self.frontend.phase() == ShutdownPhase::Serving;
-        // Without an endpoint list no request could be sent.
+        // Before the first endpoint list, no request can be sent to an endpoint.
         let is_ready = is_serving && self.frontend.core.endpoint_list_seq() > 0;
         let status = if is_ready {
             HttpStatus::Ok
@@ -433,7 +441,7 @@
 
     fn begin_request(&mut self, id: u16, request: ClientRequest, body: Bytes) {
         if self.frontend.phase() > ShutdownPhase::Serving {
-            // Another dispatcher has time for it.
+            // The client retries on another dispatcher, which has more time for the request.
             return self.send(Outgoing::empty_response(id, HttpStatus::ServiceUnavailable));
         }
         let Some(transaction) = TransactionGuard::reserve(&self.frontend, &request.transaction_id)
@@ -446,7 +454,7 @@
         let client = FastCgiClient::new(id, self.responses.clone(), cancelled);
         let span = tracing::debug_span!(
             "request",
-            txn = %request.transaction_id,
+            transaction_id = %request.transaction_id,
             class = request.class,
             timeout_ms = request.timeout_ms
         );
--- a/crates/platform/src/frontend/session_input.rs
+++ b/crates/platform/src/frontend/session_input.rs
@@ -1,4 +1,4 @@
-//! The bytes that a client sends on a FastCGI session, as records or discarded.
+//! Reads the input of a FastCGI session, and decodes or discards it.
 use super::TRANSIT_TIME;
 use bytes::BytesMut;
 use futures_util::StreamExt;
@@ -8,53 +8,58 @@
 use tokio_util::codec::{Decoder, FramedRead};
 
 const READ_BUFFER_BYTES: usize = 1024;
-/// Read at once of what is discarded.
+/// Largest number of bytes that one read discards.
 const DISCARD_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What is done with the bytes that a client sends.
+/// How input is processed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum InputMode {
-    /// Requests are accepted.
+    /// Records are decoded, and requests are accepted.
     Accepting,
-    /// Records are decoded, and only cancellations are obeyed: too many requests were invalid.
-    Ignoring,
-    /// Bytes are not decoded any more.
+    /// Records are decoded, and all but cancellations are ignored, because too many requests were invalid.
+    CancellationsOnly,
+    /// Input is not decoded any more.
     Discarding,
 }
 
-/// What arrived from a client.
+/// An event on the input.
 pub(super) enum InputEvent {
+    /// A record was received.
     Record(Record),
-    /// Bytes that cannot be decoded.
+    /// The input cannot be decoded.
     Undecodable(RecordError),
+    /// Input was received and discarded.
     Discarded,
+    /// The client has closed the connection, or reading from it failed.
     Disconnected,
 }
 
-/// What is there right now, without waiting.
+/// Input that can be read without waiting.
 pub(super) enum ImmediateInput {
-    Nothing,
-    /// Bytes, to be decoded by the next [`SessionInput::next`].
+    /// No input is available.
+    Empty,
+    /// Input was read into the buffer, which the next [`SessionInput::next`] decodes.
     Buffered,
-    /// Bytes that are not decoded any more.
+    /// Input was read and discarded.
     Discarded,
+    /// The client has closed the connection, or reading from it failed.
     Disconnected,
 }
 
-/// See the module's documentation.
+/// Input of a session.
 pub(super) struct SessionInput {
     records: FramedRead<RetryingReadHalf, RecordCodec>,
 }
 
 impl SessionInput {
-    /// The input of a new session.
+    /// Creates the input of a new session.
     pub fn new(socket: RetryingReadHalf) -> Self {
         Self {
             records: FramedRead::with_capacity(socket, RecordCodec, READ_BUFFER_BYTES),
         }
     }
 
-    /// Waits for what arrives next. Cancel safe.
+    /// Waits for the next event on the input. Cancel safe.
     pub async fn next(&mut self, mode: InputMode) -> InputEvent {
         if mode == InputMode::Discarding {
             return match self.discard().await {
@@ -62,7 +67,8 @@
                 Ok(0) | Err(_) => InputEvent::Disconnected,
             };
         }
-        // Bytes may be in the buffer that the stream does not know of ([`SessionInput::read_now`]).
+        // [`SessionInput::read_now`] may have added bytes to the buffer, which the stream decodes only after its next
+        // read.
         match RecordCodec.decode(self.records.read_buffer_mut()) {
             Ok(None) => {}
             Ok(Some(record)) => return InputEvent::Record(record),
@@ -71,7 +77,7 @@
         match self.records.next().await {
             Some(Ok(record)) => InputEvent::Record(record),
             Some(Err(RecordError::Io(error))) => {
-                tracing::debug!(%error, "client connection failed");
+                tracing::debug!(%error, "reading from client connection failed");
                 InputEvent::Disconnected
             }
             Some(Err(error)) => InputEvent::Undecodable(error),
@@ -79,11 +85,11 @@
         }
     }
 
-    /// Reads what is there right now.
+    /// Reads the available input without waiting.
     pub fn read_now(&mut self, mode: InputMode) -> ImmediateInput {
         let mut bytes = [0; READ_BUFFER_BYTES];
         match self.records.get_ref().read_now(&mut bytes) {
-            Ok(None) => ImmediateInput::Nothing,
+            Ok(None) => ImmediateInput::Empty,
             Ok(Some(0)) | Err(_) => ImmediateInput::Disconnected,
             Ok(Some(read)) if mode == InputMode::Accepting => {
                 let buffer = self.records.read_buffer_mut();
@@ -94,17 +100,18 @@
         }
     }
 
-    /// Sends the end of the connection to the client, which may still send.
+    /// Closes the connection for writing. The client may still send.
     pub fn close_write_half(&self) {
         let _ = self.records.get_ref().shutdown_write();
     }
 
-    /// Discards input until the client has closed, or has sent nothing for a while.
-    pub async fn discard_until_silent(&mut self) {
+    /// Discards input until the client has closed the connection or has sent no input for [`TRANSIT_TIME`].
+    pub async fn discard_until_idle(&mut self) {
         while let Ok(Ok(1..)) = tokio::time::timeout(TRANSIT_TIME, self.discard()).await {}
     }
 
-    /// Reads some bytes and drops them; none: the client has closed. Cancel safe.
+    /// Reads and drops some bytes. Returns their number, which is 0 if the client has closed the connection. Cancel
+    /// safe.
     async fn discard(&mut self) -> std::io::Result<usize> {
         self.records.read_buffer_mut().clear();
         let mut discarded = BytesMut::with_capacity(DISCARD_BUFFER_BYTES);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! Clients connect by FastCGI ([`frontend`]); cache hosts are reached over the line protocol ([`connection_pool`]);
 //! endpoint lists and purges arrive on the discovery stream ([`endpoint_discovery`]); [`lifecycle`] starts, reloads and
-//! shuts down. In between stands the same core as in every dispatcher: a request is a
-//! [`pointspindle_dispatcher::net::exchange`], its commands come from the
-//! [`pointspindle_dispatcher::net::core_handle::CoreHandle`], and every decision from the decision module.
+//! shuts down. The core is the same as in every dispatcher: [`pointspindle_dispatcher::net::exchange`] runs each
+//! request, its commands come from the [`pointspindle_dispatcher::net::core_handle::CoreHandle`], and the router makes
+//! every decision.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -1,9 +1,10 @@
-//! Start, configuration reload, graceful shutdown.
+//! Start, configuration reload and graceful shutdown of the dispatcher.
 //!
-//! After SIGTERM, requests in flight, and those that come for a while on open connections, on new ones and from the
-//! listener's queue, are served; then each connection finishes what it has, rejects what still comes, and closes
-//! ([`crate::frontend`]). All that is open has its final response before the process may be killed (`crate::shutdown`);
-//! it ends with its last connection. Discovery and configuration reloads go on to the end: attempts are still made.
+//! After SIGTERM, requests in flight and new requests are served for a while, on open connections, on new ones and on
+//! those in the accept queue. Each connection then finishes its open requests, rejects new ones, and closes
+//! ([`crate::frontend`]). All open requests have their final response before the process may be killed
+//! (`crate::shutdown`); the process ends with its last connection. Discovery and configuration reloads continue until
+//! then, since attempts are still started.
 use crate::connection_pool::{connect_requested, run_maintenance, ConnectionPool, PlatformCore};
 use crate::endpoint_discovery::{lock, stream, DiscoveryState};
 use crate::frontend::{accept, Frontend};
@@ -29,50 +30,50 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Backoff between reads of a configuration that cannot be used: it may be half written.
+/// First backoff between reads of a configuration that cannot be read, which may be partly written.
 const MIN_RELOAD_BACKOFF: Duration = Duration::from_millis(20);
 const MAX_RELOAD_BACKOFF: Duration = Duration::from_secs(1);
 const STATUS_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Variable that overrides the listen address.
+/// Environment variable that overrides the listen address.
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
 
-/// Why a dispatcher could not be started.
+/// Error that prevents the start of a dispatcher.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The start configuration cannot be read.
     #[error(transparent)]
     StartConfig(#[from] StartConfigError),
-    /// The start configuration cannot be used.
+    /// The start configuration is invalid.
     #[error("{file}: {source}")]
     Settings {
-        /// Path of the configuration.
+        /// Path of the configuration file.
         file: String,
-        /// What is wrong with it.
+        /// Error in the configuration.
         source: PlatformSettingsError,
     },
-    /// The listen address that overrides the configuration's is not one.
+    /// The value that overrides the listen address is not an address and port.
     #[error("{name}: {value:?} is not an address and port")]
     Address {
-        /// Where it comes from.
+        /// Name of the variable that holds the value.
         name: &'static str,
-        /// What it is.
+        /// The invalid value.
         value: String,
     },
     /// The listener cannot be opened.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The listen address.
+        /// Listen address.
         address: SocketAddr,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The system refused something else.
+    /// Another call to the operating system failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
-/// Runs a dispatcher until SIGTERM, and returns once all requests have their response. `listen` overrides the
-/// configuration's address.
+/// Runs a dispatcher until SIGTERM or SIGINT and returns when all requests have their response. `listen` overrides the
+/// listen address of the configuration.
 pub async fn run(file: PathBuf, listen: Option<String>) -> Result<(), RunError> {
     let clock = WallClock::start();
     let Signals {
@@ -92,7 +93,7 @@
     background.spawn(log_status(core.clone(), clock));
     background.spawn(connect_requested(core.clone(), requested));
 
-    // Draining endpoints and purges are known before the first request.
+    // The known state is applied before the first request, so that draining endpoints and purges take effect for it.
     let mut discovery = DiscoveryState::new(core.clone(), settings.clone(), clock);
     discovery.apply_known_state(start.known_state);
     let discovery = Arc::new(Mutex::new(discovery));
@@ -123,7 +124,7 @@
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
     }
-    tracing::info!(open = core.open_requests(), "stopping");
+    tracing::info!(open_requests = core.open_requests(), "stopping");
     let schedule = ShutdownSchedule::new(settings.longest_deadline());
     tokio::select! {
         _ = &mut accept_task => {}
@@ -189,7 +190,7 @@
     })
 }
 
-/// Carries out a shutdown schedule that begins now; never returns.
+/// Executes a shutdown schedule that begins now; never returns.
 async fn follow_schedule(
     schedule: ShutdownSchedule,
     core: &PlatformCore,
@@ -207,7 +208,7 @@
     std::future::pending().await
 }
 
-/// Reloads the configuration at each SIGHUP, as soon as it can be used.
+/// Reloads the configuration at each SIGHUP, and retries until it can be read.
 async fn reload(
     file: PathBuf,
     mut hangup: Signal,
@@ -219,13 +220,16 @@
         loop {
             match start_config::read(&file) {
                 Ok(new) => {
-                    tracing::info!(discovery = new.discovery_address, "configuration reloaded");
+                    tracing::info!(
+                        discovery_address = new.discovery_address,
+                        "configuration reloaded"
+                    );
                     lock(&discovery).apply_known_state(new.known_state);
                     discovery_address.send_replace(new.discovery_address);
                     break;
                 }
                 Err(error) if backoff == MIN_RELOAD_BACKOFF => {
-                    tracing::error!(%error, "configuration not reloaded yet; the old one stays in force");
+                    tracing::error!(%error, "configuration cannot be reloaded yet; the previous one stays in force");
                 }
                 Err(_) => {}
             }
@@ -242,7 +246,7 @@
     loop {
         tokio::time::sleep(STATUS_LOG_INTERVAL).await;
         if let Some(step_ms) = clock.step_ms() {
-            tracing::warn!(step_ms, "the wall clock has been stepped since the start");
+            tracing::warn!(step_ms, "wall clock has been stepped since the start");
         }
         let pool = core.transport.counts();
         tracing::info!(
--- a/crates/platform/src/pause_detector.rs
+++ b/crates/platform/src/pause_detector.rs
@@ -1,33 +1,35 @@
-//! Detects pauses of the process: what arrived meanwhile was buffered by the system, and its deadlines went on.
+//! Detects pauses of the process. Input that arrives during a pause is buffered by the system while its deadlines
+//! continue to run.
 //!
-//! A task that wakes every [`TICK_INTERVAL`] finds out when it is late: the process was stopped, had no processor, or was
-//! busy with one thing. A pause concerns what is read right after it, and is forgotten after [`CATCH_UP_ROUNDS`].
+//! A task wakes every [`TICK_INTERVAL`]. It is late if the process was stopped, was not scheduled, or was busy with one
+//! task. A pause concerns input that is read right after it, and ends after [`CATCH_UP_ROUNDS`].
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 use tokio::time::Instant;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// A tick that is late by less is no pause: the slack on a client's deadline covers it.
+/// Lateness up to which a tick does not count as a pause; the slack on a client's deadline covers it.
 const TICK_TOLERANCE: Duration = Duration::from_millis(50);
-/// Rounds of the runtime after a pause by which connections in the listener's queue are accepted and what had arrived on
-/// all connections is read.
+/// Number of rounds of the runtime after a pause within which the connections in the accept queue are accepted and the
+/// buffered input of all connections is read.
 const CATCH_UP_ROUNDS: u32 = 8;
-/// The most rounds that a request waits for that, however busy the process is.
+/// Largest number of rounds for which a request waits until the buffered input is read, however busy the process is.
 const MAX_CATCH_UP_ROUNDS: u32 = 64;
 
 #[derive(Debug)]
 struct Ticks {
+    /// Time of the last tick.
     last: Instant,
-    /// The last tick before the latest pause, until what arrived during it is read.
+    /// Time of the last tick before the latest pause; `None` once the input buffered during the pause is read.
     paused_since: Option<Instant>,
 }
 
-/// See the module's documentation.
+/// Detector of pauses of the process; see the documentation of the module.
 #[derive(Debug)]
 pub struct PauseDetector(Mutex<Ticks>);
 
 impl PauseDetector {
-    /// A detector whose first tick is now.
+    /// Creates a detector whose first tick is now.
     pub fn new(now: Instant) -> Arc<Self> {
         Arc::new(Self(Mutex::new(Ticks {
             last: now,
@@ -41,7 +43,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Records a tick. True: the process was paused before it.
+    /// Records a tick. Returns whether the process was paused before it.
     fn tick(&self, now: Instant) -> bool {
         let mut ticks = self.lock();
         let was_paused = now > ticks.last + TICK_INTERVAL + TICK_TOLERANCE;
@@ -52,13 +54,13 @@
         was_paused
     }
 
-    /// What arrived during the pause is read.
+    /// Records that the input buffered during the pause is read.
     fn finish_catch_up(&self) {
         self.lock().paused_since = None;
     }
 
-    /// Returns once what arrived during a pause is read; at once where there was none. Called before something begins
-    /// that a client may have cancelled meanwhile.
+    /// Waits until the input buffered during a pause is read; returns at once if there was no pause. Must be called
+    /// before an action that a client may have cancelled meanwhile.
     pub async fn caught_up(&self) {
         for _ in 0..MAX_CATCH_UP_ROUNDS {
             if self.unread_time(Instant::now()).is_zero() {
@@ -68,14 +70,14 @@
         }
     }
 
-    /// The longest that something read now may have been buffered; zero where there was no pause.
+    /// Returns the longest time for which input that is read now may have been buffered; zero if there was no pause.
     ///
-    /// All that is read in the first rounds after a pause counts as having been buffered through it. When a connection
-    /// was last found empty is no better sign: a task that goes on after the pause finds it empty until the runtime has
-    /// polled its sockets.
+    /// All input that is read in the first rounds after a pause counts as having been buffered for the whole pause. The
+    /// time at which a connection was last found empty is no better indication: a task that continues after the pause
+    /// finds it empty until the runtime has polled its sockets.
     pub fn unread_time(&self, now: Instant) -> Duration {
         let ticks = self.lock();
-        // The tick that is due may come after what is read now.
+        // Input may be read before the tick that detects the pause.
         let is_tick_late = now > ticks.last + TICK_INTERVAL + TICK_TOLERANCE;
         let pause_in_progress = is_tick_late.then_some(ticks.last);
         ticks
@@ -85,7 +87,7 @@
     }
 }
 
-/// Ticks for as long as the dispatcher runs.
+/// Records ticks for as long as the dispatcher runs; never returns.
 pub async fn run_ticks(detector: Arc<PauseDetector>) {
     loop {
         tokio::time::sleep(TICK_INTERVAL).await;
--- a/crates/platform/src/pause_detector/tests.rs
+++ b/crates/platform/src/pause_detector/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// The unread time at `now`, after ticks at these milliseconds.
+/// Returns the unread time at `now` after ticks at these times, all in milliseconds.
 fn unread_ms(ticks: &[u64], now: u64) -> u64 {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
@@ -13,17 +13,17 @@
 
 #[test]
 fn unread_time_after_pause_counts_from_last_tick() {
-    assert_eq!(unread_ms(&[50, 100], 120), 0, "it runs");
+    assert_eq!(unread_ms(&[50, 100], 120), 0, "the process was not paused");
     assert_eq!(unread_ms(&[50, 100, 1_150], 1_160), 1_060);
     assert_eq!(
         unread_ms(&[50, 100], 1_150),
         1_050,
-        "the tick is still to come"
+        "the tick after the pause has not run yet"
     );
     assert_eq!(
         unread_ms(&[50, 140, 230], 235),
         0,
-        "a little late is no pause"
+        "a tick within the tolerance is not a pause"
     );
 }
 
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,4 +1,5 @@
-//! The start configuration as the settings of a dispatcher: resource limits become bounds, kinds become roles.
+//! Translates the start configuration into the settings of a dispatcher, with limits on connections, requests and
+//! memory from the resource limits and a role for each kind of endpoint.
 use pointspindle::RouterSettings;
 use pointspindle_config::{
     ClassSettings, DispatcherSettings, ListenSettings, Role, UpstreamSettings,
@@ -12,51 +13,53 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::time::Duration;
 
-/// Reserved of a client's deadline for the response's way to it.
+/// Time reserved from a client's deadline for the response to reach it.
 const RESPONSE_SLACK_US: u64 = 15_000;
-/// Clients close what they do not use for longer than this by themselves.
+/// Time after which idle client connections are closed; clients themselves close those that are idle for longer.
 const CLIENT_IDLE_TIMEOUT_US: u64 = 6_000_000;
-/// A client has sent a complete request by then.
+/// Time within which a client must send a complete request.
 const REQUEST_HEAD_TIMEOUT_US: u64 = 2_000_000;
-/// An endpoint connection that is silent for this time while responses are awaited is sent a health check.
+/// Time without input after which a health check is sent on an endpoint connection that awaits responses.
 const HEALTH_CHECK_AFTER_US: u64 = 1_000_000;
 const HEALTH_CHECK_TIMEOUT_US: u64 = 700_000;
 const DRAIN_TIMEOUT_US: u64 = 60_000_000;
 /// Bounds of the connect time-out.
 const MIN_CONNECT_TIMEOUT_US: u64 = 50_000;
 const MAX_CONNECT_TIMEOUT_US: u64 = 5_000_000;
-/// The shortest time after which endpoints are taken to close idle connections.
+/// Lower bound of the time after which endpoints are assumed to close idle connections.
 const MIN_ENDPOINT_IDLE_TIMEOUT_US: u64 = 2_000_000;
-/// Requests on an endpoint connection where the settings do not say.
+/// Largest number of requests in flight on an endpoint connection if the settings do not define one.
 const DEFAULT_MAX_STREAMS: usize = 32;
-/// Descriptors that are neither clients' nor endpoints': listener, discovery, logs, the runtime's own.
+/// Number of descriptors reserved for the listener, discovery, logs and the runtime.
 const RESERVED_SOCKETS: usize = 24;
-/// Open requests per MB of the memory limit: a request's own state takes some KB, its response is metered apart.
+/// Number of open requests per MB of the memory limit: the state of a request takes some KB, and its response is
+/// counted separately.
 const REQUESTS_PER_MB: usize = 16;
 const MIN_SOCKETS: usize = 64;
 const MIN_MEMORY_MB: u64 = 16;
 const BYTES_PER_MB: u64 = 1024 * 1024;
-/// Part of the memory limit for responses; the rest is for the program, its tables and buffers.
+/// Divisor of the memory limit that gives the memory for responses; the rest is for the program, its tables and
+/// buffers.
 const RESPONSE_MEMORY_DIVISOR: u64 = 4;
-/// Part of the endpoint connections that one endpoint may have.
+/// Divisor of the limit on endpoint connections that gives the limit for one endpoint.
 const ENDPOINT_SHARE_DIVISOR: usize = 4;
 
-/// What the platform's shell needs, with the dispatcher's settings.
+/// Settings of the platform crate and of the dispatcher.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where clients connect.
+    /// Address on which client connections are accepted.
     pub listen: SocketAddr,
-    /// Settings of the dispatcher's core.
+    /// Settings of the core of the dispatcher.
     pub dispatcher: DispatcherSettings,
-    /// Rules of the request classes, by index.
+    /// Rules of the request classes, by class index.
     pub classes: Vec<ClassRules>,
-    /// Role of each kind of endpoint.
+    /// Role of each kind of endpoint, by kind index.
     pub kinds: Vec<KindRole>,
-    /// Connections to all endpoints.
+    /// Largest number of connections to all endpoints.
     pub max_connections: usize,
-    /// Connections to one endpoint.
+    /// Largest number of connections to one endpoint.
     pub max_connections_per_endpoint: usize,
-    /// Seed of the dispatcher's random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -65,18 +68,18 @@
 pub struct KindRole {
     /// Name of the kind.
     pub kind: String,
-    /// What its endpoints serve.
+    /// Role of the endpoints of this kind.
     pub role: Role,
 }
 
-/// Why a start configuration cannot be used.
+/// Error in the start configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformSettingsError {
-    /// The router's settings cannot be used.
+    /// The settings of the router are invalid.
     #[error("settings: {0}")]
     Router(SettingsError),
-    /// The dispatcher's zone is not in the list of zones.
-    #[error("settings.Zone: {zone} is none of the {zones} zones")]
+    /// The index of the dispatcher's zone exceeds the list of zones.
+    #[error("settings.Zone: index {zone} is out of range for {zones} zones")]
     UnknownZone {
         /// Index of the dispatcher's zone.
         zone: usize,
@@ -84,26 +87,26 @@
         zones: usize,
     },
     /// The listen address is not an address and port.
-    #[error("listen: {value:?}: {error}")]
+    #[error("listen: {value:?} is not an address and port: {error}")]
     InvalidListenAddress {
-        /// What the configuration holds.
+        /// Value in the configuration.
         value: String,
-        /// What is wrong with it.
+        /// Error that the value gives.
         error: AddrParseError,
     },
     /// The resource limits are too small.
     #[error("limits: at least {MIN_SOCKETS} sockets and {MIN_MEMORY_MB} MB are needed")]
     LimitsTooSmall,
     /// A request class has no name.
-    #[error("settings.Classes: one without Name")]
+    #[error("settings.Classes: a class has no Name")]
     UnnamedClass,
-    /// There is no request class.
-    #[error("settings.Classes: no class")]
+    /// No request class is defined.
+    #[error("settings.Classes: no class is defined")]
     NoClasses,
 }
 
 impl PlatformSettings {
-    /// Translates and checks the start configuration.
+    /// Translates and validates the start configuration.
     pub fn new(start: &StartConfig) -> Result<Self, PlatformSettingsError> {
         let document = &start.settings;
         let limits = start.limits;
@@ -114,7 +117,8 @@
         let kinds = kind_roles(&router, document);
         adapt_router(&mut router, start);
         let classes = class_rules(&router, document)?;
-        // The platform's clients hold a third of the descriptors at most; new ones need a place beside those that close.
+        // Clients of the platform use at most a third of the descriptors; the surplus is for new connections while
+        // previous ones are being closed.
         let max_clients = limits.sockets * 2 / 5;
         let max_connections = limits.sockets - max_clients - RESERVED_SOCKETS;
         Ok(Self {
@@ -128,7 +132,7 @@
         })
     }
 
-    /// Role of a kind by its name; a kind that the settings do not have is a cache's.
+    /// Returns the role of a kind by its name. Kinds that the settings do not define are caches.
     pub fn role(&self, kind: &str) -> Role {
         self.kinds
             .iter()
@@ -136,7 +140,7 @@
             .map_or(Role::Cache, |known| known.role)
     }
 
-    /// The longest that a request of any class may take.
+    /// Returns the longest deadline of any request class.
     pub fn longest_deadline(&self) -> Duration {
         let deadlines = self.dispatcher.classes.iter().map(|c| c.deadline_us);
         Duration::from_micros(deadlines.max().unwrap_or_default())
@@ -172,7 +176,7 @@
     Ok(())
 }
 
-/// The roles of the document's kinds, by the indices that the document gives to parent and origin.
+/// Returns the roles of the kinds in the document, which defines the kind indices of parent and origin.
 fn kind_roles(router: &RouterSettings, document: &SettingsDocument) -> Vec<KindRole> {
     let role = |index: usize| match Some(index) {
         kind if kind == router.parent_kind => Role::Parent,
@@ -188,12 +192,12 @@
         .collect()
 }
 
-/// Replaces what the dispatcher numbers and measures in its own way.
+/// Replaces settings that the dispatcher numbers or measures differently from the document.
 fn adapt_router(router: &mut RouterSettings, start: &StartConfig) {
-    // The dispatcher numbers kinds by their role.
+    // The dispatcher uses the number of the role as the kind index.
     router.parent_kind = router.parent_kind.map(|_| Role::Parent.kind());
     router.origin_kind = router.origin_kind.map(|_| Role::Origin.kind());
-    // Responses are measured in bytes on the connection, which the settings' KB need not be.
+    // The rate counts bytes on the connection, whereas the KB of the settings need not be of such bytes.
     router.stream_kb_per_s = start.response_bytes_per_s / 1024.0;
 }
 
@@ -296,7 +300,7 @@
         connect_timeout_us: connect_timeout_us
             .clamp(MIN_CONNECT_TIMEOUT_US, MAX_CONNECT_TIMEOUT_US),
         max_streams: max_streams.unwrap_or(DEFAULT_MAX_STREAMS).max(1),
-        // Before the endpoints close them: a request that crosses a close is lost time.
+        // Idle connections are closed before the endpoint closes them: a request that crosses a close costs time.
         idle_timeout_us: endpoint_idle_timeout_us / 2,
         hello_timeout_us: 0,
         bind: None,
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,22 +1,25 @@
-//! The schedule of a graceful shutdown, a function of the longest deadline of the settings.
+//! The schedule of a graceful shutdown, which depends on the longest deadline in the settings.
 //!
-//! The process may be killed as early as the longest deadline, counted as [`MAX_DEADLINE`] at most, plus [`KILL_DELAY`]
-//! after SIGTERM; clients use open connections until then. Every request that is read has its response before.
+//! The platform kills the process no earlier than [`KILL_DELAY`] plus the longest deadline, of which at most
+//! [`MAX_DEADLINE`] counts, after SIGTERM. Clients use open connections until then. Every request that is read has its
+//! response before.
 use std::time::Duration;
 
 const MAX_DEADLINE: Duration = Duration::from_secs(3);
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Requests are served for this time where the kill permits: clients have moved on by then.
+/// Time for which requests are served after SIGTERM, if the time until the kill permits; clients send to other
+/// dispatchers after it.
 const SERVING_TIME: Duration = Duration::from_millis(700);
-/// Reserved before the kill for the last responses to be written, also by a process that gets half a core, and for the
-/// connections to close.
+/// Time reserved before the kill to write the last responses and to close the connections; it suffices for a process
+/// that gets half a core.
 const LAST_RESPONSES_TIME: Duration = Duration::from_millis(100);
-/// Reserved before that for idle connections to close.
+/// Time reserved before [`LAST_RESPONSES_TIME`] to close idle connections.
 const IDLE_CLOSE_TIME: Duration = Duration::from_millis(50);
-/// The listener closes this long before the kill: a request that crossed a close is retried on a new connection.
+/// Time before the kill at which the listener closes. Until then a request that crossed the close of its connection can
+/// be retried on a new one.
 const LISTENER_CLOSE_MARGIN: Duration = Duration::from_millis(50);
 
-/// Progress of a graceful shutdown.
+/// Phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// Requests are served.
@@ -24,23 +27,23 @@
     Serving,
     /// New requests are rejected, and idle connections are closed.
     Rejecting,
-    /// No request is open any more, and incomplete ones are rejected.
+    /// The core has ended all requests, and incomplete ones are rejected.
     Finishing,
 }
 
-/// Times from SIGTERM on at which the phases begin.
+/// Times after SIGTERM at which the phases begin and the listener closes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// Begin of [`ShutdownPhase::Rejecting`].
+    /// Time at which [`ShutdownPhase::Rejecting`] begins.
     pub reject_at: Duration,
-    /// Begin of [`ShutdownPhase::Finishing`].
+    /// Time at which [`ShutdownPhase::Finishing`] begins.
     pub finish_at: Duration,
-    /// The listener closes.
+    /// Time at which the listener closes.
     pub close_listener_at: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for the longest deadline of the settings.
+    /// Creates the schedule for the longest deadline in the settings.
     pub fn new(longest_deadline: Duration) -> Self {
         let kill = longest_deadline.min(MAX_DEADLINE) + KILL_DELAY;
         let finish_at = kill - LAST_RESPONSES_TIME;
--- a/crates/platform/src/shutdown/tests.rs
+++ b/crates/platform/src/shutdown/tests.rs
@@ -13,7 +13,7 @@
                 && schedule.close_listener_at < kill,
             "{deadline}: {schedule:?}"
         );
-        // New connections come for 0.4 s and requests on them for 0.2 s more.
+        // Clients open new connections for 0.4 s after SIGTERM and send requests on them for another 0.2 s.
         assert!(
             schedule.reject_at >= MS(550) && schedule.reject_at <= MS(700),
             "{deadline}: {schedule:?}"
