--- a/crates/platform-protocol/src/settings.rs
+++ b/crates/platform-protocol/src/settings.rs
@@ -67,13 +67,13 @@
     SlowStartDocument {
         required {}
         optional {
-            /// Share of its capacity with which a cache starts.
+            /// Share of its capacity that a cache has at least when it starts.
             initial_share = "StartCapacity": f64,
             /// Time after which a cache has its full capacity, in milliseconds.
             ramp_ms = "WarmWithinMs": f64,
-            /// Factor by which the load must exceed the current capacity for a cache to overload.
+            /// Multiple of its current capacity at which a cache is overloaded.
             overload_factor = "OverloadFactor": f64,
-            /// Time over which the load is measured, in milliseconds.
+            /// Time for which an overload lasts before the endpoint fails, in milliseconds.
             overload_window_ms = "FallMs": f64,
         }
     }
@@ -109,11 +109,11 @@
             deadline_ms = "DeadlineMs": f64,
             /// Latency objective, in milliseconds.
             latency_objective_ms = "AimMs": f64,
-            /// Factor of the objective for large objects.
+            /// Multiple of the transfer time that is added to the latency objective.
             objective_stretch = "AimStretch": f64,
             /// Priority weight when load is shed.
             priority_weight = "Worth": f64,
-            /// Whether requests may be repeated.
+            /// Rule by which requests may be retried.
             idempotency = "Repeat": String,
             /// Scope in which an idempotency key is recognized.
             key_scope = "Group": String,
@@ -137,7 +137,7 @@
             stale_if_error_ms = "UsableAfterMs": Vec<f64>,
             /// Whether responses are never cached, by class.
             uncacheable = "NeverKept": Vec<bool>,
-            /// Whether requests may be forwarded to the origin directly.
+            /// Whether requests may be forwarded directly to a parent or to the origin.
             direct_forwarding = "Straight": bool,
             /// Transfer rate of one response, in KB per second.
             stream_kb_per_s = "StreamKbPerS": f64,
@@ -147,11 +147,11 @@
             siblings = "Neighbours": String,
             /// Cache statuses that are reported.
             cache_status_detail = "Tells": String,
-            /// Share of its capacity with which a parent starts.
+            /// Share of its capacity that a parent has at least when it starts.
             parent_initial_share = "ParentStartsAt": f64,
             /// Time after which a parent has its full capacity, in milliseconds.
             parent_ramp_ms = "UpperColdMs": f64,
-            /// Factor by which the load must exceed the current capacity for a parent to overload.
+            /// Multiple of its current capacity at which a parent is overloaded.
             parent_overload_factor = "ParentFallMultiple": f64,
             /// Time after which a purge has reached all caches, in milliseconds.
             purge_horizon_ms = "GoneEverywhereMs": f64,
--- a/crates/platform/src/endpoint_discovery/mod.rs
+++ b/crates/platform/src/endpoint_discovery/mod.rs
@@ -45,7 +45,7 @@
 }
 
 /// Locks the state. The lock must not be held across an await.
-pub fn lock(state: &Mutex<DiscoveryState>) -> MutexGuard<'_, DiscoveryState> {
+pub fn lock_state(state: &Mutex<DiscoveryState>) -> MutexGuard<'_, DiscoveryState> {
     state
         .lock()
         .unwrap_or_else(|poisoned| poisoned.into_inner())
@@ -166,7 +166,8 @@
             .filter_map(|endpoint| self.apply_endpoint(endpoint))
             .collect();
         let ids: Vec<String> = endpoints.iter().map(|e| e.address.clone()).collect();
-        // Numbered here: events are applied in order and once, so nothing is missing between two lists.
+        // The sequence number is assigned here: events are applied once and in order, so no list is missing between
+        // two.
         self.list_seq += 1;
         let form = if update.is_full {
             EndpointListForm::Full
--- a/crates/platform/src/endpoint_discovery/stream.rs
+++ b/crates/platform/src/endpoint_discovery/stream.rs
@@ -2,7 +2,7 @@
 //!
 //! A stream that ends, fails or sends no data for too long is requested again at once: the platform soon assumes that
 //! the dispatcher has received the purges of the meantime, whether it has or not.
-use super::{lock, DiscoveryState, RevisionGap};
+use super::{lock_state, DiscoveryState, RevisionGap};
 use bytes::{Bytes, BytesMut};
 use http_body_util::{BodyExt, Empty};
 use hyper_util::rt::TokioIo;
@@ -99,7 +99,7 @@
         if started.elapsed() > MAX_BACKOFF {
             backoff = MIN_BACKOFF;
         }
-        let jitter = lock(&state).core.transport.random_fraction();
+        let jitter = lock_state(&state).core.transport.random_fraction();
         tokio::time::sleep(backoff.mul_f64(0.5 + jitter)).await;
         backoff = (backoff * 2).min(MAX_BACKOFF);
     }
@@ -125,7 +125,7 @@
     let mut next_request_at = started;
     loop {
         if Instant::now() >= next_request_at && requests.len() < MAX_HEDGED_REQUESTS {
-            let last_revision = lock(state).last_revision();
+            let last_revision = lock_state(state).last_revision();
             requests.spawn(open(address.to_owned(), last_revision));
             next_request_at = Instant::now() + HEDGE_DELAY;
         }
@@ -201,11 +201,11 @@
             if let ServerSentEvent::Event { id, data } = item {
                 let mut event: DiscoveryEvent = serde_json::from_str(&data)?;
                 event.revision = id.unwrap_or(event.revision);
-                lock(state).apply_next(event)?;
+                lock_state(state).apply_next(event)?;
             }
         }
         // All events that were sent before this wait began are applied.
-        lock(state).mark_up_to_date(waiting_since);
+        lock_state(state).mark_up_to_date(waiting_since);
     }
 }
 
--- a/crates/platform/src/frontend/mod.rs
+++ b/crates/platform/src/frontend/mod.rs
@@ -84,7 +84,7 @@
 }
 
 /// Accepts connections until the listener has to close, or until the dispatcher is shutting down and has had no
-/// connection for [`TRANSIT_TIME`]. Returns when the last connection has ended.
+/// connection for `TRANSIT_TIME`. Returns when the last connection has ended.
 pub async fn accept(mut listener: Listener, frontend: Frontend, mut close: watch::Receiver<bool>) {
     let mut sessions = JoinSet::new();
     loop {
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -6,7 +6,7 @@
 //! (`crate::shutdown`); the process ends with its last connection. Discovery and configuration reloads continue until
 //! then, since attempts are still started.
 use crate::connection_pool::{connect_requested, run_maintenance, ConnectionPool, PlatformCore};
-use crate::endpoint_discovery::{lock, stream, DiscoveryState};
+use crate::endpoint_discovery::{lock_state, stream, DiscoveryState};
 use crate::frontend::{accept, Frontend};
 use crate::pause_detector::{run_ticks, PauseDetector};
 use crate::settings::{PlatformSettings, PlatformSettingsError};
@@ -117,7 +117,7 @@
     let listener = Network::Tcp.listen(address).await;
     let listener = listener.map_err(|source| RunError::Listen { address, source })?;
     let mut accept_task = tokio::spawn(accept(listener, frontend, listener_close));
-    let revision = lock(&discovery).last_revision();
+    let revision = lock_state(&discovery).last_revision();
     tracing::info!(name = start.name, %address, revision, "dispatcher listens");
 
     tokio::select! {
@@ -224,7 +224,7 @@
                         discovery_address = new.discovery_address,
                         "configuration reloaded"
                     );
-                    lock(&discovery).apply_known_state(new.known_state);
+                    lock_state(&discovery).apply_known_state(new.known_state);
                     discovery_address.send_replace(new.discovery_address);
                     break;
                 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -23,7 +23,7 @@
 const HEALTH_CHECK_AFTER_US: u64 = 1_000_000;
 const HEALTH_CHECK_TIMEOUT_US: u64 = 700_000;
 const DRAIN_TIMEOUT_US: u64 = 60_000_000;
-/// Bounds of the connect time-out.
+/// Lower and upper bound of the time-out of a connection attempt.
 const MIN_CONNECT_TIMEOUT_US: u64 = 50_000;
 const MAX_CONNECT_TIMEOUT_US: u64 = 5_000_000;
 /// Lower bound of the time after which endpoints are assumed to close idle connections.
