--- a/crates/transport/src/accept.rs
+++ b/crates/transport/src/accept.rs
@@ -1,26 +1,28 @@
-//! Failures of `accept`, and the accept queue of a listener that is about to close.
+//! Classification of `accept` failures, and draining of the accept queue of a listener that is about to close.
 use crate::network::Listener;
 use crate::socket::Socket;
 use std::future::Future;
 use std::io::{Error, Result};
 use std::net::SocketAddr;
 
-/// Failures of `accept` after which a closing listener gives up the rest of its queue.
+/// Number of `accept` failures that a closing listener tolerates before it abandons the rest of its queue.
 pub const MAX_ACCEPT_QUEUE_FAILURES: usize = 16;
 
-/// What a failed `accept` concerns.
+/// Scope of an `accept` failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// One connection, which died in the queue, or only the call: the next one is accepted at once.
+    /// The failure affects one connection, which broke in the queue, or only this call: the next connection can be accepted
+    /// at once.
     Connection,
-    /// This process has no descriptor left.
+    /// The process has no file descriptor left.
     Descriptors,
-    /// A temporary shortage of the machine, or an unknown error: accepting is retried a little later.
+    /// The machine is temporarily short of a resource, or the error is unknown: accepting is retried after a delay.
     Shortage,
 }
 
 impl AcceptFailure {
-    /// By the error's number, after accept(2): Linux passes on errors of the new connection's network.
+    /// Classifies an error by its errno, according to accept(2): Linux also returns pending network errors of the new
+    /// connection.
     pub fn of(error: &Error) -> Self {
         match error.raw_os_error() {
             Some(libc::EMFILE) => Self::Descriptors,
@@ -45,10 +47,10 @@
 }
 
 impl Listener {
-    /// The next connection in the accept queue; `None` if it is empty. For a listener that is about to close: a connection
-    /// left in its queue would be reset, with the request that may have been written on it.
+    /// Returns the next connection in the accept queue, or `None` if the queue is empty. Meant for a listener that is about
+    /// to close: a connection left in its queue would be reset, and a request already written to it would be lost.
     pub async fn next_in_accept_queue(&mut self) -> Option<Result<(Socket, SocketAddr)>> {
-        // Lets the runtime poll its sockets, so that connections made by now are seen.
+        // Lets the runtime poll its sockets, so that connections established by now are seen.
         tokio::task::yield_now().await;
         tokio::select! {
             biased;
@@ -57,10 +59,10 @@
         }
     }
 
-    /// Accepts every connection in the queue of a listener that is about to close, then closes it.
+    /// Accepts every connection in the queue of a listener that is about to close, then closes the listener.
     ///
-    /// `serve` takes each connection. `pause` waits after a failed accept; the failure after `max_failures` of them ends the
-    /// draining, and connections still in the queue are reset.
+    /// `serve` receives each connection. After a failed accept, `pause` is awaited; the failure after `max_failures`
+    /// failures ends the draining, and connections still in the queue are reset.
     pub async fn drain_accept_queue<P>(
         mut self,
         max_failures: usize,
--- a/crates/transport/src/accept/tests.rs
+++ b/crates/transport/src/accept/tests.rs
@@ -1,25 +1,25 @@
-//! Classification of accept errors, and draining of the accept queue.
+//! Tests of the classification of accept errors and of the draining of the accept queue.
 use super::*;
 use crate::network::Network;
 
 #[test]
-fn accept_error_is_classified_by_its_number() {
-    let of = |number| AcceptFailure::of(&Error::from_raw_os_error(number));
-    for number in [
+fn accept_error_is_classified_by_errno() {
+    let classify = |errno| AcceptFailure::of(&Error::from_raw_os_error(errno));
+    for errno in [
         libc::ECONNABORTED,
         libc::EINTR,
         libc::ENETUNREACH,
         libc::ETIMEDOUT,
         libc::EPROTO,
     ] {
-        assert_eq!(of(number), AcceptFailure::Connection, "{number}");
+        assert_eq!(classify(errno), AcceptFailure::Connection, "errno {errno}");
     }
-    assert_eq!(of(libc::EMFILE), AcceptFailure::Descriptors);
-    for number in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINVAL] {
-        assert_eq!(of(number), AcceptFailure::Shortage, "{number}");
+    assert_eq!(classify(libc::EMFILE), AcceptFailure::Descriptors);
+    for errno in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINVAL] {
+        assert_eq!(classify(errno), AcceptFailure::Shortage, "errno {errno}");
     }
     assert_eq!(
-        AcceptFailure::of(&Error::other("no number")),
+        AcceptFailure::of(&Error::other("error without an errno")),
         AcceptFailure::Shortage
     );
 }
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -1,4 +1,4 @@
-//! The two handles of a stream: the caller's [`Call`] and the answerer's [`Responder`].
+//! The two kinds of stream handles: [`Call`] at the caller's side and [`Responder`] at the answerer's.
 use crate::connection::Shared;
 use crate::credit::Credit;
 use crate::writer::SendTime;
@@ -12,40 +12,40 @@
 /// A part of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponsePart {
-    /// The head.
+    /// The head of the response.
     Head(ResponseHead),
-    /// A piece of the body.
+    /// A part of the body.
     Data(Bytes),
-    /// The end.
+    /// The end of the call; the last part.
     End(CallEnd),
 }
 
-/// How a call ended; nothing follows.
+/// How a call ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEnd {
     /// The response is complete.
     Complete(EndHead),
     /// The peer answered with an error.
     Error(ErrorHead),
-    /// None of its bytes were sent, and none will be.
+    /// No byte of the request was sent, and none will be.
     NotSent,
-    /// The connection has closed for this reason; the work may have run.
+    /// The connection closed before the end of the response, for the given reason; the request may have run.
     Broken(String),
 }
 
-/// A request of this side in flight. Dropped before its end, it is cancelled at the peer.
+/// The handle of a request that this side has made. Dropping it before the end of the response cancels the request.
 #[derive(Debug)]
 pub struct Call {
     pub(crate) id: u32,
     pub(crate) shared: Arc<Shared>,
     pub(crate) parts: mpsc::UnboundedReceiver<Box<ResponsePart>>,
     pub(crate) ended: bool,
-    /// Bytes taken from the stream for which credit has not been returned yet.
-    pub(crate) taken: u32,
+    /// Number of consumed body bytes for which the stream's credit has not been returned yet.
+    pub(crate) unreturned_credit: u32,
 }
 
 impl Call {
-    /// The next part; `None` after the end.
+    /// Waits for the next part of the response and returns it; returns `None` after the end.
     pub async fn next(&mut self) -> Option<ResponsePart> {
         if self.ended {
             return None;
@@ -57,7 +57,7 @@
         Some(self.accept(part))
     }
 
-    /// The next part if it is available already.
+    /// Returns the next part of the response if it has been received already.
     pub fn try_next(&mut self) -> Option<ResponsePart> {
         if self.ended {
             return None;
@@ -75,29 +75,29 @@
         part
     }
 
-    /// Returns credit for taken bytes in halves of the window: a frame for every chunk would double the frames. While buffer
-    /// memory is short the window is small, and the rest of the credit is withheld.
+    /// Returns credit for consumed bytes once it amounts to half the window: a credit frame for every chunk would double
+    /// the number of frames. While buffer memory is short, the window is reduced by withholding the rest of the credit.
     fn return_credit(&mut self, bytes: u32) {
         let meter = &self.shared.meter;
         meter.sub(bytes as usize);
-        self.taken += bytes;
-        let window = if meter.is_crowded() {
+        self.unreturned_credit += bytes;
+        let window = if meter.is_threshold_reached() {
             CROWDED_WINDOW
         } else {
             STREAM_WINDOW
         };
         let withheld = STREAM_WINDOW - window;
-        let returned = self.taken.saturating_sub(withheld);
+        let returned = self.unreturned_credit.saturating_sub(withheld);
         if returned >= window / 2 {
             self.shared.return_credit(self.id, returned);
-            self.taken -= returned;
+            self.unreturned_credit -= returned;
         }
     }
 }
 
 impl Drop for Call {
     fn drop(&mut self) {
-        self.shared.forget(self.id);
+        self.shared.release_stream(self.id);
         while let Ok(part) = self.parts.try_recv() {
             if let ResponsePart::Data(data) = *part {
                 self.shared.meter.sub(data.len());
@@ -111,16 +111,17 @@
     }
 }
 
-/// A request of the peer, to be answered. Dropped without an end, it answers with an error that may have run.
+/// The handle of a request from the peer. Dropping it before its response has ended sends an error that says that the
+/// request may have run.
 #[derive(Debug)]
 pub struct Responder {
     pub(crate) id: u32,
     pub(crate) shared: Arc<Shared>,
     pub(crate) credit: Arc<Credit>,
-    /// True once the peer has cancelled or the connection has closed.
+    /// Whether the peer has cancelled or the connection has closed.
     pub(crate) cancelled: watch::Receiver<bool>,
-    /// Bytes of body sent.
-    pub(crate) sent: u64,
+    /// Number of body bytes sent.
+    pub(crate) sent_bytes: u64,
     pub(crate) ended: bool,
 }
 
@@ -136,13 +137,14 @@
         *self.cancelled.borrow()
     }
 
-    /// Sends the head of the response, with the first bytes of the body if they follow at once.
+    /// Sends the head of the response. It is written together with the first bytes of the body if these follow at once.
     pub async fn head(&mut self, head: ResponseHead) -> Result<(), ConnectionError> {
         self.send(Frame::Head(self.id, head), SendTime::WithNext)
             .await
     }
 
-    /// Sends bytes of the body, waiting for credit. Not cancel-safe: dropped while waiting, it may have sent a part.
+    /// Sends bytes of the body, waiting for credit as needed. Not cancel-safe: if it is dropped while waiting, a part of
+    /// the bytes may have been sent.
     pub async fn data(&mut self, mut data: Bytes) -> Result<(), ConnectionError> {
         while !data.is_empty() {
             let max = data.len().min(MAX_DATA) as u32;
@@ -152,7 +154,7 @@
                 let credit = self.take_credit(connection_credit, stream_credit).await?;
                 stream_credit -= credit;
                 let piece = data.split_to(credit as usize);
-                self.sent += piece.len() as u64;
+                self.sent_bytes += piece.len() as u64;
                 self.send(Frame::Data(self.id, piece), SendTime::WithNext)
                     .await?;
             }
@@ -169,11 +171,11 @@
         ConnectionError::Cancelled(self.shared.close_reason())
     }
 
-    /// Ends the complete response.
+    /// Ends the response as complete.
     pub async fn end(mut self, load: Option<LoadReport>) -> Result<(), ConnectionError> {
         self.ended = true;
         let end = EndHead {
-            bytes: self.sent,
+            bytes: self.sent_bytes,
             load,
         };
         self.send(Frame::End(self.id, end), SendTime::Now).await
@@ -185,7 +187,7 @@
         self.send(Frame::Error(self.id, error), SendTime::Now).await
     }
 
-    /// Leaves the stream without an end, as a process that hangs does. For tests and simulations.
+    /// Leaves the stream open without ending the response, as a hanging process does. For tests and simulations.
     pub fn abandon(mut self) {
         self.ended = true;
     }
@@ -200,7 +202,7 @@
 
 impl Drop for Responder {
     fn drop(&mut self) {
-        self.shared.forget(self.id);
+        self.shared.release_stream(self.id);
         if !self.ended && !self.is_cancelled() {
             let error = ErrorHead {
                 status: WireStatus::Error as i32,
--- a/crates/transport/src/connect.rs
+++ b/crates/transport/src/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting within a time, with failures of the local machine kept apart from those of the peer.
+//! Connecting with a timeout; failures of the local machine are distinguished from failures of the peer.
 use crate::network::Network;
 use crate::socket::Socket;
 use std::io::Error;
@@ -6,32 +6,33 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before the first retry after a shortage of the local machine; doubled for each further one.
-const MIN_RETRY_PAUSE: Duration = Duration::from_millis(5);
-const MAX_RETRY_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before the first retry after a shortage of local resources; doubled for each further retry.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Upper limit of the delay between retries.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Why there is no connection.
+/// Reason for which connecting failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
-    /// The local machine lacked a descriptor, memory, a port or a route for all of the time: nothing is known of the peer.
+    /// The local machine had no file descriptor, memory, port or route until the timeout. The state of the peer is unknown.
     #[error("the local machine cannot connect: {0}")]
     Local(Error),
-    /// The peer refuses, or cannot be reached.
+    /// The peer refused the connection or is unreachable.
     #[error(transparent)]
     Peer(Error),
-    /// The peer did not answer.
-    #[error("no connection in time")]
-    NotInTime,
+    /// The peer did not answer before the timeout.
+    #[error("connecting timed out")]
+    TimedOut,
 }
 
 impl ConnectFailure {
-    /// Whether it says something of the peer.
+    /// Whether the peer caused the failure, rather than the local machine.
     pub fn is_peer_failure(&self) -> bool {
         !matches!(self, Self::Local(_))
     }
 }
 
-/// Whether a failed `socket`, `bind` or `connect` concerns the local machine alone.
+/// Whether the error of a `socket`, `bind` or `connect` call has its cause in the local machine alone.
 fn is_local(error: &Error) -> bool {
     matches!(
         error.raw_os_error(),
@@ -51,31 +52,32 @@
 }
 
 impl Network {
-    /// Connects within a time, from a local address if one is given. Shortages of the local machine are retried.
+    /// Connects to `address` within `timeout`, from the local address `from` if one is given. Failures for lack of local
+    /// resources are retried until then.
     pub async fn connect_within(
         &self,
         from: Option<IpAddr>,
-        to: SocketAddr,
+        address: SocketAddr,
         timeout: Duration,
     ) -> Result<Socket, ConnectFailure> {
         let deadline = Instant::now() + timeout;
-        let mut pause = MIN_RETRY_PAUSE;
+        let mut delay = MIN_RETRY_DELAY;
         loop {
-            let connected = tokio::time::timeout_at(deadline, self.connect(from, to)).await;
+            let connected = tokio::time::timeout_at(deadline, self.connect(from, address)).await;
             let error = match connected {
                 Ok(Ok(socket)) => return Ok(socket),
                 Ok(Err(error)) => error,
-                Err(_) => return Err(ConnectFailure::NotInTime),
+                Err(_) => return Err(ConnectFailure::TimedOut),
             };
             if !is_local(&error) {
                 return Err(ConnectFailure::Peer(error));
             }
-            if Instant::now() + pause >= deadline {
+            if Instant::now() + delay >= deadline {
                 return Err(ConnectFailure::Local(error));
             }
-            tracing::debug!(%error, %to, "the local machine cannot connect yet");
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_RETRY_PAUSE);
+            tracing::debug!(%error, %address, "connect failed for lack of local resources; retrying");
+            tokio::time::sleep(delay).await;
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 }
--- a/crates/transport/src/connection/receive.rs
+++ b/crates/transport/src/connection/receive.rs
@@ -1,4 +1,4 @@
-//! The reader's task of a connection.
+//! The reader task of a connection.
 use super::shared::Shared;
 use super::Inbound;
 use crate::frame_reader::FrameReader;
@@ -9,10 +9,10 @@
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
-/// Delivered bytes after which the connection's credit is returned.
-const CREDIT_RETURN_AT: u32 = CONNECTION_WINDOW / 4;
+/// Number of delivered bytes after which the connection's credit is returned to the peer.
+const CREDIT_RETURN_THRESHOLD_BYTES: u32 = CONNECTION_WINDOW / 4;
 
-/// Why the reader's task closes the connection.
+/// Reason for which the reader task closes the connection.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
     #[error("the peer closed the connection")]
@@ -23,14 +23,15 @@
     Stream(#[from] StreamError),
     #[error(transparent)]
     Connection(#[from] ConnectionError),
-    /// The owner has dropped [`super::Incoming`].
+    /// The owner has dropped [`super::Incoming`], so that requests cannot be delivered.
     #[error("nobody takes requests here")]
-    RequestsNotTaken,
+    RequestsNotAccepted,
+    /// The owner has dropped [`super::Incoming`], so that control frames cannot be delivered.
     #[error("nobody takes control frames here")]
-    ControlNotTaken,
+    ControlNotAccepted,
 }
 
-/// Receives frames until the connection closes, and closes it at an error.
+/// Receives frames until the connection closes, and closes the connection after an error.
 pub(super) async fn run(
     mut frames: FrameReader<FrameCodec>,
     incoming: mpsc::Sender<Box<Inbound>>,
@@ -43,7 +44,8 @@
         unreturned_credit: 0,
     };
     loop {
-        // A frame that was received is processed completely, also after the connection has closed.
+        // The close is not awaited during `receive`: a received frame is processed completely even if the connection
+        // closes.
         let frame = tokio::select! {
             frame = frames.next() => frame,
             _ = closed.wait_for(|closed| *closed) => return,
@@ -54,11 +56,11 @@
     }
 }
 
-/// Passes received frames to where they belong.
+/// Passes received frames to the handles of their streams or to the queue of inbound requests and control frames.
 struct Receiver {
     incoming: mpsc::Sender<Box<Inbound>>,
     shared: Arc<Shared>,
-    /// Delivered bytes for which the connection's credit has not been returned yet.
+    /// Number of delivered bytes for which the connection's credit has not been returned yet.
     unreturned_credit: u32,
 }
 
@@ -68,14 +70,14 @@
         frame: Option<Result<Frame, FrameError>>,
     ) -> Result<(), ReceiveError> {
         let frame = frame.ok_or(ReceiveError::PeerClosed)??;
-        self.shared.record_frame();
+        self.shared.record_frame_arrival();
         let body = match &frame {
             Frame::Data(_, data) => data.len() as u32,
             _ => 0,
         };
         self.process(frame).await?;
         self.unreturned_credit += body;
-        if self.unreturned_credit >= CREDIT_RETURN_AT {
+        if self.unreturned_credit >= CREDIT_RETURN_THRESHOLD_BYTES {
             self.shared.return_connection_credit(self.unreturned_credit);
             self.unreturned_credit = 0;
         }
@@ -116,9 +118,9 @@
             return Ok(());
         };
         let responder = self.shared.open_responder(id);
-        self.pass_on(
+        self.forward_inbound(
             Inbound::Request(head, responder),
-            ReceiveError::RequestsNotTaken,
+            ReceiveError::RequestsNotAccepted,
         )
         .await
     }
@@ -127,17 +129,22 @@
         if matches!(frame, Frame::Goaway(_)) {
             self.shared.table().peer_going_away = true;
         }
-        self.pass_on(Inbound::Control(frame), ReceiveError::ControlNotTaken)
+        self.forward_inbound(Inbound::Control(frame), ReceiveError::ControlNotAccepted)
             .await
     }
 
-    /// Waits while the owner is behind: the peer then waits for its socket, and no queue grows.
-    async fn pass_on(&self, inbound: Inbound, error: ReceiveError) -> Result<(), ReceiveError> {
+    /// Passes a request or control frame to the connection's owner. Waits while the queue is full: reading then pauses, and
+    /// the peer is slowed down by its full socket instead of a growing queue.
+    async fn forward_inbound(
+        &self,
+        inbound: Inbound,
+        error: ReceiveError,
+    ) -> Result<(), ReceiveError> {
         let sent = self.incoming.send(Box::new(inbound)).await;
         sent.map_err(|_| error)
     }
 
-    /// Answers a request above the limit of streams: one request is rejected, the connection stays.
+    /// Rejects a request above the limit of open streams; the connection stays open.
     async fn reject_request(&self, id: u32, max_streams: usize) -> Result<(), ReceiveError> {
         let error = ErrorHead {
             status: WireStatus::Rejected as i32,
--- a/crates/transport/src/connection/shared.rs
+++ b/crates/transport/src/connection/shared.rs
@@ -1,4 +1,4 @@
-//! State of a connection that its tasks and handles share.
+//! State of a connection, shared by its tasks and handles.
 use crate::buffer_meter::BufferMeter;
 use crate::call::{CallEnd, Responder, ResponsePart};
 use crate::credit::Credit;
@@ -15,10 +15,11 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// The sender of a call's parts. Boxed: a channel allocates slots for dozens of parts at once, and most calls receive three.
+/// The sender for the parts of a call's response. The parts are boxed because a channel allocates slots for dozens of parts
+/// at once, and most calls receive three.
 pub(super) type PartSender = mpsc::UnboundedSender<Box<ResponsePart>>;
 
-/// How frames reach the handle of a stream.
+/// The channel over which frames reach the handle of a stream.
 #[derive(Debug)]
 pub(super) enum StreamHandle {
     Call(PartSender),
@@ -28,19 +29,19 @@
     },
 }
 
-/// The open streams of a connection. An entry is forgotten when its stream ends or its handle is dropped.
+/// The open streams of a connection. An entry is removed when its stream ends or its handle is dropped.
 #[derive(Debug)]
 pub(super) struct StreamTable {
     pub(super) streams: Streams,
     pub(super) handles: HashMap<u32, StreamHandle>,
-    /// Why the connection has closed, once it has.
+    /// Reason for which the connection closed; `None` while it is open.
     pub(super) close_reason: Option<String>,
     pub(super) peer_going_away: bool,
-    /// This side closed the connection.
+    /// Whether this side closed the connection.
     pub(super) closed_locally: bool,
 }
 
-/// State of a connection that its tasks and handles share.
+/// State of a connection, shared by its tasks and handles.
 #[derive(Debug)]
 pub(crate) struct Shared {
     table: Mutex<StreamTable>,
@@ -48,11 +49,11 @@
     pub(super) writer: Writer,
     pub(crate) connection_credit: Credit,
     pub(super) closed: watch::Sender<bool>,
-    /// Nothing more is written, nor waits to be.
+    /// Whether the writer task has ended, so that no more bytes will be written.
     pub(super) written: watch::Sender<bool>,
     pub(crate) meter: BufferMeter,
     started_at: Instant,
-    /// When the peer's last frame was received, in milliseconds since `started_at`.
+    /// Time at which the peer's last frame was received, in milliseconds since `started_at`.
     last_frame_ms: AtomicU64,
 }
 
@@ -87,13 +88,13 @@
         lock(&self.table)
     }
 
-    /// Sends a frame without waiting: only for small and rare ones.
+    /// Sends a frame without waiting for space in the writer's queue; meant for small and rare frames only.
     pub(crate) fn push(&self, frame: Frame) {
         self.writer.put(frame);
         self.writer.flush();
     }
 
-    /// Sends a frame, waiting for space in the writer's queue.
+    /// Sends a frame, after waiting for space in the writer's queue.
     pub(crate) async fn send(&self, frame: Frame, time: SendTime) -> Result<(), ConnectionError> {
         if self.writer.send(frame, time).await {
             return Ok(());
@@ -101,26 +102,27 @@
         Err(ConnectionError::Closed(self.close_reason()))
     }
 
-    /// Removes a request of which nothing was sent; false if its first byte was.
+    /// Removes an unsent request from the writer's queue; returns false if the request is not queued, for example because
+    /// its first byte was sent.
     pub(crate) fn withdraw(&self, id: u32) -> bool {
         self.writer.withdraw(id)
     }
 
-    /// Closes a stream whose handle is dropped.
-    pub(crate) fn forget(&self, id: u32) {
+    /// Closes a stream whose handle has been dropped, and removes its entry.
+    pub(crate) fn release_stream(&self, id: u32) {
         let mut table = self.table();
         table.streams.close(id);
         table.handles.remove(&id);
     }
 
-    /// Returns credit of a stream for bytes that its handle has taken.
+    /// Returns credit of a stream to the peer, for bytes that the stream's handle has consumed.
     pub(crate) fn return_credit(&self, id: u32, taken: u32) {
         if self.table().streams.return_credit(id, taken) {
             self.push(Frame::Credit(id, taken));
         }
     }
 
-    /// Returns credit of the connection for bytes that were delivered to their streams.
+    /// Returns credit of the connection to the peer, for bytes that were delivered to their streams.
     pub(super) fn return_connection_credit(&self, delivered: u32) {
         self.table().streams.return_connection_credit(delivered);
         self.push(Frame::Credit(0, delivered));
@@ -131,7 +133,7 @@
         reason.unwrap_or_else(|| "cancelled".into())
     }
 
-    pub(super) fn record_frame(&self) {
+    pub(super) fn record_frame_arrival(&self) {
         let now_ms = self.started_at.elapsed().as_millis() as u64;
         self.last_frame_ms.store(now_ms, Ordering::Relaxed);
     }
@@ -160,7 +162,7 @@
             .ok_or(ConnectionError::NoStream(self.max_streams))?;
         let handle = StreamHandle::Call(parts.clone());
         table.handles.insert(id, handle);
-        // Under the lock: requests reach the writer in the order of their numbers.
+        // Done under the lock, so that requests reach the writer in the order of their stream numbers.
         let request = QueuedRequest { id, compose, parts };
         if !self.writer.put_request(request) {
             table.streams.close(id);
@@ -170,7 +172,7 @@
         Ok(id)
     }
 
-    /// Registers a request of the peer and returns its handle.
+    /// Registers a request from the peer and returns its handle.
     pub(super) fn open_responder(self: &Arc<Self>, id: u32) -> Responder {
         let credit = Arc::new(Credit::new(STREAM_WINDOW));
         let (sender, cancelled) = watch::channel(false);
@@ -184,12 +186,12 @@
             shared: self.clone(),
             credit,
             cancelled,
-            sent: 0,
+            sent_bytes: 0,
             ended: false,
         }
     }
 
-    /// Passes a frame to the handle of its stream; `closed`: the peer's last one there.
+    /// Passes a frame to the handle of its stream. `closed` tells whether it is the peer's last frame on the stream.
     pub(super) fn deliver(&self, id: u32, frame: Frame, closed: bool) {
         let mut table = self.table();
         let part = match frame {
@@ -206,7 +208,8 @@
             _ => return,
         };
         if let Some(StreamHandle::Call(parts)) = table.handles.get(&id) {
-            // Under the lock: the handle empties its channel after [`Shared::forget`].
+            // Done under the lock, so that no part is added after the handle has called [`Shared::release_stream`] and
+            // emptied its channel.
             self.send_part(parts, part);
         }
         if closed {
@@ -219,14 +222,15 @@
             ResponsePart::Data(data) => data.len(),
             _ => 0,
         };
-        // Counted first: the receiver may take and discount the part before this task continues.
+        // Counted before sending: the receiver may take the part and subtract its bytes before this task continues.
         self.meter.add(bytes);
         if parts.send(Box::new(part)).is_err() {
             self.meter.sub(bytes);
         }
     }
 
-    /// Adds credit for sending; false if the peer granted more than a window can be.
+    /// Adds credit that the peer has granted for sending, on a stream or, with `id` 0, on the connection. Returns false if
+    /// the total would exceed the largest window that the protocol allows.
     pub(super) fn grant_credit(&self, id: u32, more: u32) -> bool {
         if id == 0 {
             return self.connection_credit.grant(more);
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Ends every stream and closes the writer. Later calls have no effect.
+    /// Ends every stream and closes the writer. Calls after the first one have no effect.
     pub(super) fn close(&self, reason: &str) {
         let handles = {
             let mut table = self.table();
@@ -248,7 +252,7 @@
             std::mem::take(&mut table.handles)
         };
         self.connection_credit.close();
-        // First: a call of which nothing was sent ends as not sent rather than as broken.
+        // Done before the handles end: a call whose request was not sent ends as not sent rather than as broken.
         self.writer.drop_unsent();
         for handle in handles.into_values() {
             handle.end(reason);
@@ -259,7 +263,7 @@
 }
 
 impl StreamHandle {
-    /// The peer has cancelled.
+    /// Notifies a responder that the peer has cancelled or the connection has closed; has no effect on a call.
     fn cancel(self) {
         if let Self::Responder { credit, cancelled } = self {
             credit.close();
@@ -267,7 +271,7 @@
         }
     }
 
-    /// The connection has closed.
+    /// Ends the stream after the connection has closed.
     fn end(self, reason: &str) {
         match self {
             Self::Call(parts) => {
--- a/crates/transport/src/frame_reader.rs
+++ b/crates/transport/src/frame_reader.rs
@@ -1,38 +1,38 @@
-//! The receiving half of a connection: read sizes follow the traffic, and an idle connection holds no buffer.
+//! The receiving half of a connection. The size of reads adapts to the traffic, and an idle connection holds no buffer.
 use crate::socket::ReadHalf;
 use bytes::{BufMut, BytesMut};
 use pointspindle_protocol::ReadSizeHint;
 
-/// Bytes that a read requests at first and at least. The size is doubled when a read is filled, and halved when it is not
-/// filled to a quarter.
-const MIN_READ: usize = 2 * 1024;
-/// Bytes that a read requests at most, unless the codec knows a frame's length: a larger read would end inside the next
-/// large frame, and that part would be copied.
-const MAX_READ: usize = 8 * 1024;
-/// Bytes that are reserved ahead of what was received at most: a peer that announces a large frame and then stops must not
-/// occupy the memory for it.
-const MAX_READ_OF_KNOWN_FRAME: usize = 66 * 1024;
+/// Initial and minimum number of bytes that a read requests. The size is doubled after a read that was filled, and halved
+/// after a read that was filled to less than a quarter.
+const MIN_READ_BYTES: usize = 2 * 1024;
+/// Maximum number of bytes that a read requests while the codec does not know the length of the next frame: a larger read
+/// would end inside the next large frame, and the part of that frame that was read would be copied.
+const MAX_READ_BYTES: usize = 8 * 1024;
+/// Maximum number of bytes that a read requests, and that are reserved, while the length of the frame is known: a peer that
+/// announces a large frame and then stops sending must not occupy memory for all of it.
+const MAX_KNOWN_FRAME_READ_BYTES: usize = 66 * 1024;
 
-/// Decodes frames from a socket. Frames share the buffer that they were read into.
+/// Decodes frames from a socket. Decoded frames share the buffer into which they were read.
 #[derive(Debug)]
 pub struct FrameReader<D> {
     socket: ReadHalf,
     codec: D,
     buffer: BytesMut,
-    /// Bytes that the next read requests.
+    /// Number of bytes that the next read requests.
     read_size: usize,
-    /// The peer sends nothing more, or the connection has failed.
+    /// Whether the peer has ended its direction or reading has failed.
     ended: bool,
 }
 
-/// What was received on an idle connection.
+/// State of a connection without requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
-    /// Nothing.
+    /// The connection is open, and no bytes were received.
     Quiet,
-    /// The peer's end, or an error.
+    /// The peer has ended its direction, or reading failed.
     Closed,
-    /// Bytes that belong to no request.
+    /// Bytes were received that belong to no request.
     Stray,
 }
 
@@ -40,29 +40,29 @@
 where
     D::Error: From<std::io::Error>,
 {
-    /// A reader without buffered bytes.
+    /// Creates a reader without buffered bytes.
     pub fn new(socket: ReadHalf, codec: D) -> Self {
         Self {
             socket,
             codec,
             buffer: BytesMut::new(),
-            read_size: MIN_READ,
+            read_size: MIN_READ_BYTES,
             ended: false,
         }
     }
 
-    /// Whether no byte of a next frame is buffered.
+    /// Whether no bytes of a further frame are buffered.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The codec, to be set up for what comes next.
+    /// Returns the codec, so that the caller can configure it for the next frame.
     pub fn codec(&mut self) -> &mut D {
         &mut self.codec
     }
 
-    /// What was received on a connection without requests in flight. Consumes a byte if there is one: use it only where any
-    /// byte is an error.
+    /// Checks a connection without requests in flight for received bytes or its end. Consumes a byte if one was received:
+    /// use it only where any received byte is an error.
     pub fn idle(&self) -> IdleState {
         if !self.buffer.is_empty() {
             return IdleState::Stray;
@@ -75,20 +75,21 @@
         }
     }
 
-    /// Returns when the peer has closed its direction, although earlier bytes may be unread: for callers that pause reading.
+    /// Returns when the peer has closed its direction, even if earlier bytes are unread. Meant for callers that pause
+    /// reading.
     pub async fn peer_closed(&self) {
         let _ = self.socket.peer_closed().await;
     }
 
-    /// Waits, without a buffer, until there is something to read.
+    /// Waits until a read may return bytes, the end of the stream or an error. Needs no buffer.
     pub async fn readable(&self) -> std::io::Result<()> {
         self.socket.readable().await
     }
 
-    /// The next frame; `None` at the end. After an error there is nothing more. Cancel-safe.
+    /// Returns the next frame, or `None` at the end of the stream. No frame follows after an error. Cancel-safe.
     pub async fn next(&mut self) -> Option<Result<D::Item, D::Error>> {
         loop {
-            // Decoded even without new bytes: the end of a body may need none.
+            // Decodes even without new bytes: the end of a body may need none.
             match self.decode() {
                 Ok(Some(frame)) => return Some(Ok(frame)),
                 Ok(None) if self.ended => return None,
@@ -96,7 +97,7 @@
                 Err(error) => return Some(Err(self.fail(error))),
             }
             if self.buffer.is_empty() {
-                // Frames in use keep their bytes; an idle connection holds none.
+                // Releases the buffer: decoded frames keep their bytes alive, and an idle connection holds no buffer.
                 self.buffer = BytesMut::new();
             }
             if let Err(error) = self.socket.readable().await {
@@ -117,7 +118,8 @@
         self.codec.decode(&mut self.buffer)
     }
 
-    /// Reads once and adapts the size of the next read. A frame of known length is read in one go.
+    /// Reads once and adapts the size of the next read. If the length of the current frame is known, the read requests all
+    /// of its remaining bytes, up to [`MAX_KNOWN_FRAME_READ_BYTES`].
     fn read(&mut self) -> std::io::Result<()> {
         let rest_of_frame = self
             .codec
@@ -125,7 +127,7 @@
             .filter(|_| !self.buffer.is_empty());
         let requested = rest_of_frame
             .unwrap_or(self.read_size)
-            .min(MAX_READ_OF_KNOWN_FRAME);
+            .min(MAX_KNOWN_FRAME_READ_BYTES);
         self.buffer.reserve(requested);
         let read = self
             .socket
@@ -147,10 +149,10 @@
 
 fn next_read_size(current: usize, requested: usize, read: usize) -> usize {
     if read == requested {
-        return (current * 2).min(MAX_READ);
+        return (current * 2).min(MAX_READ_BYTES);
     }
     if read < current / 4 {
-        return (current / 2).max(MIN_READ);
+        return (current / 2).max(MIN_READ_BYTES);
     }
     current
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,11 +1,13 @@
-//! One framed connection as a pair of tokio tasks, for either end of it.
+//! A framed connection as a pair of tokio tasks, for either end of the connection.
 //!
-//! A reader task checks frames with [`pointspindle_protocol::streams`] and passes them to their streams; a writer task writes
-//! what the socket did not accept when the frame's own sender wrote it. Bodies are sent under credit: a sender waits for its
-//! stream's credit, then for the connection's, then for space in the writer's queue.
+//! A reader task validates frames with [`pointspindle_protocol::streams`] and passes them to their streams. A sender writes
+//! its frame to the socket directly; a writer task writes the bytes that the socket did not accept. Bodies are subject to
+//! flow control: a sender waits for credit of its stream, then for credit of the connection, then for space in the
+//! writer's queue.
 //!
-//! State of each stream: an entry in one table and an unread buffer of at most
-//! [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW) bytes; both are released when its handle is dropped.
+//! Each stream has an entry in the connection's table and a buffer of at most
+//! [`STREAM_WINDOW`](pointspindle_protocol::streams::STREAM_WINDOW) unread bytes; both are released when the handle of the
+//! stream is dropped.
 #![forbid(unsafe_code)]
 #![warn(missing_docs, missing_debug_implementations)]
 
@@ -35,16 +37,16 @@
 pub use socket::{ReadHalf, Socket, WriteHalf};
 pub use writer::DeferredRequest;
 
-/// Why a frame could not be sent.
+/// Reason for which a frame could not be sent.
 #[derive(Clone, Debug, thiserror::Error, PartialEq, Eq)]
 pub enum ConnectionError {
-    /// The connection has closed; nothing was sent.
+    /// The connection has closed, for the given reason; no byte of the frame was sent.
     #[error("the connection is closed: {0}")]
     Closed(String),
-    /// Too many streams are open; nothing was sent.
+    /// The given maximum number of streams is open; no byte of the frame was sent.
     #[error("all {0} streams of the connection are in use")]
     NoStream(usize),
-    /// The peer has cancelled the stream.
+    /// The peer has cancelled the stream, or the connection has closed for the given reason.
     #[error("the peer has cancelled: {0}")]
     Cancelled(String),
 }
--- a/crates/transport/src/network.rs
+++ b/crates/transport/src/network.rs
@@ -1,34 +1,34 @@
-//! Where connections come from and go to: the TCP stack of the machine, or a simulated network.
+//! Networks over which connections are opened and accepted: the TCP stack of the machine, or a simulated network.
 use crate::simulated::{SimulatedListener, SimulatedNetwork};
 use crate::socket::Socket;
 use std::io::Result;
 use std::net::{IpAddr, SocketAddr};
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the system queues for a listener that reuses its address.
+/// Length of the system's accept queue for a listener that reuses its address.
 const BACKLOG: u32 = 1024;
 
-/// A network.
+/// A network over which connections are opened and accepted.
 #[derive(Clone, Debug, Default)]
 pub enum Network {
     /// The machine's TCP stack.
     #[default]
     Tcp,
-    /// A network in memory.
+    /// An in-memory network.
     Simulated(SimulatedNetwork),
 }
 
-/// A listener of a network.
+/// A listener on a [`Network`].
 #[derive(Debug)]
 pub enum Listener {
-    /// Of the machine's TCP stack.
+    /// A listener on the machine's TCP stack.
     Tcp(TcpListener),
-    /// Of a network in memory.
+    /// A listener on an in-memory network.
     Simulated(SimulatedListener),
 }
 
 impl Network {
-    /// Connects, from a local address if one is given.
+    /// Connects to `to`, from the local address `from` if one is given.
     pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Socket> {
         match self {
             Self::Tcp => {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Listens at an address; port 0 stands for any free port.
+    /// Listens at an address; port 0 selects any free port.
     pub async fn listen(&self, address: SocketAddr) -> Result<Listener> {
         match self {
             Self::Tcp => Ok(Listener::Tcp(TcpListener::bind(address).await?)),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Listens at an address that another process may just have released (`SO_REUSEADDR`).
+    /// Listens at an address that another process may have released shortly before (`SO_REUSEADDR`).
     pub async fn listen_reusing_address(&self, address: SocketAddr) -> Result<Listener> {
         match self {
             Self::Tcp => {
@@ -73,7 +73,7 @@
 }
 
 impl Listener {
-    /// The next connection and its peer's address. Cancel-safe.
+    /// Accepts the next connection and returns it with the peer's address. Cancel-safe.
     pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
         match self {
             Self::Tcp(listener) => {
@@ -84,11 +84,11 @@
         }
     }
 
-    /// The address at which it listens, with the assigned port.
+    /// Returns the address of the listener, with the assigned port.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         match self {
             Self::Tcp(listener) => listener.local_addr(),
-            Self::Simulated(listener) => Ok(listener.at()),
+            Self::Simulated(listener) => Ok(listener.local_addr()),
         }
     }
 }
--- a/crates/transport/src/retrying_io.rs
+++ b/crates/transport/src/retrying_io.rs
@@ -1,8 +1,8 @@
-//! Halves of a TCP connection that retry interrupted calls and calls that found the socket not ready.
+//! Halves of a TCP connection that retry interrupted system calls and calls that found the socket not ready.
 //!
-//! tokio's own reads and writes wait for the next event of the socket once a call has moved fewer bytes than requested, and
-//! pass an interrupted call on as an error. Here a short call is followed by another one, until the socket has or takes
-//! nothing more, and an interrupted call is repeated.
+//! After a read or write that moved fewer bytes than requested, tokio waits for the next readiness event of the socket, and
+//! it returns an interrupted call as an error. These halves call again after a short read or write, until the socket would
+//! block, and repeat interrupted calls.
 use socket2::SockRef;
 use std::io::{ErrorKind, IoSlice, Read, Result};
 use std::pin::Pin;
@@ -16,25 +16,25 @@
     half: OwnedReadHalf,
 }
 
-/// The writing half of a TCP connection; dropping it shuts the direction down.
+/// The writing half of a TCP connection. Dropping it shuts its direction down.
 #[derive(Debug)]
 pub struct RetryingWriteHalf {
     half: OwnedWriteHalf,
 }
 
-/// Whether a call is to be repeated, at once or when the socket is ready.
+/// Whether a failed call is to be repeated, at once or when the socket is ready.
 fn is_retried(error: &std::io::Error) -> bool {
     matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::WouldBlock)
 }
 
 impl RetryingReadHalf {
-    /// Wraps tokio's half.
+    /// Wraps a half of a tokio TCP stream.
     pub fn new(half: OwnedReadHalf) -> Self {
         Self { half }
     }
 
-    /// Reads what the socket holds now, regardless of its readiness as the runtime knows it. `None`: nothing is there; zero: the
-    /// peer has closed its direction.
+    /// Reads from the socket at once, regardless of the readiness that the runtime has recorded for it. Returns `None` if
+    /// no bytes are available, and zero if the peer has closed its direction.
     pub fn read_now(&self, buffer: &mut [u8]) -> Result<Option<usize>> {
         let socket = SockRef::from(self.half.as_ref());
         loop {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Shuts the writing direction down: the peer sees the end at once.
+    /// Shuts the writing direction down, so that the peer sees the end of the stream at once.
     pub fn shutdown_write(&self) -> Result<()> {
         SockRef::from(self.half.as_ref()).shutdown(std::net::Shutdown::Write)
     }
@@ -74,20 +74,20 @@
 }
 
 impl RetryingWriteHalf {
-    /// Wraps tokio's half.
+    /// Wraps a half of a tokio TCP stream.
     pub fn new(half: OwnedWriteHalf) -> Self {
         Self { half }
     }
 
-    /// Writes a part of `pieces`.
+    /// Writes as many bytes of `slices` as the socket accepts.
     fn poll_write_part(
         &self,
         context: &mut Context<'_>,
-        pieces: &[IoSlice<'_>],
+        slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
         loop {
             ready!(self.half.as_ref().poll_write_ready(context))?;
-            match self.half.try_write_vectored(pieces) {
+            match self.half.try_write_vectored(slices) {
                 Err(e) if is_retried(&e) => {}
                 done => return Poll::Ready(done),
             }
@@ -107,9 +107,9 @@
     fn poll_write_vectored(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-        pieces: &[IoSlice<'_>],
+        slices: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.poll_write_part(context, pieces)
+        self.poll_write_part(context, slices)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -1,12 +1,12 @@
 //! A network in memory, on tokio's clock: under a paused clock a simulated day takes only as long as its computation.
 //!
-//! Each connection has two directions. What is written arrives after the latency of the link, later if a segment is lost (it
-//! is retransmitted as by TCP, and later segments wait for it), in order within its direction; connections overtake each
-//! other. A partitioned link delivers nothing in either direction and reports no error: after it is healed, what was sent
-//! arrives. A cut is seen at once by both ends.
+//! Each connection has two directions. What is written arrives after the latency of the link, later if a segment is lost
+//! (it is retransmitted as by TCP, and later segments wait for it), in order within its direction; connections overtake
+//! each other. A partitioned link delivers nothing in either direction and reports no error: after it is healed, what was
+//! sent arrives. A cut is seen at once by both ends.
 //!
-//! State: a direction's unread bytes, at most 256 KiB; a listener's queue, at most 1024 connections; a link for each pair of
-//! addresses that ever communicated, which is never forgotten (a simulation has few).
+//! State: a direction's unread bytes, at most 256 KiB; a listener's queue, at most 1024 connections; a link for each pair
+//! of addresses that ever communicated, which is never forgotten (a simulation has few).
 mod direction;
 mod half;
 mod link;
@@ -34,7 +34,7 @@
 /// Ports below this are never assigned.
 const MIN_ASSIGNED_PORT: u16 = 20_000;
 /// Closed directions are removed when there are more entries than this, and than twice those left by the last removal.
-const MIN_SWEEP: usize = 256;
+const MIN_SWEEP_ENTRIES: usize = 256;
 
 /// How a network behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -100,7 +100,7 @@
         if self.directions.len() > self.sweep_above {
             self.directions
                 .retain(|entry| entry.direction.strong_count() > 0);
-            self.sweep_above = MIN_SWEEP.max(2 * self.directions.len());
+            self.sweep_above = MIN_SWEEP_ENTRIES.max(2 * self.directions.len());
         }
     }
 }
@@ -109,7 +109,7 @@
 #[derive(Clone, Debug)]
 pub struct SimulatedNetwork {
     state: Arc<Mutex<NetworkState>>,
-    process_runs: Arc<AtomicBool>,
+    is_process_running: Arc<AtomicBool>,
 }
 
 impl SimulatedNetwork {
@@ -121,12 +121,12 @@
             listeners: BTreeMap::new(),
             links: BTreeMap::new(),
             directions: Vec::new(),
-            sweep_above: MIN_SWEEP,
+            sweep_above: MIN_SWEEP_ENTRIES,
             last_port: MIN_ASSIGNED_PORT,
         };
         Self {
             state: Arc::new(Mutex::new(state)),
-            process_runs: Arc::new(AtomicBool::new(true)),
+            is_process_running: Arc::new(AtomicBool::new(true)),
         }
     }
 
@@ -134,13 +134,13 @@
     pub fn incarnation(&self) -> Self {
         Self {
             state: self.state.clone(),
-            process_runs: Arc::new(AtomicBool::new(true)),
+            is_process_running: Arc::new(AtomicBool::new(true)),
         }
     }
 
     /// Ends this process: what is left of its tasks can no longer connect.
     pub fn end(&self) {
-        self.process_runs.store(false, Ordering::SeqCst);
+        self.is_process_running.store(false, Ordering::SeqCst);
     }
 
     /// The time that the next segment takes.
@@ -220,7 +220,7 @@
         let round_trip = self.delay() + self.delay();
         tokio::time::sleep(round_trip).await;
         link.wait_until_open().await;
-        if !self.process_runs.load(Ordering::SeqCst) {
+        if !self.is_process_running.load(Ordering::SeqCst) {
             return Err(Error::new(ErrorKind::NotConnected, "this process is over"));
         }
         let handshake = self.handshake(from, to, link);
--- a/crates/transport/src/simulated/direction.rs
+++ b/crates/transport/src/simulated/direction.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, Sleep};
 
 /// Bytes that a direction buffers before its writer waits, as the buffers of two sockets do.
-pub(super) const WINDOW: usize = 256 * 1024;
+pub(super) const WINDOW_BYTES: usize = 256 * 1024;
 
 /// One direction of a connection, shared by its writer and its reader.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 struct DirectionState {
     /// Segments in flight or unread; the times of arrival never decrease.
     segments: VecDeque<Segment>,
-    /// Bytes of all segments; at most [`WINDOW`].
+    /// Bytes of all segments; at most [`WINDOW_BYTES`].
     buffered: usize,
     /// When the end of the direction arrives, once the writer has ended it.
     end: Option<Instant>,
@@ -116,7 +116,7 @@
         if self.reader_dropped {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        let space = WINDOW.saturating_sub(self.buffered);
+        let space = WINDOW_BYTES.saturating_sub(self.buffered);
         if space == 0 {
             return Err(ErrorKind::WouldBlock.into());
         }
@@ -202,7 +202,7 @@
 
     pub(super) fn poll_writable(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut state = lock(&self.state);
-        if state.cut || state.reader_dropped || state.buffered < WINDOW {
+        if state.cut || state.reader_dropped || state.buffered < WINDOW_BYTES {
             return Poll::Ready(());
         }
         state.writer = Some(context.waker().clone());
--- a/crates/transport/src/simulated/half.rs
+++ b/crates/transport/src/simulated/half.rs
@@ -1,6 +1,6 @@
 //! The halves of a simulated connection.
 use super::direction::Direction;
-use crate::socket::{Socket, PEER_CLOSED_POLL};
+use crate::socket::{Socket, PEER_CLOSED_POLL_INTERVAL};
 use std::future::poll_fn;
 use std::io::{IoSlice, Result};
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     /// Returns when the peer has ended its direction, although earlier bytes may be unread.
     pub async fn peer_closed(&self) {
         while !self.0.is_ended() {
-            tokio::time::sleep(PEER_CLOSED_POLL).await;
+            tokio::time::sleep(PEER_CLOSED_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/transport/src/simulated/listener.rs
+++ b/crates/transport/src/simulated/listener.rs
@@ -33,8 +33,8 @@
         accepted.ok_or_else(|| ErrorKind::NotConnected.into())
     }
 
-    /// The address, with the assigned port.
-    pub fn at(&self) -> SocketAddr {
+    /// Returns the address of the listener, with the assigned port.
+    pub fn local_addr(&self) -> SocketAddr {
         self.address
     }
 }
--- a/crates/transport/src/socket.rs
+++ b/crates/transport/src/socket.rs
@@ -1,7 +1,7 @@
-//! The byte stream of a connection, over a TCP socket, TLS or the simulated network.
+//! The byte stream of a connection over TCP, TLS or a simulated network.
 //!
-//! Both halves work by readiness: wait until there may be something, then try. An idle connection therefore needs no buffer,
-//! and a task that has a frame can write it at once.
+//! Both halves are readiness-based: the caller waits for readiness, then tries the operation. An idle connection therefore
+//! needs no buffer, and a task that has a frame can write it without waiting for another task.
 use crate::simulated::{SimulatedReadHalf, SimulatedWriteHalf};
 use crate::tls::{TlsStream, TlsWriteHalf};
 use bytes::{Buf, BufMut};
@@ -12,20 +12,21 @@
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::TcpStream;
 
-/// Time between two checks for the end of a peer with unread bytes: well below the 0.1 s in which a departure must be noticed.
-pub(crate) const PEER_CLOSED_POLL: Duration = Duration::from_millis(20);
+/// Interval between checks whether the peer has closed its direction while bytes are unread. It is well below the 0.1 s
+/// within which a peer's departure must be noticed.
+pub(crate) const PEER_CLOSED_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Slices of one vectored write at most.
+/// Maximum number of slices of one vectored write.
 pub(crate) const MAX_SLICES: usize = 32;
 
-/// A connection to be split into its halves.
+/// A connection that has not been split into its halves yet.
 #[derive(Debug)]
 pub enum Socket {
-    /// TCP.
+    /// Plain TCP.
     Tcp(TcpStream),
     /// TLS over TCP.
     Tls(Arc<TlsStream>),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(SimulatedReadHalf, SimulatedWriteHalf),
 }
 
@@ -35,30 +36,30 @@
     }
 }
 
-/// The reading half.
+/// The reading half of a connection.
 #[derive(Debug)]
 pub enum ReadHalf {
-    /// TCP.
+    /// Plain TCP.
     Tcp(OwnedReadHalf),
     /// TLS over TCP.
     Tls(Arc<TlsStream>),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(SimulatedReadHalf),
 }
 
-/// The writing half; dropped, it ends its direction.
+/// The writing half of a connection. Dropping it ends its direction.
 #[derive(Debug)]
 pub enum WriteHalf {
-    /// TCP.
+    /// Plain TCP.
     Tcp(OwnedWriteHalf),
     /// TLS over TCP.
     Tls(TlsWriteHalf),
-    /// Of a simulated network.
+    /// A connection of a simulated network.
     Simulated(SimulatedWriteHalf),
 }
 
 impl Socket {
-    /// Both halves; small writes are sent at once from now on (`TCP_NODELAY`).
+    /// Splits the connection into its halves and disables the delay of small writes (`TCP_NODELAY`).
     pub fn split(self) -> (ReadHalf, WriteHalf) {
         match self {
             Self::Tcp(socket) => {
@@ -78,7 +79,7 @@
 }
 
 impl ReadHalf {
-    /// Waits until a read may return something: bytes, the end or an error. Cancel-safe.
+    /// Waits until a read may return bytes, the end of the stream or an error. Cancel-safe.
     pub async fn readable(&self) -> Result<()> {
         match self {
             Self::Tcp(half) => half.readable().await,
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Returns when the peer has ended its direction or the connection is broken, although earlier bytes may be unread. Checks
-    /// every 20 ms while there are such bytes. Cancel-safe.
+    /// Returns when the peer has ended its direction or the connection is broken, even if earlier bytes are unread. While
+    /// bytes are unread, the state is checked every 20 ms. Cancel-safe.
     pub async fn peer_closed(&self) -> Result<()> {
         let socket = match self {
             Self::Tcp(half) => half.as_ref(),
@@ -102,12 +103,13 @@
             }
         };
         while !socket.ready(Interest::READABLE).await?.is_read_closed() {
-            tokio::time::sleep(PEER_CLOSED_POLL).await;
+            tokio::time::sleep(PEER_CLOSED_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Reads what is available. `WouldBlock`: nothing; 0: the end.
+    /// Reads the available bytes and returns their number; 0 means the end of the stream. Fails with `WouldBlock` if no
+    /// bytes are available.
     pub fn try_read_buf(&self, buffer: &mut impl BufMut) -> Result<usize> {
         let mut consume = |bytes: &[u8]| {
             let taken = bytes.len().min(buffer.remaining_mut());
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Waits for bytes and reads them; 0: the end. Cancel-safe.
+    /// Waits for bytes, reads them and returns their number; 0 means the end of the stream. Cancel-safe.
     pub async fn read_buf(&self, buffer: &mut impl BufMut) -> Result<usize> {
         loop {
             self.readable().await?;
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Writes as many bytes as are accepted now. `WouldBlock`: none.
+    /// Writes as many bytes as the socket accepts now and returns their number. Fails with `WouldBlock` if it accepts none.
     pub fn try_write_vectored(&self, slices: &[IoSlice<'_>]) -> Result<usize> {
         match self {
             Self::Tcp(half) => half.try_write_vectored(slices),
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Writes a part of the bytes, waiting until some are accepted.
+    /// Waits until the socket accepts some of the bytes, writes them and returns their number.
     pub async fn write_buf(&self, bytes: &mut impl Buf) -> Result<usize> {
         loop {
             let written = {
@@ -184,7 +186,8 @@
         Ok(())
     }
 
-    /// Resets the connection once both halves are dropped: what was written and has not reached the peer never will.
+    /// Makes the connection reset once both halves are dropped: written bytes that have not reached the peer by then are
+    /// discarded.
     pub fn abort(&self) {
         match self {
             Self::Tcp(half) => {
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Ends the direction; what was written is still sent.
+    /// Ends the direction; bytes already written are still sent.
     pub fn shutdown(&self) {
         match self {
             Self::Tcp(half) => {
--- a/crates/transport/src/tls/credentials.rs
+++ b/crates/transport/src/tls/credentials.rs
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Reads the files again, for handshakes from now on; open connections are not affected. After an error the old ones stay
-    /// in use.
+    /// Reads the files again, for handshakes from now on; open connections are not affected. After an error the old ones
+    /// stay in use.
     pub fn reload(&self) -> Result<(), TlsError> {
         let config = server_config(&self.files, self.client_authority.as_deref())?;
         *lock(&self.config) = config;
--- a/crates/transport/src/tls/stream.rs
+++ b/crates/transport/src/tls/stream.rs
@@ -1,7 +1,7 @@
 //! The byte stream of a TLS connection, by readiness: wait, then try.
 //!
-//! No task and no buffer of its own: what the socket does not accept of a record stays in rustls, and a task that exists only
-//! while the socket is full writes the rest.
+//! No task and no buffer of its own: what the socket does not accept of a record stays in rustls, and a task that exists
+//! only while the socket is full writes the rest.
 use crate::lock::lock;
 use crate::socket::Socket;
 use rustls::Connection;
--- a/crates/transport/src/writer.rs
+++ b/crates/transport/src/writer.rs
@@ -1,13 +1,15 @@
-//! The sending half of a connection: a task that has a frame writes it at once. The writer's own task only writes what the
-//! socket did not accept, and closes the connection.
+//! The sending half of a connection. A task that sends a frame writes it to the socket itself; the writer task only writes
+//! bytes that the socket did not accept, and closes the connection.
 //!
-//! Frames gather while the socket is full, and where their sender announces that more follows (a head before its body): one
-//! write then takes them together. Large bodies are not copied and are sent by vectored writes. Queued bytes are bounded by
-//! [`MAX_QUEUED`] for senders that can wait; frames that cannot (requests, cancels, credit) are small and rare.
+//! Frames are queued while the socket is full, and when their sender announces that another frame follows (a head before
+//! its body); they are then sent in one write. Large bodies are sent by vectored writes without being copied. Senders that
+//! can wait do so while [`MAX_QUEUED_BYTES`] are queued; frames whose senders cannot wait (requests, cancels, credit) are
+//! small and rare.
 //!
-//! A request is composed right before its first byte, when the socket accepts bytes: its owner then decides whether it may
-//! still begin, and until then no part of it is in any buffer. A request that is withdrawn before ([`Writer::withdraw`]), or
-//! still queued when the connection ends, was never sent, and its call ends so.
+//! A request is composed immediately before its first byte is written, when the socket accepts bytes. Its owner then
+//! decides whether the request may still start; until then no part of it is in any buffer. A request that is withdrawn
+//! before that ([`Writer::withdraw`]) is never sent. The call of a request that is still queued when the connection ends is
+//! ended as not sent.
 //!
 //! An idle connection holds no buffer and no queue.
 mod pieces;
@@ -25,35 +27,36 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Queued bytes from which senders wait.
-const MAX_QUEUED: usize = 256 * 1024;
-/// Queued bytes that are written although more follows.
-const WRITE_AT: usize = 64 * 1024;
-/// Longest time to write what is queued when this side closes the connection.
+/// Number of queued bytes from which on senders wait.
+const MAX_QUEUED_BYTES: usize = 256 * 1024;
+/// Number of queued bytes that are written even if the sender has announced another frame.
+const WRITE_THRESHOLD_BYTES: usize = 64 * 1024;
+/// Maximum time for writing the queued frames after this side has closed the connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The sending half of a connection, shared by its senders and the writer's task.
+/// The sending half of a connection, shared by its senders and the writer task.
 #[derive(Debug)]
 pub(crate) struct Writer {
     queue: Mutex<SendQueue>,
     socket: WriteHalf,
     meter: BufferMeter,
-    /// For the task: something is queued, or the connection closes.
+    /// Notifies the writer task that bytes are queued or that the connection closes.
     work: Notify,
-    /// For senders: there is space again, or will never be.
+    /// Notifies waiting senders that the queue has space again or accepts no more frames.
     space: Notify,
 }
 
 /// When a frame is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SendTime {
+    /// At once.
     Now,
-    /// With the frame that follows at once; otherwise as soon as the writer's task runs.
+    /// Together with the next frame if that one follows at once; otherwise as soon as the writer task runs.
     WithNext,
 }
 
 impl Writer {
-    /// The state before the connection's first frame.
+    /// Creates a writer with an empty queue.
     pub fn new(socket: WriteHalf, meter: BufferMeter) -> Self {
         Self {
             queue: Mutex::default(),
@@ -68,7 +71,8 @@
         lock(&self.queue)
     }
 
-    /// Queues a frame without waiting; [`Writer::flush`] sends it. False if the connection closes.
+    /// Queues a frame without waiting; [`Writer::flush`] sends it. Returns false if the connection is closing or the frame
+    /// cannot be encoded.
     pub fn put(&self, frame: Frame) -> bool {
         let mut queue = self.queue();
         if !queue.is_open() {
@@ -78,7 +82,7 @@
         queue.failure().is_none()
     }
 
-    /// Queues a request; [`Writer::flush`] composes and sends it. False if the connection closes.
+    /// Queues a request; [`Writer::flush`] composes and sends it. Returns false if the connection is closing.
     pub fn put_request(&self, request: QueuedRequest) -> bool {
         let mut queue = self.queue();
         let open = queue.is_open();
@@ -88,17 +92,18 @@
         open
     }
 
-    /// Removes a request of which nothing was sent; false if its first byte was.
+    /// Removes an unsent request from the queue; returns false if the request is not queued, for example because its first
+    /// byte was sent.
     pub fn withdraw(&self, id: u32) -> bool {
         self.queue().withdraw(id)
     }
 
-    /// Ends every request of which nothing was sent.
+    /// Removes every unsent request from the queue and ends its call as not sent.
     pub fn drop_unsent(&self) {
         self.queue().drop_unsent();
     }
 
-    /// Writes what the socket accepts; the task continues with the rest.
+    /// Writes as many queued bytes as the socket accepts; the writer task writes the rest.
     pub fn flush(&self) {
         let mut queue = self.queue();
         if !queue.is_socket_full() {
@@ -110,17 +115,18 @@
         }
     }
 
-    /// Queues a frame, waiting for space, and writes it. False if the connection closes.
+    /// Waits for space in the queue, queues a frame and writes it at `time`. Returns false if the connection is closing or
+    /// fails.
     pub async fn send(&self, frame: Frame, time: SendTime) -> bool {
         loop {
-            // Registered before the check, so that space made in between is not missed.
+            // Registered before the check, so that space that becomes free in between is not missed.
             let space = self.space.notified();
             {
                 let mut queue = self.queue();
                 if !queue.is_open() {
                     return false;
                 }
-                if queue.queued_bytes() < MAX_QUEUED {
+                if queue.queued_bytes() < MAX_QUEUED_BYTES {
                     self.put_and_write(&mut queue, frame, time);
                     return queue.failure().is_none();
                 }
@@ -131,7 +137,7 @@
 
     fn put_and_write(&self, queue: &mut SendQueue, frame: Frame, time: SendTime) {
         queue.put(frame);
-        let is_due = time == SendTime::Now || queue.queued_bytes() >= WRITE_AT;
+        let is_due = time == SendTime::Now || queue.queued_bytes() >= WRITE_THRESHOLD_BYTES;
         if is_due && !queue.is_socket_full() {
             queue.flush(&self.socket);
         }
@@ -141,25 +147,25 @@
         }
     }
 
-    /// Accepts nothing more; what is queued is still written, for [`CLOSE_TIMEOUT`].
+    /// Refuses further frames; queued frames are still written, for up to [`CLOSE_TIMEOUT`].
     pub fn close(&self) {
         self.queue().close();
         self.work.notify_one();
         self.space.notify_waiters();
     }
 
-    /// Discards what is queued, and what the peer has not received yet.
+    /// Discards the queued frames, and the written bytes that the peer has not received yet.
     pub fn abort(&self) {
         self.queue().fail("given up");
         self.socket.abort();
         self.close();
     }
 
-    /// The writer's task. Ends with the connection and returns why writing failed, if it did.
+    /// Runs the writer task until the connection ends; returns the reason if writing failed.
     pub async fn run(&self) -> Option<String> {
         let mut failure = self.write_until_closing().await;
         if failure.is_none() {
-            // A peer that reads nothing gets no more time than this.
+            // Limits the wait for a peer that has stopped reading.
             failure = tokio::time::timeout(CLOSE_TIMEOUT, self.write_queue())
                 .await
                 .unwrap_or(None);
@@ -186,14 +192,14 @@
         None
     }
 
-    /// Writes until nothing is queued; returns why writing failed, if it did.
+    /// Writes until the queue is empty; returns the reason if writing failed.
     async fn write_queue(&self) -> Option<String> {
         loop {
             {
                 let mut queue = self.queue();
                 queue.flush(&self.socket);
                 queue.update_meter(&self.meter);
-                if queue.queued_bytes() < MAX_QUEUED {
+                if queue.queued_bytes() < MAX_QUEUED_BYTES {
                     self.space.notify_waiters();
                 }
                 if queue.failure().is_some() || queue.is_empty() {
--- a/crates/transport/src/writer/pieces.rs
+++ b/crates/transport/src/writer/pieces.rs
@@ -1,16 +1,16 @@
-//! The ordered pieces of a send queue: encoded bytes, and requests that are not composed yet.
+//! The ordered entries of a send queue: encoded bytes, and requests that are not composed yet.
 use crate::call::{CallEnd, ResponsePart};
 use bytes::{Buf, Bytes};
 use pointspindle_protocol::RequestHead;
 use std::collections::VecDeque;
 use tokio::sync::mpsc;
 
-/// Composes a request at the moment of its first byte; `None` if it must no longer begin. Called again if the socket did not
-/// accept any byte.
+/// Composes a request immediately before its first byte is written; returns `None` if the request must no longer start.
+/// Called again later if the socket accepted no byte.
 pub type DeferredRequest = Box<dyn FnMut() -> Option<RequestHead> + Send>;
 
-/// A request of which nothing was sent. Whoever removes it from the queue ends its call ([`QueuedRequest::end_unsent`]),
-/// unless the call itself withdrew it.
+/// A queued request of which no byte was sent. Code that removes it from the queue must end its call
+/// ([`QueuedRequest::end_unsent`]), unless the call itself withdrew the request.
 pub(crate) struct QueuedRequest {
     pub(crate) id: u32,
     pub(crate) compose: DeferredRequest,
@@ -26,6 +26,7 @@
 }
 
 impl QueuedRequest {
+    /// Ends the call of the request as not sent.
     pub(super) fn end_unsent(self) {
         let end = ResponsePart::End(CallEnd::NotSent);
         let _ = self.parts.send(Box::new(end));
@@ -38,11 +39,11 @@
     Request(QueuedRequest),
 }
 
-/// Pieces in the order of sending.
+/// The pieces, in the order of sending.
 #[derive(Debug, Default)]
 pub(super) struct Pieces {
     pieces: VecDeque<Piece>,
-    /// How many of the pieces are requests.
+    /// Number of pieces that are requests.
     requests: usize,
 }
 
@@ -60,18 +61,18 @@
         self.requests += 1;
     }
 
-    /// Puts the rest of a started request in front.
+    /// Prepends the remaining bytes of a request that was sent in part.
     pub(super) fn prepend_bytes(&mut self, bytes: Bytes) {
         self.pieces.push_front(Piece::Bytes(bytes));
     }
 
-    /// Puts a request that was not started back in front.
+    /// Prepends a request of which no byte was sent.
     pub(super) fn prepend_request(&mut self, request: QueuedRequest) {
         self.pieces.push_front(Piece::Request(request));
         self.requests += 1;
     }
 
-    /// Removes the first piece if it is a request.
+    /// Removes and returns the first piece if it is a request.
     pub(super) fn take_first_request(&mut self) -> Option<QueuedRequest> {
         match self.pieces.pop_front()? {
             Piece::Request(request) => {
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Removes a request; false if there is none with this stream.
+    /// Removes the request of a stream; returns false if there is none.
     pub(super) fn remove_request(&mut self, id: u32) -> bool {
         let is_request =
             |piece: &Piece| matches!(piece, Piece::Request(request) if request.id == id);
@@ -97,7 +98,7 @@
         true
     }
 
-    /// Removes every request and ends its call.
+    /// Removes every request and ends its call as not sent.
     pub(super) fn end_requests(&mut self) {
         self.requests = 0;
         for piece in std::mem::take(&mut self.pieces) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The bytes up to the next request.
+    /// Returns the encoded bytes in front of the first request.
     pub(super) fn leading_bytes(&self) -> impl Iterator<Item = &[u8]> {
         self.pieces.iter().map_while(|piece| match piece {
             Piece::Bytes(bytes) => Some(&bytes[..]),
@@ -116,7 +117,7 @@
         })
     }
 
-    /// Removes leading bytes that were written; returns how many of the written bytes lie behind the pieces.
+    /// Removes written bytes from the front; returns the number of written bytes that were not part of the pieces.
     pub(super) fn remove_written(&mut self, mut written: usize) -> usize {
         while let Some(Piece::Bytes(piece)) = self.pieces.front_mut() {
             let part = written.min(piece.len());
--- a/crates/transport/src/writer/queue.rs
+++ b/crates/transport/src/writer/queue.rs
@@ -1,4 +1,4 @@
-//! What waits for a connection's socket, and its writing.
+//! The queue of frames and requests that wait for a connection's socket, and the writes to that socket.
 use super::pieces::{Pieces, QueuedRequest};
 use crate::buffer_meter::BufferMeter;
 use crate::socket::{WriteHalf, MAX_SLICES};
@@ -7,38 +7,40 @@
 use std::io::{ErrorKind, IoSlice};
 use tokio_util::codec::Encoder;
 
-/// Bodies of at least this size are not copied on their way to the socket.
-const MIN_UNCOPIED_BODY: usize = 8 * 1024;
-/// A larger buffer is released once it is empty.
-const MAX_IDLE_BUFFER: usize = 1024;
+/// Minimum size of a body that is sent without being copied.
+const MIN_UNCOPIED_BODY_BYTES: usize = 8 * 1024;
+/// Capacity above which an empty buffer is released.
+const MAX_IDLE_BUFFER_BYTES: usize = 1024;
 
-/// Whether the socket accepted bytes.
+/// Result of one step of writing the queue.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Progress {
+    /// The step is done; the next one can follow.
     Made,
+    /// The socket accepts no more bytes for now.
     SocketFull,
 }
 
-/// The queue of a connection, in the order of sending: the pieces, then the tail.
+/// The send queue of a connection. The pieces are sent first, then the tail.
 #[derive(Debug, Default)]
 pub(super) struct SendQueue {
     codec: FrameCodec,
     pieces: Pieces,
-    /// Encoded frames that are being gathered.
+    /// Encoded frames behind the pieces, to which further frames are appended.
     tail: BytesMut,
-    /// Encoded bytes of the pieces and the tail.
+    /// Number of encoded bytes in the pieces and the tail.
     queued_bytes: usize,
-    /// Of these, the bytes that the meter counts.
+    /// Number of queued bytes that the meter has counted.
     metered_bytes: usize,
-    /// The writer's task writes on when the socket accepts more.
+    /// Whether the socket accepted no more bytes at the last write. The writer task continues when it does.
     socket_full: bool,
     closing: bool,
-    /// Why nothing more is sent.
+    /// Reason for which sending failed; no more bytes are sent then.
     failure: Option<String>,
 }
 
 impl SendQueue {
-    /// Frames may be added.
+    /// Whether frames may be added.
     pub(super) fn is_open(&self) -> bool {
         self.failure.is_none() && !self.closing
     }
@@ -63,12 +65,12 @@
         self.failure.as_deref()
     }
 
-    /// Refuses further frames; what is queued is still sent.
+    /// Refuses further frames; queued frames are still sent.
     pub(super) fn close(&mut self) {
         self.closing = true;
     }
 
-    /// Discards everything and refuses further frames.
+    /// Discards all queued frames, ends the calls of unsent requests and refuses further frames.
     pub(super) fn fail(&mut self, reason: &str) {
         self.failure = Some(reason.to_owned());
         self.drop_unsent();
@@ -77,7 +79,7 @@
         self.queued_bytes = 0;
     }
 
-    /// Adds a frame; the queue fails if it cannot be encoded.
+    /// Adds a frame; if the frame cannot be encoded, the queue fails.
     pub(super) fn put(&mut self, frame: Frame) {
         if let Err(error) = self.encode(frame) {
             self.fail(&error.to_string());
@@ -87,7 +89,7 @@
     fn encode(&mut self, frame: Frame) -> Result<(), FrameError> {
         let before = self.tail.len();
         match frame {
-            Frame::Data(stream, body) if body.len() >= MIN_UNCOPIED_BODY => {
+            Frame::Data(stream, body) if body.len() >= MIN_UNCOPIED_BODY_BYTES => {
                 self.codec
                     .encode_data_head(stream, body.len(), &mut self.tail)?;
                 self.queued_bytes += self.tail.len() - before + body.len();
@@ -102,7 +104,7 @@
         Ok(())
     }
 
-    /// Adds a request behind everything that is queued.
+    /// Adds a request at the end of the queue.
     pub(super) fn put_request(&mut self, request: QueuedRequest) {
         if !self.tail.is_empty() {
             self.move_tail_to_pieces();
@@ -115,17 +117,17 @@
         self.pieces.push_bytes(encoded);
     }
 
-    /// Removes a request of which nothing was sent; false if its first byte was.
+    /// Removes an unsent request; returns false if the request is not queued, for example because its first byte was sent.
     pub(super) fn withdraw(&mut self, id: u32) -> bool {
         self.pieces.remove_request(id)
     }
 
-    /// Removes every request of which nothing was sent and ends its call.
+    /// Removes every unsent request and ends its call as not sent.
     pub(super) fn drop_unsent(&mut self) {
         self.pieces.end_requests();
     }
 
-    /// Writes what the socket accepts.
+    /// Writes until the queue is empty, the socket accepts no more bytes or writing fails.
     pub(super) fn flush(&mut self, socket: &WriteHalf) {
         while !self.is_empty() && self.failure.is_none() {
             let progress = match self.pieces.take_first_request() {
@@ -138,19 +140,20 @@
             }
         }
         self.socket_full = false;
-        if self.tail.capacity() > MAX_IDLE_BUFFER {
-            // The buffer of a burst is not held by a connection that may be idle for long.
+        if self.tail.capacity() > MAX_IDLE_BUFFER_BYTES {
+            // Releases the buffer of a burst: the connection may now be idle for long.
             self.tail = BytesMut::new();
         }
     }
 
-    /// Composes a request and writes its first bytes; if the socket accepts none, the request is queued again uncomposed.
+    /// Composes a request and writes its first bytes. If the socket accepts none, the composed bytes are dropped and the
+    /// request is queued again.
     fn start(&mut self, mut request: QueuedRequest, socket: &WriteHalf) -> Progress {
         let Some(head) = (request.compose)() else {
             request.end_unsent();
             return Progress::Made;
         };
-        // Restored if nothing is sent: the preface, too, is then still to be sent.
+        // Restored if no byte is sent: the codec must then encode the preface again.
         let codec_before = self.codec.clone();
         let mut bytes = BytesMut::new();
         if let Err(error) = self
@@ -179,7 +182,7 @@
         Progress::Made
     }
 
-    /// Writes encoded bytes once, as far as the next request.
+    /// Writes once, from the encoded bytes in front of the next request.
     fn write_bytes(&mut self, socket: &WriteHalf) -> Progress {
         let mut slices = [IoSlice::new(&[]); MAX_SLICES];
         let count = self.gather(&mut slices);
@@ -192,7 +195,7 @@
         Progress::Made
     }
 
-    /// Fills slices with the encoded bytes up to the next request; returns how many it filled.
+    /// Fills slices with the encoded bytes in front of the next request; returns the number of slices filled.
     fn gather<'a>(&'a self, slices: &mut [IoSlice<'a>]) -> usize {
         let tail = (!self.pieces.has_requests()).then_some(&self.tail[..]);
         let encoded = self
@@ -214,7 +217,7 @@
         self.tail.advance(written_of_tail);
     }
 
-    /// Counts the change of the queued bytes since the last call.
+    /// Updates the meter by the change in the number of queued bytes since the last call.
     pub(super) fn update_meter(&mut self, meter: &BufferMeter) {
         match self.queued_bytes.checked_sub(self.metered_bytes) {
             Some(more) => meter.add(more),
--- a/crates/transport/tests/body_transfer.rs
+++ b/crates/transport/tests/body_transfer.rs
@@ -235,7 +235,7 @@
 /// The meter counts what was read and not yet taken over all connections, and discounts it however it is released. While
 /// memory is short the windows are small: a reader that stops buffers a quarter, and one that continues is never stalled.
 #[tokio::test]
-async fn buffered_bytes_are_metered_and_crowded_windows_are_small() {
+async fn buffered_bytes_are_metered_and_windows_shrink_at_threshold() {
     // Always above the threshold.
     let meter = BufferMeter::new(0);
     let connections = [
