--- a/crates/transport/src/retrying_io.rs
+++ b/crates/transport/src/retrying_io.rs
@@ -89,7 +89,7 @@
             ready!(self.half.as_ref().poll_write_ready(context))?;
             match self.half.try_write_vectored(slices) {
                 Err(e) if is_retried(&e) => {}
-                done => return Poll::Ready(done),
+                result => return Poll::Ready(result),
             }
         }
     }
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -1,12 +1,15 @@
-//! A network in memory, on tokio's clock: under a paused clock a simulated day takes only as long as its computation.
+//! An in-memory network that runs on tokio's clock: while the clock is paused, a simulated run takes only its computing
+//! time.
 //!
-//! Each connection has two directions. What is written arrives after the latency of the link, later if a segment is lost
-//! (it is retransmitted as by TCP, and later segments wait for it), in order within its direction; connections overtake
-//! each other. A partitioned link delivers nothing in either direction and reports no error: after it is healed, what was
-//! sent arrives. A cut is seen at once by both ends.
+//! Each connection has two directions. Written bytes arrive after the latency of the link. A lost segment arrives later,
+//! since it is retransmitted as by TCP, and the segments behind it wait for it: bytes arrive in order within a direction,
+//! while different connections may overtake each other. A partitioned link delivers no bytes in either direction and
+//! reports no error; bytes sent meanwhile arrive once the link is healed. Both ends see at once that a cut connection is
+//! broken.
 //!
-//! State: a direction's unread bytes, at most 256 KiB; a listener's queue, at most 1024 connections; a link for each pair
-//! of addresses that ever communicated, which is never forgotten (a simulation has few).
+//! The network holds the unread bytes of each direction, at most 256 KiB; the accept queue of each listener, at most 1024
+//! connections; and a link for each pair of addresses that ever communicated. Links are never removed, because a simulation
+//! has few of them.
 mod direction;
 mod half;
 mod link;
@@ -29,21 +32,22 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Connections that wait to be accepted; more are refused.
+/// Maximum length of a listener's accept queue; further connections are refused.
 const BACKLOG: usize = 1024;
-/// Ports below this are never assigned.
+/// Lowest port that is assigned automatically.
 const MIN_ASSIGNED_PORT: u16 = 20_000;
-/// Closed directions are removed when there are more entries than this, and than twice those left by the last removal.
+/// Minimum number of direction entries before closed ones are removed. The actual limit is twice the number of entries that
+/// the last removal left, if that is larger.
 const MIN_SWEEP_ENTRIES: usize = 256;
 
-/// How a network behaves.
+/// Latency and loss of a simulated network.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkConditions {
-    /// Time that a segment takes in one direction.
+    /// Time that a segment takes in one direction, without jitter and retransmission.
     pub latency: Duration,
-    /// Upper bound of an additional time, drawn for each segment.
+    /// Upper bound of the additional random time of each segment.
     pub jitter: Duration,
-    /// Share of segments that are lost and retransmitted.
+    /// Fraction of segments that are lost and retransmitted, from 0 to 1.
     pub loss: f64,
     /// Additional time of a retransmitted segment.
     pub resend: Duration,
@@ -60,7 +64,7 @@
     }
 }
 
-/// One direction of a connection, by its addresses.
+/// A direction of a connection, with the addresses of its ends.
 #[derive(Debug)]
 struct DirectionEntry {
     from: IpAddr,
@@ -73,7 +77,7 @@
     conditions: NetworkConditions,
     rng: StdRng,
     listeners: BTreeMap<SocketAddr, mpsc::Sender<(Socket, SocketAddr)>>,
-    /// By the lower and the higher address.
+    /// The links, keyed by the lower and the higher address of their ends.
     links: BTreeMap<(IpAddr, IpAddr), Arc<Link>>,
     directions: Vec<DirectionEntry>,
     /// Number of entries above which closed directions are removed.
@@ -105,7 +109,7 @@
     }
 }
 
-/// A simulated network as one process sees it; clones are the same network and process.
+/// The handle of one process on a simulated network. Clones belong to the same network and the same process.
 #[derive(Clone, Debug)]
 pub struct SimulatedNetwork {
     state: Arc<Mutex<NetworkState>>,
@@ -113,7 +117,7 @@
 }
 
 impl SimulatedNetwork {
-    /// An empty network; equal seeds give equal delays.
+    /// Creates an empty network. Equal seeds give equal sequences of random delays.
     pub fn new(conditions: NetworkConditions, seed: u64) -> Self {
         let state = NetworkState {
             conditions,
@@ -130,7 +134,7 @@
         }
     }
 
-    /// The same network as another process sees it.
+    /// Returns a handle of another process on the same network.
     pub fn incarnation(&self) -> Self {
         Self {
             state: self.state.clone(),
@@ -138,12 +142,12 @@
         }
     }
 
-    /// Ends this process: what is left of its tasks can no longer connect.
+    /// Ends this process: its remaining tasks can no longer connect.
     pub fn end(&self) {
         self.is_process_running.store(false, Ordering::SeqCst);
     }
 
-    /// The time that the next segment takes.
+    /// Draws the time that the next segment takes.
     fn delay(&self) -> Duration {
         let mut state = lock(&self.state);
         let conditions = state.conditions;
@@ -163,12 +167,12 @@
         link.clone()
     }
 
-    /// From now on nothing is delivered between two addresses, without an error at either.
+    /// Stops delivery between two addresses until [`SimulatedNetwork::heal`] is called. Neither end sees an error.
     pub fn partition(&self, a: IpAddr, b: IpAddr) {
         self.link(a, b).partition();
     }
 
-    /// Ends a partition: what was sent meanwhile is delivered.
+    /// Ends a partition; bytes that were sent meanwhile are delivered.
     pub fn heal(&self, a: IpAddr, b: IpAddr) {
         self.link(a, b).heal();
         let is_between = |from, to| (from, to) == (a, b) || (from, to) == (b, a);
@@ -177,7 +181,7 @@
         }
     }
 
-    /// Breaks every connection of an address.
+    /// Breaks every open connection from or to an address.
     pub fn cut(&self, address: IpAddr) {
         for direction in self.open_directions(|from, to| from == address || to == address) {
             direction.cut();
@@ -194,7 +198,7 @@
             .collect()
     }
 
-    /// Listens at an address; port 0 stands for any free port.
+    /// Listens at an address; port 0 selects any free port.
     pub fn listen(&self, mut address: SocketAddr) -> Result<SimulatedListener> {
         let mut state = lock(&self.state);
         while address.port() == 0 {
@@ -204,7 +208,7 @@
             }
         }
         if state.listeners.contains_key(&address) {
-            let reason = format!("{address} is in use");
+            let reason = format!("address {address} is already in use");
             return Err(Error::new(ErrorKind::AddrInUse, reason));
         }
         let (sender, queue) = mpsc::channel(BACKLOG);
@@ -213,7 +217,8 @@
         Ok(SimulatedListener::new(self.clone(), address, queue))
     }
 
-    /// Connects. Waits for as long as the link is partitioned: the caller brings a time-out.
+    /// Connects to `to`, from the local address `from` or, without one, from the loopback address. Waits for as long as the
+    /// link is partitioned: the caller must impose a timeout.
     pub async fn connect(&self, from: Option<IpAddr>, to: SocketAddr) -> Result<Socket> {
         let from = from.unwrap_or(IpAddr::V4(Ipv4Addr::LOCALHOST));
         let link = self.link(from, to.ip());
--- a/crates/transport/src/simulated/direction.rs
+++ b/crates/transport/src/simulated/direction.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll, Waker};
 use tokio::time::{Instant, Sleep};
 
-/// Bytes that a direction buffers before its writer waits, as the buffers of two sockets do.
+/// Number of bytes that a direction buffers before its writer must wait, like the send and receive buffers of two sockets.
 pub(super) const WINDOW_BYTES: usize = 256 * 1024;
 
 /// One direction of a connection, shared by its writer and its reader.
@@ -22,7 +22,7 @@
     state: Mutex<DirectionState>,
 }
 
-/// Bytes in flight.
+/// Bytes that were written together and arrive together.
 #[derive(Debug)]
 struct Segment {
     arrives_at: Instant,
@@ -31,24 +31,25 @@
 
 #[derive(Debug, Default)]
 struct DirectionState {
-    /// Segments in flight or unread; the times of arrival never decrease.
+    /// Segments in flight or unread, in the order of writing; the times of arrival never decrease.
     segments: VecDeque<Segment>,
-    /// Bytes of all segments; at most [`WINDOW_BYTES`].
-    buffered: usize,
-    /// When the end of the direction arrives, once the writer has ended it.
+    /// Number of bytes in all segments; at most [`WINDOW_BYTES`].
+    buffered_bytes: usize,
+    /// Time at which the end of the direction arrives; `None` until the writer has ended the direction.
     end: Option<Instant>,
     reader_dropped: bool,
     cut: bool,
-    /// The writer has withdrawn what was not delivered; seen once the link is not partitioned.
+    /// Whether the writer has aborted the connection and withdrawn undelivered bytes. The reader sees this only while the
+    /// link is not partitioned.
     aborted: bool,
-    reader: Option<Waker>,
-    writer: Option<Waker>,
+    reader_waker: Option<Waker>,
+    writer_waker: Option<Waker>,
     /// Wakes the reader when the next segment arrives.
     arrival: Option<Pin<Box<Sleep>>>,
 }
 
 impl DirectionState {
-    /// When the reader has something to read: a segment or the end.
+    /// Returns the time at which the next segment or the end arrives, if either is in flight or unread.
     fn next_arrival(&self) -> Option<Instant> {
         self.segments
             .front()
@@ -64,7 +65,7 @@
         if self.is_broken(partitioned) {
             return Poll::Ready(());
         }
-        self.reader = Some(context.waker().clone());
+        self.reader_waker = Some(context.waker().clone());
         let Some(arrives_at) = self.next_arrival().filter(|_| !partitioned) else {
             self.arrival = None;
             return Poll::Pending;
@@ -104,7 +105,7 @@
         if segment.bytes.is_empty() {
             self.segments.pop_front();
         }
-        self.buffered -= taken;
+        self.buffered_bytes -= taken;
         Ok(taken)
     }
 
@@ -112,11 +113,11 @@
         if self.cut || self.end.is_some() {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        // As a peer that has closed its socket answers with a reset.
+        // TCP, too, reports a reset to a writer whose peer has closed its socket.
         if self.reader_dropped {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        let space = WINDOW_BYTES.saturating_sub(self.buffered);
+        let space = WINDOW_BYTES.saturating_sub(self.buffered_bytes);
         if space == 0 {
             return Err(ErrorKind::WouldBlock.into());
         }
@@ -131,7 +132,7 @@
                 arrives_at: self.not_before_last_segment(arrives_at),
                 bytes: bytes.freeze(),
             });
-            self.buffered += taken;
+            self.buffered_bytes += taken;
         }
         Ok(taken)
     }
@@ -152,11 +153,11 @@
         }
     }
 
-    /// Wakes both sides.
+    /// Wakes the reader and the writer.
     pub(super) fn wake(&self) {
         let (reader, writer) = {
             let mut state = lock(&self.state);
-            (state.reader.take(), state.writer.take())
+            (state.reader_waker.take(), state.writer_waker.take())
         };
         for waker in [reader, writer].into_iter().flatten() {
             waker.wake();
@@ -169,7 +170,7 @@
         self.wake();
     }
 
-    /// Ends the direction: the reader sees the end behind what was written.
+    /// Ends the direction; the reader sees the end after all written bytes.
     pub(super) fn end(&self) {
         let arrives_at = Instant::now() + self.network.delay();
         {
@@ -180,12 +181,12 @@
         self.wake();
     }
 
-    /// Withdraws what was not delivered and breaks the connection.
+    /// Discards undelivered bytes and breaks the direction.
     pub(super) fn abort(&self) {
         {
             let mut state = lock(&self.state);
             state.segments.clear();
-            state.buffered = 0;
+            state.buffered_bytes = 0;
             state.aborted = true;
         }
         self.wake();
@@ -202,14 +203,14 @@
 
     pub(super) fn poll_writable(&self, context: &mut Context<'_>) -> Poll<()> {
         let mut state = lock(&self.state);
-        if state.cut || state.reader_dropped || state.buffered < WINDOW_BYTES {
+        if state.cut || state.reader_dropped || state.buffered_bytes < WINDOW_BYTES {
             return Poll::Ready(());
         }
-        state.writer = Some(context.waker().clone());
+        state.writer_waker = Some(context.waker().clone());
         Poll::Pending
     }
 
-    /// Whether the end has arrived, although bytes before it may be unread, or the connection is broken.
+    /// Whether the connection is broken or the end has arrived, even if bytes before the end are unread.
     pub(super) fn is_ended(&self) -> bool {
         let partitioned = self.link.is_partitioned();
         let state = lock(&self.state);
@@ -217,7 +218,8 @@
         state.is_broken(partitioned) || (end_arrived && !partitioned)
     }
 
-    /// Passes arrived bytes to `consume`, which returns how many it has taken.
+    /// Passes arrived bytes to `consume`, which returns how many it has taken. Returns that number; 0 means the end of the
+    /// direction.
     pub(super) fn read(&self, consume: &mut dyn FnMut(&[u8]) -> usize) -> Result<usize> {
         let partitioned = self.link.is_partitioned();
         let (taken, writer) = {
@@ -226,7 +228,7 @@
             if taken == 0 && state.segments.is_empty() {
                 return Ok(0);
             }
-            (taken, state.writer.take())
+            (taken, state.writer_waker.take())
         };
         if let Some(writer) = writer {
             writer.wake();
@@ -234,13 +236,13 @@
         Ok(taken)
     }
 
-    /// Sends as many bytes as the window allows.
+    /// Sends as many bytes as the window allows and returns their number.
     pub(super) fn write(&self, slices: &[IoSlice<'_>]) -> Result<usize> {
         let arrives_at = Instant::now() + self.network.delay();
         let (taken, reader) = {
             let mut state = lock(&self.state);
             let taken = state.write(arrives_at, slices)?;
-            (taken, state.reader.take())
+            (taken, state.reader_waker.take())
         };
         if let Some(reader) = reader {
             reader.wake();
--- a/crates/transport/src/simulated/link.rs
+++ b/crates/transport/src/simulated/link.rs
@@ -1,8 +1,8 @@
-//! The link between two addresses.
+//! The link between two addresses of a simulated network.
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::sync::Notify;
 
-/// Shared by all connections between two addresses.
+/// The state of a link, shared by all connections between its two addresses.
 #[derive(Debug, Default)]
 pub(super) struct Link {
     partitioned: AtomicBool,
@@ -23,10 +23,10 @@
         self.partitioned.load(Ordering::SeqCst)
     }
 
-    /// Waits for the end of a partition.
+    /// Waits until the link is not partitioned.
     pub(super) async fn wait_until_open(&self) {
         loop {
-            // Registered before the check, so that a heal in between is not missed.
+            // Registered before the check, so that a partition that is healed in between is not missed.
             let healed = self.healed.notified();
             if !self.is_partitioned() {
                 return;
--- a/crates/transport/src/simulated/listener.rs
+++ b/crates/transport/src/simulated/listener.rs
@@ -1,4 +1,4 @@
-//! A listener of the simulated network.
+//! Listeners of a simulated network.
 use super::SimulatedNetwork;
 use crate::lock::lock;
 use crate::socket::Socket;
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// Accepts connections at an address, which is free again when the listener is dropped.
+/// A listener at an address of a simulated network. Dropping it frees the address.
 #[derive(Debug)]
 pub struct SimulatedListener {
     network: SimulatedNetwork,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The next connection and its peer's address. Cancel-safe.
+    /// Accepts the next connection and returns it with the peer's address. Cancel-safe.
     pub async fn accept(&mut self) -> Result<(Socket, SocketAddr)> {
         let accepted = self.queue.recv().await;
         accepted.ok_or_else(|| ErrorKind::NotConnected.into())
--- a/crates/transport/src/simulated/tests.rs
+++ b/crates/transport/src/simulated/tests.rs
@@ -1,4 +1,4 @@
-//! Delivery over a simulated network under loss, partition and cut.
+//! Tests of delivery over a simulated network with loss, partitions and cut connections.
 use super::*;
 use bytes::BytesMut;
 use tokio::time::Instant;
@@ -7,11 +7,12 @@
     let address: SocketAddr = "10.0.0.1:80".parse().unwrap();
     let mut listener = network.listen(address).unwrap();
     let from = "10.0.0.2".parse().unwrap();
-    let (here, there) = tokio::join!(network.connect(Some(from), address), listener.accept());
-    (here.unwrap(), there.unwrap().0)
+    let (client_socket, server_socket) =
+        tokio::join!(network.connect(Some(from), address), listener.accept());
+    (client_socket.unwrap(), server_socket.unwrap().0)
 }
 
-/// Loss delays segments and never changes their order; a partition reports no error and loses nothing.
+/// Loss delays segments without changing their order; a partition reports no error and loses no bytes.
 #[tokio::test(start_paused = true)]
 async fn bytes_arrive_in_order_despite_loss_and_partition() {
     let conditions = NetworkConditions {
@@ -19,9 +20,9 @@
         ..NetworkConditions::default()
     };
     let network = SimulatedNetwork::new(conditions, 7);
-    let (here, there) = pair(&network).await;
-    let (_client_read, write) = here.split();
-    let (read, _server_write) = there.split();
+    let (client_socket, server_socket) = pair(&network).await;
+    let (_client_read, write) = client_socket.split();
+    let (read, _server_write) = server_socket.split();
     let server = "10.0.0.1".parse().unwrap();
     let client = "10.0.0.2".parse().unwrap();
     let sent: Vec<u8> = (0..=255).collect();
@@ -37,7 +38,7 @@
     let waited = tokio::time::timeout(Duration::from_secs(60), read.read_buf(&mut received)).await;
     assert!(
         waited.is_err(),
-        "a partitioned link delivers nothing and reports no error"
+        "a partitioned link must deliver no bytes and report no error"
     );
     network.heal(client, server);
     drop(write);
@@ -49,13 +50,13 @@
 #[tokio::test(start_paused = true)]
 async fn cut_breaks_both_ends_and_dropped_listener_refuses() {
     let network = SimulatedNetwork::new(NetworkConditions::default(), 1);
-    let (here, there) = pair(&network).await;
-    let (read, _client_write) = here.split();
-    let (_server_read, write) = there.split();
+    let (client_socket, server_socket) = pair(&network).await;
+    let (read, _client_write) = client_socket.split();
+    let (_server_read, write) = server_socket.split();
     network.cut("10.0.0.2".parse().unwrap());
-    let mut nothing = BytesMut::new();
+    let mut received = BytesMut::new();
     assert_eq!(
-        read.read_buf(&mut nothing).await.unwrap_err().kind(),
+        read.read_buf(&mut received).await.unwrap_err().kind(),
         ErrorKind::ConnectionReset
     );
     assert!(write.write_all(b"x").await.is_err());
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS by `rustls` over a TCP socket.
+//! TLS over TCP sockets, implemented with `rustls`.
 mod credentials;
 mod stream;
 
@@ -7,19 +7,19 @@
 
 use std::path::PathBuf;
 
-/// What is wrong with a certificate, a key or their files. Never contains a key.
+/// Fault of a certificate, a private key or one of their files. Never contains a private key.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// A file cannot be read.
+    /// The file cannot be read, or its contents cannot be parsed.
     #[error("{0}: {1}")]
     File(PathBuf, String),
-    /// A file without a certificate.
-    #[error("{0}: holds no certificate")]
+    /// The file contains no certificate.
+    #[error("{0}: the file contains no certificate")]
     NoCertificate(PathBuf),
-    /// A certificate and a key that do not belong together.
-    #[error("{0} and its key: {1}")]
+    /// The certificate and its private key cannot be used together.
+    #[error("{0}: the certificate cannot be used with its private key: {1}")]
     Pair(PathBuf, rustls::Error),
-    /// An authority that cannot be trusted.
-    #[error("{0}: cannot be trusted in: {1}")]
+    /// A certificate in the file cannot be used as a trusted authority.
+    #[error("{0}: the file cannot be used for trusted authorities: {1}")]
     Authority(PathBuf, String),
 }
--- a/crates/transport/src/tls/credentials.rs
+++ b/crates/transport/src/tls/credentials.rs
@@ -1,4 +1,4 @@
-//! Certificates and keys from PEM files, and the handshakes that use them.
+//! Certificates and private keys from PEM files, and the TLS handshakes that use them.
 use super::stream::handshake;
 use super::TlsError;
 use crate::lock::lock;
@@ -12,12 +12,12 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::TcpStream;
 
-/// Files of one side's certificate.
+/// PEM files of the certificate that one side presents.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CertificateFiles {
-    /// PEM: the certificate, then those that lead to its authority.
+    /// Path of the certificate, followed by the intermediate certificates up to its authority.
     pub certificate: PathBuf,
-    /// PEM: the private key.
+    /// Path of the private key.
     pub key: PathBuf,
 }
 
@@ -30,9 +30,12 @@
 impl CertificateFiles {
     fn read(&self) -> Result<CertificateChain, TlsError> {
         let certificates = read_certificates(&self.certificate)?;
-        // The reason names the file's form only.
+        // The error describes only the format of the file and never contains the key.
         let key = PrivateKeyDer::from_pem_file(&self.key).map_err(|error| {
-            TlsError::File(self.key.clone(), format!("no private key: {error}"))
+            TlsError::File(
+                self.key.clone(),
+                format!("the private key cannot be read: {error}"),
+            )
         })?;
         Ok(CertificateChain { certificates, key })
     }
@@ -61,17 +64,17 @@
     Ok(roots)
 }
 
-/// A server's certificate, and the authorities of which clients must present one.
+/// The TLS settings of a server: its certificate, and the authorities that must have issued the clients' certificates.
 #[derive(Debug)]
 pub struct Identity {
     files: CertificateFiles,
     client_authority: Option<PathBuf>,
-    /// Used by handshakes from now on; replaced by [`Identity::reload`].
+    /// Configuration for new handshakes; replaced by [`Identity::reload`].
     config: Mutex<Arc<ServerConfig>>,
 }
 
 impl Identity {
-    /// Reads the files. Without `client_authority`, clients need no certificate.
+    /// Reads the files. If `client_authority` is `None`, clients need no certificate.
     pub fn load(
         files: CertificateFiles,
         client_authority: Option<PathBuf>,
@@ -84,15 +87,15 @@
         })
     }
 
-    /// Reads the files again, for handshakes from now on; open connections are not affected. After an error the old ones
-    /// stay in use.
+    /// Reads the files again and uses them for new handshakes; open connections are not affected. After an error the
+    /// earlier certificates stay in use.
     pub fn reload(&self) -> Result<(), TlsError> {
         let config = server_config(&self.files, self.client_authority.as_deref())?;
         *lock(&self.config) = config;
         Ok(())
     }
 
-    /// The server's side of a handshake. The caller brings the time-out.
+    /// Performs the server's side of a handshake. Has no timeout of its own: the caller must impose one.
     pub async fn accept(&self, socket: TcpStream) -> std::io::Result<Socket> {
         let config = lock(&self.config).clone();
         let connection = ServerConnection::new(config).map_err(Error::other)?;
@@ -122,14 +125,15 @@
     Ok(Arc::new(config))
 }
 
-/// The authorities that a client trusts, and its own certificate.
+/// The TLS settings of a client: the authorities that it trusts, and its own certificate, if any.
 #[derive(Clone, Debug)]
 pub struct TrustAnchors {
     config: Arc<ClientConfig>,
 }
 
 impl TrustAnchors {
-    /// Reads the files. `authority`: PEM of the trusted authorities; `own`: the certificate to present, if any.
+    /// Reads the files. `authority` is the PEM file of the trusted authorities; `own` is the certificate to present, if
+    /// any.
     pub fn load(authority: &Path, own: Option<&CertificateFiles>) -> Result<Self, TlsError> {
         let builder = ClientConfig::builder().with_root_certificates(read_authorities(authority)?);
         let config = match own {
@@ -146,7 +150,8 @@
         })
     }
 
-    /// The client's side of a handshake with a server of a name: a host name or an address. The caller brings the time-out.
+    /// Performs the client's side of a handshake with the server `name`, a host name or an IP address. Has no timeout of
+    /// its own: the caller must impose one.
     pub async fn connect(&self, socket: TcpStream, name: &str) -> std::io::Result<Socket> {
         let name = ServerName::try_from(name.to_owned())
             .map_err(|error| Error::new(ErrorKind::InvalidInput, error))?;
--- a/crates/transport/src/tls/stream.rs
+++ b/crates/transport/src/tls/stream.rs
@@ -1,7 +1,7 @@
-//! The byte stream of a TLS connection, by readiness: wait, then try.
+//! The byte stream of a TLS connection, readiness-based like a TCP socket.
 //!
-//! No task and no buffer of its own: what the socket does not accept of a record stays in rustls, and a task that exists
-//! only while the socket is full writes the rest.
+//! A stream has no buffer and no permanent task of its own: records that the socket does not accept stay in rustls, and a
+//! task that exists only while the socket is full writes them.
 use crate::lock::lock;
 use crate::socket::Socket;
 use rustls::Connection;
@@ -11,10 +11,10 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A socket that accepts nothing for this long after it was shut down is given up.
+/// Time without progress after which a socket that has been shut down is abandoned.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The socket as rustls reads and writes it.
+/// Adapter through which rustls reads from and writes to the socket.
 struct TcpAdapter<'a>(&'a TcpStream);
 
 impl Read for TcpAdapter<'_> {
@@ -42,22 +42,22 @@
 pub struct TlsStream {
     socket: TcpStream,
     state: Mutex<TlsState>,
-    /// Notified when the socket has accepted all records that it had not.
+    /// Notified when the socket has accepted all records that were left over.
     flushed: Notify,
 }
 
 #[derive(Debug)]
 struct TlsState {
     connection: Connection,
-    /// A task writes the records that the socket has not accepted.
+    /// Whether a task is writing the records that the socket has not accepted.
     flushing: bool,
-    /// This side has shut its direction down.
+    /// Whether this side has shut its direction down.
     ended: bool,
-    /// Why nothing more can be written.
-    broken: Option<ErrorKind>,
+    /// Error after which no more bytes can be written.
+    write_error: Option<ErrorKind>,
 }
 
-/// The writing half; dropped, it sends the closing alert and ends its direction.
+/// The writing half of a TLS connection. Dropping it sends the close_notify alert and ends its direction.
 #[derive(Debug)]
 pub struct TlsWriteHalf(pub(crate) Arc<TlsStream>);
 
@@ -67,14 +67,14 @@
     }
 }
 
-/// Completes the handshake of either side.
+/// Performs the handshake of either side and returns the connected socket.
 pub(super) async fn handshake(socket: TcpStream, connection: Connection) -> Result<Socket> {
     let _ = socket.set_nodelay(true);
     let state = TlsState {
         connection,
         flushing: false,
         ended: false,
-        broken: None,
+        write_error: None,
     };
     let stream = Arc::new(TlsStream {
         socket,
@@ -97,11 +97,11 @@
         lock(&self.state)
     }
 
-    /// Writes what the handshake has to send; true once it is complete.
+    /// Writes the pending handshake messages; returns true once the handshake is complete.
     fn write_handshake(self: &Arc<Self>) -> Result<bool> {
         let mut state = self.lock();
         self.flush_or_spawn(&mut state);
-        if let Some(kind) = state.broken {
+        if let Some(kind) = state.write_error {
             return Err(kind.into());
         }
         Ok(!state.connection.is_handshaking())
@@ -120,17 +120,17 @@
         }
     }
 
-    /// Reads from the socket and decrypts.
+    /// Reads from the socket and decrypts; returns the number of encrypted bytes read.
     fn receive(self: &Arc<Self>, state: &mut TlsState) -> Result<usize> {
         let read = state.connection.read_tls(&mut TcpAdapter(&self.socket))?;
         let decrypted = state.connection.process_new_packets();
-        // After an error as well: the alert for it is sent.
+        // Done after an error as well, so that the alert for it is sent.
         self.flush_or_spawn(state);
         decrypted.map_err(|error| Error::new(ErrorKind::InvalidData, error))?;
         Ok(read)
     }
 
-    /// Writes encrypted records; what the socket does not accept is left to a task.
+    /// Writes encrypted records; starts a task for those that the socket does not accept.
     fn flush_or_spawn(self: &Arc<Self>, state: &mut TlsState) {
         if state.flushing {
             return;
@@ -141,23 +141,24 @@
         }
     }
 
-    /// Writes encrypted records; false if the socket is full.
+    /// Writes encrypted records; returns false if the socket is full.
     fn flush(&self, state: &mut TlsState) -> bool {
-        while state.broken.is_none() && state.connection.wants_write() {
+        while state.write_error.is_none() && state.connection.wants_write() {
             match state.connection.write_tls(&mut TcpAdapter(&self.socket)) {
-                Ok(0) => state.broken = Some(ErrorKind::WriteZero),
+                Ok(0) => state.write_error = Some(ErrorKind::WriteZero),
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return false,
-                Err(error) => state.broken = Some(error.kind()),
+                Err(error) => state.write_error = Some(error.kind()),
             }
         }
-        if state.ended || state.broken.is_some() {
+        if state.ended || state.write_error.is_some() {
             let _ = socket2::SockRef::from(&self.socket).shutdown(std::net::Shutdown::Write);
         }
         true
     }
 
-    /// Waits until a read may return something. Bytes that are decrypted already do not make the socket readable.
+    /// Waits until a read may return bytes, the end of the stream or an error. Checks for decrypted bytes first, because
+    /// they do not make the socket readable.
     pub(crate) async fn readable(&self) -> Result<()> {
         {
             let mut state = self.lock();
@@ -169,7 +170,8 @@
         self.socket.readable().await
     }
 
-    /// Passes decrypted bytes to `consume`, which returns how many it has taken.
+    /// Passes decrypted bytes to `consume`, which returns how many it has taken. Returns that number; 0 means the end of
+    /// the stream.
     pub(crate) fn try_read(
         self: &Arc<Self>,
         consume: &mut dyn FnMut(&[u8]) -> usize,
@@ -192,7 +194,7 @@
 
     pub(crate) async fn writable(&self) -> Result<()> {
         loop {
-            // Registered before the check, so that a flush in between is not missed.
+            // Registered before the check, so that a flush that ends in between is not missed.
             let flushed = self.flushed.notified();
             if !self.lock().flushing {
                 break;
@@ -204,7 +206,7 @@
 
     pub(crate) fn try_write(self: &Arc<Self>, slices: &[IoSlice<'_>]) -> Result<usize> {
         let mut state = self.lock();
-        if let Some(kind) = state.broken {
+        if let Some(kind) = state.write_error {
             return Err(kind.into());
         }
         if state.ended {
@@ -233,17 +235,17 @@
     }
 }
 
-/// Writes encrypted records until the socket has accepted all of them; exists only while the socket is full.
+/// Writes encrypted records until the socket has accepted all of them or has failed.
 async fn flush_when_writable(stream: Arc<TlsStream>) {
     loop {
         let writable = tokio::time::timeout(SHUTDOWN_TIMEOUT, stream.socket.writable()).await;
         let mut state = stream.lock();
-        let given_up = match writable {
+        let has_failed = match writable {
             Ok(ready) => ready.is_err(),
             Err(_) => state.ended,
         };
-        if given_up {
-            state.broken = Some(ErrorKind::TimedOut);
+        if has_failed {
+            state.write_error = Some(ErrorKind::TimedOut);
         }
         if stream.flush(&mut state) {
             state.flushing = false;
--- a/crates/transport/tests/body_transfer.rs
+++ b/crates/transport/tests/body_transfer.rs
@@ -1,4 +1,4 @@
-//! Bodies in transfer: any segmentation, sizes at the limits, a peer that reads slowly or stops.
+//! Transfer of bodies: segmentation by the network, sizes at the limits of a frame, peers that read slowly or stop reading.
 use bytes::{Bytes, BytesMut};
 use pointspindle_protocol::streams::*;
 use pointspindle_protocol::*;
@@ -11,8 +11,8 @@
 async fn sockets() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
-    let (here, there) = tokio::join!(TcpStream::connect(to), listener.accept());
-    (here.unwrap(), there.unwrap().0)
+    let (caller_socket, answerer_socket) = tokio::join!(TcpStream::connect(to), listener.accept());
+    (caller_socket.unwrap(), answerer_socket.unwrap().0)
 }
 
 fn request(object: &str) -> RequestHead {
@@ -29,7 +29,7 @@
         .into()
 }
 
-async fn complete_response(call: &mut Call) -> (BytesMut, Option<CallEnd>) {
+async fn read_response(call: &mut Call) -> (BytesMut, Option<CallEnd>) {
     let mut body = BytesMut::new();
     while let Some(part) = call.next().await {
         match part {
@@ -41,8 +41,8 @@
     (body, None)
 }
 
-/// The responses of a peer, one for each size on streams from 1; the body of 8191 bytes is in frames of one byte.
-fn encoded_responses(sizes: &[usize]) -> BytesMut {
+/// Encodes one response for each size, on streams from 1 on. The body of 8191 bytes is sent in frames of one byte.
+fn encode_responses(sizes: &[usize]) -> BytesMut {
     let mut bytes = BytesMut::new();
     let mut codec = FrameCodec::default();
     let mut put = |frame| codec.encode(frame, &mut bytes).unwrap();
@@ -65,7 +65,7 @@
     bytes
 }
 
-/// Writes bytes in segments of random size; returns the socket, so that it stays open.
+/// Writes bytes in segments of random size. Returns the socket, so that the connection stays open.
 async fn write_segments(mut peer: TcpStream, bytes: BytesMut, seed: u64) -> TcpStream {
     let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mut at = 0;
@@ -82,36 +82,49 @@
     peer
 }
 
-/// Sizes around the limit of a frame, and a body in frames of one byte, in segments of random size.
+/// Covers sizes around the limit of a frame and a body in frames of one byte. Guards against decoding errors at segment
+/// boundaries.
 #[tokio::test]
 async fn responses_are_equal_for_any_segmentation() {
     let sizes = [0, 1, 8_191, 8_192, 65_535, 65_536, 65_537, 200_000];
     for seed in 1..=4_u64 {
         println!("seed {seed}");
-        let (here, peer) = sockets().await;
+        let (caller_socket, peer) = sockets().await;
         let (caller, _incoming) =
-            FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
+            FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
         let mut calls: Vec<Call> = sizes
             .iter()
             .map(|size| caller.call(request(&size.to_string())).unwrap())
             .collect();
-        let writing = tokio::spawn(write_segments(peer, encoded_responses(&sizes), seed));
+        let writing = tokio::spawn(write_segments(peer, encode_responses(&sizes), seed));
         for (call, size) in calls.iter_mut().zip(sizes) {
-            let (body, end) = complete_response(call).await;
-            assert!(body == content(size), "{size}: {} bytes came", body.len());
-            assert!(matches!(end, Some(CallEnd::Complete(_))), "{size}: {end:?}");
+            let (body, end) = read_response(call).await;
+            assert!(
+                body == content(size),
+                "body of {size} bytes: received {} bytes",
+                body.len()
+            );
+            assert!(
+                matches!(end, Some(CallEnd::Complete(_))),
+                "body of {size} bytes: {end:?}"
+            );
         }
         drop(writing.await);
     }
 }
 
-/// Heads, bodies and ends of many streams, some written while the socket is full.
+/// Many streams send heads, bodies and ends at once, some of them while the socket is full. Guards against frames that are
+/// lost or reordered in the send queue.
 #[tokio::test]
 async fn concurrent_responses_are_complete_and_in_order() {
-    let (here, there) = sockets().await;
-    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
-    let (_answerer, mut incoming) =
-        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
+    let (caller_socket, answerer_socket) = sockets().await;
+    let (caller, _) =
+        FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
+    let (_answerer, mut incoming) = FramedConnection::start(
+        answerer_socket,
+        Side::Answerer,
+        ConnectionOptions::default(),
+    );
     tokio::spawn(async move {
         while let Some(Inbound::Request(head, mut responder)) = incoming.next().await {
             tokio::spawn(async move {
@@ -133,10 +146,10 @@
         let size = [0, 1, 500, 65_536, 65_537, 900_000][n % 6];
         let mut call = caller.call(request(&size.to_string())).unwrap();
         reading.spawn(async move {
-            let (body, end) = complete_response(&mut call).await;
+            let (body, end) = read_response(&mut call).await;
             assert!(
                 body == content(size) && matches!(end, Some(CallEnd::Complete(_))),
-                "{size}: {end:?}"
+                "body of {size} bytes: {end:?}"
             );
         });
     }
@@ -145,12 +158,13 @@
     }
 }
 
-/// A peer that stops reading blocks the sender instead of growing its queue; once it reads again, everything arrives.
+/// A peer that stops reading must block the sender, whose queue would otherwise grow without limit. All bytes arrive once
+/// the peer reads again.
 #[tokio::test]
 async fn stalled_peer_bounds_the_sender_until_it_reads() {
-    let (here, mut peer) = sockets().await;
+    let (caller_socket, mut peer) = sockets().await;
     let (caller, _incoming) =
-        FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
+        FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
     const FRAMES: u64 = 2_000;
     let probe = |token| {
         Frame::Probe(ProbeHead {
@@ -161,7 +175,7 @@
     };
     let sent = std::sync::Arc::new(std::sync::atomic::AtomicU64::new(0));
     let (counted, sender) = (sent.clone(), caller.clone());
-    // Frames of 16 KB: in total far more than the socket buffers and the writer's limit.
+    // Frames of 16 KB, in total far more than the socket buffers and the limit of the writer's queue.
     let big = |token| {
         Frame::Purge(PurgeHead {
             object: Some("x".repeat(16_000)),
@@ -176,7 +190,7 @@
         }
         sender.control(probe(7)).await.unwrap();
     });
-    // Until no further frame is accepted.
+    // Waits until the writer accepts no further frame.
     let mut last = 0;
     loop {
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -188,7 +202,7 @@
     }
     assert!(
         last < FRAMES,
-        "all {FRAMES} frames were accepted although the peer reads nothing"
+        "all {FRAMES} frames were accepted although the peer does not read"
     );
     let mut bytes = 0;
     let mut buffer = vec![0; 1 << 20];
@@ -199,15 +213,17 @@
     };
     tokio::time::timeout(Duration::from_secs(20), reading)
         .await
-        .expect("it goes on");
+        .expect("sending continues once the peer reads again");
 }
 
-/// A caller on a meter, and an answerer that sends 3 MiB for each request.
+/// Connects a caller that uses the meter to an answerer that sends 3 MiB for each request; returns the caller.
 async fn metered_connection(meter: &BufferMeter) -> (FramedConnection, Incoming) {
-    let (here, there) = sockets().await;
+    let (caller_socket, answerer_socket) = sockets().await;
     let options = ConnectionOptions::default();
-    let caller = FramedConnection::start_metered(here, Side::Caller, options, meter.clone());
-    let (answerer, mut requests) = FramedConnection::start(there, Side::Answerer, options);
+    let caller =
+        FramedConnection::start_metered(caller_socket, Side::Caller, options, meter.clone());
+    let (answerer, mut requests) =
+        FramedConnection::start(answerer_socket, Side::Answerer, options);
     tokio::spawn(async move {
         let _answerer = answerer;
         while let Some(Inbound::Request(_, mut responder)) = requests.next().await {
@@ -232,11 +248,12 @@
     .expect(reason);
 }
 
-/// The meter counts what was read and not yet taken over all connections, and discounts it however it is released. While
-/// memory is short the windows are small: a reader that stops buffers a quarter, and one that continues is never stalled.
+/// The meter counts the bytes of all its connections that were received and not yet consumed, and subtracts them however
+/// they are released. At the threshold the windows are reduced: a reader that stops reading buffers about the
+/// reduced window, a quarter of the full one, and a reader that continues is never stalled.
 #[tokio::test]
 async fn buffered_bytes_are_metered_and_windows_shrink_at_threshold() {
-    // Always above the threshold.
+    // A threshold of 0 is always reached.
     let meter = BufferMeter::new(0);
     let connections = [
         metered_connection(&meter).await,
@@ -248,35 +265,41 @@
         .collect();
     let mut stopped = connections[0].0.call(request("large")).unwrap();
     for call in &mut calls {
-        let (body, end) = complete_response(call).await;
+        let (body, end) = read_response(call).await;
         assert_eq!(body.len(), 3 << 20);
         assert!(matches!(end, Some(CallEnd::Complete(_))), "{end:?}");
     }
-    // Half a megabyte taken, then nothing more.
+    // Reads half a megabyte, then stops reading.
     let mut taken = 0;
     while taken < 512 * 1024 {
         if let Some(ResponsePart::Data(data)) = stopped.next().await {
             taken += data.len();
         }
     }
-    // Everything that may arrive has arrived when the peer's credit is used up.
-    let crowded_window = u64::from(CROWDED_WINDOW);
+    // The peer sends until its credit is used up; no more bytes arrive after that.
+    let reduced_window = u64::from(CROWDED_WINDOW);
     wait_for_buffered(
         &meter,
-        |bytes| bytes >= crowded_window / 2,
-        "it reads ahead",
+        |bytes| bytes >= reduced_window / 2,
+        "the connection buffers unread bytes up to the window",
     )
     .await;
     assert!(
-        meter.buffered_bytes() <= crowded_window * 3 / 2,
-        "{} bytes buffered by one that stopped",
+        meter.buffered_bytes() <= reduced_window * 3 / 2,
+        "{} bytes are buffered for a reader that stopped",
         meter.buffered_bytes()
     );
     drop(stopped);
-    wait_for_buffered(&meter, |bytes| bytes == 0, "unread bytes are discounted").await;
+    wait_for_buffered(
+        &meter,
+        |bytes| bytes == 0,
+        "unread bytes are subtracted when the call is dropped",
+    )
+    .await;
 }
 
-/// A peer that was only unreachable reads on later: what was given up meanwhile may run elsewhere and must not reach it.
+/// Guards against requests that reach a peer after they were abandoned: a peer that was only unreachable reads again later,
+/// while the requests may already run elsewhere.
 #[tokio::test]
 async fn aborted_connection_never_delivers_queued_requests() {
     for aborted in [false, true] {
@@ -292,18 +315,21 @@
             trace: trace.clone(),
             ..Default::default()
         };
-        // More than the buffers of both sockets hold, so that some of it is queued on this side.
+        // More bytes than the buffers of both sockets hold, so that some requests are queued on this side.
         let calls: Vec<_> = (0..8_000).map(|_| caller.call(head()).unwrap()).collect();
         if aborted {
-            caller.abort("no sign of life");
+            caller.abort("peer does not respond");
         } else {
             caller.close("done");
         }
         caller.flushed().await;
         drop((calls, caller, incoming));
-        let mut got = Vec::new();
-        let read = tokio::time::timeout(Duration::from_secs(10), peer.read_to_end(&mut got));
-        let reset = read.await.expect("it ends").is_err();
-        assert_eq!(reset, aborted, "{} bytes came", got.len());
+        let mut received = Vec::new();
+        let read = tokio::time::timeout(Duration::from_secs(10), peer.read_to_end(&mut received));
+        let reset = read
+            .await
+            .expect("the connection ends within 10 s")
+            .is_err();
+        assert_eq!(reset, aborted, "{} bytes received", received.len());
     }
 }
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -1,4 +1,4 @@
-//! Both ends of a connection over a real socket, and one end against a peer that violates the protocol.
+//! Tests of both ends of a connection over a TCP socket, and of one end against a peer that violates the protocol.
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use pointspindle_protocol::streams::*;
@@ -13,15 +13,19 @@
 async fn sockets() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let to = listener.local_addr().unwrap();
-    let (here, there) = tokio::join!(TcpStream::connect(to), listener.accept());
-    (here.unwrap(), there.unwrap().0)
+    let (caller_socket, answerer_socket) = tokio::join!(TcpStream::connect(to), listener.accept());
+    (caller_socket.unwrap(), answerer_socket.unwrap().0)
 }
 
 async fn pair() -> (FramedConnection, FramedConnection, Incoming) {
-    let (here, there) = sockets().await;
-    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
-    let (answerer, incoming) =
-        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
+    let (caller_socket, answerer_socket) = sockets().await;
+    let (caller, _) =
+        FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
+    let (answerer, incoming) = FramedConnection::start(
+        answerer_socket,
+        Side::Answerer,
+        ConnectionOptions::default(),
+    );
     (caller, answerer, incoming)
 }
 
@@ -35,11 +39,12 @@
 async fn next_request(incoming: &mut Incoming) -> (RequestHead, Responder) {
     match incoming.next().await {
         Some(Inbound::Request(head, responder)) => (head, responder),
-        other => panic!("no request: {other:?}"),
+        other => panic!("expected a request, got {other:?}"),
     }
 }
 
-async fn body(call: &mut Call) -> (usize, Option<CallEnd>) {
+/// Reads the response to its end; returns the length of the body and the end.
+async fn read_response(call: &mut Call) -> (usize, Option<CallEnd>) {
     let mut bytes = 0;
     while let Some(part) = call.next().await {
         match part {
@@ -51,7 +56,7 @@
     (bytes, None)
 }
 
-/// Credit that is never returned stalls the stream of the reader that reads nothing, and no other.
+/// A reader that does not read returns no credit. Guards against the sender of its stream stalling other streams too.
 #[tokio::test]
 async fn slow_reader_stalls_only_its_own_stream() {
     let (caller, _answerer, mut incoming) = pair().await;
@@ -67,19 +72,22 @@
             responder.data(Bytes::from(vec![0; 1 << 20])).await.unwrap();
             responder.end(None).await.unwrap();
         });
-        let (bytes, end) = body(&mut quick).await;
+        let (bytes, end) = read_response(&mut quick).await;
         assert_eq!(bytes, 1 << 20);
         assert!(matches!(end, Some(CallEnd::Complete(_))));
     }
-    assert!(!sending.is_finished(), "it waits for credit");
+    assert!(
+        !sending.is_finished(),
+        "the sender of the unread stream must wait for credit"
+    );
     drop(slow);
     assert!(
         sending.await.unwrap().is_err(),
-        "the cancel reaches the sender that waits for credit"
+        "a cancel must end the wait for credit"
     );
 }
 
-/// Makes deferred requests of 12 KB and counts how often any of them was composed.
+/// Makes deferred requests of 12 KB and counts how often they are composed.
 #[derive(Default)]
 struct Composer {
     composed: Arc<AtomicUsize>,
@@ -99,7 +107,7 @@
         })
     }
 
-    /// Calls until the socket is full: the last request is not composed at once, or composed again later.
+    /// Makes calls until the socket is full, so that the last request is not composed at once or is composed again later.
     fn fill_socket(&self, caller: &FramedConnection) -> Vec<Call> {
         let mut calls = Vec::new();
         while self.composed() <= calls.len() && calls.len() < 3_000 {
@@ -110,11 +118,11 @@
                 break;
             }
         }
-        assert!(calls.len() < 3_000, "the socket is full at some time");
+        assert!(calls.len() < 3_000, "the socket must become full");
         calls
     }
 
-    /// Calls on a full socket until a request is not composed at once.
+    /// Makes calls until a request is not composed at once, because the socket is full again.
     fn fill_socket_again(&self, caller: &FramedConnection) -> Vec<Call> {
         let mut calls = Vec::new();
         loop {
@@ -127,12 +135,16 @@
     }
 }
 
-/// Reads requests up to one of a name; returns the names of all.
+/// Reads requests up to the one named `last`; returns the names of all requests read.
 async fn read_requests_until(peer: &mut TcpStream, last: &str) -> Vec<String> {
     let mut names = Vec::new();
     let mut frames = Framed::new(peer, FrameCodec::default());
     while names.last().is_none_or(|name| name != last) {
-        let frame = frames.next().await.expect("open").unwrap();
+        let frame = frames
+            .next()
+            .await
+            .expect("the connection ended before the last request")
+            .unwrap();
         if let Frame::Request(_, head) = frame {
             names.push(head.object.split('/').next().unwrap().to_owned());
         }
@@ -140,13 +152,16 @@
     names
 }
 
-/// Requests whose first byte the socket has not accepted: withdrawn ones are never sent, those that may no longer begin are
-/// not either, and at the connection's end the rest ends as not sent; only what was sent ends as broken.
+/// Covers requests whose first byte the socket has not accepted. Requests that were withdrawn or may no longer start are
+/// never sent, and the others end as not sent when the connection closes. Only requests that were sent end as broken.
 #[tokio::test]
 async fn request_is_composed_at_its_first_byte_or_never_sent() {
-    let (here, mut there) = sockets().await;
-    let (caller, _) =
-        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 4_000 });
+    let (caller_socket, mut answerer_socket) = sockets().await;
+    let (caller, _) = FramedConnection::start(
+        caller_socket,
+        Side::Caller,
+        ConnectionOptions { max_streams: 4_000 },
+    );
     let composer = Composer::default();
     let first = composer.fill_socket(&caller);
     let call = |name, may_begin| {
@@ -157,14 +172,18 @@
     let mut expired = call("expired", false);
     let mut good = call("good", true);
     drop(withdrawn);
-    let received = read_requests_until(&mut there, "good").await;
+    let received = read_requests_until(&mut answerer_socket, "good").await;
     assert!(
         !received
             .iter()
             .any(|name| name == "withdrawn" || name == "expired"),
         "{received:?}"
     );
-    assert_eq!(received.len(), first.len() + 1, "all others were sent");
+    assert_eq!(
+        received.len(),
+        first.len() + 1,
+        "all other requests must be sent"
+    );
     let not_sent = Some(ResponsePart::End(CallEnd::NotSent));
     assert_eq!(expired.next().await, not_sent);
 
@@ -176,7 +195,11 @@
     }
     let is_broken =
         |end: &Option<ResponsePart>| matches!(end, Some(ResponsePart::End(CallEnd::Broken(_))));
-    assert!(is_broken(&ends[0]), "it was sent: {:?}", ends[0]);
+    assert!(
+        is_broken(&ends[0]),
+        "a sent request must end as broken: {:?}",
+        ends[0]
+    );
     assert_eq!(ends.last(), Some(&not_sent));
     assert!(is_broken(&good.next().await));
 }
@@ -192,7 +215,7 @@
     let mut call = caller.call(request("b")).unwrap();
     let (_, responder) = next_request(&mut incoming).await;
     drop(responder);
-    match body(&mut call).await.1 {
+    match read_response(&mut call).await.1 {
         Some(CallEnd::Error(e)) => assert!(e.may_have_run),
         other => panic!("{other:?}"),
     }
@@ -200,18 +223,21 @@
     assert_eq!(
         (caller.open_streams(), answerer.open_streams()),
         (0, 0),
-        "no stream remains at either end"
+        "no stream must remain at either end"
     );
 }
 
-/// Requests above the limit are rejected; the connection and the other streams continue.
+/// Requests above the limit of open streams are rejected; the connection and the other streams continue.
 #[tokio::test]
 async fn requests_above_stream_limit_are_rejected_one_by_one() {
-    let (here, there) = sockets().await;
-    let (caller, _) =
-        FramedConnection::start(here, Side::Caller, ConnectionOptions { max_streams: 2_000 });
+    let (caller_socket, answerer_socket) = sockets().await;
+    let (caller, _) = FramedConnection::start(
+        caller_socket,
+        Side::Caller,
+        ConnectionOptions { max_streams: 2_000 },
+    );
     let (_answerer, mut incoming) = FramedConnection::start(
-        there,
+        answerer_socket,
         Side::Answerer,
         ConnectionOptions { max_streams: 100 },
     );
@@ -229,7 +255,7 @@
             first.push(call);
             continue;
         }
-        match body(&mut call).await.1 {
+        match read_response(&mut call).await.1 {
             Some(CallEnd::Error(e)) if e.status() == WireStatus::Rejected && !e.may_have_run => {
                 rejected += 1
             }
@@ -243,25 +269,30 @@
         responder.end(None).await.unwrap();
     }
     for call in &mut first {
-        assert!(matches!(body(call).await.1, Some(CallEnd::Complete(_))));
+        assert!(matches!(
+            read_response(call).await.1,
+            Some(CallEnd::Complete(_))
+        ));
     }
 }
 
-/// A call against a peer that answers with the given frames; returns the call's end and the reason of the close.
-async fn against(frames: Vec<Frame>) -> (Option<CallEnd>, String) {
-    let (here, there) = sockets().await;
-    let (caller, _) = FramedConnection::start(here, Side::Caller, ConnectionOptions::default());
+/// Makes a call to a peer that responds with the given frames and then closes; returns the end of the call and the reason
+/// for which the connection closed.
+async fn call_scripted_peer(frames: Vec<Frame>) -> (Option<CallEnd>, String) {
+    let (caller_socket, answerer_socket) = sockets().await;
+    let (caller, _) =
+        FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
     let mut call = caller.call(request("a")).unwrap();
-    let mut peer = Framed::new(there, FrameCodec::default());
+    let mut peer = Framed::new(answerer_socket, FrameCodec::default());
     assert!(matches!(peer.next().await, Some(Ok(Frame::Request(1, _)))));
     for frame in frames {
         peer.send(frame).await.unwrap();
     }
     drop(peer);
-    let end = body(&mut call).await.1;
+    let end = read_response(&mut call).await.1;
     tokio::time::timeout(Duration::from_secs(5), caller.closed())
         .await
-        .expect("it closes");
+        .expect("the connection closes within 5 s");
     (end, caller.close_reason())
 }
 
@@ -281,17 +312,20 @@
         (vec![Frame::Request(2, request("b"))], "only the other side"),
         (vec![head(), data(5)], "the peer closed"),
     ] {
-        let (got, reason) = against(frames).await;
+        let (call_end, reason) = call_scripted_peer(frames).await;
         assert!(
-            matches!(got, Some(CallEnd::Broken(_))),
-            "{expected}: {got:?}"
+            matches!(call_end, Some(CallEnd::Broken(_))),
+            "{expected}: {call_end:?}"
+        );
+        assert!(
+            reason.contains(expected),
+            "close reason {reason:?} does not contain {expected:?}"
         );
-        assert!(reason.contains(expected), "{reason:?} is not {expected:?}");
     }
-    let (got, reason) = against(vec![head(), end(0), end(0)]).await;
+    let (call_end, reason) = call_scripted_peer(vec![head(), end(0), end(0)]).await;
     assert!(
-        matches!(got, Some(CallEnd::Complete(_))),
-        "the first end counts"
+        matches!(call_end, Some(CallEnd::Complete(_))),
+        "the call must end with its first end frame"
     );
     assert!(reason.contains("after its end"), "{reason}");
 }
@@ -299,10 +333,16 @@
 #[tokio::test]
 async fn invalid_preface_closes_connection_without_request() {
     use tokio::io::AsyncWriteExt;
-    let (mut here, there) = sockets().await;
-    let (answerer, mut incoming) =
-        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
-    here.write_all(b"GET / HTTP/1.1\r\n\r\n").await.unwrap();
+    let (mut caller_socket, answerer_socket) = sockets().await;
+    let (answerer, mut incoming) = FramedConnection::start(
+        answerer_socket,
+        Side::Answerer,
+        ConnectionOptions::default(),
+    );
+    caller_socket
+        .write_all(b"GET / HTTP/1.1\r\n\r\n")
+        .await
+        .unwrap();
     assert!(incoming.next().await.is_none());
     assert!(
         answerer.close_reason().contains("preface"),
@@ -311,22 +351,26 @@
     );
 }
 
-/// The first request finds a socket that accepts nothing yet: it is sent later, still behind the preface.
+/// The socket accepts no bytes yet when the first request is made. Guards against sending the request later without the
+/// preface.
 #[tokio::test]
 async fn delayed_first_request_is_sent_behind_the_preface() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    // Registered with the runtime only now, which does not know its readiness yet.
-    let here = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    here.set_nonblocking(true).unwrap();
+    // The socket is registered with the runtime only below, so that the runtime does not know its readiness yet.
+    let caller_socket = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+    caller_socket.set_nonblocking(true).unwrap();
     let (caller, _) = FramedConnection::start(
-        TcpStream::from_std(here).unwrap(),
+        TcpStream::from_std(caller_socket).unwrap(),
         Side::Caller,
         ConnectionOptions::default(),
     );
     let mut call = caller.call(request("first")).unwrap();
-    let (there, _) = listener.accept().await.unwrap();
-    let (_answerer, mut incoming) =
-        FramedConnection::start(there, Side::Answerer, ConnectionOptions::default());
+    let (answerer_socket, _) = listener.accept().await.unwrap();
+    let (_answerer, mut incoming) = FramedConnection::start(
+        answerer_socket,
+        Side::Answerer,
+        ConnectionOptions::default(),
+    );
     let (head, responder) = next_request(&mut incoming).await;
     assert_eq!(head.object, "first");
     responder.error(ErrorHead::default()).await.unwrap();
