--- a/crates/cache-host/src/fill_table.rs
+++ b/crates/cache-host/src/fill_table.rs
@@ -1,32 +1,34 @@
-//! Decides what a cache host does with a request: serve it from cache, fill, join a fill, queue it or reject it. No I/O.
+//! Decides, without I/O, whether a cache host serves a request from cache, starts or joins a fill, queues the request or
+//! rejects it.
 //!
-//! The caller looks the copy up ([`CachedCopy`]), carries out the [`RequestDecision`] and reports the end of each fill
-//! ([`FillTable::fill_ended`]). Times are microseconds.
+//! The caller looks up the stored copy ([`CachedCopy`]), carries out the [`RequestDecision`] and reports the end of each
+//! fill ([`FillTable::fill_ended`]). Times are in microseconds.
 //!
-//! State is bounded: one entry for each running fill (at most [`FillLimits::max_fills`]) and one for each queued request
-//! (at most [`FillLimits::max_waiting`]), removed when it ends. A request that is served from cache leaves no state.
+//! The state is bounded: one entry for each running fill (at most [`FillLimits::max_fills`]) and one for each queued request
+//! (at most [`FillLimits::max_waiting`]), removed when the fill or the wait ends. A request that is served from cache
+//! leaves no state.
 use pointspindle::Micros;
 use pointspindle_protocol::{FetchHead, RequestHead};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Identifies a fill.
+/// Identifier of a fill.
 pub type FillId = u64;
-/// Identifies a queued request.
+/// Identifier of a queued request.
 pub type WaiterId = u64;
 
 /// Limits of a [`FillTable`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FillLimits {
-    /// Concurrent fills.
+    /// Maximum number of concurrent fills.
     pub max_fills: usize,
-    /// Requests queued for a fill; more are rejected.
+    /// Maximum number of requests queued for a fill; further ones are rejected.
     pub max_waiting: usize,
 }
 
 /// A stored copy of the requested object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CachedCopy {
-    /// Time since the origin generated or confirmed it.
+    /// Time since the origin generated or confirmed the copy.
     pub age: Micros,
 }
 
@@ -35,15 +37,16 @@
 pub struct CacheRequest<K> {
     /// Key of the object.
     pub key: K,
-    /// Age up to which a copy is acceptable; none: any.
+    /// Age up to which a copy is acceptable; `None` accepts any age.
     pub max_age: Option<Micros>,
-    /// Age from which a copy is stale; none: never.
+    /// Age beyond which a copy is stale; with `None` it never is.
     pub freshness_lifetime: Option<Micros>,
-    /// Nothing is fetched from the origin; a source, if there is one, is asked for its copy only.
+    /// Whether only stored copies may be used: a source, if there is one, is asked for its copy and does not fetch from the
+    /// origin.
     pub only_if_cached: bool,
-    /// Where a miss is filled from; none: it is not filled.
+    /// Source from which a miss is filled; with `None` it is not filled.
     pub source: Option<String>,
-    /// How long the response is worth storing, compared with others; 0: it is not stored.
+    /// Rank of the response for retention in the store, relative to other responses; 0 if it is not stored.
     pub retention_rank: u32,
     /// Whether the request may be answered from a running fill.
     pub coalesce: bool,
@@ -52,23 +55,24 @@
 }
 
 impl<K> CacheRequest<K> {
-    /// From the head of a request. `freshness_lifetime` and `uncacheable` are of its class; `own_source` is where the host
-    /// fills from if the request names no source.
-    pub fn of(
+    /// Derives the properties from the head of a request. `freshness_lifetime` is that of the stored copy or of the class,
+    /// `uncacheable` says whether the class may not be cached, and `default_source` is the source of a fill if the request
+    /// names none.
+    pub fn from_head(
         head: &RequestHead,
         key: K,
         freshness_lifetime: Option<Micros>,
-        own_source: Option<&str>,
+        default_source: Option<&str>,
         uncacheable: bool,
     ) -> Self {
-        // Without a directive only a stored copy is wanted, unless the request executes at the origin.
+        // A request without a fetch directive is answered from a stored copy only, unless it executes at the origin.
         let fetch = head.fetch.clone().unwrap_or(FetchHead {
             only_if_cached: !uncacheable,
             ..FetchHead::default()
         });
         let source = match fetch.source.as_str() {
             "" if fetch.only_if_cached => None,
-            "" => own_source.map(str::to_owned),
+            "" => default_source.map(str::to_owned),
             named => Some(named.to_owned()),
         };
         let max_age = if uncacheable {
@@ -101,43 +105,44 @@
     }
 }
 
-/// What to do with a request. [`FillTable::fill_ended`] is owed for each fill that begins.
+/// What to do with a request. The caller must call [`FillTable::fill_ended`] for each fill that begins.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestDecision {
     /// Serve the stored copy.
     Serve {
-        /// The copy is past its freshness lifetime.
+        /// Whether the copy is past its freshness lifetime.
         stale: bool,
-        /// Begin this fill in the background.
+        /// Fill to begin in the background, if the copy is to be revalidated.
         revalidate: Option<FillId>,
     },
     /// Begin this fill and answer from it.
     Fill(FillId),
     /// Answer from this running fill.
     Join(FillId),
-    /// Queued until [`FillTable::fill_ended`] returns it; [`FillTable::cancel_wait`] is owed if it is given up.
+    /// Queue the request until [`FillTable::fill_ended`] returns it. The caller must call [`FillTable::cancel_wait`] if the
+    /// request ends before that.
     Wait(WaiterId),
-    /// No acceptable copy is stored, and it must not be filled.
+    /// Answer with a miss: no acceptable copy is stored, and the request must not be filled.
     Miss,
-    /// All fills are in use and the queue is full.
+    /// Reject the request: the maximum number of fills is running and the queue is full.
     Reject,
 }
 
 /// The fill that a queued request begins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueuedFill {
-    /// The request that was queued.
+    /// The request that leaves the queue.
     pub waiter: WaiterId,
-    /// The fill that it begins.
+    /// The fill that the request begins.
     pub fill: FillId,
 }
 
 #[derive(Debug)]
 struct Fill<K> {
     key: K,
-    /// Whether other requests may be answered from it.
+    /// Whether other requests may be answered from this fill.
     joinable: bool,
-    /// Oldest copy that its source may give.
+    /// Maximum age of the copy that the source may return; `None` if any age is acceptable.
     max_age: Option<Micros>,
 }
 
@@ -149,12 +154,12 @@
     /// The newest joinable fill of each key.
     by_key: BTreeMap<K, FillId>,
     waiting: VecDeque<(WaiterId, CacheRequest<K>)>,
-    /// Fills and queued requests are numbered together.
+    /// Last identifier assigned; fills and queued requests share one sequence.
     last_id: u64,
 }
 
 impl<K: Clone + Ord> FillTable<K> {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new(limits: FillLimits) -> Self {
         Self {
             limits,
@@ -165,12 +170,12 @@
         }
     }
 
-    /// Number of running fills.
+    /// Returns the number of running fills.
     pub fn active_fills(&self) -> usize {
         self.fills.len()
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
@@ -179,7 +184,7 @@
         self.fills.len() < self.limits.max_fills
     }
 
-    /// Decides about a request, given the stored copy.
+    /// Decides what to do with a request, given the stored copy.
     pub fn decide(
         &mut self,
         request: CacheRequest<K>,
@@ -190,17 +195,17 @@
             let revalidates = stale && self.may_revalidate(&request);
             return RequestDecision::Serve {
                 stale,
-                revalidate: revalidates.then(|| self.begin(&request)),
+                revalidate: revalidates.then(|| self.begin_fill(&request)),
             };
         }
         if request.source.is_none() {
             return RequestDecision::Miss;
         }
-        if let Some(fill) = self.joinable(&request) {
+        if let Some(fill) = self.joinable_fill(&request) {
             return RequestDecision::Join(fill);
         }
         if self.has_free_fill() {
-            return RequestDecision::Fill(self.begin(&request));
+            return RequestDecision::Fill(self.begin_fill(&request));
         }
         if self.waiting.len() >= self.limits.max_waiting {
             return RequestDecision::Reject;
@@ -210,7 +215,7 @@
         RequestDecision::Wait(self.last_id)
     }
 
-    /// Revalidation never waits for a fill, and a key has at most one at a time.
+    /// Whether a revalidation may start now. It never waits for a free fill, and a key has at most one at a time.
     fn may_revalidate(&self, request: &CacheRequest<K>) -> bool {
         request.revalidate
             && request.source.is_some()
@@ -218,22 +223,22 @@
             && self.has_free_fill()
     }
 
-    /// A running fill whose response is acceptable for the request.
-    fn joinable(&self, request: &CacheRequest<K>) -> Option<FillId> {
+    /// Returns a running fill whose response is acceptable for the request.
+    fn joinable_fill(&self, request: &CacheRequest<K>) -> Option<FillId> {
         if !request.coalesce {
             return None;
         }
         let id = *self.by_key.get(&request.key)?;
         let fill = self.fills.get(&id)?;
-        let is_young_enough = match (request.max_age, fill.max_age) {
+        let is_recent_enough = match (request.max_age, fill.max_age) {
             (None, _) => true,
             (Some(_), None) => false,
-            (Some(accepted), Some(oldest)) => oldest <= accepted,
+            (Some(accepted), Some(fill_max_age)) => fill_max_age <= accepted,
         };
-        (is_young_enough && fill.joinable).then_some(id)
+        (is_recent_enough && fill.joinable).then_some(id)
     }
 
-    fn begin(&mut self, request: &CacheRequest<K>) -> FillId {
+    fn begin_fill(&mut self, request: &CacheRequest<K>) -> FillId {
         self.last_id += 1;
         let joinable = request.retention_rank > 0 && !request.only_if_cached;
         let fill = Fill {
@@ -248,7 +253,7 @@
         self.last_id
     }
 
-    /// Lets no further request join the running fill of a key: its object was purged.
+    /// Lets no further request join the running fill of a key, because its object was purged.
     pub fn stop_coalescing(&mut self, key: &K) {
         let Some(id) = self.by_key.remove(key) else {
             return;
@@ -258,7 +263,7 @@
         }
     }
 
-    /// Removes a fill that has ended, successfully or not. Returns the fill that the first queued request begins.
+    /// Removes a fill that has completed or failed. Returns the fill that the first queued request begins.
     pub fn fill_ended(&mut self, fill: FillId) -> Option<QueuedFill> {
         let ended = self.fills.remove(&fill)?;
         if self.by_key.get(&ended.key) == Some(&fill) {
@@ -267,7 +272,7 @@
         let (waiter, request) = self.waiting.pop_front()?;
         Some(QueuedFill {
             waiter,
-            fill: self.begin(&request),
+            fill: self.begin_fill(&request),
         })
     }
 
--- a/crates/cache-host/src/fill_table/tests.rs
+++ b/crates/cache-host/src/fill_table/tests.rs
@@ -34,7 +34,7 @@
         fill_table.decide(request("a"), cached(10 * MICROS_PER_SECOND + 1)),
         RequestDecision::Fill(_)
     ));
-    let grace = CacheRequest {
+    let stale_if_error = CacheRequest {
         max_age: Some(30 * MICROS_PER_SECOND),
         revalidate: true,
         ..request("b")
@@ -42,13 +42,13 @@
     let RequestDecision::Serve {
         stale: true,
         revalidate: Some(fill),
-    } = fill_table.decide(grace.clone(), cached(20 * MICROS_PER_SECOND))
+    } = fill_table.decide(stale_if_error.clone(), cached(20 * MICROS_PER_SECOND))
     else {
         panic!()
     };
-    // One revalidation at a time.
+    // A key has at most one revalidation at a time.
     assert_eq!(
-        fill_table.decide(grace.clone(), cached(20 * MICROS_PER_SECOND)),
+        fill_table.decide(stale_if_error.clone(), cached(20 * MICROS_PER_SECOND)),
         RequestDecision::Serve {
             stale: true,
             revalidate: None
@@ -56,7 +56,7 @@
     );
     fill_table.fill_ended(fill);
     assert!(matches!(
-        fill_table.decide(grace, cached(20 * MICROS_PER_SECOND)),
+        fill_table.decide(stale_if_error, cached(20 * MICROS_PER_SECOND)),
         RequestDecision::Serve {
             revalidate: Some(_),
             ..
@@ -77,7 +77,7 @@
         fill_table.decide(request("a"), None),
         RequestDecision::Join(first)
     );
-    // It needs a younger copy than the fill may bring, or must not coalesce.
+    // These requests need a more recent copy than the fill may return, or must not coalesce.
     assert!(matches!(
         fill_table.decide(
             CacheRequest {
@@ -98,22 +98,24 @@
         ),
         RequestDecision::Fill(_)
     ));
-    let RequestDecision::Fill(last) = fill_table.decide(request("b"), None) else {
+    let RequestDecision::Fill(purged) = fill_table.decide(request("b"), None) else {
         panic!()
     };
     fill_table.stop_coalescing(&"b");
-    assert!(matches!(fill_table.decide(request("b"), None), RequestDecision::Fill(n) if n != last));
-    // A response that is not stored belongs to one request.
-    let through = CacheRequest {
+    assert!(
+        matches!(fill_table.decide(request("b"), None), RequestDecision::Fill(fill) if fill != purged)
+    );
+    // A response that is not stored answers one request only.
+    let not_stored = CacheRequest {
         retention_rank: 0,
         ..request("c")
     };
     assert!(matches!(
-        fill_table.decide(through.clone(), None),
+        fill_table.decide(not_stored.clone(), None),
         RequestDecision::Fill(_)
     ));
     assert!(matches!(
-        fill_table.decide(through, None),
+        fill_table.decide(not_stored, None),
         RequestDecision::Fill(_)
     ));
 }
@@ -148,16 +150,16 @@
         RequestDecision::Miss
     );
     fill_table.cancel_wait(b);
-    let granted = fill_table.fill_ended(fill).unwrap();
+    let queued_fill = fill_table.fill_ended(fill).unwrap();
     assert_eq!(
         (
-            granted.waiter,
+            queued_fill.waiter,
             fill_table.active_fills(),
             fill_table.waiting()
         ),
         (c, 1, 0)
     );
-    assert_eq!(fill_table.fill_ended(granted.fill), None);
+    assert_eq!(fill_table.fill_ended(queued_fill.fill), None);
     assert_eq!(fill_table.active_fills(), 0);
 }
 
@@ -167,16 +169,16 @@
         object: "/a".into(),
         ..Default::default()
     };
-    let of = |head: &RequestHead, uncacheable| {
-        CacheRequest::of(head, (), None, Some("origin"), uncacheable)
+    let from_head = |head: &RequestHead, uncacheable| {
+        CacheRequest::from_head(head, (), None, Some("origin"), uncacheable)
     };
     assert_eq!(
-        of(&head, false).source,
+        from_head(&head, false).source,
         None,
-        "without a directive only a stored copy is wanted"
+        "a request without a fetch directive is answered from a stored copy only"
     );
     assert_eq!(
-        of(&head, true).source.as_deref(),
+        from_head(&head, true).source.as_deref(),
         Some("origin"),
         "an uncacheable request executes at the origin"
     );
@@ -184,19 +186,19 @@
         only_if_cached: true,
         ..Default::default()
     });
-    assert_eq!(of(&head, false).source, None);
+    assert_eq!(from_head(&head, false).source, None);
     head.fetch = Some(FetchHead {
         retention_rank: 2,
         ..Default::default()
     });
-    assert_eq!(of(&head, false).source.as_deref(), Some("origin"));
+    assert_eq!(from_head(&head, false).source.as_deref(), Some("origin"));
     head.fetch = Some(FetchHead {
         source: "p:1".into(),
         only_if_cached: true,
         ..Default::default()
     });
     assert_eq!(
-        of(&head, false).source.as_deref(),
+        from_head(&head, false).source.as_deref(),
         Some("p:1"),
         "a named source is asked for its copy"
     );
--- a/crates/cache-host/src/freshness.rs
+++ b/crates/cache-host/src/freshness.rs
@@ -1,17 +1,17 @@
-//! Freshness lifetime and age of an HTTP response: RFC 9111, sections 4.2 and 5.2, for a shared cache.
+//! Freshness lifetime and age of an HTTP response in a shared cache (RFC 9111, sections 4.2 and 5.2).
 use pointspindle::Micros;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// What the header fields of a response say about caching it.
+/// Caching properties of a response, as derived from its header fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Freshness {
-    /// The response must not be stored.
+    /// Whether the response must not be stored.
     pub no_store: bool,
-    /// Freshness lifetime, counted from its generation at the origin; none: not declared.
+    /// Freshness lifetime, counted from the generation of the response at the origin; `None` if it is not declared.
     pub lifetime: Option<Micros>,
-    /// Age of the response when its head arrived.
+    /// Age of the response at the arrival of its head.
     pub age: Micros,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl CacheControl {
-    /// The first of several equal directives counts.
+    /// Parses the field value. If a directive is repeated, its first value applies.
     fn parse(text: &str) -> Self {
         let mut control = Self::default();
         for directive in text.split(',') {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An invalid number counts as stale (4.2.1).
+/// Parses a number of seconds. An invalid one is read as 0, which makes the response stale (4.2.1).
 fn delta_seconds(value: &str) -> u64 {
     value.trim().trim_matches('"').parse().unwrap_or(0)
 }
@@ -60,8 +60,8 @@
     httpdate::parse_http_date(value).ok().map(unix_seconds)
 }
 
-/// Evaluates header fields, whose names are in lower case. `response_delay` is the time from sending the request to
-/// receiving the head; `now_s` is in seconds since 1970.
+/// Evaluates header fields, whose names must be in lower case. `response_delay` is the time from sending the request to
+/// receiving the head; `now_s` is the time in seconds since the Unix epoch.
 pub fn freshness(fields: &[(String, String)], response_delay: Micros, now_s: u64) -> Freshness {
     let values = |name: &'static str| {
         fields
@@ -71,7 +71,7 @@
     };
     let control = CacheControl::parse(&values("cache-control").collect::<Vec<_>>().join(","));
     let date = values("date").next().and_then(http_date);
-    // An invalid Expires is in the past (5.3).
+    // An invalid Expires value is treated as a time in the past (5.3).
     let expires = values("expires")
         .next()
         .map(|value| http_date(value).unwrap_or(0))
@@ -81,7 +81,7 @@
     } else {
         control.s_maxage.or(control.max_age).or(expires)
     };
-    // 4.2.3: the larger of the two estimates.
+    // The age is the larger of the apparent and the corrected age (4.2.3).
     let apparent_age = date.map_or(0, |date| now_s.saturating_sub(date));
     let age_value = values("age")
         .next()
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -1,67 +1,70 @@
 //! Work leases: a host that has started with an empty store divides its capacity among the dispatchers while it warms up.
 //!
-//! Dispatchers that each take a part of a warming host's budget by an estimate of how many they are exceed it together
-//! when the estimate is wrong. The host knows which dispatchers are connected, so it grants the budget itself, in slots.
-//! Work that is granted but not used lapses with its slot and returns to the bucket one slot later, when no request for it
-//! can be under way any more; so does the work of a dispatcher that disconnects. A new dispatcher gets its first lease with
-//! the next slot.
+//! If each dispatcher took its share of a warming host's budget from its own estimate of the number of dispatchers, a
+//! wrong estimate would make them exceed the budget together. The host knows which dispatchers are connected, so it grants
+//! the budget itself, slot by slot.
 //!
-//! Where many dispatchers share a small budget, an even share is less than a request. Work is then granted on request, for
-//! a request that is there ([`WorkLedger::request_work`]).
+//! Granted work that is not used expires at the end of its slot. It returns to the bucket one slot later, when no request
+//! that uses it can still be in transit. The same applies to the work of a dispatcher that disconnects. A new dispatcher
+//! gets its first lease with the next slot.
 //!
-//! **Bound.** Grants come out of one bucket of at most [`WorkLedger::burst`], filled at a rate `r`. What is granted in any
-//! span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next one (a lease lasts one
-//! slot, and a request is under way for less than another), so what arrives in any window `W` was granted within
-//! `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` is the budget of a window at the start of that span,
-//! where the host is least warm. What returns to the bucket was never used, so it does not add to the bound.
+//! Where many dispatchers share a small budget, an even share is less than one request. Dispatchers then ask for the work
+//! of each pending request ([`WorkLedger::request_work`]).
 //!
-//! State: one entry for each connection of a dispatcher, removed after it ends.
+//! **Bound.** Grants are taken from one token bucket, which holds at most [`WorkLedger::burst`] and is filled at a rate
+//! `r`. The work granted in any span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next
+//! slot: a lease lasts one slot, and a request is in transit for less than another. The work that arrives in any window `W`
+//! was therefore granted within `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` equals the budget of a
+//! window at the start of that span, where the host is least warm. Work that returns to the bucket was never used, so it
+//! does not add to the bound.
+//!
+//! The state is one entry for each connection of a dispatcher, removed after the connection has ended.
 use pointspindle::{Micros, SlowStartRule};
 use std::collections::VecDeque;
 
-/// Slots in an overload window.
+/// Number of slots in an overload window.
 const SLOTS_PER_WINDOW: u64 = 16;
-/// Share of a window's budget that the bucket holds, unless one request needs more.
+/// Share of a window's budget that the bucket holds, unless the largest usual request needs more.
 const BURST_SHARE: f64 = 0.25;
 /// Largest share of a window's budget that one request may need.
 const MAX_REQUEST_SHARE: f64 = 0.75;
-/// Work is granted on request where an even share of the bucket is less than this many of the largest usual requests.
+/// Work is granted on request if an even share of the bucket is less than this multiple of the largest usual request.
 const ON_REQUEST_THRESHOLD: f64 = 4.0;
 /// Rounding error allowed when work is compared with the bucket, in seconds.
 const WORK_TOLERANCE_S: f64 = 1e-9;
 
-/// A connection of a dispatcher, numbered by the owner of the ledger.
+/// Number of a dispatcher's connection, assigned by the owner of the ledger.
 pub type UserId = u64;
 
-/// A lease: work that a dispatcher may send.
+/// Lease of work that a dispatcher may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Grant {
-    /// Who may send it.
+    /// The connection that holds the lease.
     pub user: UserId,
-    /// Seconds of sending time.
+    /// Leased work, in seconds of sending time.
     pub work: f64,
-    /// How long the lease is valid.
+    /// Validity of the lease.
     pub duration: Micros,
     /// Whether further work is granted on request only.
     pub on_request: bool,
 }
 
-/// Work in the current slot and in the one before, in seconds of sending time.
+/// Work in the current and the previous slot, in seconds of sending time.
 #[derive(Clone, Copy, Debug, Default)]
 struct SlotWork {
     current: f64,
     previous: f64,
 }
 
-/// Work of a dispatcher that the end of a slot settles, in seconds of sending time.
+/// Result of a dispatcher's accounting at the end of a slot, in seconds of sending time.
 struct SlotSettlement {
-    /// Granted in the previous slot, and not used.
+    /// Work granted in the previous slot and not used.
     unused: f64,
-    /// Arrived without a lease.
+    /// Work that arrived in excess of the leases.
     excess: f64,
 }
 
-/// A connection and its leases.
+/// A dispatcher's connection and its leases.
 #[derive(Clone, Copy, Debug, Default)]
 struct User {
     id: UserId,
@@ -72,12 +75,13 @@
 }
 
 impl User {
-    /// Ends a slot. Arrivals of both slots are counted against the older lease, so that never more than its rest returns.
+    /// Ends a slot. Arrivals of both slots are counted against the older lease, so that at most its unused remainder returns
+    /// to the bucket.
     fn end_slot(&mut self) -> SlotSettlement {
         let arrived = self.arrived.current + self.arrived.previous;
         let unused = (self.granted.previous - arrived).max(0.0);
         let excess = (arrived - self.granted.current - self.granted.previous).max(0.0);
-        // The excess is charged once.
+        // Without the excess, so that it is charged only once.
         self.arrived.previous = self.arrived.current - excess.min(self.arrived.current);
         self.arrived.current = 0.0;
         self.granted.previous = self.granted.current;
@@ -85,32 +89,34 @@
         SlotSettlement { unused, excess }
     }
 
-    /// Whether it gets a share of each slot.
+    /// Whether the connection gets a share of each slot.
     fn shares_slot(&self, on_request: bool) -> bool {
         let requests_instead = on_request && self.requests_work;
         !self.disconnected && !requests_instead
     }
 }
 
-/// Grants the budget of one warm-up.
+/// Grants the work budget of a host during one warm-up.
 #[derive(Debug)]
 pub struct WorkLedger {
     rule: SlowStartRule,
-    /// Capacity of the warm host: transfers at full rate at once.
+    /// Capacity of the warm host, in concurrent transfers at full rate.
     weight: f64,
     started: Micros,
-    /// The largest usual request: no smaller lease is granted, because no request would fit.
+    /// Sending time of the largest usual request, in seconds. No smaller lease is granted per slot, because that request
+    /// would not fit into it.
     largest_request: f64,
-    /// In the order in which they are served.
+    /// Connections in the order in which they get leases.
     users: VecDeque<User>,
     bucket: f64,
     slot_start: Micros,
-    /// Work in this slot that came without any lease.
+    /// Work that arrived in this slot without any lease, in seconds of sending time.
     unleased: f64,
 }
 
 impl WorkLedger {
-    /// For a host that started at `started`. `largest_request` is the sending time of the largest usual request, in seconds.
+    /// Creates the ledger of a host that started at `started`. `largest_request` is the sending time of the largest usual
+    /// request, in seconds.
     pub fn new(rule: SlowStartRule, weight: f64, started: Micros, largest_request: f64) -> Self {
         Self {
             rule,
@@ -124,28 +130,28 @@
         }
     }
 
-    /// Length of a slot.
+    /// Returns the length of a slot.
     pub fn slot_length(&self) -> Micros {
         (self.rule.overload_window / SLOTS_PER_WINDOW).max(1)
     }
 
-    /// Whether the host has warmed up: nothing is leased any more.
+    /// Whether the host has warmed up, after which no work is leased.
     pub fn is_over(&self, now: Micros) -> bool {
         now >= self.started + self.rule.ramp + self.rule.overload_window
     }
 
-    /// When [`WorkLedger::start_slot`] is due.
+    /// Returns the time at which [`WorkLedger::start_slot`] is due.
     pub fn next_slot(&self) -> Micros {
         self.slot_start + self.slot_length()
     }
 
-    /// Adds the connection of a dispatcher, with an empty lease until the next slot. `requests_work`: the dispatcher
-    /// supports [`WorkLedger::request_work`].
+    /// Adds the connection of a dispatcher and returns an empty lease for the time until the next slot. `requests_work` says
+    /// whether the dispatcher supports [`WorkLedger::request_work`].
     pub fn join(&mut self, user: UserId, requests_work: bool) -> Grant {
         match self.users.iter_mut().find(|u| u.id == user) {
-            Some(known) => {
-                known.disconnected = false;
-                known.requests_work = requests_work;
+            Some(existing) => {
+                existing.disconnected = false;
+                existing.requests_work = requests_work;
             }
             None => self.users.push_back(User {
                 id: user,
@@ -166,15 +172,15 @@
         even_share < ON_REQUEST_THRESHOLD * self.largest_request
     }
 
-    /// Grants all of `work`, or nothing. The lease lasts half a slot, so that unused work returns to the bucket no sooner
-    /// than that of other leases.
+    /// Grants either all of `work` or an empty lease. The lease lasts half a slot, so that its unused work returns to the
+    /// bucket no sooner than that of slot leases.
     pub fn request_work(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
         let on_request = self.grants_on_request(now);
         let has_budget = work > 0.0 && work <= self.bucket + WORK_TOLERANCE_S && !self.is_over(now);
         let mut connected = self.users.iter_mut().filter(|u| !u.disconnected);
         let granted = match connected.find(|u| u.id == user) {
-            Some(known) if has_budget => {
-                known.granted.current += work;
+            Some(user) if has_budget => {
+                user.granted.current += work;
                 work
             }
             _ => 0.0,
@@ -188,19 +194,19 @@
         }
     }
 
-    /// Removes a connection that has ended. Its lease lapses with the slot; its entry is dropped two slots later.
+    /// Marks a connection as ended. Its lease expires with the slot, and its entry is removed two slots later.
     pub fn leave(&mut self, user: UserId) {
         for user in self.users.iter_mut().filter(|u| u.id == user) {
             user.disconnected = true;
         }
     }
 
-    /// Number of connections that get leases.
+    /// Returns the number of connections that get leases.
     pub fn users(&self) -> usize {
         self.users.iter().filter(|u| !u.disconnected).count()
     }
 
-    /// Records work that has arrived. What exceeds the leases is taken off the next slots.
+    /// Records work that has arrived. Work in excess of the leases is deducted from the next slots.
     pub fn record_arrival(&mut self, user: Option<UserId>, work: f64) {
         match self.users.iter_mut().find(|u| Some(u.id) == user) {
             Some(user) => user.arrived.current += work,
@@ -208,18 +214,18 @@
         }
     }
 
-    /// Budget of the least warm window in which work granted `now` can arrive, in seconds of sending time.
+    /// Returns the budget of the least warm window in which work granted at `now` can arrive, in seconds of sending time.
     fn budget(&self, now: Micros) -> f64 {
-        let from = now
+        let window_start = now
             .saturating_sub(self.rule.overload_window + 2 * self.slot_length())
             .max(self.started);
-        let warm = (from - self.started) as f64 / self.rule.ramp.max(1) as f64;
-        let share = self.rule.initial_share + (1.0 - self.rule.initial_share) * warm.min(1.0);
+        let warm_share = (window_start - self.started) as f64 / self.rule.ramp.max(1) as f64;
+        let share = self.rule.initial_share + (1.0 - self.rule.initial_share) * warm_share.min(1.0);
         self.rule.overload_factor * share.min(1.0) * self.weight * self.rule.overload_window as f64
             / 1e6
     }
 
-    /// Capacity of the bucket.
+    /// Returns the capacity of the bucket, in seconds of sending time.
     pub fn burst(&self, now: Micros) -> f64 {
         let budget = self.budget(now);
         (BURST_SHARE * budget)
@@ -227,7 +233,8 @@
             .min(MAX_REQUEST_SHARE * budget)
     }
 
-    /// Starts a slot and grants its leases. Due at [`WorkLedger::next_slot`]; slots that were missed are lost.
+    /// Starts a slot and returns its leases. It must be called at [`WorkLedger::next_slot`]; missed slots are not made up
+    /// for.
     pub fn start_slot(&mut self, now: Micros) -> Vec<Grant> {
         if now < self.next_slot() || self.is_over(now) {
             return Vec::new();
@@ -237,7 +244,7 @@
         self.grant_slot(now)
     }
 
-    /// Fills the bucket for one slot, also after missed ones: the bound counts on it.
+    /// Fills the bucket for one slot, even if slots were missed, because the bound depends on it.
     fn refill(&mut self, now: Micros) {
         let length = self.slot_length();
         let burst = self.burst(now);
@@ -254,8 +261,9 @@
         self.bucket = (self.bucket + rate * length as f64 + unused).min(burst) - excess;
     }
 
-    /// Where the bucket is too small for all, some get a complete request in turn, because a part of one is of no use.
-    /// The others get an empty lease: without any they would fall back on an estimate of their own.
+    /// Divides the bucket among the connections. If it is too small for all, they take turns and each gets the work of a
+    /// complete request, because a partial request cannot be sent. The others get an empty lease: a dispatcher without a
+    /// lease would fall back on its own estimate.
     fn grant_slot(&mut self, now: Micros) -> Vec<Grant> {
         let duration = self.slot_length();
         let on_request = self.grants_on_request(now);
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -230,7 +230,7 @@
         let declared = found.and_then(|found| declared_freshness_lifetime(&found.meta));
         // A cache host fills only from a source that the request names; parents and gateways have an origin of their own.
         let fills_itself = settings.role != Role::Cache && settings.origin.is_some();
-        let mut request = CacheRequest::of(
+        let mut request = CacheRequest::from_head(
             &self.head,
             self.key(),
             declared.or(of_class),
