--- a/crates/cache-host/src/net/background.rs
+++ b/crates/cache-host/src/net/background.rs
@@ -1,4 +1,4 @@
-//! Background tasks: recovery and periodic sync of the store, and work leases while the host warms up.
+//! Background tasks of a host: recovery and periodic sync of the store, and work leases during the warm-up.
 use super::host_state::{lease_head, Shared};
 use pointspindle_protocol::{Frame, LeaseHead};
 use pointspindle_store::Store;
@@ -14,8 +14,8 @@
     if !recover(&shared, store).await {
         return;
     }
-    for why in store.doubts() {
-        tracing::warn!(why, "store recovery found damage");
+    for reason in store.doubts() {
+        tracing::warn!(reason, "store recovery found damage");
     }
     loop {
         tokio::time::sleep(Duration::from_micros(settings.sync_us)).await;
@@ -27,7 +27,8 @@
     }
 }
 
-/// Reads what an earlier process stored, step by step. False if a step was aborted.
+/// Recovers the copies that an earlier process stored, step by step. Returns false if the task of a step did not
+/// complete.
 async fn recover(shared: &Shared, store: &Store) -> bool {
     loop {
         let recovering = store.clone();
@@ -45,7 +46,7 @@
     }
 }
 
-/// Sends the leases of each slot until the host has warmed up.
+/// Grants and sends the leases of each slot until the host has warmed up.
 pub(super) async fn grant_leases(shared: Arc<Shared>) {
     while let Some(next_slot) = shared.next_lease_slot() {
         tokio::time::sleep(Duration::from_micros(
@@ -58,7 +59,7 @@
     }
 }
 
-/// The leases of the slot that begins now. Ends the warm-up when its time is over.
+/// Returns the leases of the slot that begins now, with their connections. Ends the warm-up when its time is over.
 fn slot_leases(shared: &Shared) -> Vec<(FramedConnection, LeaseHead)> {
     let mut state = shared.lock();
     let now = shared.now();
--- a/crates/cache-host/src/net/byte_selection.rs
+++ b/crates/cache-host/src/net/byte_selection.rs
@@ -7,17 +7,17 @@
 pub(super) struct ByteSelection {
     pub from: u64,
     pub len: u64,
-    /// Whether `len` is the exact length; otherwise the body is sent up to its end.
+    /// Whether `len` is the exact length; if not, the body is sent up to its end.
     pub is_exact: bool,
 }
 
 impl ByteSelection {
-    /// The offset behind the last selected byte.
+    /// Returns the offset after the last selected byte.
     pub fn end(&self) -> u64 {
         self.from.saturating_add(self.len)
     }
 
-    /// Whether everything selected lies before `position`.
+    /// Whether all selected bytes lie before `position`.
     pub fn ends_before(&self, position: u64) -> bool {
         self.is_exact && position >= self.end()
     }
@@ -54,7 +54,7 @@
     !head.validator.is_empty() && matches_validator(&request.if_none_match, &head.validator)
 }
 
-/// The range that applies to this response, if any.
+/// Returns the requested range if it applies to this response.
 fn requested_range(head: &ResponseHead, request: &RequestHead) -> Option<Range> {
     if request.range.is_empty() || head.origin_status != 0 || head.not_modified {
         return None;
--- a/crates/cache-host/src/net/cached_response.rs
+++ b/crates/cache-host/src/net/cached_response.rs
@@ -1,6 +1,6 @@
-//! Responses from the store.
+//! Responses that are served from the store.
 use super::byte_selection::{select_bytes, ByteSelection};
-use super::request::{error_head, Outcome, Request, Unanswered};
+use super::request::{error_head, Outcome, Request, UnansweredRequest};
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::{ResponseHead, WireCacheStatus, WireStatus};
@@ -8,7 +8,7 @@
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 
-/// Freshness lifetime of a stored copy, if its origin declared one.
+/// Returns the freshness lifetime of a stored copy, if its origin declared one.
 pub(super) fn declared_freshness_lifetime(meta: &Meta) -> Option<Micros> {
     (meta.fresh_until_ms > 0).then(|| meta.fresh_until_ms.saturating_sub(meta.born_ms) * 1_000)
 }
@@ -35,7 +35,7 @@
         self.position >= self.end
     }
 
-    /// The block with this number, from memory or from disk.
+    /// Returns the block with this number, from memory or from disk.
     async fn read_block(&self, number: usize) -> Result<Bytes, String> {
         if let Some(bytes) = self.found.in_memory(number) {
             return Ok(bytes);
@@ -47,11 +47,13 @@
             .map_err(|e| e.to_string())
     }
 
-    /// The part of a block, starting at the position, that belongs to the selection; none if the block is too short.
+    /// Takes the selected part of a block, from the current position on, and advances the position; `None` if the block is
+    /// too short.
     fn take_selected(&mut self, number: usize, block: &Bytes) -> Option<Bytes> {
         let from = (self.position % self.block_bytes) as usize;
-        let wanted = (self.end - number as u64 * self.block_bytes).min(self.block_bytes) as usize;
-        let to = wanted.min(block.len());
+        let end_in_block =
+            (self.end - number as u64 * self.block_bytes).min(self.block_bytes) as usize;
+        let to = end_in_block.min(block.len());
         if to <= from {
             return None;
         }
@@ -76,8 +78,8 @@
         }
     }
 
-    /// Sends a stored copy. Its first block is read before the head is sent: a copy that cannot be read becomes a miss, for
-    /// which the dispatcher may use another source.
+    /// Sends a stored copy. The first block is read before the head is sent, so that a copy that cannot be read is answered
+    /// with a miss, after which the dispatcher may use another source.
     pub(super) async fn serve_cached(
         &self,
         mut responder: Responder,
@@ -92,7 +94,7 @@
         while !reader.is_at_end() || unsent_head.is_some() {
             let piece = match self.next_piece(&mut reader, unsent_head.is_some()).await {
                 Ok(piece) => piece,
-                Err(error) => return Err(Unanswered::new(responder, *error)),
+                Err(error) => return Err(UnansweredRequest::new(responder, *error)),
             };
             if let Some(head) = unsent_head.take() {
                 if responder.head(head).await.is_err() {
@@ -108,11 +110,11 @@
         Ok(())
     }
 
-    /// The next bytes of the selection; empty at its end.
+    /// Returns the next bytes of the selection, empty at its end.
     async fn next_piece(
         &self,
         reader: &mut BlockReader,
-        nothing_sent: bool,
+        is_head_unsent: bool,
     ) -> Result<Bytes, Box<pointspindle_protocol::ErrorHead>> {
         if reader.is_at_end() {
             return Ok(Bytes::new());
@@ -120,7 +122,7 @@
         let number = (reader.position / reader.block_bytes) as usize;
         let block = reader.read_block(number).await.map_err(|reason| {
             tracing::error!(object = %self.head.object, reason, "stored copy cannot be read");
-            let status = if nothing_sent {
+            let status = if is_head_unsent {
                 WireStatus::Miss
             } else {
                 WireStatus::Error
--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -1,4 +1,4 @@
-//! Accepted connections: from dispatchers and other hosts with requests, from operators with purges.
+//! Accepted connections. Dispatchers and other hosts send requests, and operators send purges.
 use super::host_state::Shared;
 use super::request;
 use crate::lease::UserId;
@@ -16,21 +16,21 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-/// Delay before the next accept after a shortage of resources.
+/// Delay before the next accept after one failed for lack of resources.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// How long an idle connection stays open after GOAWAY, for a request that was sent before the peer received it.
+/// Time for which an idle connection stays open after GOAWAY, for requests that were sent before the peer received it.
 const GRACEFUL_CLOSE_DELAY: Duration = Duration::from_millis(50);
-/// Duration of the lease that a warm host gives for a work request.
+/// Duration of the lease with which a warm host answers a work request.
 const WARM_LEASE_DURATION_US: u64 = 1_000_000;
 
-/// What a listener is for.
+/// Kind of peers that a listener serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerRole {
     Requests,
     Operators,
 }
 
-/// Accepts connections until the host stops; returns when all of them have ended.
+/// Accepts connections until the host stops, then returns when all of them have ended.
 pub(super) async fn accept_connections(
     shared: Arc<Shared>,
     mut listener: Listener,
@@ -42,21 +42,21 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = stopped(&mut stop) => break,
+            () = stop_requested(&mut stop) => break,
         };
         while connections.try_join_next().is_some() {}
         match accepted {
             Ok(_) if connections.len() >= max_connections => {}
             Ok((socket, _)) => {
-                connections.spawn(serve(shared.clone(), socket, stop.clone(), role));
+                connections.spawn(serve_connection(shared.clone(), socket, stop.clone(), role));
             }
             Err(e) => wait_after_accept_failure(e).await,
         }
     }
-    // Connections in the accept queue may carry requests already.
+    // Connections in the accept queue may already carry requests.
     let serve_queued = |socket, _peer| {
         if connections.len() < max_connections {
-            connections.spawn(serve(shared.clone(), socket, stop.clone(), role));
+            connections.spawn(serve_connection(shared.clone(), socket, stop.clone(), role));
         }
     };
     listener
@@ -69,7 +69,7 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// Returns when the listener may accept again.
+/// Logs an accept failure and waits until the listener may accept again.
 async fn wait_after_accept_failure(error: std::io::Error) {
     if AcceptFailure::of(&error) == AcceptFailure::Connection {
         tracing::debug!(%error, "connection closed before it was accepted");
@@ -79,17 +79,17 @@
     tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
 }
 
-async fn stopped(stop: &mut watch::Receiver<bool>) {
+async fn stop_requested(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|stop| *stop).await;
 }
 
 /// One accepted connection.
 struct Connection {
     shared: Arc<Shared>,
-    link: FramedConnection,
+    framed: FramedConnection,
     role: ListenerRole,
     requests: JoinSet<()>,
-    /// The dispatcher at the other end, once it is registered for work leases.
+    /// The peer's number in the work ledger, if it is a dispatcher that is registered for work leases.
     lease_user: Option<UserId>,
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-async fn serve(
+async fn serve_connection(
     shared: Arc<Shared>,
     socket: Socket,
     mut stop: watch::Receiver<bool>,
@@ -110,15 +110,15 @@
     let options = ConnectionOptions {
         max_streams: shared.settings.max_streams,
     };
-    let (link, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (framed, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
     let mut connection = Connection {
         shared,
-        link,
+        framed,
         role,
         requests: JoinSet::new(),
         lease_user: None,
     };
-    connection.greet();
+    connection.send_hello();
     let mut stopping = false;
     loop {
         let inbound = tokio::select! {
@@ -129,8 +129,8 @@
                 }
                 continue;
             }
-            () = stopped(&mut stop), if !stopping => {
-                connection.link.goaway("the host stops");
+            () = stop_requested(&mut stop), if !stopping => {
+                connection.framed.goaway("the host stops");
                 stopping = true;
                 if connection.requests.is_empty() {
                     tokio::time::sleep(GRACEFUL_CLOSE_DELAY).await;
@@ -143,29 +143,31 @@
         };
         match inbound {
             None => break,
-            Some(Inbound::Request(head, responder)) => connection.request(head, responder).await,
-            Some(Inbound::Control(frame)) => connection.control(frame).await,
+            Some(Inbound::Request(head, responder)) => {
+                connection.handle_request(head, responder).await
+            }
+            Some(Inbound::Control(frame)) => connection.handle_control(frame).await,
         }
     }
     while connection.requests.join_next().await.is_some() {}
-    connection.link.close("the connection is done with");
-    connection.link.flushed().await;
+    connection.framed.close("the connection has ended");
+    connection.framed.flushed().await;
 }
 
 impl Connection {
-    fn greet(&self) {
+    fn send_hello(&self) {
         if self.role == ListenerRole::Operators {
             return;
         }
         let shared = &self.shared;
         let uptime_us = || shared.started_at.elapsed().as_micros() as u64;
-        self.link.push_control(Frame::Hello(HelloHead {
+        self.framed.push_control(Frame::Hello(HelloHead {
             started_ago_us: shared.hello.started_ago_us.map(|_| uptime_us()),
             ..shared.hello
         }));
     }
 
-    async fn request(&mut self, head: RequestHead, responder: Responder) {
+    async fn handle_request(&mut self, head: RequestHead, responder: Responder) {
         if self.role == ListenerRole::Operators {
             let error = ErrorHead {
                 status: WireStatus::Refused as i32,
@@ -182,39 +184,43 @@
             .spawn(request::handle(self.shared.clone(), head, responder));
     }
 
-    async fn control(&mut self, frame: Frame) {
+    async fn handle_control(&mut self, frame: Frame) {
         match frame {
             Frame::Probe(probe) if !probe.echo => {
-                self.link.push_control(Frame::Probe(ProbeHead {
+                self.framed.push_control(Frame::Probe(ProbeHead {
                     echo: true,
                     load: Some(self.shared.load()),
                     ..probe
                 }));
             }
-            Frame::Purge(head) if self.role == ListenerRole::Operators => self.purge(head).await,
+            Frame::Purge(head) if self.role == ListenerRole::Operators => {
+                self.handle_purge(head).await
+            }
             Frame::Hello(hello) if hello.dispatcher && self.lease_user.is_none() => {
-                let added = self.shared.add_dispatcher(&self.link, hello.requests_work);
-                if let Some((user, lease)) = added {
+                let registered = self
+                    .shared
+                    .add_dispatcher(&self.framed, hello.requests_work);
+                if let Some((user, lease)) = registered {
                     self.lease_user = Some(user);
-                    self.link.push_control(Frame::Lease(lease));
+                    self.framed.push_control(Frame::Lease(lease));
                 }
             }
-            Frame::WorkRequest(request) => self.lease_work(&request),
+            Frame::WorkRequest(request) => self.handle_work_request(&request),
             _ => {}
         }
     }
 
-    async fn purge(&self, head: PurgeHead) {
-        tracing::info!(object = ?head.object, group = head.group, "purge");
+    async fn handle_purge(&self, head: PurgeHead) {
+        tracing::info!(object = ?head.object, group = head.group, "purge received");
         let purged = self.shared.purge(&head).await;
         let ack = AckHead {
             seq: head.seq,
             rejection: purged.err().unwrap_or_default(),
         };
-        let _ = self.link.control(Frame::Ack(ack)).await;
+        let _ = self.framed.control(Frame::Ack(ack)).await;
     }
 
-    fn lease_work(&self, request: &WorkRequestHead) {
+    fn handle_work_request(&self, request: &WorkRequestHead) {
         let lease = self
             .lease_user
             .and_then(|user| self.shared.lease_work(user, request.work_us))
@@ -223,7 +229,7 @@
                 duration_us: WARM_LEASE_DURATION_US,
                 ..LeaseHead::default()
             });
-        self.link.push_control(Frame::Lease(LeaseHead {
+        self.framed.push_control(Frame::Lease(LeaseHead {
             in_reply: true,
             ..lease
         }));
--- a/crates/cache-host/src/net/fill_response.rs
+++ b/crates/cache-host/src/net/fill_response.rs
@@ -1,8 +1,8 @@
-//! Responses from a running fill.
+//! Responses that are served from a running fill.
 use super::byte_selection::{select_bytes, ByteSelection};
 use super::fill_stream::{FillEnd, FillStreamPart, FillStreamReader};
 use super::fill_task::{ActiveFill, FillTask};
-use super::request::{error_head, FillPlan, Outcome, Request, Unanswered};
+use super::request::{error_head, FillPlan, Outcome, Request, UnansweredRequest};
 use crate::fill_table::FillId;
 use bytes::Bytes;
 use pointspindle_protocol::{
@@ -11,7 +11,8 @@
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 
-/// `max_age_us` of a revalidation: asks the source to confirm its copy, which may be as stale as this host's.
+/// `max_age_us` in the request of a revalidation. It makes the source revalidate its own copy, which may be as stale as this
+/// host's.
 const REVALIDATION_MAX_AGE_US: u64 = 1;
 
 fn unreported_error(may_have_run: bool, detail: &str) -> ErrorHead {
@@ -19,7 +20,7 @@
     error_head(WireStatus::Error, unreported, may_have_run, detail)
 }
 
-/// The part of `data`, which starts at offset `start` of the body, that belongs to the selection.
+/// Returns the part of `data` that belongs to the selection. `data` starts at offset `start` of the body.
 fn selected_part(data: &Bytes, start: u64, selection: &ByteSelection) -> Bytes {
     let end = start + data.len() as u64;
     let first = selection.from.clamp(start, end) - start;
@@ -28,14 +29,14 @@
 }
 
 impl Request {
-    /// Starts a fill and answers from it.
+    /// Starts a fill and serves the response from it.
     pub(super) async fn fill(
         &self,
         responder: Responder,
         fill: FillId,
         mut plan: FillPlan,
     ) -> Outcome {
-        self.shared.record_hit(false);
+        self.shared.update_hit_ratio(false);
         let validator = plan
             .found
             .take()
@@ -44,13 +45,13 @@
         let is_conditional = validator.is_some();
         let Some(reader) = self.spawn_fill(fill, &plan, validator, false) else {
             let error = unreported_error(true, "the fill was over before it was read");
-            return Err(Unanswered::new(responder, error));
+            return Err(UnansweredRequest::new(responder, error));
         };
         if is_conditional {
             if let Ok(head) = reader.head().await {
                 if head.not_modified {
-                    // The stored copy was confirmed: it is the response.
-                    if let Some(found) = self.find(plan.uncacheable).await {
+                    // The source has confirmed the stored copy, so that copy is served.
+                    if let Some(found) = self.find_copy(plan.uncacheable).await {
                         let status = WireCacheStatus::try_from(head.cache_status)
                             .unwrap_or(WireCacheStatus::Filled);
                         return self.serve_cached(responder, found, status).await;
@@ -61,7 +62,7 @@
         self.serve_from_fill(responder, reader, None).await
     }
 
-    /// Starts the task of a fill. Returns its first reader, unless the fill has ended already.
+    /// Starts the task of a fill. Returns the first reader of its stream, unless the fill has already ended.
     pub(super) fn spawn_fill(
         &self,
         fill: FillId,
@@ -87,7 +88,7 @@
         reader
     }
 
-    /// The request that is sent to the source.
+    /// Returns the request that is sent to the source.
     fn source_request(
         &self,
         plan: &FillPlan,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Answers from a running fill; `status` replaces the cache status of its head.
+    /// Serves the response from a running fill; `status`, if given, replaces the cache status of its head.
     pub(super) async fn serve_from_fill(
         &self,
         responder: Responder,
@@ -138,15 +139,15 @@
                 let unreachable = WireCacheStatus::SourceUnreachable;
                 let detail = "no answer of the source in time";
                 let error = error_head(WireStatus::Error, unreachable, true, detail);
-                return Err(Unanswered::new(responder, error));
+                return Err(UnansweredRequest::new(responder, error));
             }
         };
         let mut head = match head {
             Ok(head) => Arc::unwrap_or_clone(head),
-            Err(FillEnd::Failed(error)) => return Err(Unanswered::new(responder, *error)),
+            Err(FillEnd::Failed(error)) => return Err(UnansweredRequest::new(responder, *error)),
             Err(FillEnd::Complete) => {
                 let error = unreported_error(true, "an answer without a head");
-                return Err(Unanswered::new(responder, error));
+                return Err(UnansweredRequest::new(responder, error));
             }
         };
         if let Some(status) = status {
@@ -184,11 +185,14 @@
                 }
                 FillStreamPart::End(FillEnd::Complete) => break,
                 FillStreamPart::End(FillEnd::Failed(error)) => {
-                    return Err(Unanswered::new(responder, *error));
+                    return Err(UnansweredRequest::new(responder, *error));
                 }
                 FillStreamPart::TooSlow => {
                     let detail = "too slow for those who read the same fill";
-                    return Err(Unanswered::new(responder, unreported_error(false, detail)));
+                    return Err(UnansweredRequest::new(
+                        responder,
+                        unreported_error(false, detail),
+                    ));
                 }
             }
         }
--- a/crates/cache-host/src/net/fill_sources.rs
+++ b/crates/cache-host/src/net/fill_sources.rs
@@ -1,4 +1,4 @@
-//! Sources of fills: other hosts by the framed protocol, the host's own origin by HTTP/1.1.
+//! Sources of fills: other hosts over the framed protocol, and the host's own origin over HTTP/1.1.
 use super::http_origin::{HttpBody, HttpOrigin};
 use bytes::Bytes;
 use pointspindle_clock::WallClock;
@@ -13,45 +13,45 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections to sources that are kept open; beyond it, a connection serves one fill.
+/// Maximum number of source connections that are held open for reuse; any further connection serves a single fill.
 const MAX_SOURCE_CONNECTIONS: usize = 1_024;
 
-/// The source name that stands for the host's own HTTP origin.
+/// Source name of the host's own HTTP origin.
 pub const HOST_ORIGIN: &str = "origin";
 
 /// The body of a response that is being received.
 pub enum SourceBody {
-    /// From a host, by the framed protocol.
+    /// Body from another host, over the framed protocol.
     Framed(Call),
-    /// From the host's own origin.
+    /// Body from the host's own origin, over HTTP/1.1.
     Http(Box<HttpBody>),
 }
 
 /// A response whose head has arrived.
 pub struct SourceResponse {
-    /// Its head.
+    /// Head of the response.
     pub head: ResponseHead,
-    /// The response must not be stored.
+    /// Whether the response must not be stored.
     pub no_store: bool,
-    /// Its body, not yet read.
+    /// Body of the response, not yet read.
     pub body: SourceBody,
 }
 
-/// Why a source gave no complete response.
+/// Reason for which a source did not return a complete response.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SourceFailure {
-    /// Nothing was sent.
+    /// No part of the request was sent.
     #[error("source unreachable: {0}")]
     Unreachable(String),
     /// The source answered with an error.
     #[error("source reported an error: {}", .0.detail)]
     Reported(Box<ErrorHead>),
-    /// The response broke off or did not arrive in time: the request may have been executed.
+    /// The response was truncated or did not arrive in time. The request may have been executed.
     #[error("response interrupted: {0}")]
     Interrupted(String),
 }
 
-/// Connections to all sources.
+/// Sources of fills, with the connections to them.
 pub struct FillSources {
     connector: Connector,
     connections: tokio::sync::Mutex<HashMap<String, FramedConnection>>,
@@ -65,7 +65,7 @@
 }
 
 impl Connector {
-    /// Opens a connection.
+    /// Opens a connection to `address`.
     pub async fn connect(&self, address: SocketAddr) -> Result<Socket, SourceFailure> {
         tokio::time::timeout(self.timeout, self.net.connect(None, address))
             .await
@@ -82,7 +82,7 @@
 }
 
 impl FillSources {
-    /// Sources as configured; connects when a fill needs it.
+    /// Creates the sources as configured. Connections are opened when a fill needs them.
     pub fn new(settings: &CacheHostSettings, net: Network, clock: WallClock) -> Self {
         let origin = settings.origin.clone();
         Self {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Sends a request to a source and waits for the head of its response. An uncacheable request is executed there.
+    /// Sends a request to a source and waits for the head of the response. The source executes an uncacheable request.
     pub async fn fetch(
         &self,
         source: &str,
@@ -113,7 +113,7 @@
         }
     }
 
-    /// An open connection to a host. The lock is held while connecting, so that concurrent fills share one connection.
+    /// Returns an open connection to a host. The lock is held while connecting, so that concurrent fills share one connection.
     async fn connection(&self, source: &str) -> Result<FramedConnection, SourceFailure> {
         let mut connections = self.connections.lock().await;
         if let Some(open) = connections.get(source).filter(|c| c.accepts_calls()) {
@@ -149,7 +149,9 @@
                 body: SourceBody::Framed(call),
             }),
             Some(ResponsePart::End(CallEnd::Error(e))) => Err(SourceFailure::Reported(Box::new(e))),
-            Some(ResponsePart::End(CallEnd::Broken(why))) => Err(SourceFailure::Interrupted(why)),
+            Some(ResponsePart::End(CallEnd::Broken(reason))) => {
+                Err(SourceFailure::Interrupted(reason))
+            }
             Some(ResponsePart::End(CallEnd::NotSent)) => {
                 Err(SourceFailure::Unreachable("nothing of it was sent".into()))
             }
@@ -159,7 +161,7 @@
 }
 
 impl SourceBody {
-    /// The next piece of the body; none at its end.
+    /// Returns the next piece of the body, or `None` at its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SourceFailure> {
         let call = match self {
             Self::Framed(call) => call,
@@ -169,7 +171,9 @@
             Some(ResponsePart::Data(data)) => Ok(Some(data)),
             Some(ResponsePart::End(CallEnd::Complete(_))) => Ok(None),
             Some(ResponsePart::End(CallEnd::Error(e))) => Err(SourceFailure::Reported(Box::new(e))),
-            Some(ResponsePart::End(CallEnd::Broken(why))) => Err(SourceFailure::Interrupted(why)),
+            Some(ResponsePart::End(CallEnd::Broken(reason))) => {
+                Err(SourceFailure::Interrupted(reason))
+            }
             _ => Err(SourceFailure::Interrupted("a second head".into())),
         }
     }
--- a/crates/cache-host/src/net/fill_stream.rs
+++ b/crates/cache-host/src/net/fill_stream.rs
@@ -1,7 +1,7 @@
-//! The response of a fill on its way to its readers.
+//! Buffer between the source of a fill and the readers of its response.
 //!
-//! At most [`MAX_UNREAD_BYTES`], and one piece more, wait for the slowest reader. The writer waits for it up to a timeout;
-//! then that reader loses the stream. Without readers nothing is buffered.
+//! It holds at most [`MAX_UNREAD_BYTES`] and one more piece for the slowest readers. The writer waits for them up to a
+//! timeout, after which they lose the stream. Without readers the body is not buffered.
 use bytes::Bytes;
 use pointspindle_protocol::{ErrorHead, ResponseHead};
 use std::collections::{BTreeMap, VecDeque};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// Bytes that may wait for the slowest reader while the writer goes on.
+/// Maximum number of unread bytes up to which the writer continues without waiting for the slowest reader.
 pub const MAX_UNREAD_BYTES: usize = 512 * 1024;
 
 /// How a fill ended.
@@ -17,18 +17,18 @@
 pub enum FillEnd {
     /// The response is complete.
     Complete,
-    /// The error that its readers get.
+    /// The fill failed; its readers get this error.
     Failed(Box<ErrorHead>),
 }
 
-/// What a reader receives next.
+/// Next part of the stream for a reader.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillStreamPart {
     /// A piece of the body.
     Data(Bytes),
-    /// The fill has ended, and all of the body was read.
+    /// The fill has ended, and the reader has read all of the body that arrived.
     End(FillEnd),
-    /// The reader was too slow and has lost the stream.
+    /// The reader was too slow and gets no more of the stream.
     TooSlow,
 }
 
@@ -39,20 +39,20 @@
     first_piece: u64,
     pieces: VecDeque<Bytes>,
     unread_bytes: usize,
-    /// For each reader the number of its next piece.
+    /// Number of the next piece of each reader, by reader.
     readers: BTreeMap<u64, u64>,
     next_reader: u64,
     end: Option<FillEnd>,
 }
 
-/// Buffers a response between one writer and its readers. [`FillStream::end`] is owed by the writer.
+/// Buffers a response between one writer and its readers. The writer must call [`FillStream::end`].
 #[derive(Debug, Default)]
 pub struct FillStream {
     state: Mutex<State>,
     changed: Notify,
 }
 
-/// Reads a [`FillStream`]; dropping it releases what it has not read.
+/// Reader of a [`FillStream`]. Dropping it releases the pieces that only it has not read.
 #[derive(Debug)]
 pub struct FillStreamReader {
     stream: Arc<FillStream>,
@@ -66,7 +66,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Adds a reader; none if the beginning of the body is no longer buffered.
+    /// Adds a reader; returns `None` if the beginning of the body is no longer buffered.
     pub fn reader(self: &Arc<Self>) -> Option<FillStreamReader> {
         let mut state = self.lock();
         if state.first_piece > 0 {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Whether anybody reads.
+    /// Whether the stream has readers.
     pub fn has_readers(&self) -> bool {
         !self.lock().readers.is_empty()
     }
@@ -92,7 +92,8 @@
         self.changed.notify_waiters();
     }
 
-    /// Publishes a piece of the body; waits for the slowest reader, at most for `reader_timeout`.
+    /// Publishes a piece of the body. If too much is unread, waits for the slowest readers, which lose the stream
+    /// after `reader_timeout`.
     pub async fn data(&self, data: Bytes, reader_timeout: Duration) {
         {
             let mut state = self.lock();
@@ -118,7 +119,9 @@
         {
             let mut state = self.lock();
             let first_piece = state.first_piece;
-            state.readers.retain(|_, at| *at > first_piece);
+            state
+                .readers
+                .retain(|_, next_piece| *next_piece > first_piece);
             state.trim();
             drop(state);
             self.changed.notify_waiters();
@@ -131,7 +134,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Waits for the end of the fill.
+    /// Waits for the end of the fill and returns it.
     pub async fn ended(&self) -> FillEnd {
         loop {
             let changed = self.changed.notified();
@@ -160,7 +163,7 @@
 }
 
 impl FillStreamReader {
-    /// Waits for the head; the end of the fill if it had none.
+    /// Waits for the head; returns the end of the fill as the error if there was no head.
     pub async fn head(&self) -> Result<Arc<ResponseHead>, FillEnd> {
         loop {
             let changed = self.stream.changed.notified();
@@ -188,12 +191,16 @@
             let taken = {
                 let mut state = self.stream.lock();
                 let first_piece = state.first_piece;
-                let Some(at) = state.readers.get(&self.id).copied() else {
+                let Some(next_piece) = state.readers.get(&self.id).copied() else {
                     return FillStreamPart::TooSlow;
                 };
-                match state.pieces.get((at - first_piece) as usize).cloned() {
+                match state
+                    .pieces
+                    .get((next_piece - first_piece) as usize)
+                    .cloned()
+                {
                     Some(piece) => {
-                        state.readers.insert(self.id, at + 1);
+                        state.readers.insert(self.id, next_piece + 1);
                         state.trim();
                         Some(FillStreamPart::Data(piece))
                     }
--- a/crates/cache-host/src/net/fill_task.rs
+++ b/crates/cache-host/src/net/fill_task.rs
@@ -1,4 +1,4 @@
-//! The task of one fill: fetches a response from its source, stores it and passes it to the readers of its stream.
+//! Task of one fill: fetches a response from a source, stores it and passes it to the readers of the fill's stream.
 use super::fill_sources::{SourceFailure, SourceResponse, HOST_ORIGIN};
 use super::fill_stream::{FillEnd, FillStream};
 use super::host_state::Shared;
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A running fill. Ends its stream and frees its place in the fill table when dropped, also if its task is aborted.
+/// A running fill. When dropped, it ends its stream and leaves the fill table, also if its task is aborted.
 pub(super) struct ActiveFill {
     pub shared: Arc<Shared>,
     pub fill: FillId,
@@ -19,7 +19,7 @@
 
 impl Drop for ActiveFill {
     fn drop(&mut self) {
-        // Without effect on a stream that has ended.
+        // This has no effect on a stream that has already ended.
         let error = error_head(
             WireStatus::Error,
             WireCacheStatus::SourceUnreachable,
@@ -31,11 +31,11 @@
     }
 }
 
-/// What a fill fetches, and how it stores it.
+/// Parameters of a fill: what it fetches, and how it stores the response.
 pub(super) struct FillTask {
     /// Address of a host, or [`HOST_ORIGIN`].
     pub source: String,
-    /// 0: not stored.
+    /// Rank of the response for retention in the store; 0 if it is not stored.
     pub retention_rank: u32,
     pub key: Key,
     pub uncacheable: bool,
@@ -43,7 +43,7 @@
 }
 
 impl FillTask {
-    /// Runs the fill up to its end.
+    /// Runs the fill until it completes or fails.
     pub async fn run(self, active: ActiveFill) {
         active.shared.count(|c| c.fills += 1);
         let end = match self.fetch(&active).await {
@@ -53,12 +53,12 @@
         active.stream.end(end);
     }
 
-    /// The head and the body each have the fill's complete timeout.
+    /// Fetches and relays the response. The fill timeout applies to the head and again to the body.
     async fn fetch(&self, active: &ActiveFill) -> Result<(), SourceFailure> {
         let shared = &active.shared;
         let timeout = Duration::from_micros(shared.settings.fill_timeout_us);
         let requested_at_ms = shared.clock.steady_ms();
-        // Begun before the source is asked, so that a purge meanwhile also applies to what the source sends.
+        // The store's fill begins before the request is sent, so that a purge in the meantime also applies to the response.
         let store_fill = shared
             .store
             .as_ref()
@@ -77,7 +77,8 @@
             .map_err(|_| SourceFailure::Interrupted("not complete in time".into()))?
     }
 
-    /// The error that the readers get: whose failure it is, and whether the origin may have executed the request.
+    /// Converts a failure to the error for the readers. The error says which part failed and whether the origin may have
+    /// executed the request.
     fn error(&self, failure: SourceFailure) -> ErrorHead {
         let failed_source = if self.source == HOST_ORIGIN {
             WireCacheStatus::OriginFailed
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Description of the copy to be stored.
+    /// Returns the metadata of the copy to be stored.
     fn meta(&self, shared: &Shared, head: &ResponseHead, requested_at_ms: u64) -> Meta {
-        // Aged from the request, not from the response head (RFC 9111, 4.2.3).
+        // The age counts from the sending of the request, not from the arrival of the head (RFC 9111, 4.2.3).
         let now_ms = shared
             .store
             .as_ref()
@@ -128,6 +129,7 @@
         }
     }
 
+    /// Writes the response to the stream of the fill and, if it may be stored, to the store.
     async fn relay_response(
         &self,
         active: &ActiveFill,
@@ -175,7 +177,7 @@
         Ok(())
     }
 
-    /// Writes to the store. Returns none if the response is no longer stored; the readers still get it.
+    /// Writes to the store. Returns `None` if the response cannot be stored any further; the readers still receive it.
     async fn write(&self, store_fill: Option<Fill>, data: Bytes) -> Option<Fill> {
         let mut store_fill = store_fill?;
         let writing = move || store_fill.write(&data).map(|()| store_fill);
@@ -202,7 +204,8 @@
         }
     }
 
-    /// Updates the stored copy after the source confirmed it. False if another version is stored now.
+    /// Updates the stored copy after the source has confirmed it. Returns false if it is no longer stored, if another version
+    /// is stored now or if the store fails.
     async fn renew(&self, shared: &Arc<Shared>, meta: Meta) -> bool {
         let shared = shared.clone();
         let key = self.key;
--- a/crates/cache-host/src/net/host.rs
+++ b/crates/cache-host/src/net/host.rs
@@ -20,23 +20,23 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// Why a host cannot start.
+/// Error that prevents the start of a host.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     /// A listener could not be opened.
     #[error("cannot listen on {0}: {1}")]
     Listen(SocketAddr, std::io::Error),
     /// The store could not be opened.
-    #[error("store {0}: {1}")]
+    #[error("cannot open store {0}: {1}")]
     Store(PathBuf, StoreError),
 }
 
-/// The addresses a host listens on, with the ports that the system assigned.
+/// Addresses that a host listens on, with the ports that the system assigned.
 #[derive(Clone, Copy, Debug, serde::Serialize)]
 pub struct BoundAddresses {
-    /// For requests.
+    /// Address for requests.
     pub framed: SocketAddr,
-    /// For purges by operators.
+    /// Address for purges by operators.
     pub control: Option<SocketAddr>,
 }
 
@@ -73,7 +73,7 @@
             control: control.as_ref().and_then(|c| c.local_addr().ok()),
         };
         let is_warm = is_warm(store.as_ref(), settings.store.as_ref());
-        let shared = Arc::new(shared(settings, store, net, clock, is_warm));
+        let shared = Arc::new(new_shared(settings, store, net, clock, is_warm));
         let (stop, stopping) = watch::channel(false);
         let mut listeners = JoinSet::new();
         let requests = ListenerRole::Requests;
@@ -105,33 +105,35 @@
         })
     }
 
-    /// The addresses it listens on.
+    /// Returns the addresses that the host listens on.
     pub fn bound(&self) -> BoundAddresses {
         self.bound
     }
 
-    /// What it has done since its start.
+    /// Returns the counters since the start of the host.
     pub fn counts(&self) -> HostCounters {
         self.shared.counters()
     }
 
-    /// State of the store, if there is one.
+    /// Returns the statistics of the store, if there is one.
     pub fn store(&self) -> Option<Stats> {
         self.shared.store.as_ref().map(Store::stats)
     }
 
-    /// Whether it reports to dispatchers that it started with an empty store.
+    /// Whether the host reports to dispatchers that it started cold, with less than the warm share in its store.
     pub fn is_cold(&self) -> bool {
         self.shared.hello.started_ago_us.is_some()
     }
 
-    /// Graceful shutdown: accepts no new work, answers what was accepted, and closes the store so that the next start is
-    /// quick. True if every request was answered within the drain timeout.
+    /// Shuts down gracefully: accepts no new requests, answers the accepted ones and closes the store, so that the next start
+    /// is fast. Returns whether every request was answered within the drain timeout.
     pub async fn stop(mut self) -> bool {
         let _ = self.stop.send(true);
         let drain_timeout = Duration::from_micros(self.shared.settings.drain_timeout_us);
-        let ended = async { while self.listeners.join_next().await.is_some() {} };
-        let drained = tokio::time::timeout(drain_timeout, ended).await.is_ok();
+        let listeners_ended = async { while self.listeners.join_next().await.is_some() {} };
+        let drained = tokio::time::timeout(drain_timeout, listeners_ended)
+            .await
+            .is_ok();
         self.listeners.shutdown().await;
         self.background.shutdown().await;
         if let Some(store) = self.shared.store.clone() {
@@ -176,8 +178,8 @@
     Ok((listener, bound))
 }
 
-/// Whether the store already holds enough. Counted before the first request, so that a warm host does not report a cold
-/// start.
+/// Whether the store already holds at least its warm share. This is evaluated before the first request, so that a warm host
+/// does not report a cold start.
 fn is_warm(store: Option<&Store>, settings: Option<&StoreSettings>) -> bool {
     let (Some(store), Some(settings)) = (store, settings) else {
         return true;
@@ -187,20 +189,26 @@
     stored as f64 >= settings.warm_share * settings.capacity as f64
 }
 
-fn warm_up(settings: &CacheHostSettings) -> WarmUp {
-    let largest_work = settings
+/// Creates the work ledger of a host that starts cold.
+fn new_warm_up(settings: &CacheHostSettings) -> WarmUp {
+    let largest_request_s = settings
         .classes
         .iter()
         .map(|class| class.mean_send_time_us as f64 / 1e6)
         .fold(0.0, f64::max);
     let slow_start = settings.slow_start;
     WarmUp {
-        ledger: WorkLedger::new(slow_start, settings.weight, CLOCK_ORIGIN_US, largest_work),
+        ledger: WorkLedger::new(
+            slow_start,
+            settings.weight,
+            CLOCK_ORIGIN_US,
+            largest_request_s,
+        ),
         connections: HashMap::new(),
     }
 }
 
-fn shared(
+fn new_shared(
     settings: CacheHostSettings,
     store: Option<Store>,
     net: Network,
@@ -218,7 +226,7 @@
         max_fills: settings.max_fills,
         max_waiting: settings.fill_queue,
     });
-    let state = HostState::new(fill_table, leases_work.then(|| warm_up(&settings)));
+    let state = HostState::new(fill_table, leases_work.then(|| new_warm_up(&settings)));
     Shared {
         state: Mutex::new(state),
         sources: FillSources::new(&settings, net, clock),
--- a/crates/cache-host/src/net/host_state.rs
+++ b/crates/cache-host/src/net/host_state.rs
@@ -1,4 +1,4 @@
-//! State that the tasks of a host share.
+//! State that is shared by the tasks of a host.
 use super::fill_sources::FillSources;
 use super::fill_stream::FillStream;
 use crate::fill_table::{
@@ -16,37 +16,37 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The host's clock at its start: above zero, because the warm-up may count from before it.
+/// Reading of the host's clock at its start. It is above zero because the warm-up may count from a time before the start.
 pub(super) const CLOCK_ORIGIN_US: Micros = 1_000_000_000_000;
 /// Weight of one response in the moving average of the hit ratio.
 const HIT_RATIO_SMOOTHING: f64 = 0.02;
 
-/// What the host has done since its start.
+/// Counters of a host since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HostCounters {
-    /// Responses from a fresh copy.
+    /// Number of responses served from a fresh copy.
     pub hits: u64,
-    /// Responses from a stale copy.
+    /// Number of responses served from a stale copy.
     pub stale: u64,
-    /// Fills begun, revalidations included.
+    /// Number of fills that have begun, including revalidations.
     pub fills: u64,
-    /// Requests answered from a fill that another request began.
+    /// Number of requests answered from a fill that another request began.
     pub joined: u64,
-    /// Requests for which nothing suitable was cached and nothing was to be filled.
+    /// Number of requests answered with a miss, because no usable copy was stored and no fill was allowed.
     pub misses: u64,
-    /// Requests rejected for want of capacity.
+    /// Number of requests rejected for lack of capacity.
     pub rejected: u64,
-    /// Requests answered with any other error.
+    /// Number of requests answered with any other error.
     pub failed: u64,
-    /// Stored copies that their source confirmed.
+    /// Number of stored copies that their source confirmed.
     pub renewed: u64,
-    /// Body bytes from sources.
+    /// Number of body bytes received from sources.
     pub bytes_in: u64,
-    /// Body bytes to clients.
+    /// Number of body bytes sent to clients.
     pub bytes_out: u64,
 }
 
-/// A fill that is queued or running, with what a purge compares.
+/// Object and purge group of a queued or running fill, as compared with a purge.
 struct FillTarget {
     key: Key,
     group: u64,
@@ -68,7 +68,7 @@
 
 struct WaitingRequest {
     target: FillTarget,
-    turn: oneshot::Sender<FillId>,
+    fill_sender: oneshot::Sender<FillId>,
 }
 
 /// Work leases of a host that has started with an empty store.
@@ -80,28 +80,28 @@
 /// State behind the lock of [`Shared`].
 pub(super) struct HostState {
     fill_table: FillTable<Key>,
-    /// Fills that run in the fill table.
+    /// Running fills of the fill table.
     running: HashMap<FillId, RunningFill>,
-    /// Requests queued in the fill table.
+    /// Queued requests of the fill table.
     waiting: HashMap<WaiterId, WaitingRequest>,
-    /// None: the host started warm, or has warmed up.
+    /// Work leases; `None` if the host started warm or has warmed up.
     pub warm_up: Option<WarmUp>,
-    last_user: UserId,
+    last_user_id: UserId,
     counters: HostCounters,
-    /// Moving average.
+    /// Moving average over the responses.
     hit_ratio: f64,
     open_requests: usize,
 }
 
 impl HostState {
-    /// State at the start of a host.
+    /// Creates the state of a host that starts.
     pub fn new(fill_table: FillTable<Key>, warm_up: Option<WarmUp>) -> Self {
         Self {
             fill_table,
             running: HashMap::new(),
             waiting: HashMap::new(),
             warm_up,
-            last_user: 0,
+            last_user_id: 0,
             counters: HostCounters::default(),
             hit_ratio: 0.0,
             open_requests: 0,
@@ -109,20 +109,20 @@
     }
 }
 
-/// What all tasks of a host share.
+/// Data shared by all tasks of a host.
 pub(super) struct Shared {
     pub state: Mutex<HostState>,
     pub settings: CacheHostSettings,
     pub store: Option<Store>,
     pub sources: FillSources,
     pub started_at: Instant,
-    /// Ages of copies count real time, whatever steps the wall clock makes while the process runs.
+    /// Clock for the ages of copies. It is unaffected by steps of the wall clock while the process runs.
     pub clock: WallClock,
-    /// The greeting to dispatchers; its `started_ago_us` is none if the host started warm.
+    /// Hello frame for dispatchers; its `started_ago_us` is `None` if the host started warm.
     pub hello: HelloHead,
 }
 
-/// The lease of a grant as it is sent.
+/// Converts a grant to the lease frame that is sent.
 pub(super) fn lease_head(grant: &Grant) -> LeaseHead {
     LeaseHead {
         work_us: (grant.work * 1e6).round() as u64,
@@ -134,19 +134,19 @@
 
 /// Requests and fills.
 impl Shared {
-    /// Never held across an await.
+    /// Locks the state. The guard must not be held across an await.
     pub fn lock(&self) -> MutexGuard<'_, HostState> {
         self.state
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Time on the host's clock, which counts from [`CLOCK_ORIGIN_US`].
+    /// Returns the time on the host's clock, which counts from [`CLOCK_ORIGIN_US`].
     pub fn now(&self) -> Micros {
         CLOCK_ORIGIN_US + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// A copy of the counters.
+    /// Returns a copy of the counters.
     pub fn counters(&self) -> HostCounters {
         self.lock().counters
     }
@@ -157,12 +157,12 @@
     }
 
     /// Updates the moving average of the hit ratio.
-    pub fn record_hit(&self, is_hit: bool) {
+    pub fn update_hit_ratio(&self, is_hit: bool) {
         let mut state = self.lock();
         state.hit_ratio += HIT_RATIO_SMOOTHING * (f64::from(is_hit) - state.hit_ratio);
     }
 
-    /// The load report for responses and health checks.
+    /// Returns the load report for responses and health checks.
     pub fn load(&self) -> LoadReport {
         let state = self.lock();
         let active_fills = state.fill_table.active_fills() as f64;
@@ -173,20 +173,21 @@
         }
     }
 
-    /// Counts a request; [`Shared::close_request`] is owed at its end. False if there are too many.
+    /// Counts a request as open and returns whether it is within the limit. [`Shared::close_request`] must be called at its
+    /// end, also for a request beyond the limit.
     pub fn open_request(&self) -> bool {
         let mut state = self.lock();
         state.open_requests += 1;
         state.open_requests <= self.settings.max_requests
     }
 
-    /// Ends what [`Shared::open_request`] began.
+    /// Ends a request that [`Shared::open_request`] has counted.
     pub fn close_request(&self) {
         self.lock().open_requests -= 1;
     }
 
-    /// Decides about a request. A fill that begins, or a request that waits, is registered before the next decision; the
-    /// receiver of a waiting request gets its fill.
+    /// Decides what to do with a request. A fill that begins or a request that is queued is registered before the next
+    /// decision. The receiver is returned for a queued request and gets its fill.
     pub fn decide(
         &self,
         request: &CacheRequest<Key>,
@@ -199,7 +200,7 @@
             key: request.key,
             group,
         };
-        let mut granted = None;
+        let mut fill_receiver = None;
         match decision {
             RequestDecision::Fill(fill)
             | RequestDecision::Serve {
@@ -209,38 +210,46 @@
                 state.running.insert(fill, RunningFill::new(target));
             }
             RequestDecision::Wait(waiter) => {
-                let (turn, receiver) = oneshot::channel();
-                state
-                    .waiting
-                    .insert(waiter, WaitingRequest { target, turn });
-                granted = Some(receiver);
+                let (fill_sender, receiver) = oneshot::channel();
+                state.waiting.insert(
+                    waiter,
+                    WaitingRequest {
+                        target,
+                        fill_sender,
+                    },
+                );
+                fill_receiver = Some(receiver);
             }
             _ => {}
         }
-        (decision, granted)
+        (decision, fill_receiver)
     }
 
-    /// The stream of a running fill.
+    /// Returns the stream of a running fill; `None` once the fill has ended.
     pub fn fill_stream(&self, fill: FillId) -> Option<Arc<FillStream>> {
         Some(self.lock().running.get(&fill)?.stream.clone())
     }
 
-    /// Removes a request from the queue. False if its fill was granted before.
+    /// Removes a request from the queue. Returns false if its fill has already been granted.
     pub fn cancel_wait(&self, waiter: WaiterId) -> bool {
         let mut state = self.lock();
         state.fill_table.cancel_wait(waiter);
         state.waiting.remove(&waiter).is_some()
     }
 
-    /// Ends a fill, and grants the next one to the first waiting request that still wants it.
+    /// Ends a fill and grants the next one to the first queued request that still waits for it.
     pub fn end_fill(&self, fill: FillId) {
         let mut state = self.lock();
         state.running.remove(&fill);
         let mut ended = fill;
         while let Some(QueuedFill { waiter, fill }) = state.fill_table.fill_ended(ended) {
-            if let Some(WaitingRequest { target, turn }) = state.waiting.remove(&waiter) {
+            if let Some(WaitingRequest {
+                target,
+                fill_sender,
+            }) = state.waiting.remove(&waiter)
+            {
                 state.running.insert(fill, RunningFill::new(target));
-                if turn.send(fill).is_ok() {
+                if fill_sender.send(fill).is_ok() {
                     return;
                 }
                 state.running.remove(&fill);
@@ -250,14 +259,14 @@
     }
 }
 
-/// The store.
+/// Access to the store.
 impl Shared {
-    /// The stored copy under a key. Blocks on the store.
+    /// Returns the stored copy with this key. Blocks on the store.
     pub fn stored_copy(&self, key: &Key) -> Option<Found> {
         self.store.as_ref()?.get(key)
     }
 
-    /// How old a stored copy is.
+    /// Returns the age of a stored copy.
     pub fn age(&self, meta: &Meta) -> Micros {
         let now = self
             .store
@@ -266,18 +275,18 @@
         now.saturating_sub(meta.born_ms) * 1_000
     }
 
-    /// Removes an object or a group from the store; durable when this returns `Ok`. Running fills of it are not joined any
-    /// more.
+    /// Removes an object or a purge group from the store; the purge is durable when this returns `Ok`. Requests no longer
+    /// join running fills of the purged objects.
     pub async fn purge(&self, head: &PurgeHead) -> Result<usize, String> {
         self.stop_coalescing(head);
-        let what = match &head.object {
+        let scope = match &head.object {
             Some(object) => What::Object(object.clone()),
             None => What::Group(head.group),
         };
         let Some(store) = self.store.clone() else {
             return Ok(0);
         };
-        let purged = tokio::task::spawn_blocking(move || store.purge(&what)).await;
+        let purged = tokio::task::spawn_blocking(move || store.purge(&scope)).await;
         purged
             .map_err(|e| e.to_string())?
             .map_err(|e| e.to_string())
@@ -307,20 +316,21 @@
 
 /// Work leases.
 impl Shared {
-    /// Start of the next slot; none once the host is warm.
+    /// Returns the start of the next slot; `None` once the host is warm.
     pub fn next_lease_slot(&self) -> Option<Micros> {
         Some(self.lock().warm_up.as_ref()?.ledger.next_slot())
     }
 
-    /// Registers a dispatcher for leases; none if the host is warm. [`Shared::remove_dispatcher`] is owed at its end.
+    /// Registers a dispatcher for leases and returns its first one; `None` if the host is warm.
+    /// [`Shared::remove_dispatcher`] must be called at the end of the connection.
     pub fn add_dispatcher(
         &self,
         connection: &FramedConnection,
         requests_work: bool,
     ) -> Option<(UserId, LeaseHead)> {
         let mut state = self.lock();
-        state.last_user += 1;
-        let user = state.last_user;
+        state.last_user_id += 1;
+        let user = state.last_user_id;
         let warm_up = state.warm_up.as_mut()?;
         warm_up.connections.insert(user, connection.clone());
         Some((user, lease_head(&warm_up.ledger.join(user, requests_work))))
@@ -343,7 +353,7 @@
         }
     }
 
-    /// The lease for a work request; none if the host is warm.
+    /// Returns the lease for a work request; `None` if the host is warm.
     pub fn lease_work(&self, user: UserId, work_us: u64) -> Option<LeaseHead> {
         let now = self.now();
         let mut state = self.lock();
--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -1,4 +1,4 @@
-//! The host's own origin: a bounded pool of HTTP/1.1 connections.
+//! The host's own origin, reached through a bounded pool of HTTP/1.1 connections.
 use super::fill_sources::{Connector, SourceBody, SourceFailure, SourceResponse};
 use crate::freshness::freshness;
 use bytes::Bytes;
@@ -13,7 +13,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::Instant;
 
-/// The first attempt may fail on an idle connection that the origin has closed meanwhile; the second uses a new one.
+/// Maximum number of attempts. The first may fail on an idle connection that the origin has closed in the meantime; the
+/// second uses a new connection.
 const MAX_ATTEMPTS: usize = 2;
 
 struct Connection {
@@ -21,16 +22,16 @@
     write: WriteHalf,
 }
 
-/// Connections to an HTTP origin.
+/// Pool of connections to an HTTP origin.
 pub struct HttpOrigin {
     settings: OriginSettings,
     idle: Mutex<Vec<Connection>>,
-    /// One permit for each connection that may be in use.
+    /// Permits to use a connection, one for each concurrent exchange.
     permits: Arc<Semaphore>,
     clock: WallClock,
 }
 
-/// The body of an HTTP response. Its connection returns to the pool when the body is complete.
+/// The body of an HTTP response. When the body is complete, its connection returns to the pool if it can be reused.
 pub struct HttpBody {
     connection: Option<Connection>,
     keep_alive: bool,
@@ -49,7 +50,7 @@
 }
 
 impl HttpOrigin {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(settings: OriginSettings, clock: WallClock) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(settings.connections)),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Where the origin listens.
+    /// Returns the address of the origin.
     pub fn address(&self) -> SocketAddr {
         self.settings.address
     }
@@ -68,7 +69,8 @@
         self.idle.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Sends a request and waits for the head of the response; the fill's timeout bounds the wait for a connection.
+    /// Sends a request and waits for the head of the response. `executes` says whether the origin executes the request, which
+    /// then must not be repeated. The wait for a permit has no timeout here; the fill's timeout covers it.
     pub async fn fetch(
         self: Arc<Self>,
         connector: &Connector,
@@ -80,7 +82,7 @@
         let sent_at = Instant::now();
         let text = request_text(&self.settings, request, executes);
         for attempt in 0..MAX_ATTEMPTS {
-            // A request that executes must not be sent twice, so it never uses an idle connection.
+            // A request that executes must not be sent twice, so it does not use an idle connection, which may fail.
             let reused = self.take_idle(attempt == 0 && !executes);
             let is_reused = reused.is_some();
             let mut connection = match reused {
@@ -109,7 +111,7 @@
         Err(closed_by_origin())
     }
 
-    /// Takes an idle connection out of the pool; closes it if it cannot be used.
+    /// Takes an idle connection out of the pool and closes it if it cannot be used.
     fn take_idle(&self, may_reuse: bool) -> Option<Connection> {
         let idle = self.idle().pop();
         idle.filter(|connection| may_reuse && connection.read.idle() == IdleState::Quiet)
@@ -125,8 +127,8 @@
 }
 
 impl Connection {
-    /// Sends a request and reads the head of the response. None: a reused connection was closed before any of the response
-    /// arrived.
+    /// Sends a request and reads the head of the response. Returns `None` if a reused connection was closed before any part of
+    /// the response arrived.
     async fn exchange(
         &mut self,
         text: &str,
@@ -154,7 +156,7 @@
     }
 }
 
-/// GET or HEAD; POST for a request that executes, with its idempotency key.
+/// Returns the text of the request: a POST with the idempotency key for a request that executes, otherwise a GET or a HEAD.
 fn request_text(settings: &OriginSettings, request: &RequestHead, executes: bool) -> String {
     let method = if executes {
         "POST"
@@ -189,7 +191,7 @@
     text + "\r\n"
 }
 
-/// The head for the readers of the fill, and whether the response must not be stored.
+/// Returns the head for the readers of the fill and whether the response must not be stored.
 fn response_head(received: &HttpHead, response_delay: Micros, now_s: u64) -> (ResponseHead, bool) {
     let field = |name: &str| {
         let found = received.fields.iter().find(|(n, _)| n == name);
@@ -217,7 +219,7 @@
 }
 
 impl HttpBody {
-    /// The next piece of the body; none at its end.
+    /// Returns the next piece of the body, or `None` at its end.
     pub async fn next(&mut self) -> Result<Option<Bytes>, SourceFailure> {
         let Some(connection) = &mut self.connection else {
             return Ok(None);
@@ -225,8 +227,8 @@
         match connection.read.next().await {
             Some(Ok(HttpEvent::Data(data))) => Ok(Some(data)),
             Some(Ok(HttpEvent::End)) => {
-                let finished = self.connection.take().filter(|_| self.keep_alive);
-                self.origin.idle().extend(finished);
+                let reusable = self.connection.take().filter(|_| self.keep_alive);
+                self.origin.idle().extend(reusable);
                 Ok(None)
             }
             Some(Err(e)) => Err(SourceFailure::Interrupted(e.to_string())),
--- a/crates/cache-host/src/net/mod.rs
+++ b/crates/cache-host/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! The cache host on tokio: listeners for requests and for operators, the store, and the sources of fills.
+//! The cache host on tokio: the listeners for requests and for operators, the store and the sources of fills.
 mod background;
 mod byte_selection;
 mod cached_response;
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -1,4 +1,4 @@
-//! Handling of one request: carries out the decisions of the fill table.
+//! Handles one request by carrying out the decisions of the fill table.
 use super::cached_response::declared_freshness_lifetime;
 use super::fill_sources::HOST_ORIGIN;
 use super::host_state::Shared;
@@ -13,10 +13,11 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Decisions taken for one request: it is decided again if the fill it joined had already passed its beginning.
+/// Maximum number of decisions for one request. A request is decided again if the fill that it joined no longer has the
+/// beginning of the body.
 const MAX_DECISIONS: usize = 3;
 
-/// Counts a request as open until it is dropped.
+/// Guard that counts a request as open until it is dropped.
 struct OpenRequest(Arc<Shared>);
 
 impl Drop for OpenRequest {
@@ -26,20 +27,20 @@
 }
 
 /// A request that still has to be answered with an error.
-pub(super) struct Unanswered {
+pub(super) struct UnansweredRequest {
     responder: Responder,
     error: ErrorHead,
 }
 
-impl Unanswered {
+impl UnansweredRequest {
     /// Boxed, because it is the error of an [`Outcome`].
     pub fn new(responder: Responder, error: ErrorHead) -> Box<Self> {
         Box::new(Self { responder, error })
     }
 }
 
-/// `Ok`: nothing is left to send, because the response is complete or the client has gone.
-pub(super) type Outcome = Result<(), Box<Unanswered>>;
+/// Result of a request: `Ok` if the response is complete or the client has disconnected, otherwise the error to send.
+pub(super) type Outcome = Result<(), Box<UnansweredRequest>>;
 
 /// Result of carrying out one decision.
 enum Step {
@@ -47,7 +48,7 @@
     DecideAgain(Responder),
 }
 
-/// An error about a request; `may_have_run` says whether the origin may have executed it.
+/// Composes an error response; `may_have_run` says whether the origin may have executed the request.
 pub(super) fn error_head(
     status: WireStatus,
     cache_status: WireCacheStatus,
@@ -67,7 +68,7 @@
     error_head(WireStatus::Rejected, cache_status, false, detail)
 }
 
-/// Answers one request.
+/// Handles one request and sends its response.
 pub(super) async fn handle(shared: Arc<Shared>, head: RequestHead, responder: Responder) {
     // After a network interruption, a request and its cancellation can arrive together.
     if responder.is_cancelled() {
@@ -75,7 +76,7 @@
     }
     let received_at = Instant::now();
     let is_admitted = shared.open_request();
-    let _open = OpenRequest(shared.clone());
+    let _open_request = OpenRequest(shared.clone());
     let request = Request {
         shared: shared.clone(),
         head,
@@ -85,15 +86,15 @@
         request.run(responder).await
     } else {
         let error = rejection(WireCacheStatus::Unreported, "too many requests");
-        Err(Unanswered::new(responder, error))
+        Err(UnansweredRequest::new(responder, error))
     };
     if let Err(unanswered) = outcome {
         send_error(&shared, *unanswered, received_at).await;
     }
 }
 
-async fn send_error(shared: &Shared, unanswered: Unanswered, received_at: Instant) {
-    let Unanswered { responder, error } = unanswered;
+async fn send_error(shared: &Shared, unanswered: UnansweredRequest, received_at: Instant) {
+    let UnansweredRequest { responder, error } = unanswered;
     let load = Some(shared.load());
     let elapsed_us = received_at.elapsed().as_micros() as u64;
     shared.count(|c| match error.status() {
@@ -109,7 +110,7 @@
     let _ = responder.error(error).await;
 }
 
-/// One request while it is handled.
+/// A request that is being handled.
 pub(super) struct Request {
     pub shared: Arc<Shared>,
     pub head: RequestHead,
@@ -117,7 +118,7 @@
 }
 
 impl Request {
-    /// The key of the requested object in the store.
+    /// Returns the key of the requested object in the store.
     pub fn key(&self) -> Key {
         Meta {
             object: self.head.object.clone(),
@@ -127,21 +128,21 @@
         .key()
     }
 
-    /// Time left for an answer.
+    /// Returns the time left for the response.
     pub fn time_left(&self) -> Duration {
-        let longest = self.shared.settings.fill_timeout_us;
-        let allowed = match self.head.time_left_us {
-            0 => longest,
-            requested => requested.min(longest),
+        let max_time_us = self.shared.settings.fill_timeout_us;
+        let allowed_us = match self.head.time_left_us {
+            0 => max_time_us,
+            requested_us => requested_us.min(max_time_us),
         };
-        Duration::from_micros(allowed.saturating_sub(self.elapsed_us()))
+        Duration::from_micros(allowed_us.saturating_sub(self.elapsed_us()))
     }
 
     fn elapsed_us(&self) -> Micros {
         self.received_at.elapsed().as_micros() as Micros
     }
 
-    /// Adds what every response head reports about this host.
+    /// Adds the load of this host and the elapsed time to a response head.
     pub fn with_load(&self, head: ResponseHead) -> ResponseHead {
         ResponseHead {
             load: Some(self.shared.load()),
@@ -150,8 +151,8 @@
         }
     }
 
-    /// The stored copy of the requested object.
-    pub async fn find(&self, uncacheable: bool) -> Option<Found> {
+    /// Returns the stored copy of the requested object.
+    pub async fn find_copy(&self, uncacheable: bool) -> Option<Found> {
         if uncacheable || self.shared.store.is_none() {
             return None;
         }
@@ -170,12 +171,12 @@
             let detail = format!("no class {:?} here", self.head.class);
             let unreported = WireCacheStatus::Unreported;
             let error = error_head(WireStatus::Error, unreported, false, &detail);
-            return Err(Unanswered::new(responder, error));
+            return Err(UnansweredRequest::new(responder, error));
         };
         for _ in 0..MAX_DECISIONS {
             match self.decide(responder, class).await {
                 Step::Done(outcome) => return outcome,
-                Step::DecideAgain(unused) => responder = unused,
+                Step::DecideAgain(returned) => responder = returned,
             }
         }
         let error = error_head(
@@ -184,41 +185,41 @@
             true,
             "the copy was gone again each time",
         );
-        Err(Unanswered::new(responder, error))
+        Err(UnansweredRequest::new(responder, error))
     }
 
-    /// Takes one decision and carries it out.
+    /// Makes one decision and carries it out.
     async fn decide(&self, responder: Responder, class: &CacheClass) -> Step {
-        let found = self.find(class.uncacheable).await;
+        let found = self.find_copy(class.uncacheable).await;
         let request = self.cache_request(class, found.as_ref());
         let cached = found.as_ref().map(|found| CachedCopy {
             age: self.shared.age(&found.meta),
         });
-        let (decision, queued) = self.shared.decide(&request, self.head.group, cached);
+        let (decision, fill_receiver) = self.shared.decide(&request, self.head.group, cached);
         let plan = FillPlan {
             request,
             uncacheable: class.uncacheable,
             found,
         };
-        match (decision, queued) {
+        match (decision, fill_receiver) {
             (RequestDecision::Serve { stale, revalidate }, _) => {
                 self.serve_found(responder, plan, stale, revalidate).await
             }
             (RequestDecision::Miss, _) => {
-                self.shared.record_hit(false);
+                self.shared.update_hit_ratio(false);
                 let unreported = WireCacheStatus::Unreported;
                 let error = error_head(WireStatus::Miss, unreported, false, "not held");
-                Step::Done(Err(Unanswered::new(responder, error)))
+                Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
             (RequestDecision::Reject, _) => {
                 let detail = "every fill has its place taken, and so has the line";
                 let error = rejection(WireCacheStatus::FillLimitReached, detail);
-                Step::Done(Err(Unanswered::new(responder, error)))
+                Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
             (RequestDecision::Join(fill), _) => self.join(responder, fill).await,
             (RequestDecision::Fill(fill), _) => Step::Done(self.fill(responder, fill, plan).await),
-            (RequestDecision::Wait(waiter), Some(turn)) => {
-                Step::Done(self.wait(responder, waiter, turn, plan).await)
+            (RequestDecision::Wait(waiter), Some(fill_receiver)) => {
+                Step::Done(self.wait(responder, waiter, fill_receiver, plan).await)
             }
             (RequestDecision::Wait(_), None) => Step::DecideAgain(responder),
         }
@@ -226,15 +227,16 @@
 
     fn cache_request(&self, class: &CacheClass, found: Option<&Found>) -> CacheRequest<Key> {
         let settings = &self.shared.settings;
-        let of_class = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
-        let declared = found.and_then(|found| declared_freshness_lifetime(&found.meta));
-        // A cache host fills only from a source that the request names; parents and gateways have an origin of their own.
-        let fills_itself = settings.role != Role::Cache && settings.origin.is_some();
+        let class_lifetime = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
+        let declared_lifetime = found.and_then(|found| declared_freshness_lifetime(&found.meta));
+        // A host in the cache role fills only from a source that the request names; parents and gateways have an origin of
+        // their own.
+        let has_own_source = settings.role != Role::Cache && settings.origin.is_some();
         let mut request = CacheRequest::from_head(
             &self.head,
             self.key(),
-            declared.or(of_class),
-            fills_itself.then_some(HOST_ORIGIN),
+            declared_lifetime.or(class_lifetime),
+            has_own_source.then_some(HOST_ORIGIN),
             class.uncacheable,
         );
         if self.shared.store.is_none() {
@@ -257,7 +259,7 @@
             let validator = Some(found.meta.validator.clone());
             self.spawn_fill(fill, &plan, validator, true);
         }
-        self.shared.record_hit(true);
+        self.shared.update_hit_ratio(true);
         let status = if stale {
             self.shared.count(|c| c.stale += 1);
             WireCacheStatus::Stale
@@ -272,13 +274,13 @@
         let Some(stream) = self.shared.fill_stream(fill) else {
             return Step::DecideAgain(responder);
         };
-        self.shared.record_hit(false);
+        self.shared.update_hit_ratio(false);
         if let Some(reader) = stream.reader() {
             self.shared.count(|c| c.joined += 1);
             let status = Some(WireCacheStatus::Coalesced);
             return Step::Done(self.serve_from_fill(responder, reader, status).await);
         }
-        // Its first bytes are gone: wait for the copy that it stores.
+        // The beginning of the body is no longer buffered, so the request waits for the copy that the fill stores.
         tokio::select! {
             _ = stream.ended() => Step::DecideAgain(responder),
             () = responder.cancelled() => Step::Done(Ok(())),
@@ -290,11 +292,11 @@
         &self,
         responder: Responder,
         waiter: WaiterId,
-        mut turn: oneshot::Receiver<FillId>,
+        mut fill_receiver: oneshot::Receiver<FillId>,
         plan: FillPlan,
     ) -> Outcome {
         let fill = tokio::select! {
-            fill = &mut turn => fill.ok(),
+            fill = &mut fill_receiver => fill.ok(),
             () = responder.cancelled() => None,
             () = tokio::time::sleep(self.time_left()) => None,
         };
@@ -302,8 +304,8 @@
         if let Some(fill) = fill {
             return self.fill(responder, fill, plan).await;
         }
-        // A fill granted at the moment of giving up goes to the next request.
-        if let Ok(fill) = turn.try_recv() {
+        // A fill that was granted while the wait ended is passed on to the next request.
+        if let Ok(fill) = fill_receiver.try_recv() {
             self.shared.end_fill(fill);
         }
         if responder.is_cancelled() || !was_queued {
@@ -311,11 +313,11 @@
         }
         let detail = "no place for a fill in time";
         let error = rejection(WireCacheStatus::FillLimitReached, detail);
-        Err(Unanswered::new(responder, error))
+        Err(UnansweredRequest::new(responder, error))
     }
 }
 
-/// What a fill for a request starts from.
+/// Input of a fill for a request.
 pub(super) struct FillPlan {
     pub request: CacheRequest<Key>,
     pub uncacheable: bool,
--- a/crates/cache-host/tests/service/origin.rs
+++ b/crates/cache-host/tests/service/origin.rs
@@ -1,4 +1,4 @@
-//! An HTTP origin that counts its requests.
+//! HTTP origin for tests that counts its requests.
 use bytes::{Bytes, BytesMut};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,20 +7,20 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// What the origin has received, and how it behaves.
+/// Requests that the origin has received, and settings of its behaviour.
 #[derive(Default)]
 pub struct OriginState {
-    /// By request line.
+    /// Number of requests by request line.
     pub requests: BTreeMap<String, u64>,
     pub revalidations: u64,
     pub body_bytes: u64,
     pub version: u64,
-    /// Closes the connection after this many bytes of a body.
+    /// Number of bytes of a body after which the origin closes the connection.
     pub truncate_after: Option<usize>,
     pub response_delay: Duration,
 }
 
-/// The body of an object in one version.
+/// Returns the body of an object in one version.
 pub fn body(path: &str, version: u64) -> Bytes {
     let len = match path {
         "/video/large" => 3_000_000,
@@ -31,19 +31,20 @@
     line.bytes().cycle().take(len).collect::<Vec<u8>>().into()
 }
 
-/// HTTP/1.1 with keep-alive, an entity tag for each version, and a second of freshness for pages.
+/// Starts an HTTP/1.1 origin with keep-alive and an entity tag for each version. Pages are fresh for 1 s, other objects
+/// for 600 s.
 pub async fn origin(state: Arc<Mutex<OriginState>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(serve_connection(socket, state.clone()));
         }
     });
-    at
+    address
 }
 
-/// The head of the next request; none at the end of the connection.
+/// Reads the head of the next request; returns `None` at the end of the connection.
 async fn read_head(socket: &mut TcpStream, read: &mut BytesMut) -> Option<String> {
     loop {
         if let Some(end) = read.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -64,7 +65,7 @@
         };
         let line = head.lines().next().unwrap().to_owned();
         let path = line.split(' ').nth(1).unwrap().to_owned();
-        let known = head
+        let if_none_match = head
             .lines()
             .find_map(|l| l.strip_prefix("if-none-match: "))
             .unwrap_or("")
@@ -83,7 +84,7 @@
         };
         let fields =
             format!("ETag: {tag}\r\nCache-Control: {fresh}\r\nContent-Type: text/plain\r\n");
-        if known == tag {
+        if if_none_match == tag {
             state.lock().unwrap().revalidations += 1;
             let text = format!("HTTP/1.1 304 Not Modified\r\n{fields}\r\n");
             if socket.write_all(text.as_bytes()).await.is_err() {
--- a/crates/cache-host/tests/service/support.rs
+++ b/crates/cache-host/tests/service/support.rs
@@ -1,4 +1,4 @@
-//! Cache hosts on loopback, and a client.
+//! Cache hosts on the loopback interface and a client for them.
 use crate::origin::{origin, OriginState};
 use bytes::{Bytes, BytesMut};
 use pointspindle_cache_host::Host;
@@ -13,21 +13,23 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Starts a host; `more` is added to its settings.
+/// Starts a host; `extra_settings` is appended to its settings.
 pub async fn host(
     role: &str,
     store: Option<&Path>,
     origin: Option<SocketAddr>,
-    more: &str,
+    extra_settings: &str,
 ) -> Host {
     let store = store.map_or(String::new(), |path| {
         let path = path.display();
         format!("[store]\npath = {path}\ncapacity_mb = 24\nsegment_mb = 2\nmemory_mb = 1\nsync_ms = 20\nwarm_share = 0.001\n")
     });
-    let origin = origin.map_or(String::new(), |at| format!("[origin]\naddress = {at}\n"));
+    let origin = origin.map_or(String::new(), |address| {
+        format!("[origin]\naddress = {address}\n")
+    });
     let text = format!(
         "[cache]\nname = {role}\nrole = {role}\n[listen]\nframed = 127.0.0.1:0\ncontrol = 127.0.0.1:0\ndrain_ms = 2000\n\
-         {store}{origin}{more}[class video]\n[class page]\nfresh_ms = 5000\n[class enrol]\nuncacheable = yes\n"
+         {store}{origin}{extra_settings}[class video]\n[class page]\nfresh_ms = 5000\n[class enrol]\nuncacheable = yes\n"
     );
     let settings =
         pointspindle_config::parse_cache_host("test", &text).unwrap_or_else(|e| panic!("{e}"));
@@ -36,12 +38,12 @@
         .unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// Connects as a dispatcher does.
-pub async fn connect(to: SocketAddr) -> FramedConnection {
-    connection_over(TcpStream::connect(to).await.unwrap())
+/// Opens a framed connection, as a dispatcher does.
+pub async fn connect(address: SocketAddr) -> FramedConnection {
+    connection_over(TcpStream::connect(address).await.unwrap())
 }
 
-/// A framed connection over an open socket.
+/// Starts a framed connection over an open socket.
 pub fn connection_over(socket: TcpStream) -> FramedConnection {
     let (connection, mut incoming) =
         FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
@@ -49,7 +51,7 @@
     connection
 }
 
-/// A coalescing request; its class is the first segment of the path.
+/// Returns a request that may be coalesced; its class is the first segment of the path.
 pub fn request(object: &str, source: &str) -> RequestHead {
     let class = object.split('/').nth(1).unwrap().to_owned();
     let fetch = FetchHead {
@@ -58,48 +60,48 @@
         coalesce: true,
         ..Default::default()
     };
-    let left_us = 8_000_000;
+    let time_left_us = 8_000_000;
     RequestHead {
         object: object.into(),
         class,
-        time_left_us: left_us,
+        time_left_us,
         fetch: Some(fetch),
         ..Default::default()
     }
 }
 
-/// Sends a request and collects the response.
+/// Sends a request and reads the complete response.
 pub async fn get(
     connection: &FramedConnection,
     request: RequestHead,
 ) -> Result<(ResponseHead, Bytes), ErrorHead> {
     let mut call = connection.call(request).unwrap();
-    let (mut head, mut got) = (None, BytesMut::new());
+    let (mut head, mut body) = (None, BytesMut::new());
     loop {
         match tokio::time::timeout(Duration::from_secs(10), call.next())
             .await
-            .expect("in time")
+            .expect("the next part of the response arrives within 10 s")
             .unwrap()
         {
             ResponsePart::Head(h) => head = Some(h),
-            ResponsePart::Data(data) => got.extend_from_slice(&data),
-            ResponsePart::End(CallEnd::Complete(_)) => return Ok((head.unwrap(), got.freeze())),
+            ResponsePart::Data(data) => body.extend_from_slice(&data),
+            ResponsePart::End(CallEnd::Complete(_)) => return Ok((head.unwrap(), body.freeze())),
             ResponsePart::End(CallEnd::Error(e)) => return Err(e),
-            ResponsePart::End(CallEnd::Broken(why)) => panic!("{why}"),
-            ResponsePart::End(CallEnd::NotSent) => panic!("nothing of it was sent"),
+            ResponsePart::End(CallEnd::Broken(reason)) => panic!("response interrupted: {reason}"),
+            ResponsePart::End(CallEnd::NotSent) => panic!("the request was not sent"),
         }
     }
 }
 
-/// Purges as an operator does.
-pub async fn purge(at: SocketAddr, head: PurgeHead) {
-    let socket = TcpStream::connect(at).await.unwrap();
+/// Sends a purge, as an operator does, and expects its confirmation.
+pub async fn purge(address: SocketAddr, head: PurgeHead) {
+    let socket = TcpStream::connect(address).await.unwrap();
     let (connection, mut incoming) =
         FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     connection.control(Frame::Purge(head)).await.unwrap();
     match incoming.next().await.unwrap() {
         Inbound::Control(Frame::Ack(ack)) => assert_eq!(ack.rejection, ""),
-        other => panic!("{other:?}"),
+        other => panic!("expected an acknowledgement, got {other:?}"),
     }
 }
 
@@ -113,8 +115,8 @@
 }
 
 impl CacheTiers {
-    /// `more` is added to the settings of the edge.
-    pub async fn start(more: &str) -> Self {
+    /// Starts all tiers; `extra_settings` is appended to the settings of the edge.
+    pub async fn start(extra_settings: &str) -> Self {
         let state = Arc::new(Mutex::new(OriginState {
             version: 1,
             ..OriginState::default()
@@ -128,7 +130,13 @@
             "",
         )
         .await;
-        let edge = host("cache", Some(&folder.path().join("edge")), None, more).await;
+        let edge = host(
+            "cache",
+            Some(&folder.path().join("edge")),
+            None,
+            extra_settings,
+        )
+        .await;
         Self {
             origin_state: state,
             parent,
@@ -138,14 +146,14 @@
         }
     }
 
-    /// The parent, as a source of fills.
+    /// Returns the address of the parent, for use as a source of fills.
     pub fn source(&self) -> String {
         self.parent.bound().framed.to_string()
     }
 
-    /// Requests with this method and path that the origin has received.
-    pub fn origin_requests(&self, line: &str) -> u64 {
-        let line = format!("{line} HTTP/1.1");
+    /// Returns the number of requests with this method and path that the origin has received.
+    pub fn origin_requests(&self, method_and_path: &str) -> u64 {
+        let line = format!("{method_and_path} HTTP/1.1");
         self.origin_state
             .lock()
             .unwrap()
