--- a/crates/cache-host/src/fill_table.rs
+++ b/crates/cache-host/src/fill_table.rs
@@ -1,12 +1,12 @@
-//! Decides, without I/O, whether a cache host serves a request from cache, starts or joins a fill, queues the request or
-//! rejects it.
+//! Decides, without I/O, whether a cache host serves a request from cache, starts or joins a fill, queues the request
+//! or rejects it.
 //!
-//! The caller looks up the stored copy ([`CachedCopy`]), carries out the [`RequestDecision`] and reports the end of each
-//! fill ([`FillTable::fill_ended`]). Times are in microseconds.
+//! The caller looks up the stored copy ([`CachedCopy`]), carries out the [`RequestDecision`] and reports the end of
+//! each fill ([`FillTable::fill_ended`]). Times are in microseconds.
 //!
-//! The state is bounded: one entry for each running fill (at most [`FillLimits::max_fills`]) and one for each queued request
-//! (at most [`FillLimits::max_waiting`]), removed when the fill or the wait ends. A request that is served from cache
-//! leaves no state.
+//! The state is bounded: one entry for each running fill (at most [`FillLimits::max_fills`]) and one for each queued
+//! request (at most [`FillLimits::max_waiting`]), removed when the fill or the wait ends. A request that is served from
+//! cache leaves no state.
 use pointspindle::Micros;
 use pointspindle_protocol::{FetchHead, RequestHead};
 use std::collections::{BTreeMap, VecDeque};
@@ -41,8 +41,8 @@
     pub max_age: Option<Micros>,
     /// Age beyond which a copy is stale; with `None` it never is.
     pub freshness_lifetime: Option<Micros>,
-    /// Whether only stored copies may be used: a source, if there is one, is asked for its copy and does not fetch from the
-    /// origin.
+    /// Whether only stored copies may be used: a source, if there is one, returns its own copy or a miss and does not
+    /// fetch from the origin.
     pub only_if_cached: bool,
     /// Source from which a miss is filled; with `None` it is not filled.
     pub source: Option<String>,
@@ -55,9 +55,9 @@
 }
 
 impl<K> CacheRequest<K> {
-    /// Derives the properties from the head of a request. `freshness_lifetime` is that of the stored copy or of the class,
-    /// `uncacheable` says whether the class may not be cached, and `default_source` is the source of a fill if the request
-    /// names none.
+    /// Derives the properties from the head of a request. `freshness_lifetime` is that of the stored copy or of the
+    /// class, `uncacheable` says whether responses of the class must not be cached, and `default_source` is the source
+    /// of a fill if the request names none.
     pub fn from_head(
         head: &RequestHead,
         key: K,
@@ -119,8 +119,8 @@
     Fill(FillId),
     /// Answer from this running fill.
     Join(FillId),
-    /// Queue the request until [`FillTable::fill_ended`] returns it. The caller must call [`FillTable::cancel_wait`] if the
-    /// request ends before that.
+    /// Queue the request until [`FillTable::fill_ended`] returns it. The caller must call [`FillTable::cancel_wait`] if
+    /// the request ends before that.
     Wait(WaiterId),
     /// Answer with a miss: no acceptable copy is stored, and the request must not be filled.
     Miss,
--- a/crates/cache-host/src/fill_table/tests.rs
+++ b/crates/cache-host/src/fill_table/tests.rs
@@ -200,6 +200,6 @@
     assert_eq!(
         from_head(&head, false).source.as_deref(),
         Some("p:1"),
-        "a named source is asked for its copy"
+        "a named source is used even if only stored copies are acceptable"
     );
 }
--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -1,22 +1,23 @@
-//! Work leases: a host that has started with an empty store divides its capacity among the dispatchers while it warms up.
+//! Work leases: a host that has started with an empty store divides its capacity among the dispatchers while it warms
+//! up.
 //!
 //! If each dispatcher took its share of a warming host's budget from its own estimate of the number of dispatchers, a
-//! wrong estimate would make them exceed the budget together. The host knows which dispatchers are connected, so it grants
-//! the budget itself, slot by slot.
+//! wrong estimate would make them exceed the budget together. The host knows which dispatchers are connected, so it
+//! grants the budget itself, slot by slot.
 //!
-//! Granted work that is not used expires at the end of its slot. It returns to the bucket one slot later, when no request
-//! that uses it can still be in transit. The same applies to the work of a dispatcher that disconnects. A new dispatcher
-//! gets its first lease with the next slot.
+//! Granted work that is not used expires at the end of its slot. It returns to the bucket one slot later, when no
+//! request that uses it can still be in transit. The same applies to the work of a dispatcher that disconnects. A new
+//! dispatcher gets its first lease with the next slot.
 //!
-//! Where many dispatchers share a small budget, an even share is less than one request. Dispatchers then ask for the work
-//! of each pending request ([`WorkLedger::request_work`]).
+//! Where many dispatchers share a small budget, an even share is less than one request. Dispatchers then ask for the
+//! work of each pending request ([`WorkLedger::request_work`]).
 //!
 //! **Bound.** Grants are taken from one token bucket, which holds at most [`WorkLedger::burst`] and is filled at a rate
-//! `r`. The work granted in any span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the next
-//! slot: a lease lasts one slot, and a request is in transit for less than another. The work that arrives in any window `W`
-//! was therefore granted within `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` equals the budget of a
-//! window at the start of that span, where the host is least warm. Work that returns to the bucket was never used, so it
-//! does not add to the bound.
+//! `r`. The work granted in any span `T` is at most `burst + r T`. Work granted in a slot arrives before the end of the
+//! next slot: a lease lasts one slot, and a request is in transit for less than another. The work that arrives in any
+//! window `W` was therefore granted within `W + 2 slots`, and `r` is chosen so that `burst + r (W + 2 slots)` equals
+//! the budget of a window at the start of that span, where the host is least warm. Work that returns to the bucket was
+//! never used, so it does not add to the bound.
 //!
 //! The state is one entry for each connection of a dispatcher, removed after the connection has ended.
 use pointspindle::{Micros, SlowStartRule};
@@ -75,8 +76,8 @@
 }
 
 impl User {
-    /// Ends a slot. Arrivals of both slots are counted against the older lease, so that at most its unused remainder returns
-    /// to the bucket.
+    /// Ends a slot. Arrivals of both slots are counted against the older lease, so that at most its unused remainder
+    /// returns to the bucket.
     fn end_slot(&mut self) -> SlotSettlement {
         let arrived = self.arrived.current + self.arrived.previous;
         let unused = (self.granted.previous - arrived).max(0.0);
@@ -103,8 +104,8 @@
     /// Capacity of the warm host, in concurrent transfers at full rate.
     weight: f64,
     started: Micros,
-    /// Sending time of the largest usual request, in seconds. No smaller lease is granted per slot, because that request
-    /// would not fit into it.
+    /// Sending time of the largest usual request, in seconds. No smaller lease is granted per slot, because that
+    /// request would not fit into it.
     largest_request: f64,
     /// Connections in the order in which they get leases.
     users: VecDeque<User>,
@@ -115,8 +116,8 @@
 }
 
 impl WorkLedger {
-    /// Creates the ledger of a host that started at `started`. `largest_request` is the sending time of the largest usual
-    /// request, in seconds.
+    /// Creates the ledger of a host that started at `started`. `largest_request` is the sending time of the largest
+    /// usual request, in seconds.
     pub fn new(rule: SlowStartRule, weight: f64, started: Micros, largest_request: f64) -> Self {
         Self {
             rule,
@@ -145,8 +146,8 @@
         self.slot_start + self.slot_length()
     }
 
-    /// Adds the connection of a dispatcher and returns an empty lease for the time until the next slot. `requests_work` says
-    /// whether the dispatcher supports [`WorkLedger::request_work`].
+    /// Adds the connection of a dispatcher and returns an empty lease for the time until the next slot. `requests_work`
+    /// says whether the dispatcher supports [`WorkLedger::request_work`].
     pub fn join(&mut self, user: UserId, requests_work: bool) -> Grant {
         match self.users.iter_mut().find(|u| u.id == user) {
             Some(existing) => {
@@ -172,8 +173,8 @@
         even_share < ON_REQUEST_THRESHOLD * self.largest_request
     }
 
-    /// Grants either all of `work` or an empty lease. The lease lasts half a slot, so that its unused work returns to the
-    /// bucket no sooner than that of slot leases.
+    /// Grants either all of `work` or an empty lease. The lease lasts half a slot, so that its unused work returns to
+    /// the bucket no sooner than that of slot leases.
     pub fn request_work(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
         let on_request = self.grants_on_request(now);
         let has_budget = work > 0.0 && work <= self.bucket + WORK_TOLERANCE_S && !self.is_over(now);
@@ -214,7 +215,8 @@
         }
     }
 
-    /// Returns the budget of the least warm window in which work granted at `now` can arrive, in seconds of sending time.
+    /// Returns the budget of the least warm window in which work granted at `now` can arrive, in seconds of sending
+    /// time.
     fn budget(&self, now: Micros) -> f64 {
         let window_start = now
             .saturating_sub(self.rule.overload_window + 2 * self.slot_length())
@@ -233,8 +235,8 @@
             .min(MAX_REQUEST_SHARE * budget)
     }
 
-    /// Starts a slot and returns its leases. It must be called at [`WorkLedger::next_slot`]; missed slots are not made up
-    /// for.
+    /// Starts a slot and returns its leases. It must be called at [`WorkLedger::next_slot`]; missed slots are not made
+    /// up for.
     pub fn start_slot(&mut self, now: Micros) -> Vec<Grant> {
         if now < self.next_slot() || self.is_over(now) {
             return Vec::new();
@@ -261,9 +263,9 @@
         self.bucket = (self.bucket + rate * length as f64 + unused).min(burst) - excess;
     }
 
-    /// Divides the bucket among the connections. If it is too small for all, they take turns and each gets the work of a
-    /// complete request, because a partial request cannot be sent. The others get an empty lease: a dispatcher without a
-    /// lease would fall back on its own estimate.
+    /// Divides the bucket among the connections. If it is too small for all, they take turns and each gets the work of
+    /// a complete request, because a partial request cannot be sent. The others get an empty lease: a dispatcher
+    /// without a lease would fall back on its own estimate.
     fn grant_slot(&mut self, now: Micros) -> Vec<Grant> {
         let duration = self.slot_length();
         let on_request = self.grants_on_request(now);
--- a/crates/cache-host/src/lease/tests.rs
+++ b/crates/cache-host/src/lease/tests.rs
@@ -14,8 +14,8 @@
     RULE.overload_factor * share.min(1.0) * weight * RULE.overload_window as f64 / 1e6
 }
 
-/// Returns the largest share of a window's budget and the work of each user if every second lease is used at once and the
-/// others as late as possible: at the end of the lease, with one more slot in transit.
+/// Returns the largest share of a window's budget and the work of each user if every second lease is used at once and
+/// the others as late as possible: at the end of the lease, with one more slot in transit.
 fn worst_case(
     users: u64,
     largest_request: f64,
@@ -113,7 +113,7 @@
     }
     assert!(
         with_idle > 0.4 * alone,
-        "granted {with_idle:.1} s beside seven idle users; expected an eighth of the {alone:.1} s granted alone, and most of the rest"
+        "granted {with_idle:.1} s of {alone:.1} s: expected an eighth and most of the idle users' shares"
     );
 }
 
@@ -239,7 +239,7 @@
         let used: f64 = sent.iter().map(|s| s.1).sum();
         let available: f64 = (0..6).map(|n| budget(n * 2_000_000, 3.0)).sum();
         println!(
-            "at most {max_share:.2} of a window's budget; {used:.1} s used of {available:.1} s, {requested:.1} s requested"
+            "at most {max_share:.2} of a window's budget; used {used:.1} s of {available:.1} s, requested {requested:.1} s"
         );
         assert!(
             max_share <= 1.0 && used > 0.4 * available.min(0.8 * requested),
--- a/crates/cache-host/src/net/cached_response.rs
+++ b/crates/cache-host/src/net/cached_response.rs
@@ -47,8 +47,8 @@
             .map_err(|e| e.to_string())
     }
 
-    /// Takes the selected part of a block, from the current position on, and advances the position; `None` if the block is
-    /// too short.
+    /// Takes the selected part of a block, from the current position on, and advances the position; `None` if the block
+    /// is too short.
     fn take_selected(&mut self, number: usize, block: &Bytes) -> Option<Bytes> {
         let from = (self.position % self.block_bytes) as usize;
         let end_in_block =
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Sends a stored copy. The first block is read before the head is sent, so that a copy that cannot be read is answered
-    /// with a miss, after which the dispatcher may use another source.
+    /// Sends a stored copy. The first block is read before the head is sent, so that a copy that cannot be read is
+    /// answered with a miss, after which the dispatcher may use another source.
     pub(super) async fn serve_cached(
         &self,
         mut responder: Responder,
--- a/crates/cache-host/src/net/fill_response.rs
+++ b/crates/cache-host/src/net/fill_response.rs
@@ -11,8 +11,8 @@
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 
-/// `max_age_us` in the request of a revalidation. It makes the source revalidate its own copy, which may be as stale as this
-/// host's.
+/// `max_age_us` in the request of a revalidation. It makes the source revalidate its own copy, which may be as stale as
+/// this host's.
 const REVALIDATION_MAX_AGE_US: u64 = 1;
 
 fn unreported_error(may_have_run: bool, detail: &str) -> ErrorHead {
--- a/crates/cache-host/src/net/fill_sources.rs
+++ b/crates/cache-host/src/net/fill_sources.rs
@@ -113,7 +113,8 @@
         }
     }
 
-    /// Returns an open connection to a host. The lock is held while connecting, so that concurrent fills share one connection.
+    /// Returns an open connection to a host. The lock is held while connecting, so that concurrent fills share one
+    /// connection.
     async fn connection(&self, source: &str) -> Result<FramedConnection, SourceFailure> {
         let mut connections = self.connections.lock().await;
         if let Some(open) = connections.get(source).filter(|c| c.accepts_calls()) {
--- a/crates/cache-host/src/net/fill_task.rs
+++ b/crates/cache-host/src/net/fill_task.rs
@@ -58,7 +58,8 @@
         let shared = &active.shared;
         let timeout = Duration::from_micros(shared.settings.fill_timeout_us);
         let requested_at_ms = shared.clock.steady_ms();
-        // The store's fill begins before the request is sent, so that a purge in the meantime also applies to the response.
+        // The store's fill begins before the request is sent, so that a purge in the meantime also applies to the
+        // response.
         let store_fill = shared
             .store
             .as_ref()
@@ -77,8 +78,8 @@
             .map_err(|_| SourceFailure::Interrupted("not complete in time".into()))?
     }
 
-    /// Converts a failure to the error for the readers. The error says which part failed and whether the origin may have
-    /// executed the request.
+    /// Converts a failure to the error for the readers. The error says which part failed and whether the origin may
+    /// have executed the request.
     fn error(&self, failure: SourceFailure) -> ErrorHead {
         let failed_source = if self.source == HOST_ORIGIN {
             WireCacheStatus::OriginFailed
@@ -204,8 +205,8 @@
         }
     }
 
-    /// Updates the stored copy after the source has confirmed it. Returns false if it is no longer stored, if another version
-    /// is stored now or if the store fails.
+    /// Updates the stored copy after the source has confirmed it. Returns false if it is no longer stored, if another
+    /// version is stored now or if the store fails.
     async fn renew(&self, shared: &Arc<Shared>, meta: Meta) -> bool {
         let shared = shared.clone();
         let key = self.key;
--- a/crates/cache-host/src/net/host.rs
+++ b/crates/cache-host/src/net/host.rs
@@ -125,8 +125,8 @@
         self.shared.hello.started_ago_us.is_some()
     }
 
-    /// Shuts down gracefully: accepts no new requests, answers the accepted ones and closes the store, so that the next start
-    /// is fast. Returns whether every request was answered within the drain timeout.
+    /// Shuts down gracefully: accepts no new requests, answers the accepted ones and closes the store, so that the next
+    /// start is fast. Returns whether every request was answered within the drain timeout.
     pub async fn stop(mut self) -> bool {
         let _ = self.stop.send(true);
         let drain_timeout = Duration::from_micros(self.shared.settings.drain_timeout_us);
@@ -178,8 +178,8 @@
     Ok((listener, bound))
 }
 
-/// Whether the store already holds at least its warm share. This is evaluated before the first request, so that a warm host
-/// does not report a cold start.
+/// Whether the store already holds at least its warm share. This is evaluated before the first request, so that a warm
+/// host does not report a cold start.
 fn is_warm(store: Option<&Store>, settings: Option<&StoreSettings>) -> bool {
     let (Some(store), Some(settings)) = (store, settings) else {
         return true;
--- a/crates/cache-host/src/net/host_state.rs
+++ b/crates/cache-host/src/net/host_state.rs
@@ -16,7 +16,8 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Reading of the host's clock at its start. It is above zero because the warm-up may count from a time before the start.
+/// Reading of the host's clock at its start. It is above zero because the warm-up may count from a time before the
+/// start.
 pub(super) const CLOCK_ORIGIN_US: Micros = 1_000_000_000_000;
 /// Weight of one response in the moving average of the hit ratio.
 const HIT_RATIO_SMOOTHING: f64 = 0.02;
@@ -173,8 +174,8 @@
         }
     }
 
-    /// Counts a request as open and returns whether it is within the limit. [`Shared::close_request`] must be called at its
-    /// end, also for a request beyond the limit.
+    /// Counts a request as open and returns whether it is within the limit. [`Shared::close_request`] must be called at
+    /// its end, also for a request beyond the limit.
     pub fn open_request(&self) -> bool {
         let mut state = self.lock();
         state.open_requests += 1;
@@ -275,8 +276,8 @@
         now.saturating_sub(meta.born_ms) * 1_000
     }
 
-    /// Removes an object or a purge group from the store; the purge is durable when this returns `Ok`. Requests no longer
-    /// join running fills of the purged objects.
+    /// Removes an object or a purge group from the store; the purge is durable when this returns `Ok`. Requests no
+    /// longer join running fills of the purged objects.
     pub async fn purge(&self, head: &PurgeHead) -> Result<usize, String> {
         self.stop_coalescing(head);
         let scope = match &head.object {
--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -69,8 +69,8 @@
         self.idle.lock().unwrap_or_else(|p| p.into_inner())
     }
 
-    /// Sends a request and waits for the head of the response. `executes` says whether the origin executes the request, which
-    /// then must not be repeated. The wait for a permit has no timeout here; the fill's timeout covers it.
+    /// Sends a request and waits for the head of the response. `executes` says whether the origin executes the request,
+    /// which then must not be repeated. The wait for a permit has no timeout here; the fill's timeout covers it.
     pub async fn fetch(
         self: Arc<Self>,
         connector: &Connector,
@@ -127,8 +127,8 @@
 }
 
 impl Connection {
-    /// Sends a request and reads the head of the response. Returns `None` if a reused connection was closed before any part of
-    /// the response arrived.
+    /// Sends a request and reads the head of the response. Returns `None` if a reused connection was closed before any
+    /// part of the response arrived.
     async fn exchange(
         &mut self,
         text: &str,
@@ -156,7 +156,8 @@
     }
 }
 
-/// Returns the text of the request: a POST with the idempotency key for a request that executes, otherwise a GET or a HEAD.
+/// Returns the text of the request: a POST with the idempotency key for a request that executes, otherwise a GET or a
+/// HEAD.
 fn request_text(settings: &OriginSettings, request: &RequestHead, executes: bool) -> String {
     let method = if executes {
         "POST"
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -229,8 +229,8 @@
         let settings = &self.shared.settings;
         let class_lifetime = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
         let declared_lifetime = found.and_then(|found| declared_freshness_lifetime(&found.meta));
-        // A host in the cache role fills only from a source that the request names; parents and gateways have an origin of
-        // their own.
+        // A host in the cache role fills only from a source that the request names; parents and gateways have an origin
+        // of their own.
         let has_own_source = settings.role != Role::Cache && settings.origin.is_some();
         let mut request = CacheRequest::from_head(
             &self.head,
