--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -1,6 +1,7 @@
-//! The store temporary plain files and `redb` on the same work, in one run: fills, hits over a Zipf trace, a purge of a group, a restart.
+//! Compares the store with plain files and `redb` on the same work: fills, hits over a Zipf trace and purges of groups. For the store it
+//! also measures a restart.
 //!
-//! `cargo bench -p pointspindle-store`. Files are on the machine's temporary folder; what is read again comes from the page cache.
+//! Run with `cargo bench -p pointspindle-store`. The files are in the machine's temporary folder; repeated reads come from the page cache.
 use pointspindle_store::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -13,7 +14,7 @@
 const GETS: usize = 40_000;
 const GROUPS: u64 = 100;
 
-/// 4 KiB to 1 MiB, small ones more often.
+/// Returns the body size of an object: 4 KiB to 1 MiB, with small sizes more frequent.
 fn size(object: u64) -> usize {
     let mut rng = StdRng::seed_from_u64(object);
     (4_096.0 * 2_f64.powf(8.0 * rng.gen::<f64>().powi(2))) as usize
@@ -25,7 +26,7 @@
         .collect()
 }
 
-/// Ranks by Zipf with exponent 1.
+/// Returns a trace of requested objects, distributed by Zipf with exponent 1.
 fn trace() -> Vec<u64> {
     let sums: Vec<f64> = (1..=OBJECTS)
         .scan(0.0, |sum, n| {
@@ -34,21 +35,21 @@
         })
         .collect();
     let mut rng = StdRng::seed_from_u64(9);
-    let all = sums[sums.len() - 1];
+    let total = sums[sums.len() - 1];
     (0..GETS)
-        .map(|_| sums.partition_point(|s| *s < rng.gen::<f64>() * all) as u64)
+        .map(|_| sums.partition_point(|s| *s < rng.gen::<f64>() * total) as u64)
         .collect()
 }
 
-trait Peer {
+trait Candidate {
     fn put(&mut self, object: u64, body: &[u8]);
     fn get(&mut self, object: u64) -> usize;
     fn sync(&mut self);
-    /// Durable when it returns.
+    /// Removes all objects of a group; durable on return.
     fn purge(&mut self, group: u64);
 }
 
-struct Ours(Store);
+struct SegmentStore(Store);
 
 fn key(object: u64) -> Meta {
     Meta {
@@ -59,7 +60,7 @@
     }
 }
 
-fn ours(folder: &Path) -> Ours {
+fn open_store(folder: &Path) -> SegmentStore {
     let options = Options {
         capacity: 4 << 30,
         segment: 64 << 20,
@@ -68,10 +69,10 @@
     };
     let store = Store::open(Arc::new(Folder::lock(folder).unwrap()), options, 1).unwrap();
     store.recover_all(1).unwrap();
-    Ours(store)
+    SegmentStore(store)
 }
 
-impl Peer for Ours {
+impl Candidate for SegmentStore {
     fn put(&mut self, object: u64, body: &[u8]) {
         let mut fill = self.0.begin(key(object));
         fill.write(body).unwrap();
@@ -96,10 +97,10 @@
     }
 }
 
-/// A file for each object, in a folder for each group; a purge removes the files and syncs the folder.
+/// Stores each object as a file, in a folder for its group; a purge removes the files and syncs the folder.
 struct Files(std::path::PathBuf);
 
-impl Peer for Files {
+impl Candidate for Files {
     fn put(&mut self, object: u64, body: &[u8]) {
         let folder = self.0.join((object % GROUPS).to_string());
         std::fs::create_dir_all(&folder).unwrap();
@@ -145,10 +146,10 @@
 
 struct Redb(redb::Database);
 
-impl Peer for Redb {
+impl Candidate for Redb {
     fn put(&mut self, object: u64, body: &[u8]) {
         let mut write = self.0.begin_write().unwrap();
-        // Durable with the sync, like the other stores.
+        // Writes become durable with the sync, as in the other candidates.
         write.set_durability(redb::Durability::None).unwrap();
         write
             .open_table(TABLE)
@@ -182,46 +183,46 @@
     }
 }
 
-fn at(times: &mut [Duration], q: f64) -> f64 {
+fn percentile_us(times: &mut [Duration], quantile: f64) -> f64 {
     times.sort_unstable();
-    times[((times.len() - 1) as f64 * q) as usize].as_secs_f64() * 1e6
+    times[((times.len() - 1) as f64 * quantile) as usize].as_secs_f64() * 1e6
 }
 
-fn run(name: &str, peer: &mut dyn Peer, trace: &[u64]) {
-    let began = Instant::now();
+fn run(name: &str, candidate: &mut dyn Candidate, trace: &[u64]) {
+    let start = Instant::now();
     let mut bytes = 0;
     for object in 0..OBJECTS {
         let body = body(object);
         bytes += body.len();
-        peer.put(object, &body);
+        candidate.put(object, &body);
     }
-    peer.sync();
-    let filled = began.elapsed().as_secs_f64();
+    candidate.sync();
+    let fill_secs = start.elapsed().as_secs_f64();
     let mut times = Vec::new();
-    let began = Instant::now();
-    let mut read = 0;
+    let start = Instant::now();
+    let mut read_bytes = 0;
     for object in trace {
-        let one = Instant::now();
-        read += peer.get(*object);
-        times.push(one.elapsed());
+        let start = Instant::now();
+        read_bytes += candidate.get(*object);
+        times.push(start.elapsed());
     }
-    let got = began.elapsed().as_secs_f64();
+    let get_secs = start.elapsed().as_secs_f64();
     let mut purges: Vec<Duration> = (0..20)
         .map(|group| {
-            let one = Instant::now();
-            peer.purge(group);
-            one.elapsed()
+            let start = Instant::now();
+            candidate.purge(group);
+            start.elapsed()
         })
         .collect();
     println!(
         "{name:<8} fills {:>6.0}/s {:>5.0} MB/s, gets {:>7.0}/s {:>6.0} MB/s p50 {:>5.0} us p99 {:>6.0} us, purge of a group p50 {:>7.0} us",
-        OBJECTS as f64 / filled,
-        bytes as f64 / filled / 1e6,
-        GETS as f64 / got,
-        read as f64 / got / 1e6,
-        at(&mut times, 0.5),
-        at(&mut times, 0.99),
-        at(&mut purges, 0.5),
+        OBJECTS as f64 / fill_secs,
+        bytes as f64 / fill_secs / 1e6,
+        GETS as f64 / get_secs,
+        read_bytes as f64 / get_secs / 1e6,
+        percentile_us(&mut times, 0.5),
+        percentile_us(&mut times, 0.99),
+        percentile_us(&mut purges, 0.5),
     );
 }
 
@@ -230,26 +231,26 @@
     for round in 0..3 {
         println!("round {round}");
         let folder = tempfile::tempdir().unwrap();
-        let mut store = ours(folder.path());
+        let mut store = open_store(folder.path());
         run("store", &mut store, &trace);
         let copies = store.0.keys().len();
         let stats = store.0.stats();
-        let amplification = stats.written_bytes as f64 / stats.taken_bytes as f64;
-        // Restart after a crash, then after a clean close.
+        let amplification = stats.written_bytes as f64 / stats.accepted_bytes as f64;
+        // The store is reopened as after a crash, then after a clean close.
         drop(store);
-        let began = Instant::now();
-        let store = ours(folder.path());
-        let torn = began.elapsed();
+        let start = Instant::now();
+        let store = open_store(folder.path());
+        let after_crash = start.elapsed();
         assert_eq!(store.0.keys().len(), copies);
         store.0.close().unwrap();
         drop(store);
-        let began = Instant::now();
-        let store = ours(folder.path());
+        let start = Instant::now();
+        let store = open_store(folder.path());
         assert_eq!(store.0.keys().len(), copies);
         println!(
-            "         {copies} copies again after a crash in {:.1} ms, after a stop in {:.1} ms; written {amplification:.3} of taken",
-            torn.as_secs_f64() * 1e3,
-            began.elapsed().as_secs_f64() * 1e3
+            "         {copies} copies recovered after a crash in {:.1} ms, after a clean close in {:.1} ms; write amplification {amplification:.3}",
+            after_crash.as_secs_f64() * 1e3,
+            start.elapsed().as_secs_f64() * 1e3
         );
         let folder = tempfile::tempdir().unwrap();
         run("files", &mut Files(folder.path().into()), &trace);
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -1,4 +1,4 @@
-//! Consistency check of a store folder. It only reads, so it may run while another process writes.
+//! Consistency check of a store folder. It is read-only, so it may run while another process writes.
 use crate::disk::Disk;
 use crate::index::{Entry, Index, RecordLocation};
 use crate::record::{BlockLocation, Commit, Key, Meta, Record, RECORD_HEADER_BYTES};
@@ -6,50 +6,52 @@
 use crate::segments::{self, LocatedRecord};
 use std::io::Result;
 
-/// A live copy, as [`Report::copies`] lists it.
+/// A live copy, as listed in [`Report::copies`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Copy {
-    /// Its key in the index.
+    /// Key of the copy.
     pub key: Key,
-    /// Metadata from its commit record.
+    /// Metadata from the commit record.
     pub meta: Meta,
-    /// Number of blocks of its body.
+    /// Number of blocks of the body.
     pub blocks: usize,
 }
 
 /// Result of [`check`].
 #[derive(Debug, Default)]
 pub struct Report {
-    /// Segment files.
+    /// Number of segment files.
     pub segments: u64,
-    /// Bytes of the segment files.
+    /// Total bytes of the segment files.
     pub bytes: u64,
-    /// Commit records, superseded ones included.
+    /// Number of commit records, including superseded ones.
     pub commits: u64,
-    /// Purge records.
+    /// Number of purge records.
     pub purges: u64,
-    /// Blocks whose checksum was compared: those that live copies refer to.
+    /// Number of blocks whose checksum was verified; only blocks of live copies are.
     pub blocks: u64,
-    /// Live copies, by key.
+    /// Live copies, in the order of their keys.
     pub copies: Vec<Copy>,
-    /// Faults, each with its file and position.
+    /// Descriptions of the faults found, with file and position where they are known.
     pub wrong: Vec<String>,
 }
 
-/// Checks every segment, summary and commit record of the folder. With `blocks`, every byte of every live copy is read as well and
-/// its checksum compared.
+/// Checks every segment, summary and commit record of the folder. With `blocks`, also reads every block of every live copy and verifies
+/// its checksum.
 pub fn check(disk: &dyn Disk, blocks: bool) -> Result<Report> {
     let mut report = Report::default();
     let mut recovery = Recovery::new(disk)?;
     let newest = recovery.newest();
     let names = disk.list()?;
     check_file_names(&names, &mut report);
-    for number in names.iter().filter_map(|n| segments::number_of(n)) {
+    for number in names.iter().filter_map(|n| segments::segment_number(n)) {
         check_segment(disk, number, newest, &mut report)?;
     }
     let mut index = Index::default();
-    while recovery.peek(disk, &mut index)? {}
-    report.wrong.extend(recovery.doubts.iter().cloned());
+    while recovery.step_read_only(disk, &mut index)? {}
+    report
+        .wrong
+        .extend(recovery.invalidation_reasons.iter().cloned());
     for key in index.keys() {
         if let Some(entry) = index.get(&key) {
             check_copy(disk, key, entry, blocks, &mut report)?;
@@ -60,9 +62,11 @@
 
 fn check_file_names(names: &[String], report: &mut Report) {
     for name in names {
-        let is_segment = segments::number_of(name).is_some();
+        let is_segment = segments::segment_number(name).is_some();
         if !is_segment && !name.ends_with(".sum") {
-            report.wrong.push(format!("{name}: not a file of a store"));
+            report
+                .wrong
+                .push(format!("{name}: unexpected file in a store folder"));
         }
     }
 }
@@ -73,19 +77,21 @@
     let file = disk.open(&name)?;
     report.bytes += file.len()?;
     let Some(scan) = segments::scan(number, &*file)? else {
-        report.wrong.push(format!("{name}: no segment's head"));
+        report
+            .wrong
+            .push(format!("{name}: segment header is missing or invalid"));
         return Ok(());
     };
     if scan.broken {
-        let torn = if number == newest {
-            " (the end that a crash tears, if nobody is writing)"
+        let note = if number == newest {
+            " (in the newest segment this is the tail torn by a crash, or a write in progress)"
         } else {
             ""
         };
         let end = scan.end;
-        report.wrong.push(format!(
-            "{name}: no record in order from byte {end} on{torn}"
-        ));
+        report
+            .wrong
+            .push(format!("{name}: no intact record at byte {end}{note}"));
     }
     for located in &scan.located {
         match located.record {
@@ -97,7 +103,7 @@
     check_summary(disk, number, &scan.located, report)
 }
 
-/// A segment without a summary is in order: recovery scans it.
+/// Compares the summary of a segment with its records. A missing summary is no fault: recovery then scans the segment.
 fn check_summary(
     disk: &dyn Disk,
     number: u32,
@@ -110,12 +116,12 @@
     };
     match segments::read_summary(number, &read_all(&*summary)?) {
         Some((_, records)) if records == located => {}
-        Some(_) => report
-            .wrong
-            .push(format!("{name}: tells other records than the segment")),
-        None => report
-            .wrong
-            .push(format!("{name}: not a summary of the segment")),
+        Some(_) => report.wrong.push(format!(
+            "{name}: summary does not match the records of the segment"
+        )),
+        None => report.wrong.push(format!(
+            "{name}: summary is invalid: wrong header, checksum or record"
+        )),
     }
     Ok(())
 }
@@ -136,7 +142,7 @@
     let commit: Option<Commit> = prost::Message::decode(&record[RECORD_HEADER_BYTES..]).ok();
     let Some(meta) = commit.and_then(|commit| commit.meta) else {
         report.wrong.push(format!(
-            "{}: byte {offset} is not the commit it was",
+            "{}: commit record at byte {offset} cannot be decoded",
             segments::segment_name(segment)
         ));
         return Ok(());
@@ -156,13 +162,13 @@
     for (block, location) in locations.iter().enumerate() {
         report.blocks += 1;
         let payload_offset = location.offset + RECORD_HEADER_BYTES as u32;
-        let intact = read_at(disk, location.segment, payload_offset, location.len)
+        let is_intact = read_at(disk, location.segment, payload_offset, location.len)
             .is_ok_and(|bytes| crc32fast::hash(&bytes) == location.crc);
-        if !intact {
+        if !is_intact {
             let name = segments::segment_name(location.segment);
             let offset = location.offset;
             report.wrong.push(format!(
-                "{name}: block {block} of {object} at byte {offset} is not what was written"
+                "{name}: block {block} of {object} at byte {offset} cannot be read or does not match its checksum"
             ));
         }
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,23 +1,23 @@
-//! File system operations that the store needs, and their implementation on a local folder.
+//! File system operations that the store needs, and their implementation for a local folder.
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Result};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A folder of files. Every method may fail; the effect of a failed one is unknown.
+/// A folder of files. Every method may fail; the effect of a failed call is unknown.
 pub trait Disk: Send + Sync {
-    /// Names of all files.
+    /// Returns the names of all files.
     fn list(&self) -> Result<Vec<String>>;
-    /// A new file; an error if there is one of that name.
+    /// Creates a file; an error if a file of that name exists.
     fn create(&self, name: &str) -> Result<Arc<dyn DiskFile>>;
-    /// An existing file, for reading and, unless the folder was opened read-only, writing.
+    /// Opens an existing file for reading and, unless the folder was opened read-only, for writing.
     fn open(&self, name: &str) -> Result<Arc<dyn DiskFile>>;
-    /// Removes a file; an error if there is none.
+    /// Removes a file; an error if it does not exist.
     fn remove(&self, name: &str) -> Result<()>;
-    /// Renames a file, replacing one of the new name.
+    /// Renames a file, replacing a file that has the new name.
     fn rename(&self, from: &str, to: &str) -> Result<()>;
-    /// Makes created, removed and renamed names durable.
+    /// Makes created, removed and renamed file names durable.
     fn sync_names(&self) -> Result<()>;
 }
 
@@ -25,31 +25,31 @@
 pub trait DiskFile: Send + Sync {
     /// Writes all bytes, extending the file if needed.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()>;
-    /// Fills the buffer or fails.
+    /// Reads bytes until the buffer is full; an error if the file ends before.
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()>;
-    /// Length in bytes.
+    /// Returns the length in bytes.
     fn len(&self) -> Result<u64>;
     /// Makes the content durable (fsync).
     fn sync(&self) -> Result<()>;
-    /// Cuts the file to `len` bytes.
+    /// Truncates the file to `len` bytes.
     fn truncate(&self, len: u64) -> Result<()>;
 
-    /// Whether the length is 0.
+    /// Whether the file is empty.
     fn is_empty(&self) -> Result<bool> {
         Ok(self.len()? == 0)
     }
 }
 
-/// A folder of the local file system; the lock is released when this is dropped.
+/// A folder of the local file system. Its lock is released when this value is dropped.
 #[derive(Debug)]
 pub struct Folder {
     path: PathBuf,
-    /// None: opened read-only, without a lock.
+    /// Locked file; `None` if the folder was opened read-only.
     _lock: Option<File>,
 }
 
 impl Folder {
-    /// Opens the folder for writing and creates it if needed. An error if another process holds the lock.
+    /// Opens the folder for writing and creates it if needed. Fails if another process holds the lock.
     pub fn lock(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
@@ -60,7 +60,10 @@
         lock.try_lock().map_err(|e| {
             Error::new(
                 ErrorKind::WouldBlock,
-                format!("{}: another process has it ({e})", path.display()),
+                format!(
+                    "{}: folder is locked by another process ({e})",
+                    path.display()
+                ),
             )
         })?;
         Ok(Self {
@@ -69,7 +72,7 @@
         })
     }
 
-    /// Opens the folder read-only, also while another process holds the lock.
+    /// Opens the folder read-only, even while another process holds the lock.
     pub fn look(path: &Path) -> Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self {
@@ -94,7 +97,7 @@
             .read(true)
             .write(true)
             .open(self.path.join(name))?;
-        Ok(Arc::new(RealFile(file)))
+        Ok(Arc::new(LocalFile(file)))
     }
 
     fn open(&self, name: &str) -> Result<Arc<dyn DiskFile>> {
@@ -103,7 +106,7 @@
             .read(true)
             .write(write)
             .open(self.path.join(name))?;
-        Ok(Arc::new(RealFile(file)))
+        Ok(Arc::new(LocalFile(file)))
     }
 
     fn remove(&self, name: &str) -> Result<()> {
@@ -119,9 +122,9 @@
     }
 }
 
-struct RealFile(File);
+struct LocalFile(File);
 
-impl DiskFile for RealFile {
+impl DiskFile for LocalFile {
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()> {
         self.0.write_all_at(bytes, offset)
     }
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,8 +1,8 @@
-//! The in-memory index of stored copies, and their order of eviction. No I/O.
+//! In-memory index of the stored copies and their order of eviction. It does no I/O.
 //!
-//! It holds an entry for each copy, by key and ordered by rank and use, by group and by segment: some 300 bytes for a copy of one block,
-//! 16 more for each further one. The store's capacity bounds the number of copies; an entry is dropped when its copy is evicted, purged
-//! or lost.
+//! The index finds copies by key, by object, by purge group, by segment and in the order of eviction. An entry takes about 300 bytes for
+//! a copy of one block and 16 bytes for each further block. The store's capacity bounds the number of copies; an entry is removed when
+//! its copy is evicted, purged or lost.
 use crate::record::{BlockLocation, Key, Meta};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
@@ -11,60 +11,60 @@
 pub struct RecordLocation {
     /// Number of the segment.
     pub segment: u32,
-    /// Offset in the segment.
+    /// Offset in the segment, in bytes.
     pub offset: u32,
-    /// Length with the header.
+    /// Length including the header, in bytes.
     pub len: u32,
 }
 
-/// A stored copy.
+/// Index entry of a stored copy.
 #[derive(Clone, Debug)]
 pub struct Entry {
     /// Purge group.
     pub group: u64,
     /// Body length in bytes.
     pub size: u64,
-    /// When the origin served or confirmed it.
+    /// Time at which the origin served or confirmed the response, in milliseconds since 1970.
     pub born_ms: u64,
-    /// End of freshness; 0: unlimited.
+    /// Time up to which the copy is fresh, in milliseconds since 1970; 0 if unlimited.
     pub fresh_until_ms: u64,
     /// Eviction rank; lower ranks are evicted first.
     pub rank: u32,
-    /// Sequence number of its commit record.
+    /// Sequence number of the commit record.
     pub seq: u64,
-    /// Position of its commit record.
+    /// Position of the commit record.
     pub commit: RecordLocation,
-    /// Blocks of the body, in order.
+    /// Locations of the body's blocks, in the order of the body.
     pub locations: Box<[BlockLocation]>,
-    /// Tick of the last use; 0 if unused since recovery.
-    used: u64,
+    /// Tick of the last use; 0 if the copy has not been used since it was recovered.
+    last_used: u64,
 }
 
 /// Live contents of a segment.
 #[derive(Clone, Debug, Default)]
 pub struct SegmentUsage {
-    /// Bytes of records that the index refers to.
-    pub live: u64,
-    /// Copies with a record in the segment.
+    /// Bytes of the records that the index refers to.
+    pub live_bytes: u64,
+    /// Keys of the copies with a record in the segment.
     pub keys: HashSet<Key>,
 }
 
-/// Copies by key, in the order of eviction, by group and by segment. All of its maps describe the same set of entries.
+/// Index of the stored copies. All of its maps describe the same set of entries.
 #[derive(Debug, Default)]
 pub struct Index {
     entries: HashMap<Key, Entry>,
-    /// Order of eviction: rank, then last use.
-    order: BTreeSet<(u32, u64, Key)>,
+    /// Rank, last use and key of each copy; the first one is evicted next.
+    eviction_order: BTreeSet<(u32, u64, Key)>,
     groups: HashMap<u64, HashSet<Key>>,
-    /// All parts and variants of an object.
-    objects: BTreeSet<Key>,
+    /// Keys of all copies; the parts and variants of an object are adjacent.
+    sorted_keys: BTreeSet<Key>,
     segment_usage: BTreeMap<u32, SegmentUsage>,
-    ticks: u64,
-    live: u64,
+    use_ticks: u64,
+    live_bytes: u64,
 }
 
 impl Entry {
-    /// An entry for a commit record with the sequence number `seq`, not used yet.
+    /// Returns an unused entry for the commit record with the sequence number `seq`.
     pub fn new(
         meta: &Meta,
         seq: u64,
@@ -80,16 +80,16 @@
             seq,
             commit,
             locations: locations.into_boxed_slice(),
-            used: 0,
+            last_used: 0,
         }
     }
 
-    /// Bytes on disk by segment.
-    fn bytes(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
-        let blocks = self.locations.iter().map(|p| {
+    /// Returns the segment and the length of each record of the copy.
+    fn bytes_by_segment(&self) -> impl Iterator<Item = (u32, u64)> + '_ {
+        let blocks = self.locations.iter().map(|location| {
             (
-                p.segment,
-                u64::from(p.len) + crate::record::RECORD_HEADER_BYTES as u64,
+                location.segment,
+                u64::from(location.len) + crate::record::RECORD_HEADER_BYTES as u64,
             )
         });
         blocks.chain([(self.commit.segment, u64::from(self.commit.len))])
@@ -97,91 +97,96 @@
 }
 
 impl Index {
-    /// Number of copies.
+    /// Returns the number of copies.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no copies.
+    /// Whether the index has no copies.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Live bytes of all segments.
-    pub fn live(&self) -> u64 {
-        self.live
+    /// Returns the live bytes of all segments.
+    pub fn live_bytes(&self) -> u64 {
+        self.live_bytes
     }
 
-    /// Looks a copy up without counting it as a use.
+    /// Looks up a copy; the lookup does not count as a use.
     pub fn get(&self, key: &Key) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// Looks a copy up and counts this as a use.
+    /// Looks up a copy; the lookup counts as a use.
     pub fn touch(&mut self, key: &Key) -> Option<&Entry> {
-        self.ticks += 1;
+        self.use_ticks += 1;
         let entry = self.entries.get_mut(key)?;
-        self.order.remove(&(entry.rank, entry.used, *key));
-        entry.used = self.ticks;
-        self.order.insert((entry.rank, entry.used, *key));
+        self.eviction_order
+            .remove(&(entry.rank, entry.last_used, *key));
+        entry.last_used = self.use_ticks;
+        self.eviction_order
+            .insert((entry.rank, entry.last_used, *key));
         Some(entry)
     }
 
-    /// Replaces the copy of this key, whose last use is inherited. `old`: the copy was found by recovery and counts as unused.
-    pub fn insert(&mut self, key: Key, mut entry: Entry, old: bool) {
-        let before = self.remove(&key);
-        // Moving or renewing a copy is not a use.
-        entry.used = match before {
-            Some(before) => before.used,
-            None if old => 0,
+    /// Inserts a copy. If it replaces one of the same key, it inherits the last use. Otherwise it counts as used now, or as unused if it
+    /// was `recovered`.
+    pub fn insert(&mut self, key: Key, mut entry: Entry, recovered: bool) {
+        let replaced = self.remove(&key);
+        // A move or renewal of a copy does not count as a use.
+        entry.last_used = match replaced {
+            Some(replaced) => replaced.last_used,
+            None if recovered => 0,
             None => {
-                self.ticks += 1;
-                self.ticks
+                self.use_ticks += 1;
+                self.use_ticks
             }
         };
-        for (segment, bytes) in entry.bytes() {
+        for (segment, bytes) in entry.bytes_by_segment() {
             let usage = self.segment_usage.entry(segment).or_default();
-            usage.live += bytes;
+            usage.live_bytes += bytes;
             usage.keys.insert(key);
-            self.live += bytes;
+            self.live_bytes += bytes;
         }
-        self.order.insert((entry.rank, entry.used, key));
+        self.eviction_order
+            .insert((entry.rank, entry.last_used, key));
         self.groups.entry(entry.group).or_default().insert(key);
-        self.objects.insert(key);
+        self.sorted_keys.insert(key);
         self.entries.insert(key, entry);
     }
 
     /// Removes a copy.
     pub fn remove(&mut self, key: &Key) -> Option<Entry> {
         let entry = self.entries.remove(key)?;
-        self.order.remove(&(entry.rank, entry.used, *key));
-        self.objects.remove(key);
+        self.eviction_order
+            .remove(&(entry.rank, entry.last_used, *key));
+        self.sorted_keys.remove(key);
         if let Some(group) = self.groups.get_mut(&entry.group) {
             group.remove(key);
             if group.is_empty() {
                 self.groups.remove(&entry.group);
             }
         }
-        for (segment, bytes) in entry.bytes() {
+        for (segment, bytes) in entry.bytes_by_segment() {
             if let Some(usage) = self.segment_usage.get_mut(&segment) {
-                usage.live -= bytes;
+                usage.live_bytes -= bytes;
                 usage.keys.remove(key);
             }
-            self.live -= bytes;
+            self.live_bytes -= bytes;
         }
         Some(entry)
     }
 
-    /// The next copy to evict; with `rank`, only if its own is not higher.
-    pub fn eviction_candidate(&self, rank: Option<u32>) -> Option<Key> {
-        self.order
+    /// Returns the key of the next copy to evict; `None` if its rank is higher than `max_rank`.
+    pub fn eviction_candidate(&self, max_rank: Option<u32>) -> Option<Key> {
+        self.eviction_order
             .first()
-            .filter(|(r, ..)| rank.is_none_or(|rank| *r <= rank))
+            .filter(|(rank, ..)| max_rank.is_none_or(|max_rank| *rank <= max_rank))
             .map(|(.., key)| *key)
     }
 
-    /// All parts and variants of an object.
-    pub fn of_object(&self, object: u128) -> Vec<Key> {
+    /// Returns the keys of all parts and variants of an object.
+    pub fn keys_of_object(&self, object: u128) -> Vec<Key> {
         let from = Key {
             object,
             part: 0,
@@ -192,22 +197,22 @@
             part: u64::MAX,
             variant: u64::MAX,
         };
-        self.objects.range(from..=to).copied().collect()
+        self.sorted_keys.range(from..=to).copied().collect()
     }
 
-    /// All copies of a purge group.
-    pub fn of_group(&self, group: u64) -> Vec<Key> {
+    /// Returns the keys of all copies in a purge group.
+    pub fn keys_of_group(&self, group: u64) -> Vec<Key> {
         self.groups
             .get(&group)
-            .map_or(Vec::new(), |g| g.iter().copied().collect())
+            .map_or(Vec::new(), |keys| keys.iter().copied().collect())
     }
 
-    /// All keys, ascending.
+    /// Returns all keys in ascending order.
     pub fn keys(&self) -> Vec<Key> {
-        self.objects.iter().copied().collect()
+        self.sorted_keys.iter().copied().collect()
     }
 
-    /// Live contents of a segment.
+    /// Returns the live contents of a segment.
     pub fn usage(&self, segment: u32) -> SegmentUsage {
         self.segment_usage
             .get(&segment)
@@ -215,12 +220,14 @@
             .unwrap_or_default()
     }
 
-    /// Live bytes of a segment.
-    pub fn live_in(&self, segment: u32) -> u64 {
-        self.segment_usage.get(&segment).map_or(0, |s| s.live)
+    /// Returns the live bytes of a segment.
+    pub fn live_bytes_in(&self, segment: u32) -> u64 {
+        self.segment_usage
+            .get(&segment)
+            .map_or(0, |usage| usage.live_bytes)
     }
 
-    /// Any copy with a record in the segment.
+    /// Returns the key of any copy with a record in the segment.
     pub fn any_key_in(&self, segment: u32) -> Option<Key> {
         self.segment_usage
             .get(&segment)?
@@ -230,8 +237,8 @@
             .copied()
     }
 
-    /// Drops the accounting of a segment that was removed.
-    pub fn forget_segment(&mut self, segment: u32) {
+    /// Removes the usage entry of a segment that was removed.
+    pub fn remove_segment(&mut self, segment: u32) {
         self.segment_usage.remove(&segment);
     }
 }
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -1,36 +1,36 @@
 //! Codec of the log records. All numbers are little endian.
 //!
-//! | bytes | record's head |
+//! | bytes | record header |
 //! | --- | --- |
 //! | 0–3 | `PSR1` |
 //! | 4 | kind: 1 block, 2 commit, 3 purge, 4 tombstone, 5 manifest |
 //! | 5–7 | 0 |
-//! | 8–11 | length of the payload |
+//! | 8–11 | length of the payload in bytes |
 //! | 12–19 | sequence number: unique and ascending over the whole store |
 //! | 20–23 | CRC-32 of the payload |
-//! | 24–27 | CRC-32 of bytes 0 to 23 and the segment's number |
+//! | 24–27 | CRC-32 of bytes 0 to 23 followed by the segment number |
 //!
-//! A block's payload is bytes of a body. The others are protocol buffers.
+//! The payload of a block is a part of a body. The payloads of the other kinds are protocol buffers.
 use prost::Message;
 
-/// Length of the header of a record.
+/// Length of a record header, in bytes.
 pub const RECORD_HEADER_BYTES: usize = 28;
 const MAGIC: [u8; 4] = *b"PSR1";
-/// Limit of a record's payload.
+/// Limit of the payload of a record, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 4 * 1024 * 1024;
 
 /// Kinds of records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Bytes of a body.
+    /// Part of a body.
     Block,
-    /// See [`Commit`].
+    /// Commit record, see [`Commit`].
     Commit,
-    /// See [`Purge`].
+    /// Purge record, see [`Purge`].
     Purge,
-    /// See [`Tombstone`].
+    /// Tombstone record, see [`Tombstone`].
     Tombstone,
-    /// See [`Manifest`].
+    /// Manifest record, see [`Manifest`].
     Manifest,
 }
 
@@ -43,18 +43,18 @@
         (5, Self::Manifest),
     ];
 
-    fn of(byte: u8) -> Option<Self> {
+    fn from_byte(byte: u8) -> Option<Self> {
         Self::ALL
             .iter()
-            .find(|(b, _)| *b == byte)
+            .find(|(code, _)| *code == byte)
             .map(|(_, kind)| *kind)
     }
 
-    fn byte(self) -> u8 {
+    fn to_byte(self) -> u8 {
         Self::ALL
             .iter()
             .find(|(_, kind)| *kind == self)
-            .map_or(0, |(b, _)| *b)
+            .map_or(0, |(code, _)| *code)
     }
 }
 
@@ -71,27 +71,27 @@
     pub crc: u32,
 }
 
-/// Identifies a copy: 128 bits of the object's and the variant's hash (clients choose names, so a weak hash could be made to
-/// collide), and the part.
+/// Key of a copy: hashes of the object's and the variant's name, and the part. The hashes are cryptographic because clients choose the
+/// names and could make a weak hash collide.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Key {
-    /// Hash of the object's name.
+    /// Hash of the object's name, 128 bits.
     pub object: u128,
     /// Number of the part.
     pub part: u64,
-    /// Hash of the variant; 0: none.
+    /// Hash of the variant's name, 64 bits; 0 without a variant.
     pub variant: u64,
 }
 
-/// The 128-bit hash that stands for an object's name in keys and purges.
+/// Returns the 128-bit hash that identifies an object's name in keys and purges.
 pub fn object_number(object: &str) -> u128 {
     let hash = blake3::hash(object.as_bytes());
-    let mut first = [0; 16];
-    first.copy_from_slice(&hash.as_bytes()[..16]);
-    u128::from_le_bytes(first)
+    let mut prefix = [0; 16];
+    prefix.copy_from_slice(&hash.as_bytes()[..16]);
+    u128::from_le_bytes(prefix)
 }
 
-/// Metadata of a copy. Times are milliseconds since 1970 by the store's own clock, which never goes back.
+/// Metadata of a copy. Times are in milliseconds since 1970 by the store's clock, which never goes back.
 #[derive(Clone, PartialEq, Message)]
 pub struct Meta {
     /// Name of the object.
@@ -103,25 +103,25 @@
     /// Purge group.
     #[prost(uint64, tag = "3")]
     pub group: u64,
-    /// Variant; empty: none.
+    /// Name of the variant; empty without a variant.
     #[prost(string, tag = "4")]
     pub variant: String,
-    /// Body length in bytes; 0 while it is not known.
+    /// Body length in bytes; 0 while it is unknown.
     #[prost(uint64, tag = "5")]
     pub size: u64,
-    /// Validator of the origin, as an ETag.
+    /// Validator from the origin, such as an ETag.
     #[prost(string, tag = "6")]
     pub validator: String,
     /// Content type.
     #[prost(string, tag = "7")]
     pub content_type: String,
-    /// When the origin served or confirmed it.
+    /// Time at which the origin served or confirmed the response.
     #[prost(uint64, tag = "8")]
     pub born_ms: u64,
-    /// When it was committed.
+    /// Time of the commit.
     #[prost(uint64, tag = "9")]
     pub stored_ms: u64,
-    /// End of freshness; 0: unlimited.
+    /// Time up to which the copy is fresh; 0 if unlimited.
     #[prost(uint64, tag = "10")]
     pub fresh_until_ms: u64,
     /// Eviction rank; lower ranks are evicted first.
@@ -130,7 +130,7 @@
 }
 
 impl Meta {
-    /// Key of the copy in the index.
+    /// Returns the key of the copy in the index.
     pub fn key(&self) -> Key {
         let variant = match self.variant.as_str() {
             "" => 0,
@@ -150,7 +150,7 @@
     /// Number of the segment.
     #[prost(uint32, tag = "1")]
     pub segment: u32,
-    /// Offset of the record in the segment.
+    /// Offset of the record in the segment, in bytes.
     #[prost(uint32, tag = "2")]
     pub offset: u32,
     /// Length of the payload.
@@ -161,7 +161,7 @@
     pub crc: u32,
 }
 
-/// Commit record: a copy is stored once this record is, with its blocks written before.
+/// Commit record: completes a copy. It is written after the copy's blocks.
 #[derive(Clone, PartialEq, Message)]
 pub struct Commit {
     /// Metadata; always set.
@@ -172,42 +172,42 @@
     pub locations: Vec<BlockLocation>,
 }
 
-/// Purge record: invalidates commits with sequence numbers up to `up_to_seq`, of one object, of a group, or all.
+/// Purge record: invalidates the commits with sequence numbers up to `up_to_seq` of one object, of a purge group, or of all objects.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Purge {
     /// Highest sequence number that is invalidated.
     #[prost(uint64, tag = "1")]
     pub up_to_seq: u64,
-    /// Low half of the object's hash; with `of_object`.
+    /// Low half of the object's hash; set with `of_object`.
     #[prost(fixed64, tag = "2")]
     pub object_low: u64,
     /// High half of the object's hash.
     #[prost(fixed64, tag = "3")]
     pub object_high: u64,
-    /// The purge covers one object.
+    /// Whether the purge covers one object.
     #[prost(bool, tag = "4")]
     pub of_object: bool,
-    /// Purge group; with `of_group`.
+    /// Purge group; set with `of_group`.
     #[prost(uint64, tag = "5")]
     pub group: u64,
-    /// The purge covers a group.
+    /// Whether the purge covers a purge group.
     #[prost(bool, tag = "6")]
     pub of_group: bool,
 }
 
-/// An object's hash from its halves.
-fn joined(low: u64, high: u64) -> u128 {
+/// Returns an object's hash from its two halves.
+fn join_halves(low: u64, high: u64) -> u128 {
     u128::from(high) << 64 | u128::from(low)
 }
 
 impl Purge {
-    /// Hash of the object's name.
+    /// Returns the hash of the object's name.
     pub fn object(&self) -> u128 {
-        joined(self.object_low, self.object_high)
+        join_halves(self.object_low, self.object_high)
     }
 }
 
-/// Tombstone record: one copy was evicted or lost; invalidates its commits with sequence numbers up to `up_to_seq`.
+/// Tombstone record: a copy was evicted or lost. It invalidates the copy's commits with sequence numbers up to `up_to_seq`.
 #[derive(Clone, Copy, PartialEq, Eq, Message)]
 pub struct Tombstone {
     /// Highest sequence number that is invalidated.
@@ -228,7 +228,7 @@
 }
 
 impl Tombstone {
-    /// A tombstone of the copy `key`.
+    /// Returns a tombstone for the copy `key`.
     pub fn new(key: Key, up_to_seq: u64) -> Self {
         Self {
             up_to_seq,
@@ -239,9 +239,9 @@
         }
     }
 
-    /// Key of the copy.
+    /// Returns the key of the copy.
     pub fn key(&self) -> Key {
-        let object = joined(self.object_low, self.object_high);
+        let object = join_halves(self.object_low, self.object_high);
         Key {
             object,
             part: self.part,
@@ -250,7 +250,7 @@
     }
 }
 
-/// Manifest record: the older segments that exist. If one is missing at recovery, it may have held purges.
+/// Manifest record: lists the older segments that exist. A listed segment that is missing at recovery may have held purges.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Manifest {
     /// Numbers of the segments.
@@ -258,21 +258,21 @@
     pub segments: Vec<u32>,
 }
 
-/// A decoded record of any kind but a block.
+/// A decoded record of any kind except a block.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Record {
-    /// A copy was committed.
+    /// Commit of a copy.
     Commit(Commit),
-    /// Copies were purged.
+    /// Purge of copies.
     Purge(Purge),
-    /// A copy was evicted or lost.
+    /// Eviction or loss of a copy.
     Tombstone(Tombstone),
-    /// Older segments that exist.
+    /// List of the older segments.
     Manifest(Manifest),
 }
 
 impl Record {
-    /// Kind for the record's header.
+    /// Returns the kind for the record header.
     pub fn kind(&self) -> Kind {
         match self {
             Self::Commit(_) => Kind::Commit,
@@ -285,20 +285,20 @@
     /// Encodes the payload.
     pub fn payload(&self) -> Vec<u8> {
         match self {
-            Self::Commit(c) => c.encode_to_vec(),
-            Self::Purge(p) => p.encode_to_vec(),
-            Self::Tombstone(g) => g.encode_to_vec(),
-            Self::Manifest(r) => r.encode_to_vec(),
+            Self::Commit(commit) => commit.encode_to_vec(),
+            Self::Purge(purge) => purge.encode_to_vec(),
+            Self::Tombstone(tombstone) => tombstone.encode_to_vec(),
+            Self::Manifest(manifest) => manifest.encode_to_vec(),
         }
     }
 
-    /// Decodes a payload. None: it is malformed or a block.
-    pub fn read(kind: Kind, payload: &[u8]) -> Option<Self> {
+    /// Decodes a payload. Returns `None` if it is malformed or the payload of a block.
+    pub fn decode(kind: Kind, payload: &[u8]) -> Option<Self> {
         match kind {
             Kind::Block => None,
             Kind::Commit => Commit::decode(payload)
                 .ok()
-                .filter(|c| c.meta.is_some())
+                .filter(|commit| commit.meta.is_some())
                 .map(Self::Commit),
             Kind::Purge => Purge::decode(payload).ok().map(Self::Purge),
             Kind::Tombstone => Tombstone::decode(payload).ok().map(Self::Tombstone),
@@ -307,41 +307,47 @@
     }
 }
 
-/// Encodes a record, header and payload.
+/// Encodes a record with its header.
 pub fn encode(segment: u32, kind: Kind, seq: u64, payload: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + payload.len());
-    out.extend_from_slice(&MAGIC);
-    out.extend_from_slice(&[kind.byte(), 0, 0, 0]);
-    out.extend_from_slice(&(payload.len() as u32).to_le_bytes());
-    out.extend_from_slice(&seq.to_le_bytes());
-    out.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
-    let crc = head_crc(&out, segment);
-    out.extend_from_slice(&crc.to_le_bytes());
-    out.extend_from_slice(payload);
-    out
+    let mut bytes = Vec::with_capacity(RECORD_HEADER_BYTES + payload.len());
+    bytes.extend_from_slice(&MAGIC);
+    bytes.extend_from_slice(&[kind.to_byte(), 0, 0, 0]);
+    bytes.extend_from_slice(&(payload.len() as u32).to_le_bytes());
+    bytes.extend_from_slice(&seq.to_le_bytes());
+    bytes.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
+    let crc = header_crc(&bytes, segment);
+    bytes.extend_from_slice(&crc.to_le_bytes());
+    bytes.extend_from_slice(payload);
+    bytes
 }
 
-fn head_crc(head: &[u8], segment: u32) -> u32 {
+fn header_crc(header: &[u8], segment: u32) -> u32 {
     let mut crc = crc32fast::Hasher::new();
-    crc.update(&head[..24]);
+    crc.update(&header[..24]);
     crc.update(&segment.to_le_bytes());
     crc.finalize()
 }
 
-/// Decodes a header at the start of `bytes`. None: it is not an intact header of that segment.
+/// Decodes the header at the start of `bytes`. Returns `None` if it is not an intact header of a record in that segment.
 pub fn decode_header(segment: u32, bytes: &[u8]) -> Option<RecordHeader> {
     let bytes: &[u8; RECORD_HEADER_BYTES] = bytes.get(..RECORD_HEADER_BYTES)?.try_into().ok()?;
-    let record =
-        |at: usize| u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]]);
-    if bytes[..4] != MAGIC || record(24) != head_crc(bytes, segment) {
+    let u32_at = |offset: usize| {
+        u32::from_le_bytes([
+            bytes[offset],
+            bytes[offset + 1],
+            bytes[offset + 2],
+            bytes[offset + 3],
+        ])
+    };
+    if bytes[..4] != MAGIC || u32_at(24) != header_crc(bytes, segment) {
         return None;
     }
-    let seq = u64::from(record(12)) | u64::from(record(16)) << 32;
-    let head = RecordHeader {
-        kind: Kind::of(bytes[4])?,
-        len: record(8),
+    let seq = u64::from(u32_at(12)) | u64::from(u32_at(16)) << 32;
+    let header = RecordHeader {
+        kind: Kind::from_byte(bytes[4])?,
+        len: u32_at(8),
         seq,
-        crc: record(20),
+        crc: u32_at(20),
     };
-    (head.len as usize <= MAX_PAYLOAD_BYTES).then_some(head)
+    (header.len as usize <= MAX_PAYLOAD_BYTES).then_some(header)
 }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,5 +1,5 @@
-//! Recovery: from records to the index, newest segment first. A recovered copy can be served while older segments are still to be
-//! read, because every record that could invalidate it has been read before it.
+//! Recovery: rebuilds the index from the records, newest segment first. A recovered copy can be served before the older segments have
+//! been read, because every record that could invalidate it is newer and has been read already.
 use crate::disk::{Disk, DiskFile};
 use crate::index::{Entry, Index, RecordLocation};
 use crate::record::{Commit, Key, Purge, Record, Tombstone};
@@ -8,10 +8,10 @@
 use std::io::Result;
 use std::sync::Arc;
 
-/// Purges and tombstones read so far, as the highest sequence number that each invalidates. Dropped when recovery is complete.
+/// Purges and tombstones read so far, as the highest sequence number that each invalidates. They are dropped when recovery is complete.
 #[derive(Debug, Default)]
 pub struct Invalidations {
-    /// Highest sequence number that a purge of everything invalidates.
+    /// Highest sequence number that a purge of all objects invalidates.
     pub all: u64,
     objects: HashMap<u128, u64>,
     groups: HashMap<u64, u64>,
@@ -35,13 +35,13 @@
         *up_to_seq = tombstone.up_to_seq.max(*up_to_seq);
     }
 
-    /// Whether a commit of the copy with the sequence number `seq` is invalidated.
+    /// Whether the commit of a copy with the sequence number `seq` is invalidated.
     pub fn covers(&self, key: &Key, group: u64, seq: u64) -> bool {
-        let of = |found: Option<&u64>| found.is_some_and(|up_to_seq| seq <= *up_to_seq);
+        let covered_by = |found: Option<&u64>| found.is_some_and(|up_to_seq| seq <= *up_to_seq);
         seq <= self.all
-            || of(self.objects.get(&key.object))
-            || of(self.groups.get(&group))
-            || of(self.keys.get(key))
+            || covered_by(self.objects.get(&key.object))
+            || covered_by(self.groups.get(&group))
+            || covered_by(self.keys.get(key))
     }
 }
 
@@ -49,23 +49,23 @@
 pub struct RecoveredSegment {
     /// Number of the segment.
     pub number: u32,
-    /// Its file, open.
+    /// Open file of the segment.
     pub file: Arc<dyn DiskFile>,
-    /// End of its last intact record.
+    /// Offset at which the last intact record ends.
     pub len: u32,
-    /// Its purges and tombstones with their offsets, ascending.
+    /// Purges and tombstones with their offsets, in ascending order.
     pub invalidation_records: Vec<(u32, Record)>,
-    /// Records for its summary, if that is still to be written.
+    /// Encoded records for the summary; `None` if the summary is on disk.
     pub unsummarized_records: Option<Vec<u8>>,
-    /// Its highest sequence number.
+    /// Highest sequence number in the segment.
     pub last_seq: u64,
 }
 
-/// Records of a segment as read from its summary or by a scan.
+/// Records of a segment, read from its summary or by a scan.
 struct SegmentContents {
     len: u32,
     located: Vec<LocatedRecord>,
-    /// Summary payload that is still to be written; none if the summary is on disk or there is nothing to summarize.
+    /// Encoded records for the summary; `None` if the summary is on disk or the segment has no valid header.
     unsummarized_records: Option<Vec<u8>>,
 }
 
@@ -73,62 +73,63 @@
 pub enum Step {
     /// A segment was read.
     Recovered(RecoveredSegment),
-    /// The newest segment was created but not written; it was removed.
+    /// The newest segment has no valid header: a crash came before its first write was durable.
+    /// [`Recovery::step`] removes its file.
     Empty(u32),
 }
 
 /// Progress of recovery over the segments of a folder.
 pub struct Recovery {
-    /// Segments still to be read, the next one last.
+    /// Segments that have not been read yet; the last one is read next.
     pending: Vec<u32>,
     newest: u32,
-    lens: BTreeMap<u32, u64>,
-    /// Keys of which a newer commit was read, invalidated or not.
+    segment_lens: BTreeMap<u32, u64>,
+    /// Keys for which a newer commit record was read, whether it was invalidated or not.
     newer_keys: HashSet<Key>,
-    /// Applies to every commit that is still to be read.
+    /// Invalidations that apply to every commit not read yet.
     pub invalidations: Invalidations,
-    /// Segments that the newest manifest names and that have not been read yet.
-    needed: Option<BTreeSet<u32>>,
-    /// Why older copies had to be counted as purged, for operators.
-    pub doubts: Vec<String>,
-    /// Commits up to this sequence number count as purged because of damage. Owed as a durable purge record: the damaged segment may
-    /// be cleaned away before the next start.
+    /// Segments that the newest manifest lists and that have not been read yet.
+    expected_segments: Option<BTreeSet<u32>>,
+    /// Reasons for which older copies are treated as purged, for operators.
+    pub invalidation_reasons: Vec<String>,
+    /// Highest sequence number of the commits that are treated as purged because of damage. A durable purge record has to be written for
+    /// them, since the damaged segment may be cleaned before the next start.
     unrecoverable_up_to: Option<u64>,
     /// Lowest sequence number read so far.
-    lowest: Option<u64>,
-    /// Latest commit time read so far.
+    lowest_seq: Option<u64>,
+    /// Latest commit time read so far, in milliseconds since 1970.
     pub newest_ms: u64,
 }
 
 impl Recovery {
-    /// Lists the segments of a folder; reads none yet.
+    /// Lists the segments of a folder without reading them.
     pub fn new(disk: &dyn Disk) -> Result<Self> {
         let mut pending: Vec<u32> = disk
             .list()?
             .iter()
-            .filter_map(|n| segments::number_of(n))
+            .filter_map(|n| segments::segment_number(n))
             .collect();
         pending.sort_unstable();
         let newest = pending.last().copied().unwrap_or(0);
-        let mut lens = BTreeMap::new();
+        let mut segment_lens = BTreeMap::new();
         for number in &pending {
-            lens.insert(*number, disk.open(&segments::segment_name(*number))?.len()?);
+            segment_lens.insert(*number, disk.open(&segments::segment_name(*number))?.len()?);
         }
         Ok(Self {
             pending,
             newest,
-            lens,
+            segment_lens,
             newer_keys: HashSet::new(),
             invalidations: Invalidations::default(),
-            needed: None,
-            doubts: Vec::new(),
+            expected_segments: None,
+            invalidation_reasons: Vec::new(),
             unrecoverable_up_to: None,
-            lowest: None,
+            lowest_seq: None,
             newest_ms: 0,
         })
     }
 
-    /// Number of the newest segment; 0: none.
+    /// Returns the number of the newest segment; 0 if there is none.
     pub fn newest(&self) -> u32 {
         self.newest
     }
@@ -138,59 +139,69 @@
         self.pending.is_empty()
     }
 
-    /// Bytes of the segments still to be read.
+    /// Returns the total bytes of the segments that have not been read yet.
     pub fn pending_bytes(&self) -> u64 {
-        self.pending.iter().filter_map(|n| self.lens.get(n)).sum()
+        self.pending
+            .iter()
+            .filter_map(|n| self.segment_lens.get(n))
+            .sum()
     }
 
-    /// Counts all commits older than those read so far as purged. `last`: highest sequence number of the damaged segment.
-    fn invalidate_older(&mut self, why: String, last: u64) {
-        tracing::warn!(why, "store: older copies are treated as purged");
-        self.doubts.push(why);
+    /// Treats all commits older than those read so far as purged. `last_seq` is the highest sequence number of the damaged segment.
+    fn invalidate_older(&mut self, reason: String, last_seq: u64) {
+        tracing::warn!(reason, "store: older copies are treated as purged");
+        self.invalidation_reasons.push(reason);
         self.invalidations.all = u64::MAX;
-        let up_to_seq = self.lowest.map_or(last, |lowest| lowest.saturating_sub(1));
+        let up_to_seq = self
+            .lowest_seq
+            .map_or(last_seq, |lowest| lowest.saturating_sub(1));
         self.unrecoverable_up_to = Some(up_to_seq.max(self.unrecoverable_up_to.unwrap_or(0)));
     }
 
-    /// The sequence number up to which a purge record has to be written before anything else.
+    /// Returns, once, the sequence number up to which a purge record has to be written before any other record.
     pub fn take_unrecoverable_up_to(&mut self) -> Option<u64> {
         self.unrecoverable_up_to.take()
     }
 
-    /// Numbers of the segments still to be read.
+    /// Returns the numbers of the segments that have not been read yet.
     pub fn pending(&self) -> Vec<u32> {
         self.pending.clone()
     }
 
-    /// Reads the next segment into the index without changing the disk; false: there is none.
-    pub fn peek(&mut self, disk: &dyn Disk, index: &mut Index) -> Result<bool> {
+    /// Reads the next segment into the index without changing the disk. Returns false if all have been read.
+    pub fn step_read_only(&mut self, disk: &dyn Disk, index: &mut Index) -> Result<bool> {
         Ok(self.read(disk, index, false)?.is_some())
     }
 
-    /// Reads the next segment into the index; none: all have been read.
+    /// Reads the next segment into the index. Returns `None` if all have been read.
     pub fn step(&mut self, disk: &dyn Disk, index: &mut Index) -> Result<Option<Step>> {
         self.read(disk, index, true)
     }
 
-    fn read(&mut self, disk: &dyn Disk, index: &mut Index, change: bool) -> Result<Option<Step>> {
+    fn read(
+        &mut self,
+        disk: &dyn Disk,
+        index: &mut Index,
+        modify_disk: bool,
+    ) -> Result<Option<Step>> {
         let Some(number) = self.pending.pop() else {
             return Ok(None);
         };
         self.check_missing_segments(number);
         let file = disk.open(&segments::segment_name(number))?;
         let Some(contents) = self.read_contents(disk, number, &*file)? else {
-            if change {
+            if modify_disk {
                 disk.remove(&segments::segment_name(number))?;
             }
             return Ok(Some(Step::Empty(number)));
         };
         let seqs = contents.located.iter().map(|record| record.seq);
         let last_seq = seqs.clone().max().unwrap_or(0);
-        let lowest = seqs.min();
-        self.lowest = [self.lowest, lowest].into_iter().flatten().min();
-        let invalidation_records = self.take(number, contents.located, index);
-        if let Some(needed) = &mut self.needed {
-            needed.remove(&number);
+        let lowest_seq = seqs.min();
+        self.lowest_seq = [self.lowest_seq, lowest_seq].into_iter().flatten().min();
+        let invalidation_records = self.apply_records(number, contents.located, index);
+        if let Some(expected_segments) = &mut self.expected_segments {
+            expected_segments.remove(&number);
         }
         Ok(Some(Step::Recovered(RecoveredSegment {
             number,
@@ -202,22 +213,23 @@
         })))
     }
 
-    /// Compares the next segment to be read with the newest manifest: a number skipped in between is a lost segment.
+    /// Checks whether a segment that the newest manifest lists is missing between the last segment read and the next one.
     fn check_missing_segments(&mut self, number: u32) {
         let missing = self
-            .needed
+            .expected_segments
             .as_ref()
             .and_then(|n| n.range(number + 1..).next_back().copied());
         if let Some(missing) = missing {
-            self.needed = None;
+            self.expected_segments = None;
             self.invalidate_older(
-                format!("segment {missing} is missing, and purges may have stood in it"),
+                format!("segment {missing} is missing and may have held purge records"),
                 0,
             );
         }
     }
 
-    /// Records of a segment, from its summary or else by a scan. None: the newest segment was created and never written.
+    /// Reads the records of a segment from its summary or, without a valid one, by a scan. Returns `None` for the newest segment if it
+    /// has no valid header.
     fn read_contents(
         &mut self,
         disk: &dyn Disk,
@@ -240,7 +252,7 @@
             if number == self.newest {
                 return Ok(None);
             }
-            self.invalidate_older(format!("segment {number} has no head"), 0);
+            self.invalidate_older(format!("segment {number} has no valid header"), 0);
             return Ok(Some(SegmentContents {
                 len: segments::SEGMENT_HEADER_BYTES as u32,
                 located: Vec::new(),
@@ -250,7 +262,7 @@
         if scan.broken && number != self.newest {
             let end = scan.end;
             self.invalidate_older(
-                format!("segment {number} cannot be read from byte {end} on"),
+                format!("segment {number} has no intact record at byte {end}"),
                 scan.last_seq,
             );
         }
@@ -263,8 +275,8 @@
         }))
     }
 
-    /// Applies the records of a segment, the last one first, and returns its purges and tombstones.
-    fn take(
+    /// Applies the records of a segment, last one first, and returns its purges and tombstones.
+    fn apply_records(
         &mut self,
         number: u32,
         located: Vec<LocatedRecord>,
@@ -279,18 +291,20 @@
         } in located.into_iter().rev()
         {
             match &record {
-                Record::Commit(commit) => self.commit(number, seq, (offset, len), commit, index),
-                Record::Purge(p) => {
-                    self.invalidations.add_purge(p);
+                Record::Commit(commit) => {
+                    self.apply_commit(number, seq, (offset, len), commit, index)
+                }
+                Record::Purge(purge) => {
+                    self.invalidations.add_purge(purge);
                     invalidation_records.push((offset, record));
                 }
-                Record::Tombstone(g) => {
-                    self.invalidations.add_tombstone(g);
+                Record::Tombstone(tombstone) => {
+                    self.invalidations.add_tombstone(tombstone);
                     invalidation_records.push((offset, record));
                 }
-                Record::Manifest(r) => {
-                    self.needed
-                        .get_or_insert_with(|| r.segments.iter().copied().collect());
+                Record::Manifest(manifest) => {
+                    self.expected_segments
+                        .get_or_insert_with(|| manifest.segments.iter().copied().collect());
                 }
             }
         }
@@ -298,33 +312,38 @@
         invalidation_records
     }
 
-    fn commit(
+    fn apply_commit(
         &mut self,
         number: u32,
         seq: u64,
-        at: (u32, u32),
+        range: (u32, u32),
         commit: &Commit,
         index: &mut Index,
     ) {
         let Some(meta) = &commit.meta else { return };
         let key = meta.key();
         self.newest_ms = self.newest_ms.max(meta.stored_ms);
-        // A copy in the index is newer: recovered before, or committed meanwhile.
+        // A copy that is in the index already is newer: it was recovered from a newer segment or committed since the start.
         if !self.newer_keys.insert(key) || index.get(&key).is_some() {
             return;
         }
-        let there = |p: &crate::record::BlockLocation| {
-            let end =
-                u64::from(p.offset) + u64::from(p.len) + crate::record::RECORD_HEADER_BYTES as u64;
-            self.lens.get(&p.segment).is_some_and(|len| end <= *len)
+        let is_present = |location: &crate::record::BlockLocation| {
+            let end = u64::from(location.offset)
+                + u64::from(location.len)
+                + crate::record::RECORD_HEADER_BYTES as u64;
+            self.segment_lens
+                .get(&location.segment)
+                .is_some_and(|len| end <= *len)
         };
-        if self.invalidations.covers(&key, meta.group, seq) || !commit.locations.iter().all(there) {
+        if self.invalidations.covers(&key, meta.group, seq)
+            || !commit.locations.iter().all(is_present)
+        {
             return;
         }
         let record = RecordLocation {
             segment: number,
-            offset: at.0,
-            len: at.1,
+            offset: range.0,
+            len: range.1,
         };
         let entry = Entry::new(meta, seq, record, commit.locations.clone());
         index.insert(key, entry, true);
--- a/crates/store/src/segments.rs
+++ b/crates/store/src/segments.rs
@@ -1,54 +1,62 @@
 //! Files of the log: names, headers, scans and summaries of segments.
 //!
-//! A segment's file begins with 24 bytes: `PSPNSEG1`, its number (8), CRC-32 of both (4), 0 (4); records follow. When it is full, its
-//! summary is written beside it: 24 bytes as above with `PSPNSUM1` and the length of the segment in place of the 0s' half (see
-//! [`summary`]), then all its records but blocks, each behind its offset in the segment (4), then 4 bytes of CRC-32 over everything before.
-//! A segment without a summary is read through.
+//! A segment file begins with a header of 24 bytes, followed by records:
+//!
+//! | bytes | header |
+//! | --- | --- |
+//! | 0–7 | `PSPNSEG1`; in a summary file `PSPNSUM1` |
+//! | 8–15 | number of the segment |
+//! | 16–19 | 0; in a summary file the length of the segment in bytes |
+//! | 20–23 | CRC-32 of bytes 0 to 19 |
+//!
+//! When a segment is sealed, its summary is written to a file of its own: a header as above, then all records of the segment except
+//! blocks, each preceded by its offset in the segment (4 bytes), then a CRC-32 of all preceding bytes (4 bytes). A segment without a
+//! summary is scanned. All numbers are little endian.
 use crate::disk::DiskFile;
 use crate::record::{self, Kind, Record, RecordHeader, RECORD_HEADER_BYTES};
 use std::io::Result;
 
-/// Length of the header of a segment or summary file.
+/// Length of the header of a segment or summary file, in bytes.
 pub const SEGMENT_HEADER_BYTES: usize = 24;
-const SEGMENT: [u8; 8] = *b"PSPNSEG1";
-const SUMMARY: [u8; 8] = *b"PSPNSUM1";
+const SEGMENT_MAGIC: [u8; 8] = *b"PSPNSEG1";
+const SUMMARY_MAGIC: [u8; 8] = *b"PSPNSUM1";
 
-/// File name of a segment.
+/// Returns the file name of a segment.
 pub fn segment_name(number: u32) -> String {
     format!("segment-{number:010}.log")
 }
 
-/// File name of a segment's summary.
+/// Returns the file name of a segment's summary.
 pub fn summary_name(number: u32) -> String {
     format!("segment-{number:010}.sum")
 }
 
-/// The number in a segment's name.
-pub fn number_of(name: &str) -> Option<u32> {
+/// Returns the segment number in the name of a segment file; `None` for any other name.
+pub fn segment_number(name: &str) -> Option<u32> {
     name.strip_prefix("segment-")?
         .strip_suffix(".log")?
         .parse()
         .ok()
 }
 
-fn head(magic: [u8; 8], number: u32, extra: u32) -> [u8; SEGMENT_HEADER_BYTES] {
+fn file_header(magic: [u8; 8], number: u32, segment_len: u32) -> [u8; SEGMENT_HEADER_BYTES] {
     let mut out = [0; SEGMENT_HEADER_BYTES];
     out[..8].copy_from_slice(&magic);
     out[8..16].copy_from_slice(&u64::from(number).to_le_bytes());
-    out[16..20].copy_from_slice(&extra.to_le_bytes());
+    out[16..20].copy_from_slice(&segment_len.to_le_bytes());
     let crc = crc32fast::hash(&out[..20]);
     out[20..].copy_from_slice(&crc.to_le_bytes());
     out
 }
 
-/// Header of a segment file.
+/// Returns the header of a segment file.
 pub fn segment_header(number: u32) -> [u8; SEGMENT_HEADER_BYTES] {
-    head(SEGMENT, number, 0)
+    file_header(SEGMENT_MAGIC, number, 0)
 }
 
-/// A summary of a segment that is `len` bytes long.
+/// Encodes the summary of a segment that is `len` bytes long.
 pub fn summary(number: u32, len: u32, records: &[u8]) -> Vec<u8> {
-    let mut out = head(SUMMARY, number, len).to_vec();
+    let mut out = file_header(SUMMARY_MAGIC, number, len).to_vec();
     out.extend_from_slice(records);
     let crc = crc32fast::hash(&out);
     out.extend_from_slice(&crc.to_le_bytes());
@@ -59,20 +67,21 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct LocatedRecord {
     pub seq: u64,
-    /// Offset within the segment.
+    /// Offset in the segment.
     pub offset: u32,
+    /// Length including the header.
     pub len: u32,
     pub record: Record,
 }
 
-/// Reads a summary: the segment's length and its records, in their order.
+/// Decodes a summary into the length of the segment and its records, in their order. Returns `None` if it is not valid.
 pub fn read_summary(number: u32, bytes: &[u8]) -> Option<(u32, Vec<LocatedRecord>)> {
     let (body, crc) = bytes.split_at_checked(bytes.len().checked_sub(4)?)?;
     if crc32fast::hash(body).to_le_bytes() != *crc || body.len() < SEGMENT_HEADER_BYTES {
         return None;
     }
     let len = u32::from_le_bytes([body[16], body[17], body[18], body[19]]);
-    if body[..SEGMENT_HEADER_BYTES] != head(SUMMARY, number, len) {
+    if body[..SEGMENT_HEADER_BYTES] != file_header(SUMMARY_MAGIC, number, len) {
         return None;
     }
     let mut located = Vec::new();
@@ -86,7 +95,7 @@
         if crc32fast::hash(payload) != header.crc {
             return None;
         }
-        let record = Record::read(header.kind, payload)?;
+        let record = Record::decode(header.kind, payload)?;
         located.push(LocatedRecord {
             seq: header.seq,
             offset,
@@ -102,65 +111,66 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Scan {
     pub located: Vec<LocatedRecord>,
-    /// The records of [`Scan::located`] as a summary has them.
+    /// Encoded records of [`Scan::located`] and [`Scan::after_break`], as in a summary.
     pub records: Vec<u8>,
-    /// Offset up to which all records are intact.
+    /// Offset at which the last of the intact records ends.
     pub end: u32,
-    /// The highest number seen.
+    /// Highest sequence number found.
     pub last_seq: u64,
-    /// Bytes that are not an intact record follow [`Scan::end`].
+    /// Whether bytes that are not an intact record follow [`Scan::end`].
     pub broken: bool,
-    /// Purges and tombstones after the break. They are also in [`Scan::records`], but not in [`Scan::located`]. After a flipped bit
-    /// they may have been acknowledged, after a crash they were not: applying them is correct in both cases.
+    /// Purges and tombstones found after the first record that is not intact; they are not in [`Scan::located`]. If a flipped bit broke
+    /// that record, they may have been acknowledged; if a crash did, they were not. Applying them is correct in both cases.
     pub after_break: Vec<LocatedRecord>,
 }
 
-/// Reads a segment up to the first record that is not intact, checking every checksum. None: the file has no segment header.
+/// Reads a segment up to the first record that is not intact, verifying every checksum. Returns `None` if the file has no valid segment
+/// header.
 pub fn scan(number: u32, file: &dyn DiskFile) -> Result<Option<Scan>> {
     let len = file.len()?;
-    let mut first = [0; SEGMENT_HEADER_BYTES];
+    let mut header_bytes = [0; SEGMENT_HEADER_BYTES];
     if len < SEGMENT_HEADER_BYTES as u64 {
         return Ok(None);
     }
-    file.read_at(0, &mut first)?;
-    if first != segment_header(number) {
+    file.read_at(0, &mut header_bytes)?;
+    if header_bytes != segment_header(number) {
         return Ok(None);
     }
-    let mut found = Scan {
+    let mut result = Scan {
         end: SEGMENT_HEADER_BYTES as u32,
         ..Scan::default()
     };
-    let mut at = SEGMENT_HEADER_BYTES as u64;
+    let mut position = SEGMENT_HEADER_BYTES as u64;
     let mut payload = Vec::new();
-    while let Some(header) = scan_record(number, file, at, len, &mut payload, &mut found)? {
-        at += RECORD_HEADER_BYTES as u64 + u64::from(header.len);
-        found.end = at as u32;
-        found.last_seq = found.last_seq.max(header.seq);
+    while let Some(header) = scan_record(number, file, position, len, &mut payload, &mut result)? {
+        position += RECORD_HEADER_BYTES as u64 + u64::from(header.len);
+        result.end = position as u32;
+        result.last_seq = result.last_seq.max(header.seq);
     }
-    found.broken = at < len;
-    if found.broken {
-        scan_after_break(number, file, at, len, &mut found)?;
+    result.broken = position < len;
+    if result.broken {
+        scan_after_break(number, file, position, len, &mut result)?;
     }
-    Ok(Some(found))
+    Ok(Some(result))
 }
 
-/// Reads the record at `at` and adds it to `found` unless it is a block. None: no intact record begins there. `payload` is a
-/// buffer, reused from one record to the next.
+/// Reads the record at `position` and adds it to `result` unless it is a block. Returns `None` if no intact record begins there.
+/// `payload` is a buffer that is reused for each record.
 fn scan_record(
     number: u32,
     file: &dyn DiskFile,
-    at: u64,
+    position: u64,
     len: u64,
     payload: &mut Vec<u8>,
-    found: &mut Scan,
+    result: &mut Scan,
 ) -> Result<Option<RecordHeader>> {
-    let payload_at = at + RECORD_HEADER_BYTES as u64;
+    let payload_at = position + RECORD_HEADER_BYTES as u64;
     if payload_at > len {
         return Ok(None);
     }
-    let mut head = [0; RECORD_HEADER_BYTES];
-    file.read_at(at, &mut head)?;
-    let Some(header) = record::decode_header(number, &head) else {
+    let mut header_bytes = [0; RECORD_HEADER_BYTES];
+    file.read_at(position, &mut header_bytes)?;
+    let Some(header) = record::decode_header(number, &header_bytes) else {
         return Ok(None);
     };
     if payload_at + u64::from(header.len) > len {
@@ -174,57 +184,57 @@
     if header.kind == Kind::Block {
         return Ok(Some(header));
     }
-    let Some(record) = Record::read(header.kind, payload) else {
+    let Some(record) = Record::decode(header.kind, payload) else {
         return Ok(None);
     };
-    let offset = at as u32;
-    found.located.push(LocatedRecord {
+    let offset = position as u32;
+    result.located.push(LocatedRecord {
         seq: header.seq,
         offset,
         len: RECORD_HEADER_BYTES as u32 + header.len,
         record,
     });
-    found.records.extend_from_slice(&offset.to_le_bytes());
-    found.records.extend_from_slice(&head);
-    found.records.extend_from_slice(payload);
+    result.records.extend_from_slice(&offset.to_le_bytes());
+    result.records.extend_from_slice(&header_bytes);
+    result.records.extend_from_slice(payload);
     Ok(Some(header))
 }
 
-/// Searches the bytes after a break for intact purges and tombstones.
+/// Searches the bytes from `from` on for intact purges and tombstones.
 fn scan_after_break(
     number: u32,
     file: &dyn DiskFile,
     from: u64,
     len: u64,
-    found: &mut Scan,
+    result: &mut Scan,
 ) -> Result<()> {
     let mut rest = vec![0; (len - from) as usize];
     file.read_at(from, &mut rest)?;
-    let mut at = 0;
-    while at + RECORD_HEADER_BYTES <= rest.len() {
-        let Some(h) = record::decode_header(number, &rest[at..]) else {
-            at += 1;
+    let mut position = 0;
+    while position + RECORD_HEADER_BYTES <= rest.len() {
+        let Some(header) = record::decode_header(number, &rest[position..]) else {
+            position += 1;
             continue;
         };
-        let end = at + RECORD_HEADER_BYTES + h.len as usize;
+        let end = position + RECORD_HEADER_BYTES + header.len as usize;
         let payload = rest
-            .get(at + RECORD_HEADER_BYTES..end)
-            .filter(|p| crc32fast::hash(p) == h.crc);
-        let record = payload.and_then(|p| Record::read(h.kind, p));
+            .get(position + RECORD_HEADER_BYTES..end)
+            .filter(|payload| crc32fast::hash(payload) == header.crc);
+        let record = payload.and_then(|payload| Record::decode(header.kind, payload));
         if let Some(record @ (Record::Purge(_) | Record::Tombstone(_))) = record {
-            let offset = (from as usize + at) as u32;
-            found.records.extend_from_slice(&offset.to_le_bytes());
-            found.records.extend_from_slice(&rest[at..end]);
-            found.after_break.push(LocatedRecord {
-                seq: h.seq,
+            let offset = (from as usize + position) as u32;
+            result.records.extend_from_slice(&offset.to_le_bytes());
+            result.records.extend_from_slice(&rest[position..end]);
+            result.after_break.push(LocatedRecord {
+                seq: header.seq,
                 offset,
-                len: (end - at) as u32,
+                len: (end - position) as u32,
                 record,
             });
         }
-        found.last_seq = found.last_seq.max(h.seq);
-        // A head that is right says how long its record is, whatever became of the payload.
-        at = end.min(rest.len()).max(at + 1);
+        result.last_seq = result.last_seq.max(header.seq);
+        // The length in an intact header is valid even if the payload is damaged.
+        position = end.min(rest.len()).max(position + 1);
     }
     Ok(())
 }
--- a/crates/store/src/sim.rs
+++ b/crates/store/src/sim.rs
@@ -1,26 +1,26 @@
-//! An in-memory disk with fault injection. After a power loss unsynced writes are lost in part and in any order, as on a real disk.
+//! An in-memory disk with fault injection. After a power loss any subset of the unsynced writes is lost, as on a real disk.
 //!
-//! Unsynced writes are tracked in pages of [`PAGE`] bytes; a crash keeps or loses each of them independently. Of the unsynced name
-//! changes a crash keeps a prefix. Faults: power loss at the nth operation (also in the middle of a write), a full disk, failing fsyncs
-//! and truncations, and flipped bits.
+//! Unsynced writes are tracked in pages of [`PAGE_BYTES`] bytes; each of them survives a crash or is lost independently of the
+//! others. Of the unsynced name changes a prefix survives. Faults that can be injected: power loss at the nth operation (also in the
+//! middle of a write), a full disk, failing fsyncs and truncations, and flipped bits.
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io::{Error, ErrorKind, Result};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Bytes that are written atomically.
-pub const PAGE: usize = 512;
+/// Size of a page in bytes; the write of a page is atomic.
+pub const PAGE_BYTES: usize = 512;
 
 #[derive(Clone, Debug, Default)]
 struct Content {
-    /// As the process sees it.
-    now: Vec<u8>,
-    /// As it was at the last sync.
+    /// Content as the process reads it.
+    current: Vec<u8>,
+    /// Content at the last successful sync.
     durable: Vec<u8>,
-    /// Written since: offset and bytes, in pages.
+    /// Pages written since the last successful sync: offset and bytes.
     dirty: Vec<(usize, Vec<u8>)>,
-    /// Truncated since: nothing of the tail is certain.
-    cut: bool,
+    /// Whether the file was truncated since the last successful sync; the tail may survive a crash or not.
+    truncated: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -36,29 +36,29 @@
     names: BTreeMap<String, usize>,
     durable_names: BTreeMap<String, usize>,
     name_changes: Vec<NameChange>,
-    /// Modifying operations until the injected power loss.
+    /// Number of modifying operations left before the injected power loss.
     operations_until_power_loss: Option<u64>,
-    /// Limit of the bytes of all files.
+    /// Limit of the total bytes of all files.
     capacity: Option<usize>,
-    /// Fsyncs still to fail.
-    bad_syncs: u32,
-    /// Truncations still to fail.
-    bad_truncates: u32,
-    dead: bool,
+    /// Number of fsyncs that are still to fail.
+    failing_syncs: u32,
+    /// Number of truncations that are still to fail.
+    failing_truncations: u32,
+    powered_off: bool,
 }
 
-/// Handle of a simulated disk; clones share it.
+/// Handle of a simulated disk; clones share the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct SimDisk(Arc<Mutex<State>>);
 
 struct SimFile(SimDisk, usize);
 
-fn power_lost() -> Error {
-    Error::other("power is lost")
+fn power_loss_error() -> Error {
+    Error::other("simulated power loss")
 }
 
-fn apply(names: &mut BTreeMap<String, usize>, naming: &NameChange) {
-    match naming {
+fn apply(names: &mut BTreeMap<String, usize>, change: &NameChange) {
+    match change {
         NameChange::Create(name, file) => drop(names.insert(name.clone(), *file)),
         NameChange::Remove(name) => drop(names.remove(name)),
         NameChange::Rename(from, to) => {
@@ -76,74 +76,75 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Injects a power loss at the nth modifying operation from now.
-    pub fn lose_power_in(&self, operations: u64) {
+    /// Injects a power loss after `operations` further modifying operations.
+    pub fn lose_power_after(&self, operations: u64) {
         self.lock().operations_until_power_loss = Some(operations);
     }
 
-    /// Whether power was lost.
-    pub fn is_dead(&self) -> bool {
-        self.lock().dead
+    /// Whether the injected power loss has occurred.
+    pub fn is_powered_off(&self) -> bool {
+        self.lock().powered_off
     }
 
-    /// Limits the bytes of all files; none: unlimited.
-    pub fn capacity(&self, bytes: Option<usize>) {
+    /// Limits the total bytes of all files; `None` removes the limit.
+    pub fn set_capacity(&self, bytes: Option<usize>) {
         self.lock().capacity = bytes;
     }
 
-    /// Lets the next `count` fsyncs fail.
+    /// Makes the next `count` fsyncs fail.
     pub fn fail_syncs(&self, count: u32) {
-        self.lock().bad_syncs = count;
+        self.lock().failing_syncs = count;
     }
 
-    /// Lets the next `count` truncations fail.
-    pub fn fail_truncates(&self, count: u32) {
-        self.lock().bad_truncates = count;
+    /// Makes the next `count` truncations fail.
+    pub fn fail_truncations(&self, count: u32) {
+        self.lock().failing_truncations = count;
     }
 
-    /// Flips a bit of a file, in its current and its durable content. False: no such byte.
-    pub fn flip(&self, name: &str, offset: usize) -> bool {
+    /// Flips a bit of a file, in its current and its durable content. Returns false if the file has no byte at `offset`.
+    pub fn flip_bit(&self, name: &str, offset: usize) -> bool {
         let mut state = self.lock();
         let Some(file) = state.names.get(name).copied() else {
             return false;
         };
         let content = &mut state.files[file];
-        let mut done = false;
-        for bytes in [&mut content.now, &mut content.durable] {
+        let mut flipped = false;
+        for bytes in [&mut content.current, &mut content.durable] {
             if let Some(byte) = bytes.get_mut(offset) {
                 *byte ^= 0x10;
-                done = true;
+                flipped = true;
             }
         }
-        done
+        flipped
     }
 
-    /// Length of a file; 0: there is none.
-    pub fn len_of(&self, name: &str) -> usize {
+    /// Returns the length of a file in bytes; 0 if it does not exist.
+    pub fn file_len(&self, name: &str) -> usize {
         let state = self.lock();
         state
             .names
             .get(name)
-            .map_or(0, |f| state.files[*f].now.len())
+            .map_or(0, |f| state.files[*f].current.len())
     }
 
-    /// The disk as found after a crash; `keep` decides for each unsynced page or name change whether it survived.
-    pub fn after_crash(&self, mut keep: impl FnMut() -> bool) -> Self {
+    /// Returns the disk as found after a crash; `survives` decides for each unsynced page, truncation or name change whether it is
+    /// durable.
+    pub fn after_crash(&self, mut survives: impl FnMut() -> bool) -> Self {
         let state = self.lock();
         let mut names = state.durable_names.clone();
-        for naming in &state.name_changes {
-            // In order, as a journal has them.
-            if !keep() {
+        for change in &state.name_changes {
+            // Name changes become durable in order, as in the journal of a file system.
+            if !survives() {
                 break;
             }
-            apply(&mut names, naming);
+            apply(&mut names, change);
         }
         let mut after = State::default();
         for (name, file) in names {
             let content = &state.files[file];
             let mut bytes = content.durable.clone();
             for (offset, page) in &content.dirty {
-                if keep() {
+                if survives() {
                     let end = offset + page.len();
                     if bytes.len() < end {
                         bytes.resize(end, 0);
@@ -151,13 +152,13 @@
                     bytes[*offset..end].copy_from_slice(page);
                 }
             }
-            if content.cut && keep() {
-                bytes.truncate(content.now.len());
+            if content.truncated && survives() {
+                bytes.truncate(content.current.len());
             }
             after.names.insert(name.clone(), after.files.len());
             after.durable_names.insert(name, after.files.len());
             after.files.push(Content {
-                now: bytes.clone(),
+                current: bytes.clone(),
                 durable: bytes,
                 ..Content::default()
             });
@@ -167,39 +168,39 @@
 }
 
 impl State {
-    /// Called before each modifying operation; an error once power is lost.
-    fn live(&mut self) -> Result<()> {
-        if self.dead {
-            return Err(power_lost());
+    /// Counts a modifying operation; an error once power is lost.
+    fn begin_operation(&mut self) -> Result<()> {
+        if self.powered_off {
+            return Err(power_loss_error());
         }
         if let Some(operations_until_power_loss) = &mut self.operations_until_power_loss {
             if *operations_until_power_loss == 0 {
-                self.dead = true;
-                return Err(power_lost());
+                self.powered_off = true;
+                return Err(power_loss_error());
             }
             *operations_until_power_loss -= 1;
         }
         Ok(())
     }
 
-    fn change_name(&mut self, naming: NameChange) {
-        apply(&mut self.names, &naming);
-        self.name_changes.push(naming);
+    fn change_name(&mut self, change: NameChange) {
+        apply(&mut self.names, &change);
+        self.name_changes.push(change);
     }
 }
 
 impl Disk for SimDisk {
     fn list(&self) -> Result<Vec<String>> {
         let state = self.lock();
-        if state.dead {
-            return Err(power_lost());
+        if state.powered_off {
+            return Err(power_loss_error());
         }
         Ok(state.names.keys().cloned().collect())
     }
 
     fn create(&self, name: &str) -> Result<Arc<dyn DiskFile>> {
         let mut state = self.lock();
-        state.live()?;
+        state.begin_operation()?;
         if state.names.contains_key(name) {
             return Err(ErrorKind::AlreadyExists.into());
         }
@@ -211,8 +212,8 @@
 
     fn open(&self, name: &str) -> Result<Arc<dyn DiskFile>> {
         let state = self.lock();
-        if state.dead {
-            return Err(power_lost());
+        if state.powered_off {
+            return Err(power_loss_error());
         }
         let file = state.names.get(name).copied().ok_or(ErrorKind::NotFound)?;
         Ok(Arc::new(SimFile(self.clone(), file)))
@@ -220,7 +221,7 @@
 
     fn remove(&self, name: &str) -> Result<()> {
         let mut state = self.lock();
-        state.live()?;
+        state.begin_operation()?;
         if !state.names.contains_key(name) {
             return Err(ErrorKind::NotFound.into());
         }
@@ -230,7 +231,7 @@
 
     fn rename(&self, from: &str, to: &str) -> Result<()> {
         let mut state = self.lock();
-        state.live()?;
+        state.begin_operation()?;
         if !state.names.contains_key(from) {
             return Err(ErrorKind::NotFound.into());
         }
@@ -240,7 +241,7 @@
 
     fn sync_names(&self) -> Result<()> {
         let mut state = self.lock();
-        state.live()?;
+        state.begin_operation()?;
         state.durable_names = state.names.clone();
         state.name_changes.clear();
         Ok(())
@@ -250,66 +251,68 @@
 impl DiskFile for SimFile {
     fn write_at(&self, offset: u64, bytes: &[u8]) -> Result<()> {
         let mut state = self.0.lock();
-        let alive = state.live();
-        // Power loss in the middle of a write: some of its pages may reach the disk.
+        let power = state.begin_operation();
+        // On a power loss in the middle of a write, some of its pages may reach the disk.
         let offset = offset as usize;
-        if alive.is_ok() {
+        if power.is_ok() {
             let used: usize = state
                 .names
                 .values()
-                .map(|f| state.files[*f].now.len())
+                .map(|f| state.files[*f].current.len())
                 .sum();
-            let more = (offset + bytes.len()).saturating_sub(state.files[self.1].now.len());
+            let added = (offset + bytes.len()).saturating_sub(state.files[self.1].current.len());
             if state
                 .capacity
-                .is_some_and(|capacity| used + more > capacity)
+                .is_some_and(|capacity| used + added > capacity)
             {
                 return Err(ErrorKind::StorageFull.into());
             }
         }
         let content = &mut state.files[self.1];
-        if content.now.len() < offset + bytes.len() {
-            content.now.resize(offset + bytes.len(), 0);
+        if content.current.len() < offset + bytes.len() {
+            content.current.resize(offset + bytes.len(), 0);
         }
-        content.now[offset..offset + bytes.len()].copy_from_slice(bytes);
-        let mut at = 0;
-        while at < bytes.len() {
-            // Pages are aligned to the file, not to the write.
-            let end = ((offset + at) / PAGE + 1) * PAGE - offset;
+        content.current[offset..offset + bytes.len()].copy_from_slice(bytes);
+        let mut written = 0;
+        while written < bytes.len() {
+            // Pages are aligned to the start of the file, not of the write.
+            let end = ((offset + written) / PAGE_BYTES + 1) * PAGE_BYTES - offset;
             let end = end.min(bytes.len());
-            content.dirty.push((offset + at, bytes[at..end].to_vec()));
-            at = end;
+            content
+                .dirty
+                .push((offset + written, bytes[written..end].to_vec()));
+            written = end;
         }
-        alive
+        power
     }
 
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> Result<()> {
         let state = self.0.lock();
-        if state.dead {
-            return Err(power_lost());
+        if state.powered_off {
+            return Err(power_loss_error());
         }
         let offset = offset as usize;
-        let from = state.files[self.1]
-            .now
+        let source = state.files[self.1]
+            .current
             .get(offset..offset + buffer.len())
             .ok_or(ErrorKind::UnexpectedEof)?;
-        buffer.copy_from_slice(from);
+        buffer.copy_from_slice(source);
         Ok(())
     }
 
     fn len(&self) -> Result<u64> {
-        Ok(self.0.lock().files[self.1].now.len() as u64)
+        Ok(self.0.lock().files[self.1].current.len() as u64)
     }
 
     fn sync(&self) -> Result<()> {
         let mut state = self.0.lock();
-        state.live()?;
-        if state.bad_syncs > 0 {
-            state.bad_syncs -= 1;
-            // As kernels do: dirty pages are dropped, and the next fsync succeeds.
+        state.begin_operation()?;
+        if state.failing_syncs > 0 {
+            state.failing_syncs -= 1;
+            // Kernels behave like this: after a failed fsync the dirty pages are dropped, and the next fsync succeeds.
             let content = &mut state.files[self.1];
-            let lost: Vec<(usize, Vec<u8>)> = content.dirty.drain(..).collect();
-            for (n, (offset, page)) in lost.into_iter().enumerate() {
+            let dropped: Vec<(usize, Vec<u8>)> = content.dirty.drain(..).collect();
+            for (n, (offset, page)) in dropped.into_iter().enumerate() {
                 if n % 2 == 0 {
                     let end = offset + page.len();
                     if content.durable.len() < end {
@@ -318,25 +321,25 @@
                     content.durable[offset..end].copy_from_slice(&page);
                 }
             }
-            return Err(Error::other("the disk cannot write"));
+            return Err(Error::other("injected fsync failure"));
         }
         let content = &mut state.files[self.1];
-        content.durable = content.now.clone();
+        content.durable = content.current.clone();
         content.dirty.clear();
-        content.cut = false;
+        content.truncated = false;
         Ok(())
     }
 
     fn truncate(&self, len: u64) -> Result<()> {
         let mut state = self.0.lock();
-        state.live()?;
-        if state.bad_truncates > 0 {
-            state.bad_truncates -= 1;
-            return Err(Error::other("the disk cannot truncate"));
+        state.begin_operation()?;
+        if state.failing_truncations > 0 {
+            state.failing_truncations -= 1;
+            return Err(Error::other("injected truncation failure"));
         }
         let content = &mut state.files[self.1];
-        content.now.truncate(len as usize);
-        content.cut = true;
+        content.current.truncate(len as usize);
+        content.truncated = true;
         Ok(())
     }
 }
--- a/crates/store/src/store/clock.rs
+++ b/crates/store/src/store/clock.rs
@@ -1,6 +1,7 @@
 //! The store's monotonic wall clock.
 
-/// Milliseconds since 1970 that never go back, not even over restarts: if the wall clock is set back, the clock runs ahead of it.
+/// A clock in milliseconds since 1970 that never goes back, even across restarts: if the wall clock is set back, this clock runs ahead
+/// of it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Clock {
     ahead_ms: u64,
@@ -13,7 +14,7 @@
         self.last_ms
     }
 
-    /// Accounts for a record written at `at_ms`: later times are not before it.
+    /// Ensures that no later time is before `at_ms`, the time of a recovered record.
     pub(super) fn advance_to(&mut self, at_ms: u64, wall_ms: u64) {
         if at_ms > wall_ms + self.ahead_ms {
             self.ahead_ms = at_ms - wall_ms;
--- a/crates/store/src/store/error.rs
+++ b/crates/store/src/store/error.rs
@@ -1,11 +1,11 @@
 //! Errors of the store, for writers and for readers.
 
-/// Why a write, a purge or an open failed.
+/// Reason for which a write, a purge or the opening of a store failed.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The sizes in [`super::Options`] do not fit together.
     #[error(
-        "capacity {capacity}: at least six segments of {segment} bytes; blocks up to a quarter of one"
+        "invalid store sizes: capacity {capacity} and segment size {segment} bytes; expected a capacity of at least six segments and blocks of 1 byte to a quarter of a segment, at most 4 MiB"
     )]
     Options {
         /// Configured capacity, in bytes.
@@ -14,38 +14,38 @@
         segment: u32,
     },
     /// An operation of the file system failed.
-    #[error("disk: {0}")]
+    #[error("disk operation failed: {0}")]
     Disk(#[from] std::io::Error),
-    /// No copy of lower or equal rank is left to evict.
-    #[error("no room")]
-    NoRoom,
+    /// No copy of lower or equal rank is left to evict, or cleaning cannot free enough capacity.
+    #[error("store is full: eviction and cleaning cannot free enough capacity")]
+    Full,
     /// A purge covered the object after the fill had begun.
-    #[error("purged meanwhile")]
+    #[error("object was purged during the fill")]
     Purged,
     /// The body's length differs from the declared one.
-    #[error("{got} bytes came of {declared}")]
-    Short {
+    #[error("body length mismatch: got {got} of {declared} declared bytes")]
+    SizeMismatch {
         /// Declared size, in bytes.
         declared: u64,
         /// Bytes written to the fill.
         got: u64,
     },
-    /// The store is read-only: truncation after a failed write or fsync failed too. Copies are still served, and each later write
-    /// retries the truncation.
-    #[error("the store takes nothing for now: {0}")]
-    Closed(String),
+    /// The store is read-only because the truncation after a failed write or fsync has failed as well. Copies are still served, and each
+    /// later write retries the truncation.
+    #[error("store is read-only until a failed truncation succeeds: {0}")]
+    ReadOnly(String),
 }
 
-/// Why a block could not be read. Except after [`ReadError::None`] the copy was removed from the index.
+/// Reason for which a block could not be read. After any error but [`ReadError::NoSuchBlock`] the copy has been removed from the index.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
     /// The block does not match its checksum.
-    #[error("block {0} is not what was written")]
-    Wrong(usize),
+    #[error("block {0} does not match its checksum")]
+    ChecksumMismatch(usize),
     /// The file system failed to read the block.
-    #[error("block {0}: {1}")]
+    #[error("reading block {0} failed: {1}")]
     Disk(usize, std::io::Error),
     /// The copy has no block of this number.
-    #[error("no block {0}")]
-    None(usize),
+    #[error("copy has no block {0}")]
+    NoSuchBlock(usize),
 }
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -1,21 +1,21 @@
-//! Fills: writing a new copy.
+//! Fills: write path of a new copy.
 use super::*;
 
-/// Estimated length of a commit record without its blocks.
+/// Estimated length of a commit record without its block locations, in bytes.
 const COMMIT_BYTES: u64 = 1_024;
-/// Estimated length of each block's location in a commit record.
+/// Estimated length of one block location in a commit record, in bytes.
 const COMMIT_BYTES_PER_BLOCK: u64 = 32;
 
-/// A copy that is being written. Its blocks are pinned, and purges are remembered for it, until it is committed or dropped; dropped
-/// before the commit, it leaves no trace but dead blocks.
+/// A copy that is being written. Until it is committed or dropped, the segments of its blocks are pinned and new purges are recorded for
+/// it. A fill that is dropped before the commit leaves only dead blocks.
 pub struct Fill {
     pub(super) store: Store,
     pub(super) meta: Meta,
-    pub(super) begun: u64,
+    pub(super) start_seq: u64,
     pub(super) buffer: BytesMut,
     pub(super) locations: Vec<BlockLocation>,
     pub(super) size: u64,
-    pub(super) over: bool,
+    pub(super) ended: bool,
 }
 
 impl std::fmt::Debug for Fill {
@@ -25,19 +25,19 @@
 }
 
 impl Fill {
-    /// Replaces the metadata; to be called before the first byte is written.
+    /// Replaces the metadata. Must be called before the first byte is written.
     pub fn describe(&mut self, meta: Meta) {
         self.meta = meta;
     }
 
-    /// Appends to the body. After an error the fill is over and cannot be committed.
+    /// Appends to the body. After an error the fill has ended and cannot be committed.
     pub fn write(&mut self, mut bytes: &[u8]) -> Result<(), StoreError> {
         let block = self.store.0.options.block as usize;
         while !bytes.is_empty() {
-            let some = bytes.len().min(block - self.buffer.len());
-            self.buffer.extend_from_slice(&bytes[..some]);
-            self.size += some as u64;
-            bytes = &bytes[some..];
+            let chunk_len = bytes.len().min(block - self.buffer.len());
+            self.buffer.extend_from_slice(&bytes[..chunk_len]);
+            self.size += chunk_len as u64;
+            bytes = &bytes[chunk_len..];
             if self.buffer.len() == block {
                 self.flush()?;
             }
@@ -46,7 +46,7 @@
     }
 
     fn flush(&mut self) -> Result<(), StoreError> {
-        if self.buffer.is_empty() || self.over {
+        if self.buffer.is_empty() || self.ended {
             return Ok(());
         }
         let store = self.store.clone();
@@ -63,7 +63,7 @@
                 if let Some(segment) = inner.segments.get_mut(&location.segment) {
                     segment.pins += 1;
                 }
-                inner.stats.taken_bytes += self.buffer.len() as u64;
+                inner.stats.accepted_bytes += self.buffer.len() as u64;
                 self.locations.push(location);
                 self.buffer.clear();
                 Ok(())
@@ -75,12 +75,12 @@
         }
     }
 
-    /// Unpins the blocks and stops remembering purges for this fill.
+    /// Unpins the segments of the blocks and stops recording purges for this fill.
     fn end(&mut self, inner: &mut Inner) {
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        inner.fills.remove(&self.begun);
+        inner.open_fills.remove(&self.start_seq);
         for location in &self.locations {
             if let Some(segment) = inner.segments.get_mut(&location.segment) {
                 segment.pins = segment.pins.saturating_sub(1);
@@ -93,8 +93,8 @@
         self.flush()?;
         let store = self.store.clone();
         let mut inner = store.inner();
-        if self.over {
-            return Err(StoreError::NoRoom);
+        if self.ended {
+            return Err(StoreError::Full);
         }
         self.check_complete()?;
         self.check_not_purged(&inner)?;
@@ -114,7 +114,7 @@
     fn check_complete(&self) -> Result<(), StoreError> {
         let declared = self.meta.size;
         if declared != 0 && declared != self.size {
-            return Err(StoreError::Short {
+            return Err(StoreError::SizeMismatch {
                 declared,
                 got: self.size,
             });
@@ -129,14 +129,14 @@
             (_, true) => purge.group == self.meta.group,
             _ => true,
         };
-        let mut purges = inner.purges.iter();
-        if purges.any(|(seq, purge)| *seq >= self.begun && covers(purge)) {
+        let mut purges = inner.recent_purges.iter();
+        if purges.any(|(seq, purge)| *seq >= self.start_seq && covers(purge)) {
             return Err(StoreError::Purged);
         }
         Ok(())
     }
 
-    /// A failed fsync may have discarded some of the blocks.
+    /// Checks that no block was discarded after a failed fsync.
     fn check_blocks_present(&self, inner: &Inner) -> Result<(), StoreError> {
         let is_present = |location: &BlockLocation| {
             let end = location.offset + location.len + RECORD_HEADER_BYTES as u32;
@@ -147,7 +147,7 @@
             return Ok(());
         }
         Err(StoreError::Disk(std::io::Error::other(
-            "a sync failed while it was filled",
+            "a block of the fill was discarded after a failed fsync",
         )))
     }
 }
--- a/crates/store/src/store/found.rs
+++ b/crates/store/src/store/found.rs
@@ -1,12 +1,12 @@
-//! Reading: lookup of a copy, its blocks, and its renewal.
+//! Read path: lookup of a copy, reads of its blocks, and renewal of its metadata.
 use super::*;
 
-/// A stored copy, open for reading. It holds its segment files open, so it can be read to the end even if it is purged, evicted or
-/// moved meanwhile.
+/// A stored copy, open for reading. It holds the segment files open, so that the body can be read to the end even if the copy is purged,
+/// evicted or moved in the meantime.
 pub struct Found {
-    /// Metadata from its commit record.
+    /// Metadata from the commit record.
     pub meta: Meta,
-    /// Sequence number of its commit record.
+    /// Sequence number of the commit record.
     pub seq: u64,
     pub(super) store: Store,
     pub(super) key: Key,
@@ -21,33 +21,36 @@
 }
 
 impl Found {
-    /// Number of blocks of the body.
+    /// Returns the number of blocks of the body.
     pub fn blocks(&self) -> usize {
         self.locations.len()
     }
 
-    /// A block, if it is cached in memory.
+    /// Returns a block if it is in the block cache.
     pub fn in_memory(&self, block: usize) -> Option<Bytes> {
         let location = self.locations.get(block)?;
         self.store
             .0
-            .memory
+            .block_cache
             .get(&(location.segment, location.offset))
     }
 
-    /// A block of the body, from memory, or from disk after its checksum was verified. A copy with a block that cannot be read is
-    /// removed from the index.
+    /// Returns a block of the body, from the block cache or, after its checksum was verified, from disk. If the block cannot be read,
+    /// the copy is removed from the index.
     pub fn read(&self, block: usize) -> Result<Bytes, ReadError> {
-        let location = self.locations.get(block).ok_or(ReadError::None(block))?;
+        let location = self
+            .locations
+            .get(block)
+            .ok_or(ReadError::NoSuchBlock(block))?;
         let shared = &self.store.0;
-        if let Some(bytes) = shared.memory.get(&(location.segment, location.offset)) {
+        if let Some(bytes) = shared.block_cache.get(&(location.segment, location.offset)) {
             self.store.inner().stats.memory_reads += 1;
             return Ok(bytes);
         }
         let file = self
             .files
             .get(&location.segment)
-            .ok_or(ReadError::None(block))?;
+            .ok_or(ReadError::NoSuchBlock(block))?;
         let mut bytes = vec![0; location.len as usize];
         if let Err(e) = file.read_at(
             u64::from(location.offset) + RECORD_HEADER_BYTES as u64,
@@ -58,11 +61,11 @@
         }
         if crc32fast::hash(&bytes) != location.crc {
             self.store.discard_corrupt(&self.key, self.seq);
-            return Err(ReadError::Wrong(block));
+            return Err(ReadError::ChecksumMismatch(block));
         }
         let bytes = Bytes::from(bytes);
         shared
-            .memory
+            .block_cache
             .insert((location.segment, location.offset), bytes.clone());
         self.store.inner().stats.disk_reads += 1;
         Ok(bytes)
@@ -70,20 +73,20 @@
 }
 
 impl Store {
-    /// The copy, if it is stored and its segments have been recovered. Counts as a use for eviction.
+    /// Returns the copy if it is stored and its segments have been recovered. The lookup counts as a use for eviction.
     pub fn get(&self, key: &Key) -> Option<Found> {
         let (entry, files) = {
             let mut inner = self.inner();
             let entry = inner.index.touch(key)?.clone();
-            let wanted = entry
+            let segments = entry
                 .locations
                 .iter()
-                .map(|p| p.segment)
+                .map(|location| location.segment)
                 .chain([entry.commit.segment]);
             let file = |n: u32| Some((n, inner.segments.get(&n)?.file.clone()));
-            let files: Option<BTreeMap<u32, Arc<dyn DiskFile>>> = wanted.map(file).collect();
+            let files: Option<BTreeMap<u32, Arc<dyn DiskFile>>> = segments.map(file).collect();
             if files.is_none() && inner.recovery.is_some() {
-                // A segment that it needs has not been recovered yet.
+                // A segment of the copy has not been recovered yet.
                 return None;
             }
             (entry, files)
@@ -110,7 +113,7 @@
         found
     }
 
-    /// Removes a copy that could not be read, unless it was replaced meanwhile.
+    /// Removes a copy that could not be read, unless it has been replaced in the meantime.
     pub(super) fn discard_corrupt(&self, key: &Key, seq: u64) {
         let mut inner = self.inner();
         if inner.index.get(key).is_some_and(|e| e.seq == seq) {
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Replaces the metadata of a copy that was revalidated, keeping its blocks. False: the copy was replaced or removed meanwhile.
+    /// Replaces the metadata of a copy that was revalidated; its blocks stay. Returns false if the copy has been replaced or removed in
+    /// the meantime, or if `meta` has another key.
     pub fn renew(&self, found: &Found, meta: Meta, wall_ms: u64) -> Result<bool, StoreError> {
         let mut inner = self.inner();
         let Some(entry) = inner
@@ -145,7 +149,7 @@
     }
 }
 
-/// A record's payload, if header and checksum are intact.
+/// Reads a record and returns its payload if header and checksum are valid.
 pub(super) fn read_record(file: &dyn DiskFile, location: RecordLocation) -> Option<Vec<u8>> {
     let mut bytes = vec![0; location.len as usize];
     file.read_at(u64::from(location.offset), &mut bytes).ok()?;
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -1,6 +1,6 @@
-//! The store: one writer behind a lock; readers take the lock only to look up a copy.
+//! The store: writers share one lock; readers take it only to look up a copy.
 //!
-//! [`Store`] is implemented by concern: `recovery`, `found` (reads), `fill`, `purge`, `space` (eviction and cleaning), `write`.
+//! The methods of [`Store`] are grouped by task: `recovery`, `found` (reads), `fill`, `purge`, `space` (eviction and cleaning), `write`.
 mod clock;
 mod error;
 mod fill;
@@ -36,36 +36,37 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Limit of live bytes as a fraction of the usable capacity, so that segment cleaning always finds dead bytes.
+/// Limit of live bytes as a fraction of the usable capacity; the rest ensures that segment cleaning always finds dead bytes.
 const MAX_LIVE_FRACTION: f64 = 0.85;
 /// Segments with a higher fraction of live bytes are not cleaned.
 const MAX_CLEANABLE_LIVE_FRACTION: f64 = 0.97;
-/// Purges and tombstones allowed in the log regardless of the number of copies, before its oldest segment is rewritten.
+/// Number of purges and tombstones that the log may hold, whatever the number of copies, before its oldest segment is rewritten.
 const MIN_INVALIDATIONS_FOR_REWRITE: usize = 256;
-/// Limit of cleaning work per written byte while capacity is left.
+/// Limit of cleaning work per written byte while the disk has free capacity.
 const MAX_CLEANED_BYTES_PER_WRITTEN_BYTE: u64 = 2;
 
-/// Estimated overhead of an entry in the block cache.
+/// Estimated overhead of an entry in the block cache, in bytes.
 const CACHE_ENTRY_BYTES: u64 = 64;
 
 /// A segment on disk, open for reading; the active one also for writing.
 struct Segment {
     file: Arc<dyn DiskFile>,
-    /// End of the last record.
+    /// Offset at which the last record ends.
     len: u32,
-    /// Durable up to this offset.
+    /// Offset up to which the content is durable.
     synced: u32,
-    /// Blocks of open fills; a pinned segment is not cleaned.
+    /// Number of blocks that open fills have in the segment; a pinned segment is not cleaned.
     pins: u32,
-    /// Purges and tombstones with their offsets, ascending.
+    /// Purges and tombstones with their offsets, in ascending order.
     invalidation_records: Vec<(u32, Record)>,
 }
 
-/// A truncation that failed and is still owed. Forgotten once it succeeds or the segment is removed.
+/// A truncation that failed and has to be retried. The entry is dropped once it succeeds or the segment is removed.
 struct PendingTruncation {
     segment: u32,
-    at: u32,
-    /// For a segment that is no longer active: its records, for the summary owed after the truncation.
+    /// Length to which the segment has to be truncated.
+    offset: u32,
+    /// Records for the summary to be written after the truncation; `None` if the segment is still active.
     records: Option<Vec<u8>>,
 }
 
@@ -75,24 +76,24 @@
     segments: BTreeMap<u32, Segment>,
     active: Option<u32>,
     next_segment: u32,
-    /// Records of the active segment but blocks, for its summary.
-    records: Vec<u8>,
-    /// For each of `records`: its end in the segment, and its end in `records`.
-    record_ends: Vec<(u32, usize)>,
-    /// Last sequence number used.
+    /// Encoded records of the active segment, except for blocks, as its summary will hold them.
+    active_records: Vec<u8>,
+    /// For each record in `active_records`: its end in the segment, and its end in `active_records`.
+    active_record_ends: Vec<(u32, usize)>,
+    /// Last sequence number that was assigned.
     seq: u64,
-    /// None once recovery is complete.
+    /// Progress of recovery; `None` once it is complete.
     recovery: Option<Recovery>,
-    /// Purges since the oldest open fill began, by sequence number.
-    purges: Vec<(u64, Purge)>,
+    /// Purges since the oldest open fill began, with their sequence numbers.
+    recent_purges: Vec<(u64, Purge)>,
     /// Sequence numbers at which the open fills began.
-    fills: BTreeSet<u64>,
-    /// Purges and tombstones owed because their write failed or was lost. They are written before any segment is removed; otherwise
-    /// older commits that they cover would be recovered after a restart.
+    open_fills: BTreeSet<u64>,
+    /// Purges and tombstones whose write failed or was lost. They are written again before any segment is removed; otherwise the older
+    /// commits that they cover would be recovered after a restart.
     deferred_records: Vec<Record>,
     /// The segment that is being cleaned.
     victim: Option<u32>,
-    /// Owed truncations; nothing is written before they have succeeded.
+    /// Truncations to be retried; writes are refused until all have succeeded.
     pending_truncations: Vec<PendingTruncation>,
     clock: Clock,
     stats: Stats,
@@ -103,10 +104,10 @@
     disk: Arc<dyn Disk>,
     options: Options,
     inner: Mutex<Inner>,
-    /// Serializes fsyncs: one that succeeds after one that failed proves nothing about the earlier writes.
+    /// Serializes fsyncs: an fsync that succeeds after a failed one does not prove that the earlier writes are durable.
     syncing: Mutex<()>,
     /// Verified blocks by segment and offset.
-    memory: Cache<(u32, u32), Bytes, BlockWeight>,
+    block_cache: Cache<(u32, u32), Bytes, BlockWeight>,
 }
 
 #[derive(Clone)]
@@ -118,7 +119,7 @@
     }
 }
 
-/// Handle of an open store; clones share it.
+/// Handle of an open store; clones share the same store.
 #[derive(Clone)]
 pub struct Store(Arc<Shared>);
 
@@ -139,34 +140,34 @@
         lock(&self.0.inner)
     }
 
-    /// Begins a fill. On commit its copy replaces the stored one of the same key.
+    /// Begins a fill. Its commit replaces a stored copy of the same key.
     pub fn begin(&self, meta: Meta) -> Fill {
         let mut inner = self.inner();
         // A sequence number of its own orders the fill against purges.
         inner.seq += 1;
-        let begun = inner.seq;
-        inner.fills.insert(begun);
+        let start_seq = inner.seq;
+        inner.open_fills.insert(start_seq);
         drop(inner);
         Fill {
             store: self.clone(),
             meta,
-            begun,
+            start_seq,
             buffer: BytesMut::new(),
             locations: Vec::new(),
             size: 0,
-            over: false,
+            ended: false,
         }
     }
 
     /// Makes everything written so far durable.
     pub fn sync(&self) -> Result<(), StoreError> {
-        let upto = {
+        let up_to = {
             let inner = self.inner();
             inner
                 .active
                 .and_then(|n| Some((n, inner.segments.get(&n)?.len)))
         };
-        upto.map_or(Ok(()), |(number, len)| self.sync_upto(number, len))
+        up_to.map_or(Ok(()), |(number, len)| self.sync_up_to(number, len))
     }
 
     /// Syncs and seals the active segment, so that the next start reads only summaries.
@@ -176,30 +177,30 @@
         self.seal(&mut inner)
     }
 
-    /// A snapshot of the counters and gauges.
+    /// Returns a snapshot of the counters and gauges.
     pub fn stats(&self) -> Stats {
         let inner = self.inner();
         let mut s = inner.stats;
         s.copies = inner.index.len() as u64;
-        s.live_bytes = inner.index.live();
+        s.live_bytes = inner.index.live_bytes();
         s.disk_bytes = inner.segments.values().map(|s| u64::from(s.len)).sum();
         s.segments = inner.segments.len() as u64;
         s.pending_bytes = inner.recovery.as_ref().map_or(0, Recovery::pending_bytes);
         s
     }
 
-    /// Keys of all copies in the index, ascending.
+    /// Returns the keys of all copies in the index, in ascending order.
     pub fn keys(&self) -> Vec<Key> {
         self.inner().index.keys()
     }
 
-    /// Milliseconds since 1970 by the store's clock, which never goes back.
+    /// Returns the time by the store's clock, which never goes back, in milliseconds since 1970.
     pub fn now_ms(&self, wall_ms: u64) -> u64 {
         self.inner().clock.now(wall_ms)
     }
 }
 
-fn pending(inner: &Inner) -> Vec<u32> {
+fn pending_segments(inner: &Inner) -> Vec<u32> {
     inner
         .recovery
         .as_ref()
--- a/crates/store/src/store/options.rs
+++ b/crates/store/src/store/options.rs
@@ -1,13 +1,13 @@
-//! Sizes that a store is opened with.
+//! Size settings of a store.
 
-/// Sizes of a store, in bytes.
+/// Size settings of a store, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct Options {
-    /// Limit of all files together. At least six segments.
+    /// Limit of the total size of all segments; at least six segments.
     pub capacity: u64,
     /// Size at which a segment is sealed.
     pub segment: u32,
-    /// Body bytes under one checksum; at most a quarter of a segment.
+    /// Number of body bytes that share one checksum; at most a quarter of a segment.
     pub block: u32,
     /// Limit of the in-memory block cache.
     pub memory: u64,
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -1,14 +1,14 @@
-//! Opening a store, and its recovery one segment at a time.
+//! Opening of a store, and its recovery one segment at a time.
 use super::*;
 
-/// Mean block size assumed when the block cache is allocated.
+/// Mean block size in bytes that is assumed when the block cache is allocated.
 const ESTIMATED_BLOCK_BYTES: u64 = 32_768;
-/// Least capacity in segments: cleaning needs segments to choose from, and one to write to.
+/// Minimum capacity in segments: cleaning needs several segments to choose from and one to write to.
 const MIN_SEGMENTS: u64 = 6;
 
 impl Store {
-    /// Opens a folder. A copy of the previous run is served once [`Store::recover`] has read its segment. `wall_ms`: milliseconds
-    /// since 1970.
+    /// Opens a store. A copy of an earlier run is served once [`Store::recover`] has read its segment. `wall_ms` is the wall clock time
+    /// in milliseconds since 1970.
     pub fn open(disk: Arc<dyn Disk>, options: Options, wall_ms: u64) -> Result<Self, StoreError> {
         check_options(&options)?;
         for name in disk.list()?.iter().filter(|n| n.ends_with(".new")) {
@@ -16,20 +16,21 @@
         }
         let recovery = Recovery::new(&*disk)?;
         let estimated_blocks = (options.memory / ESTIMATED_BLOCK_BYTES).max(64) as usize;
-        let memory = Cache::with_weighter(estimated_blocks, options.memory.max(1), BlockWeight);
+        let block_cache =
+            Cache::with_weighter(estimated_blocks, options.memory.max(1), BlockWeight);
         let store = Self(Arc::new(Shared {
             disk,
             options,
             inner: Mutex::new(Inner::new(recovery)),
             syncing: Mutex::new(()),
-            memory,
+            block_cache,
         }));
-        // Sequence numbers continue after the newest record, so nothing is written before one is read.
+        // Sequence numbers continue after that of the newest record, so a record has to be read before the first write.
         while store.inner().seq == 0 && store.recover(wall_ms)? {}
         Ok(store)
     }
 
-    /// Recovers one more segment of the previous run, newest first. Returns false once recovery is complete.
+    /// Recovers the next segment of the earlier run, newest first. Returns false once recovery is complete.
     pub fn recover(&self, wall_ms: u64) -> Result<bool, StoreError> {
         let mut inner = self.inner();
         let inner = &mut *inner;
@@ -45,14 +46,15 @@
                 self.add_recovered_segment(inner, segment);
             }
         }
-        self.write_unrecoverable_as_purged(inner)?;
+        self.persist_unrecoverable_purge(inner)?;
         if inner.recovery.as_ref().is_some_and(Recovery::is_done) {
             inner.recovery = None;
         }
         Ok(inner.recovery.is_some())
     }
 
-    /// A torn end stays in the file: the summary says where it begins, and lists the purges and tombstones found behind it.
+    /// Adds a recovered segment. A torn tail is not truncated: the summary records where it begins and lists the purges and tombstones
+    /// found in it.
     fn add_recovered_segment(&self, inner: &mut Inner, recovered: RecoveredSegment) {
         inner.seq = inner.seq.max(recovered.last_seq);
         if let Some(records) = recovered.unsummarized_records {
@@ -68,9 +70,9 @@
         inner.segments.insert(recovered.number, segment);
     }
 
-    /// Where recovery had to count older commits as purged, this is made durable as a purge record: the damaged segment may be
-    /// cleaned away before the next start.
-    fn write_unrecoverable_as_purged(&self, inner: &mut Inner) -> Result<(), StoreError> {
+    /// If recovery had to treat older commits as purged, writes a durable purge record for them: the damaged segment may be cleaned
+    /// before the next start.
+    fn persist_unrecoverable_purge(&self, inner: &mut Inner) -> Result<(), StoreError> {
         let recovery = inner.recovery.as_mut();
         let Some(up_to_seq) = recovery.and_then(Recovery::take_unrecoverable_up_to) else {
             return Ok(());
@@ -80,8 +82,8 @@
             up_to_seq,
             ..Purge::default()
         };
-        let at = self.append(inner, &Record::Purge(purge))?;
-        if let Some(segment) = inner.segments.get_mut(&at.segment) {
+        let location = self.append(inner, &Record::Purge(purge))?;
+        if let Some(segment) = inner.segments.get_mut(&location.segment) {
             segment.file.sync()?;
             segment.synced = segment.len;
         }
@@ -94,7 +96,7 @@
         Ok(())
     }
 
-    /// Writes a segment's summary beside it. A failure is only logged: the next start scans the segment instead.
+    /// Writes the summary file of a segment. A failure is only logged: the next start scans the segment instead.
     pub(super) fn write_summary(&self, number: u32, len: u32, records: &[u8]) {
         let name = segments::summary_name(number);
         let temporary = format!("{name}.new");
@@ -108,17 +110,17 @@
             disk.sync_names()
         };
         if let Err(e) = write() {
-            tracing::warn!(segment = number, error = %e, "store: segment summary not written");
+            tracing::warn!(segment = number, error = %e, "store: writing the segment summary failed; the next start scans the segment");
             let _ = disk.remove(&temporary);
         }
     }
 
-    /// What recovery could not read so far, and therefore counts as purged; empty once recovery is complete.
+    /// Returns the damage found so far for which recovery treats older copies as purged; empty once recovery is complete.
     pub fn doubts(&self) -> Vec<String> {
         self.inner()
             .recovery
             .as_ref()
-            .map_or(Vec::new(), |r| r.doubts.clone())
+            .map_or(Vec::new(), |recovery| recovery.invalidation_reasons.clone())
     }
 }
 
@@ -138,19 +140,19 @@
 }
 
 impl Inner {
-    /// The state before any segment has been recovered.
+    /// Returns the state before any segment has been recovered.
     fn new(recovery: Recovery) -> Self {
         Self {
             index: Index::default(),
             segments: BTreeMap::new(),
             active: None,
             next_segment: recovery.newest() + 1,
-            records: Vec::new(),
-            record_ends: Vec::new(),
+            active_records: Vec::new(),
+            active_record_ends: Vec::new(),
             seq: 0,
             recovery: Some(recovery),
-            purges: Vec::new(),
-            fills: BTreeSet::new(),
+            recent_purges: Vec::new(),
+            open_fills: BTreeSet::new(),
             deferred_records: Vec::new(),
             victim: None,
             pending_truncations: Vec::new(),
--- a/crates/store/src/store/space.rs
+++ b/crates/store/src/store/space.rs
@@ -1,8 +1,8 @@
-//! Capacity: eviction and segment cleaning, under the lock.
+//! Capacity management, under the lock: eviction and segment cleaning.
 use super::*;
 
 impl Store {
-    /// Bytes of all segments, those not recovered yet included.
+    /// Returns the bytes of all segments, including those not recovered yet.
     pub(super) fn disk_bytes(&self, inner: &Inner) -> u64 {
         let pending = inner.recovery.as_ref().map_or(0, Recovery::pending_bytes);
         inner
@@ -13,89 +13,91 @@
             + pending
     }
 
-    /// Evicts and cleans until `need` more bytes of a copy of this rank fit.
+    /// Evicts and cleans until `needed_bytes` more bytes of a copy of this rank fit.
     pub(super) fn ensure_capacity(
         &self,
         inner: &mut Inner,
-        need: u64,
+        needed_bytes: u64,
         rank: u32,
     ) -> Result<(), StoreError> {
         let segment = u64::from(self.0.options.segment);
-        // One segment is being written, one is needed to clean into.
+        // One segment is reserved for writes and one as the target of cleaning.
         let space = self.0.options.capacity - 2 * segment;
-        let most = (space as f64 * MAX_LIVE_FRACTION) as u64;
-        while inner.index.live() + need > most {
+        let max_live_bytes = (space as f64 * MAX_LIVE_FRACTION) as u64;
+        while inner.index.live_bytes() + needed_bytes > max_live_bytes {
             let key = inner
                 .index
                 .eviction_candidate(Some(rank))
-                .ok_or(StoreError::NoRoom)?;
+                .ok_or(StoreError::Full)?;
             let seq = inner.index.remove(&key).map_or(0, |e| e.seq);
             inner.stats.evicted += 1;
             self.write_tombstone(inner, key, seq);
         }
         // Cleaning starts early and in small steps, so that no write waits for a whole segment.
-        if self.disk_bytes(inner) + need + segment > space {
-            self.clean(inner, MAX_CLEANED_BYTES_PER_WRITTEN_BYTE * need)?;
+        if self.disk_bytes(inner) + needed_bytes + segment > space {
+            self.clean(inner, MAX_CLEANED_BYTES_PER_WRITTEN_BYTE * needed_bytes)?;
         }
         let mut moved = 0;
-        while self.disk_bytes(inner) + need > space {
-            let more = self.clean(inner, segment)?;
-            moved += more;
-            // A whole pass freed nothing: the log cannot be made smaller.
-            if more == 0 || moved > 2 * self.0.options.capacity {
-                return Err(StoreError::NoRoom);
+        while self.disk_bytes(inner) + needed_bytes > space {
+            let step_bytes = self.clean(inner, segment)?;
+            moved += step_bytes;
+            // No segment was worth cleaning, or a full pass has not freed enough: the log cannot shrink further.
+            if step_bytes == 0 || moved > 2 * self.0.options.capacity {
+                return Err(StoreError::Full);
             }
         }
         Ok(())
     }
 
-    /// Cleans segments until `most` bytes were moved or freed, or no segment is worth it. Returns the bytes moved or freed.
-    pub(super) fn clean(&self, inner: &mut Inner, most: u64) -> Result<u64, StoreError> {
+    /// Cleans segments until `max_bytes` bytes were moved or freed, or no segment is worth cleaning. Returns the bytes moved or freed.
+    pub(super) fn clean(&self, inner: &mut Inner, max_bytes: u64) -> Result<u64, StoreError> {
         let mut moved = 0;
-        while moved < most && inner.recovery.is_none() {
+        while moved < max_bytes && inner.recovery.is_none() {
             let Some(victim) = inner.victim.or_else(|| self.choose_victim(inner)) else {
                 break;
             };
             inner.victim = Some(victim);
             match inner.index.any_key_in(victim) {
-                Some(key) => moved += self.move_out(inner, key, victim)?,
+                Some(key) => moved += self.move_copy(inner, key, victim)?,
                 None => {
-                    // The freed file counts as progress, so that a caller in need of capacity continues.
+                    // The freed file counts as progress, so that a caller that needs capacity continues.
                     moved += inner.segments.get(&victim).map_or(0, |s| u64::from(s.len));
                     inner.victim = None;
-                    self.finish(inner, victim)?;
+                    self.remove_cleaned_segment(inner, victim)?;
                 }
             }
         }
         Ok(moved)
     }
 
-    /// The segment with the lowest fraction of live bytes that is neither active nor pinned; the oldest of equals.
+    /// Returns the segment with the lowest fraction of live bytes that is neither active nor pinned; of equal ones the oldest.
     pub(super) fn choose_victim(&self, inner: &Inner) -> Option<u32> {
-        let fit = inner
+        let candidates = inner
             .segments
             .iter()
             .filter(|(n, s)| inner.active != Some(**n) && s.pins == 0);
-        let dense = |n: u32, s: &Segment| inner.index.live_in(n) as f64 / f64::from(s.len.max(1));
-        // Purges and tombstones are rewritten until no older segment is left. If there are too many, the oldest segment is rewritten
-        // first, since they end with it.
+        let live_fraction =
+            |n: u32, s: &Segment| inner.index.live_bytes_in(n) as f64 / f64::from(s.len.max(1));
+        // Cleaning rewrites the purges and tombstones of a segment unless it is the oldest. If there are too many of them, the oldest
+        // segment is cleaned first, since its own are then dropped.
         let invalidation_records: usize = inner
             .segments
             .values()
             .map(|s| s.invalidation_records.len())
             .sum();
         if invalidation_records > MIN_INVALIDATIONS_FOR_REWRITE.max(2 * inner.index.len()) {
-            return fit.map(|(n, _)| *n).min();
+            return candidates.map(|(n, _)| *n).min();
         }
-        let all = fit
-            .map(|(n, s)| (dense(*n, s), *n))
-            .filter(|(dense, _)| *dense < MAX_CLEANABLE_LIVE_FRACTION);
-        all.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
+        let cleanable = candidates
+            .map(|(n, s)| (live_fraction(*n, s), *n))
+            .filter(|(live_fraction, _)| *live_fraction < MAX_CLEANABLE_LIVE_FRACTION);
+        cleanable
+            .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, n)| n)
     }
 
-    /// Rewrites the blocks that a copy has in the segment, and its commit. Returns the bytes moved.
-    pub(super) fn move_out(
+    /// Rewrites the blocks that a copy has in the segment, and its commit record. Returns the bytes moved.
+    pub(super) fn move_copy(
         &self,
         inner: &mut Inner,
         key: Key,
@@ -116,11 +118,11 @@
                 self.write_tombstone(inner, key, entry.seq);
             }
         }
-        // Never 0, so that the caller's loop ends.
+        // The result is never 0: `clean` loops until it has moved enough bytes.
         Ok(moved.bytes + u64::from(entry.commit.len))
     }
 
-    /// Rewrites those of the blocks that are in the segment, up to the first that cannot be read.
+    /// Rewrites the blocks at `locations` that are in the segment, up to the first one that cannot be read.
     fn move_blocks(
         &self,
         inner: &mut Inner,
@@ -149,9 +151,13 @@
         Ok(moved)
     }
 
-    /// Removes a segment without live copies. Its purges and tombstones are written anew if older segments remain, and
-    /// everything moved is synced first.
-    pub(super) fn finish(&self, inner: &mut Inner, victim: u32) -> Result<(), StoreError> {
+    /// Removes a segment without live copies. If older segments remain, its purges and tombstones are written again first. All records
+    /// moved out of the segment are synced before it is removed.
+    pub(super) fn remove_cleaned_segment(
+        &self,
+        inner: &mut Inner,
+        victim: u32,
+    ) -> Result<(), StoreError> {
         self.write_deferred_records(inner)?;
         let oldest = inner
             .segments
@@ -167,19 +173,24 @@
                 self.append(inner, &record)?;
             }
         }
-        let needed = inner
+        let remaining_segments = inner
             .segments
             .keys()
             .copied()
             .filter(|n| *n != victim)
             .collect();
-        let at = self.append(inner, &Record::Manifest(Manifest { segments: needed }))?;
+        let location = self.append(
+            inner,
+            &Record::Manifest(Manifest {
+                segments: remaining_segments,
+            }),
+        )?;
         // The moved records must be durable before the segment is removed.
-        let Some(segment) = inner.segments.get_mut(&at.segment) else {
+        let Some(segment) = inner.segments.get_mut(&location.segment) else {
             return Ok(());
         };
         if let Err(e) = segment.file.sync() {
-            self.discard_unsynced(inner, at.segment);
+            self.discard_unsynced(inner, location.segment);
             return Err(e.into());
         }
         segment.synced = segment.len;
@@ -187,7 +198,8 @@
         Ok(())
     }
 
-    /// Evicts all copies of the oldest segment and removes it, to free disk space for a purge. False: not possible.
+    /// Evicts all copies of the oldest segment and removes it, to free disk space for a purge. Returns false if the segment is active or
+    /// pinned, recovery is not complete, or the file cannot be removed.
     pub(super) fn evict_oldest_segment(&self, inner: &mut Inner) -> bool {
         let oldest = inner
             .segments
@@ -209,18 +221,18 @@
         self.remove_segment(inner, number)
     }
 
-    /// Removes a segment's files. False: the file could not be removed and the segment stays.
+    /// Removes the files of a segment. Returns false if the segment file could not be removed; the segment then stays.
     pub(super) fn remove_segment(&self, inner: &mut Inner, number: u32) -> bool {
         if self.0.disk.remove(&segments::segment_name(number)).is_err() {
             return false;
         }
         let _ = self.0.disk.remove(&segments::summary_name(number));
         inner.segments.remove(&number);
-        inner.index.forget_segment(number);
+        inner.index.remove_segment(number);
         true
     }
 
-    /// Cleans segments, moving or freeing about `bytes`. Returns the bytes moved or freed; 0: no segment is worth it.
+    /// Cleans segments, moving or freeing about `bytes` bytes. Returns the bytes moved or freed; 0 if no segment is worth cleaning.
     pub fn maintain(&self, bytes: u64) -> Result<u64, StoreError> {
         let mut inner = self.inner();
         self.clean(&mut inner, bytes)
@@ -229,11 +241,11 @@
 
 /// Result of moving a copy's blocks out of a segment.
 struct MovedBlocks {
-    /// All blocks of the copy, at their new locations.
+    /// Locations of all blocks of the copy after the move.
     locations: Vec<BlockLocation>,
-    /// Bytes of the records that were moved.
+    /// Total bytes of the records that were moved.
     bytes: u64,
-    /// False: a block could not be read, so the copy is lost.
+    /// Whether all blocks could be read; otherwise the copy is lost.
     complete: bool,
 }
 
--- a/crates/store/src/store/stats.rs
+++ b/crates/store/src/store/stats.rs
@@ -1,30 +1,30 @@
 //! Counters and gauges of the store.
 
-/// A snapshot of the store's counters (since it was opened) and gauges.
+/// A snapshot of the store's gauges and of its counters since it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Copies in the index.
+    /// Number of copies in the index.
     pub copies: u64,
-    /// Bytes of records that the index refers to.
+    /// Bytes of the records that the index refers to.
     pub live_bytes: u64,
-    /// Bytes of the recovered and written segments.
+    /// Bytes of the segments that were recovered or written.
     pub disk_bytes: u64,
-    /// Segments recovered or written.
+    /// Number of segments that were recovered or written.
     pub segments: u64,
-    /// Copies evicted.
+    /// Number of copies evicted.
     pub evicted: u64,
-    /// Copies removed by purges.
+    /// Number of copies removed by purges.
     pub purged: u64,
-    /// Copies removed because they could not be read, or because an fsync failed.
+    /// Number of copies removed because they could not be read or an fsync failed.
     pub lost: u64,
     /// Body bytes accepted from fills.
-    pub taken_bytes: u64,
-    /// Bytes written in all; divided by `taken_bytes` this is the write amplification.
+    pub accepted_bytes: u64,
+    /// Total bytes written; divided by `accepted_bytes`, this is the write amplification.
     pub written_bytes: u64,
-    /// Blocks served from memory.
+    /// Number of blocks served from the in-memory block cache.
     pub memory_reads: u64,
-    /// Blocks served from disk.
+    /// Number of blocks read from disk.
     pub disk_reads: u64,
-    /// Bytes of segments that recovery has still to read.
+    /// Bytes of the segments that recovery has not read yet.
     pub pending_bytes: u64,
 }
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -1,8 +1,9 @@
-//! The write path, under the lock: records into the active segment, sealing it, fsync, and discarding what a failed fsync may have lost.
+//! Write path, under the lock: writes of records to the active segment, sealing, fsync, and the discard of data that a failed fsync may
+//! have lost.
 use super::*;
 
 impl Store {
-    /// Writes a record and keeps purges and tombstones in memory, for when the segment is cleaned.
+    /// Writes a record. Purges and tombstones also stay in memory, to be written again when the segment is cleaned.
     pub(super) fn append(
         &self,
         inner: &mut Inner,
@@ -27,26 +28,26 @@
         payload: &[u8],
     ) -> Result<BlockLocation, StoreError> {
         self.retry_truncations(inner)?;
-        let need = (RECORD_HEADER_BYTES + payload.len()) as u32;
-        let full = |s: &Segment| {
-            s.len + need > self.0.options.segment && s.len > SEGMENT_HEADER_BYTES as u32
+        let record_bytes = (RECORD_HEADER_BYTES + payload.len()) as u32;
+        let is_full = |s: &Segment| {
+            s.len + record_bytes > self.0.options.segment && s.len > SEGMENT_HEADER_BYTES as u32
         };
         if inner
             .active
             .and_then(|n| inner.segments.get(&n))
-            .is_some_and(full)
+            .is_some_and(is_full)
         {
             self.seal(inner)?;
         }
         let number = match inner.active {
             Some(number) => number,
-            None => self.create(inner)?,
+            None => self.create_segment(inner)?,
         };
-        self.put(inner, number, kind, payload)
+        self.write_to_segment(inner, number, kind, payload)
     }
 
-    /// Writes a record at the end of a segment. After an error the segment ends where it did before.
-    pub(super) fn put(
+    /// Writes a record at the end of a segment. After an error the length of the segment is unchanged.
+    pub(super) fn write_to_segment(
         &self,
         inner: &mut Inner,
         number: u32,
@@ -56,16 +57,16 @@
         inner.seq += 1;
         let bytes = record::encode(number, kind, inner.seq, payload);
         let Some(segment) = inner.segments.get_mut(&number) else {
-            return Err(StoreError::NoRoom);
+            return Err(StoreError::Full);
         };
         let offset = segment.len;
         if let Err(e) = segment.file.write_at(u64::from(offset), &bytes) {
-            // A partial record must not precede the next one.
-            if let Err(again) = segment.file.truncate(u64::from(offset)) {
-                tracing::error!(segment = number, error = %again, "store: truncation after a failed write failed; retried at the next write");
+            // The next record must not follow a partial one.
+            if let Err(truncate_error) = segment.file.truncate(u64::from(offset)) {
+                tracing::error!(segment = number, error = %truncate_error, "store: truncation after a failed write failed; the next write retries it");
                 inner.pending_truncations.push(PendingTruncation {
                     segment: number,
-                    at: offset,
+                    offset,
                     records: None,
                 });
             }
@@ -74,9 +75,13 @@
         segment.len += bytes.len() as u32;
         inner.stats.written_bytes += bytes.len() as u64;
         if kind != Kind::Block {
-            inner.records.extend_from_slice(&offset.to_le_bytes());
-            inner.records.extend_from_slice(&bytes);
-            inner.record_ends.push((segment.len, inner.records.len()));
+            inner
+                .active_records
+                .extend_from_slice(&offset.to_le_bytes());
+            inner.active_records.extend_from_slice(&bytes);
+            inner
+                .active_record_ends
+                .push((segment.len, inner.active_records.len()));
         }
         Ok(BlockLocation {
             segment: number,
@@ -86,8 +91,8 @@
         })
     }
 
-    /// Creates a segment, makes it the active one and begins it with a manifest of the older segments.
-    pub(super) fn create(&self, inner: &mut Inner) -> Result<u32, StoreError> {
+    /// Creates a segment, makes it active and writes a manifest of the older segments as its first record.
+    pub(super) fn create_segment(&self, inner: &mut Inner) -> Result<u32, StoreError> {
         let number = inner.next_segment;
         let name = segments::segment_name(number);
         let file = self.0.disk.create(&name)?;
@@ -100,11 +105,11 @@
         }
         inner.next_segment += 1;
         let len = SEGMENT_HEADER_BYTES as u32;
-        let needed = inner
+        let older_segments = inner
             .segments
             .keys()
             .copied()
-            .chain(pending(inner))
+            .chain(pending_segments(inner))
             .collect();
         inner.segments.insert(
             number,
@@ -117,14 +122,16 @@
             },
         );
         inner.active = Some(number);
-        inner.records = Vec::new();
-        inner.record_ends = Vec::new();
-        let manifest = Record::Manifest(Manifest { segments: needed });
-        self.put(inner, number, Kind::Manifest, &manifest.payload())?;
+        inner.active_records = Vec::new();
+        inner.active_record_ends = Vec::new();
+        let manifest = Record::Manifest(Manifest {
+            segments: older_segments,
+        });
+        self.write_to_segment(inner, number, Kind::Manifest, &manifest.payload())?;
         Ok(number)
     }
 
-    /// Syncs the active segment, writes its summary and ends it: the next record goes into a new segment.
+    /// Syncs the active segment, writes its summary and closes it: the next record goes into a new segment.
     pub(super) fn seal(&self, inner: &mut Inner) -> Result<(), StoreError> {
         let Some(number) = inner.active else {
             return Ok(());
@@ -141,97 +148,97 @@
                 return Err(e.into());
             }
         }
-        let records = std::mem::take(&mut inner.records);
+        let records = std::mem::take(&mut inner.active_records);
         inner.active = None;
         self.write_summary(number, len, &records);
         Ok(())
     }
 
-    /// After a failed fsync nothing written since the last good one can be relied on, since the kernel may have dropped the dirty
-    /// pages: the segment is truncated there, and copies with data beyond are dropped from the index. Purges and tombstones among
-    /// the discarded records, and a tombstone for each dropped copy, are owed: they are deferred to the next write.
+    /// Discards what was written since the last successful fsync. After a failed fsync that data may be lost, since the kernel may have
+    /// dropped the dirty pages. The segment is truncated to its durable length, and copies with data beyond it are removed from the index.
+    /// Purges and tombstones among the discarded records, and a tombstone for each removed copy, are deferred to the next write.
     pub(super) fn discard_unsynced(&self, inner: &mut Inner, number: u32) {
         let Some(segment) = inner.segments.get_mut(&number) else {
             return;
         };
-        let good = segment.synced.max(SEGMENT_HEADER_BYTES as u32);
-        if segment.len <= good {
+        let durable_len = segment.synced.max(SEGMENT_HEADER_BYTES as u32);
+        if segment.len <= durable_len {
             return;
         }
-        segment.len = good;
+        segment.len = durable_len;
         let records = std::mem::take(&mut segment.invalidation_records);
-        let (durable, lost): (Vec<_>, Vec<_>) =
-            records.into_iter().partition(|(offset, _)| *offset < good);
+        let (durable, lost): (Vec<_>, Vec<_>) = records
+            .into_iter()
+            .partition(|(offset, _)| *offset < durable_len);
         segment.invalidation_records = durable;
         let lost_records = lost.into_iter().map(|(_, record)| record);
         inner.deferred_records.extend(lost_records);
-        let truncated = segment.file.truncate(u64::from(good)).is_ok();
+        let truncated = segment.file.truncate(u64::from(durable_len)).is_ok();
         tracing::error!(
             segment = number,
-            from = good,
-            "store: fsync failed; records written since the last fsync are discarded"
+            offset = durable_len,
+            "store: fsync failed; discarding the records written since the last successful fsync"
         );
-        drop_copies_beyond(inner, number, good);
+        drop_copies_beyond(inner, number, durable_len);
         let records = (inner.active == Some(number)).then(|| {
             inner.active = None;
-            active_records_up_to(inner, good)
+            active_records_up_to(inner, durable_len)
         });
         if !truncated {
             inner.pending_truncations.push(PendingTruncation {
                 segment: number,
-                at: good,
+                offset: durable_len,
                 records,
             });
         } else if let Some(records) = records {
-            self.write_summary(number, good, &records);
+            self.write_summary(number, durable_len, &records);
         }
     }
 
-    /// Retries the truncations that failed. Until all have succeeded nothing is written, since a partial record must not precede the
-    /// next one.
+    /// Retries the failed truncations. Writes are refused until all have succeeded, since the next record must not follow a partial one.
     fn retry_truncations(&self, inner: &mut Inner) -> Result<(), StoreError> {
         while let Some(PendingTruncation {
             segment: number,
-            at,
+            offset,
             records,
         }) = inner.pending_truncations.pop()
         {
-            // Cleaned meanwhile: the file was removed.
+            // The segment has been cleaned in the meantime and its file removed.
             let Some(segment) = inner.segments.get(&number) else {
                 continue;
             };
-            if let Err(e) = segment.file.truncate(u64::from(at)) {
+            if let Err(e) = segment.file.truncate(u64::from(offset)) {
                 inner.pending_truncations.push(PendingTruncation {
                     segment: number,
-                    at,
+                    offset,
                     records,
                 });
-                return Err(StoreError::Closed(format!(
-                    "a failed write cannot be taken back yet: {e}"
+                return Err(StoreError::ReadOnly(format!(
+                    "truncation of segment {number} to {offset} bytes failed: {e}"
                 )));
             }
             if let Some(records) = records {
-                self.write_summary(number, at, &records);
+                self.write_summary(number, offset, &records);
             }
         }
         Ok(())
     }
 
-    /// Returns once the segment is durable up to the offset `upto`; concurrent callers share an fsync.
-    pub(super) fn sync_upto(&self, number: u32, upto: u32) -> Result<(), StoreError> {
-        let _one = lock(&self.0.syncing);
+    /// Makes the segment durable up to the offset `up_to`; concurrent callers share an fsync.
+    pub(super) fn sync_up_to(&self, number: u32, up_to: u32) -> Result<(), StoreError> {
+        let _guard = lock(&self.0.syncing);
         let (file, len) = {
             let inner = self.inner();
             match inner.segments.get(&number) {
-                // Covered by another caller's fsync, or by sealing.
-                Some(segment) if segment.synced >= upto => return Ok(()),
-                Some(segment) if segment.len >= upto => (segment.file.clone(), segment.len),
+                // Another caller's fsync, or sealing, has covered this range.
+                Some(segment) if segment.synced >= up_to => return Ok(()),
+                Some(segment) if segment.len >= up_to => (segment.file.clone(), segment.len),
                 Some(_) => {
                     return Err(StoreError::Disk(std::io::Error::other(
-                        "a sync before it has failed",
+                        "data was discarded after an earlier failed fsync",
                     )))
                 }
-                // Cleaned meanwhile: its live records were synced elsewhere before it was removed.
+                // The segment has been cleaned in the meantime: its live records were moved and synced before it was removed.
                 None => return Ok(()),
             }
         };
@@ -242,7 +249,7 @@
                 let segment = inner.segments.get_mut(&number).filter(|s| s.len >= len);
                 let Some(segment) = segment else {
                     return Err(StoreError::Disk(std::io::Error::other(
-                        "a sync beside it has failed",
+                        "data was discarded after a concurrent failed fsync",
                     )));
                 };
                 segment.synced = segment.synced.max(len);
@@ -266,15 +273,15 @@
             meta: Some(meta),
             locations,
         };
-        let at = self.write(inner, Kind::Commit, &commit.encode_to_vec())?;
+        let location = self.write(inner, Kind::Commit, &commit.encode_to_vec())?;
         let (Some(meta), locations) = (commit.meta, commit.locations) else {
             return Ok(());
         };
         let key = meta.key();
         let record = RecordLocation {
-            segment: at.segment,
-            offset: at.offset,
-            len: at.len + RECORD_HEADER_BYTES as u32,
+            segment: location.segment,
+            offset: location.offset,
+            len: location.len + RECORD_HEADER_BYTES as u32,
         };
         let entry = Entry::new(&meta, inner.seq, record, locations);
         inner.index.insert(key, entry, false);
@@ -282,18 +289,18 @@
     }
 }
 
-/// Removes copies from the index that have a record in the segment at or beyond `good`.
-fn drop_copies_beyond(inner: &mut Inner, number: u32, good: u32) {
-    let beyond = |segment: u32, offset: u32| segment == number && offset >= good;
+/// Removes the copies from the index that have a record in the segment at or beyond the offset `durable_len`.
+fn drop_copies_beyond(inner: &mut Inner, number: u32, durable_len: u32) {
+    let is_discarded = |segment: u32, offset: u32| segment == number && offset >= durable_len;
     let candidates = inner.index.usage(number).keys;
     for key in candidates {
         let is_lost = inner.index.get(&key).is_some_and(|entry| {
             let mut locations = entry.locations.iter();
-            beyond(entry.commit.segment, entry.commit.offset)
-                || locations.any(|l| beyond(l.segment, l.offset))
+            is_discarded(entry.commit.segment, entry.commit.offset)
+                || locations.any(|l| is_discarded(l.segment, l.offset))
         });
         if is_lost {
-            // Deferred: the segment that would take the tombstone may be the one that fails.
+            // The tombstone is deferred: the segment that it would be written to may be the one whose fsync failed.
             let seq = inner.index.remove(&key).map_or(0, |entry| entry.seq);
             let tombstone = Tombstone::new(key, seq);
             inner.deferred_records.push(Record::Tombstone(tombstone));
@@ -302,13 +309,13 @@
     }
 }
 
-/// Records of the active segment that end at or before `good`, as its summary has them.
-fn active_records_up_to(inner: &Inner, good: u32) -> Vec<u8> {
+/// Returns the records of the active segment that end at or before `durable_len`, encoded as in its summary.
+fn active_records_up_to(inner: &Inner, durable_len: u32) -> Vec<u8> {
     let len = inner
-        .record_ends
+        .active_record_ends
         .iter()
         .rev()
-        .find(|(end, _)| *end <= good)
+        .find(|(end, _)| *end <= durable_len)
         .map_or(0, |(_, len)| *len);
-    inner.records[..len].to_vec()
+    inner.active_records[..len].to_vec()
 }
--- a/crates/store/tests/common/mod.rs
+++ b/crates/store/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Options, metadata and bodies that the tests of the store share.
+//! Options, metadata and bodies for the tests of the store.
 #![allow(dead_code)]
 
 use pointspindle_store::{Meta, Options};
@@ -10,12 +10,12 @@
     block: 8 * 1024,
     memory: 64 * 1024,
 };
-/// Objects that a test stores.
+/// Number of objects that a test stores.
 pub const OBJECTS: u64 = 24;
-/// Purge groups that the objects are spread over.
+/// Number of purge groups that the objects belong to.
 pub const GROUPS: u64 = 4;
 
-/// Metadata of a numbered object.
+/// Returns the metadata of an object, given by its number.
 pub fn meta(object: u64, rank: u32) -> Meta {
     Meta {
         object: format!("/o/{object}"),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Body of an object's version; its length and every line depend on both.
+/// Returns the body of a version of an object; its length and content depend on both.
 pub fn body(object: u64, version: u64) -> Vec<u8> {
     let len = (object * 7_919 + version * 104_729) % 40_000;
     let line = format!("{object}/{version};");
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Power loss at any operation, also in the middle of a write: no torn object is served, no copy from before an acknowledged purge
-//! is recovered, and every served version was committed.
+//! Power loss at any operation, also in the middle of a write: no torn object is served, no copy from before an acknowledged purge is
+//! recovered, and every served version was committed.
 mod common;
 
 use common::{body, meta, GROUPS, OBJECTS, OPTIONS};
@@ -13,15 +13,15 @@
 /// Reference model of what the store may serve.
 #[derive(Default)]
 struct Model {
-    /// By object: committed versions, each with the number of the last purge before its fill began.
+    /// Versions whose commit was attempted, by object, each with the number of purges before its fill began.
     versions: BTreeMap<u64, Vec<(u64, u64)>>,
-    /// By object: the last purge that was acknowledged.
+    /// Number of the last acknowledged purge, by object.
     purged: BTreeMap<u64, u64>,
     purges: u64,
     next: u64,
-    /// By object: the newest committed version.
+    /// Newest committed version, by object.
     committed: BTreeMap<u64, u64>,
-    /// By object: the newest synced version; no older one may be served.
+    /// Newest synced version, by object; no older one may be served.
     synced: BTreeMap<u64, u64>,
 }
 
@@ -60,34 +60,34 @@
         for block in 0..found.blocks() {
             match found.read(block) {
                 Ok(data) => bytes.extend_from_slice(&data),
-                // Reported as corrupt, not served.
+                // A block that fails its checksum is reported, not served.
                 Err(_) => return,
             }
         }
         self.checked += 1;
         let seed = self.seed;
-        let known = self
+        let versions = self
             .model
             .versions
             .get(&object)
             .cloned()
             .unwrap_or_default();
-        let right = known.iter().find(|(v, _)| body(object, *v) == bytes);
-        let Some((version, after)) = right else {
+        let served = versions.iter().find(|(v, _)| body(object, *v) == bytes);
+        let Some((version, purges_before)) = served else {
             panic!(
-                "seed {seed}: /o/{object} is {} bytes that were never committed",
+                "seed {seed}: /o/{object} was served with {} bytes that were never committed",
                 bytes.len()
             )
         };
         let purged = self.model.purged.get(&object).copied().unwrap_or(0);
         assert!(
-            *after >= purged,
+            *purges_before >= purged,
             "seed {seed}: /o/{object} version {version} is from before purge {purged}"
         );
         let newest = self.model.synced.get(&object).copied().unwrap_or(0);
         assert!(
             *version >= newest,
-            "seed {seed}: /o/{object} version {version} came back after {newest}"
+            "seed {seed}: /o/{object} version {version} was served although version {newest} was synced"
         );
         assert_eq!(found.meta.size, bytes.len() as u64);
     }
@@ -103,27 +103,27 @@
         let object = self.rng.gen_range(0..OBJECTS);
         self.model.next += 1;
         let version = self.model.next;
-        let after = self.model.purges;
+        let purges_before = self.model.purges;
         let mut fill = self.store.begin(meta(object, self.rng.gen_range(0..3)));
-        // A purge during the fill: its commit must be refused.
-        let purge = self.rng.gen_bool(0.05);
+        // The commit of a fill must be refused if its object was purged during the fill.
+        let is_purged_during_fill = self.rng.gen_bool(0.05);
         for piece in body(object, version).chunks(self.rng.gen_range(1_000..20_000)) {
             fill.write(piece)?;
         }
-        if purge {
+        if is_purged_during_fill {
             self.purge(What::Group(object % GROUPS))?;
         }
-        // Noted before the commit: one that is not acknowledged may still be durable.
+        // The version is recorded before its commit: an unacknowledged commit may still be durable.
         self.model
             .versions
             .entry(object)
             .or_default()
-            .push((version, after));
+            .push((version, purges_before));
         let done = fill.commit(self.wall_ms);
-        if purge {
+        if is_purged_during_fill {
             assert!(
                 done.is_err(),
-                "seed {}: a copy from before a purge was taken",
+                "seed {}: a fill that began before a purge was committed",
                 self.seed
             );
         }
@@ -149,7 +149,7 @@
         self.wall_ms += 10;
         match self.rng.gen_range(0..100) {
             0..=54 => match self.fill() {
-                Err(StoreError::NoRoom) => Ok(()),
+                Err(StoreError::Full) => Ok(()),
                 done => done,
             },
             55..=59 => {
@@ -195,19 +195,20 @@
     /// Runs random steps until power is lost.
     fn run(&mut self) {
         let operations = self.rng.gen_range(0..250);
-        self.disk.lose_power_in(operations);
+        self.disk.lose_power_after(operations);
         if self.rng.gen_bool(0.1) {
             self.disk.fail_syncs(1);
         }
-        while !self.disk.is_dead() {
+        while !self.disk.is_powered_off() {
             let done = self.step();
-            // A failed fsync is reported to its caller, and the store continues.
-            let sync_failed = matches!(&done, Err(e) if e.to_string().contains("cannot write"));
+            // A failed fsync is reported to the caller, and the store continues to work.
+            let sync_failed =
+                matches!(&done, Err(e) if e.to_string().contains("injected fsync failure"));
             if sync_failed {
-                // Nothing since the last successful fsync is guaranteed.
+                // Commits since the last successful fsync are not guaranteed to survive.
                 self.model.committed = self.model.synced.clone();
             }
-            if done.is_err() && !sync_failed && !self.disk.is_dead() {
+            if done.is_err() && !sync_failed && !self.disk.is_powered_off() {
                 panic!("seed {}: {done:?}", self.seed);
             }
         }
@@ -251,7 +252,7 @@
             run.disk = run.disk.after_crash(|| rng.gen_bool(keep));
             // Power may be lost again during recovery.
             if run.rng.gen_bool(0.2) {
-                run.disk.lose_power_in(run.rng.gen_range(0..6));
+                run.disk.lose_power_after(run.rng.gen_range(0..6));
                 if let Ok(store) = Store::open(Arc::new(run.disk.clone()), OPTIONS, run.wall_ms) {
                     let _ = store.recover_all(run.wall_ms);
                 }
@@ -274,10 +275,10 @@
         checked += run.checked;
         cached += run.cached;
     }
-    println!("{done} crashes, {checked} copies read, {cached} cached after them");
+    println!("{done} crashes, {checked} copies read, {cached} copies recovered");
     assert!(
         cached > done && checked > 5 * done,
-        "nothing survives: the test shows nothing"
+        "too few copies survived for the test to be meaningful: {done} crashes, {checked} copies read, {cached} copies recovered"
     );
 }
 
@@ -295,14 +296,14 @@
             store.purge(&What::Object(format!("/o/{object}"))).unwrap();
         }
     }
-    let after = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
-    after.recover_all(1_000).unwrap();
+    let recovered = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
+    recovered.recover_all(1_000).unwrap();
     assert!(
-        after.get(&meta(1, 1).key()).is_some(),
-        "synced, so recovered"
+        recovered.get(&meta(1, 1).key()).is_some(),
+        "a synced copy was not recovered"
     );
     assert!(
-        after.get(&meta(2, 1).key()).is_none(),
-        "purged, so not recovered"
+        recovered.get(&meta(2, 1).key()).is_none(),
+        "a purged copy was recovered"
     );
 }
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Behaviour under faults of the disk, and eviction when the store is full.
+//! Behaviour of the store on disk faults, and eviction when the store is full.
 mod common;
 
 use common::{body, meta, OBJECTS, OPTIONS};
@@ -8,7 +8,7 @@
 use rand::{Rng, SeedableRng};
 use std::sync::Arc;
 
-/// A flipped bit anywhere on disk is never served; it costs only the copies that it touches.
+/// Data with a flipped bit is never served, wherever on disk the bit is; a copy that fails its checksum is removed.
 #[test]
 fn flipped_bit_on_disk_is_never_served() {
     let mut lost = 0;
@@ -32,22 +32,22 @@
         }
         let names: Vec<String> = Disk::list(&disk).unwrap();
         let name = &names[rng.gen_range(0..names.len())];
-        assert!(disk.flip(name, rng.gen_range(0..disk.len_of(name))));
-        // Without and with a restart.
-        let again = Store::open(Arc::new(disk.after_crash(|| true)), options, 1_000).unwrap();
-        again.recover_all(1_000).unwrap();
-        for store in [store, again] {
+        assert!(disk.flip_bit(name, rng.gen_range(0..disk.file_len(name))));
+        // The store is read without and with a restart.
+        let reopened = Store::open(Arc::new(disk.after_crash(|| true)), options, 1_000).unwrap();
+        reopened.recover_all(1_000).unwrap();
+        for store in [store, reopened] {
             for object in 0..OBJECTS {
                 let Some(found) = store.get(&meta(object, 1).key()) else {
                     continue;
                 };
-                assert_ne!(object, 1, "seed {seed}: purged");
+                assert_ne!(object, 1, "seed {seed}: purged object 1 was served");
                 let read: Result<Vec<_>, _> = (0..found.blocks()).map(|n| found.read(n)).collect();
                 match read {
                     Ok(blocks) => {
                         assert!(
                             blocks.concat() == body(object, 3),
-                            "seed {seed}: /o/{object}"
+                            "seed {seed}: /o/{object} was served with a wrong body"
                         );
                         served += 1;
                     }
@@ -55,7 +55,7 @@
                         lost += 1;
                         assert!(
                             store.get(&meta(object, 1).key()).is_none(),
-                            "cached no more"
+                            "seed {seed}: unreadable copy /o/{object} is still in the index"
                         );
                     }
                 }
@@ -64,10 +64,10 @@
         let report = check::check(&disk, true).unwrap();
         assert!(
             !report.wrong.is_empty(),
-            "seed {seed}: a flip in {name} that the check does not see"
+            "seed {seed}: the check does not report a flipped bit in {name}"
         );
     }
-    println!("{served} read, {lost} reported as corrupt");
+    println!("{served} copies read, {lost} reported as corrupt");
     assert!(lost > 0 && served > 1_000);
 }
 
@@ -99,11 +99,11 @@
     while store.recover(1_000).unwrap() {}
     assert!(
         store.get(&meta(5, 1).key()).is_some(),
-        "newer than what is missing"
+        "a copy newer than the missing segment was lost"
     );
     assert!(
         store.get(&meta(2, 1).key()).is_none(),
-        "older: it may have been purged, and was"
+        "a copy older than the missing segment, with its purge, was served"
     );
 }
 
@@ -124,7 +124,7 @@
     store.get(&meta.key()).is_some()
 }
 
-/// Eviction takes the lowest rank first, then the least recently used; a low rank never evicts a high one.
+/// Eviction takes the lowest rank first, then the least recently used; a copy never evicts one of a higher rank.
 #[test]
 fn full_store_evicts_by_rank_then_recency_within_capacity() {
     let disk = SimDisk::default();
@@ -137,7 +137,10 @@
     let cached = |object: String| is_cached(&store, object);
     for n in 0..2_000 {
         fill(format!("/low/{n}"), 1).unwrap();
-        assert!(cached("/mid/0".into()), "used all the time");
+        assert!(
+            cached("/mid/0".into()),
+            "a copy in continuous use was evicted"
+        );
         assert!(
             store.stats().disk_bytes <= OPTIONS.capacity,
             "{:?}",
@@ -149,28 +152,28 @@
         "{:?}",
         store.stats()
     );
-    // Higher ranks evict lower ones, and among equals the least recently used.
+    // A higher rank evicts lower ones; among equal ranks the least recently used copy is evicted first.
     for n in 0..70 {
         let _ = fill(format!("/higher/{n}"), 3);
     }
-    let mids = (0..20).filter(|n| cached(format!("/mid/{n}"))).count();
+    let mid_copies = (0..20).filter(|n| cached(format!("/mid/{n}"))).count();
     assert!(
-        mids < 20 && !(0..2_000).any(|n| cached(format!("/low/{n}"))),
-        "{mids}: {:?}",
+        mid_copies < 20 && !(0..2_000).any(|n| cached(format!("/low/{n}"))),
+        "{mid_copies}: {:?}",
         store.stats()
     );
     let s = store.stats();
     let files: usize = Disk::list(&disk)
         .unwrap()
         .iter()
-        .map(|n| disk.len_of(n))
+        .map(|n| disk.file_len(n))
         .sum();
     println!(
-        "{s:?}, {files} bytes of files, amplification {:.2}",
-        s.written_bytes as f64 / s.taken_bytes as f64
+        "{s:?}, {files} bytes of files, write amplification {:.2}",
+        s.written_bytes as f64 / s.accepted_bytes as f64
     );
     assert!(files as u64 <= OPTIONS.capacity * 11 / 10);
-    assert!(matches!(fill("/late".into(), 0), Err(StoreError::NoRoom)) || cached("/late".into()));
+    assert!(matches!(fill("/late".into(), 0), Err(StoreError::Full)) || cached("/late".into()));
 }
 
 #[test]
@@ -180,29 +183,33 @@
     let mut fill = store.begin(meta(1, 1));
     fill.write(&[1; 30_000]).unwrap();
     fill.commit(1_000).unwrap();
-    disk.capacity(Some(40_000));
+    disk.set_capacity(Some(40_000));
     let mut fill = store.begin(meta(2, 1));
     let failed = (0..10).find_map(|_| fill.write(&[2; 8_192]).err());
     assert!(matches!(failed, Some(StoreError::Disk(_))), "{failed:?}");
     drop(fill);
     assert!(
         store.get(&meta(1, 1).key()).is_some(),
-        "what is cached is still given out"
+        "a stored copy is not served while writes fail"
     );
-    // On a full disk a purge still removes the copy.
+    // A purge on a full disk still removes the copy.
     let _ = store.purge(&What::Object("/o/1".into()));
     assert!(store.get(&meta(1, 1).key()).is_none());
 
     let folder = tempfile::tempdir().unwrap();
     let first = Folder::lock(folder.path()).unwrap();
     let error = Folder::lock(folder.path()).unwrap_err().to_string();
-    assert!(error.contains("another process has it"), "{error}");
+    assert!(
+        error.contains("folder is locked by another process"),
+        "{error}"
+    );
     assert!(Folder::look(folder.path()).is_ok());
     drop(first);
     Folder::lock(folder.path()).unwrap();
 }
 
-/// Writes, fsyncs and truncations fail for a while: once the disk works again the store accepts writes, and they survive a restart.
+/// Writes or fsyncs fail, and so do the truncations after them. Once the disk works again, the store accepts writes, and these survive a
+/// restart.
 #[test]
 fn recovered_disk_accepts_writes_again() {
     let key = |object: u64| meta(object, 1).key();
@@ -216,27 +223,28 @@
         };
         fill(&store, 1).unwrap();
         store.sync().unwrap();
-        disk.fail_truncates(3);
+        disk.fail_truncations(3);
         if sync_fails {
             fill(&store, 2).unwrap();
             disk.fail_syncs(1);
             assert!(store.sync().is_err());
         } else {
-            disk.capacity(Some(40_000));
+            disk.set_capacity(Some(40_000));
             assert!(fill(&store, 2).is_err());
-            disk.capacity(None);
+            disk.set_capacity(None);
         }
         for n in 0..2 {
             assert!(
                 fill(&store, 3).is_err(),
-                "try {n}: it cannot be taken back yet"
+                "attempt {n}: a write was accepted before the truncation succeeded"
             );
             assert!(
                 store.get(&key(1)).is_some(),
-                "what is cached is still given out"
+                "a stored copy is not served while writes fail"
             );
         }
-        fill(&store, 3).unwrap_or_else(|e| panic!("the disk works again: {e}"));
+        fill(&store, 3)
+            .unwrap_or_else(|e| panic!("write refused although the disk works again: {e}"));
         store.purge(&What::Object("/o/1".into())).unwrap();
         store.sync().unwrap();
         for store in [
@@ -245,7 +253,7 @@
         ] {
             store.recover_all(2_000).unwrap();
             let cached = [1, 2, 3].map(|object| store.get(&key(object)).is_some());
-            assert_eq!(cached, [false, false, true], "a sync failed: {sync_fails}");
+            assert_eq!(cached, [false, false, true], "failed fsync: {sync_fails}");
         }
     }
 }
--- a/crates/store/tests/format.rs
+++ b/crates/store/tests/format.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// As the fixture was written: `tests/data/store-v1`, by the code of commit 010e9d5.
+/// Options with which the fixture `tests/data/store-v1` was written, by the code of commit 010e9d5.
 const OPTIONS: Options = Options {
     capacity: 64 * 1024,
     segment: 8 * 1024,
@@ -54,10 +54,10 @@
         let expected = meta(object);
         let found = store.get(&expected.key());
         if [2, 3, 6].contains(&object) {
-            assert!(found.is_none(), "/fixture/{object} was purged");
+            assert!(found.is_none(), "purged copy /fixture/{object} was served");
             continue;
         }
-        let found = found.unwrap_or_else(|| panic!("/fixture/{object} is stored"));
+        let found = found.unwrap_or_else(|| panic!("/fixture/{object} was not recovered"));
         let rank = if [1, 7].contains(&object) { 1 } else { 2 };
         let expected = Meta {
             rank,
