--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Power loss at any operation, also in the middle of a write: no torn object is served, no copy from before an acknowledged purge
-//! is recovered, and every served version was committed.
+//! Power loss at any operation, also in the middle of a write: no torn object is served, no copy from before an acknowledged purge is
+//! recovered, and every served version was committed.
 mod common;
 
 use common::{body, meta, GROUPS, OBJECTS, OPTIONS};
@@ -10,25 +10,25 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Reference model of what the store may serve.
+/// Reference model of scope the store may serve.
 #[derive(Default)]
 struct Model {
-    /// By object: committed versions, each with the number of the last purge before its fill began.
+    /// Versions whose commit was attempted, by object, each with the number of purges before its fill began.
     versions: BTreeMap<u64, Vec<(u64, u64)>>,
-    /// By object: the last purge that was acknowledged.
+    /// Number of the last acknowledged purge, by object.
     purged: BTreeMap<u64, u64>,
     purges: u64,
-    next: u64,
-    /// By object: the newest committed version.
+    last_version: u64,
+    /// Newest committed version, by object.
     committed: BTreeMap<u64, u64>,
-    /// By object: the newest synced version; no older one may be served.
+    /// Newest synced version, by object; no older one may be served.
     synced: BTreeMap<u64, u64>,
 }
 
 impl Model {
-    fn purge(&mut self, what: &What) {
+    fn purge(&mut self, scope: &What) {
         for object in 0..OBJECTS {
-            let covered = match what {
+            let covered = match scope {
                 What::Object(name) => *name == format!("/o/{object}"),
                 What::Group(group) => object % GROUPS == *group,
                 What::All => true,
@@ -60,34 +60,34 @@
         for block in 0..found.blocks() {
             match found.read(block) {
                 Ok(data) => bytes.extend_from_slice(&data),
-                // Reported as corrupt, not served.
+                // A block that fails its checksum is reported, not served.
                 Err(_) => return,
             }
         }
         self.checked += 1;
         let seed = self.seed;
-        let known = self
+        let versions = self
             .model
             .versions
             .get(&object)
             .cloned()
             .unwrap_or_default();
-        let right = known.iter().find(|(v, _)| body(object, *v) == bytes);
-        let Some((version, after)) = right else {
+        let served = versions.iter().find(|(v, _)| body(object, *v) == bytes);
+        let Some((version, purges_before)) = served else {
             panic!(
-                "seed {seed}: /o/{object} is {} bytes that were never committed",
+                "seed {seed}: /o/{object} was served with {} bytes that were never committed",
                 bytes.len()
             )
         };
         let purged = self.model.purged.get(&object).copied().unwrap_or(0);
         assert!(
-            *after >= purged,
+            *purges_before >= purged,
             "seed {seed}: /o/{object} version {version} is from before purge {purged}"
         );
         let newest = self.model.synced.get(&object).copied().unwrap_or(0);
         assert!(
             *version >= newest,
-            "seed {seed}: /o/{object} version {version} came back after {newest}"
+            "seed {seed}: /o/{object} version {version} was served although version {newest} was synced"
         );
         assert_eq!(found.meta.size, bytes.len() as u64);
     }
@@ -101,47 +101,47 @@
 
     fn fill(&mut self) -> Result<(), StoreError> {
         let object = self.rng.gen_range(0..OBJECTS);
-        self.model.next += 1;
-        let version = self.model.next;
-        let after = self.model.purges;
+        self.model.last_version += 1;
+        let version = self.model.last_version;
+        let purges_before = self.model.purges;
         let mut fill = self.store.begin(meta(object, self.rng.gen_range(0..3)));
-        // A purge during the fill: its commit must be refused.
-        let purge = self.rng.gen_bool(0.05);
+        // The commit of a fill must be refused if its object was purged during the fill.
+        let is_purged_during_fill = self.rng.gen_bool(0.05);
         for piece in body(object, version).chunks(self.rng.gen_range(1_000..20_000)) {
             fill.write(piece)?;
         }
-        if purge {
+        if is_purged_during_fill {
             self.purge(What::Group(object % GROUPS))?;
         }
-        // Noted before the commit: one that is not acknowledged may still be durable.
+        // The version is recorded before its commit: an unacknowledged commit may still be durable.
         self.model
             .versions
             .entry(object)
             .or_default()
-            .push((version, after));
-        let done = fill.commit(self.wall_ms);
-        if purge {
+            .push((version, purges_before));
+        let result = fill.commit(self.wall_ms);
+        if is_purged_during_fill {
             assert!(
-                done.is_err(),
-                "seed {}: a copy from before a purge was taken",
+                result.is_err(),
+                "seed {}: a fill that began before a purge was committed",
                 self.seed
             );
         }
-        match done {
+        match result {
             Err(StoreError::Purged) => Ok(()),
-            done => {
-                if done.is_ok() {
+            result => {
+                if result.is_ok() {
                     self.model.committed.insert(object, version);
                 }
-                done
+                result
             }
         }
     }
 
-    fn purge(&mut self, what: What) -> Result<(), StoreError> {
+    fn purge(&mut self, scope: What) -> Result<(), StoreError> {
         self.model.purges += 1;
-        self.store.purge(&what)?;
-        self.model.purge(&what);
+        self.store.purge(&scope)?;
+        self.model.purge(&scope);
         Ok(())
     }
 
@@ -149,8 +149,8 @@
         self.wall_ms += 10;
         match self.rng.gen_range(0..100) {
             0..=54 => match self.fill() {
-                Err(StoreError::NoRoom) => Ok(()),
-                done => done,
+                Err(StoreError::Full) => Ok(()),
+                result => result,
             },
             55..=59 => {
                 let object = self.rng.gen_range(0..OBJECTS);
@@ -195,26 +195,27 @@
     /// Runs random steps until power is lost.
     fn run(&mut self) {
         let operations = self.rng.gen_range(0..250);
-        self.disk.lose_power_in(operations);
+        self.disk.lose_power_after(operations);
         if self.rng.gen_bool(0.1) {
             self.disk.fail_syncs(1);
         }
-        while !self.disk.is_dead() {
-            let done = self.step();
-            // A failed fsync is reported to its caller, and the store continues.
-            let sync_failed = matches!(&done, Err(e) if e.to_string().contains("cannot write"));
+        while !self.disk.is_powered_off() {
+            let result = self.step();
+            // A failed fsync is reported to the caller, and the store continues to work.
+            let sync_failed =
+                matches!(&result, Err(e) if e.to_string().contains("injected fsync failure"));
             if sync_failed {
-                // Nothing since the last successful fsync is guaranteed.
+                // Commits since the last successful fsync are not guaranteed to survive.
                 self.model.committed = self.model.synced.clone();
             }
-            if done.is_err() && !sync_failed && !self.disk.is_dead() {
-                panic!("seed {}: {done:?}", self.seed);
+            if result.is_err() && !sync_failed && !self.disk.is_powered_off() {
+                panic!("seed {}: {result:?}", self.seed);
             }
         }
     }
 }
 
-fn crashes() -> u64 {
+fn min_crashes() -> u64 {
     std::env::var("POINTSPINDLE_CRASHES")
         .ok()
         .and_then(|n| n.parse().ok())
@@ -223,11 +224,11 @@
 
 #[test]
 fn power_loss_anywhere_keeps_copies_intact_and_purges_durable() {
-    let mut done = 0;
+    let mut crashes = 0;
     let mut checked = 0;
     let mut cached = 0;
     let mut seed = 0;
-    while done < crashes() {
+    while crashes < min_crashes() {
         seed += 1;
         let disk = SimDisk::default();
         let store = Store::open(Arc::new(disk.clone()), OPTIONS, 1_000).unwrap();
@@ -245,18 +246,18 @@
         for _ in 0..12 {
             run.run();
             run.model.committed = run.model.synced.clone();
-            done += 1;
-            let keep = run.rng.gen_range(0.0..1.0);
+            crashes += 1;
+            let survival_probability = run.rng.gen_range(0.0..1.0);
             let mut rng = StdRng::seed_from_u64(run.rng.gen());
-            run.disk = run.disk.after_crash(|| rng.gen_bool(keep));
+            run.disk = run.disk.after_crash(|| rng.gen_bool(survival_probability));
             // Power may be lost again during recovery.
             if run.rng.gen_bool(0.2) {
-                run.disk.lose_power_in(run.rng.gen_range(0..6));
+                run.disk.lose_power_after(run.rng.gen_range(0..6));
                 if let Ok(store) = Store::open(Arc::new(run.disk.clone()), OPTIONS, run.wall_ms) {
                     let _ = store.recover_all(run.wall_ms);
                 }
-                run.disk = run.disk.after_crash(|| rng.gen_bool(keep));
-                done += 1;
+                run.disk = run.disk.after_crash(|| rng.gen_bool(survival_probability));
+                crashes += 1;
             }
             // The wall clock may be set back; the store's clock must not be.
             run.wall_ms = run
@@ -274,10 +275,10 @@
         checked += run.checked;
         cached += run.cached;
     }
-    println!("{done} crashes, {checked} copies read, {cached} cached after them");
+    println!("{crashes} crashes, {checked} copies read, {cached} copies recovered");
     assert!(
-        cached > done && checked > 5 * done,
-        "nothing survives: the test shows nothing"
+        cached > crashes && checked > 5 * crashes,
+        "too few copies survived for the test to be meaningful: {crashes} crashes, {checked} copies read, {cached} copies recovered"
     );
 }
 
@@ -295,14 +296,14 @@
             store.purge(&What::Object(format!("/o/{object}"))).unwrap();
         }
     }
-    let after = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
-    after.recover_all(1_000).unwrap();
+    let recovered = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
+    recovered.recover_all(1_000).unwrap();
     assert!(
-        after.get(&meta(1, 1).key()).is_some(),
-        "synced, so recovered"
+        recovered.get(&meta(1, 1).key()).is_some(),
+        "a synced copy was not recovered"
     );
     assert!(
-        after.get(&meta(2, 1).key()).is_none(),
-        "purged, so not recovered"
+        recovered.get(&meta(2, 1).key()).is_none(),
+        "a purged copy was recovered"
     );
 }
