--- a/crates/etcd/build.rs
+++ b/crates/etcd/build.rs
@@ -2,7 +2,7 @@
 //! `.proto` file nor `protoc` is needed.
 use tonic_build::manual::{Builder, Method, MethodBuilder, Service};
 
-/// A method `route`, whose messages are `{message}Request` and `{message}Response`.
+/// Returns a builder of the method `route`, whose messages are `{message}Request` and `{message}Response`.
 fn method(name: &str, route: &str, message: &str) -> MethodBuilder {
     Method::builder()
         .name(name)
--- a/crates/etcd/src/feed.rs
+++ b/crates/etcd/src/feed.rs
@@ -1,7 +1,7 @@
 //! Runs a [`Watcher`] against etcd and passes its updates on.
 //!
-//! At most one snapshot read or watch is in flight, as a task that is aborted when it is replaced or cancelled; responses that it
-//! had queued by then are dropped. Reads of the purge mark run beside it, and end by the client's time-out.
+//! At most one snapshot read or watch is in flight. It runs as a task that is aborted when it is replaced or cancelled; its queued
+//! responses are then dropped. Purge mark reads run concurrently with it and are bounded by the client's call time-out.
 mod requests;
 
 use crate::client::Etcd;
@@ -14,30 +14,30 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Responses that are queued for the watcher; a stream is not read further while the queue is full.
-const RESPONSE_QUEUE: usize = 64;
-/// Progress requests that are queued for a watch; further ones are dropped.
-const PROGRESS_QUEUE: usize = 4;
+/// Maximum number of responses queued for the watcher. Streams are not read while the queue is full.
+const RESPONSE_QUEUE_CAPACITY: usize = 64;
+/// Maximum number of progress requests queued for a watch; further ones are dropped.
+const PROGRESS_QUEUE_CAPACITY: usize = 4;
 
-/// The request that a response belongs to.
+/// Identifies the request that a response belongs to.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Origin {
-    /// The snapshot read or watch of this number; void once another one was started or it was cancelled.
-    Request(u64),
+enum RequestId {
+    /// The snapshot read or watch with this number. It is no longer current once another one was started or it was cancelled.
+    Exclusive(u64),
     /// A read of the purge mark.
     PurgeMarkRead,
 }
 
-/// A response of etcd on its way to the watcher.
+/// A response of etcd, queued for the watcher.
 struct Response {
-    origin: Origin,
+    request_id: RequestId,
     input: Input,
 }
 
-/// Aborts its task when dropped.
+/// A snapshot read or watch in flight. Dropping it aborts its task.
 struct RequestInFlight {
     task: AbortHandle,
-    /// Where progress requests of a watch go.
+    /// Sends progress requests to the watch; none for a snapshot read.
     progress_requests: Option<mpsc::Sender<WatchRequest>>,
 }
 
@@ -47,18 +47,18 @@
     }
 }
 
-/// The requests of one watcher.
+/// Executes the requests of one watcher.
 struct RequestRunner {
     etcd: Etcd,
     watched_prefix: String,
     purge_mark_key: String,
     responses: mpsc::Sender<Response>,
     in_flight: Option<RequestInFlight>,
-    /// Number of the last request, or of its cancellation.
+    /// Number of the last request; its cancellation increments the number too.
     request_number: u64,
 }
 
-/// Runs until `on_update` returns false. `prefix` as in [`layout`].
+/// Runs the watcher until `on_update` returns false. `prefix` is the operator's prefix, as in [`layout`].
 pub async fn run(
     etcd: Etcd,
     prefix: String,
@@ -68,23 +68,23 @@
     let started_at = Instant::now();
     let now = || started_at.elapsed().as_micros() as Micros;
     let wall_clock = WallClock::start();
-    let (sender, mut responses) = mpsc::channel(RESPONSE_QUEUE);
+    let (sender, mut responses) = mpsc::channel(RESPONSE_QUEUE_CAPACITY);
     let mut requests = RequestRunner::new(etcd, &prefix, sender);
     loop {
-        let wait = Duration::from_micros(watcher.next().saturating_sub(now()));
+        let wait = Duration::from_micros(watcher.next_deadline().saturating_sub(now()));
         let response = tokio::select! {
             response = responses.recv() => response,
             () = tokio::time::sleep(wait) => Some(requests.tick()),
         };
-        // The runner holds a sender, so the channel does not close.
+        // The runner holds a sender, so the channel stays open.
         let Some(response) = response else { return };
-        if !requests.is_valid(response.origin) {
+        if !requests.is_current(response.request_id) {
             continue;
         }
         let mut outputs = Vec::new();
         watcher.handle(now(), wall_clock.earlier_ms(), response.input, &mut outputs);
         for output in outputs {
-            let Some(update) = requests.carry_out(output) else {
+            let Some(update) = requests.execute_request(output) else {
                 continue;
             };
             if !on_update(update) {
@@ -108,24 +108,24 @@
 
     fn tick(&self) -> Response {
         Response {
-            origin: Origin::Request(self.request_number),
+            request_id: RequestId::Exclusive(self.request_number),
             input: Input::Tick,
         }
     }
 
-    /// False for a response of a request that was replaced or cancelled.
-    fn is_valid(&self, origin: Origin) -> bool {
-        match origin {
-            Origin::Request(number) => number == self.request_number,
-            Origin::PurgeMarkRead => true,
+    /// Returns false for a response to a request that was replaced or cancelled.
+    fn is_current(&self, request_id: RequestId) -> bool {
+        match request_id {
+            RequestId::Exclusive(number) => number == self.request_number,
+            RequestId::PurgeMarkRead => true,
         }
     }
 
-    /// Carries out requests; returns any other output.
-    fn carry_out(&mut self, output: Output) -> Option<Output> {
+    /// Executes an output that is a request; returns any other output.
+    fn execute_request(&mut self, output: Output) -> Option<Output> {
         match output {
             Output::ReadSnapshot => self.read_snapshot(),
-            Output::StartWatch { from } => self.start_watch(from),
+            Output::StartWatch { start_revision } => self.start_watch(start_revision),
             Output::RequestProgress => self.request_progress(),
             Output::ReadPurgeMark { requested_at } => self.read_purge_mark(requested_at),
             Output::CancelRequest => self.cancel(),
@@ -134,17 +134,17 @@
         None
     }
 
-    fn next_origin(&mut self) -> Origin {
+    fn next_request_id(&mut self) -> RequestId {
         self.request_number += 1;
-        Origin::Request(self.request_number)
+        RequestId::Exclusive(self.request_number)
     }
 
     fn read_snapshot(&mut self) {
-        let origin = self.next_origin();
+        let request_id = self.next_request_id();
         let task = requests::read_snapshot(
             self.etcd.clone(),
             self.watched_prefix.clone(),
-            origin,
+            request_id,
             self.responses.clone(),
         );
         self.in_flight = Some(RequestInFlight {
@@ -153,14 +153,14 @@
         });
     }
 
-    fn start_watch(&mut self, from: Revision) {
-        let origin = self.next_origin();
-        let (progress_sender, progress_requests) = mpsc::channel(PROGRESS_QUEUE);
+    fn start_watch(&mut self, start_revision: Revision) {
+        let request_id = self.next_request_id();
+        let (progress_sender, progress_requests) = mpsc::channel(PROGRESS_QUEUE_CAPACITY);
         let watch = requests::WatchTask {
             etcd: self.etcd.clone(),
             prefix: self.watched_prefix.clone(),
-            from,
-            origin,
+            start_revision,
+            request_id,
             responses: self.responses.clone(),
         };
         self.in_flight = Some(RequestInFlight {
--- a/crates/etcd/src/feed/requests.rs
+++ b/crates/etcd/src/feed/requests.rs
@@ -1,5 +1,5 @@
-//! The tasks that carry out a watcher's requests, and the translation of etcd's messages into the watcher's inputs.
-use super::{Origin, Response};
+//! The tasks that execute a watcher's requests, and the conversion of etcd's messages to inputs of the watcher.
+use super::{RequestId, Response};
 use crate::client::{prefix_end, Etcd, EtcdError};
 use crate::proto::{
     self, watch_request, EventType, RangeRequest, RangeResponse, ResponseHeader,
@@ -30,13 +30,13 @@
     };
     let _ = responses
         .send(Response {
-            origin: Origin::PurgeMarkRead,
+            request_id: RequestId::PurgeMarkRead,
             input: Input::PurgeMarkRead { requested_at, mark },
         })
         .await;
 }
 
-/// The cluster and the mark's revision; 0 if no purge was ever written.
+/// Returns the cluster id and the revision of the purge mark, which is 0 if no purge was ever written.
 fn purge_mark(response: RangeResponse) -> (u64, Revision) {
     let cluster = header(response.header).cluster;
     let revision = response.kvs.first().map_or(0, |kv| kv.mod_revision);
@@ -47,7 +47,7 @@
 pub(super) async fn read_snapshot(
     etcd: Etcd,
     prefix: String,
-    origin: Origin,
+    request_id: RequestId,
     responses: mpsc::Sender<Response>,
 ) {
     let input = match etcd.snapshot(&prefix).await {
@@ -60,31 +60,31 @@
             Input::Failed
         }
     };
-    let _ = responses.send(Response { origin, input }).await;
+    let _ = responses.send(Response { request_id, input }).await;
 }
 
-/// One watch, from its creation to its end.
+/// A task that runs one watch from its creation to its end.
 pub(super) struct WatchTask {
     pub(super) etcd: Etcd,
     pub(super) prefix: String,
     /// First revision to deliver.
-    pub(super) from: Revision,
-    pub(super) origin: Origin,
+    pub(super) start_revision: Revision,
+    pub(super) request_id: RequestId,
     pub(super) responses: mpsc::Sender<Response>,
 }
 
-/// Why a watch has ended.
+/// The reason for which a watch ended.
 enum WatchEnd {
     /// The start revision was compacted away.
     Compacted,
-    /// The receiver of the responses is gone.
+    /// The receiver of the responses was dropped.
     Abandoned,
-    /// The stream failed, was cancelled by etcd, or ended.
+    /// The stream failed, ended, or was cancelled by etcd.
     Failed(String),
 }
 
 impl WatchTask {
-    /// Passes responses on until the watch ends. Its end is the last input, unless the receiver is gone.
+    /// Forwards responses until the watch ends. The last input reports the end, unless the receiver was dropped.
     pub(super) async fn run(self, progress_requests: mpsc::Receiver<WatchRequest>) {
         let requests = self.requests(progress_requests);
         let (endpoint, end) = match self.etcd.watch(requests).await {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// The creation of the watch, then progress requests.
+    /// Returns the client's messages: the creation of the watch, then progress requests.
     fn requests(
         &self,
         progress_requests: mpsc::Receiver<WatchRequest>,
@@ -116,7 +116,7 @@
         let create = WatchCreateRequest {
             range_end: prefix_end(self.prefix.as_bytes()),
             key: self.prefix.clone().into_bytes(),
-            start_revision: self.from,
+            start_revision: self.start_revision,
             progress_notify: true,
             fragment: true,
             ..Default::default()
@@ -135,7 +135,7 @@
         loop {
             let message = match messages.message().await {
                 Ok(Some(message)) => message,
-                Ok(None) => return WatchEnd::Failed("the stream ended".to_owned()),
+                Ok(None) => return WatchEnd::Failed("the watch stream ended".to_owned()),
                 Err(status) => return WatchEnd::Failed(status.to_string()),
             };
             let input = match watch_input(message) {
@@ -150,7 +150,7 @@
 
     async fn send(&self, input: Input) -> Result<(), mpsc::error::SendError<Response>> {
         let response = Response {
-            origin: self.origin,
+            request_id: self.request_id,
             input,
         };
         self.responses.send(response).await
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -1,50 +1,51 @@
-//! Keys and values, version 1. All keys begin with a prefix of the operator's choice, then `/v1/`:
+//! The layout of keys and values, version 1. Each key begins with the operator's prefix followed by `/v1/`:
 //!
 //! | key | value |
 //! | --- | --- |
-//! | `members/ADDRESS` | a [`MemberRecord`]; deleted when the endpoint is removed |
+//! | `members/ADDRESS` | a [`MemberRecord`]; the key is deleted when the endpoint is removed |
 //! | `dispatchers/NAME` | a [`DispatcherRecord`], under a lease that the dispatcher renews |
-//! | `purges/ID` | a [`PurgeRecord`], under a lease of at least a minute, after which no older copy is left anywhere |
+//! | `purges/ID` | a [`PurgeRecord`], under a lease of at least a minute, after which no cache holds a copy from before the purge |
 //!
-//! The purge mark, `PREFIX/marks/v1/purge`, is not under the watched prefix. It is written with each purge, in the same
-//! transaction, so its revision is that of the last purge.
+//! The purge mark, `PREFIX/marks/v1/purge`, is outside of the watched prefix. Each purge writes it in the same transaction, so
+//! its revision is that of the last purge.
 //!
-//! An ID is chosen by the writer and never used again. Unknown fields are skipped, so records may grow; an incompatible form
-//! needs another version in the key.
+//! The writer chooses the ID and never reuses it. Readers skip unknown fields, so fields can be added to records; an
+//! incompatible format needs a new version in the key.
 use pointspindle_protocol::{EndpointRecord, PurgeHead, WireEndpointState};
 use serde::{Deserialize, Serialize};
 
-/// Separates the operator's prefix from the keys of this version.
-pub const VERSION: &str = "/v1/";
+/// The layout version's part of a key, between the operator's prefix and the kind of the record.
+pub const VERSION_SEGMENT: &str = "/v1/";
 
-/// State of an endpoint as its operator has set it.
+/// State of an endpoint as set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// Takes new requests.
+    /// The endpoint accepts new requests.
     Ready,
-    /// Finishes requests in flight and takes no new ones.
+    /// The endpoint finishes requests in flight and accepts no new ones.
     Draining,
 }
 
 /// The stored record of an endpoint, under `members/`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Ready or draining.
+    /// Whether the endpoint is ready or draining.
     pub state: State,
-    /// Concurrent transfers at full speed that its network link carries.
+    /// Number of concurrent full-speed transfers that the endpoint's network link carries.
     pub weight: f64,
     /// Zone of the endpoint.
     pub zone: String,
-    /// `cache`, `parent` or `origin`.
+    /// Kind of the endpoint: `cache`, `parent` or `origin`.
     pub kind: String,
     /// Cell of the endpoint.
     #[serde(default)]
     pub cell: u64,
-    /// Incarnation: changes whenever the process is started anew.
+    /// Incarnation of the endpoint's process; it changes with each start.
     #[serde(default)]
     pub start: u64,
-    /// When it was started, by the writer's clock, in milliseconds since 1970; absent: long ago.
+    /// Start time of the process by the writer's clock, in milliseconds since the Unix epoch. If absent, the process counts as
+    /// started long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub started_unix_ms: Option<u64>,
 }
@@ -54,7 +55,8 @@
 pub struct DispatcherRecord {
     /// Zone of the dispatcher.
     pub zone: String,
-    /// Longest time until an acknowledged purge is in force there; absent: not promised.
+    /// Longest time until an acknowledged purge is in force in the dispatcher, in milliseconds. If absent, the dispatcher makes
+    /// no promise.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub purge_within_ms: Option<u64>,
 }
@@ -62,14 +64,14 @@
 /// The stored record of a purge, under `purges/`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PurgeRecord {
-    /// The purged object; absent: all objects of the group.
+    /// The purged object; if absent, all objects of the group are purged.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub object: Option<String>,
-    /// Group of the object.
+    /// Purge group of the object.
     pub group: u64,
 }
 
-/// What a key names.
+/// The record that a key names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyName {
     /// An endpoint, by address.
@@ -80,48 +82,48 @@
     Purge(String),
 }
 
-/// A key or value that is not of this layout.
+/// A key or value that does not follow this layout.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LayoutError {
-    /// The key has another form.
-    #[error("{0}: not a key of this layout")]
+    /// The key is not under the watched prefix, or has no kind or name.
+    #[error("{0}: key does not follow the layout PREFIX/v1/KIND/NAME")]
     UnknownKey(String),
     /// The value is not the JSON record that the key requires.
     #[error("{key}: {reason}")]
     InvalidValue {
-        /// The whole key.
+        /// The full key, with the prefix.
         key: String,
         /// The parser's message.
         reason: String,
     },
 }
 
-/// The watched prefix. It covers all records, so that one revision holds for all of them.
+/// Returns the prefix to watch. It covers all records, so that one revision applies to all of them.
 pub fn watched_prefix(prefix: &str) -> String {
-    format!("{prefix}{VERSION}")
+    format!("{prefix}{VERSION_SEGMENT}")
 }
 
-/// Key of an endpoint's record.
+/// Returns the key of an endpoint's record.
 pub fn member_key(prefix: &str, address: &str) -> String {
-    format!("{prefix}{VERSION}members/{address}")
+    format!("{prefix}{VERSION_SEGMENT}members/{address}")
 }
 
-/// Key of a dispatcher's registration.
+/// Returns the key of a dispatcher's registration.
 pub fn dispatcher_key(prefix: &str, name: &str) -> String {
-    format!("{prefix}{VERSION}dispatchers/{name}")
+    format!("{prefix}{VERSION_SEGMENT}dispatchers/{name}")
 }
 
-/// The purge mark, whose revision is that of the last purge.
+/// Returns the key of the purge mark, whose revision is that of the last purge.
 pub fn purge_mark_key(prefix: &str) -> String {
-    format!("{prefix}/marks{VERSION}purge")
+    format!("{prefix}/marks{VERSION_SEGMENT}purge")
 }
 
-/// Key of a purge.
+/// Returns the key of a purge.
 pub fn purge_key(prefix: &str, id: &str) -> String {
-    format!("{prefix}{VERSION}purges/{id}")
+    format!("{prefix}{VERSION_SEGMENT}purges/{id}")
 }
 
-/// Parses a key under the watched prefix; none for kinds of keys that other programs may add.
+/// Parses a key under the watched prefix. Returns none for an unknown kind, which another program may have added.
 pub fn parse_key(prefix: &str, key: &[u8]) -> Result<Option<KeyName>, LayoutError> {
     let text = String::from_utf8_lossy(key).into_owned();
     let Some(suffix) = text.strip_prefix(&watched_prefix(prefix)) else {
@@ -159,7 +161,8 @@
 }
 
 impl MemberRecord {
-    /// The endpoint list's record of this endpoint. A start time in the future counts as now.
+    /// Returns the endpoint list entry of this endpoint. A start time in the future counts as now. `wall_ms` is the current time
+    /// in milliseconds since the Unix epoch.
     pub fn to_endpoint(&self, address: &str, wall_ms: u64) -> EndpointRecord {
         let state = match self.state {
             State::Ready => WireEndpointState::Ready,
@@ -181,7 +184,7 @@
     }
 }
 
-/// The endpoint list's record of an endpoint whose key was deleted.
+/// Returns the endpoint list entry of an endpoint whose key was deleted.
 pub fn removed_endpoint(address: &str) -> EndpointRecord {
     EndpointRecord {
         address: address.to_owned(),
@@ -191,7 +194,7 @@
 }
 
 impl PurgeRecord {
-    /// The purge with age zero: an age greater than the true one would spare copies from before the purge.
+    /// Returns the purge message with age zero: an age greater than the actual one would exempt copies from before the purge.
     pub fn head(&self) -> PurgeHead {
         PurgeHead {
             object: self.object.clone(),
--- a/crates/etcd/src/layout/tests.rs
+++ b/crates/etcd/src/layout/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn unknown_key_or_invalid_value_error_names_the_key() {
+fn unknown_key_and_invalid_value_errors_name_the_key() {
     assert_eq!(
         parse_key("/edge", b"/edge/v1/members/10.0.0.7:9000"),
         Ok(Some(KeyName::Member("10.0.0.7:9000".into())))
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn record_with_unknown_field_or_future_start_is_accepted() {
+fn records_with_unknown_fields_or_future_start_time_are_accepted() {
     let extended = br#"{"state":"draining","weight":5,"zone":"b","kind":"cache","colour":"blue","started_unix_ms":5000}"#;
     let record = parse_member(b"k", extended).unwrap();
     assert_eq!(
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -1,13 +1,13 @@
 //! Endpoint lists, draining, purges and dispatcher registrations through etcd's watch API.
 //!
-//! * [`layout`]: the keys and their values, versioned JSON records.
-//! * [`watcher`]: turns snapshots and watch events into endpoint lists and purges, in order and once each, across broken
-//!   streams, compaction and lost history. No I/O, no clock.
-//! * [`client`]: etcd's v3 API over gRPC; [`proto`]: its messages.
-//! * [`feed`]: runs a watcher against a client.
-//! * [`writer`]: transactions of operators and dispatchers.
+//! * [`layout`]: keys and their values, which are versioned JSON records.
+//! * [`watcher`]: turns snapshots and watch events into endpoint lists and purges, in order and exactly once, across broken
+//!   streams, compaction and lost history. It does no I/O and reads no clock.
+//! * [`client`]: a client of etcd's v3 API over gRPC; [`proto`] holds its messages.
+//! * [`feed`]: runs a watcher with a client.
+//! * [`writer`]: transactions with which operators and dispatchers change the store.
 //!
-//! The updates are messages of `pointspindle_protocol`, as a control connection delivers them.
+//! Updates use the same `pointspindle_protocol` messages as a control connection.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/etcd/src/proto.rs
+++ b/crates/etcd/src/proto.rs
@@ -1,5 +1,5 @@
-//! Messages of etcd's v3 API, as far as they are used here, with the names, field numbers and types of its published definitions
-//! (`etcdserverpb/rpc.proto`, `mvccpb/kv.proto`), which document the fields. Omitted fields are skipped by either side.
+//! The messages of etcd's v3 API that this crate uses, with the names, field numbers and types of the published definitions
+//! (`etcdserverpb/rpc.proto`, `mvccpb/kv.proto`), which document the fields. Both sides skip fields that are omitted here.
 #![allow(missing_docs)]
 use prost::{Enumeration, Message, Oneof};
 
@@ -11,7 +11,7 @@
     Delete = 1,
 }
 
-/// Relation that a comparison requires.
+/// Relation that a comparison requires between the stored and the given value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Enumeration)]
 #[repr(i32)]
 pub enum CompareResult {
@@ -32,7 +32,7 @@
     Lease = 4,
 }
 
-/// Of every response: the cluster and node that sent it, and the store's revision at that time.
+/// Header of every response: the cluster and node that sent it, and the store's revision at that time.
 #[derive(Clone, PartialEq, Message)]
 pub struct ResponseHeader {
     #[prost(uint64, tag = "1")]
@@ -45,7 +45,7 @@
     pub raft_term: u64,
 }
 
-/// A key with its value, and the revision of its last change.
+/// A key with its value and the revision of its last change.
 #[derive(Clone, PartialEq, Message)]
 pub struct KeyValue {
     #[prost(bytes = "vec", tag = "1")]
@@ -73,7 +73,7 @@
     pub prev_kv: Option<KeyValue>,
 }
 
-/// Keys from `key` up to, not including, `range_end`; at `revision` (0: the newest).
+/// Reads the keys from `key` up to but excluding `range_end`, as of `revision` (0: the newest).
 #[derive(Clone, PartialEq, Message)]
 pub struct RangeRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -92,7 +92,7 @@
     pub count_only: bool,
 }
 
-/// The keys found; `more` if the limit has cut them off.
+/// Response to a range read. `more` is set if the limit excluded further keys.
 #[derive(Clone, PartialEq, Message)]
 pub struct RangeResponse {
     #[prost(message, optional, tag = "1")]
@@ -105,7 +105,7 @@
     pub count: i64,
 }
 
-/// Writes a key, under a lease unless `lease` is 0.
+/// Writes a key; attaches it to `lease` unless that is 0.
 #[derive(Clone, PartialEq, Message)]
 pub struct PutRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -127,7 +127,7 @@
     pub prev_kv: Option<KeyValue>,
 }
 
-/// Deletes the keys from `key` up to, not including, `range_end`; only `key` if that is empty.
+/// Deletes the keys from `key` up to but excluding `range_end`, or only `key` if `range_end` is empty.
 #[derive(Clone, PartialEq, Message)]
 pub struct DeleteRangeRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -149,7 +149,7 @@
     pub prev_kvs: Vec<KeyValue>,
 }
 
-/// A comparison of a transaction: the `target` of `key` with the value.
+/// A comparison of a transaction: compares the `target` property of `key` with the value in `target_union`.
 #[derive(Clone, PartialEq, Message)]
 pub struct Compare {
     #[prost(enumeration = "CompareResult", tag = "1")]
@@ -176,7 +176,7 @@
     pub response: Option<response_op::Response>,
 }
 
-/// All of `success` in one revision if every comparison holds, else all of `failure`.
+/// Runs all operations of `success` in one revision if every comparison holds, otherwise all of `failure`.
 #[derive(Clone, PartialEq, Message)]
 pub struct TxnRequest {
     #[prost(message, repeated, tag = "1")]
@@ -187,7 +187,7 @@
     pub failure: Vec<RequestOp>,
 }
 
-/// Response to a transaction; `succeeded` if every comparison held.
+/// Response to a transaction. `succeeded` is set if every comparison held.
 #[derive(Clone, PartialEq, Message)]
 pub struct TxnResponse {
     #[prost(message, optional, tag = "1")]
@@ -214,14 +214,14 @@
     pub header: Option<ResponseHeader>,
 }
 
-/// A message to a watch stream.
+/// A message from the client on a watch stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchRequest {
     #[prost(oneof = "watch_request::Request", tags = "1, 2, 3")]
     pub request: Option<watch_request::Request>,
 }
 
-/// Starts a watch of a range at `start_revision` (0: now).
+/// Starts a watch of a range at `start_revision` (0: the next revision).
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchCreateRequest {
     #[prost(bytes = "vec", tag = "1")]
@@ -240,7 +240,7 @@
     pub fragment: bool,
 }
 
-/// Cancels a watch of the stream.
+/// Cancels one watch of the stream.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchCancelRequest {
     #[prost(int64, tag = "1")]
@@ -251,8 +251,8 @@
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchProgressRequest {}
 
-/// A message of a watch stream. `fragment`: more events of the same revisions follow. `compact_revision`: not 0 if the start
-/// revision has been compacted away.
+/// A message from the server on a watch stream. `fragment` is set if more events of the same revisions follow.
+/// `compact_revision` is not 0 if the start revision has been compacted away.
 #[derive(Clone, PartialEq, Message)]
 pub struct WatchResponse {
     #[prost(message, optional, tag = "1")]
@@ -273,7 +273,7 @@
     pub events: Vec<Event>,
 }
 
-/// Requests a lease, `ttl` in seconds.
+/// Requests a lease with a time to live of `ttl` seconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseGrantRequest {
     #[prost(int64, tag = "1")]
@@ -282,7 +282,7 @@
     pub id: i64,
 }
 
-/// The granted lease, `ttl` in seconds.
+/// The granted lease, with its time to live in seconds.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseGrantResponse {
     #[prost(message, optional, tag = "1")]
@@ -316,7 +316,7 @@
     pub id: i64,
 }
 
-/// The renewed lease; `ttl` 0: it has expired.
+/// The renewed lease. A `ttl` of 0 means that it has expired.
 #[derive(Clone, PartialEq, Message)]
 pub struct LeaseKeepAliveResponse {
     #[prost(message, optional, tag = "1")]
@@ -327,7 +327,7 @@
     pub ttl: i64,
 }
 
-/// Logs a user in.
+/// Requests an authentication token for a user.
 #[derive(Clone, PartialEq, Message)]
 pub struct AuthenticateRequest {
     #[prost(string, tag = "1")]
@@ -336,7 +336,7 @@
     pub password: String,
 }
 
-/// The token for the metadata of later calls.
+/// The authentication token to send in the metadata of later calls.
 #[derive(Clone, PartialEq, Message)]
 pub struct AuthenticateResponse {
     #[prost(message, optional, tag = "1")]
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -1,4 +1,4 @@
-//! The control source that reads endpoint lists and purges from etcd and keeps the dispatcher registered there.
+//! The control source that reads endpoint lists and purges from etcd and maintains the dispatcher's registration there.
 use crate::client::{Access, Etcd, EtcdError};
 use crate::feed;
 use crate::layout::DispatcherRecord;
@@ -8,17 +8,17 @@
 use pointspindle_dispatcher::{ControlSink, ControlSource};
 use std::time::Duration;
 
-/// Purge mark reads in one purge promise. The lease that a read renews lasts half the promise, so one lost response does not
-/// end it.
+/// Number of purge mark reads within one purge promise. The purge lease that a read renews lasts half the promise, so a single
+/// lost response does not let it expire.
 const CONFIRMATIONS_PER_PURGE_PROMISE: u64 = 6;
 
-/// A dispatcher's connection to etcd: watches the prefix, keeps the dispatcher registered under a lease, and counts the other
-/// registered dispatchers. Ends with its task; the registration then expires with its lease.
+/// A dispatcher's connection to etcd: watches the prefix, maintains the dispatcher's registration under a lease, and follows the
+/// registrations of the other dispatchers. When its task ends, the registration expires with its lease.
 #[derive(Debug)]
 pub struct EtcdSource {
-    /// Client of the cluster.
+    /// Client of the etcd cluster.
     pub etcd: Etcd,
-    /// The operator's prefix of all keys.
+    /// The operator's prefix, with which all keys begin.
     pub prefix: String,
     /// Name of this dispatcher.
     pub name: String,
@@ -26,16 +26,16 @@
     pub zone: String,
     /// Time to live of the registration's lease, in seconds.
     pub lease_s: i64,
-    /// Time-outs and intervals of the watch.
+    /// Time-outs and intervals of the watcher.
     pub watcher_settings: WatcherSettings,
-    /// Longest time until a purge is in force in this dispatcher, in milliseconds; none: not promised.
+    /// Longest time until a purge is in force in this dispatcher, in milliseconds; none if the dispatcher makes no promise.
     pub purge_within_ms: Option<u64>,
-    /// Seed of the backoff's jitter.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
 impl EtcdSource {
-    /// The source that the settings configure; none if they have no `[etcd]` section.
+    /// Creates the source from the settings; returns none if they have no `[etcd]` section.
     pub fn of(settings: &DispatcherSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
         let Some(etcd) = &settings.etcd else {
             return Ok(None);
@@ -97,22 +97,25 @@
     match update {
         Output::EndpointList(head) => {
             let endpoints = head.endpoints.len();
-            tracing::info!(form = ?head.form(), endpoints, "etcd: endpoint list");
+            tracing::info!(form = ?head.form(), endpoints, "etcd: endpoint list received");
             sink.apply_endpoint_list(head);
         }
         Output::Purge(head) => {
-            tracing::info!(object = ?head.object, group = head.group, "etcd: purge");
+            tracing::info!(object = ?head.object, group = head.group, "etcd: purge received");
             sink.apply_purge(head);
         }
         Output::Dispatchers(dispatchers) => {
-            tracing::info!(dispatchers = dispatchers.len(), "etcd: dispatchers");
+            tracing::info!(
+                dispatchers = dispatchers.len(),
+                "etcd: dispatcher registrations received"
+            );
             let zones = dispatchers
                 .into_iter()
                 .map(|(name, record)| (name, record.zone));
             sink.roster(zones.collect());
         }
-        // Stored purges cover the age of any copy, so the first snapshot has all that matter. Purging everything at each start
-        // would send the load of every deployment to the origin.
+        // Stored purges outlive every copy from before them, so the first snapshot holds all relevant purges. Purging
+        // everything at each start would shift the load to the origin on every deployment.
         Output::UpdatesMissed { initial: true, .. } => {}
         Output::UpdatesMissed { age_us, .. } => {
             let missed_s = age_us as f64 / 1e6;
@@ -129,8 +132,8 @@
             }
             sink.set_current(view == View::Current);
         }
-        Output::PurgesConfirmed { ago } => sink.confirm_purges(ago),
-        // Requests, which the feed carries out.
+        Output::PurgesConfirmed { age_us } => sink.confirm_purges(age_us),
+        // The feed executes these requests itself and does not pass them on.
         Output::ReadSnapshot
         | Output::StartWatch { .. }
         | Output::RequestProgress
--- a/crates/etcd/src/watcher/freshness.rs
+++ b/crates/etcd/src/watcher/freshness.rs
@@ -1,11 +1,11 @@
-//! Freshness of the view, by the time at which it was last complete.
+//! Freshness of the view, derived from the time at which it was last complete.
 use super::{Micros, Output, View};
 
-/// Reports each change of the freshness once.
+/// Tracks the freshness of the view and reports each change once.
 #[derive(Debug)]
 pub(super) struct Freshness {
     state: View,
-    /// When the view was last known to equal the store; at first, when the watcher was started.
+    /// Time at which the view was last known to equal the store; initially the start of the watcher.
     complete_at: Micros,
     stale_after_us: Micros,
 }
@@ -27,19 +27,19 @@
         self.complete_at
     }
 
-    /// When the view becomes stale; none if it is not current.
+    /// Returns when the view becomes stale; none if it is not current.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         (self.state == View::Current).then_some(self.complete_at + self.stale_after_us)
     }
 
-    /// The view is known to equal the store as of now.
+    /// Records that the view equals the store as of `now`.
     pub(super) fn mark_complete(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.complete_at = now;
         self.set_state(View::Current, out);
     }
 
-    /// Marks the view as stale when its deadline has passed.
-    pub(super) fn expire(&mut self, now: Micros, out: &mut Vec<Output>) {
+    /// Marks the view as stale if its deadline has passed.
+    pub(super) fn mark_stale_if_due(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.next_deadline().is_some_and(|deadline| now >= deadline) {
             self.set_state(View::Stale, out);
         }
--- a/crates/etcd/src/watcher/message.rs
+++ b/crates/etcd/src/watcher/message.rs
@@ -7,22 +7,22 @@
 /// A key with its value and the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
-    /// The whole key, with the prefix.
+    /// The full key, with the prefix.
     pub key: Vec<u8>,
-    /// The record, as JSON.
+    /// The record as JSON.
     pub value: Vec<u8>,
     /// Revision of the last change.
     pub mod_revision: Revision,
 }
 
-/// One change of a key, as a watch delivers it.
+/// A change of one key, delivered by a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchEvent {
     /// A key was created or overwritten.
     Put(KeyValue),
     /// A key was deleted, or its lease expired.
     Delete {
-        /// The whole key, with the prefix.
+        /// The full key, with the prefix.
         key: Vec<u8>,
         /// Revision of the deletion.
         mod_revision: Revision,
@@ -38,16 +38,16 @@
     }
 }
 
-/// The header of a response: the cluster that sent it and the store's revision at that moment.
+/// Header of a response: the cluster that sent it and the store's revision at that time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Header {
-    /// Cluster id. A restored cluster has another one.
+    /// Cluster id. A restored cluster has a different id.
     pub cluster: u64,
-    /// The newest revision of the store.
+    /// Latest revision of the store.
     pub revision: Revision,
 }
 
-/// Responses of etcd, failures and timer expirations.
+/// Inputs of the watcher: responses of etcd, failures and timer expirations.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// All keys under the prefix, read at the header's revision.
@@ -59,21 +59,21 @@
     },
     /// The watch is established.
     WatchCreated {
-        /// Cluster and revision.
+        /// Header of the response.
         header: Header,
     },
     /// Watch events, in the order of their revisions.
     WatchEvents {
-        /// Cluster and revision.
+        /// Header of the response.
         header: Header,
         /// The changes.
         events: Vec<WatchEvent>,
-        /// More events of the same revisions follow.
+        /// Whether more events of the same revisions follow.
         fragment: bool,
     },
     /// All events up to the header's revision have been delivered.
     Progress {
-        /// Cluster and revision.
+        /// Header of the response.
         header: Header,
     },
     /// The requested start revision has been compacted away.
@@ -82,16 +82,16 @@
     Failed,
     /// Response to [`Output::ReadPurgeMark`].
     PurgeMarkRead {
-        /// When the read was requested: the value in the output.
+        /// Time of the request, as in the output.
         requested_at: Micros,
-        /// Cluster and revision of the mark (0: no mark exists); none if the read failed.
+        /// Cluster id and revision of the mark (0: no mark exists); none if the read failed.
         mark: Option<(u64, Revision)>,
     },
-    /// The time of [`super::Watcher::next`] has passed.
+    /// The time that [`super::Watcher::next_deadline`] returned has passed.
     Tick,
 }
 
-/// Requests to etcd, and updates of the view for the dispatcher.
+/// Outputs of the watcher: requests to etcd, and updates of the view for the dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     /// Read all keys under the prefix.
@@ -99,38 +99,38 @@
     /// Watch the prefix, with fragments and progress notifications.
     StartWatch {
         /// First revision to deliver.
-        from: Revision,
+        start_revision: Revision,
     },
     /// Request a progress notification on the open watch.
     RequestProgress,
     /// Read the purge mark with a linearizable read.
     ReadPurgeMark {
-        /// To be returned with the response.
+        /// Time of the request, to be returned with the response.
         requested_at: Micros,
     },
-    /// All purges acknowledged up to this long ago are in the view.
+    /// The view contains all purges that were acknowledged before the confirming read was requested.
     PurgesConfirmed {
         /// Microseconds since the confirming read was requested.
-        ago: Micros,
+        age_us: Micros,
     },
     /// Cancel the open snapshot read or watch.
     CancelRequest,
-    /// The full endpoint list or a delta.
+    /// A full endpoint list or a delta.
     EndpointList(EndpointListHead),
     /// A purge that was not in the view before.
     Purge(PurgeHead),
-    /// All registered dispatchers, by name.
+    /// All registered dispatchers by name.
     Dispatchers(BTreeMap<String, DispatcherRecord>),
     /// Purges may have been missed.
     UpdatesMissed {
-        /// Length of the period in question, up to now.
+        /// Microseconds since the start of the period in which purges may have been missed. The period ends now.
         age_us: Micros,
-        /// There was no view before.
+        /// Whether this precedes the first view.
         initial: bool,
     },
-    /// A key or value that is skipped because it cannot be parsed.
+    /// A key or value was skipped because it cannot be parsed.
     InvalidKey(LayoutError),
-    /// The freshness of the view has changed.
+    /// The freshness of the view changed.
     View(View),
 }
 
@@ -141,6 +141,6 @@
     Unknown,
     /// The view was confirmed complete within [`super::WatcherSettings::stale_after_us`].
     Current,
-    /// It was not.
+    /// The view was not confirmed complete within [`super::WatcherSettings::stale_after_us`].
     Stale,
 }
--- a/crates/etcd/src/watcher/mod.rs
+++ b/crates/etcd/src/watcher/mod.rs
@@ -1,14 +1,15 @@
-//! The watcher: keeps a view of the watched prefix by a snapshot and a watch from its revision on. No I/O, no clock.
+//! The watcher maintains a view of the watched prefix with a snapshot and a watch from the revision after it. It does no I/O and
+//! reads no clock.
 //!
-//! The owner passes etcd's responses to [`Watcher::handle`], carries out the [`Output`]s in order, and passes [`Input::Tick`] at
-//! [`Watcher::next`] or soon after.
+//! The owner passes etcd's responses to [`Watcher::handle`], executes the [`Output`]s in order, and passes [`Input::Tick`] at the
+//! time that [`Watcher::next_deadline`] returns, or soon after.
 //!
-//! **The view equals the store at [`Watcher::revision`]**: events are applied in order, once each, in whole revisions. A stream that
-//! fails is resumed from the next revision; fragments of an incomplete revision are dropped and delivered again. Where history is
-//! lost (compaction, a restored cluster, another cluster), a new snapshot replaces the view and [`Output::UpdatesMissed`] reports
-//! how long purges may have been missed: the safe response is to treat everything as purged.
+//! **The view equals the store at [`Watcher::revision`]**: events are applied in order, exactly once, in complete revisions. A failed
+//! stream is resumed from the next revision; fragments of an incomplete revision are discarded and delivered again. If history is
+//! lost (compaction, a restored cluster, a different cluster), a new snapshot replaces the view, and [`Output::UpdatesMissed`]
+//! reports for how long purges may have been missed. The safe reaction is to treat everything as purged.
 //!
-//! [`Output::PurgesConfirmed`] needs a linearizable read beside the watch: see `purge_confirmation`.
+//! [`Output::PurgesConfirmed`] requires a linearizable read in addition to the watch; see `purge_confirmation`.
 mod freshness;
 mod message;
 mod purge_confirmation;
@@ -26,28 +27,28 @@
 use std::collections::BTreeMap;
 use store_view::StoreView;
 
-/// Microseconds, of a clock that the owner chooses.
+/// Microseconds on a monotonic clock of the owner's choice.
 pub type Micros = u64;
-/// A revision of etcd's store.
+/// Revision of etcd's store.
 pub type Revision = i64;
 
-/// The state machine from an empty view through a snapshot and its watch to a current one, and back.
+/// State machine that reads a snapshot, watches for changes from its revision on, and starts over when history is lost.
 ///
-/// State is bounded by the stored endpoints and dispatchers and by the fragments of one revision. Dropping it owes nothing: the
-/// owner cancels the request in flight.
+/// Its memory is bounded by the number of stored endpoints and dispatchers and by the fragments of one revision. Dropping it needs
+/// no cleanup other than cancelling the request in flight, which the owner does.
 #[derive(Debug)]
 pub struct Watcher {
     settings: WatcherSettings,
     store: StoreView,
     request: RequestState,
     purge_confirmation: PurgeConfirmation,
-    /// Revisions between the view and the next snapshot may be missing.
+    /// Whether revisions between the view and the next snapshot may have been missed.
     history_lost: bool,
     freshness: Freshness,
 }
 
 impl Watcher {
-    /// Starts without a view; `seed` is for the jitter of backoffs.
+    /// Creates a watcher without a view. `seed` seeds the backoff jitter.
     pub fn new(prefix: &str, settings: WatcherSettings, now: Micros, seed: u64) -> Self {
         Self {
             settings,
@@ -62,12 +63,12 @@
         }
     }
 
-    /// The revision of the view; 0: there is none.
+    /// Revision of the view; 0 before the first snapshot.
     pub fn revision(&self) -> Revision {
         self.store.revision()
     }
 
-    /// The endpoints of the view, by address.
+    /// Endpoints of the view by address.
     pub fn endpoints(&self) -> &BTreeMap<String, MemberRecord> {
         self.store.endpoints()
     }
@@ -77,8 +78,8 @@
         self.freshness.state()
     }
 
-    /// When [`Input::Tick`] is next due.
-    pub fn next(&self) -> Micros {
+    /// Time at which [`Input::Tick`] is next due.
+    pub fn next_deadline(&self) -> Micros {
         let deadlines = [
             self.freshness.next_deadline(),
             self.purge_confirmation.next_deadline(),
@@ -89,8 +90,8 @@
             .fold(self.request.next_deadline(&self.settings), Micros::min)
     }
 
-    /// Handles a response or a tick. `wall_ms`: milliseconds since 1970, only to turn start times of endpoints into ages; where the
-    /// wall clock was stepped, the reading that makes endpoints younger.
+    /// Handles a response or a tick. `wall_ms` is the wall-clock time in milliseconds since the Unix epoch, used only to convert
+    /// start times of endpoints to ages. If the wall clock was stepped, it is the earlier reading, which makes endpoints younger.
     pub fn handle(&mut self, now: Micros, wall_ms: u64, input: Input, out: &mut Vec<Output>) {
         if !matches!(input, Input::Tick | Input::PurgeMarkRead { .. }) {
             self.request.record_response(now);
@@ -140,7 +141,7 @@
         let other_history = !initial && !self.store.is_continued_by(header);
         let known_revision = if other_history { 0 } else { self.revision() };
         let records = self.store.parse_snapshot(keys, known_revision, out);
-        // Also before the first snapshot: purges that were written and have expired since the start are not in it.
+        // This includes the first snapshot: it lacks purges that were written and expired since the start of the watcher.
         if self.history_lost || other_history || initial {
             self.report_missed_updates(now, initial, out);
         }
@@ -150,7 +151,8 @@
         self.start_watch(now, out);
     }
 
-    /// Includes responses that may have been in flight when the view was last complete.
+    /// Reports that updates may have been missed since the view was last complete, extended by the response time-out for responses
+    /// that were in flight at that time.
     fn report_missed_updates(&self, now: Micros, initial: bool, out: &mut Vec<Output>) {
         let since = self
             .freshness
@@ -169,8 +171,8 @@
         }
     }
 
-    /// Applies the received events, which end with a whole revision. The view is complete only if it has reached the store's
-    /// revision; otherwise a later progress notification shows it.
+    /// Applies the received events, which end with a complete revision. The view is complete only if it has reached the store's
+    /// revision; otherwise a later progress notification confirms it.
     fn apply_fragments(
         &mut self,
         now: Micros,
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Between two fragments the view is not complete, whatever the header's revision.
+    /// Advances the view to the header's revision, unless fragments are pending: then the view is not complete.
     fn handle_progress(&mut self, now: Micros, header: Header, out: &mut Vec<Output>) {
         if self.accepts_watch_response(now, header, out) && self.request.fragments.is_empty() {
             self.store.advance_to(header.revision);
@@ -202,7 +204,7 @@
         self.request.phase == Phase::Watching && self.check_history(now, header, out)
     }
 
-    /// Whether the response continues the history of the view; if not, the view is read anew.
+    /// Whether the response continues the history of the view. If it does not, a new snapshot is read.
     fn check_history(&mut self, now: Micros, header: Header, out: &mut Vec<Output>) -> bool {
         let continued = self.store.is_continued_by(header);
         if !continued {
@@ -228,7 +230,7 @@
     fn start_watch(&mut self, now: Micros, out: &mut Vec<Output>) {
         self.request.start(Phase::OpeningWatch, now);
         out.push(Output::StartWatch {
-            from: self.revision() + 1,
+            start_revision: self.revision() + 1,
         });
     }
 
@@ -243,7 +245,7 @@
         } else if self.request.take_progress_due(now, &self.settings) {
             out.push(Output::RequestProgress);
         }
-        self.freshness.expire(now, out);
+        self.freshness.mark_stale_if_due(now, out);
     }
 
     fn send_request(&mut self, now: Micros, out: &mut Vec<Output>) {
--- a/crates/etcd/src/watcher/purge_confirmation.rs
+++ b/crates/etcd/src/watcher/purge_confirmation.rs
@@ -1,15 +1,15 @@
 //! Periodic confirmation that all acknowledged purges are in the view.
 //!
-//! A linearizable read of the purge mark returns the revision of the last purge acknowledged before the read was requested. Once
-//! the view has reached that revision, all of those purges are known. Watch responses cannot confirm this: a partitioned etcd
-//! node keeps sending progress notifications.
+//! A linearizable read of the purge mark returns at least the revision of the last purge that was acknowledged before the read was
+//! requested. Once the view has reached that revision, it contains all of these purges. Watch responses cannot confirm this,
+//! because a partitioned etcd node continues to send progress notifications.
 use super::store_view::StoreView;
 use super::{Micros, Output, Revision};
 
-/// A read that takes more than this many intervals is abandoned.
+/// Number of intervals after which a read without a response is abandoned.
 const READ_TIMEOUT_INTERVALS: u64 = 3;
 
-/// The last response to a mark read, until the view has reached it.
+/// Response to a purge mark read that the view has not reached yet.
 #[derive(Debug)]
 struct PurgeMark {
     requested_at: Micros,
@@ -17,13 +17,13 @@
     revision: Revision,
 }
 
-/// At most one read in flight and one response that the view has not reached.
+/// Requests and evaluates purge mark reads. At most one read is in flight, and at most one response is pending.
 #[derive(Debug)]
 pub(super) struct PurgeConfirmation {
-    /// 0: disabled.
+    /// Interval between reads; 0 disables them.
     interval_us: Micros,
     next_read_at: Micros,
-    /// When the read in flight was requested.
+    /// Time at which the read in flight was requested; none if no read is in flight.
     pending_since: Option<Micros>,
     unconfirmed: Option<PurgeMark>,
 }
@@ -38,7 +38,7 @@
         }
     }
 
-    /// When [`Self::request_read`] next has something to do; none if disabled.
+    /// Returns when [`Self::request_read`] is next due; none if reads are disabled.
     pub(super) fn next_deadline(&self) -> Option<Micros> {
         if self.interval_us == 0 {
             return None;
@@ -53,7 +53,7 @@
         requested_at + READ_TIMEOUT_INTERVALS * self.interval_us
     }
 
-    /// Takes the response to the read in flight; responses to abandoned reads are ignored.
+    /// Stores the response to the read in flight. Responses to abandoned reads are ignored.
     pub(super) fn handle_response(&mut self, requested_at: Micros, mark: Option<(u64, Revision)>) {
         if self.pending_since != Some(requested_at) {
             return;
@@ -66,8 +66,8 @@
         });
     }
 
-    /// Reports the last response once the view of the same cluster has reached it. After lost history the view has to be read
-    /// anew first: purges may be missing from it.
+    /// Reports the confirmation once the view of the same cluster has reached the last mark. If history was lost, the view may
+    /// lack purges, so a new snapshot must be read first.
     pub(super) fn confirm(
         &mut self,
         now: Micros,
@@ -83,7 +83,7 @@
         };
         if let Some(mark) = self.unconfirmed.take_if(reached) {
             out.push(Output::PurgesConfirmed {
-                ago: now.saturating_sub(mark.requested_at),
+                age_us: now.saturating_sub(mark.requested_at),
             });
         }
     }
--- a/crates/etcd/src/watcher/request_state.rs
+++ b/crates/etcd/src/watcher/request_state.rs
@@ -1,19 +1,19 @@
-//! The state of the request to etcd: a snapshot read, a watch, or the backoff between two of them.
+//! State of the request to etcd: a snapshot read, a watch, or the backoff between two requests.
 use super::{Micros, WatchEvent, WatcherSettings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Bounds the exponent of the backoff; the settings bound the backoff itself.
+/// Limit of the backoff's exponent, which prevents overflow. The settings limit the backoff itself.
 const MAX_BACKOFF_DOUBLINGS: u32 = 16;
 
-/// What the watcher is waiting for.
+/// Phase of the watcher, named after what it waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The next request is sent at this time.
+    /// The watcher waits until this time before it sends the next request.
     Backoff { until: Micros },
     /// A snapshot read is in flight.
     ReadingSnapshot,
-    /// The watch has been requested.
+    /// A watch has been requested and is not established yet.
     OpeningWatch,
     /// The watch is established.
     Watching,
@@ -23,9 +23,9 @@
 #[derive(Debug)]
 pub(super) struct RequestState {
     pub(super) phase: Phase,
-    /// Events of revisions that are not complete yet; dropped when the stream ends.
+    /// Events of incomplete revisions; discarded when the stream ends.
     pub(super) fragments: Vec<WatchEvent>,
-    /// When the request was sent or last responded.
+    /// Time at which the request was sent, or of its last response.
     last_activity_at: Micros,
     progress_requested: bool,
     consecutive_failures: u32,
@@ -63,7 +63,8 @@
         matches!(self.phase, Phase::OpeningWatch | Phase::Watching)
     }
 
-    /// Waits before the next request. The jitter spreads dispatchers that lost etcd at the same moment.
+    /// Enters the backoff before the next request. The jitter spreads the reconnects of dispatchers that lost etcd at the same
+    /// time.
     pub(super) fn back_off(&mut self, now: Micros, settings: &WatcherSettings) {
         self.fragments.clear();
         let doublings = self.consecutive_failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -75,7 +76,7 @@
         };
     }
 
-    /// When the phase next has something to do.
+    /// Returns the time of the next action of the phase: the next request, a progress request, or a time-out.
     pub(super) fn next_deadline(&self, settings: &WatcherSettings) -> Micros {
         match self.phase {
             Phase::Backoff { until } => until,
@@ -90,7 +91,7 @@
         now.saturating_sub(self.last_activity_at) >= settings.request_timeout_us()
     }
 
-    /// True once for each period of inactivity of the watch.
+    /// Whether a progress request is due. Returns true once per period of inactivity of the watch.
     pub(super) fn take_progress_due(&mut self, now: Micros, settings: &WatcherSettings) -> bool {
         let inactive_us = now.saturating_sub(self.last_activity_at);
         let due = self.phase == Phase::Watching
--- a/crates/etcd/src/watcher/settings.rs
+++ b/crates/etcd/src/watcher/settings.rs
@@ -4,22 +4,22 @@
 /// Time-outs and intervals of a [`super::Watcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatcherSettings {
-    /// A watch without responses for this long is sent a progress request.
+    /// Time without a response on a watch after which a progress request is sent.
     pub progress_interval_us: Micros,
-    /// A watch that does not respond for this long after the progress request is cancelled.
+    /// Time without a response after a progress request after which the watch is cancelled.
     pub response_timeout_us: Micros,
-    /// The view is stale when it was not confirmed complete for this long.
+    /// Time since the view was last confirmed complete after which it is stale.
     pub stale_after_us: Micros,
-    /// Backoff after the first failure; doubled with each further one, and jittered.
+    /// Backoff after the first failure, before jitter. Each further consecutive failure doubles it.
     pub initial_backoff_us: Micros,
     /// Longest backoff before jitter.
     pub max_backoff_us: Micros,
-    /// Interval of purge mark reads; 0: never. A read is abandoned after three intervals.
+    /// Interval between purge mark reads; 0 disables them. A read is abandoned after three intervals.
     pub purge_confirmation_interval_us: Micros,
 }
 
 impl Default for WatcherSettings {
-    /// A silent watch is detected before a drain would be late, which is after a second.
+    /// Defaults that detect a silent watch within a second, the longest time in which a drain may take effect.
     fn default() -> Self {
         Self {
             progress_interval_us: 150_000,
@@ -33,7 +33,7 @@
 }
 
 impl WatcherSettings {
-    /// Longest time without a response before an open request is cancelled.
+    /// Longest time without a response after which an open request is cancelled.
     pub(super) fn request_timeout_us(&self) -> Micros {
         self.progress_interval_us + self.response_timeout_us
     }
--- a/crates/etcd/src/watcher/store_view.rs
+++ b/crates/etcd/src/watcher/store_view.rs
@@ -1,18 +1,18 @@
-//! The content of the watched prefix at one revision, and the updates that result from changes of it.
+//! The content of the watched prefix at one revision, and the updates that its changes produce.
 use super::{Header, KeyValue, Output, Revision, WatchEvent};
 use crate::layout::{self, DispatcherRecord, KeyName, LayoutError, MemberRecord};
 use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead};
 use std::collections::BTreeMap;
 
-/// Endpoints and dispatchers as stored at [`StoreView::revision`]. Revisions are applied whole, in order, and once each.
+/// Endpoints and dispatchers as stored at [`StoreView::revision`]. Complete revisions are applied in order, exactly once.
 ///
-/// Holds one entry for each stored endpoint and dispatcher; an entry is dropped when its key is deleted. Purges are passed on
-/// and not held.
+/// Holds one entry for each stored endpoint and dispatcher; an entry is removed when its key is deleted. Purges are forwarded and
+/// not retained.
 #[derive(Debug)]
 pub(super) struct StoreView {
     prefix: String,
     cluster: u64,
-    /// 0: no snapshot has been read.
+    /// Revision of the view; 0 before the first snapshot.
     revision: Revision,
     endpoints: BTreeMap<String, MemberRecord>,
     dispatchers: BTreeMap<String, DispatcherRecord>,
@@ -25,18 +25,18 @@
 pub(super) struct SnapshotRecords {
     endpoints: BTreeMap<String, MemberRecord>,
     dispatchers: BTreeMap<String, DispatcherRecord>,
-    /// Those that the view did not have, with their revisions.
+    /// Purges that the view did not contain yet, with their revisions.
     new_purges: Vec<(Revision, PurgeHead)>,
 }
 
-/// A stored record with its name within the prefix.
+/// A parsed record, with its address or name if it has one.
 enum StoredRecord {
     Endpoint(String, MemberRecord),
     Dispatcher(String, DispatcherRecord),
     Purge(PurgeHead),
 }
 
-/// What a sequence of watch events has changed, until it is put out as one update of each kind.
+/// Changes of a sequence of watch events, collected to be reported as one update of each kind.
 #[derive(Default)]
 struct PendingUpdate {
     endpoints: BTreeMap<String, EndpointRecord>,
@@ -67,17 +67,18 @@
         &self.endpoints
     }
 
-    /// No snapshot has been read.
+    /// Whether no snapshot has been read yet.
     pub(super) fn is_empty(&self) -> bool {
         self.revision == 0
     }
 
-    /// False for the response of another cluster, or of one restored to before the view's revision.
+    /// Whether a response with this header continues the history of the view. Returns false if it came from another cluster, or
+    /// from one that was restored to an earlier revision.
     pub(super) fn is_continued_by(&self, header: Header) -> bool {
         header.cluster == self.cluster && header.revision >= self.revision
     }
 
-    /// All events up to a revision have been applied, whether or not they were of the prefix.
+    /// Records that all events up to `revision` have been applied, including revisions without changes under the prefix.
     pub(super) fn advance_to(&mut self, revision: Revision) {
         self.revision = self.revision.max(revision);
     }
@@ -109,8 +110,8 @@
         records
     }
 
-    /// Replaces the view by a snapshot. Purges are put out before endpoints, so that they are in force when an endpoint that
-    /// returns receives requests.
+    /// Replaces the view with a snapshot. Purges are reported before endpoints, so that they are in force when a returning endpoint
+    /// receives requests.
     pub(super) fn replace(
         &mut self,
         header: Header,
@@ -133,7 +134,7 @@
         self.push_endpoint_list(EndpointListForm::Full, endpoints, out);
     }
 
-    /// Applies whole revisions, in order; events that are in the view already are skipped.
+    /// Applies events of complete revisions in order. Events that the view already contains are skipped.
     pub(super) fn apply(&mut self, events: Vec<WatchEvent>, wall_ms: u64, out: &mut Vec<Output>) {
         let known_revision = self.revision;
         let mut update = PendingUpdate::default();
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -1,32 +1,32 @@
-//! Transactions of operators and dispatchers. Each changes what was read, or nothing.
+//! Transactions of operators and dispatchers. Each one commits only if the key that it depends on is unchanged.
 use crate::client::{Etcd, EtcdError, Lease};
 use crate::layout::{self, DispatcherRecord, LayoutError, MemberRecord, PurgeRecord};
 use crate::proto::*;
 use rand::Rng;
 use std::time::Duration;
 
-/// Attempts of one change under concurrent changes by others.
+/// Maximum number of attempts at one change while other clients change the same key.
 const MAX_ATTEMPTS: usize = 20;
-/// Renewals of the registration in the life of its lease.
+/// Number of renewals of the registration within the time to live of its lease.
 const RENEWALS_PER_LEASE: u32 = 4;
-/// Attempts per renewal interval while the registration is lost.
+/// Number of attempts per renewal interval while the registration is lost.
 const RETRIES_PER_RENEWAL_INTERVAL: u32 = 4;
-/// Lease of a purge's key: no copy from before the purge is older.
-pub const PURGE_SECONDS: i64 = 60;
+/// Time to live of a purge's key in seconds. No cache holds a copy from before the purge for longer.
+pub const PURGE_LEASE_S: i64 = 60;
 
-/// Why a change was not made.
+/// The reason for which a change was not made.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The call failed; a write may have been done.
+    /// The call failed. A write may have been committed.
     #[error(transparent)]
     Etcd(#[from] EtcdError),
     /// The stored record cannot be parsed.
     #[error(transparent)]
     Layout(#[from] LayoutError),
-    /// Others changed the key before each attempt.
-    #[error("{0}: changed by others in {MAX_ATTEMPTS} attempts")]
+    /// Other clients changed the key during each attempt.
+    #[error("{0}: not changed, concurrent writes conflicted in all {MAX_ATTEMPTS} attempts")]
     Conflict(String),
-    /// The caller's change rejected the stored record, for this reason.
+    /// The caller's change rejected the stored record for this reason.
     #[error("{0}")]
     Rejected(String),
 }
@@ -53,12 +53,12 @@
     }
 }
 
-fn json<T: serde::Serialize>(record: &T) -> Vec<u8> {
+fn to_json<T: serde::Serialize>(record: &T) -> Vec<u8> {
     serde_json::to_vec(record).unwrap_or_default()
 }
 
-/// Commits the operations if the key was last changed at `mod_revision` (0: it does not exist). The revision of the commit; none
-/// if the key was changed.
+/// Commits the operations if the key was last changed at `mod_revision` (0: the key does not exist). Returns the revision of the
+/// commit, or none if the key was changed in the meantime.
 async fn commit_if_unchanged(
     etcd: &Etcd,
     key: &str,
@@ -82,8 +82,8 @@
     Ok(response.succeeded.then_some(revision))
 }
 
-/// Changes an endpoint's record and returns the revision. `change` maps the stored record to the new one; none: no such key, or
-/// delete it. It is called anew after each concurrent change.
+/// Changes an endpoint's record and returns the revision of the commit. `change` maps the stored record (none: the key does not
+/// exist) to the new record (none: the key is deleted). It is called again after each conflict with a concurrent change.
 pub async fn member(
     etcd: &Etcd,
     prefix: &str,
@@ -102,7 +102,7 @@
             .map(|kv| layout::parse_member(&kv.key, &kv.value))
             .transpose()?;
         let operation = match change(record).map_err(WriteError::Rejected)? {
-            Some(record) => put(key.clone(), json(&record), 0),
+            Some(record) => put(key.clone(), to_json(&record), 0),
             None => delete(key.clone()),
         };
         let mod_revision = stored.map_or(0, |kv| kv.mod_revision);
@@ -114,15 +114,15 @@
     Err(WriteError::Conflict(key))
 }
 
-/// Writes a purge under a lease of its own and returns the revision. Repeating it after an error is harmless: it writes another
-/// purge of the same objects.
+/// Writes a purge under its own lease and returns the revision of the commit. It is safe to repeat after an error: the retry
+/// writes another purge of the same objects.
 pub async fn purge(etcd: &Etcd, prefix: &str, record: &PurgeRecord) -> Result<i64, WriteError> {
-    let lease = etcd.grant(PURGE_SECONDS).await?.id;
+    let lease = etcd.grant(PURGE_LEASE_S).await?.id;
     for _ in 0..MAX_ATTEMPTS {
         let id = format!("{:032x}", rand::thread_rng().gen::<u128>());
         let key = layout::purge_key(prefix, &id);
         let operations = vec![
-            put(key.clone(), json(record), lease),
+            put(key.clone(), to_json(record), lease),
             put(layout::purge_mark_key(prefix), Vec::new(), 0),
         ];
         if let Some(revision) = commit_if_unchanged(etcd, &key, 0, operations).await? {
@@ -132,14 +132,14 @@
     Err(WriteError::Conflict(layout::watched_prefix(prefix)))
 }
 
-/// Within what time a purge is in force in the registered dispatchers.
+/// Time within which a purge is in force in the registered dispatchers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Promise {
     /// Number of registered dispatchers.
     pub dispatchers: usize,
-    /// The longest time that one of them promises, in milliseconds.
+    /// Longest promised time of all dispatchers, in milliseconds.
     pub within_ms: u64,
-    /// Names of those that promise none.
+    /// Names of the dispatchers without a promise.
     pub without: Vec<String>,
 }
 
@@ -165,21 +165,21 @@
     Ok(promise)
 }
 
-/// The result of a renewal of a registration.
+/// Result of renewing a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationState {
-    /// The key exists.
+    /// The dispatcher's key exists under a renewed lease.
     Renewed {
-        /// Time to live of its lease, counted from the request.
+        /// Time to live of the lease, measured from the request.
         ttl: Duration,
     },
     /// The lease has expired, or the renewal failed.
     Lost,
 }
 
-/// Keeps a dispatcher's key under a lease of `lease_s` seconds until `on_renewal` returns false; then the lease is revoked.
-/// `on_renewal` receives the result and the duration of each renewal. A missing key is written anew: after an expired lease, or
-/// after the cluster was restored.
+/// Maintains a dispatcher's key under a lease of `lease_s` seconds until `on_renewal` returns false, then revokes the lease.
+/// `on_renewal` receives the result and the duration of each renewal. The key is written again if it is missing, as after the
+/// lease expired or the cluster was restored.
 pub async fn register(
     etcd: Etcd,
     prefix: String,
@@ -210,13 +210,13 @@
     }
 }
 
-/// A dispatcher's key and the lease that it is under.
+/// A dispatcher's key and its lease.
 struct Registration {
     etcd: Etcd,
     key: String,
     record: DispatcherRecord,
     lease_s: i64,
-    /// None before the first renewal and after the lease is lost.
+    /// Id of the lease; none before the first renewal and after the lease was lost.
     lease: Option<i64>,
 }
 
@@ -235,7 +235,7 @@
             }
             Err(error) => {
                 tracing::warn!(%error, "etcd: registration not renewed");
-                // A restored cluster does not know the lease.
+                // A restored cluster may not have the lease.
                 if error.is_not_found() {
                     self.lease = None;
                 }
@@ -256,7 +256,8 @@
         Ok(Lease { id, ttl_s })
     }
 
-    /// Writes the key unless it is under this lease: it may have been deleted, or left under the lease of an earlier process.
+    /// Writes the key unless it is attached to this lease. It may have been deleted, or be attached to the lease of an earlier
+    /// process.
     async fn write_key(&self, lease: i64) -> Result<(), EtcdError> {
         let is_under_lease = Compare {
             result: CompareResult::Equal as i32,
@@ -268,13 +269,13 @@
             .txn(TxnRequest {
                 compare: vec![is_under_lease],
                 success: vec![],
-                failure: vec![put(self.key.clone(), json(&self.record), lease)],
+                failure: vec![put(self.key.clone(), to_json(&self.record), lease)],
             })
             .await
             .map(drop)
     }
 
-    /// Removes the key at once, rather than when the lease expires.
+    /// Deletes the key immediately instead of when the lease expires.
     async fn revoke(&self) {
         if let Some(id) = self.lease {
             let _ = self.etcd.revoke(id).await;
--- a/crates/etcd/tests/history/main.rs
+++ b/crates/etcd/tests/history/main.rs
@@ -1,6 +1,6 @@
-//! The watcher against a model of etcd: seeded sequences of writes, broken streams, split fragments, compactions, silence and restored
-//! clusters. The view always equals the store at the revision that it states; no purge is missed unless missed updates are
-//! reported; the endpoint list of a dispatcher equals the view.
+//! Tests the watcher against a model of etcd, with seeded sequences of writes, broken streams, split fragments, compactions,
+//! unresponsive watches and restored clusters. The view always equals the store at the view's revision, no purge is missed without
+//! a report of missed updates, and the dispatcher's endpoint list equals the view.
 mod store_history;
 
 use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
@@ -14,6 +14,7 @@
 const PREFIX: &str = "/edge";
 
 struct WrittenPurge {
+    /// Index of the store history that contains the purge.
     epoch: usize,
     revision: Revision,
     object: String,
@@ -22,21 +23,24 @@
 
 struct Simulation {
     rng: StdRng,
+    /// All histories of the store; the last one is current.
     stores: Vec<StoreHistory>,
     watcher: Watcher,
     now: u64,
-    /// A snapshot read is in flight.
+    /// Whether a snapshot read is in flight.
     is_reading_snapshot: bool,
-    /// The open watch: the next revision to send, and whether it is established.
+    /// The requested watch: the next revision to send, and whether the watch is established.
     stream: Option<(Revision, bool)>,
+    /// Fragments of the open watch that have not been sent yet.
     fragments: Vec<Vec<WatchEvent>>,
-    /// Which history the view is of.
+    /// Index of the store history that the view reflects.
     epoch: usize,
-    /// Purges that have to be reported, but for those in periods of missed updates.
+    /// Purges that the watcher must report. Purges in reported periods of missed updates are removed.
     unreported_purges: Vec<WrittenPurge>,
     reported_purges: Vec<String>,
     endpoint_list: BTreeMap<String, i32>,
     invalid_keys: usize,
+    /// Numbers of broken streams, compactions, restores, reports of missed updates, and rejected watches.
     counts: [usize; 5],
 }
 
@@ -76,9 +80,9 @@
                     );
                     self.is_reading_snapshot = true;
                 }
-                Output::StartWatch { from } => {
-                    assert!(self.stream.is_none(), "two watches");
-                    self.stream = Some((from, false));
+                Output::StartWatch { start_revision } => {
+                    assert!(self.stream.is_none(), "the previous watch is still open");
+                    self.stream = Some((start_revision, false));
                 }
                 Output::RequestProgress => {}
                 Output::CancelRequest => self.cancel_request(),
@@ -102,8 +106,8 @@
                     self.unreported_purges
                         .retain(|purge| purge.written_at < since);
                 }
-                Output::InvalidKey(e) => {
-                    assert!(e.to_string().contains("members/odd"), "{e}");
+                Output::InvalidKey(error) => {
+                    assert!(error.to_string().contains("members/odd"), "{error}");
                     self.invalid_keys += 1;
                 }
                 Output::View(_) | Output::Dispatchers(_) => {}
@@ -138,19 +142,25 @@
             .filter(|a| a != "odd")
             .collect();
         let viewed: Vec<String> = self.watcher.endpoints().keys().cloned().collect();
-        assert_eq!(viewed, members, "at revision {revision}");
+        assert_eq!(
+            viewed, members,
+            "the view differs from the store at revision {revision}"
+        );
         for (address, record) in self.watcher.endpoints() {
             let stored: MemberRecord =
                 serde_json::from_slice(&keys[member_key(PREFIX, address).as_bytes()].0).unwrap();
             assert_eq!(*record, stored);
         }
         let listed: Vec<String> = self.endpoint_list.keys().cloned().collect();
-        assert_eq!(listed, members, "the endpoint list of the dispatcher");
+        assert_eq!(
+            listed, members,
+            "the dispatcher's endpoint list differs from the store"
+        );
         for purge in &self.unreported_purges {
             if purge.epoch == self.epoch && purge.revision <= revision {
                 assert!(
                     self.reported_purges.contains(&purge.object),
-                    "purge of {} at {} missed by revision {revision}",
+                    "the purge of {} at revision {} was not reported by revision {revision}",
                     purge.object,
                     purge.revision
                 );
@@ -158,7 +168,7 @@
         }
     }
 
-    /// One event of the environment or response of etcd.
+    /// Performs one random step: a write, a response of etcd, a fault, or a tick.
     fn step(&mut self) {
         self.now += self.rng.gen_range(0..120_000);
         match self.rng.gen_range(0..100) {
@@ -172,24 +182,24 @@
                 }
             }
             80..=83 => {
-                let to = self.store().revision();
-                let compacted = self.rng.gen_range(0..=to);
+                let newest = self.store().revision();
+                let compacted = self.rng.gen_range(0..=newest);
                 let store = self.store();
                 store.compacted = store.compacted.max(compacted);
                 self.counts[1] += 1;
             }
             84 if self.rng.gen::<f64>() < 0.3 => {
-                // Restored from an older copy: streams break, revisions go back.
-                let back = self.store().revision();
-                let to = self.rng.gen_range(1..=back) as usize;
-                let restored = self.store().restored_at(to);
+                // The cluster is restored from an older snapshot: streams break, and the revision decreases.
+                let newest = self.store().revision();
+                let revision = self.rng.gen_range(1..=newest) as usize;
+                let restored = self.store().restored_at(revision);
                 self.stores.push(restored);
                 self.counts[2] += 1;
                 self.cancel_request();
                 self.handle(Input::Failed);
             }
             _ => {
-                let next = self.watcher.next();
+                let next = self.watcher.next_deadline();
                 if next <= self.now {
                     self.handle(Input::Tick);
                 }
@@ -209,12 +219,12 @@
                     member_key(PREFIX, "odd").into_bytes(),
                     Some(b"no record".to_vec()),
                 )),
-                // A purge is deleted before its lease expires.
+                // A stored purge is deleted, as when its lease expires.
                 7 => writes.extend(self.stored_purge().map(|key| (key, None))),
                 _ => writes.push(self.random_purge()),
             }
         }
-        // A transaction of etcd changes a key at most once.
+        // An etcd transaction changes a key at most once.
         let mut keys = std::collections::BTreeSet::new();
         writes.retain(|(key, _)| keys.insert(key.clone()));
         self.store().commit(writes);
@@ -264,7 +274,7 @@
 
     fn respond(&mut self) {
         let epoch = self.stores.len() - 1;
-        // A restored cluster has another id, and older revisions.
+        // A restored cluster has a different id and an older revision.
         let header = Header {
             cluster: epoch as u64 + 1,
             revision: self.store().revision(),
@@ -274,8 +284,8 @@
         }
         match self.stream {
             None => {}
-            Some((from, false)) => self.create_watch(from, header),
-            Some((from, true)) => self.send_watch_response(from, header),
+            Some((next_revision, false)) => self.create_watch(next_revision, header),
+            Some((next_revision, true)) => self.send_watch_response(next_revision, header),
         }
     }
 
@@ -292,34 +302,34 @@
         self.handle(Input::Snapshot { header, keys });
     }
 
-    fn create_watch(&mut self, from: Revision, header: Header) {
-        if from <= self.store().compacted {
+    fn create_watch(&mut self, start_revision: Revision, header: Header) {
+        if start_revision <= self.store().compacted {
             self.stream = None;
             self.counts[4] += 1;
             return self.handle(Input::Compacted);
         }
-        self.stream = Some((from, true));
+        self.stream = Some((start_revision, true));
         self.handle(Input::WatchCreated { header });
     }
 
-    fn send_watch_response(&mut self, from: Revision, header: Header) {
+    fn send_watch_response(&mut self, next_revision: Revision, header: Header) {
         if !self.fragments.is_empty() {
             let events = self.fragments.remove(0);
             let fragment = !self.fragments.is_empty();
             return self.send_events(header, events, fragment);
         }
-        if from > header.revision {
+        if next_revision > header.revision {
             return self.handle(Input::Progress { header });
         }
-        // One or more whole revisions, sometimes in two fragments.
-        let to = self.rng.gen_range(from..=header.revision);
-        let events: Vec<WatchEvent> = (from..=to)
+        // One or more complete revisions are sent, sometimes in two fragments.
+        let last_revision = self.rng.gen_range(next_revision..=header.revision);
+        let events: Vec<WatchEvent> = (next_revision..=last_revision)
             .flat_map(|revision| self.store().events_of(revision))
             .collect();
-        self.stream = Some((to + 1, true));
+        self.stream = Some((last_revision + 1, true));
         if events.len() > 1 && self.rng.gen::<f64>() < 0.3 {
-            let at = self.rng.gen_range(1..events.len());
-            let (first, second) = events.split_at(at);
+            let split_index = self.rng.gen_range(1..events.len());
+            let (first, second) = events.split_at(split_index);
             self.fragments = vec![second.to_vec()];
             self.send_events(header, first.to_vec(), true);
         } else {
@@ -335,19 +345,19 @@
         });
     }
 
-    /// Without further faults the view reaches the newest revision.
+    /// Runs without further faults and checks that the view reaches the newest revision.
     fn settle(&mut self) {
         for _ in 0..400 {
             self.now += 20_000;
             self.respond();
-            if self.watcher.next() <= self.now {
+            if self.watcher.next_deadline() <= self.now {
                 self.handle(Input::Tick);
             }
         }
         assert_eq!(
             self.epoch,
             self.stores.len() - 1,
-            "the view is of the newest history"
+            "the view does not reflect the newest history"
         );
         let newest = self.store().revision();
         assert_eq!(self.watcher.revision(), newest);
@@ -364,22 +374,26 @@
             (0..250).for_each(|_| simulation.step());
             simulation.settle();
         }));
-        assert!(passed.is_ok(), "seed {seed}");
+        assert!(passed.is_ok(), "the simulation failed with seed {seed}");
         sums.iter_mut()
             .zip(simulation.counts)
             .for_each(|(sum, n)| *sum += n);
     }
-    let [broken, compactions, restored, missed, refused] = sums;
-    println!("{broken} streams broken, {compactions} compactions, {restored} restored, {missed} reports of missed updates, {refused} watches refused");
+    let [broken_streams, compactions, restores, missed_updates, rejected_watches] = sums;
+    println!("{broken_streams} broken streams, {compactions} compactions, {restores} restores, {missed_updates} reports of missed updates, {rejected_watches} rejected watches");
     assert!(
-        broken > 2_000 && compactions > 2_000 && restored > 100 && missed > 100 && refused > 50,
+        broken_streams > 2_000
+            && compactions > 2_000
+            && restores > 100
+            && missed_updates > 100
+            && rejected_watches > 50,
         "{sums:?}"
     );
 }
 
-/// An open stream without messages is detected by its time-outs, and the view is stale before a drain could be late.
+/// An open watch that sends no messages is detected by time-outs, and the view becomes stale before a drain would be late.
 #[test]
-fn silent_watch_is_cancelled_and_view_becomes_stale() {
+fn unresponsive_watch_is_cancelled_and_view_becomes_stale() {
     let mut watcher = Watcher::new(PREFIX, WatcherSettings::default(), 0, 1);
     let mut out = vec![];
     let header = Header {
@@ -398,14 +412,15 @@
     );
     watcher.handle(20, 0, Input::WatchCreated { header }, &mut out);
     assert!(
-        out.contains(&Output::View(View::Current)) && out.contains(&Output::StartWatch { from: 6 })
+        out.contains(&Output::View(View::Current))
+            && out.contains(&Output::StartWatch { start_revision: 6 })
     );
     let mut progress_requested_at = None;
     let mut cancelled_at = None;
     let mut stale_at = None;
     let mut now = 20;
     while stale_at.is_none() && now < 2_000_000 {
-        now = watcher.next().max(now + 1);
+        now = watcher.next_deadline().max(now + 1);
         let mut out = vec![];
         watcher.handle(now, 0, Input::Tick, &mut out);
         for output in out {
@@ -424,27 +439,32 @@
     );
 }
 
-/// Dispatchers that lost etcd at the same moment spread their reconnects, with a bounded backoff.
+/// Dispatchers that lose etcd at the same time must spread their reconnects over a bounded backoff.
 #[test]
 fn reconnect_backoff_grows_and_is_jittered() {
-    let first = |seed| {
+    let backoffs_of = |seed| {
         let mut watcher = Watcher::new(PREFIX, WatcherSettings::default(), 0, seed);
-        let mut waits = vec![];
+        let mut backoffs = vec![];
         let mut now = 0;
         for _ in 0..12 {
             let mut out = vec![];
             watcher.handle(now, 0, Input::Tick, &mut out);
             assert_eq!(out, [Output::ReadSnapshot]);
             watcher.handle(now, 0, Input::Failed, &mut out);
-            waits.push(watcher.next() - now);
-            now = watcher.next();
+            backoffs.push(watcher.next_deadline() - now);
+            now = watcher.next_deadline();
         }
-        waits
+        backoffs
     };
-    let all: Vec<Vec<u64>> = (0..200).map(first).collect();
-    let firsts: std::collections::BTreeSet<u64> = all.iter().map(|waits| waits[0]).collect();
-    assert!(firsts.len() > 190, "{} of 200 apart", firsts.len());
+    let all: Vec<Vec<u64>> = (0..200).map(backoffs_of).collect();
+    let first_backoffs: std::collections::BTreeSet<u64> =
+        all.iter().map(|backoffs| backoffs[0]).collect();
+    assert!(
+        first_backoffs.len() > 190,
+        "only {} of 200 first backoffs are distinct",
+        first_backoffs.len()
+    );
     assert!(all
         .iter()
-        .all(|waits| (500_000..=1_500_000).contains(&waits[11])));
+        .all(|backoffs| (500_000..=1_500_000).contains(&backoffs[11])));
 }
--- a/crates/etcd/tests/history/store_history.rs
+++ b/crates/etcd/tests/history/store_history.rs
@@ -1,19 +1,20 @@
-//! A model of etcd's store: its keys at each revision and the changes between them.
+//! A model of etcd's store: its keys at each revision, and the changes of each revision.
 use pointspindle_etcd::{KeyValue, Revision, WatchEvent};
 use std::collections::BTreeMap;
 
-/// The stored keys with their values and the revisions of their last changes.
+/// Stored keys with their values and the revisions of their last changes.
 pub type Keys = BTreeMap<Vec<u8>, (Vec<u8>, Revision)>;
 
-/// A key, and its new value or deletion.
+/// A key and its new value, or none to delete it.
 pub type Write = (Vec<u8>, Option<Vec<u8>>);
 
-/// One history of a store; a restored cluster begins another.
+/// One history of a store. Restoring a cluster begins a new one.
 pub struct StoreHistory {
-    /// The keys at each revision, from 1 on.
+    /// Keys at each revision, beginning with revision 1.
     states: Vec<Keys>,
+    /// Events of each revision, beginning with revision 1.
     log: Vec<Vec<WatchEvent>>,
-    /// Revisions up to this one are compacted away.
+    /// Last revision that has been compacted away.
     pub compacted: Revision,
 }
 
@@ -27,7 +28,7 @@
         }
     }
 
-    /// A copy that ends at an earlier revision.
+    /// Returns a copy of the history that ends at an earlier revision.
     pub fn restored_at(&self, revision: usize) -> Self {
         Self {
             states: self.states[..revision].to_vec(),
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -1,6 +1,6 @@
-//! The purge promise, without I/O: the watcher's confirmations and the core's age limits, against a store behind slow and
-//! partitioned links. An attempt that begins at t + promise or later must not use a copy from before t if a purge was acknowledged
-//! at t, unless the purge is known here; the decision module then applies it.
+//! Tests the purge promise without I/O: the watcher's confirmations and the dispatcher core's age limits, with a store behind slow
+//! and partitioned links. If a purge was acknowledged at time t, an attempt that begins at t + promise or later must not use a copy
+//! from before t. A purge that the dispatcher has received is exempt from this check, because the dispatcher core applies it.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::{ClientRequest, Core, Input as CoreInput, Output as CoreOutput};
 use pointspindle_etcd::layout::purge_key;
@@ -13,9 +13,11 @@
 use std::collections::VecDeque;
 
 const PREFIX: &str = "/edge";
+/// Microseconds per millisecond.
 const MS: u64 = 1_000;
-const PROMISE: u64 = 1_500 * MS;
-const T0: u64 = 1_000_000_000;
+const PROMISE_US: u64 = 1_500 * MS;
+/// Start time of the tests in microseconds.
+const START_US: u64 = 1_000_000_000;
 
 const SETTINGS: &str =
     "[dispatcher]\nzone = b\n[listen]\nhttp = 127.0.0.1:0\n[zone b]\ndispatchers = 1\n\
@@ -49,7 +51,7 @@
     core
 }
 
-/// Begins an attempt for a request of this class: the maximum age of its copy, and whether the purge lease limits it.
+/// Begins an attempt for a request of this class. Returns the maximum age of a cached copy, and whether the purge lease limits it.
 fn begin(core: &mut Core, now: u64, id: u64, class: usize) -> Option<(u64, bool)> {
     let mut out = Vec::new();
     let request = ClientRequest {
@@ -73,48 +75,52 @@
 
 #[test]
 fn cached_copies_after_purge_lease_expiry_are_age_limited() {
-    let mut core = core(T0);
-    let is_age_limited =
-        |core: &mut Core, now, id, class| begin(core, now, id, class).expect("an attempt").1;
+    let mut core = core(START_US);
+    let is_age_limited = |core: &mut Core, now, id, class| {
+        begin(core, now, id, class).expect("no attempt was sent").1
+    };
     assert!(
-        is_age_limited(&mut core, T0, 1, 0),
-        "nothing is confirmed at the start"
+        is_age_limited(&mut core, START_US, 1, 0),
+        "no purges are confirmed at the start"
+    );
+    assert_eq!(
+        begin(&mut core, START_US, 2, 0),
+        Some((PROMISE_US / 2, true))
     );
-    assert_eq!(begin(&mut core, T0, 2, 0), Some((PROMISE / 2, true)));
     assert!(
-        !is_age_limited(&mut core, T0, 3, 1),
+        !is_age_limited(&mut core, START_US, 3, 1),
         "the class is exempt from purges"
     );
     core.handle(
-        T0,
+        START_US,
         CoreInput::PurgesConfirmed { ago: 100 * MS },
         &mut Vec::new(),
     );
-    assert!(!is_age_limited(&mut core, T0 + 649 * MS, 4, 0));
+    assert!(!is_age_limited(&mut core, START_US + 649 * MS, 4, 0));
     assert!(
-        is_age_limited(&mut core, T0 + 650 * MS, 5, 0),
+        is_age_limited(&mut core, START_US + 650 * MS, 5, 0),
         "the lease runs from the read request, not from its response"
     );
-    // A late confirmation of an older moment changes nothing.
+    // A late confirmation of an earlier read does not extend the lease.
     core.handle(
-        T0 + 660 * MS,
+        START_US + 660 * MS,
         CoreInput::PurgesConfirmed { ago: 800 * MS },
         &mut Vec::new(),
     );
-    assert!(is_age_limited(&mut core, T0 + 660 * MS, 6, 0));
+    assert!(is_age_limited(&mut core, START_US + 660 * MS, 6, 0));
     core.handle(
-        T0 + 700 * MS,
+        START_US + 700 * MS,
         CoreInput::PurgesConfirmed { ago: 0 },
         &mut Vec::new(),
     );
-    assert!(!is_age_limited(&mut core, T0 + 700 * MS, 7, 0));
-    // The process is suspended for ten seconds and resumes with a request.
-    assert!(is_age_limited(&mut core, T0 + 10_700 * MS, 8, 0));
+    assert!(!is_age_limited(&mut core, START_US + 700 * MS, 7, 0));
+    // The process was suspended for ten seconds, and the first input afterwards is a request.
+    assert!(is_age_limited(&mut core, START_US + 10_700 * MS, 8, 0));
 }
 
 fn watcher_settings() -> WatcherSettings {
     WatcherSettings {
-        purge_confirmation_interval_us: PROMISE / 6,
+        purge_confirmation_interval_us: PROMISE_US / 6,
         ..WatcherSettings::default()
     }
 }
@@ -140,7 +146,7 @@
     outputs
 }
 
-/// A response with the mark at revision 7.
+/// Returns the response to a purge mark read, with the mark at revision 7.
 fn mark_read(requested_at: u64, cluster: u64) -> Input {
     Input::PurgeMarkRead {
         requested_at,
@@ -154,7 +160,10 @@
 }
 
 fn position(outputs: &[Output], matches: impl Fn(&Output) -> bool) -> usize {
-    outputs.iter().position(matches).expect("the output")
+    outputs
+        .iter()
+        .position(matches)
+        .expect("the expected output is missing")
 }
 
 #[test]
@@ -182,9 +191,12 @@
     };
     let outputs = handle(&mut watcher, 40, events);
     let purge = position(&outputs, |o| matches!(o, Output::Purge(_)));
-    let confirmation = position(&outputs, |o| *o == Output::PurgesConfirmed { ago: 40 });
-    assert!(purge < confirmation, "in force before it is confirmed");
-    // The late response to an abandoned read does not count for the next read.
+    let confirmation = position(&outputs, |o| *o == Output::PurgesConfirmed { age_us: 40 });
+    assert!(
+        purge < confirmation,
+        "the purge must be reported before its confirmation"
+    );
+    // The late response to an abandoned read is not taken as the response to the next read.
     let interval = watcher_settings().purge_confirmation_interval_us;
     let second = interval;
     let outputs = handle(&mut watcher, second, Input::Tick);
@@ -199,8 +211,11 @@
     let outputs = handle(&mut watcher, third + 1, mark_read(second, 1));
     assert!(!is_confirmed(&outputs));
     let outputs = handle(&mut watcher, third + 2, mark_read(third, 2));
-    assert!(!is_confirmed(&outputs), "another cluster");
-    // Responses to mark reads do not hide that the watch is silent.
+    assert!(
+        !is_confirmed(&outputs),
+        "the mark is from a different cluster"
+    );
+    // Responses to mark reads do not hide an unresponsive watch.
     let mut now = third + 2;
     for _ in 0..200 {
         now += 10 * MS;
@@ -210,28 +225,32 @@
     assert_eq!(watcher.view(), pointspindle_etcd::View::Stale);
 }
 
-/// A dispatcher and a store, with links in between that are slow or cut in one direction.
+/// A dispatcher and a store, connected by links that may be slow or partitioned in one direction.
 struct Simulation {
     rng: StdRng,
     now: u64,
     core: Core,
     watcher: Watcher,
-    /// When each purge was acknowledged. The revision of a purge is its index + 2.
+    /// Time at which each purge was acknowledged. The revision of a purge is its index + 2.
     purges: Vec<u64>,
+    /// Number of purges that the dispatcher has received.
     known_purges: usize,
-    /// Watch events and responses in flight to the dispatcher, with their arrival times.
+    /// Watch events in flight to the dispatcher: arrival time, and number of purges written up to the event.
     events: VecDeque<(u64, usize)>,
+    /// Responses in flight to the dispatcher, with their arrival times.
     responses: Vec<(u64, Input)>,
     downlink_cut_until: u64,
     uplink_cut_until: u64,
+    /// Whether every mark read returns revision 0 and is confirmed as of now: the violation that the simulation must detect.
     confirms_without_evidence: bool,
+    /// Numbers of attempts without an age limit, attempts with one, and checks against overdue unknown purges.
     checked: [usize; 3],
     next_request: u64,
 }
 
 impl Simulation {
     fn new(seed: u64, confirms_without_evidence: bool) -> Self {
-        let now = T0;
+        let now = START_US;
         let mut watcher = Watcher::new(PREFIX, watcher_settings(), now, seed);
         handle(&mut watcher, now, Input::Tick);
         let snapshot = Input::Snapshot {
@@ -257,14 +276,14 @@
         }
     }
 
-    /// Arrival time of a message that is sent now, after the end of the cut.
-    fn arrival(&mut self, cut: u64) -> u64 {
+    /// Returns the arrival time of a message that is sent now over a link that is partitioned until `cut_until`.
+    fn arrival(&mut self, cut_until: u64) -> u64 {
         let max_delay = if self.rng.gen_bool(0.05) {
             600 * MS
         } else {
             20 * MS
         };
-        self.now.max(cut) + self.rng.gen_range(0..max_delay)
+        self.now.max(cut_until) + self.rng.gen_range(0..max_delay)
     }
 
     fn step(&mut self) {
@@ -283,13 +302,13 @@
             }
             _ => {}
         }
-        // A request may arrive before or after the other inputs of this moment.
+        // A request may arrive before or after the other inputs of the same time.
         if self.rng.gen_bool(0.5) {
             self.check_attempt();
         }
         self.deliver_due_events();
         self.deliver_due_responses();
-        // The watch is never silent in this test, so that it is not cancelled.
+        // A progress notification at each step prevents that the watch is cancelled as unresponsive.
         self.handle(Input::Progress {
             header: header(self.watcher.revision()),
         });
@@ -333,11 +352,11 @@
                     self.core
                         .handle(self.now, CoreInput::Purge(head), &mut Vec::new());
                 }
-                Output::PurgesConfirmed { ago } => {
+                Output::PurgesConfirmed { age_us } => {
                     let ago = if self.confirms_without_evidence {
                         0
                     } else {
-                        ago
+                        age_us
                     };
                     self.core.handle(
                         self.now,
@@ -346,11 +365,11 @@
                     );
                 }
                 Output::ReadPurgeMark { requested_at } => {
-                    // Read when the request reaches the store; the response has a delay of its own.
-                    let reached = self.arrival(self.uplink_cut_until);
-                    let written = self.purges.iter().filter(|at| **at <= reached).count() as i64;
+                    // The mark is read when the request reaches the store; the response has a separate delay.
+                    let read_at = self.arrival(self.uplink_cut_until);
+                    let written = self.purges.iter().filter(|at| **at <= read_at).count() as i64;
                     let arrives_at =
-                        reached.max(self.downlink_cut_until) + self.rng.gen_range(0..20 * MS);
+                        read_at.max(self.downlink_cut_until) + self.rng.gen_range(0..20 * MS);
                     let revision = if self.confirms_without_evidence || written == 0 {
                         0
                     } else {
@@ -369,7 +388,7 @@
         }
     }
 
-    /// Checks one attempt against every unknown purge.
+    /// Checks one attempt against every overdue purge that the dispatcher has not received.
     fn check_attempt(&mut self) {
         self.next_request += 1;
         let Some((max_age, is_limited)) = begin(&mut self.core, self.now, self.next_request, 0)
@@ -379,13 +398,13 @@
         self.checked[is_limited as usize] += 1;
         let overdue = self.purges[self.known_purges..]
             .iter()
-            .filter(|at| **at + PROMISE <= self.now);
+            .filter(|at| **at + PROMISE_US <= self.now);
         for at in overdue {
             self.checked[2] += 1;
             let since = self.now - at;
             assert!(
                 max_age > 0 && max_age <= since,
-                "a purge of {} ms ago is unknown, and copies of up to {} ms are used",
+                "a purge of {} ms ago was not received, and copies of up to {} ms are used",
                 since / MS,
                 max_age / MS
             );
@@ -401,20 +420,20 @@
         let passed = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             (0..800).for_each(|_| simulation.step())
         }));
-        assert!(passed.is_ok(), "seed {seed}");
+        assert!(passed.is_ok(), "the simulation failed with seed {seed}");
         sums.iter_mut()
             .zip(simulation.checked)
             .for_each(|(sum, n)| *sum += n);
     }
     let [unlimited, limited, overdue] = sums;
-    println!("{unlimited} attempts without an age limit, {limited} with one, {overdue} checks against an overdue unknown purge");
+    println!("{unlimited} attempts without an age limit, {limited} with one, {overdue} checks against overdue unknown purges");
     assert!(
         unlimited > 10_000 && limited > 10_000 && overdue > 10_000,
         "{sums:?}"
     );
 }
 
-/// Shows that the simulation detects a dispatcher that confirms purges it cannot know.
+/// Validates the simulation: it must detect a dispatcher that confirms purges without evidence.
 #[test]
 fn confirmation_without_evidence_violates_purge_promise() {
     let found = (0..50).any(|seed| {
