--- a/crates/etcd-emulator/src/emulator.rs
+++ b/crates/etcd-emulator/src/emulator.rs
@@ -1,4 +1,4 @@
-//! The emulator: its store, its listeners, and the faults that are injected.
+//! The emulator with its store, its listeners and its injected faults.
 use crate::store::{RequestError, Store};
 use crate::traffic::Traffic;
 use futures_util::StreamExt;
@@ -16,34 +16,35 @@
 use tonic::transport::server::TcpIncoming;
 use tonic::Status;
 
+/// Interval at which expired leases are revoked.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const FIRST_CLUSTER_ID: u64 = 0x5e7d_0001;
-/// A restored cluster's id is this or above, drawn from the time of its restore.
+/// Lowest id of a restored cluster. Each restore adds an offset derived from its time, so that ids rarely repeat.
 const RESTORED_CLUSTER_IDS: u64 = 0x5e7d_0002;
 const RESTORED_CLUSTER_MASK: u64 = 0xffff;
 
-/// Injected faults. Each lasts until it is reset.
+/// Injected faults. Each fault lasts until it is reset.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
-    /// Every call fails and every stream ends.
+    /// Whether every call fails and every stream ends.
     pub unavailable: bool,
-    /// Streams stay open and carry nothing more: half-open connections.
+    /// Whether calls and streams stay open without any response, like half-open connections.
     pub silent: bool,
-    /// The member has no leader: watches that require one are cancelled.
+    /// Whether the member has no leader. Watch streams that require a leader then fail.
     pub no_leader: bool,
-    /// Each response of a watch is delayed by this.
+    /// Delay of each watch response.
     pub delay: Duration,
-    /// Events of one response to a watch that accepts fragments; 0: all.
+    /// Maximum number of events in one response to a watch that accepts fragments; 0 disables fragmentation.
     pub events_per_fragment: usize,
-    /// Streams break after the first fragment of several.
-    pub cut_fragments: bool,
+    /// Whether a stream breaks after the first of several fragments.
+    pub break_between_fragments: bool,
 }
 
 pub(crate) struct Shared {
     store: Mutex<Store>,
-    /// Counts the writes after which watches have events to send.
+    /// Number of writes that produced events. Watch streams subscribe to it.
     pub(crate) changed: watch::Sender<u64>,
-    /// Counts the times that all streams were dropped.
+    /// Number of times that all streams were dropped. Watch streams subscribe to it.
     pub(crate) dropped: watch::Sender<u64>,
     pub(crate) faults: watch::Sender<Faults>,
     pub(crate) user: Option<Credentials>,
@@ -51,23 +52,23 @@
     pub(crate) traffic: Traffic,
 }
 
-/// The user of a cluster with authentication.
+/// Credentials of the user of a cluster with authentication.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Credentials {
-    /// Name.
+    /// User name.
     pub name: String,
     /// Password.
     pub password: String,
 }
 
 impl Credentials {
-    /// The token that calls have to carry.
+    /// Returns the authentication token that calls must carry.
     pub(crate) fn token(&self) -> String {
         format!("{}.token", self.name)
     }
 }
 
-/// An emulated etcd cluster. Clones are the same cluster.
+/// An emulated etcd cluster. Clones share the cluster.
 #[derive(Clone)]
 pub struct EtcdEmulator {
     pub(crate) inner: Arc<Shared>,
@@ -80,7 +81,7 @@
 }
 
 impl EtcdEmulator {
-    /// An empty cluster. `user`: its only user; none: authentication is off.
+    /// Creates an empty cluster. `user` is its only user; none disables authentication.
     pub fn new(user: Option<Credentials>) -> Self {
         let shared = Shared {
             store: Mutex::new(Store::new(FIRST_CLUSTER_ID)),
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Serves on a loopback port of the system's choice, for the rest of the process.
+    /// Serves on a loopback port that the operating system assigns, until the process exits. Returns the address.
     pub async fn listen(&self) -> std::io::Result<SocketAddr> {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -129,7 +130,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// What has been sent and received since the start, by kind of message.
+    /// Returns the counters of traffic since the start, by kind of message.
     pub fn traffic(&self) -> &Traffic {
         &self.inner.traffic
     }
@@ -138,7 +139,7 @@
         self.inner.started.elapsed().as_micros() as Micros
     }
 
-    /// Changes the store; watches are woken if its revision has changed.
+    /// Changes the store, and notifies watch streams if the revision changed.
     pub(crate) fn change<T>(&self, change: impl FnOnce(&mut Store, Micros) -> T) -> T {
         let mut store = self.store();
         let revision_before = store.revision();
@@ -161,7 +162,7 @@
         self.inner.faults.send_modify(change);
     }
 
-    /// Breaks every stream, once.
+    /// Breaks every open stream once.
     pub fn drop_streams(&self) {
         self.inner.dropped.send_modify(|count| *count += 1);
     }
@@ -170,12 +171,12 @@
     pub fn compact(&self) {
         self.change(|store, _| {
             let newest = store.revision();
-            // Rejected where it is compacted already, which is as good.
+            // The error of a revision that is already compacted can be ignored.
             let _ = store.compact(newest);
         });
     }
 
-    /// Restores a snapshot of an older revision, as a new cluster; streams break.
+    /// Restores a snapshot of an older revision as a new cluster, and breaks every open stream.
     pub fn restore(&self, revision: i64) -> Result<(), RequestError> {
         let cluster_id = RESTORED_CLUSTER_IDS + (self.now() & RESTORED_CLUSTER_MASK);
         let restored = self.change(|store, _| store.restore(revision, cluster_id));
@@ -183,7 +184,7 @@
         restored
     }
 
-    /// Whether a call is answered: under the injected faults, and with the user's token.
+    /// Admits a call unless an injected fault or a missing or invalid token prevents it.
     pub(crate) async fn admit(&self, metadata: &MetadataMap) -> Result<(), Status> {
         let faults = self.inner.faults.borrow().clone();
         if faults.unavailable {
--- a/crates/etcd-emulator/src/lib.rs
+++ b/crates/etcd-emulator/src/lib.rs
@@ -1,5 +1,5 @@
-//! An etcd of our own for tests and measurements, from the public specification: its v3 API over real gRPC in front of an
-//! in-memory [`Store`], with faults on demand. One member, nothing on disk.
+//! An emulator of etcd for tests and measurements, written from the public specification. It serves etcd's v3 API over gRPC from
+//! an in-memory [`Store`] and injects faults on request. The cluster has one member and stores nothing on disk.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/etcd-emulator/src/measure.rs
+++ b/crates/etcd-emulator/src/measure.rs
@@ -1,4 +1,5 @@
-//! Measures how late watchers learn of purges while their streams break, and how long a large view takes to read again.
+//! Measures the delay with which watchers receive purges while their streams break, and the time to read a large view again after
+//! a compaction.
 mod dataset;
 mod watcher_log;
 
@@ -15,63 +16,65 @@
 use watcher_log::{SharedLog, WatcherLog};
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// A large view takes longer to read than a watcher waits by default.
+/// Response time-out of the watchers. Reading a large view takes longer than the default time-out.
 const RESPONSE_TIMEOUT_US: u64 = 10_000_000;
 const VIEW_TIMEOUT: Duration = Duration::from_secs(60);
 const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(2);
-/// After the last write, until watch events that are late count as missing.
+/// Time after the last write from which watch events that have not arrived count as missing.
 const SETTLE_TIME: Duration = Duration::from_millis(1_500);
-/// Between the start of the outage and the compaction.
+/// Time between the start of the outage and the compaction.
 const OUTAGE_BEFORE_COMPACTION: Duration = Duration::from_millis(100);
-/// Upper bound of the lag histogram, microseconds, and its precision.
+/// Upper bound of the lag histogram in microseconds.
 const MAX_LAG_US: u64 = 60_000_000;
+/// Precision of the lag histogram.
 const LAG_SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is measured.
+/// Parameters of a measurement.
 #[derive(Clone, Copy, Debug)]
 pub struct MeasurementPlan {
-    /// Watchers, each with a connection of its own.
+    /// Number of watchers, each with a separate connection.
     pub watchers: usize,
-    /// Purges a second.
+    /// Number of purges written per second.
     pub purges_per_second: f64,
-    /// How long purges are written, seconds.
+    /// Duration of the writing in seconds.
     pub seconds: f64,
-    /// Mean time between breaks of all streams; none: they do not break.
+    /// Mean time between breaks of all streams; none if they do not break.
     pub mean_drop_interval: Option<Duration>,
-    /// Endpoint records in the store from the start.
+    /// Number of endpoint records in the store at the start.
     pub initial_endpoints: usize,
-    /// Purge records in the store from the start.
+    /// Number of purge records in the store at the start.
     pub initial_purges: usize,
-    /// Seed of the breaks and of the watchers' jitter.
+    /// Seed of the stream breaks and of the watchers' backoff jitter.
     pub seed: u64,
 }
 
-/// What was measured.
+/// Results of a measurement.
 #[derive(Clone, Debug)]
 pub struct Measurement {
-    /// From a write's acknowledgement to a watcher's output, microseconds; over all watchers and writes.
+    /// Time from the acknowledgement of a write to the output of a watcher in microseconds, over all watchers and writes.
     pub lag: Histogram<u64>,
-    /// Purges written.
+    /// Number of purges written.
     pub writes: usize,
-    /// Outputs that never came, over all watchers; a report of missed updates after the write counts as output.
+    /// Number of purges that were not reported, over all watchers. A report of missed updates after the write counts as a report
+    /// of the purge.
     pub missing: usize,
-    /// Reports of missed updates, over all watchers.
+    /// Number of reports of missed updates, over all watchers.
     pub gaps: usize,
-    /// How often all streams were broken.
+    /// Number of times that all streams were broken.
     pub drops: usize,
-    /// From the start to a current view, of the slowest watcher.
+    /// Time from the start of the watchers until the last one has a current view.
     pub first_view: Duration,
-    /// The same after an outage in which all history was compacted.
+    /// Time from the end of an outage, in which all history was compacted, until the last watcher has a new view.
     pub view_after_compaction: Duration,
 }
 
-/// Why nothing was measured.
+/// An error that prevented a measurement.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasureError {
     /// The emulator cannot listen.
     #[error(transparent)]
     Listen(#[from] std::io::Error),
-    /// A client cannot be made.
+    /// A client cannot be created.
     #[error(transparent)]
     Etcd(#[from] EtcdError),
     /// A purge cannot be written.
@@ -80,26 +83,26 @@
     /// The histogram's bounds are invalid.
     #[error(transparent)]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// A watcher had no current view in time, at the start.
-    #[error("not every watcher has a view within {} s", VIEW_TIMEOUT.as_secs())]
+    /// A watcher had no current view in time at the start.
+    #[error("at least one watcher had no current view within {} s of the start", VIEW_TIMEOUT.as_secs())]
     NoFirstView,
-    /// A watcher had no current view in time, after the outage.
-    #[error("not every watcher has a view again within {} s", VIEW_TIMEOUT.as_secs())]
-    NoViewAgain,
+    /// A watcher had no new view in time after the outage.
+    #[error("at least one watcher had no new view within {} s of the end of the outage", VIEW_TIMEOUT.as_secs())]
+    NoViewAfterOutage,
 }
 
-/// A purge that was written.
-struct Write {
+/// A purge that was written, and the time of its acknowledgement.
+struct WrittenPurge {
     object: String,
     acknowledged: Instant,
 }
 
-/// Measures with an emulator in this process.
+/// Runs a measurement with an emulator in this process.
 pub async fn measure_watch_lag(plan: MeasurementPlan) -> Result<Measurement, MeasureError> {
     let emulator = EtcdEmulator::new(None);
     let endpoint = format!("http://{}", emulator.listen().await?);
     let client = Etcd::new(&access(&endpoint), CALL_TIMEOUT)?;
-    dataset::fill(&emulator, plan);
+    dataset::write_initial_records(&emulator, plan);
     let began = Instant::now();
     let watchers = start_watchers(&endpoint, plan)?;
     let is_current = || watchers.iter().all(|log| log.lock().current.is_some());
@@ -118,7 +121,7 @@
     let drops = *emulator.inner.dropped.borrow() as usize;
     let lags = measure_lags(&watchers, &writes)?;
     let gaps = watchers.iter().map(|log| log.lock().gaps.len()).sum();
-    let again = measure_compaction(&emulator, &watchers).await?;
+    let view_after_compaction = measure_compaction(&emulator, &watchers).await?;
     Ok(Measurement {
         lag: lags.lag,
         writes: writes.len(),
@@ -126,7 +129,7 @@
         gaps,
         drops,
         first_view,
-        view_after_compaction: again,
+        view_after_compaction,
     })
 }
 
@@ -137,7 +140,7 @@
     }
 }
 
-/// Starts the watchers, each with a connection of its own, as a dispatcher has.
+/// Starts the watchers, each with a separate connection like that of a dispatcher.
 fn start_watchers(endpoint: &str, plan: MeasurementPlan) -> Result<Vec<SharedLog>, MeasureError> {
     let settings = WatcherSettings {
         response_timeout_us: RESPONSE_TIMEOUT_US,
@@ -157,7 +160,7 @@
     Ok(logs)
 }
 
-/// Waits for a condition; the time since `began`, or none if it is not met in time.
+/// Waits until a condition is met. Returns the time since `began`, or none if the condition is not met within [`VIEW_TIMEOUT`].
 async fn wait_until(began: Instant, is_met: impl Fn() -> bool) -> Option<Duration> {
     while !is_met() {
         if began.elapsed() > VIEW_TIMEOUT {
@@ -176,7 +179,10 @@
     }
 }
 
-async fn write_purges(client: &Etcd, plan: MeasurementPlan) -> Result<Vec<Write>, MeasureError> {
+async fn write_purges(
+    client: &Etcd,
+    plan: MeasurementPlan,
+) -> Result<Vec<WrittenPurge>, MeasureError> {
     let interval = Duration::from_secs_f64(1.0 / plan.purges_per_second);
     let mut writes = Vec::new();
     let start = Instant::now();
@@ -189,7 +195,7 @@
             group: 1,
         };
         writer::purge(client, PREFIX, &record).await?;
-        writes.push(Write {
+        writes.push(WrittenPurge {
             object,
             acknowledged: Instant::now(),
         });
@@ -197,33 +203,34 @@
     Ok(writes)
 }
 
-/// The lags of all writes at all watchers.
+/// Lags of all writes at all watchers.
 struct Lags {
-    /// Microseconds.
+    /// Lag in microseconds.
     lag: Histogram<u64>,
-    /// Writes that a watcher never learned of, over all watchers.
+    /// Number of writes that were not reported, over all watchers.
     missing: usize,
 }
 
-fn measure_lags(watchers: &[SharedLog], writes: &[Write]) -> Result<Lags, MeasureError> {
+fn measure_lags(watchers: &[SharedLog], writes: &[WrittenPurge]) -> Result<Lags, MeasureError> {
     let mut lag = Histogram::new_with_bounds(1, MAX_LAG_US, LAG_SIGNIFICANT_DIGITS)?;
     let mut missing = 0;
     for log in watchers {
         let log = log.lock();
         for write in writes {
-            let Some(at) = log.learned_of(&write.object, write.acknowledged) else {
+            let Some(reported_at) = log.reported_at(&write.object, write.acknowledged) else {
                 missing += 1;
                 continue;
             };
-            let late = at.saturating_duration_since(write.acknowledged);
-            // A lag above the histogram's bound is not recorded.
-            let _ = lag.record((late.as_micros() as u64).max(1));
+            let delay = reported_at.saturating_duration_since(write.acknowledged);
+            // The histogram rejects a lag above its bound, which is then not counted.
+            let _ = lag.record((delay.as_micros() as u64).max(1));
         }
     }
     Ok(Lags { lag, missing })
 }
 
-/// Compacts all history in an outage in which something is written; how long until every watcher has a view again.
+/// Compacts all history during an outage in which purges are written. Returns the time from the end of the outage until every
+/// watcher has a new view.
 async fn measure_compaction(
     emulator: &EtcdEmulator,
     watchers: &[SharedLog],
@@ -245,5 +252,5 @@
     };
     wait_until(outage_over, all_have_views)
         .await
-        .ok_or(MeasureError::NoViewAgain)
+        .ok_or(MeasureError::NoViewAfterOutage)
 }
--- a/crates/etcd-emulator/src/measure/dataset.rs
+++ b/crates/etcd-emulator/src/measure/dataset.rs
@@ -1,11 +1,12 @@
-//! The records that a measurement begins with.
+//! Records that a measurement writes directly to the emulator's store.
 use super::MeasurementPlan;
 use crate::EtcdEmulator;
 use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::proto::*;
 
-/// All keys of a measurement begin with this.
+/// Prefix of all keys of a measurement.
 pub(super) const PREFIX: &str = "/measure";
+/// Number of zones over which the endpoints are spread.
 const ZONES: usize = 50;
 const WRITES_DURING_OUTAGE: usize = 3;
 
@@ -14,15 +15,15 @@
     value: Vec<u8>,
 }
 
-/// Writes the records of the plan.
-pub(super) fn fill(emulator: &EtcdEmulator, plan: MeasurementPlan) {
+/// Writes the initial records of the plan.
+pub(super) fn write_initial_records(emulator: &EtcdEmulator, plan: MeasurementPlan) {
     put_all(emulator, (0..plan.initial_endpoints).map(member));
     let purges =
         (0..plan.initial_purges).map(|number| purge(&format!("before-{number:07}"), number));
     put_all(emulator, purges);
 }
 
-/// Writes some purges past the emulator's injected faults.
+/// Writes purges directly to the store, which the emulator's injected faults do not affect.
 pub(super) fn write_during_outage(emulator: &EtcdEmulator) {
     for number in 0..WRITES_DURING_OUTAGE {
         let record = purge(&format!("again-{number}"), number);
@@ -76,6 +77,6 @@
         success: records.map(put).collect(),
         ..Default::default()
     };
-    // Only a lease can make it fail, and these have none.
+    // A transaction of puts fails only if a lease is unknown, and these puts have no lease.
     let _ = emulator.change(|store, _| store.txn(&request));
 }
--- a/crates/etcd-emulator/src/measure/watcher_log.rs
+++ b/crates/etcd-emulator/src/measure/watcher_log.rs
@@ -1,23 +1,23 @@
-//! What one watcher has reported, and when.
+//! A log of one watcher's reports with their times.
 use pointspindle_etcd::{Output, View};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
 
-/// The reports of one watcher.
+/// Reports of one watcher.
 #[derive(Debug, Default)]
 pub(super) struct WatcherLog {
-    /// Purges by object.
+    /// Time of the report of each purge, by object.
     purges: HashMap<String, Instant>,
-    /// Reports of missed updates, but for the initial one.
+    /// Times of the reports of missed updates, without the initial one.
     pub(super) gaps: Vec<Instant>,
-    /// Endpoint lists.
+    /// Times of the endpoint lists.
     pub(super) endpoint_lists: Vec<Instant>,
-    /// The latest report of a current view.
+    /// Time of the latest report of a current view.
     pub(super) current: Option<Instant>,
 }
 
-/// A log shared with its watcher's task.
+/// A log that is shared with its watcher's task.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SharedLog(Arc<Mutex<WatcherLog>>);
 
@@ -43,8 +43,8 @@
         }
     }
 
-    /// When the watcher reported this purge, or that it has missed updates since.
-    pub(super) fn learned_of(&self, object: &str, written: Instant) -> Option<Instant> {
+    /// Returns when the watcher reported this purge, or else first reported missed updates after it was written.
+    pub(super) fn reported_at(&self, object: &str, written: Instant) -> Option<Instant> {
         let purge = self.purges.get(object);
         let gap = || self.gaps.iter().find(|gap| **gap >= written);
         purge.or_else(gap).copied()
--- a/crates/etcd-emulator/src/services.rs
+++ b/crates/etcd-emulator/src/services.rs
@@ -1,4 +1,4 @@
-//! The gRPC services KV, Lease and Auth in front of the store; Watch is in [`watches`](crate::watches).
+//! The gRPC services KV, Lease and Auth, which operate on the store. The Watch service is in [`watches`](crate::watches).
 use crate::traffic::transaction_kind;
 use crate::{EtcdEmulator, RequestError, Store};
 use pointspindle_etcd::client::stubs::auth_server::Auth;
@@ -8,7 +8,7 @@
 use std::pin::Pin;
 use tonic::{Request, Response, Status, Streaming};
 
-/// The responses of a streaming call.
+/// Stream of responses to a streaming call.
 pub(crate) type ResponseStream<T> =
     Pin<Box<dyn futures_util::Stream<Item = Result<T, Status>> + Send>>;
 
@@ -28,8 +28,11 @@
         Some(self.inspect(Store::header))
     }
 
-    /// Runs one operation as a transaction of its own.
-    fn run_alone(&self, operation: request_op::Request) -> Result<TxnResponse, RequestError> {
+    /// Runs one operation as a separate transaction.
+    fn run_single_operation(
+        &self,
+        operation: request_op::Request,
+    ) -> Result<TxnResponse, RequestError> {
         let request = TxnRequest {
             success: vec![RequestOp {
                 request: Some(operation),
@@ -60,9 +63,10 @@
 
     async fn put(&self, request: Request<PutRequest>) -> Result<Response<PutResponse>, Status> {
         self.admit(request.metadata()).await?;
-        let done = self.run_alone(request_op::Request::Put(request.into_inner()))?;
+        let committed =
+            self.run_single_operation(request_op::Request::Put(request.into_inner()))?;
         Ok(Response::new(PutResponse {
-            header: done.header,
+            header: committed.header,
             prev_kv: None,
         }))
     }
@@ -72,14 +76,18 @@
         request: Request<DeleteRangeRequest>,
     ) -> Result<Response<DeleteRangeResponse>, Status> {
         self.admit(request.metadata()).await?;
-        let done = self.run_alone(request_op::Request::DeleteRange(request.into_inner()))?;
-        let response = done.responses.first().and_then(|r| r.response.as_ref());
+        let committed =
+            self.run_single_operation(request_op::Request::DeleteRange(request.into_inner()))?;
+        let response = committed
+            .responses
+            .first()
+            .and_then(|r| r.response.as_ref());
         let deleted = match response {
             Some(response_op::Response::DeleteRange(response)) => response.deleted,
             _ => 0,
         };
         Ok(Response::new(DeleteRangeResponse {
-            header: done.header,
+            header: committed.header,
             deleted,
             prev_kvs: vec![],
         }))
--- a/crates/etcd-emulator/src/store.rs
+++ b/crates/etcd-emulator/src/store.rs
@@ -1,7 +1,8 @@
-//! etcd's store as its clients see it, without I/O: keys with revisions, history up to a compaction, transactions, leases.
+//! A model of etcd's store as clients observe it, without I/O: keys with revisions, history back to the last compaction,
+//! transactions and leases.
 //!
-//! Follows the published API: a transaction is one revision, a deleted key's event carries that revision, a read before the
-//! compaction is rejected, a lease that ends takes its keys along.
+//! It follows the published API: a transaction is one revision, the event of a deleted key carries that revision, a read below the
+//! compacted revision is rejected, and the end of a lease deletes its keys.
 mod leases;
 mod transaction;
 
@@ -9,35 +10,36 @@
 use pointspindle_etcd::proto::*;
 use std::collections::BTreeMap;
 
-/// Why the store rejects a request.
+/// An error with which the store rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The revision is below the compaction.
+    /// The requested revision has been compacted away.
     #[error("etcdserver: mvcc: required revision has been compacted")]
     Compacted,
-    /// The revision is above the store's.
+    /// The requested revision is above the store's latest revision.
     #[error("etcdserver: mvcc: required revision is a future revision")]
     FutureRevision,
-    /// The lease does not exist, or has expired.
+    /// The lease does not exist or has expired.
     #[error("etcdserver: requested lease not found")]
     NoLease,
 }
 
-/// The key-value store of a cluster.
+/// Key-value store of a cluster.
 #[derive(Clone, Debug)]
 pub struct Store {
     cluster_id: u64,
     revision: i64,
-    /// Events up to this revision are gone.
+    /// Last compacted revision; events up to it are discarded.
     compacted: i64,
     keys: BTreeMap<Vec<u8>, KeyValue>,
-    /// Events by revision, each with the previous key-value pair.
+    /// Events by revision. Each event holds the previous key-value pair.
     log: BTreeMap<i64, Vec<Event>>,
     leases: BTreeMap<i64, Lease>,
     next_lease: i64,
 }
 
-/// Whether a key is within a range, as etcd's API defines `range_end`: empty is the one key, a zero byte is no end.
+/// Whether a key is within a range. As in etcd's API, an empty `range_end` selects the single key `start`, and a `range_end` of one
+/// zero byte selects all keys from `start` on.
 fn in_range(key: &[u8], start: &[u8], range_end: &[u8]) -> bool {
     match range_end {
         [] => key == start,
@@ -47,7 +49,7 @@
 }
 
 impl Store {
-    /// An empty store of the cluster with this id.
+    /// Creates an empty store for the cluster with this id.
     pub fn new(cluster_id: u64) -> Self {
         Self {
             cluster_id,
@@ -60,17 +62,17 @@
         }
     }
 
-    /// The latest revision.
+    /// Latest revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// The revision of the latest compaction; 0: none.
+    /// Revision of the latest compaction; 0 before the first.
     pub fn compacted(&self) -> i64 {
         self.compacted
     }
 
-    /// The header of every response.
+    /// Returns the header of a response.
     pub fn header(&self) -> ResponseHeader {
         ResponseHeader {
             cluster_id: self.cluster_id,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The keys as they were at a revision: later events are undone.
+    /// Returns the keys as of a revision, by undoing later events.
     fn keys_at(&self, revision: i64) -> Result<BTreeMap<Vec<u8>, KeyValue>, RequestError> {
         if revision > self.revision {
             return Err(RequestError::FutureRevision);
@@ -100,7 +102,7 @@
         Ok(keys)
     }
 
-    /// Reads a range, now or at an older revision.
+    /// Reads a range of keys at the latest or an older revision.
     pub fn range(&self, request: &RangeRequest) -> Result<RangeResponse, RequestError> {
         let old_keys = match request.revision {
             0 => None,
@@ -125,7 +127,7 @@
         })
     }
 
-    /// Forgets the events up to this revision.
+    /// Discards the events up to this revision.
     pub fn compact(&mut self, revision: i64) -> Result<(), RequestError> {
         if revision > self.revision {
             return Err(RequestError::FutureRevision);
@@ -138,11 +140,11 @@
         Ok(())
     }
 
-    /// Restores a snapshot of that revision, as a new cluster.
+    /// Restores a snapshot of an older revision as a new cluster.
     pub fn restore(&mut self, revision: i64, cluster_id: u64) -> Result<(), RequestError> {
         self.keys = self.keys_at(revision)?;
         self.log.split_off(&(revision + 1));
-        // Later leases are not in the snapshot.
+        // Leases that were granted after the revision are not in the snapshot.
         self.leases.retain(|_, lease| lease.granted_at <= revision);
         let keys = &self.keys;
         for lease in self.leases.values_mut() {
@@ -153,7 +155,7 @@
         Ok(())
     }
 
-    /// Events of a range of keys from a revision on.
+    /// Returns the events of a range of keys from a revision on.
     pub fn events_since(
         &self,
         revision: i64,
--- a/crates/etcd-emulator/src/store/leases.rs
+++ b/crates/etcd-emulator/src/store/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: granted, kept alive, revoked and expired with their keys.
+//! Leases: grant, renewal, revocation and expiry with their keys.
 use super::{RequestError, Store};
 use pointspindle::Micros;
 use std::collections::BTreeSet;
@@ -8,10 +8,10 @@
 /// A granted lease and the keys attached to it.
 #[derive(Clone, Debug)]
 pub(super) struct Lease {
-    /// Seconds.
+    /// Time to live in seconds.
     ttl: i64,
     expires_at: Micros,
-    /// The store's revision when it was granted.
+    /// Revision of the store at which the lease was granted.
     pub(super) granted_at: i64,
     pub(super) keys: BTreeSet<Vec<u8>>,
 }
@@ -21,7 +21,7 @@
 }
 
 impl Store {
-    /// Grants a lease of at least a second; its id.
+    /// Grants a lease of at least one second and returns its id.
     pub fn grant(&mut self, now: Micros, ttl_seconds: i64) -> i64 {
         let id = self.next_lease;
         self.next_lease += 1;
@@ -36,7 +36,7 @@
         id
     }
 
-    /// Keeps a lease alive; its time to live from now in seconds, 0: it does not exist.
+    /// Renews a lease. Returns its time to live from now on in seconds, or 0 if the lease does not exist.
     pub fn keep_alive(&mut self, now: Micros, id: i64) -> i64 {
         self.leases.get_mut(&id).map_or(0, |lease| {
             lease.expires_at = expiry(now, lease.ttl);
@@ -66,7 +66,7 @@
             .map(|(id, _)| *id)
             .collect();
         for id in expired {
-            // It was there a moment ago.
+            // The lease exists, as it was found above.
             let _ = self.revoke(id);
         }
     }
--- a/crates/etcd-emulator/src/store/transaction.rs
+++ b/crates/etcd-emulator/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: compares, and operations that are one revision together.
+//! Transactions: comparisons, and operations that are committed as one revision.
 use super::{in_range, RequestError, Store};
 use pointspindle_etcd::proto::*;
 use std::cmp::Ordering;
@@ -38,7 +38,7 @@
 
     fn compare_matches(&self, compare: &Compare) -> bool {
         let kv = self.keys.get(&compare.key);
-        let Some(order) = order_of(compare, kv) else {
+        let Some(order) = target_ordering(compare, kv) else {
             return false;
         };
         match CompareResult::try_from(compare.result) {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A put under an unknown lease fails the whole transaction.
+    /// Returns an error if a put refers to an unknown lease, which fails the whole transaction.
     fn check_leases(&self, operations: &[RequestOp]) -> Result<(), RequestError> {
         for operation in operations {
             if let Some(request_op::Request::Put(put)) = &operation.request {
@@ -87,7 +87,7 @@
         Ok(response)
     }
 
-    /// Makes events a revision, if there are any.
+    /// Commits events as a revision. Without events, the revision does not change.
     pub(super) fn commit(&mut self, revision: i64, events: Vec<Event>) {
         if !events.is_empty() {
             self.revision = revision;
@@ -150,8 +150,9 @@
     }
 }
 
-/// How a key's field compares with the value of the compare; none: there is nothing to compare.
-fn order_of(compare: &Compare, kv: Option<&KeyValue>) -> Option<Ordering> {
+/// Compares the target property of a key with the value of the comparison. Returns none if the
+/// comparison has no value, or if it compares the stored value of a key that does not exist.
+fn target_ordering(compare: &Compare, kv: Option<&KeyValue>) -> Option<Ordering> {
     use compare::TargetUnion;
     let order = match compare.target_union.as_ref()? {
         TargetUnion::Version(v) => kv.map_or(0, |kv| kv.version).cmp(v),
--- a/crates/etcd-emulator/src/traffic.rs
+++ b/crates/etcd-emulator/src/traffic.rs
@@ -1,5 +1,6 @@
-//! Traffic of the emulator by kind of message: counts, bytes of the messages, and bytes on the sockets (framing and
-//! headers included). A kind is what the message is about, so that its growth belongs to one mechanism of the clients.
+//! Counts the traffic of the emulator by kind of message: numbers of messages, their bytes, and bytes on the sockets, which
+//! include framing and headers. The kinds separate messages by purpose, so that growth of one kind can be attributed to one
+//! mechanism of the clients.
 mod sockets;
 
 pub(crate) use sockets::SocketCounters;
@@ -10,45 +11,45 @@
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
 
-/// Bytes in front of each message of a gRPC stream.
+/// Length of the prefix of each gRPC message in bytes.
 const MESSAGE_PREFIX_BYTES: usize = 5;
 
-/// Messages of one kind, to the emulator and from it.
+/// Counts of the messages of one kind, received and sent by the emulator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
-    /// Messages received.
+    /// Number of messages received.
     pub messages_in: u64,
-    /// Their bytes.
+    /// Bytes of the messages received, with their prefixes.
     pub bytes_in: u64,
-    /// Messages sent.
+    /// Number of messages sent.
     pub messages_out: u64,
-    /// Their bytes.
+    /// Bytes of the messages sent, with their prefixes.
     pub bytes_out: u64,
 }
 
-/// All traffic up to a moment, or within a span of time.
+/// Counts of all traffic up to a time, or within a period.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficCounts {
-    /// Messages by kind.
+    /// Counts of messages by kind.
     pub kinds: BTreeMap<String, MessageCounts>,
-    /// Watch events sent, by the kind of their keys.
+    /// Numbers of watch events sent, by the kind of their keys.
     pub events: BTreeMap<String, u64>,
     /// Bytes read from the sockets.
     pub bytes_in: u64,
     /// Bytes written to the sockets.
     pub bytes_out: u64,
-    /// Connections accepted.
+    /// Number of accepted connections.
     pub connections: u64,
 }
 
-/// Counts traffic as it passes.
+/// Counters of the emulator's traffic.
 #[derive(Debug, Default)]
 pub struct Traffic {
     messages: Mutex<TrafficCounts>,
     sockets: SocketCounters,
 }
 
-/// The kind of a transaction, by the first key that it writes.
+/// Returns the kind of a transaction, derived from the first key that it writes.
 pub(crate) fn transaction_kind(request: &TxnRequest) -> &'static str {
     let operations = request.success.iter().chain(&request.failure);
     let mut written_keys = operations.filter_map(|operation| match &operation.request {
@@ -112,7 +113,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// All traffic so far.
+    /// Returns the counts of all traffic so far.
     pub fn counts(&self) -> TrafficCounts {
         TrafficCounts {
             bytes_in: self.sockets.bytes_in(),
@@ -128,9 +129,9 @@
 
     pub(crate) fn record_call(&self, kind: &str, request: &impl Message, response: &impl Message) {
         let mut counts = self.lock();
-        let of_kind = counts.kinds.entry(kind.to_owned()).or_default();
-        of_kind.record_in(request);
-        of_kind.record_out(response);
+        let kind_counts = counts.kinds.entry(kind.to_owned()).or_default();
+        kind_counts.record_in(request);
+        kind_counts.record_out(response);
     }
 
     pub(crate) fn record_watch_request(&self, request: &WatchRequest) {
@@ -139,8 +140,8 @@
             _ => "watch",
         };
         let mut counts = self.lock();
-        let of_kind = counts.kinds.entry(kind.to_owned()).or_default();
-        of_kind.record_in(request);
+        let kind_counts = counts.kinds.entry(kind.to_owned()).or_default();
+        kind_counts.record_in(request);
     }
 
     pub(crate) fn record_watch_response(&self, response: &WatchResponse) {
@@ -156,13 +157,13 @@
         } else {
             "events"
         };
-        let of_kind = counts.kinds.entry(kind.to_owned()).or_default();
-        of_kind.record_out(response);
+        let kind_counts = counts.kinds.entry(kind.to_owned()).or_default();
+        kind_counts.record_out(response);
     }
 }
 
 impl TrafficCounts {
-    /// The traffic between an earlier moment and this one.
+    /// Returns the traffic between the earlier counts and these.
     pub fn since(&self, earlier: &Self) -> Self {
         let kinds = self.kinds.iter().map(|(kind, counts)| {
             let before = earlier.kinds.get(kind).copied().unwrap_or_default();
--- a/crates/etcd-emulator/src/traffic/sockets.rs
+++ b/crates/etcd-emulator/src/traffic/sockets.rs
@@ -15,12 +15,12 @@
     connections: AtomicU64,
 }
 
-/// The counters of all connections together; clones are the same counters.
+/// Counters of all connections together. Clones share the counters.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SocketCounters(Arc<Counters>);
 
 impl SocketCounters {
-    /// Counts a connection and its bytes from now on.
+    /// Counts the connection, and wraps it so that its bytes are counted.
     pub(crate) fn wrap(&self, socket: TcpStream) -> CountedSocket {
         self.0.connections.fetch_add(1, Ordering::Relaxed);
         CountedSocket {
--- a/crates/etcd-emulator/src/watches.rs
+++ b/crates/etcd-emulator/src/watches.rs
@@ -1,4 +1,4 @@
-//! Watch streams: each sends whole revisions in order from its start revision on, split into fragments where the client
+//! Watch streams. Each watch sends complete revisions in order from its start revision on, split into fragments if the client
 //! accepts them.
 use crate::services::ResponseStream;
 use crate::{EtcdEmulator, RequestError, Store};
@@ -8,18 +8,19 @@
 use tokio::sync::mpsc;
 use tonic::{Request, Response, Status, Streaming};
 
-/// Responses that wait for the client; the stream waits beyond that.
+/// Maximum number of responses queued for the client. The stream waits while the queue is full.
 const QUEUE_CAPACITY: usize = 16;
-/// The watch id of a progress response about all watches of a stream.
+/// Watch id of a progress response that applies to all watches of a stream.
 const ALL_WATCHES: i64 = -1;
 
+/// One watch of a stream.
 struct WatchState {
     create: WatchCreateRequest,
-    /// The next revision to send.
+    /// Next revision to send.
     next_revision: i64,
 }
 
-/// A watch stream of one client.
+/// One watch stream of a client, with its watches.
 struct WatchStream {
     etcd: EtcdEmulator,
     watches: BTreeMap<i64, WatchState>,
@@ -28,8 +29,8 @@
     responses: mpsc::Sender<Result<WatchResponse, Status>>,
 }
 
-/// The stream is closed.
-struct Closed;
+/// Error: the watch stream is closed.
+struct StreamClosed;
 
 #[tonic::async_trait]
 impl Watch for EtcdEmulator {
@@ -63,25 +64,25 @@
         let mut faults = self.etcd.inner.faults.subscribe();
         loop {
             let current = faults.borrow_and_update().clone();
-            if let Some(status) = self.status_of(&current) {
+            if let Some(status) = self.fault_status(&current) {
                 let _ = self.responses.try_send(Err(status));
                 return;
             }
             if current.silent {
-                // Nothing is read or sent until the fault is over, or the client has closed the stream.
+                // The stream reads and sends nothing until the fault is reset or the client closes the stream.
                 tokio::select! {
                     _ = faults.changed() => continue,
                     () = self.responses.closed() => return,
                 }
             }
             let handled = tokio::select! {
-                // A stream that is dropped sends nothing more, whatever has been written meanwhile.
+                // A dropped stream sends no further responses, even if events are pending.
                 biased;
-                _ = dropped.changed() => Err(Closed),
+                _ = dropped.changed() => Err(StreamClosed),
                 _ = faults.changed() => Ok(()),
                 request = requests.message() => match request {
                     Ok(Some(request)) => self.handle(request).await,
-                    _ => Err(Closed),
+                    _ => Err(StreamClosed),
                 },
                 _ = changed.changed() => self.send_events().await,
             };
@@ -91,26 +92,29 @@
         }
     }
 
-    /// The status that ends the stream under these faults, if they do.
-    fn status_of(&self, faults: &crate::Faults) -> Option<Status> {
+    /// Returns the status with which these faults end the stream, or none if they do not end it.
+    fn fault_status(&self, faults: &crate::Faults) -> Option<Status> {
         if faults.unavailable {
             return Some(Status::unavailable("the stand-in is away"));
         }
-        // A silent stream does not notice that the leader is lost.
+        // A silent stream does not report the loss of the leader.
         let no_leader = faults.no_leader && self.requires_leader && !faults.silent;
         no_leader.then(|| Status::unavailable("etcdserver: no leader"))
     }
 
-    async fn send(&self, response: WatchResponse) -> Result<(), Closed> {
+    async fn send(&self, response: WatchResponse) -> Result<(), StreamClosed> {
         self.etcd.inner.traffic.record_watch_response(&response);
         let delay = self.etcd.inner.faults.borrow().delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        self.responses.send(Ok(response)).await.map_err(|_| Closed)
+        self.responses
+            .send(Ok(response))
+            .await
+            .map_err(|_| StreamClosed)
     }
 
-    async fn handle(&mut self, request: WatchRequest) -> Result<(), Closed> {
+    async fn handle(&mut self, request: WatchRequest) -> Result<(), StreamClosed> {
         self.etcd.inner.traffic.record_watch_request(&request);
         match request.request {
             Some(watch_request::Request::Create(create)) => self.create(create).await,
@@ -120,7 +124,7 @@
         }
     }
 
-    async fn create(&mut self, create: WatchCreateRequest) -> Result<(), Closed> {
+    async fn create(&mut self, create: WatchCreateRequest) -> Result<(), StreamClosed> {
         let (header, compacted) = self
             .etcd
             .inspect(|store| (store.header(), store.compacted()));
@@ -148,7 +152,7 @@
         self.send_events().await
     }
 
-    async fn cancel(&mut self, watch_id: i64) -> Result<(), Closed> {
+    async fn cancel(&mut self, watch_id: i64) -> Result<(), StreamClosed> {
         self.watches.remove(&watch_id);
         let canceled = WatchResponse {
             header: Some(self.etcd.inspect(Store::header)),
@@ -159,8 +163,12 @@
         self.send(canceled).await
     }
 
-    /// Ends a watch whose next revision has been compacted.
-    async fn cancel_compacted(&mut self, watch_id: i64, compacted: i64) -> Result<(), Closed> {
+    /// Cancels a watch whose next revision has been compacted away.
+    async fn cancel_compacted(
+        &mut self,
+        watch_id: i64,
+        compacted: i64,
+    ) -> Result<(), StreamClosed> {
         self.watches.remove(&watch_id);
         let canceled = WatchResponse {
             header: Some(self.etcd.inspect(Store::header)),
@@ -173,8 +181,8 @@
         self.send(canceled).await
     }
 
-    /// A progress response, only when everything up to its revision has been sent.
-    async fn report_progress(&mut self) -> Result<(), Closed> {
+    /// Sends a progress response if all watches have sent everything up to its revision.
+    async fn report_progress(&mut self) -> Result<(), StreamClosed> {
         self.send_events().await?;
         let header = self.etcd.inspect(Store::header);
         let is_current = |watch: &WatchState| watch.next_revision > header.revision;
@@ -189,16 +197,16 @@
         self.send(progress).await
     }
 
-    /// Sends to each watch the events that it has not got.
-    async fn send_events(&mut self) -> Result<(), Closed> {
+    /// Sends the pending events of each watch.
+    async fn send_events(&mut self) -> Result<(), StreamClosed> {
         let ids: Vec<i64> = self.watches.keys().copied().collect();
         for id in ids {
-            self.send_events_of(id).await?;
+            self.send_pending_events(id).await?;
         }
         Ok(())
     }
 
-    async fn send_events_of(&mut self, watch_id: i64) -> Result<(), Closed> {
+    async fn send_pending_events(&mut self, watch_id: i64) -> Result<(), StreamClosed> {
         let Some(watch) = self.watches.get_mut(&watch_id) else {
             return Ok(());
         };
@@ -210,7 +218,7 @@
         });
         let events = match events {
             Ok(events) => events,
-            // Compacted before it could be sent.
+            // The next revision was compacted before it was sent.
             Err(RequestError::Compacted) if next_revision <= header.revision => {
                 return self.cancel_compacted(watch_id, compacted).await;
             }
@@ -230,7 +238,7 @@
         create: &WatchCreateRequest,
         header: &ResponseHeader,
         mut events: Vec<Event>,
-    ) -> Result<(), Closed> {
+    ) -> Result<(), StreamClosed> {
         if !create.prev_kv {
             events.iter_mut().for_each(|event| event.prev_kv = None);
         }
@@ -251,8 +259,8 @@
                 ..Default::default()
             };
             self.send(response).await?;
-            if more_follow && faults.cut_fragments {
-                return Err(Closed);
+            if more_follow && faults.break_between_fragments {
+                return Err(StreamClosed);
             }
         }
         Ok(())
--- a/crates/etcd-emulator/tests/etcd/fault_script.rs
+++ b/crates/etcd-emulator/tests/etcd/fault_script.rs
@@ -1,4 +1,4 @@
-//! Random faults and writes.
+//! Random sequences of faults and writes.
 use crate::follower::PREFIX;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
 use pointspindle_etcd::{writer, Etcd};
@@ -12,10 +12,11 @@
 
 pub struct WrittenPurge {
     pub object: String,
+    /// Time of the acknowledgement.
     pub written: Instant,
 }
 
-/// Plays rounds of faults and writes, and counts them.
+/// Runs rounds of faults and writes, and counts them.
 pub struct FaultScript {
     emulator: EtcdEmulator,
     client: Etcd,
@@ -24,6 +25,7 @@
     pub restores: usize,
     faults: usize,
     purges: usize,
+    /// Purges that the watcher has not reported yet.
     pub unreported_purges: Vec<WrittenPurge>,
 }
 
@@ -48,8 +50,8 @@
         )
     }
 
-    /// Faults with writes between them, then some outages. The faults last until they are reset.
-    pub async fn play_round(&mut self) {
+    /// Injects faults with writes between them, then sometimes outages and a restore. The faults last until they are reset.
+    pub async fn run_round(&mut self) {
         for _ in 0..FAULTS_PER_ROUND {
             self.inject_fault();
             for _ in 0..self.random.gen_range(0..6) {
@@ -83,7 +85,7 @@
                 .set_faults(|faults| faults.events_per_fragment = 1),
             7 => self.emulator.set_faults(|faults| {
                 faults.events_per_fragment = 1;
-                faults.cut_fragments = true;
+                faults.break_between_fragments = true;
             }),
             8 => self.emulator.set_faults(|faults| faults.no_leader = true),
             _ => {
--- a/crates/etcd-emulator/tests/etcd/follower.rs
+++ b/crates/etcd-emulator/tests/etcd/follower.rs
@@ -1,4 +1,4 @@
-//! A watcher that follows the emulator, with what it has reported, and what the store has.
+//! A watcher that follows the emulator and records its reports, and the stored endpoints to compare them with.
 use pointspindle_etcd::layout::{self, State};
 use pointspindle_etcd::proto::{KeyValue, RangeRequest};
 use pointspindle_etcd::{feed, Access, Etcd, Output, View, Watcher, WatcherSettings};
@@ -11,13 +11,13 @@
 
 pub const PREFIX: &str = "/edge";
 
-/// What a watcher has reported.
+/// State that results from the reports of a watcher.
 #[derive(Default)]
 pub struct Follower {
     pub endpoints: BTreeMap<String, WireEndpointState>,
-    /// When each purge was reported, by object.
+    /// Time of the report of each purge, by object.
     pub purges: BTreeMap<String, Instant>,
-    /// When missed updates were reported.
+    /// Times of the reports of missed updates.
     pub gaps: Vec<Instant>,
     pub dispatchers: Vec<String>,
     pub view: Option<View>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Starts a watcher for the rest of the process.
+/// Starts a watcher that runs until the end of the test.
 pub fn follow(etcd: Etcd, seed: u64) -> Arc<Mutex<Follower>> {
     let follower = Arc::new(Mutex::new(Follower::default()));
     let recorder = follower.clone();
@@ -73,7 +73,7 @@
     follower
 }
 
-/// The endpoints as the store has them.
+/// Returns the endpoints in the emulator's store.
 pub fn stored_endpoints(emulator: &EtcdEmulator) -> BTreeMap<String, WireEndpointState> {
     let key = layout::member_key(PREFIX, "").into_bytes();
     let request = RangeRequest {
@@ -87,7 +87,7 @@
 
 fn stored_endpoint(kv: &KeyValue) -> (String, WireEndpointState) {
     let Ok(Some(layout::KeyName::Member(address))) = layout::parse_key(PREFIX, &kv.key) else {
-        panic!("not the key of an endpoint: {kv:?}")
+        panic!("expected the key of an endpoint, got {kv:?}")
     };
     let record = layout::parse_member(&kv.key, &kv.value).unwrap();
     let state = match record.state {
--- a/crates/etcd-emulator/tests/etcd/main.rs
+++ b/crates/etcd-emulator/tests/etcd/main.rs
@@ -1,6 +1,6 @@
-//! The watcher over real gRPC against the emulator, which drops streams, compacts, restores an older revision, cuts
-//! responses into fragments, falls silent and becomes unavailable: whenever it is well again, the watcher's endpoint list
-//! is the store's and no purge was missed without a report of missed updates.
+//! Tests the watcher over gRPC against the emulator, which drops streams, compacts, restores older revisions, fragments responses,
+//! stops responding and becomes unavailable. Once the faults are reset, the watcher's endpoint list must equal the store's, and no
+//! purge may be missed without a report of missed updates.
 mod fault_script;
 mod follower;
 
@@ -19,15 +19,18 @@
 const DEFAULT_ROUNDS: u64 = 60;
 const SEED: u64 = 5;
 
-async fn wait_until(what: &str, mut is_met: impl FnMut() -> bool) {
+async fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
     let began = Instant::now();
     while !is_met() {
-        assert!(began.elapsed() < TIMEOUT, "{what}: not in time");
+        assert!(
+            began.elapsed() < TIMEOUT,
+            "timed out after {TIMEOUT:?} waiting until {condition}"
+        );
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
 }
 
-/// `POINTSPINDLE_ETCD_ROUNDS` sets the number of rounds: one is some ten writes and four faults.
+/// Returns the number of rounds, which `POINTSPINDLE_ETCD_ROUNDS` overrides. A round has about ten writes and four faults.
 fn rounds() -> u64 {
     std::env::var("POINTSPINDLE_ETCD_ROUNDS")
         .ok()
@@ -36,32 +39,38 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn watcher_after_faults_has_the_stored_endpoints_and_missed_no_purge() {
+async fn watcher_after_faults_has_stored_endpoints_and_missed_no_purge() {
     let rounds = rounds();
     let emulator = EtcdEmulator::new(None);
     let address = emulator.listen().await.unwrap();
     let client = Etcd::new(&access(address), Duration::from_secs(5)).unwrap();
-    let watched = Etcd::new(&access(address), Duration::from_millis(300)).unwrap();
-    let follower = follow(watched, SEED);
+    let watcher_client = Etcd::new(&access(address), Duration::from_millis(300)).unwrap();
+    let follower = follow(watcher_client, SEED);
     let mut script = FaultScript::new(emulator.clone(), client, SEED);
     for round in 0..rounds {
-        script.play_round().await;
+        script.run_round().await;
         emulator.set_faults(|faults| *faults = Default::default());
-        wait_until(&format!("seed {SEED}, round {round}: the list"), || {
-            let follower = follower.lock().unwrap();
-            follower.view == Some(View::Current)
-                && follower.endpoints == stored_endpoints(&emulator)
-        })
+        wait_until(
+            &format!("the endpoint list equals the store (seed {SEED}, round {round})"),
+            || {
+                let follower = follower.lock().unwrap();
+                follower.view == Some(View::Current)
+                    && follower.endpoints == stored_endpoints(&emulator)
+            },
+        )
         .await;
-        wait_until(&format!("seed {SEED}, round {round}: purges"), || {
-            let follower = follower.lock().unwrap();
-            script.unreported_purges.retain(|purge| {
-                let reported = follower.purges.contains_key(&purge.object);
-                let missed = follower.gaps.iter().any(|gap| *gap >= purge.written);
-                !reported && !missed
-            });
-            script.unreported_purges.is_empty()
-        })
+        wait_until(
+            &format!("all purges are reported (seed {SEED}, round {round})"),
+            || {
+                let follower = follower.lock().unwrap();
+                script.unreported_purges.retain(|purge| {
+                    let reported = follower.purges.contains_key(&purge.object);
+                    let missed = follower.gaps.iter().any(|gap| *gap >= purge.written);
+                    !reported && !missed
+                });
+                script.unreported_purges.is_empty()
+            },
+        )
         .await;
     }
     let gaps = follower.lock().unwrap().gaps.len();
@@ -71,19 +80,19 @@
     );
     assert!(
         gaps > 1 && script.restores > 0 && script.drops > 20,
-        "the script lacks what it is for"
+        "the script caused too few gaps, restores or drops"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn dispatcher_registration_lasts_with_its_lease_and_is_renewed_after_a_restore() {
+async fn dispatcher_registration_is_renewed_with_its_lease_and_after_a_restore() {
     let emulator = EtcdEmulator::new(None);
     let address = emulator.listen().await.unwrap();
     let etcd = Etcd::new(&access(address), Duration::from_secs(2)).unwrap();
     let follower = follow(etcd.clone(), 1);
     let empty_revision = emulator.inspect(|store| store.revision());
     let running = Arc::new(AtomicBool::new(true));
-    let keeps_running = running.clone();
+    let continues = running.clone();
     let record = DispatcherRecord {
         zone: "b".to_owned(),
         purge_within_ms: None,
@@ -94,23 +103,23 @@
         "one".into(),
         record,
         1,
-        move |_, _| keeps_running.load(Ordering::SeqCst),
+        move |_, _| continues.load(Ordering::SeqCst),
     ));
     let registered = |count: usize| follower.lock().unwrap().dispatchers.len() == count;
-    wait_until("it is registered", || registered(1)).await;
-    // Longer than the lease: it is kept alive.
+    wait_until("the dispatcher is registered", || registered(1)).await;
+    // The wait is longer than the lease, so the registration remains only if the lease is renewed.
     tokio::time::sleep(Duration::from_millis(1_600)).await;
     assert!(registered(1));
     emulator.restore(empty_revision).unwrap();
     wait_until("the restored cluster has no registration", || registered(0)).await;
-    wait_until("it is registered again", || registered(1)).await;
+    wait_until("the dispatcher is registered again", || registered(1)).await;
     running.store(false, Ordering::SeqCst);
     registration.await.unwrap();
-    wait_until("it has left", || registered(0)).await;
+    wait_until("the registration is removed", || registered(0)).await;
 }
 
 #[tokio::test]
-async fn authentication_without_password_is_rejected_and_large_snapshots_are_read_in_pages() {
+async fn unauthenticated_calls_are_rejected_and_large_snapshots_are_read_in_pages() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("password");
     let emulator = EtcdEmulator::new(Some(Credentials {
@@ -121,7 +130,7 @@
     let anonymous = Etcd::new(&access(address), Duration::from_secs(2)).unwrap();
     let error = anonymous.snapshot(PREFIX).await.unwrap_err().to_string();
     assert!(error.contains("invalid auth token"), "{error}");
-    let log_in = |password: &str| {
+    let client_with_password = |password: &str| {
         std::fs::write(&file, format!("{password}\n")).unwrap();
         let access = Access {
             user: Some(("edge".to_owned(), file.clone())),
@@ -129,13 +138,16 @@
         };
         Etcd::new(&access, Duration::from_secs(2)).unwrap()
     };
-    let error = log_in("wrong").snapshot(PREFIX).await.unwrap_err();
+    let error = client_with_password("wrong")
+        .snapshot(PREFIX)
+        .await
+        .unwrap_err();
     assert!(
         matches!(error, EtcdError::Call { .. }) && !error.to_string().contains("wrong"),
         "{error}"
     );
-    let etcd = log_in("open sesame");
-    // In three transactions: one by one would take long, and the pages are what is tested.
+    let etcd = client_with_password("open sesame");
+    // The purges are written in three transactions, because separate writes would be slow and only the paging is tested.
     for first in (0..12_000).step_by(4_000) {
         let request = TxnRequest {
             success: (first..first + 4_000).map(put_purge).collect(),
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -45,7 +45,7 @@
     pub user: Option<(String, PathBuf)>,
 }
 
-/// The reason for which a client could not be created or a call failed.
+/// An error from creating a client or from a call.
 #[derive(Debug, thiserror::Error)]
 pub enum EtcdError {
     /// A certificate, key or password file cannot be read.
@@ -56,7 +56,7 @@
     Endpoint {
         /// URL of the endpoint.
         endpoint: String,
-        /// The reason for which it cannot be used.
+        /// Reason that the endpoint cannot be used.
         reason: String,
     },
     /// The list of endpoints is empty.
--- a/crates/etcd/src/feed.rs
+++ b/crates/etcd/src/feed.rs
@@ -1,4 +1,4 @@
-//! Runs a [`Watcher`] against etcd and passes its updates on.
+//! Runs a [`Watcher`] with an etcd client and forwards its updates.
 //!
 //! At most one snapshot read or watch is in flight. It runs as a task that is aborted when it is replaced or cancelled; its queued
 //! responses are then dropped. Purge mark reads run concurrently with it and are bounded by the client's call time-out.
--- a/crates/etcd/src/feed/requests.rs
+++ b/crates/etcd/src/feed/requests.rs
@@ -73,7 +73,7 @@
     pub(super) responses: mpsc::Sender<Response>,
 }
 
-/// The reason for which a watch ended.
+/// Cause of the end of a watch.
 enum WatchEnd {
     /// The start revision was compacted away.
     Compacted,
--- a/crates/etcd/src/watcher/mod.rs
+++ b/crates/etcd/src/watcher/mod.rs
@@ -4,10 +4,10 @@
 //! The owner passes etcd's responses to [`Watcher::handle`], executes the [`Output`]s in order, and passes [`Input::Tick`] at the
 //! time that [`Watcher::next_deadline`] returns, or soon after.
 //!
-//! **The view equals the store at [`Watcher::revision`]**: events are applied in order, exactly once, in complete revisions. A failed
-//! stream is resumed from the next revision; fragments of an incomplete revision are discarded and delivered again. If history is
-//! lost (compaction, a restored cluster, a different cluster), a new snapshot replaces the view, and [`Output::UpdatesMissed`]
-//! reports for how long purges may have been missed. The safe reaction is to treat everything as purged.
+//! **The view equals the store at [`Watcher::revision`]**: events are applied in order, exactly once, in complete revisions. A
+//! failed stream is resumed from the next revision; fragments of an incomplete revision are discarded and delivered again. If
+//! history is lost (compaction, a restored cluster, a different cluster), a new snapshot replaces the view, and
+//! [`Output::UpdatesMissed`] reports for how long purges may have been missed. The safe reaction is to treat everything as purged.
 //!
 //! [`Output::PurgesConfirmed`] requires a linearizable read in addition to the watch; see `purge_confirmation`.
 mod freshness;
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -1,4 +1,5 @@
-//! Transactions of operators and dispatchers. Each one commits only if the key that it depends on is unchanged.
+//! Transactions of operators and dispatchers. An endpoint's change commits only if its key is
+//! unchanged since it was read, a purge only if its key is new.
 use crate::client::{Etcd, EtcdError, Lease};
 use crate::layout::{self, DispatcherRecord, LayoutError, MemberRecord, PurgeRecord};
 use crate::proto::*;
@@ -14,7 +15,7 @@
 /// Time to live of a purge's key in seconds. No cache holds a copy from before the purge for longer.
 pub const PURGE_LEASE_S: i64 = 60;
 
-/// The reason for which a change was not made.
+/// An error that prevented a change.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
     /// The call failed. A write may have been committed.
