--- a/crates/scenario/src/cache_model.rs
+++ b/crates/scenario/src/cache_model.rs
@@ -1,15 +1,15 @@
-//! The scenario's settings of the cache model, and the warm-up of its hosts.
+//! Cache model settings of a scenario, and the warm-up of its hosts.
 use crate::{Idempotency, RequestClass, Scenario};
 use pointspindle::{Micros, SlowStartRule};
 use pointspindle_cache_host::lease::WorkLedger;
 use pointspindle_cache_model::WarmUpSpec;
 use pointspindle_cache_model::{CacheModelSettings, ClassModel, Role, ZoneSpec};
 
-/// Least sum of shares or seconds of work to divide by.
+/// Minimum sum of shares, and minimum mean work in seconds; avoids divisions by 0.
 const EPSILON: f64 = 1e-9;
 
 impl Scenario {
-    /// The request classes as the cache model needs them.
+    /// Returns the request classes in the form that the cache model uses.
     pub fn class_models(&self) -> Vec<ClassModel> {
         let model = |class: &RequestClass| ClassModel {
             name: class.name.clone(),
@@ -21,7 +21,7 @@
         self.workload.classes.iter().map(model).collect()
     }
 
-    /// Settings of the cache model.
+    /// Returns the settings of the cache model.
     pub fn cache_model_settings(&self) -> CacheModelSettings {
         let zone = |(index, name): (usize, String)| ZoneSpec {
             name,
@@ -40,7 +40,8 @@
         }
     }
 
-    /// Mean work of one request for a host that is warming up, seconds of a transfer at full speed.
+    /// Returns the mean work of a request, in seconds of transfer at full speed. The warm-up of a host is accounted in
+    /// this unit.
     pub fn mean_work(&self) -> f64 {
         let models = self.class_models();
         let classes = &self.workload.classes;
@@ -53,7 +54,8 @@
         (work / shares.max(EPSILON)).max(EPSILON)
     }
 
-    /// The lease ledger of a host that has just started; `None` unless it is a cache host that identifies itself.
+    /// Returns the lease ledger of a host that has just started, or `None` if the host is not a cache host or sends no
+    /// hello frame.
     pub fn work_ledger(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
         if !self.dispatchers.uses_hello || role != Role::Cache {
             return None;
@@ -74,7 +76,7 @@
         Some(WorkLedger::new(rule, weight, started, max_work_s))
     }
 
-    /// The warm-up of hosts of a role: the parents' own, or the cache hosts'.
+    /// Returns the warm-up settings of a role. All roles but parents use those of cache hosts.
     pub fn warm_up_spec(&self, role: Role) -> WarmUpSpec {
         if role == Role::Parent {
             self.fleet.parent.spec.warm_up
--- a/crates/scenario/src/clients.rs
+++ b/crates/scenario/src/clients.rs
@@ -1,27 +1,27 @@
-//! Client behaviour: the dispatcher that an attempt goes to, retries and backoff.
+//! Client behaviour: the choice of a dispatcher for each attempt, retries and backoff.
 use crate::{PlannedCall, Scenario};
 use pointspindle::Micros;
 
-/// How clients behave.
+/// Settings of the clients' behaviour.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientSettings {
-    /// Retries of a call after its first attempt.
+    /// Maximum number of retries of a call.
     pub retries: u32,
-    /// Backoff before the first retry, microseconds; it doubles with each further one.
+    /// Backoff before the first retry, microseconds. It doubles with each further retry.
     pub backoff: Micros,
-    /// Share of calls over HTTP; the others use the framed protocol.
+    /// Share of calls that use HTTP; the others use the framed protocol.
     pub http_share: f64,
-    /// Share of calls whose client cancels before the response.
+    /// Share of calls that the client cancels before the response.
     pub cancel_share: f64,
-    /// Share of calls whose client honours Retry-After.
+    /// Share of calls whose client honours the Retry-After header.
     pub retry_after_share: f64,
-    /// A client whose connection fails tries a dispatcher of the next branch.
+    /// Whether a client whose connection fails tries a dispatcher of the next branch.
     pub fails_over: bool,
 }
 
 impl Scenario {
-    /// The dispatcher that an attempt goes to: those of the call's branch in rotation. Each failed connection moves
-    /// a client that fails over to the next branch.
+    /// Returns the dispatcher for an attempt. Attempts rotate over the dispatchers of the call's branch. If clients
+    /// fail over, each failed connection moves the call to the next branch.
     pub fn dispatcher_for(
         &self,
         call: &PlannedCall,
@@ -39,7 +39,7 @@
         branch * per_branch + (call_number as usize + attempt as usize) % per_branch
     }
 
-    /// How long a client waits before its next attempt, microseconds: its backoff, or `retry_after` if that is longer.
+    /// Returns the delay before a client's next attempt, microseconds: its backoff, or `retry_after` if that is longer.
     pub fn retry_delay(
         &self,
         call: &PlannedCall,
--- a/crates/scenario/src/fault_injection.rs
+++ b/crates/scenario/src/fault_injection.rs
@@ -1,31 +1,34 @@
-//! Faults that a run is made with on purpose, so that the audit has something to find.
+//! Faults that are injected into a run to verify that the audit detects them.
 
-/// A fault that the test bed injects around an unchanged dispatcher; the audit must report it under its own name.
+/// A fault that the test bed injects outside of the dispatcher, whose code is unchanged. The audit must report it by
+/// its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// The control plane claims to have sent drain notices and did not.
+    /// The control plane records drain notices as sent without sending them.
     WithholdDrain,
     /// Cache hosts ignore freshness lifetimes and purges.
     IgnorePurge,
     /// A relay in front of a cache host sends every attempt twice.
     DuplicateAttempts,
-    /// The endpoint list hides restarts, and hosts are back so soon that nothing else shows them.
+    /// The endpoint list does not show restarts, and hosts restart so quickly that dispatchers cannot detect it by
+    /// other means.
     HideRestart,
     /// A relay drops responses.
     DropResponses,
-    /// A relay delays responses until after the deadline.
+    /// A relay delays responses beyond the deadline.
     DelayResponses,
-    /// Every dispatcher's settings say that it is the only one: each takes the whole of every quota.
+    /// The settings of each dispatcher state that it is the only one, so that each uses the full amount of every
+    /// quota.
     MiscountDispatchers,
 }
 
-/// What is not the name of a fault that can be injected.
+/// The error for a name that is not that of an [`InjectedFault`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("none of {}", InjectedFault::NAMES.map(|(name, _)| name).join(", "))]
+#[error("not one of {}", InjectedFault::NAMES.map(|(name, _)| name).join(", "))]
 pub struct UnknownFault;
 
 impl InjectedFault {
-    /// The faults by their names.
+    /// The name of each fault.
     pub const NAMES: [(&'static str, Self); 7] = [
         ("withhold-drain", Self::WithholdDrain),
         ("ignore-purge", Self::IgnorePurge),
@@ -36,7 +39,7 @@
         ("miscount-dispatchers", Self::MiscountDispatchers),
     ];
 
-    /// Names that are still accepted.
+    /// Former names of the faults, which are still accepted.
     const DEPRECATED_NAMES: [(&'static str, Self); 7] = [
         ("drain", Self::WithholdDrain),
         ("purge", Self::IgnorePurge),
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -1,76 +1,76 @@
-//! Hosts, dispatchers and the network between them.
+//! Settings of hosts, dispatchers and the network between them.
 use pointspindle::Micros;
 use pointspindle_cache_model::HostSpec;
 use pointspindle_transport::simulated::NetworkConditions;
 
-/// What the hosts of one role are like.
+/// Settings of the hosts of one role.
 #[derive(Clone, Debug)]
 pub struct HostKind {
-    /// Every host's settings, except its address, zone and weight.
+    /// Settings of each host, except its address, zone and weight.
     pub spec: HostSpec,
-    /// Each host's weight is drawn within this share of the kind's weight.
+    /// Maximum deviation of a host's weight from the weight in `spec`, as a share of that weight.
     pub weight_spread: f64,
 }
 
-/// The number of zones, dispatchers and hosts, and what the hosts of each role are like.
+/// Numbers of zones, dispatchers and hosts, and the settings of the hosts of each role.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// Zones with cache hosts and dispatchers.
+    /// Number of branches: zones with cache hosts and dispatchers.
     pub branches: usize,
-    /// Zones with parents.
+    /// Number of hubs: zones with parents.
     pub hubs: usize,
-    /// Cache hosts of each branch.
+    /// Number of cache hosts of each branch.
     pub caches_per_branch: usize,
-    /// Dispatchers of each branch.
+    /// Number of dispatchers of each branch.
     pub dispatchers_per_branch: usize,
-    /// Parents, spread over the hubs.
+    /// Number of parents, distributed over the hubs.
     pub parents: usize,
-    /// Cache hosts.
+    /// Settings of the cache hosts.
     pub cache: HostKind,
-    /// Parents.
+    /// Settings of the parents.
     pub parent: HostKind,
-    /// The origin.
+    /// Settings of the origin.
     pub origin: HostKind,
 }
 
-/// Speed and latency of what lies between the hosts.
+/// Speed and latency of the network.
 #[derive(Clone, Debug)]
 pub struct NetworkSettings {
-    /// Bytes a second of one transfer to a client at full speed.
+    /// Full speed of a transfer to a client, bytes per second.
     pub bytes_per_s: f64,
-    /// Speed of a fill as a multiple of that.
+    /// Speed of a fill as a multiple of `bytes_per_s`.
     pub fill_speedup: f64,
-    /// Transfers that a branch's inbound link carries; 0: no limit.
+    /// Number of transfers at full speed that the inbound link of a branch can carry. If 0, the link is unlimited.
     pub branch_link_capacity: f64,
     /// One-way latency within a branch, microseconds.
     pub local_latency: Micros,
     /// One-way latency from a branch to its own hub, microseconds.
     pub hub_latency: Micros,
-    /// What each further hub adds to it, microseconds.
+    /// One-way latency added by each further hub, microseconds.
     pub hub_step_latency: Micros,
-    /// Conditions of the simulated network.
+    /// Latency, jitter and loss of the simulated network.
     pub simulated: NetworkConditions,
 }
 
 /// Configuration of the dispatchers.
 #[derive(Clone, Debug)]
 pub struct DispatcherOptions {
-    /// Requests of uncacheable classes go to the origin without a cache host.
+    /// Whether requests of uncacheable classes bypass the cache hosts and go to the origin.
     pub bypasses_caches: bool,
-    /// Cache hosts coalesce fills where the request says so.
+    /// Whether requests allow cache hosts to coalesce fills.
     pub coalesces_fills: bool,
-    /// Hosts identify themselves on each connection, and lease out their warm-up.
+    /// Whether hosts send a hello frame on each connection and grant leases during their warm-up.
     pub uses_hello: bool,
     /// Value of the setting `siblings`.
     pub siblings: String,
     /// Value of the setting `notes`.
     pub cache_status_notes: String,
-    /// Clients of the framed protocol state the size that they expect.
+    /// Whether clients of the framed protocol state the expected size of the response.
     pub knows_sizes: bool,
-    /// Attempts of one request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// How long the origin remembers an idempotency key, microseconds.
+    /// Time for which the origin remembers an idempotency key, microseconds.
     pub idempotency_window: Micros,
-    /// An injected fault: settings say that there is one dispatcher only.
+    /// Whether the dispatchers' settings wrongly state that there is only one dispatcher; set by an injected fault.
     pub assumes_single_dispatcher: bool,
 }
--- a/crates/scenario/src/ini_writer.rs
+++ b/crates/scenario/src/ini_writer.rs
@@ -1,16 +1,16 @@
 //! Writes INI files.
 use std::fmt::{Display, Write};
 
-/// What separates the sections of a file.
+/// Spacing between the sections of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SectionSpacing {
-    /// Nothing.
+    /// Sections follow each other without blank lines.
     Compact,
-    /// A blank line after each.
+    /// Each section is followed by a blank line.
     BlankLine,
 }
 
-/// Text of an INI file, section by section.
+/// Builds the text of an INI file section by section.
 #[derive(Debug)]
 pub struct IniWriter {
     text: String,
@@ -18,7 +18,7 @@
 }
 
 impl IniWriter {
-    /// An empty file.
+    /// Returns a writer with an empty text.
     pub fn new(spacing: SectionSpacing) -> Self {
         Self {
             text: String::new(),
@@ -31,13 +31,13 @@
         self.line(format_args!("# {comment}"));
     }
 
-    /// Begins a section, which ends when the returned value is dropped.
+    /// Begins a section. It ends when the returned value is dropped.
     pub fn section(&mut self, name: impl Display) -> Section<'_> {
         self.line(format_args!("[{name}]"));
         Section { ini: self }
     }
 
-    /// The text of the file.
+    /// Returns the text of the file.
     pub fn finish(self) -> String {
         self.text
     }
@@ -54,23 +54,23 @@
 }
 
 impl Section<'_> {
-    /// Appends a key.
+    /// Appends a key with its value.
     pub fn key(&mut self, key: &str, value: impl Display) -> &mut Self {
         self.ini.line(format_args!("{key} = {value}"));
         self
     }
 
-    /// Appends a yes-or-no key.
+    /// Appends a boolean key, as `yes` or `no`.
     pub fn flag(&mut self, key: &str, value: bool) -> &mut Self {
         self.key(key, if value { "yes" } else { "no" })
     }
 
-    /// Appends a number with so many decimals.
+    /// Appends a number, rounded to `decimals` decimal places.
     pub fn number(&mut self, key: &str, value: f64, decimals: usize) -> &mut Self {
         self.key(key, format_args!("{value:.decimals$}"))
     }
 
-    /// Appends a time given in microseconds as milliseconds with so many decimals.
+    /// Appends a time in milliseconds, given in microseconds, rounded to `decimals` decimal places.
     pub fn millis(&mut self, key: &str, micros: f64, decimals: usize) -> &mut Self {
         self.number(key, micros / 1e3, decimals)
     }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scenario files: a fleet, its workload, the limits that a run is judged by, and a script of faults. `docs/lab.md`
-//! describes every key.
+//! Scenario files. A scenario describes a fleet, its workload, the limits that a run is checked against, and a script
+//! of faults. `docs/lab.md` documents every key.
 //!
-//! A value may be a range, `a..b`. It is drawn from the scenario's seed, each key from a random stream of its own, so
-//! that a change of one key leaves the others as they were.
+//! A number may be written as a range, `a..b`. Its value is then drawn at random. Each key has its own random stream,
+//! derived from the scenario's seed, so that changing one key does not change the values of the others.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scenario/src/limits.rs
+++ b/crates/scenario/src/limits.rs
@@ -1,70 +1,70 @@
-//! What a run is judged by.
+//! Limits that a run is checked against, and the weights of its objective.
 use pointspindle::Micros;
 
-/// The least and the most of a random delay, microseconds.
+/// Minimum and maximum of a random delay, microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DelayRange {
-    /// Least delay, microseconds.
+    /// Minimum delay, microseconds.
     pub min: Micros,
-    /// Most delay, microseconds; not below `min`.
+    /// Maximum delay, microseconds; not less than `min`.
     pub max: Micros,
 }
 
 impl DelayRange {
-    /// Draws a delay, both ends included.
+    /// Draws a delay from the range, which includes both bounds.
     pub fn sample(self, rng: &mut impl rand::Rng) -> Micros {
         rng.gen_range(self.min..=self.max)
     }
 }
 
-/// Times that the five rules allow, microseconds.
+/// Time limits of the five rules, microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct RuleLimits {
-    /// How long after its drain notice a host may still receive new attempts.
+    /// Time after the drain notice in which a host may still receive new attempts, microseconds.
     pub drain_grace: Micros,
-    /// How long after a purge's notification an older copy may still be served.
+    /// Time after the notification of a purge in which an older copy may still be served, microseconds.
     pub purge_grace: Micros,
-    /// After this no copy older than a purge is left anywhere.
+    /// Time after a purge by which no host may have a copy older than the purge, microseconds.
     pub purge_deadline: Micros,
-    /// Delay of a purge's notification to a dispatcher.
+    /// Delay with which a dispatcher is notified of a purge.
     pub purge_delay: DelayRange,
-    /// Delay of an endpoint list update's notification to a dispatcher.
+    /// Delay with which a dispatcher is notified of an endpoint list update.
     pub endpoint_update_delay: DelayRange,
-    /// Scheduling delay of the test bed itself; a run that exceeds it is not judged.
+    /// Tolerated scheduling delay of the test bed itself, microseconds. A run that exceeds it is not evaluated.
     pub timing_tolerance: Micros,
 }
 
-/// Limits on what all dispatchers do together; 0: not judged.
+/// Limits on all dispatchers together. A limit of 0 is not checked.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FleetLimits {
-    /// Requests in flight at a cache host for each unit of its weight.
+    /// Maximum number of requests in flight at a cache host, per unit of its weight.
     pub in_flight: f64,
-    /// Retries for each first attempt, within any 2 s.
+    /// Maximum number of retries per first attempt, within any 2 s.
     pub retries: f64,
-    /// Jain's fairness index over the dispatchers' shares of served requests.
+    /// Minimum of Jain's fairness index over the dispatchers' shares of served requests.
     pub fairness: f64,
-    /// Service of the unaffected sites, as a share of their service in the same run without site faults.
+    /// Minimum service of the unaffected sites, as a share of their service in the same run without site faults.
     pub unaffected_service: f64,
 }
 
-/// Weights of three figures of service in the objective.
+/// Weights of three service metrics in the objective.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectiveWeights {
-    /// Service of the whole run.
+    /// Weight of the service over the whole run.
     pub whole: f64,
-    /// Service of its worst 10 s.
+    /// Weight of the service in the worst 10 s of the run.
     pub worst_10s: f64,
-    /// Service of its worst class.
+    /// Weight of the service of the worst class.
     pub worst_class: f64,
 }
 
-/// What a run is judged by.
+/// Limits that a run is checked against, and the weights of its objective.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Times that the five rules allow.
+    /// Time limits of the five rules.
     pub rules: RuleLimits,
-    /// Weights of the objective.
+    /// Weights of the service metrics in the objective.
     pub objective: ObjectiveWeights,
-    /// Limits on what all dispatchers do together.
+    /// Limits on all dispatchers together.
     pub fleet: FleetLimits,
 }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,14 +1,14 @@
-//! Loads scenarios from files or text, and fits the object sizes of each class to its mean.
+//! Loads scenarios from files or text, and scales the object sizes of each class to its mean.
 use crate::{read, Scenario, SettingOverride, Traffic};
 use pointspindle_config::ConfigErrors;
 use std::path::Path;
 
-/// Reads and checks a scenario file; a given `seed` replaces the file's.
+/// Reads and validates a scenario file. `seed`, if given, replaces the seed in the file.
 pub fn load(path: &Path, seed: Option<u64>) -> Result<Scenario, ConfigErrors> {
     load_with(path, seed, &[])
 }
 
-/// Like [`load`], with `overrides` in place of values of the file.
+/// Like [`load`], with `overrides` that replace values of the file.
 pub fn load_with(
     path: &Path,
     seed: Option<u64>,
@@ -20,12 +20,13 @@
     parse_with(&name, &text, seed, overrides)
 }
 
-/// Reads and checks the text of a scenario file called `name`; a given `seed` replaces the file's.
+/// Reads and validates `text`, the content of the scenario file `name`. `seed`, if given, replaces the seed in the
+/// text.
 pub fn parse(name: &str, text: &str, seed: Option<u64>) -> Result<Scenario, ConfigErrors> {
     parse_with(name, text, seed, &[])
 }
 
-/// Like [`parse`], with `overrides` in place of values of the text.
+/// Like [`parse`], with `overrides` that replace values of the text.
 pub fn parse_with(
     name: &str,
     text: &str,
@@ -37,8 +38,9 @@
     Ok(scenario)
 }
 
-/// Scales the object sizes of each class so that the mean over the planned calls is the class's mean: a few popular
-/// objects decide it. Objects whose size a fault multiplies are left out.
+/// Scales the object sizes of each class so that their mean over the planned calls is the mean of the class. Without
+/// this, the sizes of a few popular objects would determine the mean. Objects whose size is multiplied by a fault are
+/// excluded.
 fn fit_object_sizes(scenario: &mut Scenario) {
     let calls = Traffic::generate(scenario).calls;
     for (index, class) in scenario.workload.classes.iter_mut().enumerate() {
--- a/crates/scenario/src/read/faults.rs
+++ b/crates/scenario/src/read/faults.rs
@@ -1,10 +1,10 @@
-//! Faults of a scenario file.
+//! Reads the faults of a scenario file.
 use super::ranges::ValueReader;
 use crate::script::{FaultKind, FaultSpec, FaultTarget, PartitionDirections, SiteLossExtent};
 use crate::Scenario;
 use pointspindle_cache_model::Role;
 
-/// Reads the faults, in the file's order.
+/// Reads the faults, in the order of the file.
 pub(super) fn faults(values: &mut ValueReader, scenario: &Scenario) -> Vec<FaultSpec> {
     values
         .reader
@@ -32,12 +32,12 @@
     );
     let announced = values.flag(section, "told", true);
     if kind.affects_site() && kind.requires_processes() && target.zone.is_none() {
-        let reason = "missing: which site is struck";
+        let reason = "missing; expected the name of the affected site";
         values.reader.report(section, "zone", reason);
     }
     let at = values.seconds(section, "at_s", 5.0);
     if at >= scenario.duration() {
-        let reason = "after the end of the day";
+        let reason = "must be before the end of the run";
         values.reader.report(section, "at_s", reason);
     }
     Some(FaultSpec {
@@ -59,7 +59,7 @@
     let kind = name.and_then(|name| FaultKind::from_name(&name));
     if kind.is_none() {
         let names: Vec<&str> = FaultKind::NAMES.iter().map(|(name, _)| *name).collect();
-        let reason = format!("missing or none of {}", names.join(", "));
+        let reason = format!("missing or not one of {}", names.join(", "));
         values.reader.report(section, "kind", &reason);
     }
     kind
@@ -89,7 +89,7 @@
     let zones = scenario.zones();
     let zone = zones.iter().position(|known| *known == name);
     if zone.is_none() {
-        let reason = format!("{name:?} is none of {}", zones.join(", "));
+        let reason = format!("{name:?} is not one of {}", zones.join(", "));
         values.reader.report(section, "zone", &reason);
     }
     zone
@@ -101,7 +101,7 @@
     if index.is_none() {
         values
             .reader
-            .report(section, "number", "not a whole number");
+            .report(section, "number", "not a non-negative integer");
     }
     index
 }
--- a/crates/scenario/src/read/hosts.rs
+++ b/crates/scenario/src/read/hosts.rs
@@ -1,13 +1,14 @@
-//! The fleet and the settings of its hosts.
+//! Reads the fleet and the settings of its hosts.
 use super::ranges::ValueReader;
 use crate::{Fleet, HostKind};
 use pointspindle_cache_model::WarmUpSpec;
 use pointspindle_cache_model::{HostSpec, OverloadSpec, Role};
 
-/// Shortest window of a host's overload, microseconds.
+/// Minimum window in which overload is measured during the warm-up, microseconds.
 const MIN_OVERLOAD_WINDOW_US: u64 = 1_000;
 
-/// The origin needs no warm-up and cannot be overloaded in it.
+/// Warm-up settings of the origin, which has no warm-up: it has full capacity from the start, and the overload factor
+/// is never reached.
 const ORIGIN_WARM_UP: WarmUpSpec = WarmUpSpec {
     initial_share: 1.0,
     duration: 0,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Adds what only the origin has: a service time, and an outage when it is overloaded.
+/// Adds the settings that only the origin has: its service time, and its outage after an overload.
 fn origin_spec(values: &mut ValueReader, section: &str, spec: HostSpec) -> HostSpec {
     HostSpec {
         service_time: values.millis(section, "think_ms", 30.0),
--- a/crates/scenario/src/read/mod.rs
+++ b/crates/scenario/src/read/mod.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario file; each error has its line, key and reason.
+//! Reads a scenario file. Every error states its line, its key and the reason.
 mod faults;
 mod hosts;
 mod ranges;
@@ -9,7 +9,7 @@
 use ranges::ValueReader;
 use std::path::Path;
 
-/// Reads the text of a scenario file called `name`; a given `seed` replaces the file's.
+/// Reads `text`, the content of the scenario file `name`. `seed`, if given, replaces the seed in the text.
 pub(crate) fn read(
     name: &str,
     text: &str,
@@ -41,7 +41,7 @@
     Ok(Scenario { faults, ..scenario })
 }
 
-/// The file's name without directory and extension.
+/// Returns the name of a file without its directory and extension.
 fn scenario_name(file: &str) -> String {
     Path::new(file)
         .file_stem()
@@ -51,7 +51,7 @@
 fn description(values: &mut ValueReader) -> String {
     let description = values.reader.text("day", "about").unwrap_or_default();
     if description.is_empty() {
-        let reason = "missing: one line on what is rehearsed";
+        let reason = "missing; expected one line that describes what the scenario tests";
         values.reader.report("day", "about", reason);
     }
     description
--- a/crates/scenario/src/read/ranges.rs
+++ b/crates/scenario/src/read/ranges.rs
@@ -1,31 +1,31 @@
-//! Values of a scenario file, with ranges drawn from the seed.
+//! Typed values of a scenario file. Ranges are replaced by values drawn from the seed.
 use crate::{derive_seed, DelayRange};
 use pointspindle::Micros;
 use pointspindle_config::Reader;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Longest time that a key in milliseconds may state.
+/// Maximum value of a time in milliseconds.
 const MAX_MILLIS: f64 = 3.6e6;
 
-/// Longest time that a key in seconds may state.
+/// Maximum value of a time in seconds.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// Most items that a key may count.
+/// Maximum value of a count.
 const MAX_COUNT: f64 = 1e6;
 
-/// Longest delay of a notification, milliseconds.
+/// Maximum delay of a notification, milliseconds.
 const MAX_DELAY_MS: f64 = 6e5;
 
-/// Reads values of a scenario file. A number may be a range, `a..b`, from which it is drawn; each key has its own
-/// random stream.
+/// Reads values of a scenario file. For a number that is written as a range, `a..b`, a value is drawn from the range.
+/// Each key has its own random stream.
 pub(super) struct ValueReader {
     pub(super) reader: Reader,
     pub(super) seed: u64,
 }
 
 impl ValueReader {
-    /// A number within bounds.
+    /// Reads a number from `min` to `max`.
     pub(super) fn number(
         &mut self,
         section: &str,
@@ -39,12 +39,12 @@
             return self.reader.number(section, key, default, min, max);
         };
         let (Ok(low), Ok(high)) = (low.trim().parse::<f64>(), high.trim().parse::<f64>()) else {
-            let reason = "not a range of two numbers, such as 2..5";
+            let reason = "not a range of two numbers, for example 2..5";
             self.reader.report(section, key, reason);
             return default;
         };
         if !(low <= high && low >= min && high <= max) {
-            let reason = format!("not a range within {min} to {max}");
+            let reason = format!("not a range within {min} to {max}, smaller number first");
             self.reader.report(section, key, &reason);
             return default;
         }
@@ -52,35 +52,35 @@
         low + (high - low) * StdRng::seed_from_u64(key_seed).gen::<f64>()
     }
 
-    /// A time that the file states in milliseconds.
+    /// Reads a time in milliseconds; returns microseconds.
     pub(super) fn millis(&mut self, section: &str, key: &str, default_ms: f64) -> Micros {
         let millis = self.number(section, key, default_ms, 0.0, MAX_MILLIS);
         (millis * 1e3).round() as Micros
     }
 
-    /// A time that the file states in seconds.
+    /// Reads a time in seconds; returns microseconds.
     pub(super) fn seconds(&mut self, section: &str, key: &str, default_s: f64) -> Micros {
         let seconds = self.number(section, key, default_s, 0.0, MAX_SECONDS);
         (seconds * 1e6).round() as Micros
     }
 
-    /// A whole number.
+    /// Reads an integer of at least `min`; a value with a fraction is rounded down.
     pub(super) fn count(&mut self, section: &str, key: &str, default: usize, min: usize) -> usize {
         let count = self.number(section, key, default as f64, min as f64, MAX_COUNT);
         count.floor() as usize
     }
 
-    /// A number from 0 to 1.
+    /// Reads a number from 0 to 1.
     pub(super) fn share(&mut self, section: &str, key: &str, default: f64) -> f64 {
         self.number(section, key, default, 0.0, 1.0)
     }
 
-    /// A yes-or-no value.
+    /// Reads a boolean, `yes` or `no`.
     pub(super) fn flag(&mut self, section: &str, key: &str, default: bool) -> bool {
         self.reader.flag(section, key, default)
     }
 
-    /// One of a list of names.
+    /// Reads a value that must be one of `names`.
     pub(super) fn name(
         &mut self,
         section: &str,
@@ -93,7 +93,7 @@
         name.to_owned()
     }
 
-    /// The delay of a notification, from the keys `KEY_least_ms` and `KEY_most_ms`.
+    /// Reads the delay of a notification from the keys `KEY_least_ms` and `KEY_most_ms`.
     pub(super) fn delay_range(
         &mut self,
         section: &str,
@@ -106,7 +106,8 @@
         let min_ms = self.number(section, &min_key, default_min_ms, 0.0, MAX_DELAY_MS);
         let max_ms = self.number(section, &max_key, default_max_ms, 0.0, MAX_DELAY_MS);
         if max_ms < min_ms {
-            self.reader.report(section, &max_key, "less than the least");
+            self.reader
+                .report(section, &max_key, "less than the minimum delay");
         }
         DelayRange {
             min: (min_ms * 1e3) as Micros,
--- a/crates/scenario/src/read/sections.rs
+++ b/crates/scenario/src/read/sections.rs
@@ -1,4 +1,4 @@
-//! Network, dispatchers, workload, clients and limits.
+//! Reads the settings of the network, the dispatchers, the workload, the clients and the limits.
 use super::ranges::ValueReader;
 use crate::{
     ClientSettings, DispatcherOptions, FleetLimits, Idempotency, Limits, NetworkSettings,
@@ -8,13 +8,14 @@
 use pointspindle_transport::simulated::NetworkConditions;
 use std::time::Duration;
 
-/// Shortest period of a wave of the rate, microseconds; a shorter one would be noise.
+/// Minimum period of the sine wave of the request rate, microseconds. The effect of a shorter period could not be
+/// distinguished from random variation.
 const MIN_WAVE_PERIOD_US: Micros = 100_000;
 
-/// Shortest deadline of a call, microseconds.
+/// Minimum deadline of a call, microseconds.
 const MIN_DEADLINE_US: Micros = 50_000;
 
-/// Values of the key `effect`.
+/// Values of the key `effect` and the idempotency that each stands for.
 const EFFECTS: [(&str, Idempotency); 3] = [
     ("safe", Idempotency::Idempotent),
     ("keyed", Idempotency::Keyed),
@@ -108,7 +109,7 @@
 fn classes(values: &mut ValueReader) -> Vec<RequestClass> {
     let names = values.reader.named("class");
     if names.is_empty() {
-        let reason = "no class: nobody asks for anything";
+        let reason = "missing; at least one request class is required";
         values.reader.report("class NAME", "", reason);
     }
     names.into_iter().map(|name| class(values, name)).collect()
--- a/crates/scenario/src/scenario.rs
+++ b/crates/scenario/src/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario with all ranges drawn, and its variants.
+//! The scenario of a run, with a value drawn for each range, and its variants.
 use crate::fault_injection::InjectedFault;
 use crate::script::FaultSpec;
 use crate::{
@@ -7,74 +7,74 @@
 use pointspindle::Micros;
 use std::collections::BTreeSet;
 
-/// Most delay of endpoint list updates where restarts are hidden, microseconds.
+/// Maximum delay of endpoint list updates when restarts are hidden, microseconds.
 const HIDDEN_RESTART_UPDATE_DELAY_US: Micros = 20_000;
 
-/// A run as its file describes it, with all ranges drawn.
+/// The scenario of a run, read from a file, with a value drawn for each range.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The file's name without its extension.
+    /// Name of the file without its extension.
     pub name: String,
-    /// One line on what is rehearsed.
+    /// One-line description of what the scenario tests.
     pub description: String,
-    /// Length of the run, seconds.
+    /// Duration of the run, seconds.
     pub duration_s: f64,
-    /// Everything random is derived from it.
+    /// Seed from which every random stream of the run is derived.
     pub seed: u64,
-    /// Hosts and dispatchers.
+    /// The hosts and the dispatchers.
     pub fleet: Fleet,
-    /// What lies between them.
+    /// The network between hosts, dispatchers and clients.
     pub network: NetworkSettings,
     /// Configuration of the dispatchers.
     pub dispatchers: DispatcherOptions,
-    /// Requests and purges.
+    /// The requests and the purges.
     pub workload: Workload,
-    /// How clients behave.
+    /// The clients' protocol, retries, backoff and cancellations.
     pub clients: ClientSettings,
-    /// What the run is judged by.
+    /// Limits that the run is checked against, and weights of the objective.
     pub limits: Limits,
-    /// Faults, in the file's order.
+    /// The faults, in the order of the file.
     pub faults: Vec<FaultSpec>,
 }
 
-/// Derives the seed of one random stream, named by `purpose`, from the scenario's seed.
+/// Returns the seed of the random stream named `purpose`, derived from the scenario's seed.
 pub fn derive_seed(seed: u64, purpose: &str) -> u64 {
     pointspindle::ObjectId::named(&format!("{seed}/{purpose}")).0
 }
 
 impl Scenario {
-    /// Why the scenario cannot be played without the simulated network, if so.
+    /// Returns the reason for which the scenario can only run on the simulated network; `None` if it can run elsewhere.
     pub fn requires_simulated_network(&self) -> Option<String> {
         let fault = self
             .faults
             .iter()
             .find(|fault| fault.kind.requires_simulated_network())?;
         Some(format!(
-            "trouble {}: a partition is played with --shell only",
+            "[trouble {}]: a partition of hosts requires the simulated network (--shell)",
             fault.name
         ))
     }
 
-    /// Why the scenario cannot be played on the simulated network, if so.
+    /// Returns the reason for which the scenario cannot run on the simulated network; `None` if it can.
     pub fn requires_processes(&self) -> Option<String> {
         let fault = self
             .faults
             .iter()
             .find(|fault| fault.kind.requires_processes())?;
         Some(format!(
-            "trouble {}: {} is played by processes or in virtual time",
+            "[trouble {}]: {} requires separate processes or virtual time",
             fault.name,
             fault.kind.name()
         ))
     }
 
-    /// Length of the run, microseconds.
+    /// Duration of the run, microseconds.
     pub fn duration(&self) -> Micros {
         (self.duration_s * 1e6) as Micros
     }
 
-    /// The same scenario in `seconds`: the script and the intervals of its steps are scaled, rules and request rate
-    /// are not.
+    /// Returns the scenario with its duration changed to `seconds`. The times and durations of faults are scaled in
+    /// proportion, the warm-up only if the run becomes shorter; the limits and the request rate are unchanged.
     pub fn scaled_to(mut self, seconds: f64) -> Self {
         let factor = seconds / self.duration_s;
         let scale = |time: Micros, factor: f64| (time as f64 * factor) as Micros;
@@ -88,9 +88,9 @@
         self
     }
 
-    /// The scenario with hosts that restart at once, endpoint list updates without delay, and no host identifying
-    /// itself: a restart that the list does not show leaves no other sign then. (A dispatcher whose connections are
-    /// refused would notice it in spite of the list.)
+    /// Returns the scenario with no downtime, nearly immediate endpoint list updates, and hosts that send no hello
+    /// frame. A restart that the endpoint list does not show is then invisible to dispatchers; with downtime, they
+    /// would detect it by refused connections.
     pub fn with_hidden_restarts(mut self) -> Self {
         self.dispatchers.uses_hello = false;
         self.limits.rules.endpoint_update_delay = DelayRange {
@@ -103,7 +103,8 @@
         self
     }
 
-    /// The scenario as an injected fault changes it; other injected faults act in the test bed.
+    /// Returns the scenario with the changes that an injected fault makes to it. The other injected faults are
+    /// implemented in the test bed and leave the scenario unchanged.
     pub fn with_injected_fault(mut self, fault: Option<InjectedFault>) -> Self {
         match fault {
             Some(InjectedFault::HideRestart) => self.with_hidden_restarts(),
@@ -115,14 +116,14 @@
         }
     }
 
-    /// The same scenario without the faults that affect a whole site.
+    /// Returns the scenario without the faults that affect a whole site.
     pub fn without_site_faults(&self) -> Self {
         let mut without = self.clone();
         without.faults.retain(|fault| !fault.kind.affects_site());
         without
     }
 
-    /// Zones that a fault affects as a whole.
+    /// Returns the zones that a fault affects as a whole.
     pub fn affected_sites(&self) -> BTreeSet<usize> {
         self.faults
             .iter()
--- a/crates/scenario/src/setting_override.rs
+++ b/crates/scenario/src/setting_override.rs
@@ -1,14 +1,14 @@
-//! Values that replace those of a scenario file.
+//! Overrides of values of a scenario file.
 use serde::{Deserialize, Serialize};
 
-/// A value in place of a scenario's own, written `section.key=value`.
+/// A value that replaces that of a key in a scenario file, written `section.key=value`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingOverride {
-    /// The section's full name, such as `fleet` or `class page`.
+    /// Full name of the section, such as `fleet` or `class page`.
     pub section: String,
-    /// The key within the section.
+    /// Name of the key within the section.
     pub key: String,
-    /// The value as the file would write it.
+    /// The value, in the syntax of the file.
     pub value: String,
 }
 
@@ -16,7 +16,9 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let malformed = || format!("{text:?} is not section.key=value, such as fleet.caches=9");
+        let malformed = || {
+            format!("{text:?} does not have the form section.key=value, for example fleet.caches=9")
+        };
         let (name, value) = text.split_once('=').ok_or_else(malformed)?;
         let (section, key) = name.rsplit_once('.').ok_or_else(malformed)?;
         Ok(Self {
--- a/crates/scenario/src/topology.rs
+++ b/crates/scenario/src/topology.rs
@@ -1,4 +1,4 @@
-//! Zones, latencies between them, and which hosts and dispatchers they contain.
+//! Zones, the latencies between them, and the hosts and dispatchers of each zone.
 use crate::{derive_seed, HostKind, Scenario};
 use pointspindle::Micros;
 use pointspindle_cache_model::HostSpec;
@@ -7,36 +7,36 @@
 use std::ops::Range;
 
 impl Scenario {
-    /// Names of the zones by index: branches first, then hubs.
+    /// Returns the names of the zones by index: branches first, then hubs.
     pub fn zones(&self) -> Vec<String> {
         let branches = (1..=self.fleet.branches).map(|number| format!("branch-{number}"));
         let hubs = (1..=self.fleet.hubs).map(|number| format!("hub-{number}"));
         branches.chain(hubs).collect()
     }
 
-    /// The hub of a branch, counted from 0 among the hubs.
+    /// Returns the hub of a branch, as an index among the hubs.
     pub fn hub_of(&self, branch: usize) -> usize {
         branch % self.fleet.hubs.max(1)
     }
 
-    /// The zone index of a branch's hub.
+    /// Returns the zone index of the hub of a branch.
     pub(crate) fn hub_zone_of(&self, branch: usize) -> usize {
         self.fleet.branches + self.hub_of(branch)
     }
 
-    /// One-way latency between two zones, microseconds.
+    /// Returns the one-way latency between two zones, microseconds.
     pub fn latency_between(&self, from: usize, to: usize) -> Micros {
         if from == to {
             return self.network.local_latency;
         }
         let distance = self.nearest_hub(from).abs_diff(self.nearest_hub(to));
         let hubs = self.fleet.hubs.max(1);
-        // Hubs form a ring: the shorter way around counts.
+        // Hubs form a ring; traffic takes the shorter way around.
         let steps = distance.min(hubs - distance) as Micros;
         self.network.hub_latency + steps * self.network.hub_step_latency
     }
 
-    /// The hub of a zone: a branch's own, or the zone itself; counted from 0 among the hubs.
+    /// Returns the hub of a zone as an index among the hubs: the hub of a branch, or the zone itself if it is a hub.
     fn nearest_hub(&self, zone: usize) -> usize {
         if zone < self.fleet.branches {
             self.hub_of(zone)
@@ -45,17 +45,17 @@
         }
     }
 
-    /// Dispatchers of all branches.
+    /// Returns the number of dispatchers in all branches.
     pub fn dispatcher_count(&self) -> usize {
         self.fleet.branches * self.fleet.dispatchers_per_branch
     }
 
-    /// The branch that a dispatcher runs in.
+    /// Returns the branch in which a dispatcher runs.
     pub fn branch_of_dispatcher(&self, dispatcher: usize) -> usize {
         dispatcher / self.fleet.dispatchers_per_branch.max(1)
     }
 
-    /// Dispatchers of a zone; none for a hub.
+    /// Returns the dispatchers of a zone; the range is empty for a hub.
     pub fn dispatchers_of(&self, branch: usize) -> Range<usize> {
         if branch >= self.fleet.branches {
             return 0..0;
@@ -64,7 +64,8 @@
         branch * per_branch..(branch + 1) * per_branch
     }
 
-    /// The hosts that run at the start: cache hosts by branch, parents, the origin. `address` names the nth.
+    /// Returns the hosts that run from the start: cache hosts by branch, then parents, then the origin. `address`
+    /// returns the address of a host, given its host id.
     pub fn hosts(&self, address: impl FnMut(usize) -> String) -> Vec<HostSpec> {
         let mut builder = HostListBuilder {
             rng: StdRng::seed_from_u64(derive_seed(self.seed, "weights")),
@@ -85,7 +86,7 @@
     }
 }
 
-/// Builds the list of hosts, with weights drawn from one random stream.
+/// Builds the list of hosts and draws their weights from one random stream.
 struct HostListBuilder<F> {
     rng: StdRng,
     address: F,
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -1,4 +1,4 @@
-//! Request classes, their objects and the objects' sizes.
+//! Request classes, their objects and the sizes of the objects.
 use crate::Scenario;
 use pointspindle::Micros;
 use pointspindle_cache_model::{ModelRequest, SizeCatalogue};
@@ -6,31 +6,32 @@
 use rand::SeedableRng;
 use rand_distr::{Distribution, LogNormal};
 
-/// Whether attempts of a class may run twice.
+/// Whether requests of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Running twice does no harm.
+    /// Repeated execution is harmless.
     Idempotent,
-    /// The origin deduplicates by an idempotency key.
+    /// The origin deduplicates requests by their idempotency key.
     Keyed,
-    /// No attempt may run twice.
+    /// A request must not be executed more than once.
     NotIdempotent,
 }
 
-/// Which objects a class requests.
+/// The objects that a class requests, and their popularity.
 #[derive(Clone, Copy, Debug)]
 pub struct ObjectCatalogue {
-    /// Distinct objects.
+    /// Number of distinct objects.
     pub objects: u64,
-    /// Parts of each object.
+    /// Number of parts of each object.
     pub parts: u64,
-    /// Parts are requested in sequence at this interval, microseconds; 0: any part at any time.
+    /// Interval at which the parts of an object are requested in sequence, microseconds. If 0, each request is for a
+    /// random part.
     pub part_interval: Micros,
-    /// Exponent of the objects' popularity (Zipf).
+    /// Exponent of the Zipf distribution of object popularity.
     pub zipf: f64,
-    /// Share of requests for objects that are requested once only.
+    /// Share of requests for objects that are requested only once.
     pub once_share: f64,
-    /// Share of requests for objects that one branch alone requests.
+    /// Share of requests for objects that only one branch requests.
     pub local_share: f64,
 }
 
@@ -39,59 +40,60 @@
 pub struct RequestClass {
     /// Name of the class.
     pub name: String,
-    /// Share of the calls, relative to the other classes' shares.
+    /// Relative share of the calls; the shares of all classes need not add up to 1.
     pub share: f64,
-    /// Mean size of an object's part, bytes.
+    /// Mean size of a part of an object, bytes.
     pub mean_bytes: f64,
-    /// Standard deviation of the logarithm of the size.
+    /// Standard deviation of the natural logarithm of the size.
     pub sigma: f64,
-    /// Factor that brings the mean over the planned calls to `mean_bytes`.
+    /// Factor applied to sizes so that their mean over the planned calls is `mean_bytes`.
     pub size_scale: f64,
-    /// Objects and their popularity.
+    /// The requested objects and their popularity.
     pub catalogue: ObjectCatalogue,
-    /// Latency objective of a response without its transfer, microseconds.
+    /// Latency objective of a response without its transfer time, microseconds.
     pub latency_objective: Micros,
-    /// Part of the objective that grows with the transfer, as a multiple of the transfer time.
+    /// Additional latency objective, as a multiple of the transfer time.
     pub latency_objective_stretch: f64,
     /// Deadline of a call, microseconds.
     pub deadline: Micros,
-    /// Weight of a call in the service figures.
+    /// Weight of a call in the service metrics.
     pub priority_weight: f64,
-    /// Share of the weight of a response after the latency objective.
+    /// Share of the weight that a response after the latency objective counts for.
     pub late_value: f64,
-    /// Share of the weight of a stale response.
+    /// Share of the weight that a stale response counts for.
     pub stale_value: f64,
-    /// Whether attempts may run twice.
+    /// Whether requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// Responses are never stored.
+    /// Whether responses are never cached.
     pub uncacheable: bool,
-    /// Freshness lifetime of a cached copy, microseconds; 0: it stays fresh.
+    /// Freshness lifetime of a cached copy, microseconds. If 0, copies do not become stale.
     pub freshness_lifetime: Micros,
-    /// How long after that a stale copy may be served if its revalidation fails, microseconds.
+    /// Time after the freshness lifetime in which a stale copy may be served if its revalidation fails, microseconds.
     pub stale_if_error: Micros,
 }
 
-/// What clients request, and what is purged.
+/// The requests of clients and the rate of purges.
 #[derive(Clone, Debug)]
 pub struct Workload {
-    /// Calls a second, all branches together.
+    /// Mean rate of calls of all branches together, calls per second.
     pub calls_per_s: f64,
-    /// Time at the start that is not judged, while caches fill; microseconds.
+    /// Time at the start of the run in which caches fill and service is not evaluated, microseconds.
     pub warm_up: Micros,
-    /// The rate follows a sine wave of this relative amplitude; 0: steady.
+    /// Relative amplitude of the sine wave that the rate follows. If 0, the rate is constant.
     pub wave_depth: f64,
     /// Period of the wave, microseconds.
     pub wave_period: Micros,
-    /// Purges of single objects a second, on top of scripted ones.
+    /// Rate of purges of single objects, in addition to those of purge faults; purges per second.
     pub purges_per_s: f64,
-    /// Purge groups of each class.
+    /// Number of purge groups of each class.
     pub groups: u64,
-    /// The classes of requests.
+    /// The request classes.
     pub classes: Vec<RequestClass>,
 }
 
 impl Scenario {
-    /// Sizes of objects' parts, bytes: derived from name and seed, so that every component computes the same.
+    /// Returns a function that computes the size of a part of an object, bytes. Sizes are derived from the object's
+    /// name and the seed, so that all components compute the same size.
     pub fn size_catalogue(&self) -> SizeCatalogue {
         let classes = self.workload.classes.clone();
         let seed = self.seed;
@@ -103,13 +105,13 @@
     }
 }
 
-/// Bytes of a response at least: one line of content with its checksum.
+/// Minimum size of a response, bytes: one line of content with its checksum.
 const MIN_SIZE_BYTES: f64 = 64.0;
 
-/// Largest size as a multiple of the class's mean: no single object fills a store.
+/// Maximum size as a multiple of the mean size of the class, so that no single object fills a store.
 const MAX_SIZE_MULTIPLE: f64 = 30.0;
 
-/// The size of an object's part, bytes. An object whose name ends in `~N` is N times as large as otherwise.
+/// Returns the size of a part of an object, bytes. If the object's name ends in `~N`, its size is multiplied by N.
 pub fn size_of(class: &RequestClass, seed: u64, object: &str, number: u64, part: u64) -> u64 {
     let part_seed = seed ^ number.rotate_left(17) ^ part.wrapping_mul(0x9e37_79b9);
     let mut rng = StdRng::seed_from_u64(part_seed);
@@ -121,7 +123,7 @@
     (bounded * size_multiple(object)) as u64
 }
 
-/// The multiple that the end of an object's name states, or 1.
+/// Returns the number N of an object name that ends in `~N`, or 1 if there is none.
 fn size_multiple(object: &str) -> f64 {
     object
         .rsplit_once('~')
