--- a/crates/scenario/src/import/bench_scenario.rs
+++ b/crates/scenario/src/import/bench_scenario.rs
@@ -1,4 +1,5 @@
-//! The bench's JSON format: a scenario, as far as the import reads it. Times are microseconds unless stated otherwise.
+//! The bench's JSON format of a scenario, limited to the fields that the import reads. Times are in microseconds unless
+//! stated otherwise.
 use serde::Deserialize;
 
 #[derive(Debug, Deserialize)]
@@ -14,7 +15,7 @@
     pub(super) clients: BenchClients,
     pub(super) discovery: BenchDiscovery,
     #[serde(rename = "allow")]
-    pub(super) allowed: BenchAllowance,
+    pub(super) attempt_limits: BenchAttemptLimits,
     pub(super) drain_grace: f64,
     #[serde(rename = "fall_multiple")]
     pub(super) overload_factor: f64,
@@ -41,7 +42,7 @@
 
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchTraffic {
-    /// Share of the cache hosts' capacity.
+    /// Offered load as a share of the capacity of the cache hosts.
     pub(super) load: f64,
 }
 
@@ -50,12 +51,12 @@
     pub(super) retries: f64,
     #[serde(rename = "backoff_us")]
     pub(super) backoff: f64,
-    /// Share that honours Retry-After.
+    /// Share of clients that honour the Retry-After header.
     #[serde(rename = "honour")]
     pub(super) retry_after_share: f64,
 }
 
-/// Delays of endpoint list updates.
+/// Delays with which dispatchers are notified of endpoint list updates.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchDiscovery {
     pub(super) notice: f64,
@@ -63,7 +64,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-pub(super) struct BenchAllowance {
+pub(super) struct BenchAttemptLimits {
     pub(super) max_attempts: u32,
 }
 
@@ -71,7 +72,7 @@
 pub(super) struct BenchClass {
     pub(super) name: String,
     pub(super) share: f64,
-    /// Mean transfer time.
+    /// Mean transfer time of a response.
     #[serde(rename = "work")]
     pub(super) transfer_time: f64,
     #[serde(rename = "aim")]
@@ -103,10 +104,10 @@
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchServerKind {
     pub(super) cores: f64,
-    /// Concurrent requests of each core.
+    /// Maximum number of concurrent requests per core.
     #[serde(rename = "slots")]
     pub(super) concurrency: f64,
-    /// Queued requests of each core.
+    /// Maximum number of queued requests per core.
     pub(super) queue: f64,
     #[serde(rename = "thrash")]
     pub(super) crowding_loss: f64,
@@ -118,7 +119,7 @@
     #[serde(default)]
     pub(super) kind: usize,
     pub(super) weight: f64,
-    /// Whether it runs from the start.
+    /// Whether the server runs from the start.
     #[serde(default = "enabled", rename = "up")]
     pub(super) running: bool,
 }
@@ -138,10 +139,10 @@
     pub(super) size: f64,
     #[serde(default)]
     pub(super) extra: f64,
-    /// Affected servers.
+    /// Indices of the affected servers.
     #[serde(default, rename = "on")]
     pub(super) servers: Vec<usize>,
-    /// Affected zone.
+    /// Index of the affected zone.
     #[serde(default, rename = "which")]
     pub(super) zone: usize,
     #[serde(default, rename = "steps")]
@@ -150,7 +151,7 @@
 
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchWave {
-    /// Servers that this wave stops.
+    /// Indices of the servers that this wave stops.
     pub(super) stop: Vec<usize>,
 }
 
@@ -162,13 +163,13 @@
     pub(super) worst_class: f64,
 }
 
-/// Settings of the bench family that this project takes part in.
+/// Settings that only scenarios of the bench's edge family have.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchFamily {
-    /// Requests of uncacheable classes bypass the cache hosts.
+    /// Whether requests of uncacheable classes bypass the cache hosts.
     #[serde(rename = "direct")]
     pub(super) bypasses_caches: bool,
-    /// Cached copies of each zone, as microseconds of transfer.
+    /// Size of the stores in each zone, as microseconds of transfer.
     #[serde(rename = "room")]
     pub(super) store_by_zone: Vec<f64>,
     pub(super) siblings: String,
@@ -199,14 +200,14 @@
     pub(super) coalesces_fills: bool,
     pub(super) fill_timeout: f64,
     pub(super) fills_per_core: f64,
-    /// Speed of a fill as a multiple of a transfer's.
+    /// Speed of a fill as a multiple of the speed of a transfer.
     #[serde(rename = "pace")]
     pub(super) fill_speedup: f64,
     #[serde(rename = "retries")]
     pub(super) fill_retries: BenchFillRetries,
 }
 
-/// An array of two numbers in the JSON.
+/// Fill retries by role; the JSON has an array of two numbers.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchFillRetries {
     pub(super) cache: f64,
@@ -220,9 +221,9 @@
     pub(super) hub_latency: f64,
     #[serde(rename = "far")]
     pub(super) hub_step_latency: f64,
-    /// Speed of one transfer.
+    /// Speed of one transfer, KiB per second.
     pub(super) kb_per_s: f64,
-    /// Transfers that the inbound link of each zone carries.
+    /// Number of transfers that the inbound link of each zone can carry.
     #[serde(rename = "link")]
     pub(super) link_by_zone: Vec<f64>,
 }
@@ -239,7 +240,7 @@
     pub(super) service_time: f64,
 }
 
-/// An array of three numbers in the JSON.
+/// Overload of the origin; the JSON has an array of three numbers.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchOriginOverload {
     pub(super) multiple: f64,
@@ -255,12 +256,12 @@
     pub(super) overload_factor: f64,
     #[serde(rename = "parent_kind")]
     pub(super) kind: i64,
-    /// Cached copies, as microseconds of transfer.
+    /// Size of the store, as microseconds of transfer.
     #[serde(rename = "parent_store")]
     pub(super) store: f64,
 }
 
-/// An array of two numbers in the JSON.
+/// Warm-up of the parents; the JSON has an array of two numbers.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchParentWarmUp {
     pub(super) initial_share: f64,
@@ -280,7 +281,7 @@
     pub(super) per_s: f64,
 }
 
-/// Objects of a class.
+/// The objects of a class.
 #[derive(Debug, Deserialize)]
 pub(super) struct BenchCatalogue {
     #[serde(rename = "fresh")]
--- a/crates/scenario/src/import/faults.rs
+++ b/crates/scenario/src/import/faults.rs
@@ -1,19 +1,19 @@
-//! Faults of the bench as faults of a scenario.
+//! Converts faults of the bench to faults of a scenario file.
 use super::bench_scenario::{BenchFault, BenchScenario};
 use super::layout::Layout;
 use crate::ini_writer::IniWriter;
 use pointspindle_cache_model::Role;
 
-/// Why a fault of the bench is not carried over.
+/// The reason for which a fault of the bench cannot be converted.
 #[derive(Debug, thiserror::Error)]
-pub(super) enum NotCarriedOver {
-    #[error("report_late: load reports are not read by the module")]
-    LateReports,
-    #[error("{0}: no counterpart here")]
+pub(super) enum ConversionError {
+    #[error("report_late: the dispatcher does not read load reports")]
+    LateLoadReports,
+    #[error("{0}: no corresponding kind of fault")]
     UnknownKind(String),
 }
 
-/// A fault as a section of the scenario file.
+/// A converted fault: the content of a section of the scenario file.
 pub(super) struct ConvertedFault {
     /// Value of the key `kind`.
     kind: &'static str,
@@ -52,70 +52,71 @@
     }
 }
 
-/// Converts a fault, or says why it has no counterpart.
+/// Converts a fault, or returns the reason for which this is impossible.
 pub(super) fn convert(
     bench: &BenchScenario,
     layout: &Layout,
     fault: &BenchFault,
-) -> Result<ConvertedFault, NotCarriedOver> {
-    let hosts = host_fault(bench, layout, fault);
+) -> Result<ConvertedFault, ConversionError> {
+    let fault_of_kind = fault_template(bench, layout, fault);
     Ok(match fault.kind.as_str() {
-        "crash" | "mass_restart" => hosts("crash"),
-        "hang" => hosts("hang"),
+        "crash" | "mass_restart" => fault_of_kind("crash"),
+        "hang" => fault_of_kind("hang"),
         "fast_errors" => ConvertedFault {
             severity: Some(fault.size),
-            ..hosts("errors")
+            ..fault_of_kind("errors")
         },
         "answer_lost" => ConvertedFault {
             severity: Some(fault.size),
-            ..hosts("lose_answers")
+            ..fault_of_kind("lose_answers")
         },
-        "deploy" | "preempt" => deploy(layout, fault, hosts("deploy")),
+        "deploy" | "preempt" => deploy(layout, fault, fault_of_kind("deploy")),
         "ageing" => ConvertedFault {
             severity: Some(fault.size),
             downtime_s: Some(fault.extra),
-            ..hosts("ageing")
+            ..fault_of_kind("ageing")
         },
         "zone_loss" => ConvertedFault {
             zone: Some(zone_name(layout, fault.zone)),
-            ..hosts("zone_loss")
+            ..fault_of_kind("zone_loss")
         },
         "balancer_roll" => ConvertedFault {
             share: stopped_servers(fault) as f64 / bench.dispatchers.len() as f64,
             downtime_s: Some(fault.extra),
-            ..hosts("kill_dispatchers")
+            ..fault_of_kind("kill_dispatchers")
         },
         "origin_slow" => ConvertedFault {
             role: Role::Origin,
             share: 1.0,
             severity: Some(fault.size),
-            ..hosts("slow")
+            ..fault_of_kind("slow")
         },
         "flush" => ConvertedFault {
             share: fault.size,
             duration: 0.0,
-            ..hosts("purge")
+            ..fault_of_kind("purge")
         },
         "hot_key" => ConvertedFault {
             share: fault.size,
-            ..hosts("hot")
+            ..fault_of_kind("hot")
         },
         "heavy_tail" => ConvertedFault {
             share: fault.extra,
             severity: Some(fault.size),
-            ..hosts("oversized")
+            ..fault_of_kind("oversized")
         },
         "scan" => ConvertedFault {
             share: fault.size,
-            ..hosts("one_off")
+            ..fault_of_kind("one_off")
         },
-        "report_late" => return Err(NotCarriedOver::LateReports),
-        other => return Err(NotCarriedOver::UnknownKind(other.to_owned())),
+        "report_late" => return Err(ConversionError::LateLoadReports),
+        other => return Err(ConversionError::UnknownKind(other.to_owned())),
     })
 }
 
-/// Makes faults of a kind that affect as large a share of the hosts as the bench's fault does.
-fn host_fault<'a>(
+/// Returns a function that makes a fault of a given kind with the same duration as the bench's fault and the same share
+/// of affected hosts.
+fn fault_template<'a>(
     bench: &'a BenchScenario,
     layout: &'a Layout,
     fault: &'a BenchFault,
@@ -146,7 +147,7 @@
     }
 }
 
-/// The hosts that a fault of the bench draws from: parents or cache hosts.
+/// The hosts that a fault can affect: all parents or all cache hosts of the bench.
 struct TargetHosts {
     role: Role,
     count: usize,
@@ -172,29 +173,30 @@
     }
 }
 
-/// A deploy of the hosts that its waves stop.
-fn deploy(layout: &Layout, fault: &BenchFault, usual: ConvertedFault) -> ConvertedFault {
+/// Returns a deploy of the hosts that the waves of the bench's fault stop.
+fn deploy(layout: &Layout, fault: &BenchFault, base: ConvertedFault) -> ConvertedFault {
     let first = fault.waves.iter().flat_map(|wave| &wave.stop).next();
     let stops_parents = first.is_some_and(|index| layout.parents.contains(index));
     let hosts = TargetHosts::new(layout, stops_parents);
     ConvertedFault {
-        role: if usual.role == Role::Origin {
+        role: if base.role == Role::Origin {
             Role::Origin
         } else {
             hosts.role
         },
         share: hosts.share(stopped_servers(fault)),
         severity: Some(fault.extra),
-        ..usual
+        ..base
     }
 }
 
-/// Servers that the fault's waves stop.
+/// Returns the number of servers that the waves of a fault stop.
 fn stopped_servers(fault: &BenchFault) -> usize {
     fault.waves.iter().map(|wave| wave.stop.len()).sum()
 }
 
-/// The scenario's zone for one of the bench's scenario, whose hubs come before its branches.
+/// Returns the name of the zone that corresponds to a zone of the bench. In the bench's list of zones, hubs come before
+/// branches.
 fn zone_name(layout: &Layout, zone: usize) -> String {
     match zone.checked_sub(layout.first_branch) {
         Some(branch) => format!("branch-{}", branch % layout.branches + 1),
--- a/crates/scenario/src/import/layout.rs
+++ b/crates/scenario/src/import/layout.rs
@@ -1,28 +1,31 @@
-//! The size of the scenario that a scenario of the bench becomes.
+//! The numbers and sizes of hosts in an imported scenario.
 use super::bench_scenario::{BenchScenario, BenchServer};
 use super::{ImportError, Size};
 
-/// Branches of a scenario at loopback size, at most.
+/// Maximum number of branches at loopback size.
 const LOOPBACK_MAX_BRANCHES: usize = 3;
 
-/// Cache hosts in a branch at loopback size, at least.
+/// Minimum number of cache hosts in a branch at loopback size.
 const LOOPBACK_MIN_CACHES: usize = 3;
 
-/// Parents at loopback size, at most.
+/// Maximum number of parents at loopback size.
 const LOOPBACK_MAX_PARENTS: usize = 2;
 
-/// Hubs at loopback size, at most.
+/// Maximum number of hubs at loopback size.
 const LOOPBACK_MAX_HUBS: usize = 2;
 
-/// Speed of one transfer at loopback size, at most: responses are small enough for one machine, and transfer times
-/// stay as they are.
+/// Maximum speed of one transfer at loopback size, KiB per second. Response sizes are reduced in proportion to the
+/// speed, so that one machine can handle them and transfer times are unchanged.
 const LOOPBACK_MAX_KB_PER_S: f64 = 500.0;
 
-/// Weight of a cache host at loopback size, as a share of the bench's.
+/// Weight of a cache host at loopback size, as a share of its weight in the bench's scenario.
 const LOOPBACK_WEIGHT_SHARE: f64 = 0.35;
 
-/// Time before the bench's start in which the caches fill, seconds. The bench begins with filled caches.
+/// Time at the start of a scenario at full size in which the caches fill, seconds. It precedes the time of the bench's
+/// scenario, which begins with filled caches.
 const FULL_WARM_UP_S: f64 = 30.0;
+
+/// Like [`FULL_WARM_UP_S`], at loopback size.
 const LOOPBACK_WARM_UP_S: f64 = 4.0;
 
 pub(super) fn mean(values: impl Iterator<Item = f64>) -> f64 {
@@ -39,24 +42,24 @@
     }
 }
 
-/// The hosts of the bench's scenario, and how many of each kind the scenario has.
+/// The hosts of the bench's scenario, and the numbers and weights of hosts in the imported scenario.
 pub(super) struct Layout {
     pub(super) size: Size,
-    /// The bench's cache hosts, by server index.
+    /// Server indices of the bench's cache hosts.
     pub(super) caches: Vec<usize>,
-    /// The bench's parents, by server index.
+    /// Server indices of the bench's parents.
     pub(super) parents: Vec<usize>,
     pub(super) branches: usize,
     pub(super) caches_per_branch: usize,
     pub(super) dispatchers_per_branch: usize,
     pub(super) parent_count: usize,
     pub(super) hubs: usize,
-    /// Speed of one transfer.
+    /// Speed of one transfer, KiB per second.
     pub(super) kb_per_s: f64,
     pub(super) cache_weight: f64,
     /// Mean weight of the bench's cache hosts.
     pub(super) bench_cache_weight: f64,
-    /// The bench's first branch; its hubs come before.
+    /// Zone index of the bench's first branch; the hubs come before the branches.
     pub(super) first_branch: usize,
 }
 
@@ -76,8 +79,8 @@
         let full = Self {
             size,
             branches: zones.len(),
-            caches_per_branch: per_zone(caches.len(), zones.len()),
-            dispatchers_per_branch: per_zone(bench.dispatchers.len(), zones.len()),
+            caches_per_branch: mean_per_zone(caches.len(), zones.len()),
+            dispatchers_per_branch: mean_per_zone(bench.dispatchers.len(), zones.len()),
             parent_count: parents.len(),
             hubs: links.hubs.max(1),
             kb_per_s: links.kb_per_s,
@@ -89,12 +92,13 @@
         };
         Ok(match size {
             Size::Full => full,
-            Size::Loopback => full.shrunk_to_loopback(),
+            Size::Loopback => full.reduced_to_loopback(),
         })
     }
 
-    /// At loopback size a branch has a share of its load: weights shrink with it.
-    fn shrunk_to_loopback(self) -> Self {
+    /// Reduces a layout to loopback size. The load of a branch is proportional to the weights of its hosts, which are
+    /// reduced too.
+    fn reduced_to_loopback(self) -> Self {
         Self {
             branches: self.branches.min(LOOPBACK_MAX_BRANCHES),
             caches_per_branch: self.caches_per_branch.max(LOOPBACK_MIN_CACHES),
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Time before the bench's start in which the caches fill, seconds.
+    /// Returns the time before the start of the bench's scenario in which the caches fill, seconds.
     pub(super) fn warm_up_s(&self) -> f64 {
         match self.size {
             Size::Full => FULL_WARM_UP_S,
@@ -115,12 +119,12 @@
         }
     }
 
-    /// Weight of all cache hosts of the scenario.
+    /// Returns the total weight of the cache hosts of the imported scenario.
     pub(super) fn cache_capacity(&self) -> f64 {
         (self.branches * self.caches_per_branch) as f64 * self.cache_weight
     }
 
-    /// Capacity of the scenario's cache hosts as a share of the bench's.
+    /// Returns the capacity of the imported scenario's cache hosts as a share of that of the bench's cache hosts.
     pub(super) fn capacity_ratio(&self, bench: &BenchScenario) -> f64 {
         let bench_capacity: f64 = self
             .caches
@@ -130,20 +134,20 @@
         self.cache_capacity() / bench_capacity.max(1e-9)
     }
 
-    /// Cache hosts of a branch of the bench's scenario, on the mean.
+    /// Returns the mean number of cache hosts in a branch of the bench's scenario.
     pub(super) fn bench_caches_per_branch(&self, bench: &BenchScenario) -> f64 {
         let branches = (bench.zones.len() - self.first_branch).max(1);
         self.caches.len() as f64 / branches as f64
     }
 }
 
-/// Indices of the servers that run from the start and fit.
-fn servers_where(bench: &BenchScenario, fits: impl Fn(&BenchServer) -> bool) -> Vec<usize> {
+/// Returns the indices of the servers that run from the start and match `predicate`.
+fn servers_where(bench: &BenchScenario, predicate: impl Fn(&BenchServer) -> bool) -> Vec<usize> {
     bench
         .servers
         .iter()
         .enumerate()
-        .filter(|(_, server)| server.running && fits(server))
+        .filter(|(_, server)| server.running && predicate(server))
         .map(|(index, _)| index)
         .collect()
 }
@@ -162,7 +166,7 @@
     zones
 }
 
-/// Mean number in a zone, rounded; one at least.
-fn per_zone(count: usize, zones: usize) -> usize {
+/// Returns the mean number of items per zone, rounded, at least 1.
+fn mean_per_zone(count: usize, zones: usize) -> usize {
     (count as f64 / zones as f64).round().max(1.0) as usize
 }
--- a/crates/scenario/src/import/sections.rs
+++ b/crates/scenario/src/import/sections.rs
@@ -1,30 +1,30 @@
-//! Sections of the imported scenario that describe fleet, workload and limits.
+//! Writes the sections of the imported scenario that describe the fleet, the workload and the limits.
 use super::bench_scenario::{BenchCatalogue, BenchClass, BenchScenario};
 use super::layout::{mean, Layout};
 use super::Size;
 use crate::ini_writer::IniWriter;
 
-/// Requests that a parent or the origin handles at once, and queues: enough for any load.
+/// Concurrency and queue limit of parents and the origin, requests; high enough for any load.
 const UNBOUNDED_CONCURRENCY: u32 = 4096;
 
-/// Fills that a parent runs at once: enough for any load.
+/// Maximum number of concurrent fills of a parent; high enough for any load.
 const UNBOUNDED_FILLS: u32 = 1024;
 
-/// Fill retries at most.
+/// Maximum number of fill retries.
 const MAX_FILL_RETRIES: f64 = 3.0;
 
-/// Least weight of a parent or the origin.
+/// Minimum weight of a parent or the origin.
 const MIN_WEIGHT: f64 = 0.05;
 
-/// Share of clients over HTTP at loopback size.
+/// Share of calls that use HTTP at loopback size.
 const LOOPBACK_HTTP_SHARE: f64 = 0.3;
 
-/// Share of each class's objects that remain at loopback size, at least.
+/// Minimum share of the objects of each class that remains at loopback size.
 const LOOPBACK_MIN_OBJECT_SHARE: f64 = 0.3;
 
 const BYTES_PER_KIB: f64 = 1024.0;
 
-/// Writes every section but those of the faults.
+/// Writes all sections except those of the faults.
 pub(super) fn write_sections(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
     write_run(bench, layout, ini);
     write_fleet(bench, layout, ini);
@@ -86,10 +86,11 @@
         .key("siblings", siblings)
         .key("notes", &family.cache_status_notes)
         .flag("sizes_told", family.knows_sizes)
-        .key("max_attempts", bench.allowed.max_attempts);
+        .key("max_attempts", bench.attempt_limits.max_attempts);
 }
 
-/// Transfers that a branch's inbound link carries, in proportion to the branch's capacity.
+/// Returns the number of transfers that the inbound link of a branch can carry, scaled in proportion to the capacity of
+/// the branch.
 fn branch_link(bench: &BenchScenario, layout: &Layout) -> f64 {
     let links = &bench.family.links.link_by_zone;
     let bench_link = mean(links.iter().skip(layout.first_branch).copied());
@@ -97,7 +98,7 @@
     bench_link * layout.caches_per_branch as f64 * layout.cache_weight / bench_capacity.max(1e-9)
 }
 
-/// Store of a cache host, KiB. The bench states stores as microseconds of transfer, by zone.
+/// Returns the size of a cache host's store, KiB. The bench states the size by zone, as microseconds of transfer.
 fn cache_store_kib(bench: &BenchScenario, layout: &Layout) -> f64 {
     let kb_per_s = bench.family.links.kb_per_s;
     let stores = &bench.family.store_by_zone;
@@ -215,7 +216,7 @@
         .millis("drain_grace_ms", bench.drain_grace, 0)
         .millis("purge_grace_ms", purges.grace, 0)
         .millis("purge_done_ms", purges.deadline, 0)
-        // Half the most: the bench states no least.
+        // The bench states only a maximum; half of it serves as the minimum.
         .millis("purge_told_least_ms", purges.max_delay / 2.0, 0)
         .millis("purge_told_most_ms", purges.max_delay, 0)
         .millis("list_told_least_ms", add.min(notice), 0)
@@ -224,7 +225,7 @@
 
 fn write_classes(bench: &BenchScenario, layout: &Layout, ini: &mut IniWriter) {
     let shares: f64 = bench.classes.iter().map(|class| class.share).sum();
-    // Smaller stores hold the same share of the objects.
+    // The number of objects is reduced with the size of the stores, so that stores hold the same share of the objects.
     let object_share = match layout.size {
         Size::Full => 1.0,
         Size::Loopback => layout
--- a/crates/scenario/src/script/dispatcher_faults.rs
+++ b/crates/scenario/src/script/dispatcher_faults.rs
@@ -4,7 +4,7 @@
 use pointspindle::Micros;
 use rand::seq::SliceRandom;
 
-/// The steps at which an interruption of a dispatcher begins and ends.
+/// The steps that begin and end the interruption of a dispatcher.
 struct Interruption {
     begin: ScriptStep,
     end: ScriptStep,
@@ -37,7 +37,7 @@
 }
 
 impl ScriptGenerator<'_> {
-    /// Draws the dispatchers that a fault targets, in the order in which it affects them.
+    /// Draws the dispatchers that a fault targets, in the order in which they are affected.
     fn target_dispatchers(&mut self, target: &FaultTarget) -> Vec<usize> {
         let scenario = self.scenario;
         let in_zone = |dispatcher: &usize| {
@@ -55,7 +55,7 @@
         dispatchers
     }
 
-    /// Dispatchers are killed, paused or stopped one after another, each for the downtime.
+    /// Kills, pauses or stops dispatchers one after another, each for the downtime.
     pub(super) fn interrupt_dispatchers(&mut self, fault: &FaultSpec) {
         let dispatchers = self.target_dispatchers(&fault.target);
         let interval = fault.duration / dispatchers.len().max(1) as Micros;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Notifications of endpoint list updates are delayed by as many seconds as the severity says.
+    /// Delays notifications of endpoint list updates; the severity is the delay in seconds.
     pub(super) fn delay_endpoint_updates(&mut self, fault: &FaultSpec) {
         let step = ScriptStep::EndpointUpdateDelay {
             extra: (fault.severity * 1e6) as Micros,
--- a/crates/scenario/src/script/fault.rs
+++ b/crates/scenario/src/script/fault.rs
@@ -1,4 +1,4 @@
-//! Fault kinds and their specifications in a scenario file.
+//! Kinds of faults, and the specification of a fault in a scenario file.
 use pointspindle::Micros;
 use pointspindle_cache_model::Role;
 
@@ -7,25 +7,25 @@
 pub enum FaultKind {
     /// Hosts are drained in waves and replaced by successors at other addresses.
     Deploy,
-    /// Hosts crash together and restart at the end of the fault.
+    /// Hosts crash at the same time and restart at the end of the fault.
     Crash,
-    /// The parents of a hub, or the cache hosts of its branches, restart within a fraction of a second.
+    /// The parents of a hub, or the cache hosts of its branches, restart within a fraction of a second of each other.
     HubRestart,
     /// All hosts of a zone are down until the end of the fault.
     ZoneLoss,
-    /// Hosts hang: they accept requests and answer none.
+    /// Hosts hang: they accept requests and do not respond.
     Hang,
-    /// Hosts drop a share of their responses, without a sign.
+    /// Hosts silently drop a share of their responses.
     DropResponses,
     /// Hosts truncate a share of their responses.
     TruncateResponses,
     /// Hosts reject every request.
     RejectRequests,
-    /// Hosts fail a share of their requests with an error.
+    /// Hosts answer a share of requests with an error.
     FailRequests,
-    /// Hosts transfer more slowly by a factor.
+    /// The transfer speed of hosts is divided by a factor.
     SlowDown,
-    /// Hosts slow down in steps, crash and restart.
+    /// Hosts slow down in steps, then crash and restart.
     Ageing,
     /// A share of the purge groups is purged.
     Purge,
@@ -35,30 +35,31 @@
     DelayEndpointUpdates,
     /// A share of the requests is for one object.
     HotObject,
-    /// A share of the requests is for objects of several times the usual size.
+    /// A share of the requests is for objects whose size is a multiple of the usual one.
     OversizedObjects,
-    /// A share of the requests is for objects that are requested once only.
+    /// A share of the requests is for objects that are requested only once.
     OneOffObjects,
     /// Hosts restart one after another.
     RollingRestart,
-    /// Hosts are unreachable for short times, while their processes run on.
+    /// Hosts are unreachable for short times while their processes continue to run.
     FlakyConnections,
-    /// No packet passes between hosts and dispatchers, and no component is notified; simulated network only.
+    /// All packets between hosts and dispatchers are dropped, and no component is notified. Requires the simulated
+    /// network.
     Partition,
     /// The request rate is multiplied by the severity.
     Burst,
-    /// A site's processes crash together, as far as the extent says, and restart empty.
+    /// The processes of a site, selected by the extent, crash at about the same time and restart with empty stores.
     SiteLoss,
-    /// No packet passes between a site and the others, one way or both; traffic within the site goes on.
+    /// Packets between a site and the others are dropped in one or both directions; traffic within the site continues.
     SitePartition,
     /// Dispatchers are paused one after another, each for the downtime.
     PauseDispatchers,
-    /// Dispatchers shut down gracefully one after another, and are restarted after the downtime.
+    /// Dispatchers shut down gracefully one after another and are restarted after the downtime.
     StopDispatchers,
 }
 
 impl FaultKind {
-    /// The kinds by their names in scenario files.
+    /// The name of each kind in scenario files.
     pub const NAMES: [(&'static str, Self); 25] = [
         ("deploy", Self::Deploy),
         ("crash", Self::Crash),
@@ -87,7 +88,7 @@
         ("stop_dispatchers", Self::StopDispatchers),
     ];
 
-    /// The kind that scenario files call `name`.
+    /// Returns the kind whose name in scenario files is `name`.
     pub fn from_name(name: &str) -> Option<Self> {
         Self::NAMES
             .iter()
@@ -95,7 +96,7 @@
             .map(|(_, kind)| *kind)
     }
 
-    /// The kind's name in scenario files.
+    /// Returns the name of the kind in scenario files.
     pub fn name(self) -> &'static str {
         Self::NAMES
             .iter()
@@ -103,12 +104,13 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// Whether it needs the simulated network, and cannot be played in virtual time.
+    /// Whether the fault requires the simulated network and cannot be simulated in virtual time.
     pub fn requires_simulated_network(self) -> bool {
         self == Self::Partition
     }
 
-    /// Whether it needs several sites or dispatchers that can be paused: the simulated network has none.
+    /// Whether the fault requires several sites or dispatchers that can be paused. The simulated network supports
+    /// neither.
     pub fn requires_processes(self) -> bool {
         matches!(
             self,
@@ -116,12 +118,12 @@
         )
     }
 
-    /// Whether it affects a site as a whole.
+    /// Whether the fault affects a site as a whole.
     pub fn affects_site(self) -> bool {
         matches!(self, Self::SiteLoss | Self::SitePartition | Self::ZoneLoss)
     }
 
-    /// Whether it draws hosts by its [`FaultTarget`].
+    /// Whether the affected hosts are drawn by the fault's [`FaultTarget`].
     pub(super) fn targets_hosts(self) -> bool {
         match self {
             Self::Deploy
@@ -152,13 +154,13 @@
         }
     }
 
-    /// The role of the target hosts unless the file names one.
+    /// Returns the role of the target hosts if the file does not specify one.
     pub fn default_role(self) -> Role {
         Role::Cache
     }
 
-    /// The severity unless the file states one. Its meaning depends on the kind: a share of responses, a factor,
-    /// a number of interruptions, or seconds of draining or of delay.
+    /// Returns the severity if the file does not specify one. Its meaning depends on the kind: a share of responses, a
+    /// factor, a number of interruptions, or a duration of draining or of delay in seconds.
     pub fn default_severity(self) -> f64 {
         match self {
             Self::Deploy => 2.0,
@@ -173,19 +175,19 @@
     }
 }
 
-/// How much of a site a loss affects.
+/// The processes that the loss of a site affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum SiteLossExtent {
-    /// Its cache hosts (of a hub: its parents).
+    /// The cache hosts of the site, or the parents if the site is a hub.
     Hosts,
-    /// Also the parents of its hub.
+    /// The hosts of the site, and the parents of its hub.
     Parents,
-    /// Also its dispatchers.
+    /// The hosts of the site, the parents of its hub, and the dispatchers of the site.
     Dispatchers,
 }
 
 impl SiteLossExtent {
-    /// The extents by their names in scenario files.
+    /// The name of each extent in scenario files.
     pub const NAMES: [(&'static str, Self); 3] = [
         ("hosts", Self::Hosts),
         ("parents", Self::Parents),
@@ -193,12 +195,12 @@
     ];
 }
 
-/// The directions in which a partition drops a site's traffic with the others.
+/// The directions in which a partition drops traffic between a site and the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PartitionDirections {
-    /// Traffic from other sites is dropped.
+    /// Whether traffic from other sites is dropped.
     pub inward: bool,
-    /// Traffic to other sites is dropped.
+    /// Whether traffic to other sites is dropped.
     pub outward: bool,
 }
 
@@ -216,7 +218,7 @@
         outward: true,
     };
 
-    /// The directions by their names in scenario files.
+    /// The name of each combination of directions in scenario files.
     pub const NAMES: [(&'static str, Self); 3] =
         [("both", Self::BOTH), ("in", Self::IN), ("out", Self::OUT)];
 }
@@ -227,57 +229,58 @@
     }
 }
 
-/// What a fault affects.
+/// The hosts, dispatchers, purge groups or requests that a fault affects.
 #[derive(Clone, Copy, Debug)]
 pub struct FaultTarget {
-    /// Share of the eligible hosts; of the groups for a purge, of the dispatchers for a fault of dispatchers, of the
-    /// requests for a fault in the traffic.
+    /// Affected share of the eligible hosts. For a purge, it is a share of the purge groups; for a fault of
+    /// dispatchers, of the dispatchers; for a fault in the traffic, of the requests.
     pub share: f64,
-    /// Only hosts and dispatchers of this zone.
+    /// Zone to which the affected hosts and dispatchers are restricted, if given.
     pub zone: Option<usize>,
-    /// Only hosts of this role.
+    /// Role of the affected hosts.
     pub role: Role,
-    /// One alone: its index among the eligible ones.
+    /// Index of the only affected host among the eligible ones, or index of the only affected dispatcher among all
+    /// dispatchers. If given, `share` has no effect.
     pub index: Option<usize>,
 }
 
-/// A fault as the scenario file specifies it.
+/// The specification of a fault in the scenario file.
 #[derive(Clone, Debug)]
 pub struct FaultSpec {
-    /// Name of the fault's section.
+    /// Name of the fault, from the title of its section.
     pub name: String,
-    /// What happens.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Start, microseconds since the start of the run.
+    /// Start of the fault, microseconds since the start of the run.
     pub at: Micros,
-    /// Length, microseconds.
+    /// Duration of the fault, microseconds.
     pub duration: Micros,
-    /// How long a process stays down, microseconds.
+    /// Time for which a process, or a host's connectivity, is down; microseconds.
     pub downtime: Micros,
-    /// See [`FaultKind::default_severity`].
+    /// Severity, whose meaning depends on the kind; see [`FaultKind::default_severity`].
     pub severity: f64,
-    /// What it affects.
+    /// Hosts, dispatchers, purge groups or requests that the fault affects.
     pub target: FaultTarget,
-    /// How much of a site a loss affects.
+    /// Processes that the loss of a site affects.
     pub extent: SiteLossExtent,
-    /// Whether the endpoint list shows a site's loss.
+    /// Whether the endpoint list shows the loss of a site.
     pub announced: bool,
-    /// The directions of a site's partition.
+    /// Directions in which the partition of a site drops traffic.
     pub directions: PartitionDirections,
 }
 
 impl FaultSpec {
-    /// When the fault ends, microseconds since the start of the run.
+    /// Returns the end of the fault, microseconds since the start of the run.
     pub(crate) fn end(&self) -> Micros {
         self.at + self.duration
     }
 
-    /// Whether the fault is active at a time.
+    /// Whether the fault is active at the time `now`.
     pub(crate) fn is_active(&self, now: Micros) -> bool {
         now >= self.at && now < self.end()
     }
 
-    /// When the nth of `count` steps that are spread evenly over the fault begins.
+    /// Returns the start of step `n`, from 0, of `count` steps that are distributed evenly over the fault.
     pub(super) fn step_start(&self, n: usize, count: usize) -> Micros {
         self.at + self.duration * n as Micros / count.max(1) as Micros
     }
--- a/crates/scenario/src/script/generator.rs
+++ b/crates/scenario/src/script/generator.rs
@@ -1,4 +1,4 @@
-//! Generates the steps of a script, fault by fault.
+//! Generates the steps of a script from the faults of a scenario.
 use super::{FaultKind, FaultSpec, FaultTarget, ListedState, Script, ScriptStep};
 use crate::{derive_seed, Scenario};
 use pointspindle::Micros;
@@ -7,15 +7,15 @@
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 
-/// Processes of a mass restart stop and start within this time of each other, microseconds.
+/// Maximum time between the stops, and between the starts, of the processes in a mass restart, microseconds.
 const MASS_RESTART_SPREAD_US: Micros = 400_000;
 
-/// Number of items that a share of `count` comes to; one at least.
+/// Returns the number of items in a share of `count` items, at least 1.
 pub(super) fn share_of(share: f64, count: usize) -> usize {
     (share * count as f64).round().max(1.0) as usize
 }
 
-/// When a process stops and when it is back, microseconds since the start of the run.
+/// The interval from the stop of a process to its restart, microseconds since the start of the run.
 #[derive(Clone, Copy)]
 pub(super) struct Downtime {
     pub(super) from: Micros,
@@ -23,7 +23,7 @@
 }
 
 impl Downtime {
-    /// The same downtime, later.
+    /// Returns the interval shifted by `delay`.
     pub(super) fn delayed_by(self, delay: Micros) -> Self {
         Self {
             from: self.from + delay,
@@ -32,15 +32,16 @@
     }
 }
 
-/// The script under construction.
+/// Builds a script.
 pub(super) struct ScriptGenerator<'a> {
     pub(super) scenario: &'a Scenario,
     /// Hosts that run from the start.
     pub(super) hosts: &'a [HostSpec],
     pub(super) address: &'a mut dyn FnMut(usize) -> String,
     pub(super) steps: Vec<(Micros, ScriptStep)>,
-    pub(super) newcomers: Vec<HostSpec>,
-    /// Hosts that a deploy has replaced.
+    /// Hosts that deploys add in place of replaced ones.
+    pub(super) successors: Vec<HostSpec>,
+    /// Hosts that an earlier deploy has replaced.
     pub(super) replaced: Vec<HostId>,
     pub(super) rng: StdRng,
 }
@@ -56,22 +57,22 @@
             hosts,
             address,
             steps: Vec::new(),
-            newcomers: Vec::new(),
+            successors: Vec::new(),
             replaced: Vec::new(),
             rng: StdRng::seed_from_u64(0),
         }
     }
 
-    /// The script, its steps sorted by time; steps at the same time keep their order.
+    /// Returns the script with its steps sorted by time; steps at the same time keep their order.
     pub(super) fn finish(mut self) -> Script {
         self.steps.sort_by_key(|(at, _)| *at);
         Script {
             steps: self.steps,
-            added_hosts: self.newcomers,
+            added_hosts: self.successors,
         }
     }
 
-    /// Switches to the random stream named by `purpose`.
+    /// Switches to the random stream named `purpose`.
     pub(super) fn use_random_stream(&mut self, purpose: &str) {
         self.rng = StdRng::seed_from_u64(derive_seed(self.scenario.seed, purpose));
     }
@@ -88,7 +89,8 @@
         self.push(at, ScriptStep::EndpointUpdate { host, state });
     }
 
-    /// Adds the steps of a fault. Each fault has its own random stream: one more leaves the others as they were.
+    /// Adds the steps of a fault. Each fault has its own random stream, so that adding a fault does not change the
+    /// steps of the others.
     pub(super) fn add_fault(&mut self, fault: &FaultSpec) {
         self.use_random_stream(&format!("trouble {}", fault.name));
         let hosts = if fault.kind.targets_hosts() {
@@ -121,7 +123,7 @@
             | FaultKind::PauseDispatchers
             | FaultKind::StopDispatchers => self.interrupt_dispatchers(fault),
             FaultKind::DelayEndpointUpdates => self.delay_endpoint_updates(fault),
-            // These act in the traffic.
+            // These faults are implemented by the generation of traffic.
             FaultKind::HotObject
             | FaultKind::OversizedObjects
             | FaultKind::OneOffObjects
@@ -129,9 +131,10 @@
         }
     }
 
-    /// Hosts that a fault may target: they run from the start, fit, and were not replaced by an earlier deploy.
+    /// Returns the hosts that a fault may target: those that run from the start, have the target's role and zone, and
+    /// were not replaced by an earlier deploy.
     fn eligible_hosts(&self, target: &FaultTarget) -> Vec<HostId> {
-        let fits = |id: HostId, host: &HostSpec| {
+        let is_eligible = |id: HostId, host: &HostSpec| {
             host.role == target.role
                 && target.zone.is_none_or(|zone| zone == host.zone)
                 && !self.replaced.contains(&id)
@@ -139,12 +142,12 @@
         self.hosts
             .iter()
             .enumerate()
-            .filter(|(id, host)| fits(*id, host))
+            .filter(|(id, host)| is_eligible(*id, host))
             .map(|(id, _)| id)
             .collect()
     }
 
-    /// Draws the hosts that a fault targets, in the order of their ids.
+    /// Draws the hosts that a fault targets; returns them in the order of their ids.
     fn target_hosts(&mut self, target: &FaultTarget) -> Vec<HostId> {
         let mut hosts = self.eligible_hosts(target);
         if let Some(index) = target.index {
@@ -156,12 +159,13 @@
         hosts
     }
 
-    /// A random delay of one process in a mass restart, microseconds.
+    /// Draws the delay of a process in a mass restart, microseconds.
     pub(super) fn mass_restart_jitter(&mut self) -> Micros {
         self.rng.gen_range(0..MASS_RESTART_SPREAD_US)
     }
 
-    /// A host's process ends, and another one starts at the same address with an empty store.
+    /// Adds the steps of a restart: the process of a host crashes, and a new process starts at the same address with an
+    /// empty store.
     pub(super) fn restart(&mut self, host: HostId, downtime: Downtime) {
         self.push_fault(downtime.from, host, Fault::Crash);
         self.push_endpoint_update(downtime.from, host, ListedState::Removed);
@@ -169,7 +173,7 @@
         self.push_endpoint_update(downtime.until, host, ListedState::Ready);
     }
 
-    /// Like [`Self::restart`], but the endpoint list does not show it.
+    /// Like [`Self::restart`], but the endpoint list does not show the restart.
     pub(super) fn restart_unannounced(&mut self, host: HostId, downtime: Downtime) {
         self.push_fault(downtime.from, host, Fault::Crash);
         self.push_fault(downtime.until, host, Fault::Restart);
--- a/crates/scenario/src/script/host_faults.rs
+++ b/crates/scenario/src/script/host_faults.rs
@@ -1,14 +1,14 @@
-//! Faults of single hosts.
+//! Faults of individual hosts.
 use super::generator::{Downtime, ScriptGenerator};
 use super::{FaultKind, FaultSpec, ListedState, ScriptStep};
 use pointspindle::Micros;
 use pointspindle_cache_model::{Fault, HostId, HostSpec};
 use rand::Rng;
 
-/// Steps in which an ageing host slows down.
+/// Number of steps in which an ageing host slows down.
 const AGEING_STEPS: u64 = 4;
 
-/// The fault of the cache model behind a kind that impairs hosts until its end.
+/// Returns the cache model's fault for a kind that impairs hosts until the end of the fault, or `None` for other kinds.
 fn impairment(fault: &FaultSpec) -> Option<Fault> {
     let until = fault.end();
     let share = fault.severity;
@@ -27,7 +27,7 @@
 }
 
 impl ScriptGenerator<'_> {
-    /// The hosts run on, impaired until the end of the fault.
+    /// Impairs running hosts until the end of the fault.
     pub(super) fn impair_hosts(&mut self, fault: &FaultSpec, hosts: Vec<HostId>) {
         let Some(impairment) = impairment(fault) else {
             return;
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Each host is unreachable several times. The interruptions lie in equal intervals, one in each, so that those
-    /// of a host never overlap.
+    /// Makes each host unreachable several times. The duration of the fault is divided into equal intervals with one
+    /// interruption in each, so that the interruptions of a host do not overlap.
     pub(super) fn interrupt_connections(&mut self, fault: &FaultSpec, hosts: Vec<HostId>) {
         let interruptions = (fault.severity.round() as Micros).max(1);
         let interval = fault.duration / interruptions;
@@ -81,7 +81,8 @@
         }
     }
 
-    /// The hosts slow down in steps up to the severity, crash, and restart after the downtime.
+    /// Slows down hosts in steps up to the severity. At the end of the fault they crash; they restart after the
+    /// downtime.
     pub(super) fn ageing(&mut self, fault: &FaultSpec, hosts: Vec<HostId>) {
         let until = fault.end();
         for host in hosts {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Replaces the hosts one after another. Each is drained for as many seconds as the severity says; when its
+    /// Replaces hosts one after another. Each host is drained for a time in seconds given by the severity. When its
     /// process ends, its successor starts at another address with an empty store.
     pub(super) fn deploy(&mut self, fault: &FaultSpec, hosts: Vec<HostId>) {
         let drain_time = (fault.severity * 1e6) as Micros;
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Adds a host like another one, at a new address.
+    /// Adds a host with the settings of `host` and a new address.
     fn add_successor(&mut self, host: HostId) -> HostId {
-        let successor = self.hosts.len() + self.newcomers.len();
+        let successor = self.hosts.len() + self.successors.len();
         let spec = HostSpec {
             address: (self.address)(successor),
             ..self.hosts[host].clone()
         };
-        self.newcomers.push(spec);
+        self.successors.push(spec);
         successor
     }
 }
--- a/crates/scenario/src/script/mod.rs
+++ b/crates/scenario/src/script/mod.rs
@@ -1,5 +1,5 @@
-//! The faults of a scenario as steps in time: what happens to which host or dispatcher, and how the endpoint list
-//! changes.
+//! The script of a run: the faults of a scenario as a sequence of steps. Each step changes a host, a dispatcher, the
+//! network or the endpoint list at a given time.
 mod dispatcher_faults;
 mod fault;
 mod generator;
@@ -17,17 +17,18 @@
 use pointspindle::Micros;
 use pointspindle_cache_model::HostSpec;
 
-/// All steps of a run.
+/// All steps of a run, and the hosts that they add.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Steps in the order of their times, microseconds since the start of the run.
+    /// The steps with their times, microseconds since the start of the run; sorted by time.
     pub steps: Vec<(Micros, ScriptStep)>,
-    /// Hosts that start later, in the order of their host ids.
+    /// Hosts that do not run from the start, in the order of their host ids.
     pub added_hosts: Vec<HostSpec>,
 }
 
 impl Script {
-    /// Generates the steps of a scenario's faults for these hosts. `address` names a newcomer by its host id.
+    /// Generates the script of a scenario. `hosts` are the hosts that run from the start; `address` returns the address
+    /// of an added host, given its host id.
     pub fn generate(
         scenario: &Scenario,
         hosts: &[HostSpec],
@@ -37,7 +38,7 @@
         for fault in &scenario.faults {
             generator.add_fault(fault);
         }
-        generator.add_steady_purges();
+        generator.add_background_purges();
         generator.finish()
     }
 }
--- a/crates/scenario/src/script/purges.rs
+++ b/crates/scenario/src/script/purges.rs
@@ -1,4 +1,4 @@
-//! Purges of groups, and the steady purges of single objects.
+//! Purges of groups, and background purges of single objects.
 use super::generator::{share_of, ScriptGenerator};
 use super::{FaultSpec, ScriptStep};
 use crate::traffic::{group_number, group_path};
@@ -8,7 +8,7 @@
 use rand::Rng;
 
 impl ScriptGenerator<'_> {
-    /// Purges a share of the groups at once.
+    /// Purges a share of the groups at the same time.
     pub(super) fn purge(&mut self, fault: &FaultSpec) {
         let mut groups: Vec<u64> = (0..self.scenario.workload.groups).collect();
         groups.shuffle(&mut self.rng);
@@ -19,7 +19,7 @@
     }
 
     /// Purges single objects of cacheable classes at exponentially distributed intervals.
-    pub(super) fn add_steady_purges(&mut self) {
+    pub(super) fn add_background_purges(&mut self) {
         let workload = &self.scenario.workload;
         if workload.purges_per_s <= 0.0 {
             return;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The purge groups of one number, one for each cacheable class.
+/// Returns the ids of the purge groups with the number `group`, one for each cacheable class.
 pub fn purge_groups(scenario: &Scenario, group: u64) -> Vec<u64> {
     scenario
         .workload
--- a/crates/scenario/src/script/site_faults.rs
+++ b/crates/scenario/src/script/site_faults.rs
@@ -4,14 +4,14 @@
 use pointspindle_cache_model::{HostId, HostSpec, Role};
 
 impl ScriptGenerator<'_> {
-    /// Hosts that fit and were not replaced by an earlier deploy.
-    fn hosts_where(&self, fits: impl Fn(&HostSpec) -> bool) -> Vec<HostId> {
+    /// Returns the hosts that match `predicate` and were not replaced by an earlier deploy.
+    fn hosts_where(&self, predicate: impl Fn(&HostSpec) -> bool) -> Vec<HostId> {
         (0..self.hosts.len())
-            .filter(|id| fits(&self.hosts[*id]) && !self.replaced.contains(id))
+            .filter(|id| predicate(&self.hosts[*id]) && !self.replaced.contains(id))
             .collect()
     }
 
-    /// The parents of a hub, or the cache hosts of its branches, restart within a fraction of a second.
+    /// Restarts the parents of a hub, or the cache hosts of its branches, within a fraction of a second of each other.
     pub(super) fn hub_restart(&mut self, fault: &FaultSpec) {
         let branches = self.scenario.fleet.branches;
         let hub = fault
@@ -33,7 +33,7 @@
         }
     }
 
-    /// All hosts of a zone but the origin are down until the end of the fault.
+    /// Stops all hosts of a zone, except the origin, until the end of the fault.
     pub(super) fn zone_loss(&mut self, fault: &FaultSpec) {
         let zone = fault.target.zone.unwrap_or(0);
         let downtime = Downtime {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Processes of a site stop within a fraction of a second, and start again in the same order.
+    /// Crashes the processes of a site within a fraction of a second, and restarts them in the same order.
     pub(super) fn site_loss(&mut self, fault: &FaultSpec) {
         let zone = fault.target.zone.unwrap_or(0);
         let includes_hub =
@@ -67,11 +67,11 @@
             }
         }
         if fault.extent == SiteLossExtent::Dispatchers {
-            self.lose_dispatchers(zone, downtime);
+            self.kill_dispatchers(zone, downtime);
         }
     }
 
-    fn lose_dispatchers(&mut self, zone: usize, downtime: Downtime) {
+    fn kill_dispatchers(&mut self, zone: usize, downtime: Downtime) {
         for dispatcher in self.scenario.dispatchers_of(zone) {
             let jitter = self.mass_restart_jitter();
             let Downtime { from, until } = downtime.delayed_by(jitter);
--- a/crates/scenario/src/script/step.rs
+++ b/crates/scenario/src/script/step.rs
@@ -1,60 +1,61 @@
-//! Steps of a script.
+//! The steps of a script.
 use super::PartitionDirections;
 use pointspindle::Micros;
 use pointspindle_cache_model::{Fault, HostId};
 
-/// A host's state on the endpoint list.
+/// State of a host on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
-    /// It receives attempts.
+    /// The host receives attempts.
     Ready,
-    /// It finishes its attempts and receives no new ones.
+    /// The host finishes its attempts and receives no new ones.
     Draining,
-    /// It is no longer listed.
+    /// The host is no longer listed.
     Removed,
 }
 
-/// One step of a script.
+/// A step of a script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScriptStep {
     /// A fault begins at a host.
     Fault {
         /// The host.
         host: HostId,
-        /// What happens to it.
+        /// The fault.
         fault: Fault,
     },
     /// The endpoint list changes at its source; dispatchers are notified later.
     EndpointUpdate {
         /// The host.
         host: HostId,
-        /// Its new state.
+        /// New state of the host.
         state: ListedState,
     },
-    /// A running host becomes unreachable (its connections break and new ones are refused) or reachable.
+    /// A running host becomes unreachable or reachable. When it becomes unreachable, its connections break and new ones
+    /// are refused.
     Reachability {
         /// The host.
         host: HostId,
-        /// Whether connections are possible.
+        /// Whether the host is reachable from now on.
         reachable: bool,
     },
-    /// Packets between a host and all dispatchers are dropped, or pass again.
+    /// A partition between a host and all dispatchers begins or ends.
     Partition {
         /// The host.
         host: HostId,
-        /// Whether packets are dropped.
+        /// Whether packets are dropped from now on.
         partitioned: bool,
     },
-    /// Purges the groups of this number, in all classes.
+    /// The groups with the same number in all classes are purged.
     PurgeGroup {
-        /// The groups' number within their classes.
+        /// Number of the groups within their classes.
         group: u64,
     },
-    /// Purges one object.
+    /// An object is purged.
     PurgeObject {
-        /// The object's path.
+        /// Path of the object.
         object: String,
-        /// Its purge group.
+        /// Purge group of the object.
         group: u64,
     },
     /// A dispatcher is killed.
@@ -67,32 +68,32 @@
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// A dispatcher's process is paused or resumed.
+    /// The process of a dispatcher is paused or resumed.
     PauseDispatcher {
         /// The dispatcher.
         dispatcher: usize,
-        /// Whether it is paused.
+        /// Whether the process is paused from now on.
         paused: bool,
     },
-    /// A dispatcher begins a graceful shutdown: it still answers what it has accepted.
+    /// A dispatcher begins a graceful shutdown: it completes the requests that it has accepted.
     StopDispatcher {
         /// The dispatcher.
         dispatcher: usize,
     },
-    /// Packets between a zone and the others are dropped, or pass again.
+    /// A partition between a zone and the others begins or ends.
     ZonePartition {
         /// The zone.
         zone: usize,
-        /// The directions that are dropped; `None` ends the partition.
+        /// Directions in which packets are dropped; `None` ends the partition.
         directions: Option<PartitionDirections>,
-        /// When the partition ends, microseconds.
+        /// End of the partition, microseconds since the start of the run.
         until: Micros,
     },
     /// Notifications of endpoint list updates are delayed.
     EndpointUpdateDelay {
-        /// Delay on top of the usual one, microseconds.
+        /// Delay in addition to the usual one, microseconds.
         extra: Micros,
-        /// When that ends, microseconds.
+        /// End of the additional delay, microseconds since the start of the run.
         until: Micros,
     },
     /// A line for the report.
--- a/crates/scenario/src/traffic/call_generator.rs
+++ b/crates/scenario/src/traffic/call_generator.rs
@@ -1,7 +1,7 @@
-//! Generates planned calls one after another.
+//! Generates planned calls in the order of their arrival.
 use super::part_sequence::{PartSequences, RequestedPart};
 use super::rate_schedule::RateSchedule;
-use super::special_objects::special_object;
+use super::special_objects::fault_file;
 use super::{group_number, group_path, PlannedCall};
 use crate::{derive_seed, size_of, Idempotency, RequestClass, Scenario};
 use pointspindle::{Micros, ObjectId};
@@ -9,20 +9,20 @@
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, Exp, Zipf};
 
-/// Iterates over a scenario's calls. The order in which a call draws its random numbers is part of the behaviour: it
-/// decides what a seed means.
+/// Iterates over the calls of a scenario. The order in which random numbers are drawn for a call must not change:
+/// otherwise a seed would stand for different traffic.
 pub(super) struct CallGenerator<'a> {
     scenario: &'a Scenario,
     rng: StdRng,
     intervals: Exp<f64>,
-    /// Popularity of the objects of each class.
+    /// Distribution of the popularity of objects, by class.
     popularity: Vec<Zipf<f64>>,
     total_share: f64,
-    /// Arrival time of the latest call at a steady rate, microseconds.
-    steady_time: f64,
+    /// Arrival time that the latest call would have at a constant rate, microseconds.
+    constant_rate_time: f64,
     schedule: RateSchedule<'a>,
     sequences: PartSequences,
-    /// Calls generated so far; names objects that are requested once only.
+    /// Number of calls generated so far. It makes the names of objects that are requested only once unique.
     count: u64,
 }
 
@@ -39,14 +39,14 @@
             intervals: Exp::new(workload.calls_per_s / 1e6).expect("the rate is above 0"),
             popularity: workload.classes.iter().map(popularity).collect(),
             total_share: workload.classes.iter().map(|class| class.share).sum(),
-            steady_time: 0.0,
+            constant_rate_time: 0.0,
             schedule: RateSchedule::new(scenario),
             sequences: PartSequences::default(),
             count: 0,
         }
     }
 
-    /// Draws a class by the classes' shares.
+    /// Draws a class with a probability proportional to its share.
     fn draw_class(&mut self) -> usize {
         let classes = &self.scenario.workload.classes;
         let mut position = self.rng.gen::<f64>() * self.total_share;
@@ -59,18 +59,18 @@
         classes.len() - 1
     }
 
-    /// Draws an object's part.
+    /// Draws an object and its part, or returns the next part of a sequence in progress.
     fn draw_part(&mut self, now: Micros, branch: usize, class_index: usize) -> RequestedPart {
         let class = &self.scenario.workload.classes[class_index];
         let catalogue = &class.catalogue;
         let rank = self.popularity[class_index].sample(&mut self.rng) as u64;
         let once = self.rng.gen::<f64>() < catalogue.once_share;
         let local = self.rng.gen::<f64>() < catalogue.local_share;
-        let special = self.rng.gen::<f64>();
+        let fault_position = self.rng.gen::<f64>();
         let part = self.rng.gen_range(0..catalogue.parts);
         self.count += 1;
-        let special = special_object(self.scenario, now, class_index, special, self.count);
-        let file = match special {
+        let replacement = fault_file(self.scenario, now, class_index, fault_position, self.count);
+        let file = match replacement {
             Some(file) => file,
             None if once => format!("once{}", self.count),
             None if local => format!("b{branch}-o{rank}"),
@@ -93,8 +93,8 @@
     type Item = PlannedCall;
 
     fn next(&mut self) -> Option<PlannedCall> {
-        self.steady_time += self.intervals.sample(&mut self.rng);
-        let now = self.schedule.time_of(self.steady_time) as Micros;
+        self.constant_rate_time += self.intervals.sample(&mut self.rng);
+        let now = self.schedule.time_of(self.constant_rate_time) as Micros;
         if now >= self.scenario.duration() {
             return None;
         }
@@ -124,7 +124,7 @@
     }
 }
 
-/// How the client of a call behaves.
+/// Behaviour of the client of a call.
 struct ClientBehaviour {
     uses_http: bool,
     cancel_after: Option<Micros>,
@@ -133,7 +133,8 @@
 }
 
 impl ClientBehaviour {
-    /// Draws a behaviour. Only idempotent calls are cancelled or use HTTP; the others draw the same numbers.
+    /// Draws the behaviour for a call. Only idempotent calls are cancelled or use HTTP. The same random numbers are
+    /// drawn for the others, so that the class does not affect later draws.
     fn draw(scenario: &Scenario, class: &RequestClass, rng: &mut StdRng) -> Self {
         let settings = &scenario.clients;
         let idempotent = class.idempotency == Idempotency::Idempotent;
--- a/crates/scenario/src/traffic/mod.rs
+++ b/crates/scenario/src/traffic/mod.rs
@@ -1,4 +1,5 @@
-//! Planned calls: what clients request and when, derived from the scenario's seed and independent of the responses.
+//! Planned calls: which objects clients request and when. They are derived from the scenario's seed and do not depend
+//! on responses.
 mod call_generator;
 mod part_sequence;
 mod rate_schedule;
@@ -8,48 +9,48 @@
 use call_generator::CallGenerator;
 use pointspindle::{Micros, ObjectId};
 
-/// A call of a client, which retries it if it is rejected or fails.
+/// A call that a client makes, and retries if it is rejected or fails.
 #[derive(Clone, Debug)]
 pub struct PlannedCall {
     /// Time of the first attempt, microseconds since the start of the run.
     pub at: Micros,
-    /// The client's branch.
+    /// Branch of the client.
     pub branch: usize,
-    /// Index of the request class.
+    /// Index of the call's request class.
     pub class: usize,
-    /// The object's path.
+    /// Path of the requested object.
     pub object: String,
-    /// The object's id.
+    /// Id of the object.
     pub object_number: u64,
-    /// The object's purge group.
+    /// Purge group of the object.
     pub group: u64,
-    /// The requested part of the object.
+    /// Number of the requested part of the object, from 0.
     pub part: u64,
     /// Size of the part, bytes.
     pub size: u64,
-    /// Over HTTP instead of the framed protocol.
+    /// Whether the call uses HTTP instead of the framed protocol.
     pub uses_http: bool,
-    /// The client cancels after this long, microseconds.
+    /// Time after which the client cancels the call, microseconds; `None` if it does not cancel.
     pub cancel_after: Option<Micros>,
-    /// The client honours Retry-After.
+    /// Whether the client honours the Retry-After header.
     pub honours_retry_after: bool,
-    /// Spreads the backoff of its retries; 0 to 1.
+    /// Random number from 0 to 1 that varies the backoff of retries.
     pub jitter: f64,
 }
 
 /// All planned calls of a run.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Calls in the order of their times.
+    /// The calls in the order of their times.
     pub calls: Vec<PlannedCall>,
 }
 
-/// Path prefix of a group of a class's objects.
+/// Returns the path prefix of the objects in a group of a class.
 pub fn group_path(class: &str, group: u64) -> String {
     format!("/{class}/g{group}")
 }
 
-/// Purge group of a group of a class's objects.
+/// Returns the id of the purge group for a group of a class.
 pub fn group_number(class: &str, group: u64) -> u64 {
     ObjectId::named(&group_path(class, group)).0
 }
--- a/crates/scenario/src/traffic/part_sequence.rs
+++ b/crates/scenario/src/traffic/part_sequence.rs
@@ -1,9 +1,9 @@
-//! Parts of an object that are requested one after another, as by the player of a video.
+//! Sequences of parts: the parts of an object are requested one after another, as a video player does.
 use crate::ObjectCatalogue;
 use pointspindle::Micros;
 use std::collections::{HashMap, VecDeque};
 
-/// A part of an object, by the object's file name and its group within the class.
+/// A part of an object. The object is identified by its file name and its group within the class.
 #[derive(Clone)]
 pub(super) struct RequestedPart {
     pub(super) file: String,
@@ -23,7 +23,8 @@
 }
 
 impl PartSequences {
-    /// The next part of the sequence that has been due longest; if none is due, the first part of the drawn object.
+    /// Returns the part that has been due longest. If no part is due, begins a sequence with the first part of the
+    /// drawn object.
     pub(super) fn next(
         &mut self,
         now: Micros,
--- a/crates/scenario/src/traffic/rate_schedule.rs
+++ b/crates/scenario/src/traffic/rate_schedule.rs
@@ -1,22 +1,22 @@
-//! Request rates that vary: waves and bursts.
+//! Variation of the request rate by waves and bursts.
 use crate::script::FaultKind;
 use crate::Scenario;
 use pointspindle::Micros;
 
-/// Least factor of the rate: at 0 no further call would come.
+/// Minimum factor of the rate. At a factor of 0, time would not advance to the next call.
 const MIN_RATE_FACTOR: f64 = 1e-3;
 
-/// Longest step of the integration, microseconds.
+/// Maximum step of the integration, microseconds.
 const MAX_STEP_US: f64 = 1_000.0;
 
-/// Maps arrival times at a steady rate to those at the scenario's varying rate. The random numbers stay those of the
-/// steady rate.
+/// Maps arrival times at a constant rate to arrival times at the scenario's varying rate. The random numbers drawn are
+/// the same as at a constant rate.
 pub(super) struct RateSchedule<'a> {
     scenario: &'a Scenario,
-    /// Time reached at the varying rate, microseconds.
+    /// Time reached on the scale of the varying rate, microseconds.
     time: f64,
-    /// The same at the steady rate, microseconds.
-    steady_time: f64,
+    /// Time reached on the scale of the constant rate, microseconds.
+    constant_rate_time: f64,
 }
 
 impl<'a> RateSchedule<'a> {
@@ -24,11 +24,11 @@
         Self {
             scenario,
             time: 0.0,
-            steady_time: 0.0,
+            constant_rate_time: 0.0,
         }
     }
 
-    /// The rate at a time as a multiple of the steady rate.
+    /// Returns the rate at a time, as a multiple of the constant rate.
     fn rate_factor(&self, time: f64) -> f64 {
         let workload = &self.scenario.workload;
         let phase = time / workload.wave_period as f64 * std::f64::consts::TAU;
@@ -42,22 +42,25 @@
         ((1.0 + workload.wave_depth * phase.sin()) * burst_factor).max(MIN_RATE_FACTOR)
     }
 
-    fn is_steady(&self) -> bool {
+    fn is_constant(&self) -> bool {
         let faults = &self.scenario.faults;
         self.scenario.workload.wave_depth == 0.0
             && faults.iter().all(|fault| fault.kind != FaultKind::Burst)
     }
 
-    /// The time at the varying rate for a time at the steady rate, which must not decrease; microseconds.
-    pub(super) fn time_of(&mut self, steady_time: f64) -> f64 {
-        if self.is_steady() {
-            return steady_time;
+    /// Returns the time at the varying rate that corresponds to a time at the constant rate, microseconds.
+    /// `constant_rate_time` must not decrease from call to call.
+    pub(super) fn time_of(&mut self, constant_rate_time: f64) -> f64 {
+        if self.is_constant() {
+            return constant_rate_time;
         }
-        while self.steady_time < steady_time && self.time < self.scenario.duration() as f64 {
+        while self.constant_rate_time < constant_rate_time
+            && self.time < self.scenario.duration() as f64
+        {
             let factor = self.rate_factor(self.time);
-            let step = ((steady_time - self.steady_time) / factor).min(MAX_STEP_US);
+            let step = ((constant_rate_time - self.constant_rate_time) / factor).min(MAX_STEP_US);
             self.time += step;
-            self.steady_time += step * factor;
+            self.constant_rate_time += step * factor;
         }
         self.time
     }
--- a/crates/scenario/src/traffic/special_objects.rs
+++ b/crates/scenario/src/traffic/special_objects.rs
@@ -1,11 +1,12 @@
-//! Faults that lie in the traffic: hot, oversized and one-off objects.
+//! Faults that change the requested objects: hot, oversized and one-off objects.
 use crate::script::{FaultKind, FaultSpec};
 use crate::{Idempotency, Scenario};
 use pointspindle::Micros;
 
-/// The file that an active fault has a call request, if so. The target's share of each fault is that of the calls it
-/// affects; `position`, drawn between 0 and 1, selects the fault. `call_number` makes file names unique.
-pub(super) fn special_object(
+/// Returns the file that a call requests because of an active fault, or `None` if no fault affects the call. The share
+/// of a fault's target is the share of calls that it affects; `position`, drawn from 0 to 1, selects the fault.
+/// `call_number` makes file names unique.
+pub(super) fn fault_file(
     scenario: &Scenario,
     now: Micros,
     class: usize,
@@ -14,7 +15,7 @@
 ) -> Option<String> {
     let mut position = position;
     for fault in scenario.faults.iter().filter(|fault| fault.is_active(now)) {
-        let Some(file) = file_of(scenario, fault, class, call_number) else {
+        let Some(file) = file_for_class(scenario, fault, class, call_number) else {
             continue;
         };
         if position < fault.target.share {
@@ -25,9 +26,10 @@
     None
 }
 
-/// The file that a fault has calls of a class request. Hot and oversized objects are of the first class; an
-/// oversized object's name states the multiple of its size.
-fn file_of(
+/// Returns the file that calls of a class request because of a fault, or `None` if the fault does not affect the class.
+/// Hot and oversized objects belong to the first class. The name of an oversized object states the multiple of its
+/// size.
+fn file_for_class(
     scenario: &Scenario,
     fault: &FaultSpec,
     class: usize,
--- a/crates/scenario/tests/import.rs
+++ b/crates/scenario/tests/import.rs
@@ -1,11 +1,11 @@
-//! Import of scenarios of the bench: the scenario parses and states the same.
+//! Import of scenarios of the bench: the imported scenario is valid and has the same content.
 #![recursion_limit = "512"]
 use pointspindle_scenario::import::{import, Size};
 use pointspindle_scenario::script::{FaultKind, ListedState};
 use pointspindle_scenario::{parse, Script, ScriptStep, Traffic};
 use serde_json::json;
 
-/// A scenario of the bench with two classes, two hubs and three branches, as JSON.
+/// Returns a bench scenario with two classes, two hubs and three branches, as JSON.
 fn bench_scenario(faults: serde_json::Value) -> String {
     let server = |zone: usize, kind: usize, weight: f64| json!({"zone": zone, "kind": kind, "weight": weight, "up": true});
     let mut servers: Vec<_> = (0..12).map(|n| server(2 + n / 4, 0, 5.0)).collect();
@@ -38,7 +38,7 @@
     .to_string()
 }
 
-/// Bench faults that have a counterpart, in the order of the scenario.
+/// Kinds of bench faults that can be converted, with the resulting kinds.
 const CONVERTED: [(&str, FaultKind); 15] = [
     ("crash", FaultKind::Crash),
     ("mass_restart", FaultKind::Crash),
@@ -57,7 +57,7 @@
     ("balancer_roll", FaultKind::KillDispatchers),
 ];
 
-/// A bench fault; kinds that act in waves have two of three servers each.
+/// Returns a bench fault. Kinds that act in waves have two waves of three servers each.
 fn bench_fault(kind: &str) -> serde_json::Value {
     let waves = match kind {
         "deploy" | "preempt" | "balancer_roll" => json!([
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn import_of_each_bench_fault_converts_it_or_names_it() {
+fn import_converts_or_reports_each_bench_fault() {
     let mut faults: Vec<_> = CONVERTED
         .iter()
         .map(|(kind, _)| bench_fault(kind))
@@ -78,8 +78,8 @@
     faults.push(bench_fault("report_late"));
     faults.push(bench_fault("earthquake"));
     for size in [Size::Loopback, Size::Full] {
-        let (text, not_carried_over) = import(&bench_scenario(json!(faults)), size).unwrap();
-        assert_eq!(not_carried_over.len(), 2, "{not_carried_over:?}");
+        let (text, unsupported_faults) = import(&bench_scenario(json!(faults)), size).unwrap();
+        assert_eq!(unsupported_faults.len(), 2, "{unsupported_faults:?}");
         let scenario =
             parse("imported.ini", &text, None).unwrap_or_else(|error| panic!("{error}\n{text}"));
         let kinds: Vec<FaultKind> = scenario.faults.iter().map(|fault| fault.kind).collect();
@@ -101,7 +101,7 @@
     }
 }
 
-/// The load of the cache hosts' links is the bench's, whatever the size.
+/// The load of the cache hosts' links must be that of the bench's scenario (0.5) at either size.
 #[test]
 fn imported_scenario_at_each_size_keeps_link_load() {
     for size in [Size::Loopback, Size::Full] {
@@ -116,10 +116,10 @@
         assert!((0.42..0.58).contains(&load), "{size:?}: {load}");
     }
     let error = import("{\"site\": 3}", Size::Full).unwrap_err().to_string();
-    assert!(error.contains("not a day"), "{error}");
+    assert!(error.contains("not a valid bench scenario"), "{error}");
 }
 
-/// A host is drained before its process ends, and its successor starts under another address.
+/// A host must be drained for the configured time before its successor is ready.
 #[test]
 fn imported_deploy_drains_hosts_before_successors_are_ready() {
     let deploy = json!([{"kind": "deploy", "at": 5e6, "len": 8e6, "extra": 2.0, "steps": [{"at": 5e6, "stop": [0, 1], "start": [20, 21]}]}]);
--- a/crates/scenario/tests/read.rs
+++ b/crates/scenario/tests/read.rs
@@ -1,4 +1,4 @@
-//! Reading of scenario files: ranges, overrides and errors.
+//! Reading of scenario files: ranges, setting overrides and errors.
 use pointspindle_scenario::{parse, parse_with, Scenario, SettingOverride};
 
 const MINIMAL: &str = "[day]\nabout = a test\nseconds = 10\nrate = 20..40\n[class page]\n";
--- a/crates/scenario/tests/script.rs
+++ b/crates/scenario/tests/script.rs
@@ -1,4 +1,4 @@
-//! Script steps that faults generate.
+//! Generation of script steps from faults.
 use pointspindle_cache_model::Fault;
 use pointspindle_scenario::{parse, FaultKind, ListedState, Scenario, Script, ScriptStep};
 
@@ -15,11 +15,11 @@
     Script::generate(scenario, &scenario.hosts(address), address)
 }
 
-/// Times of the steps that fit.
-fn times(script: &Script, fits: impl Fn(&ScriptStep) -> bool) -> Vec<u64> {
+/// Returns the times of the steps that match `predicate`.
+fn times(script: &Script, predicate: impl Fn(&ScriptStep) -> bool) -> Vec<u64> {
     let steps = script.steps.iter();
     steps
-        .filter(|(_, step)| fits(step))
+        .filter(|(_, step)| predicate(step))
         .map(|(at, _)| *at)
         .collect()
 }
@@ -62,13 +62,13 @@
     let fault = "kind = site_loss\nzone = branch-1\ntakes = dispatchers\nat_s = 5\nfor_s = 4";
     let announced = script(&scenario(fault));
     let unannounced = script(&scenario(&format!("{fault}\ntold = no")));
-    // Three cache hosts and the hub's two parents, each down and up again.
+    // Two updates, removed and ready, for each of three cache hosts and of the hub's two parents.
     assert_eq!(times(&announced, is_endpoint_update).len(), 10);
     assert_eq!(times(&unannounced, is_endpoint_update).len(), 0);
     assert_eq!(
         times(&announced, is_crash),
         times(&unannounced, is_crash),
-        "the processes stop at the same times"
+        "crash times must not depend on whether the loss is announced"
     );
     let killed = times(&unannounced, |step| {
         matches!(step, ScriptStep::KillDispatcher { .. })
--- a/crates/scenario/tests/traffic.rs
+++ b/crates/scenario/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Generated traffic: waves, bursts, and parts requested in sequence.
+//! Generated traffic: waves, bursts and sequences of parts.
 use pointspindle_scenario::{load_with, Scenario, SettingOverride, Traffic};
 use std::collections::HashMap;
 use std::path::Path;
@@ -10,17 +10,17 @@
     load_with(&file, Some(5), &overrides).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// Parts of a lesson video, and their interval in the scenario.
+/// Number of parts of a lesson video in the scenario, and the interval at which they are requested.
 const PARTS: u64 = 4;
 const PART_INTERVAL_US: u64 = 1_500_000;
 
-/// The next part of an object that a client has begun.
+/// A part that must be requested next in a sequence that has begun.
 struct PendingPart {
     part: u64,
     due: u64,
 }
 
-/// Calls in each second.
+/// Returns the number of calls in each second of the run.
 fn calls_by_second(scenario: &Scenario) -> Vec<usize> {
     let mut counts = vec![0; scenario.duration_s as usize + 1];
     for call in Traffic::generate(scenario).calls {
@@ -36,7 +36,7 @@
 #[test]
 fn traffic_with_waves_and_burst_follows_configured_rates() {
     let waves = calls_by_second(&scenario(&["day.seconds=60", "trouble bell.hard=1"]));
-    // Periods of 12 s: the first half of each is above the mean, the second below.
+    // The period is 12 s. The rate is above the mean in the first half of each period and below it in the second.
     let half_periods = |first: bool| -> Vec<usize> {
         (0..60)
             .filter(|second| (second % 12 < 6) == first)
@@ -44,7 +44,7 @@
             .collect()
     };
     let ratio = mean(&half_periods(true)) / mean(&half_periods(false));
-    // The mean of a half period at depth 0.4 is 1 ± 0.4 * 2 / π.
+    // At a depth of 0.4 the mean rate in a half period is 1 ± 0.4 * 2 / π.
     assert!((ratio - 1.255 / 0.745).abs() < 0.2, "{ratio:.2}");
 
     let burst = calls_by_second(&scenario(&["day.wave_depth=0"]));
@@ -52,7 +52,7 @@
     assert!((factor - 3.0).abs() < 0.4, "{factor:.2}");
 }
 
-/// The period of a wave changes nothing while its depth is 0.
+/// A rate with waves of depth 0 must be constant, whatever the period.
 #[test]
 fn traffic_with_zero_wave_depth_ignores_wave_period() {
     let requested_parts = |overrides: &[&str]| {
@@ -93,7 +93,7 @@
             let due = pending
                 .iter()
                 .position(|next| next.part == call.part && next.due <= call.at);
-            pending.swap_remove(due.expect("the part before it was requested long enough ago"));
+            pending.swap_remove(due.expect("the previous part was requested an interval before"));
         }
         if call.part + 1 < PARTS {
             pending.push(PendingPart {
@@ -104,6 +104,6 @@
     }
     assert!(
         first_parts > 100 && later_parts > 2 * first_parts,
-        "{first_parts} first parts, {later_parts} later ones"
+        "{first_parts} first parts, {later_parts} later parts"
     );
 }
