--- a/crates/client/examples/get.rs
+++ b/crates/client/examples/get.rs
@@ -10,10 +10,14 @@
 #[tokio::main]
 async fn main() -> Result<(), Box<dyn Error>> {
     let mut arguments = std::env::args().skip(1);
-    let mut next = |what: &str| arguments.next().ok_or_else(|| format!("missing: {what}"));
-    let dispatcher = next("the dispatcher's address and port")?.parse()?;
-    let object = next("the object's path")?;
-    let class = next("the request class")?;
+    let mut next = |name: &str| {
+        arguments
+            .next()
+            .ok_or_else(|| format!("missing argument: {name}"))
+    };
+    let dispatcher = next("address and port of the dispatcher")?.parse()?;
+    let object = next("path of the object")?;
+    let class = next("request class")?;
 
     let client = Client::builder().framed([dispatcher]).build()?;
     let response = client.fetch(Request::get(object, class, DEADLINE)).await?;
--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -1,4 +1,4 @@
-//! The settings of a client.
+//! Configuration of a client.
 use crate::channel::{Channel, Transport};
 use crate::client::{Client, Shared};
 use crate::connector::{Connector, LastConnectError, TlsSettings};
@@ -14,12 +14,12 @@
 
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Settings of a client.
+/// Builder for a [`Client`].
 #[derive(Clone, Debug)]
 pub struct ClientBuilder {
     transport: Transport,
     dispatchers: Vec<SocketAddr>,
-    rules: RetryPolicy,
+    policy: RetryPolicy,
     connect_timeout: Duration,
     seed: Option<u64>,
     network: Network,
@@ -31,7 +31,7 @@
         Self {
             transport: Transport::Framed,
             dispatchers: Vec::new(),
-            rules: RetryPolicy::default(),
+            policy: RetryPolicy::default(),
             connect_timeout: DEFAULT_CONNECT_TIMEOUT,
             seed: None,
             network: Network::Tcp,
@@ -41,7 +41,7 @@
 }
 
 impl ClientBuilder {
-    /// These dispatchers, by the framed protocol.
+    /// Sets the dispatchers, to be called over the framed protocol.
     pub fn framed(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
             transport: Transport::Framed,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// These dispatchers, by HTTP/1.1.
+    /// Sets the dispatchers, to be called over HTTP/1.1.
     pub fn http(self, dispatchers: impl IntoIterator<Item = SocketAddr>) -> Self {
         Self {
             transport: Transport::Http,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// When the client retries.
-    pub fn retry_policy(self, rules: RetryPolicy) -> Self {
-        Self { rules, ..self }
+    /// Sets the retry policy.
+    pub fn retry_policy(self, policy: RetryPolicy) -> Self {
+        Self { policy, ..self }
     }
 
-    /// Longest wait for a connection, TLS handshake included; 250 ms by default.
+    /// Sets the timeout for establishing a connection, including the TLS handshake; 250 ms by default.
     pub fn connect_timeout(self, connect_timeout: Duration) -> Self {
         Self {
             connect_timeout,
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Connects by TLS. `server_name` is the name in the dispatchers' certificates; each one's address by default.
+    /// Connects over TLS. `server_name` is the name expected in the dispatchers' certificates; by default, the address of
+    /// each dispatcher.
     pub fn tls(self, trust: TrustAnchors, server_name: Option<String>) -> Self {
         Self {
             tls: Some(TlsSettings { trust, server_name }),
@@ -80,12 +81,12 @@
         }
     }
 
-    /// Another network than the machine's own, such as a simulated one.
+    /// Sets the network to connect over, such as a simulated one; TCP by default.
     pub fn network(self, network: Network) -> Self {
         Self { network, ..self }
     }
 
-    /// Seed of the jitter; random by default.
+    /// Sets the seed of the backoff jitter; random by default.
     pub fn seed(self, seed: u64) -> Self {
         Self {
             seed: Some(seed),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The client. Connections are made when calls need them.
+    /// Builds the client. Connections are established when calls need them.
     pub fn build(self) -> Result<Client, BuildError> {
         if self.dispatchers.is_empty() {
             return Err(BuildError::NoDispatcher);
@@ -105,7 +106,7 @@
             .map(|address| self.channel(*address, &last_error))
             .collect();
         let seed = self.seed.unwrap_or_else(|| rand::thread_rng().gen());
-        let retries = RetryState::new(self.rules, channels.len(), seed);
+        let retries = RetryState::new(self.policy, channels.len(), seed);
         let shared = Shared::new(self.transport, channels, retries, last_error);
         Ok(Client::new(shared))
     }
--- a/crates/client/src/call.rs
+++ b/crates/client/src/call.rs
@@ -1,4 +1,4 @@
-//! A call under way: drives the state machine of [`call_state`](crate::call_state) over the transports.
+//! A call in progress: drives the state machine of [`call_state`](crate::call_state) over the transports.
 use crate::call_state::{Action, AttemptEnd, CallState, Outcome};
 use crate::channel::Attempt;
 use crate::client::Shared;
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A call under way. Dropped before its end, it is cancelled.
+/// A call in progress. Dropping it before its end cancels it.
 pub struct Call {
     client: Arc<Shared>,
     request: Request,
-    /// The same for all attempts of the call.
+    /// Call id, the same for all attempts of the call.
     id: String,
     state: CallState,
     pending: VecDeque<Action>,
@@ -27,7 +27,7 @@
     attempt: Attempt,
 }
 
-/// What ended a wait.
+/// An event for which [`Call::next_event`] waits.
 enum Event {
     Attempt {
         number: u32,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// How many attempts were made so far.
+    /// Number of attempts made so far.
     pub fn attempts(&self) -> u32 {
         self.state.attempts()
     }
 
-    /// The next piece of the response; none after [`CallEvent::End`]. The body is read only as fast as this is called:
-    /// flow control holds back what is not taken.
+    /// Returns the call's next event, and `None` after [`CallEvent::End`]. Flow control limits the body to the rate at
+    /// which the caller takes it.
     pub async fn next(&mut self) -> Option<CallEvent> {
         if self.ended {
             return None;
@@ -75,8 +75,8 @@
                 }
             }
             let event = self.next_event().await;
-            if let Some(piece) = self.handle(event) {
-                return Some(piece);
+            if let Some(call_event) = self.handle(event) {
+                return Some(call_event);
             }
         }
     }
@@ -103,7 +103,7 @@
         });
     }
 
-    /// Carries an action out; the outcome, if the call has ended.
+    /// Executes an action. Returns the outcome if the call has ended.
     async fn perform(&mut self, action: Action) -> Option<Outcome> {
         match action {
             Action::Start {
@@ -123,15 +123,15 @@
     }
 
     async fn start_attempt(&mut self, number: u32, dispatcher: usize, time_left: Micros) {
-        // Dropped before the next one is sent, so that its cancellation is on its way first.
+        // The previous attempt is dropped first, so that its cancellation is sent before the next attempt.
         self.live = None;
         let channel = &self.client.channels[dispatcher];
         let sent = channel.send(&self.request, &self.id, time_left);
-        // Connecting must not take longer than the call's deadline.
+        // The call's deadline also limits the time for connecting.
         match tokio::time::timeout(Duration::from_micros(time_left), sent).await {
             Ok(Ok(attempt)) => self.live = Some(LiveAttempt { number, attempt }),
             Ok(Err(end)) => self.attempt_ended(number, end),
-            // The deadline passed while it was being sent: some of it may have gone out.
+            // The deadline passed while the attempt was being sent; part of it may have been sent.
             Err(_) => self.report(CallState::wake),
         }
     }
@@ -142,12 +142,12 @@
         });
         tokio::select! {
             biased;
-            event = next_of_attempt(&mut self.live) => event,
+            event = next_attempt_event(&mut self.live) => event,
             () = tokio::time::sleep(wait) => Event::WakeUp,
         }
     }
 
-    /// Handles an event; the piece that is to be handed on, if any.
+    /// Handles an event and returns the [`CallEvent`] to pass to the caller, if any.
     fn handle(&mut self, event: Event) -> Option<CallEvent> {
         match event {
             Event::Attempt {
@@ -160,9 +160,9 @@
                 return accepted.then_some(CallEvent::Head(head));
             }
             Event::Attempt {
-                progress: Ok(piece),
+                progress: Ok(call_event),
                 ..
-            } => return Some(piece),
+            } => return Some(call_event),
             Event::Attempt {
                 number,
                 progress: Err(end),
@@ -176,7 +176,7 @@
     }
 }
 
-async fn next_of_attempt(live: &mut Option<LiveAttempt>) -> Event {
+async fn next_attempt_event(live: &mut Option<LiveAttempt>) -> Event {
     match live {
         Some(live) => Event::Attempt {
             number: live.number,
--- a/crates/client/src/call_state.rs
+++ b/crates/client/src/call_state.rs
@@ -1,13 +1,14 @@
-//! One call, from its first attempt to its one outcome: a state machine without I/O, for both transports.
+//! State machine of one call, from its first attempt to its outcome, without I/O and for both transports.
 //!
-//! The driver reports what happened, with the time, and carries the actions out in order. [`Action::Finish`] comes
-//! exactly once and last. Between events the driver calls [`CallState::wake`] at the time of the last [`Action::WakeAt`].
+//! The driver reports events with their time and executes the resulting actions in order. [`Action::Finish`] is the last
+//! action and occurs exactly once. Between events the driver calls [`CallState::wake`] at the time of the last
+//! [`Action::WakeAt`].
 //!
-//! **At most one live attempt.** An attempt has ended for certain when its dispatcher says so, or rejects it, or when
-//! nothing was sent. When its connection is lost instead, what it began may still run, until the dispatcher notices the
-//! loss and cancels it: at most for the client lease that the dispatcher announced. Until then the next attempt goes to
-//! the same dispatcher only, under the same call id, and that dispatcher ends the old attempt before it begins the new
-//! one. Other dispatchers are tried afterwards.
+//! **At most one live attempt.** An attempt has certainly ended if its dispatcher reports its end or rejects it, or if it
+//! was not sent. If its connection is lost, its work may continue until the dispatcher detects the loss and cancels it,
+//! which takes at most the client lease that the dispatcher announced. Until then the next attempt is made only at the same
+//! dispatcher, with the same call id, and that dispatcher ends the old attempt before it starts the new one. Other
+//! dispatchers are tried after the lease has expired.
 use crate::request::Idempotency;
 use crate::retry::{Micros, RetryState};
 use std::time::Duration;
@@ -15,20 +16,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Leases and windows are counted with this factor: the two machines' clocks may run at different rates, and messages
-/// are delayed on their way.
-const CLOCK_MARGIN: f64 = 1.5;
-/// A retry with less time left than this is not worth its cost, microseconds.
+/// Factor by which leases are extended and key windows shortened, because the clocks of client and dispatcher may run at
+/// different rates and messages are delayed.
+const CLOCK_MARGIN_FACTOR: f64 = 1.5;
+/// Least time left before the deadline with which an attempt is started, in microseconds; a retry with less is not worth
+/// its cost.
 const MIN_TIME_LEFT: Micros = 5_000;
 
-/// How a call ended. There is one for each call, and no other end.
+/// Outcome of a call. Every call has exactly one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Complete; every byte has been handed on.
+    /// The response is complete, and every byte of it was passed to the caller.
     Served,
-    /// Nothing was done that a retry would do twice.
+    /// No work was done that a repeat would do again.
     Rejected {
-        /// When to retry, if a dispatcher said so and there is no time left for it in this call.
+        /// Delay before a retry, if the last dispatcher requested one and it does not fit within this call.
         retry_after: Option<Duration>,
     },
     /// The response is not complete.
@@ -38,14 +40,14 @@
     },
 }
 
-/// How an attempt ended, as its transport saw it.
+/// Result of an attempt, as reported by its transport.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The response is complete.
+    /// The response was received completely.
     Complete,
-    /// The dispatcher rejected it, and nothing ran.
+    /// The dispatcher rejected the attempt, and no work was done.
     Rejected {
-        /// The delay that the dispatcher asks for before a retry.
+        /// Delay before a retry that the dispatcher requests.
         retry_after: Option<Micros>,
     },
     /// The dispatcher reported a failure.
@@ -53,48 +55,48 @@
         /// Whether the work may have been done.
         may_have_run: bool,
     },
-    /// No connection, or no capacity on it: nothing was sent.
+    /// The request was not sent: there was no connection, or it had no capacity.
     NotSent,
-    /// The connection was lost before the end.
+    /// The connection was lost before the response was complete.
     Lost {
-        /// Within this time the dispatcher cancels the attempt, if it announced one.
+        /// Time within which the dispatcher cancels the attempt, if known.
         lease: Option<Micros>,
     },
 }
 
-/// What the driver has to do.
+/// An action for the driver to execute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Begin an attempt. An earlier one has ended, or is to be cancelled first.
+    /// Start an attempt. An earlier attempt has ended, or must be cancelled first.
     Start {
-        /// The attempt's number in its call, from 0.
+        /// Number of the attempt within its call, from 0.
         attempt: u32,
-        /// The dispatcher's index.
+        /// Index of the dispatcher.
         dispatcher: usize,
-        /// What is left of the call's deadline.
+        /// Time left until the call's deadline.
         time_left: Micros,
     },
-    /// Cancel the attempt; nothing of it is reported any more.
+    /// Cancel the attempt, and report no further event of it.
     Cancel {
-        /// The attempt's number.
+        /// Number of the attempt.
         attempt: u32,
     },
-    /// Call [`CallState::wake`] at this time, in place of any time named earlier.
+    /// Call [`CallState::wake`] at this time, which replaces any earlier wake-up time.
     WakeAt(Micros),
     /// The call has ended.
     Finish(Outcome),
 }
 
-/// The attempt under way.
+/// The attempt in progress.
 #[derive(Clone, Copy, Debug)]
 struct LiveAttempt {
     number: u32,
     dispatcher: usize,
-    /// Its response's head has been handed on.
+    /// Whether the head of its response was passed to the caller.
     has_response: bool,
 }
 
-/// An attempt whose connection was lost, and whose end is not known.
+/// An attempt whose connection was lost and that may still be running.
 #[derive(Clone, Copy, Debug)]
 struct LostAttempt {
     dispatcher: usize,
@@ -103,9 +105,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// An attempt is under way.
+    /// An attempt is in progress.
     Attempting,
-    /// None is, until this time.
+    /// No attempt is in progress; the next one starts at this time.
     Waiting(Micros),
     Finished,
 }
@@ -119,16 +121,16 @@
     attempts: u32,
     live: Option<LiveAttempt>,
     lost: Option<LostAttempt>,
-    /// When the first attempt began that may have done work.
+    /// Start of the first attempt that may have done work.
     first_run_at: Option<Micros>,
-    /// When the latest attempt began.
+    /// Start of the latest attempt.
     started_at: Micros,
-    /// The delay that the latest attempt's dispatcher asked for.
+    /// Retry delay that the dispatcher of the latest attempt requested.
     retry_after: Option<Micros>,
 }
 
 impl CallState {
-    /// A call that has not begun; `deadline` on the client's clock.
+    /// Creates a call that has not started. `deadline` is a time on the client's clock.
     pub fn new(idempotency: Idempotency, deadline: Micros) -> Self {
         Self {
             idempotency,
@@ -143,30 +145,30 @@
         }
     }
 
-    /// How many attempts were made so far.
+    /// Number of attempts made so far.
     pub fn attempts(&self) -> u32 {
         self.attempts
     }
 
-    /// Begins the call.
+    /// Starts the call.
     pub fn start(&mut self, now: Micros, retries: &mut RetryState, actions: &mut Vec<Action>) {
         retries.record_call();
         self.next_attempt(now, retries, actions);
     }
 
-    /// The time of [`Action::WakeAt`] has come.
+    /// Reports that the time of [`Action::WakeAt`] was reached.
     pub fn wake(&mut self, now: Micros, retries: &mut RetryState, actions: &mut Vec<Action>) {
         match self.phase {
             Phase::Finished => {}
-            _ if now >= self.deadline => self.deadline_passed(now, retries, actions),
+            _ if now >= self.deadline => self.on_deadline(now, retries, actions),
             Phase::Waiting(until) if now >= until => self.next_attempt(now, retries, actions),
             Phase::Waiting(until) => actions.push(Action::WakeAt(until.min(self.deadline))),
             Phase::Attempting => actions.push(Action::WakeAt(self.deadline)),
         }
     }
 
-    /// The head of an attempt's response has come: from here on the call is this attempt's. True if it is to be handed
-    /// on.
+    /// Reports that the head of an attempt's response was received. From then on no other attempt is started. Returns
+    /// whether the response is to be passed to the caller.
     pub fn response_started(
         &mut self,
         now: Micros,
@@ -176,7 +178,8 @@
         let Some(live) = self.live.as_mut().filter(|l| l.number == attempt) else {
             return false;
         };
-        // In the same instant as the deadline, whichever was reported first counts.
+        // A head received at or after the deadline is not passed on. If the end of the attempt and the deadline coincide,
+        // the one reported first decides the outcome.
         if now >= self.deadline {
             return false;
         }
@@ -185,7 +188,7 @@
         true
     }
 
-    /// An attempt has ended.
+    /// Reports the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
@@ -198,14 +201,14 @@
             return;
         };
         self.live = None;
-        record_at_breaker(now, live, end, retries);
+        update_breaker(now, live, end, retries);
         if end.may_have_run() {
             self.first_run_at.get_or_insert(self.started_at);
         }
         if end == AttemptEnd::Complete {
             return self.finish(Outcome::Served, actions);
         }
-        // Bytes have been handed on: no other attempt's response can take their place.
+        // The caller has received part of this response, which the response of another attempt cannot continue.
         if live.has_response {
             return self.finish(Outcome::Failed { may_have_run: true }, actions);
         }
@@ -217,14 +220,14 @@
         self.retry(now, live.dispatcher, end, retries, actions);
     }
 
-    /// Remembers a lost attempt, and forgets one that must have ended by now.
+    /// Records a lost attempt, or discards an earlier one that must have ended by now.
     fn record_lost(&mut self, now: Micros, dispatcher: usize, end: AttemptEnd) {
         let AttemptEnd::Lost { lease } = end else {
-            return self.forget_ended(now);
+            return self.discard_ended_attempt(now);
         };
-        // Without a lease it may run as long as its client would have waited.
+        // Without a lease the attempt may run until the call's deadline.
         let may_run_until = lease.map_or(self.deadline, |lease| {
-            now + (lease as f64 * CLOCK_MARGIN) as Micros
+            now + (lease as f64 * CLOCK_MARGIN_FACTOR) as Micros
         });
         self.lost = Some(LostAttempt {
             dispatcher,
@@ -232,11 +235,11 @@
         });
     }
 
-    fn forget_ended(&mut self, now: Micros) {
+    fn discard_ended_attempt(&mut self, now: Micros) {
         self.lost = self.lost.filter(|lost| lost.may_run_until > now);
     }
 
-    /// Goes on after an attempt without a response: at another dispatcher at once, or after a backoff, or not at all.
+    /// After an attempt without a response, retries at another dispatcher at once, waits for a backoff, or ends the call.
     fn retry(
         &mut self,
         now: Micros,
@@ -245,24 +248,24 @@
         retries: &mut RetryState,
         actions: &mut Vec<Action>,
     ) {
-        let nothing_sent = end == AttemptEnd::NotSent;
-        if !self.may_repeat(now) || self.attempts >= retries.rules().max_attempts {
+        let not_sent = end == AttemptEnd::NotSent;
+        if !self.may_repeat(now) || self.attempts >= retries.policy().max_attempts {
             return self.give_up(actions);
         }
-        // Where nothing was sent, an attempt elsewhere is no additional load and costs no budget.
-        if nothing_sent && self.lost.is_none() {
+        // An attempt that was not sent caused no load, so trying another dispatcher takes no retry from the budget.
+        if not_sent && self.lost.is_none() {
             if let Some(other) = retries.choose(now, &[dispatcher]) {
                 return self.start_attempt(now, other, actions);
             }
         }
-        if !nothing_sent && !retries.take_retry() {
+        if !not_sent && !retries.take_retry() {
             return self.give_up(actions);
         }
         let mut until = now + retries.backoff(self.attempts, self.retry_after);
-        // A lost attempt's dispatcher that cannot be reached: the others are tried when its attempt must have ended.
+        // The dispatcher of a lost attempt is unreachable: other dispatchers are tried once that attempt must have ended.
         let unreachable = self
             .lost
-            .filter(|lost| nothing_sent && lost.dispatcher == dispatcher);
+            .filter(|lost| not_sent && lost.dispatcher == dispatcher);
         if let Some(lost) = unreachable {
             until = until.max(lost.may_run_until);
         }
@@ -277,7 +280,7 @@
         actions.push(Action::WakeAt(until));
     }
 
-    /// Whether another attempt does no harm.
+    /// Whether another attempt is safe.
     fn may_repeat(&self, now: Micros) -> bool {
         let Some(first_run_at) = self.first_run_at else {
             return true;
@@ -286,7 +289,7 @@
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::WithKey { window } => {
-                let safe_window = (window.as_micros() as f64 / CLOCK_MARGIN) as Micros;
+                let safe_window = (window.as_micros() as f64 / CLOCK_MARGIN_FACTOR) as Micros;
                 now + MIN_TIME_LEFT < first_run_at + safe_window
             }
         }
@@ -296,10 +299,10 @@
         if !self.may_repeat(now) {
             return self.give_up(actions);
         }
-        self.forget_ended(now);
+        self.discard_ended_attempt(now);
         let chosen = match self.lost {
             Some(lost) => retries
-                .choose_same(now, lost.dispatcher)
+                .try_admit(now, lost.dispatcher)
                 .then_some(lost.dispatcher),
             None => retries.choose(now, &[]),
         };
@@ -334,17 +337,12 @@
         actions.push(Action::WakeAt(self.deadline));
     }
 
-    fn deadline_passed(
-        &mut self,
-        now: Micros,
-        retries: &mut RetryState,
-        actions: &mut Vec<Action>,
-    ) {
+    fn on_deadline(&mut self, now: Micros, retries: &mut RetryState, actions: &mut Vec<Action>) {
         let Some(live) = self.live.take() else {
             return self.give_up(actions);
         };
         if !live.has_response {
-            retries.record_silence(now, live.dispatcher);
+            retries.record_no_response(now, live.dispatcher);
         }
         self.first_run_at.get_or_insert(self.started_at);
         actions.push(Action::Cancel {
@@ -353,10 +351,11 @@
         self.finish(Outcome::Failed { may_have_run: true }, actions);
     }
 
-    /// No further attempt: refused where a retry by somebody else does no harm, else failed.
+    /// Ends the call without a further attempt: as rejected if the caller may safely repeat it, otherwise as failed.
     fn give_up(&mut self, actions: &mut Vec<Action>) {
-        let harmless = self.first_run_at.is_none() || self.idempotency == Idempotency::Idempotent;
-        let outcome = if harmless {
+        let safe_to_repeat =
+            self.first_run_at.is_none() || self.idempotency == Idempotency::Idempotent;
+        let outcome = if safe_to_repeat {
             Outcome::Rejected {
                 retry_after: self.retry_after.map(Duration::from_micros),
             }
@@ -385,11 +384,11 @@
     }
 }
 
-/// Tells the dispatcher's circuit breaker whether it has responded.
-fn record_at_breaker(now: Micros, live: LiveAttempt, end: AttemptEnd, retries: &mut RetryState) {
-    let silent = matches!(end, AttemptEnd::NotSent | AttemptEnd::Lost { .. });
-    if silent && !live.has_response {
-        retries.record_silence(now, live.dispatcher);
+/// Reports to the dispatcher's circuit breaker whether it responded to an attempt.
+fn update_breaker(now: Micros, live: LiveAttempt, end: AttemptEnd, retries: &mut RetryState) {
+    let no_response = matches!(end, AttemptEnd::NotSent | AttemptEnd::Lost { .. });
+    if no_response && !live.has_response {
+        retries.record_no_response(now, live.dispatcher);
     } else {
         retries.record_response(live.dispatcher);
     }
--- a/crates/client/src/call_state/tests.rs
+++ b/crates/client/src/call_state/tests.rs
@@ -17,7 +17,7 @@
     (call, actions)
 }
 
-/// The attempt that is begun, and its dispatcher.
+/// Returns the number of the attempt that is started, and its dispatcher.
 fn started_attempt(actions: &[Action]) -> Option<(u32, usize)> {
     actions.iter().find_map(|action| match action {
         Action::Start {
@@ -44,9 +44,9 @@
     })
 }
 
-/// Each order of a response and the deadline in the same instant ends the call once.
+/// A response and the deadline at the same time, in either order, end the call once.
 #[test]
-fn deadline_and_response_in_one_instant_give_one_outcome() {
+fn deadline_and_response_at_the_same_time_give_one_outcome() {
     for response_first in [true, false] {
         let mut retries = retry_state(1);
         let (mut call, _) = start_call(Idempotency::NotIdempotent, &mut retries);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn lost_attempt_retries_at_the_same_dispatcher_and_elsewhere_only_after_its_lease() {
+fn lost_attempt_is_retried_at_the_same_dispatcher_and_at_others_only_after_its_lease() {
     let mut retries = retry_state(2);
     let (mut call, actions) = start_call(Idempotency::Idempotent, &mut retries);
     assert_eq!(started_attempt(&actions), Some((0, 0)));
@@ -81,7 +81,7 @@
     assert_eq!(
         started_attempt(&actions),
         Some((1, 0)),
-        "the same one: it ends the old attempt first"
+        "the retry must go to the same dispatcher, which ends the old attempt first"
     );
     let mut actions = vec![];
     let not_sent = AttemptEnd::NotSent;
@@ -89,7 +89,7 @@
     let lease_over = wake_time(&actions).unwrap();
     assert!(
         lease_over >= SECOND / 10 + 300_000,
-        "cannot be reached: the lease and its margin are waited for ({lease_over})"
+        "the other dispatcher must not be tried before the lease and its margin are over ({lease_over} us)"
     );
     let mut actions = vec![];
     call.wake(lease_over, &mut retries, &mut actions);
@@ -126,12 +126,12 @@
     assert_eq!(
         started_attempt(&actions).map(|(_, at)| at),
         Some(1),
-        "nothing was sent: the other one at once"
+        "an attempt that was not sent must be retried at the other dispatcher at once"
     );
 }
 
 #[test]
-fn retry_after_beyond_the_deadline_is_handed_to_the_caller() {
+fn retry_after_beyond_the_deadline_is_returned_to_the_caller() {
     let mut retries = retry_state(1);
     let (mut call, _) = start_call(Idempotency::Idempotent, &mut retries);
     let rejected = AttemptEnd::Rejected {
@@ -147,15 +147,15 @@
     );
 }
 
-/// A call under random attempt ends, and what a driver knows of it.
-struct RandomCall {
+/// Driver of a call with random attempt results, which checks the guarantees of each action.
+struct CheckingDriver {
     seed: u64,
     idempotency: Idempotency,
     now: Micros,
     live: Option<StartedAttempt>,
     wake_at: Option<Micros>,
     outcomes: u32,
-    /// Where a lost attempt ran, and until when its dispatcher may run it.
+    /// Dispatcher of the last lost attempt, and the time until which it may run the attempt.
     lost: Option<(usize, Micros)>,
     first_run_at: Option<Micros>,
     attempts: u32,
@@ -168,7 +168,7 @@
     started_at: Micros,
 }
 
-impl RandomCall {
+impl CheckingDriver {
     fn new(seed: u64, idempotency: Idempotency) -> Self {
         Self {
             seed,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Carries an action out, and checks what is promised of it.
+    /// Executes an action and checks its guarantees.
     fn perform(&mut self, action: Action) {
         let seed = self.seed;
         assert_eq!(
@@ -214,14 +214,19 @@
             assert_eq!(
                 at,
                 dispatcher,
-                "seed {seed}: elsewhere {} us early",
+                "seed {seed}: attempt at another dispatcher {} us before the lease ended",
                 until - now
             );
         }
         match (self.idempotency, self.first_run_at) {
-            (Idempotency::NotIdempotent, Some(_)) => panic!("seed {seed}: may be done twice"),
+            (Idempotency::NotIdempotent, Some(_)) => {
+                panic!("seed {seed}: work that is not idempotent may be done twice")
+            }
             (Idempotency::WithKey { .. }, Some(at)) => {
-                assert!(now < at + 500_000, "seed {seed}");
+                assert!(
+                    now < at + 500_000,
+                    "seed {seed}: repeated after the key window"
+                );
             }
             _ => {}
         }
@@ -248,7 +253,7 @@
     }
 }
 
-fn random_end(random: &mut StdRng) -> AttemptEnd {
+fn random_attempt_end(random: &mut StdRng) -> AttemptEnd {
     let lease = [None, Some(100_000), Some(400_000)][random.gen_range(0..3)];
     match random.gen_range(0..6) {
         0 => AttemptEnd::Complete,
@@ -263,7 +268,7 @@
     }
 }
 
-fn play_random_call(seed: u64) {
+fn run_random_call(seed: u64) {
     let mut random = StdRng::seed_from_u64(seed);
     let mut retries = RetryState::new(RetryPolicy::default(), random.gen_range(1..4), seed);
     let window = Duration::from_millis(500);
@@ -273,7 +278,7 @@
         Idempotency::NotIdempotent,
     ][random.gen_range(0..3)];
     let mut call = CallState::new(idempotency, DEADLINE);
-    let mut driver = RandomCall::new(seed, idempotency);
+    let mut driver = CheckingDriver::new(seed, idempotency);
     let mut actions = vec![];
     call.start(driver.now, &mut retries, &mut actions);
     for _ in 0..200 {
@@ -294,17 +299,17 @@
             call.wake(now, &mut retries, &mut actions);
             continue;
         }
-        let end = random_end(&mut random);
+        let end = random_attempt_end(&mut random);
         if random.gen::<f64>() < 0.2 {
             call.response_started(now, live.number, &mut retries);
         }
         driver.record_end(live, end);
         call.attempt_ended(now, live.number, end, &mut retries, &mut actions);
-        // A second end of the same attempt changes nothing.
+        // A second end of the same attempt has no effect.
         let complete = AttemptEnd::Complete;
         call.attempt_ended(now, live.number, complete, &mut retries, &mut actions);
     }
-    assert_eq!(driver.outcomes, 1, "seed {seed}");
+    assert_eq!(driver.outcomes, 1, "seed {seed}: number of outcomes");
     assert!(
         driver.attempts <= 4,
         "seed {seed}: {} attempts",
@@ -312,11 +317,11 @@
     );
 }
 
-/// Any mix of attempt ends, at any times, with any idempotency: exactly one outcome, no attempt while another lives,
-/// none elsewhere within a lease, none after the deadline, and none that would do the work twice.
+/// For random attempt results at random times and every idempotency, a call has exactly one outcome, and no attempt starts
+/// while another is live, at another dispatcher within a lease, after the deadline, or if it could do work twice.
 #[test]
 fn every_call_has_one_outcome_and_at_most_one_live_attempt() {
     for seed in 0..20_000_u64 {
-        play_random_call(seed);
+        run_random_call(seed);
     }
 }
--- a/crates/client/src/channel.rs
+++ b/crates/client/src/channel.rs
@@ -1,11 +1,11 @@
-//! One dispatcher as calls see it, whichever the transport.
+//! Connections to one dispatcher and attempts on them, over either transport.
 use crate::call_state::AttemptEnd;
 use crate::framed::{FramedAttempt, FramedChannel};
 use crate::http::{HttpAttempt, HttpChannel};
 use crate::retry::Micros;
 use crate::{CallEvent, Request};
 
-/// How a client talks to its dispatchers.
+/// Protocol between a client and its dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Transport {
     Framed,
@@ -18,14 +18,14 @@
     Http(HttpChannel),
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 pub(crate) enum Attempt {
     Framed(FramedAttempt),
     Http(HttpAttempt),
 }
 
 impl Channel {
-    /// Sends an attempt of a call. `call_id` is the same for all attempts of one call.
+    /// Sends an attempt of a call. `call_id` is the same for all attempts of a call; HTTP does not transmit it.
     pub(crate) async fn send(
         &self,
         request: &Request,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Closes its connections; by HTTP the idle ones only.
+    /// Closes the connections; over HTTP only the idle ones.
     pub(crate) async fn close(&self) {
         match self {
             Self::Framed(channel) => channel.close().await,
@@ -51,7 +51,7 @@
 }
 
 impl Attempt {
-    /// The next piece of the response, or the attempt's end.
+    /// Returns the next event of the response, or the attempt's end.
     pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         match self {
             Self::Framed(attempt) => attempt.next().await,
--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: connections and retry state that its calls share.
+//! The client, and the connections and retry state that its calls share.
 use crate::builder::ClientBuilder;
 use crate::call::Call;
 use crate::call_state::Outcome;
@@ -13,13 +13,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
 
-/// What the calls of a client share.
+/// State that the calls of a client share.
 pub(crate) struct Shared {
     transport: Transport,
     pub(crate) channels: Vec<Channel>,
     retries: Mutex<RetryState>,
     created: Instant,
-    /// Drawn at random: no two clients give their calls the same ids.
+    /// Random prefix of call ids, so that no two clients use the same ones.
     id: u64,
     next_call: AtomicU64,
     last_connect_error: LastConnectError,
@@ -66,19 +66,19 @@
     }
 }
 
-/// How a call ended, with all of its response.
+/// Outcome of a call, with its whole response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FetchedResponse {
-    /// How the call ended.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// The response's head, if one came.
+    /// The response's head, if one was received.
     pub head: Option<ResponseHead>,
     /// The body; complete only if the outcome is [`Outcome::Served`].
     pub body: Bytes,
 }
 
 impl Client {
-    /// Settings of a client, to begin with.
+    /// Returns a builder with default settings.
     pub fn builder() -> ClientBuilder {
         ClientBuilder::default()
     }
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Begins a call; its deadline counts from now. Nothing is sent before the first [`Call::next`].
+    /// Starts a call, whose deadline counts from now. The request is not sent before the first [`Call::next`].
     pub fn call(&self, request: Request) -> Result<Call, RequestError> {
         request.validate(self.shared.transport)?;
         let number = self.shared.next_call.fetch_add(1, Ordering::Relaxed);
@@ -97,19 +97,19 @@
         Ok(Call::new(self.shared.clone(), request, id))
     }
 
-    /// Why the last failed connection was not made, such as what is wrong with a certificate.
+    /// Returns the error of the last failed connection attempt, such as the reason why a certificate was rejected.
     pub fn last_connect_error(&self) -> Option<Arc<ConnectError>> {
         self.shared.last_connect_error.get()
     }
 
-    /// Makes a call to its end, with the whole body in memory.
+    /// Runs a call to its end and returns the whole response, with the body in memory.
     pub async fn fetch(&self, request: Request) -> Result<FetchedResponse, RequestError> {
         let mut call = self.call(request)?;
         let mut outcome = Outcome::Failed { may_have_run: true };
         let mut head = None;
         let mut body = BytesMut::new();
-        while let Some(piece) = call.next().await {
-            match piece {
+        while let Some(event) = call.next().await {
+            match event {
                 CallEvent::Head(received) => head = Some(received),
                 CallEvent::Data(data) => body.extend_from_slice(&data),
                 CallEvent::End(end) => outcome = end,
@@ -122,7 +122,8 @@
         })
     }
 
-    /// Closes connections that no call uses; by the framed protocol calls under way lose theirs.
+    /// Closes the client's connections. HTTP connections in use stay open; framed connections are closed, and calls in
+    /// progress lose them.
     pub async fn close(&self) {
         for channel in &self.shared.channels {
             channel.close().await;
--- a/crates/client/src/connector.rs
+++ b/crates/client/src/connector.rs
@@ -1,4 +1,4 @@
-//! How one dispatcher is reached: its address, the network, and the certificates trusted there.
+//! Establishes connections to one dispatcher, with or without TLS.
 use crate::error::ConnectError;
 use pointspindle_transport::tls::TrustAnchors;
 use pointspindle_transport::{Network, Socket};
@@ -6,17 +6,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// The last error of a client's connections, shared by all its dispatchers.
+/// The last error of a client's connection attempts, shared by the connectors of all its dispatchers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct LastConnectError(Arc<Mutex<Option<Arc<ConnectError>>>>);
 
 impl LastConnectError {
     pub(crate) fn get(&self) -> Option<Arc<ConnectError>> {
-        self.0.lock().unwrap_or_else(|p| p.into_inner()).clone()
+        self.0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clone()
     }
 
     fn set(&self, error: ConnectError) {
-        *self.0.lock().unwrap_or_else(|p| p.into_inner()) = Some(Arc::new(error));
+        *self
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner()) = Some(Arc::new(error));
     }
 }
 
@@ -24,23 +30,23 @@
 #[derive(Clone, Debug)]
 pub(crate) struct TlsSettings {
     pub trust: TrustAnchors,
-    /// The name in the dispatchers' certificates; each one's address by default.
+    /// Name expected in the dispatchers' certificates; by default, the address of each dispatcher.
     pub server_name: Option<String>,
 }
 
-/// Makes connections to one dispatcher.
+/// Establishes connections to one dispatcher.
 #[derive(Clone, Debug)]
 pub(crate) struct Connector {
     pub address: SocketAddr,
     pub network: Network,
     pub tls: Option<TlsSettings>,
-    /// TLS handshake included.
+    /// Timeout for a connection, including the TLS handshake.
     pub timeout: Duration,
     pub last_error: LastConnectError,
 }
 
 impl Connector {
-    /// Connects; a failure is recorded as the client's last connect error.
+    /// Connects to the dispatcher. Returns `None` on failure, which is recorded as the client's last connect error.
     pub(crate) async fn connect(&self) -> Option<Socket> {
         let connected = tokio::time::timeout(self.timeout, self.handshake()).await;
         let address = self.address;
@@ -52,7 +58,7 @@
                 timeout: self.timeout,
             },
         };
-        tracing::debug!(at = %address, why = %error, "no connection");
+        tracing::debug!(address = %address, error = %error, "connecting to the dispatcher failed");
         self.last_error.set(error);
         None
     }
@@ -67,7 +73,7 @@
                 tls.trust.connect(socket, &name).await
             }
             (Some(_), _) => Err(std::io::Error::other(
-                "the simulated network carries no TLS",
+                "TLS is not supported over the simulated network",
             )),
         }
     }
--- a/crates/client/src/error.rs
+++ b/crates/client/src/error.rs
@@ -1,31 +1,31 @@
-//! The errors of a client. How a call ended is no error: see [`Outcome`](crate::Outcome).
+//! Errors of a client. The outcome of a call is not an error; see [`Outcome`](crate::Outcome).
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A client's settings cannot be used.
+/// The settings of a client are invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BuildError {
     /// No dispatcher was given.
-    #[error("no dispatcher: give at least one address")]
+    #[error("no dispatcher address given; at least one is required")]
     NoDispatcher,
 }
 
-/// A request cannot be sent as it is; nothing was sent.
+/// The request is invalid and was not sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// HTTP tells the client nothing of attempts that were lost, so only idempotent requests go by it.
-    #[error("{0}: what is not safe to repeat goes by the framed protocol only")]
+    /// HTTP does not report the result of attempts whose connection was lost, so only idempotent requests are sent over it.
+    #[error("{0}: requests that are not idempotent can be sent over the framed protocol only, not over HTTP")]
     NotIdempotentOverHttp(String),
-    /// A request with an idempotency window has no key.
-    #[error("{0}: a keyed request needs a key")]
+    /// The request has an idempotency window but no key.
+    #[error("{0}: the request has an idempotency window but its idempotency key is empty")]
     MissingIdempotencyKey(String),
     /// The object's path is malformed.
     #[error(
-        "{0:?}: an object's name begins with / and holds neither spaces nor control characters"
+        "{0:?}: invalid object path: it must start with / and contain neither whitespace nor control characters"
     )]
     InvalidObject(String),
-    /// A field holds a control character.
-    #[error("{object}: {field} holds a line's end")]
+    /// A field contains a control character.
+    #[error("{object}: field {field} contains a control character")]
     InvalidField {
         /// The requested object.
         object: String,
@@ -33,15 +33,15 @@
         field: &'static str,
     },
     /// The deadline is zero.
-    #[error("{0}: a deadline of nothing")]
+    #[error("{0}: the deadline is zero; it must be longer")]
     ZeroDeadline(String),
 }
 
-/// A connection to a dispatcher was not made.
+/// A connection to a dispatcher could not be established.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// Not within the connect timeout, TLS handshake included.
-    #[error("{address}: no connection within {} ms", timeout.as_millis())]
+    /// The connection was not established within the connect timeout, which includes the TLS handshake.
+    #[error("{address}: connection not established within {} ms", timeout.as_millis())]
     Timeout {
         /// The dispatcher.
         address: SocketAddr,
@@ -53,7 +53,7 @@
     Failed {
         /// The dispatcher.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -1,4 +1,4 @@
-//! One dispatcher by the framed protocol: one connection for all calls, made when first needed.
+//! Framed protocol connection to one dispatcher, shared by all calls and established when first needed.
 use crate::call_state::AttemptEnd;
 use crate::connector::Connector;
 use crate::{CallEvent, Request};
@@ -12,9 +12,9 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// Between keep-alive probes where the dispatcher announced no lease.
+/// Interval of keep-alive probes if the dispatcher announced no lease.
 const DEFAULT_PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// Keep-alive probes within one lease.
+/// Number of keep-alive probes sent within one lease.
 const PROBES_PER_LEASE: u32 = 4;
 
 /// The connection to one dispatcher.
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct Connection {
     framed: FramedConnection,
-    /// The client lease that the dispatcher announced; 0: none.
+    /// The client lease that the dispatcher announced, in microseconds; 0 if it announced none.
     lease_us: AtomicU64,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 #[derive(Debug)]
 pub(crate) struct FramedAttempt {
     call: Call,
@@ -53,10 +53,10 @@
         }
     }
 
-    async fn connection(&self) -> Option<Arc<Connection>> {
+    async fn open_connection(&self) -> Option<Arc<Connection>> {
         let mut current = self.current.lock().await;
-        if let Some(known) = current.as_ref().filter(|c| c.framed.accepts_calls()) {
-            return Some(known.clone());
+        if let Some(open) = current.as_ref().filter(|c| c.framed.accepts_calls()) {
+            return Some(open.clone());
         }
         let socket = self.connector.connect().await?;
         let (framed, incoming) =
@@ -65,20 +65,20 @@
             framed,
             lease_us: AtomicU64::new(0),
         });
-        tokio::spawn(answer_control_frames(connection.clone(), incoming));
+        tokio::spawn(respond_to_control_frames(connection.clone(), incoming));
         tokio::spawn(send_keep_alives(connection.clone()));
         *current = Some(connection.clone());
         Some(connection)
     }
 
-    /// Sends an attempt; after an error nothing was sent.
+    /// Sends an attempt. On an error nothing was sent.
     pub(crate) async fn send(
         &self,
         request: &Request,
         call_id: &str,
         time_left_us: u64,
     ) -> Result<FramedAttempt, AttemptEnd> {
-        let connection = self.connection().await.ok_or(AttemptEnd::NotSent)?;
+        let connection = self.open_connection().await.ok_or(AttemptEnd::NotSent)?;
         let head = request_head(request, call_id, time_left_us);
         let call = connection
             .framed
@@ -93,7 +93,7 @@
 
     pub(crate) async fn close(&self) {
         if let Some(connection) = self.current.lock().await.take() {
-            connection.framed.close("the client is done");
+            connection.framed.close("closed by the client");
         }
     }
 }
@@ -118,11 +118,11 @@
 }
 
 impl FramedAttempt {
-    /// The next piece of the response, or the attempt's end.
+    /// Returns the next event of the response, or the attempt's end.
     pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         loop {
             match self.call.next().await {
-                // There is one head; a further one is ignored.
+                // A response has one head; further ones are ignored.
                 Some(ResponsePart::Head(_)) if self.has_head => {}
                 Some(ResponsePart::Head(head)) => {
                     self.has_head = true;
@@ -130,7 +130,7 @@
                 }
                 Some(ResponsePart::Data(data)) => return Ok(CallEvent::Data(data)),
                 Some(ResponsePart::End(end)) => return Err(self.attempt_end(&end)),
-                None => return Err(self.lost()),
+                None => return Err(self.lost_end()),
             }
         }
     }
@@ -138,19 +138,19 @@
     fn attempt_end(&self, end: &CallEnd) -> AttemptEnd {
         match end {
             CallEnd::Complete(_) => AttemptEnd::Complete,
-            CallEnd::Error(error) => end_of_error(error),
-            CallEnd::Broken(_) | CallEnd::NotSent => self.lost(),
+            CallEnd::Error(error) => attempt_end_of_error(error),
+            CallEnd::Broken(_) | CallEnd::NotSent => self.lost_end(),
         }
     }
 
-    fn lost(&self) -> AttemptEnd {
+    fn lost_end(&self) -> AttemptEnd {
         AttemptEnd::Lost {
             lease: self.connection.lease_us(),
         }
     }
 }
 
-fn end_of_error(error: &ErrorHead) -> AttemptEnd {
+fn attempt_end_of_error(error: &ErrorHead) -> AttemptEnd {
     let rejected = matches!(
         error.status(),
         WireStatus::Refused | WireStatus::Rejected | WireStatus::Miss
@@ -165,8 +165,8 @@
     }
 }
 
-/// Accepts the lease that the dispatcher announces, and answers its probes.
-async fn answer_control_frames(connection: Arc<Connection>, mut incoming: Incoming) {
+/// Accepts the lease that the dispatcher announces, and responds to its probes.
+async fn respond_to_control_frames(connection: Arc<Connection>, mut incoming: Incoming) {
     while let Some(inbound) = incoming.next().await {
         match inbound {
             Inbound::Control(Frame::Hello(HelloHead {
@@ -193,8 +193,8 @@
     }
 }
 
-/// Sends probes while a call is under way, and aborts a connection that is silent for a lease: its calls then know that
-/// they are lost, and count the lease from there.
+/// Sends probes while a call is in progress, and aborts a connection on which no frame was received for a lease. Its
+/// attempts then end as lost_end, and their lease counts from the abort.
 async fn send_keep_alives(connection: Arc<Connection>) {
     let mut token = 0;
     while !connection.framed.is_closed() {
@@ -205,7 +205,9 @@
             continue;
         }
         if lease.is_some_and(|lease| connection.framed.time_since_last_frame() > lease) {
-            connection.framed.abort("no sign of life");
+            connection
+                .framed
+                .abort("no frame received within the lease");
             return;
         }
         token += 1;
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -1,4 +1,4 @@
-//! One dispatcher by HTTP/1.1: a connection for each call under way, pooled for the next.
+//! HTTP/1.1 connections to one dispatcher: one for each call in progress, and a pool of idle ones for later calls.
 mod response;
 
 use crate::call_state::AttemptEnd;
@@ -9,14 +9,14 @@
 use response::ResponseStatus;
 use std::sync::{Arc, Mutex};
 
-/// Idle connections of the pool of one dispatcher.
+/// Largest number of idle connections in the pool of one dispatcher.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// HTTP announces no client lease: the dispatcher cancels when it sees the connection closed, which is when the client
-/// does. This is left for that.
-const CANCELLATION_TIME_US: u64 = 250_000;
+/// Time within which the dispatcher cancels an attempt whose connection was closed. HTTP has no client lease: the
+/// dispatcher cancels when it sees the connection close, which happens when the client closes its end.
+const MAX_CANCELLATION_DELAY_US: u64 = 250_000;
 
-const LOST: AttemptEnd = AttemptEnd::Lost {
-    lease: Some(CANCELLATION_TIME_US),
+const CONNECTION_LOST: AttemptEnd = AttemptEnd::Lost {
+    lease: Some(MAX_CANCELLATION_DELAY_US),
 };
 
 struct Connection {
@@ -30,18 +30,27 @@
 
 impl IdlePool {
     fn take(&self) -> Option<Connection> {
-        self.0.lock().unwrap_or_else(|p| p.into_inner()).pop()
+        self.0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .pop()
     }
 
     fn put(&self, connection: Connection) {
-        let mut idle = self.0.lock().unwrap_or_else(|p| p.into_inner());
+        let mut idle = self
+            .0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(connection);
         }
     }
 
     fn clear(&self) {
-        self.0.lock().unwrap_or_else(|p| p.into_inner()).clear();
+        self.0
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
+            .clear();
     }
 }
 
@@ -51,11 +60,11 @@
     idle: IdlePool,
 }
 
-/// An attempt under way.
+/// An attempt in progress.
 pub(crate) struct HttpAttempt {
     connection: Option<Connection>,
     idle: IdlePool,
-    /// Once the response's head has come.
+    /// Status of the response; the default value until its head is received.
     response: ResponseStatus,
 }
 
@@ -67,9 +76,9 @@
         }
     }
 
-    async fn connection(&self) -> Option<Connection> {
+    async fn open_connection(&self) -> Option<Connection> {
         while let Some(connection) = self.idle.take() {
-            // One that was closed meanwhile, or has received unexpected bytes, is not used.
+            // A connection that was closed while idle, or received unexpected bytes, is dropped.
             if connection.read.idle() == IdleState::Quiet {
                 return Some(connection);
             }
@@ -81,18 +90,18 @@
         })
     }
 
-    /// Sends an attempt.
+    /// Sends an attempt. `AttemptEnd::Lost` means that part of the request may have been sent.
     pub(crate) async fn send(
         &self,
         request: &Request,
         time_left_us: u64,
     ) -> Result<HttpAttempt, AttemptEnd> {
-        let mut connection = self.connection().await.ok_or(AttemptEnd::NotSent)?;
+        let mut connection = self.open_connection().await.ok_or(AttemptEnd::NotSent)?;
         connection.read.codec().head_only = request.head_only;
         let text = self.request_text(request, time_left_us);
         if connection.write.write_all(text.as_bytes()).await.is_err() {
-            // Some of it may have gone out.
-            return Err(LOST);
+            // Part of the request may have been sent.
+            return Err(CONNECTION_LOST);
         }
         Ok(HttpAttempt {
             connection: Some(connection),
@@ -132,10 +141,10 @@
 }
 
 impl HttpAttempt {
-    /// The next piece of the response, or the attempt's end.
+    /// Returns the next event of the response, or the attempt's end.
     pub(crate) async fn next(&mut self) -> Result<CallEvent, AttemptEnd> {
         loop {
-            let connection = self.connection.as_mut().ok_or(LOST)?;
+            let connection = self.connection.as_mut().ok_or(CONNECTION_LOST)?;
             match connection.read.next().await {
                 Some(Ok(HttpEvent::Head {
                     status,
@@ -143,11 +152,11 @@
                     keep_alive,
                 })) => {
                     self.response = ResponseStatus::new(status, &fields, keep_alive);
-                    if self.response.is_origin_response() {
+                    if self.response.is_content_response() {
                         return Ok(CallEvent::Head(response::head(status, &fields)));
                     }
                 }
-                Some(Ok(HttpEvent::Data(data))) if self.response.is_origin_response() => {
+                Some(Ok(HttpEvent::Data(data))) if self.response.is_content_response() => {
                     return Ok(CallEvent::Data(data));
                 }
                 Some(Ok(HttpEvent::Data(_))) => {}
@@ -157,13 +166,13 @@
                 }
                 Some(Err(_)) | None => {
                     self.connection = None;
-                    return Err(LOST);
+                    return Err(CONNECTION_LOST);
                 }
             }
         }
     }
 
-    /// The response has ended: its connection goes back to the pool if it may serve another.
+    /// Returns the connection of a complete response to the pool if it can be reused.
     fn release_connection(&mut self) {
         let connection = self.connection.take();
         if let Some(connection) = connection.filter(|_| self.response.keep_alive()) {
--- a/crates/client/src/http/response.rs
+++ b/crates/client/src/http/response.rs
@@ -1,11 +1,11 @@
-//! What an HTTP response says of its attempt, in the framed protocol's terms.
+//! Converts HTTP responses to attempt results and response heads of the framed protocol.
 use crate::call_state::AttemptEnd;
 use pointspindle_protocol::{ResponseHead, WireCacheStatus};
 
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const MICROS_PER_MILLISECOND: u64 = 1_000;
 
-/// What is remembered of a response's head until its end.
+/// Values from a response's head that are needed at the response's end.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ResponseStatus {
     code: u16,
@@ -15,8 +15,8 @@
 }
 
 fn field<'a>(fields: &'a [(String, String)], name: &str) -> Option<&'a str> {
-    let found = fields.iter().find(|(known, _)| known == name);
-    found.map(|(_, value)| value.as_str())
+    let entry = fields.iter().find(|(key, _)| key == name);
+    entry.map(|(_, value)| value.as_str())
 }
 
 fn number(fields: &[(String, String)], name: &str) -> Option<u64> {
@@ -26,12 +26,13 @@
 impl ResponseStatus {
     pub(super) fn new(code: u16, fields: &[(String, String)], keep_alive: bool) -> Self {
         let rejected = field(fields, "x-outcome") == Some("refused");
-        let precise = number(fields, "x-come-back-ms").map(|ms| ms * MICROS_PER_MILLISECOND);
-        let coarse = number(fields, "retry-after").map(|s| s * MICROS_PER_SECOND);
+        let from_milliseconds =
+            number(fields, "x-come-back-ms").map(|ms| ms * MICROS_PER_MILLISECOND);
+        let from_seconds = number(fields, "retry-after").map(|s| s * MICROS_PER_SECOND);
         Self {
             code,
             keep_alive,
-            retry_after_us: precise.or(coarse),
+            retry_after_us: from_milliseconds.or(from_seconds),
             may_have_run: !rejected && code != 404,
         }
     }
@@ -40,14 +41,14 @@
         self.keep_alive
     }
 
-    /// Whether the response is the cache's or the origin's, and not the dispatcher's own.
-    pub(super) fn is_origin_response(&self) -> bool {
+    /// Whether the response is from a cache host or the origin, and not an error of the dispatcher itself.
+    pub(super) fn is_content_response(&self) -> bool {
         matches!(self.code, 200 | 206 | 304 | 416)
     }
 
-    /// The end of an attempt whose response has come completely.
+    /// Returns the result of an attempt whose response is complete.
     pub(super) fn attempt_end(&self) -> AttemptEnd {
-        if self.is_origin_response() {
+        if self.is_content_response() {
             return AttemptEnd::Complete;
         }
         if self.code == 503 && !self.may_have_run {
@@ -61,7 +62,7 @@
     }
 }
 
-/// The response's head in the framed protocol's terms.
+/// Converts the response's head to one of the framed protocol.
 pub(super) fn head(status: u16, fields: &[(String, String)]) -> ResponseHead {
     let text = |name| field(fields, name).unwrap_or_default();
     let content_range = text("content-range").strip_prefix("bytes ");
@@ -83,7 +84,7 @@
     }
 }
 
-/// Reads the field `Cache-Status` (RFC 9211) as the dispatchers write it.
+/// Parses the field `Cache-Status` (RFC 9211) in the form that dispatchers send.
 fn cache_status(text: &str) -> WireCacheStatus {
     match text {
         t if t.contains("detail=old") => WireCacheStatus::Stale,
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -1,4 +1,4 @@
-//! Calls dispatchers by the framed protocol or HTTP/1.1, behind one interface.
+//! Client for dispatchers, with one interface for the framed protocol and HTTP/1.1.
 //!
 //! ```no_run
 //! use pointspindle_client::{Client, Outcome, CallEvent, Request};
@@ -7,12 +7,12 @@
 //! # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 //! let client = Client::builder().framed(["127.0.0.1:8081".parse()?, "127.0.0.1:8181".parse()?]).build()?;
 //! let mut call = client.call(Request::get("/video/12/a.mp4", "lesson-video", Duration::from_secs(6)))?;
-//! while let Some(piece) = call.next().await {
-//!     match piece {
+//! while let Some(event) = call.next().await {
+//!     match event {
 //!         CallEvent::Head(head) => println!("{:?} bytes", head.size),
 //!         CallEvent::Data(data) => println!("{} more", data.len()),
 //!         CallEvent::End(Outcome::Served) => println!("complete"),
-//!         CallEvent::End(Outcome::Rejected { retry_after }) => println!("nothing was done; retry after {retry_after:?}"),
+//!         CallEvent::End(Outcome::Rejected { retry_after }) => println!("rejected; retry after {retry_after:?}"),
 //!         CallEvent::End(Outcome::Failed { may_have_run }) => println!("failed; may have run: {may_have_run}"),
 //!     }
 //! }
@@ -22,23 +22,26 @@
 //!
 //! # Guarantee
 //!
-//! Each call has **one final outcome**, and **at most one live attempt** at any time: [`CallEvent::End`] comes exactly once
-//! and last, by the deadline. A call dropped before it is cancelled. The test
-//! `every_call_has_one_outcome_and_at_most_one_live_attempt` (`src/call_state/tests.rs`) shows it for random ends of
-//! attempts, and `tests/cuts/` for real dispatchers behind connections that are cut.
+//! Each call has **one final outcome**, and **at most one live attempt** at any time. [`CallEvent::End`] is returned exactly
+//! once, as the last event, by the deadline. A call that is dropped before its end is cancelled. The test
+//! `every_call_has_one_outcome_and_at_most_one_live_attempt` (`src/call_state/tests.rs`) checks this for random attempt
+//! results, and `tests/cuts/` checks it for real dispatchers whose client connections are cut.
 //!
 //! # Retries
 //!
-//! | idempotency | at the same dispatcher | at another one | otherwise |
+//! | idempotency | at the same dispatcher | at another dispatcher | outcome without a further retry |
 //! | --- | --- | --- | --- |
-//! | [`Idempotency::Idempotent`] | at once: it ends the lost attempt first | when the lost attempt's lease is over | as the retry budget allows |
-//! | [`Idempotency::WithKey`] | the same, under the same key, within two thirds of its window | the same | failed, may have run |
-//! | [`Idempotency::NotIdempotent`] | only where nothing was sent or the dispatcher said that nothing ran | the same | failed, may have run |
+//! | [`Idempotency::Idempotent`] | after a backoff; the dispatcher ends the lost attempt first | after the lost attempt's lease has expired | rejected |
+//! | [`Idempotency::WithKey`] | as above, with the same key, within two thirds of its window | as above, with the same key, within two thirds of its window | failed, may have run |
+//! | [`Idempotency::NotIdempotent`] | only if the request was not sent, or the dispatcher reported that it did not run | on the same conditions | failed, may have run |
 //!
-//! By the framed protocol the dispatcher announces a lease: it cancels the attempts of a client that has been silent for
-//! so long. The client sends keep-alive probes while a call is under way, and counts half as much again on top of the
-//! lease. By HTTP there is no lease: the dispatcher cancels when it sees the connection close, for which the client
-//! allows a quarter of a second. Requests that are not idempotent therefore go by the framed protocol only.
+//! Every retry of a request that was sent takes one retry from the budget of the [`RetryPolicy`]. A call whose response
+//! has begun is not retried, and a call whose deadline passes during an attempt fails with `may_have_run`.
+//!
+//! With the framed protocol, the dispatcher announces a lease: it cancels the attempts of a client from which it has
+//! received no frame for that time. The client sends keep-alive probes while a call is in progress, and waits for one and
+//! a half times the lease. HTTP has no lease: the dispatcher cancels an attempt when it sees the connection close, and the
+//! client allows 250 ms for that. Requests that are not idempotent are therefore sent over the framed protocol only.
 //!
 //! # Modules
 //!
@@ -72,13 +75,13 @@
 
 use bytes::Bytes;
 
-/// A piece of a call's response.
+/// An event of a call: a part of its response, or its end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallEvent {
-    /// The response's head; at most once, before any data.
+    /// The response's head: at most once, before any data.
     Head(ResponseHead),
     /// The next bytes of the body.
     Data(Bytes),
-    /// How the call ended; exactly once, and last.
+    /// The call's outcome: exactly once, as the last event.
     End(Outcome),
 }
--- a/crates/client/src/request.rs
+++ b/crates/client/src/request.rs
@@ -1,36 +1,36 @@
-//! What is requested, and what may happen if it runs twice.
+//! A request, and whether it is safe to repeat.
 use crate::channel::Transport;
 use crate::error::RequestError;
 use std::time::Duration;
 
-/// What may happen if a request runs twice.
+/// Effect of running a request twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing.
+    /// Running it again has no further effect.
     Idempotent,
-    /// A repeat under the same idempotency key is discarded.
+    /// A repeat with the same idempotency key is discarded.
     WithKey {
-        /// How long after the first attempt repeats are discarded.
+        /// Time after the first attempt within which repeats are discarded.
         window: Duration,
     },
-    /// Its work would be done twice.
+    /// Running it again repeats its work.
     NotIdempotent,
 }
 
 /// A request for one object.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The object's path, beginning with `/`.
+    /// The object's path, starting with `/`.
     pub object: String,
-    /// The part of a large object; 0: the first, or the whole.
+    /// Index of the part of a large object; 0 is the first part, or the whole object if it has only one.
     pub part: u64,
-    /// Group for purges; framed protocol only, by HTTP the path decides.
+    /// Purge group. Framed protocol only; over HTTP the dispatcher derives it from the path.
     pub group: u64,
-    /// Request class; framed protocol only, by HTTP the path decides.
+    /// Request class. Framed protocol only; over HTTP the dispatcher derives it from the path.
     pub class: String,
-    /// What may happen if it runs twice.
+    /// Effect of running the request twice.
     pub idempotency: Idempotency,
-    /// Time for the whole call; each attempt is given what is left of it.
+    /// Time for the whole call; each attempt is given the time left.
     pub deadline: Duration,
     /// Idempotency key, for [`Idempotency::WithKey`].
     pub idempotency_key: String,
@@ -38,18 +38,18 @@
     pub size: Option<u64>,
     /// Request id for logs and traces; may be empty.
     pub trace: String,
-    /// Only the response's head, as by HEAD.
+    /// Whether only the response's head is requested, as with HTTP's `HEAD`.
     pub head_only: bool,
-    /// As the HTTP field `If-None-Match`; may be empty.
+    /// Value of the HTTP field `If-None-Match`; may be empty.
     pub if_none_match: String,
-    /// As the HTTP field `Range`; may be empty.
+    /// Value of the HTTP field `Range`; may be empty.
     pub range: String,
-    /// As the HTTP field `If-Range`; may be empty.
+    /// Value of the HTTP field `If-Range`; may be empty.
     pub if_range: String,
 }
 
 impl Request {
-    /// A read of an object.
+    /// Returns an idempotent request for an object.
     pub fn get(object: impl Into<String>, class: impl Into<String>, deadline: Duration) -> Self {
         Self {
             object: object.into(),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Work that a repeat under the same key does not do again, for `window` after its first attempt.
+    /// Sets an idempotency key: for `window` after the first attempt, a repeat with the same key is discarded.
     pub fn with_idempotency_key(self, key: impl Into<String>, window: Duration) -> Self {
         Self {
             idempotency_key: key.into(),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Work that a repeat would do again.
+    /// Marks the request as not idempotent.
     pub fn not_idempotent(self) -> Self {
         Self {
             idempotency: Idempotency::NotIdempotent,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// One byte range, as in HTTP: `bytes=0-99`.
+    /// Sets a byte range, in HTTP's syntax: `bytes=0-99`.
     pub fn range(self, range: impl Into<String>) -> Self {
         Self {
             range: range.into(),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether it can be sent by this transport.
+    /// Returns an error if the request is malformed or cannot be sent over this transport.
     pub(crate) fn validate(&self, transport: Transport) -> Result<(), RequestError> {
         self.validate_text()?;
         let object = || self.object.clone();
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Neither the object's path nor a header field may break out of its line.
+    /// Rejects characters in the object's path and the header fields that could end their line and inject header fields.
     fn validate_text(&self) -> Result<(), RequestError> {
         let object = self.object.clone();
         let forbidden = |c: char| c.is_control() || c.is_whitespace();
--- a/crates/client/src/retry/policy.rs
+++ b/crates/client/src/retry/policy.rs
@@ -1,24 +1,24 @@
-//! The settings of retries.
+//! Settings of retries.
 use std::time::Duration;
 
-/// When a client retries: how often, how soon, and when it leaves a dispatcher alone.
+/// Limits on retries, the delays before them, and the settings of circuit breakers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryPolicy {
-    /// Attempts of one call, the first included.
+    /// Largest number of attempts of one call, including the first.
     pub max_attempts: u32,
-    /// Retries that each call adds to the budget.
+    /// Number of retries, usually a fraction, that each call adds to the budget.
     pub retries_per_call: f64,
-    /// Upper bound of the budget, in retries; the budget is full at the start.
+    /// Upper bound of the budget, as a number of retries; the budget is full at the start.
     pub max_saved_retries: f64,
-    /// Mean delay before the first retry; it doubles with each further one.
+    /// Mean delay before the first retry; it doubles with each further retry.
     pub initial_backoff: Duration,
     /// Upper bound of the mean delay before a retry.
     pub max_backoff: Duration,
-    /// Attempts in a row without any response after which a dispatcher's circuit breaker opens.
+    /// Number of attempts in a row without any response after which a dispatcher's circuit breaker opens.
     pub breaker_threshold: u32,
-    /// How long an open breaker blocks attempts at first; doubled with each failed trial.
+    /// Time for which a breaker blocks attempts when it first opens; it doubles with each failed trial.
     pub breaker_pause: Duration,
-    /// Upper bound of that time.
+    /// Upper bound of the time for which a breaker blocks attempts, before jitter.
     pub max_breaker_pause: Duration,
 }
 
--- a/crates/client/tests/cuts/cluster.rs
+++ b/crates/client/tests/cuts/cluster.rs
@@ -1,4 +1,4 @@
-//! Endpoints that log attempts, and real dispatchers in front of them.
+//! Endpoints that log their attempts, and real dispatchers that call them.
 use crate::attempt_log::AttemptLog;
 use bytes::Bytes;
 use pointspindle_dispatcher::Dispatcher;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The bytes of an object, by its name alone.
+/// Returns the content of an object, which depends on its name only.
 pub fn content(object: &str) -> Bytes {
     let number: usize = object
         .rsplit('/')
@@ -46,7 +46,7 @@
         let Inbound::Request(head, responder) = inbound else {
             continue;
         };
-        // Some are so slow that a second attempt would meet the first.
+        // Some responses are slow enough for a second attempt to overlap with the first.
         let delay_ms = match random.lock().unwrap().gen_range(0..20) {
             0 => 500,
             n => n / 2,
@@ -67,7 +67,7 @@
         log.record_execution(&head.trace);
     }
     let body = content(&head.object);
-    // A cancellation ends it at once, as at a real endpoint.
+    // A cancellation ends the attempt at once, as at a real endpoint.
     let cancelled = tokio::select! {
         () = responder.cancelled() => true,
         () = tokio::time::sleep(delay) => false,
--- a/crates/client/tests/cuts/main.rs
+++ b/crates/client/tests/cuts/main.rs
@@ -1,6 +1,6 @@
-//! Thousands of calls to real dispatchers over connections that are cut, or become silent, at seeded places: each has one
-//! outcome, each served body is right, and endpoints never see two live attempts of one call, nor work that is not
-//! idempotent done twice.
+//! Thousands of calls to real dispatchers over connections that are cut or stop responding after a random number of bytes.
+//! Each call has one outcome, each served body is correct, endpoints never run two attempts of one call at once, and work
+//! that is not idempotent is never done twice.
 mod attempt_log;
 mod cluster;
 mod relay;
@@ -16,25 +16,28 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 
-/// Attempts of one call that overlap for longer than this are two live attempts; a shorter overlap is a cancellation on
-/// its way.
+/// Longest accepted overlap of two attempts of one call, which allows for a cancellation in transit. A longer overlap
+/// counts as two live attempts.
 const MAX_OVERLAP: Duration = Duration::from_millis(120);
 const MAX_CONCURRENT_CALLS: usize = 48;
 const DEADLINE: Duration = Duration::from_secs(3);
 const KEY_WINDOW: Duration = Duration::from_secs(3);
 
-/// A check that cannot fail would show nothing.
+/// The overlap check itself must detect two attempts that are live at once.
 #[test]
-fn longest_overlap_two_attempts_live_together_is_found() {
+fn longest_overlap_two_live_attempts_are_detected() {
     let at = |ms| Instant::now() + Duration::from_millis(ms);
-    let lifetime = |began, ended| Lifetime {
-        began: at(began),
-        ended: Some(at(ended)),
+    let lifetime = |start, end| Lifetime {
+        started_at: at(start),
+        ended_at: Some(at(end)),
     };
-    let apart = [lifetime(0, 10), lifetime(10, 400)];
-    let both = [lifetime(0, 300), lifetime(100, 400)];
-    assert!(longest_overlap([&apart[..]].into_iter()) < Duration::from_millis(5));
-    assert!(longest_overlap([&apart[..], &both[..]].into_iter()) > Duration::from_millis(190));
+    let sequential = [lifetime(0, 10), lifetime(10, 400)];
+    let overlapping = [lifetime(0, 300), lifetime(100, 400)];
+    assert!(longest_overlap([&sequential[..]].into_iter()) < Duration::from_millis(5));
+    assert!(
+        longest_overlap([&sequential[..], &overlapping[..]].into_iter())
+            > Duration::from_millis(190)
+    );
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -46,7 +49,7 @@
 #[derive(Default)]
 struct Totals {
     served: u64,
-    refused: u64,
+    rejected: u64,
     failed: u64,
     attempts: u64,
 }
@@ -56,7 +59,7 @@
         self.attempts += u64::from(call.attempts);
         match call.outcome {
             Outcome::Served => self.served += 1,
-            Outcome::Rejected { .. } => self.refused += 1,
+            Outcome::Rejected { .. } => self.rejected += 1,
             Outcome::Failed { .. } => self.failed += 1,
         }
     }
@@ -106,7 +109,7 @@
 }
 
 fn client(protocol: Protocol, dispatchers: Vec<SocketAddr>, seed: u64) -> Client {
-    // More retries than by default: the budget is another test's.
+    // The retry limits are raised so that they do not end calls early; other tests cover the budget.
     let rules = RetryPolicy {
         retries_per_call: 2.0,
         max_saved_retries: 1e6,
@@ -121,7 +124,7 @@
     builder.build().unwrap()
 }
 
-/// By the framed protocol one call in ten has an idempotency key, and one in ten is not idempotent.
+/// Over the framed protocol, one call in ten has an idempotency key, and one in ten is not idempotent.
 fn request(protocol: Protocol, number: u64) -> Request {
     let name = format!("call-{number}");
     let request = |class: &str| Request {
@@ -137,27 +140,27 @@
 
 async fn make_call(client: Client, request: Request) -> FinishedCall {
     let object = request.object.clone();
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut call = client.call(request).unwrap();
     let mut body = Vec::new();
     let mut outcome = None;
-    while let Some(piece) = call.next().await {
-        assert!(outcome.is_none(), "something came after the outcome");
-        match piece {
+    while let Some(event) = call.next().await {
+        assert!(outcome.is_none(), "an event came after the outcome");
+        match event {
             CallEvent::Head(_) => assert!(body.is_empty(), "a second head"),
             CallEvent::Data(data) => body.extend_from_slice(&data),
             CallEvent::End(end) => outcome = Some(end),
         }
     }
     assert!(
-        began.elapsed() < Duration::from_secs(6),
-        "long after its deadline"
+        started_at.elapsed() < Duration::from_secs(6),
+        "the call ended long after its deadline"
     );
-    let outcome = outcome.expect("a call has an outcome");
+    let outcome = outcome.expect("the call ended without an outcome");
     if outcome == Outcome::Served {
         assert!(
             body == content(&object),
-            "{object}: {} bytes, not its own",
+            "{object}: wrong body of {} bytes",
             body.len()
         );
     }
@@ -191,20 +194,23 @@
     let cuts = cluster.cuts.load(Ordering::Relaxed);
     let overlap = cluster.log.longest_overlap();
     println!(
-        "{} served, {} refused, {} failed, {} attempts, {cuts} cuts, {overlap:?} of overlap at most",
-        totals.served, totals.refused, totals.failed, totals.attempts,
+        "{} served, {} rejected, {} failed, {} attempts, {cuts} cuts, longest overlap {overlap:?}",
+        totals.served, totals.rejected, totals.failed, totals.attempts,
     );
-    assert_eq!(totals.served + totals.refused + totals.failed, calls);
-    assert!(cuts > 50, "{cuts} cuts");
+    assert_eq!(totals.served + totals.rejected + totals.failed, calls);
+    assert!(cuts > 50, "only {cuts} connections were cut");
     assert!(
         totals.served * 10 > calls * 8,
-        "{} of {calls} served",
+        "only {} of {calls} calls were served",
         totals.served
     );
     let overlap = cluster.log.longest_overlap();
     assert!(overlap < MAX_OVERLAP, "two live attempts for {overlap:?}");
     let repeated = cluster.log.repeated_executions();
-    assert_eq!(repeated, 0, "work that is not idempotent done twice");
+    assert_eq!(
+        repeated, 0,
+        "calls whose non-idempotent work was done twice"
+    );
     for dispatcher in cluster.dispatchers {
         dispatcher.stop().await;
     }
--- a/crates/client/tests/cuts/relay.rs
+++ b/crates/client/tests/cuts/relay.rs
@@ -1,4 +1,4 @@
-//! A relay that passes bytes on and cuts each connection after a seeded number of them.
+//! TCP relay that cuts each connection after a random number of bytes, drawn from a seed.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const MAX_BYTES_BEFORE_CUT: u64 = 1_200_000;
-/// The part of the cuts that leave both ends open and silent; the others close both.
-const SILENT_CUTS: f64 = 0.3;
-/// Longer than any call waits.
-const SILENCE: Duration = Duration::from_secs(10);
+/// Fraction of cuts after which both sides stay open without traffic; other cuts close both sides.
+const SILENT_CUT_FRACTION: f64 = 0.3;
+/// Time for which a connection stays open after a silent cut; longer than any call.
+const SILENT_CUT_DURATION: Duration = Duration::from_secs(10);
 
-/// When and how a connection is cut.
+/// Place and kind of the cut of a connection.
 struct Cut {
     after_bytes: u64,
     silent: bool,
 }
 
-/// Starts a relay to `target`; `cuts` counts connections that were cut.
+/// Starts a relay to `target`. `cuts` counts the connections that were cut.
 pub async fn start_relay(target: SocketAddr, seed: u64, cuts: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -33,7 +33,7 @@
             };
             let cut = Cut {
                 after_bytes: random.gen_range(1..MAX_BYTES_BEFORE_CUT),
-                silent: random.gen::<f64>() < SILENT_CUTS,
+                silent: random.gen::<f64>() < SILENT_CUT_FRACTION,
             };
             tokio::spawn(relay_connection(client, server, cut, cuts.clone()));
         }
@@ -52,12 +52,12 @@
     if was_cut {
         cuts.fetch_add(1, Ordering::Relaxed);
         if cut.silent {
-            tokio::time::sleep(SILENCE).await;
+            tokio::time::sleep(SILENT_CUT_DURATION).await;
         }
     }
 }
 
-/// True when the bytes are used up; false when an end has closed.
+/// Copies bytes until the cut. Returns `false` if one side closes the connection first.
 async fn copy_until_cut(
     from: &mut OwnedReadHalf,
     to: &mut OwnedWriteHalf,
@@ -68,11 +68,11 @@
         let Ok(read @ 1..) = from.read(&mut buffer).await else {
             return false;
         };
-        let passed = bytes_left.load(Ordering::Relaxed).min(read as u64);
-        if to.write_all(&buffer[..passed as usize]).await.is_err() {
+        let copied = bytes_left.load(Ordering::Relaxed).min(read as u64);
+        if to.write_all(&buffer[..copied as usize]).await.is_err() {
             return false;
         }
-        if bytes_left.fetch_sub(passed, Ordering::Relaxed) == passed {
+        if bytes_left.fetch_sub(copied, Ordering::Relaxed) == copied {
             return true;
         }
     }
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,4 +1,4 @@
-//! TLS by both protocols: complete responses, rejected certificates with their reason, and a reload of certificates.
+//! TLS over both protocols: complete responses, rejection of certificates with a reason, and reload of certificates.
 use bytes::Bytes;
 use pointspindle_client::{
     CallEvent, CertificateFiles, Client, Outcome, Request, RetryPolicy, TrustAnchors,
@@ -13,8 +13,8 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// More than all buffers on the way together, so that flow control holds the writer back.
-const LARGE: usize = 8 * 1024 * 1024;
+/// Size of a body that exceeds all buffers between sender and client, so that flow control blocks the sender.
+const LARGE_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 #[derive(Clone, Copy, Debug)]
 enum Protocol {
@@ -51,9 +51,9 @@
         self.folder.join("authority.pem")
     }
 
-    fn sign(&self, file: &str, change: impl FnOnce(&mut CertificateParams)) -> CertificateFiles {
+    fn sign(&self, file: &str, customize: impl FnOnce(&mut CertificateParams)) -> CertificateFiles {
         let mut params = CertificateParams::new(vec!["127.0.0.1".to_owned()]).unwrap();
-        change(&mut params);
+        customize(&mut params);
         let key = KeyPair::generate().unwrap();
         let certificate = params
             .signed_by(&key, &self.certificate, &self.key)
@@ -69,7 +69,7 @@
 }
 
 fn large_body() -> Bytes {
-    (0..LARGE)
+    (0..LARGE_BODY_BYTES)
         .map(|n| (n * 31 % 251) as u8)
         .collect::<Vec<u8>>()
         .into()
@@ -81,7 +81,7 @@
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
-                let (_link, mut incoming) =
+                let (_connection, mut incoming) =
                     FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, mut responder) = inbound else {
@@ -94,12 +94,12 @@
                             "small".into()
                         };
                         let size = Some(body.len() as u64);
-                        let answer = ResponseHead {
+                        let response = ResponseHead {
                             size,
                             cache_status: WireCacheStatus::Hit as i32,
                             ..Default::default()
                         };
-                        let _ = responder.head(answer).await;
+                        let _ = responder.head(response).await;
                         let _ = responder.data(body).await;
                         let _ = responder.end(None).await;
                     });
@@ -112,12 +112,12 @@
 
 async fn start_dispatcher(files: &CertificateFiles, client_authority: Option<&Path>) -> Dispatcher {
     let endpoint = start_endpoint().await;
-    let clients = client_authority
+    let client_authority_line = client_authority
         .map(|f| format!("client_authority = {}\n", f.display()))
         .unwrap_or_default();
     let text = format!(
         "[dispatcher]\nzone = b\n[listen]\nhttps = 127.0.0.1:0\nframed_tls = 127.0.0.1:0\ndrain_ms = 100\n\
-         [tls]\ncertificate = {}\nkey = {}\n{clients}[zone b]\ndispatchers = 1\n\
+         [tls]\ncertificate = {}\nkey = {}\n{client_authority_line}[zone b]\ndispatchers = 1\n\
          [member one]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 50\n\
          [class page]\npath_prefix = /\ndeadline_ms = 20000\naim_ms = 15000\n",
         files.certificate.display(),
@@ -150,10 +150,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tls_both_protocols_slow_reader_receives_every_byte() {
+async fn tls_slow_reader_receives_every_byte_over_both_protocols() {
     let folder = tempfile::tempdir().unwrap();
-    let authority = Authority::new(folder.path(), "ours");
-    let dispatcher = start_dispatcher(&authority.sign("edge", |_| {}), None).await;
+    let authority = Authority::new(folder.path(), "trusted");
+    let dispatcher = start_dispatcher(&authority.sign("dispatcher", |_| {}), None).await;
     let trust = TrustAnchors::load(&authority.file(), None).unwrap();
     for protocol in [Protocol::Framed, Protocol::Http] {
         let client = client(dispatcher.bound_addresses(), protocol, trust.clone());
@@ -166,8 +166,8 @@
             .call(Request::get("/large", "page", Duration::from_secs(15)))
             .unwrap();
         let mut received = Vec::new();
-        while let Some(piece) = call.next().await {
-            match piece {
+        while let Some(event) = call.next().await {
+            match event {
                 CallEvent::Head(_) => tokio::time::sleep(Duration::from_millis(300)).await,
                 CallEvent::Data(data) => received.extend_from_slice(&data),
                 CallEvent::End(end) => assert_eq!(end, Outcome::Served, "{protocol:?}"),
@@ -175,7 +175,7 @@
         }
         assert!(
             received == large_body(),
-            "{protocol:?}: {} bytes",
+            "{protocol:?}: wrong body of {} bytes",
             received.len()
         );
     }
@@ -184,9 +184,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn tls_invalid_certificates_are_rejected_with_their_reason() {
     let folder = tempfile::tempdir().unwrap();
-    let ours = Authority::new(folder.path(), "ours");
-    let foreign = Authority::new(folder.path(), "foreign");
-    let trust = TrustAnchors::load(&ours.file(), None).unwrap();
+    let trusted_authority = Authority::new(folder.path(), "trusted");
+    let untrusted_authority = Authority::new(folder.path(), "untrusted");
+    let trust = TrustAnchors::load(&trusted_authority.file(), None).unwrap();
     let expired = |p: &mut CertificateParams| {
         p.not_before = rcgen::date_time_ymd(2001, 1, 1);
         p.not_after = rcgen::date_time_ymd(2002, 1, 1);
@@ -197,9 +197,15 @@
         )];
     };
     let cases = [
-        (ours.sign("expired", expired), "expired"),
-        (ours.sign("elsewhere", other_name), "not valid for name"),
-        (foreign.sign("edge", |_| {}), "UnknownIssuer"),
+        (trusted_authority.sign("expired", expired), "expired"),
+        (
+            trusted_authority.sign("elsewhere", other_name),
+            "not valid for name",
+        ),
+        (
+            untrusted_authority.sign("dispatcher", |_| {}),
+            "UnknownIssuer",
+        ),
     ];
     for (files, reason) in cases {
         let dispatcher = start_dispatcher(&files, None).await;
@@ -219,49 +225,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tls_client_authority_is_set_only_trusted_client_certificates_are_served() {
+async fn tls_with_client_authority_only_trusted_client_certificates_are_served() {
     let folder = tempfile::tempdir().unwrap();
-    let ours = Authority::new(folder.path(), "ours");
-    let foreign = Authority::new(folder.path(), "foreign");
-    // Where clients need a certificate: none, or one of another authority, gets no response.
-    let dispatcher = start_dispatcher(&ours.sign("edge", |_| {}), Some(&ours.file())).await;
-    let own = ours.sign("desk", |_| {});
-    let untrusted = foreign.sign("desk", |_| {});
-    for (identity, served) in [(None, false), (Some(&untrusted), false), (Some(&own), true)] {
+    let trusted_authority = Authority::new(folder.path(), "trusted");
+    let untrusted_authority = Authority::new(folder.path(), "untrusted");
+    // If client certificates are required, a client without one or with one of another authority gets no response.
+    let dispatcher = start_dispatcher(
+        &trusted_authority.sign("dispatcher", |_| {}),
+        Some(&trusted_authority.file()),
+    )
+    .await;
+    let trusted_certificate = trusted_authority.sign("client", |_| {});
+    let untrusted_certificate = untrusted_authority.sign("client", |_| {});
+    for (certificate, served) in [
+        (None, false),
+        (Some(&untrusted_certificate), false),
+        (Some(&trusted_certificate), true),
+    ] {
         let client = client(
             dispatcher.bound_addresses(),
             Protocol::Framed,
-            TrustAnchors::load(&ours.file(), identity).unwrap(),
+            TrustAnchors::load(&trusted_authority.file(), certificate).unwrap(),
         );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
 }
 
 #[test]
-fn tls_unusable_key_files_are_named_and_never_quoted() {
+fn tls_error_for_unusable_key_file_names_it_and_never_quotes_it() {
     let folder = tempfile::tempdir().unwrap();
-    let ours = Authority::new(folder.path(), "ours");
-    let own = ours.sign("desk", |_| {});
-    let key = std::fs::read_to_string(&own.key).unwrap();
+    let trusted_authority = Authority::new(folder.path(), "trusted");
+    let trusted_certificate = trusted_authority.sign("client", |_| {});
+    let key = std::fs::read_to_string(&trusted_certificate.key).unwrap();
     let swapped = CertificateFiles {
-        certificate: own.key.clone(),
-        key: own.certificate.clone(),
+        certificate: trusted_certificate.key.clone(),
+        key: trusted_certificate.certificate.clone(),
     };
-    let error = TrustAnchors::load(&ours.file(), Some(&swapped))
+    let error = TrustAnchors::load(&trusted_authority.file(), Some(&swapped))
         .unwrap_err()
         .to_string();
     assert!(
-        error.contains("desk.key") && !error.contains(key.lines().nth(1).unwrap()),
+        error.contains("client.key") && !error.contains(key.lines().nth(1).unwrap()),
         "{error}"
     );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn tls_reload_applies_to_new_connections_and_drops_none() {
+async fn tls_reload_applies_to_new_connections_and_closes_none() {
     let folder = tempfile::tempdir().unwrap();
     let first = Authority::new(folder.path(), "first");
     let second = Authority::new(folder.path(), "second");
-    let files = first.sign("edge", |_| {});
+    let files = first.sign("dispatcher", |_| {});
     let dispatcher = start_dispatcher(&files, None).await;
     let trusts_first = client(
         dispatcher.bound_addresses(),
@@ -275,10 +289,13 @@
     );
     assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
     assert_ne!(get(&trusts_second, "/small").await.0, Outcome::Served);
-    // A certificate without its key is rejected, and the old pair stays.
-    let renewed = second.sign("edge", |_| {});
+    // A certificate without the matching key is rejected, and the old pair stays in use.
+    let renewed = second.sign("dispatcher", |_| {});
     std::fs::copy(&renewed.certificate, &files.certificate).unwrap();
-    assert!(dispatcher.reload_tls().is_err(), "the key does not fit");
+    assert!(
+        dispatcher.reload_tls().is_err(),
+        "a key that does not match the certificate was accepted"
+    );
     assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
     std::fs::copy(&renewed.key, &files.key).unwrap();
     dispatcher.reload_tls().unwrap();
@@ -291,6 +308,6 @@
     assert_eq!(
         get(&trusts_first, "/small").await.0,
         Outcome::Served,
-        "its connection stands"
+        "the established connection must stay open"
     );
 }
