--- a/crates/client/src/framed.rs
+++ b/crates/client/src/framed.rs
@@ -194,7 +194,7 @@
 }
 
 /// Sends probes while a call is in progress, and aborts a connection on which no frame was received for a lease. Its
-/// attempts then end as lost_end, and their lease counts from the abort.
+/// attempts then end as lost, and their lease counts from the abort.
 async fn send_keep_alives(connection: Arc<Connection>) {
     let mut token = 0;
     while !connection.framed.is_closed() {
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -29,7 +29,7 @@
 //!
 //! # Retries
 //!
-//! | idempotency | at the same dispatcher | at another dispatcher | outcome without a further retry |
+//! | idempotency | at the same dispatcher | at another dispatcher | outcome if an attempt may have run and no retry follows |
 //! | --- | --- | --- | --- |
 //! | [`Idempotency::Idempotent`] | after a backoff; the dispatcher ends the lost attempt first | after the lost attempt's lease has expired | rejected |
 //! | [`Idempotency::WithKey`] | as above, with the same key, within two thirds of its window | as above, with the same key, within two thirds of its window | failed, may have run |
