--- a/crates/audit/src/answers.rs
+++ b/crates/audit/src/answers.rs
@@ -1,4 +1,5 @@
-//! Rule: no request is lost. It gets one final response before the deadline, and nothing after it.
+//! Rule `answers`: each accepted request gets one final response before its deadline, and after it neither a further
+//! response nor another attempt.
 use crate::evidence::{ClientRequest, Evidence, HostAttempt, RequestEnd};
 use crate::periods::Span;
 use crate::trace::{ClientOutcome, TraceEvent};
@@ -16,21 +17,21 @@
     for entry in evidence.trace {
         if let TraceEvent::UnexpectedResponse { dispatcher } = entry.event {
             let detail = format!("dispatcher {dispatcher} sent what belongs to no open request");
-            rule.violate("twice", entry.at, None, detail);
+            rule.add_violation("twice", entry.at, None, detail);
         }
     }
     rule
 }
 
 fn judge_request(evidence: &Evidence, request: &ClientRequest, rule: &mut RuleVerdict) {
-    if !owes_response(evidence, request) {
+    if !is_response_required(evidence, request) {
         return;
     }
     rule.cases += 1;
     match request.ends.first() {
         None => {
             let detail = "no final answer".into();
-            rule.violate("silent", request.deadline, Some(request.id), detail);
+            rule.add_violation("silent", request.deadline, Some(request.id), detail);
         }
         Some(end) => {
             judge_first_end(evidence, request, end, rule);
@@ -38,18 +39,19 @@
     }
     if let Some(second) = request.ends.get(1) {
         let detail = "more came after the final answer".into();
-        rule.violate("twice", second.at, Some(request.id), detail);
+        rule.add_violation("twice", second.at, Some(request.id), detail);
     }
     if let Some(end) = request.ends.first() {
         for attempt in &request.attempts {
-            judge_attempt_after(evidence, request, attempt, end, rule);
+            judge_attempt_after_end(evidence, request, attempt, end, rule);
         }
     }
 }
 
-/// Whether the dispatcher owed a response. What it had in flight when it was killed is for the client to retry, and
-/// a request whose deadline is after the end of the run was not observed for long enough.
-fn owes_response(evidence: &Evidence, request: &ClientRequest) -> bool {
+/// Whether the dispatcher had to respond. A request is left to the client to retry if its dispatcher was down or paused
+/// while it was open, or was stopping when it was sent. A request without a response whose deadline is after the end of
+/// the run was not observed for long enough.
+fn is_response_required(evidence: &Evidence, request: &ClientRequest) -> bool {
     let first_end = request.ends.first();
     let open = Span {
         from: request.sent,
@@ -68,18 +70,18 @@
     rule: &mut RuleVerdict,
 ) {
     let id = Some(request.id);
-    // A cancelled request is owed nothing any more, in time or late.
+    // A cancelled request no longer requires a response, so it is never late.
     let is_late =
         end.at > request.deadline + evidence.tolerance && request.cancelled_at().is_none();
     match end.outcome {
         ClientOutcome::ConnectionLost => {
             let detail = "the connection ended without an answer".into();
-            rule.violate("silent", end.at, id, detail);
+            rule.add_violation("silent", end.at, id, detail);
         }
         _ if is_late => {
             let late_ms = (end.at - request.deadline) as f64 / 1e3;
             let detail = format!("{late_ms:.0} ms after the deadline");
-            rule.violate("late", end.at, id, detail);
+            rule.add_violation("late", end.at, id, detail);
         }
         ClientOutcome::Served {
             version: None,
@@ -87,13 +89,13 @@
             ..
         } => {
             let detail = format!("served {bytes} bytes that are not the object's");
-            rule.violate("wrong", end.at, id, detail);
+            rule.add_violation("wrong", end.at, id, detail);
         }
         _ => {}
     }
 }
 
-fn judge_attempt_after(
+fn judge_attempt_after_end(
     evidence: &Evidence,
     request: &ClientRequest,
     attempt: &HostAttempt,
@@ -110,7 +112,7 @@
         from: end.at,
         to: attempt.arrived,
     };
-    // It may have been sent before the end and delayed by a partition.
+    // The attempt may have been sent before the end and delayed by a partition.
     let delayed = evidence.was_partitioned(attempt.dispatcher, &attempt.host, since_end);
-    rule.file(violation, !delayed);
+    rule.add_classified(violation, !delayed);
 }
--- a/crates/audit/src/class_work.rs
+++ b/crates/audit/src/class_work.rs
@@ -1,4 +1,4 @@
-//! The work that requests put on hosts, by class.
+//! The work that requests cause at hosts, by class.
 use pointspindle_scenario::Scenario;
 
 /// Mean work of a request of each class.
@@ -8,7 +8,7 @@
 }
 
 impl ClassWork {
-    /// The classes of a scenario.
+    /// Returns the mean work of the classes of a scenario.
     pub fn of(scenario: &Scenario) -> Self {
         let models = scenario.class_models();
         let seconds = models
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Mean work of a request of this class, in seconds of a link of weight 1; 0 for a class that does not exist.
+    /// Returns the mean work of a request of a class, in seconds of a link of weight 1; 0 for an unknown class.
     pub fn seconds(&self, class: usize) -> f64 {
         self.seconds.get(class).copied().unwrap_or(0.0)
     }
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,5 +1,5 @@
-//! Rule: drains are respected. A draining or removed host is sent nothing new, nor named as a source, once the grace
-//! period is over.
+//! Rule `drains`: after the grace period, a draining or removed host receives no new attempts and is not named as the
+//! source of a fill.
 use crate::evidence::Evidence;
 use crate::trace::{ClientAttemptId, TraceEvent};
 use crate::verdict::RuleVerdict;
@@ -50,7 +50,7 @@
 struct DrainAudit {
     rule: RuleVerdict,
     grace: Micros,
-    /// Since when a dispatcher knows that a host is draining or removed.
+    /// Time since which a dispatcher knows that a host is draining or removed.
     known_since: HashMap<(usize, String), Micros>,
 }
 
@@ -86,7 +86,7 @@
         &mut self,
         at: Micros,
         dispatcher: usize,
-        use_of_host: &str,
+        usage: &str,
         host: &str,
         id: Option<ClientAttemptId>,
     ) {
@@ -95,10 +95,9 @@
         };
         if at > since + self.grace {
             let after_ms = (at - since) as f64 / 1e3;
-            let detail = format!(
-                "dispatcher {dispatcher} {use_of_host} {host} {after_ms:.0} ms after the notice"
-            );
-            self.rule.violate("drain", at, id, detail);
+            let detail =
+                format!("dispatcher {dispatcher} {usage} {host} {after_ms:.0} ms after the notice");
+            self.rule.add_violation("drain", at, id, detail);
         }
     }
 }
--- a/crates/audit/src/effects.rs
+++ b/crates/audit/src/effects.rs
@@ -1,10 +1,11 @@
-//! Rule: no effect happens twice. No two attempts at once, no attempt sent twice, no work run twice.
+//! Rule `effects`: no effect happens twice. A request has at most one attempt at a time, no attempt is sent twice, and
+//! no work is executed twice.
 use crate::evidence::{ClientRequest, Evidence, HostAttempt};
 use crate::periods::Span;
 use crate::verdict::{RuleVerdict, Violation};
 use pointspindle_scenario::Idempotency;
 
-/// `effects`: how often the origin ran each piece of work.
+/// Judges the rule over a run. `effects` lists each piece of work with the number of its executions at the origin.
 pub(super) fn judge(evidence: &Evidence, effects: &[(String, u32)]) -> RuleVerdict {
     let mut rule = RuleVerdict::new(
         "effects",
@@ -17,7 +18,7 @@
         rule.cases += 1;
         if *runs > 1 {
             let detail = format!("{work} ran {runs} times");
-            rule.violate("repeat", evidence.run_end, None, detail);
+            rule.add_violation("repeat", evidence.run_end, None, detail);
         }
     }
     rule
@@ -32,7 +33,7 @@
     }
     let class = &evidence.scenario.workload.classes[request.class];
     if class.idempotency == Idempotency::NotIdempotent && request.attempts.len() > 1 {
-        // Whether the earlier one had run is known from the origin's counts.
+        // Whether the work was executed more than once is judged by the origin's counts.
         rule.cases += 1;
     }
 }
@@ -50,30 +51,30 @@
             "attempt {} reached {} and {}",
             earlier.number, earlier.host, later.host
         );
-        rule.violate("double", later.arrived, id, detail);
+        rule.add_violation("double", later.arrived, id, detail);
         return;
     }
-    // An attempt that was never seen to end was live until the end of the run.
+    // An attempt without a recorded end lasted until the end of the run.
     let earlier_end = earlier.ended.unwrap_or(evidence.run_end);
     if earlier_end <= later.arrived + evidence.tolerance {
         return;
     }
     let later_end = later.ended.unwrap_or(evidence.run_end);
-    let together_ms = (earlier_end.min(later_end) - later.arrived) as f64 / 1e3;
-    if together_ms * 1e3 <= evidence.tolerance as f64 {
+    let overlap_ms = (earlier_end.min(later_end) - later.arrived) as f64 / 1e3;
+    if overlap_ms * 1e3 <= evidence.tolerance as f64 {
         return;
     }
     let detail = format!(
-        "at {} and {} together for {together_ms:.0} ms",
+        "at {} and {} together for {overlap_ms:.0} ms",
         earlier.host, later.host
     );
     let violation = Violation::new("double", later.arrived, id, detail);
-    let both = Span {
+    let overlap = Span {
         from: later.arrived,
         to: earlier_end,
     };
-    // No dispatcher could know that a partition kept its cancellation from arriving. Work that ran twice counts all
-    // the same, by the origin's counts.
-    let cancel_lost = evidence.was_partitioned(earlier.dispatcher, &earlier.host, both);
-    rule.file(violation, !cancel_lost);
+    // A dispatcher cannot know that a partition dropped its cancellation. Work that was executed twice is still a
+    // violation, by the origin's counts.
+    let cancel_lost = evidence.was_partitioned(earlier.dispatcher, &earlier.host, overlap);
+    rule.add_classified(violation, !cancel_lost);
 }
--- a/crates/audit/src/evidence.rs
+++ b/crates/audit/src/evidence.rs
@@ -1,29 +1,29 @@
-//! The trace of a run sorted by what its events are about.
+//! The trace of a run, grouped by requests, dispatchers, hosts and zones.
 use crate::periods::{Periods, Span};
 use crate::trace::{ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent};
 use pointspindle::Micros;
 use pointspindle_scenario::Scenario;
 use std::collections::HashMap;
 
-/// An attempt of a dispatcher as the host's socket saw it.
+/// An attempt of a dispatcher, as observed at the host's socket.
 #[derive(Clone, Debug)]
 pub(crate) struct HostAttempt {
     pub host: String,
     pub dispatcher: usize,
     pub number: u32,
     pub arrived: Micros,
-    /// None: never seen to end.
+    /// Time of the attempt's end; `None` if no end was recorded.
     pub ended: Option<Micros>,
 }
 
-/// How a request ended for its client, and when.
+/// Outcome of a request for its client, with its time.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestEnd {
     pub at: Micros,
     pub outcome: ClientOutcome,
 }
 
-/// An attempt of a client with everything that belongs to it.
+/// An attempt of a client, with its outcomes and the dispatcher's attempts at hosts.
 #[derive(Clone, Debug)]
 pub(crate) struct ClientRequest {
     pub id: ClientAttemptId,
@@ -33,14 +33,14 @@
     pub group: u64,
     pub sent: Micros,
     pub deadline: Micros,
-    /// One is right; more are a violation.
+    /// Outcomes in the order of the trace; more than one violates the rule `answers`.
     pub ends: Vec<RequestEnd>,
-    /// In the order of their arrival.
+    /// Attempts in the order of their arrival.
     pub attempts: Vec<HostAttempt>,
 }
 
 impl ClientRequest {
-    /// When its client cancelled it, if it did.
+    /// Returns the time at which the client cancelled the request, if it did.
     pub fn cancelled_at(&self) -> Option<Micros> {
         self.ends
             .iter()
@@ -49,29 +49,29 @@
     }
 }
 
-/// The events of a run sorted by what they are about.
+/// The events of a run, grouped by requests, dispatchers, hosts and zones.
 pub(crate) struct Evidence<'a> {
     pub scenario: &'a Scenario,
     pub trace: &'a [TraceEntry],
     pub requests: Vec<ClientRequest>,
-    /// How far two times may be off each other by the measurement alone.
+    /// Maximum error of the difference between two measured times, in microseconds.
     pub tolerance: Micros,
-    /// The time of the last event.
+    /// Time of the last event.
     pub run_end: Micros,
     index: HashMap<ClientAttemptId, usize>,
     dispatchers_down: Periods<usize>,
-    /// From the request to stop until the next start: what a dispatcher had accepted is answered.
+    /// Periods from the start of a graceful shutdown to the next start. Requests accepted before are still answered.
     dispatchers_stopping: Periods<usize>,
-    /// A paused dispatcher acts, once it resumes, on what it knew before.
+    /// Periods of pauses. A dispatcher that resumes acts on the state that it had before the pause.
     dispatchers_paused: Periods<usize>,
-    /// No cancellation reaches a partitioned host.
+    /// Periods of partitions. No cancellation reaches a partitioned host.
     hosts_partitioned: Periods<String>,
     zones_partitioned: Periods<usize>,
     zone_of_host: HashMap<String, usize>,
 }
 
 impl<'a> Evidence<'a> {
-    /// Sorts the events of a run.
+    /// Groups the events of a run.
     pub fn new(scenario: &'a Scenario, trace: &'a [TraceEntry]) -> Self {
         let mut evidence = Self {
             scenario,
@@ -225,12 +225,12 @@
         self.zones_partitioned.end_all(self.run_end);
     }
 
-    /// Whether the host was partitioned from the dispatcher at some time in the span.
+    /// Whether the host was partitioned from the dispatcher at some time within the span.
     pub fn was_partitioned(&self, dispatcher: usize, host: &str, span: Span) -> bool {
         let overlaps = |period: &Span| period.overlaps(span, self.tolerance);
-        let near_zone = self.scenario.branch_of_dispatcher(dispatcher);
-        let far_zone = self.zone_of_host.get(host).copied();
-        let separates = |zone: usize| (zone == near_zone) != (Some(zone) == far_zone);
+        let dispatcher_zone = self.scenario.branch_of_dispatcher(dispatcher);
+        let host_zone = self.zone_of_host.get(host).copied();
+        let separates = |zone: usize| (zone == dispatcher_zone) != (Some(zone) == host_zone);
         self.hosts_partitioned.of(host).iter().any(overlaps)
             || self
                 .zones_partitioned
@@ -238,7 +238,7 @@
                 .any(|(zone, periods)| separates(*zone) && periods.iter().any(overlaps))
     }
 
-    /// Whether the dispatcher was down or paused at some time in the span.
+    /// Whether the dispatcher was down or paused at some time within the span.
     pub fn was_unavailable(&self, dispatcher: usize, span: Span) -> bool {
         self.dispatchers_down
             .of(&dispatcher)
@@ -247,8 +247,7 @@
             .any(|period| period.overlaps(span, self.tolerance))
     }
 
-    /// Whether the dispatcher had been asked to stop at this moment: it may have exited before it read a request
-    /// that was sent then.
+    /// Whether the dispatcher was stopping at `at`: it may have exited before it read a request sent at that time.
     pub fn was_stopping(&self, dispatcher: usize, at: Micros) -> bool {
         self.dispatchers_stopping
             .of(&dispatcher)
@@ -256,7 +255,7 @@
             .any(|period| period.overlaps(Span::at(at), self.tolerance))
     }
 
-    /// When a dispatcher could read what was delivered to it at `at`: not before the end of a pause.
+    /// Returns the time at which a dispatcher could read a message delivered at `at`: not before the end of a pause.
     pub fn readable_at(&self, dispatcher: usize, at: Micros) -> Micros {
         self.dispatchers_paused
             .of(&dispatcher)
--- a/crates/audit/src/fleet_totals/bounds.rs
+++ b/crates/audit/src/fleet_totals/bounds.rs
@@ -1,14 +1,15 @@
-//! Rule: what all dispatchers do together stays within the scenario's bounds.
+//! Rule `sums`: the totals over all dispatchers stay within the scenario's bounds.
 use super::{CancellationTotals, FleetTotals, Peak};
 use crate::verdict::RuleVerdict;
 use pointspindle::Micros;
 use pointspindle_cache_model::Role;
 use pointspindle_scenario::Scenario;
 
-/// Attempts may arrive at a host for this long after their client has cancelled.
+/// Time for which attempts may still arrive at a host after their client has cancelled, in microseconds.
 const CANCELLATION_GRACE_US: Micros = 100_000;
 
-/// Judges each bound that the scenario sets. `baseline`: the same run without the faults that affect a site.
+/// Judges each bound that the scenario sets. `baseline` has the totals of the same run without the faults that affect a
+/// site; without it, the bound on unaffected sites is not judged.
 pub fn judge_totals(
     scenario: &Scenario,
     totals: &FleetTotals,
@@ -59,7 +60,7 @@
                 "an attempt reached a member {:.0} ms after its client had left, {bound_ms:.0} at most",
                 totals.longest_ms
             );
-            self.rule.violate("left", 0, None, detail);
+            self.rule.add_violation("left", 0, None, detail);
         }
     }
 
@@ -95,7 +96,7 @@
         }
     }
 
-    /// An upper bound; 0 sets none.
+    /// Judges an upper bound; a bound of 0 is not set.
     fn at_most(&mut self, kind: &str, bound: f64, value: f64, at_s: f64, detail: &str) {
         if bound <= 0.0 {
             return;
@@ -104,11 +105,11 @@
         if value > bound {
             let detail = format!("{detail}, {bound:.2} at most");
             let at = (at_s * 1e6) as Micros;
-            self.rule.violate(kind, at, None, detail);
+            self.rule.add_violation(kind, at, None, detail);
         }
     }
 
-    /// A lower bound; 0 sets none.
+    /// Judges a lower bound; a bound of 0 is not set.
     fn at_least(&mut self, kind: &str, bound: f64, value: f64, detail: &str) {
         if bound <= 0.0 {
             return;
@@ -116,7 +117,7 @@
         self.rule.cases += 1;
         if value < bound {
             let detail = format!("{detail}, {bound:.3} at least");
-            self.rule.violate(kind, 0, None, detail);
+            self.rule.add_violation(kind, 0, None, detail);
         }
     }
 }
--- a/crates/audit/src/fleet_totals/cancellations.rs
+++ b/crates/audit/src/fleet_totals/cancellations.rs
@@ -1,16 +1,16 @@
-//! Requests that their clients cancelled, and what reached hosts for them afterwards.
+//! Requests that their clients cancelled, and attempts for them that arrived at hosts afterwards.
 use crate::evidence::Evidence;
 use crate::periods::Span;
 use serde::{Deserialize, Serialize};
 
-/// Requests that their clients cancelled.
+/// Totals of requests that their clients cancelled.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CancellationTotals {
-    /// Cancelled requests.
+    /// Number of cancelled requests.
     pub clients: u64,
-    /// Those that were cancelled before any attempt arrived at a host.
+    /// Number of requests that were cancelled before any attempt arrived at a host.
     pub unsent: u64,
-    /// Attempts that arrived at a host after the cancellation.
+    /// Number of attempts that arrived at a host after the cancellation.
     pub attempts: u64,
     /// The longest time from a cancellation to an attempt's arrival, in milliseconds.
     pub longest_ms: f64,
@@ -24,14 +24,14 @@
             continue;
         };
         totals.clients += 1;
-        let sent_after = request.attempts.iter().all(|a| a.arrived > cancelled);
-        totals.unsent += u64::from(sent_after);
+        let none_arrived_before = request.attempts.iter().all(|a| a.arrived > cancelled);
+        totals.unsent += u64::from(none_arrived_before);
         for attempt in request.attempts.iter().filter(|a| a.arrived > cancelled) {
             let since_cancelled = Span {
                 from: cancelled,
                 to: attempt.arrived,
             };
-            // It may have been sent before the cancellation and delayed by a partition.
+            // The attempt may have been sent before the cancellation and delayed by a partition.
             if evidence.was_partitioned(attempt.dispatcher, &attempt.host, since_cancelled) {
                 continue;
             }
--- a/crates/audit/src/fleet_totals/fairness.rs
+++ b/crates/audit/src/fleet_totals/fairness.rs
@@ -1,9 +1,9 @@
-//! How evenly dispatchers are served.
+//! Fairness between dispatchers: how evenly their requests are served.
 use crate::evidence::Evidence;
 use crate::trace::ClientOutcome;
 use std::collections::BTreeMap;
 
-/// How evenly the shares of requests served are distributed.
+/// Distribution of the dispatchers' shares of requests served.
 #[derive(Default)]
 pub(super) struct Fairness {
     /// Jain's fairness index over the dispatchers' shares of requests served.
@@ -48,7 +48,7 @@
     }
 }
 
-/// By dispatcher: the share of requests served of those that ended and were not cancelled.
+/// Returns for each dispatcher the served share of its requests that ended and were not cancelled.
 fn shares_served(evidence: &Evidence) -> Vec<DispatcherShare> {
     let mut counts: BTreeMap<usize, RequestCounts> = BTreeMap::new();
     for request in &evidence.requests {
@@ -58,10 +58,10 @@
         if end.outcome == ClientOutcome::Cancelled {
             continue;
         }
-        let own = counts.entry(request.dispatcher).or_default();
-        own.ended += 1.0;
+        let dispatcher_counts = counts.entry(request.dispatcher).or_default();
+        dispatcher_counts.ended += 1.0;
         let served = end.outcome.is_served_correctly();
-        own.served += if served { 1.0 } else { 0.0 };
+        dispatcher_counts.served += if served { 1.0 } else { 0.0 };
     }
     counts
         .into_iter()
--- a/crates/audit/src/fleet_totals/hosts.rs
+++ b/crates/audit/src/fleet_totals/hosts.rs
@@ -5,26 +5,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// Attempts are counted over this long, and this long after a host's start.
+/// Interval over which attempts are counted, and time after a host's start for which it counts as just restarted.
 const SECOND_US: Micros = 1_000_000;
 
-/// The worst moment of a host.
+/// The highest load of a host.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Peak {
     /// Address of the host.
     pub host: String,
-    /// When it was, in seconds since the start of the run.
+    /// Time of the highest load, in seconds since the start of the run.
     pub at_s: f64,
-    /// Requests in flight, or attempts within a second.
+    /// Number of attempts in flight, or of attempts within a second.
     pub count: u64,
     /// The count per unit of the host's weight.
     pub by_weight: f64,
-    /// Number of dispatchers that sent a part of it.
+    /// Number of dispatchers that sent a part of the load.
     pub dispatchers: u64,
 }
 
 impl Peak {
-    fn raise(&mut self, host: Host, at: Micros, by_dispatcher: &HashMap<usize, u64>) {
+    fn update(&mut self, host: Host, at: Micros, by_dispatcher: &HashMap<usize, u64>) {
         let count: u64 = by_dispatcher.values().sum();
         let by_weight = count as f64 / host.weight.max(1e-9);
         if by_weight > self.by_weight {
@@ -39,22 +39,22 @@
     }
 }
 
-/// The worst load of a host of a role.
+/// The highest loads among the hosts of a role.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleTotals {
     /// Name of the role.
     pub role: String,
-    /// Most attempts in flight at one host.
+    /// Highest number of attempts in flight at one host.
     #[serde(rename = "under_way")]
     pub in_flight: Peak,
-    /// Most attempts at one host within a second.
+    /// Highest number of attempts at one host within a second.
     pub attempts: Peak,
-    /// Most attempts at one host within the first second after its restart.
+    /// Highest number of attempts at one host within the first second after its restart.
     #[serde(rename = "returned")]
     pub after_restart: Peak,
 }
 
-/// A host as the trace declares it.
+/// A host as declared in the trace.
 #[derive(Clone, Copy)]
 struct Host<'a> {
     address: &'a str,
@@ -100,7 +100,7 @@
     roles: BTreeMap<&'a str, RoleTotals>,
 }
 
-/// Measures the worst loads by role, in the order of the roles' names.
+/// Measures the highest loads by role, in the order of the roles' names.
 pub(super) fn measure(trace: &[TraceEntry]) -> Vec<RoleTotals> {
     let mut measurement = LoadMeasurement::default();
     for entry in trace {
@@ -160,12 +160,12 @@
         let load = self.loads.entry(address).or_default();
         load.arrived(at, dispatcher);
         let totals = self.roles.entry(host.role.name()).or_default();
-        totals.in_flight.raise(host, at, &load.in_flight);
-        totals.attempts.raise(host, at, &load.arrived_in_second);
+        totals.in_flight.update(host, at, &load.in_flight);
+        totals.attempts.update(host, at, &load.arrived_in_second);
         if load.has_just_restarted(at) {
             totals
                 .after_restart
-                .raise(host, at, &load.arrived_in_second);
+                .update(host, at, &load.arrived_in_second);
         }
     }
 }
--- a/crates/audit/src/fleet_totals/mod.rs
+++ b/crates/audit/src/fleet_totals/mod.rs
@@ -1,7 +1,7 @@
-//! What all dispatchers did together: at each host, over the fleet, and for the clients of each site.
+//! Totals over all dispatchers: at each host, over the fleet, and for the clients of each site.
 //!
-//! It is measured from the trace alone, like the rules. The bounds are the scenario's own (`[sums]` of its file): what
-//! a fleet may come to follows from its size and its settings, which `docs/design/sums.md` turns into figures.
+//! Like the rules, totals are measured from the trace alone. Their bounds are set by section `[sums]` of the scenario's
+//! file, because they depend on the size and the settings of the fleet; `docs/design/sums.md` derives them.
 mod bounds;
 mod cancellations;
 mod fairness;
@@ -25,37 +25,37 @@
 /// The totals of a run over the whole fleet.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetTotals {
-    /// By role of the hosts, those that were sent something.
+    /// Highest loads by role, for roles with hosts that received attempts.
     pub roles: Vec<RoleTotals>,
-    /// Attempts beyond the first of a request, per first attempt.
+    /// Number of attempts beyond the first of a request, per first attempt.
     #[serde(rename = "second_attempts")]
     pub retries_per_request: f64,
-    /// The same over the worst 2 s.
+    /// Retries per first attempt over the worst 2 s.
     #[serde(rename = "second_attempts_worst")]
     pub worst_retries_per_request: f64,
-    /// When the worst 2 s began, in seconds since the start of the run.
+    /// Start of the worst 2 s, in seconds since the start of the run.
     #[serde(rename = "second_attempts_at_s")]
     pub worst_retries_at_s: f64,
     /// Jain's fairness index over the dispatchers' shares of requests served.
     pub fairness: f64,
-    /// The lowest share of requests served by a dispatcher.
+    /// Lowest share of requests served among the dispatchers.
     #[serde(rename = "least_served")]
     pub lowest_served_share: f64,
-    /// The dispatcher with the lowest share.
+    /// Index of the dispatcher with the lowest share.
     #[serde(rename = "least_dispatcher")]
     pub lowest_served_dispatcher: usize,
-    /// The mean share.
+    /// Mean of the dispatchers' shares of requests served.
     #[serde(rename = "mean_served")]
     pub mean_served_share: f64,
-    /// By site; empty where no fault affects a whole site.
+    /// Service by site; empty if no fault affects a whole site.
     pub sites: Vec<SiteService>,
-    /// The worst load of a warming host, from dispatchers that knew of its start.
+    /// The worst load of a warming host with at least two thirds of it from dispatchers that knew of the start.
     #[serde(rename = "cold")]
     pub warm_up_informed: WarmUpPeak,
-    /// The worst load of a warming host, from other dispatchers.
+    /// The worst of the other loads of a warming host.
     #[serde(rename = "cold_unknown")]
     pub warm_up_uninformed: WarmUpPeak,
-    /// Requests that their clients cancelled.
+    /// Totals of requests that their clients cancelled.
     #[serde(rename = "left")]
     pub cancellations: CancellationTotals,
 }
@@ -65,7 +65,7 @@
     let evidence = Evidence::new(scenario, trace);
     let retries = retries::measure(&evidence);
     let fairness = fairness::measure(&evidence);
-    let warm_up = warm_up::find(&evidence);
+    let warm_up = warm_up::measure(&evidence);
     FleetTotals {
         roles: hosts::measure(trace),
         retries_per_request: retries.per_request,
--- a/crates/audit/src/fleet_totals/retries.rs
+++ b/crates/audit/src/fleet_totals/retries.rs
@@ -1,11 +1,11 @@
-//! Attempts beyond the first of a request.
+//! Retries: attempts beyond the first of a request.
 use crate::evidence::Evidence;
 use pointspindle::Micros;
 use std::collections::BTreeMap;
 
-/// Retries are counted over this long: a second has too few first attempts.
+/// Interval over which retries are counted; a second has too few first attempts.
 const INTERVAL_US: Micros = 2_000_000;
-/// Intervals with fewer first attempts than this are not compared.
+/// Minimum number of first attempts in an interval that is compared with others.
 const MIN_FIRST_ATTEMPTS: u64 = 20;
 
 /// Retries over the run and over its worst interval.
@@ -13,9 +13,9 @@
 pub(super) struct RetryTotals {
     /// Retries per first attempt.
     pub per_request: f64,
-    /// The same over the worst interval.
+    /// Retries per first attempt over the worst interval.
     pub worst: f64,
-    /// When the worst interval began, in seconds since the start of the run.
+    /// Start of the worst interval, in seconds since the start of the run.
     pub worst_at_s: f64,
 }
 
--- a/crates/audit/src/fleet_totals/sites.rs
+++ b/crates/audit/src/fleet_totals/sites.rs
@@ -1,15 +1,15 @@
-//! How the clients of each site were served before and after faults that affect whole sites.
+//! Service to the clients of each site, before and after faults that affect whole sites.
 use crate::service::Service;
 use crate::value::ValueSum;
 use pointspindle_scenario::Scenario;
 use serde::{Deserialize, Serialize};
 
-/// A site has recovered at this share of its service before the faults.
+/// Minimum share of its service before the faults at which a site has recovered.
 const RECOVERED_SHARE: f64 = 0.95;
 /// Length of the periods over which the worst service and the recovery are measured, in seconds.
 const PERIOD_S: usize = 3;
 
-/// How a site's clients were served.
+/// Service to a site's clients.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SiteService {
     /// Name of the site.
@@ -22,12 +22,13 @@
     /// Service over the whole seconds before the first fault that affects a site.
     #[serde(rename = "before")]
     pub service_before: f64,
-    /// Service from then on.
+    /// Service from the first such fault on.
     #[serde(rename = "since")]
     pub service_since: f64,
-    /// Worst 3 s from then on.
+    /// Service over the worst 3 s from the first such fault on.
     pub worst: f64,
-    /// Seconds from the end of the last such fault until 3 s in a row are at 0.95 of the service before; none: never.
+    /// Seconds from the end of the last such fault to the first 3 s with at least 0.95 of the service before the
+    /// faults; `None` if there are none.
     #[serde(rename = "back_after_s")]
     pub recovered_after_s: Option<f64>,
 }
@@ -56,7 +57,7 @@
     }
 }
 
-/// Measures each site's service; empty where no fault affects a whole site.
+/// Measures each site's service; returns none if no fault affects a whole site.
 pub(super) fn measure(scenario: &Scenario, service: &Service) -> Vec<SiteService> {
     let Some(faults) = FaultPeriod::of(scenario) else {
         return Vec::new();
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -1,15 +1,15 @@
-//! The part of a trace that concerns one call.
+//! Selects the part of a trace that concerns one call.
 use crate::trace::{TraceEntry, TraceEvent};
 use pointspindle::Micros;
 use std::collections::BTreeSet;
 
-/// Events of hosts and dispatchers are shown from this long before the first event of the call ...
+/// Time before the first event of a call from which on events of hosts, dispatchers and the script are included.
 const CONTEXT_BEFORE_US: Micros = 2_000_000;
-/// ... until this long after its last one.
+/// Time after the last event of a call until which events of hosts, dispatchers and the script are included.
 const CONTEXT_AFTER_US: Micros = 500_000;
 
-/// Every event of a call in order, with the events around it of the hosts that its attempts reached, of dispatchers
-/// and of the script.
+/// Returns every event of a call in order, with those events around it that concern the hosts reached by its attempts,
+/// the dispatchers or the script.
 pub fn request_history(trace: &[TraceEntry], call: u64) -> Vec<&TraceEntry> {
     let times = || {
         trace
@@ -47,7 +47,7 @@
         .collect()
 }
 
-/// Whether an event of no single call may explain what happened to a call that reached `hosts`.
+/// Whether an event that belongs to no call may explain the outcome of a call that reached `hosts`.
 fn is_context(event: &TraceEvent, hosts: &BTreeSet<&str>) -> bool {
     match event {
         TraceEvent::HostCrashed { host, .. } | TraceEvent::HostStarted { host, .. } => {
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,7 +1,7 @@
-//! Judges a run by the five rules, from what crossed the sockets ([`trace::TraceEvent`]s) and nothing else.
+//! Judges a run by five rules, using only events observed at the sockets ([`trace::TraceEvent`]).
 //!
-//! What a dispatcher says of itself is no evidence. Each rule says how many cases it checked, so that a rule that was
-//! never exercised shows, and each violation names its kind, the client's attempt and the time.
+//! Reports of a dispatcher about itself are not used as evidence. Each verdict contains the number of cases checked, so
+//! that a rule that the run never exercised is visible; each violation has a kind, the client's attempt and the time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -29,7 +29,7 @@
 use crate::trace::{TraceEntry, TraceEvent};
 use pointspindle_scenario::Scenario;
 
-/// Number of hosts that crashed by overload during their warm-up, whether or not a dispatcher knew of their start.
+/// Returns the number of host crashes caused by overload during warm-up, whether or not a dispatcher knew of the start.
 pub fn count_cold_crashes(trace: &[TraceEntry]) -> usize {
     let is_cold_crash = |entry: &&TraceEntry| match &entry.event {
         TraceEvent::HostCrashed { reason, .. } => reason.contains("cold"),
@@ -38,7 +38,7 @@
     trace.iter().filter(is_cold_crash).count()
 }
 
-/// Judges a run by all five rules. `effects`: how often the origin ran each piece of work.
+/// Judges a run by the five rules. `effects` lists each piece of work with the number of its executions at the origin.
 pub fn judge(
     scenario: &Scenario,
     trace: &[TraceEntry],
--- a/crates/audit/src/periods.rs
+++ b/crates/audit/src/periods.rs
@@ -1,9 +1,9 @@
-//! Periods of time during which something was so: a dispatcher was down, a host was partitioned, ...
+//! Periods of time during which a condition held, such as a dispatcher being down or a host being partitioned.
 use pointspindle::Micros;
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// A period, both ends included, in microseconds since the start of the run.
+/// A period of time with both ends included, in microseconds since the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Span {
     pub from: Micros,
@@ -11,7 +11,7 @@
 }
 
 impl Span {
-    /// A moment as a period.
+    /// Returns the period that consists of one moment.
     pub fn at(moment: Micros) -> Self {
         Self {
             from: moment,
@@ -19,13 +19,13 @@
         }
     }
 
-    /// Whether two periods have a moment in common, give or take `tolerance`.
+    /// Whether two periods overlap, or are at most `tolerance` apart.
     pub fn overlaps(self, other: Self, tolerance: Micros) -> bool {
         self.from <= other.to + tolerance && other.from <= self.to + tolerance
     }
 }
 
-/// The periods of each subject, built from the events that begin and end them.
+/// The periods of each subject, built from events that begin and end them.
 #[derive(Clone, Debug)]
 pub(crate) struct Periods<K> {
     open: HashMap<K, Micros>,
@@ -42,12 +42,12 @@
 }
 
 impl<K: Eq + Hash + Clone> Periods<K> {
-    /// Begins a period, in place of one that is open.
+    /// Begins a period; discards the subject's open period, if there is one.
     pub fn begin(&mut self, subject: K, at: Micros) {
         self.open.insert(subject, at);
     }
 
-    /// Begins a period unless one is open.
+    /// Begins a period unless the subject has an open one.
     pub fn begin_if_none(&mut self, subject: K, at: Micros) {
         self.open.entry(subject).or_insert(at);
     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The subject's ended periods, in the order of their ends.
+    /// Returns the subject's ended periods, in the order of their ends.
     pub fn of<Q>(&self, subject: &Q) -> &[Span]
     where
         K: std::borrow::Borrow<Q>,
@@ -77,7 +77,7 @@
         self.ended.get(subject).map_or(&[], Vec::as_slice)
     }
 
-    /// Every subject with its ended periods, in no order.
+    /// Returns every subject with its ended periods, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &[Span])> {
         self.ended
             .iter()
--- a/crates/audit/src/purges.rs
+++ b/crates/audit/src/purges.rs
@@ -1,4 +1,4 @@
-//! Rule: purges are respected. What is sent after the grace period is not answered from an older copy.
+//! Rule `purges`: an attempt that arrives after the grace period of a purge is not answered from an older copy.
 use crate::evidence::{ClientRequest, Evidence};
 use crate::trace::{ClientOutcome, TraceEvent};
 use crate::verdict::RuleVerdict;
@@ -14,9 +14,9 @@
 
 /// A purge as it was delivered to one dispatcher.
 struct DeliveredPurge {
-    /// When the dispatcher could read it.
+    /// Time at which the dispatcher could read the purge.
     at: Micros,
-    /// Copies made from then on have at least this version.
+    /// Minimum version of copies made after the purge.
     version: u64,
 }
 
@@ -76,7 +76,7 @@
     else {
         return;
     };
-    // The response came from the last attempt that arrived before it.
+    // The response came from the last attempt that arrived before the end of the request.
     let Some(attempt) = request.attempts.iter().rfind(|a| a.arrived <= end.at) else {
         return;
     };
@@ -100,6 +100,6 @@
             "version {version} sent for {after_ms:.0} ms after a purge to version {} was told",
             newest.version
         );
-        rule.violate("purge", end.at, Some(request.id), detail);
+        rule.add_violation("purge", end.at, Some(request.id), detail);
     }
 }
--- a/crates/audit/src/recorder.rs
+++ b/crates/audit/src/recorder.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
 
-/// A trace shared by every observer of a run. It grows with the run: about ten events a request.
+/// A trace shared by all observers of a run. It grows by about ten events per request.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     started: Instant,
@@ -21,7 +21,7 @@
 }
 
 impl Recorder {
-    /// Microseconds since the recorder was created.
+    /// Returns the microseconds since the recorder was created.
     pub fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
@@ -36,14 +36,14 @@
         self.lock().push(TraceEntry { at, event });
     }
 
-    /// The entries after the first `known` ones, in the order in which they were recorded.
-    pub fn entries_since(&self, known: usize) -> Vec<TraceEntry> {
+    /// Returns the entries from index `start` on, in the order in which they were recorded.
+    pub fn entries_since(&self, start: usize) -> Vec<TraceEntry> {
         self.lock()
-            .get(known..)
+            .get(start..)
             .map_or(Vec::new(), <[TraceEntry]>::to_vec)
     }
 
-    /// Removes and returns everything recorded so far, sorted by time.
+    /// Removes and returns all entries recorded so far, sorted by time.
     pub fn take_entries(&self) -> Vec<TraceEntry> {
         let mut entries = std::mem::take(&mut *self.lock());
         entries.sort_by_key(|entry| entry.at);
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -1,4 +1,4 @@
-//! The service that a run's clients got: value earned in time over value requested.
+//! Service to a run's clients: earned value divided by requested value.
 use crate::evidence::{ClientRequest, Evidence};
 use crate::latency::LatencyHistogram;
 use crate::trace::{ClientOutcome, TraceEntry};
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// Length of the worst period that is reported, in seconds.
+/// Length of the period over which the worst service is measured, in seconds.
 const WORST_PERIOD_S: usize = 10;
-/// In classes with fewer calls than this the largest quarter is looked at in place of the largest tenth.
+/// Minimum number of calls of a class for its largest group to be a tenth of them; with fewer calls it is a quarter.
 const CALLS_FOR_LARGEST_TENTH: usize = 400;
 
 /// The service of one class of requests.
@@ -18,30 +18,30 @@
 pub struct ClassService {
     /// Name of the class.
     pub name: String,
-    /// Calls by clients.
+    /// Number of calls.
     pub calls: u64,
-    /// Calls that were served, in time or late.
+    /// Number of calls that were served, in time or late.
     pub served: u64,
-    /// Calls that were served after their latency objective.
+    /// Number of calls that were served after their latency objective.
     pub late: u64,
-    /// Calls that ended with a rejection.
+    /// Number of calls that ended with a rejection.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Calls that failed otherwise.
+    /// Number of calls that failed in another way.
     pub failed: u64,
-    /// Calls that their clients cancelled.
+    /// Number of calls that their clients cancelled.
     #[serde(rename = "left")]
     pub cancelled: u64,
-    /// Value earned over value requested.
+    /// Earned value divided by requested value.
     pub service: f64,
     /// Median latency of served calls, in milliseconds.
     pub p50_ms: f64,
     /// 99th percentile of the latency of served calls, in milliseconds.
     pub p99_ms: f64,
-    /// The largest tenth of the calls by size (with under 400 calls: the largest quarter).
+    /// The largest tenth of the calls by size; the largest quarter if there are fewer than 400 calls.
     #[serde(default)]
     pub largest: SizeGroup,
-    /// The fifth of the calls that follows by size.
+    /// The next fifth of the calls by size.
     #[serde(default)]
     pub next_largest: SizeGroup,
 }
@@ -51,13 +51,13 @@
 pub struct SizeGroup {
     /// Number of calls.
     pub calls: u64,
-    /// Calls that were served, in time or late.
+    /// Number of calls that were served, in time or late.
     #[serde(rename = "answered")]
     pub served: u64,
 }
 
 impl SizeGroup {
-    /// Share of the calls that were served; 1 where there were none.
+    /// Returns the share of the calls that were served; 1 if there are no calls.
     pub fn share(self) -> f64 {
         if self.calls == 0 {
             return 1.0;
@@ -82,7 +82,7 @@
 }
 
 impl ClassService {
-    /// All calls of the class that were not cancelled.
+    /// Returns all calls of the class that were not cancelled.
     pub fn all(&self) -> SizeGroup {
         SizeGroup {
             calls: self.calls - self.cancelled,
@@ -107,26 +107,26 @@
 /// The service of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Value earned in time over value requested, by calls from their first attempt on.
+    /// Earned value divided by requested value, over calls after the warm-up. Latencies include retries.
     pub service: f64,
-    /// The same over the worst 10 s, or over the run's length if it is shorter.
+    /// Service over the worst 10 s, or over the whole run after the warm-up if that is shorter.
     pub worst_10s: f64,
-    /// When the worst 10 s began, in seconds since the start of the run.
+    /// Start of the worst 10 s, in seconds since the start of the run.
     #[serde(rename = "worst_from_s")]
     pub worst_10s_from_s: f64,
-    /// The run, its worst 10 s and its worst class, weighted as the scenario's objective says.
+    /// Mean of the service of the run, of its worst 10 s and of its worst class, with the weights of the scenario.
     pub goal: f64,
-    /// By class, in the scenario's order.
+    /// Service of each class, in the scenario's order.
     pub classes: Vec<ClassService>,
-    /// Value by the second in which the calls began.
+    /// Value by the second in which the calls started.
     pub by_second: Vec<ValueSum>,
-    /// By branch of the clients: value by second.
+    /// Value by branch of the clients, and by second.
     #[serde(default)]
     pub by_branch: Vec<Vec<ValueSum>>,
-    /// Requests that clients sent, retries included.
+    /// Number of requests that clients sent, retries included.
     #[serde(rename = "tries")]
     pub requests: u64,
-    /// Attempts of dispatchers that reached a host.
+    /// Number of attempts of dispatchers that arrived at a host.
     pub attempts: u64,
 }
 
@@ -150,14 +150,14 @@
     measurement.finish(&evidence)
 }
 
-/// A served response as the client saw it.
+/// A served response, as observed by the client.
 #[derive(Clone, Copy)]
 struct ServedResponse {
     at: Micros,
     stale: bool,
 }
 
-/// How a call came out for its client, retries included.
+/// Outcome of a call for its client, retries included.
 enum CallOutcome {
     Served(ServedResponse),
     Cancelled,
@@ -188,7 +188,7 @@
     }
 }
 
-/// What is collected of a class while calls are added.
+/// Measurements of a class while calls are added.
 struct ClassMeasurement {
     service: ClassService,
     value: ValueSum,
@@ -246,7 +246,7 @@
         let mut earned = 0.0;
         match outcome {
             CallOutcome::Cancelled => {
-                // Not wanted any more: neither for nor against the service.
+                // A cancelled call does not affect the service.
                 class.service.cancelled += 1;
                 return;
             }
@@ -308,7 +308,7 @@
     }
 }
 
-/// Latency objective of a response of this size, in microseconds.
+/// Returns the latency objective of a response of `bytes` bytes, in microseconds.
 fn objective_us(scenario: &Scenario, class: &RequestClass, bytes: u64) -> f64 {
     let transfer_us = bytes as f64 / scenario.network.bytes_per_s * 1e6;
     class.latency_objective as f64 + class.latency_objective_stretch * transfer_us
--- a/crates/audit/src/sizes.rs
+++ b/crates/audit/src/sizes.rs
@@ -1,14 +1,14 @@
-//! Rule: large objects are not shed first. Of a class's largest requests, and of the next largest ones, a minimum share
-//! of what is served of the whole class is served: two thirds in a run without faults, half in others.
+//! Rule `sizes`: large objects are not shed first. The served share of a class's largest requests, and of the next
+//! largest ones, is at least two thirds of the class's served share in a run without faults, and half in other runs.
 use crate::service::{ClassService, Service, SizeGroup};
 use crate::verdict::RuleVerdict;
 use pointspindle_scenario::Scenario;
 
-/// Minimum share, relative to the class, in a run without faults.
+/// Minimum served share of a group, relative to that of its class, in a run without faults.
 const MIN_RELATIVE_SHARE: f64 = 2.0 / 3.0;
-/// Minimum share, relative to the class, in a run with faults.
+/// Minimum served share of a group, relative to that of its class, in a run with faults.
 const MIN_RELATIVE_SHARE_WITH_FAULTS: f64 = 0.5;
-/// Groups with fewer calls than this are not judged.
+/// Minimum number of calls of a group that is judged.
 const MIN_CALLS: u64 = 20;
 
 /// Judges the served shares by size.
@@ -60,6 +60,6 @@
             group.share(),
             group.calls
         );
-        rule.violate("large", 0, None, detail);
+        rule.add_violation("large", 0, None, detail);
     }
 }
--- a/crates/audit/src/trace.rs
+++ b/crates/audit/src/trace.rs
@@ -1,10 +1,10 @@
-//! The events of a run as clients, hosts and the control plane observed them: the audit's only evidence.
+//! The events of a run as observed by clients, hosts and the control plane: the audit's only evidence.
 //!
-//! Serialised names are those of kept runs and stay as they are; the types have the field's names.
+//! Serialised names must not change, so that stored runs can still be read; they differ from many of the Rust names.
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a client's attempt wherever it goes: the call, and the number of the attempt.
+/// Identifies a client's attempt across all events, by the call and the number of the attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClientAttemptId {
     /// Number of the call within the run's traffic.
@@ -15,12 +15,12 @@
 }
 
 impl ClientAttemptId {
-    /// The identifier as the trace field of a request carries it.
+    /// Returns the identifier in the form of a request's trace field.
     pub fn trace(self) -> String {
         format!("c{}.{}", self.call, self.attempt)
     }
 
-    /// Reads what [`Self::trace`] wrote.
+    /// Parses the form that [`Self::trace`] returns.
     pub fn parse(trace: &str) -> Option<Self> {
         let (call, attempt) = trace.strip_prefix('c')?.split_once('.')?;
         Some(Self {
@@ -35,36 +35,36 @@
 pub enum ClientOutcome {
     /// A complete response.
     Served {
-        /// The version that the bytes prove; none if they are wrong.
+        /// Version of the object, determined from the bytes; `None` if they are not the object's.
         version: Option<u64>,
-        /// Size of the body.
+        /// Size of the body, in bytes.
         bytes: u64,
-        /// Whether the dispatcher said that the response is stale.
+        /// Whether the dispatcher marked the response as stale.
         #[serde(rename = "old")]
         stale: bool,
     },
-    /// Load was shed.
+    /// The request was rejected to shed load.
     #[serde(rename = "Refused")]
     Rejected {
-        /// How long the client was asked to wait before it retries, in microseconds.
+        /// Time that the client is to wait before it retries, in microseconds; `None` if none was given.
         #[serde(rename = "come_back")]
         retry_after: Option<Micros>,
     },
     /// An error response.
     Failed,
-    /// The response was cut short, and the client could tell.
+    /// The response was truncated, and the client detected it.
     #[serde(rename = "Broken")]
     Truncated,
-    /// The connection was lost, or never made, before any response.
+    /// The connection was lost before any response, or could not be established.
     #[serde(rename = "Lost")]
     ConnectionLost,
-    /// The client cancelled it.
+    /// The client cancelled the attempt.
     #[serde(rename = "LeftEarly")]
     Cancelled,
 }
 
 impl ClientOutcome {
-    /// Whether it is a complete response with the bytes of the object.
+    /// Whether the outcome is a complete response with the bytes of the object.
     pub fn is_served_correctly(&self) -> bool {
         matches!(
             self,
@@ -82,9 +82,9 @@
     /// The host responded, with an object or an error.
     #[serde(rename = "Answered")]
     Completed,
-    /// The dispatcher cancelled it.
+    /// The dispatcher cancelled the attempt.
     Cancelled,
-    /// The host's process ended, or the connection broke.
+    /// The host's process ended, or the connection was lost.
     #[serde(rename = "Lost")]
     ConnectionLost,
 }
@@ -100,18 +100,18 @@
     RequestSent {
         /// The client's attempt.
         id: ClientAttemptId,
-        /// The dispatcher that it was sent to.
+        /// The dispatcher that the request was sent to.
         dispatcher: usize,
         /// Class of the request.
         class: usize,
-        /// The object, by its number.
+        /// Number of the object.
         #[serde(rename = "number")]
         object_number: u64,
         /// Purge group of the object.
         group: u64,
-        /// The part of the object.
+        /// Number of the requested part of the object.
         part: u64,
-        /// When the response is due, since the start of the run.
+        /// Deadline of the response, since the start of the run.
         deadline: Micros,
     },
     /// A request ended for its client.
@@ -119,29 +119,29 @@
     RequestEnded {
         /// The client's attempt.
         id: ClientAttemptId,
-        /// How it ended.
+        /// Outcome for the client.
         #[serde(rename = "end")]
         outcome: ClientOutcome,
     },
-    /// A dispatcher sent something that belongs to no open request.
+    /// A dispatcher sent a response that belongs to no open request.
     #[serde(rename = "Stray")]
     UnexpectedResponse {
-        /// The dispatcher that sent it.
+        /// The dispatcher that sent the response.
         dispatcher: usize,
     },
     /// An attempt, or a fill, arrived at a host.
     #[serde(rename = "Reached")]
     AttemptArrived {
-        /// The host that it arrived at.
+        /// The host at which the attempt or fill arrived.
         host: String,
-        /// The dispatcher that sent it; none: another host, for a fill.
+        /// The dispatcher that sent the attempt; `None` for a fill by another host.
         #[serde(rename = "by")]
         dispatcher: Option<usize>,
-        /// The client's attempt that it serves, if one is known.
+        /// The client's attempt that is served, if it is known.
         id: Option<ClientAttemptId>,
-        /// The dispatcher's number of the attempt within the request.
+        /// Number of the dispatcher's attempt within the request.
         attempt: u32,
-        /// The host that a miss is to be filled from.
+        /// The host from which a miss is to be filled.
         source: Option<String>,
         /// Class of the request.
         class: usize,
@@ -149,28 +149,28 @@
     /// An attempt, or a fill, ended at a host.
     #[serde(rename = "Gone")]
     AttemptEnded {
-        /// The host that it ended at.
+        /// The host at which the attempt or fill ended.
         host: String,
-        /// The client's attempt that it served, if one is known.
+        /// The client's attempt that was served, if it is known.
         id: Option<ClientAttemptId>,
-        /// The dispatcher's number of the attempt within the request.
+        /// Number of the dispatcher's attempt within the request.
         attempt: u32,
-        /// The dispatcher that sent it; none: another host, for a fill.
+        /// The dispatcher that sent the attempt; `None` for a fill by another host.
         #[serde(rename = "by")]
         dispatcher: Option<usize>,
-        /// How it ended.
+        /// Outcome at the host's socket.
         #[serde(rename = "how")]
         outcome: AttemptOutcome,
     },
-    /// The control plane delivered an endpoint list, or a change of it, to a dispatcher.
+    /// The control plane delivered a full endpoint list, or changes to it, to a dispatcher.
     #[serde(rename = "ToldList")]
     EndpointListDelivered {
-        /// The dispatcher that received it.
+        /// The dispatcher that received the list.
         dispatcher: usize,
-        /// Whether it is the whole list: hosts that it does not name have been removed.
+        /// Whether the list is full: hosts that it does not contain have been removed.
         #[serde(rename = "whole")]
         full: bool,
-        /// Hosts that take requests.
+        /// Hosts that are ready for requests.
         ready: Vec<String>,
         /// The incarnation of each ready host, in the same order.
         #[serde(rename = "starts")]
@@ -182,16 +182,16 @@
     /// The control plane delivered a purge to a dispatcher.
     #[serde(rename = "ToldPurge")]
     PurgeDelivered {
-        /// The dispatcher that received it.
+        /// The dispatcher that received the purge.
         dispatcher: usize,
-        /// The object's number; none: the whole group.
+        /// Number of the object; `None` if the whole group is purged.
         object: Option<u64>,
         /// The purge group.
         group: u64,
-        /// Copies made from then on have at least this version.
+        /// Minimum version of copies made after the purge.
         version_from: u64,
     },
-    /// A host of the run, declared once, so that the trace can be judged without the scenario's addresses.
+    /// A host of the run, declared once, so that a trace can be judged without the scenario's addresses.
     #[serde(rename = "Member")]
     HostDeclared {
         /// The host's address.
@@ -208,9 +208,9 @@
     HostStarted {
         /// The host that started.
         host: String,
-        /// Whether it starts with an empty cache; false at the start of the run.
+        /// Whether the host starts with an empty cache; false at the start of the run.
         cold: bool,
-        /// Which start of this host it is.
+        /// The host's incarnation.
         #[serde(rename = "start")]
         incarnation: u64,
     },
@@ -219,7 +219,7 @@
     HostCrashed {
         /// The host that crashed.
         host: String,
-        /// Why, for people; overload during warm-up contains the word "cold".
+        /// Human-readable reason; it contains the word "cold" if the host was overloaded during warm-up.
         #[serde(rename = "why")]
         reason: String,
     },
@@ -250,34 +250,34 @@
     /// A dispatcher was paused or resumed.
     #[serde(rename = "Hung")]
     DispatcherPaused {
-        /// The dispatcher.
+        /// The dispatcher that was paused or resumed.
         dispatcher: usize,
-        /// Whether it is paused from now on.
+        /// Whether the pause begins.
         #[serde(rename = "hung")]
         paused: bool,
     },
-    /// A dispatcher began its graceful shutdown: it accepts nothing new and answers what it has accepted.
+    /// A dispatcher began its graceful shutdown: it accepts no new requests and answers those that it has accepted.
     #[serde(rename = "Stopping")]
     DispatcherStopping {
-        /// The dispatcher.
+        /// The dispatcher that is stopping.
         dispatcher: usize,
     },
-    /// A dispatcher's process started again.
+    /// A dispatcher's process restarted.
     #[serde(rename = "Born")]
     DispatcherStarted {
-        /// The dispatcher.
+        /// The dispatcher that restarted.
         dispatcher: usize,
     },
-    /// What the script did, for people.
+    /// A human-readable note on a step of the run's script.
     #[serde(rename = "Trouble")]
     ScriptNote {
-        /// The note.
+        /// Text of the note.
         text: String,
     },
 }
 
 impl TraceEvent {
-    /// The client's attempt that an event is about.
+    /// Returns the client's attempt that the event belongs to.
     pub fn attempt_id(&self) -> Option<ClientAttemptId> {
         match self {
             Self::RequestSent { id, .. } | Self::RequestEnded { id, .. } => Some(*id),
--- a/crates/audit/src/value.rs
+++ b/crates/audit/src/value.rs
@@ -1,18 +1,18 @@
-//! The value of requests by the scenario's priority weights: what was requested, and what was earned.
+//! Requested and earned value of requests, by the scenario's priority weights.
 use serde::{Deserialize, Serialize};
 
-/// Value requested and value earned; written as a pair.
+/// Requested and earned value; serialised as a pair.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(f64, f64)", into = "(f64, f64)")]
 pub struct ValueSum {
-    /// Value of every request.
+    /// Total value of all requests.
     pub requested: f64,
-    /// Value of what was served, less what lateness and staleness cost.
+    /// Total value of served responses, reduced for late and stale ones.
     pub earned: f64,
 }
 
 impl ValueSum {
-    /// Earned over requested; 1 where nothing was requested.
+    /// Returns the earned value divided by the requested value; 1 if the requested value is 0.
     pub fn ratio(self) -> f64 {
         if self.requested > 0.0 {
             self.earned / self.requested
@@ -27,7 +27,7 @@
         self.earned += earned;
     }
 
-    /// The sum of several sums, added in order.
+    /// Returns the total of several sums, added in order.
     pub(crate) fn total(sums: &[Self]) -> Self {
         let mut total = Self::default();
         for sum in sums {
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What the audit says of a rule: how many cases it checked, and the violations that it found.
+//! The verdict on a rule: the number of cases checked, and the violations found.
 use crate::trace::ClientAttemptId;
 use pointspindle::Micros;
 use serde::{Deserialize, Serialize};
@@ -7,18 +7,19 @@
 /// One violation of a rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Violation {
-    /// The kind: `silent`, `late`, `twice`, `after`, `wrong`, `double`, `repeat`, `drain`, `cold`, `purge`, ...
+    /// Kind of the violation, such as `silent`, `late`, `twice`, `after`, `wrong`, `double`, `repeat`, `drain`, `cold` or
+    /// `purge`.
     pub kind: String,
-    /// When it happened, in milliseconds since the start of the run.
+    /// Time of the violation, in milliseconds since the start of the run.
     pub at_ms: f64,
-    /// The client's attempt that it concerns, if there is one.
+    /// The client's attempt that the violation concerns, if there is one.
     pub request: Option<String>,
-    /// What happened, for people.
+    /// Human-readable description.
     pub detail: String,
 }
 
 impl Violation {
-    /// A violation at `at`, in microseconds since the start of the run.
+    /// Creates a violation at `at`, in microseconds since the start of the run.
     pub(crate) fn new(kind: &str, at: Micros, id: Option<ClientAttemptId>, detail: String) -> Self {
         Self {
             kind: kind.into(),
@@ -32,26 +33,26 @@
 /// The verdict on one rule.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleVerdict {
-    /// The rule's short name.
+    /// Short name of the rule.
     pub name: String,
-    /// The rule in one sentence.
+    /// Description of the rule in one sentence.
     #[serde(rename = "about")]
     pub description: String,
-    /// Number of cases that could have violated it: 0 means that the run never exercised the rule.
+    /// Number of cases that could have violated the rule; 0 if the run never exercised it.
     #[serde(rename = "checked")]
     pub cases: u64,
-    /// Violations that count.
+    /// Violations that break the rule.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
-    /// Violations that no dispatcher could have avoided, as none could know of their cause: service is lost, but
-    /// the rule is kept.
+    /// Violations that no dispatcher could have avoided, because none could know of their cause. They cost service, but
+    /// do not break the rule.
     #[serde(default)]
     #[serde(rename = "unknowing")]
     pub undetectable: Vec<Violation>,
 }
 
 impl RuleVerdict {
-    /// A verdict without cases yet.
+    /// Creates a verdict without cases.
     pub(crate) fn new(name: &str, description: &str) -> Self {
         Self {
             name: name.into(),
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Files a violation that counts.
-    pub(crate) fn violate(
+    /// Adds a violation that breaks the rule.
+    pub(crate) fn add_violation(
         &mut self,
         kind: &str,
         at: Micros,
@@ -73,8 +74,8 @@
         self.violations.push(Violation::new(kind, at, id, detail));
     }
 
-    /// Files a violation with those that count, or with the undetectable ones.
-    pub(crate) fn file(&mut self, violation: Violation, detectable: bool) {
+    /// Adds a violation that breaks the rule, or an undetectable one unless `detectable`.
+    pub(crate) fn add_classified(&mut self, violation: Violation, detectable: bool) {
         if detectable {
             self.violations.push(violation);
         } else {
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Number of violations of each kind.
+    /// Returns the number of violations of each kind, without undetectable ones, sorted by kind.
     pub fn kinds(&self) -> Vec<(String, usize)> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for violation in &self.violations {
--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -1,9 +1,9 @@
-//! Rule: all dispatchers together do not overload a host that is warming up. The load is counted anew from what
-//! reached the host's socket.
+//! Rule `cold`: all dispatchers together do not overload a host that is warming up. The load is computed from the
+//! attempts and fills that arrived at the host's socket.
 //!
-//! A dispatcher that does not know of a start cannot be blamed for it: the rule is violated where two thirds of a
-//! window's work came from dispatchers that knew, a fill counting as its dispatcher's. Other overloads are reported
-//! as undetectable, as their service is lost all the same.
+//! A dispatcher can only avoid an overload if it knows of the host's start. The rule is violated if at least two thirds
+//! of a window's work came from dispatchers that knew; a fill counts as work of its request's dispatcher. Other
+//! overloads are reported as undetectable, because they cost service as well.
 use crate::class_work::ClassWork;
 use crate::evidence::Evidence;
 use crate::trace::{ClientAttemptId, TraceEvent};
@@ -14,52 +14,53 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
 
-/// Share of a window's work from dispatchers that knew of the start, from which on an overload is theirs.
-const INFORMED_SHARE: f64 = 2.0 / 3.0;
+/// Minimum share of a window's work from dispatchers that knew of the start, for an overload to violate the rule.
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// The highest load of a warming host in a window, from all dispatchers together, in requests of mean work.
+/// The highest load of a warming host within a window, from all dispatchers together, in requests of mean work.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WarmUpPeak {
     /// Address of the host.
     pub host: String,
-    /// When the load was highest, in seconds since the start of the run.
+    /// Time of the highest load, in seconds since the start of the run.
     pub at_s: f64,
-    /// Requests that arrived within the window.
+    /// Number of requests that arrived within the window.
     pub requests: f64,
-    /// Requests that the host's settings allow in a window: N. Beyond it the host crashes, and the rule is violated.
+    /// Number of requests that the host's settings allow in a window: N. Above it, the host crashes and the rule is
+    /// violated.
     pub allowed: f64,
-    /// The bound that the operators set: N + 2 x root of N + 2.
+    /// The operators' bound on the number of requests: N + 2√N + 2.
     pub most: f64,
     /// Share of the load from dispatchers that knew of the start.
     #[serde(rename = "knew")]
     pub informed_share: f64,
-    /// Number of dispatchers that sent a part of it.
+    /// Number of dispatchers that sent a part of the load.
     pub dispatchers: u64,
 }
 
 impl WarmUpPeak {
-    /// Whether it is nearer to its bound than the other one.
+    /// Whether this load is closer to its bound, or further above it, than `other`.
     fn is_worse_than(&self, other: &Self) -> bool {
         self.requests * other.most > other.requests * self.most || other.most == 0.0
     }
 }
 
-/// What the audit found out about hosts that warmed up.
+/// Verdict on the rule, and peak loads of hosts during warm-up.
 pub(super) struct WarmUpFindings {
     pub rule: RuleVerdict,
-    /// The worst peak from dispatchers that knew of the start.
+    /// The worst peak with at least [`MIN_INFORMED_SHARE`] of its work from dispatchers that knew of the start.
     pub informed: WarmUpPeak,
-    /// The worst peak of the others.
+    /// The worst of the other peaks.
     pub uninformed: WarmUpPeak,
 }
 
 /// Judges the rule over a run.
 pub(super) fn judge(evidence: &Evidence) -> RuleVerdict {
-    find(evidence).rule
+    measure(evidence).rule
 }
 
-/// Judges the rule, and measures the worst loads of warming hosts.
-pub(super) fn find(evidence: &Evidence) -> WarmUpFindings {
+/// Judges the rule, and measures the peak loads of warming hosts.
+pub(super) fn measure(evidence: &Evidence) -> WarmUpFindings {
     let mut audit = WarmUpAudit::new(evidence);
     for entry in evidence.trace {
         audit.event(entry.at, &entry.event);
@@ -76,8 +77,8 @@
     informed: bool,
 }
 
-/// An arrival as the trace shows it.
-struct Arrived<'a> {
+/// An event [`TraceEvent::AttemptArrived`] of the trace.
+struct ArrivalEvent<'a> {
     at: Micros,
     host: &'a str,
     class: usize,
@@ -90,9 +91,9 @@
     incarnation: u64,
     /// Arrivals of the current window.
     arrivals: Vec<Arrival>,
-    /// Since when each dispatcher knows of this incarnation.
+    /// Time since which each dispatcher knows of this incarnation.
     informed_at: HashMap<usize, Micros>,
-    /// An incarnation's overload is reported once.
+    /// Whether an overload of this incarnation has been reported; only the first one is.
     overload_reported: bool,
 }
 
@@ -121,7 +122,7 @@
     }
 }
 
-/// What a host can do, by the trace's own declaration.
+/// A host's role and weight, as declared in the trace.
 #[derive(Clone, Copy)]
 struct HostCapacity {
     role: Role,
@@ -188,7 +189,7 @@
                 id,
                 dispatcher,
                 ..
-            } => self.attempt_arrived(&Arrived {
+            } => self.attempt_arrived(&ArrivalEvent {
                 at,
                 host,
                 class: *class,
@@ -217,8 +218,8 @@
         if reason.contains("cold") {
             let detail = format!("{host} fell over: {reason}");
             let violation = Violation::new("cold", at, None, detail);
-            let detectable = warming.informed_share() >= INFORMED_SHARE;
-            self.findings.rule.file(violation, detectable);
+            let detectable = warming.informed_share() >= MIN_INFORMED_SHARE;
+            self.findings.rule.add_classified(violation, detectable);
         }
     }
 
@@ -233,7 +234,7 @@
             let Some(warming) = self.warming.get_mut(host) else {
                 continue;
             };
-            // A late update on an earlier incarnation says nothing of this one.
+            // A delayed update about an earlier incarnation does not announce this one.
             if *incarnation >= warming.incarnation {
                 warming
                     .informed_at
@@ -243,7 +244,7 @@
         }
     }
 
-    fn attempt_arrived(&mut self, arrived: &Arrived) {
+    fn attempt_arrived(&mut self, arrived: &ArrivalEvent) {
         let Some(warming) = self.warming.get_mut(arrived.host) else {
             return;
         };
@@ -255,12 +256,12 @@
             return;
         }
         self.findings.rule.cases += 1;
-        let sender = || {
+        let request_dispatcher = || {
             arrived
                 .id
                 .and_then(|id| self.dispatcher_of.get(&id).copied())
         };
-        let dispatcher = arrived.dispatcher.or_else(sender);
+        let dispatcher = arrived.dispatcher.or_else(request_dispatcher);
         let informed_at = dispatcher.and_then(|dispatcher| warming.informed_at.get(&dispatcher));
         let informed = informed_at.is_some_and(|at| arrived.at >= at + self.evidence.tolerance);
         warming.arrivals.push(Arrival {
@@ -278,7 +279,7 @@
     }
 }
 
-/// Seconds of work that the settings allow in a window that began at `window_start`.
+/// Returns the seconds of work that the settings allow in a window that begins at `window_start`.
 fn window_budget_s(spec: &WarmUpSpec, window_start: Micros, started: Micros, weight: f64) -> f64 {
     let share = spec.share_after(window_start.saturating_sub(started));
     spec.overload_factor * share * weight * spec.overload_window as f64 / 1e6
@@ -287,7 +288,7 @@
 impl WarmUpFindings {
     fn update_peak(
         &mut self,
-        arrived: &Arrived,
+        arrived: &ArrivalEvent,
         warming: &WarmingHost,
         budget_s: f64,
         mean_work_s: f64,
@@ -302,7 +303,7 @@
             informed_share: warming.informed_share(),
             dispatchers: 0,
         };
-        let peak = if candidate.informed_share >= INFORMED_SHARE {
+        let peak = if candidate.informed_share >= MIN_INFORMED_SHARE {
             &mut self.informed
         } else {
             &mut self.uninformed
@@ -315,7 +316,7 @@
         }
     }
 
-    fn judge_overload(&mut self, arrived: &Arrived, warming: &mut WarmingHost, budget_s: f64) {
+    fn judge_overload(&mut self, arrived: &ArrivalEvent, warming: &mut WarmingHost, budget_s: f64) {
         let work_s = warming.work_s();
         if work_s <= budget_s * ROUNDING_TOLERANCE || warming.overload_reported {
             return;
@@ -329,11 +330,12 @@
             100.0 * informed_share
         );
         let violation = Violation::new("cold", arrived.at, arrived.id, detail);
-        self.rule.file(violation, informed_share >= INFORMED_SHARE);
+        self.rule
+            .add_classified(violation, informed_share >= MIN_INFORMED_SHARE);
     }
 }
 
-/// Role and weight of every host by address, as the trace declares them.
+/// Returns the role and weight of every host by address, as declared in the trace.
 fn declared_capacities<'a>(evidence: &Evidence<'a>) -> HashMap<&'a str, HostCapacity> {
     let mut capacities = HashMap::new();
     for entry in evidence.trace {
--- a/crates/audit/tests/common/mod.rs
+++ b/crates/audit/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Builds traces by hand.
-#![allow(dead_code)] // each test file uses a part of it
+//! Builds synthetic traces.
+#![allow(dead_code)] // each test file uses only a part of this module
 
 use pointspindle::Micros;
 use pointspindle_audit::trace::{
@@ -9,10 +9,10 @@
 use pointspindle_scenario::{load_with, Scenario, SettingOverride};
 use std::path::Path;
 
-/// Deadline of every request, since the start of the run.
+/// Deadline of every request, in microseconds since the start of the run.
 pub const DEADLINE_US: Micros = 9_000_000;
 
-/// The scenario of a lost site with the loss of power as its only fault: three sites, four dispatchers each.
+/// Loads the scenario `site-loss` with its power loss as the only fault: three sites with four dispatchers each.
 pub fn power_loss(overrides: &[&str]) -> Scenario {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios/site-loss.ini");
     let overrides: Vec<SettingOverride> = overrides.iter().map(|o| o.parse().unwrap()).collect();
@@ -23,12 +23,12 @@
     scenario
 }
 
-/// The first attempt of a call.
+/// Returns the identifier of a call's first attempt.
 pub fn first_attempt(call: u64) -> ClientAttemptId {
     ClientAttemptId { call, attempt: 0 }
 }
 
-/// A complete response of this version.
+/// Returns the outcome for a complete response of a version; `None`: its bytes are wrong.
 pub fn served(version: Option<u64>) -> ClientOutcome {
     ClientOutcome::Served {
         version,
@@ -46,7 +46,7 @@
     pub host: &'a str,
 }
 
-/// A trace that is built event by event, in any order.
+/// Builds a trace from events added in any order.
 #[derive(Default)]
 pub struct TraceBuilder {
     entries: Vec<TraceEntry>,
@@ -108,7 +108,7 @@
         self.event(at, ended);
     }
 
-    /// The trace in the order of its time.
+    /// Returns the trace, sorted by time.
     pub fn finish(mut self) -> Vec<TraceEntry> {
         self.entries.sort_by_key(|entry| entry.at);
         self.entries
--- a/crates/audit/tests/fleet_totals.rs
+++ b/crates/audit/tests/fleet_totals.rs
@@ -1,4 +1,4 @@
-//! The totals over the fleet, measured from traces made by hand.
+//! Totals over the fleet, measured from synthetic traces.
 mod common;
 
 use common::{power_loss, served, Attempt, TraceBuilder};
@@ -7,8 +7,8 @@
 
 const HOST: &str = "a:1";
 
-/// Forty requests to two dispatchers, each fourth one to dispatcher 1; ten of them are retried at once. Dispatcher 0
-/// serves all of its requests, dispatcher 1 rejects all of its own.
+/// Returns a trace of 40 requests to two dispatchers, every fourth one to dispatcher 1. The first ten requests have a
+/// second attempt. Dispatcher 0 serves all of its requests; dispatcher 1 rejects all of its requests.
 fn trace_of_two_dispatchers() -> Vec<TraceEntry> {
     let mut trace = TraceBuilder::default();
     trace.declare_cache(HOST, 0, 2.0);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn fleet_totals_of_a_handmade_trace_count_arrivals_at_hosts() {
+fn fleet_totals_count_arrivals_at_hosts() {
     let scenario = power_loss(&["trouble power.at_s=20"]);
     let trace = trace_of_two_dispatchers();
     let totals = measure_totals(&scenario, &Default::default(), &trace);
@@ -53,7 +53,7 @@
         (totals.retries_per_request, totals.worst_retries_per_request),
         (0.25, 0.25)
     );
-    // One dispatcher served all of its requests, the other none: half of 1.
+    // Dispatcher 0 served all of its requests and dispatcher 1 none, so Jain's index is 0.5.
     assert_eq!(
         (
             totals.fairness,
@@ -64,7 +64,7 @@
     );
 }
 
-/// An attempt that arrives after its client has cancelled is counted; beyond 0.1 s and the tolerance it is a violation.
+/// An attempt that arrives after its client has cancelled is counted. It is a violation after 0.1 s and the tolerance.
 #[test]
 fn attempt_after_cancellation_beyond_the_grace_is_a_violation() {
     let scenario = power_loss(&[]);
--- a/crates/audit/tests/rules.rs
+++ b/crates/audit/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules on answers, effects, drains and purges, on traces made by hand.
+//! The rules `answers`, `effects`, `drains` and `purges`, judged on synthetic traces.
 mod common;
 
 use common::{power_loss, served, Attempt, TraceBuilder, DEADLINE_US};
@@ -11,9 +11,9 @@
 const OTHER_CACHE: &str = "cache:2";
 const RUN_END_US: Micros = 30_000_000;
 
-/// The verdict on one rule over a trace that ends at [`RUN_END_US`].
+/// Returns the verdict on one rule over a trace that ends at [`RUN_END_US`].
 fn verdict(scenario: &Scenario, rule: &str, mut trace: TraceBuilder) -> RuleVerdict {
-    let text = "the end".to_owned();
+    let text = "end of run".to_owned();
     trace.event(RUN_END_US, TraceEvent::ScriptNote { text });
     verdict_with_effects(scenario, rule, &trace.finish(), &[])
 }
@@ -29,12 +29,12 @@
     verdict.unwrap()
 }
 
-/// The kinds of the violations that count, in the order of their finding.
+/// Returns the kinds of the violations that break the rule, in the order in which they were found.
 fn kinds(verdict: &RuleVerdict) -> Vec<&str> {
     verdict.violations.iter().map(|v| v.kind.as_str()).collect()
 }
 
-/// The kinds of the violations that no dispatcher could have avoided.
+/// Returns the kinds of the violations that no dispatcher could have avoided.
 fn undetectable_kinds(verdict: &RuleVerdict) -> Vec<&str> {
     let violations = verdict.undetectable.iter();
     violations.map(|v| v.kind.as_str()).collect()
@@ -49,7 +49,7 @@
     }
 }
 
-/// A trace with one request to dispatcher 0, in zone 0, and a cache in each of the zones 0 and 1.
+/// Returns a trace with one request to dispatcher 0 in zone 0, and one cache in each of the zones 0 and 1.
 fn one_request() -> TraceBuilder {
     let mut trace = TraceBuilder::default();
     trace.declare_cache(CACHE, 0, 1.0);
@@ -96,21 +96,24 @@
 fn response_beyond_deadline_and_tolerance_is_late_unless_cancelled() {
     let scenario = power_loss(&[]);
     let last_in_time = DEADLINE_US + scenario.limits.rules.timing_tolerance;
-    let found = |at, outcome| {
+    let verdict_for = |at, outcome| {
         let mut trace = one_request();
         trace.request_ended(at, 1, outcome);
         verdict(&scenario, "answers", trace)
     };
-    assert_eq!(kinds(&found(last_in_time, served(Some(1)))), [""; 0]);
-    assert_eq!(kinds(&found(last_in_time + 1, served(Some(1)))), ["late"]);
-    let cancelled = found(last_in_time + 1, ClientOutcome::Cancelled);
+    assert_eq!(kinds(&verdict_for(last_in_time, served(Some(1)))), [""; 0]);
+    assert_eq!(
+        kinds(&verdict_for(last_in_time + 1, served(Some(1)))),
+        ["late"]
+    );
+    let cancelled = verdict_for(last_in_time + 1, ClientOutcome::Cancelled);
     assert_eq!(kinds(&cancelled), [""; 0]);
 }
 
 #[test]
 fn wrong_bytes_lost_connections_and_second_responses_are_violations() {
     let scenario = power_loss(&[]);
-    let found = |outcomes: &[ClientOutcome]| {
+    let kinds_for = |outcomes: &[ClientOutcome]| {
         let mut trace = one_request();
         for outcome in outcomes {
             trace.request_ended(2_000_000, 1, outcome.clone());
@@ -118,9 +121,12 @@
         let verdict = verdict(&scenario, "answers", trace);
         kinds(&verdict).join(" ")
     };
-    assert_eq!(found(&[served(None)]), "wrong");
-    assert_eq!(found(&[ClientOutcome::ConnectionLost]), "silent");
-    assert_eq!(found(&[served(Some(1)), ClientOutcome::Failed]), "twice");
+    assert_eq!(kinds_for(&[served(None)]), "wrong");
+    assert_eq!(kinds_for(&[ClientOutcome::ConnectionLost]), "silent");
+    assert_eq!(
+        kinds_for(&[served(Some(1)), ClientOutcome::Failed]),
+        "twice"
+    );
 }
 
 #[test]
@@ -132,7 +138,7 @@
 }
 
 #[test]
-fn request_of_a_paused_killed_or_stopping_dispatcher_is_not_judged() {
+fn request_to_paused_killed_or_stopping_dispatcher_is_not_judged() {
     let scenario = power_loss(&[]);
     let dispatcher = 0;
     let mut paused = one_request();
@@ -145,12 +151,12 @@
         let verdict = verdict(&scenario, "answers", trace);
         assert_eq!((verdict.cases, kinds(&verdict)), (0, vec![]));
     }
-    let mut earlier = one_request();
-    pause_dispatcher(&mut earlier, 100_000, 200_000);
-    assert_eq!(verdict(&scenario, "answers", earlier).cases, 1);
+    let mut paused_before = one_request();
+    pause_dispatcher(&mut paused_before, 100_000, 200_000);
+    assert_eq!(verdict(&scenario, "answers", paused_before).cases, 1);
 }
 
-/// An attempt that arrives at `host` one second after the response.
+/// Returns a trace with an attempt that arrives at `host` one second after the response.
 fn attempt_after_response(host: &str) -> TraceBuilder {
     let mut trace = one_request();
     trace.request_ended(2_000_000, 1, served(Some(1)));
@@ -161,9 +167,9 @@
 #[test]
 fn attempt_after_the_response_is_a_violation_unless_a_partition_delayed_it() {
     let scenario = power_loss(&[]);
-    let plain = verdict(&scenario, "answers", attempt_after_response(CACHE));
-    assert_eq!(kinds(&plain), ["after"]);
-    assert_eq!(undetectable_kinds(&plain), [""; 0]);
+    let unpartitioned = verdict(&scenario, "answers", attempt_after_response(CACHE));
+    assert_eq!(kinds(&unpartitioned), ["after"]);
+    assert_eq!(undetectable_kinds(&unpartitioned), [""; 0]);
 
     let mut partitioned = attempt_after_response(CACHE);
     partition_host(&mut partitioned, CACHE, 1_500_000, 2_900_000);
@@ -175,18 +181,18 @@
 #[test]
 fn zone_partition_excuses_only_attempts_that_cross_it() {
     let scenario = power_loss(&[]);
-    let found = |host, zone| {
+    let verdict_for = |host, zone| {
         let mut trace = attempt_after_response(host);
         partition_zone(&mut trace, zone, 1_500_000, 2_900_000);
         verdict(&scenario, "answers", trace)
     };
-    assert_eq!(undetectable_kinds(&found(OTHER_CACHE, 1)), ["after"]);
-    assert_eq!(undetectable_kinds(&found(OTHER_CACHE, 0)), ["after"]);
-    assert_eq!(kinds(&found(OTHER_CACHE, 2)), ["after"]);
-    assert_eq!(kinds(&found(CACHE, 0)), ["after"]);
+    assert_eq!(undetectable_kinds(&verdict_for(OTHER_CACHE, 1)), ["after"]);
+    assert_eq!(undetectable_kinds(&verdict_for(OTHER_CACHE, 0)), ["after"]);
+    assert_eq!(kinds(&verdict_for(OTHER_CACHE, 2)), ["after"]);
+    assert_eq!(kinds(&verdict_for(CACHE, 0)), ["after"]);
 }
 
-/// Two attempts of which the first ends at `first_end`; the second arrives at 2 s and ends at 4 s.
+/// Returns a trace with two attempts: the first ends at `first_end`, the second arrives at 2 s and ends at 4 s.
 fn two_attempts(first_end: Micros) -> TraceBuilder {
     let mut trace = one_request();
     let first = attempt(0, CACHE);
@@ -202,14 +208,14 @@
 fn overlapping_attempts_are_a_violation_unless_a_partition_lost_the_cancellation() {
     let scenario = power_loss(&[]);
     let tolerance = scenario.limits.rules.timing_tolerance;
-    let found = |trace| verdict(&scenario, "effects", trace);
-    assert_eq!(kinds(&found(two_attempts(3_000_000))), ["double"]);
-    let within_tolerance = found(two_attempts(2_000_000 + tolerance));
+    let verdict_for = |trace| verdict(&scenario, "effects", trace);
+    assert_eq!(kinds(&verdict_for(two_attempts(3_000_000))), ["double"]);
+    let within_tolerance = verdict_for(two_attempts(2_000_000 + tolerance));
     assert_eq!(kinds(&within_tolerance), [""; 0]);
 
     let mut partitioned = two_attempts(3_000_000);
     partition_host(&mut partitioned, CACHE, 1_900_000, 2_900_000);
-    let partitioned = found(partitioned);
+    let partitioned = verdict_for(partitioned);
     assert_eq!(kinds(&partitioned), [""; 0]);
     assert_eq!(undetectable_kinds(&partitioned), ["double"]);
 }
@@ -254,11 +260,11 @@
 }
 
 #[test]
-fn attempt_to_a_draining_host_beyond_the_grace_is_a_violation() {
+fn attempt_to_draining_host_after_the_grace_is_a_violation() {
     let scenario = power_loss(&[]);
     let rules = scenario.limits.rules;
     let last_allowed = 2_000_000 + rules.drain_grace + rules.timing_tolerance;
-    let found = |lists: &[&TraceEntry], at| {
+    let violation_count = |lists: &[&TraceEntry], at| {
         let mut trace = one_request();
         for list in lists {
             trace.event(list.at, list.event.clone());
@@ -270,11 +276,11 @@
     let again = list_delivered(2_100_000, false, &[], &[CACHE]);
     let ready = list_delivered(2_200_000, false, &[CACHE], &[]);
     let full = list_delivered(2_200_000, true, &[OTHER_CACHE], &[]);
-    assert_eq!(found(&[&drains], last_allowed), 0);
-    assert_eq!(found(&[&drains], last_allowed + 1), 1);
-    assert_eq!(found(&[&drains, &again], last_allowed + 1), 1);
-    assert_eq!(found(&[&drains, &ready], last_allowed + 1), 0);
-    assert_eq!(found(&[&drains, &full], last_allowed + 1), 0);
+    assert_eq!(violation_count(&[&drains], last_allowed), 0);
+    assert_eq!(violation_count(&[&drains], last_allowed + 1), 1);
+    assert_eq!(violation_count(&[&drains, &again], last_allowed + 1), 1);
+    assert_eq!(violation_count(&[&drains, &ready], last_allowed + 1), 0);
+    assert_eq!(violation_count(&[&drains, &full], last_allowed + 1), 0);
 }
 
 #[test]
@@ -282,7 +288,7 @@
     let scenario = power_loss(&[]);
     let rules = scenario.limits.rules;
     let grace = rules.drain_grace + rules.timing_tolerance;
-    let found = |at| {
+    let violation_count = |at| {
         let mut trace = one_request();
         pause_dispatcher(&mut trace, 1_900_000, 4_000_000);
         let drains = list_delivered(2_000_000, false, &[], &[CACHE]);
@@ -290,15 +296,21 @@
         trace.attempt_arrived(at, attempt(0, CACHE));
         kinds(&verdict(&scenario, "drains", trace)).len()
     };
-    assert_eq!((found(4_000_000 + grace), found(4_000_001 + grace)), (0, 1));
+    assert_eq!(
+        (
+            violation_count(4_000_000 + grace),
+            violation_count(4_000_001 + grace)
+        ),
+        (0, 1)
+    );
 }
 
 #[test]
-fn older_version_sent_for_beyond_the_purge_grace_is_a_violation() {
+fn older_version_for_attempt_after_the_purge_grace_is_a_violation() {
     let scenario = power_loss(&[]);
     let rules = scenario.limits.rules;
     let last_allowed = 2_000_000 + rules.purge_grace + rules.timing_tolerance;
-    let found = |object, group, arrived, version| {
+    let counts = |object, group, arrived, version| {
         let mut trace = one_request();
         let purge = TraceEvent::PurgeDelivered {
             dispatcher: 0,
@@ -313,10 +325,10 @@
         (verdict.cases, kinds(&verdict).len())
     };
     for object in [None, Some(0)] {
-        assert_eq!(found(object, 0, last_allowed, 4), (0, 0));
-        assert_eq!(found(object, 0, last_allowed + 1, 4), (1, 1));
-        assert_eq!(found(object, 0, last_allowed + 1, 5), (1, 0));
+        assert_eq!(counts(object, 0, last_allowed, 4), (0, 0));
+        assert_eq!(counts(object, 0, last_allowed + 1, 4), (1, 1));
+        assert_eq!(counts(object, 0, last_allowed + 1, 5), (1, 0));
     }
-    assert_eq!(found(None, 1, last_allowed + 1, 4), (0, 0));
-    assert_eq!(found(Some(1), 0, last_allowed + 1, 4), (0, 0));
+    assert_eq!(counts(None, 1, last_allowed + 1, 4), (0, 0));
+    assert_eq!(counts(Some(1), 0, last_allowed + 1, 4), (0, 0));
 }
