--- a/crates/fleet-model/src/control_plane/list_update.rs
+++ b/crates/fleet-model/src/control_plane/list_update.rs
@@ -1,4 +1,4 @@
-//! Endpoint list updates in the protocol's form, and as the trace records them.
+//! Encodes endpoint list updates for the protocol and for the trace.
 use super::ListedEndpoint;
 use pointspindle::Micros;
 use pointspindle_audit::trace::TraceEvent;
@@ -11,16 +11,16 @@
 
 /// An endpoint list update.
 pub struct ListUpdate {
-    /// The message.
+    /// The message to the dispatcher.
     pub head: EndpointListHead,
-    /// Its delivery, for the trace.
+    /// The trace event for the delivery of the update.
     pub event: TraceEvent,
-    /// An injected fault: it is recorded, but not sent.
+    /// Whether an injected fault withholds the update: it is recorded in the trace, but not sent.
     pub withheld: bool,
 }
 
-/// Encodes an endpoint list update for a dispatcher. `host` returns a host's kind, zone and weight. Injected faults
-/// of the control plane act here.
+/// Encodes an endpoint list update for a dispatcher, and applies injected faults of the control plane to it. `host`
+/// returns a host's kind, zone and weight.
 pub fn list_update<'a>(
     dispatcher: usize,
     form: EndpointListForm,
@@ -30,10 +30,10 @@
     injected_fault: Option<InjectedFault>,
     host: impl Fn(HostId) -> Option<(&'a str, &'a str, f64)>,
 ) -> ListUpdate {
-    let hides_starts = injected_fault == Some(InjectedFault::HideRestart);
+    let hides_restarts = injected_fault == Some(InjectedFault::HideRestart);
     let record = |endpoint: &ListedEndpoint| {
         let (kind, zone, weight) = host(endpoint.host).unwrap_or_default();
-        let started_at = endpoint.started_at.filter(|_| !hides_starts);
+        let started_at = endpoint.started_at.filter(|_| !hides_restarts);
         EndpointRecord {
             address: endpoint.address.clone(),
             state: wire_state(endpoint.state) as i32,
@@ -67,7 +67,7 @@
     }
 }
 
-/// The delivery of an update, as the trace records it.
+/// Returns the trace event for the delivery of an update.
 fn delivery_event(
     dispatcher: usize,
     form: EndpointListForm,
--- a/crates/fleet-model/src/control_plane/mod.rs
+++ b/crates/fleet-model/src/control_plane/mod.rs
@@ -1,6 +1,6 @@
-//! The control plane of a model fleet: the endpoint list and purges, and what each dispatcher is notified of when.
+//! The control plane of a model fleet: the endpoint list, recent purges, and the notifications to dispatchers.
 //!
-//! Each dispatcher receives every endpoint update in order, each after a random delay of its own.
+//! Each dispatcher receives the endpoint updates in order, each after a random delay of its own.
 mod list_update;
 mod subscriber;
 
@@ -15,7 +15,7 @@
 use std::collections::VecDeque;
 use subscriber::Subscriber;
 
-/// How long after the purge deadline a purge is still sent to dispatchers that connect, microseconds.
+/// Time after the purge deadline for which a purge is still sent to dispatchers that connect, in microseconds.
 const PURGE_RETENTION_MARGIN_US: Micros = 1_000_000;
 
 /// A host's entry on the endpoint list.
@@ -23,17 +23,17 @@
 pub struct ListedEndpoint {
     /// The host.
     pub host: HostId,
-    /// Its address, or that of a relay in front of it.
+    /// Address of the host, or of a relay in front of it.
     pub address: String,
-    /// Its state.
+    /// State of the host.
     pub state: ListedState,
-    /// How often its process has started.
+    /// Number of starts of the host's process.
     pub incarnation: u64,
-    /// When it last did, microseconds; `None`: long before the run.
+    /// Time of the last start, in microseconds; `None` if it was long before the run.
     pub started_at: Option<Micros>,
 }
 
-/// A notification of a dispatcher.
+/// A notification to a dispatcher.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlUpdate {
     /// Changed entries of the endpoint list, and the list's sequence number.
@@ -42,16 +42,16 @@
     Full(u64, Vec<ListedEndpoint>),
     /// A purge.
     Purge {
-        /// Path of the purged object; `None`: the whole group.
+        /// Path of the purged object; `None` if the whole group is purged.
         object: Option<String>,
         /// The purge group.
         group: u64,
-        /// When the purge was made, microseconds.
+        /// Time of the purge, in microseconds.
         at: Micros,
     },
 }
 
-/// A purge that dispatchers which connect are notified of.
+/// A purge that is sent to dispatchers when they connect.
 #[derive(Debug)]
 struct RecentPurge {
     at: Micros,
@@ -69,7 +69,7 @@
     }
 }
 
-/// A fault that delays endpoint updates further.
+/// An additional delay of endpoint updates, caused by a fault.
 #[derive(Debug, Default)]
 struct ExtraDelay {
     delay: Micros,
@@ -81,7 +81,7 @@
 pub struct ControlPlane {
     rules: RuleLimits,
     endpoints: Vec<ListedEndpoint>,
-    /// The dispatchers.
+    /// The dispatchers, by their index in the scenario.
     subscribers: Vec<Subscriber>,
     purges: VecDeque<RecentPurge>,
     extra_delay: ExtraDelay,
@@ -89,7 +89,7 @@
 }
 
 impl ControlPlane {
-    /// A control plane that lists all hosts as ready. Delays are derived from the scenario's `seed`.
+    /// Creates a control plane that lists all hosts as ready. Delays are derived from the scenario's `seed`.
     pub fn new(rules: RuleLimits, hosts: &[HostSpec], dispatchers: usize, seed: u64) -> Self {
         let endpoint = |(host, spec): (HostId, &HostSpec)| ListedEndpoint {
             host,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lists a host under another address: a relay in front of it.
+    /// Replaces the listed address of a host by that of a relay in front of it.
     pub fn set_address(&mut self, host: HostId, address: String) {
         let mut endpoints = self.endpoints.iter_mut();
         if let Some(endpoint) = endpoints.find(|endpoint| endpoint.host == host) {
@@ -116,12 +116,12 @@
         }
     }
 
-    /// Delays notifications of endpoint updates by `delay` more until a time, microseconds.
+    /// Delays notifications of updates made before `until` by an additional `delay`, both in microseconds.
     pub fn delay_updates(&mut self, delay: Micros, until: Micros) {
         self.extra_delay = ExtraDelay { delay, until };
     }
 
-    /// Changes a host's entry, but not its address, or adds a host; dispatchers are notified after their delays.
+    /// Changes a listed host's entry except for its address, or adds a host. Dispatchers are notified after delays.
     pub fn update_endpoint(&mut self, now: Micros, update: ListedEndpoint) {
         let endpoint = self.store_update(update);
         let extra_delay = if now < self.extra_delay.until {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Stores an update, and returns the entry as it is listed now.
+    /// Stores an update, and returns the entry that is now listed.
     fn store_update(&mut self, update: ListedEndpoint) -> ListedEndpoint {
         let mut endpoints = self.endpoints.iter_mut();
         match endpoints.find(|endpoint| endpoint.host == update.host) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Purges an object, or else a group; dispatchers are notified after their delays.
+    /// Purges an object, or the whole group if `object` is `None`. Dispatchers are notified after delays.
     pub fn purge(&mut self, now: Micros, object: Option<String>, group: u64) {
         let purge = RecentPurge {
             at: now,
@@ -168,12 +168,12 @@
         }
     }
 
-    /// A dispatcher is down: it misses notifications.
+    /// Disconnects a dispatcher that is down: it misses notifications until it connects again.
     pub fn disconnect(&mut self, dispatcher: usize) {
         self.subscribers[dispatcher].disconnect();
     }
 
-    /// A dispatcher has started: it is notified of recent purges and of the whole list at once.
+    /// Connects a dispatcher that has started: it is notified of recent purges and of the full list without delay.
     pub fn connect(&mut self, now: Micros, dispatcher: usize) {
         let listed = self
             .endpoints
@@ -183,7 +183,7 @@
         self.subscribers[dispatcher].connect(now, purges, listed.cloned().collect());
     }
 
-    /// When the next notification is due, microseconds.
+    /// Returns the time at which the next notification is due, in microseconds.
     pub fn next_due(&self) -> Option<Micros> {
         self.subscribers
             .iter()
--- a/crates/fleet-model/src/control_plane/subscriber.rs
+++ b/crates/fleet-model/src/control_plane/subscriber.rs
@@ -1,4 +1,4 @@
-//! A dispatcher's pending notifications.
+//! Pending notifications to a dispatcher.
 use super::{ControlUpdate, ListedEndpoint};
 use pointspindle::Micros;
 use std::collections::VecDeque;
@@ -9,12 +9,12 @@
     update: ControlUpdate,
 }
 
-/// A dispatcher as the control plane sees it.
+/// A dispatcher that receives notifications of the control plane.
 #[derive(Debug, Default)]
 pub(super) struct Subscriber {
-    /// Sequence number of its latest list update.
+    /// Sequence number of the latest list update scheduled for the dispatcher.
     sequence: u64,
-    /// Notifications in the order of their times.
+    /// Pending notifications, sorted by the times at which they are due.
     pending: VecDeque<Notification>,
     disconnected: bool,
 }
@@ -24,13 +24,13 @@
         !self.disconnected
     }
 
-    /// Schedules a notification; those that are due at one time keep the order of their scheduling.
+    /// Schedules a notification. Notifications that are due at the same time stay in the order of scheduling.
     pub(super) fn schedule(&mut self, due: Micros, update: ControlUpdate) {
         let position = self.pending.partition_point(|pending| pending.due <= due);
         self.pending.insert(position, Notification { due, update });
     }
 
-    /// Schedules an update of one endpoint, not before an earlier one.
+    /// Schedules an update of one endpoint; it is not due before an update scheduled earlier.
     pub(super) fn notify_endpoint_update(&mut self, due: Micros, endpoint: ListedEndpoint) {
         let is_delta = |pending: &&Notification| matches!(pending.update, ControlUpdate::Delta(..));
         let latest = self.pending.iter().rev().find(is_delta);
@@ -44,7 +44,7 @@
         self.pending.clear();
     }
 
-    /// Connects; purges and the whole list are due at once.
+    /// Connects the dispatcher. Purges and the full endpoint list are due immediately.
     pub(super) fn connect(
         &mut self,
         now: Micros,
--- a/crates/fleet-model/src/dispatcher_settings.rs
+++ b/crates/fleet-model/src/dispatcher_settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a dispatcher of a scenario.
+//! Writes the settings file of a scenario's dispatcher.
 use pointspindle::Micros;
 use pointspindle_cache_model::WarmUpSpec;
 use pointspindle_scenario::ini_writer::{IniWriter, SectionSpacing};
@@ -9,22 +9,22 @@
 /// Prefix of the scenario's keys in etcd.
 pub const ETCD_PREFIX: &str = "/day";
 
-/// Streams of one connection that a dispatcher accepts.
+/// Maximum number of streams that a dispatcher accepts on one connection.
 const MAX_STREAMS: u32 = 4096;
 
-/// Path segments of a request over HTTP that name its purge group.
+/// Number of path segments of an HTTP request that identify its purge group.
 const GROUP_SEGMENTS: u32 = 2;
 
-/// The addresses that a dispatcher listens at. Their ports are 0 at its first start, and the same after a restart.
+/// The addresses on which a dispatcher listens. Their ports are 0 at its first start, and stay the same on a restart.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
-    /// HTTP clients.
+    /// Address for HTTP clients.
     pub http: SocketAddr,
-    /// Clients of the framed protocol.
+    /// Address for clients of the framed protocol.
     pub framed: SocketAddr,
-    /// Control connections.
+    /// Address for control connections.
     pub control: SocketAddr,
-    /// Metrics.
+    /// Address for metrics.
     pub metrics: SocketAddr,
 }
 
@@ -32,8 +32,9 @@
     time as f64 / 1e3
 }
 
-/// The text of a dispatcher's settings file. It connects to cache hosts from the address `bind`, and keeps its state in
-/// the file `state`. With `etcd`, an endpoint of etcd, it receives endpoint lists and purges from there as well.
+/// Returns the text of a dispatcher's settings file. The dispatcher connects to cache hosts from the address `bind` and
+/// stores its state in the file `state`. If `etcd` is the address of an etcd endpoint, the dispatcher also receives
+/// endpoint lists and purges from etcd.
 pub fn dispatcher_ini(
     scenario: &Scenario,
     dispatcher: usize,
@@ -62,7 +63,8 @@
     ini.finish()
 }
 
-/// The dispatcher's place among all dispatchers; an injected fault makes each believe that it is the only one.
+/// Writes the dispatcher's name, zone, number and state file, and the number of dispatchers. With an injected fault,
+/// each dispatcher is set up as the only one.
 fn write_identity(ini: &mut IniWriter, scenario: &Scenario, dispatcher: usize, state: &Path) {
     let branch = scenario.branch_of_dispatcher(dispatcher);
     let mut section = ini.section("dispatcher");
--- a/crates/fleet-model/src/leases.rs
+++ b/crates/fleet-model/src/leases.rs
@@ -1,8 +1,8 @@
-//! Slow-start leases in the protocol's form.
+//! Encodes slow-start leases for the protocol.
 use pointspindle_cache_host::lease::Grant;
 use pointspindle_protocol::LeaseHead;
 
-/// The message for a grant of a host's ledger.
+/// Returns the lease message for a grant by a cache host.
 pub fn lease_head(grant: &Grant) -> LeaseHead {
     LeaseHead {
         work_us: (grant.work * 1e6).round() as u64,
--- a/crates/fleet-model/src/lib.rs
+++ b/crates/fleet-model/src/lib.rs
@@ -1,5 +1,5 @@
-//! What fleets in virtual time and fleets on sockets share: the control plane with its delays, the dispatchers'
-//! settings, partitions between zones, and how purges reach the hosts.
+//! The parts shared by simulated fleets, which run in virtual time, and fleets on sockets: the control plane with its
+//! delays, the dispatchers' settings, slow-start leases, partitions between zones, and the propagation of purges.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/fleet-model/src/partition.rs
+++ b/crates/fleet-model/src/partition.rs
@@ -2,7 +2,7 @@
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
 
-/// Whether traffic passes from one zone to another while the given zones are partitioned from the others.
+/// Whether traffic from one zone reaches another while the given zones are partitioned from all others.
 pub fn passes(partitioned: &BTreeMap<usize, PartitionDirections>, from: usize, to: usize) -> bool {
     if from == to {
         return true;
--- a/crates/fleet-model/tests/control_plane.rs
+++ b/crates/fleet-model/tests/control_plane.rs
@@ -7,7 +7,7 @@
 
 const SEED: u64 = 7;
 
-/// Later than every notification of a test.
+/// Time after every notification of a test, in microseconds.
 const END: u64 = 60_000_000;
 
 fn scenario() -> Scenario {
@@ -19,7 +19,7 @@
     scenario.hosts(|host| format!("127.0.0.1:{}", 1000 + host))
 }
 
-/// A control plane with one connected dispatcher, whose first notification has been delivered.
+/// Returns a control plane with one connected dispatcher, to which the first endpoint list has been delivered.
 fn control_plane() -> ControlPlane {
     let scenario = scenario();
     let mut control = ControlPlane::new(scenario.limits.rules, &hosts(&scenario), 1, SEED);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn endpoint_update_of_listed_host_keeps_its_address() {
+fn endpoint_update_does_not_change_the_address_of_listed_host() {
     let mut control = control_plane();
     control.set_address(0, "127.0.0.1:9".into());
     control.update_endpoint(0, update(0, ListedState::Draining));
--- a/crates/fleet-model/tests/partition.rs
+++ b/crates/fleet-model/tests/partition.rs
@@ -1,4 +1,4 @@
-//! Traffic between zones while some are partitioned.
+//! Traffic between zones while some zones are partitioned.
 use pointspindle_fleet_model::partition::passes;
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
