--- a/crates/audit/src/fleet_totals/bounds.rs
+++ b/crates/audit/src/fleet_totals/bounds.rs
@@ -19,7 +19,7 @@
     let mut audit = BoundAudit {
         rule: RuleVerdict::new(
             "sums",
-            "what all dispatchers do together stays within the day's bounds",
+            "the totals over all dispatchers stay within the scenario's bounds",
         ),
     };
     for role in &totals.roles {
@@ -44,7 +44,7 @@
 impl BoundAudit {
     fn judge_in_flight(&mut self, peak: &Peak, bound: f64) {
         let detail = format!(
-            "{} had {} under way from {} dispatchers, {:.2} for a unit of its weight",
+            "{} had {} attempts in flight from {} dispatchers, {:.2} per unit of its weight",
             peak.host, peak.count, peak.dispatchers, peak.by_weight
         );
         self.at_most("under_way", bound, peak.by_weight, peak.at_s, &detail);
@@ -57,7 +57,7 @@
         self.rule.cases += 1;
         if totals.longest_ms > bound_ms {
             let detail = format!(
-                "an attempt reached a member {:.0} ms after its client had left, {bound_ms:.0} at most",
+                "an attempt arrived {:.0} ms after its client had cancelled; expected at most {bound_ms:.0} ms",
                 totals.longest_ms
             );
             self.rule.add_violation("left", 0, None, detail);
@@ -67,13 +67,13 @@
     fn judge_retries(&mut self, totals: &FleetTotals, bound: f64) {
         let worst = totals.worst_retries_per_request;
         let at_s = totals.worst_retries_at_s;
-        let detail = format!("{worst:.2} attempts beyond the first for each first one in 2 s");
+        let detail = format!("{worst:.2} retries per first attempt within 2 s");
         self.at_most("second_attempts", bound, worst, at_s, &detail);
     }
 
     fn judge_fairness(&mut self, totals: &FleetTotals, bound: f64) {
         let detail = format!(
-            "Jain's index {:.3}; dispatcher {} served {:.3} of its tries, the mean {:.3}",
+            "Jain's fairness index is {:.3} (dispatcher {} served {:.3} of its requests, mean {:.3})",
             totals.fairness,
             totals.lowest_served_dispatcher,
             totals.lowest_served_share,
@@ -89,7 +89,7 @@
             }
             let share = site.service_since / without_faults.service_since.max(1e-9);
             let detail = format!(
-                "{} was not struck and served {:.3}, {share:.3} of the same day without the loss",
+                "{}, an unaffected site, has service {:.3}, {share:.3} of that in the run without site faults",
                 site.name, site.service_since
             );
             self.at_least("others", bound, share, &detail);
@@ -103,7 +103,7 @@
         }
         self.rule.cases += 1;
         if value > bound {
-            let detail = format!("{detail}, {bound:.2} at most");
+            let detail = format!("{detail}; expected at most {bound:.2}");
             let at = (at_s * 1e6) as Micros;
             self.rule.add_violation(kind, at, None, detail);
         }
@@ -116,7 +116,7 @@
         }
         self.rule.cases += 1;
         if value < bound {
-            let detail = format!("{detail}, {bound:.3} at least");
+            let detail = format!("{detail}; expected at least {bound:.3}");
             self.rule.add_violation(kind, 0, None, detail);
         }
     }
