--- a/crates/audit/src/fleet_totals/bounds.rs
+++ b/crates/audit/src/fleet_totals/bounds.rs
@@ -1,14 +1,15 @@
-//! Rule: what all dispatchers do together stays within the scenario's bounds.
+//! Rule `sums`: the totals over all dispatchers stay within the scenario's bounds.
 use super::{CancellationTotals, FleetTotals, Peak};
 use crate::verdict::RuleVerdict;
 use pointspindle::Micros;
 use pointspindle_cache_model::Role;
 use pointspindle_scenario::Scenario;
 
-/// Attempts may arrive at a host for this long after their client has cancelled.
+/// Time for which attempts may still arrive at a host after their client has cancelled, in microseconds.
 const CANCELLATION_GRACE_US: Micros = 100_000;
 
-/// Judges each bound that the scenario sets. `baseline`: the same run without the faults that affect a site.
+/// Judges each bound that the scenario sets. `baseline` has the totals of the same run without the faults that affect a
+/// site; without it, the bound on unaffected sites is not judged.
 pub fn judge_totals(
     scenario: &Scenario,
     totals: &FleetTotals,
@@ -18,7 +19,7 @@
     let mut audit = BoundAudit {
         rule: RuleVerdict::new(
             "sums",
-            "what all dispatchers do together stays within the day's bounds",
+            "the totals over all dispatchers stay within the scenario's bounds",
         ),
     };
     for role in &totals.roles {
@@ -43,7 +44,7 @@
 impl BoundAudit {
     fn judge_in_flight(&mut self, peak: &Peak, bound: f64) {
         let detail = format!(
-            "{} had {} under way from {} dispatchers, {:.2} for a unit of its weight",
+            "{} had {} attempts in flight from {} dispatchers, {:.2} per unit of its weight",
             peak.host, peak.count, peak.dispatchers, peak.by_weight
         );
         self.at_most("under_way", bound, peak.by_weight, peak.at_s, &detail);
@@ -56,23 +57,23 @@
         self.rule.cases += 1;
         if totals.longest_ms > bound_ms {
             let detail = format!(
-                "an attempt reached a member {:.0} ms after its client had left, {bound_ms:.0} at most",
+                "an attempt arrived {:.0} ms after its client had cancelled; expected at most {bound_ms:.0} ms",
                 totals.longest_ms
             );
-            self.rule.violate("left", 0, None, detail);
+            self.rule.add_violation("left", 0, None, detail);
         }
     }
 
     fn judge_retries(&mut self, totals: &FleetTotals, bound: f64) {
         let worst = totals.worst_retries_per_request;
         let at_s = totals.worst_retries_at_s;
-        let detail = format!("{worst:.2} attempts beyond the first for each first one in 2 s");
+        let detail = format!("{worst:.2} retries per first attempt within 2 s");
         self.at_most("second_attempts", bound, worst, at_s, &detail);
     }
 
     fn judge_fairness(&mut self, totals: &FleetTotals, bound: f64) {
         let detail = format!(
-            "Jain's index {:.3}; dispatcher {} served {:.3} of its tries, the mean {:.3}",
+            "Jain's fairness index is {:.3} (dispatcher {} served {:.3} of its requests, mean {:.3})",
             totals.fairness,
             totals.lowest_served_dispatcher,
             totals.lowest_served_share,
@@ -88,35 +89,35 @@
             }
             let share = site.service_since / without_faults.service_since.max(1e-9);
             let detail = format!(
-                "{} was not struck and served {:.3}, {share:.3} of the same day without the loss",
+                "{}, an unaffected site, has service {:.3}, {share:.3} of that in the run without site faults",
                 site.name, site.service_since
             );
             self.at_least("others", bound, share, &detail);
         }
     }
 
-    /// An upper bound; 0 sets none.
+    /// Judges an upper bound; a bound of 0 is not set.
     fn at_most(&mut self, kind: &str, bound: f64, value: f64, at_s: f64, detail: &str) {
         if bound <= 0.0 {
             return;
         }
         self.rule.cases += 1;
         if value > bound {
-            let detail = format!("{detail}, {bound:.2} at most");
+            let detail = format!("{detail}; expected at most {bound:.2}");
             let at = (at_s * 1e6) as Micros;
-            self.rule.violate(kind, at, None, detail);
+            self.rule.add_violation(kind, at, None, detail);
         }
     }
 
-    /// A lower bound; 0 sets none.
+    /// Judges a lower bound; a bound of 0 is not set.
     fn at_least(&mut self, kind: &str, bound: f64, value: f64, detail: &str) {
         if bound <= 0.0 {
             return;
         }
         self.rule.cases += 1;
         if value < bound {
-            let detail = format!("{detail}, {bound:.3} at least");
-            self.rule.violate(kind, 0, None, detail);
+            let detail = format!("{detail}; expected at least {bound:.3}");
+            self.rule.add_violation(kind, 0, None, detail);
         }
     }
 }
