--- a/crates/cache-model/src/events.rs
+++ b/crates/cache-model/src/events.rs
@@ -3,10 +3,10 @@
 use pointspindle::Micros;
 use pointspindle_protocol::{LoadReport, WireCacheStatus, WireStatus};
 
-/// How the source's response to a fill ended.
+/// Outcome of a fill's request to its source.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FillOutcome {
-    /// All of it was received.
+    /// The whole response was received.
     Complete,
     /// The source rejected the fill.
     Rejected {
@@ -15,59 +15,59 @@
         /// The source's cache status.
         cache_status: WireCacheStatus,
     },
-    /// The source was not reached, or the connection broke.
+    /// The source could not be reached, or the connection broke.
     Unreachable,
 }
 
-/// A fault of a host.
+/// A fault that is injected into a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// It accepts requests and answers none.
+    /// The host accepts requests and answers none of them.
     Hang {
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// It never answers a share of the requests.
+    /// The host never answers a share of the requests.
     DropResponses {
-        /// Share of the requests.
+        /// Share of the requests that are affected, 0 to 1.
         share: f64,
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// It breaks the connection at the end of a share of the responses.
+    /// The host breaks the connection at the end of a share of the responses.
     TruncateResponses {
-        /// Share of the responses.
+        /// Share of the responses that are affected, 0 to 1.
         share: f64,
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// It rejects all requests.
+    /// The host rejects all requests.
     RejectRequests {
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// It fails a share of the requests at once.
+    /// The host fails a share of the requests immediately.
     FailRequests {
-        /// Share of the requests.
+        /// Share of the requests that are affected, 0 to 1.
         share: f64,
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// Its link and its service are slower.
+    /// The host's link and its service are slower.
     SlowDown {
-        /// By this factor.
+        /// Factor by which they are slower.
         factor: f64,
         /// End of the fault, microseconds.
         until: Micros,
     },
-    /// Its process ends; connections break.
+    /// The host's process ends, and its connections break.
     Crash,
-    /// A new process starts at the same address with an empty store; no effect on a running host.
+    /// A new process starts at the host's address with an empty store; this has no effect on a running host.
     Restart,
 }
 
 impl Fault {
-    /// The same fault with its end on a clock that is ahead by `offset` microseconds.
+    /// Returns the fault with its end delayed by `offset` microseconds.
     pub fn delayed_by(mut self, offset: Micros) -> Self {
         match &mut self {
             Self::Hang { until }
@@ -110,29 +110,29 @@
         /// The head of the response.
         response: ModelResponse,
     },
-    /// The source's response has ended, or will not come.
+    /// The source's response has ended, or the request to the source has failed.
     FillEnded {
         /// The host that fills.
         host: HostId,
         /// The fill.
         fill: FillId,
-        /// How it ended.
+        /// The outcome of the fill.
         outcome: FillOutcome,
     },
-    /// A host receives a purge and removes copies that were validated before it.
+    /// A host receives a purge and removes the copies that were validated before the purge.
     Purge {
         /// The host.
         host: HostId,
-        /// The purged object; `None`: the whole group.
+        /// The purged object; `None` purges the whole group.
         object: Option<u64>,
         /// The purged group.
         group: u64,
-        /// When the purge was made, microseconds.
+        /// Time of the purge, microseconds.
         at: Micros,
     },
-    /// The origin serves a new version from now on.
+    /// The origin begins to serve a new version.
     OriginUpdate {
-        /// The updated object; `None`: the whole group.
+        /// The updated object; `None` updates the whole group.
         object: Option<u64>,
         /// The updated group.
         group: u64,
@@ -144,7 +144,7 @@
         /// The fault.
         fault: Fault,
     },
-    /// Time passes.
+    /// Only handles the events that are due.
     Tick,
 }
 
@@ -167,7 +167,7 @@
         /// Id of the request.
         job: JobId,
     },
-    /// A request is rejected, or fails, perhaps after its response has begun.
+    /// A request is rejected, or fails; its response may have begun already.
     Reject {
         /// The host.
         host: HostId,
@@ -177,7 +177,7 @@
         status: WireStatus,
         /// The response's cache status.
         cache_status: WireCacheStatus,
-        /// The origin may have run the request.
+        /// Whether the origin may have run the request.
         may_have_run: bool,
         /// The host's load.
         load: LoadReport,
@@ -189,7 +189,7 @@
         /// Id of the request.
         job: JobId,
     },
-    /// A fill's request goes to its source, whose response comes back as [`ModelInput::FillResponse`] and
+    /// A fill's request is sent to its source. The driver returns the response as [`ModelInput::FillResponse`] and
     /// [`ModelInput::FillEnded`].
     StartFill {
         /// The host that fills.
@@ -208,11 +208,11 @@
         /// The fill.
         fill: FillId,
     },
-    /// A host's process has ended, with its requests and fills.
+    /// A host's process has ended; its requests and fills are lost.
     HostDown {
         /// The host.
         host: HostId,
-        /// Why it ended.
+        /// Reason for the end of the process.
         reason: &'static str,
     },
     /// A host's process has started.
--- a/crates/cache-model/src/fill.rs
+++ b/crates/cache-model/src/fill.rs
@@ -12,23 +12,23 @@
     pub(crate) request: ModelRequest,
     /// Address of the source.
     pub(crate) source: String,
-    /// Requests that are answered from it.
+    /// Requests that are answered from the fill.
     pub(crate) waiting: Vec<JobId>,
-    /// It revalidates a copy in the background.
+    /// Whether the fill revalidates a copy in the background.
     pub(crate) background: bool,
     pub(crate) retries_left: u32,
-    /// When it times out unless the source has responded.
+    /// Time at which the fill times out unless the source has responded, microseconds.
     pub(crate) deadline: Micros,
-    /// The head of the source's response.
+    /// The head of the source's response; `None` until it has arrived.
     pub(crate) response: Option<ModelResponse>,
-    /// The source has sent the whole response.
+    /// Whether the source has sent the whole response.
     pub(crate) source_finished: bool,
-    /// Its transfer over the zone's link; `None` when it does not use the link, or has ended.
+    /// The fill's transfer over the zone's link; `None` if the fill does not use the link or the transfer has ended.
     pub(crate) link_transfer: Option<TransferKey>,
 }
 
 impl Fill {
-    /// A fill of a request from a source, which nothing waits for yet.
+    /// Creates a fill of a request from a source, without waiting requests.
     pub(crate) fn new(request: ModelRequest, source: String) -> Self {
         Self {
             key: request.key(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The whole copy has been received.
+    /// Whether the whole copy has been received.
     pub(crate) fn is_complete(&self) -> bool {
         self.response.is_some() && self.source_finished && self.link_transfer.is_none()
     }
@@ -75,8 +75,8 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The latest fill of an object part that is in progress.
-    pub(crate) fn of_key(&self, key: ObjectKey) -> Option<FillId> {
+    /// Returns the latest fill in progress of an object part.
+    pub(crate) fn latest_for_key(&self, key: ObjectKey) -> Option<FillId> {
         self.by_key.get(&key).copied()
     }
 
@@ -87,7 +87,7 @@
 
     pub(crate) fn remove(&mut self, id: FillId) -> Option<Fill> {
         let fill = self.by_id.remove(&id)?;
-        if self.of_key(fill.key) == Some(id) {
+        if self.latest_for_key(fill.key) == Some(id) {
             self.by_key.remove(&fill.key);
         }
         Some(fill)
--- a/crates/cache-model/src/host.rs
+++ b/crates/cache-model/src/host.rs
@@ -11,64 +11,64 @@
 use pointspindle_protocol::LoadReport;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Hit ratio of a host that has been running for long.
+/// Initial hit ratio of a host that was started long before the run.
 const INITIAL_HIT_RATIO: f64 = 0.5;
 
 /// Weight of one request in the running mean of the hit ratio.
 const HIT_RATIO_WEIGHT: f64 = 0.02;
 
-/// Most utilization that a load report states.
+/// Upper limit of the utilization in a load report.
 const MAX_UTILIZATION: f64 = 10.0;
 
-/// Least factor of a slow-down.
+/// Lower limit of the factor of a slow-down.
 const MIN_SLOW_DOWN: f64 = 1e-3;
 
-/// A timer of a host. Timers that are due together run in this order.
+/// A timer of a host. Timers that are due at the same time run in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum HostTimer {
-    /// The origin's work before the first byte of a response ends.
+    /// The origin's service time before the first byte of a response ends.
     ServiceEnd(JobId),
     FillTimeout(FillId),
-    /// A fault ends, a pause begins, or the warm-up proceeds: state is re-evaluated.
+    /// The host's state is re-evaluated: a fault ends, a pause begins, or the warm-up proceeds.
     Reevaluate,
 }
 
-/// The latest load report; it is reused for a while.
+/// The latest load report, which is reused within the reporting interval.
 #[derive(Debug, Default)]
 struct ReportedLoad {
     at: Micros,
     report: LoadReport,
 }
 
-/// A host: a process, its link, store, and requests in progress.
+/// A host: its process, link, store, and requests in progress.
 #[derive(Debug)]
 pub(crate) struct Host {
     pub(crate) spec: HostSpec,
     pub(crate) up: bool,
-    /// Counts the starts of the process.
+    /// Number of starts of the process.
     pub(crate) incarnation: u64,
-    /// When the process started; `None`: long before the run, so that it is warm.
+    /// Start of the process, microseconds; `None` if it started long before the run and is warm.
     pub(crate) started: Option<Micros>,
     pub(crate) link: SharedLink,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     /// Requests that wait for a free slot.
     pub(crate) queue: VecDeque<JobId>,
-    /// Slots in use: by requests on the link, in service, or waiting for the end of a fill.
+    /// Number of slots in use by requests on the link, in service, or waiting for the end of a fill.
     pub(crate) slots_in_use: usize,
     pub(crate) fills: FillTable,
     pub(crate) store: Store,
     pub(crate) warm_up_load: WarmUpLoad,
     pub(crate) impairments: Impairments,
-    /// Inputs that came while the host hung.
+    /// Inputs that arrived while the host was hanging.
     pub(crate) deferred: Vec<ModelInput>,
     pub(crate) timers: BTreeSet<(Micros, HostTimer)>,
-    /// Running mean.
+    /// Exponentially weighted mean of hits (1) and misses (0).
     hit_ratio: f64,
     reported_load: ReportedLoad,
-    /// The wake-up that is scheduled with the model.
+    /// Time of the wake-up that is scheduled for the host, microseconds.
     pub(crate) wake_up: Option<Micros>,
     pub(crate) purges: PurgeLog,
-    /// When the process next pauses; 0: never.
+    /// Time at which the process next pauses, microseconds; 0 if it never does.
     pub(crate) next_pause: Micros,
 }
 
@@ -97,7 +97,7 @@
         }
     }
 
-    /// A host whose process is not started yet.
+    /// Creates a host whose process has not started yet.
     pub(crate) fn new_stopped(spec: HostSpec) -> Self {
         Self {
             up: false,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Starts the process anew.
+    /// Starts a new process.
     pub(crate) fn start(&mut self, now: Micros) {
         self.up = true;
         self.incarnation += 1;
@@ -133,7 +133,7 @@
         now < self.impairments.hang_until
     }
 
-    /// Hangs until a time, or longer if it does already.
+    /// Hangs until a time, or until the end of the present hang if that is later.
     pub(crate) fn hang_until(&mut self, until: Micros) {
         self.impairments.hang_until = self.impairments.hang_until.max(until);
         self.timers.insert((until, HostTimer::Reevaluate));
@@ -148,7 +148,7 @@
         self.slots_in_use < self.spec.concurrency
     }
 
-    /// Transfers that its link carries now.
+    /// Returns the number of transfers at full speed that the host's link carries now.
     pub(crate) fn capacity(&self, now: Micros) -> f64 {
         if self.is_hanging(now) {
             return 0.0;
@@ -169,8 +169,8 @@
         self.hit_ratio *= 1.0 - HIT_RATIO_WEIGHT;
     }
 
-    /// The load report of a response; a new one once per reporting interval. `zone_link_load` is that of the zone's
-    /// link, in place of which a parent reports its fills.
+    /// Returns the load report of a response, which is updated once per reporting interval. `zone_link_load` is the
+    /// load of the zone's inbound link; a parent reports its number of fills in its place.
     pub(crate) fn load_report(&mut self, now: Micros, zone_link_load: f64) -> LoadReport {
         if now >= self.reported_load.at + self.spec.load_report_interval {
             let link_utilization = match self.spec.role {
@@ -189,7 +189,7 @@
         self.reported_load.report
     }
 
-    /// When something next happens at the host without an input.
+    /// Returns the time of the host's next transfer end or timer, microseconds.
     pub(crate) fn next_event(&self) -> Option<Micros> {
         let transfer_end = self.link.next_end();
         let timer = self.timers.first().map(|(at, _)| *at);
--- a/crates/cache-model/src/impairments.rs
+++ b/crates/cache-model/src/impairments.rs
@@ -2,7 +2,7 @@
 use pointspindle::Micros;
 use rand::Rng;
 
-/// A fault that affects a share of the requests until a time.
+/// A fault that affects each request with a probability of `share` until a time.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RandomFault {
     pub(crate) share: f64,
@@ -10,7 +10,7 @@
 }
 
 impl RandomFault {
-    /// Draws whether the fault affects a request; draws nothing once it has ended.
+    /// Draws whether the fault affects a request; uses no random number once the fault has ended.
     pub(crate) fn affects(self, now: Micros, rng: &mut impl Rng) -> bool {
         now < self.until && rng.gen::<f64>() < self.share
     }
@@ -24,7 +24,7 @@
 }
 
 impl SlowDown {
-    /// The factor at a time; 1 once the fault has ended.
+    /// Returns the factor at a time; 1 once the fault has ended.
     pub(crate) fn factor_at(self, now: Micros) -> f64 {
         if now < self.until {
             self.factor
@@ -34,7 +34,7 @@
     }
 }
 
-/// The faults of a host; each ends at a time of its own.
+/// The faults of a host, each with its own end.
 #[derive(Debug, Default)]
 pub(crate) struct Impairments {
     pub(crate) hang_until: Micros,
--- a/crates/cache-model/src/job.rs
+++ b/crates/cache-model/src/job.rs
@@ -7,32 +7,32 @@
 #[derive(Debug)]
 pub(crate) struct Job {
     pub(crate) request: ModelRequest,
-    /// When it arrived, or last changed its state.
+    /// Time at which the request arrived or last changed its state, microseconds.
     pub(crate) arrived: Micros,
     pub(crate) state: JobState,
 }
 
 #[derive(Debug)]
 pub(crate) enum JobState {
-    /// It waits for the head of a fill's response.
+    /// The request waits for the head of a fill's response.
     AwaitingFill(FillId),
-    /// Its response waits for a free slot.
+    /// The response waits for a free slot.
     Queued {
         response: ModelResponse,
         fill: Option<FillId>,
     },
-    /// The origin works on it; its timer ends that.
+    /// The origin processes the request until its service timer is due.
     InService(ModelResponse),
-    /// Its response is on the link.
+    /// The response is being transferred over the host's link.
     Transferring {
         transfer: TransferKey,
         fill: Option<FillId>,
-        /// The connection will break at the end.
+        /// Whether the connection breaks at the end of the transfer.
         truncated: bool,
     },
-    /// Its own transfer has ended; the fill that it passes on has not.
+    /// The transfer over the host's link has ended before the fill that the response forwards.
     AwaitingFillEnd(FillId),
-    /// It is never answered.
+    /// The request is never answered.
     Dropped,
 }
 
@@ -41,6 +41,6 @@
     pub(crate) job: JobId,
     pub(crate) request: ModelRequest,
     pub(crate) response: ModelResponse,
-    /// The fill that it passes on.
+    /// The fill that the response forwards.
     pub(crate) fill: Option<FillId>,
 }
--- a/crates/cache-model/src/model/faults.rs
+++ b/crates/cache-model/src/model/faults.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Starts a process that is down; a running one stays as it is.
+    /// Starts the host's process if it is down; has no effect on a running one.
     fn restart(&mut self, host: HostId) {
         if self.hosts[host].up {
             return;
@@ -52,7 +52,7 @@
         self.schedule_host(host);
     }
 
-    /// Ends a host's process with all its jobs, fills and copies.
+    /// Ends a host's process; all its jobs, fills and copies are lost.
     pub(super) fn stop_host(&mut self, host: HostId, reason: &'static str) {
         for fill in self.hosts[host].fills.ids() {
             self.cancel_fill(host, fill);
--- a/crates/cache-model/src/model/fill_failures.rs
+++ b/crates/cache-model/src/model/fill_failures.rs
@@ -1,4 +1,4 @@
-//! Fills that fail: they are retried, or their requests rejected.
+//! Failed fills: retries, and the rejection of the requests that wait for them.
 use super::requests::Rejection;
 use super::CacheModel;
 use crate::fill::Fill;
@@ -6,14 +6,14 @@
 use crate::{FillId, FillOutcome, HostId, JobId, ModelOutput, Role};
 use pointspindle_protocol::{WireCacheStatus, WireStatus};
 
-/// How a fill failed.
+/// Cause of a fill's failure.
 #[derive(Clone, Copy)]
 pub(super) enum FillFailure {
     Rejected {
         status: WireStatus,
         cache_status: WireCacheStatus,
     },
-    /// The source was not reached, did not respond in time, or the connection broke.
+    /// The source could not be reached, did not respond in time, or the connection broke.
     Unreachable,
 }
 
@@ -34,7 +34,7 @@
 }
 
 impl FillFailure {
-    /// The source has no copy and does not fill.
+    /// Whether the source has no copy and does not fill.
     fn is_miss(self) -> bool {
         matches!(
             self,
@@ -45,7 +45,7 @@
         )
     }
 
-    /// How requests that wait for the fill are rejected.
+    /// Returns the rejection of the requests that wait for the fill.
     fn rejection(self) -> Rejection {
         let (status, cache_status) = match self {
             Self::Rejected {
@@ -101,7 +101,7 @@
         let mut rejection = failure.rejection();
         let is_parent = self.hosts[host].spec.role == Role::Parent;
         if is_parent && from_origin && rejection.cache_status == WireCacheStatus::SourceRejected {
-            // A failure of the origin, not a lack of capacity at the parent.
+            // The origin has failed; the parent does not lack capacity.
             rejection.status = WireStatus::Error;
         }
         for job in fill.waiting {
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Rejects a request whose fill has failed. A response that has begun, or that waits for a slot with an
+    /// Rejects a request whose fill has failed. A response that has begun, or that is queued for a slot with an
     /// incomplete copy, ends with an error.
     fn reject_waiting(&mut self, host: HostId, job_id: JobId, rejection: Rejection) {
         let broken = Rejection {
--- a/crates/cache-model/src/model/fill_responses.rs
+++ b/crates/cache-model/src/model/fill_responses.rs
@@ -1,4 +1,4 @@
-//! Responses to fills: passed on to the requests that wait, and stored.
+//! Responses to fills: forwarded to the waiting requests, and stored.
 use super::requests::FillWaiter;
 use super::responses::STATUS_OK;
 use super::CacheModel;
@@ -8,7 +8,7 @@
 use pointspindle_protocol::WireCacheStatus;
 
 impl CacheModel {
-    /// The source has begun to respond.
+    /// Handles the head of the source's response.
     pub(super) fn fill_responded(
         &mut self,
         host: HostId,
@@ -31,7 +31,7 @@
             return;
         }
         let received_bytes = response.body_bytes();
-        // The body of a copy that the source confirmed is in the store.
+        // If the source confirmed the cached copy, its body is in the store.
         let copy = match state.store.get(fill.key) {
             Some(cached) if response.not_modified => CachedCopy {
                 validated_at: response.copy.validated_at,
@@ -47,7 +47,7 @@
         self.schedule_host(host);
     }
 
-    /// Passes the response on to the requests that wait, the first of which started the fill.
+    /// Forwards the response to the waiting requests, the first of which started the fill.
     fn serve_waiting(
         &mut self,
         host: HostId,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Puts a fill from another zone on the zone's link, if that has a limit.
+    /// Starts the transfer of a fill from another zone over the zone's link, if that link has a limit.
     fn transfer_over_zone_link(&mut self, host: HostId, fill_id: FillId, bytes: u64) {
         let zone = self.hosts[host].spec.zone;
         let within_zone = self
@@ -83,7 +83,7 @@
         self.schedule_zone_link(zone);
     }
 
-    /// The host that a fill's request went to.
+    /// Returns the host that a fill's request was sent to.
     fn source_of(&self, host: HostId, fill_id: FillId) -> Option<HostId> {
         let fill = self.hosts[host].fills.get(fill_id)?;
         self.host_by_address(&fill.source)
@@ -94,7 +94,7 @@
             .is_some_and(|source| self.hosts[source].spec.role == Role::Origin)
     }
 
-    /// The cache status of the request that started a fill.
+    /// Returns the cache status of the request that started a fill.
     fn fill_cache_status(
         &self,
         host: HostId,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Passes a fill on to a request that waits for it, or starts another one if the copy is too old for it.
+    /// Forwards a fill's response to a waiting request, or starts another fill if the copy is too old for the request.
     pub(super) fn serve_from_fill(
         &mut self,
         host: HostId,
@@ -147,7 +147,7 @@
         );
     }
 
-    /// The source's response has ended, or will not come.
+    /// Handles the end of the source's response, or the failure of the request to the source.
     pub(super) fn fill_ended(&mut self, host: HostId, fill_id: FillId, outcome: FillOutcome) {
         if self.hosts[host].is_hanging(self.now) {
             let input = ModelInput::FillEnded {
@@ -169,7 +169,7 @@
         self.schedule_host(host);
     }
 
-    /// Stores the copy of a fill that is complete, and ends the responses that waited for that.
+    /// Stores the copy of a complete fill, and ends the responses that waited for the end of the fill.
     pub(super) fn finish_fill_if_complete(&mut self, host: HostId, fill_id: FillId) {
         let fill = self.hosts[host].fills.get(fill_id);
         if !fill.is_some_and(Fill::is_complete) {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Stores the copy of a fill, unless it is uncacheable, missing, or older than a purge.
+    /// Stores the copy of a fill unless it is uncacheable, the object is missing, or the copy is older than a purge.
     fn store_filled_copy(&mut self, host: HostId, fill: &Fill) {
         let Some(response) = &fill.response else {
             return;
--- a/crates/cache-model/src/model/fills.rs
+++ b/crates/cache-model/src/model/fills.rs
@@ -1,4 +1,4 @@
-//! Fills: started, joined, left and cancelled.
+//! The start, joining, leaving and cancellation of fills.
 use super::requests::{FillWaiter, Rejection};
 use super::CacheModel;
 use crate::fill::Fill;
@@ -8,7 +8,7 @@
 use pointspindle_protocol::{WireCacheStatus, WireStatus};
 
 impl CacheModel {
-    /// Starts a fill, or rejects its request where there is no source or no capacity. `cached` is a copy to
+    /// Starts a fill, or rejects its request if there is no source or no capacity for the fill. `cached` is a copy to
     /// revalidate.
     pub(super) fn start_fill(
         &mut self,
@@ -62,7 +62,7 @@
             host,
             fill: id,
             source: fill.source.clone(),
-            // Without a source of its own, the source fills from its usual upstream.
+            // Without a source in the request, the receiving host fills a miss from its own upstream.
             request: ModelRequest {
                 source: None,
                 cached_version,
@@ -76,8 +76,8 @@
         id
     }
 
-    /// Where a host fills a request from: the request's source, or its own upstream. A request for a cached copy
-    /// without a source is not filled.
+    /// Returns the address that a host fills a request from: the request's source, or the host's own upstream. A
+    /// request for a cached copy without a source is not filled.
     fn fill_source(&self, host: HostId, request: &ModelRequest) -> Option<String> {
         if request.only_if_cached && request.source.is_none() {
             return None;
@@ -90,7 +90,7 @@
             .or_else(|| self.upstream(host))
     }
 
-    /// The upstream of a parent: the origin.
+    /// Returns the upstream of a host: the origin for a parent, `None` for other hosts.
     fn upstream(&self, host: HostId) -> Option<String> {
         if self.hosts[host].spec.role != Role::Parent {
             return None;
@@ -103,7 +103,7 @@
     }
 
     fn reject_without_source(&mut self, host: HostId, job: JobId, request: &ModelRequest) {
-        let cache_status = match self.hosts[host].fills.of_key(request.key()) {
+        let cache_status = match self.hosts[host].fills.latest_for_key(request.key()) {
             Some(_) => WireCacheStatus::Coalesced,
             None => WireCacheStatus::Unreported,
         };
@@ -115,7 +115,7 @@
         self.reject(host, job, rejection);
     }
 
-    /// Has a request wait for a fill in progress.
+    /// Adds a request to a fill in progress.
     pub(super) fn join_fill(
         &mut self,
         host: HostId,
@@ -133,7 +133,8 @@
         }
     }
 
-    /// A cancelled request leaves its fill. Where the host aborts unused fills, the last one cancels it.
+    /// Removes a cancelled request from its fill. A host that aborts unused fills cancels the fill when no request is
+    /// left.
     pub(super) fn leave_fill(&mut self, host: HostId, fill_id: FillId, job: JobId) {
         let state = &mut self.hosts[host];
         let Some(fill) = state.fills.get_mut(fill_id) else {
--- a/crates/cache-model/src/model/mod.rs
+++ b/crates/cache-model/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! All hosts, the zones' links and the origin's versions, stepped by events.
+//! The event-driven model of all hosts, the zones' links and the origin's versions.
 mod faults;
 mod fill_failures;
 mod fill_responses;
@@ -23,13 +23,13 @@
 use std::sync::Arc;
 use timers::WakeUp;
 
-/// Size of an object's part, bytes; `None` if the origin has no such object.
+/// Returns the size of the requested part of an object, bytes; `None` if the origin has no such object.
 pub type SizeCatalogue = Box<dyn Fn(&ModelRequest) -> Option<u64> + Send>;
 
-/// The inbound link of a zone, which fills from other zones share.
+/// The inbound link of a zone, shared by fills from other zones.
 struct ZoneLink {
     link: SharedLink,
-    /// The wake-up that is scheduled for it.
+    /// Time of the wake-up that is scheduled for the link, microseconds.
     wake_up: Option<Micros>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl CacheModel {
-    /// A model of these hosts, all running and warm. Random numbers are derived from `seed`.
+    /// Creates a model of these hosts, all running and warm. Random numbers are derived from `seed`.
     pub fn new(
         settings: CacheModelSettings,
         hosts: Vec<HostSpec>,
@@ -99,17 +99,17 @@
         model
     }
 
-    /// All hosts.
+    /// Returns the ids and settings of all hosts.
     pub fn hosts(&self) -> impl Iterator<Item = (HostId, &HostSpec)> {
         self.hosts.iter().map(|host| &host.spec).enumerate()
     }
 
-    /// Settings of a host.
+    /// Returns the settings of a host.
     pub fn host_spec(&self, host: HostId) -> &HostSpec {
         &self.hosts[host].spec
     }
 
-    /// The host at an address.
+    /// Returns the host at an address.
     pub fn host_by_address(&self, address: &str) -> Option<HostId> {
         self.addresses.get(address).copied()
     }
@@ -119,7 +119,8 @@
         self.hosts[host].up
     }
 
-    /// How often a host's process has started, and when it last did; `None`: long before the run.
+    /// Returns the number of starts of a host's process, and the time of the latest start in microseconds; `None` if
+    /// that was long before the run.
     pub fn incarnation(&self, host: HostId) -> (u64, Option<Micros>) {
         let host = &self.hosts[host];
         (host.incarnation, host.started)
@@ -133,27 +134,28 @@
         id
     }
 
-    /// How often the origin has run the work of each idempotency key.
+    /// Returns the number of times that the origin has run the work of each idempotency key.
     pub fn effect_counts(&self) -> &HashMap<Arc<str>, u32> {
         self.origin.effect_counts()
     }
 
-    /// The version of an object of a purge group that the origin serves now.
+    /// Returns the version of an object of a purge group that the origin serves now.
     pub fn current_version(&self, object_number: u64, group: u64) -> u64 {
         self.origin.version(object_number, group)
     }
 
-    /// Transfers on a host's link over the link's capacity.
+    /// Returns the ratio of the transfers on a host's link to the link's capacity.
     pub fn link_load(&self, host: HostId) -> f64 {
         self.hosts[host].link.load()
     }
 
-    /// When the model needs the next input, [`ModelInput::Tick`] if there is no other.
+    /// Returns the time at which the model needs its next input, microseconds; without another input, the driver passes
+    /// [`ModelInput::Tick`].
     pub fn next_timer(&self) -> Option<Micros> {
         self.wake_ups.first().map(|(at, _)| *at)
     }
 
-    /// Handles an input at time `now`, after everything that is due by then, and appends the outputs.
+    /// Handles an input at time `now`, after all events that are due by then, and appends the outputs.
     pub fn handle(&mut self, now: Micros, input: ModelInput, outputs: &mut Vec<ModelOutput>) {
         self.run_due_events(now);
         self.now = now;
@@ -199,7 +201,7 @@
         self.settings.classes.get(request.class)
     }
 
-    /// Freshness lifetime of a request's class, microseconds; 0: copies stay fresh.
+    /// Returns the freshness lifetime of a request's class, microseconds; 0 if copies stay fresh until purged.
     fn freshness_lifetime(&self, request: &ModelRequest) -> Micros {
         self.class_of(request)
             .map_or(0, |class| class.freshness_lifetime)
--- a/crates/cache-model/src/model/origin.rs
+++ b/crates/cache-model/src/model/origin.rs
@@ -9,21 +9,21 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Idempotency keys that the origin remembers before it forgets those past their window.
+/// Number of idempotency keys above which the origin discards those whose window has passed.
 const MAX_REMEMBERED_KEYS: usize = 4096;
 
 const STATUS_NOT_FOUND: u16 = 404;
 
-/// What the origin remembers of objects and requests.
+/// The origin's versions of objects, idempotency keys and load.
 #[derive(Debug, Default)]
 pub(super) struct OriginState {
     object_versions: HashMap<u64, u64>,
     group_versions: HashMap<u64, u64>,
-    /// When the work of each idempotency key last ran.
+    /// Time of the latest run of the work of each idempotency key, microseconds.
     last_runs: HashMap<Arc<str>, Micros>,
-    /// How often it ran.
+    /// Number of runs of the work of each idempotency key.
     effects: HashMap<Arc<str>, u32>,
-    /// Outages by overload so far.
+    /// Number of outages by overload so far.
     pub(super) outages: u32,
     pub(super) load: WarmUpLoad,
 }
@@ -33,14 +33,14 @@
         &self.effects
     }
 
-    /// The sum of updates of an object and of its group.
+    /// Returns the version of an object: the number of updates of the object and of its group.
     pub(super) fn version(&self, object: u64, group: u64) -> u64 {
         let of_object = self.object_versions.get(&object).copied();
         let of_group = self.group_versions.get(&group).copied();
         of_object.unwrap_or(0) + of_group.unwrap_or(0)
     }
 
-    /// Updates an object, or else a group.
+    /// Updates an object, or the whole group if no object is given.
     pub(super) fn update(&mut self, object: Option<u64>, group: u64) {
         let version = match object {
             Some(object) => self.object_versions.entry(object).or_default(),
@@ -65,7 +65,7 @@
 }
 
 impl CacheModel {
-    /// Runs a request at the origin and responds with the present version of the object.
+    /// Runs a request at the origin and responds with the current version of the object.
     pub(super) fn run_at_origin(&mut self, host: HostId, job: JobId, request: ModelRequest) {
         if request.has_idempotency_key() {
             let window = self.settings.idempotency_window;
--- a/crates/cache-model/src/model/overload.rs
+++ b/crates/cache-model/src/model/overload.rs
@@ -1,16 +1,15 @@
-//! Overload: it crashes a host that is warming up, and stops the origin for a while.
+//! Overload, which crashes a host that is warming up and makes the origin hang for a time.
 use super::CacheModel;
 use crate::warm_up::{WarmUpLoad, WarmUpSpec, ROUNDING_TOLERANCE};
 use crate::{HostId, ModelRequest, Role};
 
-/// Outages of the origin by overload in one run.
+/// Maximum number of outages of the origin by overload in one run.
 const MAX_ORIGIN_OUTAGES: u32 = 2;
 
 impl CacheModel {
-    /// Records the work of a request, and crashes the host if that is too much for its warm-up. Every attempt that
-    /// reaches the host counts, even if it is only for a cached copy or is rejected. Returns whether the host
-    /// crashed.
-    pub(super) fn crashes_by_overload(&mut self, host: HostId, request: &ModelRequest) -> bool {
+    /// Records the work of a request, and crashes the host if the work exceeds its warm-up budget. Every attempt that
+    /// reaches the host counts, even if it is only for a cached copy or is rejected. Returns whether the host crashed.
+    pub(super) fn crash_if_overloaded(&mut self, host: HostId, request: &ModelRequest) -> bool {
         let work_s = self
             .class_of(request)
             .map_or(0.0, |class| class.mean_transfer_time as f64 / 1e6);
@@ -35,7 +34,7 @@
         true
     }
 
-    /// Records work at the origin, which hangs for a while when it is overloaded.
+    /// Records work at the origin, which hangs for its downtime when it is overloaded.
     fn record_origin_load(&mut self, host: HostId, work_s: f64) {
         let state = &mut self.hosts[host];
         let limit = WarmUpSpec {
--- a/crates/cache-model/src/model/requests.rs
+++ b/crates/cache-model/src/model/requests.rs
@@ -1,11 +1,11 @@
-//! Requests: admission, hits and misses, cancellation.
+//! Admission, hits and misses, and cancellation of requests.
 use super::CacheModel;
 use crate::job::{Job, JobState, ReadyResponse};
 use crate::{CachedCopy, HostId, JobId, ModelInput, ModelOutput, ModelRequest, Role};
 use pointspindle::Micros;
 use pointspindle_protocol::{WireCacheStatus, WireStatus};
 
-/// Share of its freshness lifetime from which a copy is revalidated in the background.
+/// Share of the freshness lifetime after which a copy is revalidated in the background.
 const REVALIDATION_THRESHOLD: f64 = 0.8;
 
 /// Retention rank of every copy at a parent.
@@ -16,7 +16,7 @@
 pub(super) struct Rejection {
     pub(super) status: WireStatus,
     pub(super) cache_status: WireCacheStatus,
-    /// The origin may have run the request.
+    /// Whether the origin may have run the request.
     pub(super) may_have_run: bool,
 }
 
@@ -28,7 +28,7 @@
         may_have_run: false,
     };
 
-    /// The host has as many fills in progress as it can.
+    /// The host has reached its limit of fills in progress.
     pub(super) const FILL_LIMIT_REACHED: Self = Self {
         status: WireStatus::Rejected,
         cache_status: WireCacheStatus::FillLimitReached,
@@ -56,7 +56,7 @@
             self.emit(ModelOutput::Disconnect { host, job });
             return;
         }
-        if self.crashes_by_overload(host, &request) {
+        if self.crash_if_overloaded(host, &request) {
             return;
         }
         if self.hosts[host].is_hanging(self.now) {
@@ -68,7 +68,7 @@
         self.schedule_host(host);
     }
 
-    /// Takes a request at a host that does not hang.
+    /// Accepts a request at a host that is not hanging.
     pub(super) fn accept(&mut self, host: HostId, job: JobId, request: ModelRequest) {
         let state = &self.hosts[host];
         if self.now < state.impairments.reject_until {
@@ -121,9 +121,9 @@
         self.hosts[host].jobs.insert(job, entry);
     }
 
-    /// The oldest validation time of a copy that answers a request. Purges that the host knew when the request
-    /// arrived count as well: by the purge deadline the request must not join a fill that began before the purge,
-    /// however slow that fill is.
+    /// Returns the earliest validation time of a copy that may answer a request. Purges that the host had received when
+    /// the request arrived count as well: after the purge deadline a request must not join a fill that began before the
+    /// purge, however slow that fill is.
     pub(super) fn oldest_acceptable(
         &self,
         host: HostId,
@@ -159,7 +159,7 @@
         };
         let threshold = REVALIDATION_THRESHOLD * freshness_lifetime as f64;
         let revalidates = request.revalidate && expires && age as f64 > threshold;
-        // The response may be of any age; the revalidated copy must be new.
+        // The cached copy may answer this request; the revalidation must not be answered from an old copy.
         let revalidation = revalidates.then(|| ModelRequest {
             max_age: 1,
             coalesce: false,
@@ -177,13 +177,13 @@
             },
         );
         if let Some(revalidation) = revalidation {
-            if self.hosts[host].fills.of_key(key).is_none() {
+            if self.hosts[host].fills.latest_for_key(key).is_none() {
                 self.start_fill(host, None, revalidation, Some(copy));
             }
         }
     }
 
-    /// The rank at which a host stores a copy; parents store all at the same rank.
+    /// Returns the rank at which a host stores a copy; parents store all copies at the same rank.
     pub(super) fn retention_rank(&self, host: HostId, request: &ModelRequest) -> u8 {
         match self.hosts[host].spec.role {
             Role::Parent => PARENT_RANK,
@@ -200,7 +200,7 @@
         cached: Option<CachedCopy>,
     ) {
         self.hosts[host].record_miss();
-        let fill = self.hosts[host].fills.of_key(request.key());
+        let fill = self.hosts[host].fills.latest_for_key(request.key());
         if let Some(fill) = fill.filter(|_| self.coalesces(host, &request)) {
             return self.join_fill(host, fill, job, request);
         }
--- a/crates/cache-model/src/model/responses.rs
+++ b/crates/cache-model/src/model/responses.rs
@@ -1,4 +1,4 @@
-//! Responses: slots, the origin's service time, transfers on a host's link.
+//! Slots for responses, the origin's service time, and transfers over a host's link.
 use super::CacheModel;
 use crate::host::HostTimer;
 use crate::job::{JobState, ReadyResponse};
@@ -7,13 +7,13 @@
 use pointspindle_protocol::WireCacheStatus;
 use rand::Rng;
 
-/// Time on the link of a response's frames without a body, microseconds.
+/// Transfer time of a response's frames without a body at full speed, microseconds.
 const FRAMING_WORK_US: u64 = 200;
 
 pub(super) const STATUS_OK: u16 = 200;
 
 impl CacheModel {
-    /// The head of a response with a copy.
+    /// Returns the head of a response with a copy.
     pub(super) fn response(
         &mut self,
         host: HostId,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends a response if a slot is free, else queues it.
+    /// Sends a response if a slot is free; otherwise queues it.
     pub(super) fn admit(&mut self, host: HostId, ready: ReadyResponse) {
         if self.hosts[host].has_free_slot() {
             return self.occupy_slot(host, ready);
@@ -51,7 +51,7 @@
         self.set_job(host, ready.job, ready.request, queued);
     }
 
-    /// Occupies a slot with a response, which the origin works on first.
+    /// Occupies a slot with a response and starts its transfer; at the origin the service time comes first.
     fn occupy_slot(&mut self, host: HostId, ready: ReadyResponse) {
         let state = &mut self.hosts[host];
         state.slots_in_use += 1;
@@ -106,7 +106,7 @@
         self.update_link(host);
     }
 
-    /// A transfer on the host's link has ended: the response ends with it, or with the fill that it passes on.
+    /// Handles the end of a transfer over the host's link: the response ends now, or with the fill that it forwards.
     pub(super) fn transfer_ended(&mut self, host: HostId, job_id: JobId) {
         let state = &mut self.hosts[host];
         let Some(job) = state.jobs.get_mut(&job_id) else {
@@ -140,7 +140,7 @@
         self.release_slot(host);
     }
 
-    /// Frees a slot for the request that has been queued longest.
+    /// Frees a slot and gives it to the request that has been queued longest.
     pub(super) fn release_slot(&mut self, host: HostId) {
         self.hosts[host].slots_in_use -= 1;
         while self.hosts[host].has_free_slot() {
--- a/crates/cache-model/src/model/timers.rs
+++ b/crates/cache-model/src/model/timers.rs
@@ -1,4 +1,4 @@
-//! Wake-ups of hosts and zone links, and what is due at them.
+//! Wake-ups of hosts and zone links, and the events that are due at them.
 use super::CacheModel;
 use crate::host::HostTimer;
 use crate::{HostId, ModelInput};
@@ -8,7 +8,7 @@
 /// Interval at which the link of a host that is warming up is re-evaluated while it has transfers, microseconds.
 const WARM_UP_STEP_US: Micros = 50_000;
 
-/// What a wake-up is scheduled for. Those of one time run in this order.
+/// The target of a wake-up. Wake-ups that are due at the same time run in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum WakeUp {
     Zone(usize),
@@ -50,7 +50,8 @@
         self.schedule_zone_link(zone);
     }
 
-    /// Runs what is due at a host: transfers that end, timers, a pause, inputs deferred while it hung.
+    /// Handles the events that are due at a host: ends of transfers, timers, a pause, and inputs deferred during a
+    /// hang.
     fn wake_host(&mut self, host: HostId) {
         self.update_link(host);
         while let Some(job) = self.hosts[host].link.pop_ended(self.now) {
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Draws when a host's process next pauses, after `from`.
+    /// Draws the time of the next pause of a host's process, after `from`, and schedules it.
     pub(super) fn schedule_pause(&mut self, host: HostId, from: Micros) {
         let mean_interval = self.hosts[host].spec.pause_interval;
         if mean_interval == 0 {
@@ -111,14 +112,14 @@
         self.hosts[host].timers.insert((at, HostTimer::Reevaluate));
     }
 
-    /// Sets the link to its present capacity. While that changes with the warm-up, schedules the next update.
+    /// Updates the capacity of a host's link. While the capacity changes with the warm-up, schedules the next update.
     pub(super) fn update_link(&mut self, host: HostId) {
         let now = self.now;
         let state = &mut self.hosts[host];
         let capacity = state.capacity(now);
         state.link.set_capacity(now, capacity);
         if state.is_warming_up(now) && state.link.transfer_count() > 0 {
-            // On a common grid, so that several updates of one time are one.
+            // On a fixed grid, so that several calls schedule a single update.
             let next = (now / WARM_UP_STEP_US + 1) * WARM_UP_STEP_US;
             state.timers.insert((next, HostTimer::Reevaluate));
         }
--- a/crates/cache-model/src/purge_log.rs
+++ b/crates/cache-model/src/purge_log.rs
@@ -2,13 +2,13 @@
 use pointspindle::Micros;
 use std::collections::HashMap;
 
-/// Purges of objects, and of groups, that a host remembers before it forgets old ones.
+/// Number of purges of objects, and of groups, above which a host discards old ones.
 const MAX_REMEMBERED: usize = 4096;
 
-/// How long purges are remembered beyond that, microseconds.
+/// Age above which purges are discarded once there are more than [`MAX_REMEMBERED`], microseconds.
 const RETENTION_US: Micros = 60_000_000;
 
-/// The newest purge of each object and group: a fill that began before is not stored.
+/// The newest purge of each object and group. Copies that were validated before it are not stored.
 #[derive(Debug, Default)]
 pub(crate) struct PurgeLog {
     objects: HashMap<u64, Micros>,
@@ -16,7 +16,7 @@
 }
 
 impl PurgeLog {
-    /// Records a purge of an object, or of a group, made at `purged_at`.
+    /// Records a purge, made at `purged_at`, of an object, or of the whole group if no object is given.
     pub(crate) fn record(
         &mut self,
         now: Micros,
@@ -36,7 +36,7 @@
         *newest = purged_at.max(*newest);
     }
 
-    /// The newest purge of an object, by itself or with its group.
+    /// Returns the time of the newest purge of an object or of its group, microseconds.
     pub(crate) fn newest(&self, object: u64, group: u64) -> Option<Micros> {
         let of_object = self.objects.get(&object);
         let of_group = self.groups.get(&group);
--- a/crates/cache-model/src/request.rs
+++ b/crates/cache-model/src/request.rs
@@ -17,21 +17,21 @@
     pub group: u64,
     /// Index of the request class.
     pub class: usize,
-    /// Address that a miss is filled from; `None`: the host's own upstream, if it has one.
+    /// Address that a miss is filled from; `None` stands for the host's own upstream, if it has one.
     pub source: Option<String>,
-    /// Rank at which a cache host stores the copy; 0: it does not.
+    /// Rank at which a cache host stores the copy; 0 if the copy is not stored.
     pub retention_rank: u8,
-    /// Greatest age of an acceptable copy, microseconds; 0: the freshness lifetime of the class.
+    /// Maximum age of an acceptable copy, microseconds; 0 stands for the freshness lifetime of the class.
     pub max_age: Micros,
-    /// The request may join a fill in progress.
+    /// Whether the request may join a fill in progress.
     pub coalesce: bool,
-    /// The request is for a cached copy only.
+    /// Whether the request is for a cached copy only.
     pub only_if_cached: bool,
-    /// A copy near the end of its freshness lifetime is revalidated in the background.
+    /// Whether a copy near the end of its freshness lifetime is revalidated in the background.
     pub revalidate: bool,
-    /// Version of the requester's copy: if it is current, the response has no body.
+    /// Version of the requester's copy; if it is current, the response has no body.
     pub cached_version: Option<u64>,
-    /// Identifies work that must not run twice; empty: there is none.
+    /// Identifies work that must not run twice; empty if the work may be repeated.
     pub idempotency_key: Arc<str>,
     /// Trace id.
     pub trace: Arc<str>,
@@ -40,7 +40,7 @@
 }
 
 impl ModelRequest {
-    /// Whether its work must not run twice.
+    /// Whether the request's work must not run twice.
     pub fn has_idempotency_key(&self) -> bool {
         !self.idempotency_key.is_empty()
     }
@@ -53,38 +53,38 @@
     }
 }
 
-/// A copy of an object's part: enough to generate its bytes again.
+/// A copy of an object's part, described by what its bytes are generated from.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedCopy {
-    /// The origin's version: the number of updates so far.
+    /// The origin's version: its number of updates of the object and of the group.
     pub version: u64,
-    /// Bytes.
+    /// Size, bytes.
     pub size: u64,
-    /// When the origin served or confirmed it, microseconds.
+    /// Time at which the origin served or confirmed the copy, microseconds.
     pub validated_at: Micros,
 }
 
 /// The head of a response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelResponse {
-    /// Where the copy comes from.
+    /// The host's cache status for the request.
     pub cache_status: WireCacheStatus,
     /// The copy.
     pub copy: CachedCopy,
-    /// Time since its validation, microseconds.
+    /// Time since the validation of the copy, microseconds.
     pub age: Micros,
-    /// Remaining freshness lifetime, microseconds; `None`: it stays fresh.
+    /// Remaining freshness lifetime of the copy, microseconds; `None` if it stays fresh until purged.
     pub freshness_left: Option<Micros>,
-    /// The requester's version is current: there is no body.
+    /// Whether the requester's version is current and the response has no body.
     pub not_modified: bool,
     /// The host's load.
     pub load: LoadReport,
-    /// HTTP status; 404 where the origin has no such object.
+    /// HTTP status; 404 if the origin has no such object.
     pub status_code: u16,
 }
 
 impl ModelResponse {
-    /// Size of the body, bytes.
+    /// Returns the size of the body, bytes.
     pub(crate) fn body_bytes(&self) -> u64 {
         if self.not_modified {
             0
--- a/crates/cache-model/src/settings.rs
+++ b/crates/cache-model/src/settings.rs
@@ -3,30 +3,30 @@
 use super::Role;
 use pointspindle::Micros;
 
-/// A request class as hosts see it.
+/// Properties of a request class that affect hosts.
 #[derive(Clone, Debug)]
 pub struct ClassModel {
     /// Name of the class.
     pub name: String,
-    /// Freshness lifetime of a copy, microseconds; 0: it stays fresh until purged.
+    /// Freshness lifetime of a copy, microseconds; 0 if copies stay fresh until purged.
     pub freshness_lifetime: Micros,
-    /// Mean time of a response's transfer at full speed, microseconds: the work of one request for a host that is
+    /// Mean transfer time of a response at full speed, microseconds. It is the work of one request for a host that is
     /// warming up.
     pub mean_transfer_time: Micros,
-    /// Responses are never stored.
+    /// Whether responses are never stored.
     pub uncacheable: bool,
-    /// The origin discards repeats of an idempotency key within a window.
+    /// Whether the origin discards repeats of an idempotency key within a window.
     pub deduplicates: bool,
 }
 
-/// How an overloaded origin stops.
+/// Overload of the origin, and the hang that follows.
 #[derive(Clone, Debug)]
 pub struct OverloadSpec {
-    /// Multiple of its capacity at which the origin is overloaded; 0: it never is.
+    /// Multiple of its capacity above which the origin is overloaded; 0 if it never is.
     pub multiple: f64,
-    /// How long such an overload lasts before the origin hangs, microseconds.
+    /// Length of the window over which the load is measured, microseconds.
     pub window: Micros,
-    /// How long the origin then hangs, microseconds.
+    /// Duration of the hang after an overload, microseconds.
     pub downtime: Micros,
 }
 
@@ -35,41 +35,41 @@
 pub struct HostSpec {
     /// Address and port; unique in the model.
     pub address: String,
-    /// What the host serves as.
+    /// Role of the host.
     pub role: Role,
     /// Index into [`CacheModelSettings::zones`].
     pub zone: usize,
-    /// Transfers at full speed that its link carries.
+    /// Number of transfers at full speed that the host's link carries.
     pub weight: f64,
-    /// Requests that occupy a slot at once; further ones are queued.
+    /// Maximum number of requests that occupy a slot; further ones are queued.
     pub concurrency: usize,
-    /// Queued requests; further ones are rejected.
+    /// Maximum number of queued requests; further ones are rejected.
     pub queue_limit: usize,
     /// Share of the link's capacity that each further full load of transfers costs.
     pub crowding_loss: f64,
     /// Capacity of the store, bytes.
     pub store_bytes: u64,
-    /// Fills at once.
+    /// Maximum number of fills in progress.
     pub fill_concurrency: usize,
-    /// A fill whose source has not responded after this is given up, microseconds.
+    /// Time after which a fill whose source has not responded fails, microseconds.
     pub fill_timeout: Micros,
-    /// Retries of a fill at the same source.
+    /// Maximum number of retries of a fill at the same source.
     pub fill_retries: u32,
-    /// A fill is cancelled with its last request; otherwise it runs on.
+    /// Whether a fill is cancelled with its last request; otherwise it continues.
     pub abort_fill: bool,
-    /// A parent coalesces fills. Cache hosts do where the request says so.
+    /// Whether a parent coalesces fills. Cache hosts coalesce according to the request.
     pub coalesces_fills: bool,
     /// The warm-up after a start.
     pub warm_up: WarmUpSpec,
     /// Mean service time of the origin before the first byte, exponentially distributed; microseconds.
     pub service_time: Micros,
-    /// Greatest age of its load report, microseconds.
+    /// Interval between updates of the host's load report, microseconds.
     pub load_report_interval: Micros,
-    /// Mean interval between pauses of the process, microseconds; 0: none.
+    /// Mean interval between pauses of the process, microseconds; 0 if it never pauses.
     pub pause_interval: Micros,
     /// Length of a pause, microseconds.
     pub pause_duration: Micros,
-    /// When the origin stops under overload.
+    /// Overload of the origin; other hosts ignore it.
     pub overload: OverloadSpec,
 }
 
@@ -78,21 +78,22 @@
 pub struct ZoneSpec {
     /// Name of the zone.
     pub name: String,
-    /// Transfers at full speed that its inbound link carries, shared by fills from other zones; 0: no limit.
+    /// Number of transfers at full speed that the zone's inbound link carries, shared by fills from other zones; 0 if
+    /// it has no limit.
     pub link_capacity: f64,
 }
 
-/// What is common to all hosts.
+/// Settings that are common to all hosts.
 #[derive(Clone, Debug)]
 pub struct CacheModelSettings {
     /// Request classes, by index.
     pub classes: Vec<ClassModel>,
     /// Zones, by index.
     pub zones: Vec<ZoneSpec>,
-    /// Bytes a second of one transfer to a client at full speed.
+    /// Full speed of one transfer to a client, bytes per second.
     pub bytes_per_s: f64,
-    /// Full speed of a fill as a multiple of that.
+    /// Full speed of a fill as a multiple of `bytes_per_s`.
     pub fill_speedup: f64,
-    /// How long the origin remembers an idempotency key, microseconds.
+    /// Time for which the origin discards repeats of an idempotency key, microseconds.
     pub idempotency_window: Micros,
 }
--- a/crates/cache-model/src/shared_link.rs
+++ b/crates/cache-model/src/shared_link.rs
@@ -1,20 +1,21 @@
-//! A link that transfers share evenly, each at its own full speed at most (processor sharing with a cap).
+//! A link that transfers share evenly, each limited to its full speed (processor sharing with a rate limit).
 //!
-//! All transfers get the same rate, so one running sum of service tells when each ends: a transfer that begins at sum
-//! `v` with work `w` ends when the sum reaches `v + w`. Each event costs the logarithm of the number of transfers.
+//! All transfers have the same rate, so one running sum of service determines when each ends: a transfer that begins at
+//! sum `v` with work `w` ends when the sum reaches `v + w`. The cost of each event is logarithmic in the number of
+//! transfers.
 use pointspindle::Micros;
 use std::collections::BTreeSet;
 
 #[cfg(test)]
 mod tests;
 
-/// Microseconds of a transfer at full speed; an integer, so that the order of ends is exact.
+/// Duration of a transfer at full speed, microseconds; an integer, so that the order of ends is exact.
 type Work = u64;
 
 /// A transfer, ordered by its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TransferKey {
-    /// The sum of service at which it ends.
+    /// The sum of service at which the transfer ends.
     end: Work,
     id: u64,
 }
@@ -22,13 +23,13 @@
 /// A link and the transfers on it.
 #[derive(Debug)]
 pub(crate) struct SharedLink {
-    /// Transfers at full speed that it carries now.
+    /// Number of transfers at full speed that the link carries now.
     capacity: f64,
     /// Share of the capacity that each further full load of transfers costs.
     crowding_loss: f64,
-    /// Service that each transfer has received, microseconds.
+    /// Running sum of the service that each transfer has received, microseconds.
     served: f64,
-    /// The time to which `served` is computed, microseconds.
+    /// Time up to which `served` is computed, microseconds.
     now: Micros,
     transfers: BTreeSet<TransferKey>,
 }
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Share of full speed that each transfer gets: 1 while the link is not full.
+    /// Returns the rate of each transfer as a share of full speed; 1 while the link is not full.
     fn rate(&self) -> f64 {
         if self.capacity <= 0.0 {
             return 0.0;
@@ -62,18 +63,18 @@
         self.served += elapsed * self.rate();
         self.now = self.now.max(now);
         if self.transfers.is_empty() {
-            // Nothing refers to the sum: at 0 its floating-point steps are finest.
+            // No transfer refers to the sum; floating-point precision is best near 0.
             self.served = 0.0;
         }
     }
 
-    /// Changes the capacity from now on.
+    /// Changes the capacity at time `now`.
     pub(crate) fn set_capacity(&mut self, now: Micros, capacity: f64) {
         self.advance(now);
         self.capacity = capacity;
     }
 
-    /// Begins a transfer.
+    /// Begins a transfer; returns its key.
     pub(crate) fn begin(&mut self, now: Micros, id: u64, work: Work) -> TransferKey {
         self.advance(now);
         let end = self.served.ceil() as u64 + work.max(1);
@@ -88,7 +89,7 @@
         self.transfers.remove(&key);
     }
 
-    /// When the next transfer ends if nothing changes, microseconds.
+    /// Returns the time at which the next transfer ends at the present rate, microseconds.
     pub(crate) fn next_end(&self) -> Option<Micros> {
         let next = self.transfers.first()?;
         let rate = self.rate();
@@ -99,11 +100,11 @@
         Some(self.now + remaining.ceil() as Micros)
     }
 
-    /// Removes a transfer that has ended by now, and returns its id.
+    /// Removes a transfer that has ended by `now`, and returns its id.
     pub(crate) fn pop_ended(&mut self, now: Micros) -> Option<u64> {
         self.advance(now);
         let first = self.transfers.first()?;
-        // Within half a microsecond of its end.
+        // The sum is rounded: a transfer counts as ended within half a microsecond of its end.
         if first.end as f64 > self.served + 0.5 {
             return None;
         }
@@ -119,7 +120,7 @@
         self.transfers.clear();
     }
 
-    /// Transfers over capacity.
+    /// Returns the ratio of the number of transfers to the capacity.
     pub(crate) fn load(&self) -> f64 {
         self.transfers.len() as f64 / self.capacity.max(1e-9)
     }
--- a/crates/cache-model/src/shared_link/tests.rs
+++ b/crates/cache-model/src/shared_link/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Runs all transfers to their ends; returns when each ended, and its id.
+/// Runs all transfers to their ends; returns the end and the id of each.
 fn run_to_end(link: &mut SharedLink) -> Vec<(Micros, u64)> {
     let mut ends = vec![];
     while let Some(at) = link.next_end() {
@@ -20,7 +20,7 @@
     assert_eq!(
         run_to_end(&mut link),
         [(200, 0), (200, 1), (200, 2), (200, 3)],
-        "four transfers on a link for two"
+        "four transfers share a link for two"
     );
     let mut link = SharedLink::new(2.0, 0.0);
     link.begin(0, 1, 100);
@@ -32,7 +32,7 @@
     let mut link = SharedLink::new(1.0, 0.0);
     link.begin(0, 1, 100);
     link.begin(50, 2, 100);
-    // The first has 50 remaining, shares the link and ends at 150; the second then has 50 remaining alone.
+    // The first has 50 us of work left, shares the link and ends at 150; the second then has 50 us of work left.
     assert_eq!(run_to_end(&mut link), [(150, 1), (200, 2)]);
 }
 
--- a/crates/cache-model/src/store.rs
+++ b/crates/cache-model/src/store.rs
@@ -1,4 +1,5 @@
-//! The cached copies of a host, bounded in bytes, evicted by retention rank and then least recently used first.
+//! The cached copies of a host, limited in bytes; the lowest retention rank is evicted first, then the least recently
+//! used copy.
 use super::CachedCopy;
 use pointspindle::Micros;
 use std::collections::{BTreeSet, HashMap};
@@ -15,11 +16,11 @@
     pub(crate) part: u64,
 }
 
-/// Position in the order of eviction.
+/// Position of a copy in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     rank: u8,
-    /// Count of uses of the store at the copy's latest use.
+    /// Value of the store's use counter at the latest use of the copy.
     last_use: u64,
     key: ObjectKey,
 }
@@ -82,7 +83,7 @@
         self.uses
     }
 
-    /// Marks a copy as just used, and changes its rank unless the given one is 0.
+    /// Marks a copy as the most recently used, and sets its rank unless `rank` is 0.
     pub(crate) fn touch(&mut self, key: ObjectKey, rank: u8) {
         let last_use = self.next_use();
         let Some(entry) = self.entries.get_mut(&key) else {
@@ -96,14 +97,14 @@
         self.eviction_order.insert(entry.eviction_key(key));
     }
 
-    /// Notes that the origin has confirmed a copy.
+    /// Records that the origin has confirmed a copy.
     pub(crate) fn revalidate(&mut self, key: ObjectKey, validated_at: Micros) {
         if let Some(entry) = self.entries.get_mut(&key) {
             entry.copy.validated_at = entry.copy.validated_at.max(validated_at);
         }
     }
 
-    /// Stores a copy at a rank, evicting copies of its own rank or lower. Returns whether it is stored.
+    /// Stores a copy at a rank, evicting copies of the same or a lower rank. Returns whether the copy was stored.
     pub(crate) fn put(&mut self, key: ObjectKey, group: u64, copy: CachedCopy, rank: u8) -> bool {
         if rank == 0 || copy.size > self.capacity_bytes {
             return false;
@@ -134,7 +135,8 @@
         }
     }
 
-    /// Removes copies of an object, or of a group, that were validated before a purge.
+    /// Removes the copies of an object, or of the whole group if no object is given, that were validated before a
+    /// purge.
     pub(crate) fn purge(&mut self, object: Option<u64>, group: u64, purged_at: Micros) {
         let is_purged = |key: &ObjectKey, entry: &Entry| {
             let matches = match object {
--- a/crates/cache-model/src/store/tests.rs
+++ b/crates/cache-model/src/store/tests.rs
@@ -20,22 +20,22 @@
     assert!(store.put(key(3, 0), 0, copy(10, 0), 2));
     assert!(
         store.put(key(4, 0), 0, copy(10, 0), 1),
-        "evicts its own rank"
+        "evicts a copy of the same rank"
     );
     assert!(store.get(key(2, 0)).is_none() && store.get(key(1, 0)).is_some());
     store.touch(key(1, 0), 0);
     assert!(store.put(key(5, 0), 0, copy(20, 0), 2));
     assert!(
         store.get(key(4, 0)).is_none() && store.get(key(3, 0)).is_none(),
-        "rank 1, then the least recently used"
+        "evicts rank 1, then the least recently used copy"
     );
     assert!(
         !store.put(key(6, 0), 0, copy(10, 0), 1),
-        "evicts no higher rank"
+        "evicts no copy of a higher rank"
     );
     assert!(
         !store.put(key(7, 0), 0, copy(31, 0), 3),
-        "larger than the store"
+        "does not store a copy that exceeds the capacity"
     );
     assert_eq!((store.used_bytes(), store.len()), (30, 2));
 }
--- a/crates/cache-model/src/warm_up.rs
+++ b/crates/cache-model/src/warm_up.rs
@@ -5,40 +5,41 @@
 #[cfg(test)]
 mod tests;
 
-/// The warm-up of one kind of host.
+/// Settings of the warm-up of hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUpSpec {
-    /// Share of its link that a host gives at its start.
+    /// Share of its link's capacity that a host provides at its start.
     pub initial_share: f64,
-    /// Time until the whole link is given, microseconds; the share rises linearly.
+    /// Time until the host provides the full capacity, microseconds; the share rises linearly.
     pub duration: Micros,
-    /// The host crashes when it receives more than this multiple of its capacity ...
+    /// Multiple of its capacity above which work received within `overload_window` crashes the host.
     pub overload_factor: f64,
-    /// ... within this window, microseconds.
+    /// Length of the window over which the received work is measured, microseconds.
     pub overload_window: Micros,
 }
 
 impl WarmUpSpec {
-    /// Share of its link that a host gives so many microseconds after its start.
+    /// Returns the share of its link's capacity that a host provides `since_start` microseconds after its start.
     pub fn share_after(&self, since_start: Micros) -> f64 {
         let progress = since_start as f64 / self.duration.max(1) as f64;
         (self.initial_share + (1.0 - self.initial_share) * progress.min(1.0)).min(1.0)
     }
 
-    /// Time after its start in which a host can be overloaded, microseconds.
+    /// Returns the time after its start during which a host can be overloaded, microseconds.
     pub fn total_duration(&self) -> Micros {
         self.duration + self.overload_window
     }
 }
 
-/// Share of the budget from which a host is overloaded: the whole, up to rounding in sums of many small numbers.
+/// Used share of the budget above which a host is overloaded: 1 plus an allowance for rounding in sums of many small
+/// numbers.
 pub const ROUNDING_TOLERANCE: f64 = 1.0 + 1e-9;
 
-/// Work that a host received in one attempt.
+/// Work that a host received with one attempt.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedWork {
     at: Micros,
-    /// Seconds of a transfer at full speed.
+    /// Duration of the transfer at full speed, seconds.
     seconds: f64,
 }
 
@@ -51,7 +52,7 @@
 
 impl WarmUpLoad {
     /// Records work, in seconds of a transfer at full speed, and returns the used share of the budget of the window
-    /// that ends now. Above [`ROUNDING_TOLERANCE`] the host is overloaded.
+    /// that ends at `now`. Above [`ROUNDING_TOLERANCE`] the host is overloaded.
     pub(crate) fn record(
         &mut self,
         now: Micros,
--- a/crates/cache-model/src/warm_up/tests.rs
+++ b/crates/cache-model/src/warm_up/tests.rs
@@ -7,7 +7,7 @@
     overload_window: 1_000_000,
 };
 
-/// The budget of the first window: 2 x 0.25 x 4 transfers x 1 s = 2 s of work.
+/// The budget of the first window is 2 x 0.25 x 4 transfers x 1 s = 2 s of work.
 #[test]
 fn load_at_the_budget_is_allowed_and_above_it_overloads() {
     let mut load = WarmUpLoad::default();
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -1,4 +1,4 @@
-//! Hosts of the model: coalesced, failing and purged fills, warm-up, hangs, and an overloaded origin.
+//! Tests of the model's hosts: coalesced, failed and purged fills, warm-up, hangs, and an overloaded origin.
 use pointspindle_cache_model::*;
 use pointspindle_protocol::WireCacheStatus;
 use std::sync::Arc;
@@ -43,22 +43,22 @@
     }
 }
 
-/// A fill that waits for its source.
+/// A fill that waits for the response of its source.
 struct PendingFill {
     host: HostId,
     fill: FillId,
 }
 
-/// What became of a request, in words.
+/// A step in the handling of a request, as text.
 struct Outcome {
     job: JobId,
     text: String,
 }
 
-/// The job of outcomes that belong to a host instead.
+/// The job id of outcomes that belong to a host.
 const NO_JOB: JobId = u64::MAX;
 
-/// A cache host, a parent and an origin; the test answers fills.
+/// A model of a cache host, a parent and an origin; the test provides the responses to fills.
 struct Fixture {
     model: CacheModel,
     now: u64,
@@ -129,7 +129,7 @@
                 cache_status,
                 ..
             } => self.add_outcome(job, &format!("{status:?} {cache_status:?}")),
-            ModelOutput::Disconnect { job, .. } => self.add_outcome(job, "cut"),
+            ModelOutput::Disconnect { job, .. } => self.add_outcome(job, "disconnect"),
             ModelOutput::StartFill { host, fill, .. } => {
                 self.fills.push(PendingFill { host, fill });
             }
@@ -189,7 +189,7 @@
         self.request_with(CACHE, |_| {})
     }
 
-    /// Answers the oldest fill at once, with a copy that the origin validated just now.
+    /// Responds to the oldest pending fill with a copy that the origin validates now.
     fn answer_fill(&mut self) {
         let PendingFill { host, fill } = self.fills.remove(0);
         let copy = CachedCopy {
@@ -210,7 +210,7 @@
         });
     }
 
-    /// What became of a request.
+    /// Returns the outcomes of a request, in order.
     fn outcomes_of(&self, job: JobId) -> Vec<&str> {
         self.outcomes
             .iter()
@@ -219,14 +219,14 @@
             .collect()
     }
 
-    /// What became of all requests, in order.
+    /// Returns the outcomes of all requests, in order.
     fn all_outcomes(&self) -> Vec<&str> {
         let texts = self.outcomes.iter();
         texts.map(|outcome| outcome.text.as_str()).collect()
     }
 }
 
-/// A source's response to a fill, with this copy.
+/// Returns a source's response to a fill with a copy.
 fn filled(copy: CachedCopy) -> ModelResponse {
     ModelResponse {
         cache_status: WireCacheStatus::Filled,
@@ -272,14 +272,17 @@
     for job in jobs {
         assert_eq!(fixture.outcomes_of(job), ["Error SourceUnreachable"]);
     }
-    // A silent source is given up after the fill timeout.
+    // A fill whose source does not respond fails after the fill timeout.
     let job = fixture.request();
     fixture.advance_ms(501);
     assert_eq!(fixture.outcomes_of(job), ["Error SourceUnreachable"]);
-    assert!(fixture.fills.is_empty(), "its request is cancelled");
+    assert!(
+        fixture.fills.is_empty(),
+        "the request of the timed-out fill is cancelled"
+    );
 }
 
-/// A copy that was purged during its fill may answer requests from before the purge, and is not stored.
+/// A copy that was purged during its fill may answer requests that arrived before the purge, but is not stored.
 #[test]
 fn purge_during_fill_keeps_old_copy_out_of_store_and_later_responses() {
     let mut fixture = Fixture::new();
@@ -308,7 +311,7 @@
         fill,
         response,
     });
-    // A request for nothing older than the purge does not get the old copy by joining the fill.
+    // A request that accepts no copy older than the purge is not answered with the old copy by joining the fill.
     let after = fixture.request_with(CACHE, |request| request.max_age = 1);
     fixture.handle(ModelInput::FillEnded {
         host,
@@ -334,10 +337,10 @@
     );
 }
 
-/// Two dispatchers, each within its quota, exceed the budget together.
+/// The sum of the requests of two dispatchers counts against the budget.
 #[test]
 fn warming_host_crashes_above_its_budget_and_not_at_it() {
-    // Budget of the first second: 2 x 0.25 x 4 transfers = 2 s of work, 20 requests of 0.1 s.
+    // The budget of the first second is 2 x 0.25 x 4 transfers = 2 s of work, or 20 requests of 0.1 s.
     for (requests_each, crashes) in [(10, false), (11, true)] {
         let mut fixture = Fixture::new();
         fixture.handle(ModelInput::Fault {
@@ -357,7 +360,10 @@
         }
         let outcomes = fixture.all_outcomes();
         let crashed = outcomes.iter().any(|text| text.contains("pushed over"));
-        assert_eq!(crashed, crashes, "{requests_each} from each of two");
+        assert_eq!(
+            crashed, crashes,
+            "{requests_each} requests from each of two dispatchers"
+        );
         assert_eq!(fixture.model.is_up(PARENT), !crashes);
     }
 }
@@ -365,13 +371,13 @@
 #[test]
 fn overloaded_origin_hangs_for_its_downtime_and_resumes() {
     let mut fixture = Fixture::new();
-    // 2 x 4 transfers x 1 s = 80 requests of 0.1 s.
+    // The limit is 2 x 4 transfers x 1 s = 8 s of work, or 80 requests of 0.1 s.
     for n in 0..81 {
         fixture.request_with(ORIGIN, |request| request.object_number = n);
     }
     let late = fixture.request_with(ORIGIN, |request| request.object_number = 999);
     fixture.advance_ms(2_900);
-    assert!(fixture.outcomes_of(late).is_empty(), "it hangs");
+    assert!(fixture.outcomes_of(late).is_empty(), "the origin hangs");
     fixture.advance_ms(3_000);
     assert!(
         !fixture.outcomes_of(late).is_empty(),
@@ -415,7 +421,7 @@
     assert_eq!(
         fixture.outcomes_of(jobs[12]),
         ["Rejected Unreported"],
-        "8 slots and a queue of 4"
+        "8 slots and a queue of 4 are full"
     );
     fixture.advance_ms(5_000);
     let outcomes = fixture.all_outcomes();
