--- a/crates/simulator/src/attempts.rs
+++ b/crates/simulator/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts of dispatchers: the outputs of their cores, and what the cores learn of hosts' responses.
+//! Attempts of dispatchers: carries out the outputs of their cores, and reports hosts' responses to the cores.
 use crate::dispatcher::ResponseHead;
 use crate::event::{Event, JobEnd};
 use crate::jobs::{AttemptKey, JobOwner};
@@ -11,10 +11,10 @@
 use pointspindle_scenario::fault_injection::InjectedFault;
 use std::sync::Arc;
 
-/// Accepts a copy of any age.
+/// Maximum age of a copy for requests that accept a copy of any age, microseconds.
 const ANY_AGE_US: Micros = u64::MAX / 2;
 
-/// What an attempt asks for where the core leaves the fetch to the host.
+/// Fetch parameters of an attempt for which the core gives none.
 const NO_FETCH: AddressedFetch = AddressedFetch {
     source: None,
     retention_rank: 0,
@@ -44,7 +44,7 @@
 }
 
 impl Simulation<'_> {
-    /// Carries out an output of a dispatcher's core, as its network shell would.
+    /// Carries out an output of a dispatcher's core, as the network shell of a real dispatcher does.
     pub fn core_output(&mut self, dispatcher: usize, output: Output) {
         match output {
             Output::Send {
@@ -98,8 +98,8 @@
 
     fn send_attempt(&mut self, key: AttemptKey, endpoint: &str, fetch: Option<AddressedFetch>) {
         let dispatcher = key.dispatcher.dispatcher;
-        let shell = &self.dispatchers[dispatcher];
-        let Some(id) = shell.requests.client(key.request) else {
+        let simulated = &self.dispatchers[dispatcher];
+        let Some(id) = simulated.requests.client(key.request) else {
             return;
         };
         let Some(host) = self.cache_model.host_by_address(endpoint) else {
@@ -169,13 +169,13 @@
         }
     }
 
-    /// Whether the fault of hosts that ignore purges is injected.
+    /// Whether the fault [`InjectedFault::IgnorePurge`] is injected: hosts ignore purges.
     pub fn ignores_purges(&self) -> bool {
         self.injected_fault == Some(InjectedFault::IgnorePurge)
     }
 
-    /// The connection that an attempt waited for is established, or cannot be. The attempt is sent unless it was
-    /// decided for an earlier incarnation of the host, or must not begin any more.
+    /// Handles the end of the connection setup that an attempt waited for. The attempt is sent unless the setup failed,
+    /// the core chose the host at an earlier incarnation, or the core no longer allows the attempt to begin.
     pub fn attempt_connected(
         &mut self,
         job: JobId,
@@ -220,7 +220,7 @@
         self.schedule_in(latency, Event::JobArrives(job, request));
     }
 
-    /// The head of a response arrives at the dispatcher.
+    /// Handles the head of a response that arrives at the dispatcher.
     pub fn attempt_responds(&mut self, key: AttemptKey, response: &ModelResponse) {
         if !self.is_current(key.dispatcher) {
             return;
@@ -238,7 +238,8 @@
         self.core_input(dispatcher, started);
     }
 
-    /// The end of an attempt arrives at the dispatcher; a complete response that is being forwarded reaches the client.
+    /// Handles the end of an attempt that arrives at the dispatcher; a complete response that is being forwarded is
+    /// sent to the client.
     pub fn attempt_ends(&mut self, key: AttemptKey, end: JobEnd) {
         if !self.is_current(key.dispatcher) {
             return;
--- a/crates/simulator/src/clients.rs
+++ b/crates/simulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: they send the calls of the traffic, retry, cancel, and give up.
+//! The clients, which send the calls of the traffic, retry, cancel, and time out.
 use crate::dispatcher::DispatcherState;
 use crate::event::Event;
 use crate::simulation::Simulation;
@@ -8,23 +8,23 @@
 use pointspindle_scenario::{Idempotency, RequestClass};
 use std::collections::HashMap;
 
-/// A client keeps its connection open for this long after the deadline of a request, in microseconds.
+/// Time for which a client keeps its connection open after the deadline of a request, in microseconds.
 const RESPONSE_GRACE_US: Micros = 1_000_000;
 /// Latency between a client and its dispatcher, one way, in microseconds.
 pub(crate) const CLIENT_LATENCY_US: Micros = 500;
 
-/// An attempt whose client waits for the response.
+/// An attempt that waits for its response.
 struct WaitingAttempt {
     dispatcher: usize,
-    /// The dispatcher's number of the request, once it has arrived there.
+    /// The dispatcher's number of the request; `None` until the request has arrived there.
     request: Option<u64>,
 }
 
-/// What clients remember of their calls.
+/// The state of the clients' calls.
 #[derive(Default)]
 pub(crate) struct Clients {
     waiting: HashMap<ClientAttemptId, WaitingAttempt>,
-    /// By call: attempts that reached no dispatcher.
+    /// Number of attempts that reached no dispatcher, by call.
     unreached: HashMap<u64, u32>,
 }
 
@@ -34,7 +34,7 @@
         !self.waiting.is_empty()
     }
 
-    /// Attempts that are on their way to this dispatcher, in no order.
+    /// Returns the attempts that are in transit to a dispatcher, in no particular order.
     pub fn in_transit_to(&self, dispatcher: usize) -> impl Iterator<Item = ClientAttemptId> + '_ {
         self.waiting
             .iter()
@@ -55,12 +55,12 @@
         &self.scenario.workload.classes[call.class]
     }
 
-    /// Whether the request may be executed more than once.
+    /// Whether the request of an attempt may be executed more than once.
     pub fn is_idempotent(&self, id: ClientAttemptId) -> bool {
         self.class_of(id).idempotency == Idempotency::Idempotent
     }
 
-    /// A client sends an attempt, or retries later if the dispatcher takes no requests.
+    /// Sends a client's attempt; the client retries later if the dispatcher accepts no requests.
     pub fn client_sends(&mut self, id: ClientAttemptId) {
         let call = &self.calls[id.call as usize];
         let unreached = self.clients.unreached.get(&id.call).copied().unwrap_or(0);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A request arrives at its dispatcher.
+    /// Handles a request that arrives at its dispatcher.
     pub fn request_arrives(&mut self, id: ClientAttemptId) {
         let Some(waiting) = self.clients.waiting.get_mut(&id) else {
             return;
@@ -107,7 +107,7 @@
         let request = self.dispatchers[dispatcher].requests.accept(id);
         waiting.request = Some(request);
         let call = &self.calls[id.call as usize];
-        // An HTTP request does not say how large the object is.
+        // An HTTP request does not carry the size of the object.
         let size =
             Some(call.size).filter(|_| self.scenario.dispatchers.knows_sizes && !call.uses_http);
         let client_request = ClientRequest {
@@ -121,7 +121,7 @@
         self.core_input(dispatcher, Input::Request(request, client_request));
     }
 
-    /// A client cancels its request.
+    /// Cancels a client's request, unless it has ended.
     pub fn client_cancels(&mut self, id: ClientAttemptId) {
         if self.clients.waiting.contains_key(&id) {
             self.record(TraceEvent::RequestEnded {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The client closes its connection: it cancelled the request, or got no response to it.
+    /// Closes the client's connection after it cancelled the request or received no response.
     pub fn client_disconnects(&mut self, id: ClientAttemptId) {
         let Some(waiting) = self.clients.waiting.remove(&id) else {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// A final response arrives at its client, which may retry.
+    /// Handles a final response that arrives at its client, which may retry.
     pub fn response_arrives(&mut self, id: ClientAttemptId, outcome: ClientOutcome) {
         if self.clients.waiting.remove(&id).is_none() {
             return;
--- a/crates/simulator/src/connections.rs
+++ b/crates/simulator/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of dispatchers to hosts that introduce themselves with a hello: how they are opened and lost.
+//! Opening and loss of the dispatchers' connections to hosts, on which hosts send a hello.
 use crate::event::{DispatcherIncarnation, Event, JobEnd};
 use crate::simulation::{Simulation, EPOCH};
 use pointspindle::Micros;
@@ -8,17 +8,17 @@
 use pointspindle_protocol::HelloHead;
 use pointspindle_scenario::derive_seed;
 
-/// Dispatchers that lost their connections to a host's process reconnect to the next one within this time of its
-/// start, each after a delay of its own.
+/// Maximum delay, in microseconds after the start of a host's process, of a dispatcher's reconnection to the host. Each
+/// dispatcher has its own delay.
 const MAX_RECONNECT_DELAY_US: Micros = 200_000;
 
 impl Simulation<'_> {
-    /// Whether this is the dispatcher's running process.
+    /// Whether `dispatcher` is the current incarnation of its dispatcher.
     pub fn is_current(&self, dispatcher: DispatcherIncarnation) -> bool {
         self.dispatchers[dispatcher.dispatcher].identity == dispatcher
     }
 
-    /// Latency between a dispatcher and a host, one way, in microseconds.
+    /// Returns the one-way latency between a dispatcher and a host, in microseconds.
     pub fn latency_to_host(&self, dispatcher: usize, host: HostId) -> Micros {
         let branch = self.scenario.branch_of_dispatcher(dispatcher);
         self.scenario.latency_between(branch, self.hosts.zone(host))
@@ -30,7 +30,7 @@
         self.scenario.dispatchers.uses_hello && !connections.is_open(host)
     }
 
-    /// Schedules a connection without a request for it, to begin in `delay` microseconds.
+    /// Schedules a connection that no request waits for, to begin in `delay` microseconds.
     pub fn connect_in(&mut self, delay: Micros, dispatcher: usize, host: HostId) {
         if !self.must_connect(dispatcher, host) {
             return;
@@ -43,15 +43,15 @@
         self.schedule_in(delay + round_trip, connected);
     }
 
-    /// A connection without a request for it is established, if both ends are still there.
+    /// Opens a connection that no request waits for, if the dispatcher's process still runs and the host is reachable.
     pub fn connected(&mut self, dispatcher: DispatcherIncarnation, host: HostId) {
         if self.is_current(dispatcher) && self.is_reachable(host) {
             self.open_connection(dispatcher.dispatcher, host);
         }
     }
 
-    /// A connection is open; returns the incarnation of the host's process. On a new one the host sends its hello, and
-    /// a lease while it warms up.
+    /// Opens a connection unless one is open; returns the incarnation of the host's process. On a new connection the
+    /// host sends its hello, and a lease while it warms up.
     pub fn open_connection(&mut self, dispatcher: usize, host: HostId) -> u64 {
         let (incarnation, started) = self.cache_model.incarnation(host);
         let connections = &mut self.dispatchers[dispatcher].connections;
@@ -69,7 +69,7 @@
         incarnation
     }
 
-    /// A host's process has started: dispatchers that had a connection to an earlier one reconnect.
+    /// Schedules connections to a host's new process from the dispatchers that had a connection to an earlier one.
     pub fn reconnect_to(&mut self, host: HostId) {
         for dispatcher in 0..self.dispatchers.len() {
             let connections = &self.dispatchers[dispatcher].connections;
@@ -82,18 +82,18 @@
         }
     }
 
-    /// A host's process has ended, or cannot be reached: its connections are lost.
-    pub fn connections_lost(&mut self, host: HostId) {
+    /// Closes all connections to a host whose process has ended or cannot be reached.
+    pub fn close_connections(&mut self, host: HostId) {
         for dispatcher in &mut self.dispatchers {
-            dispatcher.connections.lost(host);
+            dispatcher.connections.close(host);
         }
-        self.all_leave_work_ledger(host);
+        self.end_leases_of_disconnected_host(host);
     }
 
-    /// A host's connections break though its process runs: its jobs are cancelled there.
+    /// Makes a host with a running process unreachable: its connections break, and its jobs are cancelled.
     pub fn make_unreachable(&mut self, host: HostId) {
         self.unreachable_hosts.insert(host);
-        self.connections_lost(host);
+        self.close_connections(host);
         for job in self.jobs.at_host(host) {
             self.model_input(ModelInput::Cancel { host, job });
             self.end_job(job, JobEnd::ConnectionLost, AttemptOutcome::ConnectionLost);
--- a/crates/simulator/src/control.rs
+++ b/crates/simulator/src/control.rs
@@ -1,4 +1,4 @@
-//! The control plane: endpoint lists and purges on their way to dispatchers and hosts.
+//! The control plane: delivery of endpoint lists and purges to dispatchers and hosts.
 use crate::event::Event;
 use crate::simulation::{Simulation, EPOCH};
 use pointspindle::{Micros, ObjectId};
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The control plane learns of a change of an endpoint; dispatchers learn of it later.
+    /// Updates an endpoint in the control plane, which delivers the update to dispatchers later.
     pub fn update_endpoint(&mut self, host: HostId, state: ListedState) {
         if state == ListedState::Ready && !self.cache_model.is_up(host) {
             return;
@@ -91,7 +91,8 @@
         self.control_plane.update_endpoint(self.now, endpoint);
     }
 
-    /// Purges an object, or a whole group: the origin has a new version, and hosts drop their copies one by one.
+    /// Purges an object, or the whole group if no object is given: the origin has a new version, and each host drops
+    /// its copies after a delay of its own.
     pub fn purge(&mut self, object: Option<String>, group: u64) {
         let number = object_number(object.as_deref());
         self.model_input(ModelInput::OriginUpdate {
@@ -109,8 +110,8 @@
             .map(|(id, _)| id)
             .collect();
         for host in caching_hosts {
-            let what = number.unwrap_or(group);
-            let delay = purge_drop_delay(self.scenario, what, host, self.now);
+            let target = number.unwrap_or(group);
+            let delay = purge_drop_delay(self.scenario, target, host, self.now);
             let drop_copies = Event::DropCopies {
                 host,
                 object: number,
--- a/crates/simulator/src/dispatcher.rs
+++ b/crates/simulator/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher of the simulation: its core, and the state that its network shell would keep.
+//! A simulated dispatcher: its core, and the state that the network shell of a real dispatcher holds.
 use crate::event::{DispatcherIncarnation, Event};
 use pointspindle::Micros;
 use pointspindle_audit::trace::{ClientAttemptId, ClientOutcome};
@@ -9,7 +9,7 @@
 use pointspindle_scenario::derive_seed;
 use std::collections::HashMap;
 
-/// The head of a response, as far as the client's outcome depends on it.
+/// The fields of a response's head that determine the client's outcome.
 #[derive(Clone, Copy)]
 pub(crate) struct ResponseHead {
     version: u64,
@@ -18,7 +18,7 @@
 }
 
 impl ResponseHead {
-    /// The head of this response.
+    /// Returns the head of a response.
     pub fn of(response: &ModelResponse) -> Self {
         Self {
             version: response.copy.version,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The outcome for the client once the response is complete.
+    /// Returns the client's outcome of the complete response.
     pub fn served(self) -> ClientOutcome {
         ClientOutcome::Served {
             version: Some(self.version),
@@ -37,16 +37,16 @@
     }
 }
 
-/// Whether a dispatcher takes requests.
+/// State of a dispatcher's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DispatcherState {
     Running,
-    /// Accepts nothing new and answers what it has accepted.
+    /// The dispatcher accepts no new requests and answers those that it has accepted.
     ShuttingDown,
     Down,
 }
 
-/// What a paused dispatcher reads, and which ends of its jobs arrive, once it resumes.
+/// Inputs and ends of jobs that arrive at a paused dispatcher, which handles them when it resumes.
 #[derive(Default)]
 pub(crate) struct Pause {
     pub inputs: Vec<Input>,
@@ -58,21 +58,21 @@
 pub(crate) struct OpenRequests {
     last: u64,
     clients: HashMap<u64, ClientAttemptId>,
-    /// Heads of the latest responses.
+    /// Head of the latest response to each request.
     heads: HashMap<u64, ResponseHead>,
-    /// Heads that have been forwarded to the client.
+    /// Head that has been forwarded to the client, by request.
     forwarded: HashMap<u64, ResponseHead>,
 }
 
 impl OpenRequests {
-    /// Accepts a request and numbers it.
+    /// Accepts a request and returns its number.
     pub fn accept(&mut self, id: ClientAttemptId) -> u64 {
         self.last += 1;
         self.clients.insert(self.last, id);
         self.last
     }
 
-    /// The client's attempt of an open request.
+    /// Returns the client's attempt of an open request.
     pub fn client(&self, request: u64) -> Option<ClientAttemptId> {
         self.clients.get(&request).copied()
     }
@@ -82,7 +82,7 @@
         self.clients.is_empty()
     }
 
-    /// A host's response to the request has begun.
+    /// Records the head of a host's response to a request.
     pub fn response_started(&mut self, request: u64, head: ResponseHead) {
         self.heads.insert(request, head);
     }
@@ -94,25 +94,25 @@
         }
     }
 
-    /// The head that was forwarded, when the rest of the response has been as well.
+    /// Removes and returns the head that was forwarded, once the response is complete.
     pub fn take_forwarded(&mut self, request: u64) -> Option<ResponseHead> {
         self.forwarded.remove(&request)
     }
 
-    /// Ends a request; returns the client that gets the final response.
+    /// Ends a request; returns the client's attempt, which receives the final response.
     pub fn end(&mut self, request: u64) -> Option<ClientAttemptId> {
         self.forwarded.remove(&request);
         self.heads.remove(&request);
         self.clients.remove(&request)
     }
 
-    /// The client has disconnected.
+    /// Removes a request whose client has disconnected.
     pub fn client_disconnected(&mut self, request: u64) {
         self.clients.remove(&request);
         self.forwarded.remove(&request);
     }
 
-    /// Drops every request; returns their clients.
+    /// Removes all requests; returns the clients' attempts.
     pub fn drain(&mut self) -> Vec<ClientAttemptId> {
         self.forwarded.clear();
         self.heads.clear();
@@ -120,16 +120,16 @@
     }
 }
 
-/// A dispatcher's connections to hosts, by the incarnation of the host's process.
+/// A dispatcher's connections to hosts, with the incarnation of each host's process.
 #[derive(Default)]
 pub(crate) struct Connections {
     open: HashMap<HostId, u64>,
-    /// The incarnation of the last connection, whether or not it is still open.
+    /// Incarnation of the host at the latest connection, open or not.
     known: HashMap<HostId, u64>,
 }
 
 impl Connections {
-    /// Opens a connection; false where one to this incarnation is open already.
+    /// Opens a connection; returns false if one to this incarnation is open already.
     pub fn open(&mut self, host: HostId, incarnation: u64) -> bool {
         if self.open.insert(host, incarnation) == Some(incarnation) {
             return false;
@@ -148,39 +148,39 @@
         self.open.get(&host) == Some(&incarnation)
     }
 
-    /// The incarnation that the dispatcher last had a connection to.
+    /// Returns the incarnation of the host at the dispatcher's latest connection.
     pub fn known_incarnation(&self, host: HostId) -> Option<u64> {
         self.known.get(&host).copied()
     }
 
-    /// The connection to the host is lost; its incarnation stays known.
-    pub fn lost(&mut self, host: HostId) {
+    /// Closes the connection to a host, whose incarnation stays known.
+    pub fn close(&mut self, host: HostId) {
         self.open.remove(&host);
     }
 
-    /// Forgets every connection.
+    /// Removes all connections and known incarnations.
     pub fn clear(&mut self) {
         self.open.clear();
         self.known.clear();
     }
 }
 
-/// A dispatcher's process and what outlives it: its settings and its number.
+/// A dispatcher: its process, and its settings and number, which remain after the process ends.
 pub(crate) struct SimulatedDispatcher {
     pub core: Core,
     settings: DispatcherSettings,
     pub identity: DispatcherIncarnation,
     pub state: DispatcherState,
-    /// Some: paused.
+    /// The state of a pause; `None` if the dispatcher is not paused.
     pub pause: Option<Pause>,
     pub requests: OpenRequests,
     pub connections: Connections,
-    /// When the core wants to be called.
+    /// Time at which the core needs its next input, in microseconds since the start of the run.
     pub timer: Option<Micros>,
 }
 
 impl SimulatedDispatcher {
-    /// A running dispatcher; its core's random numbers derive from the scenario's seed.
+    /// Creates a running dispatcher. Random numbers of its core are derived from the scenario's seed.
     pub fn new(dispatcher: usize, settings: DispatcherSettings, scenario_seed: u64) -> Self {
         let seed = derive_seed(scenario_seed, &format!("core {dispatcher}"));
         Self {
@@ -198,12 +198,12 @@
         }
     }
 
-    /// Whether its process runs.
+    /// Whether the dispatcher's process is running.
     pub fn is_up(&self) -> bool {
         self.state != DispatcherState::Down
     }
 
-    /// The process ends; returns the clients whose requests are lost.
+    /// Ends the process; returns the clients' attempts whose requests are lost.
     pub fn kill(&mut self) -> Vec<ClientAttemptId> {
         self.state = DispatcherState::Down;
         self.timer = None;
@@ -212,7 +212,7 @@
         self.requests.drain()
     }
 
-    /// A new process starts.
+    /// Starts a new process.
     pub fn start(&mut self, scenario_seed: u64) {
         self.state = DispatcherState::Running;
         self.identity.incarnation += 1;
--- a/crates/simulator/src/event.rs
+++ b/crates/simulator/src/event.rs
@@ -4,7 +4,7 @@
 use pointspindle_cache_model::{HostId, JobId, ModelRequest, ModelResponse};
 use pointspindle_protocol::{LeaseHead, WireCacheStatus, WireStatus};
 
-/// An event that is scheduled for a moment of virtual time.
+/// An event that is scheduled for a time of the virtual clock.
 pub(crate) enum Event {
     /// A call of the traffic begins.
     CallStarts(usize),
@@ -14,15 +14,15 @@
     RequestArrives(ClientAttemptId),
     /// A client cancels its request.
     ClientCancels(ClientAttemptId),
-    /// A client closes the connection of a request that got no response.
+    /// A client closes the connection of a request that received no response.
     ClientTimesOut(ClientAttemptId),
     /// A final response arrives at its client.
     ResponseArrives(ClientAttemptId, ClientOutcome),
-    /// The connection that an attempt waits for is established, or cannot be.
+    /// The setup of the connection that an attempt waits for ends, successfully or not.
     AttemptConnected {
         job: JobId,
         request: ModelRequest,
-        /// Incarnation of the host that the dispatcher knew when it decided on the attempt.
+        /// Incarnation of the host that the dispatcher knew when it chose the host for the attempt.
         known_incarnation: Option<u64>,
     },
     /// An attempt or a fill arrives at its host.
@@ -42,12 +42,12 @@
         group: u64,
         purged_at: Micros,
     },
-    /// A connection without a request for it is established.
+    /// A connection that no request waits for is established.
     Connected {
         dispatcher: DispatcherIncarnation,
         host: HostId,
     },
-    /// A dispatcher's request for work arrives at a warming host.
+    /// A dispatcher's work request arrives at a host.
     WorkRequested {
         dispatcher: DispatcherIncarnation,
         host: HostId,
@@ -63,14 +63,14 @@
     },
 }
 
-/// A dispatcher during one run of its process: what is addressed to an earlier one is lost.
+/// One incarnation of a dispatcher's process. Messages that are addressed to an earlier one are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DispatcherIncarnation {
     pub dispatcher: usize,
     pub incarnation: u32,
 }
 
-/// How a job at a host ended.
+/// The end of a job at a host.
 pub(crate) enum JobEnd {
     /// The response is complete.
     Completed,
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The event queue: events in the order of their time, and at the same time in the order in which they were scheduled.
+//! The event queue, ordered by time; events of the same time are ordered as they were scheduled.
 use pointspindle::Micros;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -55,12 +55,12 @@
         }));
     }
 
-    /// Time of the next event.
+    /// Returns the time of the next event.
     pub fn next_at(&self) -> Option<Micros> {
         self.heap.peek().map(|next| next.0.at)
     }
 
-    /// Removes the next event if its time has come.
+    /// Removes and returns the next event if it is due by `now`.
     pub fn pop_due(&mut self, now: Micros) -> Option<E> {
         if self.next_at()? > now {
             return None;
@@ -68,7 +68,7 @@
         self.heap.pop().map(|next| next.0.event)
     }
 
-    /// Number of events scheduled so far.
+    /// Returns the number of events scheduled so far.
     pub fn scheduled(&self) -> u64 {
         self.scheduled
     }
--- a/crates/simulator/src/host_directory.rs
+++ b/crates/simulator/src/host_directory.rs
@@ -1,7 +1,7 @@
-//! The hosts of a run by their number: address, kind, place and weight.
+//! The address, role, zone and weight of each host of a run, by the host's number.
 use pointspindle_cache_model::{HostId, HostSpec};
 
-/// What is known of a host from the start.
+/// Properties of a host that do not change during a run.
 pub(crate) struct HostEntry {
     pub address: String,
     pub role: &'static str,
@@ -10,13 +10,13 @@
     pub weight: f64,
 }
 
-/// Every host of a run, those that join later included.
+/// All hosts of a run, including those that are added later.
 pub(crate) struct HostDirectory {
     entries: Vec<HostEntry>,
 }
 
 impl HostDirectory {
-    /// Numbers the hosts in this order.
+    /// Creates a directory that numbers the hosts in the given order.
     pub fn new(hosts: &[HostSpec], zone_names: &[String]) -> Self {
         let entry = |host: &HostSpec| HostEntry {
             address: host.address.clone(),
@@ -30,17 +30,17 @@
         }
     }
 
-    /// The entry of a host, if there is one of this number.
+    /// Returns the entry of a host, if there is a host of this number.
     pub fn get(&self, host: HostId) -> Option<&HostEntry> {
         self.entries.get(host)
     }
 
-    /// Address of a host.
+    /// Returns the address of a host.
     pub fn address(&self, host: HostId) -> String {
         self.entries[host].address.clone()
     }
 
-    /// Zone of a host.
+    /// Returns the zone of a host.
     pub fn zone(&self, host: HostId) -> usize {
         self.entries[host].zone
     }
--- a/crates/simulator/src/host_jobs.rs
+++ b/crates/simulator/src/host_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs at hosts: the inputs and outputs of the cache model, and what travels between hosts and the jobs' owners.
+//! Jobs at hosts: the inputs and outputs of the cache model, and the messages between hosts and the jobs' owners.
 use crate::event::{Event, JobEnd};
 use crate::jobs::{FillKey, Job, JobOwner};
 use crate::simulation::{Simulation, EPOCH};
@@ -26,7 +26,7 @@
 }
 
 impl Simulation<'_> {
-    /// Zone of the dispatcher or of the host that a job belongs to.
+    /// Returns the zone of the dispatcher or host that owns a job.
     pub fn zone_of_owner(&self, owner: &JobOwner) -> usize {
         match owner {
             JobOwner::Attempt(key, _) => self
@@ -36,18 +36,18 @@
         }
     }
 
-    /// Latency between a job's owner and its host, one way, in microseconds.
+    /// Returns the one-way latency between a job's owner and its host, in microseconds.
     pub fn latency(&self, owner: &JobOwner, host: HostId) -> Micros {
         self.scenario
             .latency_between(self.zone_of_owner(owner), self.hosts.zone(host))
     }
 
-    /// Whether the host takes connections.
+    /// Whether a host accepts connections.
     pub fn is_reachable(&self, host: HostId) -> bool {
         self.cache_model.is_up(host) && !self.unreachable_hosts.contains(&host)
     }
 
-    /// The current incarnation of a host's process.
+    /// Returns the current incarnation of a host's process.
     pub fn host_incarnation(&self, host: HostId) -> u64 {
         self.cache_model.incarnation(host).0
     }
@@ -113,7 +113,7 @@
             host: self.hosts.address(host),
             reason: reason.into(),
         });
-        self.connections_lost(host);
+        self.close_connections(host);
         for job in self.jobs.at_host(host) {
             self.end_job(job, JobEnd::ConnectionLost, AttemptOutcome::ConnectionLost);
         }
@@ -136,7 +136,7 @@
             incarnation: self.host_incarnation(host),
             fill,
         };
-        // An unknown source never responds: the fill times out, as it would with a wrong address.
+        // No host has the address of the source: the fill times out.
         let Some(source) = self.cache_model.host_by_address(source) else {
             return;
         };
@@ -146,7 +146,7 @@
         self.schedule_in(latency, Event::JobArrives(job, request));
     }
 
-    /// A job arrives at its host, which refuses it if it takes no connections.
+    /// Handles a job that arrives at its host, which refuses it if it accepts no connections.
     pub fn job_arrives(&mut self, job: JobId, request: ModelRequest) {
         let Some(Job { host, owner, .. }) = self.jobs.get(job) else {
             return;
@@ -169,7 +169,7 @@
         self.model_input(ModelInput::Arrive { host, job, request });
     }
 
-    /// The owner sends a cancellation to the host.
+    /// Sends the cancellation of a job from its owner to its host.
     pub fn cancel_job(&mut self, job: JobId) {
         if let Some(open) = self.jobs.get(job) {
             let latency = self.latency(&open.owner, open.host);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// A cancellation arrives at the job's host.
+    /// Handles a cancellation that arrives at the job's host.
     pub fn job_cancelled(&mut self, job: JobId) {
         let Some(closed) = self.jobs.close(job) else {
             return;
@@ -204,7 +204,7 @@
         });
     }
 
-    /// A job ends at its host; the end travels to the owner.
+    /// Ends a job at its host and sends the end to the owner.
     pub fn end_job(&mut self, job: JobId, end: JobEnd, outcome: AttemptOutcome) {
         let Some(ended) = self.jobs.get(job) else {
             return;
@@ -215,7 +215,7 @@
         self.schedule_in(latency, Event::JobEnds(job, end));
     }
 
-    /// The head of a response arrives at the job's owner.
+    /// Handles the head of a response that arrives at the job's owner.
     pub fn job_responds(&mut self, job: JobId, response: ModelResponse) {
         let Some(open) = self.jobs.get(job) else {
             return;
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The end of a job arrives at its owner.
+    /// Handles the end of a job that arrives at its owner.
     pub fn job_ends(&mut self, job: JobId, end: JobEnd) {
         let Some(closed) = self.jobs.close(job) else {
             return;
--- a/crates/simulator/src/jobs.rs
+++ b/crates/simulator/src/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs at hosts: whose request each of them is, and which job serves an attempt or a fill.
+//! The jobs at hosts, with their owners, and the job of each attempt and fill.
 use crate::event::DispatcherIncarnation;
 use pointspindle_audit::trace::ClientAttemptId;
 use pointspindle_cache_model::{FillId, HostId, JobId};
@@ -12,7 +12,7 @@
     pub attempt: u32,
 }
 
-/// A fill of a host, by the incarnation that requested it.
+/// A fill of a host, with the incarnation of the host that started it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct FillKey {
     pub host: HostId,
@@ -20,7 +20,7 @@
     pub fill: FillId,
 }
 
-/// Whose request a job is, with the client's attempt that it serves.
+/// The owner of a job, with the client's attempt that the job serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum JobOwner {
     Attempt(AttemptKey, ClientAttemptId),
@@ -28,7 +28,7 @@
 }
 
 impl JobOwner {
-    /// The dispatcher of an attempt; none for a fill.
+    /// Returns the dispatcher of an attempt; `None` for a fill.
     pub fn dispatcher(&self) -> Option<usize> {
         match self {
             Self::Attempt(key, _) => Some(key.dispatcher.dispatcher),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The client's attempt that the job serves, if it is known.
+    /// Returns the client's attempt that the job serves, if it is known.
     pub fn client_attempt(&self) -> Option<ClientAttemptId> {
         match self {
             Self::Attempt(_, id) => Some(*id),
@@ -45,12 +45,12 @@
     }
 }
 
-/// A job at a host, until its end has reached its owner.
+/// A job at a host; it stays open until its end has reached its owner.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Job {
     pub host: HostId,
     pub owner: JobOwner,
-    /// Whether it is at the host's socket: its end is recorded there.
+    /// Whether the job has arrived at the host and has not ended there. The end of such a job is recorded in the trace.
     pub at_host: bool,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl JobTable {
-    /// Opens a job that has not arrived yet.
+    /// Opens a job that has not arrived at its host yet; returns its id.
     pub fn open(&mut self, host: HostId, owner: JobOwner) -> JobId {
         self.last_id += 1;
         match owner {
@@ -80,19 +80,19 @@
         self.last_id
     }
 
-    /// An open job.
+    /// Returns an open job.
     pub fn get(&self, job: JobId) -> Option<Job> {
         self.jobs.get(&job).copied()
     }
 
-    /// Notes whether the job is at its host's socket.
+    /// Sets [`Job::at_host`] of an open job.
     pub fn set_at_host(&mut self, job: JobId, at_host: bool) {
         if let Some(job) = self.jobs.get_mut(&job) {
             job.at_host = at_host;
         }
     }
 
-    /// Removes a job.
+    /// Removes and returns a job.
     pub fn close(&mut self, job: JobId) -> Option<Job> {
         let closed = self.jobs.remove(&job)?;
         match closed.owner {
@@ -102,22 +102,22 @@
         Some(closed)
     }
 
-    /// The open job of an attempt.
+    /// Returns the open job of an attempt.
     pub fn of_attempt(&self, key: AttemptKey) -> Option<JobId> {
         self.attempts.get(&key).copied()
     }
 
-    /// The open job of a fill.
+    /// Returns the open job of a fill.
     pub fn of_fill(&self, fill: FillId) -> Option<JobId> {
         self.fills.get(&fill).copied()
     }
 
-    /// The jobs at a host's socket, in the order of their numbers.
+    /// Returns the jobs that have arrived at a host and have not ended there, ordered by id.
     pub fn at_host(&self, host: HostId) -> Vec<JobId> {
         self.matching(|job| job.host == host && job.at_host)
     }
 
-    /// The jobs of a dispatcher, in the order of their numbers.
+    /// Returns the jobs of a dispatcher's attempts, ordered by id.
     pub fn of_dispatcher(&self, dispatcher: DispatcherIncarnation) -> Vec<JobId> {
         self.matching(|job| match job.owner {
             JobOwner::Attempt(key, _) => key.dispatcher == dispatcher,
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,8 @@
-//! A run in virtual time: the dispatchers' own cores against the cache model, event by event, without sockets.
+//! Discrete-event simulation of a run in virtual time: the cores of real dispatchers with the cache model, without
+//! sockets.
 //!
-//! The same seed gives the same trace, whatever the machine does. Hosts, scripts, clients' rules, traces and the audit
-//! are those of runs on sockets; what is left out is the network code, and what it costs.
+//! A seed determines the trace, independently of the machine. Hosts, scripts, the rules of clients, traces and the
+//! audit are the same as in runs on sockets; network code and its cost are left out.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -32,22 +33,22 @@
 /// The outcome of a run in virtual time.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The service that clients got.
+    /// The service that clients received.
     pub service: Service,
     /// The verdict on each rule.
     pub rules: Vec<RuleVerdict>,
-    /// Everything that was observed, in the order of its time.
+    /// The trace of the run, ordered by time.
     pub trace: Vec<TraceEntry>,
-    /// What the run cost the machine.
+    /// The cost of the run on the machine.
     pub cost: RunCost,
 }
 
-/// What a run cost the machine; not part of what a seed determines.
+/// Cost of a run on the machine, which the seed does not determine.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct RunCost {
-    /// Events of the simulation, calls of cores included.
+    /// Number of events of the simulation, including calls of cores.
     pub events: u64,
-    /// Time that the run took, in seconds.
+    /// Duration of the run, in seconds of real time.
     #[serde(rename = "wall_s")]
     pub elapsed_s: f64,
     /// Time spent in the dispatchers' cores, in seconds.
@@ -57,13 +58,13 @@
     pub core_calls: u64,
 }
 
-/// Runs a scenario in virtual time. Only faults injected into the control plane or into hosts have an effect here, as
-/// there are no sockets for a relay to stand between.
+/// Runs a scenario in virtual time. Injected faults of a relay have no effect, as there are no sockets for a relay to
+/// stand between. Fails if the scenario requires a simulated network, or gives invalid settings for a dispatcher.
 pub fn run(scenario: &Scenario, injected_fault: Option<InjectedFault>) -> Result<Outcome, String> {
     if let Some(reason) = scenario.requires_simulated_network() {
         return Err(reason);
     }
-    let began = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let scenario = &scenario.clone().with_injected_fault(injected_fault);
     let traffic = Traffic::generate(scenario);
     let mut simulation = Simulation::new(scenario, &traffic, injected_fault)?;
@@ -73,7 +74,7 @@
         effects,
         mut cost,
     } = simulation.finish();
-    cost.elapsed_s = began.elapsed().as_secs_f64();
+    cost.elapsed_s = started.elapsed().as_secs_f64();
     let mut rules = judge(scenario, &trace, &effects);
     let service = measure_service(scenario, &traffic, &trace);
     rules.push(sizes::judge(scenario, &service));
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -1,4 +1,4 @@
-//! Partitions between zones, and pauses of dispatchers: what they delay.
+//! Partitions between zones and pauses of dispatchers, and the messages that they delay.
 use crate::event::Event;
 use crate::jobs::{Job, JobOwner};
 use crate::simulation::Simulation;
@@ -9,16 +9,16 @@
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
 
-/// The zones that are partitioned from the others.
+/// The zones that are partitioned from the others, with the affected directions.
 #[derive(Default)]
 pub(crate) struct ZonePartitions {
     directions: BTreeMap<usize, PartitionDirections>,
-    /// When all partitions are over.
+    /// End of the latest partition, in microseconds since the start of the run.
     until: Micros,
 }
 
 impl ZonePartitions {
-    /// Until when messages from one zone to another are delayed; none: they pass.
+    /// Returns the time until which messages from one zone to another are delayed; `None` if they pass.
     fn delayed_until(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
         if passes(&self.directions, from, to) {
             return None;
@@ -33,7 +33,7 @@
     ToOwner,
 }
 
-/// The job that an event concerns and the way its message goes; none for events that no partition delays.
+/// Returns the job of an event and the direction of its message; `None` for events that no partition delays.
 fn message(event: &Event) -> Option<(JobId, Direction)> {
     match event {
         Event::JobArrives(job, _) | Event::JobCancelled(job) => Some((*job, Direction::ToHost)),
@@ -43,7 +43,7 @@
 }
 
 impl Simulation<'_> {
-    /// Begins or ends (`directions`: none) a partition of a zone.
+    /// Begins a partition of a zone, or ends it if `directions` is `None`.
     pub fn set_zone_partition(
         &mut self,
         zone: usize,
@@ -62,8 +62,8 @@
         partitions.until = partitions.until.max(until);
     }
 
-    /// Puts off an event that a partition delays until the partition is over, and one that a paused dispatcher cannot
-    /// read until it resumes. Returns any other event.
+    /// Defers an event that a partition delays until the partition is over, and an event that a paused dispatcher
+    /// cannot read until the dispatcher resumes. Returns any other event.
     pub fn defer(&mut self, event: Event) -> Option<Event> {
         let Some((job_id, direction)) = message(&event) else {
             return Some(event);
@@ -73,7 +73,7 @@
         };
         if let Some(until) = self.partitioned_until(&job, &direction) {
             if matches!(event, Event::JobCancelled(_)) && !job.at_host {
-                // The request and its cancellation arrive together after the partition: nothing of it is begun.
+                // The request and its cancellation would arrive together after the partition: the job never begins.
                 self.jobs.close(job_id);
             } else {
                 self.events.schedule(until, event);
--- a/crates/simulator/src/script.rs
+++ b/crates/simulator/src/script.rs
@@ -1,4 +1,4 @@
-//! The steps of the scenario's script: faults of hosts, dispatchers and networks, list changes and purges.
+//! The steps of the scenario's script: faults of hosts, dispatchers and networks, endpoint list updates and purges.
 use crate::clients::CLIENT_LATENCY_US;
 use crate::dispatcher::{DispatcherState, Pause};
 use crate::event::Event;
@@ -10,7 +10,7 @@
 use pointspindle_scenario::script::purge_groups;
 use pointspindle_scenario::ScriptStep;
 
-/// How often it is checked whether a dispatcher that shuts down has answered what it had accepted.
+/// Interval at which a dispatcher that is shutting down is checked for unanswered requests, in microseconds.
 const SHUTDOWN_CHECK_INTERVAL_US: Micros = 20_000;
 
 impl Simulation<'_> {
@@ -32,7 +32,7 @@
             ScriptStep::PurgeObject { object, group } => self.purge(Some(object), group),
             ScriptStep::KillDispatcher { dispatcher } => self.kill_dispatcher(dispatcher),
             ScriptStep::StartDispatcher { dispatcher } => {
-                if self.finishes_shutdown_first(dispatcher) {
+                if self.must_await_shutdown(dispatcher) {
                     let again = Event::ScriptStep(number);
                     self.schedule_in(SHUTDOWN_CHECK_INTERVAL_US, again);
                 } else {
@@ -66,19 +66,19 @@
                 host,
                 reachable: false,
             } => self.make_unreachable(host),
-            // A scenario with such a step is rejected before the run.
+            // `run` rejects scenarios with this step, which requires a simulated network.
             ScriptStep::Partition { .. } => {}
         }
     }
 
-    /// Ends a dispatcher's process. Faults may overlap: one that is down is not killed again.
+    /// Ends a dispatcher's process. Has no effect on a process that is down, as faults may overlap.
     fn kill_dispatcher(&mut self, dispatcher: usize) {
         if !self.dispatchers[dispatcher].is_up() {
             return;
         }
         self.record(TraceEvent::DispatcherKilled { dispatcher });
         self.control_plane.disconnect(dispatcher);
-        self.leave_work_ledgers(dispatcher);
+        self.remove_from_work_ledgers(dispatcher);
         let mut lost = self.dispatchers[dispatcher].kill();
         lost.extend(self.clients.in_transit_to(dispatcher));
         lost.sort_unstable();
@@ -101,8 +101,8 @@
         self.record(TraceEvent::DispatcherStarted { dispatcher });
     }
 
-    /// Begins a graceful shutdown: the dispatcher accepts nothing new, learns nothing more, and answers what it has
-    /// accepted.
+    /// Begins a graceful shutdown: the dispatcher accepts no new requests, receives no more updates of the control
+    /// plane, and answers the requests that it has accepted.
     fn stop_dispatcher(&mut self, dispatcher: usize) {
         if self.dispatchers[dispatcher].is_up() {
             self.record(TraceEvent::DispatcherStopping { dispatcher });
@@ -111,13 +111,14 @@
         }
     }
 
-    /// Whether a dispatcher that shuts down still has requests to answer; if not, its process ends now.
-    fn finishes_shutdown_first(&mut self, dispatcher: usize) -> bool {
-        let shell = &self.dispatchers[dispatcher];
-        if shell.state != DispatcherState::ShuttingDown {
+    /// Returns whether a dispatcher that is shutting down still has requests to answer; if it has none, ends its
+    /// process.
+    fn must_await_shutdown(&mut self, dispatcher: usize) -> bool {
+        let simulated = &self.dispatchers[dispatcher];
+        if simulated.state != DispatcherState::ShuttingDown {
             return false;
         }
-        if shell.requests.is_empty() {
+        if simulated.requests.is_empty() {
             self.kill_dispatcher(dispatcher);
             return false;
         }
@@ -125,22 +126,22 @@
     }
 
     fn pause_dispatcher(&mut self, dispatcher: usize) {
-        let shell = &mut self.dispatchers[dispatcher];
-        if !shell.is_up() || shell.pause.is_some() {
+        let simulated = &mut self.dispatchers[dispatcher];
+        if !simulated.is_up() || simulated.pause.is_some() {
             return;
         }
-        shell.pause = Some(Pause::default());
-        shell.timer = None;
+        simulated.pause = Some(Pause::default());
+        simulated.timer = None;
         self.record(TraceEvent::DispatcherPaused {
             dispatcher,
             paused: true,
         });
     }
 
-    /// A paused dispatcher resumes: it reads what has arrived meanwhile, in order.
+    /// Resumes a paused dispatcher, which handles the inputs that arrived during the pause, in order.
     fn resume_dispatcher(&mut self, dispatcher: usize) {
-        let shell = &mut self.dispatchers[dispatcher];
-        let Some(pause) = shell.pause.take() else {
+        let simulated = &mut self.dispatchers[dispatcher];
+        let Some(pause) = simulated.pause.take() else {
             return;
         };
         self.record(TraceEvent::DispatcherPaused {
--- a/crates/simulator/src/setup.rs
+++ b/crates/simulator/src/setup.rs
@@ -1,4 +1,4 @@
-//! Builds a simulation from its scenario.
+//! Construction of a simulation from its scenario.
 use crate::clients::Clients;
 use crate::dispatcher::SimulatedDispatcher;
 use crate::event::Event;
@@ -22,7 +22,7 @@
 const HOSTS_PER_SUBNET: usize = 250;
 const SUBNETS_PER_BLOCK: usize = 250;
 
-/// Address of the host with this number.
+/// Returns the address of the host with this number.
 fn host_address(number: usize) -> String {
     let subnet = number / HOSTS_PER_SUBNET;
     format!(
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Simulation<'a> {
-    /// A simulation at the start of its run. Fails if the scenario gives invalid settings for a dispatcher.
+    /// Creates a simulation at the start of its run. Fails if the scenario gives invalid settings for a dispatcher.
     pub fn new(
         scenario: &'a Scenario,
         traffic: &'a Traffic,
@@ -112,13 +112,13 @@
         scenario.size_catalogue(),
         derive_seed(scenario.seed, "world"),
     );
-    for newcomer in &script.added_hosts {
-        model.add_host(newcomer.clone());
+    for added_host in &script.added_hosts {
+        model.add_host(added_host.clone());
     }
     model
 }
 
-/// The settings of a dispatcher, read from the text that a process would be started with.
+/// Returns the settings of a dispatcher, parsed from the configuration file that a real process would be given.
 fn dispatcher_settings(
     scenario: &Scenario,
     dispatcher: usize,
--- a/crates/simulator/src/simulation.rs
+++ b/crates/simulator/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation: its state, and the event loop that advances the virtual clock.
+//! The state of the simulation, and the event loop that advances the virtual clock.
 use crate::clients::Clients;
 use crate::dispatcher::SimulatedDispatcher;
 use crate::event::Event;
@@ -18,10 +18,11 @@
 use pointspindle_scenario::{PlannedCall, Scenario, Script};
 use std::collections::{HashMap, HashSet};
 
-/// The model's clock at the start of the run, in microseconds: hosts may have started before it.
+/// Time of the cache model's and the cores' clocks at the start of the run, in microseconds; greater than 0 so that
+/// hosts may have started before the run.
 pub(crate) const EPOCH: Micros = 1_000_000_000_000;
 
-/// A run in virtual time. Its behaviour is spread over the modules of this crate by concern.
+/// A run in virtual time. The modules of this crate implement its behaviour, each for one concern.
 pub(crate) struct Simulation<'a> {
     pub scenario: &'a Scenario,
     pub calls: &'a [PlannedCall],
@@ -37,19 +38,19 @@
     pub cache_model_timer: Option<Micros>,
     pub jobs: JobTable,
     pub control_plane: ControlPlane,
-    /// By host that is warming up.
+    /// The ledger of leased work of each host that is warming up.
     pub work_ledgers: HashMap<HostId, WorkLedger>,
-    /// Hosts that take no connections though their process runs.
+    /// Hosts that accept no connections although their process may be running.
     pub unreachable_hosts: HashSet<HostId>,
     pub zone_partitions: ZonePartitions,
     pub trace: Vec<TraceEntry>,
     pub cost: RunCost,
 }
 
-/// What a finished simulation leaves.
+/// The result of a finished simulation.
 pub(crate) struct SimulationResult {
     pub trace: Vec<TraceEntry>,
-    /// How often the origin ran each piece of work, sorted by name.
+    /// Number of times that the origin ran the work of each idempotency key, sorted by key.
     pub effects: Vec<(String, u32)>,
     pub cost: RunCost,
 }
@@ -71,7 +72,8 @@
         loop {
             let dispatcher_timer = self.dispatchers.iter().filter_map(|d| d.timer).min();
             let next_event = self.events.next_at();
-            // Timers of idle dispatchers and of warming hosts never end: the run ends with its clients.
+            // Timers of idle dispatchers and of warming hosts recur without end, so the run ends when no event is left
+            // and no client waits.
             if next_event.is_none() && !self.clients.any_waiting() {
                 break;
             }
@@ -164,26 +166,27 @@
 
     /// Passes an input to a dispatcher's core and carries out its outputs.
     pub fn core_input(&mut self, dispatcher: usize, input: Input) {
-        let shell = &mut self.dispatchers[dispatcher];
-        if !shell.is_up() {
+        let simulated = &mut self.dispatchers[dispatcher];
+        if !simulated.is_up() {
             return;
         }
-        if let Some(pause) = &mut shell.pause {
+        if let Some(pause) = &mut simulated.pause {
             pause.inputs.push(input);
             return;
         }
         let mut outputs = Vec::new();
-        let began = std::time::Instant::now();
-        shell.core.handle(EPOCH + self.now, input, &mut outputs);
-        self.cost.core_time_s += began.elapsed().as_secs_f64();
+        let started = std::time::Instant::now();
+        simulated.core.handle(EPOCH + self.now, input, &mut outputs);
+        self.cost.core_time_s += started.elapsed().as_secs_f64();
         self.cost.core_calls += 1;
-        shell.timer = shell.core.next_timer().map(|at| at - EPOCH);
+        simulated.timer = simulated.core.next_timer().map(|at| at - EPOCH);
         for output in outputs {
             self.core_output(dispatcher, output);
         }
     }
 
-    /// The terms of an attempt, requested right before its first byte is sent; none: it must not be sent any more.
+    /// Returns the terms of an attempt, requested from the core right before the first byte is sent; `None` if the
+    /// attempt must not be sent any more.
     pub fn begin_attempt(
         &mut self,
         dispatcher: usize,
@@ -196,7 +199,7 @@
             .begin(now, request, attempt)
     }
 
-    /// Ends the simulation.
+    /// Ends the simulation and returns its result.
     pub fn finish(self) -> SimulationResult {
         let mut effects: Vec<(String, u32)> = self
             .cache_model
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: hosts that warm up lease their capacity to dispatchers.
+//! Slow start: hosts that are warming up lease their capacity to dispatchers.
 use crate::event::{DispatcherIncarnation, Event};
 use crate::simulation::Simulation;
 use pointspindle::Micros;
@@ -8,11 +8,11 @@
 use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_protocol::LeaseHead;
 
-/// How long a host that is not warming up leases out what it is asked for.
+/// Duration of the leases with which a host that is not warming up grants work requests, in microseconds.
 const WARM_LEASE_DURATION_US: Micros = 1_000_000;
 
 impl Simulation<'_> {
-    /// A host has started: it leases out its capacity while it warms up.
+    /// Starts the leases of a host that begins to warm up.
     pub fn start_slow_start(&mut self, host: HostId) {
         let spec = self.cache_model.host_spec(host);
         let ledger = self.scenario.work_ledger(spec.role, spec.weight, self.now);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// A slot of a warming host's leases begins: it sends each dispatcher its lease.
+    /// Begins a slot of a warming host's leases and sends each dispatcher its lease.
     pub fn lease_slot_starts(&mut self, host: HostId, incarnation: u64) {
         if self.host_incarnation(host) != incarnation {
             return;
@@ -46,7 +46,7 @@
             .schedule(next_slot, Event::LeaseSlotStarts { host, incarnation });
     }
 
-    /// The lease that a dispatcher gets with its connection.
+    /// Grants a dispatcher its lease on a new connection, if the host is warming up.
     pub fn grant_first_lease(&mut self, dispatcher: usize, host: HostId) {
         if let Some(ledger) = self.work_ledgers.get_mut(&host) {
             let grant = ledger.join(dispatcher as UserId, true);
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A dispatcher sends a request for work to an endpoint.
+    /// Sends a dispatcher's work request to an endpoint.
     pub fn send_work_request(&mut self, dispatcher: usize, endpoint: &str, work_us: u64) {
         let Some(host) = self.cache_model.host_by_address(endpoint) else {
             return;
@@ -70,7 +70,8 @@
         self.schedule_in(latency, requested);
     }
 
-    /// A request for work arrives at its host, which replies with a lease.
+    /// Handles a work request that arrives at its host, which replies with a lease. A request whose connection is lost
+    /// is ignored.
     pub fn work_requested(
         &mut self,
         dispatcher: DispatcherIncarnation,
@@ -110,7 +111,7 @@
         self.schedule_in(latency, arrives);
     }
 
-    /// A lease arrives at a dispatcher, unless its process has ended.
+    /// Handles a lease that arrives at a dispatcher, unless the addressed process has ended.
     pub fn lease_arrives(
         &mut self,
         dispatcher: DispatcherIncarnation,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Counts the work of a request that arrived at a warming host.
+    /// Records the work of a request that arrived at a warming host.
     pub fn count_arrived_work(&mut self, host: HostId, dispatcher: Option<usize>, class: usize) {
         let Some(ledger) = self.work_ledgers.get_mut(&host) else {
             return;
@@ -135,8 +136,8 @@
         ledger.record_arrival(dispatcher.map(|dispatcher| dispatcher as UserId), work_s);
     }
 
-    /// A host has lost its connections; its leases end, with its process or with its users.
-    pub fn all_leave_work_ledger(&mut self, host: HostId) {
+    /// Ends all leases of a host that has lost its connections; removes the ledger if the host's process has ended.
+    pub fn end_leases_of_disconnected_host(&mut self, host: HostId) {
         if !self.cache_model.is_up(host) {
             self.work_ledgers.remove(&host);
         } else if let Some(ledger) = self.work_ledgers.get_mut(&host) {
@@ -146,8 +147,8 @@
         }
     }
 
-    /// A dispatcher's process has ended: it leaves every ledger.
-    pub fn leave_work_ledgers(&mut self, dispatcher: usize) {
+    /// Removes a dispatcher whose process has ended from all ledgers.
+    pub fn remove_from_work_ledgers(&mut self, dispatcher: usize) {
         for ledger in self.work_ledgers.values_mut() {
             ledger.leave(dispatcher as UserId);
         }
