--- a/crates/cache-model/src/model/requests.rs
+++ b/crates/cache-model/src/model/requests.rs
@@ -121,9 +121,9 @@
         self.hosts[host].jobs.insert(job, entry);
     }
 
-    /// Returns the earliest validation time of a copy that may answer a request. Purges that the host had received when
-    /// the request arrived count as well: after the purge deadline a request must not join a fill that began before the
-    /// purge, however slow that fill is.
+    /// Returns the earliest validation time of a copy that may answer a request. A purge that was made before the
+    /// request arrived and that the host has received counts as well: after the purge deadline a request must not join
+    /// a fill that began before the purge, however slow that fill is.
     pub(super) fn oldest_acceptable(
         &self,
         host: HostId,
