--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -1,14 +1,14 @@
-//! Two variants on the same seeds: the paired difference, its noise, and the conclusion.
+//! Compares two variants on the same seeds: the paired differences, their standard error, and the conclusion.
 use crate::record::Run;
 use serde::{Deserialize, Serialize};
 
-/// A difference within this many standard errors is taken for noise: about one comparison in twenty passes by chance.
+/// A difference within this many standard errors counts as noise. About one comparison in twenty exceeds it by chance.
 const NOISE_STANDARD_ERRORS: f64 = 2.0;
 
-/// One run under both variants.
+/// One scenario and seed, run under both variants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pair {
-    /// Scenario and seed.
+    /// Name of the scenario, and the seed.
     #[serde(rename = "day")]
     pub run: String,
     /// Figures of the first variant.
@@ -17,22 +17,22 @@
     pub b: Figures,
 }
 
-/// What is compared of a run.
+/// The figures of a run that are compared.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
-    /// Value earned over value requested.
+    /// Value earned in time, divided by the value requested.
     pub service: f64,
-    /// The same over the worst 10 s.
+    /// Service over the worst 10 s.
     pub worst_10s: f64,
     /// The weighted objective.
     pub goal: f64,
-    /// Hosts that crashed by overload during their warm-up.
+    /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
     pub cold_crashes: usize,
-    /// Violations of all rules.
+    /// Number of violations of all rules.
     #[serde(rename = "breaches")]
     pub violations: usize,
-    /// Highest load of a warm cache in the seconds after a restart.
+    /// Highest load of a warm cache host in the seconds after a restart.
     #[serde(default)]
     #[serde(rename = "neighbours")]
     pub peak_cache_load: f64,
@@ -43,7 +43,7 @@
 }
 
 impl Figures {
-    /// The figures of a run.
+    /// Returns the figures of a run.
     pub fn of(run: &Run) -> Self {
         let (cache_load, parent_load) = run.peak_loads_after_restarts();
         Self {
@@ -61,7 +61,7 @@
 /// The mean of paired differences, b - a.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The mean.
+    /// Mean of the differences.
     pub mean: f64,
     /// Standard error of the mean; none from fewer than two pairs.
     #[serde(rename = "error")]
@@ -72,7 +72,7 @@
 }
 
 impl Difference {
-    /// The difference of a figure.
+    /// Computes the mean difference of a figure.
     pub fn of(pairs: &[Pair], figure: impl Fn(&Figures) -> f64) -> Self {
         let differences: Vec<f64> = pairs
             .iter()
@@ -92,7 +92,7 @@
         }
     }
 
-    /// What the difference says of a figure of which more is better.
+    /// Returns the verdict for a figure of which more is better.
     pub fn verdict(&self) -> Verdict {
         match self.standard_error {
             None => Verdict::TooFew,
@@ -104,23 +104,23 @@
     }
 }
 
-/// What a comparison says of the second variant.
+/// The conclusion of a comparison, for the second variant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It is better.
+    /// The second variant is better.
     Better,
-    /// It is worse.
+    /// The second variant is worse.
     Worse,
-    /// The difference is one that chance gives as well.
+    /// The difference is within the noise.
     Noise,
-    /// No run differs.
+    /// The mean difference is zero.
     Same,
-    /// There are too few runs.
+    /// There are too few pairs for a standard error.
     TooFew,
 }
 
 impl Verdict {
-    /// The verdict for a figure of which less is better.
+    /// Converts the verdict to that for a figure of which less is better.
     pub fn for_less_is_better(self) -> Self {
         match self {
             Self::Better => Self::Worse,
@@ -129,14 +129,14 @@
         }
     }
 
-    /// The verdict as text.
+    /// Returns the verdict as text.
     pub fn text(self) -> &'static str {
         match self {
             Self::Better => "B is better",
             Self::Worse => "B is worse",
             Self::Noise => "no difference beyond noise",
-            Self::Same => "the same on every day",
-            Self::TooFew => "too few days to tell",
+            Self::Same => "equal on average",
+            Self::TooFew => "too few runs to tell",
         }
     }
 }
@@ -177,7 +177,7 @@
         value: |figures| figures.peak_cache_load,
     },
     ComparedFigure {
-        name: "... of parents",
+        name: "highest load of parents after a restart",
         preference: Preference::Less,
         value: |figures| figures.peak_parent_load,
     },
@@ -209,7 +209,7 @@
     }
 }
 
-/// The whole comparison as text, a line each; rules first.
+/// Describes the comparison in lines of text: first violations and crashes, then a line for each figure.
 pub fn describe(pairs: &[Pair]) -> Vec<String> {
     let runs_with_violations =
         |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).violations > 0).count();
@@ -218,13 +218,13 @@
     };
     let mut lines = vec![
         format!(
-            "rules: A broke some on {} of {n} days, B on {} of {n}",
+            "runs with rule violations: A {} of {n}, B {} of {n}",
             runs_with_violations(|pair| &pair.a),
             runs_with_violations(|pair| &pair.b),
             n = pairs.len()
         ),
         format!(
-            "hosts fallen over while cold: A {}, B {}",
+            "host crashes by overload during warm-up: A {}, B {}",
             cold_crashes(|pair| &pair.a),
             cold_crashes(|pair| &pair.b)
         ),
--- a/crates/report/src/error.rs
+++ b/crates/report/src/error.rs
@@ -1,15 +1,15 @@
 //! The errors of this crate.
 use std::path::Path;
 
-/// Why a run could not be made, kept, read or shown.
+/// An error while making, saving, loading or rendering a run.
 #[derive(Debug, thiserror::Error)]
 pub enum ReportError {
     /// A file could not be read or written.
-    #[error("{what} {path}: {source}")]
+    #[error("{failure} {path}: {source}")]
     File {
-        /// What failed, such as "cannot read".
-        what: &'static str,
-        /// The file.
+        /// The failed operation, such as "cannot read".
+        failure: &'static str,
+        /// Path of the file.
         path: String,
         /// The operating system's error.
         source: std::io::Error,
@@ -17,38 +17,38 @@
     /// The scenario is invalid.
     #[error("{0}")]
     Scenario(#[from] pointspindle_config::ConfigErrors),
-    /// The scenario could not be run.
+    /// A run could not be made or repeated.
     #[error("{0}")]
     Run(String),
-    /// A file of a run's folder is of another format.
-    #[error("{path} is not a run that this program can read: {why}")]
+    /// A file of a run's folder has an unknown format.
+    #[error("cannot load a run from {path}: {reason}")]
     InvalidRun {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
-        why: String,
+        /// Why the file was rejected.
+        reason: String,
     },
     /// A plot could not be drawn.
-    #[error("a plot cannot be drawn: {0}")]
+    #[error("cannot draw a plot: {0}")]
     Plot(String),
     /// A page could not be rendered.
-    #[error("a template: {0}")]
+    #[error("cannot render a page template: {0}")]
     Template(#[from] minijinja::Error),
 }
 
 impl ReportError {
-    pub(crate) fn file(what: &'static str, path: &Path, source: std::io::Error) -> Self {
+    pub(crate) fn file(failure: &'static str, path: &Path, source: std::io::Error) -> Self {
         Self::File {
-            what,
+            failure,
             path: path.display().to_string(),
             source,
         }
     }
 
-    pub(crate) fn invalid_run(path: &Path, why: impl std::fmt::Display) -> Self {
+    pub(crate) fn invalid_run(path: &Path, reason: impl std::fmt::Display) -> Self {
         Self::InvalidRun {
             path: path.display().to_string(),
-            why: why.to_string(),
+            reason: reason.to_string(),
         }
     }
 }
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -1,4 +1,4 @@
-//! Reports, a page each, from templates. Plots are part of the page; nothing is loaded from outside.
+//! Renders reports as HTML pages from templates. Plots are embedded; a page references no external resources.
 use crate::compare::{describe, Figures, Pair};
 use crate::record::Run;
 use crate::sweep::SweepRow;
@@ -26,7 +26,7 @@
     Ok(environment.get_template(name)?.render(context)?)
 }
 
-/// The report of a run.
+/// Renders the report of a run.
 pub fn run(run: &Run) -> Result<String, ReportError> {
     let overrides: Vec<String> = run.overrides.iter().map(ToString::to_string).collect();
     render(
@@ -34,16 +34,16 @@
         context! {
             title => format!("{}, seed {}", run.scenario, run.seed),
             run => run,
-            sets => overrides,
-            worth => plots::value(run)?,
+            overrides => overrides,
+            value => plots::value(run)?,
             outcomes => plots::outcomes(run)?,
-            times => plots::latencies(run)?,
-            heat => plots::heat_map(&run.hosts, run.duration_s)?,
+            latencies => plots::latencies(run)?,
+            load => plots::heat_map(&run.hosts, run.duration_s)?,
         },
     )
 }
 
-/// Two runs side by side.
+/// Renders the comparison of two runs.
 pub fn comparison(a: &Run, b: &Run) -> Result<String, ReportError> {
     let pair = Pair {
         run: a.scenario.clone(),
@@ -56,20 +56,20 @@
             title => format!("A: {} seed {}, B: {} seed {}", a.scenario, a.seed, b.scenario, b.seed),
             a => a,
             b => b,
-            words => describe(&[pair]),
-            worth => plots::value_of_two(a, b)?,
-            heat_a => plots::heat_map(&a.hosts, a.duration_s)?,
-            heat_b => plots::heat_map(&b.hosts, b.duration_s)?,
+            lines => describe(&[pair]),
+            value => plots::value_comparison(a, b)?,
+            load_a => plots::heat_map(&a.hosts, a.duration_s)?,
+            load_b => plots::heat_map(&b.hosts, b.duration_s)?,
         },
     )
 }
 
-/// The cost of idle connections: a table and two plots, a series of steps for each protocol.
+/// Renders the cost of idle connections as a table and two plots, with a series of steps for each protocol.
 pub fn idle(series: &[Vec<IdleStep>]) -> Result<String, ReportError> {
-    let memory = plots::against_idle_connections(series, "MiB of the program", |step| {
+    let memory = plots::against_idle_connections(series, "server memory, MiB", |step| {
         step.program as f64 / BYTES_PER_MIB
     })?;
-    let p99 = plots::against_idle_connections(series, "p99 of requests beside them, ms", |step| {
+    let p99 = plots::against_idle_connections(series, "p99 of requests, ms", |step| {
         step.p99_us as f64 / 1e3
     })?;
     let steps: Vec<&IdleStep> = series.iter().flatten().collect();
@@ -79,10 +79,10 @@
     )
 }
 
-/// A sweep, or a comparison of many runs; `lines` stand above the table.
+/// Renders a sweep, or a comparison of many runs, with `lines` of text above the table.
 pub fn sweep(title: &str, rows: &[SweepRow], lines: &[String]) -> Result<String, ReportError> {
     render(
         "sweep.html",
-        context! { title, rows, words => lines, plot => plots::sweep_rows(rows)? },
+        context! { title, rows, lines => lines, plot => plots::sweep_rows(rows)? },
     )
 }
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -1,8 +1,8 @@
-//! Searches random mixes of faults for the run with the worst service or with a violation, and reduces what it finds
-//! to the smallest scenario that still shows it.
+//! Searches random combinations of faults for the run that shows a goal most strongly, such as the lowest service or
+//! rule violations, and reduces it to a minimal scenario that still shows the goal.
 //!
-//! A candidate is a few faults drawn from a seed, in place of the base scenario's own; each is run in virtual time.
-//! The reduction removes faults one by one, then halves durations and shares, as long as the finding stays.
+//! A candidate is a few faults drawn from a seed, in place of the base scenario's own; each candidate is run in virtual
+//! time. The reduction removes faults one by one, then halves shares and durations, as long as the goal is still shown.
 use crate::compare::Figures;
 use crate::record::Run;
 use crate::sweep::Source;
@@ -14,37 +14,38 @@
 use rayon::prelude::*;
 use std::fmt::Write;
 
-/// A reduced run must lose at least this share of the service that the found run lost.
+/// A reduced run must lose at least this share of the service that the original finding lost.
 const MIN_LOSS_SHARE: f64 = 0.8;
-/// Most faults of a candidate. The type is part of what a seed gives: other widths draw other numbers.
+/// Maximum number of faults of a candidate. The integer width is significant: the generator draws other numbers for
+/// other widths, so that a seed would give other faults.
 const MAX_FAULTS: i32 = 4;
-/// Chance that a fault strikes parents and not caches.
+/// Probability that a fault affects parents instead of caches.
 const PARENT_PROBABILITY: f64 = 0.2;
-/// Shares up to this are not halved any more.
+/// Shares up to this value are not reduced further.
 const MIN_SHARE: f64 = 0.15;
-/// Durations up to this, in seconds, are not halved any more.
+/// Durations up to this value, in seconds, are not reduced further.
 const MIN_DURATION_S: f64 = 0.5;
 
-/// What is searched for.
+/// What the search looks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Goal {
     /// The lowest service.
     LowestService,
-    /// A violation of a rule.
+    /// Violations of rules.
     Violations,
-    /// Hosts that crash by overload during their warm-up.
+    /// Host crashes by overload during warm-up.
     ColdCrashes,
 }
 
 impl Goal {
-    /// The goals with their names on the command line.
+    /// Goals by their names on the command line.
     pub const NAMES: [(&'static str, Self); 3] = [
         ("worst", Self::LowestService),
         ("rules", Self::Violations),
         ("fallen", Self::ColdCrashes),
     ];
 
-    /// How well a run shows the goal; 0: not at all.
+    /// Returns how strongly a run shows the goal; 0 means not at all.
     fn score(self, figures: &Figures) -> f64 {
         match self {
             Self::LowestService => 1.0 - figures.service,
@@ -53,8 +54,8 @@
         }
     }
 
-    /// Whether a reduced run still shows what the found one did.
-    fn is_still_shown(self, found: &Figures, reduced: &Figures) -> bool {
+    /// Whether a reduced run still shows the goal of the original finding.
+    fn is_preserved(self, found: &Figures, reduced: &Figures) -> bool {
         match self {
             Self::LowestService => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
             Self::Violations => reduced.violations > 0,
@@ -68,35 +69,35 @@
 pub struct DrawnFault {
     /// Kind of the fault.
     pub kind: FaultKind,
-    /// When it begins, in seconds since the start of the run.
+    /// Start of the fault, in seconds since the start of the run.
     pub at_s: f64,
-    /// How long it lasts, in seconds.
+    /// Duration of the fault, in seconds.
     pub duration_s: f64,
-    /// How long a process that it ends stays down, in seconds.
+    /// Downtime of a process that the fault ends, in seconds.
     pub downtime_s: f64,
-    /// Share of the hosts that it affects.
+    /// Share of the hosts that the fault affects.
     pub share: f64,
-    /// Severity, in the unit of its kind.
+    /// Severity, in the unit of the fault's kind.
     pub severity: f64,
-    /// Role of the hosts that it affects.
+    /// Role of the hosts that the fault affects.
     pub role: &'static str,
 }
 
-/// A found run, reduced.
+/// A run that shows the goal, after its reduction.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
+pub struct Finding {
     /// Seed of the run.
     pub seed: u64,
-    /// The faults that are left.
+    /// Faults that the reduction left.
     pub faults: Vec<DrawnFault>,
     /// Figures of the reduced run.
     pub figures: Figures,
-    /// Number of runs that the search and the reduction took.
+    /// Number of runs made by the search and the reduction.
     pub runs: usize,
 }
 
-/// The kinds of fault that a run in virtual time can have.
-fn possible_kinds() -> Vec<FaultKind> {
+/// Returns the kinds of fault that a run in virtual time supports.
+fn supported_kinds() -> Vec<FaultKind> {
     FaultKind::NAMES
         .iter()
         .map(|(_, kind)| *kind)
@@ -106,14 +107,14 @@
 
 fn draw_faults(seed: u64, run_duration_s: f64) -> Vec<DrawnFault> {
     let mut rng = StdRng::seed_from_u64(seed);
-    let kinds = possible_kinds();
+    let kinds = supported_kinds();
     let count = rng.gen_range(1..=MAX_FAULTS);
     (0..count)
         .map(|_| draw_fault(&mut rng, &kinds, run_duration_s))
         .collect()
 }
 
-/// Draws a fault. The order of the draws decides what a seed gives.
+/// Draws a fault. The order of the draws is significant: it determines which fault a seed gives.
 fn draw_fault(rng: &mut StdRng, kinds: &[FaultKind], run_duration_s: f64) -> DrawnFault {
     let kind = kinds[rng.gen_range(0..kinds.len())];
     let at_s = rng.gen_range(0.15..0.7) * run_duration_s;
@@ -145,7 +146,7 @@
     }
 }
 
-/// The base scenario with these faults in place of its own.
+/// Returns the text of the base scenario with its faults replaced by these.
 pub fn scenario_text(base: &str, faults: &[DrawnFault]) -> String {
     let mut text = String::new();
     let mut in_fault = false;
@@ -180,8 +181,8 @@
     );
 }
 
-/// A search in progress.
-struct Hunt<'a> {
+/// The parameters of a search.
+struct FaultSearch<'a> {
     source: &'a Source<'a>,
     overrides: &'a [SettingOverride],
     goal: Goal,
@@ -194,36 +195,36 @@
     figures: Figures,
 }
 
-/// Runs `candidates` mixes of faults from the seed `first_seed` on, and reduces the best find; none if no candidate
-/// shows the goal.
+/// Runs `candidates` combinations of faults, with seeds from `first_seed` on, and reduces the best one. Returns none if
+/// no candidate shows the goal.
 pub fn hunt(
     source: &Source,
     overrides: &[SettingOverride],
     goal: Goal,
     first_seed: u64,
     candidates: usize,
-) -> Result<Option<Found>, ReportError> {
-    let hunt = Hunt {
+) -> Result<Option<Finding>, ReportError> {
+    let search = FaultSearch {
         source,
         overrides,
         goal,
     };
-    let best = hunt.best_candidate(first_seed, candidates)?;
+    let best = search.best_candidate(first_seed, candidates)?;
     match best.filter(|best| goal.score(&best.figures) > 0.0) {
-        Some(best) => Ok(Some(hunt.reduce(best, candidates)?)),
+        Some(best) => Ok(Some(search.reduce(best, candidates)?)),
         None => Ok(None),
     }
 }
 
-impl Hunt<'_> {
+impl FaultSearch<'_> {
     fn run(&self, seed: u64, faults: &[DrawnFault]) -> Result<Figures, ReportError> {
         let text = scenario_text(self.source.text, faults);
         let scenario = parse_with(self.source.name, &text, Some(seed), self.overrides)?;
-        let (run, _) = Run::play(&scenario, self.overrides)?;
+        let (run, _) = Run::simulate(&scenario, self.overrides)?;
         Ok(Figures::of(&run))
     }
 
-    /// The first of the best candidates: the same whatever the number of threads.
+    /// Returns the first of the best candidates. The result does not depend on the number of threads.
     fn best_candidate(
         &self,
         first_seed: u64,
@@ -250,9 +251,9 @@
             .max_by(|a, b| score(a).total_cmp(&score(b))))
     }
 
-    /// Takes the first step that keeps the finding, until none does.
-    fn reduce(&self, candidate: Candidate, runs: usize) -> Result<Found, ReportError> {
-        let mut found = Found {
+    /// Applies reduction steps until none preserves the goal.
+    fn reduce(&self, candidate: Candidate, runs: usize) -> Result<Finding, ReportError> {
+        let mut found = Finding {
             seed: candidate.seed,
             faults: candidate.faults,
             figures: candidate.figures,
@@ -262,12 +263,12 @@
         Ok(found)
     }
 
-    /// Takes one step; false where none keeps the finding.
-    fn reduce_once(&self, found: &mut Found, original: &Figures) -> Result<bool, ReportError> {
+    /// Applies the first reduction step that preserves the goal; returns false if there is none.
+    fn reduce_once(&self, found: &mut Finding, original: &Figures) -> Result<bool, ReportError> {
         for reduced in reductions(&found.faults) {
             found.runs += 1;
             let figures = self.run(found.seed, &reduced)?;
-            if self.goal.is_still_shown(original, &figures) {
+            if self.goal.is_preserved(original, &figures) {
                 found.faults = reduced;
                 found.figures = figures;
                 return Ok(true);
@@ -277,7 +278,7 @@
     }
 }
 
-/// The faults with one step of reduction, the largest steps first.
+/// Returns the faults after each possible reduction step; removals come before halvings.
 fn reductions(faults: &[DrawnFault]) -> Vec<Vec<DrawnFault>> {
     let mut reductions = Vec::new();
     for n in 0..faults.len() {
--- a/crates/report/src/lib.rs
+++ b/crates/report/src/lib.rs
@@ -1,8 +1,8 @@
-//! Runs kept, compared, searched and shown.
+//! Saves, compares, searches and displays runs.
 //!
-//! A run is a scenario, a seed and overrides of single settings; in virtual time these alone decide every byte of a
-//! [`record::Run`], whatever the machine and the number of threads. So what is kept of a run is small, and what
-//! happened to one of its requests is found by running it again.
+//! A run is defined by a scenario, a seed and overrides of single settings. In virtual time these alone determine every
+//! byte of a [`record::Run`], regardless of the machine and the number of threads. The record of a run is therefore
+//! small: the history of a single request is obtained by repeating the run.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/report/src/outcome_tally.rs
+++ b/crates/report/src/outcome_tally.rs
@@ -1,19 +1,19 @@
-//! Counts of requests by how they ended.
+//! Numbers of requests by outcome.
 use pointspindle_audit::trace::ClientOutcome;
 use serde::{Deserialize, Serialize};
 
-/// How requests ended for their clients. Cancelled ones are not counted.
+/// Number of requests by outcome, as their clients saw it. Cancelled requests are not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeTally {
-    /// Served, stale responses included.
+    /// Number of requests served, stale responses included.
     pub served: u64,
-    /// Served with a stale response.
+    /// Number of requests served with a stale response.
     #[serde(rename = "old")]
     pub stale: u64,
-    /// Rejected.
+    /// Number of requests rejected.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed otherwise.
+    /// Number of requests that failed in any other way.
     pub failed: u64,
 }
 
--- a/crates/report/src/plots/heat_map.rs
+++ b/crates/report/src/plots/heat_map.rs
@@ -1,30 +1,30 @@
-//! The load of hosts as a heat map: hosts as rows, seconds as columns.
+//! A heat map of the load of hosts, with hosts as rows and seconds as columns.
 use super::{chart, draw_svg, plot_error, Chart};
 use crate::record::HostTimeline;
 use crate::ReportError;
 use plotters::prelude::*;
 
-/// With more hosts than this the rows are narrow.
+/// Number of hosts above which the rows are narrow.
 const MAX_WIDE_ROWS: usize = 60;
 const WIDE_ROW_PX: u32 = 12;
 const NARROW_ROW_PX: u32 = 5;
-/// Height of the axis and the margins.
+/// Total height of the axis and the margins.
 const FRAME_PX: u32 = 50;
-/// Height of a cell within its row.
+/// Height of a cell, relative to the height of its row.
 const CELL_HEIGHT: f64 = 0.95;
-/// Width of the mark of a crash or a start, in seconds.
+/// Width of the mark of a crash or start, in seconds.
 const MARK_WIDTH_S: f64 = 0.25;
-/// Load at the dark end of the colour scale, relative to what the link carries.
+/// Load at the dark end of the colour scale, relative to the capacity of the host's link.
 const MAX_LOAD: f32 = 1.5;
 
-/// Colour of a load: pale for 0, red from [`MAX_LOAD`] on.
+/// Returns the colour of a load, from pale for 0 to red for [`MAX_LOAD`] and more.
 fn load_colour(load: f32) -> RGBColor {
     let x = (load / MAX_LOAD).clamp(0.0, 1.0);
     let mix = |pale: f32, dark: f32| (pale + (dark - pale) * x) as u8;
     RGBColor(mix(245.0, 170.0), mix(245.0, 30.0), mix(240.0, 20.0))
 }
 
-/// Draws the load of hosts; a black mark where a process crashed, a blue one where it started.
+/// Draws the load of hosts, with a black mark where a process crashed and a blue one where it started.
 pub(crate) fn heat_map(hosts: &[HostTimeline], duration_s: f64) -> Result<String, ReportError> {
     let row_px = if hosts.len() > MAX_WIDE_ROWS {
         NARROW_ROW_PX
@@ -48,7 +48,7 @@
     })
 }
 
-/// The lower edge of a host's row; the first host is at the top.
+/// Returns the lower edge of a host's row; the first host is at the top.
 fn row_bottom(hosts: &[HostTimeline], n: usize) -> f64 {
     hosts.len() as f64 - n as f64 - 1.0
 }
--- a/crates/report/src/plots/mod.rs
+++ b/crates/report/src/plots/mod.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG text, to be part of a page.
+//! Plots as SVG text, for embedding in a page.
 mod heat_map;
 mod scatter;
 mod time_series;
@@ -12,16 +12,16 @@
 
 pub(crate) use heat_map::heat_map;
 pub(crate) use scatter::{against_idle_connections, sweep_rows};
-pub(crate) use time_series::{latencies, outcomes, value, value_of_two};
+pub(crate) use time_series::{latencies, outcomes, value, value_comparison};
 
 const WIDTH_PX: u32 = 1000;
-/// Height of every plot but the heat map.
+/// Height of every plot except the heat map.
 const HEIGHT_PX: u32 = 260;
 
-const REQUESTED_COLOUR: RGBColor = RGBColor(190, 190, 190);
-const EARNED_COLOUR: RGBColor = RGBColor(40, 110, 60);
-const OTHER_COLOUR: RGBColor = RGBColor(180, 70, 30);
-const WORST_COLOUR: RGBColor = RGBColor(220, 190, 60);
+const NEUTRAL_COLOUR: RGBColor = RGBColor(190, 190, 190);
+const PRIMARY_COLOUR: RGBColor = RGBColor(40, 110, 60);
+const CONTRAST_COLOUR: RGBColor = RGBColor(180, 70, 30);
+const HIGHLIGHT_COLOUR: RGBColor = RGBColor(220, 190, 60);
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
 type Chart<'a, 'b> = ChartContext<'a, SVGBackend<'b>, Cartesian2d<RangedCoordf64, RangedCoordf64>>;
@@ -30,7 +30,7 @@
     ReportError::Plot(error.to_string())
 }
 
-/// Draws on a white area of this height; returns the SVG text.
+/// Draws on a white area of this height and returns the SVG text.
 fn draw_svg(
     height_px: u32,
     draw: impl FnOnce(&Area) -> Result<(), ReportError>,
@@ -46,7 +46,7 @@
     Ok(svg)
 }
 
-/// Axes with room for their labels: the same in every plot.
+/// Creates the axes, with the same margins and label areas in every plot.
 fn chart<'a, 'b>(
     area: &Area<'b>,
     x: Range<f64>,
@@ -60,8 +60,8 @@
     builder.build_cartesian_2d(x, y).map_err(plot_error)
 }
 
-/// The mark of a line in the legend.
-fn legend_mark(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
+/// Returns the symbol of a line in the legend.
+fn legend_symbol(colour: RGBColor) -> impl Fn((i32, i32)) -> PathElement<(i32, i32)> {
     move |(x, y)| PathElement::new([(x, y), (x + 14, y)], colour.stroke_width(2))
 }
 
@@ -69,7 +69,7 @@
     chart
         .configure_series_labels()
         .background_style(WHITE.mix(0.8))
-        .border_style(REQUESTED_COLOUR)
+        .border_style(NEUTRAL_COLOUR)
         .draw()
         .map_err(plot_error)
 }
--- a/crates/report/src/plots/scatter.rs
+++ b/crates/report/src/plots/scatter.rs
@@ -1,14 +1,14 @@
-//! Plots of figures that are not over time.
+//! Plots of figures against rows of a sweep or against idle connections.
 use super::{
-    chart, draw_legend, draw_svg, legend_mark, plot_error, EARNED_COLOUR, HEIGHT_PX, OTHER_COLOUR,
-    REQUESTED_COLOUR,
+    chart, draw_legend, draw_svg, legend_symbol, plot_error, CONTRAST_COLOUR, HEIGHT_PX,
+    NEUTRAL_COLOUR, PRIMARY_COLOUR,
 };
 use crate::sweep::SweepRow;
 use crate::ReportError;
 use plotters::prelude::*;
 use pointspindle_testbed::idle::IdleStep;
 
-/// Mean service of each row of a sweep, with the range of its runs.
+/// Plots the mean service of each row of a sweep, with the range over its runs.
 pub(crate) fn sweep_rows(rows: &[SweepRow]) -> Result<String, ReportError> {
     draw_svg(HEIGHT_PX, |area| {
         let lowest = rows.iter().map(|row| row.min_service).fold(1.0, f64::min) - 0.02;
@@ -17,7 +17,7 @@
             .configure_mesh()
             .light_line_style(WHITE)
             .x_labels(1)
-            .x_desc("ways, in the table's order")
+            .x_desc("rows of the table, in order")
             .y_desc("service")
             .draw()
             .map_err(plot_error)?;
@@ -25,20 +25,20 @@
         let ranges = rows.iter().enumerate().map(|(n, row)| {
             PathElement::new(
                 [(centre(n), row.min_service), (centre(n), row.max_service)],
-                REQUESTED_COLOUR.stroke_width(6),
+                NEUTRAL_COLOUR.stroke_width(6),
             )
         });
         chart.draw_series(ranges).map_err(plot_error)?;
         let means = rows
             .iter()
             .enumerate()
-            .map(|(n, row)| Circle::new((centre(n), row.service), 5, EARNED_COLOUR.filled()));
+            .map(|(n, row)| Circle::new((centre(n), row.service), 5, PRIMARY_COLOUR.filled()));
         chart.draw_series(means).map_err(plot_error)?;
         Ok(())
     })
 }
 
-/// A figure against the number of idle connections, a line for each protocol.
+/// Plots a figure against the number of idle connections, with a line for each protocol.
 pub(crate) fn against_idle_connections(
     series: &[Vec<IdleStep>],
     unit: &str,
@@ -56,7 +56,7 @@
             .y_desc(unit)
             .draw()
             .map_err(plot_error)?;
-        let colours = [EARNED_COLOUR, OTHER_COLOUR].into_iter().cycle();
+        let colours = [PRIMARY_COLOUR, CONTRAST_COLOUR].into_iter().cycle();
         for (steps, colour) in series.iter().zip(colours) {
             let Some(first) = steps.first() else { continue };
             let points: Vec<(f64, f64)> = steps
@@ -68,7 +68,7 @@
                 .draw_series(line)
                 .map_err(plot_error)?
                 .label(first.protocol.clone())
-                .legend(legend_mark(colour));
+                .legend(legend_symbol(colour));
         }
         draw_legend(&mut chart)
     })
--- a/crates/report/src/plots/time_series.rs
+++ b/crates/report/src/plots/time_series.rs
@@ -1,7 +1,7 @@
-//! Lines over the seconds of a run.
+//! Plots of values over the seconds of a run.
 use super::{
-    chart, draw_legend, draw_svg, legend_mark, plot_error, Chart, EARNED_COLOUR, HEIGHT_PX,
-    OTHER_COLOUR, REQUESTED_COLOUR, WORST_COLOUR,
+    chart, draw_legend, draw_svg, legend_symbol, plot_error, Chart, CONTRAST_COLOUR, HEIGHT_PX,
+    HIGHLIGHT_COLOUR, NEUTRAL_COLOUR, PRIMARY_COLOUR,
 };
 use crate::record::{FaultBand, Run, SecondTally};
 use crate::ReportError;
@@ -9,11 +9,11 @@
 use pointspindle_audit::service::ValueSum;
 
 const FAULT_COLOUR: RGBColor = RGBColor(90, 90, 160);
-/// The band of a fault is drawn at least this wide, in seconds.
+/// Minimum width of the band of a fault, in seconds.
 const MIN_BAND_S: f64 = 0.3;
-/// Length of the marked worst period, in seconds.
+/// Length of the highlighted worst period, in seconds.
 const WORST_PERIOD_S: f64 = 10.0;
-/// Free space above the highest line, relative to it.
+/// Top of the value axis, relative to the highest value.
 const HEADROOM: f64 = 1.05;
 
 /// A line with a value for each second.
@@ -23,7 +23,7 @@
     values: Vec<f64>,
 }
 
-/// A period that is marked, in seconds since the start of the run.
+/// A highlighted period, in seconds since the start of the run.
 #[derive(Clone, Copy)]
 struct Period {
     from_s: f64,
@@ -39,7 +39,7 @@
 }
 
 impl TimeSeriesPlot<'_> {
-    /// Draws the lines, faults as bands behind them, the worst period marked.
+    /// Draws the lines, with faults as bands behind them and the worst period highlighted.
     fn draw(&self) -> Result<String, ReportError> {
         draw_svg(HEIGHT_PX, |area| {
             let top = self.highest_value() * HEADROOM;
@@ -83,7 +83,7 @@
         if let Some(worst) = self.worst {
             let mark = Rectangle::new(
                 [(worst.from_s, 0.0), (worst.to_s, top)],
-                WORST_COLOUR.mix(0.25).filled(),
+                HIGHLIGHT_COLOUR.mix(0.25).filled(),
             );
             chart.draw_series([mark]).map_err(plot_error)?;
         }
@@ -101,7 +101,7 @@
         .draw_series(LineSeries::new(points, line.colour.stroke_width(2)))
         .map_err(plot_error)?
         .label(line.name)
-        .legend(legend_mark(line.colour));
+        .legend(legend_symbol(line.colour));
     Ok(())
 }
 
@@ -113,30 +113,30 @@
     }
 }
 
-fn values(run: &Run, value: fn(&ValueSum) -> f64) -> Vec<f64> {
+fn value_series(run: &Run, value: fn(&ValueSum) -> f64) -> Vec<f64> {
     run.service.by_second.iter().map(value).collect()
 }
 
-fn tallies(run: &Run, value: fn(&SecondTally) -> f64) -> Vec<f64> {
+fn tally_series(run: &Run, value: fn(&SecondTally) -> f64) -> Vec<f64> {
     run.by_second.iter().map(value).collect()
 }
 
-/// Value requested and earned, by second.
+/// Plots the value requested and the value earned by second.
 pub(crate) fn value(run: &Run) -> Result<String, ReportError> {
     let lines = vec![
         Line {
-            name: "asked for",
-            colour: REQUESTED_COLOUR,
-            values: values(run, |second| second.requested),
+            name: "requested",
+            colour: NEUTRAL_COLOUR,
+            values: value_series(run, |second| second.requested),
         },
         Line {
-            name: "answered in time",
-            colour: EARNED_COLOUR,
-            values: values(run, |second| second.earned),
+            name: "served in time",
+            colour: PRIMARY_COLOUR,
+            values: value_series(run, |second| second.earned),
         },
     ];
     let plot = TimeSeriesPlot {
-        unit: "worth a second",
+        unit: "value per second",
         lines,
         faults: &run.faults,
         worst: Some(worst_period(run)),
@@ -145,27 +145,27 @@
     plot.draw()
 }
 
-/// How requests ended, by second.
+/// Plots the outcomes of requests by second.
 pub(crate) fn outcomes(run: &Run) -> Result<String, ReportError> {
     let lines = vec![
         Line {
             name: "served",
-            colour: EARNED_COLOUR,
-            values: tallies(run, |second| second.outcomes.served as f64),
+            colour: PRIMARY_COLOUR,
+            values: tally_series(run, |second| second.outcomes.served as f64),
         },
         Line {
-            name: "refused",
-            colour: WORST_COLOUR,
-            values: tallies(run, |second| second.outcomes.rejected as f64),
+            name: "rejected",
+            colour: HIGHLIGHT_COLOUR,
+            values: tally_series(run, |second| second.outcomes.rejected as f64),
         },
         Line {
             name: "failed",
-            colour: OTHER_COLOUR,
-            values: tallies(run, |second| second.outcomes.failed as f64),
+            colour: CONTRAST_COLOUR,
+            values: tally_series(run, |second| second.outcomes.failed as f64),
         },
     ];
     let plot = TimeSeriesPlot {
-        unit: "tries a second",
+        unit: "requests per second",
         lines,
         faults: &run.faults,
         worst: None,
@@ -174,22 +174,22 @@
     plot.draw()
 }
 
-/// Latency of the requests that were served, by second.
+/// Plots the latency of served requests by second.
 pub(crate) fn latencies(run: &Run) -> Result<String, ReportError> {
     let lines = vec![
         Line {
             name: "p99",
-            colour: OTHER_COLOUR,
-            values: tallies(run, |second| second.p99_ms),
+            colour: CONTRAST_COLOUR,
+            values: tally_series(run, |second| second.p99_ms),
         },
         Line {
             name: "p50",
-            colour: EARNED_COLOUR,
-            values: tallies(run, |second| second.p50_ms),
+            colour: PRIMARY_COLOUR,
+            values: tally_series(run, |second| second.p50_ms),
         },
     ];
     let plot = TimeSeriesPlot {
-        unit: "ms to the answer",
+        unit: "latency, ms",
         lines,
         faults: &run.faults,
         worst: None,
@@ -198,27 +198,27 @@
     plot.draw()
 }
 
-/// Value earned in two runs of one scenario.
-pub(crate) fn value_of_two(a: &Run, b: &Run) -> Result<String, ReportError> {
+/// Plots the value earned by second in two runs of one scenario.
+pub(crate) fn value_comparison(a: &Run, b: &Run) -> Result<String, ReportError> {
     let lines = vec![
         Line {
-            name: "asked for",
-            colour: REQUESTED_COLOUR,
-            values: values(a, |second| second.requested),
+            name: "requested",
+            colour: NEUTRAL_COLOUR,
+            values: value_series(a, |second| second.requested),
         },
         Line {
-            name: "A, in time",
-            colour: OTHER_COLOUR,
-            values: values(a, |second| second.earned),
+            name: "A, served in time",
+            colour: CONTRAST_COLOUR,
+            values: value_series(a, |second| second.earned),
         },
         Line {
-            name: "B, in time",
-            colour: EARNED_COLOUR,
-            values: values(b, |second| second.earned),
+            name: "B, served in time",
+            colour: PRIMARY_COLOUR,
+            values: value_series(b, |second| second.earned),
         },
     ];
     let plot = TimeSeriesPlot {
-        unit: "worth a second",
+        unit: "value per second",
         lines,
         faults: &a.faults,
         worst: None,
--- a/crates/report/src/record/host_load.rs
+++ b/crates/report/src/record/host_load.rs
@@ -1,4 +1,4 @@
-//! The load of each host by second.
+//! Measures the load of each host by second.
 use pointspindle_audit::class_work::ClassWork;
 use pointspindle_audit::trace::{TraceEntry, TraceEvent};
 use pointspindle_scenario::Scenario;
@@ -10,21 +10,21 @@
 pub struct HostTimeline {
     /// Address of the host.
     pub address: String,
-    /// Name of its role.
+    /// Name of the host's role.
     pub role: String,
-    /// Name of its zone.
+    /// Name of the host's zone.
     pub zone: String,
-    /// By second: work that arrived, relative to what the host's link carries.
+    /// Work that arrived in each second, relative to the capacity of the host's link.
     pub load: Vec<f32>,
-    /// When its process crashed.
+    /// Times at which the host's process crashed.
     #[serde(rename = "fell")]
     pub crashed: Vec<f64>,
-    /// When its process started again.
+    /// Times at which the host's process was restarted.
     pub started: Vec<f64>,
 }
 
 impl HostTimeline {
-    /// Whether the host restarted within this many seconds before `second`.
+    /// Whether the host restarted less than `within_s` seconds before `second`.
     pub(super) fn restarted_within(&self, second: f64, within_s: f64) -> bool {
         self.started
             .iter()
@@ -32,7 +32,7 @@
     }
 }
 
-/// Where a host stands in the list of timelines.
+/// Index of a host in the list of timelines, with the host's weight.
 #[derive(Clone, Copy)]
 struct HostIndex {
     index: usize,
@@ -47,6 +47,7 @@
     hosts: Vec<HostTimeline>,
 }
 
+/// Returns the timeline of each host, in the order of their declaration.
 pub(super) fn measure(scenario: &Scenario, trace: &[TraceEntry]) -> Vec<HostTimeline> {
     let mut measurement = LoadMeasurement {
         zone_names: scenario.zones(),
@@ -56,13 +57,13 @@
         hosts: Vec::new(),
     };
     for entry in trace {
-        measurement.event(entry.at as f64 / 1e6, &entry.event);
+        measurement.observe(entry.at as f64 / 1e6, &entry.event);
     }
     measurement.hosts
 }
 
 impl<'a> LoadMeasurement<'a> {
-    fn event(&mut self, at_s: f64, event: &'a TraceEvent) {
+    fn observe(&mut self, at_s: f64, event: &'a TraceEvent) {
         match event {
             TraceEvent::HostDeclared {
                 host,
--- a/crates/report/src/record/mod.rs
+++ b/crates/report/src/record/mod.rs
@@ -1,5 +1,5 @@
-//! What is kept of a run: figures, time series by second, and the faults of its script. It holds no times of the
-//! machine, so that the same seed gives the same bytes.
+//! The record of a run: figures, time series by second, and the faults of the run's script. It contains no wall-clock
+//! times, so that the same seed gives the same bytes.
 mod host_load;
 mod tallies;
 
@@ -19,19 +19,19 @@
 /// Version of the format of a run's file.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// For this long after a restart, in seconds, the retries of its broken requests are a load on other hosts.
+/// Time after a restart, in seconds, during which retries of the requests that it broke add load to other hosts.
 const RESTART_LOAD_S: f64 = 5.0;
 
-/// A fault of the script, for bands in plots. Times are in seconds since the start of the run.
+/// A fault of the script, drawn as a band in plots. Times are in seconds since the start of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FaultBand {
     /// Name of the fault in the scenario.
     pub name: String,
     /// Kind of the fault.
     pub kind: String,
-    /// When it begins.
+    /// Start of the fault.
     pub from_s: f64,
-    /// When it ends.
+    /// End of the fault.
     pub to_s: f64,
 }
 
@@ -46,49 +46,49 @@
     }
 }
 
-/// What is kept of a run.
+/// The record of a run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// Version of the format.
+    /// Version of the record's format.
     #[serde(rename = "form")]
     pub format_version: u32,
     /// Name of the scenario.
     pub scenario: String,
-    /// What the scenario says of itself.
+    /// Description of the scenario.
     #[serde(rename = "about")]
     pub description: String,
     /// Seed of the run.
     pub seed: u64,
-    /// Length of the run, in seconds.
+    /// Duration of the run, in seconds.
     #[serde(rename = "seconds")]
     pub duration_s: f64,
-    /// Seconds at the start that do not count for the service.
+    /// Time at the start that does not count for the service, in seconds.
     #[serde(rename = "warm_s")]
     pub warm_up_s: f64,
-    /// Settings that differ from the scenario's.
+    /// Overrides of the scenario's settings.
     #[serde(rename = "sets")]
     pub overrides: Vec<SettingOverride>,
-    /// Whether it was run in virtual time, or on sockets.
+    /// Whether the run was made in virtual time; otherwise it was made on sockets.
     pub in_virtual_time: bool,
-    /// The service that clients got.
+    /// Service that clients received.
     pub service: Service,
-    /// The verdict on each rule.
+    /// Verdict on each rule.
     pub rules: Vec<RuleVerdict>,
-    /// Hosts that crashed by overload during their warm-up.
+    /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
     pub cold_crashes: usize,
-    /// The faults of the script.
+    /// Faults of the script.
     #[serde(rename = "bands")]
     pub faults: Vec<FaultBand>,
-    /// How requests ended, by the second in which they were sent.
+    /// Outcomes of requests, by the second in which the requests were sent.
     pub by_second: Vec<SecondTally>,
-    /// The load of each host.
+    /// Load, crashes and starts of each host.
     pub hosts: Vec<HostTimeline>,
 }
 
 impl Run {
-    /// Runs a scenario in virtual time and keeps its figures.
-    pub fn play(
+    /// Runs a scenario in virtual time and records it. Returns the simulator's outcome as well.
+    pub fn simulate(
         scenario: &Scenario,
         overrides: &[SettingOverride],
     ) -> Result<(Self, simulator::Outcome), ReportError> {
@@ -104,7 +104,7 @@
         Ok((run, outcome))
     }
 
-    /// The figures of a finished run.
+    /// Returns the record of a finished run.
     pub fn new(
         scenario: &Scenario,
         overrides: &[SettingOverride],
@@ -131,8 +131,8 @@
         }
     }
 
-    /// What restarts put on other hosts: the highest load of a cache and of a parent in any of the 5 s after a restart,
-    /// those left out that have restarted within the last 10 s themselves.
+    /// Returns the load that restarts cause on other hosts: the highest load of a cache and of a parent in any second
+    /// up to 5 s after a restart. Hosts that restarted within the last 10 s themselves are excluded.
     pub fn peak_loads_after_restarts(&self) -> (f64, f64) {
         (
             self.peak_load_after_restarts("cache"),
@@ -158,7 +158,7 @@
             .fold(0.0, f64::max)
     }
 
-    /// Whether a host restarted in this second, or up to [`RESTART_LOAD_S`] before it.
+    /// Whether any host restarted in this second or up to [`RESTART_LOAD_S`] before it.
     fn is_after_restart(&self, second: f64) -> bool {
         self.hosts
             .iter()
@@ -166,13 +166,14 @@
             .any(|at| second + 1.0 > *at && second < at + RESTART_LOAD_S)
     }
 
-    /// Number of violations of all rules.
+    /// Returns the number of violations of all rules.
     pub fn violations(&self) -> usize {
         self.rules.iter().map(|rule| rule.violations.len()).sum()
     }
 }
 
-/// How long a fault lasts: some kinds have no duration of their own, others end with the last restart.
+/// Returns how long a fault lasts. A purge takes no time and a hub restart lasts for its downtime. Faults that stop or
+/// pause processes up to the end of their duration last until the last of these processes runs again.
 fn fault_duration(fault: &FaultSpec) -> Micros {
     match fault.kind {
         FaultKind::Purge => 0,
--- a/crates/report/src/record/tallies.rs
+++ b/crates/report/src/record/tallies.rs
@@ -1,4 +1,4 @@
-//! How requests ended, by second.
+//! Measures the outcomes and latencies of requests by second.
 use crate::outcome_tally::OutcomeTally;
 use pointspindle::Micros;
 use pointspindle_audit::latency::LatencyHistogram;
@@ -7,19 +7,19 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// How the requests that were sent in a second ended, and the latency of those that were served.
+/// Outcomes of the requests that were sent in one second, and the latency of those that were served.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct SecondTally {
-    /// How they ended.
+    /// Number of requests by outcome.
     #[serde(flatten)]
     pub outcomes: OutcomeTally,
-    /// Median latency, in milliseconds.
+    /// Median latency of served requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile of the latency, in milliseconds.
+    /// 99th percentile of the latency of served requests, in milliseconds.
     pub p99_ms: f64,
 }
 
-/// A second while requests are added to it.
+/// Accumulates the requests of one second.
 #[derive(Clone, Default)]
 struct SecondMeasurement {
     outcomes: OutcomeTally,
@@ -43,7 +43,8 @@
     }
 }
 
-/// Counts requests by the second in which they were sent: a late response belongs to its cause.
+/// Counts requests by the second in which they were sent, so that a late response counts towards the second that caused
+/// the delay.
 pub(super) fn measure(scenario: &Scenario, trace: &[TraceEntry]) -> Vec<SecondTally> {
     let count = scenario.duration_s.ceil() as usize;
     let mut seconds = vec![SecondMeasurement::default(); count];
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -1,5 +1,5 @@
-//! Many runs at once: seeds, and values of one or two settings. They run in parallel over the cores; results that are
-//! saved already are read, so that a sweep that was stopped continues where it was.
+//! Sweeps: many runs that differ in their seed and in the values of one or two settings. The runs are spread over a
+//! thread pool. Saved results are read instead of being computed again, so that an interrupted sweep resumes.
 use crate::compare::Figures;
 use crate::folder::write;
 use crate::record::{Run, FORMAT_VERSION};
@@ -12,32 +12,32 @@
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
 
-/// A setting and the values that it takes.
+/// A setting and the values that it takes in a sweep.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct VariedSetting {
-    /// Section of the scenario.
+    /// Section of the scenario that holds the setting.
     pub section: String,
     /// Key of the setting.
     pub key: String,
-    /// Its values, in order.
+    /// Values of the setting, in order.
     pub values: Vec<String>,
 }
 
-/// Why a text names no setting with values.
+/// An error while parsing a [`VariedSetting`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum VariedSettingError {
-    /// It has not the form `section.key=values`.
+    /// The text does not have the form `section.key=values`.
     #[error("{0}")]
     Override(String),
     /// One of the values is empty.
-    #[error("{0:?}: an empty value")]
+    #[error("empty value in {0:?}, expected section.key=a,b,c")]
     EmptyValue(String),
 }
 
 impl FromStr for VariedSetting {
     type Err = VariedSettingError;
 
-    /// Reads `section.key=a,b,c`.
+    /// Parses `section.key=a,b,c`.
     fn from_str(text: &str) -> Result<Self, VariedSettingError> {
         let setting: SettingOverride = text.parse().map_err(VariedSettingError::Override)?;
         let values: Vec<String> = setting
@@ -71,7 +71,7 @@
 pub struct Cell {
     /// Seed of the run.
     pub seed: u64,
-    /// Settings that differ from the scenario's.
+    /// Overrides of the scenario's settings.
     #[serde(rename = "sets")]
     pub overrides: Vec<SettingOverride>,
 }
@@ -81,14 +81,18 @@
 pub struct CellResult {
     /// The cell.
     pub cell: Cell,
-    /// The figures of its run.
+    /// Figures of the cell's run.
     pub figures: Figures,
 }
 
-/// Every combination of values with every seed, in order; the seeds vary fastest.
-pub fn cells(seeds: &[u64], overrides: &[SettingOverride], vary: &[VariedSetting]) -> Vec<Cell> {
+/// Returns a cell for every combination of values and every seed, in order; the seed varies fastest.
+pub fn cells(
+    seeds: &[u64],
+    overrides: &[SettingOverride],
+    varied_settings: &[VariedSetting],
+) -> Vec<Cell> {
     let mut combinations = vec![overrides.to_vec()];
-    for setting in vary {
+    for setting in varied_settings {
         combinations = combinations
             .iter()
             .flat_map(|combination| {
@@ -109,25 +113,25 @@
         .collect()
 }
 
-/// A scenario's text with the name that its error messages give.
+/// The text of a scenario, with the name by which error messages refer to it.
 pub struct Source<'a> {
-    /// The name.
+    /// Name of the scenario.
     pub name: &'a str,
-    /// The text.
+    /// Text of the scenario.
     pub text: &'a str,
 }
 
 impl Source<'_> {
     fn run(&self, cell: &Cell) -> Result<Figures, ReportError> {
         let scenario = parse_with(self.name, self.text, Some(cell.seed), &cell.overrides)?;
-        let (run, _) = Run::play(&scenario, &cell.overrides)?;
+        let (run, _) = Run::simulate(&scenario, &cell.overrides)?;
         Ok(Figures::of(&run))
     }
 }
 
-/// The file of a cell's result. Its name is a hash of all that decides the run, so that another text, or another
-/// build's format, gives another file.
-fn result_file(folder: &Path, source: &Source, cell: &Cell) -> PathBuf {
+/// Returns the path of a cell's result file. The file name is a hash of everything that determines the run, so that a
+/// changed scenario text or format version gives a different file.
+fn result_path(folder: &Path, source: &Source, cell: &Cell) -> PathBuf {
     let overrides: String = cell
         .overrides
         .iter()
@@ -141,20 +145,20 @@
     folder.join("days").join(format!("{hash:016x}.json"))
 }
 
-/// Reads a saved result. A file that is not a result of this cell is ignored, and written over later.
+/// Reads a saved result. A file that holds no valid result of this cell is ignored, and overwritten later.
 fn load_result(path: &Path, cell: &Cell) -> Option<CellResult> {
     let bytes = std::fs::read(path).ok()?;
     let result: CellResult = serde_json::from_slice(&bytes).ok()?;
     Some(result).filter(|result| result.cell == *cell)
 }
 
-/// The result of a cell: read from the folder if it is saved there, else run and saved.
+/// Returns the result of a cell: the saved one if there is one, else that of a new run, which is then saved.
 fn run_cell(
     source: &Source,
     cell: &Cell,
     folder: Option<&Path>,
 ) -> Result<CellResult, ReportError> {
-    let path = folder.map(|folder| result_file(folder, source, cell));
+    let path = folder.map(|folder| result_path(folder, source, cell));
     let saved = path.as_ref().and_then(|path| load_result(path, cell));
     if let Some(saved) = saved {
         return Ok(saved);
@@ -164,7 +168,7 @@
         figures: source.run(cell)?,
     };
     if let Some(path) = &path {
-        let json = serde_json::to_vec(&result).expect("a result is plain data");
+        let json = serde_json::to_vec(&result).expect("a cell result serializes to JSON");
         write(path, &json)?;
     }
     Ok(result)
@@ -175,15 +179,15 @@
         return ProgressBar::hidden();
     }
     let bar = ProgressBar::new(length as u64);
-    let template = "{bar:40} {pos}/{len} days, {elapsed} gone, {eta} to go";
+    let template = "{bar:40} {pos}/{len} runs, {elapsed} elapsed, {eta} remaining";
     if let Ok(style) = ProgressStyle::with_template(template) {
         bar.set_style(style);
     }
     bar
 }
 
-/// Runs the cells whose results are not in the folder yet, on `jobs` threads. The results are in the order of the
-/// cells, whichever ran first.
+/// Runs the cells whose results are not yet saved in the folder, on `jobs` threads. The results are in the order of the
+/// cells, regardless of the order of execution.
 pub fn run(
     source: &Source,
     cells: &[Cell],
@@ -195,7 +199,9 @@
     let pool = rayon::ThreadPoolBuilder::new()
         .num_threads(jobs)
         .build()
-        .map_err(|error| ReportError::Run(format!("no threads: {error}")))?;
+        .map_err(|error| {
+            ReportError::Run(format!("cannot start {jobs} worker threads: {error}"))
+        })?;
     let run_one = |cell: &Cell| {
         let result = run_cell(source, cell, folder)?;
         bar.inc(1);
@@ -206,10 +212,10 @@
     results
 }
 
-/// Means over the runs with the same overrides.
+/// Means and totals over the runs with the same overrides.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SweepRow {
-    /// The overrides, as text.
+    /// Overrides of the runs, as text.
     #[serde(rename = "way")]
     pub name: String,
     /// Number of runs.
@@ -217,20 +223,20 @@
     pub runs: usize,
     /// Mean service.
     pub service: f64,
-    /// Lowest service of a run.
+    /// Lowest service of any run.
     #[serde(rename = "least")]
     pub min_service: f64,
-    /// Highest service of a run.
+    /// Highest service of any run.
     #[serde(rename = "most")]
     pub max_service: f64,
     /// Mean service over the worst 10 s.
     pub worst_10s: f64,
     /// Mean of the weighted objective.
     pub goal: f64,
-    /// Hosts that crashed by overload during their warm-up, over all runs.
+    /// Number of host crashes by overload during warm-up, over all runs.
     #[serde(rename = "fallen")]
     pub cold_crashes: usize,
-    /// Number of runs with a violation.
+    /// Number of runs with at least one violation.
     #[serde(rename = "broken")]
     pub runs_with_violations: usize,
 }
@@ -241,7 +247,7 @@
     figures: Vec<Figures>,
 }
 
-/// A row for each combination of overrides, in the order of their first cells.
+/// Returns a row for each combination of overrides, in the order of their first cells.
 pub fn rows(results: &[CellResult]) -> Vec<SweepRow> {
     let mut groups: Vec<RunGroup> = Vec::new();
     for result in results {
@@ -262,13 +268,13 @@
 
 fn overrides_text(overrides: &[SettingOverride]) -> String {
     if overrides.is_empty() {
-        return "as it is".to_owned();
+        return "no overrides".to_owned();
     }
     let texts: Vec<String> = overrides.iter().map(ToString::to_string).collect();
     texts.join(" ")
 }
 
-/// The row of these runs under this name.
+/// Summarizes runs as a row with this name.
 pub fn summarize(name: String, runs: &[Figures]) -> SweepRow {
     let mean =
         |figure: fn(&Figures) -> f64| runs.iter().map(figure).sum::<f64>() / runs.len() as f64;
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -1,4 +1,4 @@
-//! Draws a [`LiveView`] on a terminal.
+//! Draws a [`LiveView`] in a terminal.
 use crate::watch::{HostState, HostView, LiveView, OutcomeTally};
 use ratatui::layout::{Constraint, Layout, Rect};
 use ratatui::style::{Color, Style, Stylize};
@@ -6,10 +6,10 @@
 use ratatui::widgets::{Block, Gauge, Paragraph, Sparkline};
 use ratatui::Frame;
 
-/// Darker is busier, as in the report's heat map.
+/// Symbols for the load of a host, from idle to full. Denser means busier, like darker in the report's heat map.
 const SHADES: [char; 5] = ['·', '░', '▒', '▓', '█'];
 
-/// Draws the whole view; `hint` lists the keys.
+/// Draws the whole view; `hint` is the bottom line, which lists the keys.
 pub fn draw(view: &LiveView, hint: &str, frame: &mut Frame) {
     let [progress, outcomes, hosts, messages, keys] = Layout::vertical([
         Constraint::Length(3),
@@ -29,7 +29,7 @@
 fn draw_progress(view: &LiveView, frame: &mut Frame, area: Rect) {
     let now_s = view.now as f64 / 1e6;
     let label = format!(
-        "{now_s:.1} of {:.0} s, {} tries open, {} of {} dispatchers up, {} hosts fallen",
+        "{now_s:.1} of {:.0} s, {} requests open, {} of {} dispatchers up, {} crashes in warm-up",
         view.duration_s,
         view.open_requests(),
         view.dispatchers - view.dispatchers_down.min(view.dispatchers),
@@ -42,7 +42,7 @@
     frame.render_widget(gauge, area);
 }
 
-/// A count of outcomes by second, with its total.
+/// A row of the outcome panel: the number of requests with an outcome by second, and its total.
 struct OutcomeRow {
     name: &'static str,
     count: fn(&OutcomeTally) -> u64,
@@ -56,12 +56,12 @@
         color: Color::Green,
     },
     OutcomeRow {
-        name: "of old copies",
+        name: "served stale",
         count: |tally| tally.stale,
         color: Color::Yellow,
     },
     OutcomeRow {
-        name: "refused",
+        name: "rejected",
         count: |tally| tally.rejected,
         color: Color::Magenta,
     },
@@ -73,7 +73,7 @@
 ];
 
 fn draw_outcomes(view: &LiveView, frame: &mut Frame, area: Rect) {
-    let block = Block::bordered().title("tries by the second in which they ended");
+    let block = Block::bordered().title("requests by the second in which they ended");
     let inner = block.inner(area);
     frame.render_widget(block, area);
     let areas: [Rect; 4] = Layout::vertical([Constraint::Fill(2); 4]).areas(inner);
@@ -82,7 +82,7 @@
     }
 }
 
-/// The seconds that fit, the newest at the right.
+/// Draws the total and as many of the latest seconds as fit, the newest at the right.
 fn draw_outcome_row(view: &LiveView, row: &OutcomeRow, frame: &mut Frame, area: Rect) {
     let columns = Layout::horizontal([Constraint::Length(24), Constraint::Fill(1)]);
     let [text_area, line_area] = columns.areas(area);
@@ -97,7 +97,7 @@
         .skip(seconds.saturating_sub(line_area.width as usize))
         .map(row.count)
         .collect();
-    // All rows have the same scale: a few failures must not look like many.
+    // All rows have the same scale, so that a few failures do not look like many.
     let most_served = view.tallies.iter().map(|tally| tally.served).max();
     let line = Sparkline::default()
         .data(shown)
@@ -106,7 +106,7 @@
     frame.render_widget(line, line_area);
 }
 
-/// The hosts of a zone and role, a symbol each.
+/// A row of the host panel: the hosts of a zone and role, one symbol each.
 struct HostRow {
     name: String,
     symbols: Vec<Span<'static>>,
@@ -130,7 +130,7 @@
 
 fn draw_hosts(view: &LiveView, frame: &mut Frame, area: Rect) {
     let title =
-        "load of the last second: · idle to █ full, red beyond; C cold, x down, o out by the list";
+        "load in the last second: · idle to █ full, red above; C warming up, x down, o not ready";
     let block = Block::bordered().title(title);
     let rows = host_rows(view);
     let height = block.inner(area).height as usize;
@@ -145,7 +145,7 @@
         .collect();
     if left_out > 0 && !lines.is_empty() {
         lines.pop();
-        lines.push(Line::from(format!("... and {} rows more", left_out + 1)));
+        lines.push(Line::from(format!("... and {} more rows", left_out + 1)));
     }
     frame.render_widget(Paragraph::new(lines).block(block), area);
 }
@@ -156,16 +156,16 @@
     let shade = SHADES[level.min(SHADES.len() - 1)].to_string();
     match host.state {
         HostState::Down => Span::styled("x", Style::new().fg(Color::Red)),
-        HostState::Out => Span::styled("o", Style::new().fg(Color::DarkGray)),
-        HostState::Cold(_) => Span::styled("C", Style::new().fg(Color::Cyan)),
+        HostState::NotReady => Span::styled("o", Style::new().fg(Color::DarkGray)),
+        HostState::WarmingUp(_) => Span::styled("C", Style::new().fg(Color::Cyan)),
         HostState::Up if load > 1.0 => Span::styled(shade, Style::new().fg(Color::Red)),
         HostState::Up => Span::raw(shade),
     }
 }
 
-/// The messages that fit, the newest at the bottom.
+/// Draws as many of the latest messages as fit, the newest at the bottom.
 fn draw_messages(view: &LiveView, frame: &mut Frame, area: Rect) {
-    let block = Block::bordered().title("what happened");
+    let block = Block::bordered().title("messages");
     let height = block.inner(area).height as usize;
     let lines: Vec<Line> = view
         .messages
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -1,7 +1,7 @@
-//! What can be seen of a run while it goes on: it takes event by event and can be shown at any time.
+//! A live view of a run: it consumes the run's events one by one and can be drawn at any time.
 //!
-//! It keeps a tally for each second, the last second's work for each host, and the latest messages. Events may come a
-//! little out of order, as they do from sockets.
+//! The view holds a tally for each second, the work that arrived at each host within the last second, and the latest
+//! messages. Events may arrive slightly out of order, as they do in runs on sockets.
 pub use crate::outcome_tally::OutcomeTally;
 use pointspindle::Micros;
 use pointspindle_audit::class_work::ClassWork;
@@ -10,32 +10,32 @@
 use pointspindle_scenario::Scenario;
 use std::collections::{HashMap, VecDeque};
 
-/// Loads are means over this time, in microseconds.
+/// Window over which the load of a host is averaged, in microseconds.
 const LOAD_WINDOW_US: Micros = 1_000_000;
-/// Number of messages that are kept.
+/// Number of messages after which the oldest is dropped.
 const MAX_MESSAGES: usize = 200;
 
-/// The state of a host as far as it shows.
+/// The displayed state of a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostState {
-    /// Takes requests.
+    /// The host takes requests.
     Up,
-    /// Draining or removed, by the endpoint list.
-    Out,
-    /// Warming up since this time.
-    Cold(Micros),
-    /// Its process is not running.
+    /// The host is draining or removed, according to the endpoint list.
+    NotReady,
+    /// The host has been warming up since this time, in microseconds since the start of the run.
+    WarmingUp(Micros),
+    /// The host's process is not running.
     Down,
 }
 
-/// A host on the screen.
+/// The view of a host.
 #[derive(Clone, Debug)]
 pub struct HostView {
-    /// Name of its role.
+    /// Name of the host's role.
     pub role: &'static str,
-    /// Name of its zone.
+    /// Name of the host's zone.
     pub zone: String,
-    /// Its state.
+    /// State of the host.
     pub state: HostState,
     weight: f64,
     warm_up_duration: Micros,
@@ -50,7 +50,7 @@
 }
 
 impl HostView {
-    /// Work that arrived in the last second, relative to what the host's link carries.
+    /// Returns the work that arrived in the last second, relative to the capacity of the host's link.
     pub fn load(&self) -> f64 {
         let work_s: f64 = self.arrivals.iter().map(|arrival| arrival.work_s).sum();
         work_s / self.weight.max(1e-6) / (LOAD_WINDOW_US as f64 / 1e6)
@@ -63,7 +63,7 @@
             }
             self.arrivals.pop_front();
         }
-        if let HostState::Cold(since) = self.state {
+        if let HostState::WarmingUp(since) = self.state {
             if now >= since + self.warm_up_duration {
                 self.state = HostState::Up;
             }
@@ -71,25 +71,25 @@
     }
 }
 
-/// Something that happened, for people.
+/// A message about an event of the run, for display.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// When it happened, in microseconds since the start of the run.
+    /// Time of the event, in microseconds since the start of the run.
     pub at: Micros,
-    /// What happened.
+    /// Text of the message.
     pub text: String,
 }
 
-/// What a scenario says of its hosts and classes.
+/// Parameters of the scenario that the view needs.
 #[derive(Debug)]
-struct ScenarioFacts {
+struct ScenarioParameters {
     class_work: ClassWork,
     zone_names: Vec<String>,
     cache_warm_up: Micros,
     parent_warm_up: Micros,
 }
 
-impl ScenarioFacts {
+impl ScenarioParameters {
     fn of(scenario: &Scenario) -> Self {
         Self {
             class_work: ClassWork::of(scenario),
@@ -100,34 +100,34 @@
     }
 }
 
-/// A run while it goes on.
+/// The live view of a run.
 #[derive(Debug)]
 pub struct LiveView {
     /// Name, description and seed of the run.
     pub title: String,
-    /// Length of the run, in seconds.
+    /// Duration of the run, in seconds.
     pub duration_s: f64,
-    /// How far the run has come, in microseconds.
+    /// Current time of the run, in microseconds since its start.
     pub now: Micros,
-    /// By the second in which requests ended.
+    /// Number of requests by outcome, for each second in which they ended.
     pub tallies: Vec<OutcomeTally>,
-    /// The hosts, in the order of their declaration.
+    /// Hosts, in the order of their declaration.
     pub hosts: Vec<HostView>,
-    /// The latest messages, the newest last.
+    /// Latest messages, the newest last.
     pub messages: VecDeque<Message>,
     /// Number of dispatchers that are down.
     pub dispatchers_down: usize,
     /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Hosts that crashed by overload during their warm-up.
+    /// Number of host crashes by overload during warm-up.
     pub cold_crashes: usize,
-    facts: ScenarioFacts,
+    parameters: ScenarioParameters,
     index_of_host: HashMap<String, usize>,
     open_requests: HashMap<ClientAttemptId, Micros>,
 }
 
 impl LiveView {
-    /// The run before its first event.
+    /// Creates the view of a run before its first event.
     pub fn new(scenario: &Scenario) -> Self {
         let seconds = scenario.duration_s.ceil() as usize + 1;
         Self {
@@ -143,13 +143,13 @@
             dispatchers_down: 0,
             dispatchers: scenario.dispatcher_count(),
             cold_crashes: 0,
-            facts: ScenarioFacts::of(scenario),
+            parameters: ScenarioParameters::of(scenario),
             index_of_host: HashMap::new(),
             open_requests: HashMap::new(),
         }
     }
 
-    /// Advances the view's clock, in microseconds since the start of the run, whether or not anything happened.
+    /// Advances the view's clock to `now`, in microseconds since the start of the run, independently of events.
     pub fn advance_to(&mut self, now: Micros) {
         self.now = self.now.max(now);
         for host in &mut self.hosts {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Takes an event of the run.
+    /// Updates the view with an event of the run.
     pub fn observe(&mut self, entry: &TraceEntry) {
         let at = entry.at;
         self.now = self.now.max(at);
@@ -176,7 +176,7 @@
             TraceEvent::HostCrashed { host, reason } => self.host_crashed(at, host, reason),
             TraceEvent::HostStarted { host, cold, .. } => {
                 let state = if *cold {
-                    HostState::Cold(at)
+                    HostState::WarmingUp(at)
                 } else {
                     HostState::Up
                 };
@@ -189,11 +189,11 @@
             } => self.hosts_not_ready(not_ready),
             TraceEvent::DispatcherKilled { dispatcher } => {
                 self.dispatchers_down += 1;
-                self.add_message(at, format!("dispatcher {dispatcher} is killed"));
+                self.add_message(at, format!("dispatcher {dispatcher} was killed"));
             }
             TraceEvent::DispatcherStarted { dispatcher } => {
                 self.dispatchers_down = self.dispatchers_down.saturating_sub(1);
-                self.add_message(at, format!("dispatcher {dispatcher} is back"));
+                self.add_message(at, format!("dispatcher {dispatcher} started again"));
             }
             TraceEvent::ScriptNote { text } => self.add_message(at, text.clone()),
             _ => {}
@@ -202,15 +202,20 @@
 
     fn host_declared(&mut self, address: &str, role: Role, zone: usize, weight: f64) {
         let warm_up_duration = if role == Role::Parent {
-            self.facts.parent_warm_up
+            self.parameters.parent_warm_up
         } else {
-            self.facts.cache_warm_up
+            self.parameters.cache_warm_up
         };
         self.index_of_host
             .insert(address.to_owned(), self.hosts.len());
         self.hosts.push(HostView {
             role: role.name(),
-            zone: self.facts.zone_names.get(zone).cloned().unwrap_or_default(),
+            zone: self
+                .parameters
+                .zone_names
+                .get(zone)
+                .cloned()
+                .unwrap_or_default(),
             state: HostState::Up,
             weight,
             warm_up_duration,
@@ -228,17 +233,17 @@
     }
 
     fn attempt_arrived(&mut self, at: Micros, address: &str, class: usize) {
-        let work_s = self.facts.class_work.seconds(class);
+        let work_s = self.parameters.class_work.seconds(class);
         if let Some(host) = self.host(address) {
             host.arrivals.push_back(Arrival { at, work_s });
         }
     }
 
     fn host_crashed(&mut self, at: Micros, address: &str, reason: &str) {
-        // Other crashes are the script's, which has a note for them.
+        // Other crashes are caused by the script, which writes a note of its own.
         if reason.contains("cold") {
             self.cold_crashes += 1;
-            self.add_message(at, format!("{address} fell over: {reason}"));
+            self.add_message(at, format!("{address} crashed: {reason}"));
         }
         self.set_state(address, HostState::Down);
     }
@@ -247,7 +252,7 @@
         for address in addresses {
             if let Some(host) = self.host(address) {
                 if host.state == HostState::Up {
-                    host.state = HostState::Out;
+                    host.state = HostState::NotReady;
                 }
             }
         }
@@ -271,12 +276,12 @@
         }
     }
 
-    /// Number of requests that have not ended.
+    /// Returns the number of requests that have not ended.
     pub fn open_requests(&self) -> usize {
         self.open_requests.len()
     }
 
-    /// OutcomeTally of all requests that have ended so far.
+    /// Returns the number of requests that have ended so far, by outcome.
     pub fn total(&self) -> OutcomeTally {
         let mut total = OutcomeTally::default();
         for tally in &self.tallies {
--- a/crates/report/tests/compare.rs
+++ b/crates/report/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Paired differences and what they say.
+//! Mean and standard error of paired differences, and the verdicts drawn from them.
 use pointspindle_report::compare::{Difference, Figures, Pair, Verdict};
 
 fn pairs(differences: &[f64]) -> Vec<Pair> {
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Saved runs, sweeps that continue, hunts that reduce their findings, and pages that load nothing from outside.
+//! Saving and loading of runs, resumed sweeps, fault searches with reduction, and self-contained report pages.
 use pointspindle_audit::trace::ClientAttemptId;
 use pointspindle_report::record::Run;
 use pointspindle_report::sweep::{cells, rows, run, Source, VariedSetting};
@@ -7,7 +7,7 @@
 
 const SCENARIO: &str = "
 [day]
-about = a small day
+about = a short run of a small fleet
 seconds = 14
 seed = 3
 rate = 40
@@ -37,7 +37,7 @@
 ";
 
 const SOURCE: Source = Source {
-    name: "day.ini",
+    name: "test.ini",
     text: SCENARIO,
 };
 
@@ -46,29 +46,26 @@
 }
 
 #[test]
-fn sweep_on_any_number_of_threads_gives_the_same_table_and_repeats_no_saved_run() {
-    let vary: Vec<VariedSetting> = vec![
+fn sweep_results_do_not_depend_on_thread_count_or_saved_results() {
+    let varied_settings: Vec<VariedSetting> = vec![
         "fleet.hello=no,yes".parse().unwrap(),
         "fleet.caches=2,3".parse().unwrap(),
     ];
-    let cells = cells(&[1, 2, 3], &overrides(&["day.rate=30"]), &vary);
+    let cells = cells(&[1, 2, 3], &overrides(&["day.rate=30"]), &varied_settings);
     assert_eq!(cells.len(), 12);
-    let one = run(&SOURCE, &cells, None, 1, true).unwrap();
+    let single_threaded = run(&SOURCE, &cells, None, 1, true).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let four = run(&SOURCE, &cells[..7], Some(folder.path()), 4, true).unwrap();
-    assert_eq!(one[..7], four[..]);
-    // A saved result is read again; a damaged one is not.
-    let days = || std::fs::read_dir(folder.path().join("days")).unwrap();
-    assert_eq!(days().count(), 7);
-    let path = days().next().unwrap().unwrap().path();
+    let first_seven = run(&SOURCE, &cells[..7], Some(folder.path()), 4, true).unwrap();
+    assert_eq!(single_threaded[..7], first_seven[..]);
+    // An intact saved result is read; a damaged one is computed again.
+    let saved_files = || std::fs::read_dir(folder.path().join("days")).unwrap();
+    assert_eq!(saved_files().count(), 7);
+    let path = saved_files().next().unwrap().unwrap().path();
     let text = std::fs::read_to_string(&path).unwrap();
     let damaged = &text[..text.len() / 2];
     std::fs::write(&path, damaged).unwrap();
     let all = run(&SOURCE, &cells, Some(folder.path()), 4, true).unwrap();
-    assert_eq!(
-        all, one,
-        "a damaged result is run again, the others are read"
-    );
+    assert_eq!(all, single_threaded, "results with a damaged saved file");
     let table = rows(&all);
     assert_eq!(table.len(), 4);
     assert!(
@@ -78,20 +75,20 @@
 }
 
 #[test]
-fn saved_run_is_loaded_and_explains_its_requests() {
-    let scenario = parse_with("day.ini", SCENARIO, Some(5), &[]).unwrap();
-    let (run, outcome) = Run::play(&scenario, &[]).unwrap();
-    let again = Run::play(&scenario, &[]).unwrap().0;
+fn saved_run_can_be_loaded_and_explains_its_requests() {
+    let scenario = parse_with("test.ini", SCENARIO, Some(5), &[]).unwrap();
+    let (run, outcome) = Run::simulate(&scenario, &[]).unwrap();
+    let repeated = Run::simulate(&scenario, &[]).unwrap().0;
     assert_eq!(
         folder::to_json(&run),
-        folder::to_json(&again),
-        "the same bytes for the same seed"
+        folder::to_json(&repeated),
+        "the same seed must give the same bytes"
     );
-    let place = tempfile::tempdir().unwrap();
-    folder::save(place.path(), SCENARIO, &run, &outcome.trace).unwrap();
-    assert_eq!(folder::load(place.path()).unwrap(), run);
+    let run_folder = tempfile::tempdir().unwrap();
+    folder::save(run_folder.path(), SCENARIO, &run, &outcome.trace).unwrap();
+    assert_eq!(folder::load(run_folder.path()).unwrap(), run);
     let history = folder::explain(
-        place.path(),
+        run_folder.path(),
         ClientAttemptId {
             call: 100,
             attempt: 0,
@@ -99,11 +96,11 @@
     )
     .unwrap();
     assert!(history.len() >= 3, "{history:?}");
-    // A folder of another build, or one that was changed, is reported as such.
+    // A folder whose scenario was changed or whose format version is unknown is rejected.
     let changed = SCENARIO.replace("rate = 40", "rate = 41");
-    std::fs::write(place.path().join("scenario.ini"), changed).unwrap();
-    let why = folder::explain(
-        place.path(),
+    std::fs::write(run_folder.path().join("scenario.ini"), changed).unwrap();
+    let error = folder::explain(
+        run_folder.path(),
         ClientAttemptId {
             call: 100,
             attempt: 0,
@@ -111,19 +108,22 @@
     )
     .unwrap_err()
     .to_string();
-    assert!(why.contains("came out otherwise"), "{why}");
-    std::fs::write(place.path().join("run.json"), "{\"form\": 9}").unwrap();
-    assert!(folder::load(place.path())
+    assert!(
+        error.contains("the repeated run differs from the saved one"),
+        "{error}"
+    );
+    std::fs::write(run_folder.path().join("run.json"), "{\"form\": 9}").unwrap();
+    assert!(folder::load(run_folder.path())
         .unwrap_err()
         .to_string()
         .contains("run.json"));
 }
 
 #[test]
-fn report_pages_load_nothing_from_outside() {
-    let scenario = parse_with("<b>day</b>", SCENARIO, Some(5), &[]).unwrap();
-    let a = Run::play(&scenario, &[]).unwrap().0;
-    let b = Run::play(&scenario, &overrides(&["fleet.hello=yes"]))
+fn report_pages_reference_no_external_resources() {
+    let scenario = parse_with("<b>name</b>", SCENARIO, Some(5), &[]).unwrap();
+    let a = Run::simulate(&scenario, &[]).unwrap().0;
+    let b = Run::simulate(&scenario, &overrides(&["fleet.hello=yes"]))
         .unwrap()
         .0;
     for page in [
@@ -131,36 +131,36 @@
         html::comparison(&a, &b).unwrap(),
         html::sweep("s", &[], &[]).unwrap(),
     ] {
-        for outside in ["<script", "src=", "@import", "<link"] {
-            assert!(!page.contains(outside), "{outside}");
+        for reference in ["<script", "src=", "@import", "<link"] {
+            assert!(!page.contains(reference), "page contains {reference}");
         }
-        assert!(!page.contains("<b>day</b>"), "names are escaped");
+        assert!(!page.contains("<b>name</b>"), "unescaped name");
         assert!(page.contains("<svg") && page.contains("Simulated"));
     }
     let page = html::run(&a).unwrap();
     assert!(page.contains("restart") && page.contains("rolling_restart"));
 }
 
-/// What is found still shows after the reduction, and with any of the faults removed it does not.
+/// The reduced scenario still shows the crashes, and no longer does when any of its faults is removed.
 #[test]
-fn hunt_for_cold_crashes_finds_one_and_reduces_it_to_the_needed_faults() {
-    let busy = overrides(&["day.rate=110", "cold cache.multiple=1.4"]);
-    let found = hunt::hunt(&SOURCE, &busy, hunt::Goal::ColdCrashes, 1, 120)
+fn search_for_cold_crashes_reduces_the_finding_to_the_needed_faults() {
+    let high_load = overrides(&["day.rate=110", "cold cache.multiple=1.4"]);
+    let found = hunt::hunt(&SOURCE, &high_load, hunt::Goal::ColdCrashes, 1, 120)
         .unwrap()
-        .expect("restarts before lists tell");
+        .expect("a host that restarts before dispatchers receive the endpoint list");
     println!("{found:?}");
     assert_eq!(
         found.seed, 21,
-        "a seed draws the same faults in every build"
+        "a seed must draw the same faults in every build"
     );
     assert!(
         found.figures.cold_crashes > 0 && found.figures.violations == 0,
-        "nobody could have known"
+        "a crash without a violation, as no dispatcher could know of the restart"
     );
     let cold_crashes = |faults: &[_]| {
         let text = hunt::scenario_text(SCENARIO, faults);
-        let scenario = parse_with("found.ini", &text, Some(found.seed), &busy).unwrap();
-        Run::play(&scenario, &busy).unwrap().0.cold_crashes
+        let scenario = parse_with("found.ini", &text, Some(found.seed), &high_load).unwrap();
+        Run::simulate(&scenario, &high_load).unwrap().0.cold_crashes
     };
     assert_eq!(cold_crashes(&found.faults), found.figures.cold_crashes);
     for without in 0..found.faults.len() {
@@ -169,16 +169,20 @@
         assert_eq!(
             cold_crashes(&fewer),
             0,
-            "{:?} was not needed",
+            "{:?} is not needed for the crash",
             found.faults[without]
         );
     }
-    let again = hunt::hunt(&SOURCE, &busy, hunt::Goal::ColdCrashes, 1, 120).unwrap();
-    assert_eq!(again, Some(found), "the same find whatever the threads");
+    let repeated = hunt::hunt(&SOURCE, &high_load, hunt::Goal::ColdCrashes, 1, 120).unwrap();
+    assert_eq!(
+        repeated,
+        Some(found),
+        "a repeated search must find the same"
+    );
 }
 
 #[test]
-fn malformed_sweep_is_rejected_with_its_reason() {
+fn malformed_sweep_is_rejected_with_a_reason() {
     assert!("fleet.caches"
         .parse::<VariedSetting>()
         .unwrap_err()
@@ -189,7 +193,9 @@
         .unwrap_err()
         .to_string()
         .contains("empty"));
-    let wrong = cells(&[1], &overrides(&["fleet.caches=x"]), &[]);
-    let why = run(&SOURCE, &wrong, None, 1, true).unwrap_err().to_string();
-    assert!(why.contains("fleet.caches"), "{why}");
+    let malformed = cells(&[1], &overrides(&["fleet.caches=x"]), &[]);
+    let error = run(&SOURCE, &malformed, None, 1, true)
+        .unwrap_err()
+        .to_string();
+    assert!(error.contains("fleet.caches"), "{error}");
 }
--- a/crates/report/tests/terminal.rs
+++ b/crates/report/tests/terminal.rs
@@ -1,4 +1,4 @@
-//! A run on the terminal, drawn on a test backend.
+//! The terminal view of a run, drawn on a test backend.
 use pointspindle_report::terminal::draw;
 use pointspindle_report::watch::{HostState, LiveView};
 use pointspindle_scenario as scenario;
@@ -6,26 +6,27 @@
 use ratatui::backend::TestBackend;
 use ratatui::Terminal;
 
-/// A run with the restart of a hub, shown as it goes on: the screen agrees with the figures of the run.
+/// Replays a run with the restart of a hub: the view shows the hosts going down and warming up, and at the end the screen
+/// and the counts agree with the figures of the run.
 #[test]
-fn terminal_view_of_a_restart_shows_it_and_ends_with_the_figures_of_the_run() {
+fn terminal_view_shows_a_hub_restart_and_ends_with_the_figures_of_the_run() {
     let file = concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../scenarios/hub-restart-late-lists.ini"
     );
     let scenario = scenario::load(std::path::Path::new(file), Some(3)).unwrap();
-    let played = simulator::run(&scenario, None).unwrap();
+    let outcome = simulator::run(&scenario, None).unwrap();
     let mut view = LiveView::new(&scenario);
     let mut terminal = Terminal::new(TestBackend::new(110, 34)).unwrap();
     let mut down = 0;
     let mut warming_up = 0;
-    for entry in &played.trace {
+    for entry in &outcome.trace {
         view.observe(entry);
         view.advance_to(entry.at);
         let count =
             |wanted: fn(&HostState) -> bool| view.hosts.iter().filter(|h| wanted(&h.state)).count();
         down = down.max(count(|s| *s == HostState::Down));
-        warming_up = warming_up.max(count(|s| matches!(s, HostState::Cold(_))));
+        warming_up = warming_up.max(count(|s| matches!(s, HostState::WarmingUp(_))));
     }
     terminal.draw(|frame| draw(&view, "q ends", frame)).unwrap();
     let screen: String = terminal
@@ -37,13 +38,13 @@
         .collect();
     assert!(
         down >= scenario.fleet.caches_per_branch && warming_up >= scenario.fleet.caches_per_branch,
-        "{down} down, {warming_up} cold"
+        "{down} hosts down, {warming_up} warming up"
     );
-    let requests = played.service.requests;
+    let requests = outcome.service.requests;
     let total = view.total();
     assert!(
         total.served + total.rejected + total.failed <= requests && total.served * 2 > requests,
-        "{total:?} of {requests}"
+        "{total:?} of {requests} requests"
     );
     for text in [
         "served",
@@ -60,13 +61,13 @@
     assert!(screen.contains(&total.served.to_string()));
     assert_eq!(
         view.cold_crashes,
-        pointspindle_audit::count_cold_crashes(&played.trace)
+        pointspindle_audit::count_cold_crashes(&outcome.trace)
     );
 }
 
-/// Even a terminal that is too small for anything.
+/// The sizes include a terminal of a single cell.
 #[test]
-fn terminal_view_of_any_size_draws_without_panic() {
+fn drawing_does_not_panic_at_any_terminal_size() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
     let scenario = scenario::load(std::path::Path::new(file), None).unwrap();
     let mut view = LiveView::new(&scenario);
--- a/crates/report/tests/written_names.rs
+++ b/crates/report/tests/written_names.rs
@@ -1,4 +1,5 @@
-//! The names of fields and variants in files that are kept: a later build must read them, whatever the code calls them.
+//! Names of fields and variants in saved files. Later builds must be able to read these files, so the serialized names
+//! must not change when an item is renamed in the code.
 use pointspindle_audit::fleet_totals::{measure_totals, FleetTotals, RoleTotals, SiteService};
 use pointspindle_audit::trace::{
     AttemptOutcome, ClientAttemptId, ClientOutcome, TraceEntry, TraceEvent,
@@ -12,11 +13,11 @@
 
 const SCENARIO: &str = include_str!("../../../scenarios/site-loss.ini");
 
-fn written(value: &impl Serialize) -> Value {
+fn to_value(value: &impl Serialize) -> Value {
     serde_json::to_value(value).unwrap()
 }
 
-/// The names of an object's fields, sorted.
+/// Returns the names of an object's fields, sorted.
 fn fields(object: &Value) -> String {
     let mut names: Vec<&str> = object
         .as_object()
@@ -29,10 +30,10 @@
 }
 
 #[test]
-fn saved_run_has_the_written_names() {
+fn saved_run_is_serialized_under_stable_names() {
     let scenario = parse_with("site-loss.ini", SCENARIO, Some(1), &[]).unwrap();
-    let (run, outcome) = Run::play(&scenario, &[]).unwrap();
-    let run = written(&run);
+    let (run, outcome) = Run::simulate(&scenario, &[]).unwrap();
+    let run = to_value(&run);
     assert_eq!(
         fields(&run),
         "about bands by_second fallen form hosts in_virtual_time rules scenario seconds seed service sets warm_s"
@@ -63,52 +64,52 @@
     assert_eq!(service["by_second"][0].as_array().unwrap().len(), 2);
 
     let totals = measure_totals(&scenario, &outcome.service, &outcome.trace);
-    let totals = written(&totals);
+    let totals = to_value(&totals);
     let warm_up_fields = "allowed at_s dispatchers host knew most requests";
     assert_eq!(fields(&totals["cold"]), warm_up_fields);
     assert_eq!(fields(&totals["cold_unknown"]), warm_up_fields);
 }
 
 #[test]
-fn fleet_totals_have_the_written_names() {
+fn fleet_totals_are_serialized_under_stable_names() {
     assert_eq!(
-        fields(&written(&FleetTotals::default())),
+        fields(&to_value(&FleetTotals::default())),
         "cold cold_unknown fairness least_dispatcher least_served left mean_served roles \
          second_attempts second_attempts_at_s second_attempts_worst sites"
     );
-    let role = written(&RoleTotals::default());
+    let role = to_value(&RoleTotals::default());
     assert_eq!(fields(&role), "attempts returned role under_way");
     assert_eq!(
         fields(&role["under_way"]),
         "at_s by_weight count dispatchers host"
     );
     assert_eq!(
-        fields(&written(&SiteService::default())),
+        fields(&to_value(&SiteService::default())),
         "back_after_s before name service since struck worst"
     );
     assert_eq!(
-        fields(&written(&FleetTotals::default())["left"]),
+        fields(&to_value(&FleetTotals::default())["left"]),
         "attempts clients longest_ms unsent"
     );
 }
 
 #[test]
-fn sweeps_and_comparisons_have_the_written_names() {
+fn sweeps_and_comparisons_are_serialized_under_stable_names() {
     let figures = Figures::default();
     assert_eq!(
-        fields(&written(&figures)),
+        fields(&to_value(&figures)),
         "breaches fallen goal neighbours parents service worst_10s"
     );
     let cell = Cell {
         seed: 1,
         overrides: Vec::new(),
     };
-    let result = written(&CellResult { cell, figures });
+    let result = to_value(&CellResult { cell, figures });
     assert_eq!(fields(&result), "cell figures");
     assert_eq!(fields(&result["cell"]), "seed sets");
     let row = sweep::summarize("A".into(), &[figures]);
     assert_eq!(
-        fields(&written(&row)),
+        fields(&to_value(&row)),
         "broken days fallen goal least most service way worst_10s"
     );
     let pair = Pair {
@@ -116,13 +117,13 @@
         a: figures,
         b: figures,
     };
-    assert_eq!(fields(&written(&pair)), "a b day");
+    assert_eq!(fields(&to_value(&pair)), "a b day");
     let difference = Difference::of(&[pair], |figures| figures.service);
-    assert_eq!(fields(&written(&difference)), "days error mean");
+    assert_eq!(fields(&to_value(&difference)), "days error mean");
 }
 
 #[test]
-fn trace_events_have_the_written_names() {
+fn trace_events_are_serialized_under_stable_names() {
     let id = ClientAttemptId {
         call: 1,
         attempt: 2,
@@ -135,7 +136,7 @@
         event: TraceEvent::RequestEnded { id, outcome },
     };
     assert_eq!(
-        written(&ended),
+        to_value(&ended),
         json!({"at": 4, "saw": {"Ended": {
             "id": {"call": 1, "try_no": 2}, "end": {"Refused": {"come_back": 3}}
         }}})
@@ -150,7 +151,7 @@
         deadline: 10,
     };
     assert_eq!(
-        fields(&written(&sent)["Asked"]),
+        fields(&to_value(&sent)["Asked"]),
         "class deadline dispatcher group id number part"
     );
     let ended_at_host = TraceEvent::AttemptEnded {
@@ -161,7 +162,7 @@
         outcome: AttemptOutcome::ConnectionLost,
     };
     assert_eq!(
-        written(&ended_at_host),
+        to_value(&ended_at_host),
         json!({"Gone": {"host": "h", "id": null, "attempt": 0, "by": 1, "how": "Lost"}})
     );
     let list = TraceEvent::EndpointListDelivered {
@@ -172,7 +173,7 @@
         not_ready: Vec::new(),
     };
     assert_eq!(
-        fields(&written(&list)["ToldList"]),
+        fields(&to_value(&list)["ToldList"]),
         "dispatcher out ready starts whole"
     );
 }
