--- a/crates/cli/src/commands/cache.rs
+++ b/crates/cli/src/commands/cache.rs
@@ -1,4 +1,4 @@
-//! `pointspindle cache`.
+//! The `pointspindle cache` command.
 use crate::exit::{CommandError, CommandResult};
 use crate::process::{raise_descriptor_limit, write_atomically};
 use pointspindle_cache_host::Host;
@@ -9,9 +9,9 @@
 /// Arguments of `cache`.
 #[derive(clap::Args)]
 pub struct CacheArguments {
-    /// Settings; see examples/cache.ini.
+    /// Settings file; see examples/cache.ini.
     file: PathBuf,
-    /// Write the addresses that it listens on to this file, as JSON, once it does.
+    /// Write the listening addresses to this file, as JSON, once the listeners are open.
     #[arg(long)]
     ready_file: Option<PathBuf>,
 }
@@ -32,7 +32,7 @@
     tracing::info!(counts = ?host.counts(), store = ?host.store(), "cache host stops");
     if !host.stop().await {
         return Err(CommandError::CannotRun(
-            "some requests had no answer when the time to stop was over".into(),
+            "shutdown timed out before all requests were answered".into(),
         ));
     }
     Ok(())
--- a/crates/cli/src/commands/check.rs
+++ b/crates/cli/src/commands/check.rs
@@ -1,13 +1,13 @@
-//! `pointspindle check`.
+//! The `pointspindle check` command.
 use crate::exit::{CommandError, CommandResult};
 use std::path::Path;
 
-/// Checks settings, and prints everything that is wrong with them.
+/// Checks a settings file and prints all errors in it.
 pub fn check(file: &Path) -> CommandResult {
     match pointspindle_config::load(file) {
         Ok(settings) => {
             println!(
-                "{}: right; zone {}, {} classes, {} members",
+                "{}: valid; zone {}, {} classes, {} members",
                 file.display(),
                 settings.zones[settings.router.zone],
                 settings.classes.len(),
--- a/crates/cli/src/commands/client_arguments.rs
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -1,35 +1,36 @@
-//! What `get` and `load` call a dispatcher with.
+//! Arguments of `get` and `load` for calls to a dispatcher, and the URLs of objects.
 use crate::exit::CommandError;
 use pointspindle_client::{CertificateFiles, Client, Request, RetryPolicy, TrustAnchors};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why something is not the URL of an object.
+/// Reason for which a text is not the URL of an object.
 #[derive(Debug, thiserror::Error)]
 pub enum UrlError {
-    /// No scheme.
-    #[error("it begins with http:// or pspn://")]
+    /// The URL has no scheme.
+    #[error("no scheme; expected http://, https://, pspn:// or pspns://")]
     NoScheme,
-    /// Another scheme.
-    #[error("{0}:// is not spoken here; http, https, pspn and pspns are")]
+    /// The scheme is not supported.
+    #[error("unsupported scheme {0}://; expected http, https, pspn or pspns")]
     UnknownScheme(String),
-    /// Nothing after the address.
+    /// The address is not followed by a path.
     #[error("no path after the address")]
     NoPath,
-    /// A name, or no port.
+    /// The address is a host name, or has no port.
     #[error("{0:?} is not an address and port, such as 127.0.0.1:8080")]
     Address(String),
 }
 
-/// The protocol that a dispatcher is called by.
+/// Protocol over which a dispatcher is called.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Protocol {
     Http,
     Framed,
 }
 
-/// `http://ADDRESS:PORT/PATH`, or `pspn://ADDRESS:PORT/PATH` for the framed protocol; `https` and `pspns` by TLS.
+/// URL of an object: `http://ADDRESS:PORT/PATH`, or `pspn://ADDRESS:PORT/PATH` for the framed protocol; `https` and
+/// `pspns` use TLS.
 #[derive(Clone, Debug)]
 pub struct Url {
     protocol: Protocol,
@@ -67,34 +68,34 @@
 /// Arguments of all commands that call a dispatcher.
 #[derive(clap::Args)]
 pub struct ClientArguments {
-    /// Further dispatchers of the same branch, at listeners of the same kind.
+    /// Further dispatchers of the same branch, at listeners of the same protocol.
     #[arg(long = "also", value_name = "ADDRESS:PORT")]
     also: Vec<SocketAddr>,
-    /// The class, by the framed protocol; by HTTP the path decides.
+    /// Class of the request in the framed protocol; over HTTP, the path determines the class.
     #[arg(long, default_value = "test-page")]
     class: String,
-    /// Longest wait for the complete response, milliseconds.
+    /// Maximum time until the complete response, in milliseconds.
     #[arg(long, default_value_t = 5_000)]
     deadline_ms: u64,
-    /// Attempts, the first included.
+    /// Maximum number of attempts, including the first one.
     #[arg(long, default_value_t = 4)]
     tries: u32,
-    /// PEM of the authority whose certificates are believed; https and pspns need one.
+    /// PEM file of the trusted certificate authority; https and pspns require one.
     #[arg(long, value_name = "FILE")]
     authority: Option<PathBuf>,
-    /// Own certificate, where dispatchers ask for one.
+    /// Client certificate, for dispatchers that require one.
     #[arg(long, value_name = "FILE", requires = "key")]
     certificate: Option<PathBuf>,
-    /// Key of the own certificate.
+    /// Private key of the client certificate.
     #[arg(long, value_name = "FILE", requires = "certificate")]
     key: Option<PathBuf>,
-    /// The name in the dispatchers' certificates; the address by default.
+    /// Name in the dispatchers' certificates; the address by default.
     #[arg(long)]
     server_name: Option<String>,
 }
 
 impl ClientArguments {
-    /// A client of the dispatchers at this URL.
+    /// Creates a client of the dispatchers at this URL.
     pub fn client(&self, url: &Url) -> Result<Client, CommandError> {
         let addresses = std::iter::once(url.address).chain(self.also.iter().copied());
         let mut builder = Client::builder().retry_policy(RetryPolicy {
@@ -115,13 +116,13 @@
         let authority = self
             .authority
             .as_ref()
-            .ok_or("https and pspns need --authority")?;
+            .ok_or("https and pspns require --authority")?;
         let files = self.certificate.clone().zip(self.key.clone());
         let identity = files.map(|(certificate, key)| CertificateFiles { certificate, key });
         Ok(TrustAnchors::load(authority, identity.as_ref())?)
     }
 
-    /// A request for the object at this URL.
+    /// Creates a request for the object at this URL.
     pub fn request(&self, url: &Url) -> Request {
         let deadline = Duration::from_millis(self.deadline_ms.max(1));
         Request::get(url.path.clone(), self.class.clone(), deadline)
--- a/crates/cli/src/commands/completions.rs
+++ b/crates/cli/src/commands/completions.rs
@@ -1,11 +1,11 @@
-//! `pointspindle completions`.
+//! The `pointspindle completions` command.
 use crate::exit::CommandResult;
 use crate::Arguments;
 use clap::CommandFactory;
 use clap_complete::Shell;
 use std::io::Write;
 
-/// Writes the completions of a shell on standard output.
+/// Writes the completions of a shell to standard output.
 pub fn completions(shell: Shell) -> CommandResult {
     let mut script = Vec::new();
     clap_complete::generate(
--- a/crates/cli/src/commands/control_client.rs
+++ b/crates/cli/src/commands/control_client.rs
@@ -1,4 +1,4 @@
-//! One control frame to a running dispatcher, and its answer.
+//! Control requests to a running dispatcher: one control frame and the response to it.
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{AckHead, EndpointListHead, Frame};
 use pointspindle_transport::{ConnectionOptions, FramedConnection, Inbound};
@@ -6,47 +6,47 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Time for a dispatcher to answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time for a dispatcher to respond.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a dispatcher has not done what it was sent.
+/// Reason for which a control request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// It cannot be reached.
-    #[error("{address}: {reason}")]
+    /// The connection to the dispatcher failed.
+    #[error("{address}: connection failed: {reason}")]
     Connection {
-        /// Its control address.
+        /// Control address of the dispatcher.
         address: SocketAddr,
-        /// What the system or the connection says.
+        /// Error of the operating system or of the connection.
         reason: String,
     },
-    /// It has closed the connection in place of an answer.
-    #[error("{0}: the dispatcher closed the connection")]
+    /// The dispatcher closed the connection without a response.
+    #[error("{0}: the dispatcher closed the connection without a response")]
     Closed(SocketAddr),
-    /// Nothing came in time.
-    #[error("{0}: no answer in {} s", ANSWER_TIMEOUT.as_secs())]
+    /// The response did not arrive within the timeout.
+    #[error("{0}: no response within {} s", RESPONSE_TIMEOUT.as_secs())]
     Timeout(SocketAddr),
-    /// It has rejected the change.
-    #[error("{address}: {reason}")]
+    /// The dispatcher rejected the change.
+    #[error("{address}: change rejected: {reason}")]
     Rejected {
-        /// Its control address.
+        /// Control address of the dispatcher.
         address: SocketAddr,
-        /// What it says.
+        /// Reason given by the dispatcher.
         reason: String,
     },
-    /// Another frame came than the one that answers.
-    #[error("{address}: not {expected}: {frame:?}")]
+    /// The dispatcher responded with a frame of another type.
+    #[error("{address}: expected {expected}, got {frame:?}")]
     UnexpectedFrame {
-        /// Its control address.
+        /// Control address of the dispatcher.
         address: SocketAddr,
-        /// What should have come.
+        /// Description of the expected frame.
         expected: &'static str,
-        /// What has come.
+        /// The received frame.
         frame: Box<Frame>,
     },
 }
 
-/// Sends a control frame and waits for the answer to it.
+/// Sends a control frame and returns the response.
 async fn exchange(address: SocketAddr, frame: Frame) -> Result<Frame, ControlError> {
     let exchange = async {
         let failed = |error: &dyn std::fmt::Display| ControlError::Connection {
@@ -57,31 +57,31 @@
         let (connection, mut incoming) =
             FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         connection.control(frame).await.map_err(|e| failed(&e))?;
-        let answer = incoming.next().await;
+        let response = incoming.next().await;
         connection.close("asked");
-        match answer {
+        match response {
             Some(Inbound::Control(frame)) => Ok(frame),
             _ => Err(ControlError::Closed(address)),
         }
     };
-    tokio::time::timeout(ANSWER_TIMEOUT, exchange)
+    tokio::time::timeout(RESPONSE_TIMEOUT, exchange)
         .await
         .unwrap_or(Err(ControlError::Timeout(address)))
 }
 
-/// The endpoint list that a dispatcher has.
+/// Returns the endpoint list of a dispatcher.
 pub async fn endpoint_list(address: SocketAddr) -> Result<EndpointListHead, ControlError> {
     match exchange(address, Frame::EndpointList(EndpointListHead::default())).await? {
         Frame::EndpointList(list) => Ok(list),
         frame => Err(ControlError::UnexpectedFrame {
             address,
-            expected: "a list",
+            expected: "an endpoint list",
             frame: Box::new(frame),
         }),
     }
 }
 
-/// Sends a change; returns once the dispatcher has acknowledged it.
+/// Sends a change and returns once the dispatcher has acknowledged it.
 pub async fn apply(address: SocketAddr, change: Frame) -> Result<(), ControlError> {
     match exchange(address, change).await? {
         Frame::Ack(AckHead { rejection, .. }) if rejection.is_empty() => Ok(()),
--- a/crates/cli/src/commands/endpoints.rs
+++ b/crates/cli/src/commands/endpoints.rs
@@ -1,4 +1,4 @@
-//! `pointspindle members`: the endpoint list of running dispatchers, directly or through etcd.
+//! `pointspindle members`: shows and changes the endpoint list of running dispatchers, directly or through etcd.
 use super::control_client::{apply, endpoint_list};
 use super::etcd_access::EtcdArguments;
 use crate::exit::CommandResult;
@@ -18,37 +18,37 @@
     at: Vec<SocketAddr>,
     #[command(flatten)]
     etcd: EtcdArguments,
-    /// Go on showing the view as dispatchers see it; through etcd only.
+    /// Continue to show the view as dispatchers see it; only through etcd.
     #[arg(long, requires = "etcd", conflicts_with = "set")]
     watch: bool,
-    /// A change: ADDRESS=ready, ADDRESS=draining or ADDRESS=gone. Without any, the list is shown.
+    /// Change of an endpoint's state: ADDRESS=ready, ADDRESS=draining or ADDRESS=gone. Without one, the list is shown.
     #[arg(long)]
     set: Vec<StateChange>,
-    /// For a new endpoint: cache, parent or origin.
+    /// Kind of a new endpoint: cache, parent or origin.
     #[arg(long)]
     kind: Option<String>,
-    /// For a new endpoint: its zone.
+    /// Zone of a new endpoint.
     #[arg(long)]
     zone: Option<String>,
-    /// Its weight.
+    /// Weight of the endpoint.
     #[arg(long)]
     weight: Option<f64>,
-    /// The endpoint has started just now: it is warming up.
+    /// Record that the endpoint has just started and is warming up.
     #[arg(long)]
     cold: bool,
 }
 
-/// Why something is not a change of an endpoint's state, or cannot be applied.
+/// Reason for which a change of an endpoint's state is malformed or cannot be applied.
 #[derive(Debug, thiserror::Error)]
 pub enum StateChangeError {
-    /// Not of the form ADDRESS=STATE.
-    #[error("--set {0}: not ADDRESS=ready, ADDRESS=draining or ADDRESS=gone")]
+    /// The change is not of the form ADDRESS=STATE.
+    #[error("--set {0}: expected ADDRESS=ready, ADDRESS=draining or ADDRESS=gone")]
     Malformed(String),
-    /// The address is none.
+    /// The address is not an address and port.
     #[error("{0:?} is not an address and port")]
     Address(String),
-    /// A new endpoint needs more than an address.
-    #[error("{address} is new: say its --{argument}")]
+    /// An argument that a new endpoint requires is missing.
+    #[error("{address} is a new endpoint: --{argument} is required")]
     MissingArgument {
         /// Address of the endpoint.
         address: String,
@@ -57,19 +57,19 @@
     },
 }
 
-/// State that an endpoint is to have.
+/// Requested state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WantedState {
+enum RequestedState {
     Ready,
     Draining,
     Removed,
 }
 
-/// ADDRESS=STATE.
+/// Change of an endpoint's state, written ADDRESS=STATE.
 #[derive(Clone, Debug)]
 pub struct StateChange {
     address: String,
-    state: WantedState,
+    state: RequestedState,
 }
 
 impl std::str::FromStr for StateChange {
@@ -83,9 +83,9 @@
             return Err(StateChangeError::Address(address));
         }
         let state = match state {
-            "ready" => WantedState::Ready,
-            "draining" => WantedState::Draining,
-            "gone" => WantedState::Removed,
+            "ready" => RequestedState::Ready,
+            "draining" => RequestedState::Draining,
+            "gone" => RequestedState::Removed,
             _ => return Err(malformed()),
         };
         Ok(Self { address, state })
@@ -116,9 +116,9 @@
     for change in &arguments.set {
         arguments
             .etcd
-            .update_endpoint(&change.address, |known| {
+            .update_endpoint(&change.address, |existing| {
                 arguments
-                    .changed_record(known, change)
+                    .changed_record(existing, change)
                     .map_err(|error| error.to_string())
             })
             .await?;
@@ -127,12 +127,12 @@
 }
 
 impl EndpointsArguments {
-    /// The changes as an update of a dispatcher's list.
+    /// Returns the changes as an update of a dispatcher's endpoint list.
     fn list_update(&self, list: &EndpointListHead) -> Result<EndpointListHead, StateChangeError> {
         let changed = self
             .set
             .iter()
-            .map(|change| self.changed_line(list, change));
+            .map(|change| self.changed_endpoint(list, change));
         Ok(EndpointListHead {
             form: EndpointListForm::Delta as i32,
             seq: list.seq + 1,
@@ -140,29 +140,29 @@
         })
     }
 
-    fn changed_line(
+    fn changed_endpoint(
         &self,
         list: &EndpointListHead,
         change: &StateChange,
     ) -> Result<EndpointRecord, StateChangeError> {
-        let known = list
+        let existing = list
             .endpoints
             .iter()
             .find(|endpoint| endpoint.address == change.address);
-        let mut endpoint = match known {
+        let mut endpoint = match existing {
             Some(endpoint) => endpoint.clone(),
             None => EndpointRecord {
                 address: change.address.clone(),
-                kind: self.kind_of_new(&change.address)?,
-                zone: self.zone_of_new(&change.address)?,
+                kind: self.new_endpoint_kind(&change.address)?,
+                zone: self.new_endpoint_zone(&change.address)?,
                 weight: 1.0,
                 ..Default::default()
             },
         };
         let state = match change.state {
-            WantedState::Ready => WireEndpointState::Ready,
-            WantedState::Draining => WireEndpointState::Draining,
-            WantedState::Removed => WireEndpointState::Gone,
+            RequestedState::Ready => WireEndpointState::Ready,
+            RequestedState::Draining => WireEndpointState::Draining,
+            RequestedState::Removed => WireEndpointState::Gone,
         };
         endpoint.state = state as i32;
         endpoint.weight = self.weight.unwrap_or(endpoint.weight);
@@ -173,24 +173,24 @@
         Ok(endpoint)
     }
 
-    /// What an endpoint's record in etcd becomes; none: it is removed.
+    /// Returns the changed record of an endpoint in etcd, or `None` if the endpoint is removed.
     fn changed_record(
         &self,
-        known: Option<MemberRecord>,
+        existing: Option<MemberRecord>,
         change: &StateChange,
     ) -> Result<Option<MemberRecord>, StateChangeError> {
         let state = match change.state {
-            WantedState::Ready => State::Ready,
-            WantedState::Draining => State::Draining,
-            WantedState::Removed => return Ok(None),
+            RequestedState::Ready => State::Ready,
+            RequestedState::Draining => State::Draining,
+            RequestedState::Removed => return Ok(None),
         };
-        let mut record = match known {
+        let mut record = match existing {
             Some(record) => record,
             None => MemberRecord {
                 state,
                 weight: 1.0,
-                zone: self.zone_of_new(&change.address)?,
-                kind: self.kind_of_new(&change.address)?,
+                zone: self.new_endpoint_zone(&change.address)?,
+                kind: self.new_endpoint_kind(&change.address)?,
                 cell: 0,
                 start: 1,
                 started_unix_ms: None,
@@ -205,16 +205,16 @@
         Ok(Some(record))
     }
 
-    fn kind_of_new(&self, address: &str) -> Result<String, StateChangeError> {
-        required(self.kind.as_ref(), address, "kind")
+    fn new_endpoint_kind(&self, address: &str) -> Result<String, StateChangeError> {
+        require_argument(self.kind.as_ref(), address, "kind")
     }
 
-    fn zone_of_new(&self, address: &str) -> Result<String, StateChangeError> {
-        required(self.zone.as_ref(), address, "zone")
+    fn new_endpoint_zone(&self, address: &str) -> Result<String, StateChangeError> {
+        require_argument(self.zone.as_ref(), address, "zone")
     }
 }
 
-fn required(
+fn require_argument(
     value: Option<&String>,
     address: &str,
     argument: &'static str,
--- a/crates/cli/src/commands/etcd_access.rs
+++ b/crates/cli/src/commands/etcd_access.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists and purges through etcd, for all dispatchers that follow it.
+//! Changes of endpoint lists and purges through etcd, for all dispatchers that watch it.
 use crate::exit::{CommandError, CommandResult};
 use crate::output::endpoint_list::endpoint_line;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
@@ -10,24 +10,25 @@
 use std::time::Duration;
 
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
-/// Time for the first view, where it is shown once.
+/// Maximum time to wait for the view if it is shown once.
 const VIEW_TIMEOUT: Duration = Duration::from_secs(5);
-/// Dispatchers that are named of those without a promise.
-const MAX_NAMED: usize = 5;
+/// Maximum number of dispatchers without a promise that are printed.
+const MAX_PRINTED_NAMES: usize = 5;
 
-/// How etcd is reached.
+/// Arguments for access to etcd.
 #[derive(clap::Args)]
 pub struct EtcdArguments {
-    /// Through etcd, for all dispatchers that follow it: http://ADDRESS:PORT, several with commas; https with --authority.
+    /// Use etcd, for all dispatchers that watch it: http://ADDRESS:PORT, several separated by commas; https with
+    /// --authority.
     #[arg(long = "etcd", id = "etcd", value_name = "URL", value_delimiter = ',')]
     endpoints: Vec<String>,
-    /// Keys begin with this, then /v1/.
+    /// Prefix of all keys, followed by /v1/.
     #[arg(long, default_value = "/pointspindle")]
     prefix: String,
-    /// PEM of the authority of etcd's certificates.
+    /// PEM file of the certificate authority of etcd's certificates.
     #[arg(long, value_name = "FILE")]
     authority: Option<PathBuf>,
-    /// User, with the password in the first line of --password-file.
+    /// User name; the password is the first line of --password-file.
     #[arg(long, requires = "password_file")]
     user: Option<String>,
     /// File with the user's password.
@@ -36,7 +37,7 @@
 }
 
 impl EtcdArguments {
-    /// Whether the command goes through etcd.
+    /// Returns whether the command uses etcd.
     pub fn is_used(&self) -> bool {
         !self.endpoints.is_empty()
     }
@@ -51,12 +52,12 @@
         Ok(Etcd::new(&access, REQUEST_TIMEOUT)?)
     }
 
-    /// Purges; with `waits`, returns once that is in force everywhere.
+    /// Writes a purge to etcd; with `waits`, returns once the purge is in force at all dispatchers.
     pub async fn purge(&self, object: Option<String>, group: u64, waits: bool) -> CommandResult {
         let etcd = self.open()?;
         let revision = writer::purge(&etcd, &self.prefix, &PurgeRecord { object, group }).await?;
         println!("purged at revision {revision}");
-        // Read after the write: a dispatcher that registers from now on has read the purge.
+        // The promises are read after the write: a dispatcher that registers later has read the purge.
         let promise = writer::promise(&etcd, &self.prefix).await?;
         if promise.dispatchers == 0 || !promise.without.is_empty() {
             print_missing_promise(&promise);
@@ -67,7 +68,7 @@
             };
         }
         println!(
-            "in force at all {} dispatchers within {} ms of that, by their own promise",
+            "in force at all {} dispatchers within {} ms of the write, as they have promised",
             promise.dispatchers, promise.within_ms
         );
         if waits {
@@ -77,7 +78,7 @@
         Ok(())
     }
 
-    /// Rewrites an endpoint's record. `change`: the new record for the old one; none: it is removed.
+    /// Rewrites an endpoint's record. `change` maps the old record to the new one; `None` removes the record.
     pub async fn update_endpoint(
         &self,
         address: &str,
@@ -89,21 +90,21 @@
         Ok(())
     }
 
-    /// Prints the view as dispatchers see it, once or until it is interrupted.
-    pub async fn show(&self, goes_on: bool) -> CommandResult {
+    /// Prints the view as dispatchers see it: once, or with `is_continuous` until the command is interrupted.
+    pub async fn show(&self, is_continuous: bool) -> CommandResult {
         let etcd = self.open()?;
         let seed = u64::from(std::process::id());
         let watcher = Watcher::new(&self.prefix, WatcherSettings::default(), 0, seed);
-        let mut view = ShownView::default();
+        let mut view = PrintedView::default();
         let followed = feed::run(etcd, self.prefix.clone(), watcher, move |output| {
             let is_list = matches!(output, Output::EndpointList(_));
             view.print(output);
-            goes_on || !is_list
+            is_continuous || !is_list
         });
         tokio::select! {
             () = followed => Ok(()),
-            () = tokio::time::sleep(VIEW_TIMEOUT), if !goes_on => {
-                Err(CommandError::CannotRun("etcd does not answer".into()))
+            () = tokio::time::sleep(VIEW_TIMEOUT), if !is_continuous => {
+                Err(CommandError::CannotRun("etcd did not deliver the endpoint list in time".into()))
             }
             _ = tokio::signal::ctrl_c() => Ok(()),
         }
@@ -114,7 +115,7 @@
     let named: Vec<&str> = promise
         .without
         .iter()
-        .take(MAX_NAMED)
+        .take(MAX_PRINTED_NAMES)
         .map(String::as_str)
         .collect();
     let names = match named[..] {
@@ -128,13 +129,13 @@
     );
 }
 
-/// The endpoints that were printed.
+/// Endpoints of the view that has been printed.
 #[derive(Default)]
-struct ShownView {
+struct PrintedView {
     endpoints: BTreeMap<String, EndpointRecord>,
 }
 
-impl ShownView {
+impl PrintedView {
     fn print(&mut self, output: Output) {
         match output {
             Output::EndpointList(head) => self.print_list(&head),
@@ -147,9 +148,9 @@
                 println!("dispatchers: {}", names.join(", "));
             }
             Output::UpdatesMissed { initial: false, .. } => {
-                println!("history is lost: everything counts as purged");
+                println!("history lost: all cached copies count as purged");
             }
-            Output::InvalidKey(error) => println!("not used: {error}"),
+            Output::InvalidKey(error) => println!("invalid key ignored: {error}"),
             Output::View(View::Stale) => println!("the view is stale"),
             Output::View(View::Current) => println!("the view is current"),
             _ => {}
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `pointspindle get`.
+//! The `pointspindle get` command.
 use super::client_arguments::{ClientArguments, Url};
 use crate::exit::{CommandError, CommandResult};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -11,17 +11,17 @@
 /// Arguments of `get`.
 #[derive(clap::Args)]
 pub struct GetArguments {
-    /// http://ADDRESS:PORT/PATH, or pspn://ADDRESS:PORT/PATH for the framed protocol; https and pspns by TLS.
+    /// URL: http://ADDRESS:PORT/PATH, or pspn://ADDRESS:PORT/PATH for the framed protocol; https and pspns use TLS.
     url: Url,
     #[command(flatten)]
     client: ClientArguments,
-    /// Bytes, such as 0-99, 100- or -50 (the last fifty).
+    /// Byte range, such as 0-99, 100- or -50 (the last 50 bytes).
     #[arg(long, allow_hyphen_values = true)]
     range: Option<String>,
-    /// Into this file; standard output by default.
+    /// Output file; standard output by default.
     #[arg(long, short)]
     out: Option<PathBuf>,
-    /// Show the response's head on standard error.
+    /// Print the response head on standard error.
     #[arg(long, short)]
     verbose: bool,
 }
@@ -42,10 +42,10 @@
         })
     }
 
-    /// On a terminal, unless the object itself goes there.
+    /// Returns a progress bar, which is visible only on a terminal to which the object itself is not written.
     fn progress_bar(&self) -> ProgressBar {
-        let object_is_elsewhere = self.out.is_some() || !std::io::stdout().is_terminal();
-        let bar = if std::io::stderr().is_terminal() && object_is_elsewhere {
+        let is_object_redirected = self.out.is_some() || !std::io::stdout().is_terminal();
+        let bar = if std::io::stderr().is_terminal() && is_object_redirected {
             ProgressBar::no_length()
         } else {
             ProgressBar::hidden()
@@ -56,7 +56,7 @@
     }
 }
 
-/// Gets an object and writes it out.
+/// Gets an object and writes it to the output.
 pub async fn get(arguments: GetArguments) -> CommandResult {
     let client = arguments.client.client(&arguments.url)?;
     let mut out = arguments.output()?;
@@ -64,7 +64,7 @@
     let mut call = client.call(arguments.request())?;
     let outcome = match receive(&mut call, &mut *out, &bar, arguments.verbose).await {
         Ok(outcome) => outcome,
-        // A reader that has seen enough is no failure.
+        // A reader that closes the pipe early is not a failure.
         Err(error) if error.kind() == ErrorKind::BrokenPipe => return Ok(()),
         Err(error) => return Err(error.into()),
     };
@@ -73,7 +73,7 @@
     report(&client, &call, outcome)
 }
 
-/// Writes the response out as it arrives, to its end.
+/// Writes the response to `out` as it arrives, and returns the outcome of the call.
 async fn receive(
     call: &mut Call,
     out: &mut dyn Write,
@@ -81,8 +81,8 @@
     is_verbose: bool,
 ) -> std::io::Result<Outcome> {
     let mut outcome = Outcome::Failed { may_have_run: true };
-    while let Some(piece) = call.next().await {
-        match piece {
+    while let Some(event) = call.next().await {
+        match event {
             CallEvent::Head(head) => {
                 if let Some(size) = head.size {
                     bar.set_length(size);
@@ -101,7 +101,7 @@
     Ok(outcome)
 }
 
-/// Says on standard error why the object was not served.
+/// Reports on standard error why the object was not served.
 fn report(client: &Client, call: &Call, outcome: Outcome) -> CommandResult {
     let reason = client
         .last_connect_error()
@@ -110,23 +110,26 @@
     match outcome {
         Outcome::Served => return Ok(()),
         Outcome::Rejected {
-            retry_after: come_back,
+            retry_after: retry_delay,
         } => {
-            let retry_after = come_back
-                .map(|wait| format!("; come back after {} ms", wait.as_millis()))
+            let retry_after = retry_delay
+                .map(|wait| format!("; retry after {} ms", wait.as_millis()))
                 .unwrap_or_default();
             eprintln!(
-                "refused after {} tries: nothing was done{retry_after}{reason}",
+                "rejected after {} attempts: the request was not executed{retry_after}{reason}",
                 call.attempts()
             );
         }
         Outcome::Failed { may_have_run } => {
             let effect = if may_have_run {
-                "it may have run"
+                "the request may have been executed"
             } else {
-                "nothing has run"
+                "the request was not executed"
             };
-            eprintln!("failed after {} tries: {effect}{reason}", call.attempts());
+            eprintln!(
+                "failed after {} attempts: {effect}{reason}",
+                call.attempts()
+            );
         }
     }
     Err(CommandError::Negative)
--- a/crates/cli/src/commands/lab/capacity.rs
+++ b/crates/cli/src/commands/lab/capacity.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab capacity`.
+//! The `pointspindle lab capacity` command.
 use super::scale::{read_json, read_target};
 use crate::exit::{CommandError, CommandResult};
 use pointspindle_scale::slopes::Slopes;
@@ -7,24 +7,24 @@
 /// Arguments of `lab capacity`.
 #[derive(clap::Args)]
 pub struct CapacityArguments {
-    /// The fleet ahead; see scenarios/fleet-ahead.ini.
+    /// Planned fleet; see scenarios/fleet-ahead.ini.
     #[arg(long)]
     target: PathBuf,
-    /// Slopes as `lab scale --out` writes them.
+    /// Slopes file, as written by `lab scale --out`.
     #[arg(long)]
     slopes: PathBuf,
 }
 
-/// Writes the capacity page on standard output.
+/// Writes the capacity page to standard output.
 pub fn capacity(arguments: CapacityArguments) -> CommandResult {
     let target = read_target(&arguments.target)?;
     let slopes: Slopes = read_json(&arguments.slopes)?;
-    let without_sizes = slopes.figures.iter().find(|(_, slope)| {
+    let invalid_slope = slopes.figures.iter().find(|(_, slope)| {
         slope.min_dispatchers == 0 || slope.max_dispatchers < slope.min_dispatchers
     });
-    if let Some((name, _)) = without_sizes {
+    if let Some((name, _)) = invalid_slope {
         return Err(CommandError::CannotRun(format!(
-            "{}: {name}: from and to, the sizes that it was measured at, are missing",
+            "{}: {name}: from and to, the fleet sizes of the measurement, are missing or invalid",
             arguments.slopes.display()
         )));
     }
--- a/crates/cli/src/commands/lab/check.rs
+++ b/crates/cli/src/commands/lab/check.rs
@@ -1,13 +1,13 @@
-//! `pointspindle lab check`.
+//! The `pointspindle lab check` command.
 use crate::exit::{CommandError, CommandResult};
 use std::path::Path;
 
-/// Checks a scenario, and prints everything that is wrong with it.
+/// Checks a scenario and prints all errors in it.
 pub fn check(file: &Path) -> CommandResult {
     match pointspindle_scenario::load(file, None) {
         Ok(scenario) => {
             println!(
-                "{}: right; {:.0} s, {} troubles: {}",
+                "{}: valid; {:.0} s, {} faults: {}",
                 file.display(),
                 scenario.duration_s,
                 scenario.faults.len(),
--- a/crates/cli/src/commands/lab/compare.rs
+++ b/crates/cli/src/commands/lab/compare.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab compare`.
+//! The `pointspindle lab compare` command.
 use super::seeds::Seeds;
 use super::sweep::{checked_text, job_count};
 use crate::exit::{negative_if, CommandError, CommandResult};
@@ -9,47 +9,47 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Runs that are named on which B lost most, and of those on which it won most.
-const NAMED_RUNS: usize = 3;
+/// Number of printed runs with the largest loss of B, and of those with the largest gain.
+const MAX_PRINTED_RUNS: usize = 3;
 
 /// Arguments of `lab compare`.
 #[derive(clap::Args)]
 pub struct CompareArguments {
-    /// One or more.
+    /// Scenario files, at least one.
     #[arg(required = true)]
     scenarios: Vec<PathBuf>,
-    /// Such as 1..20 or 3,5,9.
+    /// Seeds, such as 1..20 or 3,5,9.
     #[arg(long, default_value = "1..10")]
     seeds: Seeds,
-    /// A value for A; may be given several times.
+    /// Setting of variant A; may be given several times.
     #[arg(long = "a", value_name = "SECTION.KEY=VALUE")]
     overrides_a: Vec<SettingOverride>,
-    /// A value for B; may be given several times.
+    /// Setting of variant B; may be given several times.
     #[arg(long = "b", value_name = "SECTION.KEY=VALUE")]
     overrides_b: Vec<SettingOverride>,
-    /// Another build of this program that plays A; this one by default.
+    /// Build of this program that runs variant A; this one by default.
     #[arg(long)]
     program_a: Option<PathBuf>,
-    /// Another build of this program that plays B; this one by default.
+    /// Build of this program that runs variant B; this one by default.
     #[arg(long)]
     program_b: Option<PathBuf>,
-    /// Runs at once; as many as there are cores by default.
+    /// Number of parallel runs; the number of cores by default.
     #[arg(long)]
     jobs: Option<usize>,
-    /// Where the report and the pairs go.
+    /// Folder for the report and the pairs.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// One of the two that are compared.
+/// One of the two compared variants.
 struct Variant<'a> {
     overrides: &'a [SettingOverride],
     program: Option<&'a Path>,
 }
 
-/// Plays two variants on the same runs and prints the difference.
+/// Runs two variants with the same scenarios and seeds, and prints the difference.
 pub fn compare(arguments: CompareArguments) -> CommandResult {
-    let pairs = play_pairs(&arguments)?;
+    let pairs = run_pairs(&arguments)?;
     let verdict = compare::describe(&pairs);
     for line in &verdict {
         println!("{line}");
@@ -65,7 +65,7 @@
     )
 }
 
-fn play_pairs(arguments: &CompareArguments) -> Result<Vec<Pair>, CommandError> {
+fn run_pairs(arguments: &CompareArguments) -> Result<Vec<Pair>, CommandError> {
     let a = Variant {
         overrides: &arguments.overrides_a,
         program: arguments.program_a.as_deref(),
@@ -78,31 +78,35 @@
     let jobs = job_count(arguments.jobs);
     let mut pairs = Vec::new();
     for scenario in &arguments.scenarios {
-        let figures_a = a.play(scenario, seeds, jobs)?;
-        let figures_b = b.play(scenario, seeds, jobs)?;
+        let figures_a = a.run(scenario, seeds, jobs)?;
+        let figures_b = b.run(scenario, seeds, jobs)?;
         for ((seed, a), b) in seeds.iter().zip(figures_a).zip(figures_b) {
-            let day = format!("{} seed {seed}", scenario.display());
-            pairs.push(Pair { run: day, a, b });
+            let run_name = format!("{} seed {seed}", scenario.display());
+            pairs.push(Pair {
+                run: run_name,
+                a,
+                b,
+            });
         }
     }
     Ok(pairs)
 }
 
 impl Variant<'_> {
-    /// Plays a scenario with all seeds: here, or by another build as processes.
-    fn play(
+    /// Runs a scenario with all seeds, in this process or with another build as child processes.
+    fn run(
         &self,
         scenario: &Path,
         seeds: &[u64],
         jobs: usize,
     ) -> Result<Vec<Figures>, CommandError> {
         match self.program {
-            Some(program) => self.play_by_program(program, scenario, seeds, jobs),
-            None => self.play_here(scenario, seeds, jobs),
+            Some(program) => self.run_with_program(program, scenario, seeds, jobs),
+            None => self.run_in_process(scenario, seeds, jobs),
         }
     }
 
-    fn play_here(
+    fn run_in_process(
         &self,
         scenario: &Path,
         seeds: &[u64],
@@ -119,11 +123,11 @@
             overrides: self.overrides.to_vec(),
         };
         let cells: Vec<Cell> = seeds.iter().map(cell).collect();
-        let played = sweep::run(&source, &cells, None, jobs, false)?;
-        Ok(played.into_iter().map(|run| run.figures).collect())
+        let outcomes = sweep::run(&source, &cells, None, jobs, false)?;
+        Ok(outcomes.into_iter().map(|run| run.figures).collect())
     }
 
-    fn play_by_program(
+    fn run_with_program(
         &self,
         program: &Path,
         scenario: &Path,
@@ -165,12 +169,12 @@
     }
 }
 
-/// The figures that another build prints of its run.
+/// Reads the figures that another build printed for its run.
 fn read_figures(program: &Path, child: Child) -> Result<Figures, CommandError> {
     let output = child.wait_with_output()?;
     let json: serde_json::Value = serde_json::from_slice(&output.stdout).map_err(|error| {
         CommandError::CannotRun(format!(
-            "{} did not answer with a run: {error}",
+            "{}: output is not the JSON of a run: {error}",
             program.display()
         ))
     })?;
@@ -197,7 +201,7 @@
     by_gain.sort_by(|x, y| gain(x).total_cmp(&gain(y)));
     println!("days on which B lost and won most:");
     for (rank, pair) in by_gain.iter().enumerate() {
-        if rank < NAMED_RUNS || rank + NAMED_RUNS >= by_gain.len() {
+        if rank < MAX_PRINTED_RUNS || rank + MAX_PRINTED_RUNS >= by_gain.len() {
             println!(
                 "  {:>4} {}: service {:.4} to {:.4}",
                 rank + 1,
@@ -218,7 +222,7 @@
         sweep::summarize("A".into(), &figures_a),
         sweep::summarize("B".into(), &figures_b),
     ];
-    let page = html::sweep("A and B on the same days", &rows, verdict)?;
+    let page = html::sweep("A and B on the same runs", &rows, verdict)?;
     std::fs::write(out.join("report.html"), page)?;
     println!("{}", out.join("report.html").display());
     Ok(())
--- a/crates/cli/src/commands/lab/etcd_lag.rs
+++ b/crates/cli/src/commands/lab/etcd_lag.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab etcd`.
+//! The `pointspindle lab etcd` command.
 use crate::exit::{negative_if, CommandError, CommandResult};
 use pointspindle_etcd_emulator::measure::{measure_watch_lag, Measurement, MeasurementPlan};
 use std::time::Duration;
@@ -9,25 +9,25 @@
 /// Arguments of `lab etcd`.
 #[derive(clap::Args)]
 pub struct EtcdLagArguments {
-    /// Watchers at once, each with a connection of its own.
+    /// Numbers of concurrent watchers, one for each measurement; each watcher has its own connection.
     #[arg(long, value_delimiter = ',', default_value = "1,50,200")]
     watchers: Vec<usize>,
-    /// Purges a second.
+    /// Purges per second.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// Length of each measurement, seconds.
+    /// Duration of each measurement, in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Streams break so often on average, milliseconds; 0: never.
+    /// Mean time between two breaks of the streams, in milliseconds; 0 disables breaks.
     #[arg(long, default_value_t = 300)]
     drop_ms: u64,
-    /// Endpoint records that are there from the start.
+    /// Number of endpoint records at the start.
     #[arg(long, default_value_t = 100)]
     members: usize,
-    /// Purge records that are there from the start.
+    /// Number of purge records at the start.
     #[arg(long, default_value_t = 0)]
     purges: usize,
-    /// Seed of what is drawn at random.
+    /// Seed of the random number generator.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -35,12 +35,12 @@
 impl EtcdLagArguments {
     fn check(&self) -> CommandResult {
         let is_rate_valid = self.rate > 0.0 && self.rate <= MAX_PURGES_PER_S;
-        let is_length_valid = self.seconds > 0.0 && self.seconds <= MAX_SECONDS;
-        if is_rate_valid && is_length_valid {
+        let is_duration_valid = self.seconds > 0.0 && self.seconds <= MAX_SECONDS;
+        if is_rate_valid && is_duration_valid {
             return Ok(());
         }
         Err(CommandError::CannotRun(
-            "--rate above 0 and up to 1e5, --seconds above 0 and up to 600".into(),
+            "--rate must be above 0 and at most 1e5, --seconds above 0 and at most 600".into(),
         ))
     }
 
@@ -57,11 +57,11 @@
     }
 }
 
-/// Measures how late watchers learn of purges, and prints a line for each number of them.
+/// Measures how late watchers receive purges, and prints a line for each number of watchers.
 pub async fn etcd_lag(arguments: EtcdLagArguments) -> CommandResult {
     arguments.check()?;
     println!(
-        "seed {}, {} purges a second for {} s, streams break every {} ms on average",
+        "seed {}, {} purges per second for {} s, streams break every {} ms on average",
         arguments.seed, arguments.rate, arguments.seconds, arguments.drop_ms
     );
     let mut missing = 0;
@@ -76,7 +76,7 @@
 fn print_figures(watchers: usize, figures: &Measurement) {
     let ms = |quantile: f64| figures.lag.value_at_quantile(quantile) as f64 / 1e3;
     println!(
-        "{watchers:>4} watchers: {} writes, {} drops: lag p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms; {} never heard, {} gaps; first view {:.0} ms, again after compaction {:.0} ms",
+        "{watchers:>4} watchers: {} writes, {} drops: lag p50 {:.1} ms, p99 {:.1} ms, longest {:.1} ms; {} not received, {} gaps; first view {:.0} ms, view after compaction {:.0} ms",
         figures.writes,
         figures.drops,
         ms(0.5),
--- a/crates/cli/src/commands/lab/explain.rs
+++ b/crates/cli/src/commands/lab/explain.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab explain`.
+//! The `pointspindle lab explain` command.
 use crate::exit::{CommandError, CommandResult};
 use crate::output::run_report::print_trace;
 use pointspindle_audit::trace::ClientAttemptId;
@@ -8,21 +8,22 @@
 /// Arguments of `lab explain`.
 #[derive(clap::Args)]
 pub struct ExplainArguments {
-    /// A run's folder, as `lab run --out` keeps it.
+    /// Folder of a run saved by `lab run --out`.
     run: PathBuf,
-    /// Such as c12.0.
+    /// Request, such as c12.0.
     request: String,
 }
 
-/// Prints everything that happened to a request of a kept run.
+/// Prints the history of a request of a saved run.
 pub fn explain(arguments: ExplainArguments) -> CommandResult {
     let request = &arguments.request;
-    let id = ClientAttemptId::parse(request)
-        .ok_or(format!("{request} names no request; one is called c12.0"))?;
+    let id = ClientAttemptId::parse(request).ok_or(format!(
+        "invalid request {request}; expected a form such as c12.0"
+    ))?;
     let entries = folder::explain(&arguments.run, id)?;
     if entries.is_empty() {
         return Err(CommandError::CannotRun(format!(
-            "nothing was seen of {request} in this run"
+            "request {request} does not occur in this run"
         )));
     }
     print_trace(entries);
--- a/crates/cli/src/commands/lab/fleet.rs
+++ b/crates/cli/src/commands/lab/fleet.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab fleet`: several sites and dispatchers in one run, and what they come to together.
+//! `pointspindle lab fleet`: runs several sites and dispatchers and checks their combined behaviour.
 use super::run::run_in_virtual_time;
 use super::scenario_arguments::ScaledScenarioArguments;
 use super::temporary_folder::RunFolder;
@@ -16,30 +16,30 @@
 pub struct FleetArguments {
     #[command(flatten)]
     scenario: ScaledScenarioArguments,
-    /// In virtual time: for hundreds of dispatchers, or many seeds.
+    /// Run in virtual time, for hundreds of dispatchers or many seeds.
     #[arg(long = "virtual")]
     virtual_time: bool,
-    /// Break something around unchanged dispatchers: `miscount-dispatchers` tells each that it is the only one.
+    /// Inject a fault around unchanged dispatchers: with `miscount-dispatchers`, each is configured as the only one.
     #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT")]
     injected_fault: Option<InjectedFault>,
-    /// Leave out the second play, without what hits a site: nothing is said of the other sites then.
+    /// Skip the second run, without the faults of whole sites; the unaffected sites are then not compared.
     #[arg(long)]
     no_twin: bool,
     /// Print one JSON object.
     #[arg(long)]
     json: bool,
-    /// Where settings, states and logs of the dispatchers go; a temporary folder by default.
+    /// Folder for settings, states and logs of the dispatchers; a temporary folder by default.
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
-/// A run, and the same run without what hits a site as a whole, where something does.
+/// Outcome of a run and, if faults hit a whole site, of the same run without these faults.
 struct FleetOutcome {
     outcome: Outcome,
     without_loss: Option<Outcome>,
 }
 
-/// Plays a scenario and judges what its dispatchers come to together.
+/// Runs a scenario and checks the combined behaviour of its dispatchers.
 pub async fn fleet(arguments: FleetArguments) -> CommandResult {
     let scenario = arguments.scenario.load()?;
     if !arguments.json {
@@ -52,41 +52,41 @@
             scenario.fleet.branches
         );
     }
-    let played = play_both(&scenario, &arguments).await?;
-    // Of the run without the loss, the same seconds of the same sites.
+    let fleet_outcome = run_both(&scenario, &arguments).await?;
+    // In the run without the loss, the same seconds of the same sites are measured.
     let totals_of = |outcome: &Outcome| {
         fleet_totals::measure_totals(&scenario, &outcome.service, &outcome.trace)
     };
-    let totals = totals_of(&played.outcome);
-    let without_loss = played.without_loss.as_ref().map(totals_of);
+    let totals = totals_of(&fleet_outcome.outcome);
+    let without_loss = fleet_outcome.without_loss.as_ref().map(totals_of);
     let verdict = fleet_totals::judge_totals(&scenario, &totals, without_loss.as_ref());
     if arguments.json {
         let json = fleet_json(
             &scenario,
-            &played.outcome,
+            &fleet_outcome.outcome,
             &totals,
             without_loss.as_ref(),
             &verdict,
         )?;
         println!("{json}");
     } else {
-        print_outcome(&played.outcome);
+        print_outcome(&fleet_outcome.outcome);
         print_rule(&verdict);
         print_totals(&totals, without_loss.as_ref());
     }
-    negative_if(has_violations(&played.outcome.rules) || has_violations(&[verdict]))
+    negative_if(has_violations(&fleet_outcome.outcome.rules) || has_violations(&[verdict]))
 }
 
-async fn play_both(
+async fn run_both(
     scenario: &Scenario,
     arguments: &FleetArguments,
 ) -> Result<FleetOutcome, CommandError> {
     let folder = RunFolder::new(arguments.folder.clone(), "pointspindle-fleet");
-    let outcome = play(scenario, arguments, &folder.path().join("day")).await?;
-    let has_twin = !arguments.no_twin && !scenario.affected_sites().is_empty();
-    let without_loss = if has_twin {
+    let outcome = run_once(scenario, arguments, &folder.path().join("day")).await?;
+    let needs_second_run = !arguments.no_twin && !scenario.affected_sites().is_empty();
+    let without_loss = if needs_second_run {
         let scenario = scenario.without_site_faults();
-        Some(play(&scenario, arguments, &folder.path().join("twin")).await?)
+        Some(run_once(&scenario, arguments, &folder.path().join("twin")).await?)
     } else {
         None
     };
@@ -96,7 +96,7 @@
     })
 }
 
-async fn play(
+async fn run_once(
     scenario: &Scenario,
     arguments: &FleetArguments,
     folder: &Path,
--- a/crates/cli/src/commands/lab/hunt.rs
+++ b/crates/cli/src/commands/lab/hunt.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab hunt`.
+//! The `pointspindle lab hunt` command.
 use super::sweep::checked_text;
 use crate::exit::{negative_if, CommandResult};
 use pointspindle_report::hunt::{self, Goal};
@@ -9,33 +9,33 @@
 /// Arguments of `lab hunt`.
 #[derive(clap::Args)]
 pub struct HuntArguments {
-    /// The fleet, traffic and rules; its own faults are left out.
+    /// Scenario with the fleet, traffic and rules; its own faults are ignored.
     scenario: PathBuf,
-    /// What is looked for: worst, rules or fallen.
-    #[arg(long, default_value = "worst", value_parser = goal)]
+    /// Goal of the search: worst, rules or fallen.
+    #[arg(long, default_value = "worst", value_parser = parse_goal)]
     goal: Goal,
-    /// Candidates.
+    /// Number of candidates.
     #[arg(long, default_value_t = 64)]
     days: usize,
-    /// First seed.
+    /// Seed of the first candidate.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// A value in place of the scenario's; may be given several times.
+    /// Setting in place of the scenario's; may be given several times.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
     overrides: Vec<SettingOverride>,
-    /// Where the smallest scenario that shows it goes; standard output by default.
+    /// File for the smallest scenario that reaches the goal; standard output by default.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-fn goal(name: &str) -> Result<Goal, &'static str> {
+fn parse_goal(name: &str) -> Result<Goal, &'static str> {
     let found = Goal::NAMES.iter().find(|(known, _)| *known == name);
     found
         .map(|(_, goal)| *goal)
-        .ok_or("none of worst, rules, fallen")
+        .ok_or("expected worst, rules or fallen")
 }
 
-/// Searches mixes of faults, and writes the smallest scenario that shows what is looked for.
+/// Searches combinations of faults, and writes the smallest scenario that reaches the goal.
 pub fn hunt(arguments: HuntArguments) -> CommandResult {
     let text = checked_text(&arguments.scenario, &arguments.overrides)?;
     let name = arguments.scenario.display().to_string();
@@ -51,12 +51,12 @@
         arguments.days,
     )?;
     let Some(found) = found else {
-        eprintln!("nothing of the kind on {} days", arguments.days);
+        eprintln!("none of {} candidates reaches the goal", arguments.days);
         return Ok(());
     };
     let figures = found.figures;
     eprintln!(
-        "seed {}: service {:.3}, worst 10 s {:.3}, {} hosts fallen, {} breaches; {} troubles left, {} days played",
+        "seed {}: service {:.3}, worst 10 s {:.3}, {} cold crashes, {} violations; {} faults left after {} runs",
         found.seed,
         figures.service,
         figures.worst_10s,
@@ -66,7 +66,7 @@
         found.runs
     );
     let scenario = format!(
-        "# Found by a hunt; play it with --seed {}.\n{}",
+        "# Found by lab hunt; run it with --seed {}.\n{}",
         found.seed,
         hunt::scenario_text(&text, &found.faults)
     );
--- a/crates/cli/src/commands/lab/idle.rs
+++ b/crates/cli/src/commands/lab/idle.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab idle`.
+//! The `pointspindle lab idle` command.
 use crate::embedded_fleet;
 use crate::exit::{CommandError, CommandResult};
 use crate::output::idle_table::{print_expiry, print_header, print_step, print_summary};
@@ -10,60 +10,60 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// An object of the embedded fleet, and its class.
+/// Requested object of the embedded fleet, and its class.
 const OBJECT: &str = "/page/welcome";
 const CLASS: &str = "test-page";
-/// Descriptors that a process needs beside its connections.
+/// Number of file descriptors that a process needs besides its connections.
 const SPARE_DESCRIPTORS: usize = 400;
-/// Length of each step, seconds.
+/// Bounds of the duration of the requests at each step, in seconds.
 const MIN_SECONDS: f64 = 0.5;
 const MAX_SECONDS: f64 = 600.0;
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Idle time-out of a dispatcher whose idle connections are to stay, milliseconds.
+/// Idle timeout of a dispatcher whose idle connections must not expire, in milliseconds.
 const NO_EXPIRY_MS: u64 = 3_600_000;
-/// Connections that expire together.
+/// Maximum number of connections that expire together.
 const MAX_EXPIRING: usize = 10_000;
-/// Time beyond the idle time-out for which expiry is watched, milliseconds.
+/// Time beyond the idle timeout for which expiry is observed, in milliseconds.
 const EXPIRY_MARGIN_MS: u64 = 3_000;
 
 /// Arguments of `lab idle`.
 #[derive(clap::Args)]
 pub struct IdleArguments {
-    /// Connections at each step; the last one is what the limit of descriptors leaves, if that is less.
+    /// Numbers of connections, one for each step; the descriptor limit replaces those above it by one last step.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "0,1000,5000,10000,20000,50000,100000"
     )]
     steps: Vec<usize>,
-    /// Requests a second beside them.
+    /// Requests per second beside the idle connections.
     #[arg(long, default_value_t = 1_000.0)]
     rate: f64,
-    /// Seconds of that at each step.
+    /// Duration of the requests at each step, in seconds.
     #[arg(long, default_value_t = 4.0)]
     seconds: f64,
-    /// Worker threads of the dispatcher.
+    /// Number of worker threads of the dispatcher.
     #[arg(long, default_value_t = 1)]
     threads: usize,
-    /// Figures and a page with plots go here.
+    /// Folder for the figures and a page with plots.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Measure another HTTP server at this address instead, with --pid and --path.
+    /// Measure another HTTP server at this address instead; requires --pid and --path.
     #[arg(long, requires_all = ["pid", "path"])]
     server: Option<SocketAddr>,
-    /// Its process.
+    /// Process ID of that server.
     #[arg(long)]
     pid: Option<u32>,
-    /// What it is asked for.
+    /// Path to request from that server.
     #[arg(long)]
     path: Option<String>,
 }
 
-/// Measures connections step by step, and how idle ones expire.
+/// Measures idle connections step by step and, for a dispatcher, how they expire.
 pub async fn idle(arguments: IdleArguments) -> CommandResult {
     raise_descriptor_limit();
     let measurement = Measurement {
-        steps: possible_steps(&arguments.steps)?,
+        steps: allowed_steps(&arguments.steps)?,
         rate: arguments.rate,
         step_length: Duration::from_secs_f64(arguments.seconds.clamp(MIN_SECONDS, MAX_SECONDS)),
     };
@@ -88,28 +88,26 @@
     Ok(())
 }
 
-/// The steps that the limit of descriptors allows.
-fn possible_steps(wanted: &[usize]) -> std::io::Result<Vec<usize>> {
+/// Returns the steps that the limit of file descriptors allows.
+fn allowed_steps(requested: &[usize]) -> std::io::Result<Vec<usize>> {
     let (soft_limit, _) = rlimit::getrlimit(rlimit::Resource::NOFILE)?;
     let max_connections = (soft_limit as usize).saturating_sub(SPARE_DESCRIPTORS);
-    let mut steps: Vec<usize> = wanted
+    let mut steps: Vec<usize> = requested
         .iter()
         .copied()
         .filter(|connections| *connections <= max_connections)
         .collect();
-    if steps.len() < wanted.len() {
-        println!(
-            "{soft_limit} descriptors a process: the last step is {max_connections} connections"
-        );
+    if steps.len() < requested.len() {
+        println!("descriptor limit {soft_limit}: the last step has {max_connections} connections");
         steps.push(max_connections);
     }
     Ok(steps)
 }
 
-/// What is measured of each server.
+/// Parameters of the measurement of each server.
 struct Measurement {
     steps: Vec<usize>,
-    /// Requests a second.
+    /// Requests per second.
     rate: f64,
     step_length: Duration,
 }
@@ -134,7 +132,7 @@
     }
 }
 
-/// Measures a dispatcher by both protocols, then how its idle connections expire.
+/// Measures a dispatcher over both protocols, then how its idle connections expire.
 async fn measure_dispatcher(
     measurement: &Measurement,
     threads: usize,
@@ -171,7 +169,7 @@
     steps
 }
 
-/// The dispatcher that is measured; its process ends with it.
+/// Process of the measured dispatcher; dropping it kills the process.
 struct DispatcherProcess {
     child: Child,
     http: SocketAddr,
@@ -186,7 +184,7 @@
 }
 
 impl DispatcherProcess {
-    /// Starts one that closes connections which are idle for `idle_ms`.
+    /// Starts a dispatcher that closes connections after they have been idle for `idle_ms`.
     async fn start(
         folder: &Path,
         endpoint_sections: &str,
@@ -220,7 +218,7 @@
                 framed,
             }),
             _ => Err(CommandError::CannotRun(
-                "the dispatcher does not name its addresses".into(),
+                "the ready file of the dispatcher lacks the http or framed address".into(),
             )),
         }
     }
@@ -232,7 +230,7 @@
         if started.elapsed() > START_TIMEOUT || child.try_wait()?.is_some() {
             let _ = child.kill();
             return Err(CommandError::CannotRun(
-                "the dispatcher does not start".into(),
+                "the dispatcher exited or did not become ready in time".into(),
             ));
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
--- a/crates/cli/src/commands/lab/import.rs
+++ b/crates/cli/src/commands/lab/import.rs
@@ -1,11 +1,12 @@
-//! `pointspindle lab import`.
+//! The `pointspindle lab import` command.
 use crate::exit::CommandResult;
 use pointspindle_scenario::import::{self, Size};
 use std::path::Path;
 
-/// Writes the scenario of a bench's day on standard output; what cannot be carried over on standard error.
-pub fn import(day: &Path, is_full_size: bool) -> CommandResult {
-    let text = std::fs::read_to_string(day)?;
+/// Converts a run of the dispatcher bench: writes the scenario to standard output, and the parts that cannot be
+/// imported to standard error.
+pub fn import(file: &Path, is_full_size: bool) -> CommandResult {
+    let text = std::fs::read_to_string(file)?;
     let size = if is_full_size {
         Size::Full
     } else {
@@ -13,7 +14,7 @@
     };
     let (scenario, omissions) = import::import(&text, size)?;
     for omission in omissions {
-        eprintln!("not carried over: {omission}");
+        eprintln!("not imported: {omission}");
     }
     print!("{scenario}");
     Ok(())
--- a/crates/cli/src/commands/lab/report.rs
+++ b/crates/cli/src/commands/lab/report.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab report`.
+//! The `pointspindle lab report` command.
 use crate::exit::CommandResult;
 use pointspindle_report::{folder, html};
 use std::path::PathBuf;
@@ -6,16 +6,16 @@
 /// Arguments of `lab report`.
 #[derive(clap::Args)]
 pub struct ReportArguments {
-    /// A run's folder, as `lab run --out` keeps it.
+    /// Folder of a run saved by `lab run --out`.
     run: PathBuf,
-    /// Another one, to set beside it.
+    /// Folder of a second run, for a comparison.
     beside: Option<PathBuf>,
-    /// Where the page goes; report.html (or beside.html) in the first folder by default.
+    /// File for the page; report.html (or beside.html for a comparison) in the first folder by default.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
-/// Writes the page of a kept run, or of two.
+/// Writes the page of a saved run, or a comparison of two.
 pub fn report(arguments: ReportArguments) -> CommandResult {
     let run = folder::load(&arguments.run)?;
     let (page, name) = match &arguments.beside {
--- a/crates/cli/src/commands/lab/run.rs
+++ b/crates/cli/src/commands/lab/run.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab run`.
+//! The `pointspindle lab run` command.
 use super::scenario_arguments::ScaledScenarioArguments;
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
@@ -21,30 +21,30 @@
     /// Print one JSON object.
     #[arg(long)]
     json: bool,
-    /// Break one rule around an unchanged dispatcher: the audit must find it.
+    /// Inject a fault that violates one rule around an unchanged dispatcher: the audit must detect it.
     #[arg(long = "inject-fault", alias = "plant", value_name = "FAULT")]
     injected_fault: Option<InjectedFault>,
-    /// Show everything that happened to a request of the run, such as c12.0, in order.
+    /// Show the history of a request of the run, such as c12.0.
     #[arg(long)]
     explain: Option<String>,
-    /// In virtual time: the dispatchers' cores against the model, without sockets; the same for the same seed.
+    /// Run in virtual time: the dispatchers' cores against the model, without sockets; a seed always gives the same run.
     #[arg(long = "virtual")]
     virtual_time: bool,
-    /// The real network code in this process, on a simulated network under a paused clock: latency, loss and partitions.
+    /// Run the network code in this process, on a simulated network with latency, loss and partitions and a paused clock.
     #[arg(long = "shell", conflicts_with = "virtual_time")]
     simulated_network: bool,
-    /// Lists and purges through an emulated etcd whose streams break again and again.
+    /// Distribute endpoint lists and purges through an emulated etcd whose streams break repeatedly.
     #[arg(long, conflicts_with_all = ["virtual_time", "simulated_network", "injected_fault"])]
     etcd: bool,
-    /// Keep the run here: scenario, figures, a report with plots.
+    /// Folder in which to save the run: scenario, figures, a report with plots.
     #[arg(long)]
     out: Option<PathBuf>,
-    /// Where settings, states and logs of the dispatchers go; a temporary folder by default.
+    /// Folder for settings, states and logs of the dispatchers; a temporary folder by default.
     #[arg(long)]
     folder: Option<PathBuf>,
 }
 
-/// Plays a scenario and prints how it was judged.
+/// Runs a scenario and prints the verdict.
 pub async fn run(arguments: RunArguments) -> CommandResult {
     let scenario = arguments.scenario.load()?;
     let mut cost = None;
@@ -62,7 +62,7 @@
         run_on_network(&arguments, &scenario).await?
     };
     explain(&arguments, &outcome.trace)?;
-    keep(&arguments, &scenario, &outcome)?;
+    save(&arguments, &scenario, &outcome)?;
     if arguments.json {
         println!("{}", outcome_json(&scenario, &outcome));
     } else {
@@ -96,7 +96,7 @@
     Ok(outcome?)
 }
 
-/// Plays a scenario in virtual time.
+/// Runs a scenario in virtual time.
 pub fn run_in_virtual_time(
     scenario: &Scenario,
     fault: Option<InjectedFault>,
@@ -110,7 +110,7 @@
         )
     );
     if needs_sockets {
-        let reason = "this fault is a relay between sockets; leave --virtual out";
+        let reason = "this fault needs a relay between sockets; omit --virtual";
         return Err(CommandError::CannotRun(reason.into()));
     }
     let simulated = simulator::run(scenario, fault).map_err(CommandError::CannotRun)?;
@@ -125,7 +125,7 @@
 
 fn print_cost(cost: &RunCost) {
     println!(
-        "  {} events in {:.1} s, {:.0} a second; {:.1} us a call of a core",
+        "  {} events in {:.1} s, {:.0} per second; {:.1} us per call of a dispatcher core",
         cost.events,
         cost.elapsed_s,
         cost.events as f64 / cost.elapsed_s,
@@ -133,7 +133,7 @@
     );
 }
 
-fn keep(arguments: &RunArguments, scenario: &Scenario, outcome: &Outcome) -> CommandResult {
+fn save(arguments: &RunArguments, scenario: &Scenario, outcome: &Outcome) -> CommandResult {
     let Some(out) = &arguments.out else {
         return Ok(());
     };
@@ -156,8 +156,9 @@
     let Some(request) = &arguments.explain else {
         return Ok(());
     };
-    let id = ClientAttemptId::parse(request)
-        .ok_or(format!("{request} names no request; one is called c12.0"))?;
+    let id = ClientAttemptId::parse(request).ok_or(format!(
+        "invalid request {request}; expected a form such as c12.0"
+    ))?;
     print_trace(request_history(trace, id.call));
     Ok(())
 }
--- a/crates/cli/src/commands/lab/scale.rs
+++ b/crates/cli/src/commands/lab/scale.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab scale`.
+//! The `pointspindle lab scale` command.
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::scale_report::{exceeded_budgets, print_runs};
 use crate::process::raise_descriptor_limit;
@@ -11,49 +11,49 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// Length of each phase, seconds.
+/// Bounds of the duration of each phase, in seconds.
 const MIN_SECONDS: f64 = 0.2;
 const MAX_SECONDS: f64 = 600.0;
-/// More hollow dispatchers than this are no rehearsal on one machine.
-const MAX_HOLLOW_DISPATCHERS: usize = 2_000;
+/// Maximum number of control-only dispatchers at a step; more of them on one machine are not a realistic run.
+const MAX_DISPATCHERS: usize = 2_000;
 const MAX_RUNS: usize = 10;
 
 /// Arguments of `lab scale`.
 #[derive(clap::Args)]
 pub struct ScaleArguments {
-    /// The fleet ahead, its budgets and the shape of the run; see scenarios/fleet-ahead.ini.
+    /// Planned fleet, its budgets and the settings of the run; see scenarios/fleet-ahead.ini.
     target: PathBuf,
-    /// Hollow dispatchers at each step.
+    /// Numbers of control-only dispatchers, one for each step.
     #[arg(long, value_delimiter = ',', default_value = "50,100,200,400,590")]
     hollow: Vec<usize>,
-    /// Of each phase, in place of the file's.
+    /// Duration of each phase in seconds, in place of the file's.
     #[arg(long)]
     seconds: Option<f64>,
-    /// Times that all steps are played; slopes are used only where runs agree.
+    /// Number of runs of all steps; slopes are used only where the runs agree.
     #[arg(long, default_value_t = 1)]
     runs: usize,
-    /// Fit the slopes of a kept steps.json anew, without a run.
+    /// Fit the slopes of a saved steps.json again, without a run.
     #[arg(long, conflicts_with_all = ["runs", "seconds", "hollow"])]
     steps: Option<PathBuf>,
     /// Print one JSON object.
     #[arg(long)]
     json: bool,
-    /// Write steps.json and slopes.json there.
+    /// Folder for steps.json and slopes.json.
     #[arg(long)]
     out: Option<PathBuf>,
 }
 
 impl ScaleArguments {
     fn check(&self) -> CommandResult {
-        let is_possible = |count: &usize| (1..=MAX_HOLLOW_DISPATCHERS).contains(count);
-        if let Some(count) = self.hollow.iter().find(|count| !is_possible(count)) {
+        let is_allowed = |count: &usize| (1..=MAX_DISPATCHERS).contains(count);
+        if let Some(count) = self.hollow.iter().find(|count| !is_allowed(count)) {
             return Err(CommandError::CannotRun(format!(
-                "--hollow {count}: 1 to {MAX_HOLLOW_DISPATCHERS}"
+                "--hollow {count}: expected 1 to {MAX_DISPATCHERS}"
             )));
         }
         if !(1..=MAX_RUNS).contains(&self.runs) {
             return Err(CommandError::CannotRun(format!(
-                "--runs {}: 1 to {MAX_RUNS}",
+                "--runs {}: expected 1 to {MAX_RUNS}",
                 self.runs
             )));
         }
@@ -65,7 +65,7 @@
         if let Some(seconds) = self.seconds {
             if !(MIN_SECONDS..=MAX_SECONDS).contains(&seconds) {
                 return Err(CommandError::CannotRun(format!(
-                    "--seconds {seconds}: {MIN_SECONDS} to {MAX_SECONDS}"
+                    "--seconds {seconds}: expected {MIN_SECONDS} to {MAX_SECONDS}"
                 )));
             }
             target.phase_seconds = seconds;
@@ -74,14 +74,14 @@
     }
 }
 
-/// Plays the steps, or reads kept ones, and prints figures and slopes.
+/// Runs the steps, or reads saved ones, and prints figures and slopes.
 pub async fn scale(arguments: ScaleArguments) -> CommandResult {
     raise_descriptor_limit();
     let target = arguments.target()?;
     arguments.check()?;
     let runs = match &arguments.steps {
         Some(file) => read_json(file)?,
-        None => play_runs(&arguments, &target).await?,
+        None => run_steps(&arguments, &target).await?,
     };
     let slopes = Slopes {
         commit: commit(),
@@ -110,12 +110,12 @@
     }
     let exceeded = exceeded_budgets(&target, &runs);
     for budget in &exceeded {
-        eprintln!("over its budget: {budget}");
+        eprintln!("budget exceeded: {budget}");
     }
     negative_if(!exceeded.is_empty())
 }
 
-async fn play_runs(
+async fn run_steps(
     arguments: &ScaleArguments,
     target: &Target,
 ) -> Result<Vec<Vec<Step>>, CommandError> {
@@ -124,8 +124,7 @@
     for run in 1..=arguments.runs {
         let mut steps = Vec::new();
         for &dispatchers in &arguments.hollow {
-            let progress =
-                |phase: &str| eprintln!("run {run}, {dispatchers} hollow dispatchers: {phase}");
+            let progress = |phase: &str| eprintln!("run {run}, {dispatchers} dispatchers: {phase}");
             steps.push(play_step(&program, target, dispatchers, progress).await?);
         }
         runs.push(steps);
@@ -133,29 +132,29 @@
     Ok(runs)
 }
 
-/// A process with hollow nodes, started by `lab scale`.
+/// Runs a process of control-only nodes, started by `lab scale`.
 pub async fn node_process() -> CommandResult {
     raise_descriptor_limit();
     Ok(node::run().await?)
 }
 
-/// Reads the fleet ahead.
+/// Reads the planned fleet with its budgets; errors name the file.
 pub fn read_target(file: &Path) -> Result<Target, CommandError> {
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| format!("{name}: {error}"))?;
     Ok(pointspindle_scale::read_target(&name, &text)?)
 }
 
-/// Reads a file of JSON; errors name it.
+/// Reads a JSON file; errors name the file.
 pub fn read_json<T: DeserializeOwned>(file: &Path) -> Result<T, CommandError> {
-    let named = |error: &dyn std::fmt::Display| {
+    let with_file = |error: &dyn std::fmt::Display| {
         CommandError::CannotRun(format!("{}: {error}", file.display()))
     };
-    let text = std::fs::read_to_string(file).map_err(|error| named(&error))?;
-    serde_json::from_str(&text).map_err(|error| named(&error))
+    let text = std::fs::read_to_string(file).map_err(|error| with_file(&error))?;
+    serde_json::from_str(&text).map_err(|error| with_file(&error))
 }
 
-/// The commit of the working folder, where there is one.
+/// Returns the commit of the working folder, or "unknown".
 fn commit() -> String {
     let git = std::process::Command::new("git")
         .args(["rev-parse", "--short", "HEAD"])
@@ -171,7 +170,7 @@
     format!("{cores} cores, {:.0} GB", machine_mb() / 1024.0)
 }
 
-/// Updates that were written, and those that a dispatcher never received, over all steps.
+/// Returns the numbers of updates that were written, and of those that a dispatcher never received, over all steps.
 fn update_counts(runs: &[Vec<Step>]) -> BTreeMap<String, f64> {
     let mut counts = BTreeMap::new();
     for phase in runs.iter().flatten().flat_map(|step| &step.phases) {
--- a/crates/cli/src/commands/lab/scenario_arguments.rs
+++ b/crates/cli/src/commands/lab/scenario_arguments.rs
@@ -1,21 +1,21 @@
-//! Which scenario is played, and with which fault around it.
+//! Arguments that select a scenario, its seed, its settings and its duration.
 use crate::exit::CommandError;
 use pointspindle_scenario::{Scenario, SettingOverride};
 use std::path::{Path, PathBuf};
 
-/// Lengths that a scenario can be scaled to, seconds.
+/// Bounds of the duration to which a scenario can be scaled, in seconds.
 const MIN_SECONDS: f64 = 2.0;
 const MAX_SECONDS: f64 = 3_600.0;
 
-/// A scenario, its seed, and settings in place of its own.
+/// Scenario, seed, and settings in place of the scenario's own.
 #[derive(clap::Args)]
 pub struct ScenarioArguments {
-    /// File of the scenario.
+    /// Scenario file.
     scenario: PathBuf,
-    /// In place of the file's.
+    /// Seed in place of the scenario's.
     #[arg(long)]
     seed: Option<u64>,
-    /// A value in place of the scenario's, such as fleet.caches=9; may be given several times.
+    /// Setting in place of the scenario's, such as fleet.caches=9; may be given several times.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
     overrides: Vec<SettingOverride>,
 }
@@ -27,23 +27,23 @@
         Ok(loaded?)
     }
 
-    /// File of the scenario.
+    /// Returns the scenario file.
     pub fn file(&self) -> &Path {
         &self.scenario
     }
 
-    /// Settings in place of its own.
+    /// Returns the settings in place of the scenario's own.
     pub fn overrides(&self) -> &[SettingOverride] {
         &self.overrides
     }
 }
 
-/// The same, at a length of one's own.
+/// Scenario arguments, with a duration in place of the scenario's own.
 #[derive(clap::Args)]
 pub struct ScaledScenarioArguments {
     #[command(flatten)]
     scenario: ScenarioArguments,
-    /// Scale the script to a run of this many seconds.
+    /// Scale the scenario to this duration, in seconds.
     #[arg(long)]
     seconds: Option<f64>,
 }
@@ -54,14 +54,14 @@
         let scenario = self.scenario.load()?;
         match self.seconds {
             Some(seconds) if !(MIN_SECONDS..=MAX_SECONDS).contains(&seconds) => Err(
-                CommandError::CannotRun(format!("--seconds {seconds}: from 2 to 3600")),
+                CommandError::CannotRun(format!("--seconds {seconds}: expected 2 to 3600")),
             ),
             Some(seconds) => Ok(scenario.scaled_to(seconds)),
             None => Ok(scenario),
         }
     }
 
-    /// The scenario without its length.
+    /// Returns the arguments without the duration.
     pub fn unscaled(&self) -> &ScenarioArguments {
         &self.scenario
     }
--- a/crates/cli/src/commands/lab/seeds.rs
+++ b/crates/cli/src/commands/lab/seeds.rs
@@ -1,23 +1,23 @@
-//! The seeds of a command that plays many runs.
+//! Seeds of a command that runs a scenario many times.
 use std::str::FromStr;
 
 const MAX_SEEDS: usize = 100_000;
 
-/// Why something names no seeds.
+/// Reason for which a text is not a list of seeds.
 #[derive(Debug, thiserror::Error)]
 pub enum SeedsError {
-    /// Not a number.
-    #[error("{0:?} is no seed")]
+    /// A seed is not a number.
+    #[error("{0:?} is not a seed; expected a non-negative integer")]
     NotANumber(String),
-    /// A range without numbers.
-    #[error("{0:?} holds no seed")]
+    /// The range is empty.
+    #[error("{0:?} contains no seed")]
     Empty(String),
-    /// More than can be played.
-    #[error("{0} seeds; 100,000 at most")]
+    /// The number of seeds exceeds the limit.
+    #[error("{0} seeds given; expected at most 100,000")]
     TooMany(usize),
 }
 
-/// Seeds as `1..20` (both included) or `3,5,9`.
+/// Seeds, written `1..20` (both included) or `3,5,9`.
 #[derive(Clone, Debug)]
 pub struct Seeds(pub Vec<u64>);
 
--- a/crates/cli/src/commands/lab/temporary_folder.rs
+++ b/crates/cli/src/commands/lab/temporary_folder.rs
@@ -1,22 +1,22 @@
-//! Where dispatcher processes of a run keep settings, states and logs.
+//! Folder for the settings, states and logs of the dispatcher processes of a run.
 use std::path::{Path, PathBuf};
 
-/// A folder that was asked for and stays, or a temporary one that is removed with its guard.
+/// Folder given by the user, or a temporary one that is removed on drop.
 pub struct RunFolder {
     path: PathBuf,
     is_temporary: bool,
 }
 
 impl RunFolder {
-    /// The folder that was asked for, or a temporary one with this name.
-    pub fn new(wanted: Option<PathBuf>, name: &str) -> Self {
-        let is_temporary = wanted.is_none();
-        let path = wanted
+    /// Returns the requested folder, or a temporary one whose name begins with `name`.
+    pub fn new(requested: Option<PathBuf>, name: &str) -> Self {
+        let is_temporary = requested.is_none();
+        let path = requested
             .unwrap_or_else(|| std::env::temp_dir().join(format!("{name}-{}", std::process::id())));
         Self { path, is_temporary }
     }
 
-    /// Its path.
+    /// Returns the path of the folder.
     pub fn path(&self) -> &Path {
         &self.path
     }
--- a/crates/cli/src/commands/lab/watch.rs
+++ b/crates/cli/src/commands/lab/watch.rs
@@ -1,4 +1,4 @@
-//! `pointspindle lab watch`: a run on the terminal as it goes.
+//! `pointspindle lab watch`: shows a run in progress on the terminal.
 use super::scenario_arguments::ScenarioArguments;
 use super::temporary_folder::RunFolder;
 use crate::exit::{negative_if, CommandError, CommandResult};
@@ -15,9 +15,9 @@
 use std::io::IsTerminal;
 use std::time::{Duration, Instant};
 
-/// Between two frames.
+/// Time between two frames.
 const FRAME_INTERVAL: Duration = Duration::from_millis(100);
-/// Seconds of the run shown in a second.
+/// Bounds of the pace, in seconds of the run per second.
 const MIN_PACE: f64 = 0.05;
 const MAX_PACE: f64 = 100.0;
 /// Factor by which a key changes the pace.
@@ -28,40 +28,42 @@
 pub struct WatchArguments {
     #[command(flatten)]
     scenario: ScenarioArguments,
-    /// Seconds of the run in a second, in virtual time; + and - change it.
-    #[arg(long, default_value_t = 2.0, value_parser = pace)]
+    /// Pace in virtual time, in seconds of the run per second; + and - change it.
+    #[arg(long, default_value_t = 2.0, value_parser = parse_pace)]
     pace: f64,
-    /// On loopback sockets, in real time, dispatchers as processes.
+    /// Run on loopback sockets in real time, with dispatchers as processes.
     #[arg(long)]
     sockets: bool,
 }
 
-fn pace(text: &str) -> Result<f64, String> {
-    let pace: f64 = text.parse().map_err(|_| format!("{text:?} is no number"))?;
+fn parse_pace(text: &str) -> Result<f64, String> {
+    let pace: f64 = text
+        .parse()
+        .map_err(|_| format!("{text:?} is not a number"))?;
     if (MIN_PACE..=MAX_PACE).contains(&pace) {
         Ok(pace)
     } else {
-        Err("from 0.05 to 100".into())
+        Err("expected 0.05 to 100".into())
     }
 }
 
-/// Shows a run and prints how it was judged.
+/// Shows a run and prints the verdicts of the rules.
 pub async fn watch(arguments: WatchArguments) -> CommandResult {
     let scenario = arguments.scenario.load()?;
     if !std::io::stdout().is_terminal() {
         return Err(CommandError::CannotRun(
-            "watch needs a terminal; lab run --out keeps a day as a page".into(),
+            "standard output is not a terminal; lab run --out saves a run as a page".into(),
         ));
     }
     if arguments.sockets {
         return watch_on_sockets(&scenario).await;
     }
-    let played = pointspindle_simulator::run(&scenario, None).map_err(CommandError::CannotRun)?;
+    let outcome = pointspindle_simulator::run(&scenario, None).map_err(CommandError::CannotRun)?;
     let mut terminal = ratatui::init();
-    let shown = Replay::new(&scenario, &played.trace, arguments.pace).show(&mut terminal);
+    let shown = Replay::new(&scenario, &outcome.trace, arguments.pace).show(&mut terminal);
     ratatui::restore();
     shown?;
-    print_verdicts(&played.rules)
+    print_verdicts(&outcome.rules)
 }
 
 fn print_verdicts(rules: &[RuleVerdict]) -> CommandResult {
@@ -69,7 +71,7 @@
     negative_if(has_violations(rules))
 }
 
-/// What a pressed key asks for.
+/// Command that a pressed key triggers.
 enum KeyCommand {
     Quit,
     Pause,
@@ -77,7 +79,7 @@
     Slower,
 }
 
-/// The next key within a frame's time.
+/// Returns the command of the next key event, or `None` if none arrives within a frame.
 fn read_key() -> std::io::Result<Option<KeyCommand>> {
     if !event::poll(FRAME_INTERVAL)? {
         return Ok(None);
@@ -101,15 +103,15 @@
     }
 }
 
-/// A run in virtual time that has ended, shown at a pace.
+/// Replay of a finished run in virtual time.
 struct Replay<'a> {
     view: LiveView,
     trace: &'a [TraceEntry],
     duration_us: u64,
-    /// Seconds of the run in a second.
+    /// Pace, in seconds of the run per second.
     pace: f64,
     is_paused: bool,
-    /// How far it is shown: time of the run, and entries of the trace.
+    /// Time of the run up to which it is shown, and number of trace entries shown.
     shown_us: f64,
     shown_entries: usize,
 }
@@ -127,7 +129,7 @@
         }
     }
 
-    /// Shows it until the viewer quits.
+    /// Shows the run until the viewer quits.
     fn show(mut self, terminal: &mut DefaultTerminal) -> std::io::Result<()> {
         let mut last_frame = Instant::now();
         loop {
@@ -137,7 +139,7 @@
                 self.advance(elapsed);
             }
             let hint = format!(
-                "{}, {:.2} s a second   q: quit   space: pause   + -: pace",
+                "{}, {:.2} s per second   q: quit   space: pause   + -: pace",
                 self.state(),
                 self.pace
             );
@@ -192,7 +194,7 @@
     });
     ratatui::restore();
     if !matches!(shown, Ok(LiveEnd::RunIsOver)) {
-        // The dispatcher processes end with it.
+        // Aborting the run ends the dispatcher processes.
         run.abort();
     }
     let outcome = run.await;
@@ -201,12 +203,12 @@
     match outcome {
         Ok(outcome) => print_verdicts(&outcome?.rules),
         Err(_) => Err(CommandError::CannotRun(
-            "left before the day was over: nothing was judged".into(),
+            "the viewer quit before the end of the run; the rules were not checked".into(),
         )),
     }
 }
 
-/// Why a live view has ended.
+/// Reason for which a live view has ended.
 enum LiveEnd {
     RunIsOver,
     ViewerQuit,
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `pointspindle load`.
+//! The `pointspindle load` command.
 use super::client_arguments::{ClientArguments, Url};
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::load_report::LoadReport;
@@ -12,17 +12,17 @@
 /// Arguments of `load`.
 #[derive(clap::Args)]
 pub struct LoadArguments {
-    /// As for get.
+    /// URL, as for get.
     url: Url,
     #[command(flatten)]
     client: ClientArguments,
-    /// Calls a second, each at its time whatever became of the others.
+    /// Calls per second; each begins at its scheduled time, independently of the other calls.
     #[arg(long, default_value_t = 100.0)]
     rate: f64,
-    /// Length of the load, seconds.
+    /// Duration of the load, in seconds.
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
-    /// Calls in flight at once; more than that are counted as not begun.
+    /// Maximum number of calls in flight; calls beyond it are counted as not begun.
     #[arg(long, default_value_t = 10_000)]
     most: usize,
     /// Print one JSON object.
@@ -33,27 +33,27 @@
 impl LoadArguments {
     fn check(&self) -> CommandResult {
         let is_rate_valid = self.rate > 0.0 && self.rate <= MAX_CALLS_PER_S;
-        let is_length_valid = self.seconds > 0.0 && self.seconds <= MAX_SECONDS;
-        if is_rate_valid && is_length_valid {
+        let is_duration_valid = self.seconds > 0.0 && self.seconds <= MAX_SECONDS;
+        if is_rate_valid && is_duration_valid {
             return Ok(());
         }
         Err(CommandError::CannotRun(
-            "--rate above 0 and up to 1e6, --seconds above 0 and up to 3600".into(),
+            "--rate must be above 0 and at most 1e6, --seconds above 0 and at most 3600".into(),
         ))
     }
 }
 
 /// A call that has ended.
 pub struct FinishedCall {
-    /// What it came to.
+    /// Outcome of the call.
     pub outcome: Outcome,
-    /// Time since it was due.
+    /// Time from the scheduled start of the call to its end.
     pub duration: Duration,
-    /// Attempts that were made.
+    /// Number of attempts made.
     pub attempts: u32,
 }
 
-/// Calls a dispatcher at a steady rate and prints how long responses took.
+/// Calls a dispatcher at a steady rate and prints the response times.
 pub async fn load(arguments: LoadArguments) -> CommandResult {
     arguments.check()?;
     let client = arguments.client.client(&arguments.url)?;
@@ -63,7 +63,7 @@
     let mut in_flight = JoinSet::new();
     let started = Instant::now();
     for number in 0..calls {
-        // Times count from when a call was due: one that the generator begins late has waited all the same.
+        // Durations count from the scheduled start of a call, so that a late generator does not hide waiting time.
         let due = started + interval.mul_f64(number as f64);
         tokio::time::sleep_until(due.into()).await;
         while let Some(finished) = in_flight.try_join_next() {
@@ -85,8 +85,8 @@
 
 async fn finish(mut call: Call, due: Instant) -> FinishedCall {
     let mut outcome = Outcome::Failed { may_have_run: true };
-    while let Some(piece) = call.next().await {
-        if let CallEvent::End(end) = piece {
+    while let Some(event) = call.next().await {
+        if let CallEvent::End(end) = event {
             outcome = end;
         }
     }
--- a/crates/cli/src/commands/manual.rs
+++ b/crates/cli/src/commands/manual.rs
@@ -1,11 +1,11 @@
-//! `pointspindle manual`.
+//! The `pointspindle manual` command.
 use crate::exit::CommandResult;
 use crate::Arguments;
 use clap::CommandFactory;
 use clap_mangen::Man;
 use std::io::Write;
 
-/// Writes the manual page on standard output, in roff.
+/// Writes the manual page to standard output, in roff.
 pub fn manual() -> CommandResult {
     let mut page = Vec::new();
     Man::new(Arguments::command()).render(&mut page)?;
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands, a module each: arguments, and the call of a library that does the work.
+//! The commands, one module each: the arguments and the call of the library that does the work.
 mod cache;
 mod check;
 mod client_arguments;
@@ -19,45 +19,45 @@
 pub use load::FinishedCall;
 use std::path::PathBuf;
 
-/// What the program is to do.
+/// Command of the program.
 #[derive(clap::Subcommand)]
 pub enum Command {
-    /// Run a dispatcher; without a file, an embedded fleet with sample objects on loopback.
+    /// Run a dispatcher; without a settings file, run an embedded fleet with sample objects on loopback.
     Serve(serve::ServeArguments),
-    /// Run a dispatcher on the operators' platform: FastCGI clients, cache hosts by lines, a discovery stream.
+    /// Run a dispatcher on the operators' platform: FastCGI clients, cache hosts with a line protocol, a discovery stream.
     Run(run::RunArguments),
-    /// Run a cache host: edge or parent cache with a store on disk, or a gateway to an HTTP origin.
+    /// Run a cache host: an edge or parent cache with a store on disk, or a gateway to an HTTP origin.
     Cache(cache::CacheArguments),
-    /// Look into a cache host's store, whether it runs or not.
+    /// Inspect the store of a cache host, whether the host is running or not.
     #[command(subcommand)]
     Store(store::StoreCommand),
-    /// Check a settings file; names file, line, key and reason of everything that is wrong.
+    /// Check a settings file and print file, line, key and reason of each error.
     Check {
-        /// The settings.
+        /// Settings file.
         file: PathBuf,
     },
     /// Show the endpoint list of a running dispatcher, or change it.
     Members(endpoints::EndpointsArguments),
-    /// Tell running dispatchers that an object, or a group of objects, is purged.
+    /// Purge an object, or a group of objects, at running dispatchers.
     Purge(purge::PurgeArguments),
-    /// Get an object from a dispatcher, by either protocol, with retries. Exit status 1: rejected or failed.
+    /// Get an object from a dispatcher over either protocol, with retries. Exit status 1: rejected or failed.
     Get(get::GetArguments),
-    /// Call a dispatcher at a steady rate and show how long responses take. Exit status 1: none was served.
+    /// Call a dispatcher at a steady rate and show the response times. Exit status 1: no call was served.
     Load(load::LoadArguments),
-    /// Rehearse runs with faults on loopback and judge them by what went over the sockets.
+    /// Run scenarios with faults on loopback and check the rules against the traffic on the sockets.
     #[command(subcommand)]
     Lab(lab::LabCommand),
-    /// Write the completions of a shell, on standard output.
+    /// Write the completions of a shell to standard output.
     Completions {
-        /// The shell.
+        /// Name of the shell.
         shell: clap_complete::Shell,
     },
-    /// Write the manual page, in roff, on standard output.
+    /// Write the manual page, in roff, to standard output.
     Manual,
 }
 
 impl Command {
-    /// Carries it out.
+    /// Runs the command.
     pub async fn run(self) -> CommandResult {
         match self {
             Self::Serve(arguments) => serve::serve(arguments).await,
--- a/crates/cli/src/commands/purge.rs
+++ b/crates/cli/src/commands/purge.rs
@@ -1,4 +1,4 @@
-//! `pointspindle purge`.
+//! The `pointspindle purge` command.
 use super::control_client::apply;
 use super::etcd_access::EtcdArguments;
 use crate::exit::{CommandError, CommandResult};
@@ -14,19 +14,20 @@
     at: Vec<SocketAddr>,
     #[command(flatten)]
     etcd: EtcdArguments,
-    /// The object, as its path.
+    /// Path of the object.
     #[arg(long, required_unless_present_any = ["group", "group_of"])]
     object: Option<String>,
-    /// A group by its number.
+    /// Number of the group.
     #[arg(long, conflicts_with = "object")]
     group: Option<u64>,
-    /// The group of all paths that begin so, such as /video/12.
+    /// Group of all paths with this prefix, such as /video/12.
     #[arg(long, conflicts_with_all = ["object", "group"])]
     group_of: Option<String>,
-    /// How long ago it was purged, milliseconds.
+    /// Time since the object was purged, in milliseconds.
     #[arg(long, default_value_t = 0, conflicts_with = "etcd")]
     age_ms: u64,
-    /// Return once it is in force everywhere, by all dispatchers' promise. Exit status 1: one of them promises nothing.
+    /// Return once the purge is in force at all dispatchers, by their promises. Exit status 1: a dispatcher makes no
+    /// promise.
     #[arg(long, requires = "etcd", conflicts_with = "at")]
     wait: bool,
 }
@@ -41,7 +42,7 @@
     }
 }
 
-/// Purges at each dispatcher, or through etcd.
+/// Sends a purge to each dispatcher, or writes it to etcd.
 pub async fn purge(arguments: PurgeArguments) -> CommandResult {
     let group = arguments.group();
     if arguments.etcd.is_used() {
@@ -58,7 +59,7 @@
     };
     let mut failures = Vec::new();
     for address in &arguments.at {
-        // Each dispatcher keeps a purge by itself: it is sent to all, whatever becomes of one.
+        // Each dispatcher records purges independently: the purge is sent to all, even if one fails.
         match apply(*address, Frame::Purge(head.clone())).await {
             Ok(()) => println!("{address}: purged"),
             Err(error) => failures.push(error.to_string()),
--- a/crates/cli/src/commands/run.rs
+++ b/crates/cli/src/commands/run.rs
@@ -1,14 +1,14 @@
-//! `pointspindle run`: the dispatcher as the operators' platform starts it.
+//! `pointspindle run`: runs the dispatcher as the operators' platform starts it.
 use crate::exit::CommandResult;
 use std::path::PathBuf;
 
 /// Arguments of `run`.
 #[derive(clap::Args)]
 pub struct RunArguments {
-    /// The start configuration, JSON. Read again at SIGHUP.
+    /// Startup configuration in JSON; read again at SIGHUP.
     #[arg(long, env = "BALANCER_CONFIG")]
     config: PathBuf,
-    /// Where clients connect; as the configuration says without it.
+    /// Listening address for clients, in place of the configured one.
     #[arg(long, env = "BALANCER_LISTEN")]
     listen: Option<String>,
 }
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `pointspindle serve`.
+//! The `pointspindle serve` command.
 use crate::embedded_fleet;
 use crate::exit::{CommandError, CommandResult};
 use crate::process::{raise_descriptor_limit, write_atomically};
@@ -13,15 +13,15 @@
 /// Arguments of `serve`.
 #[derive(clap::Args)]
 pub struct ServeArguments {
-    /// Settings; see examples/edge.ini. Without one, an embedded fleet is started.
+    /// Settings file; see examples/edge.ini. Without one, an embedded fleet is started.
     file: Option<PathBuf>,
-    /// Write the addresses that it listens on to this file, as JSON, once it does.
+    /// Write the listening addresses to this file, as JSON, once the listeners are open.
     #[arg(long)]
     ready_file: Option<PathBuf>,
-    /// Seed of what is drawn at random (timers only).
+    /// Seed of the random number generator, which only timers use.
     #[arg(long)]
     seed: Option<u64>,
-    /// Port of HTTP in the embedded fleet; 0: any free one.
+    /// HTTP port of the embedded fleet; 0 selects a free port.
     #[arg(long, default_value_t = 8080)]
     port: u16,
 }
@@ -49,13 +49,13 @@
     run_until_terminated(&dispatcher, terminate, hangup).await;
     if !dispatcher.stop().await {
         return Err(CommandError::CannotRun(
-            "some requests had no answer when the time to stop was over".into(),
+            "shutdown timed out before all requests were answered".into(),
         ));
     }
     Ok(())
 }
 
-/// Opens the listeners once the state in etcd is known, or could not be had in time.
+/// Opens the listeners once the state in etcd is known, at the latest after the configured wait.
 async fn open(settings: DispatcherSettings, seed: u64) -> Result<Dispatcher, CommandError> {
     let source = EtcdSource::of(&settings, seed)?;
     let start_wait_us = settings.etcd.as_ref().map_or(0, |etcd| etcd.start_wait_us);
@@ -65,7 +65,7 @@
         let start_wait = Duration::from_micros(start_wait_us);
         if !prepared.wait_until_current(start_wait).await {
             tracing::warn!(
-                "etcd does not answer; the listeners open with the endpoint list of the last run"
+                "etcd did not answer in time; listeners open with the endpoint list of the last run"
             );
         }
     }
@@ -79,8 +79,8 @@
             _ = terminate.recv() => return,
             _ = tokio::signal::ctrl_c() => return,
             _ = hangup.recv() => match dispatcher.reload_tls() {
-                Ok(()) => tracing::info!("certificates and keys read again"),
-                Err(error) => tracing::error!(%error, "certificates and keys stay as they were"),
+                Ok(()) => tracing::info!("certificates and keys reloaded"),
+                Err(error) => tracing::error!(%error, "certificates and keys not reloaded; the previous ones stay in use"),
             },
         }
     }
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -1,40 +1,40 @@
-//! `pointspindle store`.
+//! The `pointspindle store` command.
 use crate::exit::{negative_if, CommandError, CommandResult};
 use crate::output::store_report;
 use pointspindle_store::check::{self, Report};
 use pointspindle_store::Folder;
 use std::path::{Path, PathBuf};
 
-/// What is done with a store.
+/// Subcommand of `store`.
 #[derive(clap::Subcommand)]
 pub enum StoreCommand {
-    /// Read everything, compare every checksum, and say what is wrong. Exit status 1: something is.
+    /// Read the whole store, verify every checksum, and print all errors. Exit status 1: errors were found.
     Check {
         /// Folder of the store.
         folder: PathBuf,
     },
-    /// The cached copies.
+    /// List the cached copies.
     List {
         /// Folder of the store.
         folder: PathBuf,
     },
-    /// Counts and bytes.
+    /// Show the numbers of segments, copies and log records, and their bytes.
     Stats {
         /// Folder of the store.
         folder: PathBuf,
     },
 }
 
-/// What of a store is read.
+/// Part of a store that is read.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Depth {
-    /// The index of the copies.
+    /// Only the index of the copies.
     Index,
-    /// That and all blocks.
+    /// The index and all blocks.
     Blocks,
 }
 
-/// Reads a store and prints what was asked for.
+/// Reads a store and prints the result of the subcommand.
 pub fn store(command: StoreCommand) -> CommandResult {
     match command {
         StoreCommand::Check { folder } => {
@@ -54,8 +54,8 @@
 }
 
 fn read(folder: &Path, depth: Depth) -> Result<Report, CommandError> {
-    let named =
+    let with_folder =
         |error: std::io::Error| CommandError::CannotRun(format!("{}: {error}", folder.display()));
-    let opened = Folder::look(folder).map_err(named)?;
-    check::check(&opened, depth == Depth::Blocks).map_err(named)
+    let opened = Folder::look(folder).map_err(with_folder)?;
+    check::check(&opened, depth == Depth::Blocks).map_err(with_folder)
 }
--- a/crates/cli/src/embedded_fleet.rs
+++ b/crates/cli/src/embedded_fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet with sample objects on loopback, for `serve` without a file and for measurements.
+//! A fleet with sample objects on loopback, for `serve` without a settings file and for measurements.
 use crate::exit::CommandError;
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::BoundAddresses;
@@ -6,17 +6,17 @@
 use pointspindle_testbed::demo;
 use pointspindle_testbed::emulated_hosts::EmulatedHosts;
 
-/// The classes of the sample objects.
+/// Classes of the sample objects.
 const CLASSES: [&str; 2] = ["lesson-video", "test-page"];
-/// Zones of the parent and of the cache hosts.
+/// Zones of the parent cache and of the cache hosts.
 const ZONES: [&str; 2] = ["hub", "branch"];
 
-/// Starts the hosts. They end with the first value; the second lists them.
+/// Starts the hosts and returns them with their endpoint records. Dropping the hosts stops them.
 pub async fn start_hosts() -> std::io::Result<(EmulatedHosts, Vec<EndpointRecord>)> {
     demo::start_demo_fleet(CLASSES, ZONES).await
 }
 
-/// Starts the hosts, with settings for a dispatcher that listens for HTTP at `port` (0: any free one).
+/// Starts the hosts and returns settings for a dispatcher that listens for HTTP at `port` (0 selects a free port).
 pub async fn start(port: u16) -> Result<(DispatcherSettings, EmulatedHosts), CommandError> {
     let (hosts, endpoints) = start_hosts().await?;
     let mut text = format!(
@@ -31,7 +31,7 @@
     Ok((settings, hosts))
 }
 
-/// The sections of the settings that name these endpoints.
+/// Returns the sections of a settings file that declare these endpoints.
 pub fn endpoint_sections(endpoints: &[EndpointRecord]) -> String {
     let section = |(number, endpoint): (usize, &EndpointRecord)| {
         format!(
@@ -42,10 +42,10 @@
     endpoints.iter().enumerate().map(section).collect()
 }
 
-/// Prints commands to try the fleet with.
+/// Prints example commands that use the fleet.
 pub fn print_suggestions(bound: &BoundAddresses) {
     let Some(http) = bound.http else { return };
-    println!("a dispatcher, two cache hosts, a parent and an origin run here. Try:");
+    println!("a dispatcher, two cache hosts, a parent cache and an origin are running. Try:");
     for (path, ..) in demo::SAMPLE_OBJECTS {
         println!("  curl -i http://{http}{path}");
     }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,23 +1,24 @@
-//! How the program ends: its exit statuses, and what a command reports that has not done what was asked.
+//! Exit statuses of the program, and the result type of its commands.
 use std::process::ExitCode;
 
-/// Exit status of the program; `docs/operations.md` lists them for each command.
+/// Exit status of the program; `docs/operations.md` lists the statuses of each command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ExitStatus {
-    /// Done as asked.
+    /// The command succeeded.
     Success = 0,
-    /// It ran, and the result is negative: a rule is broken, settings are wrong, a request was rejected or failed.
+    /// The command ran and its result is negative: a rule was violated, settings are invalid, or a request was rejected
+    /// or failed.
     Negative = 1,
-    /// It could not run; the reason is on standard error.
+    /// The command could not run; the reason is on standard error.
     CannotRun = 2,
 }
 
 /// Shown below the help of the program.
 pub const EXIT_STATUS_HELP: &str = "Exit status:\n  \
-    0  done as asked\n  \
-    1  the result is negative: a rule is broken, settings are wrong, a request was rejected or failed\n  \
-    2  it could not run; the reason is on standard error";
+    0  the command succeeded\n  \
+    1  the result is negative: a rule was violated, settings are invalid, or a request was rejected or failed\n  \
+    2  the command could not run; the reason is on standard error";
 
 impl From<ExitStatus> for ExitCode {
     fn from(status: ExitStatus) -> Self {
@@ -25,26 +26,26 @@
     }
 }
 
-/// Why a command has not done what was asked.
+/// Reason for which a command did not succeed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// The result is negative; it has been printed.
+    /// The result is negative and has been printed.
     Negative,
-    /// It could not run, for this reason.
+    /// The command could not run, for this reason.
     CannotRun(String),
 }
 
-/// Every library's error is a reason why a command could not run.
+/// Converts an error of any library: the command could not run.
 impl<E: std::fmt::Display> From<E> for CommandError {
     fn from(error: E) -> Self {
         Self::CannotRun(error.to_string())
     }
 }
 
-/// What a command comes to.
+/// Result of a command.
 pub type CommandResult = Result<(), CommandError>;
 
-/// The result of a check: negative if anything was found.
+/// Returns the result of a check, which is negative if `found` is true.
 pub fn negative_if(found: bool) -> CommandResult {
     if found {
         Err(CommandError::Negative)
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -6,7 +6,7 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Starts logging. `omits_requests`: unless a level is given, nothing is logged of single requests.
+/// Starts logging. With `omits_requests` and without a `level`, single requests are not logged.
 pub fn start(level: Option<Level>, omits_requests: bool, json: bool) {
     let targets = match (level, omits_requests) {
         (None, true) => Targets::new()
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,5 @@
-//! The `pointspindle` program: arguments, logs and exit statuses; the work is done by the libraries.
+//! Entry point of the `pointspindle` program: parses the arguments, starts logging and sets the exit status. The
+//! libraries do the work.
 mod commands;
 mod embedded_fleet;
 mod exit;
@@ -6,8 +7,8 @@
 mod output;
 mod process;
 
-/// Bodies pass through buffers of 64 KiB that are made and given back for each frame. The system's allocator maps and
-/// unmaps them, which costs a page fault for every 4 KiB that goes through; this one keeps them.
+/// Bodies pass through buffers of 64 KiB that are allocated and freed for each frame. The system's allocator maps and
+/// unmaps them, which costs a page fault for every 4 KiB transferred; mimalloc retains them for reuse.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
@@ -20,10 +21,10 @@
 #[derive(Parser)]
 #[command(name = "pointspindle", version, about, after_help = EXIT_STATUS_HELP)]
 struct Arguments {
-    /// What to log: error, warn, info, debug or trace. Without it: info; of `run` not a line for each request.
+    /// Log level: error, warn, info, debug or trace. The default is info; `run` then logs no single requests.
     #[arg(long, global = true)]
     log: Option<tracing::Level>,
-    /// Logs as JSON, a line each.
+    /// Write the log as JSON, one object per line.
     #[arg(long, global = true)]
     log_json: bool,
     #[command(subcommand)]
@@ -32,10 +33,10 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // `run` has a part of one core: one thread, and few log lines.
-    let has_part_of_a_core = matches!(arguments.command, Command::Run(_));
-    logging::start(arguments.log, has_part_of_a_core, arguments.log_json);
-    let mut builder = if has_part_of_a_core {
+    // `run` is given a fraction of one core: it uses one thread and logs no single requests.
+    let is_cpu_limited = matches!(arguments.command, Command::Run(_));
+    logging::start(arguments.log, is_cpu_limited, arguments.log_json);
+    let mut builder = if is_cpu_limited {
         tokio::runtime::Builder::new_current_thread()
     } else {
         tokio::runtime::Builder::new_multi_thread()
@@ -43,7 +44,7 @@
     let runtime = match builder.enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("pointspindle: no runtime: {error}");
+            eprintln!("pointspindle: cannot start the async runtime: {error}");
             return ExitStatus::CannotRun.into();
         }
     };
--- a/crates/cli/src/output/endpoint_list.rs
+++ b/crates/cli/src/output/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! Endpoint lists as text.
+//! Output of endpoint lists as text.
 use pointspindle_protocol::{EndpointListHead, EndpointRecord};
 use std::net::SocketAddr;
 
-/// Prints the list of the dispatcher at this control address.
+/// Prints the endpoint list of the dispatcher at this control address.
 pub fn print_list(dispatcher: SocketAddr, list: &EndpointListHead) {
     println!(
         "{dispatcher}: list {}, {} members",
@@ -17,7 +17,7 @@
     }
 }
 
-/// One endpoint, without when it started.
+/// Returns the line of an endpoint, without its start time.
 pub fn endpoint_line(endpoint: &EndpointRecord) -> String {
     let state = format!("{:?}", endpoint.state()).to_lowercase();
     format!(
--- a/crates/cli/src/output/fleet_report.rs
+++ b/crates/cli/src/output/fleet_report.rs
@@ -1,11 +1,11 @@
-//! What the dispatchers of a run come to together.
+//! Output of the totals over all dispatchers of a run.
 use super::run_report::{outcome_json, rule_json};
 use pointspindle_audit::fleet_totals::{FleetTotals, Peak, RoleTotals, SiteService};
 use pointspindle_audit::RuleVerdict;
 use pointspindle_scenario::Scenario;
 use pointspindle_testbed::fleet_run::Outcome;
 
-/// The run with its totals, and with those of the same run without the loss of a site.
+/// Returns the run with its totals, and with those of the same run without the loss of a site.
 pub fn fleet_json(
     scenario: &Scenario,
     outcome: &Outcome,
@@ -27,13 +27,13 @@
 pub fn print_totals(totals: &FleetTotals, without_loss: Option<&FleetTotals>) {
     totals.roles.iter().for_each(print_role);
     print_warm_up(totals);
-    let left = &totals.cancellations;
+    let cancellations = &totals.cancellations;
     println!(
-        "  clients that left {} ({} before anything had begun); attempts begun after it {}, longest {:.1} ms",
-        left.clients, left.unsent, left.attempts, left.longest_ms
+        "  cancelled requests {} ({} before any attempt arrived); attempts begun after a cancellation {}, longest {:.1} ms",
+        cancellations.clients, cancellations.unsent, cancellations.attempts, cancellations.longest_ms
     );
     println!(
-        "  second attempts {:.3} for each first one, worst 2 s {:.3} at {:.0} s; fairness {:.3}, least dispatcher {} served {:.3} (mean {:.3})",
+        "  second attempts per first attempt {:.3}, worst 2 s {:.3} at {:.0} s; fairness {:.3}, lowest dispatcher {} served {:.3} (mean {:.3})",
         totals.retries_per_request,
         totals.worst_retries_per_request,
         totals.worst_retries_at_s,
@@ -57,14 +57,14 @@
 
 fn print_role(totals: &RoleTotals) {
     println!(
-        "  at a {}: most {}; {}",
+        "  peaks at a {}: {}; {}",
         totals.role,
-        peak(&totals.in_flight, "under way"),
-        peak(&totals.attempts, "a second")
+        peak(&totals.in_flight, "in flight"),
+        peak(&totals.attempts, "per second")
     );
     if totals.after_restart.count > 0 {
         println!(
-            "    in the first second of one that came back: {}",
+            "    in the first second after a restart: {}",
             peak(&totals.after_restart, "attempts")
         );
     }
@@ -72,13 +72,13 @@
 
 fn print_warm_up(totals: &FleetTotals) {
     let peaks = [
-        (&totals.warm_up_informed, "known of"),
-        (&totals.warm_up_uninformed, "not known of"),
+        (&totals.warm_up_informed, "start known"),
+        (&totals.warm_up_uninformed, "start unknown"),
     ];
     for (peak, knowledge) in peaks {
         if peak.most > 0.0 {
             println!(
-                "  cold, {knowledge}: {} was sent {:.1} requests of mean work in a window by {} dispatchers, {:.1} allowed, {:.1} at most, at {:.1} s",
+                "  warm-up, {knowledge}: {} received {:.1} requests of mean work in a window from {} dispatchers, {:.1} allowed, bound {:.1}, at {:.1} s",
                 peak.host, peak.requests, peak.dispatchers, peak.allowed, peak.most, peak.at_s
             );
         }
@@ -86,16 +86,18 @@
 }
 
 fn print_site(site: &SiteService, without_loss: Option<&SiteService>) {
-    let recovery = site.recovered_after_s.map_or("not back".into(), |seconds| {
-        format!("back after {seconds:.0} s")
-    });
+    let recovery = site
+        .recovered_after_s
+        .map_or("not recovered".into(), |seconds| {
+            format!("recovered after {seconds:.0} s")
+        });
     let twin = without_loss
         .map(|site| format!(" ({:.3} without the loss)", site.service_since))
         .unwrap_or_default();
     println!(
         "  {}{}: served {:.3} before, {:.3} since{twin}, worst 3 s {:.3}, {recovery}",
         site.name,
-        if site.affected { " (struck)" } else { "" },
+        if site.affected { " (affected)" } else { "" },
         site.service_before,
         site.service_since,
         site.worst
--- a/crates/cli/src/output/idle_table.rs
+++ b/crates/cli/src/output/idle_table.rs
@@ -1,4 +1,4 @@
-//! What idle connections cost, a line for each step.
+//! Table of the cost of idle connections, with one line for each step.
 use pointspindle_testbed::idle::{growth_per_connection, ExpiryMeasurement, IdleStep};
 
 const BYTES_PER_MIB: f64 = 1_048_576.0;
@@ -37,14 +37,14 @@
     );
 }
 
-/// Prints why the steps stopped, if they did, and what a connection costs by a line through them.
+/// Prints why the steps stopped early, if they did, and the cost of a connection by a linear fit over the steps.
 pub fn print_summary(steps: &[IdleStep], stopped: Option<&str>) {
     if let Some(reason) = stopped {
         println!("stopped {reason}");
     }
     if let (Some(first), Some(last)) = (steps.first(), steps.last()) {
         println!(
-            "a line through the steps: {:.0} bytes of the program and {:.0} of the kernel's buffers a connection; p99 with the most {:.2} times that with the fewest",
+            "linear fit over the steps: {:.0} bytes of the program and {:.0} bytes of kernel buffers per connection; p99 at the last step {:.2} times that at the first",
             growth_per_connection(steps, |step| step.program),
             growth_per_connection(steps, |step| step.kernel),
             last.p99_us as f64 / first.p99_us.max(1) as f64
@@ -52,10 +52,10 @@
     }
 }
 
-/// Prints how many connections expired that fell idle together, and how late.
+/// Prints how many connections became idle together, and how late they were closed.
 pub fn print_expiry(expiry: &ExpiryMeasurement) {
     println!(
-        "{} fell idle within moments: closed at most {:.0} ms after their time (99 of 100 within {:.0}); {} requests meanwhile, {} failed, p99 {} us, longest {} us",
+        "{} connections became idle together: closed at most {:.0} ms after the idle timeout (99 of 100 within {:.0} ms); {} requests meanwhile, {} failed, p99 {} us, longest {} us",
         expiry.connections,
         expiry.latest_ms,
         expiry.late_p99_ms,
--- a/crates/cli/src/output/load_report.rs
+++ b/crates/cli/src/output/load_report.rs
@@ -1,13 +1,13 @@
-//! What a steady load came to.
+//! Report on a steady load.
 use crate::commands::FinishedCall;
 use hdrhistogram::{CreationError, Histogram};
 use pointspindle_client::Outcome;
 use std::time::Duration;
 
-/// Bounds of the durations that are told apart, microseconds.
+/// Bounds of the recorded durations, in microseconds.
 const MIN_DURATION_US: u64 = 1;
 const MAX_DURATION_US: u64 = 3_600_000_000;
-/// Significant digits of a duration.
+/// Number of significant digits of a recorded duration.
 const DURATION_DIGITS: u8 = 3;
 
 /// Counts of calls by outcome, and the durations of served ones.
@@ -22,7 +22,7 @@
 }
 
 impl LoadReport {
-    /// A report on so many calls, none of which has ended.
+    /// Creates a report on this number of calls, none of which has ended.
     pub fn new(calls: u64) -> Result<Self, CreationError> {
         Ok(Self {
             calls,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Counts a call.
+    /// Counts a finished call.
     pub fn add(&mut self, call: &FinishedCall) {
         self.attempts += u64::from(call.attempts);
         match call.outcome {
@@ -53,17 +53,17 @@
         }
     }
 
-    /// Counts a call that was not made: too many were in flight.
+    /// Counts a call that was not made because too many were in flight.
     pub fn count_not_begun(&mut self) {
         self.not_begun += 1;
     }
 
-    /// Calls that were served.
+    /// Returns the number of served calls.
     pub fn served(&self) -> u64 {
         self.served
     }
 
-    /// Prints it. `elapsed`: length of the load, to the end of the last call.
+    /// Prints the report. `elapsed` is the time from the start of the load to the end of the last call.
     pub fn print(&self, elapsed: Duration, json: bool) {
         let seconds = elapsed.as_secs_f64();
         let served_per_s = self.served as f64 / seconds;
@@ -87,11 +87,11 @@
             return;
         }
         println!(
-            "{} calls in {seconds:.1} s: {} served, {} refused, {} failed, {} not begun; {} tries",
+            "{} calls in {seconds:.1} s: {} served, {} rejected, {} failed, {} not begun; {} attempts",
             self.calls, self.served, self.rejected, self.failed, self.not_begun, self.attempts
         );
         println!(
-            "{served_per_s:.0} served a second; p50 {} us, p90 {} us, p99 {} us, p99.9 {} us, longest {} us",
+            "{served_per_s:.0} served per second; p50 {} us, p90 {} us, p99 {} us, p99.9 {} us, longest {} us",
             at(0.5),
             at(0.9),
             at(0.99),
--- a/crates/cli/src/output/mod.rs
+++ b/crates/cli/src/output/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands print, as text or JSON.
+//! Output of the commands, as text or JSON.
 pub mod endpoint_list;
 pub mod fleet_report;
 pub mod idle_table;
--- a/crates/cli/src/output/run_report.rs
+++ b/crates/cli/src/output/run_report.rs
@@ -1,4 +1,4 @@
-//! How a run was judged: service, and each rule.
+//! Output of the verdict on a run: service, rules and trace.
 use pointspindle_audit::service::ClassService;
 use pointspindle_audit::trace::TraceEntry;
 use pointspindle_audit::{count_cold_crashes, RuleVerdict};
@@ -9,16 +9,16 @@
 use std::collections::BTreeMap;
 use std::io::Write;
 
-/// Violations that a rule names, as JSON and as text.
+/// Maximum number of violations that are printed for a rule, in JSON and in text.
 const MAX_VIOLATIONS_JSON: usize = 5;
 const MAX_VIOLATIONS_TEXT: usize = 3;
 
-/// Whether a rule was broken.
+/// Returns whether a rule was violated.
 pub fn has_violations(rules: &[RuleVerdict]) -> bool {
     rules.iter().any(|rule| !rule.violations.is_empty())
 }
 
-/// A rule's verdict.
+/// Returns a rule's verdict as JSON.
 pub fn rule_json(rule: &RuleVerdict) -> serde_json::Value {
     let first: Vec<_> = rule.violations.iter().take(MAX_VIOLATIONS_JSON).collect();
     let kinds: BTreeMap<_, _> = rule.kinds().into_iter().collect();
@@ -32,7 +32,7 @@
     })
 }
 
-/// A whole run.
+/// Returns the verdict on a run as JSON.
 pub fn outcome_json(scenario: &Scenario, outcome: &Outcome) -> serde_json::Value {
     let service = &outcome.service;
     let run = Run::new(scenario, &[], true, service, &outcome.rules, &outcome.trace);
@@ -56,11 +56,11 @@
     })
 }
 
-/// Prints a whole run.
+/// Prints the verdict on a run.
 pub fn print_outcome(outcome: &Outcome) {
     let service = &outcome.service;
     println!(
-        "service {:.3} (worst 10 s {:.3}, from {:.0} s; goal {:.3}), {} tries, {} attempts, rig at most {:.0} ms late",
+        "service {:.3} (worst 10 s {:.3}, from {:.0} s; goal {:.3}), {} requests, {} attempts, testbed at most {:.0} ms late",
         service.service,
         service.worst_10s,
         service.worst_10s_from_s,
@@ -75,7 +75,7 @@
 
 fn print_class(class: &ClassService) {
     println!(
-        "  {:<14} service {:.3}, calls {}: served {} (late {}), refused {}, failed {}, left {}; p50 {:.0} ms, p99 {:.0} ms",
+        "  {:<14} service {:.3}, calls {}: served {} (late {}), rejected {}, failed {}, cancelled {}; p50 {:.0} ms, p99 {:.0} ms",
         class.name,
         class.service,
         class.calls,
@@ -88,7 +88,7 @@
         class.p99_ms
     );
     println!(
-        "  {:<14} answered {:.3}; the largest {} {:.3}, the next {} {:.3}",
+        "  {:<14} answered {:.3}; largest {} calls {:.3}, next {} calls {:.3}",
         "",
         class.all().share(),
         class.largest.calls,
@@ -108,7 +108,7 @@
     let verdict = if kinds.is_empty() {
         "kept".into()
     } else {
-        format!("BROKEN ({})", kinds.join(", "))
+        format!("VIOLATED ({})", kinds.join(", "))
     };
     println!(
         "  rule {:<8} {verdict}; {} checked: {}",
@@ -116,7 +116,7 @@
     );
     if let Some(first) = rule.undetectable.first() {
         println!(
-            "    {} times by dispatchers that had not been told; first {}",
+            "    {} times by dispatchers that had not been informed; first {}",
             rule.undetectable.len(),
             first.detail
         );
@@ -130,10 +130,10 @@
     }
 }
 
-/// Prints a rule's verdict in one line.
+/// Prints the counts of a rule's verdict in one line.
 pub fn print_rule_counts(rule: &RuleVerdict) {
     println!(
-        "{}: {} cases, {} breaches",
+        "{}: {} cases, {} violations",
         rule.name,
         rule.cases,
         rule.violations.len()
@@ -146,7 +146,7 @@
     for entry in entries {
         let entry = entry.borrow();
         let written = writeln!(out, "{:>10.1} ms  {:?}", entry.at as f64 / 1e3, entry.event);
-        // A reader that has seen enough (a pager, head) is no failure.
+        // A reader that closes the pipe early (a pager, head) is not a failure.
         if written.is_err() {
             break;
         }
--- a/crates/cli/src/output/scale_report.rs
+++ b/crates/cli/src/output/scale_report.rs
@@ -1,13 +1,13 @@
-//! Figures of scale runs, and the budgets that they exceed.
+//! Output of the figures of scale runs, and of the budgets that they exceed.
 use pointspindle_scale::results::{Lag, Phase, Step};
 use pointspindle_scale::Target;
 
-/// Phases in which a dispatcher's budgets are judged.
+/// Phases in which the budgets of a dispatcher are checked.
 const BUDGETED_PHASES: [&str; 2] = ["rest", "purges"];
-/// The phase in which updates may be late: many dispatchers start at once.
+/// Phase in which updates may be late because many dispatchers start at once.
 const RESTART_PHASE: &str = "storm";
 
-/// What the largest step of each run spends beyond the target's budgets, or did not deliver.
+/// Returns the budgets of the target that the largest step of each run exceeds, and the updates not delivered in it.
 pub fn exceeded_budgets(target: &Target, runs: &[Vec<Step>]) -> Vec<String> {
     let mut exceeded = Vec::new();
     for run in runs {
@@ -41,7 +41,7 @@
         .filter(|(_, cost, budget, _)| cost > budget)
         .map(|(resource, cost, budget, unit)| {
             format!(
-                "{resource} of a dispatcher in {}: {cost:.3} {unit}, {budget} at most",
+                "{resource} per dispatcher in {}: {cost:.3} {unit}, budget {budget} {unit}",
                 phase.name
             )
         })
@@ -57,11 +57,14 @@
     for (lag, budget_ms) in lags {
         let Some(lag) = lag else { continue };
         if lag.missing > 0 {
-            exceeded.push(format!("{}: {} words never came", phase.name, lag.missing));
+            exceeded.push(format!(
+                "{}: {} updates were never received",
+                phase.name, lag.missing
+            ));
         }
         if phase.name != RESTART_PHASE && lag.longest_ms > budget_ms {
             exceeded.push(format!(
-                "{}: in force after {:.0} ms, {budget_ms} at most",
+                "{}: in force after {:.0} ms, budget {budget_ms} ms",
                 phase.name, lag.longest_ms
             ));
         }
@@ -74,7 +77,7 @@
     for step in runs.iter().flatten() {
         let [p50, p90, longest] = step.ready_ms;
         println!(
-            "{} hollow dispatchers, {} hosts: start to ready p50 {p50:.0}, p90 {p90:.0}, longest {longest:.0} ms",
+            "{} dispatchers, {} hosts: start to ready p50 {p50:.0}, p90 {p90:.0}, longest {longest:.0} ms",
             step.dispatchers, step.hosts
         );
         for phase in &step.phases {
@@ -86,13 +89,13 @@
 fn print_phase(dispatchers: f64, phase: &Phase) {
     let lag = phase.purges.as_ref().or(phase.changes.as_ref());
     let lag = lag.map(lag_text).unwrap_or_default();
-    let complete = phase
+    let current = phase
         .current_after_ms
-        .map(|ms| format!("; whole after {ms:.0} ms"))
+        .map(|ms| format!("; current after {ms:.0} ms"))
         .unwrap_or_default();
     let kb_per_s = |bytes: u64| bytes as f64 / phase.seconds / 1024.0 / dispatchers;
     println!(
-        "  {:<14} store {:.2} cores {:.0} MB; a dispatcher {:.4} cores {:.2} MB, {:.2} KB/s in, {:.2} out{lag}{complete}",
+        "  {:<14} store {:.2} cores {:.0} MB; per dispatcher {:.4} cores {:.2} MB, {:.2} KB/s in, {:.2} out{lag}{current}",
         phase.name,
         phase.store.cores,
         phase.store.memory_mb,
@@ -105,7 +108,7 @@
 
 fn lag_text(lag: &Lag) -> String {
     format!(
-        "; {} written, in force p50 {:.1} p99 {:.1} longest {:.1} ms, {} never",
+        "; {} written, in force p50 {:.1} p99 {:.1} longest {:.1} ms, {} never received",
         lag.written, lag.p50_ms, lag.p99_ms, lag.longest_ms, lag.missing
     )
 }
--- a/crates/cli/src/output/store_report.rs
+++ b/crates/cli/src/output/store_report.rs
@@ -1,12 +1,12 @@
-//! What is found in a cache host's store.
+//! Output of the check of a cache host's store.
 use pointspindle_store::check::Report;
 use std::io::Write;
 use std::path::Path;
 
-/// The highest retention rank of a copy.
+/// Highest retention rank of a copy.
 const MAX_RANK: u32 = 3;
 
-/// Prints everything that is wrong, and a summary.
+/// Prints all errors and a summary.
 pub fn print_check(folder: &Path, report: &Report) {
     let mut out = std::io::stdout().lock();
     for wrong in &report.wrong {
@@ -14,7 +14,7 @@
     }
     let _ = writeln!(
         out,
-        "{}: {} segments, {} copies, {} blocks read, {} things wrong",
+        "{}: {} segments, {} copies, {} blocks read, {} errors",
         folder.display(),
         report.segments,
         report.copies.len(),
@@ -33,20 +33,20 @@
             "{:>12} rank {} group {:016x} {} part {} {}",
             meta.size, meta.rank, meta.group, meta.object, meta.part, meta.validator
         );
-        // A reader that has seen enough is no failure.
+        // A reader that closes the pipe early is not a failure.
         if written.is_err() {
             break;
         }
     }
 }
 
-/// Prints counts and bytes, of all and of each retention rank.
+/// Prints counts and bytes, in total and for each retention rank.
 pub fn print_statistics(report: &Report) {
     let mut out = std::io::stdout().lock();
     let cached_bytes: u64 = report.copies.iter().map(|copy| copy.meta.size).sum();
     let _ = writeln!(
         out,
-        "{} segments, {} bytes on disk, {cached_bytes} bytes of {} copies held; {} commits and {} purges in the log",
+        "{} segments, {} bytes on disk, {cached_bytes} bytes in {} cached copies; {} commits and {} purges in the log",
         report.segments,
         report.bytes,
         report.copies.len(),
--- a/crates/cli/src/output/sweep_table.rs
+++ b/crates/cli/src/output/sweep_table.rs
@@ -1,4 +1,4 @@
-//! A line for each setting of a sweep.
+//! Table of a sweep, with one line for each setting.
 use pointspindle_report::sweep::SweepRow;
 
 /// Prints the table.
--- a/crates/cli/src/process.rs
+++ b/crates/cli/src/process.rs
@@ -1,15 +1,15 @@
-//! What the commands need of the operating system.
+//! Operating system functions that several commands use.
 use std::path::Path;
 
-/// Raises the limit of descriptors as far as is possible without privileges: each connection needs one.
+/// Raises the limit of open file descriptors as far as possible without privileges: each connection needs one.
 pub fn raise_descriptor_limit() {
     match rlimit::increase_nofile_limit(u64::MAX) {
         Ok(limit) => tracing::debug!(limit, "descriptors"),
-        Err(error) => tracing::warn!(%error, "the limit of descriptors stays as it is"),
+        Err(error) => tracing::warn!(%error, "file descriptor limit not raised"),
     }
 }
 
-/// Writes a file completely or not at all: who waits for it never reads half of it.
+/// Writes a file atomically: a process that waits for the file never reads an incomplete one.
 pub fn write_atomically(file: &Path, bytes: &[u8]) -> std::io::Result<()> {
     let mut temporary = file.as_os_str().to_owned();
     temporary.push(".new");
--- a/crates/cli/tests/program/arguments.rs
+++ b/crates/cli/tests/program/arguments.rs
@@ -1,4 +1,4 @@
-//! What the program writes about itself, and its exit statuses.
+//! Completions, manual page, help and exit statuses of the program.
 use crate::support::{run_program, text};
 
 #[test]
@@ -31,15 +31,15 @@
 fn help_lists_the_exit_statuses() {
     let help = text(&run_program(&["--help"]).stdout);
     for status in [
-        "0  done as asked",
+        "0  the command succeeded",
         "1  the result is negative",
-        "2  it could not run",
+        "2  the command could not run",
     ] {
         assert!(help.contains(status), "{help}");
     }
 }
 
-/// Faults that need no sockets, in a run of two seconds in virtual time.
+/// Each fault that needs no sockets has the same effect by both names, in a short run in virtual time.
 #[test]
 fn injected_fault_has_the_same_effect_by_its_old_and_new_name() {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/bad-day.ini");
--- a/crates/cli/tests/program/configuration.rs
+++ b/crates/cli/tests/program/configuration.rs
@@ -1,8 +1,8 @@
-//! Settings that are wrong, and the endpoint list that is kept over a restart.
+//! Invalid settings, and the endpoint list that persists over a restart.
 use crate::support::*;
 
 #[test]
-fn wrong_settings_are_named_and_prevent_a_start() {
+fn invalid_settings_are_reported_and_prevent_a_start() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("wrong.ini");
     std::fs::write(
@@ -43,12 +43,12 @@
         scripted_host(HostBehaviour::RespondsAfterMs(0)).await,
         "",
     );
-    let other = scripted_host(HostBehaviour::RespondsAfterMs(0))
+    let added = scripted_host(HostBehaviour::RespondsAfterMs(0))
         .await
         .to_string();
     let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
     let control = dispatcher.bound.control.to_string();
-    let set = format!("{other}=ready");
+    let set = format!("{added}=ready");
     let output = run_program(&[
         "members", "--at", &control, "--set", &set, "--kind", "cache", "--zone", "b", "--cold",
     ]);
@@ -59,15 +59,15 @@
     let list =
         text(&run_program(&["members", "--at", &dispatcher.bound.control.to_string()]).stdout);
     assert!(
-        list.contains(&other) && list.contains("3 members"),
+        list.contains(&added) && list.contains("3 members"),
         "{list}"
     );
-    let wrong = run_program(&[
+    let malformed = run_program(&[
         "members",
         "--at",
         &dispatcher.bound.control.to_string(),
         "--set",
         "nonsense",
     ]);
-    assert_eq!(wrong.status.code(), Some(2));
+    assert_eq!(malformed.status.code(), Some(2));
 }
--- a/crates/cli/tests/program/embedded_fleet.rs
+++ b/crates/cli/tests/program/embedded_fleet.rs
@@ -1,9 +1,9 @@
-//! `serve` without a file: a whole fleet on loopback.
+//! `serve` without a settings file: an embedded fleet on loopback.
 use crate::support::*;
 use std::net::SocketAddr;
 
 #[tokio::test]
-async fn serve_without_a_file_starts_a_whole_fleet() {
+async fn serve_without_a_file_starts_an_embedded_fleet() {
     let folder = tempfile::tempdir().unwrap();
     let fleet = DispatcherProcess::start(&["serve", "--port", "0"], folder.path());
     let http = fleet.bound.http;
@@ -16,9 +16,9 @@
     assert_eq!(fleet.wait(), 0);
 }
 
-/// The second response to the same request is a cached one. Returns the first.
-async fn check_caching(to: SocketAddr) -> Response {
-    let first = http_get(to, "/page/welcome", "").await;
+/// Checks that the second response to the same request is a cached one. Returns the first response.
+async fn check_caching(address: SocketAddr) -> Response {
+    let first = http_get(address, "/page/welcome", "").await;
     assert_eq!(
         (
             first.status,
@@ -32,36 +32,36 @@
         "{}",
         first.field("cache-status")
     );
-    let second = http_get(to, "/page/welcome", "").await;
+    let second = http_get(address, "/page/welcome", "").await;
     assert!(second.field("cache-status").contains("hit"));
     assert_eq!(first.body, second.body);
     first
 }
 
-async fn check_ranges(to: SocketAddr, first: &Response) {
-    let part = http_get(to, "/page/welcome", "Range: bytes=100-149\r\n").await;
+async fn check_ranges(address: SocketAddr, first: &Response) {
+    let part = http_get(address, "/page/welcome", "Range: bytes=100-149\r\n").await;
     assert_eq!(
         (part.status, part.field("content-range")),
         (206, "bytes 100-149/2048")
     );
     assert_eq!(part.body, first.body[100..150]);
-    let outside = http_get(to, "/page/welcome", "Range: bytes=9999-\r\n").await;
+    let unsatisfiable = http_get(address, "/page/welcome", "Range: bytes=9999-\r\n").await;
     assert_eq!(
-        (outside.status, outside.field("content-range")),
+        (unsatisfiable.status, unsatisfiable.field("content-range")),
         (416, "bytes */2048")
     );
 }
 
-async fn check_conditions_and_sizes(to: SocketAddr, first: &Response) {
-    let same = http_get(
-        to,
+async fn check_conditions_and_sizes(address: SocketAddr, first: &Response) {
+    let not_modified = http_get(
+        address,
         "/page/welcome",
         &format!("If-None-Match: {}\r\n", first.field("etag")),
     )
     .await;
-    assert_eq!((same.status, same.body.len()), (304, 0));
+    assert_eq!((not_modified.status, not_modified.body.len()), (304, 0));
     let head = http_exchange(
-        to,
+        address,
         "HEAD /page/welcome HTTP/1.1\r\nHost: x\r\n\r\n",
         1,
         true,
@@ -71,28 +71,31 @@
         (head[0].status, head[0].field("content-length")),
         (200, "2048")
     );
-    assert_eq!(http_get(to, "/page/none", "").await.status, 404);
-    let large = http_get(to, "/video/lesson-2", "").await;
+    assert_eq!(http_get(address, "/page/none", "").await.status, 404);
+    let large = http_get(address, "/video/lesson-2", "").await;
     assert_eq!((large.status, large.body.len()), (200, 4 << 20));
 }
 
-/// Pipelined requests are answered in order; one that two readers could read differently is rejected.
-async fn check_pipelining(to: SocketAddr) {
-    let ask = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-    let three = [
-        ask("/video/lesson-1"),
-        ask("/page/welcome"),
-        ask("/page/signs/stop"),
+/// Checks that pipelined requests are answered in order, and that a request with ambiguous framing is rejected.
+async fn check_pipelining(address: SocketAddr) {
+    let request = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n");
+    let pipelined = [
+        request("/video/lesson-1"),
+        request("/page/welcome"),
+        request("/page/signs/stop"),
     ]
     .concat();
-    let sizes: Vec<usize> = http_exchange(to, &three, 3, false)
+    let sizes: Vec<usize> = http_exchange(address, &pipelined, 3, false)
         .await
         .iter()
-        .map(|a| a.body.len())
+        .map(|response| response.body.len())
         .collect();
     assert_eq!(sizes, [1 << 20, 2048, 6 * 1024]);
     let smuggled = "GET /page/welcome HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(http_exchange(to, smuggled, 1, false).await[0].status, 400);
+    assert_eq!(
+        http_exchange(address, smuggled, 1, false).await[0].status,
+        400
+    );
 }
 
 async fn check_control_commands(fleet: &DispatcherProcess) {
@@ -110,7 +113,7 @@
     let purged = http_get(fleet.bound.http, "/page/welcome", "").await;
     assert!(
         purged.field("cache-status").contains("fwd=miss"),
-        "a copy from before the purge does not do"
+        "a copy from before the purge was served"
     );
     let metrics = text(&http_get(fleet.bound.metrics, "/metrics", "").await.body);
     assert!(
--- a/crates/cli/tests/program/host_failures.rs
+++ b/crates/cli/tests/program/host_failures.rs
@@ -18,7 +18,7 @@
     assert_eq!(status_of(&end), Some(WireStatus::Refused), "{end:?}");
     assert!(
         took >= Duration::from_millis(300),
-        "it waited for the host: {took:?}"
+        "the dispatcher did not wait for the host: {took:?}"
     );
     let response = http_get(dispatcher.bound.http, "/a", "X-Deadline-Ms: 700\r\n").await;
     assert_eq!(
@@ -34,35 +34,38 @@
 #[tokio::test]
 async fn closed_port_is_a_quick_rejection() {
     let folder = tempfile::tempdir().unwrap();
-    let nobody = TcpListener::bind("127.0.0.1:0")
+    let closed_port = TcpListener::bind("127.0.0.1:0")
         .await
         .unwrap()
         .local_addr()
         .unwrap();
-    let file = write_settings(folder.path(), nobody, "");
+    let file = write_settings(folder.path(), closed_port, "");
     let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
     let (end, _) = framed_call(dispatcher.bound.framed, 1_400).await;
     assert_eq!(status_of(&end), Some(WireStatus::Refused), "{end:?}");
 }
 
-/// A full queue of the kernel leaves a connect without any answer: as good as a host that is gone.
+/// A connect to a listener with a full backlog is never answered: the dispatcher treats the host as failed.
 #[tokio::test]
 async fn hanging_connect_is_abandoned_and_the_client_answered() {
     let folder = tempfile::tempdir().unwrap();
     let socket = tokio::net::TcpSocket::new_v4().unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(1).unwrap();
-    let member = listener.local_addr().unwrap();
-    let mut held = vec![];
+    let endpoint = listener.local_addr().unwrap();
+    let mut connections = vec![];
     loop {
-        match tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(member)).await {
-            Ok(Ok(stream)) => held.push(stream),
-            Ok(Err(e)) => panic!("refused: {e}"),
+        match tokio::time::timeout(Duration::from_millis(300), TcpStream::connect(endpoint)).await {
+            Ok(Ok(stream)) => connections.push(stream),
+            Ok(Err(e)) => panic!("connect failed instead of hanging: {e}"),
             Err(_) => break,
         }
-        assert!(held.len() < 1_000, "connects never hang here");
+        assert!(
+            connections.len() < 1_000,
+            "connects do not hang on this system"
+        );
     }
-    let file = write_settings(folder.path(), member, "");
+    let file = write_settings(folder.path(), endpoint, "");
     let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
     let (end, _) = framed_call(dispatcher.bound.framed, 1_400).await;
     assert_eq!(status_of(&end), Some(WireStatus::Refused), "{end:?}");
@@ -77,7 +80,7 @@
     );
 }
 
-/// A client that reads nothing and gives no credit back: its own answer fails in time, others are served.
+/// A client returns no flow-control credit: its own request fails at its deadline, and the others are served.
 #[tokio::test]
 async fn client_without_flow_control_credit_delays_no_other_request() {
     use futures_util::SinkExt;
@@ -85,19 +88,25 @@
     let fleet = DispatcherProcess::start(&["serve", "--port", "0"], folder.path());
     let socket = TcpStream::connect(fleet.bound.framed).await.unwrap();
     let mut frames = tokio_util::codec::Framed::new(socket, FrameCodec::default());
-    let ask = |object: &str, class: &str| RequestHead {
+    let request = |object: &str, class: &str| RequestHead {
         object: object.into(),
         class: class.into(),
         time_left_us: 900_000,
         ..Default::default()
     };
     frames
-        .send(Frame::Request(1, ask("/video/lesson-2", "lesson-video")))
+        .send(Frame::Request(
+            1,
+            request("/video/lesson-2", "lesson-video"),
+        ))
         .await
         .unwrap();
     for stream in 2..12 {
         frames
-            .send(Frame::Request(stream, ask("/page/welcome", "test-page")))
+            .send(Frame::Request(
+                stream,
+                request("/page/welcome", "test-page"),
+            ))
             .await
             .unwrap();
     }
@@ -105,11 +114,13 @@
     while slow.is_none() || ended < 10 {
         match tokio::time::timeout(Duration::from_secs(10), frames.next())
             .await
-            .expect("in time")
+            .expect("no frame within 10 s")
         {
             Some(Ok(Frame::Data(1, data))) => bytes += data.len(),
             Some(Ok(Frame::Error(1, e))) => slow = Some(e.status()),
-            Some(Ok(Frame::End(1, _))) => panic!("4 MiB without credit"),
+            Some(Ok(Frame::End(1, _))) => {
+                panic!("a response of 4 MiB was completed without credit")
+            }
             Some(Ok(Frame::End(..))) => ended += 1,
             Some(Ok(_)) => {}
             other => panic!("{other:?}"),
@@ -119,20 +130,20 @@
     assert_eq!(
         bytes,
         pointspindle_protocol::streams::STREAM_WINDOW as usize,
-        "no more than its window was sent"
+        "the dispatcher did not send exactly the stream window"
     );
 }
 
-/// A client must be able to tell half a file from a file, on both protocols.
+/// A client must be able to distinguish a truncated response from a complete one, on both protocols.
 #[tokio::test]
 async fn truncated_response_differs_from_a_complete_one() {
-    for behaviour in [HostBehaviour::DiesInBody, HostBehaviour::Stalls] {
+    for behaviour in [HostBehaviour::ClosesInBody, HostBehaviour::Stalls] {
         let folder = tempfile::tempdir().unwrap();
         let file = write_settings(folder.path(), scripted_host(behaviour).await, "");
         let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
         let response = http_get(dispatcher.bound.http, "/a", "X-Deadline-Ms: 900\r\n").await;
         assert_eq!(
-            (response.status, response.body.len(), response.whole),
+            (response.status, response.body.len(), response.is_complete),
             (200, 2_000, false)
         );
         let (end, _) = framed_call(dispatcher.bound.framed, 900).await;
--- a/crates/cli/tests/program/main.rs
+++ b/crates/cli/tests/program/main.rs
@@ -1,4 +1,4 @@
-//! The program as a person and an operator would use it: over its arguments, files, sockets and signals.
+//! Tests of the program from outside, through its arguments, files, sockets and signals.
 mod arguments;
 mod configuration;
 mod embedded_fleet;
--- a/crates/cli/tests/program/shutdown.rs
+++ b/crates/cli/tests/program/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, and a process that is killed.
+//! Graceful shutdown, and recovery from a killed process.
 use crate::support::*;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
@@ -19,10 +19,10 @@
     let calls: Vec<_> = (0..6)
         .map(|_| tokio::spawn(framed_call(to_framed, 1_400)))
         .collect();
-    let asked: Vec<_> = (0..6)
+    let http_calls: Vec<_> = (0..6)
         .map(|_| tokio::spawn(async move { http_get(to_http, "/b", "").await }))
         .collect();
-    // All are open once the metrics say so.
+    // Waits until the metrics report all requests as open.
     let started = Instant::now();
     loop {
         let metrics = text(
@@ -32,7 +32,7 @@
         );
         if metrics
             .lines()
-            .any(|l| l == "pointspindle_open_requests 12")
+            .any(|line| line == "pointspindle_open_requests 12")
         {
             break;
         }
@@ -43,25 +43,25 @@
         let (end, _) = call.await.unwrap();
         assert!(
             matches!(end, Some(CallEnd::Complete(_))) || status_of(&end).is_some(),
-            "a final answer: {end:?}"
+            "no final response: {end:?}"
         );
     }
-    for asked in asked {
-        let response = asked.await.unwrap();
+    for http_call in http_calls {
+        let response = http_call.await.unwrap();
         assert!(
-            response.whole && matches!(response.status, 200 | 503),
+            response.is_complete && matches!(response.status, 200 | 503),
             "{}",
             response.status
         );
     }
     assert!(
         TcpStream::connect(to_http).await.is_err(),
-        "nothing new is taken"
+        "a new connection was accepted after SIGTERM"
     );
     assert_eq!(dispatcher.wait(), 0);
 }
 
-/// Killed while it writes its state again and again: what is read afterwards is whole, or nothing.
+/// The process is killed while it rewrites its state file repeatedly: the file must be complete or absent afterwards.
 #[tokio::test]
 async fn kill_during_a_state_write_leaves_a_complete_file() {
     let folder = tempfile::tempdir().unwrap();
@@ -74,7 +74,7 @@
     for round in 0..8_u64 {
         let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
         let socket = TcpStream::connect(dispatcher.bound.control).await.unwrap();
-        let (link, mut incoming) =
+        let (connection, mut incoming) =
             FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
         tokio::spawn(async move { while incoming.next().await.is_some() {} });
         for n in 0..200 + 40 * round {
@@ -84,19 +84,20 @@
                 age_us: 0,
                 seq: n,
             };
-            link.control(Frame::Purge(purge)).await.unwrap();
+            connection.control(Frame::Purge(purge)).await.unwrap();
             if n % 50 == 0 {
                 tokio::time::sleep(Duration::from_millis(7)).await;
             }
         }
         drop(dispatcher);
         if let Ok(bytes) = std::fs::read(&state) {
-            pointspindle_dispatcher::core::state::Snapshot::from_bytes(&bytes).expect("whole");
+            pointspindle_dispatcher::core::state::Snapshot::from_bytes(&bytes)
+                .expect("the state file is incomplete");
         }
     }
-    // Torn by hand: reported, ignored, and the static members serve.
-    let whole = std::fs::read(&state).expect("written by then");
-    std::fs::write(&state, &whole[..whole.len() / 2]).unwrap();
+    // A truncated state file is reported and ignored; the endpoints of the settings serve requests.
+    let complete = std::fs::read(&state).expect("no state file was written");
+    std::fs::write(&state, &complete[..complete.len() / 2]).unwrap();
     let dispatcher = DispatcherProcess::start(&["serve", &file], folder.path());
     assert_eq!(http_get(dispatcher.bound.http, "/a", "").await.status, 200);
     let log = std::fs::read_to_string(folder.path().join("log")).unwrap();
--- a/crates/cli/tests/program/support.rs
+++ b/crates/cli/tests/program/support.rs
@@ -1,4 +1,4 @@
-//! The program as a process, what answers it as a cache host, and calls by both protocols.
+//! Runs the program as a process, emulates cache hosts, and makes calls over both protocols.
 use futures_util::StreamExt;
 use pointspindle_protocol::http::{HttpEvent, ResponseCodec};
 use pointspindle_protocol::streams::Side;
@@ -23,17 +23,17 @@
 }
 
 #[derive(serde::Deserialize)]
-pub struct Bound {
+pub struct ListenAddresses {
     pub http: SocketAddr,
     pub framed: SocketAddr,
     pub control: SocketAddr,
     pub metrics: SocketAddr,
 }
 
-/// A process that is ended with its test.
+/// Process of a dispatcher; dropping it kills the process.
 pub struct DispatcherProcess {
     child: Child,
-    pub bound: Bound,
+    pub bound: ListenAddresses,
 }
 
 impl Drop for DispatcherProcess {
@@ -73,7 +73,7 @@
             );
             assert!(
                 started.elapsed() < Duration::from_secs(30),
-                "it does not listen"
+                "the dispatcher does not listen after 30 s"
             );
             std::thread::sleep(Duration::from_millis(5));
         };
@@ -98,8 +98,8 @@
     pub status: u16,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// It ended where it said it would.
-    pub whole: bool,
+    /// Whether the body ended as its head announced.
+    pub is_complete: bool,
 }
 
 impl Response {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Sends text as it is and reads so many answers, in order.
+/// Sends a text unchanged and reads up to this number of responses, in order.
 pub async fn http_exchange(
     to: SocketAddr,
     sent: &str,
@@ -120,25 +120,25 @@
 ) -> Vec<Response> {
     let mut socket = TcpStream::connect(to).await.unwrap();
     socket.write_all(sent.as_bytes()).await.unwrap();
-    let mut pieces = FramedRead::new(socket, ResponseCodec::new(head_only));
+    let mut events = FramedRead::new(socket, ResponseCodec::new(head_only));
     let mut out: Vec<Response> = vec![];
-    while out.iter().filter(|a| a.whole).count() < responses {
-        match tokio::time::timeout(Duration::from_secs(20), pieces.next())
+    while out.iter().filter(|response| response.is_complete).count() < responses {
+        match tokio::time::timeout(Duration::from_secs(20), events.next())
             .await
-            .expect("an answer in time")
+            .expect("no response within 20 s")
         {
             Some(Ok(HttpEvent::Head { status, fields, .. })) => {
                 out.push(Response {
                     status,
                     fields,
                     body: vec![],
-                    whole: false,
+                    is_complete: false,
                 });
             }
             Some(Ok(HttpEvent::Data(data))) => {
                 out.last_mut().unwrap().body.extend_from_slice(&data)
             }
-            Some(Ok(HttpEvent::End)) => out.last_mut().unwrap().whole = true,
+            Some(Ok(HttpEvent::End)) => out.last_mut().unwrap().is_complete = true,
             Some(Err(_)) | None => break,
         }
     }
@@ -150,18 +150,18 @@
     http_exchange(to, &sent, 1, false)
         .await
         .pop()
-        .expect("an answer")
+        .expect("no response")
 }
 
-/// Settings of a dispatcher whose only cache host is whatever listens at `member`.
-pub fn write_settings(folder: &Path, member: SocketAddr, extra: &str) -> String {
+/// Writes the settings of a dispatcher whose only cache host listens at `endpoint`. Returns the file's path.
+pub fn write_settings(folder: &Path, endpoint: SocketAddr, extra: &str) -> String {
     let file = folder.join("dispatcher.ini");
     let state = folder.join("dispatcher.state");
     let body = format!(
         "[dispatcher]\nzone = b\nnumber = 0\nstate_file = {}\n[listen]\nhttp = 127.0.0.1:0\nframed = 127.0.0.1:0\n\
          control = 127.0.0.1:0\nmetrics = 127.0.0.1:0\nhead_timeout_ms = 300\n[upstream]\nconnect_timeout_ms = 100\n\
          [class page]\npath_prefix = /\ndeadline_ms = 1500\n{extra}\n\
-         [member cache]\naddress = {member}\nkind = cache\nzone = b\nweight = 8\n\
+         [member cache]\naddress = {endpoint}\nkind = cache\nzone = b\nweight = 8\n\
          [member origin]\naddress = 127.0.0.1:9\nkind = origin\nzone = b\nweight = 8\n",
         state.display()
     );
@@ -169,43 +169,43 @@
     file.to_str().unwrap().to_owned()
 }
 
-/// What a scripted cache host does with each request.
+/// Behaviour of a scripted cache host for each request.
 #[derive(Clone, Copy)]
 pub enum HostBehaviour {
-    /// Accepts and says nothing.
+    /// Accepts the request and sends no response.
     Silent,
-    /// Sends a head and half of the body, then is gone.
-    DiesInBody,
-    /// Sends a head and some body, then stalls.
+    /// Sends a head and half of the body, then closes the connection.
+    ClosesInBody,
+    /// Sends a head and half of the body, then stalls.
     Stalls,
-    /// A whole answer after so many milliseconds.
+    /// Sends a complete response after this number of milliseconds.
     RespondsAfterMs(u64),
 }
 
 pub async fn scripted_host(behaviour: HostBehaviour) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let at = listener.local_addr().unwrap();
+    let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
-            let (link, mut incoming) =
+            let (connection, mut incoming) =
                 FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
             tokio::spawn(async move {
                 while let Some(inbound) = incoming.next().await {
                     let pointspindle_transport::Inbound::Request(_, responder) = inbound else {
                         continue;
                     };
-                    tokio::spawn(respond(behaviour, responder, link.clone()));
+                    tokio::spawn(respond(behaviour, responder, connection.clone()));
                 }
             });
         }
     });
-    at
+    address
 }
 
 pub async fn respond(
     behaviour: HostBehaviour,
     mut responder: pointspindle_transport::Responder,
-    link: FramedConnection,
+    connection: FramedConnection,
 ) {
     let head = ResponseHead {
         size: Some(4_000),
@@ -216,12 +216,12 @@
         HostBehaviour::Silent => {
             responder.cancelled().await;
         }
-        HostBehaviour::DiesInBody => {
+        HostBehaviour::ClosesInBody => {
             let _ = responder.head(head).await;
             let _ = responder.data(vec![b'x'; 2_000].into()).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
             responder.abandon();
-            link.close("dies");
+            connection.close("dies");
         }
         HostBehaviour::Stalls => {
             let _ = responder.head(head).await;
@@ -237,26 +237,26 @@
     }
 }
 
-/// One framed call; how it ended, and how long it took.
-pub async fn framed_call(to: SocketAddr, left_ms: u64) -> (Option<CallEnd>, Duration) {
-    let began = Instant::now();
+/// Makes one framed call and returns how it ended and how long it took.
+pub async fn framed_call(to: SocketAddr, deadline_ms: u64) -> (Option<CallEnd>, Duration) {
+    let started = Instant::now();
     let socket = TcpStream::connect(to).await.unwrap();
-    let (link, _incoming) =
+    let (connection, _incoming) =
         FramedConnection::start(socket, Side::Caller, ConnectionOptions::default());
     let head = RequestHead {
         object: "/a".into(),
         class: "page".into(),
-        time_left_us: left_ms * 1_000,
+        time_left_us: deadline_ms * 1_000,
         ..Default::default()
     };
-    let mut call = link.call(head).unwrap();
+    let mut call = connection.call(head).unwrap();
     let mut end = None;
     while let Some(part) = call.next().await {
         if let ResponsePart::End(e) = part {
             end = Some(e);
         }
     }
-    (end, began.elapsed())
+    (end, started.elapsed())
 }
 
 pub fn status_of(end: &Option<CallEnd>) -> Option<WireStatus> {
