--- a/crates/cli/src/commands/client_arguments.rs
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -70,7 +70,7 @@
 pub struct ClientArguments {
     /// Further dispatchers of the same branch, at listeners of the same protocol.
     #[arg(long = "also", value_name = "ADDRESS:PORT")]
-    also: Vec<SocketAddr>,
+    further_dispatchers: Vec<SocketAddr>,
     /// Class of the request in the framed protocol; over HTTP, the path determines the class.
     #[arg(long, default_value = "test-page")]
     class: String,
@@ -78,8 +78,8 @@
     #[arg(long, default_value_t = 5_000)]
     deadline_ms: u64,
     /// Maximum number of attempts, including the first one.
-    #[arg(long, default_value_t = 4)]
-    tries: u32,
+    #[arg(long = "tries", value_name = "TRIES", default_value_t = 4)]
+    max_attempts: u32,
     /// PEM file of the trusted certificate authority; https and pspns require one.
     #[arg(long, value_name = "FILE")]
     authority: Option<PathBuf>,
@@ -97,9 +97,10 @@
 impl ClientArguments {
     /// Creates a client of the dispatchers at this URL.
     pub fn client(&self, url: &Url) -> Result<Client, CommandError> {
-        let addresses = std::iter::once(url.address).chain(self.also.iter().copied());
+        let addresses =
+            std::iter::once(url.address).chain(self.further_dispatchers.iter().copied());
         let mut builder = Client::builder().retry_policy(RetryPolicy {
-            max_attempts: self.tries.max(1),
+            max_attempts: self.max_attempts.max(1),
             ..RetryPolicy::default()
         });
         if url.uses_tls {
--- a/crates/cli/src/commands/lab/hunt.rs
+++ b/crates/cli/src/commands/lab/hunt.rs
@@ -15,11 +15,11 @@
     #[arg(long, default_value = "worst", value_parser = parse_goal)]
     goal: Goal,
     /// Number of candidates.
-    #[arg(long, default_value_t = 64)]
-    days: usize,
+    #[arg(long = "days", value_name = "DAYS", default_value_t = 64)]
+    candidates: usize,
     /// Seed of the first candidate.
-    #[arg(long, default_value_t = 1)]
-    from: u64,
+    #[arg(long = "from", value_name = "FROM", default_value_t = 1)]
+    first_seed: u64,
     /// Setting in place of the scenario's; may be given several times.
     #[arg(long = "set", value_name = "SECTION.KEY=VALUE")]
     overrides: Vec<SettingOverride>,
@@ -47,11 +47,14 @@
         &source,
         &arguments.overrides,
         arguments.goal,
-        arguments.from,
-        arguments.days,
+        arguments.first_seed,
+        arguments.candidates,
     )?;
     let Some(found) = found else {
-        eprintln!("none of {} candidates reaches the goal", arguments.days);
+        eprintln!(
+            "none of {} candidates reaches the goal",
+            arguments.candidates
+        );
         return Ok(());
     };
     let figures = found.figures;
--- a/crates/cli/src/commands/lab/run.rs
+++ b/crates/cli/src/commands/lab/run.rs
@@ -27,10 +27,12 @@
     /// Show the history of a request of the run, such as c12.0.
     #[arg(long)]
     explain: Option<String>,
-    /// Run in virtual time: the dispatchers' cores against the model, without sockets; a seed always gives the same run.
+    /// Run in virtual time: the dispatchers' cores against the model, without sockets; a seed always gives the same
+    /// run.
     #[arg(long = "virtual")]
     virtual_time: bool,
-    /// Run the network code in this process, on a simulated network with latency, loss and partitions and a paused clock.
+    /// Run the network code in this process, on a simulated network with latency, loss and partitions and a paused
+    /// clock.
     #[arg(long = "shell", conflicts_with = "virtual_time")]
     simulated_network: bool,
     /// Distribute endpoint lists and purges through an emulated etcd whose streams break repeatedly.
--- a/crates/cli/src/commands/lab/scale.rs
+++ b/crates/cli/src/commands/lab/scale.rs
@@ -24,8 +24,14 @@
     /// Planned fleet, its budgets and the settings of the run; see scenarios/fleet-ahead.ini.
     target: PathBuf,
     /// Numbers of control-only dispatchers, one for each step.
-    #[arg(long, value_delimiter = ',', default_value = "50,100,200,400,590")]
-    hollow: Vec<usize>,
+    #[arg(
+        long = "hollow",
+        id = "hollow",
+        value_name = "HOLLOW",
+        value_delimiter = ',',
+        default_value = "50,100,200,400,590"
+    )]
+    dispatchers: Vec<usize>,
     /// Duration of each phase in seconds, in place of the file's.
     #[arg(long)]
     seconds: Option<f64>,
@@ -46,7 +52,7 @@
 impl ScaleArguments {
     fn check(&self) -> CommandResult {
         let is_allowed = |count: &usize| (1..=MAX_DISPATCHERS).contains(count);
-        if let Some(count) = self.hollow.iter().find(|count| !is_allowed(count)) {
+        if let Some(count) = self.dispatchers.iter().find(|count| !is_allowed(count)) {
             return Err(CommandError::CannotRun(format!(
                 "--hollow {count}: expected 1 to {MAX_DISPATCHERS}"
             )));
@@ -90,7 +96,7 @@
         seconds: target.phase_seconds,
         steps: match runs.first() {
             Some(run) => run.iter().map(|step| step.dispatchers).collect(),
-            None => arguments.hollow.clone(),
+            None => arguments.dispatchers.clone(),
         },
         runs: runs.len(),
         figures: slopes(&runs),
@@ -123,7 +129,7 @@
     let mut runs = Vec::new();
     for run in 1..=arguments.runs {
         let mut steps = Vec::new();
-        for &dispatchers in &arguments.hollow {
+        for &dispatchers in &arguments.dispatchers {
             let progress = |phase: &str| eprintln!("run {run}, {dispatchers} dispatchers: {phase}");
             steps.push(play_step(&program, target, dispatchers, progress).await?);
         }
--- a/crates/cli/src/commands/load.rs
+++ b/crates/cli/src/commands/load.rs
@@ -23,8 +23,8 @@
     #[arg(long, default_value_t = 5.0)]
     seconds: f64,
     /// Maximum number of calls in flight; calls beyond it are counted as not begun.
-    #[arg(long, default_value_t = 10_000)]
-    most: usize,
+    #[arg(long = "most", value_name = "MOST", default_value_t = 10_000)]
+    max_in_flight: usize,
     /// Print one JSON object.
     #[arg(long)]
     json: bool,
@@ -69,7 +69,7 @@
         while let Some(finished) = in_flight.try_join_next() {
             report.add(&finished?);
         }
-        if in_flight.len() >= arguments.most {
+        if in_flight.len() >= arguments.max_in_flight {
             report.count_not_begun();
             continue;
         }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -24,7 +24,8 @@
 pub enum Command {
     /// Run a dispatcher; without a settings file, run an embedded fleet with sample objects on loopback.
     Serve(serve::ServeArguments),
-    /// Run a dispatcher on the operators' platform: FastCGI clients, cache hosts with a line protocol, a discovery stream.
+    /// Run a dispatcher on the operators' platform: FastCGI clients, cache hosts with a line protocol, a discovery
+    /// stream.
     Run(run::RunArguments),
     /// Run a cache host: an edge or parent cache with a store on disk, or a gateway to an HTTP origin.
     Cache(cache::CacheArguments),
--- a/crates/cli/src/output/fleet_report.rs
+++ b/crates/cli/src/output/fleet_report.rs
@@ -43,8 +43,8 @@
         totals.mean_served_share
     );
     for (number, site) in totals.sites.iter().enumerate() {
-        let twin = without_loss.and_then(|totals| totals.sites.get(number));
-        print_site(site, twin);
+        let comparison = without_loss.and_then(|totals| totals.sites.get(number));
+        print_site(site, comparison);
     }
 }
 
@@ -91,11 +91,11 @@
         .map_or("not recovered".into(), |seconds| {
             format!("recovered after {seconds:.0} s")
         });
-    let twin = without_loss
+    let comparison = without_loss
         .map(|site| format!(" ({:.3} without the loss)", site.service_since))
         .unwrap_or_default();
     println!(
-        "  {}{}: served {:.3} before, {:.3} since{twin}, worst 3 s {:.3}, {recovery}",
+        "  {}{}: served {:.3} before, {:.3} since{comparison}, worst 3 s {:.3}, {recovery}",
         site.name,
         if site.affected { " (affected)" } else { "" },
         site.service_before,
