--- a/crates/testbed/src/content/mod.rs
+++ b/crates/testbed/src/content/mod.rs
@@ -1,4 +1,4 @@
-//! The bytes of objects: generated from number, part and version at any offset, so that nobody has to store them and
+//! Generates the bytes of objects from number, part and version at any offset, so that they need not be stored and
 //! every response, complete or a range, can be checked byte for byte.
 //!
 //! A body consists of lines of 64 bytes. The first is a header that names object, part and version; the others are
@@ -9,8 +9,9 @@
 mod tests;
 
 const LINE_BYTES: usize = 64;
-/// A line holds this many words in hexadecimal, each with room for separators.
+/// Number of hexadecimal words in a line.
 const WORDS_PER_LINE: usize = 3;
+/// Distance between the starts of two words, including the separators after a word.
 const WORD_STRIDE_BYTES: usize = 21;
 const WORD_HEX_DIGITS: usize = 16;
 
@@ -60,7 +61,7 @@
         line
     }
 
-    /// `length` bytes from `offset` on.
+    /// Returns `length` bytes from `offset` on.
     pub fn bytes(&self, offset: u64, length: usize) -> Bytes {
         let mut out = BytesMut::with_capacity(length + LINE_BYTES);
         let mut line = offset / LINE_BYTES as u64;
@@ -74,7 +75,7 @@
         out.freeze()
     }
 
-    /// The version that a body's first line names; none if it is not of this object and part.
+    /// Returns the version that a body's first line names, or `None` if the line belongs to another object or part.
     pub fn version_of(number: u64, part: u64, first_line: &[u8]) -> Option<u64> {
         let first_line = first_line.get(..LINE_BYTES)?;
         let text = std::str::from_utf8(first_line).ok()?;
@@ -90,7 +91,7 @@
 
 /// Checks a body as it arrives, without storing it.
 #[derive(Debug)]
-pub struct Checker {
+pub struct BodyChecker {
     number: u64,
     part: u64,
     received_bytes: u64,
@@ -98,28 +99,28 @@
     content: Content,
 }
 
-/// What is known of a body that is being checked.
+/// The state of the check of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Content {
     /// The first line is incomplete.
     Unknown,
-    /// Every byte so far is of this body.
+    /// Every byte received so far matches this body.
     Matches(Body),
-    /// Some byte was wrong.
-    Wrong,
+    /// At least one byte does not match.
+    Mismatch,
 }
 
 /// The result of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckedBody {
-    /// The bytes that were received.
+    /// Number of bytes received.
     pub bytes: u64,
-    /// The version, if every byte was right.
+    /// The version, if every byte matched.
     pub version: Option<u64>,
 }
 
-impl Checker {
-    /// Checks a body of this part of an object, of any version.
+impl BodyChecker {
+    /// Creates a checker for a body of this part of an object, of any version.
     pub fn new(number: u64, part: u64) -> Self {
         Self {
             number,
@@ -134,20 +135,20 @@
     pub fn take(&mut self, data: &[u8]) {
         let rest = match self.content {
             Content::Unknown => self.take_first_line(data),
-            Content::Matches(_) | Content::Wrong => data,
+            Content::Matches(_) | Content::Mismatch => data,
         };
         if let Content::Matches(body) = self.content {
             if body.bytes(self.received_bytes, rest.len()) != rest {
-                self.content = Content::Wrong;
+                self.content = Content::Mismatch;
             }
         }
         self.received_bytes += rest.len() as u64;
     }
 
-    /// Completes the first line as far as the data reaches; returns what follows it.
+    /// Appends data to the first line until the line is complete; returns the remaining data.
     fn take_first_line<'a>(&mut self, data: &'a [u8]) -> &'a [u8] {
-        let missing = (LINE_BYTES - self.first_line.len()).min(data.len());
-        let (line, rest) = data.split_at(missing);
+        let missing_bytes = (LINE_BYTES - self.first_line.len()).min(data.len());
+        let (line, rest) = data.split_at(missing_bytes);
         self.first_line.extend_from_slice(line);
         self.received_bytes += line.len() as u64;
         if self.first_line.len() == LINE_BYTES {
@@ -157,17 +158,17 @@
                     part: self.part,
                     version,
                 }),
-                None => Content::Wrong,
+                None => Content::Mismatch,
             };
         }
         rest
     }
 
-    /// The result for the bytes so far. A body shorter than its first line has no version.
+    /// Returns the result for the bytes received so far. A body shorter than its first line has no version.
     pub fn finish(&self) -> CheckedBody {
         let version = match self.content {
             Content::Matches(body) => Some(body.version),
-            Content::Unknown | Content::Wrong => None,
+            Content::Unknown | Content::Mismatch => None,
         };
         CheckedBody {
             bytes: self.received_bytes,
--- a/crates/testbed/src/content/tests.rs
+++ b/crates/testbed/src/content/tests.rs
@@ -1,7 +1,7 @@
-use super::{Body, CheckedBody, Checker};
+use super::{Body, BodyChecker, CheckedBody};
 
 fn check(bytes: &[u8], chunk_size: usize) -> CheckedBody {
-    let mut checker = Checker::new(7, 2);
+    let mut checker = BodyChecker::new(7, 2);
     bytes
         .chunks(chunk_size)
         .for_each(|chunk| checker.take(chunk));
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn body_check_in_any_chunks_accepts_right_bytes_and_finds_wrong_ones() {
+fn body_checker_accepts_matching_bytes_and_detects_wrong_ones_in_chunks_of_any_size() {
     let body = Body {
         number: 7,
         part: 2,
@@ -46,6 +46,6 @@
     assert_eq!(
         check(&other_object.bytes(0, 200), 50).version,
         None,
-        "another object's bytes"
+        "bytes of another object must not match"
     );
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! A fleet in one process for a first try: two cache hosts, a parent and an origin with sample objects.
+//! A demonstration fleet in one process: two cache hosts, a parent and an origin with sample objects.
 use crate::emulated_hosts::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle::Micros;
 use pointspindle_audit::recorder::Recorder;
@@ -9,7 +9,7 @@
 };
 use pointspindle_protocol::{EndpointRecord, WireEndpointState};
 
-/// Sample objects: path, class and bytes. Any page or video of another name is not found.
+/// Path, class and size in bytes of each sample object. Requests for any other object are answered with "not found".
 pub const SAMPLE_OBJECTS: [(&str, usize, u64); 5] = [
     ("/page/welcome", 1, 2 * 1024),
     ("/page/signs/stop", 1, 6 * 1024),
@@ -18,7 +18,7 @@
     ("/video/lesson-2", 0, 4 * 1024 * 1024),
 ];
 
-/// The class of pages in [`SAMPLES`], the only one whose copies stay fresh for a time.
+/// The class of pages in [`SAMPLE_OBJECTS`], the only class whose copies have a freshness lifetime.
 const PAGE_CLASS: usize = 1;
 const PAGE_FRESHNESS_LIFETIME: Micros = 12_000_000;
 const MEAN_TRANSFER_TIME: Micros = 20_000;
@@ -32,7 +32,7 @@
 const CENTRAL_ZONE: usize = 0;
 const BRANCH_ZONE: usize = 1;
 
-/// A host without limits that a first try would meet.
+/// Returns the settings of a host with limits too high for a demonstration to reach.
 pub fn plain_host(address: String, role: Role, zone: usize, weight: f64) -> HostSpec {
     let service_time = match role {
         Role::Origin => ORIGIN_SERVICE_TIME,
@@ -70,13 +70,14 @@
     }
 }
 
-/// A free loopback port, released at once: the system does not assign it again for a while.
+/// Returns an address with a free port. The port is released at once; the operating system is unlikely to assign it
+/// again soon.
 pub fn free_address(ip: &str) -> std::io::Result<String> {
     let listener = std::net::TcpListener::bind((ip, 0))?;
     Ok(listener.local_addr()?.to_string())
 }
 
-/// Starts the fleet; returns it with the entries of its endpoint list.
+/// Starts the fleet and returns it with the records of its endpoint list.
 pub async fn start_demo_fleet(
     class_names: [&str; 2],
     zones: [&str; 2],
@@ -137,7 +138,7 @@
     }
 }
 
-/// The size of a sample object in bytes.
+/// Returns the size of a sample object in bytes.
 fn sample_size(request: &ModelRequest) -> Option<u64> {
     let (_, _, bytes) = SAMPLE_OBJECTS
         .iter()
--- a/crates/testbed/src/emulated_hosts/attempt.rs
+++ b/crates/testbed/src/emulated_hosts/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a host: the model decides, frames carry the response.
+//! Serves one attempt at a host: the model decides on the response, which is sent in frames.
 use super::conversions::{self, BodyRange};
 use super::hosts::{EmulatedHosts, JobEvent, Rejection};
 use super::model_driver::ArrivedJob;
@@ -11,12 +11,12 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// The most bytes of a body that are generated at once.
+/// Largest part of a body that is generated at once.
 const MAX_CHUNK_BYTES: u64 = 32 * 1024;
-/// The greatest age that a host with the injected fault accepts, in microseconds: any.
-const ANY_AGE: u64 = u64::MAX / 2;
+/// The maximum age that a host with the injected fault assumes, in microseconds; no copy is as old.
+const UNLIMITED_AGE_US: u64 = u64::MAX / 2;
 
-/// Where an attempt arrived and who sent it.
+/// The host at which an attempt arrived and its sender.
 #[derive(Clone)]
 pub(super) struct AttemptOrigin {
     pub host: HostId,
@@ -27,7 +27,7 @@
     pub connection: FramedConnection,
 }
 
-/// An attempt that has not been handed to the model yet.
+/// An attempt that has not been passed to the model yet.
 pub(super) struct Attempt {
     hosts: EmulatedHosts,
     origin: AttemptOrigin,
@@ -35,19 +35,19 @@
     responder: Responder,
 }
 
-/// Records how an attempt ended at its host, also when its task is aborted.
+/// Records the end of an attempt at its host, even if its task is aborted.
 struct AttemptRecord {
     hosts: EmulatedHosts,
     host: HostId,
     job: JobId,
-    /// Whether the model still has to learn that the attempt is over.
+    /// Whether the model must be notified that the attempt has ended.
     cancels_job: bool,
-    ended: TraceEvent,
+    end_event: TraceEvent,
 }
 
 impl AttemptRecord {
     fn new(attempt: &Attempt, job: JobId) -> Self {
-        let ended = TraceEvent::AttemptEnded {
+        let end_event = TraceEvent::AttemptEnded {
             host: attempt.origin.address.clone(),
             id: attempt.id(),
             attempt: attempt.request.attempt,
@@ -59,12 +59,12 @@
             host: attempt.origin.host,
             job,
             cancels_job: true,
-            ended,
+            end_event,
         }
     }
 
     fn set_outcome(&mut self, new_outcome: AttemptOutcome) {
-        if let TraceEvent::AttemptEnded { outcome, .. } = &mut self.ended {
+        if let TraceEvent::AttemptEnded { outcome, .. } = &mut self.end_event {
             *outcome = new_outcome;
         }
     }
@@ -72,14 +72,14 @@
 
 impl Drop for AttemptRecord {
     fn drop(&mut self) {
-        self.hosts.forget(self.job);
+        self.hosts.remove_job(self.job);
         if self.cancels_job {
             self.hosts.apply(ModelInput::Cancel {
                 host: self.host,
                 job: self.job,
             });
         }
-        self.hosts.shared().recorder.record(self.ended.clone());
+        self.hosts.shared().recorder.record(self.end_event.clone());
     }
 }
 
@@ -90,9 +90,10 @@
     responder: Responder,
     connection: FramedConnection,
     arrived_at: Instant,
-    /// The body, but for its version.
+    /// The body without its version, which the response determines.
     body: Body,
-    /// Sent with the end: a host that crashes in between leaves half a response.
+    /// The second half of the body. It is sent at the end of the response, so that a host that crashes in between
+    /// leaves a truncated response.
     unsent: Option<UnsentBody>,
 }
 
@@ -102,7 +103,7 @@
 }
 
 impl Attempt {
-    /// An attempt that has just arrived.
+    /// Creates an attempt that has just arrived.
     pub fn new(
         hosts: EmulatedHosts,
         origin: AttemptOrigin,
@@ -121,22 +122,22 @@
         ClientAttemptId::parse(&self.request.trace)
     }
 
-    /// Serves the attempt to its end.
+    /// Serves the attempt until it ends.
     pub async fn run(self) {
-        // A partition that heals delivers a request and its cancellation together: the request is not begun.
+        // When a partition heals, a request and its cancellation arrive together; such a request is not started.
         if self.responder.is_cancelled() {
             return;
         }
         let arrived_at = Instant::now();
-        let wanted = self.model_request();
+        let model_request = self.model_request();
         let body = Body {
-            number: wanted.object_number,
-            part: wanted.part,
+            number: model_request.object_number,
+            part: model_request.part,
             version: 0,
         };
         let ArrivedJob { job, events } =
             self.hosts
-                .arrive(self.origin.host, self.origin.lease_user, wanted);
+                .submit_request(self.origin.host, self.origin.lease_user, model_request);
         let active = ActiveAttempt {
             record: AttemptRecord::new(&self, job),
             request: self.request,
@@ -149,26 +150,26 @@
         active.serve(events).await;
     }
 
-    /// The request in the model's terms; its arrival is recorded.
+    /// Converts the request to the model's type and records its arrival.
     fn model_request(&self) -> ModelRequest {
         let shared = self.hosts.shared();
-        let mut wanted = conversions::model_request(&self.request, &shared.classes);
+        let mut model_request = conversions::model_request(&self.request, &shared.classes);
         shared.recorder.record(TraceEvent::AttemptArrived {
             host: self.origin.address.clone(),
             dispatcher: self.origin.dispatcher,
             id: self.id(),
             attempt: self.request.attempt,
-            source: wanted.source.clone(),
-            class: wanted.class,
+            source: model_request.source.clone(),
+            class: model_request.class,
         });
         if shared
             .options
             .ignores_max_age
             .contains(&self.origin.address)
         {
-            wanted.max_age = ANY_AGE;
+            model_request.max_age = UNLIMITED_AGE_US;
         }
-        wanted
+        model_request
     }
 }
 
@@ -250,7 +251,7 @@
     fn disconnect(mut self) {
         self.record.cancels_job = false;
         self.responder.abandon();
-        self.connection.close("cut by the script");
+        self.connection.close("disconnected by the cache model");
     }
 
     fn abandon(mut self) {
--- a/crates/testbed/src/emulated_hosts/connection.rs
+++ b/crates/testbed/src/emulated_hosts/connection.rs
@@ -1,4 +1,4 @@
-//! One connection at a host: requests become attempts, control frames are answered.
+//! Serves one connection to a host: runs its requests as attempts and answers its control frames.
 use super::attempt::{Attempt, AttemptOrigin};
 use super::hosts::EmulatedHosts;
 use pointspindle_cache_host::lease::UserId;
@@ -11,13 +11,13 @@
 
 const MAX_STREAMS: usize = 8192;
 
-/// A connection that closes when its task ends or is aborted, and gives up its lease.
+/// A connection that closes and leaves the host's work ledger when its task ends or is aborted.
 struct HostConnection {
     hosts: EmulatedHosts,
     host: HostId,
     /// The host's address.
     address: String,
-    /// The dispatcher at the other end, if its address is known.
+    /// The dispatcher at the other end, if its source address is known.
     dispatcher: Option<usize>,
     framed: FramedConnection,
     lease_user: Option<UserId>,
@@ -28,11 +28,12 @@
         if let Some(user) = self.lease_user {
             self.hosts.leave(self.host, user);
         }
-        self.framed.close("the member's process is gone");
+        self.framed
+            .close("the host has stopped or the connection has ended");
     }
 }
 
-/// Serves a connection until its other end closes it.
+/// Serves a connection until the peer closes it.
 pub(super) async fn serve_connection(
     hosts: EmulatedHosts,
     host: HostId,
@@ -41,10 +42,10 @@
 ) {
     let dispatcher = hosts.shared().options.dispatchers.get(&peer.ip()).copied();
     let address = hosts.address_of(host);
-    let socket = match behind_zone_partitions(&hosts, host, dispatcher, socket).await {
+    let socket = match with_zone_partitions(&hosts, host, dispatcher, socket).await {
         Ok(socket) => socket,
         Err(e) => {
-            return tracing::warn!(host, error = %e, "a connection could not be put behind the cut")
+            return tracing::warn!(host, error = %e, "connection closed: the zone partition relay could not be set up")
         }
     };
     let options = ConnectionOptions {
@@ -73,8 +74,8 @@
     while attempts.join_next().await.is_some() {}
 }
 
-/// A connection to a host, behind the partitions between the zones of its ends.
-async fn behind_zone_partitions(
+/// Returns a socket whose data is subject to the partitions between the zones of its two ends.
+async fn with_zone_partitions(
     hosts: &EmulatedHosts,
     host: HostId,
     dispatcher: Option<usize>,
--- a/crates/testbed/src/emulated_hosts/conversions/mod.rs
+++ b/crates/testbed/src/emulated_hosts/conversions/mod.rs
@@ -1,4 +1,4 @@
-//! Conversions between the heads of frames and the cache model's types.
+//! Converts between the heads of frames and the cache model's types.
 use pointspindle::ObjectId;
 use pointspindle_cache_model::{ClassModel, ModelRequest, ModelResponse};
 use pointspindle_protocol::range::{Range, ResolvedRange};
@@ -11,15 +11,15 @@
 const CONTENT_TYPE: &str = "text/plain";
 const STATUS_OK: u16 = 200;
 
-/// The class number of requests of an unknown class.
+/// The class number of a request whose class is unknown.
 const UNKNOWN_CLASS: usize = usize::MAX;
 
-/// The validator of a version of an object.
+/// Returns the validator of a version of an object.
 pub(super) fn validator_of_version(version: u64) -> String {
     format!("\"v{version}\"")
 }
 
-/// The version that a validator, strong or weak, stands for.
+/// Returns the version that a strong or weak validator names.
 pub(super) fn version_of_validator(validator: &str) -> Option<u64> {
     validator
         .trim()
@@ -30,10 +30,10 @@
         .ok()
 }
 
-/// A request in the model's terms.
+/// Converts the head of a request to the model's type.
 pub(super) fn model_request(head: &RequestHead, classes: &[ClassModel]) -> ModelRequest {
     let fetch = head.fetch.clone().unwrap_or_default();
-    // A lookup without a fetch directive wants what is cached.
+    // A request with neither a fetch directive nor an idempotency key is a lookup in the cache only.
     let only_if_cached =
         fetch.only_if_cached || (head.fetch.is_none() && head.idempotency_key.is_empty());
     let class = classes.iter().position(|class| class.name == head.class);
@@ -56,32 +56,34 @@
     }
 }
 
-/// A fill as it is sent to its source.
+/// Returns the head of the request that a fill sends to its source.
 pub(super) fn fill_request(
-    wanted: &ModelRequest,
+    model_request: &ModelRequest,
     classes: &[ClassModel],
     time_left_us: u64,
 ) -> RequestHead {
     let fetch = FetchHead {
         source: String::new(),
-        retention_rank: wanted.retention_rank as u32,
-        max_age_us: wanted.max_age,
-        coalesce: wanted.coalesce,
-        only_if_cached: wanted.only_if_cached,
+        retention_rank: model_request.retention_rank as u32,
+        max_age_us: model_request.max_age,
+        coalesce: model_request.coalesce,
+        only_if_cached: model_request.only_if_cached,
         revalidate: false,
     };
-    let class = classes.get(wanted.class).map(|class| class.name.clone());
+    let class = classes
+        .get(model_request.class)
+        .map(|class| class.name.clone());
     RequestHead {
-        object: wanted.object.to_string(),
-        part: wanted.part,
-        group: wanted.group,
+        object: model_request.object.to_string(),
+        part: model_request.part,
+        group: model_request.group,
         class: class.unwrap_or_default(),
         time_left_us,
         fetch: Some(fetch),
-        trace: wanted.trace.to_string(),
-        attempt: wanted.attempt,
-        idempotency_key: wanted.idempotency_key.to_string(),
-        if_none_match: wanted
+        trace: model_request.trace.to_string(),
+        attempt: model_request.attempt,
+        idempotency_key: model_request.idempotency_key.to_string(),
+        if_none_match: model_request
             .cached_version
             .map(validator_of_version)
             .unwrap_or_default(),
@@ -97,7 +99,7 @@
 }
 
 impl BodyRange {
-    /// The range in two split_in_two; the second has the odd byte.
+    /// Splits the range into two halves; if the length is odd, the second is one byte longer.
     pub fn split_in_two(self) -> (Self, Self) {
         let first = Self {
             start: self.start,
@@ -117,7 +119,7 @@
     pub range: BodyRange,
 }
 
-/// The response to a request, with the range that was requested.
+/// Returns the response to a request, limited to the requested range.
 pub(super) fn response_head(
     response: &ModelResponse,
     request: &RequestHead,
@@ -157,7 +159,7 @@
     ConvertedResponse { head, range }
 }
 
-/// The head of a response with the complete body.
+/// Returns the head of a response with the complete body.
 fn complete_head(response: &ModelResponse, elapsed_us: u64) -> ResponseHead {
     let origin_status = match response.status_code {
         STATUS_OK => 0,
@@ -178,7 +180,7 @@
     }
 }
 
-/// The range that a request asks of a body; none: the complete body.
+/// Returns the range of a body to respond with, or `None` for the complete body.
 fn requested_range(
     request: &RequestHead,
     validator: &str,
--- a/crates/testbed/src/emulated_hosts/fill_connections.rs
+++ b/crates/testbed/src/emulated_hosts/fill_connections.rs
@@ -9,7 +9,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl EmulatedHosts {
-    /// A host's connection to a source; opened when needed.
+    /// Returns a host's connection to a source; opens one if none is usable.
     pub(super) async fn fill_connection(
         &self,
         host: HostId,
--- a/crates/testbed/src/emulated_hosts/fills.rs
+++ b/crates/testbed/src/emulated_hosts/fills.rs
@@ -1,7 +1,7 @@
-//! A fill over a socket: requests the object from the source as any peer would, and reports the response to the model.
+//! Runs a fill over a socket: requests the object from the source and reports the response to the model.
 use super::conversions;
 use super::hosts::EmulatedHosts;
-use crate::content::Checker;
+use crate::content::BodyChecker;
 use pointspindle::Micros;
 use pointspindle_cache_model::{
     CachedCopy, FillId, FillOutcome, HostId, ModelInput, ModelRequest, ModelResponse,
@@ -9,19 +9,19 @@
 use pointspindle_protocol::ResponseHead;
 use pointspindle_transport::{CallEnd, ResponsePart};
 
-/// The time that a fill announces to its source, in microseconds; the model gives up earlier by itself.
+/// The remaining time that a fill announces to its source, in microseconds; the model's own fill timeout is shorter.
 const FILL_TIME_LEFT_US: u64 = 10_000_000;
 const STATUS_OK: u16 = 200;
 
-/// Runs a fill to its end.
+/// Runs a fill until it ends.
 pub(super) async fn run_fill(
     hosts: EmulatedHosts,
     host: HostId,
     fill: FillId,
     source: String,
-    wanted: ModelRequest,
+    model_request: ModelRequest,
 ) {
-    let outcome = fetch(&hosts, host, fill, &source, &wanted).await;
+    let outcome = fetch(&hosts, host, fill, &source, &model_request).await;
     hosts.apply(ModelInput::FillEnded {
         host,
         fill,
@@ -34,23 +34,24 @@
     host: HostId,
     fill: FillId,
     source: &str,
-    wanted: &ModelRequest,
+    model_request: &ModelRequest,
 ) -> FillOutcome {
     let Ok(connection) = hosts.fill_connection(host, source).await else {
         return FillOutcome::Unreachable;
     };
-    let request = conversions::fill_request(wanted, &hosts.shared().classes, FILL_TIME_LEFT_US);
+    let request =
+        conversions::fill_request(model_request, &hosts.shared().classes, FILL_TIME_LEFT_US);
     let Ok(mut call) = connection.call(request) else {
         return FillOutcome::Unreachable;
     };
     let requested_at = hosts.now();
-    let mut checker = Checker::new(wanted.object_number, wanted.part);
+    let mut checker = BodyChecker::new(model_request.object_number, model_request.part);
     let mut has_body = true;
     while let Some(part) = call.next().await {
         match part {
             ResponsePart::Head(head) => {
                 has_body = !(head.not_modified || head.origin_status != 0 || head.size == Some(0));
-                let response = model_response(requested_at, &head, wanted);
+                let response = model_response(requested_at, &head, model_request);
                 hosts.apply(ModelInput::FillResponse {
                     host,
                     fill,
@@ -71,23 +72,24 @@
     FillOutcome::Unreachable
 }
 
-/// A copy with a wrong byte is not a copy.
-fn completed(has_body: bool, checker: &Checker) -> FillOutcome {
+/// Returns the outcome of a complete response; a copy with wrong bytes counts as an unreachable source.
+fn completed(has_body: bool, checker: &BodyChecker) -> FillOutcome {
     if has_body && checker.finish().version.is_none() {
         return FillOutcome::Unreachable;
     }
     FillOutcome::Complete
 }
 
-/// The copy counts as no younger than the request (RFC 9111, 4.2.3): its source may have read it and determined its
-/// age long before the head arrived, and a purge may lie in between.
+/// Converts the head of a response to the model's type. The age of the copy counts from the time of the request
+/// (RFC 9111, 4.2.3): the source may have read the copy and determined its age long before the head arrived, and a
+/// purge may have happened in between.
 fn model_response(
     requested_at: Micros,
     head: &ResponseHead,
-    wanted: &ModelRequest,
+    model_request: &ModelRequest,
 ) -> ModelResponse {
     let version = conversions::version_of_validator(&head.validator)
-        .or(wanted.cached_version)
+        .or(model_request.cached_version)
         .unwrap_or(0);
     let status_code = match head.origin_status {
         0 => STATUS_OK,
--- a/crates/testbed/src/emulated_hosts/hosts.rs
+++ b/crates/testbed/src/emulated_hosts/hosts.rs
@@ -13,10 +13,11 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::AbortHandle;
 
-/// The run's first moment on the model's clock, in microseconds: hosts may have started before it.
+/// The start of the run on the model's clock, in microseconds. It is not 0, because hosts may have started before the
+/// run.
 pub const EPOCH: Micros = 1_000_000_000_000;
 
-/// Emulated hosts on sockets. Clones share them.
+/// Emulated hosts on sockets. Clones share the same hosts.
 #[derive(Clone)]
 pub struct EmulatedHosts {
     shared: Arc<Shared>,
@@ -32,7 +33,7 @@
     pub fill_connections: tokio::sync::Mutex<HashMap<FillRoute, FramedConnection>>,
 }
 
-/// The ends of a fill connection.
+/// The two ends of a fill connection.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct FillRoute {
     pub host: HostId,
@@ -45,10 +46,10 @@
     pub jobs: HashMap<JobId, Job>,
     pub fills: HashMap<FillId, AbortHandle>,
     pub listeners: HashMap<HostId, AbortHandle>,
-    /// Of hosts that are warming up.
+    /// Leases of the hosts that are warming up.
     pub leasing: HashMap<HostId, Leasing>,
     pub last_lease_user: UserId,
-    /// The buffer of the model's outputs, empty between inputs.
+    /// Buffer for the model's outputs, empty between inputs.
     pub outputs: Vec<ModelOutput>,
     last_job: JobId,
 }
@@ -59,7 +60,7 @@
     pub events: mpsc::UnboundedSender<JobEvent>,
 }
 
-/// What the model decides on a request in service.
+/// A decision of the model on a request in service.
 #[derive(Debug)]
 pub(super) enum JobEvent {
     /// The response begins.
@@ -68,7 +69,7 @@
     Finish,
     /// The request is rejected.
     Reject(Rejection),
-    /// Its connection breaks.
+    /// The connection of the request is closed.
     Disconnect,
     /// The host has crashed.
     HostDown,
@@ -83,14 +84,14 @@
     pub load: LoadReport,
 }
 
-/// The work ledger of a host, and the connections of the dispatchers that use it.
+/// The work ledger of a host and the connections of the dispatchers that use the ledger.
 pub(super) struct Leasing {
     pub ledger: WorkLedger,
     pub connections: HashMap<UserId, FramedConnection>,
 }
 
 impl State {
-    /// The number of a new job.
+    /// Returns the number of a new job.
     pub fn next_job(&mut self) -> JobId {
         self.last_job += 1;
         self.last_job
@@ -109,7 +110,7 @@
 }
 
 impl EmulatedHosts {
-    /// Hosts of a model that do not listen yet. `classes` are the request classes by number.
+    /// Creates the hosts of a model; they do not listen yet. `classes` are the request classes by number.
     pub fn new(
         model: CacheModel,
         classes: Vec<ClassModel>,
@@ -139,12 +140,12 @@
         }
     }
 
-    /// The time on the model's clock, in microseconds.
+    /// Returns the time on the model's clock, in microseconds.
     pub fn now(&self) -> Micros {
         EPOCH + self.shared.recorder.now()
     }
 
-    /// Reads the model; the hosts stand still meanwhile.
+    /// Calls `read` with the model, which is locked meanwhile.
     pub fn with_model<T>(&self, read: impl FnOnce(&mut CacheModel) -> T) -> T {
         read(&mut self.lock().model)
     }
--- a/crates/testbed/src/emulated_hosts/leases.rs
+++ b/crates/testbed/src/emulated_hosts/leases.rs
@@ -1,4 +1,4 @@
-//! Work leases of hosts that are warming up.
+//! Grants work leases for hosts that are warming up.
 use super::hosts::EmulatedHosts;
 use pointspindle::Micros;
 use pointspindle_cache_host::lease::{Grant, UserId};
@@ -12,7 +12,7 @@
 /// How long an unconditional lease of a warm host lasts, in microseconds.
 const WARM_LEASE_DURATION_US: u64 = 1_000_000;
 
-/// A dispatcher's first lease, and its number as a user of the host's ledger.
+/// A dispatcher's user number in the host's ledger and its first lease.
 pub(super) struct JoinedUser {
     pub user: UserId,
     pub lease: LeaseHead,
@@ -25,12 +25,12 @@
 }
 
 impl EmulatedHosts {
-    /// What a host announces of its incarnation; none where hosts announce nothing.
+    /// Returns the hello with which a host announces its incarnation, or `None` if hosts announce none.
     pub(super) fn hello(&self, host: HostId) -> Option<HelloHead> {
         self.shared().options.ledger_factory.as_ref()?;
         let (start_number, started_at) = self.lock().model.incarnation(host);
         let started_ago_us = started_at.map(|at| self.now().saturating_sub(at));
-        // Start numbers are small and alike at all hosts; an incarnation identifies a process.
+        // Start numbers repeat among hosts, but an incarnation must identify one process.
         let incarnation = derive_seed(start_number, &self.address_of(host)).max(1);
         Some(HelloHead {
             incarnation,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Adds a dispatcher that observes leases to the users of a host's ledger; none: the host leases nothing.
+    /// Adds a dispatcher to the users of a host's ledger; returns `None` if the host grants no leases.
     pub(super) fn join(
         &self,
         host: HostId,
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Answers a dispatcher's request for work in microseconds. A host that is warm grants all of it.
+    /// Grants a dispatcher's work request, in microseconds of work. A host that is not warming up grants all of it.
     pub(super) fn request_work(&self, host: HostId, user: UserId, work_us: u64) -> LeaseHead {
         let mut state = self.lock();
         let now = self.now();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Begins the next slot of an incarnation's ledger; none: the incarnation has ended or is warm.
+    /// Starts the next slot of an incarnation's ledger; returns `None` if the incarnation has ended or is warm.
     fn start_slot(&self, host: HostId, incarnation: u64) -> Option<SlotGrants> {
         let mut state = self.lock();
         if state.model.incarnation(host).0 != incarnation {
@@ -124,7 +124,7 @@
         let Some(slot) = hosts.start_slot(host, incarnation) else {
             return;
         };
-        // A dispatcher that does not read must not hold up the leases of the others.
+        // A dispatcher that does not read must not delay the leases of the other dispatchers.
         let send_timeout = Duration::from_micros(slot.slot_length / 4);
         for (connection, lease) in slot.leases {
             let sent = connection.control(Frame::Lease(lease));
--- a/crates/testbed/src/emulated_hosts/listeners.rs
+++ b/crates/testbed/src/emulated_hosts/listeners.rs
@@ -1,4 +1,4 @@
-//! The listeners of hosts, and whether they accept connections.
+//! Starts and stops the listeners of hosts.
 use super::connection::serve_connection;
 use super::hosts::EmulatedHosts;
 use pointspindle_cache_model::HostId;
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// The last process of a host may have released its port a moment ago.
+/// Listening is retried because the port may not be free yet just after a host has stopped.
 const LISTEN_RETRIES: u32 = 50;
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 impl EmulatedHosts {
-    /// Breaks the connections of a host and accepts no new ones, though its process runs on.
+    /// Closes the connections of a host and stops accepting new ones, while the host stays up.
     pub fn refuse_connections(&self, host: HostId) {
         if let Some(listener) = self.lock().listeners.remove(&host) {
             listener.abort();
         }
     }
 
-    /// Accepts connections of a host again, if it is up.
+    /// Accepts connections to a host again, if the host is up.
     pub async fn accept_connections(&self, host: HostId) -> std::io::Result<()> {
         let must_listen = {
             let state = self.lock();
@@ -60,7 +60,7 @@
 }
 
 async fn serve(hosts: EmulatedHosts, host: HostId, mut listener: Listener) {
-    // Aborting this task drops the set, and with it every connection: as a process that ends.
+    // Aborting this task drops the set and so closes every connection, as the end of a process does.
     let mut connections = JoinSet::new();
     while let Ok((socket, peer)) = listener.accept().await {
         while connections.try_join_next().is_some() {}
--- a/crates/testbed/src/emulated_hosts/mod.rs
+++ b/crates/testbed/src/emulated_hosts/mod.rs
@@ -1,4 +1,4 @@
-//! Cache hosts, parents and origins emulated by the cache model, each with a listener of its own on the framed
+//! Emulates cache hosts, parents and origins with the cache model; each host has its own listener for the framed
 //! protocol.
 mod attempt;
 mod connection;
--- a/crates/testbed/src/emulated_hosts/model_driver.rs
+++ b/crates/testbed/src/emulated_hosts/model_driver.rs
@@ -1,4 +1,4 @@
-//! Feeds the cache model with inputs and the passing of time, and carries out its outputs.
+//! Passes inputs and timer ticks to the cache model and carries out its outputs.
 use super::fills;
 use super::hosts::{EmulatedHosts, Job, JobEvent, Leasing, Rejection, State};
 use super::leases;
@@ -18,7 +18,7 @@
 }
 
 impl EmulatedHosts {
-    /// Listens for all hosts that are up and begins to drive the model's timers.
+    /// Starts the listeners of all hosts that are up and the task that drives the model's timers.
     pub async fn start(&self) -> std::io::Result<()> {
         let up: Vec<HostId> = {
             let state = self.lock();
@@ -33,13 +33,13 @@
         Ok(())
     }
 
-    /// Gives the model an input and carries out what it decides.
+    /// Passes an input to the model and carries out the outputs.
     pub fn apply(&self, input: ModelInput) {
         self.apply_locked(self.lock(), input);
     }
 
-    /// Hands a request to the model. `user`: the lease user that sent it, if any.
-    pub(super) fn arrive(
+    /// Passes a request to the model. `user` is the lease user that sent it, if any.
+    pub(super) fn submit_request(
         &self,
         host: HostId,
         user: Option<UserId>,
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Sends no further events of a job.
-    pub(super) fn forget(&self, job: JobId) {
+    /// Removes a job, so that no further events are sent for it.
+    pub(super) fn remove_job(&self, job: JobId) {
         self.lock().jobs.remove(&job);
     }
 
-    /// Waits for the model's next timer, again and again.
+    /// Passes a tick to the model whenever one of its timers is due.
     async fn drive_timers(&self) {
         loop {
             let next_timer = self.lock().model.next_timer();
@@ -87,13 +87,13 @@
         let mut outputs = std::mem::take(&mut state.outputs);
         state.model.handle(now, input, &mut outputs);
         for output in outputs.drain(..) {
-            self.carry_out(&mut state, now, output);
+            self.apply_output(&mut state, now, output);
         }
         state.outputs = outputs;
         self.shared().timer_changed.notify_one();
     }
 
-    fn carry_out(&self, state: &mut State, now: Micros, output: ModelOutput) {
+    fn apply_output(&self, state: &mut State, now: Micros, output: ModelOutput) {
         match output {
             ModelOutput::ResponseStart { job, response, .. } => {
                 send_event(state, job, JobEvent::Start(response));
@@ -186,7 +186,7 @@
         let hosts = self.clone();
         tokio::spawn(async move {
             if let Err(e) = hosts.listen(host).await {
-                tracing::error!(host, error = %e, "a member cannot listen again");
+                tracing::error!(host, error = %e, "restarted host cannot listen");
             }
         });
     }
--- a/crates/testbed/src/emulated_hosts/options.rs
+++ b/crates/testbed/src/emulated_hosts/options.rs
@@ -1,4 +1,4 @@
-//! How emulated hosts differ from plain ones.
+//! Options of emulated hosts.
 use super::zone_partitions::ZonePartitions;
 use pointspindle::Micros;
 use pointspindle_cache_host::lease::WorkLedger;
@@ -13,15 +13,15 @@
 pub struct EmulatedHostsOptions {
     /// Dispatchers by their source address: hosts identify the sender of an attempt by its connection's address.
     pub dispatchers: HashMap<IpAddr, usize>,
-    /// The source address of fills; none: the system chooses.
+    /// The source address of fills; `None`: the operating system chooses it.
     pub fill_source: Option<IpAddr>,
-    /// Addresses of hosts that ignore the greatest age that a request accepts: an injected fault.
+    /// Addresses of hosts that, as an injected fault, ignore the maximum age that a request accepts.
     pub ignores_max_age: HashSet<String>,
-    /// Hosts announce their incarnation on each connection and lease out their warm-up budget; none: they do neither.
+    /// If set, hosts announce their incarnation on each connection and lease out their warm-up budget.
     pub ledger_factory: Option<LedgerFactory>,
     /// The network of the hosts.
     pub network: Network,
-    /// Partitions between zones; none: the run has no such partitions.
+    /// Partitions between zones, if the run has any.
     pub zone_partitions: Option<ZonePartitionPlan>,
 }
 
@@ -36,13 +36,13 @@
 
 type CreateLedger = dyn Fn(Role, f64, Micros) -> Option<WorkLedger> + Send + Sync;
 
-/// Creates the work ledger of a host that has just started, by its role, weight and start in microseconds; none: it
-/// leases nothing.
+/// Creates the work ledger of a host that has just started from its role, weight and start time in microseconds, or
+/// returns `None` if the host grants no leases.
 #[derive(Clone)]
 pub struct LedgerFactory(pub Arc<CreateLedger>);
 
 impl LedgerFactory {
-    /// The ledger of a host that has just started.
+    /// Creates the ledger of a host that has just started, if it grants leases.
     pub fn create(&self, role: Role, weight: f64, started: Micros) -> Option<WorkLedger> {
         (self.0)(role, weight, started)
     }
--- a/crates/testbed/src/emulated_hosts/zone_partitions.rs
+++ b/crates/testbed/src/emulated_hosts/zone_partitions.rs
@@ -1,7 +1,8 @@
-//! Partitions between zones on real sockets: data across a partition waits, and neither end is notified.
+//! Emulates partitions between zones on real sockets: data across a partition is held back, and neither end is
+//! notified.
 //!
-//! As with packets that are lost: connections stay open, and what was sent arrives once the partition has healed. The
-//! system still accepts new connections, and nothing arrives over them.
+//! As with lost packets, connections stay open, and data that was sent arrives once the partition has healed. The
+//! operating system still accepts new connections, but no data arrives over them.
 use pointspindle_fleet_model::partition::passes;
 use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_transport::Socket;
@@ -14,14 +15,14 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// Zones that are partitioned from the others, and in which directions. Clones share them; bounded by the number of
-/// zones.
+/// The zones that are partitioned from all other zones, with the directions: at most one
+/// entry per zone. Clones share them.
 #[derive(Clone, Debug)]
 pub struct ZonePartitions {
     partitioned: Arc<watch::Sender<BTreeMap<usize, PartitionDirections>>>,
 }
 
-/// A direction in which data crosses zones.
+/// The source and destination zone of data.
 #[derive(Clone, Copy)]
 struct Crossing {
     from: usize,
@@ -38,7 +39,7 @@
 }
 
 impl ZonePartitions {
-    /// Partitions a zone from the others in some directions, or heals its partition.
+    /// Partitions a zone from all other zones in some directions, or heals its partition.
     pub fn set(&self, zone: usize, directions: Option<PartitionDirections>) {
         self.partitioned.send_modify(|partitioned| {
             match directions {
@@ -48,7 +49,7 @@
         });
     }
 
-    /// A socket whose data passes the partitions between the zones of its two ends.
+    /// Returns a socket whose data is relayed subject to the partitions between the zones of its two ends.
     pub async fn apply_to(
         &self,
         socket: Socket,
@@ -91,7 +92,7 @@
             from: local_zone,
             to: remote_zone,
         };
-        // Whichever end closes, the other is notified once the partition has healed.
+        // When one end closes, the other end is notified once the partition has healed.
         tokio::select! {
             _ = self.copy(from_remote, to_local, inbound) => {}
             _ = self.copy(from_local, to_remote, outbound) => {}
@@ -102,16 +103,16 @@
         let mut buffer = vec![0; BUFFER_BYTES];
         loop {
             let length = read.read(&mut buffer).await.unwrap_or(0);
-            self.passable(crossing).await;
+            self.wait_until_passable(crossing).await;
             if length == 0 || write.write_all(&buffer[..length]).await.is_err() {
                 return;
             }
         }
     }
 
-    async fn passable(&self, crossing: Crossing) {
+    async fn wait_until_passable(&self, crossing: Crossing) {
         let mut partitioned = self.partitioned.subscribe();
-        // Fails only once nothing can heal a partition any more, and then nothing has to wait.
+        // Fails only when the sender has been dropped; no partition can change then, and there is no need to wait.
         let _ = partitioned
             .wait_for(|partitioned| passes(partitioned, crossing.from, crossing.to))
             .await;
--- a/crates/testbed/src/fleet_run/clients/attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/attempt.rs
@@ -6,7 +6,7 @@
 use pointspindle_scenario::{PlannedCall, RequestClass};
 use pointspindle_transport::Network;
 
-/// An attempt, and what it needs to run.
+/// An attempt and the parts of the run that it needs.
 pub(super) struct Attempt<'a> {
     pub id: ClientAttemptId,
     pub target: &'a Target,
@@ -18,12 +18,12 @@
     pub recorder: &'a Recorder,
 }
 
-/// The request was not sent, for want of a connection: the attempt had no effect.
+/// The request could not be sent, so the attempt had no effect.
 #[derive(Debug)]
 pub(super) struct NotSent;
 
 impl Attempt<'_> {
-    /// Records that the request was sent at this time.
+    /// Records that the request was sent at `at`.
     pub fn record_sent(&self, at: Micros) {
         let sent = TraceEvent::RequestSent {
             id: self.id,
--- a/crates/testbed/src/fleet_run/clients/framed_attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/framed_attempt.rs
@@ -1,6 +1,6 @@
-//! An attempt over the framed protocol.
+//! Runs an attempt over the framed protocol.
 use super::attempt::{Attempt, NotSent};
-use crate::content::Checker;
+use crate::content::BodyChecker;
 use pointspindle_audit::trace::ClientOutcome;
 use pointspindle_protocol::{RequestHead, WireCacheStatus, WireStatus};
 use pointspindle_scenario::Idempotency;
@@ -52,18 +52,18 @@
     }
 }
 
-/// What has been received of a response.
+/// The part of a response that has been received.
 struct FramedResponse {
-    checker: Checker,
+    checker: BodyChecker,
     stale: bool,
-    /// The size of the body in bytes, as the head says it.
+    /// The size of the body in bytes according to the head.
     size: Option<u64>,
 }
 
 impl FramedResponse {
     fn new(attempt: &Attempt<'_>) -> Self {
         Self {
-            checker: Checker::new(attempt.call.object_number, attempt.call.part),
+            checker: BodyChecker::new(attempt.call.object_number, attempt.call.part),
             stale: false,
             size: None,
         }
--- a/crates/testbed/src/fleet_run/clients/http_attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/http_attempt.rs
@@ -1,6 +1,6 @@
-//! An attempt over HTTP/1.1.
+//! Runs an attempt over HTTP/1.1.
 use super::attempt::{Attempt, NotSent};
-use crate::content::Checker;
+use crate::content::BodyChecker;
 use crate::http_client::HttpConnection;
 use pointspindle::Micros;
 use pointspindle_audit::trace::{ClientOutcome, TraceEvent};
@@ -36,7 +36,7 @@
                 }
                 return Ok(response.outcome());
             }
-            Some(Err(_)) | None => return Ok(response.lost_outcome()),
+            Some(Err(_)) | None => return Ok(response.interrupted_outcome()),
         }
     }
 }
@@ -55,9 +55,9 @@
     pooled.connection.map_err(|_| NotSent)
 }
 
-/// What has been received of a response.
+/// The part of a response that has been received.
 struct HttpResponse {
-    checker: Checker,
+    checker: BodyChecker,
     status: Option<u16>,
     stale: bool,
     retry_after: Option<Micros>,
@@ -67,7 +67,7 @@
 impl HttpResponse {
     fn new(attempt: &Attempt<'_>) -> Self {
         Self {
-            checker: Checker::new(attempt.call.object_number, attempt.call.part),
+            checker: BodyChecker::new(attempt.call.object_number, attempt.call.part),
             status: None,
             stale: false,
             retry_after: None,
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The outcome if the connection ends before the response does.
-    fn lost_outcome(&self) -> ClientOutcome {
+    /// Returns the outcome if the connection ends before the response is complete.
+    fn interrupted_outcome(&self) -> ClientOutcome {
         match self.status {
             Some(_) => ClientOutcome::Truncated,
             None => ClientOutcome::ConnectionLost,
--- a/crates/testbed/src/fleet_run/clients/mod.rs
+++ b/crates/testbed/src/fleet_run/clients/mod.rs
@@ -1,4 +1,5 @@
-//! The clients of a run: open loop, each call at its time whatever became of the others, retried as the scenario says.
+//! The clients of a run: an open-loop load, in which each call starts at its scheduled time regardless of other calls
+//! and is retried according to the scenario.
 mod attempt;
 mod framed_attempt;
 mod http_attempt;
@@ -17,7 +18,7 @@
 
 pub(super) use target::Target;
 
-/// How long a client listens after its deadline, so that a late response is recorded as late.
+/// How long a client waits for a response after its deadline, so that a late response is recorded as late.
 const LISTEN_AFTER_DEADLINE: Duration = Duration::from_millis(1_000);
 
 /// All clients of a run.
@@ -29,17 +30,18 @@
     pub network: Network,
 }
 
-/// What a client does after an attempt.
+/// The action of a client after an attempt.
 enum NextStep {
     Done,
-    /// Retry, no sooner than the dispatcher asked for.
+    /// Retry after at least the delay that the dispatcher has requested, if any.
     Retry {
         retry_after: Option<Micros>,
     },
 }
 
 impl Clients {
-    /// Runs a call to its end: attempts with backoff until it is served, fails, or has no retries left.
+    /// Runs a call: makes attempts with backoff until the call is served, fails without a retry, or has no retries
+    /// left.
     pub async fn call(self: Arc<Self>, call_number: u64, call: PlannedCall) {
         let class = &self.scenario.workload.classes[call.class];
         let mut connections_lost = 0;
@@ -83,9 +85,9 @@
         Ok(ClientOutcome::Rejected { retry_after }) => NextStep::Retry {
             retry_after: retry_after.filter(|_| call.honours_retry_after),
         },
-        // Nothing was requested: as harmless as a rejection.
+        // The request was not sent, so a retry is as safe as after a rejection.
         Err(NotSent) => NextStep::Retry { retry_after: None },
-        // What may have run is retried only where that does no harm.
+        // A request that may have been executed is retried only if it is idempotent.
         Ok(ClientOutcome::Failed | ClientOutcome::Truncated | ClientOutcome::ConnectionLost)
             if class.idempotency == Idempotency::Idempotent =>
         {
@@ -111,7 +113,7 @@
     };
     let outcome = tokio::select! {
         outcome = response => outcome,
-        // The request remains open in the trace: no response came.
+        // No complete response arrived, so no end of the request is recorded.
         _ = tokio::time::sleep(timeout) => return Ok(ClientOutcome::Failed),
         _ = tokio::time::sleep(cancel_after.unwrap_or(Duration::MAX)), if cancel_after.is_some() => {
             Ok(ClientOutcome::Cancelled)
--- a/crates/testbed/src/fleet_run/clients/target.rs
+++ b/crates/testbed/src/fleet_run/clients/target.rs
@@ -1,4 +1,4 @@
-//! A dispatcher as clients see it.
+//! A dispatcher as a target of client requests.
 use crate::http_client::HttpPool;
 use pointspindle_audit::recorder::Recorder;
 use pointspindle_audit::trace::TraceEvent;
@@ -10,23 +10,23 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_STREAMS: usize = 4096;
-/// How a framed connection names its close by a response to a stream that has ended.
+/// Part of the close reason of a framed connection that received a response on a stream that had ended.
 const RESPONSE_AFTER_END: &str = "comes after its end";
 
 /// The addresses of a dispatcher, and the clients' connections to it.
 pub(in crate::fleet_run) struct Target {
     /// The dispatcher's number.
     pub dispatcher: usize,
-    /// Where it serves HTTP.
+    /// The address of the dispatcher's HTTP listener.
     pub http_address: SocketAddr,
-    /// Idle HTTP connections to it.
+    /// Idle HTTP connections to the dispatcher.
     pub http_pool: HttpPool,
     framed_address: SocketAddr,
     framed_connection: Mutex<Option<FramedConnection>>,
 }
 
 impl Target {
-    /// A dispatcher to which no connection is open.
+    /// Creates a target without open connections.
     pub fn new(dispatcher: usize, http_address: SocketAddr, framed_address: SocketAddr) -> Self {
         Self {
             dispatcher,
@@ -37,7 +37,8 @@
         }
     }
 
-    /// The framed connection that all clients share; opened when needed. None: the dispatcher cannot be reached.
+    /// Returns the framed connection that all clients share; opens one if none is usable. Returns `None` if the
+    /// dispatcher cannot be reached.
     pub async fn framed_connection(
         &self,
         network: &Network,
@@ -67,7 +68,7 @@
     }
 }
 
-/// Waits for the end of a connection, and records if a response to no request was its cause.
+/// Waits for the close of a connection and records an unexpected response if that was the reason for the close.
 async fn record_unexpected_response(
     connection: FramedConnection,
     mut incoming: Incoming,
--- a/crates/testbed/src/fleet_run/control_plane_change.rs
+++ b/crates/testbed/src/fleet_run/control_plane_change.rs
@@ -1,4 +1,4 @@
-//! Changes that the run reports to its control plane.
+//! Changes that a run reports to its control plane.
 use crate::emulated_hosts::EmulatedHosts;
 use pointspindle::{Micros, ObjectId};
 use pointspindle_audit::trace::TraceEvent;
@@ -14,7 +14,7 @@
 pub(super) enum ControlPlaneChange {
     /// An endpoint has a new entry in the endpoint list.
     EndpointUpdate(ListedEndpoint),
-    /// An object, or a whole group, was purged.
+    /// An object or a group was purged.
     Purge(PurgeTarget),
     /// Endpoint updates are delayed further, until a time on the recorder's clock.
     EndpointUpdateDelay {
@@ -25,42 +25,43 @@
     },
     /// A dispatcher has ended or is shutting down.
     DispatcherDown {
-        /// Its number.
+        /// The dispatcher's number.
         dispatcher: usize,
     },
-    /// A dispatcher listens.
+    /// A dispatcher has started and listens.
     DispatcherUp {
-        /// Its number.
+        /// The dispatcher's number.
         dispatcher: usize,
-        /// Where its control listener is.
+        /// The address of the dispatcher's control listener.
         control_address: SocketAddr,
-        /// Notified once the whole endpoint list has been delivered to it.
+        /// Notified once the complete endpoint list has been delivered to the dispatcher.
         list_delivered: oneshot::Sender<()>,
     },
 }
 
-/// What a purge covers.
+/// The object or group that a purge covers.
 #[derive(Clone, Debug)]
 pub(super) struct PurgeTarget {
-    /// The object; none: every object of the group.
+    /// The object, or `None` for every object of the group.
     pub object: Option<String>,
     /// The group.
     pub group: u64,
 }
 
 impl PurgeTarget {
-    /// The number of the object, if the purge is of one.
+    /// Returns the number of the object, or `None` if the purge covers a group.
     pub fn object_number(&self) -> Option<u64> {
         self.object.as_deref().map(|name| ObjectId::named(name).0)
     }
 
-    /// The origin's version of the object; of a group, the version that each of its objects has at least.
+    /// Returns the origin's version of the object; for a group, the minimum version of its objects.
     pub fn current_version(&self, hosts: &EmulatedHosts) -> u64 {
         let object = self.object_number().unwrap_or(0);
         hosts.with_model(|model| model.current_version(object, self.group))
     }
 
-    /// The trace event of a delivery to a dispatcher, with the least version that it may serve from now on.
+    /// Returns the trace event of the delivery to a dispatcher, with the minimum version that the dispatcher may serve
+    /// afterwards.
     pub fn delivered_event(&self, dispatcher: usize, version_from: u64) -> TraceEvent {
         TraceEvent::PurgeDelivered {
             dispatcher,
@@ -78,19 +79,19 @@
 }
 
 impl ControlPlaneHandle {
-    /// A handle, and the changes that are sent with it.
+    /// Creates a handle and the receiver of the changes that it sends.
     pub fn new() -> (Self, mpsc::UnboundedReceiver<ControlPlaneChange>) {
         let (changes, receiver) = mpsc::unbounded_channel();
         (Self { changes }, receiver)
     }
 
-    /// Reports a change; dropped if the control plane has ended.
+    /// Reports a change. The change is dropped if the control plane has ended.
     pub fn send(&self, change: ControlPlaneChange) {
         let _ = self.changes.send(change);
     }
 
-    /// Reports a dispatcher that listens, and waits until the endpoint list has been delivered to it or a timeout
-    /// has passed.
+    /// Reports a dispatcher that listens and waits until the endpoint list has been delivered to it or a timeout has
+    /// passed.
     pub async fn dispatcher_up(&self, dispatcher: usize, control_address: SocketAddr) {
         let (list_delivered, delivery) = oneshot::channel();
         self.send(ControlPlaneChange::DispatcherUp {
--- a/crates/testbed/src/fleet_run/direct_control_plane.rs
+++ b/crates/testbed/src/fleet_run/direct_control_plane.rs
@@ -1,5 +1,5 @@
-//! The emulated control plane that connects to the dispatchers: delivers what the model of the control plane says,
-//! when it says so.
+//! The emulated control plane that connects to the dispatchers: delivers the updates of the control plane model at the
+//! times that the model determines.
 use super::control_plane_change::{ControlPlaneChange, PurgeTarget};
 use super::endpoint_attributes::EndpointAttributesByHost;
 use crate::emulated_hosts::EmulatedHosts;
@@ -18,9 +18,9 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest wait for a change when no update is due.
-const IDLE_WAIT: Duration = Duration::from_secs(3_600);
+const MAX_WAIT: Duration = Duration::from_secs(3_600);
 
-/// What the control plane needs of the run.
+/// The parts of the run that the control plane needs.
 pub(super) struct DirectControlPlaneParts {
     pub model: ControlPlane,
     pub hosts: EmulatedHosts,
@@ -37,16 +37,16 @@
     awaiting_first_list: HashMap<usize, oneshot::Sender<()>>,
 }
 
-/// An update as it goes to a dispatcher.
+/// An update that is delivered to a dispatcher.
 struct Delivery {
     frame: Frame,
     event: TraceEvent,
-    /// An injected fault: recorded as delivered and not sent.
+    /// Whether an injected fault withholds the update: it is recorded as delivered but not sent.
     withheld: bool,
 }
 
 impl DirectControlPlane {
-    /// A control plane without connections.
+    /// Creates a control plane without connections.
     pub fn new(parts: DirectControlPlaneParts) -> Self {
         Self {
             parts,
@@ -55,14 +55,14 @@
         }
     }
 
-    /// Applies changes and delivers updates as they become due, until the run's handle is dropped.
+    /// Applies changes and delivers updates when they are due, until the run's handle is dropped.
     pub async fn run(mut self, mut changes: mpsc::UnboundedReceiver<ControlPlaneChange>) {
         loop {
             let now = self.parts.recorder.now();
             self.deliver_due(now).await;
             let wait = match self.parts.model.next_due() {
                 Some(due) => Duration::from_micros(due.saturating_sub(now)),
-                None => IDLE_WAIT,
+                None => MAX_WAIT,
             };
             let change = tokio::select! {
                 change = changes.recv() => change,
@@ -112,15 +112,15 @@
     fn disconnect(&mut self, dispatcher: usize) {
         self.parts.model.disconnect(dispatcher);
         if let Some(connection) = self.connections.remove(&dispatcher) {
-            connection.close("the dispatcher is gone");
+            connection.close("the dispatcher is down");
         }
     }
 
-    /// Whether the dispatcher could be reached.
+    /// Connects to a dispatcher; returns whether that succeeded.
     async fn connect(&mut self, dispatcher: usize, address: SocketAddr) -> bool {
         let connect = self.parts.network.connect(None, address);
         let Ok(Ok(socket)) = tokio::time::timeout(CONNECT_TIMEOUT, connect).await else {
-            tracing::error!(dispatcher, "control cannot connect");
+            tracing::error!(dispatcher, "control plane failed to connect to dispatcher");
             return false;
         };
         let (connection, mut incoming) =
@@ -147,7 +147,7 @@
                 self.endpoint_list(dispatcher, EndpointListForm::Full, seq, &endpoints)
             }
         };
-        // Recorded as delivered before it can take effect.
+        // The delivery is recorded before it can take effect.
         self.parts.recorder.record(delivery.event);
         if !delivery.withheld {
             let _ = connection.control(delivery.frame).await;
--- a/crates/testbed/src/fleet_run/dispatcher_files.rs
+++ b/crates/testbed/src/fleet_run/dispatcher_files.rs
@@ -1,15 +1,15 @@
-//! Files and listen addresses that every dispatcher of a run has, whatever its form.
+//! Files and listen addresses of the dispatchers of a run, both processes and tasks.
 use crate::addresses::dispatcher_listen_ip;
 use pointspindle_fleet_model::dispatcher_settings::ListenAddresses;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The file of one kind (`ini`, `state`, `log`, `ready`) of a dispatcher.
+/// Returns the path of a dispatcher's file with an extension (`ini`, `state`, `log` or `ready`).
 pub(super) fn dispatcher_file(folder: &Path, dispatcher: usize, extension: &str) -> PathBuf {
     folder.join(format!("dispatcher-{dispatcher}.{extension}"))
 }
 
-/// Addresses for a first start: the system chooses the ports.
+/// Returns the listen addresses for a first start, with ports chosen by the operating system.
 pub(super) fn unbound_listen_addresses(dispatcher: usize) -> ListenAddresses {
     let any_port = SocketAddr::new(dispatcher_listen_ip(dispatcher), 0);
     ListenAddresses {
@@ -30,7 +30,7 @@
 }
 
 impl BoundAddresses {
-    /// The addresses, if all four listeners are bound.
+    /// Returns the addresses if all four listeners are bound.
     pub fn complete(self) -> Option<ListenAddresses> {
         Some(ListenAddresses {
             http: self.http?,
--- a/crates/testbed/src/fleet_run/dispatcher_instance.rs
+++ b/crates/testbed/src/fleet_run/dispatcher_instance.rs
@@ -1,11 +1,11 @@
-//! A dispatcher of a run, as a process or as a task.
+//! A dispatcher of a run, either a process or a task.
 use super::dispatcher_process::DispatcherProcess;
 use super::dispatcher_task::DispatcherTask;
 use super::error::TestbedError;
 use pointspindle_fleet_model::dispatcher_settings::ListenAddresses;
 use pointspindle_scenario::Scenario;
 
-/// A dispatcher that the run starts, faults and stops.
+/// A dispatcher that the run starts, injects faults into and stops.
 pub(super) enum DispatcherInstance {
     /// A process on real sockets.
     Process(DispatcherProcess),
@@ -14,7 +14,7 @@
 }
 
 impl DispatcherInstance {
-    /// The addresses of its listeners, once it has started.
+    /// Returns the addresses of the listeners, once the dispatcher has started.
     pub fn listen_addresses(&self) -> ListenAddresses {
         match self {
             Self::Process(process) => process.listen_addresses,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Starts it and waits until it listens.
+    /// Starts the dispatcher and waits until it listens.
     pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         match self {
             Self::Process(process) => process.start(scenario).await,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Whether it runs and is not shutting down.
+    /// Whether the dispatcher runs and is not shutting down.
     pub fn is_up(&self) -> bool {
         match self {
             Self::Process(process) => process.is_up(),
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Whether it was asked to shut down and has not been started again.
+    /// Whether the dispatcher was signalled to shut down and has not been started again.
     pub fn is_shutting_down(&self) -> bool {
         matches!(self, Self::Process(process) if process.is_shutting_down())
     }
 
-    /// Ends it in the middle of everything.
+    /// Stops the dispatcher abruptly, without a shutdown.
     pub async fn kill(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(process) => process.kill().await,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Pauses the process, or lets it continue; a task cannot be paused.
+    /// Pauses or resumes a process; returns an error for a task.
     pub async fn set_paused(&mut self, paused: bool) -> Result<(), TestbedError> {
         match self {
             Self::Process(process) => process.set_paused(paused).await,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Begins a graceful shutdown without waiting for its end; a task cannot do so during a run.
+    /// Begins a graceful shutdown of a process without waiting for its exit; returns an error for a task.
     pub async fn begin_shutdown(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(process) => process.begin_shutdown().await,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Shuts it down gracefully; its exit must be clean.
+    /// Shuts the dispatcher down gracefully; returns an error if the shutdown is not clean.
     pub async fn stop(&mut self) -> Result<(), TestbedError> {
         match self {
             Self::Process(process) => process.stop().await,
--- a/crates/testbed/src/fleet_run/dispatcher_process.rs
+++ b/crates/testbed/src/fleet_run/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! A dispatcher as a process.
+//! Runs a dispatcher as a process.
 use super::dispatcher_files::{dispatcher_file, unbound_listen_addresses, BoundAddresses};
 use super::error::{DispatcherFailure, TestbedError};
 use crate::addresses::dispatcher_source_ip;
@@ -9,26 +9,27 @@
 use std::time::Duration;
 use tokio::process::{Child, Command};
 
-/// The longest wait for a process to listen, and to end after it was asked to.
+/// The longest wait for a process to listen, and to exit after it was signalled to shut down.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(15);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A dispatcher process, running or not.
+/// A dispatcher process, which may be stopped at the moment.
 #[derive(Debug)]
 pub(super) struct DispatcherProcess {
     number: usize,
     program: PathBuf,
     folder: PathBuf,
-    /// The addresses of its listeners; kept over restarts.
+    /// The addresses of the listeners, unchanged by restarts.
     pub listen_addresses: ListenAddresses,
     child: Option<Child>,
-    /// It was asked to shut down and may not have ended yet.
+    /// Whether the process was signalled to shut down; it may not have exited yet.
     shutting_down: bool,
     etcd_endpoint: Option<String>,
 }
 
 impl DispatcherProcess {
-    /// A process that has not started yet. `etcd_endpoint`: where it learns endpoint lists and purges, if so.
+    /// Creates a process that has not started yet. `etcd_endpoint` is the etcd from which it reads endpoint lists and
+    /// purges, if any.
     pub fn new(
         program: &Path,
         folder: &Path,
@@ -57,7 +58,8 @@
         }
     }
 
-    /// Starts it and waits until it listens. A process that is shutting down ends first.
+    /// Starts the process and waits until it listens. If the previous process is still shutting down, waits for its
+    /// exit first.
     pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         self.wait_for_exit().await?;
         self.write_settings(scenario)?;
@@ -109,7 +111,7 @@
         Ok(command)
     }
 
-    /// The contents of the ready file, which the process writes once it listens.
+    /// Waits for the ready file, which the process writes once it listens, and returns its contents.
     async fn wait_until_ready(&self, child: &mut Child) -> Result<Vec<u8>, TestbedError> {
         loop {
             if let Ok(contents) = std::fs::read(self.file("ready")) {
@@ -130,12 +132,12 @@
         log.lines().last().unwrap_or_default().to_owned()
     }
 
-    /// Whether it runs and is not shutting down.
+    /// Whether the process runs and is not shutting down.
     pub fn is_up(&self) -> bool {
         self.child.is_some() && !self.shutting_down
     }
 
-    /// Whether it was asked to shut down and has not been started again.
+    /// Whether the process was signalled to shut down and has not been started again.
     pub fn is_shutting_down(&self) -> bool {
         self.shutting_down
     }
@@ -155,19 +157,19 @@
         Ok(())
     }
 
-    /// Pauses it as a process that gets no processor time, or lets it continue.
+    /// Pauses the process, so that it gets no processor time, or resumes it.
     pub async fn set_paused(&self, paused: bool) -> Result<(), TestbedError> {
         self.signal(if paused { "STOP" } else { "CONT" }).await
     }
 
-    /// Begins a graceful shutdown as an operator would, without waiting for its end.
+    /// Begins a graceful shutdown with the signal that an operator would send, without waiting for the exit.
     pub async fn begin_shutdown(&mut self) -> Result<(), TestbedError> {
         self.signal("TERM").await?;
         self.shutting_down = self.child.is_some();
         Ok(())
     }
 
-    /// Waits for the end of a process that is shutting down; its exit must be clean.
+    /// Waits for the exit of a process that is shutting down; returns an error if the exit is not clean.
     async fn wait_for_exit(&mut self) -> Result<(), TestbedError> {
         if !std::mem::take(&mut self.shutting_down) {
             return Ok(());
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Kills it outright.
+    /// Kills the process.
     pub async fn kill(&mut self) -> Result<(), TestbedError> {
         self.shutting_down = false;
         if let Some(mut child) = self.child.take() {
@@ -195,7 +197,7 @@
         Ok(())
     }
 
-    /// Shuts it down gracefully and waits for its end; its exit must be clean.
+    /// Shuts the process down gracefully and waits for its exit; returns an error if the exit is not clean.
     pub async fn stop(&mut self) -> Result<(), TestbedError> {
         if self.is_up() {
             self.set_paused(false).await?;
--- a/crates/testbed/src/fleet_run/dispatcher_task.rs
+++ b/crates/testbed/src/fleet_run/dispatcher_task.rs
@@ -1,4 +1,4 @@
-//! A dispatcher as a task of this process, on the simulated network.
+//! Runs a dispatcher as a task of this process on the simulated network.
 use super::dispatcher_files::{dispatcher_file, unbound_listen_addresses, BoundAddresses};
 use super::error::{DispatcherFailure, TestbedError};
 use crate::addresses::{dispatcher_listen_ip, dispatcher_source_ip};
@@ -9,24 +9,24 @@
 use pointspindle_transport::Network;
 use std::path::{Path, PathBuf};
 
-/// A dispatcher task, running or not.
+/// A dispatcher task, which may be stopped at the moment.
 pub(super) struct DispatcherTask {
     number: usize,
     folder: PathBuf,
     network: SimulatedNetwork,
-    /// The addresses of its listeners; kept over restarts.
+    /// The addresses of the listeners, unchanged by restarts.
     pub listen_addresses: ListenAddresses,
     running: Option<RunningDispatcher>,
 }
 
 struct RunningDispatcher {
     dispatcher: Dispatcher,
-    /// The network as this incarnation of the dispatcher has it: ended with it.
+    /// This incarnation's access to the network, which ends with the incarnation.
     network: SimulatedNetwork,
 }
 
 impl DispatcherTask {
-    /// A task that has not started yet.
+    /// Creates a task that has not started yet.
     pub fn new(network: SimulatedNetwork, folder: &Path, number: usize) -> Self {
         Self {
             number,
@@ -48,17 +48,17 @@
         self.error(DispatcherFailure::NotStarted(cause.to_string()))
     }
 
-    /// The error of an attempt to pause it.
+    /// Returns the error for an attempt to pause the task.
     pub fn pause_unsupported(&self) -> TestbedError {
         self.error(DispatcherFailure::PauseUnsupported)
     }
 
-    /// The error of an attempt to shut it down during a run.
+    /// Returns the error for an attempt to shut the task down during a run.
     pub fn shutdown_unsupported(&self) -> TestbedError {
         self.error(DispatcherFailure::ShutdownUnsupported)
     }
 
-    /// Starts it and waits until it listens.
+    /// Starts the dispatcher and waits until it listens.
     pub async fn start(&mut self, scenario: &Scenario) -> Result<(), TestbedError> {
         let text = dispatcher_ini(
             scenario,
@@ -92,12 +92,12 @@
         Ok(())
     }
 
-    /// Whether it runs.
+    /// Whether the dispatcher runs.
     pub fn is_up(&self) -> bool {
         self.running.is_some()
     }
 
-    /// Ends it as a killed process ends: its connections break and it opens no new ones.
+    /// Stops the dispatcher in the way of a killed process: its connections break and it opens no new ones.
     pub fn kill(&mut self) {
         if let Some(running) = self.running.take() {
             running.network.end();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Shuts it down gracefully; no request may be left without an answer.
+    /// Shuts the dispatcher down gracefully; returns an error if requests were left unanswered.
     pub async fn stop(&mut self) -> Result<(), TestbedError> {
         let Some(running) = self.running.take() else {
             return Ok(());
--- a/crates/testbed/src/fleet_run/duplicating_relay.rs
+++ b/crates/testbed/src/fleet_run/duplicating_relay.rs
@@ -1,5 +1,5 @@
-//! A relay in front of a host that duplicates every attempt: an injected fault between an unchanged dispatcher and
-//! the host.
+//! A relay in front of a host that duplicates every attempt: injects a fault between a dispatcher and a host without
+//! changes to the dispatcher.
 use pointspindle_protocol::streams::Side;
 use pointspindle_transport::{
     Call, CallEnd, ConnectionOptions, FramedConnection, Inbound, Responder, ResponsePart,
@@ -7,8 +7,8 @@
 use std::net::{IpAddr, SocketAddr};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 
-/// Listens on an IP address and sends every attempt to `host` twice, from the dispatcher's own source address.
-/// Returns the address of the relay.
+/// Starts a relay that sends every attempt to `host` twice, from the dispatcher's own source address. Returns the
+/// address of the relay.
 pub(super) async fn start_duplicating_relay(
     host: SocketAddr,
     listen_ip: IpAddr,
@@ -19,7 +19,7 @@
         while let Ok((socket, dispatcher)) = listener.accept().await {
             tokio::spawn(async move {
                 if let Err(e) = relay_connection(socket, dispatcher, host).await {
-                    tracing::warn!(error = %e, "the doubling relay lost a connection");
+                    tracing::warn!(error = %e, "duplicating relay: connection failed");
                 }
             });
         }
--- a/crates/testbed/src/fleet_run/endpoint_attributes.rs
+++ b/crates/testbed/src/fleet_run/endpoint_attributes.rs
@@ -1,22 +1,22 @@
-//! What an endpoint list says of each host beside its state.
+//! The attributes of hosts in endpoint lists, other than their state.
 use pointspindle_cache_model::{HostId, HostSpec};
 use std::collections::HashMap;
 
 /// The constant attributes of a host in endpoint lists.
 #[derive(Clone, Debug, Default)]
 pub(super) struct EndpointAttributes {
-    /// The name of its role.
+    /// The name of the host's role.
     pub kind: String,
-    /// The name of its zone.
+    /// The name of the host's zone.
     pub zone: String,
-    /// Its weight.
+    /// The host's weight.
     pub weight: f64,
 }
 
 /// The attributes of all hosts, by host number.
 pub(super) type EndpointAttributesByHost = HashMap<HostId, EndpointAttributes>;
 
-/// Collects the attributes of the hosts; `zones` are the names of the zones by number.
+/// Returns the attributes of the hosts; `zones` are the names of the zones by number.
 pub(super) fn endpoint_attributes(
     hosts: &[HostSpec],
     zones: &[String],
--- a/crates/testbed/src/fleet_run/entry_points.rs
+++ b/crates/testbed/src/fleet_run/entry_points.rs
@@ -1,4 +1,4 @@
-//! The ways to run a scenario on sockets.
+//! Entry points that run a scenario on sockets.
 use super::environment::Environment;
 use super::error::TestbedError;
 use super::execution::execute;
@@ -11,8 +11,8 @@
 use pointspindle_transport::simulated::SimulatedNetwork;
 use std::path::Path;
 
-/// Runs a scenario in real time with dispatchers as processes. `program` is the dispatcher's binary; `folder` gets
-/// the settings, state and log of each.
+/// Runs a scenario in real time with dispatchers as processes. `program` is the dispatcher's binary; `folder` receives
+/// the settings, state and log of each dispatcher.
 pub async fn run_with_processes(
     scenario: &Scenario,
     program: &Path,
@@ -29,7 +29,8 @@
     .await
 }
 
-/// As [`run_with_processes`], with a recorder that can be read during the run. Its times count from its creation.
+/// Does the same as [`run_with_processes`] with a recorder that can be read during the run. Times in the recorder count
+/// from its creation.
 pub async fn run_with_recorder(
     scenario: &Scenario,
     program: &Path,
@@ -37,7 +38,7 @@
     injected_fault: Option<InjectedFault>,
     recorder: Recorder,
 ) -> Result<Outcome, TestbedError> {
-    check_processes_suffice(scenario)?;
+    check_supported_by_processes(scenario)?;
     let environment = Environment::Processes {
         program,
         etcd: None,
@@ -45,14 +46,14 @@
     plan_and_execute(scenario, &environment, folder, injected_fault, recorder).await
 }
 
-/// As [`run_with_processes`], with endpoint lists and purges through an emulated etcd whose streams break again and again and whose
-/// history is compacted.
+/// Does the same as [`run_with_processes`] with endpoint lists and purges from an emulated etcd that repeatedly breaks
+/// its watch streams and compacts its history.
 pub async fn run_with_etcd(
     scenario: &Scenario,
     program: &Path,
     folder: &Path,
 ) -> Result<Outcome, TestbedError> {
-    check_processes_suffice(scenario)?;
+    check_supported_by_processes(scenario)?;
     let environment = Environment::Processes {
         program,
         etcd: Some(UnreliableEtcd::start().await?),
@@ -60,14 +61,15 @@
     plan_and_execute(scenario, &environment, folder, None, Recorder::default()).await
 }
 
-/// Runs a scenario with the dispatcher's network shell on a simulated network under a paused clock: with latency,
-/// loss and partitions, in the time that its work takes. Blocks; must not be called on a runtime's thread.
+/// Runs a scenario with the dispatcher's network code on a simulated network with latency, loss and partitions. The
+/// clock is paused, so the run takes only its processing time. Blocks; must not be called on a thread of an async
+/// runtime.
 pub fn run_on_simulated_network(
     scenario: &Scenario,
     folder: &Path,
     injected_fault: Option<InjectedFault>,
 ) -> Result<Outcome, TestbedError> {
-    check_simulated_network_suffices(scenario, injected_fault)?;
+    check_supported_by_simulated_network(scenario, injected_fault)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .start_paused(true)
@@ -95,14 +97,14 @@
     execute(&plan, environment, folder, recorder).await
 }
 
-fn check_processes_suffice(scenario: &Scenario) -> Result<(), TestbedError> {
+fn check_supported_by_processes(scenario: &Scenario) -> Result<(), TestbedError> {
     match scenario.requires_simulated_network() {
         Some(reason) => Err(TestbedError::Unsupported(reason)),
         None => Ok(()),
     }
 }
 
-fn check_simulated_network_suffices(
+fn check_supported_by_simulated_network(
     scenario: &Scenario,
     injected_fault: Option<InjectedFault>,
 ) -> Result<(), TestbedError> {
@@ -115,7 +117,7 @@
         )
     );
     if needs_relay {
-        let reason = "this plant is a relay between real sockets";
+        let reason = "the injected fault needs a relay between real sockets and cannot run on the simulated network";
         return Err(TestbedError::Unsupported(reason.to_owned()));
     }
     match scenario.requires_processes() {
--- a/crates/testbed/src/fleet_run/environment.rs
+++ b/crates/testbed/src/fleet_run/environment.rs
@@ -1,4 +1,4 @@
-//! Where a run takes place: on real sockets or on the simulated network.
+//! The environment of a run: real sockets or the simulated network.
 use super::dispatcher_instance::DispatcherInstance;
 use super::dispatcher_process::DispatcherProcess;
 use super::dispatcher_task::DispatcherTask;
@@ -14,7 +14,7 @@
     Processes {
         /// The dispatcher's binary.
         program: &'a Path,
-        /// The emulated etcd from which dispatchers learn endpoint lists and purges; none: the control plane
+        /// The emulated etcd from which dispatchers read endpoint lists and purges; `None`: the control plane
         /// connects to them directly.
         etcd: Option<UnreliableEtcd>,
     },
@@ -23,7 +23,7 @@
 }
 
 impl Environment<'_> {
-    /// The network that hosts, clients and the control plane use.
+    /// Returns the network that hosts, clients and the control plane use.
     pub fn network(&self) -> Network {
         match self {
             Self::Processes { .. } => Network::Tcp,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The address of the host with this number.
+    /// Returns the address of the host with this number.
     pub fn host_address(&self, host: usize) -> String {
         match self {
             Self::Processes { .. } => free_host_address(host),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A dispatcher that has not started yet; `folder` is for its settings, state and log.
+    /// Creates a dispatcher that has not started yet; `folder` is for its settings, state and log.
     pub fn new_dispatcher(&self, folder: &Path, number: usize) -> DispatcherInstance {
         match self {
             Self::Processes { program, etcd } => {
--- a/crates/testbed/src/fleet_run/error.rs
+++ b/crates/testbed/src/fleet_run/error.rs
@@ -1,7 +1,7 @@
 //! Errors of a fleet run.
 use std::process::ExitStatus;
 
-/// The testbed could not run, or was itself too late: the run says nothing of the dispatchers.
+/// The testbed could not run, or its own timers were too late. Such a run gives no verdict on the dispatchers.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
     /// A dispatcher could not be controlled.
@@ -14,56 +14,56 @@
     },
     /// The testbed's own timers fired too late for the run's timing to be judged.
     #[error(
-        "the rig was {lateness_ms:.0} ms late and may be {tolerance_ms:.0} ms: \
-         this machine cannot play the day"
+        "testbed: timers fired up to {lateness_ms:.0} ms late, tolerance {tolerance_ms:.0} ms: \
+         this machine is too slow to judge the run"
     )]
-    Late {
+    LateTimers {
         /// The longest delay of a timer, in milliseconds.
         lateness_ms: f64,
         /// The timing tolerance of the scenario, in milliseconds.
         tolerance_ms: f64,
     },
     /// The scenario or the injected fault cannot run in the chosen environment.
-    #[error("the rig: {0}")]
+    #[error("testbed: not supported: {0}")]
     Unsupported(String),
     /// A socket or a file of the testbed failed.
-    #[error("the rig: {0}")]
+    #[error("testbed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// Why a dispatcher could not be started, signalled or stopped.
+/// The reason for which a dispatcher could not be started, signalled or stopped.
 #[derive(Debug, thiserror::Error)]
 pub enum DispatcherFailure {
     /// The process ended before it listened.
-    #[error("{status}: {last_log_line}")]
+    #[error("exited before it listened ({status}); last log line: {last_log_line}")]
     ExitedAtStart {
-        /// How it ended.
+        /// The exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// The last line of the process's log.
         last_log_line: String,
     },
     /// The dispatcher rejected its settings or could not bind its addresses.
-    #[error("{0}")]
+    #[error("not started: {0}")]
     NotStarted(String),
     /// The process did not listen within the timeout.
-    #[error("does not listen")]
+    #[error("did not listen within 15 s")]
     StartTimeout,
     /// A signal could not be delivered.
-    #[error("cannot be sent {0}")]
+    #[error("signal {0} could not be sent")]
     SignalNotSent(&'static str),
-    /// The process stopped with an error.
-    #[error("ended with {0}")]
+    /// The process exited with an error after a graceful shutdown.
+    #[error("did not exit cleanly: {0}")]
     UncleanExit(ExitStatus),
     /// The process did not stop within the timeout.
-    #[error("did not stop when told to")]
+    #[error("did not stop within 15 s of the shutdown signal; killed")]
     StopTimeout,
     /// The dispatcher stopped with requests in flight.
-    #[error("some requests had no answer when it stopped")]
+    #[error("stopped with unanswered requests")]
     UnansweredRequests,
     /// A dispatcher task cannot be paused.
-    #[error("cannot be held still")]
+    #[error("a dispatcher on the simulated network cannot be paused")]
     PauseUnsupported,
     /// A dispatcher task cannot shut down gracefully during a run.
-    #[error("cannot be stopped while the day goes on")]
+    #[error("a dispatcher on the simulated network cannot be shut down during a run")]
     ShutdownUnsupported,
 }
--- a/crates/testbed/src/fleet_run/etcd_control_plane.rs
+++ b/crates/testbed/src/fleet_run/etcd_control_plane.rs
@@ -1,7 +1,7 @@
-//! The emulated control plane that writes to etcd, whoever watches.
+//! The emulated control plane that writes endpoints and purges to etcd.
 //!
-//! What is written counts as delivered to all dispatchers at once: they have to learn of it within the tolerances of
-//! the rules, over streams that break.
+//! A write counts as delivered to all dispatchers at once: they must receive it within the tolerances of the rules,
+//! over watch streams that break.
 use super::control_plane_change::{ControlPlaneChange, PurgeTarget};
 use super::endpoint_attributes::EndpointAttributesByHost;
 use crate::emulated_hosts::EmulatedHosts;
@@ -15,23 +15,24 @@
 use pointspindle_scenario::script::ListedState;
 use tokio::sync::mpsc;
 
-/// What the control plane needs of the run.
+/// The parts of the run that the control plane needs.
 pub(super) struct EtcdControlPlaneParts {
     pub etcd: Etcd,
     pub hosts: EmulatedHosts,
     pub recorder: Recorder,
     pub attributes: EndpointAttributesByHost,
+    /// Number of dispatchers.
     pub dispatchers: usize,
 }
 
-/// The control plane with the endpoints that it has written.
+/// The control plane and the endpoints that it has written.
 pub(super) struct EtcdControlPlane {
     parts: EtcdControlPlaneParts,
     endpoints: Vec<ListedEndpoint>,
 }
 
 impl EtcdControlPlane {
-    /// Writes the hosts that run from the start.
+    /// Creates the control plane and writes the hosts that run from the start.
     pub async fn new(
         parts: EtcdControlPlaneParts,
         initial_hosts: &[HostSpec],
@@ -59,7 +60,7 @@
             match change {
                 ControlPlaneChange::EndpointUpdate(endpoint) => self.update(endpoint).await,
                 ControlPlaneChange::Purge(target) => self.purge(target).await,
-                // It has read all endpoints before it listened.
+                // A dispatcher has read all endpoints before it listens.
                 ControlPlaneChange::DispatcherUp {
                     dispatcher,
                     list_delivered,
@@ -83,7 +84,7 @@
             self.record_delivery(dispatcher, EndpointListForm::Delta, changed);
         }
         if let Err(e) = written {
-            tracing::error!(error = %e, "a member cannot be written");
+            tracing::error!(error = %e, "endpoint not written to etcd");
         }
     }
 
@@ -99,7 +100,7 @@
             self.parts.recorder.record(event);
         }
         if let Err(e) = written {
-            tracing::error!(error = %e, "a purge cannot be written");
+            tracing::error!(error = %e, "purge not written to etcd");
         }
     }
 
@@ -111,7 +112,7 @@
             .map(drop)
     }
 
-    /// The record of an endpoint; none if it is removed.
+    /// Returns the record of an endpoint, or `None` if the endpoint is removed.
     fn endpoint_record(&self, endpoint: &ListedEndpoint) -> Option<MemberRecord> {
         let state = match endpoint.state {
             ListedState::Ready => State::Ready,
--- a/crates/testbed/src/fleet_run/execution.rs
+++ b/crates/testbed/src/fleet_run/execution.rs
@@ -1,4 +1,4 @@
-//! Executes a run from setup to verdict.
+//! Executes a run from setup to the verdicts on it.
 use super::clients::Clients;
 use super::dispatcher_instance::DispatcherInstance;
 use super::environment::Environment;
@@ -17,7 +17,7 @@
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// Plays script and traffic of a plan against the dispatchers and judges what was recorded.
+/// Plays the script and the traffic of a plan against the dispatchers and judges the recorded trace.
 pub(super) async fn execute(
     plan: &RunPlan,
     environment: &Environment<'_>,
@@ -37,17 +37,17 @@
     lateness.stop();
     played?;
     stop_dispatchers(&mut fleet.dispatchers).await?;
-    let testbed_lateness_ms = checked_lateness_ms(plan, lateness.longest())?;
+    let testbed_lateness_ms = checked_lateness_ms(plan, lateness.max_lateness())?;
     Ok(judge_run(
         plan,
         &fleet.hosts,
         &recorder,
-        clock.began,
+        clock.run_start,
         testbed_lateness_ms,
     ))
 }
 
-/// Plays the script and the traffic to their ends.
+/// Plays the script and the traffic until both have ended.
 async fn play(
     plan: &RunPlan,
     environment: &Environment<'_>,
@@ -85,12 +85,12 @@
     Ok(())
 }
 
-/// The lateness in milliseconds, if the run's timing can be judged in spite of it.
+/// Returns the lateness in milliseconds, or an error if it exceeds the timing tolerance.
 fn checked_lateness_ms(plan: &RunPlan, lateness: Micros) -> Result<f64, TestbedError> {
     let lateness_ms = lateness as f64 / MICROS_PER_MILLI;
     let tolerance = plan.scenario.limits.rules.timing_tolerance;
     if lateness > tolerance {
-        return Err(TestbedError::Late {
+        return Err(TestbedError::LateTimers {
             lateness_ms,
             tolerance_ms: tolerance as f64 / MICROS_PER_MILLI,
         });
--- a/crates/testbed/src/fleet_run/lateness.rs
+++ b/crates/testbed/src/fleet_run/lateness.rs
@@ -8,18 +8,18 @@
 
 const TIMER_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A task that measures lateness until it is stopped.
+/// A task that measures the delay of timers until it is stopped.
 pub(super) struct LatenessMonitor {
-    longest: Arc<AtomicU64>,
+    max_lateness: Arc<AtomicU64>,
     task: JoinHandle<()>,
 }
 
 impl LatenessMonitor {
-    /// Begins to measure.
+    /// Starts measuring.
     pub fn start() -> Self {
-        let longest = Arc::new(AtomicU64::new(0));
-        let task = tokio::spawn(measure(longest.clone()));
-        Self { longest, task }
+        let max_lateness = Arc::new(AtomicU64::new(0));
+        let task = tokio::spawn(measure(max_lateness.clone()));
+        Self { max_lateness, task }
     }
 
     /// Stops measuring.
@@ -27,17 +27,17 @@
         self.task.abort();
     }
 
-    /// The longest delay of a timer, in microseconds.
-    pub fn longest(&self) -> Micros {
-        self.longest.load(Ordering::Relaxed)
+    /// Returns the longest delay of a timer, in microseconds.
+    pub fn max_lateness(&self) -> Micros {
+        self.max_lateness.load(Ordering::Relaxed)
     }
 }
 
-async fn measure(longest: Arc<AtomicU64>) {
+async fn measure(max_lateness: Arc<AtomicU64>) {
     loop {
         let due = Instant::now() + TIMER_INTERVAL;
         tokio::time::sleep_until(due).await;
         let late = due.elapsed().as_micros() as u64;
-        longest.fetch_max(late, Ordering::Relaxed);
+        max_lateness.fetch_max(late, Ordering::Relaxed);
     }
 }
--- a/crates/testbed/src/fleet_run/mod.rs
+++ b/crates/testbed/src/fleet_run/mod.rs
@@ -1,4 +1,4 @@
-//! Runs a scenario on sockets: emulated hosts, dispatchers, clients and a control plane, either in real time on
+//! Runs a scenario with emulated hosts, dispatchers, clients and a control plane on sockets: either in real time on
 //! loopback with dispatchers as processes, or within this process on a simulated network under a paused clock.
 mod clients;
 mod control_plane_change;
--- a/crates/testbed/src/fleet_run/outcome.rs
+++ b/crates/testbed/src/fleet_run/outcome.rs
@@ -7,28 +7,28 @@
 use pointspindle_audit::trace::{TraceEntry, TraceEvent};
 use pointspindle_audit::{self as audit, RuleVerdict};
 
-/// What a run measured, and the verdicts on it.
+/// The measurements of a run and the verdicts on it.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The quality of service that clients had.
+    /// The quality of service that clients observed.
     pub service: Service,
     /// The verdict of each rule.
     pub rules: Vec<RuleVerdict>,
-    /// What was recorded, with times in microseconds since the run began.
+    /// The recorded events, with times in microseconds since the start of the run.
     pub trace: Vec<TraceEntry>,
     /// The longest delay of one of the testbed's own timers, in milliseconds.
     pub testbed_lateness_ms: f64,
 }
 
-/// Judges what was recorded. `began`: when the run began on the recorder's clock.
+/// Judges the recorded trace. `run_start` is the start of the run on the recorder's clock.
 pub(super) fn judge_run(
     plan: &RunPlan,
     hosts: &EmulatedHosts,
     recorder: &Recorder,
-    began: Micros,
+    run_start: Micros,
     testbed_lateness_ms: f64,
 ) -> Outcome {
-    let trace = trace_since(recorder, began);
+    let trace = trace_since(recorder, run_start);
     let effect_counts = effect_counts(hosts);
     let mut rules = audit::judge(&plan.scenario, &trace, &effect_counts);
     let service = audit::service::measure_service(&plan.scenario, &plan.traffic, &trace);
@@ -41,19 +41,19 @@
     }
 }
 
-/// The trace with times since `began`; what happened before it is at 0.
-fn trace_since(recorder: &Recorder, began: Micros) -> Vec<TraceEntry> {
+/// Returns the trace with times since `run_start`; earlier events have the time 0.
+fn trace_since(recorder: &Recorder, run_start: Micros) -> Vec<TraceEntry> {
     let mut trace = recorder.take_entries();
     for entry in &mut trace {
-        entry.at = entry.at.saturating_sub(began);
+        entry.at = entry.at.saturating_sub(run_start);
         if let TraceEvent::RequestSent { deadline, .. } = &mut entry.event {
-            *deadline = deadline.saturating_sub(began);
+            *deadline = deadline.saturating_sub(run_start);
         }
     }
     trace
 }
 
-/// How often each piece of work had its effect at the hosts, by the name of the work.
+/// Returns how often the origin has run the work of each idempotency key, sorted by key.
 fn effect_counts(hosts: &EmulatedHosts) -> Vec<(String, u32)> {
     let mut counts: Vec<(String, u32)> = hosts.with_model(|model| {
         let counts = model.effect_counts().iter();
--- a/crates/testbed/src/fleet_run/plan.rs
+++ b/crates/testbed/src/fleet_run/plan.rs
@@ -1,4 +1,4 @@
-//! What a run will play: the scenario with its injected fault, the hosts, the script and the traffic.
+//! The plan of a run: the scenario with its injected fault, the hosts, the script and the traffic.
 use super::environment::Environment;
 use pointspindle::Micros;
 use pointspindle_cache_model::HostSpec;
@@ -8,7 +8,7 @@
 
 /// The plan of a run.
 pub(super) struct RunPlan {
-    /// The scenario with the injected fault and the tolerances of the environment.
+    /// The scenario with the injected fault and the timing tolerance of the environment.
     pub scenario: Scenario,
     pub injected_fault: Option<InjectedFault>,
     /// The hosts that run from the start.
@@ -26,7 +26,7 @@
     ) -> Self {
         let mut scenario = scenario.clone();
         if let Environment::Simulated(_) = environment {
-            scenario.limits.rules.timing_tolerance += longest_delivery(&scenario);
+            scenario.limits.rules.timing_tolerance += max_delivery_time(&scenario);
         }
         let scenario = scenario.with_injected_fault(injected_fault);
         let initial_hosts = scenario.hosts(|host| environment.host_address(host));
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The hosts that run from the start and those that the script adds, by number.
+    /// Returns the hosts that run from the start and those that the script adds, by number.
     pub fn all_hosts(&self) -> Vec<HostSpec> {
         let added = self.script.added_hosts.iter();
         self.initial_hosts.iter().chain(added).cloned().collect()
@@ -56,9 +56,9 @@
     }
 }
 
-/// How late a message can arrive on the simulated network after it was overtaken by a decision: what is in flight
-/// arrives all the same.
-fn longest_delivery(scenario: &Scenario) -> Micros {
+/// Returns the longest time between the sending and the arrival of a message on the simulated network. A message in
+/// flight arrives even if a later decision has made it obsolete, so the rules must tolerate this delay.
+fn max_delivery_time(scenario: &Scenario) -> Micros {
     let conditions = scenario.network.simulated;
     let resend = if conditions.loss > 0.0 {
         2 * conditions.resend
--- a/crates/testbed/src/fleet_run/response_relay.rs
+++ b/crates/testbed/src/fleet_run/response_relay.rs
@@ -1,4 +1,4 @@
-//! A relay between clients and a dispatcher that drops or delays responses: an injected fault on an unchanged
+//! A relay between clients and a dispatcher that drops or delays responses: injects a fault without changes to the
 //! dispatcher.
 use pointspindle::Micros;
 use pointspindle_audit::recorder::Recorder;
@@ -11,26 +11,26 @@
 use tokio::time::Instant;
 
 const READ_BUFFER_BYTES: usize = 16 * 1024;
-/// The pieces of a response that wait for their delayed delivery.
+/// Maximum number of chunks that wait for their delayed delivery on one connection.
 const MAX_QUEUED_CHUNKS: usize = 1024;
 
-/// What the relay does with a dispatcher's responses.
+/// The fault that the relay injects into a dispatcher's responses.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum ResponseFault {
-    /// They never arrive; the connection stays open.
+    /// Responses never arrive; the connection stays open.
     Drop,
-    /// They arrive late by this much.
+    /// Responses arrive with this delay.
     Delay(Duration),
 }
 
-/// Part of a response, and when it came from the dispatcher.
+/// Part of a response, with the time of its receipt from the dispatcher.
 struct Chunk {
     received: Instant,
     data: Vec<u8>,
 }
 
-/// Forwards connections to a dispatcher; those made at or after `from` suffer the fault. Returns the address of the
-/// relay.
+/// Starts a relay that forwards connections to a dispatcher and injects the fault into connections accepted at or after
+/// `from`. Returns the address of the relay.
 pub(super) async fn start_response_relay(
     dispatcher: SocketAddr,
     fault: ResponseFault,
@@ -104,7 +104,7 @@
             return;
         }
     }
-    // The client sees silence, not the end of the connection.
+    // The connection stays open: the client must wait for a response, not see the connection closed.
     if matches!(fault, Some(ResponseFault::Drop)) {
         std::future::pending::<()>().await;
     }
--- a/crates/testbed/src/fleet_run/run_clock.rs
+++ b/crates/testbed/src/fleet_run/run_clock.rs
@@ -1,28 +1,28 @@
-//! The time of a run, on the recorder's clock.
+//! The clock of a run.
 use pointspindle::Micros;
 use pointspindle_audit::recorder::Recorder;
 use std::time::Duration;
 
-/// The recorder's clock with the moment at which the run's script and traffic began.
+/// The recorder's clock with the start time of the run's script and traffic.
 #[derive(Clone)]
 pub(super) struct RunClock {
     recorder: Recorder,
-    /// When the run began, in microseconds of the recorder's clock.
-    pub began: Micros,
+    /// The start of the run in microseconds on the recorder's clock.
+    pub run_start: Micros,
 }
 
 impl RunClock {
-    /// A clock of a run that begins now.
+    /// Creates the clock of a run that starts now.
     pub fn start(recorder: &Recorder) -> Self {
         Self {
             recorder: recorder.clone(),
-            began: recorder.now(),
+            run_start: recorder.now(),
         }
     }
 
-    /// Sleeps until a time of the run, in microseconds since it began.
+    /// Sleeps until a time of the run, in microseconds since its start.
     pub async fn sleep_until(&self, at: Micros) {
-        let wait = (self.began + at).saturating_sub(self.recorder.now());
+        let wait = (self.run_start + at).saturating_sub(self.recorder.now());
         tokio::time::sleep(Duration::from_micros(wait)).await;
     }
 }
--- a/crates/testbed/src/fleet_run/script_player.rs
+++ b/crates/testbed/src/fleet_run/script_player.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of a run's script.
+//! Executes the steps of a run's script.
 use super::control_plane_change::{ControlPlaneChange, ControlPlaneHandle, PurgeTarget};
 use super::dispatcher_instance::DispatcherInstance;
 use super::environment::Environment;
@@ -17,7 +17,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the script acts on.
+/// The parts of a run on which the script acts.
 pub(super) struct ScriptPlayer<'a> {
     pub scenario: &'a Scenario,
     pub environment: &'a Environment<'a>,
@@ -32,16 +32,16 @@
 }
 
 impl ScriptPlayer<'_> {
-    /// Carries out each step at its time.
+    /// Executes each step at its scheduled time.
     pub async fn play(&mut self, script: &Script) -> Result<(), TestbedError> {
         for (at, step) in &script.steps {
             self.clock.sleep_until(*at).await;
-            self.carry_out(step).await?;
+            self.execute_step(step).await?;
         }
         Ok(())
     }
 
-    async fn carry_out(&mut self, step: &ScriptStep) -> Result<(), TestbedError> {
+    async fn execute_step(&mut self, step: &ScriptStep) -> Result<(), TestbedError> {
         match step {
             ScriptStep::Note(text) => {
                 self.recorder
@@ -85,7 +85,7 @@
                 self.control_plane
                     .send(ControlPlaneChange::EndpointUpdateDelay {
                         extra: *extra,
-                        until: self.clock.began + until,
+                        until: self.clock.run_start + until,
                     });
             }
         }
@@ -93,8 +93,8 @@
     }
 
     fn inject_fault(&self, host: HostId, fault: Fault) {
-        // The end of a fault is on the model's clock.
-        let model_clock_offset = EPOCH + self.clock.began;
+        // The script gives the end of a fault relative to the start of the run, the model expects it on its own clock.
+        let model_clock_offset = EPOCH + self.clock.run_start;
         self.hosts.apply(ModelInput::Fault {
             host,
             fault: fault.delayed_by(model_clock_offset),
@@ -110,15 +110,15 @@
             incarnation,
             started_at: started_at.map(|at| at - EPOCH),
         };
-        // A host that is down again by now is not announced.
+        // A host that has gone down again in the meantime is not announced.
         if state != ListedState::Ready || self.hosts.with_model(|model| model.is_up(host)) {
             self.control_plane
                 .send(ControlPlaneChange::EndpointUpdate(endpoint));
         }
     }
 
-    /// The origin has new versions from now on; dispatchers learn of it late, and hosts drop their older copies each
-    /// in its own time.
+    /// Purges an object or group: the origin has new versions at once, the control plane notifies the dispatchers, and
+    /// each host drops its older copies after its own delay.
     fn purge(&self, target: PurgeTarget) {
         let purged_at = self.hosts.now();
         let group = target.group;
@@ -147,7 +147,7 @@
         }
     }
 
-    // Faults may overlap: a dispatcher that is down is not faulted again, one that is up is not started.
+    // Faults may overlap: faults on a dispatcher that is down and starts of a dispatcher that is up are ignored.
 
     async fn kill_dispatcher(&mut self, dispatcher: usize) -> Result<(), TestbedError> {
         if !self.dispatchers[dispatcher].is_up() {
@@ -166,7 +166,7 @@
             return Ok(());
         }
         if instance.is_shutting_down() {
-            // By now it has ended, and what it was notified of with it.
+            // The old process has ended by now, and with it the updates that it had received.
             self.recorder
                 .record(TraceEvent::DispatcherKilled { dispatcher });
         }
@@ -213,7 +213,7 @@
         self.zone_partitions.set(zone, directions);
     }
 
-    /// Partitions a host from all dispatchers, or heals the partition; only on the simulated network.
+    /// Partitions a host from all dispatchers, or heals the partition. Has an effect only on the simulated network.
     fn partition_host(&self, host: HostId, partitioned: bool) {
         let Environment::Simulated(network) = self.environment else {
             return;
--- a/crates/testbed/src/fleet_run/setup.rs
+++ b/crates/testbed/src/fleet_run/setup.rs
@@ -26,16 +26,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Delayed responses are late by this much more than the shortest deadline and the timing tolerance.
+/// Delay of responses in addition to the shortest deadline and the timing tolerance.
 const DELAY_BEYOND_DEADLINE: Duration = Duration::from_millis(400);
-/// The part of the run that passes before a response relay begins to inject its fault.
-const FAULT_FREE_FRACTION: u64 = 3;
+/// A response relay begins to inject its fault after the duration of the run divided by this number.
+const FAULT_FREE_DIVISOR: u64 = 3;
 /// The dispatcher whose responses a relay drops or delays.
 const FAULTY_DISPATCHER: usize = 0;
 /// The host in front of which attempts are duplicated.
 const DUPLICATED_HOST: usize = 0;
 
-/// Starts the parts of a run.
+/// The inputs for starting the parts of a run.
 pub(super) struct Setup<'a> {
     pub plan: &'a RunPlan,
     pub environment: &'a Environment<'a>,
@@ -60,7 +60,7 @@
 }
 
 impl Setup<'_> {
-    /// Starts all parts; each dispatcher has its endpoint list then.
+    /// Starts all parts and waits until each dispatcher has its endpoint list.
     pub async fn start(&self) -> Result<Fleet, TestbedError> {
         let zone_partitions = ZonePartitions::default();
         let hosts = self.start_hosts(&zone_partitions).await?;
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Starts the emulated hosts and records what they are.
+    /// Starts the emulated hosts and records their role, zone and weight.
     async fn start_hosts(
         &self,
         zone_partitions: &ZonePartitions,
@@ -267,8 +267,8 @@
         dispatcher: SocketAddr,
         fault: ResponseFault,
     ) -> std::io::Result<SocketAddr> {
-        // The run begins as usual.
-        let from = self.recorder.now() + self.plan.scenario.duration() / FAULT_FREE_FRACTION;
+        // The first part of the run has no fault.
+        let from = self.recorder.now() + self.plan.scenario.duration() / FAULT_FREE_DIVISOR;
         start_response_relay(dispatcher, fault, from, self.recorder.clone()).await
     }
 }
--- a/crates/testbed/src/fleet_run/traffic_player.rs
+++ b/crates/testbed/src/fleet_run/traffic_player.rs
@@ -1,11 +1,11 @@
-//! Starts the clients' calls at their times.
+//! Starts the clients' calls at their scheduled times.
 use super::clients::Clients;
 use super::run_clock::RunClock;
 use pointspindle_scenario::Traffic;
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// Starts every call at its time and waits until all of them have ended.
+/// Starts every call at its scheduled time and waits until all calls have ended.
 pub(super) async fn play_traffic(clients: Arc<Clients>, traffic: Traffic, clock: RunClock) {
     let mut running = JoinSet::new();
     for (call_number, call) in traffic.calls.into_iter().enumerate() {
--- a/crates/testbed/src/fleet_run/unreliable_etcd.rs
+++ b/crates/testbed/src/fleet_run/unreliable_etcd.rs
@@ -1,4 +1,4 @@
-//! An emulated etcd whose streams break again and again and whose history is compacted.
+//! An emulated etcd that repeatedly breaks its watch streams and compacts its history.
 use pointspindle_etcd::{Access, Etcd};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use rand::rngs::StdRng;
@@ -14,14 +14,14 @@
 
 /// An emulated etcd under injected faults, and a client of it.
 pub(super) struct UnreliableEtcd {
-    /// Its URL.
+    /// The URL of the emulated etcd.
     pub endpoint: String,
-    /// A client to write with.
+    /// The client that the control plane writes with.
     pub client: Etcd,
 }
 
 impl UnreliableEtcd {
-    /// Listens on a free port and begins to inject faults.
+    /// Starts to listen on a free port and to inject faults.
     pub async fn start() -> std::io::Result<Self> {
         let emulator = EtcdEmulator::new(None);
         let endpoint = format!("http://{}", emulator.listen().await?);
@@ -42,7 +42,7 @@
         tokio::time::sleep(Duration::from_millis(lifetime_ms)).await;
         emulator.drop_streams();
         if rng.gen_bool(COMPACTION_PROBABILITY) {
-            // While the watchers are disconnected: the revisions they have missed are lost to them.
+            // Compacts while the watchers are disconnected, so that they cannot read the revisions that they missed.
             let delay_ms = rng.gen_range(COMPACTION_DELAY_MS);
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             emulator.compact();
--- a/crates/testbed/src/http_client.rs
+++ b/crates/testbed/src/http_client.rs
@@ -18,11 +18,11 @@
     idle: Mutex<Vec<HttpConnection>>,
 }
 
-/// What [`HttpPool::take`] found.
+/// The result of [`HttpPool::take`].
 pub(crate) struct PooledConnection {
     /// An idle connection, or a new one.
     pub connection: std::io::Result<HttpConnection>,
-    /// Idle connections on which bytes were waiting that no request had asked for; they are closed.
+    /// Number of idle connections that were closed because they had received bytes that belong to no request.
     pub unexpected_responses: usize,
 }
 
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns a connection whose last response has ended.
+    /// Puts a connection whose last response has ended back into the pool.
     pub fn put_back(&self, connection: HttpConnection) {
         let mut idle = self.lock();
         if idle.len() < MAX_IDLE_CONNECTIONS {
@@ -67,7 +67,7 @@
 }
 
 impl HttpConnection {
-    /// A client's side of an open socket.
+    /// Creates the client's side of a connection on an open socket.
     pub fn new(socket: impl Into<Socket>) -> Self {
         let (read, write) = socket.into().split();
         Self {
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Sends a GET request with its trace id and the time that is left for it, in milliseconds.
+    /// Sends a GET request with its trace id and its remaining time in milliseconds.
     pub async fn send_request(
         &mut self,
         target: &str,
@@ -89,7 +89,7 @@
         self.write.write_all(text.as_bytes()).await
     }
 
-    /// The next part of the response; none if the connection ended between two responses.
+    /// Returns the next part of the response, or `None` if the connection ended between two responses.
     pub async fn next_event(&mut self) -> Option<Result<HttpEvent, String>> {
         let event = self.read.next().await?;
         Some(event.map_err(|e| e.to_string()))
--- a/crates/testbed/src/idle/connections.rs
+++ b/crates/testbed/src/idle/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that are used once and then left idle.
+//! Connections that carry one request and then stay idle.
 use super::plan::IdlePlan;
 use crate::http_client::HttpConnection;
 use pointspindle_protocol::http::HttpEvent;
@@ -11,13 +11,13 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::task::JoinSet;
 
-/// The connections that are opened at once: more would meet the limits of the hosts behind the server, which are not
-/// what is measured.
+/// The highest number of connections opened concurrently: more would reach the limits of the hosts behind the server,
+/// which are not what is measured.
 pub(super) const MAX_CONCURRENT_OPENS: usize = 24;
-/// Source addresses in use, so that ports do not run out.
+/// Number of source addresses: one address alone would run out of ports.
 const SOURCE_ADDRESSES: usize = 8;
 const OPEN_TIMEOUT: Duration = Duration::from_secs(10);
-/// The attempts of the first request on a framed connection.
+/// Number of attempts of the first request on a framed connection.
 const FIRST_REQUEST_ATTEMPTS: u32 = 20;
 const FIRST_REQUEST_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 const FRAMED_TIME_LEFT_US: u64 = 10_000_000;
@@ -25,7 +25,7 @@
 const TRACE: &str = "idle";
 const STATUS_OK: u16 = 200;
 
-/// A connection that was used once.
+/// A connection that has carried one request.
 pub(super) enum IdleConnection {
     Http(HttpConnection),
     Framed(FramedConnection),
@@ -51,7 +51,7 @@
     }
 }
 
-/// A socket to the server from one of the source addresses.
+/// Connects to the server from one of the source addresses.
 pub(super) async fn connect(number: usize, server: SocketAddr) -> std::io::Result<TcpStream> {
     let source = Ipv4Addr::new(127, 60, (number % SOURCE_ADDRESSES) as u8, 1);
     let socket = TcpSocket::new_v4()?;
@@ -59,14 +59,14 @@
     socket.connect(server).await
 }
 
-fn not_served() -> std::io::Error {
-    std::io::Error::other("its first request was not served")
+fn first_request_error() -> std::io::Error {
+    std::io::Error::other("the first request on the connection was not served completely")
 }
 
 async fn open_http(socket: TcpStream, path: &str) -> std::io::Result<IdleConnection> {
     let mut connection = HttpConnection::new(socket);
     if !request_is_served(&mut connection, path).await {
-        return Err(not_served());
+        return Err(first_request_error());
     }
     Ok(IdleConnection::Http(connection))
 }
@@ -94,7 +94,7 @@
         }
         tokio::time::sleep(FIRST_REQUEST_RETRY_INTERVAL).await;
     }
-    Err(not_served())
+    Err(first_request_error())
 }
 
 async fn call_is_complete(mut call: Call) -> bool {
@@ -106,7 +106,7 @@
     false
 }
 
-/// Sends a request; whether it was served completely.
+/// Sends a request; returns whether it was served completely.
 pub(super) async fn request_is_served(connection: &mut HttpConnection, path: &str) -> bool {
     let sent = connection
         .send_request(path, TRACE, HTTP_TIME_LEFT_MS)
@@ -125,23 +125,28 @@
     }
 }
 
-/// Opens connections until there are `wanted`.
+/// Opens connections until `target_count` are open.
 pub(super) async fn open_up_to(
     connections: &mut Vec<IdleConnection>,
-    wanted: usize,
+    target_count: usize,
     plan: &Arc<IdlePlan>,
 ) -> Result<(), String> {
     let mut opening = JoinSet::new();
     let mut next = connections.len();
     loop {
-        while opening.len() < MAX_CONCURRENT_OPENS && next < wanted {
+        while opening.len() < MAX_CONCURRENT_OPENS && next < target_count {
             opening.spawn(open_within_timeout(next, plan.clone()));
             next += 1;
         }
         match opening.join_next().await {
             None => return Ok(()),
             Some(Ok(Ok(connection))) => connections.push(connection),
-            Some(Ok(Err(e))) => return Err(format!("at {} connections: {e}", connections.len())),
+            Some(Ok(Err(e))) => {
+                return Err(format!(
+                    "opening a connection failed with {} open: {e}",
+                    connections.len()
+                ))
+            }
             Some(Err(e)) => return Err(e.to_string()),
         }
     }
@@ -153,5 +158,9 @@
 ) -> std::io::Result<IdleConnection> {
     tokio::time::timeout(OPEN_TIMEOUT, IdleConnection::open(number, &plan))
         .await
-        .unwrap_or_else(|_| Err(std::io::Error::other("no answer in ten seconds")))
+        .unwrap_or_else(|_| {
+            Err(std::io::Error::other(
+                "the connection was not open and served within 10 s",
+            ))
+        })
 }
--- a/crates/testbed/src/idle/load.rs
+++ b/crates/testbed/src/idle/load.rs
@@ -1,4 +1,4 @@
-//! The steady open-loop load beside the idle connections.
+//! The steady open-loop load that runs while connections are idle.
 use super::connections::{connect, request_is_served};
 use super::plan::IdlePlan;
 use crate::http_client::HttpConnection;
@@ -9,22 +9,22 @@
 use tokio::task::JoinSet;
 
 const LOAD_CONNECTIONS: usize = 16;
-/// The time for the connections to start before the first request is due.
+/// Time for the connections of the load to open before the first request is due.
 const START_DELAY: Duration = Duration::from_millis(20);
-const LEAST_RATE_PER_SECOND: f64 = 0.1;
-const LONGEST_RESPONSE_US: u64 = 60_000_000;
+const MIN_REQUESTS_PER_SECOND: f64 = 0.1;
+const MAX_RESPONSE_TIME_US: u64 = 60_000_000;
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The responses to a steady load.
+/// The result of a steady load.
 pub(super) struct LoadResult {
-    /// Response times of served requests, in microseconds, counted from when each request was due: a request that
-    /// waits for its connection is not left out.
+    /// Response times of served requests in microseconds, counted from when each request was due, so that the time that
+    /// a request waits for its connection is included.
     pub response_times: Histogram<u64>,
     /// Requests that were not served.
     pub failed: u64,
 }
 
-/// When a connection of the load sends its requests.
+/// The times at which a connection of the load sends its requests.
 #[derive(Clone, Copy)]
 struct Schedule {
     first: Instant,
@@ -40,17 +40,17 @@
 /// Runs the plan's steady load to its end.
 pub(super) async fn run_load(plan: &Arc<IdlePlan>) -> LoadResult {
     let (sender, mut results) = mpsc::unbounded_channel();
-    let rate = plan.requests_per_second.max(LEAST_RATE_PER_SECOND);
+    let rate = plan.requests_per_second.max(MIN_REQUESTS_PER_SECOND);
     let interval = Duration::from_secs_f64(LOAD_CONNECTIONS as f64 / rate);
-    let began = Instant::now() + START_DELAY;
+    let started_at = Instant::now() + START_DELAY;
     let mut connections = JoinSet::new();
     for number in 0..LOAD_CONNECTIONS {
         let schedule = Schedule {
-            first: began + interval.mul_f64(number as f64 / LOAD_CONNECTIONS as f64),
+            first: started_at + interval.mul_f64(number as f64 / LOAD_CONNECTIONS as f64),
             interval,
-            end: began + plan.load_duration,
+            end: started_at + plan.load_duration,
         };
-        connections.spawn(load_connection(
+        connections.spawn(run_load_connection(
             number,
             plan.clone(),
             schedule,
@@ -59,13 +59,13 @@
     }
     drop(sender);
     let mut response_times =
-        Histogram::<u64>::new_with_bounds(1, LONGEST_RESPONSE_US, SIGNIFICANT_DIGITS)
-            .expect("the bounds are constants");
+        Histogram::<u64>::new_with_bounds(1, MAX_RESPONSE_TIME_US, SIGNIFICANT_DIGITS)
+            .expect("the histogram bounds are valid constants");
     let mut failed = 0;
     while let Some(result) = results.recv().await {
         match result {
             RequestResult::Served { response_time_us } => {
-                // A response time above the histogram's bound is left out.
+                // Recording fails for a response time above the upper bound; it is left out.
                 let _ = response_times.record(response_time_us.max(1));
             }
             RequestResult::Failed => failed += 1,
@@ -77,7 +77,7 @@
     }
 }
 
-async fn load_connection(
+async fn run_load_connection(
     number: usize,
     plan: Arc<IdlePlan>,
     schedule: Schedule,
--- a/crates/testbed/src/idle/measurement.rs
+++ b/crates/testbed/src/idle/measurement.rs
@@ -1,31 +1,31 @@
-//! The steps of a measurement.
+//! Measures a server at each step of the number of idle connections.
 use super::connections::{open_up_to, IdleConnection};
 use super::load::{run_load, LoadResult};
 use super::plan::IdlePlan;
-use super::process_usage::{kernel_tcp_bytes, processor_time, resident_bytes};
+use super::process_usage::{cpu_time, kernel_tcp_bytes, resident_bytes};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// The time for new connections to settle before memory is read.
 const SETTLE_TIME: Duration = Duration::from_millis(300);
-/// How long processor time is measured while nothing is requested.
-const IDLE_PROCESSOR_WINDOW: Duration = Duration::from_secs(1);
+/// How long processor time is measured while there are no requests.
+const IDLE_CPU_WINDOW: Duration = Duration::from_secs(1);
 
-/// What was measured at one step. The field names are those of the report's JSON.
+/// The measurement of one step. The field names are those of the report's JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IdleStep {
     /// The protocol of the idle connections.
     pub protocol: String,
-    /// Idle connections that are open.
+    /// Number of open idle connections.
     pub idle: usize,
-    /// Connections opened per second, each with one request.
+    /// Connections opened per second, including one request on each.
     pub made_per_s: f64,
     /// Resident memory of the server's process, in bytes.
     pub program: u64,
-    /// Memory of TCP buffers in the kernel of the whole machine, in bytes.
+    /// Memory of all TCP buffers in the kernel of this machine, in bytes.
     pub kernel: u64,
-    /// Share of a core that the server uses while nothing is requested.
+    /// Share of a processor core that the server uses while there are no requests.
     pub idle_cpu: f64,
     /// Requests of the steady load that were served.
     pub requests: u64,
@@ -33,30 +33,33 @@
     pub failed: u64,
     /// Median response time of the steady load, in microseconds.
     pub p50_us: u64,
-    /// 99th percentile of the response time, in microseconds.
+    /// 99th percentile of the response time of the steady load, in microseconds.
     pub p99_us: u64,
-    /// Longest response time, in microseconds.
+    /// Longest response time of the steady load, in microseconds.
     pub most_us: u64,
 }
 
-/// Why a measurement stopped before its last step, if it did.
-pub type Stopped = Option<String>;
+/// The reason for which a measurement ended before its last step, if it did.
+pub type StopReason = Option<String>;
 
-/// Measures all steps until one cannot be reached. `on_step` is called after each step.
+/// Measures each step; ends after a step whose number of connections could not be opened. Calls `on_step` after each
+/// step.
 pub async fn measure(
     plan: IdlePlan,
     mut on_step: impl FnMut(&IdleStep),
-) -> (Vec<IdleStep>, Stopped) {
+) -> (Vec<IdleStep>, StopReason) {
     let plan = Arc::new(plan);
     let mut connections = Vec::new();
     let mut steps = Vec::new();
     let mut stopped = None;
-    for wanted in plan.steps.clone() {
+    for target_count in plan.steps.clone() {
         let open_before = connections.len();
-        let began = Instant::now();
-        stopped = open_up_to(&mut connections, wanted, &plan).await.err();
+        let started_at = Instant::now();
+        stopped = open_up_to(&mut connections, target_count, &plan)
+            .await
+            .err();
         let opened = connections.len() - open_before;
-        let made_per_s = opened as f64 / began.elapsed().as_secs_f64().max(1e-6);
+        let made_per_s = opened as f64 / started_at.elapsed().as_secs_f64().max(1e-6);
         let step = measure_step(&plan, connections.len(), made_per_s).await;
         on_step(&step);
         steps.push(step);
@@ -72,7 +75,7 @@
     tokio::time::sleep(SETTLE_TIME).await;
     let program = resident_bytes(plan.pid);
     let kernel = kernel_tcp_bytes();
-    let idle_cpu = idle_processor_share(plan.pid).await;
+    let idle_cpu = idle_cpu_share(plan.pid).await;
     let LoadResult {
         response_times,
         failed,
@@ -96,15 +99,16 @@
     }
 }
 
-async fn idle_processor_share(pid: u32) -> f64 {
-    let began = Instant::now();
-    let used_before = processor_time(pid);
-    tokio::time::sleep(IDLE_PROCESSOR_WINDOW).await;
-    let used = processor_time(pid) - used_before;
-    used.as_secs_f64() / began.elapsed().as_secs_f64()
+async fn idle_cpu_share(pid: u32) -> f64 {
+    let started_at = Instant::now();
+    let used_before = cpu_time(pid);
+    tokio::time::sleep(IDLE_CPU_WINDOW).await;
+    let used = cpu_time(pid) - used_before;
+    used.as_secs_f64() / started_at.elapsed().as_secs_f64()
 }
 
-/// The growth of a measured value for each further connection: the slope of a line through the steps, by least squares.
+/// Returns the growth of a measured value for each further connection: the slope of the least-squares line through the
+/// steps.
 pub fn growth_per_connection(steps: &[IdleStep], value: impl Fn(&IdleStep) -> u64) -> f64 {
     let count = (steps.len() as f64).max(1.0);
     let mean_idle = steps.iter().map(|step| step.idle as f64).sum::<f64>() / count;
--- a/crates/testbed/src/idle/plan.rs
+++ b/crates/testbed/src/idle/plan.rs
@@ -1,17 +1,18 @@
-//! What is measured, and how.
+//! The parameters of a measurement.
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The server to measure, and the steps and load of the measurement.
 #[derive(Clone, Debug)]
 pub struct IdlePlan {
-    /// Where the server serves HTTP.
+    /// The server's HTTP address.
     pub http_address: SocketAddr,
-    /// The framed listener, and the class of the object: then the idle connections are framed.
+    /// The address of the server's framed listener and the class of the object. If set, the idle connections use the
+    /// framed protocol instead of HTTP.
     pub framed: Option<(SocketAddr, String)>,
     /// The server's process id.
     pub pid: u32,
-    /// The path of an object that it serves.
+    /// The path of an object that the server serves.
     pub path: String,
     /// The number of idle connections at each step, ascending.
     pub steps: Vec<usize>,
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,5 +1,5 @@
-//! A fleet on sockets for tests and measurements: emulated cache hosts, parents and origins, dispatchers as processes
-//! or tasks, clients, relays and fault injection. Nothing here serves production traffic.
+//! Runs a fleet on sockets for tests and measurements: emulated cache hosts, parents and origins, dispatchers as
+//! processes or tasks, clients, relays and fault injection. This crate serves no production traffic.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/testbed/tests/emulated_hosts.rs
+++ b/crates/testbed/tests/emulated_hosts.rs
@@ -1,11 +1,11 @@
-//! Emulated hosts on sockets: what their responses claim of their copies must be true.
+//! Tests that responses of emulated hosts state the age of their copies correctly.
 use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_model::{
     CacheModel, CacheModelSettings, ClassModel, HostSpec, ModelInput, Role, ZoneSpec,
 };
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{FetchHead, RequestHead};
-use pointspindle_testbed::content::Checker;
+use pointspindle_testbed::content::BodyChecker;
 use pointspindle_testbed::demo::{free_address, plain_host};
 use pointspindle_testbed::emulated_hosts::{EmulatedHosts, EmulatedHostsOptions};
 use pointspindle_transport::{CallEnd, ConnectionOptions, FramedConnection, ResponsePart};
@@ -15,7 +15,7 @@
 /// How long the origin takes to respond, in microseconds.
 const ORIGIN_SERVICE_TIME: u64 = 400_000;
 
-/// Requests the object from a cache host, no older than `max_age_us`; returns the version of the response.
+/// Requests the object from a cache host with a maximum age of `max_age_us`; returns the version of the response.
 async fn fetched_version(cache: &str, source: &str, max_age_us: u64) -> u64 {
     let socket = tokio::net::TcpStream::connect(cache).await.unwrap();
     let (connection, _incoming) =
@@ -33,20 +33,23 @@
         ..Default::default()
     };
     let mut call = connection.call(head).unwrap();
-    let mut checker = Checker::new(pointspindle::ObjectId::named(OBJECT).0, 0);
+    let mut checker = BodyChecker::new(pointspindle::ObjectId::named(OBJECT).0, 0);
     loop {
         match call.next().await.unwrap() {
             ResponsePart::Head(_) => {}
             ResponsePart::Data(data) => checker.take(&data),
             ResponsePart::End(CallEnd::Complete(_)) => {
-                return checker.finish().version.expect("its own bytes")
+                return checker
+                    .finish()
+                    .version
+                    .expect("the body must match the requested object")
             }
             other => panic!("{other:?}"),
         }
     }
 }
 
-/// One cache host and one origin that responds slowly.
+/// Starts a cache host and an origin that responds slowly.
 async fn start_hosts(cache: &str, origin: &str) -> EmulatedHosts {
     let class = ClassModel {
         name: "page".into(),
@@ -82,8 +85,8 @@
     hosts
 }
 
-/// The origin reads its copy, a purge follows, and the head is sent with age 0. If the age counted from the head's
-/// arrival, the copy would look younger than the purge and be served for as long as it is cached.
+/// The origin reads its copy before a purge and sends the head with age 0 after the purge. If the cache counted the age
+/// from the arrival of the head, the copy would appear younger than the purge and would be served until its eviction.
 #[tokio::test]
 async fn copy_read_before_a_purge_counts_as_older_when_its_head_arrives_late() {
     let cache = free_address("127.0.0.1").unwrap();
@@ -95,18 +98,22 @@
         let origin = origin.clone();
         async move { fetched_version(&cache, &origin, 0).await }
     });
-    // The origin has the request once the cache's fill is in flight; the purge happens before it responds.
+    // By now the cache's fill has reached the origin; the purge happens before the origin responds.
     tokio::time::sleep(Duration::from_millis(30)).await;
     hosts.apply(ModelInput::OriginUpdate {
         object: None,
         group: 0,
     });
     let purged_at = hosts.now();
-    assert_eq!(before_purge.await.unwrap(), 0, "requested before the purge");
+    assert_eq!(
+        before_purge.await.unwrap(),
+        0,
+        "a request from before the purge must get the earlier version"
+    );
     let age_of_purge = hosts.now() - purged_at;
     assert_eq!(
         fetched_version(&cache, &origin, age_of_purge).await,
         1,
-        "nothing older than the purge will do"
+        "a copy from before the purge must not be served"
     );
 }
--- a/crates/testbed/tests/simulated_network.rs
+++ b/crates/testbed/tests/simulated_network.rs
@@ -1,6 +1,6 @@
-//! The dispatcher's network shell on a simulated network under a paused clock: what real sockets cannot be made to do
-//! (loss, silent partitions), in the time that the work takes. The rules are kept, an injected fault is found, and the
-//! service agrees with that of the simulator where both play the same scenario.
+//! Tests the dispatcher's network code on a simulated network under a paused clock, with loss and silent partitions,
+//! which real sockets cannot produce: all rules hold, an injected fault is found, and the service agrees with that of
+//! the simulator for the same scenario.
 use pointspindle_scenario::fault_injection::InjectedFault;
 use pointspindle_scenario::{self as scenario, Scenario};
 use pointspindle_simulator as simulator;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn silent_partition_on_a_lossy_network_breaks_no_rule() {
+fn silent_partition_on_a_lossy_network_violates_no_rule() {
     for seed in [11, 12] {
         let scenario = load("silent-partition.ini", seed);
         let outcome = run(&scenario, None);
@@ -39,21 +39,21 @@
         assert!(cases("answers") > 1_000 && cases("drains") > 0 && cases("purges") > 0);
         assert!(
             outcome.service.service > 0.3,
-            "seed {seed}: {}",
+            "seed {seed}: service {}",
             outcome.service.service
         );
         assert!(
             simulator::run(&scenario, None)
                 .unwrap_err()
                 .contains("silence"),
-            "the simulator has no network to partition"
+            "the simulator must reject partitions, as it has no network"
         );
     }
 }
 
-/// A testbed that finds no injected fault would show nothing.
+/// Guards against a testbed that reports no violations because it cannot detect any.
 #[test]
-fn injected_fault_on_the_simulated_network_is_found() {
+fn injected_fault_on_the_simulated_network_is_detected() {
     let scenario = load("bad-day.ini", 7).scaled_to(14.0);
     for (injected_fault, name) in [
         (InjectedFault::WithholdDrain, "drains"),
@@ -61,7 +61,10 @@
     ] {
         let outcome = run(&scenario, Some(injected_fault));
         let rule = outcome.rules.iter().find(|rule| rule.name == name).unwrap();
-        assert!(!rule.violations.is_empty(), "{name}: nothing found");
+        assert!(
+            !rule.violations.is_empty(),
+            "{name}: the injected fault caused no violation"
+        );
     }
 }
 
@@ -70,9 +73,9 @@
     let scenario = load("rolling-restart.ini", 5);
     let testbed = run(&scenario, None).service.service;
     let simulated = simulator::run(&scenario, None).unwrap().service.service;
-    println!("seed 5: shell {testbed:.4}, cores {simulated:.4}");
+    println!("seed 5: testbed {testbed:.4}, simulator {simulated:.4}");
     assert!(
         (testbed - simulated).abs() < 0.03,
-        "shell {testbed:.4}, cores {simulated:.4}"
+        "service differs: testbed {testbed:.4}, simulator {simulated:.4}"
     );
 }
