--- a/crates/testbed/src/content/mod.rs
+++ b/crates/testbed/src/content/mod.rs
@@ -132,9 +132,9 @@
     }
 
     /// Checks the next bytes of the body.
-    pub fn take(&mut self, data: &[u8]) {
+    pub fn update(&mut self, data: &[u8]) {
         let rest = match self.content {
-            Content::Unknown => self.take_first_line(data),
+            Content::Unknown => self.update_first_line(data),
             Content::Matches(_) | Content::Mismatch => data,
         };
         if let Content::Matches(body) = self.content {
@@ -146,7 +146,7 @@
     }
 
     /// Appends data to the first line until the line is complete; returns the remaining data.
-    fn take_first_line<'a>(&mut self, data: &'a [u8]) -> &'a [u8] {
+    fn update_first_line<'a>(&mut self, data: &'a [u8]) -> &'a [u8] {
         let missing_bytes = (LINE_BYTES - self.first_line.len()).min(data.len());
         let (line, rest) = data.split_at(missing_bytes);
         self.first_line.extend_from_slice(line);
--- a/crates/testbed/src/content/tests.rs
+++ b/crates/testbed/src/content/tests.rs
@@ -4,7 +4,7 @@
     let mut checker = BodyChecker::new(7, 2);
     bytes
         .chunks(chunk_size)
-        .for_each(|chunk| checker.take(chunk));
+        .for_each(|chunk| checker.update(chunk));
     checker.finish()
 }
 
--- a/crates/testbed/src/emulated_hosts/attempt.rs
+++ b/crates/testbed/src/emulated_hosts/attempt.rs
@@ -13,7 +13,7 @@
 
 /// Largest part of a body that is generated at once.
 const MAX_CHUNK_BYTES: u64 = 32 * 1024;
-/// The maximum age that a host with the injected fault assumes, in microseconds; no copy is as old.
+/// The maximum age that a host with the injected fault assumes, in microseconds. No copy is that old.
 const UNLIMITED_AGE_US: u64 = u64::MAX / 2;
 
 /// The host at which an attempt arrived and its sender.
--- a/crates/testbed/src/emulated_hosts/fills.rs
+++ b/crates/testbed/src/emulated_hosts/fills.rs
@@ -58,7 +58,7 @@
                     response,
                 });
             }
-            ResponsePart::Data(data) => checker.take(&data),
+            ResponsePart::Data(data) => checker.update(&data),
             ResponsePart::End(CallEnd::Complete(_)) => return completed(has_body, &checker),
             ResponsePart::End(CallEnd::Error(error)) => {
                 return FillOutcome::Rejected {
--- a/crates/testbed/src/emulated_hosts/hosts.rs
+++ b/crates/testbed/src/emulated_hosts/hosts.rs
@@ -47,7 +47,7 @@
     pub fills: HashMap<FillId, AbortHandle>,
     pub listeners: HashMap<HostId, AbortHandle>,
     /// Leases of the hosts that are warming up.
-    pub leasing: HashMap<HostId, Leasing>,
+    pub leasing: HashMap<HostId, HostLeases>,
     pub last_lease_user: UserId,
     /// Buffer for the model's outputs, empty between inputs.
     pub outputs: Vec<ModelOutput>,
@@ -85,7 +85,7 @@
 }
 
 /// The work ledger of a host and the connections of the dispatchers that use the ledger.
-pub(super) struct Leasing {
+pub(super) struct HostLeases {
     pub ledger: WorkLedger,
     pub connections: HashMap<UserId, FramedConnection>,
 }
@@ -145,7 +145,7 @@
         EPOCH + self.shared.recorder.now()
     }
 
-    /// Calls `read` with the model, which is locked meanwhile.
+    /// Calls `read` with the model, which is locked during the call.
     pub fn with_model<T>(&self, read: impl FnOnce(&mut CacheModel) -> T) -> T {
         read(&mut self.lock().model)
     }
--- a/crates/testbed/src/emulated_hosts/model_driver.rs
+++ b/crates/testbed/src/emulated_hosts/model_driver.rs
@@ -1,6 +1,6 @@
 //! Passes inputs and timer ticks to the cache model and carries out its outputs.
 use super::fills;
-use super::hosts::{EmulatedHosts, Job, JobEvent, Leasing, Rejection, State};
+use super::hosts::{EmulatedHosts, HostLeases, Job, JobEvent, Rejection, State};
 use super::leases;
 use pointspindle::Micros;
 use pointspindle_audit::trace::TraceEvent;
@@ -176,7 +176,7 @@
             let connections = HashMap::new();
             state.leasing.insert(
                 host,
-                Leasing {
+                HostLeases {
                     ledger,
                     connections,
                 },
--- a/crates/testbed/src/emulated_hosts/zone_partitions.rs
+++ b/crates/testbed/src/emulated_hosts/zone_partitions.rs
@@ -15,8 +15,8 @@
 
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The zones that are partitioned from all other zones, with the directions: at most one
-/// entry per zone. Clones share them.
+/// The zones that are partitioned from all other zones, with the directions. There is at most one entry per zone.
+/// Clones share them.
 #[derive(Clone, Debug)]
 pub struct ZonePartitions {
     partitioned: Arc<watch::Sender<BTreeMap<usize, PartitionDirections>>>,
--- a/crates/testbed/src/fleet_run/clients/framed_attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/framed_attempt.rs
@@ -24,7 +24,7 @@
                 response.stale = head.cache_status() == WireCacheStatus::Stale;
                 response.size = head.size;
             }
-            ResponsePart::Data(data) => response.checker.take(&data),
+            ResponsePart::Data(data) => response.checker.update(&data),
             ResponsePart::End(end) => return Ok(response.outcome(end)),
         }
     }
--- a/crates/testbed/src/fleet_run/clients/http_attempt.rs
+++ b/crates/testbed/src/fleet_run/clients/http_attempt.rs
@@ -86,7 +86,7 @@
 
     fn take_data(&mut self, data: &[u8]) {
         if self.status == Some(STATUS_OK) {
-            self.checker.take(data);
+            self.checker.update(data);
         }
     }
 
--- a/crates/testbed/src/fleet_run/response_relay.rs
+++ b/crates/testbed/src/fleet_run/response_relay.rs
@@ -30,18 +30,18 @@
 }
 
 /// Starts a relay that forwards connections to a dispatcher and injects the fault into connections accepted at or after
-/// `from`. Returns the address of the relay.
+/// `fault_start`. Returns the address of the relay.
 pub(super) async fn start_response_relay(
     dispatcher: SocketAddr,
     fault: ResponseFault,
-    from: Micros,
+    fault_start: Micros,
     recorder: Recorder,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let relay_address = listener.local_addr()?;
     tokio::spawn(async move {
         while let Ok((client, _)) = listener.accept().await {
-            let fault = (recorder.now() >= from).then_some(fault);
+            let fault = (recorder.now() >= fault_start).then_some(fault);
             tokio::spawn(async move {
                 if let Ok(server) = TcpStream::connect(dispatcher).await {
                     relay_connection(client, server, fault).await;
--- a/crates/testbed/tests/emulated_hosts.rs
+++ b/crates/testbed/tests/emulated_hosts.rs
@@ -37,7 +37,7 @@
     loop {
         match call.next().await.unwrap() {
             ResponsePart::Head(_) => {}
-            ResponsePart::Data(data) => checker.take(&data),
+            ResponsePart::Data(data) => checker.update(&data),
             ResponsePart::End(CallEnd::Complete(_)) => {
                 return checker
                     .finish()
