--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -1,5 +1,5 @@
-//! The capacity page: each row a figure's fit, its value at the target and at twice that, its budget, and how it is
-//! known. Every number on the page is from the fits or the target.
+//! Writes the capacity page. Each row shows a figure's fit, its values at the target's size and at twice that size, its
+//! budget, and the basis of the values. Every number on the page comes from the fits or the target.
 mod events;
 mod roles;
 mod row;
@@ -10,10 +10,10 @@
 use roles::{roles, Role};
 use row::{format_number, MeasuredFigure, Row, Source, TABLE_HEAD};
 
-/// The figures closest to their budgets that the page names.
-const BUDGETS_NAMED: usize = 5;
+/// Number of figures that the page lists as closest to their budgets.
+const BUDGETS_LISTED: usize = 5;
 
-/// The whole page.
+/// Returns the capacity page in Markdown.
 pub fn page(target: &Target, slopes: &Slopes) -> String {
     let dispatchers = target.fleet.dispatchers as f64;
     let mut page = introduction(target, slopes);
@@ -32,11 +32,11 @@
         page += &format!("\n### {name}\n\n{description}\n\n{table}");
     }
     page += "\n## Counts\n\n";
-    for (what, count) in &slopes.counts {
-        page += &format!("* {what}: {}\n", format_number(*count));
+    for (label, count) in &slopes.counts {
+        page += &format!("* {label}: {}\n", format_number(*count));
     }
-    page += "\n## What breaks first\n\n";
-    page += &first_to_break(target, slopes);
+    page += "\n## Bottlenecks\n\n";
+    page += &bottlenecks(target, slopes);
     page
 }
 
@@ -46,15 +46,16 @@
     format!(
         "# Capacity\n\n\
          Written by `pointspindle lab capacity --target scenarios/fleet-ahead.ini --slopes docs/capacity/slopes.json`; \
-         a test holds the page to it. \
-         N is the dispatchers: {} at {} sites, before {} cache hosts, {} requests a second, {} purges a second, \
-         {} changes a day.\n\n\
-         Measured by `lab scale` at {:?} hollow dispatchers, {} run(s), {} s a phase, commit {}, {}, {}; \
-         everything on one machine over loopback, so no way takes time and the store, \
-         the dispatchers and the hosts share its cores. \
-         A slope is `a + b N` over the sizes measured, with the largest distance of a measured value from it; a figure \
-         whose runs are over {:.0}% apart is not used. \
-         *At 2 N* is extrapolated by factor two where N is the largest size measured.\n",
+         a test checks that the page matches this output. \
+         N is the number of dispatchers: {} at {} sites, with {} cache hosts, {} requests per second, \
+         {} purges per second and {} configuration changes per day.\n\n\
+         Measured by `lab scale` at {:?} hollow dispatchers, {} run(s), {} s per phase, commit {}, {}, {}; \
+         all processes run on one machine over loopback, so there is no network latency, and the control store, \
+         the dispatchers and the cache hosts share its cores. \
+         A fit is a line `a + b N` or a curve `a + b N + c N^2` over the sizes measured, \
+         shown with the largest distance of a value from it; \
+         a fit is not used if the runs differ by more than {:.0}% at the largest size. \
+         *At 2 N* is extrapolated by a factor of two if N is the largest size measured.\n",
         fleet.dispatchers,
         fleet.sites,
         fleet.hosts,
@@ -76,62 +77,63 @@
     TABLE_HEAD.to_owned() + &lines.collect::<String>()
 }
 
-/// How much of its budget a figure uses at twice the target's size.
+/// The share of its budget that a figure uses at twice the target's size.
 struct BudgetUse {
     share: f64,
-    what: &'static str,
+    label: &'static str,
     figure: &'static str,
 }
 
-/// From the page's own figures: those closest to their budgets at twice the size, and those that grow with N^2.
-fn first_to_break(target: &Target, slopes: &Slopes) -> String {
+/// Lists the figures of the page that are closest to their budgets at twice the target's size, and those that grow with
+/// N^2.
+fn bottlenecks(target: &Target, slopes: &Slopes) -> String {
     let role_rows = roles(target).into_iter().flat_map(|role| role.rows);
     let event_rows = events().into_iter().flat_map(|event| event.rows);
     let rows: Vec<Row> = role_rows.chain(event_rows).collect();
     let mut text = String::new();
     for used in budgets_by_use(&rows, target, slopes)
         .iter()
-        .take(BUDGETS_NAMED)
+        .take(BUDGETS_LISTED)
     {
         text += &format!(
-            "* at twice the size {:.0}% of its budget: {} ({})\n",
+            "* {:.0}% of the budget at twice the size: {} ({})\n",
             100.0 * used.share,
-            used.what,
+            used.label,
             used.figure
         );
     }
-    let quadratic = quadratic_figures(&rows, slopes);
+    let quadratic = figures_with_quadratic_fit(&rows, slopes);
     let quadratic = if quadratic.is_empty() {
         "none".to_owned()
     } else {
         quadratic.join(", ")
     };
-    text + &format!("* lines that bend (N^2): {quadratic}\n")
+    text + &format!("* figures that grow with N^2: {quadratic}\n")
 }
 
 fn budgets_by_use(rows: &[Row], target: &Target, slopes: &Slopes) -> Vec<BudgetUse> {
-    let double = 2.0 * target.fleet.dispatchers as f64;
+    let double_size = 2.0 * target.fleet.dispatchers as f64;
     let budget_use = |row: &Row| {
         let figure = measured_figure(row)?;
         let budget = figure.budget?;
         let slope = slopes.figures.get(figure.name)?;
-        slope.is_used().then(|| BudgetUse {
-            share: slope.value_at(double) / budget,
-            what: row.what,
+        slope.is_reliable().then(|| BudgetUse {
+            share: slope.value_at(double_size) / budget,
+            label: row.label,
             figure: figure.name,
         })
     };
     let mut used: Vec<BudgetUse> = rows.iter().filter_map(budget_use).collect();
-    used.sort_by(|one, other| other.share.total_cmp(&one.share));
+    used.sort_by(|a, b| b.share.total_cmp(&a.share));
     used
 }
 
-/// The figures whose fit has a quadratic term.
-fn quadratic_figures(rows: &[Row], slopes: &Slopes) -> Vec<&'static str> {
+/// Returns the figures whose fit has a quadratic term.
+fn figures_with_quadratic_fit(rows: &[Row], slopes: &Slopes) -> Vec<&'static str> {
     let names = rows.iter().filter_map(measured_figure).map(|f| f.name);
     let is_quadratic = |name: &&str| {
         let slope = slopes.figures.get(*name);
-        slope.is_some_and(|slope| slope.is_used() && slope.quadratic != 0.0)
+        slope.is_some_and(|slope| slope.is_reliable() && slope.quadratic != 0.0)
     };
     names.filter(is_quadratic).collect()
 }
--- a/crates/scale/src/capacity/events.rs
+++ b/crates/scale/src/capacity/events.rs
@@ -1,12 +1,12 @@
-//! The rows of the capacity page by event.
-use super::roles::{CONTROL, STORE};
+//! Defines the rows of the capacity page for each event.
+use super::roles::{CONTROL_CODE, STORE_CODE};
 use super::row::{measured, not_measured, Row};
 
 const UNTIL_CURRENT: &str = "until every view is current";
-/// Budget of start to ready, milliseconds.
+/// Budget of the time from start to ready, milliseconds.
 const READY_MS: f64 = 10_000.0;
 
-/// Something that happens to the whole fleet at once.
+/// An event that affects the whole fleet at once, with its rows.
 pub(super) struct Event {
     pub(super) name: &'static str,
     pub(super) description: &'static str,
@@ -15,52 +15,58 @@
 
 pub(super) fn events() -> Vec<Event> {
     vec![
-        all_start(),
+        simultaneous_start(),
         restart(),
         purge_burst(),
         store_outage(),
         compaction(),
         streams_broken(),
         Event {
-            name: "A rack, a zone, regions apart, a control machine lost",
+            name: "Loss of a rack, a zone or a control store machine; regions disconnected",
             description: "-",
             rows: vec![not_measured(
-                "all of it",
-                "`lab fleet` plays a site's loss with clients",
+                "all figures",
+                "`lab fleet` runs the loss of a site with clients",
             )],
         },
     ]
 }
 
-fn milliseconds(what: &'static str, figure: &'static str) -> Row {
-    measured(what, figure, "ms", None, CONTROL)
+fn unbudgeted_ms(label: &'static str, figure: &'static str) -> Row {
+    measured(label, figure, "ms", None, CONTROL_CODE)
 }
 
-fn ready(what: &'static str, figure: &'static str) -> Row {
-    measured(what, figure, "ms", Some(READY_MS), CONTROL)
+fn ready_time(label: &'static str, figure: &'static str) -> Row {
+    measured(label, figure, "ms", Some(READY_MS), CONTROL_CODE)
 }
 
 fn bytes_to_each(figure: &'static str) -> Row {
-    measured("bytes to each", figure, "KB", None, CONTROL)
+    measured(
+        "bytes sent to each dispatcher",
+        figure,
+        "KB",
+        None,
+        CONTROL_CODE,
+    )
 }
 
-fn all_start() -> Event {
+fn simultaneous_start() -> Event {
     Event {
         name: "All dispatchers start at once",
-        description: "each reads the whole view and registers; \
-                      each registration is told to all: N^2 lines. \
-                      Nobody paces them but the store. \
-                      Nothing is refused by it; cold parts wait for the counts.",
+        description: "Each dispatcher reads the whole view and registers; \
+                      each registration is sent to all dispatchers: N^2 records. \
+                      Only the control store limits the rate, and it refuses no request. \
+                      A dispatcher uses no warm-up budget until the fleet counts have settled.",
         rows: vec![
-            milliseconds(UNTIL_CURRENT, "start/whole again"),
-            ready("start to ready, nine in ten", "start/ready p90"),
+            unbudgeted_ms(UNTIL_CURRENT, "start/whole again"),
+            ready_time("start to ready, p90", "start/ready p90"),
             bytes_to_each("start/dispatcher bytes of the phase"),
             measured(
-                "store, processor",
+                "control store, processor",
                 "start/store cores",
                 "cores",
                 None,
-                STORE,
+                STORE_CODE,
             ),
         ],
     }
@@ -68,25 +74,29 @@
 
 fn restart() -> Event {
     Event {
-        name: "Fifty restart (a process of the rig)",
-        description: "the leases end, all hear of each leave and each return.",
-        rows: vec![ready("start to ready, longest", "restart/ready longest")],
+        name: "Restart of 50 dispatchers (one process of the scale run)",
+        description:
+            "The leases expire; every dispatcher receives each removal and each new registration.",
+        rows: vec![ready_time(
+            "start to ready, longest",
+            "restart/ready longest",
+        )],
     }
 }
 
 fn purge_burst() -> Event {
     Event {
-        name: "A storm of purges",
-        description: "one write each; all hear of each.",
+        name: "Burst of purges",
+        description: "Each purge is one write and is sent to all dispatchers.",
         rows: vec![
-            milliseconds("in force, p99", "storm/purge in force p99"),
+            unbudgeted_ms("purge in force, p99", "storm/purge in force p99"),
             bytes_to_each("storm/dispatcher bytes of the phase"),
             measured(
                 "dispatcher, processor",
                 "storm/dispatcher cores",
                 "cores",
                 None,
-                CONTROL,
+                CONTROL_CODE,
             ),
         ],
     }
@@ -94,12 +104,12 @@
 
 fn store_outage() -> Event {
     Event {
-        name: "The control store away and back",
-        description: "every view is stale after half a second; \
-                      lists stay, held copies are held back where the promise is on; \
-                      on return the watches go on from where they were.",
+        name: "Outage of the control store",
+        description: "Every view is stale after half a second; \
+                      endpoint lists stay, and cached copies are withheld if purges are promised; \
+                      after the outage the watches continue at their last revision.",
         rows: vec![
-            milliseconds(UNTIL_CURRENT, "store away/whole again"),
+            unbudgeted_ms(UNTIL_CURRENT, "store away/whole again"),
             bytes_to_each("store away/dispatcher bytes of the phase"),
         ],
     }
@@ -107,11 +117,11 @@
 
 fn compaction() -> Event {
     Event {
-        name: "... and its history compacted meanwhile",
-        description: "every view is read whole again, \
-                      and everything counts as purged as of then.",
+        name: "Outage of the control store with its history compacted",
+        description: "Every view is read in full again, \
+                      and every object counts as purged at that time.",
         rows: vec![
-            milliseconds(UNTIL_CURRENT, "compacted/whole again"),
+            unbudgeted_ms(UNTIL_CURRENT, "compacted/whole again"),
             bytes_to_each("compacted/dispatcher bytes of the phase"),
         ],
     }
@@ -120,7 +130,7 @@
 fn streams_broken() -> Event {
     Event {
         name: "All streams break at once",
-        description: "each asks again after 5 to 15 ms, from where it was.",
-        rows: vec![milliseconds(UNTIL_CURRENT, "streams broken/whole again")],
+        description: "Each watch reconnects after 5 to 15 ms and continues at its last revision.",
+        rows: vec![unbudgeted_ms(UNTIL_CURRENT, "streams broken/whole again")],
     }
 }
--- a/crates/scale/src/capacity/roles.rs
+++ b/crates/scale/src/capacity/roles.rs
@@ -1,14 +1,14 @@
-//! The rows of the capacity page by role.
+//! Defines the rows of the capacity page for each role.
 use super::row::{measured, not_measured, Row, Source};
 use crate::Target;
 
-pub(super) const CONTROL: &str = "`etcd/watcher/`, `dispatcher/net`; `cli/tests/scale.rs`";
-pub(super) const STORE: &str = "emulated, `etcd-emulator`; `cli/tests/scale.rs`";
-const WRITER: &str = "`etcd/writer.rs`";
-const WATCHER: &str = "`etcd/watcher/`";
-const HOST: &str = "`cache-host/net`";
+pub(super) const CONTROL_CODE: &str = "`etcd/watcher/`, `dispatcher/net`; `cli/tests/scale.rs`";
+pub(super) const STORE_CODE: &str = "emulated, `etcd-emulator`; `cli/tests/scale.rs`";
+const WRITER_CODE: &str = "`etcd/writer.rs`";
+const WATCHER_CODE: &str = "`etcd/watcher/`";
+const HOST_CODE: &str = "`cache-host/net`";
 
-/// A kind of process of the fleet, or its promises.
+/// A role of processes in the fleet, or the fleet's promises, with its rows.
 pub(super) struct Role {
     pub(super) name: &'static str,
     pub(super) rows: Vec<Row>,
@@ -22,7 +22,7 @@
         },
         Role {
             name: "Control store (one emulated process without disk or quorum; \
-                   budget assumed: a core a machine)",
+                   assumed budget: one core per machine)",
             rows: control_store(target),
         },
         Role {
@@ -32,14 +32,14 @@
         Role {
             name: "Parent, origin gateway",
             rows: vec![not_measured(
-                "as a cache host; fills and connections by N",
+                "figures of a cache host; fills and connections as functions of N",
                 "`cache-host`, `docs/design/sums.md`",
             )],
         },
         Role {
             name: "Client library, operator's command",
             rows: vec![not_measured(
-                "connections and tries by N; a command's bytes",
+                "connections and attempts as functions of N; bytes per command",
                 "`client`, `cli/commands/etcd_access.rs`",
             )],
         },
@@ -51,8 +51,17 @@
 }
 
 fn dispatcher(target: &Target) -> Vec<Row> {
-    let cores = |what, figure| measured(what, figure, "cores", Some(target.max_cores), CONTROL);
-    let bytes = |what, figure| measured(what, figure, "KB/s", Some(target.max_kb_per_s), CONTROL);
+    let cores =
+        |label, figure| measured(label, figure, "cores", Some(target.max_cores), CONTROL_CODE);
+    let bytes = |label, figure| {
+        measured(
+            label,
+            figure,
+            "KB/s",
+            Some(target.max_kb_per_s),
+            CONTROL_CODE,
+        )
+    };
     vec![
         cores("processor, at rest", "rest/dispatcher cores"),
         cores(
@@ -60,7 +69,7 @@
             "purges/dispatcher cores",
         ),
         cores(
-            "processor, at ten times those",
+            "processor, at ten times the target's purges",
             "purges x10/dispatcher cores",
         ),
         measured(
@@ -68,18 +77,18 @@
             "purges x10/dispatcher memory",
             "MB",
             Some(target.max_memory_mb),
-            CONTROL,
+            CONTROL_CODE,
         ),
-        bytes("bytes heard, at rest", "rest/dispatcher bytes in"),
+        bytes("bytes received, at rest", "rest/dispatcher bytes in"),
         bytes(
-            "bytes heard, at the target's purges",
+            "bytes received, at the target's purges",
             "purges/dispatcher bytes in",
         ),
         bytes(
-            "bytes heard, at ten times those",
+            "bytes received, at ten times the target's purges",
             "purges x10/dispatcher bytes in",
         ),
-        bytes("bytes said, at rest", "rest/dispatcher bytes out"),
+        bytes("bytes sent, at rest", "rest/dispatcher bytes out"),
         measured(
             "connections to cache hosts",
             "rest/dispatcher connections to hosts",
@@ -88,69 +97,92 @@
             "`dispatcher/net/connection_pool/`",
         ),
         not_measured(
-            "bytes by hellos, leases and probes",
+            "bytes of hellos, leases and probes",
             "`transport`, `cache-host/lease.rs`",
         ),
         not_measured(
-            "processor a request, a list line; \
-             bytes a member, a purge, a connection, an open request",
-            "`docs/results.md` has the request's",
+            "processor per request and per endpoint record; \
+             memory per endpoint, purge, connection and open request",
+            "`docs/results.md` for the processor per request",
         ),
     ]
 }
 
 fn control_store(target: &Target) -> Vec<Row> {
     let budget = Some(target.control_machines as f64);
-    let cores = |what, figure| measured(what, figure, "cores", budget, STORE);
-    let bytes = |what, figure| measured(what, figure, "KB/s", None, STORE);
-    let messages = |what, figure, by| measured(what, figure, "1/s", None, by);
+    let cores = |label, figure| measured(label, figure, "cores", budget, STORE_CODE);
+    let bytes = |label, figure| measured(label, figure, "KB/s", None, STORE_CODE);
+    let messages = |label, figure, code| measured(label, figure, "1/s", None, code);
     vec![
         cores("processor, at rest", "rest/store cores"),
         cores("processor, at the target's purges", "purges/store cores"),
-        cores("processor, at ten times those", "purges x10/store cores"),
-        measured("memory", "purges x10/store memory", "MB", None, STORE),
-        bytes("bytes out, at rest", "rest/store bytes out"),
+        cores(
+            "processor, at ten times the target's purges",
+            "purges x10/store cores",
+        ),
+        measured("memory", "purges x10/store memory", "MB", None, STORE_CODE),
+        bytes("bytes sent, at rest", "rest/store bytes out"),
         bytes(
-            "bytes out, at the target's purges",
+            "bytes sent, at the target's purges",
             "purges/store bytes out",
         ),
         messages(
-            "messages about leases, at rest",
+            "lease messages, at rest",
             "rest/lease kept messages",
-            WRITER,
+            WRITER_CODE,
         ),
         messages(
-            "messages about registrations, at rest",
+            "registration messages, at rest",
             "rest/registration messages",
-            WRITER,
+            WRITER_CODE,
         ),
         messages(
-            "messages about progress, at rest",
+            "watch progress messages, at rest",
             "rest/progress messages",
-            WATCHER,
+            WATCHER_CODE,
         ),
         messages(
-            "messages about the purges' mark, at rest",
+            "messages of purge mark reads, at rest",
             "rest/read messages",
-            WATCHER,
+            WATCHER_CODE,
         ),
-        not_measured("four machines: quorum, disk, a machine lost", "-"),
+        not_measured("four machines: quorum, disk, loss of a machine", "-"),
     ]
 }
 
 fn cache_hosts() -> Vec<Row> {
     vec![
-        measured("processor, at rest", "rest/host cores", "cores", None, HOST),
-        measured("memory, no copies", "rest/host memory", "MB", None, HOST),
+        measured(
+            "processor, at rest",
+            "rest/host cores",
+            "cores",
+            None,
+            HOST_CODE,
+        ),
+        measured(
+            "memory, without cached copies",
+            "rest/host memory",
+            "MB",
+            None,
+            HOST_CODE,
+        ),
         not_measured(
-            "index bytes a copy at 1, 4, 16 million; start from the log",
+            "index bytes per copy at 1, 4 and 16 million copies; start from the log",
             "`store/index.rs`",
         ),
     ]
 }
 
 fn promises(target: &Target) -> Vec<Row> {
-    let purge = |what, figure| measured(what, figure, "ms", Some(target.purge_promise_ms), CONTROL);
+    let purge = |label, figure| {
+        measured(
+            label,
+            figure,
+            "ms",
+            Some(target.purge_promise_ms),
+            CONTROL_CODE,
+        )
+    };
     vec![
         purge("purge in force, p50", "purges/purge in force p50"),
         purge("purge in force, p99", "purges/purge in force p99"),
@@ -160,28 +192,28 @@
             "purges x10/purge in force longest",
         ),
         purge(
-            "purge in force, longest, in a storm",
+            "purge in force, longest, in a burst of purges",
             "storm/purge in force longest",
         ),
         measured(
-            "change of the list in force, longest",
+            "endpoint list change in force, longest",
             "changes/change in force longest",
             "ms",
             Some(target.change_promise_ms),
-            CONTROL,
+            CONTROL_CODE,
         ),
         Row {
-            what: "purge in force everywhere, also where nobody can be told",
+            label: "purge in force everywhere, even at processes that cannot be reached",
             source: Source::Guaranteed(
                 "within `purge_within_ms` of its acknowledgement, \
-                 by each process's own holding back",
+                 because each process withholds its cached copies when purges are not confirmed",
             ),
-            carried_by: "`dispatcher/core/purge_lease.rs`, `etcd/watcher/`; \
+            evidence: "`dispatcher/core/purge_lease.rs`, `etcd/watcher/`; \
                          `etcd/tests/promise.rs`, `cli/tests/purge_promise.rs`",
         },
         not_measured(
-            "change of configuration in force: \
-             **missing: no way to the fleet but a file and a restart**",
+            "configuration change in force: \
+             **not supported: a change needs a new file and a restart**",
             "-",
         ),
     ]
--- a/crates/scale/src/capacity/row.rs
+++ b/crates/scale/src/capacity/row.rs
@@ -1,72 +1,73 @@
-//! One row of the capacity page: a figure, its fit, its value at the target, its budget, and how it is known.
+//! A row of the capacity page: a figure, its fit, its values at the target's size and at twice that size, its budget,
+//! and the basis of the values.
 use crate::slopes::{Slope, Slopes, MAX_RESIDUAL};
 
-/// The head of each table.
+/// Header of each table.
 pub(super) const TABLE_HEAD: &str =
-    "| figure | slope | at N | at 2 N | budget | used | known by | carried by |
+    "| figure | fit | at N | at 2 N | budget | budget used | basis | code and tests |
 \
      | --- | --- | --- | --- | --- | --- | --- | --- |
 ";
 
-/// Where a row's figure comes from.
+/// The source of a row's figure.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Source {
-    /// A figure of the scale run.
+    /// The figure is measured by the scale run.
     Run(MeasuredFigure),
-    /// Not a figure of the run: a mechanism guarantees it, as its tests show.
+    /// A mechanism guarantees the property, as its tests show. The text describes the mechanism.
     Guaranteed(&'static str),
-    /// Not measured yet.
+    /// The figure is not measured yet.
     NotMeasured,
 }
 
-/// A figure of the scale run, and its budget if it has one.
+/// A figure of the scale run, with its budget if it has one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeasuredFigure {
-    /// Its name in [`Slopes::figures`].
+    /// Name of the figure in [`Slopes::figures`].
     pub(super) name: &'static str,
     pub(super) unit: &'static str,
     pub(super) budget: Option<f64>,
 }
 
-/// A row.
+/// A row of a table on the capacity page.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Row {
-    pub(super) what: &'static str,
+    pub(super) label: &'static str,
     pub(super) source: Source,
-    /// The source files and tests that it rests on.
-    pub(super) carried_by: &'static str,
+    /// The source files and tests that the figure depends on.
+    pub(super) evidence: &'static str,
 }
 
 pub(super) fn measured(
-    what: &'static str,
+    label: &'static str,
     name: &'static str,
     unit: &'static str,
     budget: Option<f64>,
-    carried_by: &'static str,
+    evidence: &'static str,
 ) -> Row {
     Row {
-        what,
+        label,
         source: Source::Run(MeasuredFigure { name, unit, budget }),
-        carried_by,
+        evidence,
     }
 }
 
-pub(super) fn not_measured(what: &'static str, carried_by: &'static str) -> Row {
+pub(super) fn not_measured(label: &'static str, evidence: &'static str) -> Row {
     Row {
-        what,
+        label,
         source: Source::NotMeasured,
-        carried_by,
+        evidence,
     }
 }
 
 impl Row {
-    /// The row as a line of its table, for a fleet of `dispatchers`.
+    /// Returns the row as a line of its table, for a fleet of `dispatchers`.
     pub(super) fn to_markdown(self, slopes: &Slopes, dispatchers: f64) -> String {
-        let what = self.what;
-        let carried_by = self.carried_by;
+        let label = self.label;
+        let evidence = self.evidence;
         let figure = match self.source {
-            Source::Guaranteed(how) => {
-                return format!("| {what} | | | | | | {how} | {carried_by} |\n");
+            Source::Guaranteed(mechanism) => {
+                return format!("| {label} | | | | | | {mechanism} | {evidence} |\n");
             }
             Source::Run(figure) => Some(figure),
             Source::NotMeasured => None,
@@ -74,7 +75,7 @@
         let slope = figure.and_then(|figure| slopes.figures.get(figure.name));
         match (figure, slope) {
             (Some(figure), Some(slope)) => self.measured_row(figure, slope, dispatchers),
-            _ => format!("| {what} | | *not measured* | | | | *not measured* | {carried_by} |\n"),
+            _ => format!("| {label} | | *not measured* | | | | *not measured* | {evidence} |\n"),
         }
     }
 
@@ -83,7 +84,7 @@
         let mut formula = String::new();
         let mut at_double = String::new();
         let mut value = slope.max_value;
-        if slope.is_used() {
+        if slope.is_reliable() {
             formula = format_fit(slope);
             at_double = format_number(slope.value_at(2.0 * dispatchers));
             value = slope.value_at(dispatchers);
@@ -96,10 +97,10 @@
         }
         format!(
             "| {} | {formula} | {} {unit} | {at_double} | {budget} | {used} | {} | {} |\n",
-            self.what,
+            self.label,
             format_number(value),
-            known_by(slope, dispatchers),
-            self.carried_by
+            basis(slope, dispatchers),
+            self.evidence
         )
     }
 }
@@ -115,7 +116,7 @@
 
 fn format_used(value: f64, limit: f64) -> String {
     if value > limit {
-        format!("**{:.1} times over**", value / limit)
+        format!("**{:.1} times the budget**", value / limit)
     } else {
         format!("{:.1}%", 100.0 * value / limit)
     }
@@ -127,29 +128,31 @@
         coefficient => format!(" {coefficient:+.2e} N^2"),
     };
     format!(
-        "{:.3e} {:+.2e} N{quadratic}, {:.0}% off",
+        "{:.3e} {:+.2e} N{quadratic}, residual {:.0}%",
         slope.intercept,
         slope.linear,
         100.0 * slope.residual
     )
 }
 
-/// How the figure at this size is known.
-fn known_by(slope: &Slope, dispatchers: f64) -> String {
+/// Describes the basis of the value shown for a fleet of `dispatchers`.
+fn basis(slope: &Slope, dispatchers: f64) -> String {
     if slope.residual > MAX_RESIDUAL {
-        let off = 100.0 * slope.residual;
-        return format!("no line: {off:.0}% off; largest value measured");
+        let residual_percent = 100.0 * slope.residual;
+        return format!("residual {residual_percent:.0}%, fit not used; largest value measured");
     }
-    let apart = slope.spread.map(|spread| 100.0 * spread);
-    if let Some(apart) = apart.filter(|_| !slope.is_used()) {
-        return format!("runs {apart:.0}% apart, slope not used; largest value measured");
+    let spread_percent = slope.spread.map(|spread| 100.0 * spread);
+    if let Some(spread_percent) = spread_percent.filter(|_| !slope.is_reliable()) {
+        return format!(
+            "runs differ by {spread_percent:.0}%, fit not used; largest value measured"
+        );
     }
     let largest_size = slope.max_dispatchers as f64;
     if dispatchers > largest_size {
         return format!("extrapolated x{:.1}", dispatchers / largest_size);
     }
-    match apart {
+    match spread_percent {
         None => "measured, one run".to_owned(),
-        Some(apart) => format!("measured, runs {apart:.0}% apart"),
+        Some(spread_percent) => format!("measured, runs differ by {spread_percent:.0}%"),
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,10 +1,10 @@
-//! What the control plane of a fleet costs as a function of the fleet's size.
+//! Measures the cost of a fleet's control plane as a function of the fleet's size.
 //!
-//! A scale run starts hollow dispatchers and hollow cache hosts: the program's own control code, without clients and
-//! bodies. They follow an emulated control store in a process of its own. [`runner`] plays the phases at each size and
-//! measures them, [`slopes`] fits each figure over the sizes, and [`capacity`] writes the capacity page from the fits.
-//! [`node`] is what the processes run, and [`messages`] what they and the runner send each other. A hollow process that
-//! dies is a failure of the scale run, never of the product.
+//! A scale run starts hollow dispatchers and hollow cache hosts, which run the program's own control code without
+//! clients and bodies. They follow an emulated control store in a separate process. [`runner`] runs the phases at each
+//! fleet size and measures them, [`slopes`] fits each figure over the sizes, and [`capacity`] writes the capacity page
+//! from the fits. [`node`] holds the code of the processes, and [`messages`] defines the messages between them and the
+//! runner. A hollow process that ends early is a failure of the scale run, not of the product.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scale/src/messages.rs
+++ b/crates/scale/src/messages.rs
@@ -1,39 +1,39 @@
-//! The messages between the runner and the processes of a scale run, one JSON object a line.
+//! The messages between the runner and the processes of a scale run, one JSON object per line.
 //!
-//! The runner sends a process its [`NodeRole`] and gets a [`Report`] when it is ready; then one report for each
-//! [`Command`].
+//! The runner sends a process its [`NodeRole`]. The process sends a [`Report`] when it is ready, and one report in
+//! answer to each [`Command`].
 use pointspindle_dispatcher::StateCounts;
 use pointspindle_etcd::layout::MemberRecord;
 use pointspindle_etcd_emulator::traffic::TrafficCounts;
 use serde::{Deserialize, Serialize};
 
-/// What a process runs.
+/// The role of a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NodeRole {
     /// The emulated control store.
     Store,
-    /// Hollow dispatchers.
+    /// A process of hollow dispatchers.
     Dispatchers(DispatcherNodes),
-    /// Hollow cache hosts: no store, no bodies.
+    /// A process of hollow cache hosts, without a store and bodies.
     CacheHosts {
-        /// Their numbers in the fleet.
+        /// Numbers of the cache hosts in the fleet.
         nodes: NodeRange,
     },
 }
 
-/// Hollow nodes with consecutive numbers.
+/// A range of hollow nodes with consecutive numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct NodeRange {
-    /// The first one's number in the fleet.
+    /// Number of the first node in the fleet.
     pub first: usize,
-    /// How many.
+    /// Number of nodes.
     pub count: usize,
-    /// The sites that the fleet is spread over.
+    /// Number of sites that the fleet is spread over.
     pub sites: usize,
 }
 
 impl NodeRange {
-    /// Their numbers.
+    /// Returns the numbers of the nodes in the fleet.
     pub fn numbers(&self) -> std::ops::Range<usize> {
         self.first..self.first + self.count
     }
@@ -44,74 +44,74 @@
 pub struct DispatcherNodes {
     /// URL of the control store.
     pub store: String,
-    /// Their numbers in the fleet.
+    /// Numbers of the dispatchers in the fleet.
     pub nodes: NodeRange,
-    /// Their promise that purges are in force within this, milliseconds; 0: none.
+    /// Promised time until a purge is in force, milliseconds; 0 means no promise.
     pub promise_ms: f64,
 }
 
-/// What a process is to do.
+/// A command from the runner to a process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Report.
+    /// Requests a report.
     Report,
-    /// Forget the recorded lags, and report.
+    /// Clears the recorded lags and requests a report.
     ResetLags,
-    /// Make the control store unavailable, or available again.
+    /// Makes the control store unavailable (`true`) or available again (`false`).
     SetUnavailable(bool),
-    /// Compact the control store's history.
+    /// Compacts the control store's history.
     Compact,
-    /// Break all streams of the control store.
+    /// Breaks all streams of the control store.
     DropStreams,
 }
 
-/// What a process reports.
+/// A report from a process to the runner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Report {
-    /// The control store.
+    /// Report of the control store.
     Store {
-        /// Its URL.
+        /// URL of the control store.
         endpoint: String,
-        /// Its traffic so far.
+        /// Traffic of the control store since its start.
         traffic: TrafficCounts,
     },
-    /// Hollow dispatchers.
+    /// Report of a process of hollow dispatchers.
     Dispatchers(DispatcherReport),
-    /// Hollow cache hosts, when they are ready.
+    /// Records of the hollow cache hosts of a process, sent when they are ready.
     CacheHosts(Vec<CacheHostRecord>),
-    /// Done, with nothing to report.
+    /// Acknowledgement without data.
     Done,
 }
 
 /// A cache host and its record in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CacheHostRecord {
-    /// Address and port.
+    /// Address and port of the cache host.
     pub address: String,
-    /// The record.
+    /// Record of the cache host in the endpoint list.
     pub record: MemberRecord,
 }
 
-/// What the hollow dispatchers of one process have received, together.
+/// State and recorded lags of the hollow dispatchers of one process, combined.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DispatcherReport {
-    /// Those with a current view.
+    /// Number of dispatchers with a current view.
     pub current: usize,
-    /// How long each took to its first current view, milliseconds.
+    /// Time from the start of the process's dispatchers to each one's first current view, milliseconds.
     pub ready_ms: Vec<f64>,
-    /// Lags of purges, from written to in force.
+    /// Lags of purges, from the write to the moment they are in force.
     pub purges: Vec<LagCount>,
-    /// Lags of changes of the endpoint list, from written to in force.
+    /// Lags of endpoint list changes, from the write to the moment they are in force.
     pub changes: Vec<LagCount>,
-    /// The sum of their state.
+    /// Sum of the dispatchers' state counts.
     pub state: StateCounts,
 }
 
-/// How often a lag was recorded.
+/// Number of times that a lag was recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LagCount {
-    /// The lag, microseconds.
+    /// Lag, microseconds.
     pub micros: u64,
-    /// How often.
+    /// Number of times that it was recorded.
     pub count: u64,
 }
--- a/crates/scale/src/node/cache_hosts.rs
+++ b/crates/scale/src/node/cache_hosts.rs
@@ -1,4 +1,4 @@
-//! The process of hollow cache hosts.
+//! Runs a process of hollow cache hosts.
 use super::{send_report, CommandStream, NodeError};
 use crate::messages::{CacheHostRecord, NodeRange, Report};
 use pointspindle_cache_host::Host;
@@ -7,10 +7,10 @@
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_transport::Network;
 
-/// Records say that a host started so long ago, so that none is in slow start.
-const WARM_SINCE_MS: u64 = 600_000;
+/// Uptime that the records give for each host, milliseconds. It is long enough that no host is in slow start.
+const HOST_UPTIME_MS: u64 = 600_000;
 
-/// A hollow cache host's settings: a host's own, without a store.
+/// Returns the settings of a hollow cache host. They name a store, which [`run`] removes.
 fn host_settings(number: usize) -> String {
     format!(
         "[cache]\nname = h-{number}\nrole = cache\n[listen]\nframed = 127.0.0.1:0\n\
@@ -18,7 +18,7 @@
     )
 }
 
-/// A cache host's record in the endpoint list.
+/// Returns a cache host's record in the endpoint list.
 pub fn record(number: usize, sites: usize) -> MemberRecord {
     MemberRecord {
         state: State::Ready,
@@ -27,7 +27,7 @@
         kind: "cache".into(),
         cell: number as u64,
         start: 1,
-        started_unix_ms: Some(wall_clock_unix_ms().saturating_sub(WARM_SINCE_MS)),
+        started_unix_ms: Some(wall_clock_unix_ms().saturating_sub(HOST_UPTIME_MS)),
     }
 }
 
--- a/crates/scale/src/node/dispatchers.rs
+++ b/crates/scale/src/node/dispatchers.rs
@@ -1,4 +1,4 @@
-//! The process of hollow dispatchers.
+//! Runs a process of hollow dispatchers.
 use super::lag_recorder::SharedRecorder;
 use super::{send_report, CommandStream, NodeError, PREFIX};
 use crate::messages::{Command, DispatcherNodes, DispatcherReport, Report};
@@ -8,7 +8,7 @@
 use pointspindle_transport::Network;
 use std::sync::Arc;
 
-/// A dispatcher's settings, as one in service has them, but for its listeners.
+/// Returns the settings of a hollow dispatcher. They match those of a dispatcher in service except for the listeners.
 pub fn dispatcher_settings(store: &str, number: usize, sites: usize, promise_ms: f64) -> String {
     let zones: String = (0..sites).map(|n| format!("[zone site-{n}]\n")).collect();
     format!(
@@ -39,7 +39,8 @@
     Ok(())
 }
 
-/// Starts a hollow dispatcher: the program's own control code, with a recorder of what comes into force.
+/// Starts a hollow dispatcher, which runs the program's own control code, and records each update that comes into
+/// force.
 async fn start_dispatcher(
     settings: &str,
     number: usize,
--- a/crates/scale/src/node/lag_recorder.rs
+++ b/crates/scale/src/node/lag_recorder.rs
@@ -1,4 +1,4 @@
-//! Records what the hollow dispatchers of one process receive, and how late.
+//! Records the updates that the hollow dispatchers of one process receive, and their lags.
 use super::{now_us, written_us, NodeError};
 use crate::messages::LagCount;
 use hdrhistogram::Histogram;
@@ -7,24 +7,27 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
 
+/// Longest lag that is recorded, microseconds.
 const MAX_LAG_US: u64 = 3_600_000_000;
 const LAG_SIGNIFICANT_DIGITS: u8 = 3;
-/// An incarnation from here on is a time, microseconds since 1970: the runner writes one with each change of a record.
+/// Smallest incarnation that is read as a time in microseconds since 1970. The runner writes such an incarnation with
+/// each change of a record.
 const MIN_TIMESTAMP_US: u64 = 1_000_000_000_000_000;
 
+/// Lags and freshness of the views of one process's hollow dispatchers.
 pub(super) struct LagRecorder {
-    began: Instant,
-    /// How long each dispatcher took to its first current view, milliseconds.
+    started_at: Instant,
+    /// Time from the recorder's creation to each dispatcher's first current view, milliseconds.
     pub(super) ready_ms: Vec<f64>,
-    /// Dispatchers that have had a current view.
-    were_current: HashSet<usize>,
-    /// Whether each dispatcher's view is current.
+    /// Numbers of the dispatchers that have had a current view at least once.
+    ever_current: HashSet<usize>,
+    /// Whether the view is current, by the dispatcher's number.
     current: HashMap<usize, bool>,
     purges: Histogram<u64>,
     changes: Histogram<u64>,
 }
 
-/// A recorder shared by the dispatchers of one process.
+/// A [`LagRecorder`] shared by the dispatchers of one process.
 #[derive(Clone)]
 pub(super) struct SharedRecorder(Arc<Mutex<LagRecorder>>);
 
@@ -43,27 +46,27 @@
 impl LagRecorder {
     fn new() -> Result<Self, NodeError> {
         Ok(Self {
-            began: Instant::now(),
+            started_at: Instant::now(),
             ready_ms: Vec::new(),
-            were_current: HashSet::new(),
+            ever_current: HashSet::new(),
             current: HashMap::new(),
             purges: Histogram::new_with_bounds(1, MAX_LAG_US, LAG_SIGNIFICANT_DIGITS)?,
             changes: Histogram::new_with_bounds(1, MAX_LAG_US, LAG_SIGNIFICANT_DIGITS)?,
         })
     }
 
-    /// Records an update that is in force at this dispatcher now.
+    /// Records an update that has just come into force at `dispatcher`.
     pub(super) fn record(&mut self, dispatcher: usize, update: ControlUpdate) {
         let now = now_us();
         match update {
-            ControlUpdate::Purge(head) => {
-                if let Some(written) = head.object.as_deref().and_then(written_us) {
+            ControlUpdate::Purge(purge) => {
+                if let Some(written) = purge.object.as_deref().and_then(written_us) {
                     record_lag(&mut self.purges, now, written);
                 }
             }
-            // A change of one record carries its time as the incarnation.
-            ControlUpdate::EndpointList(head) if head.endpoints.len() == 1 => {
-                let written = head.endpoints[0].incarnation;
+            // The runner changes one record at a time and writes the time of the change as its incarnation.
+            ControlUpdate::EndpointList(list) if list.endpoints.len() == 1 => {
+                let written = list.endpoints[0].incarnation;
                 if written > MIN_TIMESTAMP_US {
                     record_lag(&mut self.changes, now, written);
                 }
@@ -75,8 +78,8 @@
 
     fn record_freshness(&mut self, dispatcher: usize, current: bool) {
         self.current.insert(dispatcher, current);
-        if current && self.were_current.insert(dispatcher) {
-            let ready_ms = self.began.elapsed().as_secs_f64() * 1e3;
+        if current && self.ever_current.insert(dispatcher) {
+            let ready_ms = self.started_at.elapsed().as_secs_f64() * 1e3;
             self.ready_ms.push(ready_ms);
         }
     }
@@ -86,7 +89,7 @@
         self.changes.clear();
     }
 
-    /// How many dispatchers have a current view.
+    /// Returns the number of dispatchers with a current view.
     pub(super) fn current(&self) -> usize {
         self.current.values().filter(|current| **current).count()
     }
@@ -101,7 +104,7 @@
 }
 
 fn record_lag(lags: &mut Histogram<u64>, now: u64, written: u64) {
-    // A lag above the histogram's bound is not recorded.
+    // Recording fails for a lag above the histogram's bound; the update then counts as missing.
     let _ = lags.record(now.saturating_sub(written).max(1));
 }
 
--- a/crates/scale/src/node/store.rs
+++ b/crates/scale/src/node/store.rs
@@ -1,4 +1,4 @@
-//! The process of the emulated control store.
+//! Runs the process of the emulated control store.
 use super::{send_report, CommandStream, NodeError};
 use crate::messages::{Command, Report};
 use pointspindle_etcd_emulator::EtcdEmulator;
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -1,17 +1,17 @@
-//! The measurements of a scale run, as they are kept in `steps.json`.
+//! The measurements of a scale run, as stored in `steps.json`.
 use pointspindle_dispatcher::StateCounts;
 use pointspindle_etcd_emulator::traffic::TrafficCounts;
 use serde::{Deserialize, Serialize};
 
-/// The lags of the updates of one phase, from written to in force at a dispatcher.
+/// Lags of the updates of one phase, from the write to the moment that the update is in force at a dispatcher.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Lag {
-    /// Updates written.
+    /// Number of updates written.
     pub written: u64,
-    /// Updates received, over all dispatchers.
+    /// Number of updates received, summed over all dispatchers.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Updates that a dispatcher never received, over all dispatchers.
+    /// Number of updates that a dispatcher did not receive, summed over all dispatchers.
     #[serde(rename = "never")]
     pub missing: u64,
     /// Median lag, milliseconds.
@@ -22,55 +22,57 @@
     pub longest_ms: f64,
 }
 
-/// The resources that all processes of one kind use together.
+/// Resources used by all processes of one kind together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResourceUsage {
-    /// Processor time as a share of a core, within the phase.
+    /// Processor time within the phase, divided by the phase's length.
     pub cores: f64,
     /// Resident memory, MB.
     pub memory_mb: f64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub descriptors: u64,
 }
 
-/// One phase at one size.
+/// Measurements of one phase at one fleet size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Phase {
-    /// The phase's name, as in the capacity page's figures.
+    /// Name of the phase, as in the names of figures.
     pub name: String,
-    /// Its length, seconds.
+    /// Length of the phase, seconds.
     pub seconds: f64,
-    /// The control store's traffic within the phase.
+    /// Traffic of the control store within the phase.
     pub traffic: TrafficCounts,
-    /// The control store's process.
+    /// Usage of the control store's process.
     pub store: ResourceUsage,
-    /// The hollow dispatchers' processes.
+    /// Usage of the hollow dispatchers' processes.
     pub dispatchers: ResourceUsage,
-    /// The hollow cache hosts' processes.
+    /// Usage of the hollow cache hosts' processes.
     pub hosts: ResourceUsage,
-    /// Lags of purges, where the phase writes purges.
+    /// Lags of purges, if the phase writes purges.
     pub purges: Option<Lag>,
-    /// Lags of changes of the endpoint list, where the phase writes those.
+    /// Lags of endpoint list changes, if the phase writes them.
     pub changes: Option<Lag>,
-    /// Until every view was current, milliseconds; none: not waited for.
+    /// Time until every view was current, milliseconds; `None` if the phase does not wait for it.
     #[serde(rename = "whole_ms")]
     pub current_after_ms: Option<f64>,
-    /// A dispatcher's state, on the mean.
+    /// Mean state counts of a dispatcher, rounded down.
     #[serde(rename = "items")]
     pub state: StateCounts,
 }
 
-/// All phases at one size.
+/// Measurements of all phases at one fleet size.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// Hollow dispatchers.
+    /// Number of hollow dispatchers.
     pub dispatchers: usize,
-    /// Hollow cache hosts.
+    /// Number of hollow cache hosts.
     pub hosts: usize,
     /// The phases in the order of the run.
     pub phases: Vec<Phase>,
-    /// From start to the first current view when all start at once: p50, p90 and longest, milliseconds.
+    /// Time from start to the first current view when all dispatchers start at once: p50, p90 and longest,
+    /// milliseconds.
     pub ready_ms: [f64; 3],
-    /// The same after a restart of one process's dispatchers.
+    /// Time from start to the first current view after a restart of one process's dispatchers: p50, p90 and longest,
+    /// milliseconds.
     pub restart_ready_ms: [f64; 3],
 }
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -1,4 +1,4 @@
-//! Plays a scale run: starts the processes of a fleet of one size, plays the phases, and measures each.
+//! Runs the phases of a scale run at one fleet size: starts the fleet's processes, then runs and measures each phase.
 mod fleet;
 mod lag;
 mod measurement;
@@ -14,20 +14,20 @@
 use phases::PhaseRunner;
 use std::path::Path;
 
-/// Why a scale run ended early.
+/// The error that ended a scale run early.
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// A process of the run, or the run itself, failed; this says nothing of the product.
-    #[error("the rig: {0}")]
+    /// A process of the run, or the run itself, failed. This is no failure of the product.
+    #[error("the scale run failed: {0}")]
     Run(#[from] RunError),
-    /// The fleet has outgrown the machine.
+    /// The fleet's processes use more memory than the machine can spare.
     #[error(
-        "the fleet holds {used_mb:.0} MB, over half of the machine's memory ({limit_mb:.0} MB): stopped here"
+        "the fleet uses {used_mb:.0} MB of memory, more than the limit of {limit_mb:.0} MB (half of the machine's memory); the scale run was stopped"
     )]
     MemoryLimit {
-        /// Memory of all processes, MB.
+        /// Memory used by all processes, MB.
         used_mb: f64,
-        /// The limit, MB.
+        /// Limit on the memory of all processes, MB.
         limit_mb: f64,
     },
 }
@@ -35,45 +35,45 @@
 /// A failure of the run itself.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A process could not be started, reached or ended.
+    /// A process could not be started or ended, or its standard input or output failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A process has no standard input or output.
-    #[error("a process without pipes")]
-    NoPipes,
-    /// A message cannot be written or parsed.
+    /// The standard input or output of a process is not connected to a pipe.
+    #[error("the standard input or output of a process is not connected to a pipe")]
+    MissingPipe,
+    /// A message to or from a process cannot be serialized or parsed.
     #[error(transparent)]
     Message(#[from] serde_json::Error),
-    /// A process did not report in time.
-    #[error("a process says nothing")]
-    NoReport,
-    /// A process ended.
-    #[error("a process of the rig died; what it stood for is not judged")]
+    /// A process did not report within the time limit.
+    #[error("a process did not report within 60 s")]
+    ReportTimeout,
+    /// A process ended early, or there is no process left to kill.
+    #[error("a process of the scale run ended early; the run gives no result for its nodes")]
     ProcessDied,
-    /// A process sent another report than its role's.
-    #[error("not {0}")]
+    /// A process sent a report that does not belong to its role.
+    #[error("unexpected report from a process: expected {0}")]
     UnexpectedReport(String),
-    /// The control store's client cannot be made.
+    /// The client of the control store cannot be created.
     #[error(transparent)]
     Etcd(#[from] pointspindle_etcd::EtcdError),
     /// A write to the control store failed.
     #[error(transparent)]
     Write(#[from] pointspindle_etcd::writer::WriteError),
-    /// Views were not current in time.
+    /// The views of some dispatchers were not current within the time limit.
     #[error(
-        "{current} of {dispatchers} views current, {registrations} registrations known in all, after a minute"
+        "not all views are current and complete after 60 s: {current} of {dispatchers} views current, {registrations} registrations known in total"
     )]
     NotCurrent {
-        /// Dispatchers with a current view.
+        /// Number of dispatchers with a current view.
         current: usize,
-        /// All dispatchers.
+        /// Number of dispatchers.
         dispatchers: usize,
-        /// Registrations known, summed over all dispatchers.
+        /// Number of known registrations, summed over all dispatchers.
         registrations: usize,
     },
 }
 
-/// Plays all phases at one size. `on_phase` is called with the name of each phase when it is over.
+/// Runs all phases at one fleet size. Calls `on_phase` with the name of each phase when the phase has ended.
 pub async fn play_step(
     program: &Path,
     target: &Target,
@@ -82,7 +82,7 @@
 ) -> Result<Step, ScaleError> {
     let fleet = Fleet::start(program, target, dispatchers).await?;
     let mut runner = PhaseRunner::new(fleet, target.clone(), dispatchers, on_phase);
-    let played = runner.play().await;
+    let result = runner.run_all_phases().await;
     let step = runner.end().await;
-    played.map(|()| step)
+    result.map(|()| step)
 }
--- a/crates/scale/src/runner/fleet.rs
+++ b/crates/scale/src/runner/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes of a fleet of one size, and its control store.
+//! The processes of a fleet of one size, and the client of its control store.
 use super::node_process::{NodeProcess, StartedProcess, REPORT_TIMEOUT};
 use super::usage::{FleetUsage, ProcessUsage};
 use super::RunError;
@@ -14,10 +14,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
+/// Time limit of a call to the control store.
 const CALL_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between two checks whether all views are current.
 const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The hollow dispatchers of one process.
+/// A process of hollow dispatchers.
 pub(super) struct DispatcherProcess {
     process: NodeProcess,
     nodes: NodeRange,
@@ -26,15 +28,15 @@
 /// A process of dispatchers that was killed.
 pub(super) struct KilledProcess {
     pub(super) nodes: NodeRange,
-    /// The processor time that it had used.
+    /// Processor time that the process had used, seconds.
     pub(super) cpu_seconds: f64,
 }
 
-/// The processes, and a client of the control store.
+/// The processes of a fleet, and a client of its control store.
 pub(super) struct Fleet {
     program: PathBuf,
     sites: usize,
-    /// The dispatchers' promise of purges, milliseconds; 0: none.
+    /// Promised time until a purge is in force, milliseconds; 0 means no promise.
     promise_ms: f64,
     store: NodeProcess,
     endpoint: String,
@@ -45,7 +47,8 @@
 }
 
 impl Fleet {
-    /// Starts the control store and the cache hosts, in proportion to the dispatchers, which are not started yet.
+    /// Starts the control store and the cache hosts. The number of cache hosts is in proportion to `dispatchers`, as in
+    /// the target. The dispatchers are started later.
     pub(super) async fn start(
         program: &Path,
         target: &Target,
@@ -53,7 +56,7 @@
     ) -> Result<Self, RunError> {
         let started = NodeProcess::start(program, &NodeRole::Store).await?;
         let Report::Store { endpoint, .. } = started.report else {
-            return Err(unexpected("the store's report"));
+            return Err(unexpected("a report of the control store"));
         };
         let access = Access {
             endpoints: vec![endpoint.clone()],
@@ -93,7 +96,7 @@
             let StartedProcess { process, report } =
                 NodeProcess::start(&self.program, &role).await?;
             let Report::CacheHosts(records) = report else {
-                return Err(unexpected("the cache hosts' report"));
+                return Err(unexpected("a report of cache hosts"));
             };
             self.host_records.extend(records);
             self.hosts.push(process);
@@ -127,7 +130,7 @@
         Ok(())
     }
 
-    /// Kills the last process of dispatchers.
+    /// Kills the dispatcher process that was started last.
     pub(super) async fn kill_last_dispatchers(&mut self) -> Result<KilledProcess, RunError> {
         let last = self.dispatchers.pop().ok_or(RunError::ProcessDied)?;
         let usage = ProcessUsage::of(last.process.pid());
@@ -157,18 +160,18 @@
         Ok(())
     }
 
-    /// Sends a command to the control store; its traffic so far.
+    /// Sends a command to the control store and returns the traffic since its start.
     pub(super) async fn command_store(
         &mut self,
         command: Command,
     ) -> Result<TrafficCounts, RunError> {
         match self.store.command(&command).await? {
             Report::Store { traffic, .. } => Ok(traffic),
-            _ => Err(unexpected("the store's report")),
+            _ => Err(unexpected("a report of the control store")),
         }
     }
 
-    /// Sends a command to all processes of dispatchers.
+    /// Sends a command to all dispatcher processes, one after another, and returns their reports.
     pub(super) async fn command_dispatchers(
         &mut self,
         command: Command,
@@ -177,7 +180,11 @@
         for dispatchers in &mut self.dispatchers {
             match dispatchers.process.command(&command).await? {
                 Report::Dispatchers(report) => reports.push(report),
-                other => return Err(unexpected(&format!("the dispatchers' report: {other:?}"))),
+                other => {
+                    return Err(unexpected(&format!(
+                        "a report of dispatchers, got {other:?}"
+                    )))
+                }
             }
         }
         Ok(reports)
@@ -192,18 +199,19 @@
         self.dispatchers.len()
     }
 
-    /// Waits until every view is current and knows every registration; how long it took, milliseconds.
+    /// Waits until every view is current and contains every registration. Returns the time that this took,
+    /// milliseconds.
     pub(super) async fn wait_until_current(&mut self) -> Result<f64, RunError> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let dispatchers = self.dispatcher_count();
         loop {
             let reports = self.command_dispatchers(Command::Report).await?;
             let current: usize = reports.iter().map(|report| report.current).sum();
             let registrations: usize = reports.iter().map(|r| r.state.dispatchers).sum();
             if current == dispatchers && registrations >= dispatchers * dispatchers {
-                return Ok(began.elapsed().as_secs_f64() * 1e3);
+                return Ok(started_at.elapsed().as_secs_f64() * 1e3);
             }
-            if began.elapsed() > REPORT_TIMEOUT {
+            if started_at.elapsed() > REPORT_TIMEOUT {
                 return Err(RunError::NotCurrent {
                     current,
                     dispatchers,
@@ -223,7 +231,7 @@
         }
     }
 
-    /// Ends all processes, the store last.
+    /// Ends all processes, the control store last.
     pub(super) async fn end(self) {
         let dispatchers = self.dispatchers.into_iter().map(|d| d.process);
         for process in dispatchers.chain(self.hosts).chain([self.store]) {
--- a/crates/scale/src/runner/lag.rs
+++ b/crates/scale/src/runner/lag.rs
@@ -1,11 +1,11 @@
-//! Lags and other distributions over all dispatchers.
+//! Quantiles of lags and other times over all dispatchers.
 use crate::messages::LagCount;
 use crate::results::Lag;
 use std::collections::BTreeMap;
 
 const MICROS_PER_MS: f64 = 1e3;
 
-/// How often each lag was recorded, by microseconds.
+/// Number of times that each lag was recorded, by the lag in microseconds.
 struct Distribution(BTreeMap<u64, u64>);
 
 impl Distribution {
@@ -21,13 +21,13 @@
         self.0.values().sum()
     }
 
-    /// The lag at a quantile, milliseconds; 0: none was recorded.
+    /// Returns the lag at a quantile in milliseconds, or 0 if no lag was recorded.
     fn quantile_ms(&self, quantile: f64) -> f64 {
         let rank = (quantile * self.count() as f64).ceil() as u64;
-        let mut seen = 0;
+        let mut cumulative = 0;
         let at_rank = self.0.iter().find(|(_, count)| {
-            seen += **count;
-            seen >= rank
+            cumulative += **count;
+            cumulative >= rank
         });
         let longest = self.0.iter().next_back();
         let found = at_rank.or(longest);
@@ -35,7 +35,7 @@
     }
 }
 
-/// The lag of `written` updates at `dispatchers`.
+/// Returns the lags of `written` updates, each of which is expected at all `dispatchers`.
 pub(super) fn lag<'a>(
     written: u64,
     dispatchers: u64,
@@ -53,7 +53,7 @@
     }
 }
 
-/// p50, p90 and the longest.
+/// Returns the median, the 90th percentile and the largest of the values; 0 for each if there are none.
 pub(super) fn p50_p90_longest(mut values: Vec<f64>) -> [f64; 3] {
     values.sort_by(f64::total_cmp);
     let quantile = |quantile: f64| {
--- a/crates/scale/src/runner/measurement.rs
+++ b/crates/scale/src/runner/measurement.rs
@@ -10,20 +10,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How many updates were written in a phase.
+/// Number of updates that were written in a phase, by their kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Written {
-    Nothing,
+    NoUpdates,
     Purges(u64),
     Changes(u64),
 }
 
 /// The counters at the start of a phase.
 pub(super) struct PhaseMeasurement {
-    began: Instant,
+    started_at: Instant,
     traffic: TrafficCounts,
     usage: FleetUsage,
-    /// Processor time of dispatchers' processes that were killed within the phase.
+    /// Processor time of the dispatcher processes that were killed within the phase, seconds since the start of each
+    /// process.
     killed_cpu_seconds: f64,
 }
 
@@ -35,20 +36,20 @@
             traffic,
             usage: fleet.usage(),
             killed_cpu_seconds: 0.0,
-            began: Instant::now(),
+            started_at: Instant::now(),
         })
     }
 
     pub(super) fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// A process was killed that had used so much processor time since its start.
+    /// Adds the processor time that a killed process had used since its start.
     pub(super) fn add_killed(&mut self, cpu_seconds: f64) {
         self.killed_cpu_seconds += cpu_seconds;
     }
 
-    /// What the phase has cost until now.
+    /// Ends the phase and returns its measurements.
     pub(super) async fn end(
         self,
         fleet: &mut Fleet,
@@ -73,14 +74,15 @@
         let purges = reports.iter().flat_map(|report| &report.purges);
         let changes = reports.iter().flat_map(|report| &report.changes);
         match written {
-            Written::Nothing => {}
+            Written::NoUpdates => {}
             Written::Purges(written) => phase.purges = Some(lag(written, count as u64, purges)),
             Written::Changes(written) => phase.changes = Some(lag(written, count as u64, changes)),
         }
         Ok(phase)
     }
 
-    /// With the processor time of killed processes, as far as it was read before the end of each.
+    /// Returns the dispatchers' usage within the phase, including the processor time of killed processes as read before
+    /// each was killed.
     fn dispatcher_usage(&self, now: &FleetUsage, seconds: f64) -> ResourceUsage {
         let mut total = now.dispatchers;
         total.cpu_seconds += self.killed_cpu_seconds;
@@ -92,7 +94,7 @@
     }
 }
 
-/// The state of a dispatcher on the mean, rounded down.
+/// Returns the mean state of a dispatcher, each count rounded down.
 fn mean_state(reports: &[DispatcherReport], dispatchers: usize) -> StateCounts {
     let mean = |count: fn(&StateCounts) -> usize| {
         let sum: usize = reports.iter().map(|report| count(&report.state)).sum();
--- a/crates/scale/src/runner/node_process.rs
+++ b/crates/scale/src/runner/node_process.rs
@@ -1,4 +1,4 @@
-//! One process of a scale run, as the runner sees it.
+//! A process of a scale run, as the runner controls it.
 use super::RunError;
 use crate::messages::{Command, NodeRole, Report};
 use serde::Serialize;
@@ -9,20 +9,21 @@
 use tokio::process::{Child, ChildStdin, ChildStdout};
 use tokio::time::timeout;
 
-/// Longest wait for a report.
+/// Longest wait for a report or for current views.
 pub(super) const REPORT_TIMEOUT: Duration = Duration::from_secs(60);
-/// A process that is to end is killed after this.
+/// Time for a process to end by itself before it is killed.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(2);
-/// The arguments with which the program runs a [`NodeRole`].
+/// Command line arguments that make the program run a [`NodeRole`].
 const NODE_ARGUMENTS: [&str; 4] = ["--log", "error", "lab", "scale-part"];
 
+/// A child process, and the pipes for its commands and reports.
 pub(super) struct NodeProcess {
     child: Child,
     commands: ChildStdin,
     reports: Lines<BufReader<ChildStdout>>,
 }
 
-/// A process that is ready, and its first report.
+/// A process that has started, and its first report.
 pub(super) struct StartedProcess {
     pub(super) process: NodeProcess,
     pub(super) report: Report,
@@ -36,8 +37,8 @@
             .stdout(Stdio::piped())
             .kill_on_drop(true)
             .spawn()?;
-        let commands = child.stdin.take().ok_or(RunError::NoPipes)?;
-        let reports = child.stdout.take().ok_or(RunError::NoPipes)?;
+        let commands = child.stdin.take().ok_or(RunError::MissingPipe)?;
+        let reports = child.stdout.take().ok_or(RunError::MissingPipe)?;
         let mut process = Self {
             child,
             commands,
@@ -57,12 +58,12 @@
     async fn receive(&mut self) -> Result<Report, RunError> {
         let line = timeout(REPORT_TIMEOUT, self.reports.next_line())
             .await
-            .map_err(|_| RunError::NoReport)??;
+            .map_err(|_| RunError::ReportTimeout)??;
         let line = line.ok_or(RunError::ProcessDied)?;
         Ok(serde_json::from_str(&line)?)
     }
 
-    /// Sends a command and waits for its report.
+    /// Sends a command and returns the report that answers it.
     pub(super) async fn command(&mut self, command: &Command) -> Result<Report, RunError> {
         self.send(command).await?;
         self.receive().await
@@ -80,7 +81,7 @@
     pub(super) async fn end(mut self) {
         drop(self.commands);
         if timeout(SHUTDOWN_TIMEOUT, self.child.wait()).await.is_err() {
-            // Dropped in any case, which kills it too.
+            // A failure to kill it here is ignored: dropping the child kills it too.
             let _ = self.child.kill().await;
         }
     }
--- a/crates/scale/src/runner/phases.rs
+++ b/crates/scale/src/runner/phases.rs
@@ -1,4 +1,4 @@
-//! The phases of a scale run.
+//! Runs the phases of a scale run.
 use super::fleet::Fleet;
 use super::lag::p50_p90_longest;
 use super::measurement::{PhaseMeasurement, Written};
@@ -12,32 +12,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After this the lease of a killed dispatcher's registration has expired.
+/// Time after which the registration lease of a killed dispatcher has expired.
 const REGISTRATION_LEASE: Duration = Duration::from_secs(6);
-/// Connections to cache hosts and their first frames are over by then.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
-/// After the last write of a phase, for the updates to come into force.
-const SETTLE_TIME: Duration = Duration::from_millis(500);
+/// Time for dispatchers to connect to cache hosts and exchange the first frames, so that the next phase excludes them.
+const CONNECT_DURATION: Duration = Duration::from_secs(1);
+/// Time for updates to come into force after the last write of a phase.
+const SETTLE_DURATION: Duration = Duration::from_millis(500);
+/// Interval between two changes of endpoint records.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between two checks of the purges received after a burst.
 const BURST_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Factor by which the high purge rate exceeds the target's rate.
 const HIGH_PURGE_RATE_FACTOR: f64 = 10.0;
-/// The part of the machine's memory that a fleet may use.
-const MEMORY_LIMIT: f64 = 0.5;
+/// Largest share of the machine's memory that a fleet may use.
+const MAX_MEMORY_SHARE: f64 = 0.5;
 
-/// What becomes of the control store's history in an outage.
+/// Whether the control store's history is compacted during an outage.
 #[derive(Clone, Copy, PartialEq)]
 enum Outage {
     WithHistory,
     WithCompaction,
 }
 
-/// Plays the phases at one size.
+/// Runs the phases at one fleet size.
 pub(super) struct PhaseRunner<F> {
     fleet: Fleet,
     target: Target,
     dispatchers: usize,
     step: Step,
-    /// Purges written in all phases so far.
+    /// Number of purges written in all phases so far.
     purges_written: usize,
     on_phase: F,
 }
@@ -59,8 +62,8 @@
         }
     }
 
-    /// Plays all phases.
-    pub(super) async fn play(&mut self) -> Result<(), ScaleError> {
+    /// Runs all phases in order.
+    pub(super) async fn run_all_phases(&mut self) -> Result<(), ScaleError> {
         let purge_rate = self.target.workload.purges_per_s;
         self.start_all().await?;
         self.rest().await?;
@@ -75,13 +78,13 @@
         self.break_streams().await
     }
 
-    /// Ends the fleet; what was measured.
+    /// Ends the fleet's processes and returns the measurements.
     pub(super) async fn end(self) -> Step {
         self.fleet.end().await;
         self.step
     }
 
-    /// All dispatchers start at once.
+    /// Starts all dispatchers at once.
     async fn start_all(&mut self) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         let per_process = self.target.run.dispatchers_per_process;
@@ -91,35 +94,36 @@
         }
         self.end_phase_when_current(measurement, "start").await?;
         self.step.ready_ms = self.ready_ms(0).await?;
-        tokio::time::sleep(CONNECT_TIME).await;
+        tokio::time::sleep(CONNECT_DURATION).await;
         Ok(())
     }
 
-    /// Nothing happens.
+    /// Measures the fleet without any updates.
     async fn rest(&mut self) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         tokio::time::sleep(self.phase_length()).await;
-        self.end_phase(measurement, "rest", Written::Nothing).await
+        self.end_phase(measurement, "rest", Written::NoUpdates)
+            .await
     }
 
-    /// Purges at a rate, per second.
+    /// Writes purges at `rate`, per second.
     async fn purges(&mut self, name: &str, rate: f64) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         let length = self.phase_length();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut written = 0;
-        while began.elapsed() < length {
-            let due = began + Duration::from_secs_f64(written as f64 / rate);
+        while started_at.elapsed() < length {
+            let due = started_at + Duration::from_secs_f64(written as f64 / rate);
             tokio::time::sleep_until(due).await;
             self.write_purge().await?;
             written += 1;
         }
-        tokio::time::sleep(SETTLE_TIME).await;
+        tokio::time::sleep(SETTLE_DURATION).await;
         self.end_phase(measurement, name, Written::Purges(written))
             .await
     }
 
-    /// Changes of endpoint records, one after another.
+    /// Changes the records of endpoints one after another.
     async fn changes(&mut self) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         let length = self.phase_length();
@@ -135,12 +139,12 @@
             written += 1;
             tokio::time::sleep(CHANGE_INTERVAL).await;
         }
-        tokio::time::sleep(SETTLE_TIME).await;
+        tokio::time::sleep(SETTLE_DURATION).await;
         self.end_phase(measurement, "changes", Written::Changes(written as u64))
             .await
     }
 
-    /// Many purges, as fast as the store accepts them.
+    /// Writes a burst of purges as fast as the control store accepts them.
     async fn purge_burst(&mut self) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         let count = self.target.run.burst_purges;
@@ -152,7 +156,7 @@
             .await
     }
 
-    /// One process of dispatchers is killed, and started again after its leases have expired.
+    /// Kills one dispatcher process and starts its dispatchers again after their registration leases have expired.
     async fn restart(&mut self) -> Result<(), ScaleError> {
         let mut measurement = self.begin_phase().await?;
         let killed = self.fleet.kill_last_dispatchers().await?;
@@ -167,7 +171,8 @@
         Ok(())
     }
 
-    /// The control store is unavailable for a while; its history may be compacted meanwhile.
+    /// Makes the control store unavailable for a while. With [`Outage::WithCompaction`] its history is compacted before
+    /// it becomes available again.
     async fn outage(&mut self, name: &str, kind: Outage) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         self.fleet
@@ -183,7 +188,7 @@
         self.end_phase_when_current(measurement, name).await
     }
 
-    /// All streams break at once.
+    /// Breaks all streams of the control store at once.
     async fn break_streams(&mut self) -> Result<(), ScaleError> {
         let measurement = self.begin_phase().await?;
         self.fleet.command_store(Command::DropStreams).await?;
@@ -201,7 +206,8 @@
         Ok(())
     }
 
-    /// Waits until all dispatchers have received so many purges, or none has received any more for a second.
+    /// Waits until every dispatcher has received `purges` purges, or until no further purge has arrived between two
+    /// checks.
     async fn wait_until_received(&mut self, purges: u64) -> Result<(), RunError> {
         let expected = purges * self.fleet.dispatcher_count() as u64;
         let mut received_before = 0;
@@ -217,7 +223,8 @@
         }
     }
 
-    /// Start to ready of the dispatchers of the processes from this one on.
+    /// Returns the times from start to ready of the dispatchers in all processes from `first_process` on: median, 90th
+    /// percentile and longest, milliseconds.
     async fn ready_ms(&mut self, first_process: usize) -> Result<[f64; 3], RunError> {
         let reports = self.fleet.command_dispatchers(Command::Report).await?;
         let reports = reports.into_iter().skip(first_process);
@@ -229,18 +236,18 @@
         PhaseMeasurement::begin(&mut self.fleet).await
     }
 
-    /// Ends the phase when every view is current, and records how long that took.
+    /// Waits until every view is current, then ends the phase and records the time that the wait took.
     async fn end_phase_when_current(
         &mut self,
         measurement: PhaseMeasurement,
         name: &str,
     ) -> Result<(), ScaleError> {
-        let whole_ms = self.fleet.wait_until_current().await?;
+        let elapsed_ms = self.fleet.wait_until_current().await?;
         let phase = measurement
-            .end(&mut self.fleet, name, Written::Nothing)
+            .end(&mut self.fleet, name, Written::NoUpdates)
             .await?;
         self.record_phase(Phase {
-            current_after_ms: Some(whole_ms),
+            current_after_ms: Some(elapsed_ms),
             ..phase
         })
     }
@@ -265,7 +272,7 @@
 
 fn check_memory(phase: &Phase) -> Result<(), ScaleError> {
     let used_mb = phase.store.memory_mb + phase.dispatchers.memory_mb + phase.hosts.memory_mb;
-    let limit_mb = machine_mb() * MEMORY_LIMIT;
+    let limit_mb = machine_mb() * MAX_MEMORY_SHARE;
     if limit_mb > 0.0 && used_mb > limit_mb {
         return Err(ScaleError::MemoryLimit { used_mb, limit_mb });
     }
--- a/crates/scale/src/runner/usage.rs
+++ b/crates/scale/src/runner/usage.rs
@@ -1,11 +1,11 @@
-//! Processor time, memory and descriptors of processes, from `/proc`.
+//! Reads the processor time, memory and descriptors of processes from `/proc`.
 use crate::results::ResourceUsage;
 use pointspindle_testbed::idle::process_usage;
 
 const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
 const KB_PER_MB: f64 = 1024.0;
 
-/// What processes have used up to a moment.
+/// Resources that one or several processes have used since their start.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ProcessUsage {
     pub(super) cpu_seconds: f64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The sum over processes.
+    /// Returns the sum of the usage of several processes.
     pub(super) fn of_all(pids: impl Iterator<Item = u32>) -> Self {
         let mut sum = Self::default();
         for usage in pids.map(Self::of) {
@@ -36,7 +36,7 @@
         sum
     }
 
-    /// The usage within the `seconds` that have passed since `earlier`.
+    /// Returns the usage within the `seconds` that have passed since `earlier`.
     pub(super) fn since(&self, earlier: &Self, seconds: f64) -> ResourceUsage {
         ResourceUsage {
             cores: (self.cpu_seconds - earlier.cpu_seconds) / seconds,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The usage of a fleet's processes by their kind.
+/// Usage of a fleet's processes, by their kind.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FleetUsage {
     pub(super) store: ProcessUsage,
@@ -54,7 +54,7 @@
     pub(super) hosts: ProcessUsage,
 }
 
-/// The machine's memory, MB; 0: it cannot be read.
+/// Returns the machine's total memory in MB, or 0 if it cannot be read.
 pub fn machine_mb() -> f64 {
     let info = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let total = info.lines().find_map(|line| line.strip_prefix("MemTotal:"));
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -1,6 +1,6 @@
-//! Fits each figure over the sizes: a line `a + b N`, or a curve `a + b N + c N^2` where the figure grows faster than a
-//! line. A figure that grows more slowly stays a line: extrapolated beyond the sizes measured, a falling curve would
-//! promise what nobody has measured.
+//! Fits each figure over the fleet sizes: a line `a + b N`, or a curve `a + b N + c N^2` if the figure grows faster
+//! than a line. A figure that grows more slowly is fitted by a line, because a curve that bends downwards could
+//! underestimate it when extrapolated beyond the sizes measured.
 mod figures;
 
 pub use figures::{figures, Figure};
@@ -9,97 +9,98 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A curve is used only where it leaves less than this share of the line's residual; else it fits noise.
+/// A curve is used only if its residual is less than this share of the line's residual; otherwise it fits noise.
 const MAX_CURVE_RESIDUAL_RATIO: f64 = 0.25;
-/// A curve is used only where its quadratic term is at least this share of the largest value, at the largest size.
+/// A curve is used only if its quadratic term at the largest size is more than this share of the largest value.
 const MIN_QUADRATIC_SHARE: f64 = 0.1;
-/// A curve needs more points than this: through three a curve always goes.
-const MAX_POINTS_OF_A_LINE: usize = 3;
-/// Runs whose values at the largest size differ by more than this share give no slope.
+/// A curve is used only with more points than this, because a curve fits any three points exactly.
+const MAX_POINTS_WITHOUT_CURVE: usize = 3;
+/// A fit is not reliable if the runs' values at the largest size differ by more than this share of the largest of them.
 pub const MAX_SPREAD: f64 = 0.35;
-/// A fit that is further off than this share of the largest value gives no slope.
+/// A fit is not reliable if its residual exceeds this share of the largest value.
 pub const MAX_RESIDUAL: f64 = 0.25;
-/// Below this a largest value counts as this, so that shares of it are finite.
+/// Lower bound of the largest value, so that shares of it are finite.
 const MIN_LARGEST_VALUE: f64 = 1e-12;
 
-/// A figure as a function of the number of dispatchers, and where it was measured.
+/// The fit of a figure as a function of the number of dispatchers, and the range of sizes that it was measured at.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// The figure's unit.
+    /// Unit of the figure.
     pub unit: String,
-    /// The constant term.
+    /// Constant term.
     #[serde(rename = "a")]
     pub intercept: f64,
-    /// The coefficient of N.
+    /// Coefficient of N.
     #[serde(rename = "b")]
     pub linear: f64,
-    /// The coefficient of N^2; 0: a line.
+    /// Coefficient of N^2; 0 for a line.
     #[serde(default, rename = "c")]
     pub quadratic: f64,
-    /// Largest distance of a measured value from the fit, as a share of the largest value.
+    /// Largest distance of a value (the mean of the runs) from the fit, as a share of the largest value.
     pub residual: f64,
-    /// Smallest size measured, dispatchers.
+    /// Smallest size measured, in dispatchers.
     #[serde(rename = "from")]
     pub min_dispatchers: usize,
-    /// Largest size measured, dispatchers.
+    /// Largest size measured, in dispatchers.
     #[serde(rename = "to")]
     pub max_dispatchers: usize,
     /// Largest value measured, in any run at any size.
     #[serde(default, rename = "most")]
     pub max_value: f64,
-    /// How far the runs are apart at the largest size, as a share; none: one run only.
+    /// Difference between the runs' values at the largest size, as a share of the largest of them; `None` for a single
+    /// run.
     #[serde(default)]
     pub spread: Option<f64>,
 }
 
 impl Slope {
-    /// The figure at a size.
+    /// Returns the fitted value of the figure at a size.
     pub fn value_at(&self, dispatchers: f64) -> f64 {
         self.intercept + self.linear * dispatchers + self.quadratic * dispatchers * dispatchers
     }
 
-    /// Whether the runs agree, and the fit is close to the values measured.
-    pub fn is_used(&self) -> bool {
+    /// Whether the runs agree and the fit is close to the values measured.
+    pub fn is_reliable(&self) -> bool {
         self.spread.is_none_or(|spread| spread <= MAX_SPREAD) && self.residual <= MAX_RESIDUAL
     }
 }
 
-/// The fits of a scale run, kept beside the capacity page.
+/// The fits of a scale run, as stored in `slopes.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
-    /// The commit that was measured.
+    /// Commit that was measured.
     pub commit: String,
-    /// When the run ended.
+    /// Time at which the fits were made, as an HTTP date.
     pub date: String,
-    /// The machine's cores and memory.
+    /// Cores and memory of the machine.
     pub machine: String,
     /// Length of a phase, seconds.
     pub seconds: f64,
-    /// The sizes measured, dispatchers.
+    /// Sizes measured, in dispatchers.
     pub steps: Vec<usize>,
-    /// How often each size was measured.
+    /// Number of times that each size was measured.
     pub runs: usize,
-    /// The fits by figure, `phase/what`.
+    /// The fits, by the name of the figure (`phase/metric`).
     pub figures: BTreeMap<String, Slope>,
-    /// Counts over all sizes, which have no slope.
+    /// Counts over all sizes, which are not fitted.
     pub counts: BTreeMap<String, f64>,
 }
 
-/// A figure's value at one size.
+/// The value of a figure at one size.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Point {
-    /// The size.
+    /// Number of dispatchers.
     pub dispatchers: f64,
-    /// The value.
+    /// Value of the figure.
     pub value: f64,
 }
 
-/// The coefficients of a polynomial, and the largest distance of a point from it.
+/// A polynomial of at most the second degree, and the largest distance of a fitted point from it.
 struct Polynomial {
     intercept: f64,
     linear: f64,
     quadratic: f64,
-    max_distance: f64,
+    max_residual: f64,
 }
 
 impl Polynomial {
@@ -108,11 +109,11 @@
             intercept: value,
             linear: 0.0,
             quadratic: 0.0,
-            max_distance: 0.0,
+            max_residual: 0.0,
         }
     }
 
-    /// The least-squares polynomial of this degree; none: there are too few points.
+    /// Returns the least-squares polynomial of this degree, or `None` if there are too few points.
     fn fit(points: &[Point], degree: usize) -> Option<Self> {
         if points.len() <= degree {
             return None;
@@ -125,9 +126,9 @@
             intercept: coefficients[0],
             linear: coefficients[1],
             quadratic: coefficients[2],
-            max_distance: 0.0,
+            max_residual: 0.0,
         };
-        polynomial.max_distance = points
+        polynomial.max_residual = points
             .iter()
             .map(|point| polynomial.distance(point))
             .fold(0.0, f64::max);
@@ -140,7 +141,7 @@
     }
 }
 
-/// Fits one figure; none: there are no points.
+/// Fits one figure. Returns `None` if there are no points or the fit fails.
 pub fn fit(unit: &str, points: &[Point]) -> Option<Slope> {
     let sizes = || points.iter().map(|point| point.dispatchers);
     let values = || points.iter().map(|point| point.value);
@@ -154,8 +155,8 @@
         _ => Polynomial::fit(points, 1)?,
     };
     let curve = Polynomial::fit(points, 2).filter(|curve| {
-        points.len() > MAX_POINTS_OF_A_LINE
-            && curve.max_distance < MAX_CURVE_RESIDUAL_RATIO * line.max_distance
+        points.len() > MAX_POINTS_WITHOUT_CURVE
+            && curve.max_residual < MAX_CURVE_RESIDUAL_RATIO * line.max_residual
             && curve.quadratic * largest_size * largest_size > MIN_QUADRATIC_SHARE * largest
     });
     let best = curve.unwrap_or(line);
@@ -164,7 +165,7 @@
         intercept: best.intercept,
         linear: best.linear,
         quadratic: best.quadratic,
-        residual: best.max_distance / largest,
+        residual: best.max_residual / largest,
         min_dispatchers: sizes().fold(f64::INFINITY, f64::min) as usize,
         max_dispatchers: largest_size as usize,
         max_value: values().fold(f64::NEG_INFINITY, f64::max),
@@ -172,7 +173,7 @@
     })
 }
 
-/// A figure's values in all runs, by size.
+/// The values of a figure in all runs, by size.
 struct MeasuredValues {
     unit: &'static str,
     by_size: BTreeMap<usize, Vec<f64>>,
@@ -186,7 +187,7 @@
         }
     }
 
-    /// The fit of the runs' means.
+    /// Returns the fit of the means over the runs.
     fn fit(&self, runs: usize) -> Option<Slope> {
         let mean = |values: &Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
         let points: Vec<Point> = self
@@ -205,7 +206,8 @@
         })
     }
 
-    /// How far the runs are apart, as a share, at the largest size: a larger fleet is extrapolated from there.
+    /// Returns the difference between the runs' values at the largest size, as a share of the largest of them. The
+    /// largest size decides because larger fleets are extrapolated from it.
     fn spread(&self) -> Option<f64> {
         let values = self.by_size.values().next_back()?.iter().copied();
         let smallest = values.clone().fold(f64::INFINITY, f64::min);
@@ -218,7 +220,7 @@
     }
 }
 
-/// The fits of one or several runs over the same sizes, by figure.
+/// Returns the fits of one or several runs over the same sizes, by the name of the figure.
 pub fn slopes(runs: &[Vec<Step>]) -> BTreeMap<String, Slope> {
     let mut measured: BTreeMap<String, MeasuredValues> = BTreeMap::new();
     for step in runs.iter().flatten() {
@@ -226,8 +228,8 @@
             let values = measured
                 .entry(figure.name)
                 .or_insert_with(|| MeasuredValues::new(figure.unit));
-            let of_size = values.by_size.entry(step.dispatchers).or_default();
-            of_size.push(figure.value);
+            let size_values = values.by_size.entry(step.dispatchers).or_default();
+            size_values.push(figure.value);
         }
     }
     let fitted = measured
--- a/crates/scale/src/slopes/figures.rs
+++ b/crates/scale/src/slopes/figures.rs
@@ -1,21 +1,21 @@
-//! The figures of a step, by name.
+//! Derives the named figures from the measurements of a step.
 use crate::results::{Lag, Phase, Step};
 use pointspindle_etcd_emulator::traffic::MessageCounts;
 
 const BYTES_PER_KB: f64 = 1024.0;
 
-/// A measured figure.
+/// A measured figure of a phase.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
-    /// `phase/what`.
+    /// Name of the figure: `phase/metric`.
     pub name: String,
-    /// Its unit; may be empty.
+    /// Unit of the figure; empty for counts.
     pub unit: &'static str,
-    /// Its value.
+    /// Value of the figure.
     pub value: f64,
 }
 
-/// All figures of a step.
+/// Returns all figures of a step.
 pub fn figures(step: &Step) -> Vec<Figure> {
     let mut figures = Vec::new();
     for phase in &step.phases {
@@ -26,15 +26,15 @@
         };
         collector.add_all();
     }
-    add_ready(&mut figures, "start", step.ready_ms);
-    add_ready(&mut figures, "restart", step.restart_ready_ms);
+    add_ready_times(&mut figures, "start", step.ready_ms);
+    add_ready_times(&mut figures, "restart", step.restart_ready_ms);
     figures
 }
 
-fn add_ready(figures: &mut Vec<Figure>, phase: &str, [p50, p90, longest]: [f64; 3]) {
-    for (what, value) in [("p50", p50), ("p90", p90), ("longest", longest)] {
+fn add_ready_times(figures: &mut Vec<Figure>, phase: &str, [p50, p90, longest]: [f64; 3]) {
+    for (metric, value) in [("p50", p50), ("p90", p90), ("longest", longest)] {
         figures.push(Figure {
-            name: format!("{phase}/ready {what}"),
+            name: format!("{phase}/ready {metric}"),
             unit: "ms",
             value,
         });
@@ -49,9 +49,9 @@
 }
 
 impl Collector<'_> {
-    fn add(&mut self, what: &str, unit: &'static str, value: f64) {
+    fn add(&mut self, metric: &str, unit: &'static str, value: f64) {
         self.figures.push(Figure {
-            name: format!("{}/{what}", self.phase.name),
+            name: format!("{}/{metric}", self.phase.name),
             unit,
             value,
         });
@@ -84,7 +84,8 @@
         self.add("store bytes in", "KB/s", bytes_in);
     }
 
-    /// What the store sends is what the dispatchers receive.
+    /// Adds the figures of a dispatcher. Its traffic is derived from the control store's: the bytes that the store
+    /// sends are received by the dispatchers, and the other way round.
     fn add_dispatchers(&mut self) {
         let phase = self.phase;
         let n = self.dispatchers;
@@ -120,11 +121,11 @@
         self.add(&format!("{kind} bytes"), "KB/s", bytes);
     }
 
-    fn add_lag(&mut self, what: &str, lag: Option<&Lag>) {
+    fn add_lag(&mut self, metric: &str, lag: Option<&Lag>) {
         let Some(lag) = lag else { return };
-        self.add(&format!("{what} in force p50"), "ms", lag.p50_ms);
-        self.add(&format!("{what} in force p99"), "ms", lag.p99_ms);
-        self.add(&format!("{what} in force longest"), "ms", lag.longest_ms);
+        self.add(&format!("{metric} in force p50"), "ms", lag.p50_ms);
+        self.add(&format!("{metric} in force p99"), "ms", lag.p99_ms);
+        self.add(&format!("{metric} in force longest"), "ms", lag.longest_ms);
     }
 
     fn kb_per_second(&self, bytes: u64) -> f64 {
--- a/crates/scale/src/target.rs
+++ b/crates/scale/src/target.rs
@@ -1,34 +1,34 @@
-//! The fleet that capacity is planned for, its budgets, and the settings of the run, read from INI.
+//! Reads the fleet that capacity is planned for, its budgets and the settings of the run from an INI file.
 use pointspindle_config::{ConfigErrors, Reader};
 use serde::{Deserialize, Serialize};
 
-/// More dispatchers, hosts or sites than this cannot be planned for.
+/// Largest number of dispatchers, hosts or sites of a target.
 const MAX_COUNT: usize = 100_000;
 
 /// The fleet that capacity is planned for, its budgets, and the settings of the run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
-    /// How large the fleet is.
+    /// Size of the fleet.
     #[serde(flatten)]
     pub fleet: FleetSize,
-    /// What it has to do.
+    /// Workload of the fleet.
     #[serde(flatten)]
     pub workload: Workload,
-    /// Machines for the control store.
+    /// Number of machines of the control store.
     pub control_machines: usize,
-    /// Promise: a purge is in force everywhere within this, milliseconds.
+    /// Promised time until a purge is in force everywhere, milliseconds.
     #[serde(rename = "purge_ms")]
     pub purge_promise_ms: f64,
-    /// Promise: a change of the endpoint list is in force everywhere within this, milliseconds.
+    /// Promised time until a change of the endpoint list is in force everywhere, milliseconds.
     #[serde(rename = "change_ms")]
     pub change_promise_ms: f64,
-    /// Budget of a dispatcher's control plane: cores.
+    /// Processor budget of a dispatcher's control plane, cores.
     #[serde(rename = "core_share")]
     pub max_cores: f64,
-    /// Budget of a dispatcher's control plane: resident memory, MB.
+    /// Budget of a dispatcher's control plane for resident memory, MB.
     #[serde(rename = "memory_mb")]
     pub max_memory_mb: f64,
-    /// Budget of a dispatcher's control plane: traffic in each direction, KB/s.
+    /// Budget of a dispatcher's control plane for traffic in each direction, KB/s.
     #[serde(rename = "kb_per_s")]
     pub max_kb_per_s: f64,
     /// Length of each phase of the run, seconds.
@@ -39,50 +39,50 @@
     pub run: RunSettings,
 }
 
-/// How large a fleet is.
+/// The size of a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FleetSize {
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub dispatchers: usize,
-    /// Sites that the dispatchers are spread over.
+    /// Number of sites that the dispatchers are spread over.
     pub sites: usize,
-    /// Cache hosts.
+    /// Number of cache hosts.
     pub hosts: usize,
-    /// Regions.
+    /// Number of regions.
     pub regions: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
 }
 
-/// What a fleet has to do.
+/// The workload of a fleet.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Workload {
-    /// Client requests a second.
+    /// Client requests per second.
     pub requests_per_s: f64,
-    /// Objects, in millions.
+    /// Number of objects, in millions.
     #[serde(rename = "objects_m")]
     pub objects_millions: f64,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_s: f64,
-    /// Changes of configuration a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// Restarts of machines a day.
+    /// Machine restarts per day.
     pub restarts_per_day: f64,
 }
 
-/// How a scale run is played.
+/// The settings of a scale run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RunSettings {
-    /// Hollow dispatchers in one process.
+    /// Number of hollow dispatchers in one process.
     #[serde(rename = "each")]
     pub dispatchers_per_process: usize,
-    /// Hollow cache hosts in one process.
+    /// Number of hollow cache hosts in one process.
     #[serde(rename = "hosts_each")]
     pub hosts_per_process: usize,
-    /// Purges of the burst.
+    /// Number of purges in the burst.
     #[serde(rename = "storm")]
     pub burst_purges: usize,
-    /// Hollow dispatchers promise that purges are in force within [`Target::purge_promise_ms`], and confirm it.
+    /// Whether hollow dispatchers promise that purges are in force within [`Target::purge_promise_ms`] and confirm it.
     #[serde(rename = "promise")]
     pub promises_purges: bool,
     /// Length of an outage of the control store, seconds.
@@ -90,7 +90,7 @@
     pub outage_s: f64,
 }
 
-/// Reads a target. `name` is the file's, for errors.
+/// Reads a target from the text of a file. `name` is the file's name in error messages.
 pub fn read_target(name: &str, text: &str) -> Result<Target, ConfigErrors> {
     let mut reader = Reader::new(name, text)?;
     let r = &mut reader;
@@ -113,8 +113,8 @@
 }
 
 fn read_fleet(r: &mut Reader) -> FleetSize {
-    let dispatchers = "how many dispatchers there will be";
-    let hosts = "how many cache hosts there will be";
+    let dispatchers = "a number of dispatchers";
+    let hosts = "a number of cache hosts";
     FleetSize {
         dispatchers: r.required("target", "dispatchers", 0usize, dispatchers),
         sites: r.number("target", "sites", 1, 1, MAX_COUNT),
@@ -146,7 +146,7 @@
 
 fn check_count(r: &mut Reader, key: &str, count: usize) {
     if count == 0 || count > MAX_COUNT {
-        let problem = format!("{count} is not within 1 to {MAX_COUNT}");
+        let problem = format!("{count} is not a number from 1 to {MAX_COUNT}");
         r.report("target", key, &problem);
     }
 }
--- a/crates/scale/src/tests.rs
+++ b/crates/scale/src/tests.rs
@@ -3,29 +3,29 @@
 
 const MINIMAL_TARGET: &str = "[target]\ndispatchers = 590\nhosts = 120\n";
 
-fn error_of(text: &str) -> String {
+fn parse_error(text: &str) -> String {
     read_target("fleet.ini", text).unwrap_err().to_string()
 }
 
 #[test]
-fn target_invalid_or_missing_key_is_reported_with_file_and_key() {
+fn invalid_or_missing_target_key_is_reported_with_file_and_key() {
     let target = read_target("f", MINIMAL_TARGET).unwrap();
     assert_eq!(target.fleet.dispatchers, 590);
-    let error = error_of("[target]\nhosts = 120\n");
+    let error = parse_error("[target]\nhosts = 120\n");
     assert!(
         error.contains("fleet.ini") && error.contains("dispatchers"),
         "{error}"
     );
-    let error = error_of(&format!("{MINIMAL_TARGET}[run]\neach = 5000\n"));
+    let error = parse_error(&format!("{MINIMAL_TARGET}[run]\neach = 5000\n"));
     assert!(error.contains("each"), "{error}");
-    let error = error_of("[target]\ndispatchers = 0\nhosts = 1\n");
+    let error = parse_error("[target]\ndispatchers = 0\nhosts = 1\n");
     assert!(
-        error.contains("dispatchers") && error.contains("0 is not within"),
+        error.contains("dispatchers") && error.contains("0 is not a number from 1 to 100000"),
         "{error}"
     );
 }
 
-/// A function's values at the usual sizes.
+/// Returns the values of a function at five fleet sizes.
 fn points(value: impl Fn(f64) -> f64) -> Vec<Point> {
     [50.0, 100.0, 200.0, 400.0, 590.0]
         .map(|dispatchers| Point {
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn fit_line_stays_a_line_and_quadratic_growth_is_found() {
+fn fit_keeps_lines_linear_and_detects_quadratic_growth() {
     let line = fit("KB/s", &points(|n| 2.0 + 0.5 * n)).unwrap();
     assert!(
         (line.value_at(1_180.0) - 592.0).abs() < 1e-6 && line.quadratic == 0.0,
@@ -49,7 +49,7 @@
         "{curve:?}"
     );
     assert!(curve.residual < 1e-6);
-    // Noise on a line gives no curve.
+    // A line with noise is not fitted by a curve.
     let mut noisy = points(|n| n);
     for (point, factor) in noisy.iter_mut().zip([1.03, 0.98, 1.02, 0.99, 1.01]) {
         point.value *= factor;
@@ -64,16 +64,16 @@
 }
 
 #[test]
-fn slope_runs_disagree_is_not_used() {
+fn slope_is_not_reliable_when_runs_disagree() {
     let with_spread = |spread| Slope {
         spread: Some(spread),
         ..Slope::default()
     };
     assert_eq!(
         (
-            with_spread(0.6).is_used(),
-            with_spread(0.1).is_used(),
-            Slope::default().is_used()
+            with_spread(0.6).is_reliable(),
+            with_spread(0.1).is_reliable(),
+            Slope::default().is_reliable()
         ),
         (false, true, true)
     );
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! A hollow dispatcher is representative: after the same updates it has the state of a real one.
+//! Checks that a hollow dispatcher represents a real one: after the same updates both have the same control state.
 use pointspindle_config::parse;
 use pointspindle_dispatcher::{PreparedDispatcher, StateCounts};
 use pointspindle_etcd::layout::PurgeRecord;
@@ -30,7 +30,7 @@
     }
 }
 
-/// Writes cache hosts and purges, and deletes one host.
+/// Writes cache host records and purges, then deletes one host's record.
 async fn write_updates(etcd: &Etcd) {
     for number in 0..HOSTS {
         let address = format!("127.0.0.1:{}", 9 + number);
@@ -51,7 +51,7 @@
         .unwrap();
 }
 
-/// The state but for connections, which a hollow dispatcher has of its own.
+/// Returns the state without the connections, which are not compared because each dispatcher opens its own.
 fn control_state(counts: StateCounts) -> StateCounts {
     StateCounts {
         connections: 0,
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn hollow_dispatcher_after_the_same_updates_has_the_state_of_a_real_one() {
+async fn hollow_dispatcher_has_the_state_of_a_real_one_after_the_same_updates() {
     let emulator = EtcdEmulator::new(None);
     let endpoint = format!("http://{}", emulator.listen().await.unwrap());
     let access = Access {
@@ -76,8 +76,8 @@
         .dispatcher
         .into_hollow(prepared.source, Arc::new(|_| {}));
     write_updates(&etcd).await;
-    let same_state = async {
-        // The deleted host is remembered as removed for a while, by both.
+    let states_to_match = async {
+        // Both dispatchers remember the deleted host as removed for some time.
         while control_state(real.state_counts()) != control_state(hollow.state_counts())
             || real.state_counts().purges != PURGES
             || real.state_counts().dispatchers != 2
@@ -85,10 +85,10 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    let reached = timeout(TIMEOUT, same_state).await;
+    let result = timeout(TIMEOUT, states_to_match).await;
     assert!(
-        reached.is_ok(),
-        "{:?} and {:?}",
+        result.is_ok(),
+        "the control states differ after {TIMEOUT:?}: real {:?}, hollow {:?}",
         real.state_counts(),
         hollow.state_counts()
     );
