--- a/crates/cli/tests/platform/cancellation.rs
+++ b/crates/cli/tests/platform/cancellation.rs
@@ -1,5 +1,5 @@
-//! Requests that are aborted, or whose client closes its connection: cancelled at the cache host, and all of
-//! their state released.
+//! Requests that are aborted, or whose client closes its connection, are cancelled at the cache host, and all of
+//! their state is released.
 use crate::connection_establishment::{received_until_shutdown, WaitingRequest};
 use crate::support::*;
 use bytes::BytesMut;
@@ -8,10 +8,10 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::timeout;
 
-/// Requests that may be open on one connection.
+/// Maximum number of requests that may be open on one connection.
 const MAX_OPEN_REQUESTS: u16 = 32;
 
-/// Clients whose requests are aborted, or that disconnect, at once.
+/// Number of clients that abort their requests, or disconnect, at the same time.
 const CLIENTS: usize = 8;
 
 /// How a client ends its connection.
@@ -22,8 +22,8 @@
     HalfClose,
 }
 
-/// Hundreds of requests aborted at once: each is cancelled at its cache host, and every request id is free
-/// again.
+/// Hundreds of requests are aborted at once. Each is cancelled at its cache host, and every request id can be
+/// used again.
 #[tokio::test]
 async fn hundreds_of_simultaneous_aborts_release_all_requests() {
     let mut platform = TwoEndpointPlatform::start(silent_for_object_a).await;
@@ -39,7 +39,7 @@
         }
         clients.push(client);
     }
-    // Those that found capacity were forwarded; the others were rejected.
+    // Requests within the capacity were forwarded; the others were rejected.
     platform.cache.next_message("PULL").await;
     for client in &mut clients {
         client.writer.write_all(&aborts).await.unwrap();
@@ -54,8 +54,8 @@
     platform.cache.next_message("KILL").await;
 }
 
-/// As many requests as may be open, one more, and then a close: each is cancelled where it was sent, and none
-/// leaves state behind.
+/// A connection with the maximum number of open requests, and one beyond it, is closed. Each request is
+/// cancelled at its cache host, and none leaves state behind.
 #[tokio::test]
 async fn connection_close_cancels_all_open_requests() {
     for close in [
@@ -67,7 +67,7 @@
     }
 }
 
-/// Opens as many requests as may be open and one more, and closes the connection in this way.
+/// Opens the maximum number of requests and one more, and closes the connection as `close` says.
 async fn assert_close_cancels_all(close: ClientClose) {
     let discovery = DiscoveryServer::start().await;
     let mut cache = ScriptedCacheHost::start(silent_for_object_a).await;
@@ -86,7 +86,7 @@
     assert_eq!(
         (beyond_limit.status, beyond_limit.body.len()),
         (0, 0),
-        "overloaded, by the protocol's own status"
+        "the request beyond the limit is rejected by the status of the FastCGI protocol"
     );
     let cache_request = cache.next_message("PULL").await.line;
     match close {
@@ -97,7 +97,7 @@
     cache
         .next_message(&format!("KILL {}", transaction_id(&cache_request)))
         .await;
-    // The same transaction ids are free again.
+    // The same transaction ids can be used again.
     let mut next_client = FastCgiClient::connect(dispatcher.address).await;
     for id in 1..=MAX_OPEN_REQUESTS {
         let transaction = transaction_of(id);
@@ -108,8 +108,8 @@
     }
 }
 
-/// Hundreds of requests whose clients disconnect at once: what was forwarded is cancelled at its cache host,
-/// the rest is never forwarded, and none leaves state behind.
+/// The clients of hundreds of requests disconnect at once. Forwarded requests are cancelled at their cache
+/// host, the others are never forwarded, and none leaves state behind.
 #[tokio::test]
 async fn requests_of_disconnected_clients_are_cancelled_or_never_forwarded() {
     let discovery = DiscoveryServer::start().await;
@@ -141,10 +141,10 @@
     };
     timeout(TEST_TIMEOUT, all_cancelled)
         .await
-        .expect("all forwarded requests are cancelled");
+        .expect("not all forwarded requests were cancelled in time");
 }
 
-/// A request is aborted while its connection to the cache host is established.
+/// A request that is aborted while its connection to the cache host is being established is not forwarded.
 #[tokio::test]
 async fn request_aborted_during_connect_is_not_forwarded() {
     let mut waiting = WaitingRequest::start(&[TRANSACTION_FIELD]).await;
@@ -154,7 +154,8 @@
     assert!(!received.contains("PULL"), "{received}");
 }
 
-/// A request is aborted while the process is stopped, and its next attempt is due by then: it is not made.
+/// A request is aborted while the process is stopped, and its next attempt falls due during the stop. The
+/// attempt is not made.
 #[tokio::test]
 async fn request_aborted_during_a_pause_is_not_retried() {
     let discovery = DiscoveryServer::start().await;
@@ -167,7 +168,7 @@
         let fields = [("HTTP_X_TXN", transaction.as_str()), IDEMPOTENCY_KEY_FIELD];
         client.send_request(1, "/ops/submit", &fields, b"x").await;
         origin.next_message(&format!("PULL {transaction}")).await;
-        // Rejected for want of capacity: retried a little later.
+        // The origin rejects the request as overloaded; the dispatcher schedules a retry.
         tokio::time::sleep(Duration::from_millis(20)).await;
         dispatcher.signal("-STOP");
         while origin.received.try_recv().is_ok() {}
@@ -177,7 +178,7 @@
         assert_eq!(
             client.response(1).await.status,
             0,
-            "round {round}: an end without a response"
+            "round {round}: the request ends without a response"
         );
         assert_eq!(dispatcher.health_status().await, 200);
         while let Ok(message) = origin.received.try_recv() {
--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -1,18 +1,18 @@
-//! Clients that send what cannot be read or is not allowed, or nothing at all.
+//! Clients that send malformed or invalid input, or no input at all.
 use crate::support::*;
 use bytes::BytesMut;
 use pointspindle_platform_protocol::fastcgi::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// The header of a FastCGI record; a record without content is no more than that.
+/// Size of the header of a FastCGI record, which is all of a record without content.
 const RECORD_HEADER_BYTES: usize = 8;
-/// Close to the most that a record holds.
+/// Content size of a large record, close to the maximum of 65535 bytes.
 const LARGE_RECORD_BYTES: usize = 60_000;
 const LARGE_RECORDS: usize = 8;
 
-/// What is no valid request: bytes that are no record, requests that are too long or never complete, and
-/// invalid fields.
+/// Returns inputs that are not a valid request: bytes that are not a record, requests that are too long or never
+/// complete, and requests with invalid fields.
 fn invalid_inputs() -> Vec<BytesMut> {
     let page_with = |field| fastcgi_request(1, "/ops/page", &[field], b"");
     let mut endless_params = begin_request_record(1);
@@ -42,21 +42,22 @@
     ]
 }
 
-/// Adds records of half a megabyte, more than is accepted of any request.
+/// Adds records of about half a megabyte in total, more than any request may have.
 fn add_large_records(out: &mut BytesMut, kind: u8, id: u16) {
     for _ in 0..LARGE_RECORDS {
         record(out, kind, id, &[b'x'; LARGE_RECORD_BYTES]);
     }
 }
 
-/// Each gets an error or is closed, none is served or forwarded, and another client is served meanwhile.
+/// Each invalid input gets an error response or its connection is closed. None is served or forwarded, and
+/// another client is served meanwhile.
 #[tokio::test]
 async fn invalid_requests_are_rejected_without_effect_on_other_clients() {
     let mut platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
     let mut other_client = FastCgiClient::connect(platform.dispatcher.address).await;
     for (n, bytes) in invalid_inputs().into_iter().enumerate() {
         let mut client = FastCgiClient::connect(platform.dispatcher.address).await;
-        // The connection may be closed while it still sends.
+        // The dispatcher may close the connection before all input is written.
         let _ = client.writer.write_all(&bytes).await;
         if let Some(response) = client.response_or_close(1).await {
             assert!(response.status != 200, "case {n}: {response:?}");
@@ -66,10 +67,11 @@
         platform.cache.next_message("PULL").await;
         assert!(
             platform.cache.received.try_recv().is_err(),
-            "case {n}: something else was forwarded"
+            "case {n}: an invalid request was forwarded"
         );
     }
-    // The transaction id of an open request, with another object: the first request is not affected.
+    // A second request has the transaction id of an open one and another object: it is rejected, and the first
+    // request is not affected.
     let transaction = ("HTTP_X_TXN", "9b1f03aa5c7e2dff");
     let both = [
         fastcgi_request(1, "/ops/page", &[transaction], b""),
@@ -85,7 +87,7 @@
     assert_eq!(other_client.response(1).await.status, 200);
 }
 
-/// More connections than there is capacity for, all of them silent: each is closed, and another client is
+/// More idle connections are opened than the dispatcher has capacity for. Each is closed, and another client is
 /// served meanwhile.
 #[tokio::test]
 async fn idle_connections_beyond_the_capacity_are_closed() {
@@ -96,7 +98,7 @@
         if n % 30 == 0 {
             let mut other_client = FastCgiClient::connect(platform.dispatcher.address).await;
             other_client.request_page(1, &[]).await;
-            // It may be closed in favour of another one; web servers connect again.
+            // The dispatcher may close this connection to admit another; a web server would connect again.
             if let Some(response) = other_client.response_or_close(1).await {
                 assert_eq!(response.body, b"good");
             }
@@ -110,19 +112,19 @@
     assert_eq!(other_client.response(1).await.body, b"good");
 }
 
-/// Input after which a client's connection is closed.
+/// Input after which the dispatcher reads no more from a client's connection and closes it.
 struct UnreadableInput {
     name: &'static str,
     bytes: BytesMut,
 }
 
-/// Bytes that are no record, and records that are out of place.
+/// Returns bytes that are not a record, and records that the protocol does not allow in their place.
 fn unreadable_inputs() -> [UnreadableInput; 5] {
     let mut records_of_no_request = BytesMut::new();
     add_large_records(&mut records_of_no_request, STDIN, 77);
     [
         UnreadableInput {
-            name: "no record",
+            name: "bytes that are not a record",
             bytes: BytesMut::from(&[0xff; 64][..]),
         },
         UnreadableInput {
@@ -138,14 +140,14 @@
             bytes: begin_request_record(0),
         },
         UnreadableInput {
-            name: "much for a request that is not open",
+            name: "large records for a request that is not open",
             bytes: records_of_no_request,
         },
     ]
 }
 
-/// Requests that arrived complete before the unreadable bytes are answered; nothing behind these bytes is
-/// read.
+/// Requests that were complete before the unreadable bytes are answered; bytes after the unreadable ones are
+/// not read.
 #[tokio::test]
 async fn requests_before_unreadable_bytes_are_answered() {
     let discovery = DiscoveryServer::start().await;
@@ -173,10 +175,10 @@
         );
         assert!(
             client.response_or_close(9).await.is_none(),
-            "{name}: read behind what cannot be read, or not closed"
+            "{name}: a request after the unreadable bytes was answered"
         );
         connections.push(connection);
-        // Had it been forwarded, it would arrive before this one.
+        // If the request after the unreadable bytes had been forwarded, it would arrive before this one.
         let mut other_client = FastCgiClient::connect(dispatcher.address).await;
         other_client.request_page(1, &[]).await;
         let (cache_request, mut connection) = cache.next_cache_request(&mut connections).await;
@@ -190,8 +192,8 @@
     }
 }
 
-/// The close of such a client's connection is still detected: its open requests are cancelled at the cache
-/// host.
+/// The close of a client's connection is detected also after unreadable bytes: its open requests are cancelled
+/// at the cache host.
 #[tokio::test]
 async fn client_close_after_unreadable_bytes_cancels_its_requests() {
     let discovery = DiscoveryServer::start().await;
@@ -215,8 +217,8 @@
     }
 }
 
-/// Valid requests on a connection that is closed for invalid ones, or with one that is never complete:
-/// answered first.
+/// Valid requests are answered before their connection is closed for invalid requests, and also when another
+/// request on the connection never completes.
 #[tokio::test]
 async fn valid_requests_are_answered_before_their_connection_is_closed() {
     let discovery = DiscoveryServer::start().await;
@@ -228,7 +230,7 @@
     assert_answered_beside_an_incomplete_request(&dispatcher, &cache, &mut connections).await;
 }
 
-/// The connection is closed for many invalid requests.
+/// A connection is closed for many invalid requests, after its valid request was answered.
 async fn assert_answered_before_close_for_invalid_requests(
     dispatcher: &DispatcherProcess,
     cache: &ManualCacheHost,
@@ -241,15 +243,18 @@
         client.send_request(id, "/ops/none", &[], b"").await;
     }
     assert_eq!(client.response(2).await.status, 400);
-    // All of it has been read once a new connection is answered.
+    // The dispatcher has read all requests once it answers on a new connection.
     assert_eq!(dispatcher.health_status().await, 200);
     connection.serve(&cache_request, "good").await;
     connections.push(connection);
     assert_eq!(client.response(1).await.body, b"good");
-    assert!(client.response_or_close(99).await.is_none(), "closed then");
+    assert!(
+        client.response_or_close(99).await.is_none(),
+        "the connection is closed after the last response"
+    );
 }
 
-/// Another request of the connection is never complete.
+/// A request is answered although another request on its connection never completes.
 async fn assert_answered_beside_an_incomplete_request(
     dispatcher: &DispatcherProcess,
     cache: &ManualCacheHost,
@@ -266,15 +271,18 @@
         response = client.response(2) => response,
         (cache_request, _) = cache.next_cache_request(connections) => panic!("{cache_request}"),
     };
-    assert_eq!(timed_out.status, 400, "not complete in time");
+    assert_eq!(
+        timed_out.status, 400,
+        "the incomplete request was not rejected"
+    );
     for connection in connections {
         connection.serve(&cache_request, "good").await;
     }
     assert_eq!(client.response(1).await.body, b"good");
 }
 
-/// The dispatcher is stopped for longer than it waits for the first request of a connection. Requests that were
-/// sent meanwhile have arrived in time.
+/// The dispatcher is stopped for longer than its time-out for the first request of a connection. Requests that
+/// were sent meanwhile count as arrived in time.
 #[tokio::test]
 async fn requests_that_arrive_during_a_pause_beyond_the_head_timeout_are_answered() {
     const PAUSE: Duration = Duration::from_millis(2_500);
@@ -285,7 +293,7 @@
     for _ in 0..CLIENTS {
         clients.push(FastCgiClient::connect(dispatcher.address).await);
     }
-    // All of them are accepted.
+    // All connections have been accepted once this one is answered.
     assert_eq!(dispatcher.health_status().await, 200);
     dispatcher.signal("-STOP");
     for client in &mut clients {
--- a/crates/cli/tests/platform/clock_steps.rs
+++ b/crates/cli/tests/platform/clock_steps.rs
@@ -1,5 +1,5 @@
-//! A wall clock that is stepped under a running dispatcher: the ages of purges, starts and copies stay spans
-//! of real time.
+//! The wall clock is stepped while a dispatcher runs. The ages of purges, endpoint starts and copies remain
+//! durations of real time.
 use crate::support::*;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -7,10 +7,11 @@
 /// The object that is purged.
 const OBJECT: &str = "00000000000000aa";
 
-/// The age limit of a cache request is in whole milliseconds, and a purge counts from the end of its own.
+/// Tolerance for rounding: the age limit of a cache request is in whole milliseconds, and the age of a purge is
+/// counted from the end of its millisecond.
 const ROUNDING_MS: u64 = 5;
 
-/// Steps of the wall clock, forwards and backwards.
+/// Steps of the wall clock, forwards and backwards, in seconds.
 const STEPS_SECONDS: [f64; 6] = [1.0, 5.0, 3_600.0, -1.0, -5.0, -3_600.0];
 
 /// A dispatcher whose clock can be stepped, one cache host, and a discovery server with an open stream.
@@ -25,12 +26,12 @@
 }
 
 impl SteppablePlatform {
-    /// Starts it with a wall clock that is right.
+    /// Starts the platform with a correct wall clock.
     async fn start() -> Self {
         Self::start_with_step(0.0).await
     }
 
-    /// Starts it with a wall clock that is off by so many seconds.
+    /// Starts the platform with a wall clock that is off by `seconds`.
     async fn start_with_step(seconds: f64) -> Self {
         let mut discovery = DiscoveryServer::start().await;
         let cache = ScriptedCacheHost::start_serving("good").await;
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Publishes an event; it has been applied when this returns.
+    /// Publishes an event and waits until the dispatcher has applied it.
     async fn publish(&mut self, revision: u64, content: &str) {
         let stream = self.stream.take().expect("an open stream");
         self.stream = Some(self.discovery.publish(stream, revision, content).await);
     }
 
-    /// The age limit of the cache request for an object, in milliseconds.
+    /// Requests an object and returns the age limit of the cache request in milliseconds.
     async fn requested_max_age_ms(&mut self, object: &str) -> u64 {
         let mut client = FastCgiClient::connect(self.dispatcher.address).await;
         client.request_page(1, &[("HTTP_X_ROW", object)]).await;
@@ -72,14 +73,14 @@
         number_in(&cache_request, "cap=")
     }
 
-    /// No copy from before a purge at `purged_at` is requested.
+    /// Asserts that the dispatcher requests no copy from before a purge at `purged_at`.
     async fn assert_purge_is_respected(&mut self, object: &str, purged_at: Instant, case: &str) {
         tokio::time::sleep(Duration::from_millis(50)).await;
         let max_age_ms = self.requested_max_age_ms(object).await;
         let since_purge_ms = purged_at.elapsed().as_millis() as u64;
         assert!(
             max_age_ms >= 1 && max_age_ms <= since_purge_ms + ROUNDING_MS,
-            "{case}: a copy of {max_age_ms} ms, purged {since_purge_ms} ms ago"
+            "{case}: copies of up to {max_age_ms} ms requested, purged {since_purge_ms} ms ago"
         );
     }
 }
@@ -125,7 +126,7 @@
         .await;
 }
 
-/// Stepped before a purge, between a purge and its event, and between two purges.
+/// The clock is stepped before a purge, between a purge and its event, and between two purges.
 #[tokio::test]
 async fn purge_age_is_unaffected_by_clock_steps() {
     for step in STEPS_SECONDS {
@@ -135,7 +136,7 @@
     }
 }
 
-/// Stepped, and then a new configuration that knows of one more purge.
+/// The clock is stepped, and then a new configuration lists one more purge.
 #[tokio::test]
 async fn age_of_a_configured_purge_is_unaffected_by_clock_steps() {
     for step in STEPS_SECONDS {
@@ -170,7 +171,7 @@
     }
 }
 
-/// A clock that was ahead since the start is corrected: no age is wrong from then on.
+/// A clock that was ahead since the start is corrected. All ages are right from then on.
 #[tokio::test]
 async fn purge_age_is_unaffected_by_a_clock_correction() {
     for ahead in [5.0, 3_600.0] {
@@ -185,15 +186,15 @@
     }
 }
 
-/// An endpoint that is announced after a step is as young as it is: it gets what its slow start allows, and
-/// not what one that is warmed up does.
+/// An endpoint that is announced after a clock step has its real age: it gets the requests that its slow start
+/// allows, and not those of a warmed-up endpoint.
 #[tokio::test]
 async fn start_age_of_an_endpoint_is_unaffected_by_clock_steps() {
     for step in [5.0, 3_600.0, -3_600.0] {
         let mut platform = SteppablePlatform::start().await;
         let mut warming_up = ScriptedCacheHost::start_serving("cold").await;
-        // The first slow-start window: a dispatcher that has just started forwards nothing to an endpoint
-        // that warms up.
+        // Waits for the end of the first slow-start window: a dispatcher that has just started forwards no
+        // request to an endpoint in warm-up.
         tokio::time::sleep(Duration::from_millis(1_100)).await;
         platform.faults.step_wall_clock(step);
         let born = format!("\"share\":10,\"born_ms\":{}", unix_ms());
@@ -209,7 +210,7 @@
             client.request_page(1, &[("HTTP_X_ROW", &object)]).await;
             served += usize::from(client.response(1).await.status == 200);
         }
-        println!("{step} s: an endpoint that warms up served {served} of 200");
+        println!("{step} s: an endpoint in warm-up served {served} of 200");
         assert!(
             (1..100).contains(&served),
             "{step} s: {served} of 200 were served by an endpoint that has just started"
--- a/crates/cli/tests/platform/connection_establishment.rs
+++ b/crates/cli/tests/platform/connection_establishment.rs
@@ -1,25 +1,25 @@
-//! What changes while a request waits for its connection to a cache host: a request is forwarded by what
-//! holds when its first byte is written.
+//! Changes while a request waits for its connection to a cache host. A request is forwarded according to the
+//! state at the time when its first byte is written.
 use crate::support::*;
 use std::time::Duration;
 
-/// Connections may take longer than usual to be established.
+/// Raises the time-out for the establishment of a connection from 400 ms to 5 s.
 const LONG_CONNECT_TIMEOUT: (&str, &str) = ("\"DialTimeoutMs\":400.0", "\"DialTimeoutMs\":5000.0");
-/// Requests that write may run once, with or without a key.
+/// Lets write requests run at most once, with or without an idempotency key.
 const AT_MOST_ONCE: (&str, &str) = ("deduplicated", "at_most_once");
 
-/// A request that waits for its connection to a cache host, and what is around it.
+/// A request that waits for its connection to a cache host, and the processes around it.
 pub struct WaitingRequest {
     pub cache: UnresponsiveCacheHost,
     pub dispatcher: DispatcherProcess,
     pub discovery: DiscoveryServer,
     pub stream: DiscoveryStream,
-    /// Its request 1 is the one that waits.
+    /// Client whose request 1 waits.
     pub client: FastCgiClient,
 }
 
 impl WaitingRequest {
-    /// Starts all, and sends a request for a page with these fields.
+    /// Starts all processes and sends a request for a page with these fields.
     pub async fn start(fields: &[(&str, &str)]) -> Self {
         let mut discovery = DiscoveryServer::start().await;
         let cache = UnresponsiveCacheHost::start().await;
@@ -37,7 +37,7 @@
         let stream = discovery.next_poll().await;
         let mut client = FastCgiClient::connect(dispatcher.address).await;
         client.request_page(1, fields).await;
-        // This one is answered after the endpoint of the first one was selected.
+        // Once request 2 is answered, the endpoint of request 1 has been selected.
         client
             .send_request(2, "/ops/submit", &[IDEMPOTENCY_KEY_FIELD], b"x")
             .await;
@@ -52,7 +52,7 @@
     }
 }
 
-/// All that the cache host receives, once it accepts connections, until the dispatcher has shut down.
+/// Lets the cache host accept connections, shuts the dispatcher down, and returns what the cache host received.
 pub async fn received_until_shutdown(
     cache: UnresponsiveCacheHost,
     dispatcher: DispatcherProcess,
@@ -69,8 +69,8 @@
     connection.read_to_close().await
 }
 
-/// Publishes revision 2 and waits until it is applied: a new endpoint that serves `other`, with further
-/// entries of the list and further content.
+/// Publishes revision 2 and waits until it is applied. It announces a new endpoint that serves `other`, along
+/// with further entries of the endpoint list and further content.
 pub async fn announce_endpoint(
     discovery: &mut DiscoveryServer,
     stream: DiscoveryStream,
@@ -85,7 +85,7 @@
     (endpoint, stream)
 }
 
-/// An endpoint starts to drain while the connection to it is established.
+/// An endpoint starts to drain while the connection to it is being established.
 #[tokio::test]
 async fn endpoint_drained_during_connect_receives_no_request() {
     let mut waiting = WaitingRequest::start(&[TRANSACTION_FIELD]).await;
@@ -95,11 +95,14 @@
     let received = received_until_shutdown(waiting.cache, waiting.dispatcher, Vec::new()).await;
     assert!(!received.contains("PULL"), "{received}");
     let response = waiting.client.response(1).await;
-    assert_eq!(response.body, b"other", "forwarded elsewhere");
+    assert_eq!(
+        response.body, b"other",
+        "the request was not forwarded to the other endpoint"
+    );
 }
 
-/// A purge, with an endpoint list in the same event, arrives while the connection is established: the cache
-/// request carries the age limit and the time left that hold when its first byte is written.
+/// A purge arrives, with an endpoint list in the same event, while the connection is being established. The
+/// cache request carries the age limit and the remaining time at the moment when its first byte is written.
 #[tokio::test]
 async fn purge_and_time_left_are_those_of_the_first_byte() {
     let object = ("HTTP_X_ROW", "00000000000000aa");
@@ -119,11 +122,11 @@
     };
     assert!(
         number_in(&cache_request, "cap=") < 12_000,
-        "no copy from before the purge: {cache_request}"
+        "accepts a copy from before the purge: {cache_request}"
     );
     assert!(
         number_in(&cache_request, "ms=") < 4_900,
-        "less time is left by then: {cache_request}"
+        "the time spent on the connection is not deducted: {cache_request}"
     );
     connection
         .send(&served_reply(TRANSACTION_FIELD.1, "late"))
@@ -131,8 +134,8 @@
     assert_eq!(waiting.client.response(1).await.body, b"late");
 }
 
-/// A request that may not run twice and never got a connection was never sent: it is rejected (503), and not
-/// failed (502).
+/// A request that must not run twice and that never got a connection was not sent. At its deadline it is
+/// rejected (503) and does not count as failed (502).
 #[tokio::test]
 async fn request_never_sent_is_rejected_at_its_deadline() {
     let discovery = DiscoveryServer::start().await;
@@ -154,8 +157,8 @@
     assert!(!received.contains("PULL"), "{received}");
 }
 
-/// A request with an idempotency key may have run, and its second attempt gets no connection until the key
-/// has expired: it is not sent again.
+/// A request with an idempotency key may have run, and its second attempt gets a connection only after the key
+/// has expired. The request is not sent again.
 #[tokio::test]
 async fn retry_is_not_sent_after_the_idempotency_window() {
     let discovery = DiscoveryServer::start().await;
@@ -192,7 +195,7 @@
     tokio::select! {
         response = client.response(1) => assert_eq!(response.status, 503, "{response:?}"),
         (cache_request, _) = parent.next_cache_request(&mut parent_connections) => {
-            panic!("after the window: {cache_request}")
+            panic!("sent again after the idempotency window: {cache_request}")
         }
     }
 }
--- a/crates/cli/tests/platform/connection_reuse.rs
+++ b/crates/cli/tests/platform/connection_reuse.rs
@@ -1,9 +1,9 @@
-//! Connections to cache hosts that carry one request after another: no reply, close or address of an earlier
-//! one is taken for that of a later one.
+//! Connections to cache hosts that are reused. No reply, close or address of an earlier request or endpoint is
+//! attributed to a later one.
 use crate::support::*;
 
-/// A cache host closes an idle connection in the instant in which a request that may not run twice is placed:
-/// nothing was sent, so it goes over another connection.
+/// A cache host closes an idle connection at the moment when a request that must not run twice is assigned to
+/// it. No byte was sent, so the request goes over another connection.
 #[tokio::test]
 async fn connection_closed_while_idle_receives_no_request() {
     let discovery = DiscoveryServer::start().await;
@@ -21,7 +21,7 @@
         connection.serve(&cache_request, "good").await;
         assert_eq!(client.response(1).await.status, 200, "round {round}");
         connections.push(connection);
-        // It continues with both at once: the close of all its connections, and the request.
+        // When the dispatcher continues, it finds both at once: the close of all its connections and the request.
         dispatcher.signal("-STOP");
         connections.clear();
         client.send_request(2, "/ops/submit", &[], b"x").await;
@@ -33,7 +33,7 @@
     }
 }
 
-/// A reply that never ends, to an aborted request, delays no request that comes after it.
+/// A reply that never ends, to an aborted request, does not delay later requests.
 #[tokio::test]
 async fn unfinished_reply_delays_no_later_request() {
     let discovery = DiscoveryServer::start().await;
@@ -47,9 +47,9 @@
     let id = transaction_id(&cache_request);
     let unfinished = format!("{id} served rev=77aa,since=1764576000123,res=mem 200000\r\nand then");
     blocked.send(unfinished.as_bytes()).await;
-    // The reply is in the dispatcher's buffers before the abort is.
+    // The reply reaches the dispatcher's buffers before the abort.
     client.abort(1).await;
-    // Only the blocked connection carries no request: sent at once, each must arrive on another one.
+    // These requests are sent at once; each must arrive on another connection than the blocked one.
     for id in 1..=6 {
         client
             .request_page(id, &[("HTTP_X_ROW", &format!("{id:016x}"))])
@@ -63,7 +63,7 @@
     for id in 1..=6 {
         assert_eq!(client.response(id).await.body, b"good");
     }
-    // The reply never ends, so the connection does. Only the cancellation was sent on it.
+    // The dispatcher closes the connection of the unfinished reply, and has sent only the cancellation on it.
     let received = blocked.read_to_close().await;
     assert!(
         received.starts_with("KILL") && !received.contains("PULL"),
@@ -71,8 +71,8 @@
     );
 }
 
-/// A duplicate of a reply arrives when its id is used again, for another object: it is never taken for the
-/// new reply.
+/// A duplicate of a reply arrives while its transaction id is used again for another object. It is not taken for
+/// the new reply.
 #[tokio::test]
 async fn duplicate_reply_is_not_taken_for_a_later_request_of_the_same_id() {
     let discovery = DiscoveryServer::start().await;
@@ -104,8 +104,8 @@
     assert_eq!(client.response(2).await.body, b"second");
 }
 
-/// A new endpoint has the address of a removed one, while a reply of the old one is still to come: each reply
-/// goes to its own request.
+/// A new endpoint has the address of a removed one from which a reply is still outstanding. Each reply goes to
+/// its own request.
 #[tokio::test]
 async fn new_endpoint_at_a_reused_address_gets_a_connection_of_its_own() {
     let mut discovery = DiscoveryServer::start().await;
@@ -132,7 +132,7 @@
     assert_ne!(
         new_connection.peer_address(),
         old_address,
-        "a connection of its own: {cache_request}"
+        "the new endpoint reuses the connection of the old one: {cache_request}"
     );
     old_connection
         .send(&served_reply(TRANSACTION_FIELD.1, "old"))
--- a/crates/cli/tests/platform/discovery.rs
+++ b/crates/cli/tests/platform/discovery.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Requests a page until its body is this one.
+/// Requests a page until its body is `body`.
 async fn wait_until_served(dispatcher: &DispatcherProcess, body: &str) {
     let served = async {
         loop {
@@ -20,19 +20,19 @@
     timeout(TEST_TIMEOUT, served).await.expect(body);
 }
 
-/// Draining and new endpoints of the stream's events are applied; after SIGHUP a new server is polled from
-/// the last revision on.
+/// Draining and new endpoints in the stream's events are applied. After SIGHUP the new server is polled from the
+/// last revision on.
 #[tokio::test]
 async fn stream_is_followed_and_replaced_at_sighup() {
     let mut platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "one")).await;
     let stream = platform.discovery.next_poll().await;
     assert_eq!(
         stream.last_event_id, 1,
-        "what the configuration holds is known"
+        "the poll does not start from the revision of the configuration"
     );
     let other = ScriptedCacheHost::start_serving("two").await;
     wait_until_served(&platform.dispatcher, "one").await;
-    // Cut off in the middle of an event: that is not applied, and polled for again.
+    // A stream that ends in the middle of an event: the event is not applied, and is polled for again.
     let entries = [
         endpoint_entry("s-1", platform.cache.address, "box", "Terminating"),
         endpoint_entry("s-2", other.address, "box", "Ready"),
@@ -45,7 +45,7 @@
     stream.send(text.clone() + &text);
     wait_until_served(&platform.dispatcher, "two").await;
 
-    // An invalid file changes nothing.
+    // An invalid configuration file has no effect.
     platform.dispatcher.reload("{\"name\":");
     tokio::time::sleep(Duration::from_millis(100)).await;
     assert!(platform.dispatcher.is_running());
@@ -66,8 +66,8 @@
     wait_until_served(&platform.dispatcher, "one").await;
 }
 
-/// `known` of a new configuration is ahead of the last event, with a gap: the server is polled for what is
-/// missing.
+/// `known` in a new configuration is ahead of the last event and leaves a gap. The server is polled for the
+/// missing revisions.
 #[tokio::test]
 async fn revision_gap_of_a_new_configuration_is_polled() {
     let mut first = DiscoveryServer::start().await;
@@ -82,11 +82,11 @@
     assert_eq!(
         second.next_poll().await.last_event_id,
         1,
-        "2 to 4 were never received"
+        "revisions 2 to 4 were not polled for"
     );
 }
 
-/// A server accepts the connection and never responds: the poll is given up and repeated.
+/// A server accepts the connection and never responds. The poll times out and is repeated.
 #[tokio::test]
 async fn server_that_never_responds_is_polled_again() {
     let silent = ManualCacheHost::start().await;
@@ -102,7 +102,7 @@
     drop(second);
 }
 
-/// An overloaded server begins each response after two seconds: its events are applied all the same.
+/// An overloaded server begins each response after two seconds. Its events are still applied.
 #[tokio::test]
 async fn events_of_a_slow_server_are_applied() {
     let mut slow = DiscoveryServer::start_with_delay(Duration::from_secs(2)).await;
@@ -115,8 +115,8 @@
         endpoint_entry("s-2", other.address, "box", "Ready"),
     ];
     let event = discovery_event(2, &endpoint_list(2, false, &entries));
-    // Each response carries the event, though its poll may have been given up; once it is applied the polls
-    // are from its revision on.
+    // Each response carries the event, though its poll may have timed out. Once the event is applied, polls
+    // start from its revision.
     let applied = async {
         loop {
             let stream = slow.next_poll().await;
@@ -128,14 +128,14 @@
     };
     timeout(TEST_TIMEOUT, applied)
         .await
-        .expect("the event is applied");
+        .expect("the event was not applied in time");
     let mut client = FastCgiClient::connect(dispatcher.address).await;
     client.request_page(1, &[]).await;
     assert_eq!(client.response(1).await.body, b"other");
 }
 
-/// A second new server is configured before the first new one has responded: the old stream is read until the
-/// newest responds.
+/// A second new server is configured before the first new server has responded. The old stream is read until
+/// the newest server responds.
 #[tokio::test]
 async fn previous_stream_is_read_until_the_newest_server_responds() {
     let mut first = DiscoveryServer::start().await;
@@ -160,13 +160,13 @@
     assert_eq!(
         newest.next_poll().await.last_event_id,
         2,
-        "the events of the old stream are known"
+        "the events of the old stream were not applied"
     );
     drop(unanswered_poll);
 }
 
-/// Twenty minutes pass at once, for all timers: a stream that is silent then is polled again, and requests
-/// are served.
+/// The clock of all timers advances by twenty minutes at once. A stream that is silent then is polled again, and
+/// requests are served.
 #[tokio::test]
 async fn silent_stream_is_polled_again_after_twenty_minutes() {
     let mut discovery = DiscoveryServer::start().await;
@@ -180,12 +180,12 @@
     .await;
     let first_stream = discovery.next_poll().await;
     for round in 0..3 {
-        // The stream has been read by now, and nothing arrives on it any more: data that arrived with the
-        // passing time would show that the stream is alive.
+        // The stream has been read by now, and no more data arrives on it: data that arrived while the time
+        // advances would show that the stream is alive.
         dispatcher.catch_up().await;
         discovery.stop_comments();
         faults.advance_time(Duration::from_secs(1_200));
-        // Polled again, for the stream counts as silent by now.
+        // The server is polled again because the stream counts as silent.
         let stream = discovery.next_poll().await;
         assert_eq!(stream.last_event_id, 1, "round {round}");
         dispatcher.catch_up().await;
--- a/crates/cli/tests/platform/scaling.rs
+++ b/crates/cli/tests/platform/scaling.rs
@@ -1,22 +1,22 @@
-//! What one dispatcher needs for the same requests with sixteen times the cache hosts, in its zone and
-//! elsewhere.
+//! Resource use of one dispatcher for the same requests when the number of cache hosts, in its zone and in
+//! others, grows sixteenfold.
 use crate::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Requests that are measured.
+/// Number of requests that are measured.
 const REQUESTS: u64 = 3_000;
 
-/// Cache hosts in the dispatcher's zone.
+/// Number of cache hosts in the dispatcher's zone.
 const LOCAL_HOSTS: usize = 12;
 
-/// Cache hosts in another zone.
+/// Number of cache hosts in another zone.
 const REMOTE_HOSTS: usize = 190;
 
-/// How grown times the cache hosts.
+/// Factor by which the number of cache hosts grows.
 const GROWTH: usize = 16;
 
-/// What a dispatcher has used for [`REQUESTS`] requests.
+/// Resources that a dispatcher used for [`REQUESTS`] requests.
 #[derive(Debug)]
 struct ResourceUse {
     cpu_us_per_request: u64,
@@ -26,7 +26,7 @@
     served: u64,
 }
 
-/// Starts a dispatcher with this grown cache hosts and measures what it uses.
+/// Starts a dispatcher with these numbers of cache hosts and measures its resource use.
 async fn measure_resource_use(local_hosts: usize, remote_hosts: usize) -> ResourceUse {
     let discovery = DiscoveryServer::start().await;
     let connections = Arc::new(AtomicUsize::new(0));
@@ -68,8 +68,8 @@
     }
 }
 
-/// The operators' bounds on what grows. Processor time is printed and not checked: it depends on the machine
-/// as well.
+/// Resource use stays within the operators' bounds. Processor time is printed and not checked because it depends
+/// on the machine as well.
 #[tokio::test]
 async fn resource_use_with_sixteen_times_the_hosts_stays_within_its_bounds() {
     let usual = measure_resource_use(LOCAL_HOSTS, REMOTE_HOSTS).await;
@@ -96,6 +96,6 @@
     );
     assert!(
         grown.descriptors <= 2 * usual.descriptors + 40,
-        "beside {usual:?}: {grown:?}"
+        "before the growth {usual:?}, after it {grown:?}"
     );
 }
