--- a/crates/cli/tests/platform/connection_establishment.rs
+++ b/crates/cli/tests/platform/connection_establishment.rs
@@ -3,9 +3,9 @@
 use crate::support::*;
 use std::time::Duration;
 
-/// Raises the time-out for the establishment of a connection from 400 ms to 5 s.
+/// Replacement that raises the connect time-out from 400 ms to 5 s.
 const LONG_CONNECT_TIMEOUT: (&str, &str) = ("\"DialTimeoutMs\":400.0", "\"DialTimeoutMs\":5000.0");
-/// Lets write requests run at most once, with or without an idempotency key.
+/// Replacement that lets write requests run at most once, with or without an idempotency key.
 const AT_MOST_ONCE: (&str, &str) = ("deduplicated", "at_most_once");
 
 /// A request that waits for its connection to a cache host, and the processes around it.
--- a/crates/cli/tests/platform/graceful_shutdown.rs
+++ b/crates/cli/tests/platform/graceful_shutdown.rs
@@ -1,19 +1,19 @@
-//! Graceful shutdown: what was open or waits in the accept queue at SIGTERM is answered, and further signals
-//! are followed.
+//! Graceful shutdown: requests that are open or wait in the accept queue at SIGTERM are answered, and further
+//! signals are handled.
 use crate::support::*;
 use crate::system_call_failures::FaultyPlatform;
 use std::time::Duration;
 
-/// Longer than new connections are accepted after SIGTERM.
+/// Duration after SIGTERM at which new connections are no longer accepted.
 const BEYOND_ACCEPT_PERIOD: Duration = Duration::from_millis(1_300);
 
-/// Requests that are open, and requests on new connections, for as long as the listener stays open. (The slow
-/// cache host sleeps on a thread of its own.)
+/// Open requests, and requests on new connections while the listener stays open, are answered before the exit.
+/// (The slow cache host sleeps on a thread of its own.)
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn requests_after_sigterm_are_answered_before_the_exit() {
     let script = |id: &str, fields: &str| {
         if fields.contains("obj=aaaaaaaaaaaaaaaa") {
-            // Slow, but within the deadline.
+            // The reply is slow, but within the deadline.
             std::thread::sleep(Duration::from_millis(1_500));
         }
         served_reply(id, "good")
@@ -32,18 +32,18 @@
     assert_eq!(
         new_client.response(1).await.status,
         200,
-        "new connections are still accepted for a moment"
+        "a new connection shortly after SIGTERM was not served"
     );
     assert_eq!(client.response(1).await.status, 200);
     assert!(
         idle.response_or_close(2).await.is_none(),
-        "closed without a response when nothing is open"
+        "an idle connection must be closed without a response"
     );
     assert_eq!(platform.dispatcher.wait_for_exit().await, 0);
 }
 
-/// Requests on connections in the accept queue, and on an idle connection, when the listener closes: each is
-/// answered.
+/// Requests on connections in the accept queue and on an idle connection are answered when the listener
+/// closes.
 #[tokio::test]
 async fn queued_connections_are_answered_when_the_listener_closes() {
     let discovery = DiscoveryServer::start().await;
@@ -57,7 +57,7 @@
     dispatcher.signal("-STOP");
     let mut queued = dispatcher.connect_with_requests(12).await;
     idle.request_page(2, &[]).await;
-    // It finds all of this at once, and the accept period over.
+    // The dispatcher finds all requests at once when it continues, with the accept period over.
     tokio::time::sleep(BEYOND_ACCEPT_PERIOD).await;
     dispatcher.signal("-CONT");
     let response = idle.response(2).await;
@@ -69,8 +69,7 @@
     assert_eq!(dispatcher.wait_for_exit().await, 0);
 }
 
-/// Accept fails while the listener closes: the connections in its queue are accepted and answered all the
-/// same.
+/// Accept fails while the listener closes. The connections in its queue are still accepted and answered.
 #[tokio::test]
 async fn queued_connections_are_answered_when_accept_fails_at_shutdown() {
     for error in [errno::ECONNABORTED, errno::EINTR, errno::ENFILE] {
@@ -83,7 +82,7 @@
         dispatcher.signal("-TERM");
         dispatcher.signal("-STOP");
         let mut queued = dispatcher.connect_with_requests(12).await;
-        // It finds all of this at once, and the accept period over.
+        // The dispatcher finds all requests at once when it continues, with the accept period over.
         tokio::time::sleep(BEYOND_ACCEPT_PERIOD).await;
         faults.fail_next(SystemCall::Accept, error, 3);
         dispatcher.signal("-CONT");
@@ -91,15 +90,15 @@
             let response = client.response_or_close(1).await;
             assert!(
                 response.is_some_and(|response| matches!(response.status, 200 | 503)),
-                "error {error}: queued client {n}"
+                "error {error}: queued client {n} was not answered"
             );
         }
         assert_eq!(dispatcher.wait_for_exit().await, 0);
     }
 }
 
-/// SIGTERM, further signals and a new discovery server: that is followed, for attempts are still made. What
-/// is open is answered, and the exit code is 0.
+/// A reload during shutdown names a new discovery server. The dispatcher follows it because open requests may
+/// still need attempts. Open requests are answered, and the exit code is 0.
 #[tokio::test]
 async fn reload_during_shutdown_is_followed() {
     let mut first = DiscoveryServer::start().await;
@@ -112,13 +111,13 @@
     let (cache_request, mut connection) = cache.next_cache_request(&mut Vec::new()).await;
     dispatcher.signal("-TERM");
     let mut second = DiscoveryServer::start().await;
-    // Half written when the signal comes; complete later, without another signal.
+    // The file is half written when SIGHUP arrives, and completed later without another signal.
     let complete = configuration(dispatcher.address, second.address, &[]);
     dispatcher.write_configuration(&complete[..complete.len() / 2]);
     for signal in ["-HUP", "-TERM", "-INT"] {
         dispatcher.signal(signal);
     }
-    // It has read the half once a new connection is answered.
+    // The dispatcher has read the incomplete file once it answers on a new connection.
     assert_ne!(dispatcher.health_status().await, 0);
     dispatcher.write_configuration(&complete);
     assert_eq!(second.next_poll().await.last_event_id, 1);
@@ -128,8 +127,8 @@
     assert_eq!(dispatcher.wait_for_exit().await, 0);
 }
 
-/// Ten reloads in a row, each with another discovery server, one half written and one unreachable, and
-/// SIGTERM among them: the last one is followed, what is open is answered, and the exit code is 0.
+/// Ten reloads in a row name ten discovery servers, with one file half written, one server unreachable and
+/// SIGTERM among them. The last server is followed, open requests are answered, and the exit code is 0.
 #[tokio::test]
 async fn last_of_ten_reloads_is_followed_with_sigterm_among_them() {
     let first = DiscoveryServer::start().await;
--- a/crates/cli/tests/platform/main.rs
+++ b/crates/cli/tests/platform/main.rs
@@ -1,4 +1,4 @@
-//! `pointspindle run` as a process, tested from outside: clients, cache hosts and a discovery server on
+//! Tests `pointspindle run` as a process from outside, with clients, cache hosts and a discovery server on
 //! loopback.
 mod cancellation;
 mod client_faults;
--- a/crates/cli/tests/platform/request_deadline.rs
+++ b/crates/cli/tests/platform/request_deadline.rs
@@ -1,18 +1,18 @@
-//! The time that a request has left: counted from when the client sent it, also while the dispatcher could
-//! not read; and requests with very little time.
+//! The remaining time of a request, which counts from when the client sent it, also while the dispatcher cannot
+//! read; and requests with very little time.
 use crate::support::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::time::Instant;
 
-/// A cache host is given at most the time that the client has left and this.
+/// Tolerance by which the time given to a cache host may exceed the remaining time of the request.
 const TIME_LEFT_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// How long the process is stopped.
+/// Duration for which the process is stopped.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// The process is stopped for a second: requests that arrive meanwhile, in a batch on a new and on an idle
-/// connection, have a second less.
+/// The process is stopped for a second. Requests that arrive meanwhile, in a batch on a new and on an idle
+/// connection, have one second less.
 #[tokio::test]
 async fn time_in_socket_buffers_is_counted() {
     let discovery = DiscoveryServer::start().await;
@@ -45,14 +45,14 @@
                 answered += usize::from(client.response(id).await.status == 200);
             }
         }
-        assert!(answered > 0, "there was time for some");
+        assert!(answered > 0, "no request was served in its remaining time");
         for _ in 0..answered {
             let cache_request = cache.next_message("PULL").await.line;
             let left = Duration::from_millis(time_left_ms).saturating_sub(written - sent + PAUSE);
             let forwarded = Duration::from_millis(number_in(&cache_request, "ms="));
             assert!(
                 forwarded <= left + TIME_LEFT_TOLERANCE,
-                "{time_left_ms} ms, a second ago: {cache_request}"
+                "{time_left_ms} ms when sent a second ago: {cache_request}"
             );
         }
     }
@@ -76,8 +76,8 @@
     assert!(number_in(&cache_request, "ms=") > 3_000, "{cache_request}");
 }
 
-/// From 1 to 40 ms, at a cache host that never replies: each request has one response, and the cache host was
-/// given no more time.
+/// Requests with 1 to 40 ms left, at a cache host that never replies, get one response each. The cache host is
+/// never given more time than the request has.
 #[tokio::test]
 async fn requests_with_very_little_time_left_are_each_answered() {
     let discovery = DiscoveryServer::start().await;
--- a/crates/cli/tests/platform/request_forwarding.rs
+++ b/crates/cli/tests/platform/request_forwarding.rs
@@ -1,13 +1,13 @@
-//! Requests that are forwarded to cache hosts, and the replies that come back.
+//! Requests that are forwarded to cache hosts, and their replies.
 use crate::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use tokio::io::AsyncWriteExt;
 
-/// The body of a page.
+/// Size of the body of a page.
 const BODY_BYTES: usize = 200_000;
 
-/// Not modified for a conditional request, no reply for one object, and else a large body.
+/// Returns "not modified" for a conditional request, no reply for object A, and a large body otherwise.
 fn reply_by_object(id: &str, fields: &str) -> Vec<u8> {
     if fields.contains("inm=") {
         return format!("{id} still_good rev=4be0c1927d55a6f3,res=mem 0\r\n\r\n").into_bytes();
@@ -18,7 +18,7 @@
     }
 }
 
-/// A page, a conditional request, a write and an abort, each as the client sent it and each with its
+/// A page, a conditional request, a write and an abort are forwarded as the client sent them, and each gets its
 /// response.
 #[tokio::test]
 async fn requests_and_responses_are_forwarded_complete() {
@@ -62,7 +62,7 @@
         "{message:?}"
     );
 
-    // Aborted: cancelled at the cache host, and the request id is free again.
+    // An aborted request is cancelled at the cache host, and its request id can be used again.
     let unanswered = [OBJECT_A_FIELD, ("HTTP_X_TXN", "9b1f03aa5c7e2d42")];
     client.send_request(4, "/ops/page", &unanswered, b"").await;
     platform.cache.next_message("PULL 9b1f03aa5c7e2d42").await;
@@ -70,14 +70,15 @@
     assert_eq!(
         client.response(4).await.status,
         0,
-        "an end without a response"
+        "the request ends without a response"
     );
     platform.cache.next_message("KILL 9b1f03aa5c7e2d42").await;
     client.request_page(4, &[]).await;
     assert_eq!(client.response(4).await.status, 200);
 }
 
-/// No endpoint has the object cached and none has capacity: rejected at once, with a time to retry after.
+/// A request for which no endpoint has a cached copy or capacity is rejected at once, with a time after which to
+/// retry.
 #[tokio::test]
 async fn request_without_capacity_is_rejected_at_once() {
     let platform = TwoEndpointPlatform::start(|id, _| overloaded_reply(id)).await;
@@ -91,7 +92,7 @@
 }
 
 /// A malformed reply closes its connection and is never served, and another attempt is made. A valid reply is
-/// served although others, which belong to no request, surround it.
+/// served also between replies that belong to no request.
 #[tokio::test]
 async fn malformed_replies_are_retried_and_foreign_ones_skipped() {
     let replies = Arc::new(AtomicUsize::new(0));
@@ -145,7 +146,7 @@
     }
 }
 
-/// A copy is reported as not modified only if the cache host has named its very revision.
+/// A copy is reported as not modified only if the cache host names the revision that the client has.
 #[tokio::test]
 async fn not_modified_is_reported_only_for_the_named_revision() {
     let other_revision = |id: &str, fields: &str| match fields.contains("inm=") {
--- a/crates/cli/tests/platform/resource_limits.rs
+++ b/crates/cli/tests/platform/resource_limits.rs
@@ -1,5 +1,5 @@
-//! Descriptors and memory that run out: through clients that send or read nothing, and through more endpoints
-//! than there are descriptors for.
+//! Exhaustion of descriptors and memory, by clients that do not send or do not read, and by more endpoints than
+//! there are descriptors for.
 use crate::support::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -10,17 +10,17 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Larger than the buffers of a socket: most of such a body stays in the dispatcher.
+/// Size of a large body. It exceeds the buffers of a socket, so that most of it stays in the dispatcher.
 const LARGE_BODY_BYTES: usize = 400_000;
 
-/// A configuration with another limit of descriptors.
+/// Returns the configuration with the descriptor limit replaced.
 fn with_descriptor_limit(configuration: String, descriptors: u64) -> String {
     let limit = format!("\"sockets\":{descriptors}");
     with_replacements(configuration, &[("\"sockets\":256", &limit)])
 }
 
-/// Requests a page on new connections until one is answered: some are closed unread while idle clients take
-/// all capacity.
+/// Requests a page on new connections until one is answered. Some connections are closed unread while idle
+/// clients take all capacity.
 async fn request_until_answered(dispatcher: SocketAddr) -> Response {
     let request = fastcgi_request(1, "/ops/page", &[], b"");
     let answered = async {
@@ -35,16 +35,16 @@
     };
     timeout(TEST_TIMEOUT, answered)
         .await
-        .expect("answered in time")
+        .expect("no request was answered in time")
 }
 
-/// Connections that send nothing and are made again as soon as they are closed, until dropped.
+/// Idle connections that are re-established as soon as they are closed, until this is dropped.
 struct IdleClients {
     connections: Vec<JoinHandle<()>>,
 }
 
 impl IdleClients {
-    /// Starts this many, and waits until as many connections have been made.
+    /// Starts `count` clients, and waits until as many connections have been established.
     async fn connect(dispatcher: SocketAddr, count: usize) -> Self {
         let connected = Arc::new(AtomicUsize::new(0));
         let connections = (0..count)
@@ -58,7 +58,7 @@
         };
         timeout(TEST_TIMEOUT, all_connected)
             .await
-            .expect("the idle clients are connected");
+            .expect("the idle clients did not connect in time");
         idle_clients
     }
 
@@ -82,8 +82,8 @@
     }
 }
 
-/// Idle clients take all descriptors for clients, discovery is down, and a new configuration names another
-/// server: the stream is established, draining of an endpoint is applied, and later requests go elsewhere.
+/// Idle clients take all client descriptors, discovery is down, and a new configuration names another server.
+/// The stream is established, an endpoint's drain is applied, and later requests go to another endpoint.
 #[tokio::test]
 async fn discovery_recovers_while_idle_clients_take_all_descriptors() {
     let cache = ScriptedCacheHost::start_serving("old").await;
@@ -110,7 +110,7 @@
     let stream = new_server.next_poll().await;
     assert_eq!(
         stream.last_event_id, 1,
-        "the stream continues from the known revision"
+        "the stream does not continue from the known revision"
     );
     let other = ScriptedCacheHost::start_serving("other").await;
     let entries = [
@@ -128,8 +128,8 @@
     drop(idle_clients);
 }
 
-/// More endpoints than there may be connections: a request that gets none goes to another endpoint, none is
-/// ejected for it, and the limit holds.
+/// There are more endpoints than connections are allowed. A request that gets no connection goes to another
+/// endpoint, no endpoint is ejected, and the limit holds.
 #[tokio::test]
 async fn endpoint_without_a_descriptor_is_replaced_by_another() {
     let discovery = DiscoveryServer::start().await;
@@ -152,14 +152,14 @@
         assert_eq!(response.status, 200, "request {n}: {response:?}");
         peak = peak.max(dispatcher.open_descriptors());
     }
-    println!("{peak} descriptors at once for 24 endpoints, of 64");
-    // Two fifths are for clients, of which there is one; 24 are its own; the other 15 are for connections to
-    // endpoints, and one more while one closes.
+    println!("peak of {peak} open descriptors for 24 endpoints, limit 64");
+    // Two fifths of the descriptors are reserved for clients, of which there is one; the dispatcher itself needs
+    // 24; the other 15 are for connections to endpoints, plus one while a connection closes.
     assert!(peak <= 15 + 1 + 24 + 1, "{peak}");
 }
 
-/// Fewer descriptors than configured, and idle clients that take them all: a connected client is answered,
-/// rejected or closed, and all is as before once the idle clients are gone.
+/// The system allows fewer descriptors than configured, and idle clients take them all. A connected client is
+/// answered, rejected or closed, and requests are served again once the idle clients have disconnected.
 #[tokio::test]
 async fn exhausted_descriptors_end_each_request_and_are_recovered() {
     let discovery = DiscoveryServer::start().await;
@@ -183,11 +183,11 @@
     let again = async { while request_until_answered(dispatcher.address).await.status != 200 {} };
     timeout(TEST_TIMEOUT, again)
         .await
-        .expect("as before once the idle clients are gone");
+        .expect("no request was served after the idle clients had disconnected");
 }
 
-/// Clients request much and read nothing: what is buffered for them stays within the configured memory, and a
-/// client that reads is served.
+/// Clients request large bodies and do not read them. The data buffered for them stays within the configured
+/// memory, and a client that reads is served.
 #[tokio::test]
 async fn clients_that_read_nothing_are_buffered_within_the_memory_limit() {
     let large_body = "x".repeat(LARGE_BODY_BYTES);
@@ -207,8 +207,7 @@
         }
         silent_clients.push(client);
     }
-    // A client that reads nothing for the time that it has is given up: its connection ends although nothing
-    // was read.
+    // The connection of a client that does not read within its time-out is closed, which frees its buffers.
     let served = async {
         loop {
             let response = request_until_answered(dispatcher.address).await;
@@ -220,7 +219,7 @@
     assert_eq!(
         timeout(TEST_TIMEOUT, served)
             .await
-            .expect("a client is served")
+            .expect("no client was served in time")
             .body,
         b"good"
     );
@@ -228,6 +227,6 @@
     println!("peak {peak} kB, for 154 MB of responses that are never read");
     assert!(
         peak < 32 * 1024,
-        "{peak} kB of the 32 MB that are configured"
+        "peak of {peak} kB, configured limit 32 MB"
     );
 }
--- a/crates/cli/tests/platform/shutdown_under_load.rs
+++ b/crates/cli/tests/platform/shutdown_under_load.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown against a kill at the earliest moment that the platform allows, while clients use their
-//! connections to the end.
+//! Graceful shutdown under load that is ended by a kill at the earliest time that the platform allows, while
+//! clients use their connections until they close.
 use crate::support::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,16 +11,17 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// The longest deadline counts as this at most.
+/// Upper limit at which the longest deadline counts.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 
-/// The kill comes this long after the longest deadline.
+/// Time between the longest deadline and the kill.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 
-/// A request that crosses a close by no more than this is sent again on a new connection.
+/// Maximum age of an unanswered request at the close of its connection up to which the client sends it again on a
+/// new connection.
 const MAX_CLOSE_CROSSING: Duration = Duration::from_millis(50);
 
-/// New connections come for this long after SIGTERM.
+/// Time after SIGTERM during which clients open new connections.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(600);
 
 const REQUEST_INTERVAL: Duration = Duration::from_millis(25);
@@ -28,29 +29,29 @@
 /// A request without a response.
 #[derive(Debug)]
 struct LostRequest {
-    /// How long after SIGTERM it was sent.
+    /// Time between SIGTERM and the sending of the request.
     #[allow(dead_code, reason = "shown when the test fails")]
     sent_after_sigterm: Duration,
     #[allow(dead_code, reason = "shown when the test fails")]
     reason: &'static str,
 }
 
-/// What has become of a client's requests.
+/// Outcomes of a client's requests.
 #[derive(Default)]
 struct ClientTally {
     answered: usize,
-    /// Sent again after a close that they crossed.
+    /// Number of requests sent again because they were in flight when their connection closed.
     resent: usize,
     lost: Vec<LostRequest>,
 }
 
-/// One client: sends a request every 25 ms on one connection until that is closed, then on new ones while the
-/// platform makes them, and until the kill.
+/// A client that sends a request every 25 ms on one connection until it is closed, and then on new ones while the
+/// platform opens new connections, until the kill.
 struct LoadClient {
     dispatcher: SocketAddr,
     script: &'static str,
     time_left_ms: String,
-    /// When SIGTERM was sent, once it has been.
+    /// Time at which SIGTERM was sent; `None` before.
     sigterm_at: watch::Receiver<Option<Instant>>,
     killed: CancellationToken,
     tally: ClientTally,
@@ -73,7 +74,7 @@
 
     fn record_loss(&mut self, sent_at: Instant, reason: &'static str) {
         let sigterm_at = *self.sigterm_at.borrow();
-        // Before SIGTERM nothing is closed and nothing killed.
+        // A request that is lost before SIGTERM counts as sent at SIGTERM.
         let sent_after_sigterm = sigterm_at.map_or(Duration::ZERO, |sigterm_at| {
             sent_at.saturating_duration_since(sigterm_at)
         });
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends requests until the connection ends; returns when those were sent that had no response by then.
+    /// Sends requests until the connection ends; returns the sending times of the unanswered requests.
     async fn use_connection(&mut self, mut client: FastCgiClient) -> Vec<Instant> {
         let mut open: BTreeMap<u16, Instant> = BTreeMap::new();
         let mut ticks = tokio::time::interval(REQUEST_INTERVAL);
@@ -127,7 +128,7 @@
                 _ = killed.cancelled() => return open.into_values().collect(),
                 _ = ticks.tick() => {
                     let Some(id) = (1..=32).find(|id| !open.contains_key(id)) else { continue };
-                    // A request that cannot be written any more was not read.
+                    // A request that can no longer be written was not read by the dispatcher.
                     if self.send_request(&mut client, id).await {
                         open.insert(id, Instant::now());
                     }
@@ -158,7 +159,8 @@
     }
 }
 
-/// One dispatcher whose cache hosts never reply: gets SIGTERM under load and is killed at the earliest.
+/// Runs a dispatcher whose cache hosts never reply, sends SIGTERM under load, and kills it at the earliest
+/// allowed time.
 async fn shut_down_and_kill(deadline_ms: u64, effect: &str) -> ClientTally {
     let silent = |_: &str, _: &str| Vec::new();
     let discovery = DiscoveryServer::start().await;
@@ -209,8 +211,7 @@
     total
 }
 
-/// Whatever the longest deadline of the settings is, each request that was read has its response before the
-/// kill.
+/// Each request that was read is answered before the kill, whatever the longest deadline in the settings.
 #[tokio::test]
 async fn requests_after_sigterm_are_answered_before_the_earliest_kill() {
     let mut runs = JoinSet::new();
--- a/crates/cli/tests/platform/startup.rs
+++ b/crates/cli/tests/platform/startup.rs
@@ -1,4 +1,4 @@
-//! The start of the process: its configuration, its first health check and the resources that it takes.
+//! Start of the process: its configuration, its first health check and the resources that it uses.
 use crate::support::*;
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// The dispatcher is taken into service once there is an endpoint to forward to.
+/// The health check succeeds once there is an endpoint to forward to.
 #[tokio::test]
 async fn health_check_succeeds_once_an_endpoint_list_is_known() {
     let mut discovery = DiscoveryServer::start().await;
@@ -28,12 +28,12 @@
     };
     timeout(TEST_TIMEOUT, ready)
         .await
-        .expect("it is ready in time");
+        .expect("the dispatcher was not ready in time");
 }
 
-/// What the platform forbids, as far as it shows from outside while requests are served: other processes,
-/// further listeners, named Unix sockets, IPv6, io_uring, a program without the system's C library. (What a
-/// forbidden call returns is the platform's to show.)
+/// The dispatcher uses nothing that the platform forbids, as far as this is visible from outside while requests
+/// are served: other processes, further listeners, named Unix sockets, IPv6, io_uring, a program that is not
+/// linked against the system's C library. (The result of a forbidden call can only be tested on the platform.)
 #[tokio::test]
 async fn dispatcher_is_one_process_with_one_listener_and_no_forbidden_resource() {
     let platform = TwoEndpointPlatform::start(|id, _| served_reply(id, "good")).await;
@@ -70,7 +70,7 @@
 /// The state of a listening socket in `net/tcp`.
 const TCP_STATE_LISTEN: &str = "0A";
 
-/// What the system shows of a process in files.
+/// The files of a process under `/proc`.
 struct ProcessFiles {
     folder: PathBuf,
 }
@@ -81,7 +81,7 @@
         Self { folder }
     }
 
-    /// A file's text; empty if there is no such file.
+    /// Returns a file's text; empty if the file does not exist.
     fn read(&self, name: &str) -> String {
         std::fs::read_to_string(self.folder.join(name)).unwrap_or_default()
     }
@@ -90,7 +90,7 @@
         let maps = self.read("maps");
         assert!(
             maps.contains("/libc.so") && maps.contains("/ld-linux"),
-            "linked against the C library: {maps}"
+            "not linked against the C library: {maps}"
         );
     }
 
@@ -101,18 +101,18 @@
             assert_eq!(
                 self.read(&format!("task/{id}/children")).trim(),
                 "",
-                "it has started another process"
+                "the dispatcher has started another process"
             );
             threads += 1;
         }
         assert_eq!(threads, 1, "more than one thread");
     }
 
-    /// The inodes of all open sockets; no descriptor is one of io_uring.
+    /// Returns the inodes of all open sockets, and asserts that no descriptor belongs to io_uring.
     fn socket_inodes(&self) -> BTreeSet<String> {
         let mut inodes = BTreeSet::new();
         for descriptor in std::fs::read_dir(self.folder.join("fd")).unwrap() {
-            // One that was closed meanwhile is no matter.
+            // A descriptor that was closed meanwhile is skipped.
             let Ok(link) = std::fs::read_link(descriptor.unwrap().path()) else {
                 continue;
             };
@@ -124,7 +124,7 @@
         inodes
     }
 
-    /// The rows of a table of proc_pid_net(5) that are about these sockets, by columns.
+    /// Returns the rows of a table of proc_pid_net(5) that belong to these sockets, split into columns.
     fn sockets_in(
         &self,
         table: &str,
@@ -144,7 +144,7 @@
     }
 }
 
-/// A start with a wrong configuration fails with an error that names the file and, if there is one, the key.
+/// A start with an invalid configuration fails with an error that names the file and, where one applies, the key.
 #[test]
 fn configuration_error_names_the_file_and_the_key() {
     let folder = tempfile::tempdir().unwrap();
@@ -180,8 +180,8 @@
     .contains("listen"));
 }
 
-/// Started with discovery down, silent or behind and with an old `known`, each process passes its health
-/// check and serves. The times are printed; only that all processes get there is checked.
+/// Dispatchers are started while discovery is down, silent or behind, with a revision in `known` ahead of the
+/// server's. Each passes its health check and serves. The start times are printed and not checked.
 #[tokio::test]
 async fn restarted_dispatcher_becomes_ready_while_discovery_is_unavailable() {
     let silent = ManualCacheHost::start().await;
@@ -199,7 +199,7 @@
             let endpoints = endpoints.clone();
             starting.spawn(async move {
                 let started_at = Instant::now();
-                // Ahead of the events that the server will send.
+                // The revision is ahead of the events that the server will send.
                 let known = |address| {
                     configuration(address, discovery, &endpoints).replace("\"rev\":1", "\"rev\":7")
                 };
@@ -215,7 +215,7 @@
         let mut ready = Vec::new();
         while let Some(result) = timeout(TEST_TIMEOUT, starting.join_next())
             .await
-            .expect("ready in time")
+            .expect("a dispatcher was not ready in time")
         {
             ready.push(result.unwrap().as_millis());
         }
--- a/crates/cli/tests/platform/system_call_failures.rs
+++ b/crates/cli/tests/platform/system_call_failures.rs
@@ -1,10 +1,10 @@
-//! System calls that fail as Linux documents: for a shortage of the local machine, for a connection that died
-//! in the accept queue, or by an interruption. No client loses a response by it.
+//! System calls that fail as Linux documents: by a resource shortage of the local machine, by a connection that
+//! was closed in the accept queue, or by an interruption. No client loses a response through them.
 use crate::support::*;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// A dispatcher with injected faults, one cache host that serves `good`, and a discovery server.
+/// A dispatcher with injectable faults, one cache host that serves `good`, and a discovery server.
 pub struct FaultyPlatform {
     pub faults: InjectedFaults,
     pub discovery: DiscoveryServer,
@@ -32,8 +32,8 @@
     }
 }
 
-/// What accept reports for connections that died in the queue, for an interruption, and for a shortage of the
-/// machine.
+/// Errors of accept for connections that failed in the queue, for an interruption, and for a resource shortage of
+/// the machine.
 const ACCEPT_ERRORS: [i64; 8] = [
     errno::ECONNABORTED,
     errno::EINTR,
@@ -45,7 +45,7 @@
     errno::ENOMEM,
 ];
 
-/// What connect and socket report for a shortage of the machine, and for an interruption.
+/// Errors of connect and socket for a resource shortage of the machine, and for an interruption.
 const LOCAL_ERRORS: [(SystemCall, i64); 7] = [
     (SystemCall::Connect, errno::EADDRNOTAVAIL),
     (SystemCall::Connect, errno::ENOBUFS),
@@ -56,8 +56,8 @@
     (SystemCall::Socket, errno::ENOMEM),
 ];
 
-/// Connections that died in the accept queue, or a shortage of the whole machine, are no reason to close idle
-/// connections.
+/// Connections that failed in the accept queue, or a shortage of the whole machine, do not make the dispatcher
+/// close idle connections.
 #[tokio::test]
 async fn failed_accept_closes_no_idle_connection() {
     let platform = FaultyPlatform::start().await;
@@ -87,8 +87,8 @@
     }
 }
 
-/// A shortage of addresses, descriptors or memory on the local machine, or an interrupted call, says nothing
-/// of the endpoint: each costs one request at most, and the endpoint is not ejected.
+/// A shortage of addresses, descriptors or memory on the local machine, or an interrupted call, is not a fault of
+/// the endpoint. Each failure costs one request at most, and the endpoint is not ejected.
 #[tokio::test]
 async fn local_shortage_does_not_eject_an_endpoint() {
     for (call, error) in LOCAL_ERRORS {
@@ -104,9 +104,9 @@
         let mut client = FastCgiClient::connect(dispatcher.address).await;
         client.request_page(1, &[]).await;
         assert_eq!(client.response(1).await.body, b"good");
-        // Longer than idle connections are kept: the next request needs a new one.
+        // Idle connections expire by then, so that the next request needs a new one.
         faults.advance_time(Duration::from_secs(60));
-        // Requests that are read in the first rounds after that count as buffered for a minute, and are
+        // Requests that are read in the first rounds after the advance count as buffered for a minute and are
         // rejected.
         dispatcher.catch_up().await;
         faults.fail_next(call, error, 4);
@@ -116,8 +116,8 @@
             let response = match client.response_or_close(n + 1).await {
                 Some(response) => response,
                 None => {
-                    // The client was idle for too long by the clock that has jumped: closed, and the request
-                    // is sent again.
+                    // By the advanced clock the client was idle for too long, and the dispatcher closed its
+                    // connection: the request is sent again.
                     client = FastCgiClient::connect(dispatcher.address).await;
                     client.request_page(n + 1, &[]).await;
                     client.response(n + 1).await
@@ -131,7 +131,7 @@
     }
 }
 
-/// Calls that are interrupted, and reads and writes of a few bytes: every response is complete.
+/// Every response is complete despite interrupted calls and reads and writes of a few bytes.
 #[tokio::test]
 async fn responses_are_complete_despite_interrupted_calls_and_short_transfers() {
     let body = "0123456789".repeat(300);
