--- a/crates/cli/tests/bad_day.rs
+++ b/crates/cli/tests/bad_day.rs
@@ -1,24 +1,26 @@
-//! The bad day in a short form, on sockets: the rules are kept, and each injected fault is found under its own name.
+//! Short runs of the bad-day scenario over sockets. No rule is violated without an injected fault, and each injected
+//! fault is reported as a violation of its own rule and kind.
 use std::process::Command;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 const RULES: [&str; 5] = ["answers", "effects", "drains", "cold", "purges"];
 
-/// Small enough for two cores, long enough for every fault of the script.
+/// Duration of a run; it covers every fault of the scenario, at a load that two cores can carry.
 const SECONDS: &str = "14";
 
-/// Status 2 says that the machine was too busy to judge anything: the day is played again, three times at most.
-fn play(fault: Option<&str>) -> (i32, serde_json::Value) {
+/// Runs the scenario. Status 2 means that the machine was too busy for a verdict; the run is then repeated, for three
+/// runs at most.
+fn run_until_judged(fault: Option<&str>) -> (i32, serde_json::Value) {
     for _ in 0..2 {
-        let out = once(fault);
+        let out = run_without_etcd(fault);
         if out.0 != 2 {
             return out;
         }
     }
-    once(fault)
+    run_without_etcd(fault)
 }
 
-fn once(fault: Option<&str>) -> (i32, serde_json::Value) {
+fn run_without_etcd(fault: Option<&str>) -> (i32, serde_json::Value) {
     run(fault, false)
 }
 
@@ -56,8 +58,8 @@
     (status, json)
 }
 
-fn rule<'a>(day: &'a serde_json::Value, name: &str) -> &'a serde_json::Value {
-    day["rules"]
+fn rule<'a>(report: &'a serde_json::Value, name: &str) -> &'a serde_json::Value {
+    report["rules"]
         .as_array()
         .unwrap()
         .iter()
@@ -65,7 +67,8 @@
         .unwrap()
 }
 
-/// The runs share the machine's cores, and the testbed must not be what is late: one after another.
+/// Lets one run execute at a time: the runs share the machine's cores, and delays of the testbed itself must not count as
+/// violations.
 static ONE_RUN_AT_A_TIME: Mutex<()> = Mutex::new(());
 
 fn wait_for_turn() -> MutexGuard<'static, ()> {
@@ -75,34 +78,34 @@
 }
 
 #[test]
-fn bad_day_keeps_all_rules() {
+fn no_rule_is_violated_without_injected_fault() {
     let _turn = wait_for_turn();
-    let (status, day) = play(None);
-    assert_eq!(status, 0, "{day:#}");
+    let (status, report) = run_until_judged(None);
+    assert_eq!(status, 0, "{report:#}");
     for name in RULES {
-        let rule = rule(&day, name);
+        let rule = rule(&report, name);
         assert_eq!(rule["breaches"], 0, "{rule:#}");
         assert!(
             rule["checked"].as_u64().unwrap() >= 10,
-            "never exercised: {rule:#}"
+            "rule checked too rarely: {rule:#}"
         );
     }
-    assert!(day["service"].as_f64().unwrap() > 0.3, "{day:#}");
+    assert!(report["service"].as_f64().unwrap() > 0.3, "{report:#}");
 }
 
-/// Plays the day with a fault: it breaks this rule in this way, and no other rule.
+/// Runs the scenario with a fault and checks that it violates this rule with this kind, and no other rule.
 fn check_injected_fault(fault: &str, name: &str, kind: &str) {
     let _turn = wait_for_turn();
-    let (status, day) = play(Some(fault));
-    assert_eq!(status, 1, "{fault}: {day:#}");
+    let (status, report) = run_until_judged(Some(fault));
+    assert_eq!(status, 1, "{fault}: {report:#}");
     assert!(
-        rule(&day, name)["kinds"][kind].as_u64().unwrap_or(0) > 0,
-        "{fault}: {day:#}"
+        rule(&report, name)["kinds"][kind].as_u64().unwrap_or(0) > 0,
+        "{fault}: {report:#}"
     );
     for other in RULES {
         assert!(
-            other == name || rule(&day, other)["breaches"] == 0,
-            "{fault} broke {other}: {day:#}"
+            other == name || rule(&report, other)["breaches"] == 0,
+            "{fault} violated {other}: {report:#}"
         );
     }
 }
@@ -137,19 +140,20 @@
     check_injected_fault("delay-answers", "answers", "late");
 }
 
-/// Lists and purges through an etcd whose streams break again and again.
+/// Endpoint lists and purges come from an etcd whose streams break repeatedly.
 #[test]
-fn bad_day_through_unreliable_etcd_keeps_drains_and_purges() {
+fn drains_and_purges_are_respected_through_unreliable_etcd() {
     let _turn = wait_for_turn();
-    let played = (0..3)
+    let judged_run = (0..3)
         .map(|_| run(None, true))
         .find(|(status, _)| *status != 2);
-    let (status, day) = played.expect("the machine is too busy to judge anything");
-    assert_eq!(status, 0, "{day:#}");
+    let (status, report) =
+        judged_run.expect("the machine was too busy for a verdict in three runs");
+    assert_eq!(status, 0, "{report:#}");
     for name in ["drains", "purges"] {
         assert!(
-            rule(&day, name)["checked"].as_u64().unwrap() >= 10,
-            "never exercised: {day:#}"
+            rule(&report, name)["checked"].as_u64().unwrap() >= 10,
+            "rule checked too rarely: {report:#}"
         );
     }
 }
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,9 +1,11 @@
-//! Twelve dispatchers as processes at three sites: a site is lost with everything it has and returns empty, another one is
-//! partitioned, some are paused (SIGSTOP), half are stopped gracefully and started again. Judged from the sockets.
+//! Runs twelve dispatcher processes at three sites. One site fails completely and returns without its data, another site is
+//! partitioned, some dispatchers are paused (SIGSTOP), and half are stopped gracefully and restarted. The rules are
+//! checked on what is observed at the sockets.
 use std::process::Command;
 
-/// Status 2 says that the machine was too busy to judge anything: the day is played again, three times at most.
-fn play() -> (i32, serde_json::Value) {
+/// Runs the scenario. Status 2 means that the machine was too busy for a verdict; the run is then repeated, for three
+/// runs at most.
+fn run_until_judged() -> (i32, serde_json::Value) {
     let scenario = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios/site-loss.ini");
     for _ in 0..3 {
         let mut command = Command::new(env!("CARGO_BIN_EXE_pointspindle"));
@@ -23,25 +25,26 @@
         let status = out.status.code().unwrap_or(-1);
         let stdout = String::from_utf8_lossy(&out.stdout);
         if status != 2 {
-            let why = String::from_utf8_lossy(&out.stderr);
+            let error_output = String::from_utf8_lossy(&out.stderr);
             return (
                 status,
-                serde_json::from_str(&stdout).unwrap_or_else(|e| panic!("{e}: {stdout} {why}")),
+                serde_json::from_str(&stdout)
+                    .unwrap_or_else(|e| panic!("{e}: {stdout} {error_output}")),
             );
         }
         println!("{}", String::from_utf8_lossy(&out.stderr));
     }
-    panic!("the machine is too busy to judge anything");
+    panic!("the machine was too busy for a verdict in three runs");
 }
 
 #[test]
-fn site_loss_and_partition_keep_rules_and_sums_over_all_processes() {
-    let (status, day) = play();
-    for rule in day["rules"].as_array().unwrap() {
+fn site_loss_and_partition_violate_no_rule() {
+    let (status, report) = run_until_judged();
+    for rule in report["rules"].as_array().unwrap() {
         assert_eq!(rule["breaches"], 0, "{rule:#}");
     }
     let checked = |name: &str| {
-        let mut rules = day["rules"].as_array().unwrap().iter();
+        let mut rules = report["rules"].as_array().unwrap().iter();
         rules.find(|r| r["name"] == name).unwrap()["checked"]
             .as_u64()
             .unwrap()
@@ -55,16 +58,20 @@
     ] {
         assert!(
             checked(name) >= least,
-            "{name} was never exercised: {day:#}"
+            "{name} was checked fewer than {least} times: {report:#}"
         );
     }
-    assert_eq!((status, &day["dispatchers"]), (0, &12.into()), "{day:#}");
-    let sites = day["sums"]["sites"].as_array().unwrap();
-    let struck: Vec<bool> = sites
+    assert_eq!(
+        (status, &report["dispatchers"]),
+        (0, &12.into()),
+        "{report:#}"
+    );
+    let sites = report["sums"]["sites"].as_array().unwrap();
+    let affected: Vec<bool> = sites
         .iter()
         .map(|s| s["struck"].as_bool().unwrap())
         .collect();
-    assert_eq!(struck, [true, true, false]);
-    // The sites were really hit: a run in which nothing happened would keep every rule as well.
-    assert!(sites[0]["worst"].as_f64().unwrap() < 0.9, "{day:#}");
+    assert_eq!(affected, [true, true, false]);
+    // The failure must have had an effect: a run without failures would violate no rule either.
+    assert!(sites[0]["worst"].as_f64().unwrap() < 0.9, "{report:#}");
 }
--- a/crates/cli/tests/platform/discovery.rs
+++ b/crates/cli/tests/platform/discovery.rs
@@ -57,7 +57,7 @@
     ));
     let stream = second.next_poll().await;
     assert_eq!(stream.last_event_id, 2);
-    // The new server continues the revisions: a new endpoint at the address of a removed one.
+    // The new server continues the revisions; it announces a new endpoint at the address of a removed one.
     let entries = [
         endpoint_entry("s-2", other.address, "box", "Gone"),
         endpoint_entry("s-3", platform.cache.address, "box", "Ready"),
--- a/crates/cli/tests/platform/request_forwarding.rs
+++ b/crates/cli/tests/platform/request_forwarding.rs
@@ -99,7 +99,7 @@
     let script = move |id: &str, fields: &str| {
         let good = served_reply(id, "good");
         if fields.contains("obj=bbbbbbbbbbbbbbbb") {
-            // An unknown id ahead of the valid reply, and a duplicate behind it.
+            // A reply with an unknown id precedes the valid reply, and a duplicate follows it.
             return [
                 served_reply("ffffffffffffffff", "other"),
                 good.clone(),
--- a/crates/cli/tests/platform/resource_limits.rs
+++ b/crates/cli/tests/platform/resource_limits.rs
@@ -207,7 +207,7 @@
         }
         silent_clients.push(client);
     }
-    // The connection of a client that does not read within its time-out is closed, which frees its buffers.
+    // The connection of a client that does not read within its time-out is closed although no data was read.
     let served = async {
         loop {
             let response = request_until_answered(dispatcher.address).await;
--- a/crates/cli/tests/platform/shutdown_under_load.rs
+++ b/crates/cli/tests/platform/shutdown_under_load.rs
@@ -74,7 +74,7 @@
 
     fn record_loss(&mut self, sent_at: Instant, reason: &'static str) {
         let sigterm_at = *self.sigterm_at.borrow();
-        // A request that is lost before SIGTERM counts as sent at SIGTERM.
+        // Before SIGTERM no connection is closed and no process is killed.
         let sent_after_sigterm = sigterm_at.map_or(Duration::ZERO, |sigterm_at| {
             sent_at.saturating_duration_since(sigterm_at)
         });
--- a/crates/cli/tests/platform/soak/client.rs
+++ b/crates/cli/tests/platform/soak/client.rs
@@ -1,4 +1,4 @@
-//! The clients of a run: they connect, send requests, abort some, leave, and come again.
+//! The clients of a run, which connect, send requests, abort some, disconnect and connect again.
 use super::fault_schedule::PAGE_OBJECTS;
 use super::observations::{Class, Recorder, RequestOutcome, RequestRecord};
 use super::run::{random_duration, DispatcherSlot, Run};
@@ -15,12 +15,12 @@
 use tokio::time::Instant;
 
 const CLIENT_SALT: u64 = 1_000_000;
-/// Salts of one dispatcher's clients.
+/// Number of salts reserved for the clients of one dispatcher.
 const SALTS_PER_DISPATCHER: u64 = 100;
-/// Requests open on one connection at most.
+/// Maximum number of open requests on one connection.
 const MAX_OPEN_REQUESTS: usize = 8;
 const SUBMIT_PROBABILITY: f64 = 0.3;
-/// Objects of requests that write begin here.
+/// First object number of write requests.
 const FIRST_SUBMIT_OBJECT: u64 = 1_000;
 /// Requests with very little time left.
 const SHORT_DEADLINE_PROBABILITY: f64 = 0.05;
@@ -28,7 +28,7 @@
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(20);
 const IDLE_RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Requests that are open on a connection: transaction ids by request ids.
+/// Open requests of a connection: transaction ids by request id.
 type OpenRequests = BTreeMap<u16, String>;
 
 /// One client of a dispatcher.
@@ -45,7 +45,7 @@
         Self { run, slot, rng }
     }
 
-    /// Uses one connection after the other until the run is over.
+    /// Uses successive connections until the run is over.
     pub async fn run(mut self) {
         loop {
             let socket = match self.slot.accepts_connections() {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Sends a request; before that it may abort one, or leave, which is the break.
+    /// Sends a request, after possibly aborting an open one. Breaks if the client disconnects instead.
     async fn act(
         &mut self,
         connection: &mut FastCgiClient,
@@ -110,7 +110,7 @@
         }
         match self.rng.gen_range(0..100) {
             0..6 => {
-                // Aborted, whatever its state is.
+                // The request is aborted in any state.
                 let Some((id, transaction)) = open.iter().next() else {
                     return ControlFlow::Continue(());
                 };
@@ -137,7 +137,7 @@
         let bytes = request.record_and_encode(&self.run.recorder, self.slot.number, id);
         match connection.writer.write_all(&bytes).await {
             Ok(()) => _ = open.insert(id, request.transaction),
-            // Not read: its last byte was not written.
+            // The dispatcher cannot have read the request: its last byte was not written.
             Err(_) => self.run.recorder.request_abandoned(&request.transaction),
         }
     }
@@ -153,7 +153,7 @@
 }
 
 impl RandomRequest {
-    /// A seed stands for its requests only as long as the values are drawn in this order.
+    /// Draws a request. The values must be drawn in this order for a seed to keep its requests.
     fn draw(rng: &mut StdRng, deadline: Duration) -> Self {
         let class = match rng.gen_bool(SUBMIT_PROBABILITY) {
             true => Class::Submit,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The request's bytes; it counts as sent from now on.
+    /// Records the request as sent now, and returns its bytes.
     fn record_and_encode(&self, recorder: &Recorder, dispatcher: usize, id: u16) -> BytesMut {
         let object = format!("{:016x}", self.object);
         let time_left = self.time_left_ms.to_string();
@@ -214,7 +214,7 @@
 }
 
 impl Run {
-    /// An idle client: it connects again as soon as its connection is closed.
+    /// Runs an idle client, which connects again as soon as its connection is closed.
     pub async fn keep_idle_connection(self: Arc<Self>, slot: Arc<DispatcherSlot>) {
         while !self.over.is_cancelled() {
             match TcpStream::connect(slot.address).await {
--- a/crates/cli/tests/platform/soak/dispatcher_schedule.rs
+++ b/crates/cli/tests/platform/soak/dispatcher_schedule.rs
@@ -1,4 +1,4 @@
-//! The dispatchers of a run: each process with its faults, its planned end and its successor.
+//! The dispatchers of a run: the faults of each process, its planned end and its successor.
 use super::observations::{ProcessEnd, RequestOutcome};
 use super::plan::Plan;
 use super::replicated_discovery::REPLICAS;
@@ -13,16 +13,16 @@
 use tokio::time::Instant;
 
 const DISPATCHER_SALT: u64 = 1_000;
-/// The kill comes this long after the longest deadline.
+/// Time between the longest deadline and the kill.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// The longest deadline counts as this at most.
+/// Upper limit at which the longest deadline counts.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// Beyond its deadline no request is waited for longer than this.
+/// Maximum time to wait for a response after the deadline of its request.
 const LAST_RESPONSE_GRACE: Duration = Duration::from_secs(2);
 const CLOCK_OFFSETS_SECONDS: [f64; 7] = [-3_600.0, -5.0, -1.0, 0.0, 1.0, 5.0, 3_600.0];
 
 impl Run {
-    /// One process after the other, each with faults until its planned end.
+    /// Runs successive processes, each with faults until its planned end.
     pub async fn run_dispatchers(self: Arc<Self>, slot: Arc<DispatcherSlot>) {
         let mut rng = self.plan.rng(DISPATCHER_SALT + slot.number as u64);
         let mut discovery = self.discovery.addresses[0];
@@ -51,7 +51,7 @@
                 }
             }
             if !dispatcher.is_running() {
-                let crash = format!("dispatcher {} has ended by itself", slot.number);
+                let crash = format!("dispatcher {} exited unexpectedly", slot.number);
                 self.recorder.crashed(crash);
                 return;
             }
@@ -79,7 +79,7 @@
         discovery
     }
 
-    /// SIGTERM, now and then another signal, and the kill at the earliest.
+    /// Sends SIGTERM and sometimes another signal, and kills the process at the earliest allowed time.
     async fn shut_down(
         &self,
         slot: &DispatcherSlot,
@@ -102,7 +102,10 @@
         if dispatcher.is_running() {
             dispatcher.signal("-KILL");
         } else if let Some(code) = dispatcher.exit_code().filter(|code| *code != 0) {
-            let crash = format!("dispatcher {} ended with {code}", slot.number);
+            let crash = format!(
+                "dispatcher {} exited with code {code} after SIGTERM",
+                slot.number
+            );
             self.recorder.crashed(crash);
         }
         let killed_at = Instant::now();
@@ -112,7 +115,7 @@
         });
     }
 
-    /// Returns once no request is open, or none can be answered in time any more.
+    /// Waits until no request is open, or until none can be answered in time.
     async fn wait_for_responses(&self) {
         let all_ended = async {
             while self.has_open_requests() {
@@ -130,7 +133,7 @@
             .any(|request| request.outcome == RequestOutcome::Open)
     }
 
-    /// The configuration of a dispatcher, with all events that have been published.
+    /// Returns the configuration of a dispatcher, with all events published so far.
     fn configuration(&self, slot: &DispatcherSlot, discovery: SocketAddr) -> String {
         let text = configuration(slot.address, discovery, &[]);
         let text = with_known(&text, &self.discovery.known());
--- a/crates/cli/tests/platform/soak/fault_schedule.rs
+++ b/crates/cli/tests/platform/soak/fault_schedule.rs
@@ -1,5 +1,5 @@
-//! The faults of a run outside the dispatchers: cache hosts that misbehave, change and drain, objects that
-//! are purged, and discovery that is down or silent.
+//! Faults and changes outside the dispatchers: cache hosts that misbehave, are replaced and drain, purges of
+//! objects, and a discovery server that is down or silent.
 use super::misbehaving_cache_host::{Behaviour, MisbehavingCacheHost, BEHAVIOURS};
 use super::observations::{Change, DiscoveryOutage};
 use super::replicated_discovery::Availability;
@@ -14,15 +14,15 @@
 const BEHAVIOUR_SALT: u64 = 1;
 const CHANGE_SALT: u64 = 2;
 const DISCOVERY_SALT: u64 = 3;
-/// Purges among the changes; the others replace a cache host.
+/// Fraction of the changes that are purges; the others replace a cache host.
 const PURGE_PROBABILITY: f64 = 0.8;
-/// The objects that are purged are those of the requests for pages.
+/// Number of objects that page requests use and that may be purged.
 pub const PAGE_OBJECTS: u64 = 30;
-/// By then the server is polled again after an outage: what was published before may arrive a little later.
+/// Time after an outage by which the server is polled again; earlier events may arrive up to then.
 const POLLED_AGAIN_AFTER: Duration = Duration::from_millis(1_000);
 
 impl Run {
-    /// Lets cache hosts misbehave, one after the other.
+    /// Lets cache hosts misbehave in turn.
     pub async fn change_behaviours(self: Arc<Self>) {
         let mut rng = self.plan.rng(BEHAVIOUR_SALT);
         while self.pause(random_duration(&mut rng, 150, 500)).await {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Purges objects, and replaces cache hosts, which drain.
+    /// Purges objects, and replaces cache hosts, which then drain.
     pub async fn announce_changes(self: Arc<Self>) {
         let mut rng = self.plan.rng(CHANGE_SALT);
         let mut list_sequence = 1;
@@ -61,12 +61,12 @@
         }
     }
 
-    /// Purges an object; false: the run was over before that was published.
+    /// Purges an object; returns false if the run is over before the purge is published.
     async fn purge_object(&self, rng: &mut StdRng) -> bool {
         let object = rng.gen_range(0..PAGE_OBJECTS);
         let at = Instant::now();
         let event = purge(&format!("{object:016x}"), unix_ms());
-        // Published a little later than it happened.
+        // The purge is published some time after it takes place.
         if !self.pause(random_duration(rng, 0, 200)).await {
             return false;
         }
@@ -89,7 +89,7 @@
             .announced(Change::Drained { host: old.number });
     }
 
-    /// Lets the discovery server be down or silent for a while.
+    /// Lets the discovery server be down or silent from time to time.
     pub async fn interrupt_discovery(self: Arc<Self>) {
         let mut rng = self.plan.rng(DISCOVERY_SALT);
         while self.pause(random_duration(&mut rng, 1_500, 4_000)).await {
--- a/crates/cli/tests/platform/soak/guarantees.rs
+++ b/crates/cli/tests/platform/soak/guarantees.rs
@@ -1,4 +1,4 @@
-//! What the dispatchers guarantee, checked request by request on the observations of both ends.
+//! The guarantees of the dispatchers, checked request by request on the observations of both ends.
 use super::observations::*;
 use super::plan::{Plan, SubmitRepeat};
 use std::collections::BTreeMap;
@@ -9,41 +9,41 @@
     Duration::from_millis(ms)
 }
 
-/// The tolerance of each limit of time.
+/// Tolerance of every time limit.
 pub const TOLERANCE: Duration = ms(50);
-/// A response that is later than its deadline by more than this is a violation.
+/// Time after its deadline beyond which a response is a violation.
 const MAX_LATENESS: Duration = ms(500);
-/// A request that crosses a close by no more than this may be lost: clients send it again.
+/// Maximum age at the close of its connection up to which a request may be lost: clients send it again.
 const MAX_CLOSE_CROSSING: Duration = ms(50);
-/// Attempts end so long after their client has abandoned the request.
+/// Time after which attempts end once their client has abandoned the request.
 const AFTER_ABANDONMENT: Duration = ms(100);
-/// A cache host may be given so much more time than is left.
+/// Time by which the time given to a cache host may exceed the remaining time.
 const TIME_LEFT_TOLERANCE: Duration = ms(150);
-/// A killed process closes its connections so long after the kill at most.
+/// Maximum time after a kill until the process's connections are closed.
 const CLOSE_AFTER_KILL: Duration = ms(500);
 const DRAIN_GRACE: Duration = ms(1_000);
 const PURGE_GRACE: Duration = ms(500);
-/// By then copies from before a purge have expired everywhere.
+/// Time after a purge by which copies from before it have expired everywhere.
 const PURGE_HORIZON: Duration = ms(6_000);
-/// What would have been announced in an outage counts as announced so long after it began.
+/// Time after the start of an outage at which changes announced during it count as announced.
 const ANNOUNCED_AT_THE_LATEST: Duration = ms(4_000);
 
 /// A guarantee of the dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Guarantee {
-    /// Each request has a response.
+    /// Each request gets a response.
     Answered,
-    /// Responses are not late.
+    /// Responses arrive in time.
     AnsweredInTime,
-    /// No request has two responses.
+    /// No request gets two responses.
     AnsweredOnce,
     /// No attempt is made after the client has abandoned the request.
     NoAttemptAfterAbandonment,
-    /// Cache hosts are given no more time than is left.
+    /// Cache hosts are given no more than the remaining time.
     TimeLeft,
     /// No two attempts of a request are open at once.
     OneAttemptAtOnce,
-    /// What is not idempotent runs once, or twice only while its key is remembered.
+    /// A request that is not idempotent runs once, or is repeated only while its key is remembered.
     NoRepeatedEffect,
     /// A rejection means that a retry is harmless.
     HonestRejection,
@@ -51,15 +51,15 @@
     NoRequestToDraining,
     /// Copies from before a purge are not requested.
     NoPurgedCopy,
-    /// No process ends by itself, or with an error.
+    /// No process exits unexpectedly or with an error.
     NoCrash,
 }
 
-/// A guarantee that was not kept.
+/// A violation of a guarantee.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub guarantee: Guarantee,
-    /// The request; empty if it is not about one.
+    /// Transaction id of the request; empty if the violation concerns no request.
     pub transaction: String,
     pub reason: String,
 }
@@ -71,7 +71,7 @@
     attempts: &'a [&'a Attempt],
 }
 
-/// All violations in the observations of a run.
+/// Returns all violations in the observations of a run.
 pub fn find_violations(plan: &Plan, observations: &Observations) -> Vec<Violation> {
     let mut check = Check {
         plan,
@@ -140,11 +140,11 @@
         }
     }
 
-    /// A connection that was closed with the request open.
+    /// Checks a request whose connection was closed while it was open.
     fn closed(&mut self, request: &ObservedRequest, at: Instant, unused: bool) {
         let record = request.record;
         let crossed = at <= record.sent_at + MAX_CLOSE_CROSSING;
-        // Beside idle clients that take all descriptors, new connections may be closed unread.
+        // New connections may be closed unread while idle clients take all descriptors.
         let unread = self.plan.idle_clients && unused && request.attempts.is_empty();
         if crossed || unread {
             return;
@@ -181,7 +181,7 @@
                 attempt.received_at > abandoned_at + AFTER_ABANDONMENT + TOLERANCE
             });
             if abandoned {
-                let reason = "an attempt after its client has abandoned the request";
+                let reason = "attempt made after the client had abandoned the request";
                 self.violated(
                     Guarantee::NoAttemptAfterAbandonment,
                     request.transaction,
@@ -203,7 +203,7 @@
             let first_end = pair[0].end.map(|end| end.at);
             let second_start = pair[1].received_at;
             if first_end.is_none_or(|end| end > second_start + TOLERANCE) {
-                let reason = "a second attempt while the first was open";
+                let reason = "second attempt made while the first was open";
                 self.violated(Guarantee::OneAttemptAtOnce, request.transaction, reason);
             }
         }
@@ -229,13 +229,13 @@
             let is_repeated = repeats_until.is_none_or(|until| attempt.received_at > until);
             if is_later && is_repeated {
                 let after = attempt.received_at - first_run.received_at;
-                let reason = format!("again after {after:?}");
+                let reason = format!("run again after {after:?}");
                 self.violated(Guarantee::NoRepeatedEffect, request.transaction, reason);
             }
         }
     }
 
-    /// When a change counts as known to all dispatchers.
+    /// Returns the time at which a change counts as known to all dispatchers.
     fn known_at(&self, announced_at: Instant, grace: Duration) -> Instant {
         let concerned = self.observations.discovery_outages.iter().filter(|outage| {
             outage.from <= announced_at + TOLERANCE && announced_at <= outage.to + TOLERANCE
@@ -252,7 +252,7 @@
             let is_known = |grace| attempt.received_at > self.known_at(announcement.at, grace);
             match announcement.change {
                 Change::Drained { host } if host == attempt.host && is_known(DRAIN_GRACE) => {
-                    let reason = format!("forwarded to host {host}, which drains");
+                    let reason = format!("forwarded to draining host {host}");
                     self.violated(Guarantee::NoRequestToDraining, request.transaction, reason);
                 }
                 Change::Purged { object, at }
@@ -265,7 +265,7 @@
         }
     }
 
-    /// An attempt that was received when a purge of its object was known.
+    /// Checks an attempt that was received when a purge of its object was known.
     fn purge(&mut self, request: &ObservedRequest, attempt: &Attempt, purged_at: Instant) {
         let received_at = attempt.received_at;
         let copies_remain =
@@ -273,13 +273,14 @@
         let since_purge = received_at.saturating_duration_since(purged_at);
         if copies_remain && !excludes_copies_older_than(attempt, since_purge) {
             let max_age_ms = attempt.max_age_ms;
-            let reason = format!("a copy of {max_age_ms} ms, purged {since_purge:?} ago");
+            let reason =
+                format!("copies of up to {max_age_ms} ms requested, purged {since_purge:?} ago");
             self.violated(Guarantee::NoPurgedCopy, request.transaction, reason);
         }
     }
 }
 
-/// Whether an attempt's age limit excludes all copies that are older.
+/// Returns whether the age limit of an attempt excludes all copies older than `age`.
 pub fn excludes_copies_older_than(attempt: &Attempt, age: Duration) -> bool {
     attempt.max_age_ms > 0 && ms(attempt.max_age_ms) <= age + TOLERANCE
 }
--- a/crates/cli/tests/platform/soak/misbehaving_cache_host.rs
+++ b/crates/cli/tests/platform/soak/misbehaving_cache_host.rs
@@ -1,4 +1,4 @@
-//! Cache hosts that misbehave by turns and record each attempt.
+//! Cache hosts that misbehave from time to time and record each attempt.
 use super::observations::{Attempt, AttemptOutcome, Recorder};
 use crate::support::{endpoint_entry, healthy_reply, overloaded_reply, served_reply};
 use std::collections::HashMap;
@@ -11,12 +11,12 @@
 use tokio::net::TcpListener;
 use tokio::time::Instant;
 
-/// The line end behind a body.
+/// The line end after a body.
 const BODY_END_BYTES: usize = 2;
-/// Replies take up to this, by the last digit of the transaction id.
+/// Maximum delay of a reply; the last digit of the transaction id determines the delay.
 const MAX_WORK_MS: u64 = 8;
 
-/// How a cache host behaves at a time.
+/// Current behaviour of a cache host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behaviour {
@@ -25,13 +25,13 @@
     Hangs,
     Rejects,
     Fails,
-    /// Closes the connection at a request.
+    /// Closes the connection when a request arrives.
     Closes,
-    /// Replies with bytes that are no reply.
+    /// Replies with bytes that are not a valid reply.
     Corrupts,
 }
 
-/// All behaviours, by their numbers.
+/// All behaviours, indexed by their numbers.
 pub const BEHAVIOURS: [Behaviour; 6] = [
     Behaviour::Serves,
     Behaviour::Hangs,
@@ -51,7 +51,7 @@
 }
 
 impl MisbehavingCacheHost {
-    /// Starts one that serves; `class` is the platform's name of its kind.
+    /// Starts a cache host that serves; `class` is the platform's name for its kind.
     pub async fn start(number: usize, class: &'static str, recorder: Arc<Recorder>) -> Arc<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
@@ -86,14 +86,14 @@
         BEHAVIOURS[usize::from(self.behaviour.load(Ordering::SeqCst))]
     }
 
-    /// Its entry in an endpoint list.
+    /// Returns the cache host's entry in an endpoint list.
     pub fn entry(&self, health: &str) -> String {
         let id = format!("{}-{}", self.class, self.number);
         endpoint_entry(&id, self.address, self.class, health)
     }
 }
 
-/// The indices of attempts that are open on one connection, by their transaction ids.
+/// Indices of the open attempts of one connection, by transaction id.
 type OpenAttempts = Arc<Mutex<HashMap<String, usize>>>;
 
 /// One connection of a dispatcher.
@@ -161,7 +161,7 @@
         self.open.lock().unwrap().insert(id.to_owned(), attempt);
     }
 
-    /// Attempts that are open end with the connection.
+    /// Ends the open attempts when the connection ends.
     fn end_all(&self) {
         let open: Vec<usize> = self
             .open
--- a/crates/cli/tests/platform/soak/mod.rs
+++ b/crates/cli/tests/platform/soak/mod.rs
@@ -1,6 +1,6 @@
 //! A soak test: many dispatchers under random faults, checked request by request from what both ends observe.
 //!
-//! CI plays a few fixed seeds. By hand, each seed for so many seconds, one after the other:
+//! CI runs a few fixed seeds. To run other seeds by hand, one after the other for a number of seconds each:
 //! `SOAK_SEEDS=1..51 SOAK_SECONDS=12 cargo test -p pointspindle-cli --test platform soak:: -- --nocapture`.
 mod client;
 mod dispatcher_schedule;
@@ -17,7 +17,7 @@
 use guarantees::{find_violations, Guarantee, Violation};
 use observations::Observations;
 use plan::Plan;
-use planted_violations::plant_violations;
+use planted_violations::inject_violations;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use std::time::Duration;
@@ -25,10 +25,10 @@
 
 const CI_SEEDS: Range<u64> = 1..5;
 const CI_SECONDS: u64 = 8;
-/// Violations of a run that are shown with their traces.
+/// Maximum number of violations of a run that are shown with their traces.
 const MAX_SHOWN_VIOLATIONS: usize = 5;
 
-/// Shows the first violations of a run, and how to play it again.
+/// Prints the first violations of a run and the command that repeats it.
 fn report(plan: &Plan, observations: &Observations, violations: &[Violation]) {
     if violations.is_empty() {
         return;
@@ -45,35 +45,41 @@
         );
     }
     println!(
-        "again: SOAK_SEEDS={}..{} SOAK_SECONDS={} cargo test -p pointspindle-cli --test platform soak:: -- --nocapture",
+        "repeat with: SOAK_SEEDS={}..{} SOAK_SECONDS={} cargo test -p pointspindle-cli --test platform soak:: -- --nocapture",
         plan.seed,
         plan.seed + 1,
         plan.duration.as_secs()
     );
 }
 
-/// What the environment asks for, or what CI plays.
+/// Returns the seeds and the duration of the environment variables, or those of CI.
 fn seeds_and_duration() -> (Range<u64>, Duration) {
-    let number = |text: &str| text.parse::<u64>().expect("a number");
+    let number = |text: &str| {
+        text.parse::<u64>()
+            .expect("SOAK_SEEDS and SOAK_SECONDS must be numbers")
+    };
     let seeds = std::env::var("SOAK_SEEDS").map_or(CI_SEEDS, |text| {
-        let (from, to) = text.split_once("..").expect("SOAK_SEEDS as 1..51");
+        let (from, to) = text
+            .split_once("..")
+            .expect("SOAK_SEEDS must be a range such as 1..51");
         number(from)..number(to)
     });
     let seconds = std::env::var("SOAK_SECONDS").map_or(CI_SECONDS, |text| number(&text));
     (seeds, Duration::from_secs(seconds))
 }
 
-/// Planted violations that the check does not find: a check that never fails would be none.
+/// Returns the guarantees whose injected violations the check does not find. It guards against a check that never
+/// fails.
 fn missed_violations(plan: &Plan, observations: &Observations) -> BTreeSet<Guarantee> {
-    plant_violations(plan, observations)
+    inject_violations(plan, observations)
         .into_iter()
-        .filter(|planted| {
-            let violations = find_violations(plan, &planted.observations);
+        .filter(|injection| {
+            let violations = find_violations(plan, &injection.observations);
             !violations
                 .iter()
-                .any(|violation| violation.guarantee == planted.guarantee)
+                .any(|violation| violation.guarantee == injection.guarantee)
         })
-        .map(|planted| planted.guarantee)
+        .map(|injection| injection.guarantee)
         .collect()
 }
 
@@ -105,7 +111,10 @@
         missed.extend(missed_violations(&plan, &observations));
     }
     println!("{requests} requests, {attempts} attempts, violations by guarantee: {violated:?}");
-    assert!(missed.is_empty(), "planted and not found: {missed:?}");
+    assert!(
+        missed.is_empty(),
+        "injected violations that were not found: {missed:?}"
+    );
     assert!(violated.is_empty(), "{violated:?}");
     assert!(requests > 0 && attempts > 0);
 }
--- a/crates/cli/tests/platform/soak/observations.rs
+++ b/crates/cli/tests/platform/soak/observations.rs
@@ -1,5 +1,5 @@
-//! What both ends of the dispatchers have observed: clients of their requests, cache hosts of their attempts,
-//! and the discovery server of the changes that it announced.
+//! Observations at both ends of the dispatchers: requests by the clients, attempts by the cache hosts, and
+//! announced changes by the discovery server.
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -12,11 +12,11 @@
     Submit,
 }
 
-/// How a request ended for its client.
+/// Outcome of a request for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
     Open,
-    /// By the status of its response; 0: an end without one.
+    /// Ended with this response status; 0 if it ended without a response.
     Answered {
         at: Instant,
         status: u16,
@@ -24,14 +24,14 @@
     /// The connection was closed.
     Closed {
         at: Instant,
-        /// Nothing had been answered on it.
+        /// Whether no response had been received on the connection.
         unused: bool,
     },
-    /// The client has aborted it or closed the connection.
+    /// The client aborted the request or closed the connection.
     Abandoned,
 }
 
-/// A request, as its client saw it.
+/// A request as observed by its client.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub dispatcher: usize,
@@ -41,22 +41,22 @@
     pub time_left: Duration,
     pub outcome: RequestOutcome,
     pub abandoned_at: Option<Instant>,
-    /// Responses; there may be one at most.
+    /// Number of responses; more than one is a violation.
     pub responses: usize,
 }
 
 impl RequestRecord {
-    /// Whether it was answered with status 200.
+    /// Returns whether the request was answered with status 200.
     pub fn is_served(&self) -> bool {
         matches!(self.outcome, RequestOutcome::Answered { status: 200, .. })
     }
 }
 
-/// How an attempt ended at a cache host.
+/// Outcome of an attempt at a cache host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     Served,
-    /// It never ran.
+    /// The request never ran.
     Rejected,
     MayHaveRun,
     Cancelled,
@@ -69,21 +69,21 @@
     pub outcome: AttemptOutcome,
 }
 
-/// An attempt, as its cache host saw it.
+/// An attempt as observed by its cache host.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     pub transaction: String,
     pub host: usize,
     pub received_at: Instant,
-    /// The time left that the cache request named.
+    /// Remaining time in the cache request.
     pub time_left_ms: u64,
-    /// The age limit that the cache request named; 0: none.
+    /// Age limit in the cache request; 0 for no limit.
     pub max_age_ms: u64,
     pub end: Option<AttemptEnd>,
 }
 
 impl Attempt {
-    /// Whether the request may have run by this attempt: all but a rejection.
+    /// Returns whether the request may have run in this attempt, which every outcome but a rejection allows.
     pub fn may_have_run(&self) -> bool {
         !matches!(
             self.end,
@@ -102,7 +102,7 @@
     Purged { object: u64, at: Instant },
 }
 
-/// When a change was announced.
+/// A change with the time of its announcement.
 #[derive(Clone, Copy, Debug)]
 pub struct Announcement {
     pub at: Instant,
@@ -116,17 +116,17 @@
     pub killed_at: Instant,
 }
 
-/// A time in which the discovery server was down or silent.
+/// A period in which the discovery server was down or silent.
 #[derive(Clone, Copy, Debug)]
 pub struct DiscoveryOutage {
     pub from: Instant,
     pub to: Instant,
 }
 
-/// All that was observed in a run.
+/// All observations of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Requests by their transaction ids.
+    /// Requests by transaction id.
     pub requests: BTreeMap<String, RequestRecord>,
     pub attempts: Vec<Attempt>,
     pub announcements: Vec<Announcement>,
@@ -135,7 +135,7 @@
     pub discovery_outages: Vec<DiscoveryOutage>,
 }
 
-/// The observations of a run that goes on.
+/// Collects the observations of a run in progress.
 #[derive(Debug, Default)]
 pub struct Recorder(Mutex<Observations>);
 
--- a/crates/cli/tests/platform/soak/plan.rs
+++ b/crates/cli/tests/platform/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What one seed plays: settings and faults, drawn from what the operators' pages allow.
+//! The plan of a seed: settings and faults, drawn from the ranges that the operators' pages allow.
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -11,30 +11,30 @@
     pub clients_per_dispatcher: usize,
     /// The longest deadline of both classes.
     pub deadline: Duration,
-    /// Whether the class that writes may run twice, by the setting's name for it.
+    /// Whether a write request may run twice.
     pub submit_repeat: SubmitRepeat,
-    /// How long cache hosts remember an idempotency key.
+    /// Duration for which cache hosts remember an idempotency key.
     pub key_lifetime: Duration,
     pub max_attempts: u32,
     pub descriptor_limit: u32,
-    /// Idle clients take the descriptors.
+    /// Whether idle clients exhaust the descriptors.
     pub idle_clients: bool,
-    /// The machines' wall clocks are stepped.
+    /// Whether the wall clocks of the dispatchers are stepped.
     pub clock_steps: bool,
     pub duration: Duration,
 }
 
-/// Whether a request of the class that writes may run twice.
+/// Whether a write request may run twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitRepeat {
     Idempotent,
-    /// Within the lifetime of its idempotency key.
+    /// A request may be repeated within the lifetime of its idempotency key.
     Deduplicated,
     AtMostOnce,
 }
 
 impl SubmitRepeat {
-    /// The value of the setting.
+    /// Returns the value of the setting.
     pub fn setting(self) -> &'static str {
         match self {
             Self::Idempotent => "idempotent",
@@ -56,7 +56,7 @@
 const DESCRIPTOR_LIMITS: [u32; 3] = [128, 256, 512];
 /// The limit that idle clients can exhaust.
 const DESCRIPTOR_LIMIT_WITH_IDLE_CLIENTS: u32 = 96;
-/// Spreads seeds that follow each other (2^64 over the golden ratio).
+/// Multiplier that spreads consecutive seeds (2^64 over the golden ratio).
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 fn choose<T: Copy>(rng: &mut StdRng, values: &[T]) -> T {
@@ -64,7 +64,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed. A seed stands for its plan only as long as the values are drawn in this order.
+    /// Returns the plan of a seed. The values must be drawn in this order for a seed to keep its plan.
     pub fn draw(seed: u64, duration: Duration) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let idle_clients = rng.gen_bool(0.25);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The random numbers of one part of the run, by a salt of its own.
+    /// Returns the random number generator of one part of the run, which has a unique salt.
     pub fn rng(&self, salt: u64) -> StdRng {
         let seed = self.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(salt);
         StdRng::seed_from_u64(seed)
--- a/crates/cli/tests/platform/soak/planted_violations.rs
+++ b/crates/cli/tests/platform/soak/planted_violations.rs
@@ -1,4 +1,4 @@
-//! Violations put into the observations of a good run, at least one for each guarantee: the check has to find
+//! Injects violations into the observations of a valid run, at least one for each guarantee. The check must find
 //! them.
 use super::guarantees::{excludes_copies_older_than, Guarantee};
 use super::observations::*;
@@ -10,44 +10,44 @@
     Duration::from_millis(ms)
 }
 
-/// How long before an attempt a purge is planted: within the purge horizon, after any outage of discovery.
-const PLANTED_PURGE_AGE: Duration = ms(5_000);
-/// How long before an attempt a draining is planted: after any outage of discovery.
-const PLANTED_DRAIN_AGE: Duration = ms(9_000);
+/// Time before an attempt at which a purge is injected: within the purge horizon, after any outage of discovery.
+const INJECTED_PURGE_AGE: Duration = ms(5_000);
+/// Time before an attempt at which a drain is injected: after any outage of discovery.
+const INJECTED_DRAIN_AGE: Duration = ms(9_000);
 
 /// Observations with one violation, and the guarantee that it violates.
-pub struct PlantedViolation {
+pub struct InjectedViolation {
     pub guarantee: Guarantee,
     pub observations: Observations,
 }
 
-/// All violations that can be planted in these observations; none if no page or no write was served.
-pub fn plant_violations(plan: &Plan, observations: &Observations) -> Vec<PlantedViolation> {
-    let Some(planter) = Planter::new(plan, observations) else {
+/// Returns all violations that can be injected into these observations; none if no page or no write was served.
+pub fn inject_violations(plan: &Plan, observations: &Observations) -> Vec<InjectedViolation> {
+    let Some(injector) = ViolationInjector::new(plan, observations) else {
         return Vec::new();
     };
     let changed = [
-        (Guarantee::Answered, planter.never_answered()),
-        (Guarantee::Answered, planter.closed()),
-        (Guarantee::AnsweredInTime, planter.answered_late()),
-        (Guarantee::AnsweredOnce, planter.answered_twice()),
+        (Guarantee::Answered, injector.never_answered()),
+        (Guarantee::Answered, injector.closed()),
+        (Guarantee::AnsweredInTime, injector.answered_late()),
+        (Guarantee::AnsweredOnce, injector.answered_twice()),
         (
             Guarantee::NoAttemptAfterAbandonment,
-            planter.abandoned_before(),
+            injector.abandoned_before(),
         ),
-        (Guarantee::TimeLeft, planter.too_much_time_left()),
-        (Guarantee::OneAttemptAtOnce, planter.overlapping_attempts()),
-        (Guarantee::NoRepeatedEffect, planter.repeated_effect()),
-        (Guarantee::HonestRejection, planter.rejected_after_a_run()),
-        (Guarantee::NoRequestToDraining, planter.drained_before()),
-        (Guarantee::NoPurgedCopy, planter.purged_before()),
-        (Guarantee::NoCrash, planter.crash()),
+        (Guarantee::TimeLeft, injector.too_much_time_left()),
+        (Guarantee::OneAttemptAtOnce, injector.overlapping_attempts()),
+        (Guarantee::NoRepeatedEffect, injector.repeated_effect()),
+        (Guarantee::HonestRejection, injector.rejected_after_a_run()),
+        (Guarantee::NoRequestToDraining, injector.drained_before()),
+        (Guarantee::NoPurgedCopy, injector.purged_before()),
+        (Guarantee::NoCrash, injector.crash()),
     ];
     changed
         .into_iter()
         .filter_map(|(guarantee, observations)| {
             let observations = observations?;
-            Some(PlantedViolation {
+            Some(InjectedViolation {
                 guarantee,
                 observations,
             })
@@ -55,19 +55,19 @@
         .collect()
 }
 
-/// Plants violations in copies of the observations; none where one is not possible.
-struct Planter<'a> {
+/// Injects violations into copies of the observations; its methods return `None` where that is not possible.
+struct ViolationInjector<'a> {
     plan: &'a Plan,
     observations: &'a Observations,
-    /// Requests with status 200 and an attempt.
+    /// Requests with status 200 and at least one attempt.
     served: Vec<String>,
     /// A served request for a page.
     page: String,
-    /// A served request that writes.
+    /// A served write request.
     submit: String,
 }
 
-impl<'a> Planter<'a> {
+impl<'a> ViolationInjector<'a> {
     fn new(plan: &'a Plan, observations: &'a Observations) -> Option<Self> {
         let attempted: BTreeSet<&str> = observations
             .attempts
@@ -83,10 +83,10 @@
             .cloned()
             .collect();
         let first_of = |class| {
-            let mut of_class = served
+            let mut served_of_class = served
                 .iter()
                 .filter(|transaction| observations.requests[*transaction].class == class);
-            of_class.next().cloned()
+            served_of_class.next().cloned()
         };
         let page = first_of(Class::Page)?;
         let submit = first_of(Class::Submit)?;
@@ -99,7 +99,7 @@
         })
     }
 
-    /// The observations with one request changed.
+    /// Returns the observations with one request changed.
     fn with_request(
         &self,
         transaction: &str,
@@ -110,7 +110,7 @@
         Some(observations)
     }
 
-    /// The first attempt of a request.
+    /// Returns the index of the first attempt of a request.
     fn first_attempt(&self, transaction: &str) -> Option<usize> {
         let attempts = &self.observations.attempts;
         attempts
@@ -118,7 +118,7 @@
             .position(|attempt| attempt.transaction == transaction)
     }
 
-    /// Adds an attempt that is received so long after the first one.
+    /// Adds an attempt that is received `after` the first one.
     fn add_attempt(observations: &mut Observations, first: usize, after: Duration) {
         let first = observations.attempts[first].clone();
         let received_at = first.received_at + after;
@@ -209,15 +209,15 @@
         let mut observations = self.observations.clone();
         let attempt = &observations.attempts[first];
         let announcement = Announcement {
-            at: attempt.received_at - PLANTED_DRAIN_AGE,
+            at: attempt.received_at - INJECTED_DRAIN_AGE,
             change: Change::Drained { host: attempt.host },
         };
         observations.announcements.push(announcement);
         Some(observations)
     }
 
-    /// An attempt whose age limit is below the age of the planted purge excludes all purged copies: there it
-    /// would be no violation.
+    /// Injects a purge before an attempt whose age limit exceeds the age of the purge. A lower age limit excludes
+    /// all purged copies, so that the purge would not be a violation.
     fn purged_before(&self) -> Option<Observations> {
         let is_served_page = |attempt: &&Attempt| {
             self.served.contains(&attempt.transaction)
@@ -228,9 +228,9 @@
             .attempts
             .iter()
             .filter(is_served_page)
-            .find(|attempt| !excludes_copies_older_than(attempt, PLANTED_PURGE_AGE))?;
+            .find(|attempt| !excludes_copies_older_than(attempt, INJECTED_PURGE_AGE))?;
         let object = self.observations.requests[&attempt.transaction].object;
-        let at = attempt.received_at - PLANTED_PURGE_AGE;
+        let at = attempt.received_at - INJECTED_PURGE_AGE;
         let mut observations = self.observations.clone();
         observations.announcements.push(Announcement {
             at,
@@ -241,7 +241,7 @@
 
     fn crash(&self) -> Option<Observations> {
         let mut observations = self.observations.clone();
-        observations.crashes.push("planted".into());
+        observations.crashes.push("injected crash".into());
         Some(observations)
     }
 }
--- a/crates/cli/tests/platform/soak/replicated_discovery.rs
+++ b/crates/cli/tests/platform/soak/replicated_discovery.rs
@@ -6,19 +6,19 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The addresses at which the log is served.
+/// Number of addresses at which the log is served.
 pub const REPLICAS: usize = 2;
 const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
 const COMMENT: &str = ":\n\n";
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n";
 
-/// Whether the server serves.
+/// Availability of the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     Up,
-    /// It accepts no connection, and open ones are closed.
+    /// The server accepts no connection, and open ones are closed.
     Down,
-    /// Connections stay open and carry nothing.
+    /// Connections stay open and carry no data.
     Silent,
 }
 
@@ -69,7 +69,7 @@
         self.availability.send_replace(availability);
     }
 
-    /// All events, as a configuration knows them.
+    /// Returns all events in the form of a configuration's `known` section.
     pub fn known(&self) -> String {
         let events = self.events.lock().unwrap();
         let revision = events.len();
@@ -110,7 +110,7 @@
     }
 }
 
-/// Reads a poll's head; returns its last event id, or none if the connection ends first.
+/// Reads the head of a poll; returns its last event id, or `None` if the connection ends first.
 async fn read_poll(socket: &mut TcpStream) -> Option<usize> {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/cli/tests/platform/soak/run.rs
+++ b/crates/cli/tests/platform/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of a plan: its parts, how they start and how they end.
+//! One run of a plan: its parts, their start and their end.
 use super::client::Client;
 use super::misbehaving_cache_host::MisbehavingCacheHost;
 use super::observations::{Observations, Recorder};
@@ -14,40 +14,40 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-/// Clients connect for this long after SIGTERM.
+/// Time after SIGTERM during which clients open new connections.
 const ACCEPT_PERIOD: Duration = Duration::from_millis(600);
-/// Cache hosts that keep objects; beside them there are a parent and the origin.
+/// Number of cache hosts that store objects, in addition to a parent and the origin.
 pub const CACHE_HOSTS: usize = 5;
 
-/// A dispatcher's place in the run: one process after another, at one address.
+/// A dispatcher of the run: successive processes at one address.
 pub struct DispatcherSlot {
     pub number: usize,
     pub address: SocketAddr,
-    /// When its process got SIGTERM; none: it serves.
+    /// Time at which the process got SIGTERM; `None` while it serves.
     pub sigterm_at: Mutex<Option<Instant>>,
 }
 
 impl DispatcherSlot {
-    /// Whether clients still connect.
+    /// Returns whether clients still connect.
     pub fn accepts_connections(&self) -> bool {
         let sigterm_at = *self.sigterm_at.lock().unwrap();
         sigterm_at.is_none_or(|sigterm_at| sigterm_at.elapsed() <= ACCEPT_PERIOD)
     }
 }
 
-/// What the parts of a run share.
+/// State that the parts of a run share.
 pub struct Run {
     pub plan: Plan,
     pub recorder: Arc<Recorder>,
     pub discovery: Arc<ReplicatedDiscovery>,
-    /// The cache hosts of the endpoint list; the first [`CACHE_HOSTS`] are replaced now and then.
+    /// Cache hosts of the endpoint list; the first [`CACHE_HOSTS`] are replaced from time to time.
     pub hosts: Mutex<Vec<Arc<MisbehavingCacheHost>>>,
     pub slots: Vec<Arc<DispatcherSlot>>,
-    /// No new requests and no new faults.
+    /// Cancelled at the end of the run: no new requests and no new faults start.
     pub over: CancellationToken,
 }
 
-/// A random time, both ends included.
+/// Returns a random duration; both ends are included.
 pub fn random_duration(rng: &mut StdRng, from_ms: u64, to_ms: u64) -> Duration {
     Duration::from_millis(rng.gen_range(from_ms..=to_ms))
 }
@@ -66,12 +66,12 @@
         discovery.publish(&endpoint_list(1, true, &entries));
         let mut slots = Vec::new();
         for number in 0..plan.dispatchers {
-            // Until the first process serves, no client connects.
-            let long_ago = Instant::now() - ACCEPT_PERIOD * 2;
+            // A SIGTERM in the past keeps clients from connecting until the first process serves.
+            let past_sigterm = Instant::now() - ACCEPT_PERIOD * 2;
             slots.push(Arc::new(DispatcherSlot {
                 number,
                 address: unused_address().await,
-                sigterm_at: Mutex::new(Some(long_ago)),
+                sigterm_at: Mutex::new(Some(past_sigterm)),
             }));
         }
         Arc::new(Self {
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Waits; false: the run was over before.
+    /// Waits for `duration`; returns false if the run is over before.
     pub async fn pause(&self, duration: Duration) -> bool {
         tokio::select! {
             () = tokio::time::sleep(duration) => true,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Plays a plan; returns what was observed.
+/// Runs a plan and returns the observations.
 pub async fn play(plan: Plan) -> Observations {
     let run = Run::start(plan).await;
     let mut dispatchers = JoinSet::new();
@@ -126,7 +126,7 @@
     }
     others.abort_all();
     while let Some(ended) = others.join_next().await {
-        // Aborted, unless it has failed by itself.
+        // A task ends here by the abort, unless it has panicked.
         let failed = ended.is_err_and(|error| error.is_panic());
         assert!(!failed, "a client or a part of the platform has failed");
     }
--- a/crates/cli/tests/platform/soak/trace.rs
+++ b/crates/cli/tests/platform/soak/trace.rs
@@ -1,8 +1,8 @@
-//! The trace of a request, for whoever looks for the cause of a violation.
+//! Traces of requests, for finding the cause of a violation.
 use super::observations::{Change, Observations};
 use tokio::time::Instant;
 
-/// All that was observed of a request, a line each, in seconds since `start`.
+/// Returns all observations of a request, one per line, with times in seconds since `start`.
 pub fn trace(observations: &Observations, transaction: &str, start: Instant) -> String {
     let seconds = |at: Instant| format!("{:.3}", at.saturating_duration_since(start).as_secs_f64());
     let mut lines = Vec::new();
--- a/crates/cli/tests/platform/support/configuration.rs
+++ b/crates/cli/tests/platform/support/configuration.rs
@@ -1,7 +1,7 @@
 //! The dispatcher's configuration and the events of discovery, as the platform writes them.
 use std::net::SocketAddr;
 
-/// The configuration: two classes, a zone `edge` with these endpoints, and small limits.
+/// Returns a configuration with two classes, a zone `edge` with these endpoints, and small limits.
 pub fn configuration(listen: SocketAddr, discovery: SocketAddr, endpoints: &[String]) -> String {
     let endpoints = endpoints.join(",");
     format!(
@@ -20,7 +20,7 @@
     )
 }
 
-/// A configuration with something else in places that it has.
+/// Returns the configuration with each `(from, to)` replaced; each `from` must occur in it.
 pub fn with_replacements(configuration: String, replacements: &[(&str, &str)]) -> String {
     replacements.iter().fold(configuration, |text, (from, to)| {
         assert!(text.contains(from), "{from}");
@@ -28,14 +28,14 @@
     })
 }
 
-/// A configuration with `known` in place of the endpoint list that it knows.
+/// Returns the configuration with `known` in place of its known endpoint list.
 pub fn with_known(configuration: &str, known: &str) -> String {
     let start = configuration.find("\"known\"").unwrap();
     let end = configuration.find("\"settings\"").unwrap();
     configuration.replacen(&configuration[start..end], known, 1)
 }
 
-/// The entry of an endpoint list.
+/// Returns an entry of an endpoint list.
 pub fn endpoint_entry(id: &str, address: SocketAddr, class: &str, health: &str) -> String {
     let site = if class == "box" { "edge" } else { "hub" };
     format!(
@@ -43,18 +43,18 @@
     )
 }
 
-/// What an event says of the endpoint list: all of it, or the entries that have changed.
+/// Returns the endpoint list part of an event: the complete list, or the changed entries.
 pub fn endpoint_list(sequence: u64, complete: bool, entries: &[String]) -> String {
     let entries = entries.join(",");
     format!("\"pool\":{{\"seq\":{sequence},\"whole\":{complete},\"hosts\":[{entries}]}}")
 }
 
-/// What an event says of a purge.
+/// Returns the purge part of an event.
 pub fn purge(object: &str, purged_unix_ms: u128) -> String {
     format!("\"flush\":{{\"asset\":\"{object}\",\"ms\":{purged_unix_ms}}}")
 }
 
-/// An event of the discovery stream.
+/// Returns an event of the discovery stream.
 pub fn discovery_event(revision: u64, content: &str) -> String {
     format!("id: {revision}\ndata: {{\"rev\":{revision},{content}}}\n\n")
 }
--- a/crates/cli/tests/platform/support/discovery_server.rs
+++ b/crates/cli/tests/platform/support/discovery_server.rs
@@ -1,4 +1,4 @@
-//! A discovery server: reports each poll to the test and sends the events that the test puts in.
+//! A discovery server that reports each poll to the test and sends the events that the test publishes.
 use super::{discovery_event, TEST_TIMEOUT};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,34 +9,34 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// How often an open stream gets a comment, its sign of life.
+/// Interval of the comments that keep an open stream alive.
 const COMMENT_INTERVAL: Duration = Duration::from_millis(500);
 const COMMENT: &str = ":\n\n";
 const RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n:\n\n";
 
 /// One poll of the dispatcher; its stream ends when this is dropped.
 pub struct DiscoveryStream {
-    /// The revision from which the dispatcher polls.
+    /// Revision after which the dispatcher polls.
     pub last_event_id: u64,
     events: mpsc::UnboundedSender<String>,
 }
 
 impl DiscoveryStream {
-    /// Sends text on the stream; an event or a part of one.
+    /// Sends text on the stream: an event or a part of one.
     pub fn send(&self, text: impl Into<String>) {
         self.events.send(text.into()).unwrap();
     }
 
-    /// Sends text unless the dispatcher has left the stream.
+    /// Sends text unless the dispatcher has closed the stream.
     pub fn send_if_open(&self, text: impl Into<String>) {
         let _ = self.events.send(text.into());
     }
 }
 
-/// A discovery server whose events are the test's.
+/// A discovery server whose events the test determines.
 pub struct DiscoveryServer {
     pub address: SocketAddr,
-    /// Its streams send no comments any more.
+    /// Whether the streams have stopped sending comments.
     silent: Arc<AtomicBool>,
     polls: mpsc::UnboundedReceiver<DiscoveryStream>,
 }
@@ -66,14 +66,14 @@
         }
     }
 
-    /// Its streams send no comments from now on; earlier polls are forgotten.
+    /// Stops the comments on all streams and discards earlier polls.
     pub fn stop_comments(&mut self) {
         self.silent.store(true, Ordering::SeqCst);
         while self.polls.try_recv().is_ok() {}
     }
 
-    /// Sends an event and ends the stream behind it. The event has been applied when this returns: the
-    /// dispatcher polls again from its revision on.
+    /// Sends an event, ends the stream after it, and waits until the dispatcher has applied the event, which it
+    /// shows by polling again from the event's revision.
     pub async fn publish(
         &mut self,
         stream: DiscoveryStream,
@@ -87,16 +87,16 @@
         next
     }
 
-    /// The stream of the next poll.
+    /// Returns the stream of the next poll.
     pub async fn next_poll(&mut self) -> DiscoveryStream {
         timeout(TEST_TIMEOUT, self.polls.recv())
             .await
-            .expect("a poll in time")
+            .expect("no poll in time")
             .unwrap()
     }
 }
 
-/// Reads a poll's head; returns its last event id.
+/// Reads the head of a poll and returns its last event id.
 async fn read_poll(socket: &mut TcpStream) -> u64 {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
--- a/crates/cli/tests/platform/support/dispatcher_process.rs
+++ b/crates/cli/tests/platform/support/dispatcher_process.rs
@@ -1,4 +1,4 @@
-//! The dispatcher as a process: its start, the signals to it, and what the system reports of it.
+//! The dispatcher as a process: its start, the signals sent to it, and the system's figures about it.
 use super::{configuration, unused_address, with_replacements};
 use super::{FastCgiClient, InjectedFaults, TEST_TIMEOUT};
 use std::net::SocketAddr;
@@ -8,14 +8,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Rounds of its runtime by which the dispatcher has read what arrived during a pause.
+/// Number of rounds of its runtime after which the dispatcher has read all input that arrived during a pause.
 const CATCH_UP_ROUNDS: usize = 8;
 const LISTENER_POLL_INTERVAL: Duration = Duration::from_millis(10);
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// When set, the dispatcher's log is shown.
+/// Environment variable that, when set, shows the dispatcher's log.
 const SHOW_LOG_VARIABLE: &str = "SHOW";
 
-/// A dispatcher's process; killed when the test ends.
+/// A dispatcher process that is killed when the test ends.
 pub struct DispatcherProcess {
     child: Child,
     pub address: SocketAddr,
@@ -23,23 +23,23 @@
     _folder: tempfile::TempDir,
 }
 
-/// How a process is started, beside its configuration.
+/// Options for the start of a process, in addition to its configuration.
 #[derive(Default)]
 struct SpawnOptions<'a> {
-    /// Where it listens; none: at an unused address.
+    /// Address to listen on; an unused address if `None`.
     address: Option<SocketAddr>,
-    /// The system's limit of open descriptors, whatever the configuration says.
+    /// The system's limit of open descriptors, independent of the configured one.
     descriptor_limit: Option<u64>,
     faults: Option<&'a InjectedFaults>,
 }
 
 impl DispatcherProcess {
-    /// Starts a dispatcher that passes its health check.
+    /// Starts a dispatcher and checks that it passes its health check.
     pub async fn start(discovery: SocketAddr, endpoints: &[String]) -> Self {
         Self::start_with_replacements(discovery, endpoints, &[]).await
     }
 
-    /// As [`Self::start`], with something else in the configuration.
+    /// As [`Self::start`], with replacements in the configuration.
     pub async fn start_with_replacements(
         discovery: SocketAddr,
         endpoints: &[String],
@@ -53,12 +53,12 @@
         started
     }
 
-    /// Starts a dispatcher that listens; `configuration` gets the address.
+    /// Starts a dispatcher and waits until it listens; `configuration` gets its address.
     pub async fn spawn(configuration: impl FnOnce(SocketAddr) -> String) -> Self {
         Self::spawn_with(SpawnOptions::default(), configuration).await
     }
 
-    /// As [`Self::spawn`], with a limit of open descriptors, whatever the configuration says.
+    /// As [`Self::spawn`], with a system limit of open descriptors, independent of the configured one.
     pub async fn spawn_with_descriptor_limit(
         descriptor_limit: u64,
         configuration: impl FnOnce(SocketAddr) -> String,
@@ -70,7 +70,7 @@
         Self::spawn_with(options, configuration).await
     }
 
-    /// As [`Self::spawn_with_faults`], at an address that an earlier process had.
+    /// As [`Self::spawn_with_faults`], at the address of an earlier process.
     pub async fn spawn_at(
         address: SocketAddr,
         faults: &InjectedFaults,
@@ -100,8 +100,8 @@
         options: SpawnOptions<'_>,
         configuration: impl FnOnce(SocketAddr) -> String,
     ) -> Self {
-        // On a loopback address of its own no other socket of this run can take the port before the process
-        // listens.
+        // The loopback address is used by this process alone, so that no other socket of this run can take the
+        // port before the process listens.
         let address = match options.address {
             Some(address) => address,
             None => unused_address().await,
@@ -119,7 +119,7 @@
         };
         timeout(TEST_TIMEOUT, listening)
             .await
-            .expect("it listens in time");
+            .expect("the dispatcher did not listen in time");
         Self {
             child,
             address,
@@ -128,22 +128,22 @@
         }
     }
 
-    /// The status of a health check on a new connection.
+    /// Returns the status of a health check on a new connection.
     pub async fn health_status(&self) -> u16 {
         let mut client = FastCgiClient::connect(self.address).await;
         client.send_request(1, "/alive", &[], b"").await;
         client.response(1).await.status
     }
 
-    /// Returns once its runtime has gone through the rounds in which it reads what arrived during a pause,
-    /// and counts that as buffered through it: each of these exchanges takes at least one round.
+    /// Waits until the dispatcher's runtime has gone through the rounds in which it reads input that arrived
+    /// during a pause and counts it as buffered for the pause. Each health check takes at least one round.
     pub async fn catch_up(&self) {
         for _ in 0..CATCH_UP_ROUNDS {
             assert_eq!(self.health_status().await, 200);
         }
     }
 
-    /// New connections, each with a request for a page on it.
+    /// Opens new connections and sends a request for a page on each.
     pub async fn connect_with_requests(&self, count: usize) -> Vec<FastCgiClient> {
         let mut clients = Vec::new();
         for _ in 0..count {
@@ -175,17 +175,17 @@
         assert!(sent.success());
     }
 
-    /// A file or folder of the process under `/proc`.
+    /// Returns the path of a file or folder of the process under `/proc`.
     pub fn proc_path(&self, name: &str) -> PathBuf {
         format!("/proc/{}/{name}", self.child.id()).into()
     }
 
-    /// The descriptors that are open now.
+    /// Returns the number of open descriptors.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(self.proc_path("fd")).unwrap().count()
     }
 
-    /// The most memory that was resident at once.
+    /// Returns the peak resident memory in kB.
     pub fn peak_memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(self.proc_path("status")).unwrap();
         let peak = status
@@ -195,14 +195,14 @@
         peak.trim().trim_end_matches(" kB").parse().unwrap()
     }
 
-    /// The processor time used so far: the scheduler's own figure for the one thread.
+    /// Returns the processor time used so far, as the scheduler counts it for the only thread.
     pub fn cpu_time_us(&self) -> u64 {
         let statistics = std::fs::read_to_string(self.proc_path("schedstat")).unwrap();
         let running_ns: u64 = statistics.split(' ').next().unwrap().parse().unwrap();
         running_ns / 1_000
     }
 
-    /// The exit code, if the process has ended; -1: by a signal.
+    /// Returns the exit code if the process has ended; -1 if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         self.child
             .try_wait()
@@ -214,7 +214,7 @@
         self.exit_code().is_none()
     }
 
-    /// Waits until the process has ended; its exit code.
+    /// Waits until the process has ended and returns its exit code.
     pub async fn wait_for_exit(mut self) -> i32 {
         let exit = async {
             loop {
@@ -224,7 +224,9 @@
                 }
             }
         };
-        timeout(TEST_TIMEOUT, exit).await.expect("it ends in time")
+        timeout(TEST_TIMEOUT, exit)
+            .await
+            .expect("the dispatcher did not exit in time")
     }
 }
 
@@ -235,7 +237,8 @@
     }
 }
 
-/// The command that starts the dispatcher; a shell sets the limit of descriptors and becomes the dispatcher.
+/// Returns the command that starts the dispatcher. A shell sets the descriptor limit and then executes the
+/// dispatcher in its place.
 fn command(
     options: &SpawnOptions<'_>,
     address: SocketAddr,
--- a/crates/cli/tests/platform/support/fastcgi_client.rs
+++ b/crates/cli/tests/platform/support/fastcgi_client.rs
@@ -14,11 +14,11 @@
 use tokio_util::codec::FramedRead;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// The content of a begin record: the responder's role, and the connection is kept.
+/// Content of a begin record: the responder role, with the flag that keeps the connection open.
 const BEGIN_CONTENT: [u8; 8] = [0, 1, KEEP_CONN, 0, 0, 0, 0, 0];
 const FIRST_TRANSACTION_ID: u64 = 0x9b1f_03aa_0000_0001;
 
-/// A response; status 0: the request ended without one.
+/// A response; status 0 if the request ended without one.
 #[derive(Clone, Debug, Default)]
 pub struct Response {
     pub status: u16,
@@ -30,9 +30,9 @@
 pub struct FastCgiClient {
     pub writer: OwnedWriteHalf,
     records: FramedRead<OwnedReadHalf, RecordCodec>,
-    /// What has arrived of the responses that are not complete.
+    /// Received parts of the responses that are not complete yet.
     partial: BTreeMap<u16, BytesMut>,
-    /// Complete responses that were not read yet.
+    /// Complete responses that the test has not read yet.
     completed: BTreeMap<u16, Response>,
 }
 
@@ -69,25 +69,29 @@
         self.send_request(id, "/ops/page", fields, b"").await;
     }
 
-    /// The response to a request; none: the connection was closed first.
+    /// Returns the response to a request, or `None` if the connection was closed first.
     pub async fn response_or_close(&mut self, id: u16) -> Option<Response> {
         let read = async {
             while !self.completed.contains_key(&id) {
                 let (completed_id, response) = self.next_response().await?;
                 let earlier = self.completed.insert(completed_id, response);
-                assert!(earlier.is_none(), "two ends");
+                assert!(earlier.is_none(), "a request ended twice");
             }
             self.completed.remove(&id)
         };
-        timeout(TEST_TIMEOUT, read).await.expect("an end in time")
+        timeout(TEST_TIMEOUT, read)
+            .await
+            .expect("no response or close in time")
     }
 
-    /// The response to a request.
+    /// Returns the response to a request.
     pub async fn response(&mut self, id: u16) -> Response {
-        self.response_or_close(id).await.expect("a response")
+        self.response_or_close(id)
+            .await
+            .expect("the connection was closed without a response")
     }
 
-    /// The next request that ends, whichever it is, and its response; none: the connection is closed.
+    /// Returns the id and the response of the next request that ends, or `None` if the connection is closed.
     /// Cancel-safe.
     pub async fn next_response(&mut self) -> Option<(u16, Response)> {
         loop {
@@ -107,7 +111,7 @@
         }
     }
 
-    /// Aborts a request, and waits for its end.
+    /// Aborts a request and waits for its end.
     pub async fn abort(&mut self, id: u16) {
         self.writer.write_all(&abort_record(id)).await.unwrap();
         assert_eq!(
@@ -142,22 +146,22 @@
     }
 }
 
-/// The record that begins a request.
+/// Returns the record that begins a request.
 pub fn begin_request_record(id: u16) -> BytesMut {
     let mut out = BytesMut::new();
     record(&mut out, BEGIN_REQUEST, id, &BEGIN_CONTENT);
     out
 }
 
-/// The record that aborts a request.
+/// Returns the record that aborts a request.
 pub fn abort_record(id: u16) -> BytesMut {
     let mut out = BytesMut::new();
     record(&mut out, ABORT_REQUEST, id, &[]);
     out
 }
 
-/// The bytes of a complete request, with a transaction id of its own; `fields` replace or add to those of a
-/// valid request for a page.
+/// Returns the bytes of a complete request with a unique transaction id; `fields` replace or extend the fields of
+/// a valid request for a page.
 pub fn fastcgi_request(id: u16, script: &str, fields: &[(&str, &str)], body: &[u8]) -> BytesMut {
     static NEXT_TRANSACTION_ID: AtomicU64 = AtomicU64::new(FIRST_TRANSACTION_ID);
     let transaction_id = NEXT_TRANSACTION_ID.fetch_add(1, Ordering::SeqCst);
--- a/crates/cli/tests/platform/support/injected_faults.rs
+++ b/crates/cli/tests/platform/support/injected_faults.rs
@@ -24,7 +24,7 @@
     Wait = 12,
 }
 
-/// Linux's numbers of the errors that the tests use (the same on all its common architectures).
+/// Linux error numbers that the tests use; they are the same on all common architectures.
 pub mod errno {
     pub const EINTR: i64 = 4;
     pub const ENOMEM: i64 = 12;
@@ -37,14 +37,14 @@
     pub const EHOSTUNREACH: i64 = 113;
 }
 
-/// The faults of one process, set while it runs.
+/// Faults of one process, which can be set while it runs.
 pub struct InjectedFaults {
     control: std::fs::File,
     control_path: PathBuf,
     _folder: tempfile::TempDir,
 }
 
-/// The library, compiled once for this run.
+/// Path of the library, which is compiled once per run.
 fn library() -> &'static PathBuf {
     static BUILT: OnceLock<(PathBuf, tempfile::TempDir)> = OnceLock::new();
     let (path, _) = BUILT.get_or_init(|| {
@@ -59,7 +59,7 @@
             .arg(&library)
             .arg(source)
             .status();
-        assert!(built.expect("a C compiler").success());
+        assert!(built.expect("the C compiler cannot be started").success());
         (library, folder)
     });
     path
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The environment of a process that gets these faults.
+    /// Returns the environment variables of a process that gets these faults.
     pub fn environment(&self) -> [(&'static str, PathBuf); 2] {
         [
             ("LD_PRELOAD", library().clone()),
@@ -104,28 +104,28 @@
         i64::from_ne_bytes(bytes)
     }
 
-    /// From now on the process's wall clock is off by so much.
+    /// Sets the offset of the process's wall clock from now on, in seconds.
     pub fn step_wall_clock(&self, seconds: f64) {
         self.set(WALL_OFFSET_NS, (seconds * 1e9) as i64);
     }
 
-    /// So much time passes at once, by all clocks.
+    /// Advances all clocks of the process at once.
     pub fn advance_time(&self, time: Duration) {
         self.set(ELAPSED_NS, self.get(ELAPSED_NS) + time.as_nanos() as i64);
     }
 
-    /// No read or write transfers more bytes than this; 0: no limit.
+    /// Limits the bytes that a read or write transfers; 0 removes the limit.
     pub fn limit_transfer_size(&self, bytes: i64) {
         self.set(SHORT_IO, bytes);
     }
 
-    /// The next `count` calls fail with this error.
+    /// Makes the next `count` calls fail with this error.
     pub fn fail_next(&self, call: SystemCall, error: i64, count: i64) {
         self.set(call as u64, error);
         self.set(call as u64 + 1, count);
     }
 
-    /// Returns once all planned failures of a call have happened.
+    /// Waits until all planned failures of a call have happened.
     pub async fn wait_until_failed(&self, call: SystemCall) {
         let all_failed = async {
             while self.get(call as u64 + 1) > 0 {
@@ -134,6 +134,6 @@
         };
         tokio::time::timeout(super::TEST_TIMEOUT, all_failed)
             .await
-            .expect("the calls are made");
+            .expect("the failing calls were not made in time");
     }
 }
--- a/crates/cli/tests/platform/support/manual_cache_host.rs
+++ b/crates/cli/tests/platform/support/manual_cache_host.rs
@@ -1,4 +1,4 @@
-//! Cache hosts whose every byte the test writes, and one that accepts no connection until it is told to.
+//! A cache host whose every byte the test writes, and one that accepts no connection until the test lets it.
 use super::{healthy_reply, served_reply, transaction_id, TEST_TIMEOUT};
 use futures_util::stream::FuturesUnordered;
 use futures_util::StreamExt;
@@ -8,9 +8,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// The line end behind a body.
+/// The line end after a body.
 const BODY_END_BYTES: usize = 2;
-/// A connection that is not established by then finds the accept queue full.
+/// Time after which a connection that is not established shows that the accept queue is full.
 const QUEUE_FULL_AFTER: Duration = Duration::from_millis(300);
 
 /// A cache host whose every byte the test writes.
@@ -30,13 +30,13 @@
     pub async fn accept(&self) -> CacheHostConnection {
         let (socket, _) = timeout(TEST_TIMEOUT, self.listener.accept())
             .await
-            .expect("it connects")
+            .expect("the dispatcher did not connect in time")
             .unwrap();
         CacheHostConnection::new(socket)
     }
 
-    /// The next cache request on any connection, with that connection. Health checks are answered meanwhile,
-    /// new connections are added to the others and closed ones leave them.
+    /// Returns the next cache request on any connection, with that connection. Meanwhile health checks are
+    /// answered, new connections are added to `connections` and closed ones are removed.
     pub async fn next_cache_request(
         &self,
         connections: &mut Vec<CacheHostConnection>,
@@ -68,7 +68,7 @@
                 }
             }
         };
-        timeout(TEST_TIMEOUT, next).await.expect("a PULL in time")
+        timeout(TEST_TIMEOUT, next).await.expect("no PULL in time")
     }
 }
 
@@ -83,7 +83,7 @@
         Self { socket }
     }
 
-    /// The dispatcher's end of the connection.
+    /// Returns the address of the dispatcher's end of the connection.
     pub fn peer_address(&self) -> SocketAddr {
         self.socket.get_ref().peer_addr().unwrap()
     }
@@ -104,7 +104,7 @@
         self.socket.read_exact(&mut body).await.unwrap();
     }
 
-    /// Sends these bytes, whatever they are.
+    /// Sends these bytes unchanged.
     pub async fn send(&mut self, bytes: &[u8]) {
         self.socket.write_all(bytes).await.unwrap();
     }
@@ -115,17 +115,17 @@
             .await;
     }
 
-    /// All that still arrives until the dispatcher closes the connection.
+    /// Returns all that still arrives until the dispatcher closes the connection.
     pub async fn read_to_close(mut self) -> String {
         let mut bytes = Vec::new();
         let _ = timeout(TEST_TIMEOUT, self.socket.read_to_end(&mut bytes))
             .await
-            .expect("it closes");
+            .expect("the dispatcher did not close the connection in time");
         String::from_utf8_lossy(&bytes).into_owned()
     }
 }
 
-/// A cache host to which no connection is established until it is told to accept.
+/// A cache host to which no connection is established until the test lets it accept.
 pub struct UnresponsiveCacheHost {
     listener: std::net::TcpListener,
     queued: Vec<TcpStream>,
@@ -133,7 +133,8 @@
 }
 
 impl UnresponsiveCacheHost {
-    /// Its accept queue is full: further connection attempts get no answer, and the system repeats them.
+    /// Starts a cache host with a full accept queue: further connection attempts get no answer, and the system
+    /// repeats them.
     pub async fn start() -> Self {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -153,7 +154,7 @@
         }
     }
 
-    /// From now on connections are established.
+    /// Lets connections be established from now on.
     pub fn accept_connections(self) -> ManualCacheHost {
         drop(self.queued);
         self.listener.set_nonblocking(true).unwrap();
--- a/crates/cli/tests/platform/support/mod.rs
+++ b/crates/cli/tests/platform/support/mod.rs
@@ -26,22 +26,22 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::net::TcpListener;
 
-/// The longest that a test waits for a single step.
+/// Maximum time that a test waits for a single step.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The idempotency key of requests that write.
+/// The idempotency key of write requests.
 pub const IDEMPOTENCY_KEY: &str = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
 /// [`IDEMPOTENCY_KEY`] as a request field.
 pub const IDEMPOTENCY_KEY_FIELD: (&str, &str) = ("HTTP_X_TXN_KEY", IDEMPOTENCY_KEY);
-/// A request field that names the transaction, for tests that look for it at the cache host.
+/// A request field with a transaction id, for tests that look for that id at the cache host.
 pub const TRANSACTION_FIELD: (&str, &str) = ("HTTP_X_TXN", "9b1f03aa5c7e2d41");
 /// The object for which [`silent_for_object_a`] never replies, as a request field.
 pub const OBJECT_A_FIELD: (&str, &str) = ("HTTP_X_ROW", "aaaaaaaaaaaaaaaa");
 
-/// A port at which nothing listens on the addresses of [`unused_loopback_ip`].
+/// A port without a listener on the addresses of [`unused_loopback_ip`].
 const UNUSED_PORT: u16 = 9;
 
-/// A loopback address that no other test of this run uses.
+/// Returns a loopback address that no other test of this run uses.
 pub fn unused_loopback_ip() -> IpAddr {
     static NEXT: AtomicU16 = AtomicU16::new(1);
     let [high, low] = NEXT.fetch_add(1, Ordering::SeqCst).to_be_bytes();
@@ -49,7 +49,7 @@
     Ipv4Addr::new(127, of_this_run, high, low).into()
 }
 
-/// An address and port that no other test of this run uses.
+/// Returns an address and port that no other test of this run uses.
 pub async fn unused_address() -> SocketAddr {
     TcpListener::bind((unused_loopback_ip(), 0))
         .await
@@ -58,18 +58,18 @@
         .unwrap()
 }
 
-/// An address at which connections are refused.
+/// Returns an address at which connections are refused.
 pub fn refusing_address() -> SocketAddr {
     (unused_loopback_ip(), UNUSED_PORT).into()
 }
 
-/// The id of an object, spread over the hash space (the multiplier is 2^64 over the golden ratio).
+/// Returns an object id spread over the hash space (the multiplier is 2^64 over the golden ratio).
 pub fn spread_object(number: u64) -> String {
     let spread = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number + 1);
     format!("{spread:016x}")
 }
 
-/// The wall clock in milliseconds since the epoch.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn unix_ms() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -77,12 +77,12 @@
         .as_millis()
 }
 
-/// The transaction id of a cache request or a cancellation.
+/// Returns the transaction id of a cache request or a cancellation.
 pub fn transaction_id(line: &str) -> &str {
     line.split(' ').nth(1).unwrap()
 }
 
-/// A number in a cache request, by its name with the equals sign (`ms=`, `cap=`).
+/// Returns a number in a cache request by its name with the equals sign (`ms=`, `cap=`).
 pub fn number_in(cache_request: &str, name: &str) -> u64 {
     let value = cache_request
         .split([',', ' '])
--- a/crates/cli/tests/platform/support/scripted_cache_host.rs
+++ b/crates/cli/tests/platform/support/scripted_cache_host.rs
@@ -1,4 +1,4 @@
-//! A cache host that answers by a script, and the replies that scripts use.
+//! A cache host that replies according to a script, and replies for scripts to use.
 use super::TEST_TIMEOUT;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// The line end behind a body.
+/// The line end after a body.
 const BODY_END_BYTES: usize = 2;
 
 /// A line that a cache host has received, with the body if it is a cache request.
@@ -18,7 +18,7 @@
     pub body: Vec<u8>,
 }
 
-/// A cache host that replies to each cache request with what its script makes of the id and the fields.
+/// A cache host that replies to each cache request with the result of its script for the id and the fields.
 pub struct ScriptedCacheHost {
     pub address: SocketAddr,
     pub received: mpsc::UnboundedReceiver<ReceivedMessage>,
@@ -47,12 +47,12 @@
         Self::start(move |id, _| served_reply(id, body)).await
     }
 
-    /// The next message whose line begins with `prefix`; those before it are dropped.
+    /// Returns the next message whose line begins with `prefix`; messages before it are dropped.
     pub async fn next_message(&mut self, prefix: &str) -> ReceivedMessage {
         loop {
             let message = timeout(TEST_TIMEOUT, self.received.recv())
                 .await
-                .expect("a line in time")
+                .expect("no such line in time")
                 .unwrap();
             if message.line.starts_with(prefix) {
                 return message;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Serves one connection by the script until it ends.
+/// Serves one connection according to the script until it ends.
 async fn serve<F>(
     socket: TcpStream,
     script: Arc<F>,
@@ -92,8 +92,7 @@
     }
 }
 
-/// Starts a cache host that serves `good` for each cache request and keeps nothing of what it receives; it
-/// counts its connections.
+/// Starts a cache host that serves `good` for each cache request, records no requests and counts its connections.
 pub async fn start_untracked_cache_host(connections: Arc<AtomicUsize>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -123,23 +122,23 @@
     }
 }
 
-/// The reply to a health check.
+/// Returns the reply to a health check.
 pub fn healthy_reply(tag: &str) -> Vec<u8> {
     format!("{tag} green - 0\r\n\r\n").into_bytes()
 }
 
-/// The reply that serves a body.
+/// Returns the reply that serves a body.
 pub fn served_reply(id: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!("{id} served rev=77aa,since=1764576000123,res=mem {length}\r\n{body}\r\n").into_bytes()
 }
 
-/// The reply that rejects a request for want of capacity.
+/// Returns the reply that rejects a request as overloaded.
 pub fn overloaded_reply(id: &str) -> Vec<u8> {
     format!("{id} overload res=crowded 0\r\n\r\n").into_bytes()
 }
 
-/// A script that never replies for one object, that of [`super::OBJECT_A_FIELD`].
+/// A script that never replies for the object of [`super::OBJECT_A_FIELD`].
 pub fn silent_for_object_a(id: &str, fields: &str) -> Vec<u8> {
     match fields.contains("obj=aaaaaaaaaaaaaaaa") {
         true => Vec::new(),
--- a/crates/cli/tests/platform/support/two_endpoint_platform.rs
+++ b/crates/cli/tests/platform/support/two_endpoint_platform.rs
@@ -9,7 +9,7 @@
 }
 
 impl TwoEndpointPlatform {
-    /// Starts it; the cache host and the origin reply by the same script.
+    /// Starts the platform; the cache host and the origin reply according to the same script.
     pub async fn start<F>(script: F) -> Self
     where
         F: Fn(&str, &str) -> Vec<u8> + Clone + Send + Sync + 'static,
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -1,5 +1,6 @@
-//! The promise of purges by processes: dispatchers that are partitioned from etcd, paused, or started during a partition limit the
-//! age of copies by themselves; and an operator learns when a purge is in force everywhere.
+//! The time limit for purges (`purge_within_ms`), tested with processes. Dispatchers that are partitioned from etcd, paused,
+//! or started during a partition limit the age of the copies that they accept; and `purge --wait` reports when a purge is
+//! in force everywhere.
 use pointspindle_etcd::layout::{MemberRecord, State};
 use pointspindle_etcd::{writer, Access, Etcd};
 use pointspindle_etcd_emulator::EtcdEmulator;
@@ -17,12 +18,14 @@
 
 const TEST_TIMEOUT: Duration = Duration::from_secs(15);
 const ETCD_PREFIX: &str = "/promise";
-/// Time within which the dispatchers promise that purges are in force.
-const PROMISE_MS: u64 = 1_500;
-/// Half of the promised time, microseconds: the oldest copy that a dispatcher accepts which cannot prove anything.
-const HALF_OF_PROMISE_US: u64 = 750_000;
+/// Value of `purge_within_ms`: time within which purges must be in force.
+const PURGE_WITHIN_MS: u64 = 1_500;
+/// Maximum age of a copy, in microseconds, that a dispatcher accepts while it has no proof that it knows all purges: half
+/// of [`PURGE_WITHIN_MS`].
+const MAX_UNPROVEN_AGE_US: u64 = 750_000;
 
-/// A cache host that answers everything, and reports each object with the oldest copy that was accepted.
+/// Starts a cache host that answers every request and reports each requested object with the maximum age of the copy that
+/// the dispatcher accepts.
 async fn cache_host() -> (SocketAddr, mpsc::UnboundedReceiver<(String, u64)>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
@@ -67,14 +70,14 @@
 }
 
 impl Dispatcher {
-    async fn start(folder: &Path, name: &str, etcd: SocketAddr, promise_ms: u64) -> Self {
+    async fn start(folder: &Path, name: &str, etcd: SocketAddr, limit_ms: u64) -> Self {
         let file = folder.join(format!("{name}.ini"));
         let ready: PathBuf = folder.join(format!("{name}.ready"));
         let state = folder.join("state");
         let text = format!(
             "[dispatcher]\nname = {name}\nzone = b\nstate_file = {}\n[listen]\nhttp = 127.0.0.1:0\n\
              [zone b]\ndispatchers = 1\n\
-             [etcd]\nendpoints = http://{etcd}\nprefix = {ETCD_PREFIX}\nstart_wait_ms = 500\npurge_within_ms = {promise_ms}\n\
+             [etcd]\nendpoints = http://{etcd}\nprefix = {ETCD_PREFIX}\nstart_wait_ms = 500\npurge_within_ms = {limit_ms}\n\
              [class page]\npath_prefix = /page/\nfresh_ms = 60000\ngrace_ms = 60000\n\
              [class spared]\npath_prefix = /spared/\nfresh_ms = 60000\ngrace_ms = 60000\npurge_exempt = yes\n",
             state.display()
@@ -88,7 +91,7 @@
             .stdout(Stdio::null())
             .spawn()
             .unwrap();
-        let bound = async {
+        let ready_report = async {
             loop {
                 if let Ok(text) = std::fs::read(&ready) {
                     return serde_json::from_slice::<serde_json::Value>(&text).unwrap();
@@ -96,20 +99,22 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        let bound = timeout(TEST_TIMEOUT, bound).await.expect("it listens");
+        let ready_report = timeout(TEST_TIMEOUT, ready_report)
+            .await
+            .expect("the dispatcher did not listen in time");
         Self {
             child,
-            http: bound["http"].as_str().unwrap().parse().unwrap(),
+            http: ready_report["http"].as_str().unwrap().parse().unwrap(),
         }
     }
 
     async fn get(&self, path: &str) -> String {
         let mut socket = TcpStream::connect(self.http).await.unwrap();
-        ask(&mut socket, path).await;
+        send_get(&mut socket, path).await;
         let mut text = String::new();
         timeout(TEST_TIMEOUT, socket.read_to_string(&mut text))
             .await
-            .expect("an answer")
+            .expect("no response in time")
             .unwrap();
         text
     }
@@ -124,22 +129,22 @@
     }
 }
 
-async fn ask(socket: &mut TcpStream, path: &str) {
+async fn send_get(socket: &mut TcpStream, path: &str) {
     let text = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     socket.write_all(text.as_bytes()).await.unwrap();
 }
 
-/// Objects that were requested, with the oldest copy that was accepted, microseconds.
+/// Requested objects with the maximum accepted age of a copy in microseconds.
 type AcceptedAges = mpsc::UnboundedReceiver<(String, u64)>;
 
-/// Requests until the accepted age is as wanted, each time another object.
+/// Requests a new object each time until `is_wanted` holds for the accepted age.
 async fn request_until(
     name: &str,
     dispatcher: &Dispatcher,
     ages: &mut AcceptedAges,
     is_wanted: impl Fn(u64) -> bool,
 ) {
-    let asking = async {
+    let age_reached = async {
         for n in 0.. {
             if dispatcher
                 .get(&format!("/page/{name}-{n}"))
@@ -154,9 +159,9 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(TEST_TIMEOUT, asking)
+    timeout(TEST_TIMEOUT, age_reached)
         .await
-        .unwrap_or_else(|_| panic!("{name}: not in time"));
+        .unwrap_or_else(|_| panic!("{name}: the accepted age was not as expected in time"));
 }
 
 async fn purge(etcd: SocketAddr) -> Output {
@@ -180,7 +185,7 @@
     tokio::task::spawn_blocking(run).await.unwrap()
 }
 
-/// A dispatcher that promises purges within a second and a half, the etcd that it follows, and its cache host.
+/// A dispatcher with a purge time limit of 1.5 s, the etcd that it watches, and its cache host.
 struct Platform {
     etcd: EtcdEmulator,
     etcd_address: SocketAddr,
@@ -196,7 +201,8 @@
         let (cache_host, ages) = cache_host().await;
         register(etcd_address, cache_host).await;
         let folder = tempfile::tempdir().unwrap();
-        let dispatcher = Dispatcher::start(folder.path(), "one", etcd_address, PROMISE_MS).await;
+        let dispatcher =
+            Dispatcher::start(folder.path(), "one", etcd_address, PURGE_WITHIN_MS).await;
         Self {
             etcd,
             etcd_address,
@@ -206,9 +212,9 @@
         }
     }
 
-    /// Requests until the accepted age shows that the purges are proven to be known.
+    /// Requests until the accepted age shows that the dispatcher has proof of knowing all purges.
     async fn wait_until_proven(&mut self, name: &str) {
-        let is_proven = |age| age > HALF_OF_PROMISE_US;
+        let is_proven = |age| age > MAX_UNPROVEN_AGE_US;
         request_until(name, &self.dispatcher, &mut self.ages, is_proven).await;
     }
 
@@ -251,70 +257,70 @@
     check_partition(&mut platform).await;
     check_pause_during_partition(&mut platform).await;
     check_start_during_partition(&mut platform).await;
-    check_promise_of_all(&mut platform).await;
+    check_purge_confirmation(&mut platform).await;
 }
 
-/// No connection breaks, nothing more arrives.
+/// During a partition the connections to etcd stay open and carry no data.
 async fn check_partition(platform: &mut Platform) {
     platform.partition();
     request_until("cut", &platform.dispatcher, &mut platform.ages, |age| {
-        age > 0 && age <= HALF_OF_PROMISE_US
+        age > 0 && age <= MAX_UNPROVEN_AGE_US
     })
     .await;
-    let spared = platform.dispatcher.get("/spared/1").await;
-    assert!(spared.starts_with("HTTP/1.1 200"), "{spared}");
+    let exempt = platform.dispatcher.get("/spared/1").await;
+    assert!(exempt.starts_with("HTTP/1.1 200"), "{exempt}");
     assert!(
-        platform.ages.recv().await.unwrap().1 > HALF_OF_PROMISE_US,
-        "exempt by its settings"
+        platform.ages.recv().await.unwrap().1 > MAX_UNPROVEN_AGE_US,
+        "a class with `purge_exempt` must not limit the age"
     );
     platform.heal();
     platform.wait_until_proven("back").await;
 }
 
-/// The dispatcher is stopped for longer than its proof holds: the first request after that gets no older copy.
+/// The dispatcher is stopped for longer than its proof is valid. The first request afterwards accepts no older copy.
 async fn check_pause_during_partition(platform: &mut Platform) {
     let mut first = TcpStream::connect(platform.dispatcher.http).await.unwrap();
     platform.dispatcher.signal("-STOP");
     platform.partition();
     tokio::time::sleep(Duration::from_millis(1_000)).await;
-    ask(&mut first, "/page/woken").await;
+    send_get(&mut first, "/page/woken").await;
     platform.dispatcher.signal("-CONT");
     let mut text = String::new();
     timeout(TEST_TIMEOUT, first.read_to_string(&mut text))
         .await
-        .expect("an answer")
+        .expect("no response in time")
         .unwrap();
     assert!(text.starts_with("HTTP/1.1 200"), "{text}");
     let (object, age) = platform.ages.recv().await.unwrap();
     assert!(
-        object.contains("woken") && age > 0 && age <= HALF_OF_PROMISE_US,
+        object.contains("woken") && age > 0 && age <= MAX_UNPROVEN_AGE_US,
         "{object} {age}"
     );
 }
 
-/// A dispatcher is started with the endpoint list of its state file.
+/// A dispatcher is started during a partition, with the endpoint list of its state file.
 async fn check_start_during_partition(platform: &mut Platform) {
     let late = Dispatcher::start(
         platform.folder.path(),
         "late",
         platform.etcd_address,
-        PROMISE_MS,
+        PURGE_WITHIN_MS,
     )
     .await;
     request_until("late", &late, &mut platform.ages, |age| age > 0).await;
     let answer = late.get("/page/late").await;
     assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
     let (_, age) = platform.ages.recv().await.unwrap();
-    assert!(age > 0 && age <= HALF_OF_PROMISE_US, "{age}");
+    assert!(age > 0 && age <= MAX_UNPROVEN_AGE_US, "{age}");
     platform.heal();
     request_until("late-back", &late, &mut platform.ages, |age| {
-        age > HALF_OF_PROMISE_US
+        age > MAX_UNPROVEN_AGE_US
     })
     .await;
 }
 
-/// An operator learns when a purge is in force everywhere, and that a dispatcher promises nothing.
-async fn check_promise_of_all(platform: &mut Platform) {
+/// `purge --wait` reports when a purge is in force everywhere, and names a dispatcher without a time limit for purges.
+async fn check_purge_confirmation(platform: &mut Platform) {
     let output = purge(platform.etcd_address).await;
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(
@@ -324,7 +330,7 @@
     assert!(text.contains("within 1500 ms"), "{text}");
     let old = Dispatcher::start(platform.folder.path(), "old", platform.etcd_address, 0).await;
     request_until("old", &old, &mut platform.ages, |age| {
-        age > HALF_OF_PROMISE_US
+        age > MAX_UNPROVEN_AGE_US
     })
     .await;
     let registered = async {
@@ -339,7 +345,7 @@
     };
     let text = timeout(TEST_TIMEOUT, registered)
         .await
-        .expect("it registers");
+        .expect("the dispatcher did not register in time");
     assert!(
         text.contains("no time can be told") && text.contains("old"),
         "{text}"
--- a/crates/cli/tests/scale.rs
+++ b/crates/cli/tests/scale.rs
@@ -1,5 +1,5 @@
-//! The scale run in a short form, without timing: counts by kind as functions of the size, state of hollow dispatchers, errors, and
-//! the capacity page.
+//! Short scale runs without timing checks: counts of updates by kind as functions of the fleet size, the state of simulated
+//! (`--hollow`) dispatchers, errors, and the capacity page.
 use serde_json::Value;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -19,10 +19,10 @@
 }
 
 fn count(v: &Value) -> u64 {
-    v.as_u64().unwrap_or_else(|| panic!("a count: {v}"))
+    v.as_u64().unwrap_or_else(|| panic!("not a count: {v}"))
 }
 
-/// The phase of a step with this name.
+/// Returns the phase of a step with this name.
 fn phase<'a>(step: &'a Value, name: &str) -> &'a Value {
     let phases = step["phases"].as_array().unwrap();
     phases
@@ -36,15 +36,15 @@
     let n = count(&step["dispatchers"]);
     assert_eq!(count(&step["hosts"]), (4 * n).div_ceil(6));
     assert_eq!(count(&phase(step, "storm")["purges"]["written"]), 50);
-    // All have the complete state, and nothing more.
+    // Every dispatcher has the complete state and no further items.
     let items = &phase(step, "rest")["items"];
     assert_eq!(
         (count(&items["members"]), count(&items["dispatchers"])),
         (count(&step["hosts"]), n)
     );
     assert!(phase(step, "compacted")["whole_ms"].as_f64().unwrap() > 0.0);
-    // A process of hollow dispatchers that is killed and restarted is delivered as that many removals and additions, to each
-    // dispatcher that is there.
+    // A process of simulated dispatchers that is killed and restarted is delivered to each remaining dispatcher, as one
+    // removal and one addition for each dispatcher in the process.
     let restarted = count(&phase(step, "restart")["traffic"]["events"]["dispatchers"]);
     assert!(
         restarted >= 4 * (n - 2) && restarted <= 4 * n,
@@ -103,7 +103,7 @@
     steps.iter().for_each(check_step);
     let slope = &all["slopes"]["figures"]["rest/store bytes out"];
     assert_eq!((count(&slope["from"]), count(&slope["to"])), (3, 6));
-    // The page can be written from what was kept.
+    // The page can be written from the stored slopes.
     let slopes = out.join("slopes.json");
     let page = run(&[
         "lab",
@@ -162,7 +162,7 @@
     );
 }
 
-/// No figure on the page outlives its run.
+/// Guards against figures on the capacity page that no longer match the slopes of the latest run.
 #[test]
 fn capacity_page_equals_what_the_program_writes() {
     let root = root();
