--- a/crates/cli/tests/platform/cancellation.rs
+++ b/crates/cli/tests/platform/cancellation.rs
@@ -86,7 +86,7 @@
     assert_eq!(
         (beyond_limit.status, beyond_limit.body.len()),
         (0, 0),
-        "the request beyond the limit is rejected by the status of the FastCGI protocol"
+        "the request beyond the limit was not rejected with a FastCGI status"
     );
     let cache_request = cache.next_message("PULL").await.line;
     match close {
@@ -178,7 +178,7 @@
         assert_eq!(
             client.response(1).await.status,
             0,
-            "round {round}: the request ends without a response"
+            "round {round}: an aborted request got a response"
         );
         assert_eq!(dispatcher.health_status().await, 200);
         while let Ok(message) = origin.received.try_recv() {
--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -250,7 +250,7 @@
     assert_eq!(client.response(1).await.body, b"good");
     assert!(
         client.response_or_close(99).await.is_none(),
-        "the connection is closed after the last response"
+        "the connection was not closed after the last response"
     );
 }
 
--- a/crates/cli/tests/platform/request_forwarding.rs
+++ b/crates/cli/tests/platform/request_forwarding.rs
@@ -70,7 +70,7 @@
     assert_eq!(
         client.response(4).await.status,
         0,
-        "the request ends without a response"
+        "an aborted request got a response"
     );
     platform.cache.next_message("KILL 9b1f03aa5c7e2d42").await;
     client.request_page(4, &[]).await;
--- a/crates/cli/tests/platform/soak/guarantees.rs
+++ b/crates/cli/tests/platform/soak/guarantees.rs
@@ -26,7 +26,7 @@
 /// Time after a purge by which copies from before it have expired everywhere.
 const PURGE_HORIZON: Duration = ms(6_000);
 /// Time after the start of an outage at which changes announced during it count as announced.
-const ANNOUNCED_AT_THE_LATEST: Duration = ms(4_000);
+const MAX_ANNOUNCEMENT_DELAY: Duration = ms(4_000);
 
 /// A guarantee of the dispatchers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -46,7 +46,7 @@
     /// A request that is not idempotent runs once, or is repeated only while its key is remembered.
     NoRepeatedEffect,
     /// A rejection means that a retry is harmless.
-    HonestRejection,
+    RejectionAllowsRetry,
     /// Draining endpoints receive no request.
     NoRequestToDraining,
     /// Copies from before a purge are not requested.
@@ -170,7 +170,7 @@
             .any(|attempt| attempt.may_have_run());
         if status == 503 && is_at_most_once && may_have_run {
             let reason = "rejected, and an attempt may have run";
-            self.violated(Guarantee::HonestRejection, request.transaction, reason);
+            self.violated(Guarantee::RejectionAllowsRetry, request.transaction, reason);
         }
     }
 
@@ -241,7 +241,7 @@
             outage.from <= announced_at + TOLERANCE && announced_at <= outage.to + TOLERANCE
         });
         concerned
-            .map(|outage| outage.from + ANNOUNCED_AT_THE_LATEST)
+            .map(|outage| outage.from + MAX_ANNOUNCEMENT_DELAY)
             .fold(announced_at, Instant::max)
             + grace
             + TOLERANCE
--- a/crates/cli/tests/platform/soak/mod.rs
+++ b/crates/cli/tests/platform/soak/mod.rs
@@ -92,7 +92,7 @@
     let mut missed = BTreeSet::new();
     for seed in seeds {
         let plan = Plan::draw(seed, duration);
-        let observations = run::play(plan.clone()).await;
+        let observations = run::execute(plan.clone()).await;
         let violations = find_violations(&plan, &observations);
         let records = observations.requests.values();
         let served = records.filter(|record| record.is_served()).count();
--- a/crates/cli/tests/platform/soak/planted_violations.rs
+++ b/crates/cli/tests/platform/soak/planted_violations.rs
@@ -38,7 +38,10 @@
         (Guarantee::TimeLeft, injector.too_much_time_left()),
         (Guarantee::OneAttemptAtOnce, injector.overlapping_attempts()),
         (Guarantee::NoRepeatedEffect, injector.repeated_effect()),
-        (Guarantee::HonestRejection, injector.rejected_after_a_run()),
+        (
+            Guarantee::RejectionAllowsRetry,
+            injector.rejected_after_a_run(),
+        ),
         (Guarantee::NoRequestToDraining, injector.drained_before()),
         (Guarantee::NoPurgedCopy, injector.purged_before()),
         (Guarantee::NoCrash, injector.crash()),
--- a/crates/cli/tests/platform/soak/run.rs
+++ b/crates/cli/tests/platform/soak/run.rs
@@ -108,7 +108,7 @@
 }
 
 /// Runs a plan and returns the observations.
-pub async fn play(plan: Plan) -> Observations {
+pub async fn execute(plan: Plan) -> Observations {
     let run = Run::start(plan).await;
     let mut dispatchers = JoinSet::new();
     let mut others = JoinSet::new();
