--- a/tests/architecture_page.rs
+++ b/tests/architecture_page.rs
@@ -37,20 +37,26 @@
     if !metadata.is_file() {
         return Some(format!("{path} is not a file"));
     }
-    let source = std::fs::read_to_string(root.join(path)).expect("a source file is text");
+    let source =
+        std::fs::read_to_string(root.join(path)).expect("source file cannot be read as UTF-8");
     (!defines(&source, name)).then(|| format!("{path} does not define {name}"))
 }
 
 #[test]
 fn architecture_page_names_only_files_and_functions_that_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
-    let page = std::fs::read_to_string(root.join("docs/ARCHITECTURE.md")).expect("the page exists");
+    let page = std::fs::read_to_string(root.join("docs/ARCHITECTURE.md"))
+        .expect("docs/ARCHITECTURE.md cannot be read");
     let errors: Vec<String> = quoted(&page)
         .filter_map(|text| reference_error(root, text))
         .collect();
-    assert!(errors.is_empty(), "{}", errors.join("\n"));
+    assert!(
+        errors.is_empty(),
+        "invalid references on the architecture page:\n{}",
+        errors.join("\n")
+    );
     let functions = quoted(&page).filter(|text| text.contains(".rs::")).count();
-    assert!(functions > 0, "the page names no function");
+    assert!(functions > 0, "docs/ARCHITECTURE.md names no function");
 }
 
 #[test]
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -108,7 +108,7 @@
 
 impl SentAttempt {
     pub fn fetch(&self) -> &FetchDirective {
-        self.fetch.as_ref().expect("a fetch directive")
+        self.fetch.as_ref().expect("attempt has no fetch directive")
     }
     pub fn source(&self) -> EndpointId {
         self.fetch().source
--- a/tests/concurrency_limit.rs
+++ b/tests/concurrency_limit.rs
@@ -16,7 +16,10 @@
             .count()
     };
     let (fast, slow) = (admitted(50 * MS), admitted(2 * S));
-    assert!(slow > 0 && slow < fast && fast < 200, "{slow} {fast}");
+    assert!(
+        slow > 0 && slow < fast && fast < 200,
+        "of 200 requests, {slow} admitted after slow responses and {fast} after fast ones"
+    );
 }
 
 #[test]
@@ -54,7 +57,7 @@
         fixture
             .complete(&cached_only, AttemptStatus::Miss, CacheStatus::Unreported)
             .is_empty(),
-        "no second look"
+        "attempt sent after the miss of a cached-only attempt"
     );
     assert!(matches!(
         fixture.final_responses()[..],
@@ -100,7 +103,7 @@
     fixture.now += 10 * S;
     assert!(
         count_admitted(&mut fixture) >= before,
-        "{} of {before}",
+        "{} requests admitted after the timeouts, {before} before",
         count_admitted(&mut fixture)
     );
 }
@@ -155,7 +158,7 @@
     let (with_sizes, without_sizes) = (admitted_with_size(Some(4_200.0)), admitted_with_size(None));
     assert!(
         with_sizes > without_sizes,
-        "{with_sizes} where sizes are reported, {without_sizes} where not"
+        "{with_sizes} requests admitted with reported sizes, {without_sizes} without"
     );
 }
 
@@ -188,6 +191,6 @@
     );
     assert!(
         after_fills > 2 * after_hits,
-        "{after_fills} after late fills, {after_hits} after late hits"
+        "{after_fills} requests admitted after late fills, {after_hits} after late hits"
     );
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -59,7 +59,7 @@
         ["c1", "c2", "c3"]
             .map(EndpointId::named)
             .contains(&sent.endpoint),
-        "a cache of the own zone"
+        "attempt not sent to a cache of the router's zone"
     );
 }
 
@@ -86,7 +86,7 @@
         ["n1", "n2", "n3"]
             .map(EndpointId::named)
             .contains(&next.endpoint),
-        "replacements are used at once"
+        "retry not sent to a replacement cache"
     );
 }
 
--- a/tests/fill_source.rs
+++ b/tests/fill_source.rs
@@ -53,7 +53,7 @@
         fixture
             .complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss)
             .is_empty(),
-        "its cache was seen to lack it as well"
+        "neither the cache nor its source has a copy, so no further attempt may be sent"
     );
     assert!(matches!(
         fixture.final_responses()[..],
--- a/tests/fleet_sums.rs
+++ b/tests/fleet_sums.rs
@@ -122,11 +122,11 @@
         .windows(4)
         .map(|w| w.iter().sum::<u32>())
         .max()
-        .expect("windows");
-    assert!(worst > 0, "somebody tries");
+        .expect("fewer than four steps after the first 20");
+    assert!(worst > 0, "no router probed the parent");
     assert!(
         worst as f64 * transfer_s <= sustainable_work,
-        "{worst} trials of {transfer_s} s in two seconds, {sustainable_work} s borne"
+        "{worst} probes of {transfer_s} s each within two seconds, at most {sustainable_work} s of work allowed"
     );
 }
 
@@ -173,14 +173,14 @@
             .windows(2)
             .map(|w| w[1] - w[0])
             .max()
-            .expect("tries");
+            .expect("fewer than two probes");
         assert!(
             longest <= 12,
-            "{name}: {longest} halves of a second between tries"
+            "{name}: {longest} steps of 0.5 s between probes, at most 12 allowed"
         );
         assert!(
             probed_steps.last().is_some_and(|last| *last >= 48),
-            "{name}: given up, {probed_steps:?}"
+            "{name}: not probed in the last 12 of 60 steps, only in {probed_steps:?}"
         );
     }
 }
@@ -223,6 +223,6 @@
     let (every_second, one_in_twenty) = (direct(2), direct(20));
     assert!(
         every_second > total * 6 / 10 && one_in_twenty < total / 10,
-        "{every_second} and {one_in_twenty} of {total}"
+        "of {total} fills, {every_second} from the origin with every second lost, {one_in_twenty} with one in 20"
     );
 }
--- a/tests/outlier.rs
+++ b/tests/outlier.rs
@@ -34,7 +34,10 @@
             break;
         }
     }
-    assert!(fixture.now < T0 + 600 * MS, "found within the aim");
+    assert!(
+        fixture.now < T0 + 600 * MS,
+        "silent cache not detected within 600 ms"
+    );
     let next = fixture
         .complete(&first, AttemptStatus::Cancelled, CacheStatus::Unreported)
         .remove(0);
@@ -72,7 +75,7 @@
     assert_eq!(
         count_cancellations(false),
         3,
-        "without a started response it is silent"
+        "a cache without a started response is silent, so all 3 attempts are cancelled"
     );
     assert_eq!(count_cancellations(true), 0);
 }
@@ -88,13 +91,16 @@
                 fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             }
         }
-        assert!(fixture.advance(25 * MS).is_empty(), "sent again elsewhere");
+        assert!(
+            fixture.advance(25 * MS).is_empty(),
+            "attempt sent while fills were slow"
+        );
         assert!(
             !fixture
                 .last_actions
                 .iter()
                 .any(|a| matches!(a, Action::Cancel { .. })),
-            "cancelled"
+            "attempt cancelled while fills were slow"
         );
     }
 }
@@ -144,7 +150,12 @@
             fixture.complete(&sent, AttemptStatus::Ok, CacheStatus::Hit);
             sent.endpoint == c1
         });
-        assert_eq!(to_c1, used, "{} failing", failing.len());
+        assert_eq!(
+            to_c1,
+            used,
+            "whether c1 gets requests with {} failing caches",
+            failing.len()
+        );
     }
 }
 
@@ -169,7 +180,7 @@
                 next.source() != sent.source()
             ),
             (source_at_fault, source_at_fault),
-            "{elapsed}"
+            "whether a rejection after {elapsed} us is retried at the same cache with another source"
         );
     }
 }
@@ -187,7 +198,7 @@
     assert_eq!(tried.len(), 3);
     assert!(
         matches!(fixture.final_responses()[..], [Action::Reject { .. }]),
-        "not left open until its deadline"
+        "request not rejected after its attempts at all caches failed"
     );
 }
 
@@ -227,13 +238,16 @@
         );
         let page = fixture.request(PAGE, &format!("p{i}")).remove(0);
         let fill = [parent, EndpointId::named("origin")].contains(&page.source());
-        assert!(fill, "ejected after {i}");
+        assert!(
+            fill,
+            "iteration {i}: page fetched neither from the parent nor from the origin"
+        );
         accepting_stale += (page.fetch().max_age != 12 * S) as u32;
         fixture.complete(&page, AttemptStatus::Ok, CacheStatus::Hit);
     }
     assert!(
         via_parent >= 30 && accepting_stale <= 30,
-        "{via_parent} there and {accepting_stale} spared of 60"
+        "of 60 iterations, {via_parent} with a fill from the parent and {accepting_stale} with a page that may be stale"
     );
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -52,7 +52,7 @@
     assert_ne!(
         next.source(),
         home,
-        "it lacked the copy: on to the tier above"
+        "the sibling has no copy and must not be the source again"
     );
 }
 
@@ -77,13 +77,13 @@
     assert_eq!(
         fixture.request(VIDEO, "a")[0].endpoint,
         home,
-        "a second request at once is chance"
+        "a second simultaneous request is within random variation and must stay at the home cache"
     );
     let more = (0..40).flat_map(|i| fixture.request(VIDEO, &format!("o{i}")));
     let fills = more.filter(|sent| sent.source() != sent.endpoint).count();
     assert!(
         (1..=2).contains(&fills),
-        "{fills}: the limit of the zone applies all the same"
+        "{fills} of 40 requests sent to be filled; the limit of the zone allows 1 or 2"
     );
 }
 
@@ -108,6 +108,6 @@
     let (before, _, after) = (count_at_slow(120), count_at_slow(300), count_at_slow(120));
     assert!(
         before > 20 && after > 0 && 3 * after < 2 * before,
-        "{before} {after}"
+        "{before} of the first 120 requests sent to the slow cache, {after} of the last 120"
     );
 }
--- a/tests/purges.rs
+++ b/tests/purges.rs
@@ -16,7 +16,7 @@
         assert_eq!(sent.fetch().max_age, 100 * MS);
         assert!(
             !sent.fetch().coalesce,
-            "a fill begun before the purge hands on the old copy"
+            "a fill begun before the purge would return the purged copy"
         );
         let other = fixture.request(class, "b").remove(0);
         assert_ne!(other.fetch().max_age, 100 * MS);
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -306,17 +306,20 @@
 
     fn check_attempt(&mut self, id: RequestId, endpoint: EndpointId, timeout: Micros) {
         let (seed, now) = (self.seed, self.now);
-        let request = self.requests.get_mut(&id).expect("a known request");
+        let request = self
+            .requests
+            .get_mut(&id)
+            .expect("attempt sent for an unknown request");
         assert!(
             !request.finished
                 && request.in_flight.is_empty()
                 && request.attempts_sent < self.max_attempts,
-            "seed {seed}: {id:?}"
+            "seed {seed}: attempt sent for {id:?}, which is finished, in flight or out of attempts"
         );
         assert!(now + timeout <= request.deadline && timeout > 0);
         assert!(
             !(request.may_have_run && request.class == common::UNSAFE),
-            "seed {seed}: a retry that is not idempotent"
+            "seed {seed}: {id:?} retried although it is not idempotent and may have run"
         );
         let in_flight = InFlight {
             endpoint,
@@ -329,7 +332,10 @@
     fn check_final_response(&mut self, id: RequestId, rejected: bool) {
         let seed = self.seed;
         let request = self.requests.get_mut(&id).unwrap();
-        assert!(!request.finished, "seed {seed}: two final responses");
+        assert!(
+            !request.finished,
+            "seed {seed}: {id:?} got a second final response"
+        );
         assert!(!(rejected && request.may_have_run && request.class == common::UNSAFE));
         request.finished = true;
     }
@@ -341,7 +347,10 @@
             let is_overdue = !request.finished
                 && request.in_flight.is_empty()
                 && now > request.deadline + 8 * MS;
-            assert!(!is_overdue, "seed {seed}: {id:?} got no response");
+            assert!(
+                !is_overdue,
+                "seed {seed}: {id:?} got no final response by its deadline"
+            );
         }
         self.requests.retain(|_, request| {
             !request.finished || !request.in_flight.is_empty() || now < request.deadline + S
--- a/tests/restart_detection.rs
+++ b/tests/restart_detection.rs
@@ -42,7 +42,7 @@
 
 fn answer_one_request(fixture: &mut RouterFixture) {
     let sent = fixture.request(VIDEO, "b");
-    assert_eq!(sent.len(), 1, "one may try");
+    assert_eq!(sent.len(), 1, "exactly one attempt expected");
     fixture.complete(&sent[0], AttemptStatus::Ok, CacheStatus::Hit);
 }
 
@@ -75,18 +75,21 @@
 #[test]
 fn response_after_refused_connections_is_a_new_incarnation() {
     let mut fixture = single_cache_fixture();
-    assert!(!stays_within_warm_up_budget(&mut fixture), "warm");
+    assert!(
+        !stays_within_warm_up_budget(&mut fixture),
+        "a warm cache has no warm-up budget"
+    );
     refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
     assert!(
         stays_within_warm_up_budget(&mut fixture),
-        "no process is there: what answers next has just started"
+        "no process listens, so the next one to answer has just started"
     );
     fixture.now += 3 * S;
     answer_one_request(&mut fixture);
     fixture.now += 3 * S;
     assert!(
         stays_within_warm_up_budget(&mut fixture),
-        "its warm-up is not over"
+        "slow start ended before the end of the warm-up"
     );
     fixture.now += 13 * S;
     assert!(!stays_within_warm_up_budget(&mut fixture));
@@ -143,7 +146,7 @@
     fixture.now = last_refused_at + 14 * S;
     assert!(
         !stays_within_warm_up_budget(&mut fixture),
-        "10 s of warm-up and a window after its start"
+        "slow start not over after 10 s of warm-up and an overload window"
     );
     // An older list arrives late.
     fixture.now = last_refused_at + 4 * S;
@@ -208,7 +211,7 @@
     fixture.now = started + 4 * S + 4 * S + 100 * MS;
     assert!(
         stays_within_warm_up_budget(&mut fixture),
-        "eight seconds into a warm-up of ten"
+        "slow start ended after 8 s of a warm-up of 10 s"
     );
 }
 
@@ -222,7 +225,7 @@
     });
     assert!(
         stays_within_warm_up_budget(&mut fixture),
-        "ahead of the list"
+        "hello did not begin slow start before the endpoint list reported the restart"
     );
     fixture.update(vec![EndpointEntry {
         started_at: fixture.now - 300 * S,
@@ -230,7 +233,7 @@
     }]);
     assert!(
         stays_within_warm_up_budget(&mut fixture),
-        "a list of before does not undo it"
+        "an older start in the endpoint list replaced the start in the hello"
     );
     fixture.now += 13 * S;
     refuse_connections(&mut fixture, &[S, 600 * MS, 600 * MS]);
@@ -241,7 +244,7 @@
     });
     assert!(
         !stays_within_warm_up_budget(&mut fixture),
-        "the same process as ever: the way to it was cut"
+        "hello reports a process that has run for long: only the connection was interrupted"
     );
 }
 
@@ -258,7 +261,11 @@
         work_s: 0.0,
         duration: 250 * MS,
     });
-    assert_eq!(admitted_requests(&mut fixture), 0, "nothing yet");
+    assert_eq!(
+        admitted_requests(&mut fixture),
+        0,
+        "requests sent under a lease without work"
+    );
     fixture.now += 250 * MS;
     fixture.handle(Event::Lease {
         endpoint,
@@ -267,18 +274,18 @@
     });
     assert!(
         (2..=4).contains(&admitted_requests(&mut fixture)),
-        "some four of 0.05 s"
+        "a lease of 0.21 s of work allows about four requests of 0.05 s"
     );
     fixture.now += 300 * MS;
     assert_eq!(
         admitted_requests(&mut fixture),
         0,
-        "lapsed, the next one is on its way"
+        "requests sent after the end of the lease, before the next one is overdue"
     );
     fixture.now += 600 * MS;
     assert!(
         admitted_requests(&mut fixture) > 10,
-        "the connection is lost: its own part again"
+        "warm-up budget not used again although no lease has arrived for three durations"
     );
 }
 
--- a/tests/retention.rs
+++ b/tests/retention.rs
@@ -36,7 +36,7 @@
     let after_all = format!("{:?}", fixture.router).len();
     assert!(
         after_all < after_three + after_three / 10,
-        "{after_three} bytes grew to {after_all}"
+        "router state grew from {after_three} to {after_all} bytes of debug output"
     );
     let sent = fixture.request(PAGE, "a");
     assert!(sent[0].endpoint != EndpointId::named("d0-0") && sent.len() == 1);
@@ -65,14 +65,14 @@
     fixture.update(vec![]);
     assert!(
         format!("{:?}", fixture.router).contains("departed_at: Some"),
-        "still remembered after five seconds"
+        "record removed within 5 s of the departure"
     );
-    assert!(has_ejection(&fixture), "with its ejection");
+    assert!(has_ejection(&fixture), "record lost its ejection");
     fixture.now += 60 * S;
     fixture.update(vec![]);
     assert!(
         !format!("{:?}", fixture.router).contains("departed_at: Some"),
-        "forgotten after a minute"
+        "record not removed 65 s after the departure"
     );
 }
 
@@ -110,7 +110,7 @@
     assert_eq!(
         again.len(),
         1,
-        "resent to a newcomer of the zone: {:?}",
+        "request not retried at the new cache of the zone: {:?}",
         fixture.last_actions
     );
     assert_eq!(again[0].endpoint, EndpointId::named("c9"));
@@ -146,5 +146,8 @@
         fixture.now += 100 * MS;
     }
     let later = format!("{:?}", fixture.router).len();
-    assert!(later < full / 2, "{full} bytes, later {later}");
+    assert!(
+        later < full / 2,
+        "debug output of the router: {full} bytes before, {later} after; less than half expected"
+    );
 }
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -20,11 +20,11 @@
     assert!(fixture.request(VIDEO, "a").is_empty());
     assert!(
         matches!(fixture.final_responses()[..], [Action::Reject { .. }]),
-        "the client comes back"
+        "cacheable request without endpoints not rejected at once"
     );
     assert!(
         fixture.request(UNSAFE, "a").is_empty() && fixture.final_responses().is_empty(),
-        "this one can only wait"
+        "uncacheable request must wait for an endpoint"
     );
     let mut rejected_at = None;
     for _ in 0..200 {
@@ -84,7 +84,7 @@
                 .complete(&sent, AttemptStatus::Reset, CacheStatus::Unreported)
                 .len(),
             resent,
-            "{after}"
+            "connection reset {after} us after the request"
         );
     }
 }
@@ -125,7 +125,7 @@
         fixture
             .router
             .may_begin(fixture.now + 1_990 * MS, idempotent.request),
-        "safe classes have no window"
+        "idempotent classes have no idempotency window"
     );
 }
 
@@ -158,7 +158,10 @@
             }
         }
     }
-    assert!((2..=6).contains(&count), "{count}");
+    assert!(
+        (2..=6).contains(&count),
+        "{count} attempts, 2 to 6 expected"
+    );
 }
 
 #[test]
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -36,8 +36,11 @@
     warming.started_at = fixture.now;
     fixture.update(vec![warming.clone()]);
     let work = work_sent_to(&mut fixture, 2000, warming.id, false);
-    assert!(work > 0.0, "it gets some");
-    assert!(work <= 2.0 * 0.36 * 6.0 * 2.0, "{work}");
+    assert!(work > 0.0, "no request sent to the cache in slow start");
+    assert!(
+        work <= 2.0 * 0.36 * 6.0 * 2.0,
+        "{work} s of work sent to the cache in slow start"
+    );
 }
 
 #[test]
@@ -48,8 +51,11 @@
     warming.started_at = fixture.now;
     fixture.update(vec![warming.clone()]);
     let work = work_sent_to(&mut fixture, 2000, warming.id, true);
-    assert!(work > 0.0, "it gets some");
-    assert!(work <= 2.0 * 0.19 * 6.0 * 2.0 / 2.0, "{work}");
+    assert!(work > 0.0, "no fill sent to the parent in slow start");
+    assert!(
+        work <= 2.0 * 0.19 * 6.0 * 2.0 / 2.0,
+        "{work} s of work sent to the parent in slow start"
+    );
 }
 
 #[test]
@@ -101,9 +107,18 @@
     for count in [3, 40, 200] {
         let (cache, parent) = (work_of_all_routers(count, 0), work_of_all_routers(count, 1));
         // Two overload windows start within these two seconds; the bound is the larger budget of the later one.
-        assert!(cache <= 2.0 * 0.44 * 60.0 * 2.0, "{count}: {cache}");
-        assert!(parent <= 2.0 * 0.24 * 60.0 * 2.0, "{count}: {parent}");
-        assert!(cache > 1.0 && parent > 1.0, "{count}: {cache} {parent}");
+        assert!(
+            cache <= 2.0 * 0.44 * 60.0 * 2.0,
+            "{count} routers sent {cache} s of work to the cache"
+        );
+        assert!(
+            parent <= 2.0 * 0.24 * 60.0 * 2.0,
+            "{count} routers sent {parent} s of work to the parent"
+        );
+        assert!(
+            cache > 1.0 && parent > 1.0,
+            "{count} routers sent only {cache} s of work to the cache, {parent} s to the parent"
+        );
     }
 }
 
@@ -121,7 +136,7 @@
         // This is one of about 500 routers, which share a budget of 1.7 s of transfer time per two seconds.
         assert!(
             work_sent_to(&mut fixture, 400, warming.id, true) <= 2.0 * 0.05,
-            "{routers} {index:?} {routers_in_zone}"
+            "{routers} routers, index {index:?}, {routers_in_zone} routers in the zone"
         );
     }
 }
--- a/tests/stale_if_error.rs
+++ b/tests/stale_if_error.rs
@@ -11,7 +11,11 @@
         .complete(&sent, AttemptStatus::Error, CacheStatus::SourceUnreachable)
         .remove(0);
     assert_eq!(stale.endpoint, sent.endpoint);
-    assert_eq!(stale.source(), sent.endpoint, "from what it holds only");
+    assert_eq!(
+        stale.source(),
+        sent.endpoint,
+        "retry not limited to the cached copy"
+    );
     assert_eq!(stale.fetch().max_age, 32 * S);
     assert_eq!(stale.fetch().retention_rank, 0);
 }
@@ -60,6 +64,10 @@
     let next = fixture
         .complete(&sent, AttemptStatus::Miss, CacheStatus::SourceMiss)
         .remove(0);
-    assert_ne!(next.source(), next.endpoint, "no stale try");
+    assert_ne!(
+        next.source(),
+        next.endpoint,
+        "cached-only attempt sent after a source miss"
+    );
     assert_eq!(fixture.request(PAGE, "a")[0].fetch().max_age, 12 * S);
 }
--- a/wirehost/tests/wire.rs
+++ b/wirehost/tests/wire.rs
@@ -24,7 +24,7 @@
     let out = run(lines);
     assert!(
         out.status.success(),
-        "{}",
+        "host ended with an error: {}",
         String::from_utf8_lossy(&out.stderr)
     );
     let text = String::from_utf8(out.stdout).unwrap();
@@ -37,7 +37,7 @@
     let out = run(lines);
     assert!(!out.status.success());
     let text = String::from_utf8(out.stderr).unwrap();
-    assert!(!text.contains("panicked"), "{text}");
+    assert!(!text.contains("panicked"), "host panicked: {text}");
     text
 }
 
@@ -87,7 +87,10 @@
     assert_eq!((&sent["Req"], &sent["Dispatcher"]), (&77.into(), &4.into()));
     assert_eq!(sent["TimeoutMs"], 900.5);
     assert_eq!(sent["HowOldMs"], 12000.0);
-    assert_eq!(sent["Switches"], 9, "join and renew");
+    assert_eq!(
+        sent["Switches"], 9,
+        "the bits for coalescing (1) and revalidation (8)"
+    );
     assert_eq!(out.last().unwrap()["EOR"]["round"], 3);
 }
 
