--- a/benches/deploys.rs
+++ b/benches/deploys.rs
@@ -79,7 +79,7 @@
             |deploy: usize, state| (0..20).map(move |n| entry(&format!("d{deploy}-{n}"), 0, state));
         let mut entries: Vec<EndpointEntry> = caches(deploy, EndpointState::Ready).collect();
         if let Some(before) = deploy.checked_sub(1) {
-            entries.extend(caches(before, EndpointState::Gone));
+            entries.extend(caches(before, EndpointState::Removed));
         }
         self.update(ListUpdate::Delta, entries);
         self.now += 120 * S;
--- a/crates/dispatcher/src/core/client_events.rs
+++ b/crates/dispatcher/src/core/client_events.rs
@@ -192,7 +192,7 @@
     /// If terms are returned, the shell must report the attempt's end to the core. If `None` is returned, the shell sends
     /// nothing, and reports [`AttemptEnd::NotSent`](super::AttemptEnd::NotSent) if the request is still open.
     pub fn begin(&mut self, now: Micros, request: u64, attempt: u32) -> Option<AttemptTerms> {
-        if !self.may_begin(now, request, attempt) {
+        if !self.may_start_attempt(now, request, attempt) {
             return None;
         }
         let open = self.requests.get_mut(request)?;
@@ -213,13 +213,13 @@
     }
 
     /// Returns whether an attempt could begin now, without beginning it. Used for attempts that wait in a queue.
-    pub fn may_begin(&self, now: Micros, request: u64, attempt: u32) -> bool {
+    pub fn may_start_attempt(&self, now: Micros, request: u64, attempt: u32) -> bool {
         let open = self.requests.unfinished(request);
         let Some(pending) = open.and_then(|open| open.attempt(attempt)) else {
             return false;
         };
         let is_ready = |id| self.endpoints.is_ready(id);
-        self.router.may_begin(now, RequestId(request))
+        self.router.may_start_attempt(now, RequestId(request))
             && now < pending.deadline
             && is_ready(pending.endpoint)
             && pending.source.is_none_or(is_ready)
--- a/crates/dispatcher/src/core/control_events.rs
+++ b/crates/dispatcher/src/core/control_events.rs
@@ -166,7 +166,7 @@
                 routers_in_zone: counts.in_zone,
                 routers_total: counts.total,
                 router_index: counts.index,
-                takes_warm_up_budget: counts.takes_warm_up_budget,
+                uses_warm_up_budget: counts.uses_warm_up_budget,
             });
         }
     }
--- a/crates/dispatcher/src/core/endpoint_list.rs
+++ b/crates/dispatcher/src/core/endpoint_list.rs
@@ -177,7 +177,7 @@
         let slot = EndpointSlot {
             record,
             started_at: entry.started_at,
-            removed_at: (entry.state == EndpointState::Gone).then_some(now),
+            removed_at: (entry.state == EndpointState::Removed).then_some(now),
             incarnation,
         };
         self.slots.insert(entry.id, slot);
@@ -249,7 +249,7 @@
         let state = match record.state() {
             WireEndpointState::Ready => EndpointState::Ready,
             WireEndpointState::Draining => EndpointState::Draining,
-            WireEndpointState::Gone => EndpointState::Gone,
+            WireEndpointState::Gone => EndpointState::Removed,
             WireEndpointState::Unspecified => return Err("the record has no valid state".into()),
         };
         Ok(EndpointEntry {
--- a/crates/dispatcher/src/dispatcher_registry.rs
+++ b/crates/dispatcher/src/dispatcher_registry.rs
@@ -32,7 +32,7 @@
     /// Its index among all dispatchers; `None` while they may disagree about it.
     pub index: Option<u32>,
     /// Whether it uses its part of warm-up budgets.
-    pub takes_warm_up_budget: bool,
+    pub uses_warm_up_budget: bool,
 }
 
 /// Numbers of registered dispatchers at one time.
@@ -154,7 +154,7 @@
         let has_joined = self
             .joined_at
             .is_some_and(|at| now >= at + self.settling_time);
-        let takes_warm_up_budget = has_joined && self.is_view_current && now < self.lease_until;
+        let uses_warm_up_budget = has_joined && self.is_view_current && now < self.lease_until;
         let index = roster
             .keys()
             .position(|name| *name == self.name)
@@ -162,8 +162,8 @@
         Some(FleetCounts {
             in_zone: size.in_zone.max(1),
             total: size.total.max(1),
-            index: index.filter(|_| takes_warm_up_budget && is_settled),
-            takes_warm_up_budget,
+            index: index.filter(|_| uses_warm_up_budget && is_settled),
+            uses_warm_up_budget,
         })
     }
 
--- a/crates/dispatcher/src/dispatcher_registry/tests.rs
+++ b/crates/dispatcher/src/dispatcher_registry/tests.rs
@@ -143,7 +143,7 @@
             dispatcher.registry.set_view_current(true);
             dispatcher.registry.set_roster(now, known.clone());
             let counts = dispatcher.registry.counts(now).unwrap();
-            if counts.takes_warm_up_budget {
+            if counts.uses_warm_up_budget {
                 taken.sum += 1.0 / f64::from(counts.in_zone);
                 taken.dispatchers += 1;
             }
@@ -160,12 +160,12 @@
 }
 
 /// Returns the counts of a fleet in a single zone.
-fn counts(total: u32, index: Option<u32>, takes_warm_up_budget: bool) -> Option<FleetCounts> {
+fn counts(total: u32, index: Option<u32>, uses_warm_up_budget: bool) -> Option<FleetCounts> {
     Some(FleetCounts {
         in_zone: total,
         total,
         index,
-        takes_warm_up_budget,
+        uses_warm_up_budget,
     })
 }
 
@@ -191,10 +191,10 @@
     assert_eq!(registry.counts(settled + 2).unwrap().in_zone, 2);
     assert_eq!(registry.counts(3 * settled).unwrap().in_zone, 1);
     registry.set_view_current(false);
-    assert!(!registry.counts(3 * settled).unwrap().takes_warm_up_budget);
+    assert!(!registry.counts(3 * settled).unwrap().uses_warm_up_budget);
     registry.set_view_current(true);
     assert!(
-        !registry.counts(20 * LEASE).unwrap().takes_warm_up_budget,
+        !registry.counts(20 * LEASE).unwrap().uses_warm_up_budget,
         "two thirds of the lease have passed"
     );
 }
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -262,11 +262,11 @@
     }
 
     /// Whether an attempt that has not begun yet may begin.
-    pub fn may_begin(&self, attempt: AttemptId) -> bool {
+    pub fn may_start_attempt(&self, attempt: AttemptId) -> bool {
         let now = self.now();
         self.lock()
             .core
-            .may_begin(now, attempt.request, attempt.attempt)
+            .may_start_attempt(now, attempt.request, attempt.attempt)
     }
 
     /// Closes a request whose task has ended, with any outcome.
--- a/crates/dispatcher/tests/core/attempt_begin.rs
+++ b/crates/dispatcher/tests/core/attempt_begin.rs
@@ -9,7 +9,7 @@
 fn attempt_of_disconnected_client_does_not_begin() {
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, VIDEO).number;
-    assert!(harness.core.may_begin(START, 1, attempt));
+    assert!(harness.core.may_start_attempt(START, 1, attempt));
     harness.handle(Input::ClientDisconnected(1));
     assert_eq!(harness.core.begin(START, 1, attempt), None);
 }
--- a/crates/platform/src/connection_pool/mod.rs
+++ b/crates/platform/src/connection_pool/mod.rs
@@ -233,7 +233,7 @@
         request_id: &str,
     ) -> Result<Arc<Connection>, AttemptEnd> {
         loop {
-            if !core.may_begin(attempt) {
+            if !core.may_start_attempt(attempt) {
                 return Err(AttemptEnd::NotSent);
             }
             match Self::try_acquire(core, endpoint_id, request_id)? {
--- a/src/event.rs
+++ b/src/event.rs
@@ -10,7 +10,7 @@
     /// The endpoint completes requests in flight and accepts no new ones.
     Draining,
     /// The endpoint has left.
-    Gone,
+    Removed,
 }
 
 /// One entry of the endpoint list.
--- a/src/router/attempts.rs
+++ b/src/router/attempts.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether an attempt that was delayed after its `Send` action may still be started.
-    pub fn may_begin(&self, now: Micros, id: RequestId) -> bool {
+    pub fn may_start_attempt(&self, now: Micros, id: RequestId) -> bool {
         self.requests
             .get(id)
             .is_some_and(|request| !request.closed && self.may_retry(now, request))
--- a/src/router/endpoints.rs
+++ b/src/router/endpoints.rs
@@ -151,7 +151,7 @@
         let listed: BTreeSet<EndpointId> = entries.iter().map(|entry| entry.id).collect();
         for endpoint in self.by_id.values_mut() {
             if !listed.contains(&endpoint.entry.id) {
-                endpoint.entry.state = EndpointState::Gone;
+                endpoint.entry.state = EndpointState::Removed;
             }
         }
     }
@@ -200,7 +200,7 @@
     ) {
         for endpoint in self.by_id.values_mut() {
             let departed_at = endpoint.departed_at.unwrap_or(now);
-            let has_departed = endpoint.entry.state == EndpointState::Gone;
+            let has_departed = endpoint.entry.state == EndpointState::Removed;
             endpoint.departed_at = has_departed.then_some(departed_at);
         }
         if !self.by_id.values().any(|e| e.may_be_removed(now)) {
--- a/src/router/fleet.rs
+++ b/src/router/fleet.rs
@@ -51,7 +51,7 @@
         self.routers_in_zone = position.routers_in_zone.max(1) as f64;
         self.routers_total = position.routers_total.max(1).into();
         self.router_index = position.router_index;
-        self.warm_up_share = if position.takes_warm_up_budget {
+        self.warm_up_share = if position.uses_warm_up_budget {
             1.0
         } else {
             0.0
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -157,5 +157,5 @@
     /// Index of this router among all routers, from 0, if known.
     pub router_index: Option<u32>,
     /// Whether this router uses its quota of warm-up budgets; false while routers may disagree on their number.
-    pub takes_warm_up_budget: bool,
+    pub uses_warm_up_budget: bool,
 }
--- a/tests/endpoint_list.rs
+++ b/tests/endpoint_list.rs
@@ -23,7 +23,7 @@
     let mut fixture = RouterFixture::new();
     let parent = fixture.request(VIDEO, "a").remove(0).source();
     let mut departing = fleet().into_iter().find(|e| e.id == parent).unwrap();
-    departing.state = EndpointState::Gone;
+    departing.state = EndpointState::Removed;
     fixture.update(vec![departing]);
     for i in 0..50 {
         assert!(fixture
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -200,7 +200,7 @@
         entry.state = [
             EndpointState::Ready,
             EndpointState::Draining,
-            EndpointState::Gone,
+            EndpointState::Removed,
         ][self.random.below(3) as usize];
         self.unavailable.retain(|id| *id != entry.id);
         if entry.state != EndpointState::Ready {
--- a/tests/retention.rs
+++ b/tests/retention.rs
@@ -9,7 +9,7 @@
     let mut entries: Vec<EndpointEntry> = of(number).collect();
     if number > 0 {
         entries.extend(of(number - 1).map(|e| EndpointEntry {
-            state: EndpointState::Gone,
+            state: EndpointState::Removed,
             ..e
         }));
     }
@@ -58,7 +58,7 @@
     let has_ejection =
         |fixture: &RouterFixture| format!("{:?}", fixture.router).contains("ejections: 1");
     fixture.update(vec![EndpointEntry {
-        state: EndpointState::Gone,
+        state: EndpointState::Removed,
         ..entry("c1", 0)
     }]);
     fixture.now += 5 * S;
@@ -98,7 +98,7 @@
     }));
     let first = sent[0].clone();
     let departed = |n: &str| EndpointEntry {
-        state: EndpointState::Gone,
+        state: EndpointState::Removed,
         ..entry(n, 0)
     };
     fixture.update(["c1", "c2", "c3"].map(departed).to_vec());
--- a/tests/retry.rs
+++ b/tests/retry.rs
@@ -113,18 +113,18 @@
         .complete(&first, AttemptStatus::Reset, CacheStatus::Unreported)
         .remove(0);
     // Half a second of the window of two seconds has passed; the margin before its end is for the transmission.
-    assert!(fixture.router.may_begin(fixture.now, again.request));
+    assert!(fixture.router.may_start_attempt(fixture.now, again.request));
     assert!(fixture
         .router
-        .may_begin(fixture.now + 1_200 * MS, again.request));
+        .may_start_attempt(fixture.now + 1_200 * MS, again.request));
     assert!(!fixture
         .router
-        .may_begin(fixture.now + 1_490 * MS, again.request));
+        .may_start_attempt(fixture.now + 1_490 * MS, again.request));
     let idempotent = fixture.request(VIDEO, "b").remove(0);
     assert!(
         fixture
             .router
-            .may_begin(fixture.now + 1_990 * MS, idempotent.request),
+            .may_start_attempt(fixture.now + 1_990 * MS, idempotent.request),
         "safe classes have no window"
     );
 }
--- a/wirehost/src/translate.rs
+++ b/wirehost/src/translate.rs
@@ -27,7 +27,7 @@
         let state = match e.availability.as_deref() {
             Some("IN") => EndpointState::Ready,
             Some("LAME") => EndpointState::Draining,
-            Some("OUT") => EndpointState::Gone,
+            Some("OUT") => EndpointState::Removed,
             other => {
                 return Err(format!(
                     "unknown Availability {other:?}, expected \"IN\", \"LAME\" or \"OUT\""
