--- a/crates/cache-host/src/net/byte_selection.rs
+++ b/crates/cache-host/src/net/byte_selection.rs
@@ -75,7 +75,7 @@
     selection: &mut ByteSelection,
 ) {
     head.complete_size = Some(complete_size);
-    match range.apply(complete_size) {
+    match range.resolve(complete_size) {
         ResolvedRange::Part(first, last) => {
             selection.from = first;
             selection.len = last + 1 - first;
--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -110,7 +110,7 @@
     let options = ConnectionOptions {
         max_streams: shared.settings.max_streams,
     };
-    let (framed, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (framed, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let mut connection = Connection {
         shared,
         framed,
--- a/crates/cli/benches/proxy.rs
+++ b/crates/cli/benches/proxy.rs
@@ -127,7 +127,7 @@
     let options = ConnectionOptions {
         max_streams: 100_000,
     };
-    let (_connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (_connection, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let mut unanswered = vec![];
     while let Some(inbound) = incoming.next().await {
         unanswered.push(inbound);
@@ -137,7 +137,7 @@
 async fn framed_member(socket: TcpStream, bodies: Bodies) {
     let (_link, mut incoming) = FramedConnection::start(
         socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions { max_streams: 8192 },
     );
     while let Some(inbound) = incoming.next().await {
--- a/crates/cli/tests/program/support.rs
+++ b/crates/cli/tests/program/support.rs
@@ -188,7 +188,7 @@
     tokio::spawn(async move {
         while let Ok((socket, _)) = listener.accept().await {
             let (connection, mut incoming) =
-                FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
+                FramedConnection::start(socket, Side::Responder, ConnectionOptions::default());
             tokio::spawn(async move {
                 while let Some(inbound) = incoming.next().await {
                     let pointspindle_transport::Inbound::Request(_, responder) = inbound else {
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -32,7 +32,7 @@
             let requests = requests.clone();
             tokio::spawn(async move {
                 let (_link, mut incoming) =
-                    FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
+                    FramedConnection::start(socket, Side::Responder, ConnectionOptions::default());
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, mut responder) = inbound else {
                         continue;
--- a/crates/client/tests/cuts/cluster.rs
+++ b/crates/client/tests/cuts/cluster.rs
@@ -41,7 +41,7 @@
 
 async fn serve_connection(socket: TcpStream, log: Arc<AttemptLog>, random: Arc<Mutex<StdRng>>) {
     let options = ConnectionOptions { max_streams: 8192 };
-    let (_connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (_connection, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     while let Some(inbound) = incoming.next().await {
         let Inbound::Request(head, responder) = inbound else {
             continue;
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -82,7 +82,7 @@
         while let Ok((socket, _)) = listener.accept().await {
             tokio::spawn(async move {
                 let (_connection, mut incoming) =
-                    FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
+                    FramedConnection::start(socket, Side::Responder, ConnectionOptions::default());
                 while let Some(inbound) = incoming.next().await {
                     let Inbound::Request(head, mut responder) = inbound else {
                         continue;
--- a/crates/dispatcher/src/net/connection_rejection.rs
+++ b/crates/dispatcher/src/net/connection_rejection.rs
@@ -81,7 +81,7 @@
 
 async fn send_framed(socket: Socket, retry_after_ms: u64) {
     let options = ConnectionOptions { max_streams: 1 };
-    let (connection, _incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (connection, _incoming) = FramedConnection::start(socket, Side::Responder, options);
     connection.goaway(&format!(
         "too many connections; come back after {retry_after_ms} ms"
     ));
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -10,7 +10,7 @@
 /// Serves one operator's connection until it closes or the dispatcher stops.
 pub(super) async fn serve(context: FrontendContext, socket: Socket, _permit: ConnectionPermit) {
     let options = ConnectionOptions { max_streams: 1 };
-    let (connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (connection, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let sink = ControlSink {
         observer: None,
         core: context.core.clone(),
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -29,7 +29,7 @@
     let meter = context.core.meter.clone();
     let lease_us = settings.client_lease_us;
     let (connection, incoming) =
-        FramedConnection::start_metered(socket, Side::Answerer, options, meter);
+        FramedConnection::start_metered(socket, Side::Responder, options, meter);
     connection.push_control(Frame::Hello(HelloHead {
         incarnation: context.core.transport.pool.incarnation,
         lease_us: Some(lease_us),
--- a/crates/dispatcher/tests/exchange.rs
+++ b/crates/dispatcher/tests/exchange.rs
@@ -53,7 +53,7 @@
     let mut sent = 0;
     loop {
         if sent < 4 {
-            let data = vec![0; MAX_DATA].into();
+            let data = vec![0; MAX_DATA_PAYLOAD].into();
             endpoint.send(Frame::Data(id, data)).await;
             sent += 1;
             continue;
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -16,7 +16,7 @@
 /// Length of a frame header, in bytes.
 pub const FRAME_HEADER_LEN: usize = 9;
 /// Maximum length of the body in a data frame, in bytes. It bounds how long one frame occupies the connection.
-pub const MAX_DATA: usize = 64 * 1024;
+pub const MAX_DATA_PAYLOAD: usize = 64 * 1024;
 /// Maximum length of a message other than an endpoint list, in bytes. Heads of requests and responses are small.
 pub const MAX_MESSAGE: usize = 16 * 1024;
 /// Maximum length of an endpoint list, in bytes; enough for some thousands of endpoints.
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -188,7 +188,7 @@
 impl FrameCodec {
     /// Writes the header of a data frame, for a sender that passes the body to the socket without copying it. `body` is
     /// the length of the body in bytes.
-    pub fn encode_data_head(
+    pub fn encode_data_header(
         &mut self,
         stream: u32,
         body: usize,
--- a/crates/protocol/src/frame/kind.rs
+++ b/crates/protocol/src/frame/kind.rs
@@ -1,5 +1,5 @@
 //! Frame types as sent on the wire. The numbers are part of the protocol.
-use super::{MAX_DATA, MAX_ENDPOINT_LIST, MAX_MESSAGE};
+use super::{MAX_DATA_PAYLOAD, MAX_ENDPOINT_LIST, MAX_MESSAGE};
 
 pub(super) const REQUEST: u8 = 1;
 pub(super) const HEAD: u8 = 2;
@@ -20,7 +20,7 @@
 /// Returns the maximum payload length of a frame type, in bytes.
 pub(super) fn max_payload(kind: u8) -> usize {
     match kind {
-        DATA => MAX_DATA,
+        DATA => MAX_DATA_PAYLOAD,
         ENDPOINT_LIST => MAX_ENDPOINT_LIST,
         _ => MAX_MESSAGE,
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -16,5 +16,5 @@
 pub mod range;
 pub mod streams;
 
-pub use frame::{Frame, FrameCodec, FrameError, ReadSizeHint, MAX_DATA, MAX_MESSAGE};
+pub use frame::{Frame, FrameCodec, FrameError, ReadSizeHint, MAX_DATA_PAYLOAD, MAX_MESSAGE};
 pub use messages::*;
--- a/crates/protocol/src/range.rs
+++ b/crates/protocol/src/range.rs
@@ -49,7 +49,7 @@
     }
 
     /// Resolves the range against content of `size` bytes.
-    pub fn apply(self, size: u64) -> ResolvedRange {
+    pub fn resolve(self, size: u64) -> ResolvedRange {
         match self {
             Self::From { first, .. } if first >= size => ResolvedRange::Unsatisfiable,
             Self::From { first, last } => {
--- a/crates/protocol/src/streams.rs
+++ b/crates/protocol/src/streams.rs
@@ -11,7 +11,7 @@
 /// Maximum number of body bytes in flight or unread on one stream.
 pub const STREAM_WINDOW: u32 = 256 * 1024;
 /// Window of a stream, in bytes, while the receiver is short of buffer memory: it returns no more credit than this.
-pub const CROWDED_WINDOW: u32 = 64 * 1024;
+pub const REDUCED_WINDOW: u32 = 64 * 1024;
 /// Maximum number of body bytes in flight on a connection that its reader has not yet assigned to streams.
 pub const CONNECTION_WINDOW: u32 = 1024 * 1024;
 /// Maximum number of streams open at once on a connection, unless a listener allows fewer.
@@ -55,7 +55,7 @@
     /// The end that opened the connection and sends requests.
     Caller,
     /// The end that accepted the connection and responds to requests.
-    Answerer,
+    Responder,
 }
 
 /// State of a stream, which determines what the peer may send next.
@@ -164,7 +164,7 @@
         /// Number of the stream; 0: the connection.
         id: u32,
         /// Number of additional bytes.
-        more: u32,
+        bytes: u32,
     },
     /// A frame without effect, because its stream is closed on this side or its type is unknown.
     Ignored {
@@ -213,7 +213,7 @@
 
     /// Opens a stream for a request of this side and returns its number; `None` if the limit of open streams is reached
     /// or the stream numbers are used up.
-    pub fn open_call(&mut self) -> Option<u32> {
+    pub fn open_stream(&mut self) -> Option<u32> {
         if self.open.len() >= self.max_open || self.highest_id == u32::MAX {
             return None;
         }
@@ -262,7 +262,7 @@
                 self.receive_response(id, frame, |stream| stream.receive_end(bytes))
             }
             Frame::Error(id, _) => self.receive_response(id, frame, |_| Ok(Progress::Closed)),
-            Frame::Credit(id, more) => Ok(Received::Credit { id, more }),
+            Frame::Credit(id, bytes) => Ok(Received::Credit { id, bytes }),
             Frame::Unknown(_) => Ok(Received::Ignored { body: 0 }),
             control => Ok(Received::Control(control)),
         }
@@ -320,7 +320,7 @@
         frame: Frame,
         receive: impl FnOnce(&mut Stream) -> Result<Progress, &'static str>,
     ) -> Result<Received, StreamError> {
-        if self.side == Side::Answerer {
+        if self.side == Side::Responder {
             return Err(StreamError::WrongSide("answer"));
         }
         if id > self.highest_id {
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -154,24 +154,24 @@
 
 #[test]
 fn requests_on_used_stream_or_above_limit_are_errors() {
-    let mut answerer = Streams::new(Side::Answerer, 2);
-    assert!(answerer.receive(Frame::Request(5, request("a"))).is_ok());
+    let mut responder = Streams::new(Side::Responder, 2);
+    assert!(responder.receive(Frame::Request(5, request("a"))).is_ok());
     assert_eq!(
-        answerer.receive(Frame::Request(5, request("a"))),
+        responder.receive(Frame::Request(5, request("a"))),
         Err(StreamError::Reused(5))
     );
     assert_eq!(
-        answerer.receive(Frame::Request(4, request("a"))),
+        responder.receive(Frame::Request(4, request("a"))),
         Err(StreamError::Reused(4))
     );
-    assert!(answerer.receive(Frame::Request(6, request("a"))).is_ok());
+    assert!(responder.receive(Frame::Request(6, request("a"))).is_ok());
     assert_eq!(
-        answerer.receive(Frame::Request(7, request("a"))),
+        responder.receive(Frame::Request(7, request("a"))),
         Err(StreamError::TooManyStreams(2))
     );
-    answerer.close(5);
+    responder.close(5);
     assert!(
-        answerer.receive(Frame::Request(8, request("a"))).is_ok(),
+        responder.receive(Frame::Request(8, request("a"))).is_ok(),
         "a closed stream no longer counts towards the limit"
     );
 }
@@ -179,7 +179,7 @@
 #[test]
 fn response_frames_out_of_order_are_errors() {
     let mut caller = Streams::new(Side::Caller, 3);
-    let id = caller.open_call().unwrap();
+    let id = caller.open_stream().unwrap();
     let data = |n: usize| Frame::Data(id, Bytes::from(vec![0; n]));
     assert_eq!(
         caller.receive(data(1)),
@@ -205,7 +205,7 @@
 #[test]
 fn response_after_end_is_error_and_after_cancel_is_ignored() {
     let mut caller = Streams::new(Side::Caller, 3);
-    let ended = caller.open_call().unwrap();
+    let ended = caller.open_stream().unwrap();
     caller
         .receive(Frame::Head(ended, ResponseHead::default()))
         .unwrap();
@@ -218,7 +218,7 @@
         Err(StreamError::AfterEnd(ended)),
         "a second end frame"
     );
-    let cancelled = caller.open_call().unwrap();
+    let cancelled = caller.open_stream().unwrap();
     caller.close(cancelled);
     let late = caller.receive(Frame::Head(cancelled, ResponseHead::default()));
     assert_eq!(
@@ -236,22 +236,22 @@
 #[test]
 fn exhausted_stream_credit_stalls_only_that_stream() {
     let mut caller = Streams::new(Side::Caller, 8);
-    let slow = caller.open_call().unwrap();
-    let fast = caller.open_call().unwrap();
+    let slow = caller.open_stream().unwrap();
+    let fast = caller.open_stream().unwrap();
     for id in [slow, fast] {
         caller
             .receive(Frame::Head(id, ResponseHead::default()))
             .unwrap();
     }
-    let chunk = Bytes::from(vec![0; MAX_DATA]);
-    for _ in 0..STREAM_WINDOW as usize / MAX_DATA {
+    let chunk = Bytes::from(vec![0; MAX_DATA_PAYLOAD]);
+    for _ in 0..STREAM_WINDOW as usize / MAX_DATA_PAYLOAD {
         caller.receive(Frame::Data(slow, chunk.clone())).unwrap();
-        caller.return_connection_credit(MAX_DATA as u32);
+        caller.return_connection_credit(MAX_DATA_PAYLOAD as u32);
     }
     for _ in 0..100 {
         caller.receive(Frame::Data(fast, chunk.clone())).unwrap();
-        caller.return_connection_credit(MAX_DATA as u32);
-        assert!(caller.return_credit(fast, MAX_DATA as u32));
+        caller.return_connection_credit(MAX_DATA_PAYLOAD as u32);
+        assert!(caller.return_credit(fast, MAX_DATA_PAYLOAD as u32));
     }
     let excess = caller.receive(Frame::Data(slow, Bytes::from_static(b"x")));
     assert_eq!(excess, Err(StreamError::OverCredit(slow, 1)));
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -146,27 +146,27 @@
 #[test]
 fn byte_ranges_follow_rfc_9110() {
     assert_eq!(
-        Range::parse("bytes=0-99").unwrap().apply(50),
+        Range::parse("bytes=0-99").unwrap().resolve(50),
         ResolvedRange::Part(0, 49)
     );
     assert_eq!(
-        Range::parse("bytes=-10").unwrap().apply(50),
+        Range::parse("bytes=-10").unwrap().resolve(50),
         ResolvedRange::Part(40, 49)
     );
     assert_eq!(
-        Range::parse("bytes=-99").unwrap().apply(50),
+        Range::parse("bytes=-99").unwrap().resolve(50),
         ResolvedRange::Part(0, 49)
     );
     assert_eq!(
-        Range::parse("bytes=49-").unwrap().apply(50),
+        Range::parse("bytes=49-").unwrap().resolve(50),
         ResolvedRange::Part(49, 49)
     );
     assert_eq!(
-        Range::parse("bytes=50-").unwrap().apply(50),
+        Range::parse("bytes=50-").unwrap().resolve(50),
         ResolvedRange::Unsatisfiable
     );
     assert_eq!(
-        Range::parse("bytes=-0").unwrap().apply(50),
+        Range::parse("bytes=-0").unwrap().resolve(50),
         ResolvedRange::Unsatisfiable
     );
     for ignored in [
--- a/crates/testbed/src/emulated_hosts/connection.rs
+++ b/crates/testbed/src/emulated_hosts/connection.rs
@@ -51,7 +51,7 @@
     let options = ConnectionOptions {
         max_streams: MAX_STREAMS,
     };
-    let (framed, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (framed, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let mut connection = HostConnection {
         hosts,
         host,
--- a/crates/testbed/src/emulated_hosts/conversions/mod.rs
+++ b/crates/testbed/src/emulated_hosts/conversions/mod.rs
@@ -193,5 +193,5 @@
         return None;
     }
     let range = Range::parse(&request.range)?;
-    Some(range.apply(complete_size))
+    Some(range.resolve(complete_size))
 }
--- a/crates/testbed/src/fleet_run/duplicating_relay.rs
+++ b/crates/testbed/src/fleet_run/duplicating_relay.rs
@@ -36,7 +36,7 @@
     to_host.bind(SocketAddr::new(dispatcher.ip(), 0))?;
     let to_host = to_host.connect(host).await?;
     let (_from_dispatcher, mut requests) =
-        FramedConnection::start(socket, Side::Answerer, ConnectionOptions::default());
+        FramedConnection::start(socket, Side::Responder, ConnectionOptions::default());
     let (to_host, mut control_frames) =
         FramedConnection::start(to_host, Side::Caller, ConnectionOptions::default());
     tokio::spawn(async move { while control_frames.next().await.is_some() {} });
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -4,7 +4,7 @@
 use crate::writer::SendTime;
 use crate::ConnectionError;
 use bytes::Bytes;
-use pointspindle_protocol::streams::{CROWDED_WINDOW, STREAM_WINDOW};
+use pointspindle_protocol::streams::{REDUCED_WINDOW, STREAM_WINDOW};
 use pointspindle_protocol::*;
 use std::sync::Arc;
 use tokio::sync::{mpsc, watch};
@@ -82,7 +82,7 @@
         meter.sub(bytes as usize);
         self.unreturned_credit += bytes;
         let window = if meter.is_threshold_reached() {
-            CROWDED_WINDOW
+            REDUCED_WINDOW
         } else {
             STREAM_WINDOW
         };
@@ -147,7 +147,7 @@
     /// the bytes may have been sent.
     pub async fn data(&mut self, mut data: Bytes) -> Result<(), ConnectionError> {
         while !data.is_empty() {
-            let max = data.len().min(MAX_DATA) as u32;
+            let max = data.len().min(MAX_DATA_PAYLOAD) as u32;
             let mut stream_credit = self.take_credit(&self.credit, max).await?;
             while stream_credit > 0 {
                 let connection_credit = &self.shared.connection_credit;
--- a/crates/transport/src/connection.rs
+++ b/crates/transport/src/connection.rs
@@ -107,7 +107,7 @@
     /// use this connection.
     pub fn call_deferred(&self, compose: DeferredRequest) -> Result<Call, ConnectionError> {
         let (sender, parts) = mpsc::unbounded_channel();
-        let id = self.shared.open_call(compose, sender)?;
+        let id = self.shared.open_stream(compose, sender)?;
         self.shared.writer.flush();
         Ok(Call {
             id,
--- a/crates/transport/src/connection/receive.rs
+++ b/crates/transport/src/connection/receive.rs
@@ -95,8 +95,8 @@
                 self.process_stream_frame(id, frame, closed).await
             }
             (Ok(Received::Control(frame)), _) => self.process_control(frame).await,
-            (Ok(Received::Credit { id, more }), _) => {
-                if !self.shared.grant_credit(id, more) {
+            (Ok(Received::Credit { id, bytes }), _) => {
+                if !self.shared.grant_credit(id, bytes) {
                     return Err(StreamError::CreditTooLarge(id).into());
                 }
                 Ok(())
--- a/crates/transport/src/connection/shared.rs
+++ b/crates/transport/src/connection/shared.rs
@@ -144,7 +144,7 @@
     }
 
     /// Opens a stream for a request of this side and queues the request.
-    pub(super) fn open_call(
+    pub(super) fn open_stream(
         &self,
         compose: DeferredRequest,
         parts: PartSender,
@@ -158,7 +158,7 @@
         }
         let id = table
             .streams
-            .open_call()
+            .open_stream()
             .ok_or(ConnectionError::NoStream(self.max_streams))?;
         let handle = StreamHandle::Call(parts.clone());
         table.handles.insert(id, handle);
--- a/crates/transport/src/writer/queue.rs
+++ b/crates/transport/src/writer/queue.rs
@@ -91,7 +91,7 @@
         match frame {
             Frame::Data(stream, body) if body.len() >= MIN_UNCOPIED_BODY_BYTES => {
                 self.codec
-                    .encode_data_head(stream, body.len(), &mut self.tail)?;
+                    .encode_data_header(stream, body.len(), &mut self.tail)?;
                 self.queued_bytes += self.tail.len() - before + body.len();
                 self.move_tail_to_pieces();
                 self.pieces.push_bytes(body);
--- a/crates/transport/tests/body_transfer.rs
+++ b/crates/transport/tests/body_transfer.rs
@@ -52,7 +52,7 @@
             ..Default::default()
         };
         put(Frame::Head(id, head));
-        let frame_size = if *size == 8_191 { 1 } else { MAX_DATA };
+        let frame_size = if *size == 8_191 { 1 } else { MAX_DATA_PAYLOAD };
         for part in content(*size).chunks(frame_size) {
             put(Frame::Data(id, Bytes::copy_from_slice(part)));
         }
@@ -122,7 +122,7 @@
         FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
     let (_answerer, mut incoming) = FramedConnection::start(
         answerer_socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions::default(),
     );
     tokio::spawn(async move {
@@ -223,7 +223,7 @@
     let caller =
         FramedConnection::start_metered(caller_socket, Side::Caller, options, meter.clone());
     let (answerer, mut requests) =
-        FramedConnection::start(answerer_socket, Side::Answerer, options);
+        FramedConnection::start(answerer_socket, Side::Responder, options);
     tokio::spawn(async move {
         let _answerer = answerer;
         while let Some(Inbound::Request(_, mut responder)) = requests.next().await {
@@ -277,7 +277,7 @@
         }
     }
     // The peer sends until its credit is used up; no more bytes arrive after that.
-    let reduced_window = u64::from(CROWDED_WINDOW);
+    let reduced_window = u64::from(REDUCED_WINDOW);
     wait_for_buffered(
         &meter,
         |bytes| bytes >= reduced_window / 2,
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -23,7 +23,7 @@
         FramedConnection::start(caller_socket, Side::Caller, ConnectionOptions::default());
     let (answerer, incoming) = FramedConnection::start(
         answerer_socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions::default(),
     );
     (caller, answerer, incoming)
@@ -238,7 +238,7 @@
     );
     let (_answerer, mut incoming) = FramedConnection::start(
         answerer_socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions { max_streams: 100 },
     );
     let calls: Vec<Call> = (0..1_000)
@@ -336,7 +336,7 @@
     let (mut caller_socket, answerer_socket) = sockets().await;
     let (answerer, mut incoming) = FramedConnection::start(
         answerer_socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions::default(),
     );
     caller_socket
@@ -368,7 +368,7 @@
     let (answerer_socket, _) = listener.accept().await.unwrap();
     let (_answerer, mut incoming) = FramedConnection::start(
         answerer_socket,
-        Side::Answerer,
+        Side::Responder,
         ConnectionOptions::default(),
     );
     let (head, responder) = next_request(&mut incoming).await;
