--- a/crates/cache-host/src/net/cached_response.rs
+++ b/crates/cache-host/src/net/cached_response.rs
@@ -89,7 +89,7 @@
         let (head, selection) = select_bytes(self.cached_head(&found, status), &self.head);
         let mut unsent_head = Some(self.with_load(head));
         let store = self.shared.settings.store.as_ref();
-        let block_bytes = store.map_or(1, |store| u64::from(store.block));
+        let block_bytes = store.map_or(1, |store| u64::from(store.block_bytes));
         let mut reader = BlockReader::new(found, block_bytes, &selection);
         while !reader.is_at_end() || unsent_head.is_some() {
             let piece = match self.next_piece(&mut reader, unsent_head.is_some()).await {
--- a/crates/cache-host/src/net/host.rs
+++ b/crates/cache-host/src/net/host.rs
@@ -150,10 +150,10 @@
     let path = settings.path.clone();
     let opening = move || {
         let options = Options {
-            capacity: settings.capacity,
-            segment: settings.segment,
-            block: settings.block,
-            memory: settings.memory,
+            capacity: settings.capacity_bytes,
+            segment: settings.segment_bytes,
+            block: settings.block_bytes,
+            memory: settings.memory_bytes,
         };
         let folder = Arc::new(Folder::lock(&settings.path)?);
         Store::open(folder, options, clock.steady_ms())
@@ -186,7 +186,7 @@
     };
     let stats = store.stats();
     let stored = stats.live_bytes.max(stats.disk_bytes + stats.pending_bytes);
-    stored as f64 >= settings.warm_share * settings.capacity as f64
+    stored as f64 >= settings.warm_share * settings.capacity_bytes as f64
 }
 
 /// Creates the work ledger of a host that starts cold.
--- a/crates/clock/src/boot.rs
+++ b/crates/clock/src/boot.rs
@@ -9,31 +9,34 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BootMoment {
     /// Identifier of the boot, as reported by the kernel.
-    pub boot: String,
+    pub boot_id: String,
     /// Time elapsed since that boot.
-    pub since: Duration,
+    pub since_boot: Duration,
 }
 
 impl BootMoment {
     /// Returns the current time; `None` if the system does not expose a boot identifier.
     pub fn now() -> Option<Self> {
-        let boot = std::fs::read_to_string(BOOT_ID_PATH)
+        let boot_id = std::fs::read_to_string(BOOT_ID_PATH)
             .ok()?
             .trim()
             .to_owned();
-        let since_boot = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
-        let since = Duration::new(
-            since_boot.tv_sec.try_into().ok()?,
-            since_boot.tv_nsec.try_into().ok()?,
+        let boot_time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+        let since_boot = Duration::new(
+            boot_time.tv_sec.try_into().ok()?,
+            boot_time.tv_nsec.try_into().ok()?,
         );
-        Some(Self { boot, since })
+        Some(Self {
+            boot_id,
+            since_boot,
+        })
     }
 
     /// Returns the duration up to `later`; `None` if the machine was rebooted in between, which leaves the duration
     /// unknown.
-    pub fn until(&self, later: &Self) -> Option<Duration> {
-        (self.boot == later.boot)
-            .then(|| later.since.checked_sub(self.since))
+    pub fn duration_until(&self, later: &Self) -> Option<Duration> {
+        (self.boot_id == later.boot_id)
+            .then(|| later.since_boot.checked_sub(self.since_boot))
             .flatten()
     }
 }
--- a/crates/clock/src/tests.rs
+++ b/crates/clock/src/tests.rs
@@ -84,11 +84,11 @@
     let first = BootMoment::now().expect("a Linux kernel exposes its boot identifier");
     let second = BootMoment::now().unwrap();
     assert!(first
-        .until(&second)
+        .duration_until(&second)
         .is_some_and(|duration| duration < Duration::from_secs(60)));
     let other = BootMoment {
-        boot: "another".into(),
+        boot_id: "another".into(),
         ..second
     };
-    assert_eq!(first.until(&other), None);
+    assert_eq!(first.duration_until(&other), None);
 }
--- a/crates/config/src/cache_host.rs
+++ b/crates/config/src/cache_host.rs
@@ -25,13 +25,13 @@
     /// Directory of the store.
     pub path: PathBuf,
     /// Capacity on disk; at least six segments.
-    pub capacity: u64,
+    pub capacity_bytes: u64,
     /// Size of one segment file.
-    pub segment: u32,
+    pub segment_bytes: u32,
     /// Size of one block of a copy; at most a quarter of a segment.
-    pub block: u32,
+    pub block_bytes: u32,
     /// Capacity for blocks cached in memory.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Share of the capacity from which a recovered store counts as warm and needs no slow start.
     pub warm_share: f64,
     /// Maximum time in microseconds until a copy is written to disk; purges are written at once.
@@ -100,7 +100,7 @@
 /// if it has none.
 pub(crate) fn read(reader: &mut Reader) -> CacheHostSettings {
     let name = reader.value("cache", "name", "cache".to_owned(), "a name");
-    let role = reader.choice("cache", "role", Role::Cache, &Role::WORDS);
+    let role = reader.choice("cache", "role", Role::Cache, &Role::NAMES);
     let weight = reader.number("cache", "weight", 50.0, 0.01, 1e6);
     let any_local_port = SocketAddr::from(([127, 0, 0, 1], 0));
     let framed = reader.required("listen", "framed", any_local_port, "an address and port");
@@ -116,14 +116,14 @@
         max_connections: reader.number("listen", "max_connections", 10_000, 1, 10_000_000),
         max_streams: reader.number("listen", "max_streams", 1_024, 1, 100_000),
         max_requests: reader.number("cache", "max_requests", 4_096, 1, 1_000_000),
-        drain_timeout_us: reader.ms("listen", "drain_ms", 10_000.0, 0.0, 600_000.0),
+        drain_timeout_us: reader.duration_us("listen", "drain_ms", 10_000.0, 0.0, 600_000.0),
         store,
         origin,
         max_fills: reader.number("fills", "places", 64, 1, 100_000),
         fill_queue: reader.number("fills", "queue", 128, 0, 1_000_000),
-        connect_timeout_us: reader.ms("fills", "connect_timeout_ms", 250.0, 1.0, 60_000.0),
-        fill_timeout_us: reader.ms("fills", "timeout_ms", 10_000.0, 10.0, 3.6e6),
-        slow_reader_timeout_us: reader.ms("fills", "slow_ms", 5_000.0, 10.0, 600_000.0),
+        connect_timeout_us: reader.duration_us("fills", "connect_timeout_ms", 250.0, 1.0, 60_000.0),
+        fill_timeout_us: reader.duration_us("fills", "timeout_ms", 10_000.0, 10.0, 3.6e6),
+        slow_reader_timeout_us: reader.duration_us("fills", "slow_ms", 5_000.0, 10.0, 600_000.0),
         weight,
         slow_start: slow_start::read(reader, "cold"),
         classes,
@@ -132,7 +132,7 @@
 
 fn read_origin(reader: &mut Reader, role: Role) -> Option<OriginSettings> {
     let Some(address) = read_address(reader, "origin", "address") else {
-        if reader.has("origin") {
+        if reader.has_section("origin") {
             let reason = "missing; expected an address and port, such as 127.0.0.1:9100";
             reader.report("origin", "address", reason);
         }
@@ -150,7 +150,7 @@
 }
 
 fn read_classes(reader: &mut Reader) -> Vec<CacheClass> {
-    let names = reader.named("class");
+    let names = reader.section_names("class");
     if names.is_empty() {
         reader.report(
             "class NAME",
@@ -169,8 +169,8 @@
     CacheClass {
         name,
         uncacheable: reader.flag(&section, "uncacheable", false),
-        fresh_for_us: reader.ms(&section, "fresh_ms", 0.0, 0.0, 1e9),
-        mean_send_time_us: reader.ms(&section, "mean_ms", 50.0, 0.01, 1e6),
+        fresh_for_us: reader.duration_us(&section, "fresh_ms", 0.0, 0.0, 1e9),
+        mean_send_time_us: reader.duration_us(&section, "mean_ms", 50.0, 0.01, 1e6),
     }
 }
 
@@ -179,18 +179,20 @@
     let path = reader.path(SECTION, "path");
     let store = StoreSettings {
         path: path.clone().unwrap_or_default(),
-        capacity: (reader.number(SECTION, "capacity_mb", 1_024.0, 0.01, 1e9) * BYTES_PER_MB) as u64,
-        segment: (reader.number(SECTION, "segment_mb", 64.0, 0.01, 2_048.0) * BYTES_PER_MB) as u32,
-        block: (reader.number(SECTION, "block_kb", 64.0, 1.0, 1_024.0) * BYTES_PER_KB) as u32,
-        memory: (reader.number(SECTION, "memory_mb", 64.0, 0.0, 1e7) * BYTES_PER_MB) as u64,
+        capacity_bytes: (reader.number(SECTION, "capacity_mb", 1_024.0, 0.01, 1e9) * BYTES_PER_MB)
+            as u64,
+        segment_bytes: (reader.number(SECTION, "segment_mb", 64.0, 0.01, 2_048.0) * BYTES_PER_MB)
+            as u32,
+        block_bytes: (reader.number(SECTION, "block_kb", 64.0, 1.0, 1_024.0) * BYTES_PER_KB) as u32,
+        memory_bytes: (reader.number(SECTION, "memory_mb", 64.0, 0.0, 1e7) * BYTES_PER_MB) as u64,
         warm_share: reader.number(SECTION, "warm_share", 0.2, 0.0, 1.0),
-        sync_us: reader.ms(SECTION, "sync_ms", 1_000.0, 1.0, 600_000.0),
+        sync_us: reader.duration_us(SECTION, "sync_ms", 1_000.0, 1.0, 600_000.0),
     };
-    if store.capacity < MIN_SEGMENTS * u64::from(store.segment) {
+    if store.capacity_bytes < MIN_SEGMENTS * u64::from(store.segment_bytes) {
         let reason = "must hold at least six segments (segment_mb)";
         reader.report(SECTION, "capacity_mb", reason);
     }
-    if store.block > store.segment / MIN_BLOCKS_PER_SEGMENT {
+    if store.block_bytes > store.segment_bytes / MIN_BLOCKS_PER_SEGMENT {
         let reason = "must be at most a quarter of a segment (segment_mb)";
         reader.report(SECTION, "block_kb", reason);
     }
--- a/crates/config/src/dispatcher/classes.rs
+++ b/crates/config/src/dispatcher/classes.rs
@@ -27,7 +27,7 @@
 /// Reads all `[class NAME]` sections, in the order of the file.
 pub(super) fn read(reader: &mut Reader) -> Classes {
     let mut classes = Classes::default();
-    for name in reader.named("class") {
+    for name in reader.section_names("class") {
         let class = read_class(reader, name);
         report_duplicate_path_prefix(reader, &class.settings, &classes.settings);
         classes.settings.push(class.settings);
@@ -67,7 +67,7 @@
 fn read_class(reader: &mut Reader, name: String) -> Class {
     let section = format!("class {name}");
     let path_prefix = read_path_prefix(reader, &section);
-    let deadline_us = reader.ms(&section, "deadline_ms", 2_500.0, 10.0, HOUR_MS);
+    let deadline_us = reader.duration_us(&section, "deadline_ms", 2_500.0, 10.0, HOUR_MS);
     let latency_objective = read_latency_objective(reader, &section, deadline_us);
     let idempotency = read_idempotency(reader, &section);
     let uncacheable = reader.flag(&section, "uncacheable", false);
@@ -87,8 +87,8 @@
         priority_weight: reader.number(&section, "worth", 1.0, 0.0, 1e9),
         idempotency,
         uncacheable,
-        fresh_for: reader.ms(&section, "fresh_ms", 0.0, 0.0, 1e9),
-        stale_if_error: reader.ms(&section, "grace_ms", 0.0, 0.0, 1e9),
+        fresh_for: reader.duration_us(&section, "fresh_ms", 0.0, 0.0, 1e9),
+        stale_if_error: reader.duration_us(&section, "grace_ms", 0.0, 0.0, 1e9),
     };
     if router.stale_if_error > 0 && router.fresh_for == 0 {
         let reason = "has no effect without fresh_ms, because copies then never become stale";
@@ -112,7 +112,7 @@
 }
 
 fn read_latency_objective(reader: &mut Reader, section: &str, deadline_us: u64) -> u64 {
-    let objective_us = reader.ms(section, "aim_ms", 300.0, 1.0, HOUR_MS);
+    let objective_us = reader.duration_us(section, "aim_ms", 300.0, 1.0, HOUR_MS);
     if objective_us > deadline_us {
         reader.report(section, "aim_ms", "greater than deadline_ms");
     }
@@ -126,7 +126,7 @@
         ("cell", KeyScope::Cell),
     ];
     let scope = reader.choice(section, "key_group", KeyScope::All, &scopes);
-    let window = reader.ms(section, "key_window_ms", 2_000.0, 1.0, HOUR_MS);
+    let window = reader.duration_us(section, "key_window_ms", 2_000.0, 1.0, HOUR_MS);
     let choices = [
         ("safe", Idempotency::Idempotent),
         ("keyed", Idempotency::WithKey { scope, window }),
--- a/crates/config/src/dispatcher/etcd.rs
+++ b/crates/config/src/dispatcher/etcd.rs
@@ -44,15 +44,15 @@
     let prefix = read_prefix(reader);
     let credentials = read_credentials(reader);
     let lease_s = reader.number(SECTION, "lease_s", 5, 2, 600);
-    let call_timeout_us = reader.ms(SECTION, "timeout_ms", 1_000.0, 10.0, MINUTE_MS);
-    let start_wait_us = reader.ms(SECTION, "start_wait_ms", 2_000.0, 0.0, MINUTE_MS);
-    let purge_within_us = reader.ms(SECTION, "purge_within_ms", 0.0, 0.0, MINUTE_MS);
+    let call_timeout_us = reader.duration_us(SECTION, "timeout_ms", 1_000.0, 10.0, MINUTE_MS);
+    let start_wait_us = reader.duration_us(SECTION, "start_wait_ms", 2_000.0, 0.0, MINUTE_MS);
+    let purge_within_us = reader.duration_us(SECTION, "purge_within_ms", 0.0, 0.0, MINUTE_MS);
     if (1..MIN_PURGE_WITHIN_US).contains(&purge_within_us) {
         let reason = "must be at least 300, or 0 for no guarantee";
         reader.report(SECTION, "purge_within_ms", reason);
     }
     if endpoints.is_empty() {
-        if reader.has(SECTION) {
+        if reader.has_section(SECTION) {
             let reason = "missing; expected URLs, such as http://127.0.0.1:2379";
             reader.report(SECTION, "endpoints", reason);
         }
--- a/crates/config/src/dispatcher/mod.rs
+++ b/crates/config/src/dispatcher/mod.rs
@@ -46,9 +46,9 @@
     /// Connections to endpoints.
     pub upstream: UpstreamSettings,
     /// Time in microseconds reserved within the client's deadline for returning the response.
-    pub answer_slack_us: u64,
+    pub response_margin_us: u64,
     /// Number of leading segments of an HTTP path that form the purge group of an object.
-    pub group_segments: usize,
+    pub purge_group_segments: usize,
     /// File that preserves the latest endpoint list and purges across restarts.
     pub state_file: Option<PathBuf>,
     /// Endpoints of the static list.
@@ -68,7 +68,7 @@
     /// Number of dispatchers in the fleet.
     count: u32,
     state_file: Option<PathBuf>,
-    answer_slack_us: u64,
+    response_margin_us: u64,
     max_requests: usize,
     buffer_bytes: u64,
 }
@@ -91,7 +91,7 @@
         router_index: dispatcher.number,
     };
     let router = router::read(reader, placement, classes.router);
-    let group_segments = reader.number("http", "group_segments", 2, 1, 16);
+    let purge_group_segments = reader.number("http", "group_segments", 2, 1, 16);
     DispatcherSettings {
         name: dispatcher.name,
         router,
@@ -101,8 +101,8 @@
         tls,
         etcd,
         upstream,
-        answer_slack_us: dispatcher.answer_slack_us,
-        group_segments,
+        response_margin_us: dispatcher.response_margin_us,
+        purge_group_segments,
         state_file: dispatcher.state_file,
         endpoints,
         max_requests: dispatcher.max_requests,
@@ -128,7 +128,7 @@
         number,
         count,
         state_file: reader.path(SECTION, "state_file"),
-        answer_slack_us: reader.ms(SECTION, "answer_slack_ms", 20.0, 0.0, 10_000.0),
+        response_margin_us: reader.duration_us(SECTION, "answer_slack_ms", 20.0, 0.0, 10_000.0),
         max_requests: reader.number(SECTION, "max_requests", 20_000, 1, 10_000_000),
         buffer_bytes: reader.number(SECTION, "buffer_mb", 512, 1, 1_000_000) * BYTES_PER_MB,
     }
--- a/crates/config/src/dispatcher/network_quota.rs
+++ b/crates/config/src/dispatcher/network_quota.rs
@@ -52,7 +52,7 @@
 /// Reads all `[network NAME]` sections, in the order of the file.
 pub(super) fn read(reader: &mut Reader, max_connections: usize) -> Vec<NetworkQuota> {
     reader
-        .named("network")
+        .section_names("network")
         .into_iter()
         .filter_map(|name| read_network(reader, name, max_connections))
         .collect()
--- a/crates/config/src/dispatcher/router.rs
+++ b/crates/config/src/dispatcher/router.rs
@@ -61,11 +61,17 @@
         coalesces_fills: reader.flag(SECTION, "joins", true),
         may_cancel: true,
         retry_after: reader.flag(SECTION, "retry_after", true),
-        max_retry_after: reader.ms(SECTION, "max_retry_after_ms", 1000.0, 0.0, 10.0 * MINUTE_MS),
+        max_retry_after: reader.duration_us(
+            SECTION,
+            "max_retry_after_ms",
+            1000.0,
+            0.0,
+            10.0 * MINUTE_MS,
+        ),
         max_attempts: reader.number(SECTION, "max_attempts", 6, 1, 100),
         stream_kb_per_s: reader.number(SECTION, "stream_kb_per_s", 6000.0, 1.0, 1e9),
         cache_slow_start: slow_start::read(reader, "cold cache"),
         parent_slow_start: slow_start::read(reader, "cold parent"),
-        purge_horizon: reader.ms(SECTION, "purge_done_ms", 6000.0, 0.0, 60.0 * MINUTE_MS),
+        purge_horizon: reader.duration_us(SECTION, "purge_done_ms", 6000.0, 0.0, 60.0 * MINUTE_MS),
     }
 }
--- a/crates/config/src/dispatcher/upstream.rs
+++ b/crates/config/src/dispatcher/upstream.rs
@@ -34,13 +34,25 @@
 pub(super) fn read(reader: &mut Reader) -> UpstreamSettings {
     UpstreamSettings {
         endpoints_have_ids: false,
-        connect_timeout_us: reader.ms(SECTION, "connect_timeout_ms", 250.0, 1.0, MINUTE_MS),
+        connect_timeout_us: reader.duration_us(
+            SECTION,
+            "connect_timeout_ms",
+            250.0,
+            1.0,
+            MINUTE_MS,
+        ),
         max_streams: reader.number(SECTION, "max_streams", 1024, 1, 1_000_000),
-        idle_timeout_us: reader.ms(SECTION, "idle_ms", MINUTE_MS, 100.0, HOUR_MS),
-        hello_timeout_us: reader.ms(SECTION, "hello_timeout_ms", 100.0, 0.0, 10_000.0),
+        idle_timeout_us: reader.duration_us(SECTION, "idle_ms", MINUTE_MS, 100.0, HOUR_MS),
+        hello_timeout_us: reader.duration_us(SECTION, "hello_timeout_ms", 100.0, 0.0, 10_000.0),
         bind: reader.optional(SECTION, "bind", "an IP address"),
-        ping_when_awaiting_us: reader.ms(SECTION, "quiet_ping_ms", 2_000.0, 10.0, MINUTE_MS),
-        ping_when_idle_us: reader.ms(SECTION, "idle_ping_ms", 15_000.0, 0.0, HOUR_MS),
-        ping_timeout_us: reader.ms(SECTION, "ping_timeout_ms", 1_000.0, 10.0, MINUTE_MS),
+        ping_when_awaiting_us: reader.duration_us(
+            SECTION,
+            "quiet_ping_ms",
+            2_000.0,
+            10.0,
+            MINUTE_MS,
+        ),
+        ping_when_idle_us: reader.duration_us(SECTION, "idle_ping_ms", 15_000.0, 0.0, HOUR_MS),
+        ping_timeout_us: reader.duration_us(SECTION, "ping_timeout_ms", 1_000.0, 10.0, MINUTE_MS),
     }
 }
--- a/crates/config/src/dispatcher/zones.rs
+++ b/crates/config/src/dispatcher/zones.rs
@@ -13,7 +13,7 @@
 }
 
 pub(super) fn read(reader: &mut Reader, own_zone: &str, dispatchers: u32) -> Zones {
-    let mut names = reader.named("zone");
+    let mut names = reader.section_names("zone");
     let mut fleet: Vec<Zone> = names.iter().map(|name| read_zone(reader, name)).collect();
     if names.is_empty() && !own_zone.is_empty() {
         names.push(own_zone.to_owned());
--- a/crates/config/src/endpoints.rs
+++ b/crates/config/src/endpoints.rs
@@ -16,7 +16,7 @@
 
 impl Role {
     /// All roles with their names, in the order of [`Role::kind`].
-    pub const WORDS: [(&'static str, Self); 3] = [
+    pub const NAMES: [(&'static str, Self); 3] = [
         ("cache", Self::Cache),
         ("parent", Self::Parent),
         ("origin", Self::Origin),
@@ -24,7 +24,7 @@
 
     /// Returns the name of the role in settings and on the wire.
     pub fn name(self) -> &'static str {
-        Self::WORDS[self.kind()].0
+        Self::NAMES[self.kind()].0
     }
 
     /// Returns the number of the role in the decision module.
@@ -34,7 +34,7 @@
 
     /// Returns the role with the given name.
     pub fn from_name(name: &str) -> Option<Self> {
-        Self::WORDS
+        Self::NAMES
             .iter()
             .find(|(known, _)| *known == name)
             .map(|(_, role)| *role)
@@ -59,7 +59,7 @@
 /// Reads every `[member NAME]` section in the order of the file.
 pub(crate) fn read(reader: &mut Reader, zones: &[String]) -> Vec<EndpointSpec> {
     let mut endpoints: Vec<EndpointSpec> = Vec::new();
-    for name in reader.named("member") {
+    for name in reader.section_names("member") {
         let endpoint = read_endpoint(reader, &name, zones, &endpoints);
         endpoints.push(endpoint);
     }
@@ -85,7 +85,7 @@
             "another [member …] section has the same address",
         );
     }
-    let role = reader.choice(&section, "kind", Role::Cache, &Role::WORDS);
+    let role = reader.choice(&section, "kind", Role::Cache, &Role::NAMES);
     let zone = reader.required(&section, "zone", String::new(), "the name of a zone");
     if !zone.is_empty() && !zones.contains(&zone) {
         reader.report(&section, "zone", &format!("{zone:?} is not a known zone"));
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns the `NAME` of each section `prefix NAME`, in the order of the file.
-    pub fn named(&mut self, prefix: &str) -> Vec<String> {
+    pub fn section_names(&mut self, prefix: &str) -> Vec<String> {
         let name_of = |section: &String| {
             let name = section.strip_prefix(prefix)?.strip_prefix(' ')?.trim();
             (!name.is_empty()).then(|| name.to_owned())
@@ -57,7 +57,7 @@
     }
 
     /// Whether the file has a section. Does not mark the section as known.
-    pub fn has(&self, section: &str) -> bool {
+    pub fn has_section(&self, section: &str) -> bool {
         self.document.sections.contains_key(section)
     }
 
@@ -150,7 +150,7 @@
     }
 
     /// Returns a duration in microseconds that the file states in milliseconds.
-    pub fn ms(
+    pub fn duration_us(
         &mut self,
         section: &str,
         key: &str,
--- a/crates/config/src/slow_start.rs
+++ b/crates/config/src/slow_start.rs
@@ -7,8 +7,8 @@
 pub(crate) fn read(reader: &mut Reader, section: &str) -> SlowStartRule {
     SlowStartRule {
         initial_share: reader.number(section, "start_share", 0.2, 0.0, 1.0),
-        ramp: reader.ms(section, "warm_within_ms", 20_000.0, 0.0, 3_600_000.0),
+        ramp: reader.duration_us(section, "warm_within_ms", 20_000.0, 0.0, 3_600_000.0),
         overload_factor: reader.number(section, "multiple", 2.0, 0.1, 1000.0),
-        overload_window: reader.ms(section, "window_ms", 1_000.0, 1.0, 600_000.0),
+        overload_window: reader.duration_us(section, "window_ms", 1_000.0, 1.0, 600_000.0),
     }
 }
--- a/crates/config/tests/settings_errors.rs
+++ b/crates/config/tests/settings_errors.rs
@@ -134,7 +134,7 @@
         (
             settings.classes.len(),
             settings.max_fills,
-            settings.store.unwrap().segment
+            settings.store.unwrap().segment_bytes
         ),
         (3, 64, 64 << 20)
     );
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -95,7 +95,7 @@
             requests: RequestTable::default(),
             work_requests: WorkRequests::default(),
             timers: Timers::default(),
-            answer_slack: settings.answer_slack_us,
+            answer_slack: settings.response_margin_us,
             zone: settings.router.zone,
             actions: Vec::new(),
             attempt_counts: AttemptCounts::new(),
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -97,18 +97,18 @@
 impl SavedAt {
     fn new(boot_moment: &BootMoment) -> Self {
         Self {
-            boot: boot_moment.boot.clone(),
-            since_boot_us: boot_moment.since.as_micros() as u64,
+            boot: boot_moment.boot_id.clone(),
+            since_boot_us: boot_moment.since_boot.as_micros() as u64,
         }
     }
 
     /// Returns the time elapsed until `now`; `None` if the machine was rebooted in between.
     fn elapsed_us(&self, now: &BootMoment) -> Option<u64> {
         let saved = BootMoment {
-            boot: self.boot.clone(),
-            since: Duration::from_micros(self.since_boot_us),
+            boot_id: self.boot.clone(),
+            since_boot: Duration::from_micros(self.since_boot_us),
         };
-        let elapsed = saved.until(now)?;
+        let elapsed = saved.duration_until(now)?;
         Some(elapsed.as_micros() as u64)
     }
 }
--- a/crates/dispatcher/src/net/http_frontend/request.rs
+++ b/crates/dispatcher/src/net/http_frontend/request.rs
@@ -15,7 +15,7 @@
     let class = class_of(settings, &request.path)?;
     let class_settings = &settings.classes[class];
     let (object, part) = object_and_part(request);
-    let group = group_of(&request.path, settings.group_segments);
+    let group = group_of(&request.path, settings.purge_group_segments);
     let class_deadline = class_settings.deadline_us;
     let time_left = request.deadline_ms.map_or(class_deadline, |ms| {
         ms.saturating_mul(1000).min(class_deadline)
--- a/crates/dispatcher/tests/core/state_file.rs
+++ b/crates/dispatcher/tests/core/state_file.rs
@@ -8,8 +8,8 @@
 
 fn boot_moment(boot: &str, ms: u64) -> BootMoment {
     BootMoment {
-        boot: boot.into(),
-        since: Duration::from_millis(ms),
+        boot_id: boot.into(),
+        since_boot: Duration::from_millis(ms),
     }
 }
 
--- a/crates/scenario/src/read/faults.rs
+++ b/crates/scenario/src/read/faults.rs
@@ -8,7 +8,7 @@
 pub(super) fn faults(values: &mut ValueReader, scenario: &Scenario) -> Vec<FaultSpec> {
     values
         .reader
-        .named("trouble")
+        .section_names("trouble")
         .into_iter()
         .filter_map(|name| fault(values, scenario, name))
         .collect()
@@ -75,7 +75,7 @@
         zone: zone(values, scenario, section),
         role: values
             .reader
-            .choice(section, "role", kind.default_role(), &Role::WORDS),
+            .choice(section, "role", kind.default_role(), &Role::NAMES),
         index: index(values, section),
         share: values.share(section, "share", 0.3),
     }
--- a/crates/scenario/src/read/sections.rs
+++ b/crates/scenario/src/read/sections.rs
@@ -107,7 +107,7 @@
 }
 
 fn classes(values: &mut ValueReader) -> Vec<RequestClass> {
-    let names = values.reader.named("class");
+    let names = values.reader.section_names("class");
     if names.is_empty() {
         let reason = "missing; at least one request class is required";
         values.reader.report("class NAME", "", reason);
