--- a/crates/dispatcher/src/admission.rs
+++ b/crates/dispatcher/src/admission.rs
@@ -59,7 +59,7 @@
 
 /// The effect of a new connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Arrival {
+pub struct AdmissionOutcome {
     /// The decision about the new connection.
     pub decision: AdmissionDecision,
     /// Idle connections to be closed.
@@ -119,7 +119,7 @@
 ///
 /// Invariant: `idle`, and the idle set of each quota, contain exactly the idle connections that are not closing. Bound: one
 /// entry for each open connection, at most the hard limit, and one usage for each address with an open connection; both
-/// are removed by [`Admission::closed`], which the caller must call once for each admitted connection.
+/// are removed by [`Admission::remove`], which the caller must call once for each admitted connection.
 #[derive(Debug)]
 pub struct Admission {
     limits: ConnectionLimits,
@@ -153,7 +153,7 @@
     }
 
     /// Decides about a new connection.
-    pub fn arrive(&mut self, now: Micros, address: IpAddr) -> Arrival {
+    pub fn admit(&mut self, now: Micros, address: IpAddr) -> AdmissionOutcome {
         let client = ClientAddress {
             address,
             network: self.limits.network_of(address),
@@ -185,7 +185,7 @@
             id: self.last_id,
         };
         self.insert_idle(client, idle);
-        Arrival {
+        AdmissionOutcome {
             decision: AdmissionDecision::Admit(self.last_id),
             close,
         }
@@ -209,9 +209,9 @@
             .collect()
     }
 
-    fn reject(&mut self, now: Micros, close: Vec<ConnectionId>) -> Arrival {
+    fn reject(&mut self, now: Micros, close: Vec<ConnectionId>) -> AdmissionOutcome {
         let retry_after = self.rejections.record(now);
-        Arrival {
+        AdmissionOutcome {
             decision: AdmissionDecision::Reject { retry_after },
             close,
         }
@@ -321,7 +321,7 @@
     }
 
     /// Removes a closed connection, and its address if this was the address's last connection.
-    pub fn closed(&mut self, id: ConnectionId) {
+    pub fn remove(&mut self, id: ConnectionId) {
         let Some(connection) = self.open.remove(&id) else {
             return;
         };
--- a/crates/dispatcher/src/admission/tests.rs
+++ b/crates/dispatcher/src/admission/tests.rs
@@ -17,8 +17,8 @@
     now: Micros,
     last_byte: u8,
 ) -> (ConnectionId, Vec<ConnectionId>) {
-    match admission.arrive(now, address(last_byte)) {
-        Arrival {
+    match admission.admit(now, address(last_byte)) {
+        AdmissionOutcome {
             decision: AdmissionDecision::Admit(id),
             close,
         } => (id, close),
@@ -40,7 +40,7 @@
         [ids[1]],
         "the longest idle connection: it was never busy, so its idle time counts from its arrival"
     );
-    admission.closed(ids[1]);
+    admission.remove(ids[1]);
     for id in &ids[2..] {
         admission.mark_busy(*id);
     }
@@ -61,8 +61,8 @@
         let (id, _) = admit(&mut admission, 0, n);
         admission.mark_busy(id);
     }
-    let retry_after = |admission: &mut Admission| match admission.arrive(5, address(99)) {
-        Arrival {
+    let retry_after = |admission: &mut Admission| match admission.admit(5, address(99)) {
+        AdmissionOutcome {
             decision: AdmissionDecision::Reject { retry_after },
             close,
         } if close.is_empty() => retry_after,
@@ -74,7 +74,7 @@
         .last()
         .unwrap();
     assert!(first == RETRY_AFTER_US && later > first, "{first} {later}");
-    admission.closed(1);
+    admission.remove(1);
     admit(&mut admission, 6, 99);
 }
 
@@ -94,14 +94,14 @@
         [ids[0]],
         "not connection {other} of another address, which has been idle for longer"
     );
-    admission.closed(ids[0]);
+    admission.remove(ids[0]);
     admission.mark_busy(ids[1]);
     admission.mark_busy(ids[2]);
     admission.mark_busy(newest);
-    let arrival = admission.arrive(20, address(1));
+    let outcome = admission.admit(20, address(1));
     assert!(
-        matches!(arrival.decision, AdmissionDecision::Reject { .. }) && arrival.close.is_empty(),
-        "{arrival:?}"
+        matches!(outcome.decision, AdmissionDecision::Reject { .. }) && outcome.close.is_empty(),
+        "{outcome:?}"
     );
 }
 
@@ -122,7 +122,7 @@
     admission.mark_idle(2, first);
     assert!(!admit(&mut admission, 3, 3).1.contains(&first));
     assert_eq!(admission.open_count(), 3);
-    admission.closed(first);
+    admission.remove(first);
     assert_eq!(admission.open_count(), 2);
 }
 
@@ -147,7 +147,7 @@
         [ids[4]],
         "the last idle connection; the busy one stays open"
     );
-    ids.iter().for_each(|id| admission.closed(*id));
+    ids.iter().for_each(|id| admission.remove(*id));
     assert_eq!(
         (
             admission.open.len(),
@@ -187,9 +187,9 @@
     now: Micros,
     address: [u8; 4],
 ) -> Option<(ConnectionId, Vec<ConnectionId>)> {
-    let arrival = admission.arrive(now, IpAddr::from(address));
-    match arrival.decision {
-        AdmissionDecision::Admit(id) => Some((id, arrival.close)),
+    let outcome = admission.admit(now, IpAddr::from(address));
+    match outcome.decision {
+        AdmissionDecision::Admit(id) => Some((id, outcome.close)),
         AdmissionDecision::Reject { .. } => None,
     }
 }
@@ -202,7 +202,7 @@
     let (second, _) = try_admit(&mut admission, 1, [127, 1, 7, 1]).unwrap();
     let (third, close) = try_admit(&mut admission, 2, [127, 1, 9, 9]).unwrap();
     assert_eq!(close, [first], "the longest idle connection of the network");
-    admission.closed(first);
+    admission.remove(first);
     admission.mark_busy(second);
     admission.mark_busy(third);
     let rejected = try_admit(&mut admission, 3, [127, 1, 0, 1]);
@@ -213,7 +213,7 @@
     // The quotas are lowered while they are in use: idle connections are closed, busy ones stay open.
     assert_eq!(admission.set_limits(network_limits(1, 1)), [second]);
     for id in [second, third, other] {
-        admission.closed(id);
+        admission.remove(id);
     }
     let mut quotas = admission.by_network.iter();
     assert!(quotas.all(|quota| quota.open == 0 && quota.idle.is_empty()));
--- a/crates/dispatcher/src/call_deduplication.rs
+++ b/crates/dispatcher/src/call_deduplication.rs
@@ -166,7 +166,7 @@
     }
 
     /// Returns the stored response of a call.
-    pub fn remembered_response(&self, key: &str) -> Option<R> {
+    pub fn stored_response(&self, key: &str) -> Option<R> {
         match self.calls.get(key) {
             Some(Call::Ended {
                 response: Some(stored),
--- a/crates/dispatcher/src/call_deduplication/tests.rs
+++ b/crates/dispatcher/src/call_deduplication/tests.rs
@@ -69,10 +69,10 @@
     calls.begin(0, "a", 1);
     assert_eq!(calls.begin(1, "a", 2), CallDecision::RunAfter(vec![1]));
     assert_eq!(calls.end(2, "a", 1, stored_response("done", 4)), Some(2));
-    assert_eq!(calls.remembered_response("a"), Some("done"));
+    assert_eq!(calls.stored_response("a"), Some("done"));
     assert_eq!(calls.end(3, "a", 2, None), None);
     assert_eq!(
-        calls.remembered_response("a"),
+        calls.stored_response("a"),
         Some("done"),
         "the end of the retry does not remove the response"
     );
--- a/crates/dispatcher/src/client_pace.rs
+++ b/crates/dispatcher/src/client_pace.rs
@@ -16,7 +16,7 @@
 
 /// The pace of one client in the current window. It exists as long as the response.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct ClientPace {
     rule: PaceRule,
     /// Time spent waiting for the client in this window.
     waited: Micros,
@@ -24,7 +24,7 @@
     bytes_read: u64,
 }
 
-impl Pace {
+impl ClientPace {
     /// Starts the first window.
     pub fn new(rule: PaceRule) -> Self {
         Self {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns the longest wait before [`Pace::record_read`] should be called with the bytes read so far; `None` if there is no
+    /// Returns the longest wait before [`ClientPace::record_read`] should be called with the bytes read so far; `None` if there is no
     /// minimum pace.
     pub fn max_wait(&self) -> Option<Micros> {
         (self.rule.min_bytes_per_s > 0).then(|| self.rule.window.saturating_sub(self.waited).max(1))
--- a/crates/dispatcher/src/control_source.rs
+++ b/crates/dispatcher/src/control_source.rs
@@ -69,13 +69,13 @@
     }
 
     /// Records that an unknown set of purges may have been missed: every copy stored before this call is treated as purged.
-    pub fn updates_missed(&self) {
+    pub fn record_missed_updates(&self) {
         self.core.metrics.control_source.gaps.inc();
         self.core.apply(Input::UpdatesMissed);
     }
 
     /// Sets the registered dispatchers.
-    pub fn roster(&self, roster: Roster) {
+    pub fn apply_roster(&self, roster: Roster) {
         self.core
             .metrics
             .control_source
@@ -84,27 +84,29 @@
         self.core.apply(Input::Roster(roster));
     }
 
-    /// Records that this dispatcher's registration was renewed `ago` microseconds ago, for `duration` microseconds.
-    pub fn registration_renewed(&self, ago: Micros, duration: Micros) {
-        self.core
-            .apply(Input::RegistrationRenewed { ago, duration });
+    /// Records that this dispatcher's registration was renewed `age_us` microseconds ago, for `lease_duration_us` microseconds.
+    pub fn record_registration_renewal(&self, age_us: Micros, lease_duration_us: Micros) {
+        self.core.apply(Input::RegistrationRenewed {
+            age_us,
+            lease_duration_us,
+        });
     }
 
     /// Sets whether the applied updates are as current as they should be.
     pub fn set_current(&self, current: bool) {
         self.core.metrics.control_source.current.set(current.into());
         self.core.apply(Input::SourceFreshness(current));
-        self.core.view.send_replace(current);
+        self.core.source_is_current.send_replace(current);
         self.notify_observer(ControlUpdate::Freshness(current));
     }
 
-    /// Confirms that all purges acknowledged up to `ago` microseconds ago are in force.
-    pub fn confirm_purges(&self, ago: Micros) {
-        self.core.confirm_purges(ago);
+    /// Confirms that all purges acknowledged up to `age_us` microseconds ago are in force.
+    pub fn confirm_purges(&self, age_us: Micros) {
+        self.core.confirm_purges(age_us);
     }
 
     /// Counts an update of the source that could not be used.
-    pub fn count_unusable(&self) {
+    pub fn count_rejected_record(&self) {
         self.core.metrics.control_source.rejected_keys.inc();
     }
 
--- a/crates/dispatcher/src/core/attempt.rs
+++ b/crates/dispatcher/src/core/attempt.rs
@@ -9,7 +9,7 @@
     /// Remaining time until the attempt's deadline.
     pub time_left: Micros,
     /// Age of the oldest acceptable copy; 0 stands for the limit of the request's class.
-    pub max_copy_age: Micros,
+    pub max_age: Micros,
     /// Whether the attempt may join a fill that is in progress.
     pub may_coalesce: bool,
     /// Whether the copy age is limited because there is no valid purge lease.
@@ -108,7 +108,7 @@
             AttemptEnd::Complete => Self::new(AttemptStatus::Ok),
             AttemptEnd::ConnectFailed => Self::new(AttemptStatus::ConnectFailed),
             AttemptEnd::NotSent => Self::new(AttemptStatus::NotSent),
-            AttemptEnd::Broken => Self::new(AttemptStatus::Reset),
+            AttemptEnd::ConnectionLost => Self::new(AttemptStatus::Reset),
             AttemptEnd::ErrorReported {
                 status,
                 cache_status,
--- a/crates/dispatcher/src/core/client_events.rs
+++ b/crates/dispatcher/src/core/client_events.rs
@@ -206,7 +206,7 @@
         pending.has_begun = true;
         Some(AttemptTerms {
             time_left: pending.deadline - now,
-            max_copy_age: pending.max_copy_age,
+            max_age: pending.max_copy_age,
             may_coalesce: pending.may_coalesce,
             limited_by_purge_lease: age_limit.is_some(),
         })
--- a/crates/dispatcher/src/core/input.rs
+++ b/crates/dispatcher/src/core/input.rs
@@ -41,7 +41,7 @@
     /// The request was not sent: the connection had no free stream, or [`Core::begin`](super::Core::begin) denied the attempt.
     NotSent,
     /// The connection was lost; the request may have been executed.
-    Broken,
+    ConnectionLost,
 }
 
 /// An event for [`Core::handle`](super::Core::handle).
@@ -100,17 +100,17 @@
     Roster(Roster),
     /// This dispatcher's registration was renewed.
     RegistrationRenewed {
-        /// Time since the renewal.
-        ago: Micros,
-        /// Duration of the registration's lease, counted from the renewal.
-        duration: Micros,
+        /// Time since the renewal, in microseconds.
+        age_us: Micros,
+        /// Duration of the registration's lease in microseconds, counted from the renewal.
+        lease_duration_us: Micros,
     },
     /// Whether endpoint lists, purges and the roster are as current as they should be.
     SourceFreshness(bool),
     /// All purges that were acknowledged up to a given time are in force here.
     PurgesConfirmed {
-        /// Time elapsed since then.
-        ago: Micros,
+        /// Time elapsed since then, in microseconds.
+        age_us: Micros,
     },
     /// Time has passed; due timers fire.
     Tick,
--- a/crates/dispatcher/src/core/mod.rs
+++ b/crates/dispatcher/src/core/mod.rs
@@ -176,11 +176,14 @@
             Input::Lease { endpoint, lease } => self.on_lease(now, &endpoint, &lease, outputs),
             Input::UpdatesMissed => self.on_updates_missed(now),
             Input::Roster(roster) => self.on_roster(now, roster),
-            Input::RegistrationRenewed { ago, duration } => {
-                self.on_registration_renewed(now, now.saturating_sub(ago), duration)
-            }
+            Input::RegistrationRenewed {
+                age_us,
+                lease_duration_us,
+            } => self.on_registration_renewed(now, now.saturating_sub(age_us), lease_duration_us),
             Input::SourceFreshness(is_current) => self.on_source_freshness(now, is_current),
-            Input::PurgesConfirmed { ago } => self.on_purges_confirmed(now.saturating_sub(ago)),
+            Input::PurgesConfirmed { age_us } => {
+                self.on_purges_confirmed(now.saturating_sub(age_us))
+            }
             Input::Tick => self.on_tick(now, outputs),
         }
     }
--- a/crates/dispatcher/src/core/state.rs
+++ b/crates/dispatcher/src/core/state.rs
@@ -10,7 +10,7 @@
 /// Number of bytes within which the header line must end.
 const MAX_HEADER_BYTES: usize = 128;
 /// Largest accepted file, in bytes. This program writes no longer one, since the frame of an endpoint list is shorter.
-pub const MAX_FILE: u64 = 32 * 1024 * 1024;
+pub const MAX_STATE_FILE_BYTES: u64 = 32 * 1024 * 1024;
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct StoredEndpoint {
--- a/crates/dispatcher/src/keep_alive.rs
+++ b/crates/dispatcher/src/keep_alive.rs
@@ -10,16 +10,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeepAliveRule {
     /// Time without a received frame after which a ping is sent while a response is pending; 0 stands for never.
-    pub ping_when_awaiting: Micros,
+    pub pending_ping_interval: Micros,
     /// Time without a received frame after which a ping is sent on an idle connection; 0 stands for never.
-    pub ping_when_idle: Micros,
+    pub idle_ping_interval: Micros,
     /// Time after a ping without a received frame after which the connection is considered dead.
     pub ping_timeout: Micros,
 }
 
 /// The action that a connection requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeepAliveVerdict {
+pub enum KeepAliveAction {
     /// No action is required.
     Healthy,
     /// Send a ping.
@@ -44,26 +44,26 @@
         now: Micros,
         last_seen: Micros,
         is_response_pending: bool,
-    ) -> KeepAliveVerdict {
+    ) -> KeepAliveAction {
         if let Some(sent_at) = self.ping_sent_at {
             if last_seen >= sent_at {
                 self.ping_sent_at = None;
             } else if now >= sent_at + rule.ping_timeout {
-                return KeepAliveVerdict::Close;
+                return KeepAliveAction::Close;
             } else {
-                return KeepAliveVerdict::Healthy;
+                return KeepAliveAction::Healthy;
             }
         }
         let max_silence = if is_response_pending {
-            rule.ping_when_awaiting
+            rule.pending_ping_interval
         } else {
-            rule.ping_when_idle
+            rule.idle_ping_interval
         };
         if max_silence == 0 || now < last_seen + max_silence {
-            return KeepAliveVerdict::Healthy;
+            return KeepAliveAction::Healthy;
         }
         self.ping_sent_at = Some(now);
-        KeepAliveVerdict::SendPing
+        KeepAliveAction::SendPing
     }
 }
 
--- a/crates/dispatcher/src/lib.rs
+++ b/crates/dispatcher/src/lib.rs
@@ -30,5 +30,5 @@
 pub use crate::core::{ClientRequest, Core, Input, Output};
 pub use control_source::{ControlObserver, ControlSink, ControlSource, ControlUpdate};
 pub use net::{
-    BoundAddresses, Dispatcher, HollowDispatcher, PreparedDispatcher, StartError, StateCounts,
+    BoundAddresses, Dispatcher, HeadlessDispatcher, PreparedDispatcher, StartError, StateCounts,
 };
--- a/crates/dispatcher/src/net/call_attempts.rs
+++ b/crates/dispatcher/src/net/call_attempts.rs
@@ -162,7 +162,7 @@
             turn = turn => turn.map_err(|_| Superseded)?,
             _ = self.superseded.notified() => return Err(Superseded),
         }
-        Ok(self.attempts.lock().calls.remembered_response(&self.call))
+        Ok(self.attempts.lock().calls.stored_response(&self.call))
     }
 
     /// Stores a complete response, which is remembered for a client that lost it.
--- a/crates/dispatcher/src/net/connection_pool/mod.rs
+++ b/crates/dispatcher/src/net/connection_pool/mod.rs
@@ -2,7 +2,7 @@
 //! ([`crate::keep_alive`]), and reopened with a backoff per address ([`crate::reconnect_backoff`]).
 mod connect;
 
-use crate::keep_alive::{KeepAlive, KeepAliveRule, KeepAliveVerdict};
+use crate::keep_alive::{KeepAlive, KeepAliveAction, KeepAliveRule};
 use crate::reconnect_backoff::{ConnectDecision, ReconnectBackoff};
 use pointspindle::Micros;
 use pointspindle_config::UpstreamSettings;
@@ -271,15 +271,15 @@
         let last_frame_at = now.saturating_sub(since_last_frame);
         let rule = self.keep_alive_rule();
         match entry.keep_alive.check(&rule, now, last_frame_at, active) {
-            KeepAliveVerdict::Healthy => SweepVerdict::Keep,
-            KeepAliveVerdict::SendPing => {
+            KeepAliveAction::Healthy => SweepVerdict::Keep,
+            KeepAliveAction::SendPing => {
                 connection.push_control(Frame::Probe(ProbeHead {
                     token: now,
                     ..Default::default()
                 }));
                 SweepVerdict::Keep
             }
-            KeepAliveVerdict::Close => {
+            KeepAliveAction::Close => {
                 connection.abort("no keep-alive reply");
                 SweepVerdict::Unresponsive
             }
@@ -288,8 +288,8 @@
 
     fn keep_alive_rule(&self) -> KeepAliveRule {
         KeepAliveRule {
-            ping_when_awaiting: self.settings.ping_when_awaiting_us,
-            ping_when_idle: self.settings.ping_when_idle_us,
+            pending_ping_interval: self.settings.ping_when_awaiting_us,
+            idle_ping_interval: self.settings.ping_when_idle_us,
             ping_timeout: self.settings.ping_timeout_us,
         }
     }
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -79,9 +79,9 @@
     /// Returns a permit for a new connection, or the time after which its client may reconnect.
     pub fn admit(self: &Arc<Self>, address: IpAddr) -> Result<ConnectionPermit, Micros> {
         let mut state = self.lock();
-        let arrival = state.admission.arrive(self.now(), address);
-        state.notify_closing(&arrival.close);
-        match arrival.decision {
+        let outcome = state.admission.admit(self.now(), address);
+        state.notify_closing(&outcome.close);
+        match outcome.decision {
             AdmissionDecision::Admit(id) => {
                 let closing = Arc::new(Notify::new());
                 state.closing.insert(id, closing.clone());
@@ -151,12 +151,12 @@
 
 impl ConnectionPermit {
     /// Marks the connection as busy: while a request is in progress, it is not closed to admit another connection.
-    pub fn busy(&self) {
+    pub fn mark_busy(&self) {
         self.registry.lock().admission.mark_busy(self.id);
     }
 
     /// Marks the connection as idle: no request is in progress.
-    pub fn idle(&self) {
+    pub fn mark_idle(&self) {
         let now = self.registry.now();
         self.registry.lock().admission.mark_idle(now, self.id);
     }
@@ -170,7 +170,7 @@
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let mut state = self.registry.lock();
-        state.admission.closed(self.id);
+        state.admission.remove(self.id);
         state.closing.remove(&self.id);
     }
 }
--- a/crates/dispatcher/src/net/core_handle.rs
+++ b/crates/dispatcher/src/net/core_handle.rs
@@ -65,7 +65,7 @@
     pub fn apply_to(&self, request: &mut RequestHead) {
         request.time_left_us = self.time_left;
         if let Some(fetch) = &mut request.fetch {
-            fetch.max_age_us = self.max_copy_age;
+            fetch.max_age_us = self.max_age;
             fetch.coalesce = self.may_coalesce;
         }
     }
@@ -153,7 +153,7 @@
     pub meter: BufferMeter,
     budget: RequestBudget,
     /// Whether the control source reports that its view is current.
-    pub(crate) view: watch::Sender<bool>,
+    pub(crate) source_is_current: watch::Sender<bool>,
     /// Whether cached copies have been withheld since the last confirmation of purges ([`Input::PurgesConfirmed`]).
     withholding_copies: AtomicBool,
     /// Connections to endpoints.
@@ -178,7 +178,7 @@
             rng: StdRng::seed_from_u64(seed),
         };
         let budget = RequestBudget::new(settings.max_requests, settings.buffer_bytes);
-        let meter = BufferMeter::new(budget.crowded_bytes);
+        let meter = BufferMeter::new(budget.soft_limit_bytes);
         Self {
             state: Mutex::new(state),
             started_at: Instant::now(),
@@ -188,7 +188,7 @@
             transport: transport(&meter),
             meter,
             budget,
-            view: watch::channel(false).0,
+            source_is_current: watch::channel(false).0,
             withholding_copies: AtomicBool::new(false),
             metrics: Metrics::new(&settings),
             settings,
@@ -299,9 +299,9 @@
 
 /// Control inputs and reports.
 impl<S: EndpointTransport> CoreHandle<S> {
-    /// Records that all purges acknowledged at least `ago` microseconds ago are in force.
-    pub fn confirm_purges(&self, ago: Micros) {
-        self.apply(Input::PurgesConfirmed { ago });
+    /// Records that all purges acknowledged at least `age_us` microseconds ago are in force.
+    pub fn confirm_purges(&self, age_us: Micros) {
+        self.apply(Input::PurgesConfirmed { age_us });
         if self.withholding_copies.swap(false, Ordering::Relaxed) {
             tracing::info!("purges are confirmed again; cached copies are used");
         }
--- a/crates/dispatcher/src/net/dispatcher.rs
+++ b/crates/dispatcher/src/net/dispatcher.rs
@@ -54,11 +54,11 @@
 
     /// Turns this into a dispatcher without listeners, whose control code runs as in production, for scale tests with many
     /// dispatchers on one machine. The observer is called with each update once it is in force.
-    pub fn into_hollow(
+    pub fn into_headless(
         self,
         source: impl ControlSource,
         observer: ControlObserver,
-    ) -> HollowDispatcher {
+    ) -> HeadlessDispatcher {
         let Self {
             core,
             endpoint_commands,
@@ -71,7 +71,7 @@
         };
         background_tasks.spawn(source.run(sink));
         spawn_background_tasks(&core, endpoint_commands, &mut background_tasks);
-        HollowDispatcher {
+        HeadlessDispatcher {
             core,
             _background_tasks: background_tasks,
         }
@@ -79,7 +79,7 @@
 
     /// Waits until the source's view is current. Returns false if it is not current within the timeout.
     pub async fn wait_until_current(&self, timeout: Duration) -> bool {
-        let mut view = self.core.view.subscribe();
+        let mut view = self.core.source_is_current.subscribe();
         let current = tokio::time::timeout(timeout, view.wait_for(|current| *current)).await;
         matches!(current, Ok(Ok(_)))
     }
@@ -129,14 +129,14 @@
     }
 }
 
-/// A dispatcher without listeners ([`PreparedDispatcher::into_hollow`]); it stops when it is dropped.
+/// A dispatcher without listeners ([`PreparedDispatcher::into_headless`]); it stops when it is dropped.
 #[derive(Debug)]
-pub struct HollowDispatcher {
+pub struct HeadlessDispatcher {
     core: Arc<FramedCore>,
     _background_tasks: JoinSet<()>,
 }
 
-impl HollowDispatcher {
+impl HeadlessDispatcher {
     /// Sizes of its state.
     pub fn state_counts(&self) -> StateCounts {
         self.core.all_state_counts()
--- a/crates/dispatcher/src/net/exchange/mod.rs
+++ b/crates/dispatcher/src/net/exchange/mod.rs
@@ -173,7 +173,7 @@
                 AttemptsOutcome::ClientDisconnected => return RequestOutcome::ClientDisconnected,
                 AttemptsOutcome::Rejected { .. } | AttemptsOutcome::Failed => {
                     client.abort().await;
-                    return RequestOutcome::Broken;
+                    return RequestOutcome::Truncated;
                 }
             }
         }
@@ -192,7 +192,7 @@
 fn attempt_end(end: CallEnd) -> AttemptEnd {
     match end {
         CallEnd::Complete(_) => AttemptEnd::Complete,
-        CallEnd::Broken(_) => AttemptEnd::Broken,
+        CallEnd::Broken(_) => AttemptEnd::ConnectionLost,
         CallEnd::NotSent => AttemptEnd::NotSent,
         CallEnd::Error(e) => AttemptEnd::ErrorReported {
             status: e.status(),
--- a/crates/dispatcher/src/net/framed_frontend/client.rs
+++ b/crates/dispatcher/src/net/framed_frontend/client.rs
@@ -1,7 +1,7 @@
 //! The client's side of a request on the framed protocol.
 use super::super::call_attempts::{CachedResponse, MAX_CACHED_RESPONSE_BYTES};
 use super::super::exchange::{ClientDisconnected, ClientStream};
-use crate::client_pace::Pace;
+use crate::client_pace::ClientPace;
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::{ErrorHead, ResponseHead, WireStatus};
@@ -46,7 +46,7 @@
 pub(super) struct FramedClient {
     /// Present until the final response takes it.
     pub responder: Option<Responder>,
-    pub pace: Pace,
+    pub pace: ClientPace,
     pub slow_clients: Counter,
     /// Notified when the client has made a later attempt of the call.
     pub superseded: Option<Arc<Notify>>,
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -111,7 +111,7 @@
 
     fn request_ended(&self) {
         if self.requests.is_empty() {
-            self.permit.idle();
+            self.permit.mark_idle();
         }
     }
 
@@ -139,7 +139,7 @@
             part = head.part,
             trace = %head.trace
         );
-        self.permit.busy();
+        self.permit.mark_busy();
         self.requests
             .spawn(request::answer(self.context.clone(), head, responder).instrument(span));
     }
--- a/crates/dispatcher/src/net/framed_frontend/request.rs
+++ b/crates/dispatcher/src/net/framed_frontend/request.rs
@@ -3,7 +3,7 @@
 use super::super::exchange::{self, IncomingRequest, RequestOutcome};
 use super::super::frontend_context::FrontendContext;
 use super::client::{FramedClient, ResponseRecorder};
-use crate::client_pace::{Pace, PaceRule};
+use crate::client_pace::{ClientPace, PaceRule};
 use crate::core::ClientRequest;
 use bytes::Bytes;
 use pointspindle::Micros;
@@ -85,12 +85,12 @@
 /// Returns the pace required of a client. Stream credit is granted in halves of a stream window, so a gap of less than one
 /// stream window does not mean that the client is slow. The pace window is therefore at least the time for one stream
 /// window at the minimum rate.
-fn client_pace(settings: &ListenSettings) -> Pace {
+fn client_pace(settings: &ListenSettings) -> ClientPace {
     let min_bytes_per_s = settings.min_client_bytes_per_s;
     let time_for_stream_window = (u64::from(streams::STREAM_WINDOW) * 1_000_000)
         .checked_div(min_bytes_per_s)
         .unwrap_or(0);
-    Pace::new(PaceRule {
+    ClientPace::new(PaceRule {
         min_bytes_per_s,
         window: settings.pace_window_us.max(time_for_stream_window),
     })
--- a/crates/dispatcher/src/net/http_frontend/client.rs
+++ b/crates/dispatcher/src/net/http_frontend/client.rs
@@ -1,6 +1,6 @@
 //! The client's side of an HTTP/1.1 connection: reads requests and writes responses.
 use super::super::exchange::{ClientDisconnected, ClientStream};
-use crate::client_pace::{Pace, PaceRule};
+use crate::client_pace::{ClientPace, PaceRule};
 use bytes::{Buf, Bytes, BytesMut};
 use pointspindle::Micros;
 use pointspindle_config::ListenSettings;
@@ -39,7 +39,7 @@
     response_started: bool,
     pace_rule: PaceRule,
     /// Pace of the client for the response that is being written.
-    pace: Option<Box<Pace>>,
+    pace: Option<Box<ClientPace>>,
     slow_clients: Counter,
 }
 
@@ -175,7 +175,7 @@
 /// Writes to the client as long as it reads its response fast enough.
 struct PacedWriter<'a> {
     write: &'a WriteHalf,
-    pace: &'a mut Option<Box<Pace>>,
+    pace: &'a mut Option<Box<ClientPace>>,
     rule: PaceRule,
     slow_clients: &'a Counter,
 }
@@ -194,7 +194,9 @@
         bytes: &mut (impl Buf + Send),
     ) -> Result<(), ClientDisconnected> {
         let rule = self.rule;
-        let pace = self.pace.get_or_insert_with(|| Box::new(Pace::new(rule)));
+        let pace = self
+            .pace
+            .get_or_insert_with(|| Box::new(ClientPace::new(rule)));
         let timeout = pace.max_wait().map_or(Duration::MAX, Duration::from_micros);
         let started_at = Instant::now();
         let taken = match tokio::time::timeout(timeout, self.write.write_buf(bytes)).await {
--- a/crates/dispatcher/src/net/http_frontend/mod.rs
+++ b/crates/dispatcher/src/net/http_frontend/mod.rs
@@ -60,7 +60,7 @@
             return NextStep::Close;
         }
     };
-    permit.busy();
+    permit.mark_busy();
     client.begin_request(&request, context.is_stopping());
     let span = tracing::info_span!(
         "request",
@@ -70,13 +70,13 @@
     let outcome = answer(context, request, client).instrument(span).await;
     let interrupted = matches!(
         outcome,
-        Some(RequestOutcome::Broken | RequestOutcome::ClientDisconnected)
+        Some(RequestOutcome::Truncated | RequestOutcome::ClientDisconnected)
     );
     if client.end_request() || interrupted {
         client.shutdown();
         return NextStep::Close;
     }
-    permit.idle();
+    permit.mark_idle();
     NextStep::KeepAlive
 }
 
--- a/crates/dispatcher/src/net/mod.rs
+++ b/crates/dispatcher/src/net/mod.rs
@@ -23,7 +23,7 @@
 #[cfg(test)]
 mod test_support;
 
-pub use dispatcher::{Dispatcher, HollowDispatcher, PreparedDispatcher};
+pub use dispatcher::{Dispatcher, HeadlessDispatcher, PreparedDispatcher};
 pub(crate) use framed_transport::FramedCore;
 pub use listeners::{BoundAddresses, StartError};
 pub use state_counts::StateCounts;
--- a/crates/dispatcher/src/net/request_outcome.rs
+++ b/crates/dispatcher/src/net/request_outcome.rs
@@ -10,7 +10,7 @@
     /// The request failed before the response head was sent.
     Failed,
     /// The request failed after the response head was sent.
-    Broken,
+    Truncated,
     /// The client disconnected before the end of its response.
     ClientDisconnected,
 }
@@ -21,7 +21,7 @@
         Self::Served,
         Self::Rejected,
         Self::Failed,
-        Self::Broken,
+        Self::Truncated,
         Self::ClientDisconnected,
     ];
 
@@ -31,7 +31,7 @@
             Self::Served => "served",
             Self::Rejected => "refused",
             Self::Failed => "failed",
-            Self::Broken => "broken_off",
+            Self::Truncated => "broken_off",
             Self::ClientDisconnected => "client_gone",
         }
     }
--- a/crates/dispatcher/src/net/state_file.rs
+++ b/crates/dispatcher/src/net/state_file.rs
@@ -1,6 +1,6 @@
 //! The state file: written to a temporary file in the same directory, synced and renamed; read once at the start.
 use super::framed_transport::FramedCore;
-use crate::core::state::{Snapshot, StateError, MAX_FILE};
+use crate::core::state::{Snapshot, StateError, MAX_STATE_FILE_BYTES};
 use pointspindle_clock::{wall_clock_unix_ms, BootMoment};
 use std::io::{ErrorKind, Read, Write};
 use std::path::Path;
@@ -73,7 +73,8 @@
         Err(e) => return Err(e.into()),
     };
     let mut bytes = Vec::new();
-    file.take(MAX_FILE + 1).read_to_end(&mut bytes)?;
+    file.take(MAX_STATE_FILE_BYTES + 1)
+        .read_to_end(&mut bytes)?;
     Ok(Some(Snapshot::from_bytes(&bytes)?))
 }
 
--- a/crates/dispatcher/src/request_budget.rs
+++ b/crates/dispatcher/src/request_budget.rs
@@ -1,7 +1,7 @@
 //! Admission of new requests while many are in flight. This module performs no I/O.
 //!
 //! Memory is bounded in three steps. Every stream has a window, so a slow reader stops its own stream. From
-//! [`RequestBudget::crowded_bytes`] buffered bytes on, counted over all connections, windows shrink to a quarter, so that
+//! [`RequestBudget::soft_limit_bytes`] buffered bytes on, counted over all connections, windows shrink to a quarter, so that
 //! back-pressure reaches the endpoints. From [`RequestBudget::max_buffered_bytes`] on, or with
 //! [`RequestBudget::max_requests`] open requests, new requests are rejected with a Retry-After; admitted requests continue. The
 //! buffers of an open request are limited by its windows, so no request is admitted that could not be buffered.
@@ -16,7 +16,7 @@
     /// Largest number of open requests.
     pub max_requests: usize,
     /// Number of buffered bytes from which on windows shrink.
-    pub crowded_bytes: u64,
+    pub soft_limit_bytes: u64,
     /// Number of buffered bytes from which on new requests are rejected.
     pub max_buffered_bytes: u64,
 }
@@ -38,7 +38,7 @@
     pub fn new(max_requests: usize, max_buffered_bytes: u64) -> Self {
         Self {
             max_requests,
-            crowded_bytes: max_buffered_bytes / 2,
+            soft_limit_bytes: max_buffered_bytes / 2,
             max_buffered_bytes,
         }
     }
--- a/crates/dispatcher/tests/core/attempt_begin.rs
+++ b/crates/dispatcher/tests/core/attempt_begin.rs
@@ -110,16 +110,16 @@
 fn purge_before_first_byte_limits_copy_age() {
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, VIDEO).number;
-    let unlimited = harness.core.begin(START, 1, attempt).unwrap().max_copy_age;
+    let unlimited = harness.core.begin(START, 1, attempt).unwrap().max_age;
     assert_eq!(
-        terms_after_purge(Some("/video/2")).max_copy_age,
+        terms_after_purge(Some("/video/2")).max_age,
         unlimited,
         "another object's purge"
     );
     for object in [Some("/video/1"), None] {
         let terms = terms_after_purge(object);
         assert!(
-            terms.max_copy_age > 0 && terms.max_copy_age <= 7 * MS && !terms.may_coalesce,
+            terms.max_age > 0 && terms.max_age <= 7 * MS && !terms.may_coalesce,
             "{terms:?} ({unlimited} before)"
         );
     }
--- a/crates/dispatcher/tests/core/requests.rs
+++ b/crates/dispatcher/tests/core/requests.rs
@@ -53,7 +53,7 @@
     let mut harness = Harness::new();
     let attempt = harness.sent_request(1, VIDEO).number;
     assert_eq!(final_output_count(&harness.start_response(1, attempt)), 1);
-    let outputs = harness.end_attempt(1, attempt, AttemptEnd::Broken);
+    let outputs = harness.end_attempt(1, attempt, AttemptEnd::ConnectionLost);
     assert_eq!(outputs, [Output::AbortResponse { request: 1 }]);
     let late = harness.advance_to(START + 3_000 * MS);
     assert!(late.is_empty(), "{late:?}");
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -79,7 +79,8 @@
             move |state, round_trip| {
                 if let RegistrationState::Renewed { ttl } = state {
                     let round_trip_us = round_trip.as_micros() as u64;
-                    registration_sink.registration_renewed(round_trip_us, ttl.as_micros() as u64);
+                    registration_sink
+                        .record_registration_renewal(round_trip_us, ttl.as_micros() as u64);
                 }
                 true
             },
@@ -112,7 +113,7 @@
             let zones = dispatchers
                 .into_iter()
                 .map(|(name, record)| (name, record.zone));
-            sink.roster(zones.collect());
+            sink.apply_roster(zones.collect());
         }
         // Stored purges outlive every copy from before them, so the first snapshot holds all relevant purges. Purging
         // everything at each start would shift the load to the origin on every deployment.
@@ -120,11 +121,11 @@
         Output::UpdatesMissed { age_us, .. } => {
             let missed_s = age_us as f64 / 1e6;
             tracing::warn!(missed_s, "etcd: history lost, everything counts as purged");
-            sink.updates_missed();
+            sink.record_missed_updates();
         }
         Output::InvalidKey(error) => {
             tracing::warn!(%error, "etcd: invalid key skipped");
-            sink.count_unusable();
+            sink.count_rejected_record();
         }
         Output::View(view) => {
             if view == View::Stale {
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -70,7 +70,7 @@
     })?;
     let terms = core.begin(now, id, attempt);
     core.handle(now, CoreInput::ClientDisconnected(id), &mut out);
-    terms.map(|t| (t.max_copy_age, t.limited_by_purge_lease))
+    terms.map(|t| (t.max_age, t.limited_by_purge_lease))
 }
 
 #[test]
@@ -93,7 +93,7 @@
     );
     core.handle(
         START_US,
-        CoreInput::PurgesConfirmed { ago: 100 * MS },
+        CoreInput::PurgesConfirmed { age_us: 100 * MS },
         &mut Vec::new(),
     );
     assert!(!is_age_limited(&mut core, START_US + 649 * MS, 4, 0));
@@ -104,13 +104,13 @@
     // A late confirmation of an earlier read does not extend the lease.
     core.handle(
         START_US + 660 * MS,
-        CoreInput::PurgesConfirmed { ago: 800 * MS },
+        CoreInput::PurgesConfirmed { age_us: 800 * MS },
         &mut Vec::new(),
     );
     assert!(is_age_limited(&mut core, START_US + 660 * MS, 6, 0));
     core.handle(
         START_US + 700 * MS,
-        CoreInput::PurgesConfirmed { ago: 0 },
+        CoreInput::PurgesConfirmed { age_us: 0 },
         &mut Vec::new(),
     );
     assert!(!is_age_limited(&mut core, START_US + 700 * MS, 7, 0));
@@ -353,14 +353,14 @@
                         .handle(self.now, CoreInput::Purge(head), &mut Vec::new());
                 }
                 Output::PurgesConfirmed { age_us } => {
-                    let ago = if self.confirms_without_evidence {
+                    let age_us = if self.confirms_without_evidence {
                         0
                     } else {
                         age_us
                     };
                     self.core.handle(
                         self.now,
-                        CoreInput::PurgesConfirmed { ago },
+                        CoreInput::PurgesConfirmed { age_us },
                         &mut Vec::new(),
                     );
                 }
--- a/crates/platform/src/connection/mod.rs
+++ b/crates/platform/src/connection/mod.rs
@@ -24,7 +24,7 @@
 use futures_util::StreamExt;
 use metered_codec::MeteredCodec;
 use pointspindle::Micros;
-use pointspindle_dispatcher::keep_alive::{KeepAliveRule, KeepAliveVerdict};
+use pointspindle_dispatcher::keep_alive::{KeepAliveAction, KeepAliveRule};
 use pointspindle_platform_protocol::line_protocol::{self, CacheResponse, ResponseStatus};
 use pointspindle_transport::{BufferMeter, RetryingReadHalf};
 use state::ConnectionState;
@@ -150,7 +150,7 @@
         rule: &KeepAliveRule,
         now: Micros,
         to_micros: impl FnOnce(Instant) -> Micros,
-    ) -> KeepAliveVerdict {
+    ) -> KeepAliveAction {
         let mut state = self.lock();
         let last_received = to_micros(state.last_received);
         let is_awaited = !state.in_flight.is_empty();
--- a/crates/platform/src/connection_pool/maintenance.rs
+++ b/crates/platform/src/connection_pool/maintenance.rs
@@ -3,7 +3,7 @@
 use super::{ConnectionPool, PlatformCore};
 use crate::connection::Connection;
 use pointspindle::Micros;
-use pointspindle_dispatcher::keep_alive::{KeepAliveRule, KeepAliveVerdict};
+use pointspindle_dispatcher::keep_alive::{KeepAliveAction, KeepAliveRule};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -73,8 +73,8 @@
             now,
             now_us: self.micros(now),
             keep_alive: KeepAliveRule {
-                ping_when_awaiting: settings.ping_when_awaiting_us,
-                ping_when_idle: settings.ping_when_idle_us,
+                pending_ping_interval: settings.ping_when_awaiting_us,
+                idle_ping_interval: settings.ping_when_idle_us,
                 ping_timeout: settings.ping_timeout_us,
             },
             idle_timeout: Duration::from_micros(settings.idle_timeout_us),
@@ -86,9 +86,9 @@
         let verdict =
             connection.check_keep_alive(&pass.keep_alive, pass.now_us, |at| self.micros(at));
         match verdict {
-            KeepAliveVerdict::Healthy => {}
-            KeepAliveVerdict::SendPing => connection.send_health_check(),
-            KeepAliveVerdict::Close => {
+            KeepAliveAction::Healthy => {}
+            KeepAliveAction::SendPing => connection.send_health_check(),
+            KeepAliveAction::Close => {
                 tracing::info!(
                     endpoint = id,
                     "endpoint connection closed: no keep-alive reply"
--- a/crates/platform/src/frontend/session.rs
+++ b/crates/platform/src/frontend/session.rs
@@ -262,7 +262,7 @@
                 self.update_permit(permit);
             }
             SessionEvent::Input(InputEvent::Record(record)) => {
-                permit.busy();
+                permit.mark_busy();
                 self.handle_record(record);
                 self.update_permit(permit);
             }
@@ -285,7 +285,7 @@
 
     fn update_permit(&self, permit: &ConnectionPermit) {
         if self.requests.lock().open_count() == 0 {
-            permit.idle();
+            permit.mark_idle();
         }
     }
 
--- a/crates/scale/src/node/dispatchers.rs
+++ b/crates/scale/src/node/dispatchers.rs
@@ -3,7 +3,9 @@
 use super::{send_report, CommandStream, NodeError, PREFIX};
 use crate::messages::{Command, DispatcherNodes, DispatcherReport, Report};
 use pointspindle_config::parse;
-use pointspindle_dispatcher::{ControlObserver, HollowDispatcher, PreparedDispatcher, StateCounts};
+use pointspindle_dispatcher::{
+    ControlObserver, HeadlessDispatcher, PreparedDispatcher, StateCounts,
+};
 use pointspindle_etcd::EtcdSource;
 use pointspindle_transport::Network;
 use std::sync::Arc;
@@ -45,16 +47,16 @@
     settings: &str,
     number: usize,
     recorder: SharedRecorder,
-) -> Result<HollowDispatcher, NodeError> {
+) -> Result<HeadlessDispatcher, NodeError> {
     let settings = parse("hollow", settings)?;
     let seed = number as u64 + 1;
     let source = EtcdSource::of(&settings, seed)?.ok_or(NodeError::NoControlStore)?;
     let prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
     let observer: ControlObserver = Arc::new(move |update| recorder.lock().record(number, update));
-    Ok(prepared.into_hollow(source, observer))
+    Ok(prepared.into_headless(source, observer))
 }
 
-fn report(dispatchers: &[HollowDispatcher], recorder: &SharedRecorder) -> DispatcherReport {
+fn report(dispatchers: &[HeadlessDispatcher], recorder: &SharedRecorder) -> DispatcherReport {
     let recorder = recorder.lock();
     DispatcherReport {
         current: recorder.current(),
@@ -65,9 +67,9 @@
     }
 }
 
-fn total_state(dispatchers: &[HollowDispatcher]) -> StateCounts {
+fn total_state(dispatchers: &[HeadlessDispatcher]) -> StateCounts {
     let mut total = StateCounts::default();
-    for state in dispatchers.iter().map(HollowDispatcher::state_counts) {
+    for state in dispatchers.iter().map(HeadlessDispatcher::state_counts) {
         total.endpoints += state.endpoints;
         total.purges += state.purges;
         total.dispatchers += state.dispatchers;
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -74,7 +74,7 @@
     let prepared = prepare(&endpoint, 1).await;
     let hollow = prepared
         .dispatcher
-        .into_hollow(prepared.source, Arc::new(|_| {}));
+        .into_headless(prepared.source, Arc::new(|_| {}));
     write_updates(&etcd).await;
     let states_to_match = async {
         // Both dispatchers remember the deleted host as removed for some time.
--- a/crates/simulator/src/attempts.rs
+++ b/crates/simulator/src/attempts.rs
@@ -37,7 +37,7 @@
                 cache_status,
                 may_have_run,
             },
-            JobEnd::ConnectionLost => Self::Broken,
+            JobEnd::ConnectionLost => Self::ConnectionLost,
             JobEnd::ConnectionRefused => Self::ConnectFailed,
         }
     }
@@ -209,7 +209,7 @@
         let max_age = if self.ignores_purges() {
             request.max_age
         } else {
-            request.max_age.min(terms.max_copy_age)
+            request.max_age.min(terms.max_age)
         };
         let request = ModelRequest {
             max_age,
