--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -114,7 +114,7 @@
     /// Takes an idle connection out of the pool and closes it if it cannot be used.
     fn take_idle(&self, may_reuse: bool) -> Option<Connection> {
         let idle = self.idle().pop();
-        idle.filter(|connection| may_reuse && connection.read.idle() == IdleState::Quiet)
+        idle.filter(|connection| may_reuse && connection.read.idle() == IdleState::Idle)
     }
 
     async fn connect(&self, connector: &Connector) -> Result<Connection, SourceFailure> {
--- a/crates/cli/src/commands/client_arguments.rs
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -1,6 +1,6 @@
 //! Arguments of `get` and `load` for calls to a dispatcher, and the URLs of objects.
 use crate::exit::CommandError;
-use pointspindle_client::{CertificateFiles, Client, Request, RetryPolicy, TrustAnchors};
+use pointspindle_client::{CertificateFiles, Client, ClientTls, Request, RetryPolicy};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -113,14 +113,14 @@
         Ok(builder.build()?)
     }
 
-    fn trust_anchors(&self) -> Result<TrustAnchors, CommandError> {
+    fn trust_anchors(&self) -> Result<ClientTls, CommandError> {
         let authority = self
             .authority
             .as_ref()
             .ok_or("https and pspns require --authority")?;
         let files = self.certificate.clone().zip(self.key.clone());
         let identity = files.map(|(certificate, key)| CertificateFiles { certificate, key });
-        Ok(TrustAnchors::load(authority, identity.as_ref())?)
+        Ok(ClientTls::load(authority, identity.as_ref())?)
     }
 
     /// Creates a request for the object at this URL.
--- a/crates/client/src/builder.rs
+++ b/crates/client/src/builder.rs
@@ -6,7 +6,7 @@
 use crate::framed::FramedChannel;
 use crate::http::HttpChannel;
 use crate::retry::{RetryPolicy, RetryState};
-use pointspindle_transport::tls::TrustAnchors;
+use pointspindle_transport::tls::ClientTls;
 use pointspindle_transport::Network;
 use rand::Rng;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
 
     /// Connects over TLS. `server_name` is the name expected in the dispatchers' certificates; by default, the address of
     /// each dispatcher.
-    pub fn tls(self, trust: TrustAnchors, server_name: Option<String>) -> Self {
+    pub fn tls(self, trust: ClientTls, server_name: Option<String>) -> Self {
         Self {
             tls: Some(TlsSettings { trust, server_name }),
             ..self
--- a/crates/client/src/connector.rs
+++ b/crates/client/src/connector.rs
@@ -1,6 +1,6 @@
 //! Establishes connections to one dispatcher, with or without TLS.
 use crate::error::ConnectError;
-use pointspindle_transport::tls::TrustAnchors;
+use pointspindle_transport::tls::ClientTls;
 use pointspindle_transport::{Network, Socket};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -29,7 +29,7 @@
 /// TLS settings of a client.
 #[derive(Clone, Debug)]
 pub(crate) struct TlsSettings {
-    pub trust: TrustAnchors,
+    pub trust: ClientTls,
     /// Name expected in the dispatchers' certificates; by default, the address of each dispatcher.
     pub server_name: Option<String>,
 }
--- a/crates/client/src/http.rs
+++ b/crates/client/src/http.rs
@@ -79,7 +79,7 @@
     async fn open_connection(&self) -> Option<Connection> {
         while let Some(connection) = self.idle.take() {
             // A connection that was closed while idle, or received unexpected bytes, is dropped.
-            if connection.read.idle() == IdleState::Quiet {
+            if connection.read.idle() == IdleState::Idle {
                 return Some(connection);
             }
         }
--- a/crates/client/src/lib.rs
+++ b/crates/client/src/lib.rs
@@ -68,7 +68,7 @@
 pub use client::{Client, FetchedResponse};
 pub use error::{BuildError, ConnectError, RequestError};
 pub use pointspindle_protocol::ResponseHead;
-pub use pointspindle_transport::tls::{CertificateFiles, TlsError, TrustAnchors};
+pub use pointspindle_transport::tls::{CertificateFiles, ClientTls, TlsError};
 pub use pointspindle_transport::Network;
 pub use request::{Idempotency, Request};
 pub use retry::RetryPolicy;
--- a/crates/client/tests/tls.rs
+++ b/crates/client/tests/tls.rs
@@ -1,7 +1,7 @@
 //! TLS over both protocols: complete responses, rejection of certificates with a reason, and reload of certificates.
 use bytes::Bytes;
 use pointspindle_client::{
-    CallEvent, CertificateFiles, Client, Outcome, Request, RetryPolicy, TrustAnchors,
+    CallEvent, CertificateFiles, Client, ClientTls, Outcome, Request, RetryPolicy,
 };
 use pointspindle_dispatcher::{BoundAddresses, Dispatcher};
 use pointspindle_protocol::streams::Side;
@@ -127,7 +127,7 @@
     Dispatcher::start(settings, 1).await.unwrap()
 }
 
-fn client(bound: &BoundAddresses, protocol: Protocol, trust: TrustAnchors) -> Client {
+fn client(bound: &BoundAddresses, protocol: Protocol, trust: ClientTls) -> Client {
     let rules = RetryPolicy {
         max_attempts: 1,
         ..RetryPolicy::default()
@@ -154,7 +154,7 @@
     let folder = tempfile::tempdir().unwrap();
     let authority = Authority::new(folder.path(), "trusted");
     let dispatcher = start_dispatcher(&authority.sign("dispatcher", |_| {}), None).await;
-    let trust = TrustAnchors::load(&authority.file(), None).unwrap();
+    let trust = ClientTls::load(&authority.file(), None).unwrap();
     for protocol in [Protocol::Framed, Protocol::Http] {
         let client = client(dispatcher.bound_addresses(), protocol, trust.clone());
         assert_eq!(
@@ -186,7 +186,7 @@
     let folder = tempfile::tempdir().unwrap();
     let trusted_authority = Authority::new(folder.path(), "trusted");
     let untrusted_authority = Authority::new(folder.path(), "untrusted");
-    let trust = TrustAnchors::load(&trusted_authority.file(), None).unwrap();
+    let trust = ClientTls::load(&trusted_authority.file(), None).unwrap();
     let expired = |p: &mut CertificateParams| {
         p.not_before = rcgen::date_time_ymd(2001, 1, 1);
         p.not_after = rcgen::date_time_ymd(2002, 1, 1);
@@ -245,7 +245,7 @@
         let client = client(
             dispatcher.bound_addresses(),
             Protocol::Framed,
-            TrustAnchors::load(&trusted_authority.file(), certificate).unwrap(),
+            ClientTls::load(&trusted_authority.file(), certificate).unwrap(),
         );
         assert_eq!(get(&client, "/small").await.0 == Outcome::Served, served);
     }
@@ -261,7 +261,7 @@
         certificate: trusted_certificate.key.clone(),
         key: trusted_certificate.certificate.clone(),
     };
-    let error = TrustAnchors::load(&trusted_authority.file(), Some(&swapped))
+    let error = ClientTls::load(&trusted_authority.file(), Some(&swapped))
         .unwrap_err()
         .to_string();
     assert!(
@@ -280,12 +280,12 @@
     let trusts_first = client(
         dispatcher.bound_addresses(),
         Protocol::Framed,
-        TrustAnchors::load(&first.file(), None).unwrap(),
+        ClientTls::load(&first.file(), None).unwrap(),
     );
     let trusts_second = client(
         dispatcher.bound_addresses(),
         Protocol::Framed,
-        TrustAnchors::load(&second.file(), None).unwrap(),
+        ClientTls::load(&second.file(), None).unwrap(),
     );
     assert_eq!(get(&trusts_first, "/small").await.0, Outcome::Served);
     assert_ne!(get(&trusts_second, "/small").await.0, Outcome::Served);
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -104,8 +104,8 @@
                 tracing::debug!(%error, "connection failed before it was accepted");
                 return tokio::task::yield_now().await;
             }
-            AcceptFailure::Shortage => 0,
-            AcceptFailure::Descriptors => self.close_idle(CLOSED_ON_DESCRIPTOR_SHORTAGE),
+            AcceptFailure::ResourceShortage => 0,
+            AcceptFailure::DescriptorLimit => self.close_idle(CLOSED_ON_DESCRIPTOR_SHORTAGE),
         };
         tracing::warn!(%error, closed_connections, "accept failed");
         tokio::time::sleep(ACCEPT_BACKOFF).await;
--- a/crates/dispatcher/src/net/dispatcher.rs
+++ b/crates/dispatcher/src/net/dispatcher.rs
@@ -10,7 +10,7 @@
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, WireEndpointState,
 };
-use pointspindle_transport::tls::{CertificateFiles, Identity, TlsError};
+use pointspindle_transport::tls::{CertificateFiles, ServerTls, TlsError};
 use pointspindle_transport::Network;
 use std::sync::Arc;
 use std::time::Duration;
@@ -151,7 +151,7 @@
     stop: watch::Sender<bool>,
     listeners: JoinSet<()>,
     background_tasks: JoinSet<()>,
-    identity: Option<Arc<Identity>>,
+    identity: Option<Arc<ServerTls>>,
 }
 
 impl Dispatcher {
@@ -235,12 +235,12 @@
     }
 }
 
-fn load_identity(settings: &TlsSettings) -> Result<Identity, TlsError> {
+fn load_identity(settings: &TlsSettings) -> Result<ServerTls, TlsError> {
     let files = CertificateFiles {
         certificate: settings.certificate.clone(),
         key: settings.key.clone(),
     };
-    Identity::load(files, settings.client_authority.clone())
+    ServerTls::load(files, settings.client_authority.clone())
 }
 
 fn static_endpoint_list(settings: &DispatcherSettings) -> EndpointListHead {
--- a/crates/dispatcher/src/net/framed_transport.rs
+++ b/crates/dispatcher/src/net/framed_transport.rs
@@ -105,7 +105,7 @@
         connection
             .call_deferred(Box::new(compose))
             .map_err(|e| match e {
-                ConnectionError::NoStream(_) => AttemptEnd::NotSent,
+                ConnectionError::StreamLimitReached(_) => AttemptEnd::NotSent,
                 _ => AttemptEnd::ConnectFailed,
             })
     }
--- a/crates/dispatcher/src/net/frontend_context.rs
+++ b/crates/dispatcher/src/net/frontend_context.rs
@@ -1,7 +1,7 @@
 //! State that the connections of one listener share.
 use super::connection_registry::ConnectionRegistry;
 use super::FramedCore;
-use pointspindle_transport::tls::Identity;
+use pointspindle_transport::tls::ServerTls;
 use pointspindle_transport::Socket;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     /// True once the dispatcher accepts no new requests.
     pub stopping: watch::Receiver<bool>,
     /// TLS identity; `None` if the listener does not use TLS.
-    pub identity: Option<Arc<Identity>>,
+    pub identity: Option<Arc<ServerTls>>,
 }
 
 impl FrontendContext {
--- a/crates/scenario/src/read/sections.rs
+++ b/crates/scenario/src/read/sections.rs
@@ -34,7 +34,11 @@
             latency: Duration::from_micros(values.millis("network", "latency_ms", 0.2)),
             jitter: Duration::from_micros(values.millis("network", "jitter_ms", 0.1)),
             loss: values.share("network", "loss", 0.0),
-            resend: Duration::from_micros(values.millis("network", "resend_ms", 200.0)),
+            retransmission_delay: Duration::from_micros(values.millis(
+                "network",
+                "resend_ms",
+                200.0,
+            )),
         },
     }
 }
--- a/crates/testbed/src/fleet_run/dispatcher_task.rs
+++ b/crates/testbed/src/fleet_run/dispatcher_task.rs
@@ -70,7 +70,7 @@
         );
         let settings =
             pointspindle_config::parse("settings", &text).map_err(|e| self.not_started(e))?;
-        let network = self.network.incarnation();
+        let network = self.network.new_process();
         let seed = scenario.seed ^ self.number as u64;
         let dispatcher = Dispatcher::start_on(Network::Simulated(network.clone()), settings, seed)
             .await
@@ -100,10 +100,12 @@
     /// Stops the dispatcher in the way of a killed process: its connections break and it opens no new ones.
     pub fn kill(&mut self) {
         if let Some(running) = self.running.take() {
-            running.network.end();
+            running.network.end_process();
             drop(running.dispatcher);
-            self.network.cut(dispatcher_source_ip(self.number));
-            self.network.cut(dispatcher_listen_ip(self.number));
+            self.network
+                .break_connections(dispatcher_source_ip(self.number));
+            self.network
+                .break_connections(dispatcher_listen_ip(self.number));
         }
     }
 
@@ -113,7 +115,7 @@
             return Ok(());
         };
         let drained = running.dispatcher.stop().await;
-        running.network.end();
+        running.network.end_process();
         if !drained {
             return Err(self.error(DispatcherFailure::UnansweredRequests));
         }
--- a/crates/testbed/src/fleet_run/plan.rs
+++ b/crates/testbed/src/fleet_run/plan.rs
@@ -60,10 +60,10 @@
 /// flight arrives even if a later decision has made it obsolete, so the rules must tolerate this delay.
 fn max_delivery_time(scenario: &Scenario) -> Micros {
     let conditions = scenario.network.simulated;
-    let resend = if conditions.loss > 0.0 {
-        2 * conditions.resend
+    let retransmission = if conditions.loss > 0.0 {
+        2 * conditions.retransmission_delay
     } else {
         Duration::ZERO
     };
-    (conditions.latency + conditions.jitter + resend).as_micros() as Micros
+    (conditions.latency + conditions.jitter + retransmission).as_micros() as Micros
 }
--- a/crates/testbed/src/http_client.rs
+++ b/crates/testbed/src/http_client.rs
@@ -32,14 +32,14 @@
         let mut unexpected_responses = 0;
         while let Some(connection) = self.pop_idle() {
             match connection.read.idle() {
-                IdleState::Quiet => {
+                IdleState::Idle => {
                     return PooledConnection {
                         connection: Ok(connection),
                         unexpected_responses,
                     }
                 }
                 IdleState::Closed => {}
-                IdleState::Stray => unexpected_responses += 1,
+                IdleState::UnexpectedBytes => unexpected_responses += 1,
             }
         }
         let connected = network.connect(None, server).await;
--- a/crates/transport/src/accept.rs
+++ b/crates/transport/src/accept.rs
@@ -15,9 +15,9 @@
     /// at once.
     Connection,
     /// The process has no file descriptor left.
-    Descriptors,
+    DescriptorLimit,
     /// The machine is temporarily short of a resource, or the error is unknown: accepting is retried after a delay.
-    Shortage,
+    ResourceShortage,
 }
 
 impl AcceptFailure {
@@ -25,7 +25,7 @@
     /// connection.
     pub fn of(error: &Error) -> Self {
         match error.raw_os_error() {
-            Some(libc::EMFILE) => Self::Descriptors,
+            Some(libc::EMFILE) => Self::DescriptorLimit,
             Some(
                 libc::ECONNABORTED
                 | libc::EINTR
@@ -41,7 +41,7 @@
                 | libc::ETIMEDOUT
                 | libc::EPERM,
             ) => Self::Connection,
-            _ => Self::Shortage,
+            _ => Self::ResourceShortage,
         }
     }
 }
--- a/crates/transport/src/accept/tests.rs
+++ b/crates/transport/src/accept/tests.rs
@@ -14,13 +14,17 @@
     ] {
         assert_eq!(classify(errno), AcceptFailure::Connection, "errno {errno}");
     }
-    assert_eq!(classify(libc::EMFILE), AcceptFailure::Descriptors);
+    assert_eq!(classify(libc::EMFILE), AcceptFailure::DescriptorLimit);
     for errno in [libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINVAL] {
-        assert_eq!(classify(errno), AcceptFailure::Shortage, "errno {errno}");
+        assert_eq!(
+            classify(errno),
+            AcceptFailure::ResourceShortage,
+            "errno {errno}"
+        );
     }
     assert_eq!(
         AcceptFailure::of(&Error::other("error without an errno")),
-        AcceptFailure::Shortage
+        AcceptFailure::ResourceShortage
     );
 }
 
--- a/crates/transport/src/connection/shared.rs
+++ b/crates/transport/src/connection/shared.rs
@@ -159,7 +159,7 @@
         let id = table
             .streams
             .open_stream()
-            .ok_or(ConnectionError::NoStream(self.max_streams))?;
+            .ok_or(ConnectionError::StreamLimitReached(self.max_streams))?;
         let handle = StreamHandle::Call(parts.clone());
         table.handles.insert(id, handle);
         // Done under the lock, so that requests reach the writer in the order of their stream numbers.
--- a/crates/transport/src/frame_reader.rs
+++ b/crates/transport/src/frame_reader.rs
@@ -29,11 +29,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdleState {
     /// The connection is open, and no bytes were received.
-    Quiet,
+    Idle,
     /// The peer has ended its direction, or reading failed.
     Closed,
     /// Bytes were received that belong to no request.
-    Stray,
+    UnexpectedBytes,
 }
 
 impl<D: ReadSizeHint> FrameReader<D>
@@ -65,12 +65,12 @@
     /// use it only where any received byte is an error.
     pub fn idle(&self) -> IdleState {
         if !self.buffer.is_empty() {
-            return IdleState::Stray;
+            return IdleState::UnexpectedBytes;
         }
         match self.socket.try_read_buf(&mut &mut [0; 1][..]) {
             Ok(0) => IdleState::Closed,
-            Ok(_) => IdleState::Stray,
-            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => IdleState::Quiet,
+            Ok(_) => IdleState::UnexpectedBytes,
+            Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => IdleState::Idle,
             Err(_) => IdleState::Closed,
         }
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -45,7 +45,7 @@
     Closed(String),
     /// The given maximum number of streams is open; no byte of the frame was sent.
     #[error("all {0} streams of the connection are in use")]
-    NoStream(usize),
+    StreamLimitReached(usize),
     /// The peer has cancelled the stream, or the connection has closed for the given reason.
     #[error("the peer has cancelled: {0}")]
     Cancelled(String),
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -50,7 +50,7 @@
     /// Fraction of segments that are lost and retransmitted, from 0 to 1.
     pub loss: f64,
     /// Additional time of a retransmitted segment.
-    pub resend: Duration,
+    pub retransmission_delay: Duration,
 }
 
 impl Default for NetworkConditions {
@@ -59,7 +59,7 @@
             latency: Duration::from_micros(200),
             jitter: Duration::from_micros(100),
             loss: 0.0,
-            resend: Duration::from_millis(200),
+            retransmission_delay: Duration::from_millis(200),
         }
     }
 }
@@ -135,7 +135,7 @@
     }
 
     /// Returns a handle of another process on the same network.
-    pub fn incarnation(&self) -> Self {
+    pub fn new_process(&self) -> Self {
         Self {
             state: self.state.clone(),
             is_process_running: Arc::new(AtomicBool::new(true)),
@@ -143,7 +143,7 @@
     }
 
     /// Ends this process: its remaining tasks can no longer connect.
-    pub fn end(&self) {
+    pub fn end_process(&self) {
         self.is_process_running.store(false, Ordering::SeqCst);
     }
 
@@ -154,7 +154,7 @@
         let lost = conditions.loss > 0.0 && state.rng.gen_bool(conditions.loss.min(1.0));
         let jitter = conditions.jitter.mul_f64(state.rng.gen());
         let retransmission = if lost {
-            conditions.resend
+            conditions.retransmission_delay
         } else {
             Duration::ZERO
         };
@@ -182,7 +182,7 @@
     }
 
     /// Breaks every open connection from or to an address.
-    pub fn cut(&self, address: IpAddr) {
+    pub fn break_connections(&self, address: IpAddr) {
         for direction in self.open_directions(|from, to| from == address || to == address) {
             direction.cut();
         }
--- a/crates/transport/src/simulated/tests.rs
+++ b/crates/transport/src/simulated/tests.rs
@@ -53,7 +53,7 @@
     let (client_socket, server_socket) = pair(&network).await;
     let (read, _client_write) = client_socket.split();
     let (_server_read, write) = server_socket.split();
-    network.cut("10.0.0.2".parse().unwrap());
+    network.break_connections("10.0.0.2".parse().unwrap());
     let mut received = BytesMut::new();
     assert_eq!(
         read.read_buf(&mut received).await.unwrap_err().kind(),
--- a/crates/transport/src/tls.rs
+++ b/crates/transport/src/tls.rs
@@ -2,7 +2,7 @@
 mod credentials;
 mod stream;
 
-pub use credentials::{CertificateFiles, Identity, TrustAnchors};
+pub use credentials::{CertificateFiles, ClientTls, ServerTls};
 pub use stream::{TlsStream, TlsWriteHalf};
 
 use std::path::PathBuf;
--- a/crates/transport/src/tls/credentials.rs
+++ b/crates/transport/src/tls/credentials.rs
@@ -66,14 +66,14 @@
 
 /// The TLS settings of a server: its certificate, and the authorities that must have issued the clients' certificates.
 #[derive(Debug)]
-pub struct Identity {
+pub struct ServerTls {
     files: CertificateFiles,
     client_authority: Option<PathBuf>,
-    /// Configuration for new handshakes; replaced by [`Identity::reload`].
+    /// Configuration for new handshakes; replaced by [`ServerTls::reload`].
     config: Mutex<Arc<ServerConfig>>,
 }
 
-impl Identity {
+impl ServerTls {
     /// Reads the files. If `client_authority` is `None`, clients need no certificate.
     pub fn load(
         files: CertificateFiles,
@@ -127,11 +127,11 @@
 
 /// The TLS settings of a client: the authorities that it trusts, and its own certificate, if any.
 #[derive(Clone, Debug)]
-pub struct TrustAnchors {
+pub struct ClientTls {
     config: Arc<ClientConfig>,
 }
 
-impl TrustAnchors {
+impl ClientTls {
     /// Reads the files. `authority` is the PEM file of the trusted authorities; `own` is the certificate to present, if
     /// any.
     pub fn load(authority: &Path, own: Option<&CertificateFiles>) -> Result<Self, TlsError> {
