--- a/crates/cli/tests/platform/client_faults.rs
+++ b/crates/cli/tests/platform/client_faults.rs
@@ -45,7 +45,7 @@
 /// Adds records of half a megabyte, more than is accepted of any request.
 fn add_large_records(out: &mut BytesMut, kind: u8, id: u16) {
     for _ in 0..LARGE_RECORDS {
-        record(out, kind, id, &[b'x'; LARGE_RECORD_BYTES]);
+        write_record(out, kind, id, &[b'x'; LARGE_RECORD_BYTES]);
     }
 }
 
--- a/crates/cli/tests/platform/support/fastcgi_client.rs
+++ b/crates/cli/tests/platform/support/fastcgi_client.rs
@@ -92,7 +92,7 @@
     pub async fn next_response(&mut self) -> Option<(u16, Response)> {
         loop {
             let record = self.records.next().await?.ok()?;
-            match record.kind {
+            match record.record_type {
                 STDOUT => self
                     .partial
                     .entry(record.id)
@@ -145,14 +145,14 @@
 /// The record that begins a request.
 pub fn begin_request_record(id: u16) -> BytesMut {
     let mut out = BytesMut::new();
-    record(&mut out, BEGIN_REQUEST, id, &BEGIN_CONTENT);
+    write_record(&mut out, BEGIN_REQUEST, id, &BEGIN_CONTENT);
     out
 }
 
 /// The record that aborts a request.
 pub fn abort_record(id: u16) -> BytesMut {
     let mut out = BytesMut::new();
-    record(&mut out, ABORT_REQUEST, id, &[]);
+    write_record(&mut out, ABORT_REQUEST, id, &[]);
     out
 }
 
@@ -174,14 +174,14 @@
     all_fields.extend(fields);
     let mut params = BytesMut::new();
     for (name, value) in all_fields {
-        pair(&mut params, name.as_bytes(), value.as_bytes());
+        write_pair(&mut params, name.as_bytes(), value.as_bytes());
     }
     let mut out = begin_request_record(id);
-    record(&mut out, PARAMS, id, &params);
-    record(&mut out, PARAMS, id, &[]);
+    write_record(&mut out, PARAMS, id, &params);
+    write_record(&mut out, PARAMS, id, &[]);
     if !body.is_empty() {
-        record(&mut out, STDIN, id, body);
+        write_record(&mut out, STDIN, id, body);
     }
-    record(&mut out, STDIN, id, &[]);
+    write_record(&mut out, STDIN, id, &[]);
     out
 }
--- a/crates/platform-protocol/src/discovery.rs
+++ b/crates/platform-protocol/src/discovery.rs
@@ -102,7 +102,7 @@
 
 /// State of discovery as of the start configuration.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
-pub struct KnownState {
+pub struct DiscoverySnapshot {
     /// Last revision that the events cover.
     #[serde(default, rename = "rev")]
     pub revision: u64,
--- a/crates/platform-protocol/src/fastcgi.rs
+++ b/crates/platform-protocol/src/fastcgi.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// Type of the record.
-    pub kind: u8,
+    pub record_type: u8,
     /// Id of the request that the record belongs to; 0 for a management record.
     pub id: u16,
     /// Content of the record, without padding.
@@ -85,7 +85,7 @@
         if from.len() < HEADER_BYTES {
             return Ok(None);
         }
-        let kind = from[1];
+        let record_type = from[1];
         let id = u16::from_be_bytes([from[2], from[3]]);
         let length = usize::from(u16::from_be_bytes([from[4], from[5]]));
         let padding = usize::from(from[6]);
@@ -97,20 +97,24 @@
         from.advance(HEADER_BYTES);
         let content = from.split_to(length).freeze();
         from.advance(padding);
-        Ok(Some(Record { kind, id, content }))
+        Ok(Some(Record {
+            record_type,
+            id,
+            content,
+        }))
     }
 }
 
-fn header(out: &mut BytesMut, kind: u8, id: u16, length: usize) {
-    out.put_slice(&[VERSION, kind]);
+fn header(out: &mut BytesMut, record_type: u8, id: u16, length: usize) {
+    out.put_slice(&[VERSION, record_type]);
     out.put_u16(id);
     out.put_u16(length as u16);
     out.put_slice(&[0, 0]);
 }
 
 /// Appends a record.
-pub fn record(out: &mut BytesMut, kind: u8, id: u16, content: &[u8]) {
-    header(out, kind, id, content.len());
+pub fn write_record(out: &mut BytesMut, record_type: u8, id: u16, content: &[u8]) {
+    header(out, record_type, id, content.len());
     out.put_slice(content);
 }
 
@@ -125,14 +129,14 @@
 pub fn encode_response(id: u16, head: &[u8], mut body: Bytes, app_status: u32) -> Vec<Bytes> {
     let mut pieces = Vec::with_capacity(2 + 2 * (body.len() / MAX_STDOUT_BYTES + 1));
     let mut out = BytesMut::with_capacity(head.len() + 4 * HEADER_BYTES + 16);
-    record(&mut out, STDOUT, id, head);
+    write_record(&mut out, STDOUT, id, head);
     while !body.is_empty() {
         let piece = body.split_to(body.len().min(MAX_STDOUT_BYTES));
         header(&mut out, STDOUT, id, piece.len());
         pieces.push(out.split().freeze());
         pieces.push(piece);
     }
-    record(&mut out, STDOUT, id, &[]);
+    write_record(&mut out, STDOUT, id, &[]);
     write_end_request(&mut out, id, app_status, ProtocolStatus::Complete);
     pieces.push(out.freeze());
     pieces
@@ -169,7 +173,7 @@
 }
 
 /// Appends a name-value pair.
-pub fn pair(out: &mut BytesMut, name: &[u8], value: &[u8]) {
+pub fn write_pair(out: &mut BytesMut, name: &[u8], value: &[u8]) {
     for part in [name, value] {
         match part.len() {
             short @ ..0x80 => out.put_u8(short as u8),
--- a/crates/platform-protocol/src/request_assembly.rs
+++ b/crates/platform-protocol/src/request_assembly.rs
@@ -185,11 +185,15 @@
 
     /// Handles the next record of the connection.
     pub fn handle(&mut self, record: Record) -> Result<RecordOutcome, SessionError> {
-        let Record { kind, id, content } = record;
-        match kind {
+        let Record {
+            record_type,
+            id,
+            content,
+        } = record;
+        match record_type {
             BEGIN_REQUEST => self.begin(id, &content),
             ABORT_REQUEST => Ok(self.abort(id)),
-            PARAMS | STDIN => self.add(kind, id, &content),
+            PARAMS | STDIN => self.add(record_type, id, &content),
             GET_VALUES => Ok(RecordOutcome::Reply(values_reply(&content))),
             other => {
                 self.discard(content.len())?;
@@ -256,7 +260,7 @@
 
 fn unknown_type_reply(kind: u8) -> Bytes {
     let mut out = BytesMut::new();
-    record(&mut out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
+    write_record(&mut out, UNKNOWN_TYPE, 0, &[kind, 0, 0, 0, 0, 0, 0, 0]);
     out.freeze()
 }
 
@@ -265,12 +269,14 @@
     let mut values = BytesMut::new();
     for (name, _) in decode_pairs(query).into_iter().flatten() {
         match name {
-            b"FCGI_MAX_REQS" => pair(&mut values, name, MAX_OPEN_REQUESTS.to_string().as_bytes()),
-            b"FCGI_MPXS_CONNS" => pair(&mut values, name, b"1"),
+            b"FCGI_MAX_REQS" => {
+                write_pair(&mut values, name, MAX_OPEN_REQUESTS.to_string().as_bytes())
+            }
+            b"FCGI_MPXS_CONNS" => write_pair(&mut values, name, b"1"),
             _ => {}
         }
     }
     let mut out = BytesMut::new();
-    record(&mut out, GET_VALUES_RESULT, 0, &values);
+    write_record(&mut out, GET_VALUES_RESULT, 0, &values);
     out.freeze()
 }
--- a/crates/platform-protocol/src/start_config.rs
+++ b/crates/platform-protocol/src/start_config.rs
@@ -1,6 +1,6 @@
 //! The start configuration: name, limits and settings of the dispatcher, and the discovery state at its start. Unknown
 //! keys are skipped.
-use crate::discovery::KnownState;
+use crate::discovery::DiscoverySnapshot;
 use crate::settings::SettingsDocument;
 use serde::Deserialize;
 use std::path::Path;
@@ -25,7 +25,7 @@
     pub response_bytes_per_s: f64,
     /// Discovery state at the start.
     #[serde(default, rename = "known")]
-    pub known_state: KnownState,
+    pub discovery_snapshot: DiscoverySnapshot,
     /// Settings of the router.
     pub settings: SettingsDocument,
 }
--- a/crates/platform-protocol/tests/fastcgi.rs
+++ b/crates/platform-protocol/tests/fastcgi.rs
@@ -16,26 +16,26 @@
     let mut out = BytesMut::new();
     fields
         .iter()
-        .for_each(|(n, v)| pair(&mut out, n.as_bytes(), v.as_bytes()));
+        .for_each(|(n, v)| write_pair(&mut out, n.as_bytes(), v.as_bytes()));
     out
 }
 
 fn unfinished_request(id: u16, fields: &[(&str, &str)], body: &[u8]) -> BytesMut {
     let mut out = BytesMut::new();
-    record(&mut out, BEGIN_REQUEST, id, &BEGIN);
+    write_record(&mut out, BEGIN_REQUEST, id, &BEGIN);
     if !fields.is_empty() {
-        record(&mut out, PARAMS, id, &params(fields));
+        write_record(&mut out, PARAMS, id, &params(fields));
     }
-    record(&mut out, PARAMS, id, &[]);
+    write_record(&mut out, PARAMS, id, &[]);
     if !body.is_empty() {
-        record(&mut out, STDIN, id, body);
+        write_record(&mut out, STDIN, id, body);
     }
     out
 }
 
 fn complete_request(id: u16, fields: &[(&str, &str)], body: &[u8]) -> BytesMut {
     let mut out = unfinished_request(id, fields, body);
-    record(&mut out, STDIN, id, &[]);
+    write_record(&mut out, STDIN, id, &[]);
     out
 }
 
@@ -62,9 +62,9 @@
     let mut bytes = unfinished_request(1, &[("A", "1"), ("LONG", &long)], b"");
     // The records of the second request are interleaved with those of the first; it is complete first.
     bytes.extend(complete_request(2, &[("B", "2")], b"body of two"));
-    record(&mut bytes, STDIN, 1, b"in ");
-    record(&mut bytes, STDIN, 1, b"parts");
-    record(&mut bytes, STDIN, 1, &[]);
+    write_record(&mut bytes, STDIN, 1, b"in ");
+    write_record(&mut bytes, STDIN, 1, b"parts");
+    write_record(&mut bytes, STDIN, 1, &[]);
     let at_once = feed(&mut RequestAssembler::default(), [&bytes[..]]).unwrap();
     let summary = |outcome: &RecordOutcome| match outcome {
         RecordOutcome::Complete {
@@ -102,20 +102,20 @@
     let session_error = |bytes: &[u8]| feed(&mut RequestAssembler::default(), [bytes]).unwrap_err();
     assert!(session_error(b"GET / HTTP/1.1\r\n\r\n").contains("version 71"));
     let mut duplicate_id = unfinished_request(7, &[], b"");
-    record(&mut duplicate_id, BEGIN_REQUEST, 7, &BEGIN);
+    write_record(&mut duplicate_id, BEGIN_REQUEST, 7, &BEGIN);
     assert_eq!(
         session_error(&duplicate_id),
         SessionError::DuplicateId.to_string()
     );
     let mut zero_id = BytesMut::new();
-    record(&mut zero_id, BEGIN_REQUEST, 0, &BEGIN);
+    write_record(&mut zero_id, BEGIN_REQUEST, 0, &BEGIN);
     assert_eq!(
         session_error(&zero_id),
         SessionError::MalformedBegin.to_string()
     );
     // Body bytes for a request that is already complete, beyond the limit on discarded bytes.
     let mut excess_body = complete_request(1, &[], b"");
-    (0..20).for_each(|_| record(&mut excess_body, STDIN, 1, &[0; 60_000]));
+    (0..20).for_each(|_| write_record(&mut excess_body, STDIN, 1, &[0; 60_000]));
     assert_eq!(
         session_error(&excess_body),
         SessionError::TooMuchDiscarded.to_string()
@@ -126,10 +126,10 @@
 fn request_assembler_oversized_request_is_rejected_once() {
     let mut assembler = RequestAssembler::default();
     let mut bytes = unfinished_request(1, &[], &[0; MAX_BODY_BYTES]);
-    record(&mut bytes, STDIN, 1, &[0]);
-    record(&mut bytes, STDIN, 1, &[0; 1000]);
-    record(&mut bytes, BEGIN_REQUEST, 2, &BEGIN);
-    record(&mut bytes, PARAMS, 2, &[0; 60_000]);
+    write_record(&mut bytes, STDIN, 1, &[0]);
+    write_record(&mut bytes, STDIN, 1, &[0; 1000]);
+    write_record(&mut bytes, BEGIN_REQUEST, 2, &BEGIN);
+    write_record(&mut bytes, PARAMS, 2, &[0; 60_000]);
     let outcomes = feed(&mut assembler, [&bytes[..]]).unwrap();
     assert!(
         matches!(
@@ -170,7 +170,7 @@
     let mut bytes = complete_request(1, &[], b"");
     bytes.extend(unfinished_request(2, &[], b""));
     for id in [1, 2, 3] {
-        record(&mut bytes, ABORT_REQUEST, id, &[]);
+        write_record(&mut bytes, ABORT_REQUEST, id, &[]);
     }
     let outcomes = feed(&mut assembler, [&bytes[..]]).unwrap();
     let aborted = [
--- a/crates/platform/src/endpoint_discovery/mod.rs
+++ b/crates/platform/src/endpoint_discovery/mod.rs
@@ -11,7 +11,8 @@
 use pointspindle_clock::WallClock;
 use pointspindle_dispatcher::core::Input;
 use pointspindle_platform_protocol::discovery::{
-    DiscoveredEndpoint, DiscoveredState, DiscoveryEvent, EndpointUpdate, KnownState, PurgeNotice,
+    DiscoveredEndpoint, DiscoveredState, DiscoveryEvent, DiscoverySnapshot, EndpointUpdate,
+    PurgeNotice,
 };
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, PurgeHead, WireEndpointState,
@@ -82,16 +83,16 @@
 
     /// Applies the events in a configuration: at the start all of them, at a reload only those that follow the last
     /// applied revision without a gap. The stream sends the others.
-    pub fn apply_known_state(&mut self, known: KnownState) {
+    pub fn apply_discovery_snapshot(&mut self, snapshot: DiscoverySnapshot) {
         let is_first = self.last_revision == 0;
-        for event in known.events {
+        for event in snapshot.events {
             let is_next = event.revision == self.last_revision + 1;
             if is_next || (is_first && event.revision > self.last_revision) {
                 self.apply(event);
             }
         }
         if is_first {
-            self.last_revision = self.last_revision.max(known.revision);
+            self.last_revision = self.last_revision.max(snapshot.revision);
             self.mark_up_to_date(Instant::now());
         }
     }
