--- a/crates/cache-host/src/lease.rs
+++ b/crates/cache-host/src/lease.rs
@@ -35,13 +35,13 @@
 const WORK_TOLERANCE_S: f64 = 1e-9;
 
 /// Number of a dispatcher's connection, assigned by the owner of the ledger.
-pub type UserId = u64;
+pub type LeaseHolderId = u64;
 
 /// Lease of work that a dispatcher may send.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Grant {
+pub struct Lease {
     /// The connection that holds the lease.
-    pub user: UserId,
+    pub holder: LeaseHolderId,
     /// Leased work, in seconds of sending time.
     pub work: f64,
     /// Validity of the lease.
@@ -68,7 +68,7 @@
 /// A dispatcher's connection and its leases.
 #[derive(Clone, Copy, Debug, Default)]
 struct User {
-    id: UserId,
+    id: LeaseHolderId,
     granted: SlotWork,
     arrived: SlotWork,
     disconnected: bool,
@@ -148,7 +148,7 @@
 
     /// Adds the connection of a dispatcher and returns an empty lease for the time until the next slot. `requests_work`
     /// says whether the dispatcher supports [`WorkLedger::request_work`].
-    pub fn join(&mut self, user: UserId, requests_work: bool) -> Grant {
+    pub fn add_dispatcher(&mut self, user: LeaseHolderId, requests_work: bool) -> Lease {
         match self.users.iter_mut().find(|u| u.id == user) {
             Some(existing) => {
                 existing.disconnected = false;
@@ -160,8 +160,8 @@
                 ..User::default()
             }),
         }
-        Grant {
-            user,
+        Lease {
+            holder: user,
             work: 0.0,
             duration: 2 * self.slot_length(),
             on_request: self.grants_on_request(self.slot_start),
@@ -175,7 +175,7 @@
 
     /// Grants either all of `work` or an empty lease. The lease lasts half a slot, so that its unused work returns to
     /// the bucket no sooner than that of slot leases.
-    pub fn request_work(&mut self, now: Micros, user: UserId, work: f64) -> Grant {
+    pub fn request_work(&mut self, now: Micros, user: LeaseHolderId, work: f64) -> Lease {
         let on_request = self.grants_on_request(now);
         let has_budget = work > 0.0 && work <= self.bucket + WORK_TOLERANCE_S && !self.is_over(now);
         let mut connected = self.users.iter_mut().filter(|u| !u.disconnected);
@@ -187,8 +187,8 @@
             _ => 0.0,
         };
         self.bucket -= granted;
-        Grant {
-            user,
+        Lease {
+            holder: user,
             work: granted,
             duration: self.slot_length() / 2,
             on_request,
@@ -196,7 +196,7 @@
     }
 
     /// Marks a connection as ended. Its lease expires with the slot, and its entry is removed two slots later.
-    pub fn leave(&mut self, user: UserId) {
+    pub fn remove_dispatcher(&mut self, user: LeaseHolderId) {
         for user in self.users.iter_mut().filter(|u| u.id == user) {
             user.disconnected = true;
         }
@@ -208,7 +208,7 @@
     }
 
     /// Records work that has arrived. Work in excess of the leases is deducted from the next slots.
-    pub fn record_arrival(&mut self, user: Option<UserId>, work: f64) {
+    pub fn record_arrival(&mut self, user: Option<LeaseHolderId>, work: f64) {
         match self.users.iter_mut().find(|u| Some(u.id) == user) {
             Some(user) => user.arrived.current += work,
             None => self.unleased += work,
@@ -237,7 +237,7 @@
 
     /// Starts a slot and returns its leases. It must be called at [`WorkLedger::next_slot`]; missed slots are not made
     /// up for.
-    pub fn start_slot(&mut self, now: Micros) -> Vec<Grant> {
+    pub fn start_slot(&mut self, now: Micros) -> Vec<Lease> {
         if now < self.next_slot() || self.is_over(now) {
             return Vec::new();
         }
@@ -266,7 +266,7 @@
     /// Divides the bucket among the connections. If it is too small for all, they take turns and each gets the work of
     /// a complete request, because a partial request cannot be sent. The others get an empty lease: a dispatcher
     /// without a lease would fall back on its own estimate.
-    fn grant_slot(&mut self, now: Micros) -> Vec<Grant> {
+    fn grant_slot(&mut self, now: Micros) -> Vec<Lease> {
         let duration = self.slot_length();
         let on_request = self.grants_on_request(now);
         let sharing = self
@@ -292,8 +292,8 @@
                 served = n + 1;
             }
             user.granted.current = work;
-            grants.push(Grant {
-                user: user.id,
+            grants.push(Lease {
+                holder: user.id,
                 work,
                 duration,
                 on_request,
--- a/crates/cache-host/src/lease/tests.rs
+++ b/crates/cache-host/src/lease/tests.rs
@@ -20,18 +20,18 @@
     users: u64,
     largest_request: f64,
     change_membership: impl Fn(&mut WorkLedger, u64),
-) -> (f64, BTreeMap<UserId, f64>) {
+) -> (f64, BTreeMap<LeaseHolderId, f64>) {
     let mut ledger = WorkLedger::new(RULE, 6.29, 0, largest_request);
     for user in 0..users {
-        ledger.join(user, false);
+        ledger.add_dispatcher(user, false);
     }
     let mut sent: Vec<(Micros, f64)> = Vec::new();
-    let mut work_by_user: BTreeMap<UserId, f64> = BTreeMap::new();
+    let mut work_by_user: BTreeMap<LeaseHolderId, f64> = BTreeMap::new();
     let mut round = 0;
     let mut in_transit = Vec::new();
     while !ledger.is_over(ledger.next_slot()) {
         let now = ledger.next_slot();
-        in_transit.retain(|(at, user, work): &(Micros, UserId, f64)| {
+        in_transit.retain(|(at, user, work): &(Micros, LeaseHolderId, f64)| {
             if *at < now {
                 ledger.record_arrival(Some(*user), *work);
             }
@@ -45,8 +45,8 @@
                 2 * grant.duration - 1
             };
             sent.push((now + delay, grant.work));
-            in_transit.push((now + delay, grant.user, grant.work));
-            *work_by_user.entry(grant.user).or_default() += grant.work;
+            in_transit.push((now + delay, grant.holder, grant.work));
+            *work_by_user.entry(grant.holder).or_default() += grant.work;
         }
         change_membership(&mut ledger, round);
         round += 1;
@@ -102,11 +102,14 @@
     for (sum, users) in [(&mut alone, 1), (&mut with_idle, 8)] {
         let mut ledger = WorkLedger::new(RULE, 6.29, 0, 0.1);
         for user in 0..users {
-            ledger.join(user, false);
+            ledger.add_dispatcher(user, false);
         }
         for _ in 0..64 {
             let grants = ledger.start_slot(ledger.next_slot());
-            let work_of_first = grants.iter().find(|g| g.user == 0).map_or(0.0, |g| g.work);
+            let work_of_first = grants
+                .iter()
+                .find(|g| g.holder == 0)
+                .map_or(0.0, |g| g.work);
             ledger.record_arrival(Some(0), work_of_first);
             *sum += work_of_first;
         }
@@ -120,12 +123,12 @@
 #[test]
 fn frequent_reconnects_stay_within_window_budget() {
     let (max_share, _) = worst_case(3, 0.4, |ledger, round| {
-        ledger.leave(round % 3);
-        ledger.join(100 + round, false);
+        ledger.remove_dispatcher(round % 3);
+        ledger.add_dispatcher(100 + round, false);
         if round > 4 {
-            ledger.leave(100 + round - 4);
+            ledger.remove_dispatcher(100 + round - 4);
         }
-        ledger.join(round % 3, false);
+        ledger.add_dispatcher(round % 3, false);
     });
     assert!(max_share <= 1.0, "sent {max_share:.3} of a window's budget");
 }
@@ -133,21 +136,21 @@
 #[test]
 fn membership_change_takes_effect_with_next_slot() {
     let mut ledger = WorkLedger::new(RULE, 60.0, 0, 0.1);
-    ledger.join(1, false);
-    ledger.join(2, false);
+    ledger.add_dispatcher(1, false);
+    ledger.add_dispatcher(2, false);
     let first_leases = ledger.start_slot(ledger.next_slot());
     assert_eq!(first_leases.len(), 2);
-    ledger.leave(1);
-    assert_eq!(ledger.join(3, false).work, 0.0);
+    ledger.remove_dispatcher(1);
+    assert_eq!(ledger.add_dispatcher(3, false).work, 0.0);
     let next_leases = ledger.start_slot(ledger.next_slot());
-    let users: Vec<UserId> = next_leases.iter().map(|g| g.user).collect();
+    let users: Vec<LeaseHolderId> = next_leases.iter().map(|g| g.holder).collect();
     assert_eq!(users, [2, 3]);
 }
 
 #[test]
 fn excess_work_is_deducted_from_later_slots() {
     let mut ledger = WorkLedger::new(RULE, 6.29, 0, 0.1);
-    ledger.join(1, false);
+    ledger.add_dispatcher(1, false);
     let sum = |l: &mut WorkLedger| {
         l.start_slot(l.next_slot())
             .iter()
@@ -170,7 +173,7 @@
 #[test]
 fn request_larger_than_budget_waits_until_host_is_warm_enough() {
     let mut ledger = WorkLedger::new(RULE, 1.0, 0, 1.0);
-    ledger.join(1, false);
+    ledger.add_dispatcher(1, false);
     let mut first = None;
     while first.is_none() && !ledger.is_over(ledger.next_slot()) {
         let now = ledger.next_slot();
@@ -195,7 +198,7 @@
         println!("seed {seed}");
         let mut rng = rand::rngs::StdRng::seed_from_u64(seed);
         let mut ledger = WorkLedger::new(RULE, 3.0, 0, 0.15);
-        (0..200).for_each(|user| assert!(user < 2 || ledger.join(user, true).on_request));
+        (0..200).for_each(|user| assert!(user < 2 || ledger.add_dispatcher(user, true).on_request));
         let (mut now, mut sent, mut requests_in_transit) =
             (0, Vec::<(Micros, f64)>::new(), Vec::new());
         let mut requested = 0.0;
@@ -208,7 +211,7 @@
                     .iter()
                     .all(|g| g.work == 0.0 && g.on_request));
             }
-            requests_in_transit.retain(|(at, user, work): &(Micros, UserId, f64)| {
+            requests_in_transit.retain(|(at, user, work): &(Micros, LeaseHolderId, f64)| {
                 if *at <= now {
                     ledger.record_arrival(Some(*user), *work);
                 }
--- a/crates/cache-host/src/net/background.rs
+++ b/crates/cache-host/src/net/background.rs
@@ -14,7 +14,7 @@
     if !recover(&shared, store).await {
         return;
     }
-    for reason in store.doubts() {
+    for reason in store.recovery_damage() {
         tracing::warn!(reason, "store recovery found damage");
     }
     loop {
@@ -72,7 +72,7 @@
     }
     let mut leases = Vec::new();
     for grant in warm_up.ledger.start_slot(now) {
-        if let Some(connection) = warm_up.connections.get(&grant.user) {
+        if let Some(connection) = warm_up.connections.get(&grant.holder) {
             leases.push((connection.clone(), lease_head(&grant)));
         }
     }
--- a/crates/cache-host/src/net/cached_response.rs
+++ b/crates/cache-host/src/net/cached_response.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use pointspindle::Micros;
 use pointspindle_protocol::{ResponseHead, WireCacheStatus, WireStatus};
-use pointspindle_store::{Found, Meta};
+use pointspindle_store::{Meta, StoredCopy};
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 
@@ -15,14 +15,14 @@
 
 /// Reads the selected bytes of a stored copy block by block.
 struct BlockReader {
-    found: Arc<Found>,
+    found: Arc<StoredCopy>,
     block_bytes: u64,
     position: u64,
     end: u64,
 }
 
 impl BlockReader {
-    fn new(found: Found, block_bytes: u64, selection: &ByteSelection) -> Self {
+    fn new(found: StoredCopy, block_bytes: u64, selection: &ByteSelection) -> Self {
         Self {
             found: Arc::new(found),
             block_bytes,
@@ -37,7 +37,7 @@
 
     /// Returns the block with this number, from memory or from disk.
     async fn read_block(&self, number: usize) -> Result<Bytes, String> {
-        if let Some(bytes) = self.found.in_memory(number) {
+        if let Some(bytes) = self.found.cached_block(number) {
             return Ok(bytes);
         }
         let found = self.found.clone();
@@ -64,7 +64,7 @@
 }
 
 impl Request {
-    fn cached_head(&self, found: &Found, status: WireCacheStatus) -> ResponseHead {
+    fn cached_head(&self, found: &StoredCopy, status: WireCacheStatus) -> ResponseHead {
         let age_us = self.shared.age(&found.meta);
         let lifetime = declared_freshness_lifetime(&found.meta);
         ResponseHead {
@@ -83,7 +83,7 @@
     pub(super) async fn serve_cached(
         &self,
         mut responder: Responder,
-        found: Found,
+        found: StoredCopy,
         status: WireCacheStatus,
     ) -> Outcome {
         let (head, selection) = select_bytes(self.cached_head(&found, status), &self.head);
--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -1,7 +1,7 @@
 //! Accepted connections. Dispatchers and other hosts send requests, and operators send purges.
 use super::host_state::Shared;
 use super::request;
-use crate::lease::UserId;
+use crate::lease::LeaseHolderId;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{
     AckHead, ErrorHead, Frame, HelloHead, LeaseHead, ProbeHead, PurgeHead, RequestHead, WireStatus,
@@ -90,7 +90,7 @@
     role: ListenerRole,
     requests: JoinSet<()>,
     /// The peer's number in the work ledger, if it is a dispatcher that is registered for work leases.
-    lease_user: Option<UserId>,
+    lease_user: Option<LeaseHolderId>,
 }
 
 impl Drop for Connection {
--- a/crates/cache-host/src/net/fill_task.rs
+++ b/crates/cache-host/src/net/fill_task.rs
@@ -160,7 +160,7 @@
         }
         let mut store_fill = store_fill.filter(|_| is_stored);
         if let Some(store_fill) = &mut store_fill {
-            store_fill.describe(meta);
+            store_fill.set_meta(meta);
         }
         head.range_first = None;
         active.stream.head(head);
--- a/crates/cache-host/src/net/host.rs
+++ b/crates/cache-host/src/net/host.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the counters since the start of the host.
-    pub fn counts(&self) -> HostCounters {
+    pub fn counters(&self) -> HostCounters {
         self.shared.counters()
     }
 
@@ -155,7 +155,7 @@
             block: settings.block_bytes,
             memory: settings.memory_bytes,
         };
-        let folder = Arc::new(Folder::lock(&settings.path)?);
+        let folder = Arc::new(Folder::open_locked(&settings.path)?);
         Store::open(folder, options, clock.steady_ms())
     };
     tokio::task::spawn_blocking(opening)
--- a/crates/cache-host/src/net/host_state.rs
+++ b/crates/cache-host/src/net/host_state.rs
@@ -4,12 +4,12 @@
 use crate::fill_table::{
     CacheRequest, CachedCopy, FillId, FillTable, QueuedFill, RequestDecision, WaiterId,
 };
-use crate::lease::{Grant, UserId, WorkLedger};
+use crate::lease::{Lease, LeaseHolderId, WorkLedger};
 use pointspindle::Micros;
 use pointspindle_clock::WallClock;
 use pointspindle_config::CacheHostSettings;
 use pointspindle_protocol::{HelloHead, LeaseHead, LoadReport, PurgeHead};
-use pointspindle_store::{Found, Key, Meta, Store, What};
+use pointspindle_store::{Key, Meta, PurgeScope, Store, StoredCopy};
 use pointspindle_transport::FramedConnection;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -75,7 +75,7 @@
 /// Work leases of a host that has started with an empty store.
 pub(super) struct WarmUp {
     pub ledger: WorkLedger,
-    pub connections: HashMap<UserId, FramedConnection>,
+    pub connections: HashMap<LeaseHolderId, FramedConnection>,
 }
 
 /// State behind the lock of [`Shared`].
@@ -87,7 +87,7 @@
     waiting: HashMap<WaiterId, WaitingRequest>,
     /// Work leases; `None` if the host started warm or has warmed up.
     pub warm_up: Option<WarmUp>,
-    last_user_id: UserId,
+    last_user_id: LeaseHolderId,
     counters: HostCounters,
     /// Moving average over the responses.
     hit_ratio: f64,
@@ -123,12 +123,12 @@
     pub hello: HelloHead,
 }
 
-/// Converts a grant to the lease frame that is sent.
-pub(super) fn lease_head(grant: &Grant) -> LeaseHead {
+/// Converts a lease to the frame that is sent.
+pub(super) fn lease_head(lease: &Lease) -> LeaseHead {
     LeaseHead {
-        work_us: (grant.work * 1e6).round() as u64,
-        duration_us: grant.duration,
-        on_request: grant.on_request,
+        work_us: (lease.work * 1e6).round() as u64,
+        duration_us: lease.duration,
+        on_request: lease.on_request,
         in_reply: false,
     }
 }
@@ -263,7 +263,7 @@
 /// Access to the store.
 impl Shared {
     /// Returns the stored copy with this key. Blocks on the store.
-    pub fn stored_copy(&self, key: &Key) -> Option<Found> {
+    pub fn stored_copy(&self, key: &Key) -> Option<StoredCopy> {
         self.store.as_ref()?.get(key)
     }
 
@@ -281,8 +281,8 @@
     pub async fn purge(&self, head: &PurgeHead) -> Result<usize, String> {
         self.stop_coalescing(head);
         let scope = match &head.object {
-            Some(object) => What::Object(object.clone()),
-            None => What::Group(head.group),
+            Some(object) => PurgeScope::Object(object.clone()),
+            None => PurgeScope::Group(head.group),
         };
         let Some(store) = self.store.clone() else {
             return Ok(0);
@@ -297,7 +297,7 @@
         let object = purge
             .object
             .as_deref()
-            .map(pointspindle_store::record::object_number);
+            .map(pointspindle_store::record::object_hash);
         let is_purged = |target: &FillTarget| match object {
             Some(object) => target.key.object == object,
             None => target.group == purge.group,
@@ -328,25 +328,28 @@
         &self,
         connection: &FramedConnection,
         requests_work: bool,
-    ) -> Option<(UserId, LeaseHead)> {
+    ) -> Option<(LeaseHolderId, LeaseHead)> {
         let mut state = self.lock();
         state.last_user_id += 1;
         let user = state.last_user_id;
         let warm_up = state.warm_up.as_mut()?;
         warm_up.connections.insert(user, connection.clone());
-        Some((user, lease_head(&warm_up.ledger.join(user, requests_work))))
+        Some((
+            user,
+            lease_head(&warm_up.ledger.add_dispatcher(user, requests_work)),
+        ))
     }
 
     /// Ends the leases of a dispatcher.
-    pub fn remove_dispatcher(&self, user: UserId) {
+    pub fn remove_dispatcher(&self, user: LeaseHolderId) {
         if let Some(warm_up) = &mut self.lock().warm_up {
-            warm_up.ledger.leave(user);
+            warm_up.ledger.remove_dispatcher(user);
             warm_up.connections.remove(&user);
         }
     }
 
     /// Counts a request of a dispatcher against its lease.
-    pub fn record_work(&self, user: UserId, class: &str) {
+    pub fn record_work(&self, user: LeaseHolderId, class: &str) {
         if let Some(warm_up) = &mut self.lock().warm_up {
             let class = self.settings.classes.iter().find(|c| c.name == class);
             let work = class.map_or(0.0, |c| c.mean_send_time_us as f64 / 1e6);
@@ -355,7 +358,7 @@
     }
 
     /// Returns the lease for a work request; `None` if the host is warm.
-    pub fn lease_work(&self, user: UserId, work_us: u64) -> Option<LeaseHead> {
+    pub fn lease_work(&self, user: LeaseHolderId, work_us: u64) -> Option<LeaseHead> {
         let now = self.now();
         let mut state = self.lock();
         let ledger = &mut state.warm_up.as_mut()?.ledger;
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -6,7 +6,7 @@
 use pointspindle::Micros;
 use pointspindle_config::{CacheClass, Role};
 use pointspindle_protocol::{ErrorHead, RequestHead, ResponseHead, WireCacheStatus, WireStatus};
-use pointspindle_store::{Found, Key, Meta};
+use pointspindle_store::{Key, Meta, StoredCopy};
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 use std::time::Duration;
@@ -152,7 +152,7 @@
     }
 
     /// Returns the stored copy of the requested object.
-    pub async fn find_copy(&self, uncacheable: bool) -> Option<Found> {
+    pub async fn find_copy(&self, uncacheable: bool) -> Option<StoredCopy> {
         if uncacheable || self.shared.store.is_none() {
             return None;
         }
@@ -225,7 +225,7 @@
         }
     }
 
-    fn cache_request(&self, class: &CacheClass, found: Option<&Found>) -> CacheRequest<Key> {
+    fn cache_request(&self, class: &CacheClass, found: Option<&StoredCopy>) -> CacheRequest<Key> {
         let settings = &self.shared.settings;
         let class_lifetime = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
         let declared_lifetime = found.and_then(|found| declared_freshness_lifetime(&found.meta));
@@ -322,5 +322,5 @@
     pub request: CacheRequest<Key>,
     pub uncacheable: bool,
     /// The stored copy that may be revalidated.
-    pub found: Option<Found>,
+    pub found: Option<StoredCopy>,
 }
--- a/crates/cache-host/tests/service/main.rs
+++ b/crates/cache-host/tests/service/main.rs
@@ -132,13 +132,13 @@
     );
     // The origin confirms the copy through the parent, whose copy is equally stale.
     let mut polls = 0;
-    while tiers.edge.counts().renewed == 0 {
+    while tiers.edge.counters().renewed == 0 {
         get(&edge, stale_request(true)).await.unwrap();
         polls += 1;
         assert!(
             polls < 300,
             "the copy was not renewed: {:?}",
-            tiers.edge.counts()
+            tiers.edge.counters()
         );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
--- a/crates/cli/src/commands/cache.rs
+++ b/crates/cli/src/commands/cache.rs
@@ -29,7 +29,7 @@
         _ = terminate.recv() => {}
         _ = tokio::signal::ctrl_c() => {}
     }
-    tracing::info!(counts = ?host.counts(), store = ?host.store(), "cache host stops");
+    tracing::info!(counts = ?host.counters(), store = ?host.store(), "cache host stops");
     if !host.stop().await {
         return Err(CommandError::CannotRun(
             "shutdown timed out before all requests were answered".into(),
--- a/crates/cli/src/commands/store.rs
+++ b/crates/cli/src/commands/store.rs
@@ -40,7 +40,7 @@
         StoreCommand::Check { folder } => {
             let report = read(&folder, Depth::Blocks)?;
             store_report::print_check(&folder, &report);
-            negative_if(!report.wrong.is_empty())
+            negative_if(!report.faults.is_empty())
         }
         StoreCommand::List { folder } => {
             store_report::print_copies(&read(&folder, Depth::Index)?);
@@ -56,6 +56,6 @@
 fn read(folder: &Path, depth: Depth) -> Result<Report, CommandError> {
     let with_folder =
         |error: std::io::Error| CommandError::CannotRun(format!("{}: {error}", folder.display()));
-    let opened = Folder::look(folder).map_err(with_folder)?;
+    let opened = Folder::open_read_only(folder).map_err(with_folder)?;
     check::check(&opened, depth == Depth::Blocks).map_err(with_folder)
 }
--- a/crates/cli/src/output/store_report.rs
+++ b/crates/cli/src/output/store_report.rs
@@ -9,8 +9,8 @@
 /// Prints all errors and a summary.
 pub fn print_check(folder: &Path, report: &Report) {
     let mut out = std::io::stdout().lock();
-    for wrong in &report.wrong {
-        let _ = writeln!(out, "{wrong}");
+    for fault in &report.faults {
+        let _ = writeln!(out, "{fault}");
     }
     let _ = writeln!(
         out,
@@ -19,7 +19,7 @@
         report.segments,
         report.copies.len(),
         report.blocks,
-        report.wrong.len()
+        report.faults.len()
     );
 }
 
--- a/crates/simulator/src/slow_start.rs
+++ b/crates/simulator/src/slow_start.rs
@@ -2,7 +2,7 @@
 use crate::event::{DispatcherIncarnation, Event};
 use crate::simulation::Simulation;
 use pointspindle::Micros;
-use pointspindle_cache_host::lease::UserId;
+use pointspindle_cache_host::lease::LeaseHolderId;
 use pointspindle_cache_model::HostId;
 use pointspindle_dispatcher::Input;
 use pointspindle_fleet_model::leases::lease_head;
@@ -39,7 +39,7 @@
         }
         let next_slot = ledger.next_slot();
         for grant in grants {
-            let dispatcher = self.dispatchers[grant.user as usize].identity;
+            let dispatcher = self.dispatchers[grant.holder as usize].identity;
             self.send_lease(dispatcher, host, lease_head(&grant));
         }
         self.events
@@ -49,7 +49,7 @@
     /// Grants a dispatcher its lease on a new connection, if the host is warming up.
     pub fn grant_first_lease(&mut self, dispatcher: usize, host: HostId) {
         if let Some(ledger) = self.work_ledgers.get_mut(&host) {
-            let grant = ledger.join(dispatcher as UserId, true);
+            let grant = ledger.add_dispatcher(dispatcher as LeaseHolderId, true);
             let endpoint = self.hosts.address(host);
             let lease = lease_head(&grant);
             self.core_input(dispatcher, Input::Lease { endpoint, lease });
@@ -85,7 +85,7 @@
         }
         let granted = match self.work_ledgers.get_mut(&host) {
             Some(ledger) => {
-                let user = dispatcher.dispatcher as UserId;
+                let user = dispatcher.dispatcher as LeaseHolderId;
                 lease_head(&ledger.request_work(self.now, user, work_us as f64 / 1e6))
             }
             None => LeaseHead {
@@ -133,7 +133,10 @@
             Some(class) => class.mean_bytes / self.scenario.network.bytes_per_s,
             None => 0.0,
         };
-        ledger.record_arrival(dispatcher.map(|dispatcher| dispatcher as UserId), work_s);
+        ledger.record_arrival(
+            dispatcher.map(|dispatcher| dispatcher as LeaseHolderId),
+            work_s,
+        );
     }
 
     /// Ends all leases of a host that has lost its connections; removes the ledger if the host's process has ended.
@@ -142,7 +145,7 @@
             self.work_ledgers.remove(&host);
         } else if let Some(ledger) = self.work_ledgers.get_mut(&host) {
             for dispatcher in 0..self.dispatchers.len() {
-                ledger.leave(dispatcher as UserId);
+                ledger.remove_dispatcher(dispatcher as LeaseHolderId);
             }
         }
     }
@@ -150,7 +153,7 @@
     /// Removes a dispatcher whose process has ended from all ledgers.
     pub fn remove_from_work_ledgers(&mut self, dispatcher: usize) {
         for ledger in self.work_ledgers.values_mut() {
-            ledger.leave(dispatcher as UserId);
+            ledger.remove_dispatcher(dispatcher as LeaseHolderId);
         }
     }
 }
--- a/crates/store/benches/store.rs
+++ b/crates/store/benches/store.rs
@@ -67,7 +67,7 @@
         block: 64 << 10,
         memory: 64 << 20,
     };
-    let store = Store::open(Arc::new(Folder::lock(folder).unwrap()), options, 1).unwrap();
+    let store = Store::open(Arc::new(Folder::open_locked(folder).unwrap()), options, 1).unwrap();
     store.recover_all(1).unwrap();
     SegmentStore(store)
 }
@@ -93,7 +93,7 @@
     }
 
     fn purge(&mut self, group: u64) {
-        self.0.purge(&What::Group(group)).unwrap();
+        self.0.purge(&PurgeScope::Group(group)).unwrap();
     }
 }
 
--- a/crates/store/src/check.rs
+++ b/crates/store/src/check.rs
@@ -33,7 +33,7 @@
     /// Live copies, in the order of their keys.
     pub copies: Vec<Copy>,
     /// Descriptions of the faults found, with file and position where they are known.
-    pub wrong: Vec<String>,
+    pub faults: Vec<String>,
 }
 
 /// Checks every segment, summary and commit record of the folder. With `verify_blocks`, also reads every block
@@ -50,7 +50,7 @@
     let mut index = Index::default();
     while recovery.step_read_only(disk, &mut index)? {}
     report
-        .wrong
+        .faults
         .extend(recovery.invalidation_reasons.iter().cloned());
     for key in index.keys() {
         if let Some(entry) = index.get(&key) {
@@ -65,7 +65,7 @@
         let is_segment = segments::segment_number(name).is_some();
         if !is_segment && !name.ends_with(".sum") {
             report
-                .wrong
+                .faults
                 .push(format!("{name}: unexpected file in a store folder"));
         }
     }
@@ -78,7 +78,7 @@
     report.bytes += file.len()?;
     let Some(scan) = segments::scan(number, &*file)? else {
         report
-            .wrong
+            .faults
             .push(format!("{name}: segment header is missing or invalid"));
         return Ok(());
     };
@@ -90,7 +90,7 @@
         };
         let end = scan.end;
         report
-            .wrong
+            .faults
             .push(format!("{name}: no intact record at byte {end}{note}"));
     }
     for located in &scan.located {
@@ -116,10 +116,10 @@
     };
     match segments::read_summary(number, &read_all(&*summary)?) {
         Some((_, records)) if records == located => {}
-        Some(_) => report.wrong.push(format!(
+        Some(_) => report.faults.push(format!(
             "{name}: summary does not match the records of the segment"
         )),
-        None => report.wrong.push(format!(
+        None => report.faults.push(format!(
             "{name}: summary is invalid: wrong header, checksum or record"
         )),
     }
@@ -141,7 +141,7 @@
     let record = read_at(disk, segment, offset, len)?;
     let commit: Option<Commit> = prost::Message::decode(&record[RECORD_HEADER_BYTES..]).ok();
     let Some(meta) = commit.and_then(|commit| commit.meta) else {
-        report.wrong.push(format!(
+        report.faults.push(format!(
             "{}: commit record at byte {offset} cannot be decoded",
             segments::segment_name(segment)
         ));
@@ -167,7 +167,7 @@
         if !is_intact {
             let name = segments::segment_name(location.segment);
             let offset = location.offset;
-            report.wrong.push(format!(
+            report.faults.push(format!(
                 "{name}: block {block} of {object} at byte {offset} cannot be read or does not match its checksum"
             ));
         }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -50,7 +50,7 @@
 
 impl Folder {
     /// Opens the folder for writing and creates it if needed. Fails if another process holds the lock.
-    pub fn lock(path: &Path) -> Result<Self> {
+    pub fn open_locked(path: &Path) -> Result<Self> {
         std::fs::create_dir_all(path)?;
         let lock = OpenOptions::new()
             .create(true)
@@ -73,7 +73,7 @@
     }
 
     /// Opens the folder read-only, even while another process holds the lock.
-    pub fn look(path: &Path) -> Result<Self> {
+    pub fn open_read_only(path: &Path) -> Result<Self> {
         std::fs::read_dir(path)?;
         Ok(Self {
             path: path.into(),
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -31,4 +31,4 @@
 
 pub use disk::{Disk, Folder};
 pub use record::{Key, Meta};
-pub use store::{Fill, Found, Options, ReadError, Stats, Store, StoreError, What};
+pub use store::{Fill, Options, PurgeScope, ReadError, Stats, Store, StoreError, StoredCopy};
--- a/crates/store/src/record.rs
+++ b/crates/store/src/record.rs
@@ -84,7 +84,7 @@
 }
 
 /// Returns the 128-bit hash that identifies an object's name in keys and purges.
-pub fn object_number(object: &str) -> u128 {
+pub fn object_hash(object: &str) -> u128 {
     let hash = blake3::hash(object.as_bytes());
     let mut prefix = [0; 16];
     prefix.copy_from_slice(&hash.as_bytes()[..16]);
@@ -134,10 +134,10 @@
     pub fn key(&self) -> Key {
         let variant = match self.variant.as_str() {
             "" => 0,
-            variant => object_number(variant) as u64 | 1,
+            variant => object_hash(variant) as u64 | 1,
         };
         Key {
-            object: object_number(&self.object),
+            object: object_hash(&self.object),
             part: self.part,
             variant,
         }
--- a/crates/store/src/store/fill.rs
+++ b/crates/store/src/store/fill.rs
@@ -26,7 +26,7 @@
 
 impl Fill {
     /// Replaces the metadata. Must be called before the first byte is written.
-    pub fn describe(&mut self, meta: Meta) {
+    pub fn set_meta(&mut self, meta: Meta) {
         self.meta = meta;
     }
 
--- a/crates/store/src/store/found.rs
+++ b/crates/store/src/store/found.rs
@@ -3,7 +3,7 @@
 
 /// A stored copy, open for reading. It holds the segment files open, so that the body can be read to the end even if the copy is purged,
 /// evicted or moved in the meantime.
-pub struct Found {
+pub struct StoredCopy {
     /// Metadata from the commit record.
     pub meta: Meta,
     /// Sequence number of the commit record.
@@ -14,20 +14,20 @@
     pub(super) files: BTreeMap<u32, Arc<dyn DiskFile>>,
 }
 
-impl std::fmt::Debug for Found {
+impl std::fmt::Debug for StoredCopy {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "Found {:?}", self.meta)
+        write!(f, "StoredCopy {:?}", self.meta)
     }
 }
 
-impl Found {
+impl StoredCopy {
     /// Returns the number of blocks of the body.
     pub fn blocks(&self) -> usize {
         self.locations.len()
     }
 
     /// Returns a block if it is in the block cache.
-    pub fn in_memory(&self, block: usize) -> Option<Bytes> {
+    pub fn cached_block(&self, block: usize) -> Option<Bytes> {
         let location = self.locations.get(block)?;
         self.store
             .0
@@ -74,7 +74,7 @@
 
 impl Store {
     /// Returns the copy if it is stored and its segments have been recovered. The lookup counts as a use for eviction.
-    pub fn get(&self, key: &Key) -> Option<Found> {
+    pub fn get(&self, key: &Key) -> Option<StoredCopy> {
         let (entry, files) = {
             let mut inner = self.inner();
             let entry = inner.index.touch(key)?.clone();
@@ -98,7 +98,7 @@
                 .ok()?
                 .meta
                 .filter(|m| m.key() == *key)?;
-            Some(Found {
+            Some(StoredCopy {
                 meta,
                 seq: entry.seq,
                 store: self.clone(),
@@ -125,7 +125,7 @@
 
     /// Replaces the metadata of a copy that was revalidated; its blocks stay. Returns false if the copy has been replaced or removed in
     /// the meantime, or if `meta` has another key.
-    pub fn renew(&self, found: &Found, meta: Meta, wall_ms: u64) -> Result<bool, StoreError> {
+    pub fn renew(&self, found: &StoredCopy, meta: Meta, wall_ms: u64) -> Result<bool, StoreError> {
         let mut inner = self.inner();
         let Some(entry) = inner
             .index
--- a/crates/store/src/store/mod.rs
+++ b/crates/store/src/store/mod.rs
@@ -14,9 +14,9 @@
 
 pub use error::{ReadError, StoreError};
 pub use fill::Fill;
-pub use found::Found;
+pub use found::StoredCopy;
 pub use options::Options;
-pub use purge::What;
+pub use purge::PurgeScope;
 pub use stats::Stats;
 
 use clock::Clock;
--- a/crates/store/src/store/purge.rs
+++ b/crates/store/src/store/purge.rs
@@ -3,7 +3,7 @@
 
 /// Scope of a purge.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum PurgeScope {
     /// All parts and variants of the object with this name.
     Object(String),
     /// All objects of a purge group.
@@ -16,7 +16,7 @@
     /// Removes the copies in scope from the index and returns their number. On success the purge is durable: no copy committed before
     /// it is served again, even after a crash. On an error the copies are removed from the index as well, but may be recovered after a
     /// crash.
-    pub fn purge(&self, scope: &What) -> Result<usize, StoreError> {
+    pub fn purge(&self, scope: &PurgeScope) -> Result<usize, StoreError> {
         let mut inner = self.inner();
         let (purge, keys) = select_for_purge(&inner, scope);
         for key in &keys {
@@ -76,25 +76,25 @@
 }
 
 /// Returns the purge record for a scope and the keys of the copies in it.
-fn select_for_purge(inner: &Inner, scope: &What) -> (Purge, Vec<Key>) {
+fn select_for_purge(inner: &Inner, scope: &PurgeScope) -> (Purge, Vec<Key>) {
     let mut purge = Purge {
         up_to_seq: inner.seq,
         ..Purge::default()
     };
     let keys = match scope {
-        What::Object(name) => {
-            let object = record::object_number(name);
+        PurgeScope::Object(name) => {
+            let object = record::object_hash(name);
             purge.object_low = object as u64;
             purge.object_high = (object >> 64) as u64;
             purge.of_object = true;
             inner.index.keys_of_object(object)
         }
-        What::Group(group) => {
+        PurgeScope::Group(group) => {
             purge.group = *group;
             purge.of_group = true;
             inner.index.keys_of_group(*group)
         }
-        What::All => inner.index.keys(),
+        PurgeScope::All => inner.index.keys(),
     };
     (purge, keys)
 }
--- a/crates/store/src/store/recovery.rs
+++ b/crates/store/src/store/recovery.rs
@@ -116,7 +116,7 @@
     }
 
     /// Returns the damage found so far for which recovery treats older copies as purged; empty once recovery is complete.
-    pub fn doubts(&self) -> Vec<String> {
+    pub fn recovery_damage(&self) -> Vec<String> {
         self.inner()
             .recovery
             .as_ref()
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -26,12 +26,12 @@
 }
 
 impl Model {
-    fn purge(&mut self, scope: &What) {
+    fn purge(&mut self, scope: &PurgeScope) {
         for object in 0..OBJECTS {
             let covered = match scope {
-                What::Object(name) => *name == format!("/o/{object}"),
-                What::Group(group) => object % GROUPS == *group,
-                What::All => true,
+                PurgeScope::Object(name) => *name == format!("/o/{object}"),
+                PurgeScope::Group(group) => object % GROUPS == *group,
+                PurgeScope::All => true,
             };
             if covered {
                 self.purged.insert(object, self.purges);
@@ -111,7 +111,7 @@
             fill.write(piece)?;
         }
         if is_purged_during_fill {
-            self.purge(What::Group(object % GROUPS))?;
+            self.purge(PurgeScope::Group(object % GROUPS))?;
         }
         // The version is recorded before its commit: an unacknowledged commit may still be durable.
         self.model
@@ -138,7 +138,7 @@
         }
     }
 
-    fn purge(&mut self, scope: What) -> Result<(), StoreError> {
+    fn purge(&mut self, scope: PurgeScope) -> Result<(), StoreError> {
         self.model.purges += 1;
         self.store.purge(&scope)?;
         self.model.purge(&scope);
@@ -154,13 +154,13 @@
             },
             55..=59 => {
                 let object = self.rng.gen_range(0..OBJECTS);
-                self.purge(What::Object(format!("/o/{object}")))
+                self.purge(PurgeScope::Object(format!("/o/{object}")))
             }
             60..=62 => {
                 let group = self.rng.gen_range(0..GROUPS);
-                self.purge(What::Group(group))
+                self.purge(PurgeScope::Group(group))
             }
-            63 if self.rng.gen_bool(0.2) => self.purge(What::All),
+            63 if self.rng.gen_bool(0.2) => self.purge(PurgeScope::All),
             64..=69 => {
                 self.store.sync()?;
                 self.model.synced = self.model.committed.clone();
@@ -293,7 +293,9 @@
         fill.commit(1_000).unwrap();
         store.sync().unwrap();
         if purged {
-            store.purge(&What::Object(format!("/o/{object}"))).unwrap();
+            store
+                .purge(&PurgeScope::Object(format!("/o/{object}")))
+                .unwrap();
         }
     }
     let recovered = Store::open(Arc::new(disk.after_crash(|| false)), OPTIONS, 1_000).unwrap();
--- a/crates/store/tests/faults.rs
+++ b/crates/store/tests/faults.rs
@@ -26,7 +26,7 @@
             fill.write(&body(object, 3)).unwrap();
             fill.commit(1_000).unwrap();
         }
-        store.purge(&What::Object("/o/1".into())).unwrap();
+        store.purge(&PurgeScope::Object("/o/1".into())).unwrap();
         if rng.gen() {
             store.close().unwrap();
         }
@@ -63,7 +63,7 @@
         }
         let report = check::check(&disk, true).unwrap();
         assert!(
-            !report.wrong.is_empty(),
+            !report.faults.is_empty(),
             "seed {seed}: the check does not report a flipped bit in {name}"
         );
     }
@@ -83,7 +83,7 @@
     };
     fill(2);
     store.close().unwrap();
-    store.purge(&What::Object("/o/2".into())).unwrap();
+    store.purge(&PurgeScope::Object("/o/2".into())).unwrap();
     store.close().unwrap();
     fill(5);
     store.close().unwrap();
@@ -194,19 +194,19 @@
         "a stored copy is not served while writes fail"
     );
     // A purge on a full disk still removes the copy.
-    let _ = store.purge(&What::Object("/o/1".into()));
+    let _ = store.purge(&PurgeScope::Object("/o/1".into()));
     assert!(store.get(&meta(1, 1).key()).is_none());
 
     let folder = tempfile::tempdir().unwrap();
-    let first = Folder::lock(folder.path()).unwrap();
-    let error = Folder::lock(folder.path()).unwrap_err().to_string();
+    let first = Folder::open_locked(folder.path()).unwrap();
+    let error = Folder::open_locked(folder.path()).unwrap_err().to_string();
     assert!(
         error.contains("folder is locked by another process"),
         "{error}"
     );
-    assert!(Folder::look(folder.path()).is_ok());
+    assert!(Folder::open_read_only(folder.path()).is_ok());
     drop(first);
-    Folder::lock(folder.path()).unwrap();
+    Folder::open_locked(folder.path()).unwrap();
 }
 
 /// Writes or fsyncs fail, and so do the truncations after them. Once the disk works again, the store accepts writes, and these survive a
@@ -246,7 +246,7 @@
         }
         fill(&store, 3)
             .unwrap_or_else(|e| panic!("write refused although the disk works again: {e}"));
-        store.purge(&What::Object("/o/1".into())).unwrap();
+        store.purge(&PurgeScope::Object("/o/1".into())).unwrap();
         store.sync().unwrap();
         for store in [
             store,
--- a/crates/store/tests/format.rs
+++ b/crates/store/tests/format.rs
@@ -43,9 +43,9 @@
 #[test]
 fn folder_of_earlier_build_is_served_without_purged_objects() {
     let folder = copy_of_fixture();
-    let disk = Folder::lock(folder.path()).unwrap();
+    let disk = Folder::open_locked(folder.path()).unwrap();
     let report = check::check(&disk, true).unwrap();
-    assert_eq!(report.wrong, Vec::<String>::new());
+    assert_eq!(report.faults, Vec::<String>::new());
     assert_eq!(report.copies.len(), 4);
 
     let store = Store::open(Arc::new(disk), OPTIONS, 3_000).unwrap();
--- a/crates/testbed/src/emulated_hosts/attempt.rs
+++ b/crates/testbed/src/emulated_hosts/attempt.rs
@@ -4,7 +4,7 @@
 use super::model_driver::ArrivedJob;
 use crate::content::Body;
 use pointspindle_audit::trace::{AttemptOutcome, ClientAttemptId, TraceEvent};
-use pointspindle_cache_host::lease::UserId;
+use pointspindle_cache_host::lease::LeaseHolderId;
 use pointspindle_cache_model::{HostId, JobId, ModelInput, ModelRequest, ModelResponse};
 use pointspindle_protocol::{ErrorHead, RequestHead};
 use pointspindle_transport::{ConnectionError, FramedConnection, Responder};
@@ -23,7 +23,7 @@
     /// The host's address.
     pub address: String,
     pub dispatcher: Option<usize>,
-    pub lease_user: Option<UserId>,
+    pub lease_user: Option<LeaseHolderId>,
     pub connection: FramedConnection,
 }
 
--- a/crates/testbed/src/emulated_hosts/connection.rs
+++ b/crates/testbed/src/emulated_hosts/connection.rs
@@ -1,7 +1,7 @@
 //! Serves one connection to a host: runs its requests as attempts and answers its control frames.
 use super::attempt::{Attempt, AttemptOrigin};
 use super::hosts::EmulatedHosts;
-use pointspindle_cache_host::lease::UserId;
+use pointspindle_cache_host::lease::LeaseHolderId;
 use pointspindle_cache_model::HostId;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{Frame, HelloHead, ProbeHead, RequestHead};
@@ -20,7 +20,7 @@
     /// The dispatcher at the other end, if its source address is known.
     dispatcher: Option<usize>,
     framed: FramedConnection,
-    lease_user: Option<UserId>,
+    lease_user: Option<LeaseHolderId>,
 }
 
 impl Drop for HostConnection {
--- a/crates/testbed/src/emulated_hosts/hosts.rs
+++ b/crates/testbed/src/emulated_hosts/hosts.rs
@@ -2,7 +2,7 @@
 use super::options::EmulatedHostsOptions;
 use pointspindle::Micros;
 use pointspindle_audit::recorder::Recorder;
-use pointspindle_cache_host::lease::{UserId, WorkLedger};
+use pointspindle_cache_host::lease::{LeaseHolderId, WorkLedger};
 use pointspindle_cache_model::{
     CacheModel, ClassModel, FillId, HostId, JobId, ModelOutput, ModelResponse,
 };
@@ -48,7 +48,7 @@
     pub listeners: HashMap<HostId, AbortHandle>,
     /// Leases of the hosts that are warming up.
     pub leasing: HashMap<HostId, HostLeases>,
-    pub last_lease_user: UserId,
+    pub last_lease_user: LeaseHolderId,
     /// Buffer for the model's outputs, empty between inputs.
     pub outputs: Vec<ModelOutput>,
     last_job: JobId,
@@ -87,7 +87,7 @@
 /// The work ledger of a host and the connections of the dispatchers that use the ledger.
 pub(super) struct HostLeases {
     pub ledger: WorkLedger,
-    pub connections: HashMap<UserId, FramedConnection>,
+    pub connections: HashMap<LeaseHolderId, FramedConnection>,
 }
 
 impl State {
--- a/crates/testbed/src/emulated_hosts/leases.rs
+++ b/crates/testbed/src/emulated_hosts/leases.rs
@@ -1,7 +1,7 @@
 //! Grants work leases for hosts that are warming up.
 use super::hosts::EmulatedHosts;
 use pointspindle::Micros;
-use pointspindle_cache_host::lease::{Grant, UserId};
+use pointspindle_cache_host::lease::{Lease, LeaseHolderId};
 use pointspindle_cache_model::HostId;
 use pointspindle_fleet_model::leases::lease_head;
 use pointspindle_protocol::{Frame, HelloHead, LeaseHead};
@@ -14,7 +14,7 @@
 
 /// A dispatcher's user number in the host's ledger and its first lease.
 pub(super) struct JoinedUser {
-    pub user: UserId,
+    pub user: LeaseHolderId,
     pub lease: LeaseHead,
 }
 
@@ -51,7 +51,7 @@
         let user = state.last_lease_user;
         let leasing = state.leasing.get_mut(&host)?;
         leasing.connections.insert(user, connection.clone());
-        let grant = leasing.ledger.join(user, requests_work);
+        let grant = leasing.ledger.add_dispatcher(user, requests_work);
         Some(JoinedUser {
             user,
             lease: lease_head(&grant),
@@ -59,7 +59,12 @@
     }
 
     /// Grants a dispatcher's work request, in microseconds of work. A host that is not warming up grants all of it.
-    pub(super) fn request_work(&self, host: HostId, user: UserId, work_us: u64) -> LeaseHead {
+    pub(super) fn request_work(
+        &self,
+        host: HostId,
+        user: LeaseHolderId,
+        work_us: u64,
+    ) -> LeaseHead {
         let mut state = self.lock();
         let now = self.now();
         let granted = match state.leasing.get_mut(&host) {
@@ -80,9 +85,9 @@
     }
 
     /// Removes a dispatcher from the users of a host's ledger.
-    pub(super) fn leave(&self, host: HostId, user: UserId) {
+    pub(super) fn leave(&self, host: HostId, user: LeaseHolderId) {
         if let Some(leasing) = self.lock().leasing.get_mut(&host) {
-            leasing.ledger.leave(user);
+            leasing.ledger.remove_dispatcher(user);
             leasing.connections.remove(&user);
         }
     }
@@ -101,8 +106,8 @@
         }
         let grants = leasing.ledger.start_slot(now);
         let connections = &leasing.connections;
-        let lease = |grant: &Grant| {
-            let connection = connections.get(&grant.user)?;
+        let lease = |grant: &Lease| {
+            let connection = connections.get(&grant.holder)?;
             Some((connection.clone(), lease_head(grant)))
         };
         Some(SlotGrants {
--- a/crates/testbed/src/emulated_hosts/model_driver.rs
+++ b/crates/testbed/src/emulated_hosts/model_driver.rs
@@ -4,7 +4,7 @@
 use super::leases;
 use pointspindle::Micros;
 use pointspindle_audit::trace::TraceEvent;
-use pointspindle_cache_host::lease::UserId;
+use pointspindle_cache_host::lease::LeaseHolderId;
 use pointspindle_cache_model::{FillId, HostId, JobId, ModelInput, ModelOutput, ModelRequest};
 use std::collections::HashMap;
 use std::sync::MutexGuard;
@@ -42,7 +42,7 @@
     pub(super) fn submit_request(
         &self,
         host: HostId,
-        user: Option<UserId>,
+        user: Option<LeaseHolderId>,
         request: ModelRequest,
     ) -> ArrivedJob {
         let (events, receiver) = mpsc::unbounded_channel();
