--- a/crates/cli/src/commands/endpoints.rs
+++ b/crates/cli/src/commands/endpoints.rs
@@ -4,7 +4,7 @@
 use crate::exit::CommandResult;
 use crate::output::endpoint_list::print_list;
 use pointspindle_clock::wall_clock_unix_ms;
-use pointspindle_etcd::layout::{MemberRecord, State};
+use pointspindle_etcd::layout::{EndpointState, MemberRecord};
 use pointspindle_protocol::{
     EndpointListForm, EndpointListHead, EndpointRecord, Frame, WireEndpointState,
 };
@@ -180,8 +180,8 @@
         change: &StateChange,
     ) -> Result<Option<MemberRecord>, StateChangeError> {
         let state = match change.state {
-            RequestedState::Ready => State::Ready,
-            RequestedState::Draining => State::Draining,
+            RequestedState::Ready => EndpointState::Ready,
+            RequestedState::Draining => EndpointState::Draining,
             RequestedState::Removed => return Ok(None),
         };
         let mut record = match existing {
--- a/crates/cli/src/commands/etcd_access.rs
+++ b/crates/cli/src/commands/etcd_access.rs
@@ -2,8 +2,8 @@
 use crate::exit::{CommandError, CommandResult};
 use crate::output::endpoint_list::endpoint_line;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
-use pointspindle_etcd::writer::{self, Promise};
-use pointspindle_etcd::{feed, Access, Etcd, Output, View, Watcher, WatcherSettings};
+use pointspindle_etcd::writer::{self, PurgePromise};
+use pointspindle_etcd::{feed, Etcd, EtcdAccess, Output, ViewFreshness, Watcher, WatcherSettings};
 use pointspindle_protocol::{EndpointListForm, EndpointListHead, EndpointRecord};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -43,10 +43,10 @@
     }
 
     fn open(&self) -> Result<Etcd, CommandError> {
-        let access = Access {
+        let access = EtcdAccess {
             endpoints: self.endpoints.clone(),
-            authority: self.authority.clone(),
-            identity: None,
+            ca_certificate: self.authority.clone(),
+            client_certificate: None,
             user: self.user.clone().zip(self.password_file.clone()),
         };
         Ok(Etcd::new(&access, REQUEST_TIMEOUT)?)
@@ -55,11 +55,12 @@
     /// Writes a purge to etcd; with `waits`, returns once the purge is in force at all dispatchers.
     pub async fn purge(&self, object: Option<String>, group: u64, waits: bool) -> CommandResult {
         let etcd = self.open()?;
-        let revision = writer::purge(&etcd, &self.prefix, &PurgeRecord { object, group }).await?;
+        let revision =
+            writer::write_purge(&etcd, &self.prefix, &PurgeRecord { object, group }).await?;
         println!("purged at revision {revision}");
         // The promises are read after the write: a dispatcher that registers later has read the purge.
-        let promise = writer::promise(&etcd, &self.prefix).await?;
-        if promise.dispatchers == 0 || !promise.without.is_empty() {
+        let promise = writer::read_purge_promise(&etcd, &self.prefix).await?;
+        if promise.dispatchers == 0 || !promise.without_promise.is_empty() {
             print_missing_promise(&promise);
             return if waits {
                 Err(CommandError::Negative)
@@ -85,7 +86,7 @@
         change: impl Fn(Option<MemberRecord>) -> Result<Option<MemberRecord>, String>,
     ) -> CommandResult {
         let etcd = self.open()?;
-        let revision = writer::member(&etcd, &self.prefix, address, change).await?;
+        let revision = writer::update_member(&etcd, &self.prefix, address, change).await?;
         println!("{address}: written at revision {revision}");
         Ok(())
     }
@@ -111,9 +112,9 @@
     }
 }
 
-fn print_missing_promise(promise: &Promise) {
+fn print_missing_promise(promise: &PurgePromise) {
     let named: Vec<&str> = promise
-        .without
+        .without_promise
         .iter()
         .take(MAX_PRINTED_NAMES)
         .map(String::as_str)
@@ -124,7 +125,7 @@
     };
     println!(
         "no time can be told: {} of {} dispatchers promise none (purge_within_ms){names}",
-        promise.without.len(),
+        promise.without_promise.len(),
         promise.dispatchers
     );
 }
@@ -151,8 +152,8 @@
                 println!("history lost: all cached copies count as purged");
             }
             Output::InvalidKey(error) => println!("invalid key ignored: {error}"),
-            Output::View(View::Stale) => println!("the view is stale"),
-            Output::View(View::Current) => println!("the view is current"),
+            Output::Freshness(ViewFreshness::Stale) => println!("the view is stale"),
+            Output::Freshness(ViewFreshness::Current) => println!("the view is current"),
             _ => {}
         }
     }
--- a/crates/cli/src/commands/lab/etcd_lag.rs
+++ b/crates/cli/src/commands/lab/etcd_lag.rs
@@ -68,7 +68,7 @@
     for &watchers in &arguments.watchers {
         let figures = measure_watch_lag(arguments.plan(watchers)).await?;
         print_figures(watchers, &figures);
-        missing += figures.missing;
+        missing += figures.unreported;
     }
     negative_if(missing > 0)
 }
@@ -82,8 +82,8 @@
         ms(0.5),
         ms(0.99),
         figures.lag.max() as f64 / 1e3,
-        figures.missing,
-        figures.gaps,
+        figures.unreported,
+        figures.missed_update_reports,
         figures.first_view.as_secs_f64() * 1e3,
         figures.view_after_compaction.as_secs_f64() * 1e3
     );
--- a/crates/cli/src/commands/serve.rs
+++ b/crates/cli/src/commands/serve.rs
@@ -57,7 +57,7 @@
 
 /// Opens the listeners once the state in etcd is known, at the latest after the configured wait.
 async fn open(settings: DispatcherSettings, seed: u64) -> Result<Dispatcher, CommandError> {
-    let source = EtcdSource::of(&settings, seed)?;
+    let source = EtcdSource::from_settings(&settings, seed)?;
     let start_wait_us = settings.etcd.as_ref().map_or(0, |etcd| etcd.start_wait_us);
     let mut prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
     if let Some(source) = source {
--- a/crates/cli/tests/purge_promise.rs
+++ b/crates/cli/tests/purge_promise.rs
@@ -1,7 +1,7 @@
 //! The promise of purges by processes: dispatchers that are partitioned from etcd, paused, or started during a partition limit the
 //! age of copies by themselves; and an operator learns when a purge is in force everywhere.
-use pointspindle_etcd::layout::{MemberRecord, State};
-use pointspindle_etcd::{writer, Access, Etcd};
+use pointspindle_etcd::layout::{EndpointState, MemberRecord};
+use pointspindle_etcd::{writer, Etcd, EtcdAccess};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::*;
@@ -223,13 +223,13 @@
 
 /// Registers a cache host in etcd.
 async fn register(etcd: SocketAddr, cache_host: SocketAddr) {
-    let access = Access {
+    let access = EtcdAccess {
         endpoints: vec![format!("http://{etcd}")],
         ..Default::default()
     };
     let client = Etcd::new(&access, Duration::from_secs(5)).unwrap();
     let record = MemberRecord {
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 50.0,
         zone: "b".into(),
         kind: "cache".into(),
@@ -237,7 +237,7 @@
         start: 1,
         started_unix_ms: None,
     };
-    writer::member(&client, ETCD_PREFIX, &cache_host.to_string(), |_| {
+    writer::update_member(&client, ETCD_PREFIX, &cache_host.to_string(), |_| {
         Ok(Some(record.clone()))
     })
     .await
--- a/crates/etcd-emulator/src/measure.rs
+++ b/crates/etcd-emulator/src/measure.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use pointspindle_etcd::layout::PurgeRecord;
 use pointspindle_etcd::writer::WriteError;
-use pointspindle_etcd::{feed, writer, Access, Etcd, EtcdError, Watcher, WatcherSettings};
+use pointspindle_etcd::{feed, writer, Etcd, EtcdAccess, EtcdError, Watcher, WatcherSettings};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
@@ -57,9 +57,9 @@
     pub writes: usize,
     /// Number of purges that were not reported, over all watchers. A report of missed updates after the write counts as a report
     /// of the purge.
-    pub missing: usize,
+    pub unreported: usize,
     /// Number of reports of missed updates, over all watchers.
-    pub gaps: usize,
+    pub missed_update_reports: usize,
     /// Number of times that all streams were broken.
     pub drops: usize,
     /// Time from the start of the watchers until the last one has a current view.
@@ -120,21 +120,21 @@
     }
     let drops = *emulator.inner.dropped.borrow() as usize;
     let lags = measure_lags(&watchers, &writes)?;
-    let gaps = watchers.iter().map(|log| log.lock().gaps.len()).sum();
+    let missed_update_reports = watchers.iter().map(|log| log.lock().gaps.len()).sum();
     let view_after_compaction = measure_compaction(&emulator, &watchers).await?;
     Ok(Measurement {
         lag: lags.lag,
         writes: writes.len(),
-        missing: lags.missing,
-        gaps,
+        unreported: lags.unreported,
+        missed_update_reports,
         drops,
         first_view,
         view_after_compaction,
     })
 }
 
-fn access(endpoint: &str) -> Access {
-    Access {
+fn access(endpoint: &str) -> EtcdAccess {
+    EtcdAccess {
         endpoints: vec![endpoint.to_owned()],
         ..Default::default()
     }
@@ -194,7 +194,7 @@
             object: Some(object.clone()),
             group: 1,
         };
-        writer::purge(client, PREFIX, &record).await?;
+        writer::write_purge(client, PREFIX, &record).await?;
         writes.push(WrittenPurge {
             object,
             acknowledged: Instant::now(),
@@ -208,17 +208,17 @@
     /// Lag in microseconds.
     lag: Histogram<u64>,
     /// Number of writes that were not reported, over all watchers.
-    missing: usize,
+    unreported: usize,
 }
 
 fn measure_lags(watchers: &[SharedLog], writes: &[WrittenPurge]) -> Result<Lags, MeasureError> {
     let mut lag = Histogram::new_with_bounds(1, MAX_LAG_US, LAG_SIGNIFICANT_DIGITS)?;
-    let mut missing = 0;
+    let mut unreported = 0;
     for log in watchers {
         let log = log.lock();
         for write in writes {
             let Some(reported_at) = log.reported_at(&write.object, write.acknowledged) else {
-                missing += 1;
+                unreported += 1;
                 continue;
             };
             let delay = reported_at.saturating_duration_since(write.acknowledged);
@@ -226,7 +226,7 @@
             let _ = lag.record((delay.as_micros() as u64).max(1));
         }
     }
-    Ok(Lags { lag, missing })
+    Ok(Lags { lag, unreported })
 }
 
 /// Compacts all history during an outage in which purges are written. Returns the time from the end of the outage until every
--- a/crates/etcd-emulator/src/measure/dataset.rs
+++ b/crates/etcd-emulator/src/measure/dataset.rs
@@ -1,7 +1,7 @@
 //! Records that a measurement writes directly to the emulator's store.
 use super::MeasurementPlan;
 use crate::EtcdEmulator;
-use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
+use pointspindle_etcd::layout::{member_key, purge_key, EndpointState, MemberRecord, PurgeRecord};
 use pointspindle_etcd::proto::*;
 
 /// Prefix of all keys of a measurement.
@@ -33,7 +33,7 @@
 
 fn member(number: usize) -> Record {
     let record = MemberRecord {
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 8.0,
         zone: format!("branch-{}", number % ZONES),
         kind: "cache".into(),
--- a/crates/etcd-emulator/src/measure/watcher_log.rs
+++ b/crates/etcd-emulator/src/measure/watcher_log.rs
@@ -1,5 +1,5 @@
 //! A log of one watcher's reports with their times.
-use pointspindle_etcd::{Output, View};
+use pointspindle_etcd::{Output, ViewFreshness};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::time::Instant;
@@ -38,7 +38,7 @@
             }
             Output::UpdatesMissed { initial: false, .. } => self.gaps.push(now),
             Output::EndpointList(_) => self.endpoint_lists.push(now),
-            Output::View(View::Current) => self.current = Some(now),
+            Output::Freshness(ViewFreshness::Current) => self.current = Some(now),
             _ => {}
         }
     }
--- a/crates/etcd-emulator/tests/etcd/fault_script.rs
+++ b/crates/etcd-emulator/tests/etcd/fault_script.rs
@@ -1,6 +1,6 @@
 //! Random sequences of faults and writes.
 use crate::follower::PREFIX;
-use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
+use pointspindle_etcd::layout::{EndpointState, MemberRecord, PurgeRecord};
 use pointspindle_etcd::{writer, Etcd};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use rand::rngs::StdRng;
@@ -108,8 +108,14 @@
         match self.random.gen_range(0..4) {
             0 => self.write_purge().await,
             1 => self.write_endpoint(&address, None).await,
-            2 => self.write_endpoint(&address, Some(State::Ready)).await,
-            _ => self.write_endpoint(&address, Some(State::Draining)).await,
+            2 => {
+                self.write_endpoint(&address, Some(EndpointState::Ready))
+                    .await
+            }
+            _ => {
+                self.write_endpoint(&address, Some(EndpointState::Draining))
+                    .await
+            }
         }
     }
 
@@ -120,7 +126,9 @@
             object: Some(object.clone()),
             group: 1,
         };
-        writer::purge(&self.client, PREFIX, &record).await.unwrap();
+        writer::write_purge(&self.client, PREFIX, &record)
+            .await
+            .unwrap();
         self.unreported_purges.push(WrittenPurge {
             object,
             written: Instant::now(),
@@ -128,15 +136,15 @@
     }
 
     /// Writes an endpoint's record, or deletes it.
-    async fn write_endpoint(&self, address: &str, state: Option<State>) {
+    async fn write_endpoint(&self, address: &str, state: Option<EndpointState>) {
         let change = |_| Ok(state.map(endpoint_record));
-        writer::member(&self.client, PREFIX, address, change)
+        writer::update_member(&self.client, PREFIX, address, change)
             .await
             .unwrap();
     }
 }
 
-fn endpoint_record(state: State) -> MemberRecord {
+fn endpoint_record(state: EndpointState) -> MemberRecord {
     MemberRecord {
         state,
         weight: 5.0,
--- a/crates/etcd-emulator/tests/etcd/follower.rs
+++ b/crates/etcd-emulator/tests/etcd/follower.rs
@@ -1,7 +1,7 @@
 //! A watcher that follows the emulator and records its reports, and the stored endpoints to compare them with.
-use pointspindle_etcd::layout::{self, State};
+use pointspindle_etcd::layout::{self, EndpointState};
 use pointspindle_etcd::proto::{KeyValue, RangeRequest};
-use pointspindle_etcd::{feed, Access, Etcd, Output, View, Watcher, WatcherSettings};
+use pointspindle_etcd::{feed, Etcd, EtcdAccess, Output, ViewFreshness, Watcher, WatcherSettings};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_protocol::{EndpointListForm, EndpointListHead, WireEndpointState};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     /// Times of the reports of missed updates.
     pub gaps: Vec<Instant>,
     pub dispatchers: Vec<String>,
-    pub view: Option<View>,
+    pub view: Option<ViewFreshness>,
 }
 
 impl Follower {
@@ -32,7 +32,7 @@
             }
             Output::UpdatesMissed { .. } => self.gaps.push(Instant::now()),
             Output::Dispatchers(all) => self.dispatchers = all.into_keys().collect(),
-            Output::View(view) => self.view = Some(view),
+            Output::Freshness(view) => self.view = Some(view),
             _ => {}
         }
     }
@@ -54,8 +54,8 @@
     }
 }
 
-pub fn access(address: SocketAddr) -> Access {
-    Access {
+pub fn access(address: SocketAddr) -> EtcdAccess {
+    EtcdAccess {
         endpoints: vec![format!("http://{address}")],
         ..Default::default()
     }
@@ -91,7 +91,7 @@
     };
     let record = layout::parse_member(&kv.key, &kv.value).unwrap();
     let state = match record.state {
-        State::Ready => WireEndpointState::Ready,
+        EndpointState::Ready => WireEndpointState::Ready,
         _ => WireEndpointState::Draining,
     };
     (address, state)
--- a/crates/etcd-emulator/tests/etcd/main.rs
+++ b/crates/etcd-emulator/tests/etcd/main.rs
@@ -8,7 +8,7 @@
 use follower::{access, follow, stored_endpoints, PREFIX};
 use pointspindle_etcd::layout::{self, DispatcherRecord};
 use pointspindle_etcd::proto::{request_op, PutRequest, RequestOp, TxnRequest};
-use pointspindle_etcd::{writer, Access, Etcd, EtcdError, View};
+use pointspindle_etcd::{writer, Etcd, EtcdAccess, EtcdError, ViewFreshness};
 use pointspindle_etcd_emulator::{Credentials, EtcdEmulator};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -54,7 +54,7 @@
             &format!("the endpoint list equals the store (seed {SEED}, round {round})"),
             || {
                 let follower = follower.lock().unwrap();
-                follower.view == Some(View::Current)
+                follower.view == Some(ViewFreshness::Current)
                     && follower.endpoints == stored_endpoints(&emulator)
             },
         )
@@ -132,7 +132,7 @@
     assert!(error.contains("invalid auth token"), "{error}");
     let client_with_password = |password: &str| {
         std::fs::write(&file, format!("{password}\n")).unwrap();
-        let access = Access {
+        let access = EtcdAccess {
             user: Some(("edge".to_owned(), file.clone())),
             ..access(address)
         };
--- a/crates/etcd/src/client.rs
+++ b/crates/etcd/src/client.rs
@@ -34,13 +34,13 @@
 
 /// Endpoints and credentials of an etcd cluster.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Access {
-    /// URLs of the endpoints: `http://ADDRESS:PORT`, or `https://ADDRESS:PORT` for TLS, verified with [`Access::authority`].
+pub struct EtcdAccess {
+    /// URLs of the endpoints: `http://ADDRESS:PORT`, or `https://ADDRESS:PORT` for TLS, verified with [`EtcdAccess::ca_certificate`].
     pub endpoints: Vec<String>,
     /// PEM file of the certificate authority that signs the endpoints' certificates.
-    pub authority: Option<PathBuf>,
+    pub ca_certificate: Option<PathBuf>,
     /// PEM files of the client certificate and its private key.
-    pub identity: Option<(PathBuf, PathBuf)>,
+    pub client_certificate: Option<(PathBuf, PathBuf)>,
     /// User name, and a file with the password on its first line.
     pub user: Option<(String, PathBuf)>,
 }
@@ -158,7 +158,7 @@
 
 impl Etcd {
     /// Creates a client that connects with its first call. `call_timeout` bounds connecting, each call, and opening a stream.
-    pub fn new(access: &Access, call_timeout: Duration) -> Result<Self, EtcdError> {
+    pub fn new(access: &EtcdAccess, call_timeout: Duration) -> Result<Self, EtcdError> {
         let tls = tls_config(access)?;
         let credentials = access.user.as_ref().map(read_credentials).transpose()?;
         let endpoints = access
@@ -426,15 +426,15 @@
 }
 
 /// Returns none if no endpoint uses TLS.
-fn tls_config(access: &Access) -> Result<Option<ClientTlsConfig>, EtcdError> {
+fn tls_config(access: &EtcdAccess) -> Result<Option<ClientTlsConfig>, EtcdError> {
     if !access.endpoints.iter().any(|url| is_https(url)) {
         return Ok(None);
     }
     let mut config = ClientTlsConfig::new();
-    if let Some(file) = &access.authority {
+    if let Some(file) = &access.ca_certificate {
         config = config.ca_certificate(Certificate::from_pem(read_file(file)?));
     }
-    if let Some((certificate, key)) = &access.identity {
+    if let Some((certificate, key)) = &access.client_certificate {
         let identity = Identity::from_pem(read_file(certificate)?, read_file(key)?);
         config = config.identity(identity);
     }
--- a/crates/etcd/src/layout.rs
+++ b/crates/etcd/src/layout.rs
@@ -20,7 +20,7 @@
 /// State of an endpoint as set by the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum EndpointState {
     /// The endpoint accepts new requests.
     Ready,
     /// The endpoint finishes requests in flight and accepts no new ones.
@@ -31,7 +31,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// Whether the endpoint is ready or draining.
-    pub state: State,
+    pub state: EndpointState,
     /// Number of concurrent full-speed transfers that the endpoint's network link carries.
     pub weight: f64,
     /// Zone of the endpoint.
@@ -165,8 +165,8 @@
     /// in milliseconds since the Unix epoch.
     pub fn to_endpoint(&self, address: &str, wall_ms: u64) -> EndpointRecord {
         let state = match self.state {
-            State::Ready => WireEndpointState::Ready,
-            State::Draining => WireEndpointState::Draining,
+            EndpointState::Ready => WireEndpointState::Ready,
+            EndpointState::Draining => WireEndpointState::Draining,
         };
         let started_ago_us = self
             .started_unix_ms
--- a/crates/etcd/src/lib.rs
+++ b/crates/etcd/src/lib.rs
@@ -19,8 +19,8 @@
 pub mod watcher;
 pub mod writer;
 
-pub use client::{Access, Etcd, EtcdError};
+pub use client::{Etcd, EtcdAccess, EtcdError};
 pub use source::EtcdSource;
 pub use watcher::{
-    Header, Input, KeyValue, Output, Revision, View, WatchEvent, Watcher, WatcherSettings,
+    Header, Input, KeyValue, Output, Revision, ViewFreshness, WatchEvent, Watcher, WatcherSettings,
 };
--- a/crates/etcd/src/source.rs
+++ b/crates/etcd/src/source.rs
@@ -1,8 +1,8 @@
 //! The control source that reads endpoint lists and purges from etcd and maintains the dispatcher's registration there.
-use crate::client::{Access, Etcd, EtcdError};
+use crate::client::{Etcd, EtcdAccess, EtcdError};
 use crate::feed;
 use crate::layout::DispatcherRecord;
-use crate::watcher::{Output, View, Watcher, WatcherSettings};
+use crate::watcher::{Output, ViewFreshness, Watcher, WatcherSettings};
 use crate::writer::{self, RegistrationState};
 use pointspindle_config::DispatcherSettings;
 use pointspindle_dispatcher::{ControlSink, ControlSource};
@@ -36,14 +36,17 @@
 
 impl EtcdSource {
     /// Creates the source from the settings; returns none if they have no `[etcd]` section.
-    pub fn of(settings: &DispatcherSettings, seed: u64) -> Result<Option<Self>, EtcdError> {
+    pub fn from_settings(
+        settings: &DispatcherSettings,
+        seed: u64,
+    ) -> Result<Option<Self>, EtcdError> {
         let Some(etcd) = &settings.etcd else {
             return Ok(None);
         };
-        let access = Access {
+        let access = EtcdAccess {
             endpoints: etcd.endpoints.clone(),
-            authority: etcd.authority.clone(),
-            identity: etcd.identity.clone(),
+            ca_certificate: etcd.authority.clone(),
+            client_certificate: etcd.identity.clone(),
             user: etcd.user.clone(),
         };
         let watcher_settings = WatcherSettings {
@@ -127,11 +130,11 @@
             tracing::warn!(%error, "etcd: invalid key skipped");
             sink.count_rejected_record();
         }
-        Output::View(view) => {
-            if view == View::Stale {
+        Output::Freshness(view) => {
+            if view == ViewFreshness::Stale {
                 tracing::warn!("etcd: view is stale, endpoint list and purges stay as they are");
             }
-            sink.set_current(view == View::Current);
+            sink.set_current(view == ViewFreshness::Current);
         }
         Output::PurgesConfirmed { age_us } => sink.confirm_purges(age_us),
         // The feed executes these requests itself and does not pass them on.
--- a/crates/etcd/src/watcher/message.rs
+++ b/crates/etcd/src/watcher/message.rs
@@ -131,12 +131,12 @@
     /// A key or value was skipped because it cannot be parsed.
     InvalidKey(LayoutError),
     /// The freshness of the view changed.
-    View(View),
+    Freshness(ViewFreshness),
 }
 
 /// Freshness of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
+pub enum ViewFreshness {
     /// No snapshot has been read yet.
     Unknown,
     /// The view was confirmed complete within [`super::WatcherSettings::stale_after_us`].
--- a/crates/etcd/src/watcher/mod.rs
+++ b/crates/etcd/src/watcher/mod.rs
@@ -17,7 +17,7 @@
 mod settings;
 mod store_view;
 
-pub use message::{Header, Input, KeyValue, Output, View, WatchEvent};
+pub use message::{Header, Input, KeyValue, Output, ViewFreshness, WatchEvent};
 pub use settings::WatcherSettings;
 
 use crate::layout::MemberRecord;
@@ -74,7 +74,7 @@
     }
 
     /// Freshness of the view.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> ViewFreshness {
         self.freshness.state()
     }
 
--- a/crates/etcd/src/writer.rs
+++ b/crates/etcd/src/writer.rs
@@ -85,7 +85,7 @@
 
 /// Changes an endpoint's record and returns the revision of the commit. `change` maps the stored record (none: the key does not
 /// exist) to the new record (none: the key is deleted). It is called again after each conflict with a concurrent change.
-pub async fn member(
+pub async fn update_member(
     etcd: &Etcd,
     prefix: &str,
     address: &str,
@@ -117,7 +117,11 @@
 
 /// Writes a purge under its own lease and returns the revision of the commit. It is safe to repeat after an error: the retry
 /// writes another purge of the same objects.
-pub async fn purge(etcd: &Etcd, prefix: &str, record: &PurgeRecord) -> Result<i64, WriteError> {
+pub async fn write_purge(
+    etcd: &Etcd,
+    prefix: &str,
+    record: &PurgeRecord,
+) -> Result<i64, WriteError> {
     let lease = etcd.grant(PURGE_LEASE_S).await?.id;
     for _ in 0..MAX_ATTEMPTS {
         let id = format!("{:032x}", rand::thread_rng().gen::<u128>());
@@ -135,22 +139,22 @@
 
 /// Time within which a purge is in force in the registered dispatchers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Promise {
+pub struct PurgePromise {
     /// Number of registered dispatchers.
     pub dispatchers: usize,
     /// Longest promised time of all dispatchers, in milliseconds.
     pub within_ms: u64,
     /// Names of the dispatchers without a promise.
-    pub without: Vec<String>,
+    pub without_promise: Vec<String>,
 }
 
 /// Reads the purge promises of the registered dispatchers.
-pub async fn promise(etcd: &Etcd, prefix: &str) -> Result<Promise, WriteError> {
+pub async fn read_purge_promise(etcd: &Etcd, prefix: &str) -> Result<PurgePromise, WriteError> {
     let key_prefix = layout::dispatcher_key(prefix, "");
     let snapshot = etcd.snapshot(&key_prefix).await?;
-    let mut promise = Promise {
+    let mut promise = PurgePromise {
         dispatchers: snapshot.keys.len(),
-        ..Promise::default()
+        ..PurgePromise::default()
     };
     for kv in snapshot.keys {
         match layout::parse_dispatcher(&kv.key, &kv.value)?.purge_within_ms {
@@ -158,7 +162,7 @@
             None => {
                 let name = &kv.key[key_prefix.len().min(kv.key.len())..];
                 promise
-                    .without
+                    .without_promise
                     .push(String::from_utf8_lossy(name).into_owned());
             }
         }
--- a/crates/etcd/tests/history/main.rs
+++ b/crates/etcd/tests/history/main.rs
@@ -3,7 +3,7 @@
 //! a report of missed updates, and the dispatcher's endpoint list equals the view.
 mod store_history;
 
-use pointspindle_etcd::layout::{member_key, purge_key, MemberRecord, PurgeRecord, State};
+use pointspindle_etcd::layout::{member_key, purge_key, EndpointState, MemberRecord, PurgeRecord};
 use pointspindle_etcd::*;
 use pointspindle_protocol::{EndpointListForm, WireEndpointState};
 use rand::rngs::StdRng;
@@ -110,7 +110,7 @@
                     assert!(error.to_string().contains("members/odd"), "{error}");
                     self.invalid_keys += 1;
                 }
-                Output::View(_) | Output::Dispatchers(_) => {}
+                Output::Freshness(_) | Output::Dispatchers(_) => {}
                 Output::ReadPurgeMark { .. } | Output::PurgesConfirmed { .. } => {
                     unreachable!("purge confirmation is disabled")
                 }
@@ -232,9 +232,9 @@
 
     fn random_endpoint(&mut self) -> Vec<u8> {
         let state = if self.rng.gen() {
-            State::Ready
+            EndpointState::Ready
         } else {
-            State::Draining
+            EndpointState::Draining
         };
         let record = MemberRecord {
             state,
@@ -361,7 +361,7 @@
         );
         let newest = self.store().revision();
         assert_eq!(self.watcher.revision(), newest);
-        assert_eq!(self.watcher.view(), View::Current);
+        assert_eq!(self.watcher.view(), ViewFreshness::Current);
     }
 }
 
@@ -412,7 +412,7 @@
     );
     watcher.handle(20, 0, Input::WatchCreated { header }, &mut out);
     assert!(
-        out.contains(&Output::View(View::Current))
+        out.contains(&Output::Freshness(ViewFreshness::Current))
             && out.contains(&Output::StartWatch { start_revision: 6 })
     );
     let mut progress_requested_at = None;
@@ -427,7 +427,7 @@
             match output {
                 Output::RequestProgress => drop(progress_requested_at.get_or_insert(now)),
                 Output::CancelRequest => drop(cancelled_at.get_or_insert(now)),
-                Output::View(View::Stale) => stale_at = Some(now),
+                Output::Freshness(ViewFreshness::Stale) => stale_at = Some(now),
                 _ => {}
             }
         }
--- a/crates/etcd/tests/promise.rs
+++ b/crates/etcd/tests/promise.rs
@@ -222,7 +222,7 @@
         handle(&mut watcher, now, Input::Tick);
         handle(&mut watcher, now, mark_read(now, 1));
     }
-    assert_eq!(watcher.view(), pointspindle_etcd::View::Stale);
+    assert_eq!(watcher.view(), pointspindle_etcd::ViewFreshness::Stale);
 }
 
 /// A dispatcher and a store, connected by links that may be slow or partitioned in one direction.
--- a/crates/scale/src/node/cache_hosts.rs
+++ b/crates/scale/src/node/cache_hosts.rs
@@ -4,7 +4,7 @@
 use pointspindle_cache_host::Host;
 use pointspindle_clock::wall_clock_unix_ms;
 use pointspindle_config::parse_cache_host;
-use pointspindle_etcd::layout::{MemberRecord, State};
+use pointspindle_etcd::layout::{EndpointState, MemberRecord};
 use pointspindle_transport::Network;
 
 /// Uptime that the records give for each host, milliseconds. It is long enough that no host is in slow start.
@@ -21,7 +21,7 @@
 /// Returns a cache host's record in the endpoint list.
 pub fn record(number: usize, sites: usize) -> MemberRecord {
     MemberRecord {
-        state: State::Ready,
+        state: EndpointState::Ready,
         weight: 50.0,
         zone: format!("site-{}", number % sites),
         kind: "cache".into(),
--- a/crates/scale/src/node/dispatchers.rs
+++ b/crates/scale/src/node/dispatchers.rs
@@ -50,7 +50,7 @@
 ) -> Result<HeadlessDispatcher, NodeError> {
     let settings = parse("hollow", settings)?;
     let seed = number as u64 + 1;
-    let source = EtcdSource::of(&settings, seed)?.ok_or(NodeError::NoControlStore)?;
+    let source = EtcdSource::from_settings(&settings, seed)?.ok_or(NodeError::NoControlStore)?;
     let prepared = PreparedDispatcher::new(Network::Tcp, settings, seed).await;
     let observer: ControlObserver = Arc::new(move |update| recorder.lock().record(number, update));
     Ok(prepared.into_headless(source, observer))
--- a/crates/scale/src/runner/fleet.rs
+++ b/crates/scale/src/runner/fleet.rs
@@ -8,7 +8,7 @@
 use crate::node::{purge_object, PREFIX};
 use crate::Target;
 use pointspindle_etcd::layout::{MemberRecord, PurgeRecord};
-use pointspindle_etcd::{writer, Access, Etcd};
+use pointspindle_etcd::{writer, Etcd, EtcdAccess};
 use pointspindle_etcd_emulator::traffic::TrafficCounts;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -58,7 +58,7 @@
         let Report::Store { endpoint, .. } = started.report else {
             return Err(unexpected("a report of the control store"));
         };
-        let access = Access {
+        let access = EtcdAccess {
             endpoints: vec![endpoint.clone()],
             ..Default::default()
         };
@@ -147,7 +147,7 @@
         record: &MemberRecord,
     ) -> Result<(), RunError> {
         let change = |_| Ok(Some(record.clone()));
-        writer::member(&self.etcd, PREFIX, address, change).await?;
+        writer::update_member(&self.etcd, PREFIX, address, change).await?;
         Ok(())
     }
 
@@ -156,7 +156,7 @@
             object: Some(purge_object(number)),
             group: number as u64,
         };
-        writer::purge(&self.etcd, PREFIX, &record).await?;
+        writer::write_purge(&self.etcd, PREFIX, &record).await?;
         Ok(())
     }
 
--- a/crates/scale/tests/hollow.rs
+++ b/crates/scale/tests/hollow.rs
@@ -2,7 +2,7 @@
 use pointspindle_config::parse;
 use pointspindle_dispatcher::{PreparedDispatcher, StateCounts};
 use pointspindle_etcd::layout::PurgeRecord;
-use pointspindle_etcd::{writer, Access, Etcd, EtcdSource};
+use pointspindle_etcd::{writer, Etcd, EtcdAccess, EtcdSource};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use pointspindle_scale::node::{dispatcher_settings, record, PREFIX};
 use pointspindle_transport::Network;
@@ -23,7 +23,7 @@
 async fn prepare(endpoint: &str, number: usize) -> Prepared {
     let settings = parse("test", &dispatcher_settings(endpoint, number, SITES, 0.0))
         .unwrap_or_else(|e| panic!("{e}"));
-    let source = EtcdSource::of(&settings, 1).unwrap().unwrap();
+    let source = EtcdSource::from_settings(&settings, 1).unwrap().unwrap();
     Prepared {
         dispatcher: PreparedDispatcher::new(Network::Tcp, settings, 1).await,
         source,
@@ -35,7 +35,7 @@
     for number in 0..HOSTS {
         let address = format!("127.0.0.1:{}", 9 + number);
         let record = |_| Ok(Some(record(number, SITES)));
-        writer::member(etcd, PREFIX, &address, record)
+        writer::update_member(etcd, PREFIX, &address, record)
             .await
             .unwrap();
     }
@@ -44,9 +44,9 @@
             object: Some(format!("/{number}")),
             group: number as u64,
         };
-        writer::purge(etcd, PREFIX, &purge).await.unwrap();
+        writer::write_purge(etcd, PREFIX, &purge).await.unwrap();
     }
-    writer::member(etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
+    writer::update_member(etcd, PREFIX, "127.0.0.1:9", |_| Ok(None))
         .await
         .unwrap();
 }
@@ -63,7 +63,7 @@
 async fn hollow_dispatcher_has_the_state_of_a_real_one_after_the_same_updates() {
     let emulator = EtcdEmulator::new(None);
     let endpoint = format!("http://{}", emulator.listen().await.unwrap());
-    let access = Access {
+    let access = EtcdAccess {
         endpoints: vec![endpoint.clone()],
         ..Default::default()
     };
--- a/crates/testbed/src/fleet_run/etcd_control_plane.rs
+++ b/crates/testbed/src/fleet_run/etcd_control_plane.rs
@@ -7,7 +7,7 @@
 use crate::emulated_hosts::EmulatedHosts;
 use pointspindle_audit::recorder::Recorder;
 use pointspindle_cache_model::{HostId, HostSpec};
-use pointspindle_etcd::layout::{MemberRecord, PurgeRecord, State};
+use pointspindle_etcd::layout::{EndpointState, MemberRecord, PurgeRecord};
 use pointspindle_etcd::{writer, Etcd};
 use pointspindle_fleet_model::control_plane::{self, ListedEndpoint};
 use pointspindle_fleet_model::dispatcher_settings::ETCD_PREFIX;
@@ -94,7 +94,7 @@
             object: target.object.clone(),
             group: target.group,
         };
-        let written = writer::purge(&self.parts.etcd, ETCD_PREFIX, &record).await;
+        let written = writer::write_purge(&self.parts.etcd, ETCD_PREFIX, &record).await;
         for dispatcher in 0..self.parts.dispatchers {
             let event = target.delivered_event(dispatcher, version_from);
             self.parts.recorder.record(event);
@@ -107,7 +107,7 @@
     async fn write_endpoint(&self, endpoint: &ListedEndpoint) -> Result<(), writer::WriteError> {
         let record = self.endpoint_record(endpoint);
         let replace = |_| Ok(record.clone());
-        writer::member(&self.parts.etcd, ETCD_PREFIX, &endpoint.address, replace)
+        writer::update_member(&self.parts.etcd, ETCD_PREFIX, &endpoint.address, replace)
             .await
             .map(drop)
     }
@@ -115,8 +115,8 @@
     /// Returns the record of an endpoint, or `None` if the endpoint is removed.
     fn endpoint_record(&self, endpoint: &ListedEndpoint) -> Option<MemberRecord> {
         let state = match endpoint.state {
-            ListedState::Ready => State::Ready,
-            ListedState::Draining => State::Draining,
+            ListedState::Ready => EndpointState::Ready,
+            ListedState::Draining => EndpointState::Draining,
             ListedState::Removed => return None,
         };
         let attributes = self.parts.attributes.get(&endpoint.host);
--- a/crates/testbed/src/fleet_run/unreliable_etcd.rs
+++ b/crates/testbed/src/fleet_run/unreliable_etcd.rs
@@ -1,5 +1,5 @@
 //! An emulated etcd that repeatedly breaks its watch streams and compacts its history.
-use pointspindle_etcd::{Access, Etcd};
+use pointspindle_etcd::{Etcd, EtcdAccess};
 use pointspindle_etcd_emulator::EtcdEmulator;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -25,7 +25,7 @@
     pub async fn start() -> std::io::Result<Self> {
         let emulator = EtcdEmulator::new(None);
         let endpoint = format!("http://{}", emulator.listen().await?);
-        let access = Access {
+        let access = EtcdAccess {
             endpoints: vec![endpoint.clone()],
             ..Default::default()
         };
