--- a/crates/cache-host/src/net/cached_response.rs
+++ b/crates/cache-host/src/net/cached_response.rs
@@ -139,7 +139,7 @@
                 WireStatus::Error,
                 WireCacheStatus::Unreported,
                 false,
-                "a copy is shorter than it says",
+                "stored copy is shorter than its recorded size",
             ))
         })
     }
--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -130,7 +130,7 @@
                 continue;
             }
             () = stop_requested(&mut stop), if !stopping => {
-                connection.framed.goaway("the host stops");
+                connection.framed.goaway("the host is shutting down");
                 stopping = true;
                 if connection.requests.is_empty() {
                     tokio::time::sleep(GRACEFUL_CLOSE_DELAY).await;
@@ -171,7 +171,7 @@
         if self.role == ListenerRole::Operators {
             let error = ErrorHead {
                 status: WireStatus::Refused as i32,
-                detail: "this door takes purges, not requests".to_owned(),
+                detail: "this listener accepts purges only".to_owned(),
                 ..ErrorHead::default()
             };
             let _ = responder.error(error).await;
--- a/crates/cache-host/src/net/fill_response.rs
+++ b/crates/cache-host/src/net/fill_response.rs
@@ -44,7 +44,7 @@
             .filter(|validator| !validator.is_empty());
         let is_conditional = validator.is_some();
         let Some(reader) = self.spawn_fill(fill, &plan, validator, false) else {
-            let error = unreported_error(true, "the fill was over before it was read");
+            let error = unreported_error(true, "fill ended before it could be read");
             return Err(UnansweredRequest::new(responder, error));
         };
         if is_conditional {
@@ -137,7 +137,7 @@
             () = responder.cancelled() => return Ok(()),
             () = tokio::time::sleep(self.time_left()) => {
                 let unreachable = WireCacheStatus::SourceUnreachable;
-                let detail = "no answer of the source in time";
+                let detail = "no response from the source in time";
                 let error = error_head(WireStatus::Error, unreachable, true, detail);
                 return Err(UnansweredRequest::new(responder, error));
             }
@@ -146,7 +146,7 @@
             Ok(head) => Arc::unwrap_or_clone(head),
             Err(FillEnd::Failed(error)) => return Err(UnansweredRequest::new(responder, *error)),
             Err(FillEnd::Complete) => {
-                let error = unreported_error(true, "an answer without a head");
+                let error = unreported_error(true, "response without a head");
                 return Err(UnansweredRequest::new(responder, error));
             }
         };
@@ -188,7 +188,7 @@
                     return Err(UnansweredRequest::new(responder, *error));
                 }
                 FillStreamPart::TooSlow => {
-                    let detail = "too slow for those who read the same fill";
+                    let detail = "reader too slow for the shared fill";
                     return Err(UnansweredRequest::new(
                         responder,
                         unreported_error(false, detail),
--- a/crates/cache-host/src/net/fill_sources.rs
+++ b/crates/cache-host/src/net/fill_sources.rs
@@ -69,7 +69,7 @@
     pub async fn connect(&self, address: SocketAddr) -> Result<Socket, SourceFailure> {
         tokio::time::timeout(self.timeout, self.net.connect(None, address))
             .await
-            .map_err(|_| unreachable_source(address, "no connection in time"))?
+            .map_err(|_| unreachable_source(address, "connecting timed out"))?
             .map_err(|e| unreachable_source(address, e))
     }
 }
@@ -156,7 +156,9 @@
             Some(ResponsePart::End(CallEnd::NotSent)) => {
                 Err(SourceFailure::Unreachable("nothing of it was sent".into()))
             }
-            _ => Err(SourceFailure::Interrupted("no head".into())),
+            _ => Err(SourceFailure::Interrupted(
+                "response ended without a head".into(),
+            )),
         }
     }
 }
@@ -175,7 +177,9 @@
             Some(ResponsePart::End(CallEnd::Broken(reason))) => {
                 Err(SourceFailure::Interrupted(reason))
             }
-            _ => Err(SourceFailure::Interrupted("a second head".into())),
+            _ => Err(SourceFailure::Interrupted(
+                "unexpected frame in the response body".into(),
+            )),
         }
     }
 }
--- a/crates/cache-host/src/net/fill_task.rs
+++ b/crates/cache-host/src/net/fill_task.rs
@@ -24,7 +24,7 @@
             WireStatus::Error,
             WireCacheStatus::SourceUnreachable,
             true,
-            "the fill was given up",
+            "the fill was aborted",
         );
         self.stream.end(FillEnd::Failed(Box::new(error)));
         self.shared.end_fill(self.fill);
@@ -70,12 +70,15 @@
         let response = tokio::time::timeout(timeout, fetching)
             .await
             .map_err(|_| {
-                SourceFailure::Interrupted(format!("{}: no answer in time", self.source))
+                SourceFailure::Interrupted(format!(
+                    "{}: no response head within the fill timeout",
+                    self.source
+                ))
             })??;
         let relaying = self.relay_response(active, response, store_fill, requested_at_ms);
-        tokio::time::timeout(timeout, relaying)
-            .await
-            .map_err(|_| SourceFailure::Interrupted("not complete in time".into()))?
+        tokio::time::timeout(timeout, relaying).await.map_err(|_| {
+            SourceFailure::Interrupted("response not complete within the fill timeout".into())
+        })?
     }
 
     /// Converts a failure to the error for the readers. The error says which part failed and whether the origin may
@@ -169,7 +172,7 @@
             shared.count(|c| c.bytes_in += data.len() as u64);
             store_fill = self.write(store_fill, data.clone()).await;
             if !active.stream.has_readers() && store_fill.is_none() {
-                let reason = "nobody wants it any more".into();
+                let reason = "fill aborted: no readers left and the response is not stored".into();
                 return Err(SourceFailure::Interrupted(reason));
             }
             active.stream.data(data, reader_timeout).await;
--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -78,7 +78,8 @@
         executes: bool,
     ) -> Result<SourceResponse, SourceFailure> {
         let permit = self.permits.clone().acquire_owned().await;
-        let permit = permit.map_err(|_| SourceFailure::Unreachable("the host stops".into()))?;
+        let permit =
+            permit.map_err(|_| SourceFailure::Unreachable("the host is shutting down".into()))?;
         let sent_at = Instant::now();
         let text = request_text(&self.settings, request, executes);
         for attempt in 0..MAX_ATTEMPTS {
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -208,11 +208,11 @@
             (RequestDecision::Miss, _) => {
                 self.shared.update_hit_ratio(false);
                 let unreported = WireCacheStatus::Unreported;
-                let error = error_head(WireStatus::Miss, unreported, false, "not held");
+                let error = error_head(WireStatus::Miss, unreported, false, "no copy stored");
                 Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
             (RequestDecision::Reject, _) => {
-                let detail = "every fill has its place taken, and so has the line";
+                let detail = "all fills are in use and the fill queue is full";
                 let error = rejection(WireCacheStatus::FillLimitReached, detail);
                 Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
@@ -311,7 +311,7 @@
         if responder.is_cancelled() || !was_queued {
             return Ok(());
         }
-        let detail = "no place for a fill in time";
+        let detail = "no fill became available in time";
         let error = rejection(WireCacheStatus::FillLimitReached, detail);
         Err(UnansweredRequest::new(responder, error))
     }
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -81,7 +81,7 @@
 async fn reject_request(responder: Responder) {
     let error = ErrorHead {
         status: WireStatus::Refused as i32,
-        detail: "this door takes lists and purges, not requests".into(),
+        detail: "this listener accepts endpoint lists and purges only".into(),
         ..Default::default()
     };
     let _ = responder.error(error).await;
--- a/crates/etcd-emulator/src/emulator.rs
+++ b/crates/etcd-emulator/src/emulator.rs
@@ -188,7 +188,7 @@
     pub(crate) async fn admit(&self, metadata: &MetadataMap) -> Result<(), Status> {
         let faults = self.inner.faults.borrow().clone();
         if faults.unavailable {
-            return Err(Status::unavailable("the stand-in is away"));
+            return Err(Status::unavailable("the emulated etcd is unavailable"));
         }
         if faults.silent {
             std::future::pending::<()>().await;
--- a/crates/etcd-emulator/src/watches.rs
+++ b/crates/etcd-emulator/src/watches.rs
@@ -95,7 +95,7 @@
     /// Returns the status with which these faults end the stream, or none if they do not end it.
     fn fault_status(&self, faults: &crate::Faults) -> Option<Status> {
         if faults.unavailable {
-            return Some(Status::unavailable("the stand-in is away"));
+            return Some(Status::unavailable("the emulated etcd is unavailable"));
         }
         // A silent stream does not report the loss of the leader.
         let no_leader = faults.no_leader && self.requires_leader && !faults.silent;
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -63,10 +63,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
     /// The peer does not use this protocol.
-    #[error("not this protocol: the preface is {0:02x?}")]
+    #[error("invalid preface {0:02x?}")]
     Preface([u8; 8]),
     /// The peer uses another major version.
-    #[error("protocol version {0} is not spoken here (1 is)")]
+    #[error("unsupported protocol version {0}; expected 1")]
     Version(u8),
     /// The payload of a frame is longer than its type allows.
     #[error("frame of type {kind} and {len} bytes is longer than the {max} allowed")]
@@ -89,7 +89,7 @@
         reason: String,
     },
     /// The peer closed the connection within a frame; holds the number of bytes received of it.
-    #[error("the connection ended inside a frame ({0} bytes of it had come)")]
+    #[error("connection closed within a frame, after {0} bytes")]
     Truncated(usize),
     /// The connection failed.
     #[error(transparent)]
--- a/crates/protocol/src/frame/codec.rs
+++ b/crates/protocol/src/frame/codec.rs
@@ -89,7 +89,7 @@
     /// Returns the frame with this header and payload.
     fn frame(&self, payload: Bytes) -> Result<Frame, FrameError> {
         if kind::belongs_to_stream(self.kind) && self.stream == 0 {
-            return Err(self.malformed("stream 0 carries no requests"));
+            return Err(self.malformed("frame type requires a stream other than 0"));
         }
         let stream = self.stream;
         Ok(match self.kind {
@@ -115,7 +115,7 @@
     fn credit(&self, payload: &[u8]) -> Result<u32, FrameError> {
         let bytes: [u8; 4] = payload
             .try_into()
-            .map_err(|_| self.malformed("credit has 4 bytes"))?;
+            .map_err(|_| self.malformed("credit payload must have 4 bytes"))?;
         Ok(u32::from_be_bytes(bytes))
     }
 }
--- a/crates/protocol/src/http/response_codec.rs
+++ b/crates/protocol/src/http/response_codec.rs
@@ -86,7 +86,7 @@
             }
             DecodeState::Head if src.is_empty() => Ok(None),
             _ => Err(HttpError::Malformed(
-                "the connection ended inside an answer".into(),
+                "connection closed within a response".into(),
             )),
         }
     }
@@ -130,14 +130,14 @@
                 }
             }),
             DecodeState::ChunkEnd => {
-                if !take_line_break(src, "a chunk is longer than it says")? {
+                if !take_line_break(src, "chunk longer than its stated size")? {
                     return Ok(Step::NeedMoreBytes);
                 }
                 self.state = DecodeState::ChunkSize;
                 Ok(Step::Continue)
             }
             DecodeState::Trailer => {
-                if !take_line_break(src, "trailers are not taken")? {
+                if !take_line_break(src, "trailers are not supported")? {
                     return Ok(Step::NeedMoreBytes);
                 }
                 self.state = DecodeState::Head;
@@ -156,7 +156,7 @@
             Ok(httparse::Status::Partial) if src.len() <= MAX_CHUNK_SIZE_LINE => {
                 return Ok(Step::NeedMoreBytes)
             }
-            _ => return Err(HttpError::Malformed("chunk size".into())),
+            _ => return Err(HttpError::Malformed("invalid chunk size".into())),
         };
         src.advance(line_len);
         self.state = match size {
@@ -201,12 +201,14 @@
             .is_some_and(|value| value.eq_ignore_ascii_case("chunked"));
         let length = field_value(fields, "content-length");
         if chunked && length.is_some() {
-            return Err(HttpError::Ambiguous("an answer with both lengths"));
+            return Err(HttpError::Ambiguous(
+                "response with both Content-Length and Transfer-Encoding",
+            ));
         }
         let length: Option<u64> = length
             .map(str::parse)
             .transpose()
-            .map_err(|_| HttpError::Malformed("content length".into()))?;
+            .map_err(|_| HttpError::Malformed("invalid content length".into()))?;
         if self.head_only || status == 304 || status == 204 {
             return Ok(DecodeState::Body { remaining: 0 });
         }
--- a/crates/protocol/src/streams.rs
+++ b/crates/protocol/src/streams.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum StreamError {
     /// A request whose stream number is not higher than all earlier ones.
-    #[error("stream {0} was used before; numbers only grow")]
+    #[error("stream number {0} is not higher than all earlier ones")]
     Reused(u32),
     /// A request beyond the limit of open streams. The receiver may reject the request and keep the connection open.
     #[error("{0} streams are open, no more are allowed")]
@@ -41,11 +41,11 @@
     /// A frame that arrived after the end of its stream.
     #[error("stream {0} was answered before; this comes after its end")]
     AfterEnd(u32),
-    /// A frame that the peer's end of the connection may not send, such as a request from the answerer.
-    #[error("a frame that only the other side may send: {0}")]
+    /// A frame that the peer's end of the connection may not send, such as a request from the responder.
+    #[error("the peer's end of the connection may not send a frame of type {0}")]
     WrongSide(&'static str),
     /// Credit that exceeds the maximum window.
-    #[error("credit on stream {0} grows past what a window can be")]
+    #[error("credit on stream {0} exceeds the maximum window")]
     CreditTooLarge(u32),
 }
 
@@ -125,7 +125,7 @@
             return Err("an end before the head");
         }
         if self.body != sent {
-            return Err("the end counts other bytes than came");
+            return Err("the end frame states a different number of body bytes than were received");
         }
         Ok(Progress::Closed)
     }
@@ -321,10 +321,10 @@
         receive: impl FnOnce(&mut Stream) -> Result<Progress, &'static str>,
     ) -> Result<Received, StreamError> {
         if self.side == Side::Responder {
-            return Err(StreamError::WrongSide("answer"));
+            return Err(StreamError::WrongSide("response"));
         }
         if id > self.highest_id {
-            let reason = "an answer to nothing that was asked";
+            let reason = "response on a stream without a request";
             return Err(StreamError::OutOfOrder(id, reason));
         }
         let Some(stream) = self.open.get_mut(&id) else {
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -207,7 +207,7 @@
             let error = ErrorHead {
                 status: WireStatus::Error as i32,
                 may_have_run: true,
-                detail: "dropped unanswered".to_owned(),
+                detail: "responder dropped without a response".to_owned(),
                 ..Default::default()
             };
             self.shared.push(Frame::Error(self.id, error));
--- a/crates/transport/src/connection/receive.rs
+++ b/crates/transport/src/connection/receive.rs
@@ -24,10 +24,10 @@
     #[error(transparent)]
     Connection(#[from] ConnectionError),
     /// The owner has dropped [`super::Incoming`], so that requests cannot be delivered.
-    #[error("nobody takes requests here")]
+    #[error("requests are not accepted on this connection")]
     RequestsNotAccepted,
     /// The owner has dropped [`super::Incoming`], so that control frames cannot be delivered.
-    #[error("nobody takes control frames here")]
+    #[error("control frames are not accepted on this connection")]
     ControlNotAccepted,
 }
 
--- a/crates/transport/src/connection/shared.rs
+++ b/crates/transport/src/connection/shared.rs
@@ -154,7 +154,9 @@
             return Err(ConnectionError::Closed(reason.clone()));
         }
         if table.peer_going_away {
-            return Err(ConnectionError::Closed("the peer goes away".into()));
+            return Err(ConnectionError::Closed(
+                "the peer is closing the connection".into(),
+            ));
         }
         let id = table
             .streams
--- a/crates/transport/src/simulated.rs
+++ b/crates/transport/src/simulated.rs
@@ -226,14 +226,17 @@
         tokio::time::sleep(round_trip).await;
         link.wait_until_open().await;
         if !self.is_process_running.load(Ordering::SeqCst) {
-            return Err(Error::new(ErrorKind::NotConnected, "this process is over"));
+            return Err(Error::new(
+                ErrorKind::NotConnected,
+                "this process has ended",
+            ));
         }
         let handshake = self.handshake(from, to, link);
         let accepted = handshake
             .listener
             .is_some_and(|queue| queue.try_send((handshake.server, handshake.from)).is_ok());
         if !accepted {
-            let reason = format!("nobody listens at {to}");
+            let reason = format!("no listener at {to}");
             return Err(Error::new(ErrorKind::ConnectionRefused, reason));
         }
         Ok(handshake.client)
--- a/crates/transport/src/writer/queue.rs
+++ b/crates/transport/src/writer/queue.rs
@@ -164,7 +164,7 @@
             return Progress::Made;
         }
         match socket.try_write_vectored(&[IoSlice::new(&bytes)]) {
-            Ok(0) => self.fail("the socket takes nothing more"),
+            Ok(0) => self.fail("the socket accepts no more bytes"),
             Ok(written) => {
                 bytes.advance(written);
                 self.queued_bytes += bytes.len();
@@ -187,7 +187,7 @@
         let mut slices = [IoSlice::new(&[]); MAX_SLICES];
         let count = self.gather(&mut slices);
         match socket.try_write_vectored(&slices[..count]) {
-            Ok(0) => self.fail("the socket takes nothing more"),
+            Ok(0) => self.fail("the socket accepts no more bytes"),
             Ok(written) => self.remove_written(written),
             Err(error) if error.kind() == ErrorKind::WouldBlock => return Progress::SocketFull,
             Err(error) => self.fail(&error.to_string()),
--- a/crates/transport/tests/connection.rs
+++ b/crates/transport/tests/connection.rs
@@ -302,14 +302,20 @@
     let data = |n: usize| Frame::Data(1, Bytes::from(vec![0; n]));
     let end = |bytes| Frame::End(1, EndHead { bytes, load: None });
     for (frames, expected) in [
-        (vec![head(), data(5), end(6)], "counts other bytes"),
+        (
+            vec![head(), data(5), end(6)],
+            "states a different number of body bytes",
+        ),
         (vec![data(5)], "data before the head"),
         (vec![head(), head()], "a second head"),
         (
             vec![Frame::Head(7, ResponseHead::default())],
-            "nothing that was asked",
+            "on a stream without a request",
+        ),
+        (
+            vec![Frame::Request(2, request("b"))],
+            "may not send a frame of type request",
         ),
-        (vec![Frame::Request(2, request("b"))], "only the other side"),
         (vec![head(), data(5)], "the peer closed"),
     ] {
         let (call_end, reason) = call_scripted_peer(frames).await;
