--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -30,12 +30,12 @@
 use pointspindle_scenario::Scenario;
 
 /// Returns the number of host crashes caused by overload during warm-up, whether or not a dispatcher knew of the start.
-pub fn count_cold_crashes(trace: &[TraceEntry]) -> usize {
-    let is_cold_crash = |entry: &&TraceEntry| match &entry.event {
+pub fn count_warm_up_crashes(trace: &[TraceEntry]) -> usize {
+    let is_warm_up_crash = |entry: &&TraceEntry| match &entry.event {
         TraceEvent::HostCrashed { reason, .. } => reason.contains("cold"),
         _ => false,
     };
-    trace.iter().filter(is_cold_crash).count()
+    trace.iter().filter(is_warm_up_crash).count()
 }
 
 /// Judges a run by the five rules. `effects` lists each piece of work with the number of its executions at the origin.
--- a/crates/audit/src/service.rs
+++ b/crates/audit/src/service.rs
@@ -115,7 +115,8 @@
     #[serde(rename = "worst_from_s")]
     pub worst_10s_from_s: f64,
     /// Mean of the service of the run, of its worst 10 s and of its worst class, with the weights of the scenario.
-    pub goal: f64,
+    #[serde(rename = "goal")]
+    pub objective_score: f64,
     /// Service of each class, in the scenario's order.
     pub classes: Vec<ClassService>,
     /// Value by the second in which the calls started.
@@ -294,7 +295,7 @@
             service,
             worst_10s: worst.service,
             worst_10s_from_s: worst.from_s as f64,
-            goal: goal(self.scenario, service, worst.service, &classes),
+            objective_score: objective_score(self.scenario, service, worst.service, &classes),
             classes,
             by_second: self.by_second,
             by_branch: self.by_branch,
@@ -346,7 +347,12 @@
     }
 }
 
-fn goal(scenario: &Scenario, service: f64, worst_10s: f64, classes: &[ClassService]) -> f64 {
+fn objective_score(
+    scenario: &Scenario,
+    service: f64,
+    worst_10s: f64,
+    classes: &[ClassService],
+) -> f64 {
     let worst_class = classes
         .iter()
         .filter(|class| class.calls > class.cancelled)
--- a/crates/audit/src/verdict.rs
+++ b/crates/audit/src/verdict.rs
@@ -84,7 +84,7 @@
     }
 
     /// Returns the number of violations of each kind, without undetectable ones, sorted by kind.
-    pub fn kinds(&self) -> Vec<(String, usize)> {
+    pub fn violation_counts(&self) -> Vec<(String, usize)> {
         let mut counts: BTreeMap<String, usize> = BTreeMap::new();
         for violation in &self.violations {
             *counts.entry(violation.kind.clone()).or_default() += 1;
--- a/crates/audit/src/warm_up.rs
+++ b/crates/audit/src/warm_up.rs
@@ -9,7 +9,7 @@
 use crate::trace::{ClientAttemptId, TraceEvent};
 use crate::verdict::{RuleVerdict, Violation};
 use pointspindle::Micros;
-use pointspindle_cache_model::warm_up::{WarmUpSpec, ROUNDING_TOLERANCE};
+use pointspindle_cache_model::warm_up::{WarmUpSpec, OVERLOAD_THRESHOLD};
 use pointspindle_cache_model::Role;
 use serde::{Deserialize, Serialize};
 use std::collections::{HashMap, HashSet};
@@ -30,7 +30,8 @@
     /// violated.
     pub allowed: f64,
     /// The operators' bound on the number of requests: N + 2√N + 2.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub bound: f64,
     /// Share of the load from dispatchers that knew of the start.
     #[serde(rename = "knew")]
     pub informed_share: f64,
@@ -41,7 +42,7 @@
 impl WarmUpPeak {
     /// Whether this load is closer to its bound, or further above it, than `other`.
     fn is_worse_than(&self, other: &Self) -> bool {
-        self.requests * other.most > other.requests * self.most || other.most == 0.0
+        self.requests * other.bound > other.requests * self.bound || other.bound == 0.0
     }
 }
 
@@ -299,7 +300,7 @@
             at_s: arrived.at as f64 / 1e6,
             requests: warming.work_s() / mean_work_s,
             allowed,
-            most: allowed + 2.0 * allowed.sqrt() + 2.0,
+            bound: allowed + 2.0 * allowed.sqrt() + 2.0,
             informed_share: warming.informed_share(),
             dispatchers: 0,
         };
@@ -318,7 +319,7 @@
 
     fn judge_overload(&mut self, arrived: &ArrivalEvent, warming: &mut WarmingHost, budget_s: f64) {
         let work_s = warming.work_s();
-        if work_s <= budget_s * ROUNDING_TOLERANCE || warming.overload_reported {
+        if work_s <= budget_s * OVERLOAD_THRESHOLD || warming.overload_reported {
             return;
         }
         warming.overload_reported = true;
--- a/crates/audit/tests/fleet_totals.rs
+++ b/crates/audit/tests/fleet_totals.rs
@@ -92,7 +92,7 @@
             (1, 1, 1)
         );
         assert_eq!(cancellations.longest_ms, after as f64 / 1e3);
-        let kinds = judge_totals(&scenario, &totals, None).kinds();
+        let kinds = judge_totals(&scenario, &totals, None).violation_counts();
         assert_eq!(
             kinds.iter().filter(|(kind, _)| kind == "left").count(),
             violations,
--- a/crates/cache-model/src/host.rs
+++ b/crates/cache-model/src/host.rs
@@ -78,7 +78,7 @@
             up: true,
             incarnation: 1,
             started: None,
-            link: SharedLink::new(spec.weight, spec.crowding_loss),
+            link: SharedLink::new(spec.weight, spec.congestion_loss),
             jobs: BTreeMap::new(),
             queue: VecDeque::new(),
             slots_in_use: 0,
--- a/crates/cache-model/src/model/overload.rs
+++ b/crates/cache-model/src/model/overload.rs
@@ -1,6 +1,6 @@
 //! Overload, which crashes a host that is warming up and makes the origin hang for a time.
 use super::CacheModel;
-use crate::warm_up::{WarmUpLoad, WarmUpSpec, ROUNDING_TOLERANCE};
+use crate::warm_up::{WarmUpLoad, WarmUpSpec, OVERLOAD_THRESHOLD};
 use crate::{HostId, ModelRequest, Role};
 
 /// Maximum number of outages of the origin by overload in one run.
@@ -27,7 +27,7 @@
         let used = state
             .warm_up_load
             .record(now, started, weight, &warm_up, work_s);
-        if used <= ROUNDING_TOLERANCE {
+        if used <= OVERLOAD_THRESHOLD {
             return false;
         }
         self.stop_host(host, "pushed over while cold");
@@ -40,7 +40,7 @@
         let limit = WarmUpSpec {
             initial_share: 1.0,
             duration: 0,
-            overload_factor: state.spec.overload.multiple,
+            overload_factor: state.spec.overload.overload_factor,
             overload_window: state.spec.overload.window,
         };
         if limit.overload_factor <= 0.0 || self.origin.outages >= MAX_ORIGIN_OUTAGES {
@@ -48,7 +48,7 @@
         }
         let weight = state.spec.weight;
         let used = self.origin.load.record(self.now, 0, weight, &limit, work_s);
-        if used > ROUNDING_TOLERANCE {
+        if used > OVERLOAD_THRESHOLD {
             self.origin.outages += 1;
             self.origin.load = WarmUpLoad::default();
             state.hang_until(self.now + state.spec.overload.downtime);
--- a/crates/cache-model/src/settings.rs
+++ b/crates/cache-model/src/settings.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug)]
 pub struct OverloadSpec {
     /// Multiple of its capacity above which the origin is overloaded; 0 if it never is.
-    pub multiple: f64,
+    pub overload_factor: f64,
     /// Length of the window over which the load is measured, microseconds.
     pub window: Micros,
     /// Duration of the hang after an overload, microseconds.
@@ -46,7 +46,7 @@
     /// Maximum number of queued requests; further ones are rejected.
     pub queue_limit: usize,
     /// Share of the link's capacity that each further full load of transfers costs.
-    pub crowding_loss: f64,
+    pub congestion_loss: f64,
     /// Capacity of the store, bytes.
     pub store_bytes: u64,
     /// Maximum number of fills in progress.
--- a/crates/cache-model/src/shared_link.rs
+++ b/crates/cache-model/src/shared_link.rs
@@ -26,7 +26,7 @@
     /// Number of transfers at full speed that the link carries now.
     capacity: f64,
     /// Share of the capacity that each further full load of transfers costs.
-    crowding_loss: f64,
+    congestion_loss: f64,
     /// Running sum of the service that each transfer has received, microseconds.
     served: f64,
     /// Time up to which `served` is computed, microseconds.
@@ -35,10 +35,10 @@
 }
 
 impl SharedLink {
-    pub(crate) fn new(capacity: f64, crowding_loss: f64) -> Self {
+    pub(crate) fn new(capacity: f64, congestion_loss: f64) -> Self {
         Self {
             capacity,
-            crowding_loss,
+            congestion_loss,
             served: 0.0,
             now: 0,
             transfers: BTreeSet::new(),
@@ -55,7 +55,7 @@
         }
         let count = self.transfers.len() as f64;
         let excess = (count / self.capacity - 1.0).max(0.0);
-        (self.capacity / count / (1.0 + self.crowding_loss * excess)).min(1.0)
+        (self.capacity / count / (1.0 + self.congestion_loss * excess)).min(1.0)
     }
 
     fn advance(&mut self, now: Micros) {
--- a/crates/cache-model/src/warm_up.rs
+++ b/crates/cache-model/src/warm_up.rs
@@ -33,7 +33,7 @@
 
 /// Used share of the budget above which a host is overloaded: 1 plus an allowance for rounding in sums of many small
 /// numbers.
-pub const ROUNDING_TOLERANCE: f64 = 1.0 + 1e-9;
+pub const OVERLOAD_THRESHOLD: f64 = 1.0 + 1e-9;
 
 /// Work that a host received with one attempt.
 #[derive(Clone, Copy, Debug)]
@@ -52,7 +52,7 @@
 
 impl WarmUpLoad {
     /// Records work, in seconds of a transfer at full speed, and returns the used share of the budget of the window
-    /// that ends at `now`. Above [`ROUNDING_TOLERANCE`] the host is overloaded.
+    /// that ends at `now`. Above [`OVERLOAD_THRESHOLD`] the host is overloaded.
     pub(crate) fn record(
         &mut self,
         now: Micros,
--- a/crates/cache-model/tests/model.rs
+++ b/crates/cache-model/tests/model.rs
@@ -18,7 +18,7 @@
         weight: 4.0,
         concurrency: 8,
         queue_limit: 4,
-        crowding_loss: 0.0,
+        congestion_loss: 0.0,
         store_bytes: 1 << 20,
         fill_concurrency: 8,
         fill_timeout: 500 * MS,
@@ -36,7 +36,7 @@
         pause_interval: 0,
         pause_duration: 0,
         overload: OverloadSpec {
-            multiple: if role == Role::Origin { 2.0 } else { 0.0 },
+            overload_factor: if role == Role::Origin { 2.0 } else { 0.0 },
             window: 1_000 * MS,
             downtime: 3_000 * MS,
         },
--- a/crates/cli/src/commands/lab/hunt.rs
+++ b/crates/cli/src/commands/lab/hunt.rs
@@ -1,7 +1,7 @@
 //! The `pointspindle lab hunt` command.
 use super::sweep::checked_text;
 use crate::exit::{negative_if, CommandResult};
-use pointspindle_report::hunt::{self, Goal};
+use pointspindle_report::hunt::{self, SearchGoal};
 use pointspindle_report::sweep::Source;
 use pointspindle_scenario::SettingOverride;
 use std::path::PathBuf;
@@ -13,7 +13,7 @@
     scenario: PathBuf,
     /// Goal of the search: worst, rules or fallen.
     #[arg(long, default_value = "worst", value_parser = parse_goal)]
-    goal: Goal,
+    goal: SearchGoal,
     /// Number of candidates.
     #[arg(long = "days", value_name = "DAYS", default_value_t = 64)]
     candidates: usize,
@@ -28,8 +28,8 @@
     out: Option<PathBuf>,
 }
 
-fn parse_goal(name: &str) -> Result<Goal, &'static str> {
-    let found = Goal::NAMES.iter().find(|(known, _)| *known == name);
+fn parse_goal(name: &str) -> Result<SearchGoal, &'static str> {
+    let found = SearchGoal::NAMES.iter().find(|(known, _)| *known == name);
     found
         .map(|(_, goal)| *goal)
         .ok_or("expected worst, rules or fallen")
@@ -43,7 +43,7 @@
         name: &name,
         text: &text,
     };
-    let found = hunt::hunt(
+    let found = hunt::search(
         &source,
         &arguments.overrides,
         arguments.goal,
@@ -63,7 +63,7 @@
         found.seed,
         figures.service,
         figures.worst_10s,
-        figures.cold_crashes,
+        figures.warm_up_crashes,
         figures.violations,
         found.faults.len(),
         found.runs
@@ -77,5 +77,5 @@
         Some(out) => std::fs::write(out, scenario)?,
         None => print!("{scenario}"),
     }
-    negative_if(arguments.goal == Goal::Violations)
+    negative_if(arguments.goal == SearchGoal::Violations)
 }
--- a/crates/cli/src/output/fleet_report.rs
+++ b/crates/cli/src/output/fleet_report.rs
@@ -76,10 +76,10 @@
         (&totals.warm_up_uninformed, "start unknown"),
     ];
     for (peak, knowledge) in peaks {
-        if peak.most > 0.0 {
+        if peak.bound > 0.0 {
             println!(
                 "  warm-up, {knowledge}: {} received {:.1} requests of mean work in a window from {} dispatchers, {:.1} allowed, bound {:.1}, at {:.1} s",
-                peak.host, peak.requests, peak.dispatchers, peak.allowed, peak.most, peak.at_s
+                peak.host, peak.requests, peak.dispatchers, peak.allowed, peak.bound, peak.at_s
             );
         }
     }
--- a/crates/cli/src/output/run_report.rs
+++ b/crates/cli/src/output/run_report.rs
@@ -1,7 +1,7 @@
 //! Output of the verdict on a run: service, rules and trace.
 use pointspindle_audit::service::ClassService;
 use pointspindle_audit::trace::TraceEntry;
-use pointspindle_audit::{count_cold_crashes, RuleVerdict};
+use pointspindle_audit::{count_warm_up_crashes, RuleVerdict};
 use pointspindle_report::record::Run;
 use pointspindle_scenario::Scenario;
 use pointspindle_testbed::fleet_run::Outcome;
@@ -21,7 +21,7 @@
 /// Returns a rule's verdict as JSON.
 pub fn rule_json(rule: &RuleVerdict) -> serde_json::Value {
     let first: Vec<_> = rule.violations.iter().take(MAX_VIOLATIONS_JSON).collect();
-    let kinds: BTreeMap<_, _> = rule.kinds().into_iter().collect();
+    let kinds: BTreeMap<_, _> = rule.violation_counts().into_iter().collect();
     serde_json::json!({
         "name": rule.name,
         "checked": rule.cases,
@@ -44,11 +44,11 @@
         "seconds": scenario.duration_s,
         "service": service.service,
         "worst_10s": service.worst_10s,
-        "goal": service.goal,
+        "goal": service.objective_score,
         "classes": service.classes,
         "tries": service.requests,
         "attempts": service.attempts,
-        "fallen": count_cold_crashes(&outcome.trace),
+        "fallen": count_warm_up_crashes(&outcome.trace),
         "neighbours": neighbours,
         "parents": parents,
         "rig_late_ms": outcome.testbed_lateness_ms,
@@ -64,7 +64,7 @@
         service.service,
         service.worst_10s,
         service.worst_10s_from_s,
-        service.goal,
+        service.objective_score,
         service.requests,
         service.attempts,
         outcome.testbed_lateness_ms
@@ -101,7 +101,7 @@
 /// Prints a rule's verdict.
 pub fn print_rule(rule: &RuleVerdict) {
     let kinds: Vec<String> = rule
-        .kinds()
+        .violation_counts()
         .iter()
         .map(|(kind, count)| format!("{kind} {count}"))
         .collect();
--- a/crates/cli/src/output/sweep_table.rs
+++ b/crates/cli/src/output/sweep_table.rs
@@ -16,7 +16,7 @@
             row.min_service,
             row.max_service,
             row.worst_10s,
-            row.cold_crashes,
+            row.warm_up_crashes,
             row.runs_with_violations
         );
     }
--- a/crates/fleet-model/src/partition.rs
+++ b/crates/fleet-model/src/partition.rs
@@ -3,7 +3,11 @@
 use std::collections::BTreeMap;
 
 /// Whether traffic from one zone reaches another while the given zones are partitioned from all others.
-pub fn passes(partitioned: &BTreeMap<usize, PartitionDirections>, from: usize, to: usize) -> bool {
+pub fn traffic_passes(
+    partitioned: &BTreeMap<usize, PartitionDirections>,
+    from: usize,
+    to: usize,
+) -> bool {
     if from == to {
         return true;
     }
--- a/crates/fleet-model/tests/partition.rs
+++ b/crates/fleet-model/tests/partition.rs
@@ -1,5 +1,5 @@
 //! Traffic between zones while some zones are partitioned.
-use pointspindle_fleet_model::partition::passes;
+use pointspindle_fleet_model::partition::traffic_passes;
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
 
@@ -10,15 +10,15 @@
         outward: true,
     };
     let partitioned = BTreeMap::from([(1, outward)]);
-    assert!(!passes(&partitioned, 1, 2));
-    assert!(passes(&partitioned, 2, 1));
-    assert!(passes(&partitioned, 2, 3));
+    assert!(!traffic_passes(&partitioned, 1, 2));
+    assert!(traffic_passes(&partitioned, 2, 1));
+    assert!(traffic_passes(&partitioned, 2, 3));
 }
 
 #[test]
 fn partition_keeps_traffic_within_the_zone() {
     let partitioned = BTreeMap::from([(1, PartitionDirections::default())]);
-    assert!(passes(&partitioned, 1, 1));
-    assert!(!passes(&partitioned, 1, 2));
-    assert!(!passes(&partitioned, 2, 1));
+    assert!(traffic_passes(&partitioned, 1, 1));
+    assert!(!traffic_passes(&partitioned, 1, 2));
+    assert!(!traffic_passes(&partitioned, 2, 1));
 }
--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -25,10 +25,11 @@
     /// Service over the worst 10 s.
     pub worst_10s: f64,
     /// The weighted objective.
-    pub goal: f64,
+    #[serde(rename = "goal")]
+    pub objective_score: f64,
     /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
-    pub cold_crashes: usize,
+    pub warm_up_crashes: usize,
     /// Number of violations of all rules.
     #[serde(rename = "breaches")]
     pub violations: usize,
@@ -49,8 +50,8 @@
         Self {
             service: run.service.service,
             worst_10s: run.service.worst_10s,
-            goal: run.service.goal,
-            cold_crashes: run.cold_crashes,
+            objective_score: run.service.objective_score,
+            warm_up_crashes: run.warm_up_crashes,
             violations: run.violations(),
             peak_cache_load: cache_load,
             peak_parent_load: parent_load,
@@ -169,7 +170,7 @@
     ComparedFigure {
         name: "goal",
         preference: Preference::More,
-        value: |figures| figures.goal,
+        value: |figures| figures.objective_score,
     },
     ComparedFigure {
         name: "highest load of warm caches after a restart",
@@ -213,8 +214,11 @@
 pub fn describe(pairs: &[Pair]) -> Vec<String> {
     let runs_with_violations =
         |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).violations > 0).count();
-    let cold_crashes = |variant: fn(&Pair) -> &Figures| {
-        pairs.iter().map(|p| variant(p).cold_crashes).sum::<usize>()
+    let warm_up_crashes = |variant: fn(&Pair) -> &Figures| {
+        pairs
+            .iter()
+            .map(|p| variant(p).warm_up_crashes)
+            .sum::<usize>()
     };
     let mut lines = vec![
         format!(
@@ -225,8 +229,8 @@
         ),
         format!(
             "host crashes by overload during warm-up: A {}, B {}",
-            cold_crashes(|pair| &pair.a),
-            cold_crashes(|pair| &pair.b)
+            warm_up_crashes(|pair| &pair.a),
+            warm_up_crashes(|pair| &pair.b)
         ),
     ];
     lines.extend(COMPARED_FIGURES.iter().map(|figure| figure.describe(pairs)));
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -28,7 +28,7 @@
 
 /// What the search looks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Goal {
+pub enum SearchGoal {
     /// The lowest service.
     LowestService,
     /// Violations of rules.
@@ -37,7 +37,7 @@
     ColdCrashes,
 }
 
-impl Goal {
+impl SearchGoal {
     /// Goals by their names on the command line.
     pub const NAMES: [(&'static str, Self); 3] = [
         ("worst", Self::LowestService),
@@ -50,7 +50,7 @@
         match self {
             Self::LowestService => 1.0 - figures.service,
             Self::Violations => figures.violations as f64,
-            Self::ColdCrashes => figures.cold_crashes as f64,
+            Self::ColdCrashes => figures.warm_up_crashes as f64,
         }
     }
 
@@ -59,7 +59,7 @@
         match self {
             Self::LowestService => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
             Self::Violations => reduced.violations > 0,
-            Self::ColdCrashes => reduced.cold_crashes > 0,
+            Self::ColdCrashes => reduced.warm_up_crashes > 0,
         }
     }
 }
@@ -185,7 +185,7 @@
 struct FaultSearch<'a> {
     source: &'a Source<'a>,
     overrides: &'a [SettingOverride],
-    goal: Goal,
+    goal: SearchGoal,
 }
 
 /// A candidate with the figures of its run.
@@ -197,10 +197,10 @@
 
 /// Runs `candidates` combinations of faults, with seeds from `first_seed` on, and reduces the best one. Returns none if
 /// no candidate shows the goal.
-pub fn hunt(
+pub fn search(
     source: &Source,
     overrides: &[SettingOverride],
-    goal: Goal,
+    goal: SearchGoal,
     first_seed: u64,
     candidates: usize,
 ) -> Result<Option<Finding>, ReportError> {
--- a/crates/report/src/record/mod.rs
+++ b/crates/report/src/record/mod.rs
@@ -7,7 +7,7 @@
 use pointspindle::Micros;
 use pointspindle_audit::service::Service;
 use pointspindle_audit::trace::TraceEntry;
-use pointspindle_audit::{count_cold_crashes, RuleVerdict};
+use pointspindle_audit::{count_warm_up_crashes, RuleVerdict};
 use pointspindle_scenario::script::{FaultKind, FaultSpec};
 use pointspindle_scenario::{Scenario, SettingOverride};
 use pointspindle_simulator as simulator;
@@ -76,7 +76,7 @@
     pub rules: Vec<RuleVerdict>,
     /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
-    pub cold_crashes: usize,
+    pub warm_up_crashes: usize,
     /// Faults of the script.
     #[serde(rename = "bands")]
     pub faults: Vec<FaultBand>,
@@ -124,7 +124,7 @@
             in_virtual_time,
             service: service.clone(),
             rules: rules.to_vec(),
-            cold_crashes: count_cold_crashes(trace),
+            warm_up_crashes: count_warm_up_crashes(trace),
             faults: scenario.faults.iter().map(FaultBand::of).collect(),
             by_second: tallies::measure(scenario, trace),
             hosts: host_load::measure(scenario, trace),
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -232,10 +232,11 @@
     /// Mean service over the worst 10 s.
     pub worst_10s: f64,
     /// Mean of the weighted objective.
-    pub goal: f64,
+    #[serde(rename = "goal")]
+    pub objective_score: f64,
     /// Number of host crashes by overload during warm-up, over all runs.
     #[serde(rename = "fallen")]
-    pub cold_crashes: usize,
+    pub warm_up_crashes: usize,
     /// Number of runs with at least one violation.
     #[serde(rename = "broken")]
     pub runs_with_violations: usize,
@@ -286,8 +287,8 @@
         min_service: services().fold(f64::MAX, f64::min),
         max_service: services().fold(0.0, f64::max),
         worst_10s: mean(|run| run.worst_10s),
-        goal: mean(|run| run.goal),
-        cold_crashes: runs.iter().map(|run| run.cold_crashes).sum(),
+        objective_score: mean(|run| run.objective_score),
+        warm_up_crashes: runs.iter().map(|run| run.warm_up_crashes).sum(),
         runs_with_violations: runs.iter().filter(|run| run.violations > 0).count(),
     }
 }
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -145,7 +145,7 @@
 #[test]
 fn search_for_cold_crashes_reduces_the_finding_to_the_needed_faults() {
     let high_load = overrides(&["day.rate=110", "cold cache.multiple=1.4"]);
-    let found = hunt::hunt(&SOURCE, &high_load, hunt::Goal::ColdCrashes, 1, 120)
+    let found = hunt::search(&SOURCE, &high_load, hunt::SearchGoal::ColdCrashes, 1, 120)
         .unwrap()
         .expect("a host that restarts before dispatchers receive the endpoint list");
     println!("{found:?}");
@@ -154,26 +154,33 @@
         "a seed must draw the same faults in every build"
     );
     assert!(
-        found.figures.cold_crashes > 0 && found.figures.violations == 0,
+        found.figures.warm_up_crashes > 0 && found.figures.violations == 0,
         "a crash without a violation, as no dispatcher could know of the restart"
     );
-    let cold_crashes = |faults: &[_]| {
+    let warm_up_crashes = |faults: &[_]| {
         let text = hunt::scenario_text(SCENARIO, faults);
         let scenario = parse_with("found.ini", &text, Some(found.seed), &high_load).unwrap();
-        Run::simulate(&scenario, &high_load).unwrap().0.cold_crashes
+        Run::simulate(&scenario, &high_load)
+            .unwrap()
+            .0
+            .warm_up_crashes
     };
-    assert_eq!(cold_crashes(&found.faults), found.figures.cold_crashes);
+    assert_eq!(
+        warm_up_crashes(&found.faults),
+        found.figures.warm_up_crashes
+    );
     for without in 0..found.faults.len() {
         let mut fewer = found.faults.clone();
         fewer.remove(without);
         assert_eq!(
-            cold_crashes(&fewer),
+            warm_up_crashes(&fewer),
             0,
             "{:?} is not needed for the crash",
             found.faults[without]
         );
     }
-    let repeated = hunt::hunt(&SOURCE, &high_load, hunt::Goal::ColdCrashes, 1, 120).unwrap();
+    let repeated =
+        hunt::search(&SOURCE, &high_load, hunt::SearchGoal::ColdCrashes, 1, 120).unwrap();
     assert_eq!(
         repeated,
         Some(found),
--- a/crates/report/tests/terminal.rs
+++ b/crates/report/tests/terminal.rs
@@ -60,8 +60,8 @@
     }
     assert!(screen.contains(&total.served.to_string()));
     assert_eq!(
-        view.cold_crashes,
-        pointspindle_audit::count_cold_crashes(&outcome.trace)
+        view.warm_up_crashes,
+        pointspindle_audit::count_warm_up_crashes(&outcome.trace)
     );
 }
 
--- a/crates/scenario/src/read/hosts.rs
+++ b/crates/scenario/src/read/hosts.rs
@@ -41,7 +41,7 @@
         weight: values.number(section, "weight", default_weight, 0.01, 1e6),
         concurrency: values.count(section, "places", 64, 1),
         queue_limit: values.count(section, "queue", 128, 0),
-        crowding_loss: values.number(section, "thrash", 0.02, 0.0, 10.0),
+        congestion_loss: values.number(section, "thrash", 0.02, 0.0, 10.0),
         store_bytes: (values.number(section, "store_mb", 24.0, 0.0, 1e7) * 1024.0 * 1024.0) as u64,
         fill_concurrency: values.count(section, "fill_places", 32, 1),
         fill_timeout: values.millis(section, "fill_timeout_ms", 2_000.0),
@@ -54,7 +54,7 @@
         pause_interval: values.millis(section, "pause_every_ms", 0.0),
         pause_duration: values.millis(section, "pause_ms", 0.0),
         overload: OverloadSpec {
-            multiple: 0.0,
+            overload_factor: 0.0,
             window: 1,
             downtime: 0,
         },
@@ -84,7 +84,7 @@
     HostSpec {
         service_time: values.millis(section, "think_ms", 30.0),
         overload: OverloadSpec {
-            multiple: values.number(section, "fall_multiple", 0.0, 0.0, 1e6),
+            overload_factor: values.number(section, "fall_multiple", 0.0, 0.0, 1e6),
             window: values.millis(section, "fall_window_ms", 3_000.0),
             downtime: values.millis(section, "fall_down_ms", 5_000.0),
         },
--- a/crates/simulator/src/partitions.rs
+++ b/crates/simulator/src/partitions.rs
@@ -5,7 +5,7 @@
 use pointspindle::Micros;
 use pointspindle_audit::trace::TraceEvent;
 use pointspindle_cache_model::JobId;
-use pointspindle_fleet_model::partition::passes;
+use pointspindle_fleet_model::partition::traffic_passes;
 use pointspindle_scenario::script::PartitionDirections;
 use std::collections::BTreeMap;
 
@@ -20,7 +20,7 @@
 impl ZonePartitions {
     /// Returns the time until which messages from one zone to another are delayed; `None` if they pass.
     fn delayed_until(&self, from: usize, to: usize, now: Micros) -> Option<Micros> {
-        if passes(&self.directions, from, to) {
+        if traffic_passes(&self.directions, from, to) {
             return None;
         }
         Some(self.until.max(now + 1))
--- a/crates/simulator/tests/fleet.rs
+++ b/crates/simulator/tests/fleet.rs
@@ -80,13 +80,13 @@
     assert_eq!(
         (
             violated_rules(&healthy.rules),
-            judge_totals(&scenario, &healthy_totals, None).kinds()
+            judge_totals(&scenario, &healthy_totals, None).violation_counts()
         ),
         (vec![], vec![])
     );
     assert_eq!(violated_rules(&miscounted.rules), ["cold"]);
     assert_eq!(
-        judge_totals(&scenario, &miscounted_totals, None).kinds(),
+        judge_totals(&scenario, &miscounted_totals, None).violation_counts(),
         [("fairness".to_owned(), 1)]
     );
     assert!(miscounted_totals.fairness < healthy_totals.fairness);
@@ -296,7 +296,7 @@
             let (outcome, totals) = run_scenario(&scenario, injected_fault);
             let warm_up = &totals.warm_up_informed;
             assert!(
-                warm_up.most > 0.0,
+                warm_up.bound > 0.0,
                 "no host whose start was known has warmed up"
             );
             println!("{dispatchers} dispatchers per site: {warm_up:?}");
@@ -305,7 +305,7 @@
                 assert_eq!(
                     (
                         violated_rules(&outcome.rules),
-                        judge_totals(&scenario, &totals, None).kinds()
+                        judge_totals(&scenario, &totals, None).violation_counts()
                     ),
                     (vec![], vec![])
                 );
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -45,7 +45,7 @@
         weight,
         concurrency: 64,
         queue_limit: 256,
-        crowding_loss: 0.0,
+        congestion_loss: 0.0,
         store_bytes: 64 << 20,
         fill_concurrency: 64,
         fill_timeout: 3_000_000,
@@ -63,7 +63,7 @@
         pause_interval: 0,
         pause_duration: 0,
         overload: OverloadSpec {
-            multiple: 0.0,
+            overload_factor: 0.0,
             window: 1_000_000,
             downtime: 0,
         },
--- a/crates/testbed/src/emulated_hosts/zone_partitions.rs
+++ b/crates/testbed/src/emulated_hosts/zone_partitions.rs
@@ -3,7 +3,7 @@
 //!
 //! As with lost packets, connections stay open, and data that was sent arrives once the partition has healed. The
 //! operating system still accepts new connections, but no data arrives over them.
-use pointspindle_fleet_model::partition::passes;
+use pointspindle_fleet_model::partition::traffic_passes;
 use pointspindle_scenario::script::PartitionDirections;
 use pointspindle_transport::Socket;
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
         let mut partitioned = self.partitioned.subscribe();
         // Fails only when the sender has been dropped; no partition can change then, and there is no need to wait.
         let _ = partitioned
-            .wait_for(|partitioned| passes(partitioned, crossing.from, crossing.to))
+            .wait_for(|partitioned| traffic_passes(partitioned, crossing.from, crossing.to))
             .await;
     }
 }
