--- a/crates/cli/src/commands/lab/capacity.rs
+++ b/crates/cli/src/commands/lab/capacity.rs
@@ -1,7 +1,7 @@
 //! The `pointspindle lab capacity` command.
 use super::scale::{read_json, read_target};
 use crate::exit::{CommandError, CommandResult};
-use pointspindle_scale::slopes::Slopes;
+use pointspindle_scale::slopes::Fits;
 use std::path::PathBuf;
 
 /// Arguments of `lab capacity`.
@@ -18,7 +18,7 @@
 /// Writes the capacity page to standard output.
 pub fn capacity(arguments: CapacityArguments) -> CommandResult {
     let target = read_target(&arguments.target)?;
-    let slopes: Slopes = read_json(&arguments.slopes)?;
+    let slopes: Fits = read_json(&arguments.slopes)?;
     let invalid_slope = slopes.figures.iter().find(|(_, slope)| {
         slope.min_dispatchers == 0 || slope.max_dispatchers < slope.min_dispatchers
     });
--- a/crates/cli/src/commands/lab/compare.rs
+++ b/crates/cli/src/commands/lab/compare.rs
@@ -199,7 +199,7 @@
     let gain = |pair: &Pair| pair.b.service - pair.a.service;
     let mut by_gain: Vec<&Pair> = pairs.iter().collect();
     by_gain.sort_by(|x, y| gain(x).total_cmp(&gain(y)));
-    println!("days on which B lost and won most:");
+    println!("runs on which B lost and gained most:");
     for (rank, pair) in by_gain.iter().enumerate() {
         if rank < MAX_PRINTED_RUNS || rank + MAX_PRINTED_RUNS >= by_gain.len() {
             println!(
--- a/crates/cli/src/commands/lab/scale.rs
+++ b/crates/cli/src/commands/lab/scale.rs
@@ -3,8 +3,8 @@
 use crate::output::scale_report::{exceeded_budgets, print_runs};
 use crate::process::raise_descriptor_limit;
 use pointspindle_scale::results::Step;
-use pointspindle_scale::runner::{machine_mb, play_step};
-use pointspindle_scale::slopes::{slopes, Slopes};
+use pointspindle_scale::runner::{machine_memory_mb, run_step};
+use pointspindle_scale::slopes::{fit_runs, Fits};
 use pointspindle_scale::{node, Target};
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -89,7 +89,7 @@
         Some(file) => read_json(file)?,
         None => run_steps(&arguments, &target).await?,
     };
-    let slopes = Slopes {
+    let slopes = Fits {
         commit: commit(),
         date: httpdate::fmt_http_date(SystemTime::now()),
         machine: machine(),
@@ -99,7 +99,7 @@
             None => arguments.dispatchers.clone(),
         },
         runs: runs.len(),
-        figures: slopes(&runs),
+        figures: fit_runs(&runs),
         counts: update_counts(&runs),
     };
     if let Some(folder) = &arguments.out {
@@ -131,7 +131,7 @@
         let mut steps = Vec::new();
         for &dispatchers in &arguments.dispatchers {
             let progress = |phase: &str| eprintln!("run {run}, {dispatchers} dispatchers: {phase}");
-            steps.push(play_step(&program, target, dispatchers, progress).await?);
+            steps.push(run_step(&program, target, dispatchers, progress).await?);
         }
         runs.push(steps);
     }
@@ -173,7 +173,7 @@
 
 fn machine() -> String {
     let cores = std::thread::available_parallelism().map_or(0, |cores| cores.get());
-    format!("{cores} cores, {:.0} GB", machine_mb() / 1024.0)
+    format!("{cores} cores, {:.0} GB", machine_memory_mb() / 1024.0)
 }
 
 /// Returns the numbers of updates that were written, and of those that a dispatcher never received, over all steps.
--- a/crates/cli/src/output/scale_report.rs
+++ b/crates/cli/src/output/scale_report.rs
@@ -4,8 +4,8 @@
 
 /// Phases in which the budgets of a dispatcher are checked.
 const BUDGETED_PHASES: [&str; 2] = ["rest", "purges"];
-/// Phase in which updates may be late because many dispatchers start at once.
-const RESTART_PHASE: &str = "storm";
+/// Phase with the burst of purges, in which updates may be late.
+const PURGE_BURST_PHASE: &str = "storm";
 
 /// Returns the budgets of the target that the largest step of each run exceeds, and the updates not delivered in it.
 pub fn exceeded_budgets(target: &Target, runs: &[Vec<Step>]) -> Vec<String> {
@@ -62,7 +62,7 @@
                 phase.name, lag.missing
             ));
         }
-        if phase.name != RESTART_PHASE && lag.longest_ms > budget_ms {
+        if phase.name != PURGE_BURST_PHASE && lag.longest_ms > budget_ms {
             exceeded.push(format!(
                 "{}: in force after {:.0} ms, budget {budget_ms} ms",
                 phase.name, lag.longest_ms
--- a/crates/report/src/html.rs
+++ b/crates/report/src/html.rs
@@ -67,7 +67,7 @@
 /// Renders the cost of idle connections as a table and two plots, with a series of steps for each protocol.
 pub fn idle(series: &[Vec<IdleStep>]) -> Result<String, ReportError> {
     let memory = plots::against_idle_connections(series, "server memory, MiB", |step| {
-        step.program as f64 / BYTES_PER_MIB
+        step.process_memory_bytes as f64 / BYTES_PER_MIB
     })?;
     let p99 = plots::against_idle_connections(series, "p99 of requests, ms", |step| {
         step.p99_us as f64 / 1e3
--- a/crates/report/src/plots/scatter.rs
+++ b/crates/report/src/plots/scatter.rs
@@ -46,7 +46,9 @@
 ) -> Result<String, ReportError> {
     draw_svg(HEIGHT_PX, |area| {
         let steps = || series.iter().flatten();
-        let right = steps().map(|step| step.idle as f64).fold(1.0, f64::max);
+        let right = steps()
+            .map(|step| step.idle_connections as f64)
+            .fold(1.0, f64::max);
         let top = steps().map(&figure).fold(1e-9, f64::max) * 1.1;
         let mut chart = chart(area, 0.0..right, 0.0..top)?;
         chart
@@ -61,7 +63,7 @@
             let Some(first) = steps.first() else { continue };
             let points: Vec<(f64, f64)> = steps
                 .iter()
-                .map(|step| (step.idle as f64, figure(step)))
+                .map(|step| (step.idle_connections as f64, figure(step)))
                 .collect();
             let line = LineSeries::new(points, colour.stroke_width(2)).point_size(3);
             chart
--- a/crates/scale/src/capacity.rs
+++ b/crates/scale/src/capacity.rs
@@ -4,7 +4,7 @@
 mod roles;
 mod row;
 
-use crate::slopes::{Slopes, MAX_SPREAD};
+use crate::slopes::{Fits, MAX_SPREAD};
 use crate::Target;
 use events::{events, Event};
 use roles::{roles, Role};
@@ -14,7 +14,7 @@
 const BUDGETS_LISTED: usize = 5;
 
 /// Returns the capacity page in Markdown.
-pub fn page(target: &Target, slopes: &Slopes) -> String {
+pub fn page(target: &Target, slopes: &Fits) -> String {
     let dispatchers = target.fleet.dispatchers as f64;
     let mut page = introduction(target, slopes);
     page += "\n## By role\n";
@@ -40,7 +40,7 @@
     page
 }
 
-fn introduction(target: &Target, slopes: &Slopes) -> String {
+fn introduction(target: &Target, slopes: &Fits) -> String {
     let fleet = &target.fleet;
     let workload = &target.workload;
     format!(
@@ -72,7 +72,7 @@
     )
 }
 
-fn table(rows: &[Row], slopes: &Slopes, dispatchers: f64) -> String {
+fn table(rows: &[Row], slopes: &Fits, dispatchers: f64) -> String {
     let lines = rows.iter().map(|row| row.to_markdown(slopes, dispatchers));
     TABLE_HEAD.to_owned() + &lines.collect::<String>()
 }
@@ -86,7 +86,7 @@
 
 /// Lists the figures of the page that are closest to their budgets at twice the target's size, and those that grow with
 /// N^2.
-fn bottlenecks(target: &Target, slopes: &Slopes) -> String {
+fn bottlenecks(target: &Target, slopes: &Fits) -> String {
     let role_rows = roles(target).into_iter().flat_map(|role| role.rows);
     let event_rows = events().into_iter().flat_map(|event| event.rows);
     let rows: Vec<Row> = role_rows.chain(event_rows).collect();
@@ -111,7 +111,7 @@
     text + &format!("* figures that grow with N^2: {quadratic}\n")
 }
 
-fn budgets_by_use(rows: &[Row], target: &Target, slopes: &Slopes) -> Vec<BudgetUse> {
+fn budgets_by_use(rows: &[Row], target: &Target, slopes: &Fits) -> Vec<BudgetUse> {
     let double_size = 2.0 * target.fleet.dispatchers as f64;
     let budget_use = |row: &Row| {
         let figure = measured_figure(row)?;
@@ -129,7 +129,7 @@
 }
 
 /// Returns the figures whose fit has a quadratic term.
-fn figures_with_quadratic_fit(rows: &[Row], slopes: &Slopes) -> Vec<&'static str> {
+fn figures_with_quadratic_fit(rows: &[Row], slopes: &Fits) -> Vec<&'static str> {
     let names = rows.iter().filter_map(measured_figure).map(|f| f.name);
     let is_quadratic = |name: &&str| {
         let slope = slopes.figures.get(*name);
--- a/crates/scale/src/capacity/row.rs
+++ b/crates/scale/src/capacity/row.rs
@@ -1,6 +1,6 @@
 //! A row of the capacity page: a figure, its fit, its values at the target's size and at twice that size, its budget,
 //! and the basis of the values.
-use crate::slopes::{Slope, Slopes, MAX_RESIDUAL};
+use crate::slopes::{Fit, Fits, MAX_RESIDUAL};
 
 /// Header of each table.
 pub(super) const TABLE_HEAD: &str =
@@ -23,7 +23,7 @@
 /// A figure of the scale run, with its budget if it has one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeasuredFigure {
-    /// Name of the figure in [`Slopes::figures`].
+    /// Name of the figure in [`Fits::figures`].
     pub(super) name: &'static str,
     pub(super) unit: &'static str,
     pub(super) budget: Option<f64>,
@@ -62,7 +62,7 @@
 
 impl Row {
     /// Returns the row as a line of its table, for a fleet of `dispatchers`.
-    pub(super) fn to_markdown(self, slopes: &Slopes, dispatchers: f64) -> String {
+    pub(super) fn to_markdown(self, slopes: &Fits, dispatchers: f64) -> String {
         let label = self.label;
         let evidence = self.evidence;
         let figure = match self.source {
@@ -79,7 +79,7 @@
         }
     }
 
-    fn measured_row(self, figure: MeasuredFigure, slope: &Slope, dispatchers: f64) -> String {
+    fn measured_row(self, figure: MeasuredFigure, slope: &Fit, dispatchers: f64) -> String {
         let unit = figure.unit;
         let mut formula = String::new();
         let mut at_double = String::new();
@@ -122,7 +122,7 @@
     }
 }
 
-fn format_fit(slope: &Slope) -> String {
+fn format_fit(slope: &Fit) -> String {
     let quadratic = match slope.quadratic {
         0.0 => String::new(),
         coefficient => format!(" {coefficient:+.2e} N^2"),
@@ -136,7 +136,7 @@
 }
 
 /// Describes the basis of the value shown for a fleet of `dispatchers`.
-fn basis(slope: &Slope, dispatchers: f64) -> String {
+fn basis(slope: &Fit, dispatchers: f64) -> String {
     if slope.residual > MAX_RESIDUAL {
         let residual_percent = 100.0 * slope.residual;
         return format!("residual {residual_percent:.0}%, fit not used; largest value measured");
--- a/crates/scale/src/runner.rs
+++ b/crates/scale/src/runner.rs
@@ -6,7 +6,7 @@
 mod phases;
 mod usage;
 
-pub use usage::machine_mb;
+pub use usage::machine_memory_mb;
 
 use crate::results::Step;
 use crate::Target;
@@ -74,7 +74,7 @@
 }
 
 /// Runs all phases at one fleet size. Calls `on_phase` with the name of each phase when the phase has ended.
-pub async fn play_step(
+pub async fn run_step(
     program: &Path,
     target: &Target,
     dispatchers: usize,
--- a/crates/scale/src/runner/phases.rs
+++ b/crates/scale/src/runner/phases.rs
@@ -2,7 +2,7 @@
 use super::fleet::Fleet;
 use super::lag::p50_p90_longest;
 use super::measurement::{PhaseMeasurement, Written};
-use super::usage::machine_mb;
+use super::usage::machine_memory_mb;
 use super::{RunError, ScaleError};
 use crate::messages::Command;
 use crate::node::now_us;
@@ -272,7 +272,7 @@
 
 fn check_memory(phase: &Phase) -> Result<(), ScaleError> {
     let used_mb = phase.store.memory_mb + phase.dispatchers.memory_mb + phase.hosts.memory_mb;
-    let limit_mb = machine_mb() * MAX_MEMORY_SHARE;
+    let limit_mb = machine_memory_mb() * MAX_MEMORY_SHARE;
     if limit_mb > 0.0 && used_mb > limit_mb {
         return Err(ScaleError::MemoryLimit { used_mb, limit_mb });
     }
--- a/crates/scale/src/runner/usage.rs
+++ b/crates/scale/src/runner/usage.rs
@@ -55,7 +55,7 @@
 }
 
 /// Returns the machine's total memory in MB, or 0 if it cannot be read.
-pub fn machine_mb() -> f64 {
+pub fn machine_memory_mb() -> f64 {
     let info = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     let total = info.lines().find_map(|line| line.strip_prefix("MemTotal:"));
     let kb = total.and_then(|text| text.trim().trim_end_matches(" kB").parse::<f64>().ok());
--- a/crates/scale/src/slopes.rs
+++ b/crates/scale/src/slopes.rs
@@ -24,7 +24,7 @@
 
 /// The fit of a figure as a function of the number of dispatchers, and the range of sizes that it was measured at.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Slope {
+pub struct Fit {
     /// Unit of the figure.
     pub unit: String,
     /// Constant term.
@@ -53,7 +53,7 @@
     pub spread: Option<f64>,
 }
 
-impl Slope {
+impl Fit {
     /// Returns the fitted value of the figure at a size.
     pub fn value_at(&self, dispatchers: f64) -> f64 {
         self.intercept + self.linear * dispatchers + self.quadratic * dispatchers * dispatchers
@@ -67,7 +67,7 @@
 
 /// The fits of a scale run, as stored in `slopes.json`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Slopes {
+pub struct Fits {
     /// Commit that was measured.
     pub commit: String,
     /// Time at which the fits were made, as an HTTP date.
@@ -81,7 +81,7 @@
     /// Number of times that each size was measured.
     pub runs: usize,
     /// The fits, by the name of the figure (`phase/metric`).
-    pub figures: BTreeMap<String, Slope>,
+    pub figures: BTreeMap<String, Fit>,
     /// Counts over all sizes, which are not fitted.
     pub counts: BTreeMap<String, f64>,
 }
@@ -142,7 +142,7 @@
 }
 
 /// Fits one figure. Returns `None` if there are no points or the fit fails.
-pub fn fit(unit: &str, points: &[Point]) -> Option<Slope> {
+pub fn fit(unit: &str, points: &[Point]) -> Option<Fit> {
     let sizes = || points.iter().map(|point| point.dispatchers);
     let values = || points.iter().map(|point| point.value);
     let largest = values()
@@ -160,7 +160,7 @@
             && curve.quadratic * largest_size * largest_size > MIN_QUADRATIC_SHARE * largest
     });
     let best = curve.unwrap_or(line);
-    Some(Slope {
+    Some(Fit {
         unit: unit.to_owned(),
         intercept: best.intercept,
         linear: best.linear,
@@ -188,7 +188,7 @@
     }
 
     /// Returns the fit of the means over the runs.
-    fn fit(&self, runs: usize) -> Option<Slope> {
+    fn fit(&self, runs: usize) -> Option<Fit> {
         let mean = |values: &Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
         let points: Vec<Point> = self
             .by_size
@@ -199,7 +199,7 @@
             })
             .collect();
         let all_values = self.by_size.values().flatten().copied();
-        Some(Slope {
+        Some(Fit {
             max_value: all_values.fold(f64::NEG_INFINITY, f64::max),
             spread: self.spread().filter(|_| runs > 1),
             ..fit(self.unit, &points)?
@@ -221,7 +221,7 @@
 }
 
 /// Returns the fits of one or several runs over the same sizes, by the name of the figure.
-pub fn slopes(runs: &[Vec<Step>]) -> BTreeMap<String, Slope> {
+pub fn fit_runs(runs: &[Vec<Step>]) -> BTreeMap<String, Fit> {
     let mut measured: BTreeMap<String, MeasuredValues> = BTreeMap::new();
     for step in runs.iter().flatten() {
         for figure in figures(step) {
--- a/crates/scale/src/tests.rs
+++ b/crates/scale/src/tests.rs
@@ -1,4 +1,4 @@
-use super::slopes::{fit, Point, Slope};
+use super::slopes::{fit, Fit, Point};
 use super::*;
 
 const MINIMAL_TARGET: &str = "[target]\ndispatchers = 590\nhosts = 120\n";
@@ -65,15 +65,15 @@
 
 #[test]
 fn slope_is_not_reliable_when_runs_disagree() {
-    let with_spread = |spread| Slope {
+    let with_spread = |spread| Fit {
         spread: Some(spread),
-        ..Slope::default()
+        ..Fit::default()
     };
     assert_eq!(
         (
             with_spread(0.6).is_reliable(),
             with_spread(0.1).is_reliable(),
-            Slope::default().is_reliable()
+            Fit::default().is_reliable()
         ),
         (false, true, true)
     );
--- a/crates/testbed/src/idle/expiry.rs
+++ b/crates/testbed/src/idle/expiry.rs
@@ -11,15 +11,17 @@
 /// The longest wait for the server to close the last connection, counted from the end of the load.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The measurement of the expiry of idle connections. The field names are those of the report's JSON.
+/// The measurement of the expiry of idle connections. The serialized names are those of the report's JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ExpiryMeasurement {
     /// Number of connections.
     pub connections: usize,
     /// Greatest delay between the idle timeout of a connection and its close, in milliseconds.
-    pub latest_ms: f64,
+    #[serde(rename = "latest_ms")]
+    pub max_lateness_ms: f64,
     /// 99th percentile of the delay between idle timeout and close, in milliseconds.
-    pub late_p99_ms: f64,
+    #[serde(rename = "late_p99_ms")]
+    pub lateness_p99_ms: f64,
     /// Requests of the steady load that were served.
     pub requests: u64,
     /// Requests of the steady load that were not served.
@@ -27,7 +29,8 @@
     /// 99th percentile of the response time of the steady load, in microseconds.
     pub p99_us: u64,
     /// Longest response time of the steady load, in microseconds.
-    pub most_us: u64,
+    #[serde(rename = "most_us")]
+    pub max_us: u64,
 }
 
 /// Opens connections without requests as fast as possible and runs the plan's steady load while the server closes them.
@@ -60,12 +63,12 @@
     lateness.sort_unstable();
     Ok(ExpiryMeasurement {
         connections,
-        latest_ms: milliseconds(lateness.last()),
-        late_p99_ms: milliseconds(lateness.get(lateness.len() * 99 / 100)),
+        max_lateness_ms: milliseconds(lateness.last()),
+        lateness_p99_ms: milliseconds(lateness.get(lateness.len() * 99 / 100)),
         requests: response_times.len(),
         failed,
         p99_us: response_times.value_at_quantile(0.99),
-        most_us: response_times.max(),
+        max_us: response_times.max(),
     })
 }
 
--- a/crates/testbed/src/idle/measurement.rs
+++ b/crates/testbed/src/idle/measurement.rs
@@ -12,21 +12,26 @@
 /// How long processor time is measured while there are no requests.
 const IDLE_CPU_WINDOW: Duration = Duration::from_secs(1);
 
-/// The measurement of one step. The field names are those of the report's JSON.
+/// The measurement of one step. The serialized names are those of the report's JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct IdleStep {
     /// The protocol of the idle connections.
     pub protocol: String,
     /// Number of open idle connections.
-    pub idle: usize,
+    #[serde(rename = "idle")]
+    pub idle_connections: usize,
     /// Connections opened per second, including one request on each.
-    pub made_per_s: f64,
+    #[serde(rename = "made_per_s")]
+    pub opened_per_s: f64,
     /// Resident memory of the server's process, in bytes.
-    pub program: u64,
+    #[serde(rename = "program")]
+    pub process_memory_bytes: u64,
     /// Memory of all TCP buffers in the kernel of this machine, in bytes.
-    pub kernel: u64,
+    #[serde(rename = "kernel")]
+    pub kernel_tcp_bytes: u64,
     /// Share of a processor core that the server uses while there are no requests.
-    pub idle_cpu: f64,
+    #[serde(rename = "idle_cpu")]
+    pub idle_cpu_share: f64,
     /// Requests of the steady load that were served.
     pub requests: u64,
     /// Requests of the steady load that were not served.
@@ -36,7 +41,8 @@
     /// 99th percentile of the response time of the steady load, in microseconds.
     pub p99_us: u64,
     /// Longest response time of the steady load, in microseconds.
-    pub most_us: u64,
+    #[serde(rename = "most_us")]
+    pub max_us: u64,
 }
 
 /// The reason for which a measurement ended before its last step, if it did.
@@ -59,8 +65,8 @@
             .await
             .err();
         let opened = connections.len() - open_before;
-        let made_per_s = opened as f64 / started_at.elapsed().as_secs_f64().max(1e-6);
-        let step = measure_step(&plan, connections.len(), made_per_s).await;
+        let opened_per_s = opened as f64 / started_at.elapsed().as_secs_f64().max(1e-6);
+        let step = measure_step(&plan, connections.len(), opened_per_s).await;
         on_step(&step);
         steps.push(step);
         if stopped.is_some() {
@@ -71,11 +77,15 @@
     (steps, stopped)
 }
 
-async fn measure_step(plan: &Arc<IdlePlan>, idle: usize, made_per_s: f64) -> IdleStep {
+async fn measure_step(
+    plan: &Arc<IdlePlan>,
+    idle_connections: usize,
+    opened_per_s: f64,
+) -> IdleStep {
     tokio::time::sleep(SETTLE_TIME).await;
-    let program = resident_bytes(plan.pid);
-    let kernel = kernel_tcp_bytes();
-    let idle_cpu = idle_cpu_share(plan.pid).await;
+    let process_memory_bytes = resident_bytes(plan.pid);
+    let kernel_tcp_bytes = kernel_tcp_bytes();
+    let idle_cpu_share = idle_cpu_share(plan.pid).await;
     let LoadResult {
         response_times,
         failed,
@@ -86,16 +96,16 @@
     };
     IdleStep {
         protocol: protocol.into(),
-        idle,
-        made_per_s,
-        program,
-        kernel,
-        idle_cpu,
+        idle_connections,
+        opened_per_s,
+        process_memory_bytes,
+        kernel_tcp_bytes,
+        idle_cpu_share,
         requests: response_times.len(),
         failed,
         p50_us: response_times.value_at_quantile(0.5),
         p99_us: response_times.value_at_quantile(0.99),
-        most_us: response_times.max(),
+        max_us: response_times.max(),
     }
 }
 
@@ -111,12 +121,16 @@
 /// steps.
 pub fn growth_per_connection(steps: &[IdleStep], value: impl Fn(&IdleStep) -> u64) -> f64 {
     let count = (steps.len() as f64).max(1.0);
-    let mean_idle = steps.iter().map(|step| step.idle as f64).sum::<f64>() / count;
+    let mean_idle = steps
+        .iter()
+        .map(|step| step.idle_connections as f64)
+        .sum::<f64>()
+        / count;
     let mean_value = steps.iter().map(|step| value(step) as f64).sum::<f64>() / count;
     let mut covariance = 0.0;
     let mut variance = 0.0;
     for step in steps {
-        let idle_deviation = step.idle as f64 - mean_idle;
+        let idle_deviation = step.idle_connections as f64 - mean_idle;
         covariance += idle_deviation * (value(step) as f64 - mean_value);
         variance += idle_deviation.powi(2);
     }
