--- a/crates/cli/src/commands/lab/compare.rs
+++ b/crates/cli/src/commands/lab/compare.rs
@@ -188,7 +188,7 @@
         service: number("service"),
         worst_10s: number("worst_10s"),
         objective_score: number("goal"),
-        warm_up_crashes: number("fallen") as usize,
+        cold_crashes: number("fallen") as usize,
         violations: violations as usize,
         peak_cache_load: number("neighbours"),
         peak_parent_load: number("parents"),
--- a/crates/cli/src/commands/lab/hunt.rs
+++ b/crates/cli/src/commands/lab/hunt.rs
@@ -63,7 +63,7 @@
         found.seed,
         figures.service,
         figures.worst_10s,
-        figures.warm_up_crashes,
+        figures.cold_crashes,
         figures.violations,
         found.faults.len(),
         found.runs
--- a/crates/platform-protocol/src/start_config.rs
+++ b/crates/platform-protocol/src/start_config.rs
@@ -25,7 +25,7 @@
     pub response_bytes_per_s: f64,
     /// Discovery state at the start.
     #[serde(default, rename = "known")]
-    pub discovery_snapshot: DiscoverySnapshot,
+    pub known_state: DiscoverySnapshot,
     /// Settings of the router.
     pub settings: SettingsDocument,
 }
--- a/crates/platform/src/lifecycle.rs
+++ b/crates/platform/src/lifecycle.rs
@@ -95,7 +95,7 @@
 
     // The known state is applied before the first request, so that draining endpoints and purges take effect for it.
     let mut discovery = DiscoveryState::new(core.clone(), settings.clone(), clock);
-    discovery.apply_discovery_snapshot(start.discovery_snapshot);
+    discovery.apply_discovery_snapshot(start.known_state);
     let discovery = Arc::new(Mutex::new(discovery));
     let (discovery_address, address_changes) = watch::channel(start.discovery_address);
     background.spawn(stream::follow(discovery.clone(), address_changes));
@@ -224,7 +224,7 @@
                         discovery_address = new.discovery_address,
                         "configuration reloaded"
                     );
-                    lock_state(&discovery).apply_discovery_snapshot(new.discovery_snapshot);
+                    lock_state(&discovery).apply_discovery_snapshot(new.known_state);
                     discovery_address.send_replace(new.discovery_address);
                     break;
                 }
--- a/crates/protocol/src/streams.rs
+++ b/crates/protocol/src/streams.rs
@@ -321,7 +321,7 @@
         receive: impl FnOnce(&mut Stream) -> Result<Progress, &'static str>,
     ) -> Result<Received, StreamError> {
         if self.side == Side::Responder {
-            return Err(StreamError::WrongSide("response"));
+            return Err(StreamError::WrongSide("answer"));
         }
         if id > self.highest_id {
             let reason = "response on a stream without a request";
--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -29,7 +29,7 @@
     pub objective_score: f64,
     /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
-    pub warm_up_crashes: usize,
+    pub cold_crashes: usize,
     /// Number of violations of all rules.
     #[serde(rename = "breaches")]
     pub violations: usize,
@@ -51,7 +51,7 @@
             service: run.service.service,
             worst_10s: run.service.worst_10s,
             objective_score: run.service.objective_score,
-            warm_up_crashes: run.warm_up_crashes,
+            cold_crashes: run.warm_up_crashes,
             violations: run.violations(),
             peak_cache_load: cache_load,
             peak_parent_load: parent_load,
@@ -214,11 +214,8 @@
 pub fn describe(pairs: &[Pair]) -> Vec<String> {
     let runs_with_violations =
         |variant: fn(&Pair) -> &Figures| pairs.iter().filter(|p| variant(p).violations > 0).count();
-    let warm_up_crashes = |variant: fn(&Pair) -> &Figures| {
-        pairs
-            .iter()
-            .map(|p| variant(p).warm_up_crashes)
-            .sum::<usize>()
+    let cold_crashes = |variant: fn(&Pair) -> &Figures| {
+        pairs.iter().map(|p| variant(p).cold_crashes).sum::<usize>()
     };
     let mut lines = vec![
         format!(
@@ -229,8 +226,8 @@
         ),
         format!(
             "host crashes by overload during warm-up: A {}, B {}",
-            warm_up_crashes(|pair| &pair.a),
-            warm_up_crashes(|pair| &pair.b)
+            cold_crashes(|pair| &pair.a),
+            cold_crashes(|pair| &pair.b)
         ),
     ];
     lines.extend(COMPARED_FIGURES.iter().map(|figure| figure.describe(pairs)));
--- a/crates/report/src/hunt.rs
+++ b/crates/report/src/hunt.rs
@@ -50,7 +50,7 @@
         match self {
             Self::LowestService => 1.0 - figures.service,
             Self::Violations => figures.violations as f64,
-            Self::ColdCrashes => figures.warm_up_crashes as f64,
+            Self::ColdCrashes => figures.cold_crashes as f64,
         }
     }
 
@@ -59,7 +59,7 @@
         match self {
             Self::LowestService => 1.0 - reduced.service >= MIN_LOSS_SHARE * (1.0 - found.service),
             Self::Violations => reduced.violations > 0,
-            Self::ColdCrashes => reduced.warm_up_crashes > 0,
+            Self::ColdCrashes => reduced.cold_crashes > 0,
         }
     }
 }
--- a/crates/report/src/sweep.rs
+++ b/crates/report/src/sweep.rs
@@ -236,7 +236,7 @@
     pub objective_score: f64,
     /// Number of host crashes by overload during warm-up, over all runs.
     #[serde(rename = "fallen")]
-    pub warm_up_crashes: usize,
+    pub cold_crashes: usize,
     /// Number of runs with at least one violation.
     #[serde(rename = "broken")]
     pub runs_with_violations: usize,
@@ -288,7 +288,7 @@
         max_service: services().fold(0.0, f64::max),
         worst_10s: mean(|run| run.worst_10s),
         objective_score: mean(|run| run.objective_score),
-        warm_up_crashes: runs.iter().map(|run| run.warm_up_crashes).sum(),
+        cold_crashes: runs.iter().map(|run| run.cold_crashes).sum(),
         runs_with_violations: runs.iter().filter(|run| run.violations > 0).count(),
     }
 }
--- a/crates/report/src/terminal.rs
+++ b/crates/report/src/terminal.rs
@@ -34,7 +34,7 @@
         view.open_requests(),
         view.dispatchers - view.dispatchers_down.min(view.dispatchers),
         view.dispatchers,
-        view.warm_up_crashes
+        view.cold_crashes
     );
     let ratio = (now_s / view.duration_s.max(1e-9)).clamp(0.0, 1.0);
     let block = Block::bordered().title(view.title.clone());
--- a/crates/report/src/watch.rs
+++ b/crates/report/src/watch.rs
@@ -120,7 +120,7 @@
     /// Number of dispatchers.
     pub dispatchers: usize,
     /// Number of host crashes by overload during warm-up.
-    pub warm_up_crashes: usize,
+    pub cold_crashes: usize,
     parameters: ScenarioParameters,
     index_of_host: HashMap<String, usize>,
     open_requests: HashMap<ClientAttemptId, Micros>,
@@ -142,7 +142,7 @@
             messages: VecDeque::new(),
             dispatchers_down: 0,
             dispatchers: scenario.dispatcher_count(),
-            warm_up_crashes: 0,
+            cold_crashes: 0,
             parameters: ScenarioParameters::of(scenario),
             index_of_host: HashMap::new(),
             open_requests: HashMap::new(),
@@ -242,7 +242,7 @@
     fn host_crashed(&mut self, at: Micros, address: &str, reason: &str) {
         // Other crashes are caused by the script, which writes a note of its own.
         if reason.contains("cold") {
-            self.warm_up_crashes += 1;
+            self.cold_crashes += 1;
             self.add_message(at, format!("{address} crashed: {reason}"));
         }
         self.set_state(address, HostState::Down);
--- a/crates/report/tests/experiments.rs
+++ b/crates/report/tests/experiments.rs
@@ -154,10 +154,10 @@
         "a seed must draw the same faults in every build"
     );
     assert!(
-        found.figures.warm_up_crashes > 0 && found.figures.violations == 0,
+        found.figures.cold_crashes > 0 && found.figures.violations == 0,
         "a crash without a violation, as no dispatcher could know of the restart"
     );
-    let warm_up_crashes = |faults: &[_]| {
+    let cold_crashes = |faults: &[_]| {
         let text = hunt::scenario_text(SCENARIO, faults);
         let scenario = parse_with("found.ini", &text, Some(found.seed), &high_load).unwrap();
         Run::simulate(&scenario, &high_load)
@@ -165,15 +165,12 @@
             .0
             .warm_up_crashes
     };
-    assert_eq!(
-        warm_up_crashes(&found.faults),
-        found.figures.warm_up_crashes
-    );
+    assert_eq!(cold_crashes(&found.faults), found.figures.cold_crashes);
     for without in 0..found.faults.len() {
         let mut fewer = found.faults.clone();
         fewer.remove(without);
         assert_eq!(
-            warm_up_crashes(&fewer),
+            cold_crashes(&fewer),
             0,
             "{:?} is not needed for the crash",
             found.faults[without]
--- a/crates/report/tests/terminal.rs
+++ b/crates/report/tests/terminal.rs
@@ -60,7 +60,7 @@
     }
     assert!(screen.contains(&total.served.to_string()));
     assert_eq!(
-        view.warm_up_crashes,
+        view.cold_crashes,
         pointspindle_audit::count_warm_up_crashes(&outcome.trace)
     );
 }
--- a/crates/scenario/src/import/bench_scenario.rs
+++ b/crates/scenario/src/import/bench_scenario.rs
@@ -110,7 +110,7 @@
     /// Maximum number of queued requests per core.
     pub(super) queue: f64,
     #[serde(rename = "thrash")]
-    pub(super) congestion_loss: f64,
+    pub(super) crowding_loss: f64,
 }
 
 #[derive(Debug, Deserialize)]
--- a/crates/scenario/src/import/sections.rs
+++ b/crates/scenario/src/import/sections.rs
@@ -116,7 +116,7 @@
         .number("weight", layout.cache_weight, 2)
         .key("places", (kind.concurrency * kind.cores).max(1.0) as u64)
         .key("queue", (kind.queue * kind.cores) as u64)
-        .number("thrash", kind.congestion_loss / 10.0, 3)
+        .number("thrash", kind.crowding_loss / 10.0, 3)
         .number(
             "store_mb",
             cache_store_kib(bench, layout) / BYTES_PER_KIB,
