--- a/crates/cache-host/src/net/connection.rs
+++ b/crates/cache-host/src/net/connection.rs
@@ -1,7 +1,7 @@
 //! Accepted connections. Dispatchers and other hosts send requests, and operators send purges.
 use super::host_state::Shared;
 use super::request;
-use crate::lease::UserId;
+use crate::lease::LeaseHolderId;
 use pointspindle_protocol::streams::Side;
 use pointspindle_protocol::{
     AckHead, ErrorHead, Frame, HelloHead, LeaseHead, ProbeHead, PurgeHead, RequestHead, WireStatus,
@@ -90,7 +90,7 @@
     role: ListenerRole,
     requests: JoinSet<()>,
     /// The peer's number in the work ledger, if it is a dispatcher that is registered for work leases.
-    lease_user: Option<UserId>,
+    lease_user: Option<LeaseHolderId>,
 }
 
 impl Drop for Connection {
@@ -110,7 +110,7 @@
     let options = ConnectionOptions {
         max_streams: shared.settings.max_streams,
     };
-    let (framed, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (framed, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let mut connection = Connection {
         shared,
         framed,
@@ -130,7 +130,7 @@
                 continue;
             }
             () = stop_requested(&mut stop), if !stopping => {
-                connection.framed.goaway("the host stops");
+                connection.framed.goaway("the host is shutting down");
                 stopping = true;
                 if connection.requests.is_empty() {
                     tokio::time::sleep(GRACEFUL_CLOSE_DELAY).await;
@@ -171,7 +171,7 @@
         if self.role == ListenerRole::Operators {
             let error = ErrorHead {
                 status: WireStatus::Refused as i32,
-                detail: "this door takes purges, not requests".to_owned(),
+                detail: "this listener accepts purges only".to_owned(),
                 ..ErrorHead::default()
             };
             let _ = responder.error(error).await;
--- a/crates/cache-host/src/net/http_origin.rs
+++ b/crates/cache-host/src/net/http_origin.rs
@@ -78,7 +78,8 @@
         executes: bool,
     ) -> Result<SourceResponse, SourceFailure> {
         let permit = self.permits.clone().acquire_owned().await;
-        let permit = permit.map_err(|_| SourceFailure::Unreachable("the host stops".into()))?;
+        let permit =
+            permit.map_err(|_| SourceFailure::Unreachable("the host is shutting down".into()))?;
         let sent_at = Instant::now();
         let text = request_text(&self.settings, request, executes);
         for attempt in 0..MAX_ATTEMPTS {
@@ -114,7 +115,7 @@
     /// Takes an idle connection out of the pool and closes it if it cannot be used.
     fn take_idle(&self, may_reuse: bool) -> Option<Connection> {
         let idle = self.idle().pop();
-        idle.filter(|connection| may_reuse && connection.read.idle() == IdleState::Quiet)
+        idle.filter(|connection| may_reuse && connection.read.idle() == IdleState::Idle)
     }
 
     async fn connect(&self, connector: &Connector) -> Result<Connection, SourceFailure> {
--- a/crates/cache-host/src/net/request.rs
+++ b/crates/cache-host/src/net/request.rs
@@ -6,7 +6,7 @@
 use pointspindle::Micros;
 use pointspindle_config::{CacheClass, Role};
 use pointspindle_protocol::{ErrorHead, RequestHead, ResponseHead, WireCacheStatus, WireStatus};
-use pointspindle_store::{Found, Key, Meta};
+use pointspindle_store::{Key, Meta, StoredCopy};
 use pointspindle_transport::Responder;
 use std::sync::Arc;
 use std::time::Duration;
@@ -152,7 +152,7 @@
     }
 
     /// Returns the stored copy of the requested object.
-    pub async fn find_copy(&self, uncacheable: bool) -> Option<Found> {
+    pub async fn find_copy(&self, uncacheable: bool) -> Option<StoredCopy> {
         if uncacheable || self.shared.store.is_none() {
             return None;
         }
@@ -208,11 +208,11 @@
             (RequestDecision::Miss, _) => {
                 self.shared.update_hit_ratio(false);
                 let unreported = WireCacheStatus::Unreported;
-                let error = error_head(WireStatus::Miss, unreported, false, "not held");
+                let error = error_head(WireStatus::Miss, unreported, false, "no copy stored");
                 Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
             (RequestDecision::Reject, _) => {
-                let detail = "every fill has its place taken, and so has the line";
+                let detail = "all fills are in use and the fill queue is full";
                 let error = rejection(WireCacheStatus::FillLimitReached, detail);
                 Step::Done(Err(UnansweredRequest::new(responder, error)))
             }
@@ -225,7 +225,7 @@
         }
     }
 
-    fn cache_request(&self, class: &CacheClass, found: Option<&Found>) -> CacheRequest<Key> {
+    fn cache_request(&self, class: &CacheClass, found: Option<&StoredCopy>) -> CacheRequest<Key> {
         let settings = &self.shared.settings;
         let class_lifetime = (class.fresh_for_us > 0).then_some(class.fresh_for_us);
         let declared_lifetime = found.and_then(|found| declared_freshness_lifetime(&found.meta));
@@ -311,7 +311,7 @@
         if responder.is_cancelled() || !was_queued {
             return Ok(());
         }
-        let detail = "no place for a fill in time";
+        let detail = "no fill became available in time";
         let error = rejection(WireCacheStatus::FillLimitReached, detail);
         Err(UnansweredRequest::new(responder, error))
     }
@@ -322,5 +322,5 @@
     pub request: CacheRequest<Key>,
     pub uncacheable: bool,
     /// The stored copy that may be revalidated.
-    pub found: Option<Found>,
+    pub found: Option<StoredCopy>,
 }
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -10,7 +10,7 @@
 /// Serves one operator's connection until it closes or the dispatcher stops.
 pub(super) async fn serve(context: FrontendContext, socket: Socket, _permit: ConnectionPermit) {
     let options = ConnectionOptions { max_streams: 1 };
-    let (connection, mut incoming) = FramedConnection::start(socket, Side::Answerer, options);
+    let (connection, mut incoming) = FramedConnection::start(socket, Side::Responder, options);
     let sink = ControlSink {
         observer: None,
         core: context.core.clone(),
@@ -81,7 +81,7 @@
 async fn reject_request(responder: Responder) {
     let error = ErrorHead {
         status: WireStatus::Refused as i32,
-        detail: "this door takes lists and purges, not requests".into(),
+        detail: "this listener accepts endpoint lists and purges only".into(),
         ..Default::default()
     };
     let _ = responder.error(error).await;
--- a/crates/dispatcher/src/net/framed_frontend/mod.rs
+++ b/crates/dispatcher/src/net/framed_frontend/mod.rs
@@ -29,7 +29,7 @@
     let meter = context.core.meter.clone();
     let lease_us = settings.client_lease_us;
     let (connection, incoming) =
-        FramedConnection::start_metered(socket, Side::Answerer, options, meter);
+        FramedConnection::start_metered(socket, Side::Responder, options, meter);
     connection.push_control(Frame::Hello(HelloHead {
         incarnation: context.core.transport.pool.incarnation,
         lease_us: Some(lease_us),
@@ -111,7 +111,7 @@
 
     fn request_ended(&self) {
         if self.requests.is_empty() {
-            self.permit.idle();
+            self.permit.mark_idle();
         }
     }
 
@@ -139,7 +139,7 @@
             part = head.part,
             trace = %head.trace
         );
-        self.permit.busy();
+        self.permit.mark_busy();
         self.requests
             .spawn(request::answer(self.context.clone(), head, responder).instrument(span));
     }
--- a/crates/report/src/compare.rs
+++ b/crates/report/src/compare.rs
@@ -25,7 +25,8 @@
     /// Service over the worst 10 s.
     pub worst_10s: f64,
     /// The weighted objective.
-    pub goal: f64,
+    #[serde(rename = "goal")]
+    pub objective_score: f64,
     /// Number of host crashes by overload during warm-up.
     #[serde(rename = "fallen")]
     pub cold_crashes: usize,
@@ -49,8 +50,8 @@
         Self {
             service: run.service.service,
             worst_10s: run.service.worst_10s,
-            goal: run.service.goal,
-            cold_crashes: run.cold_crashes,
+            objective_score: run.service.objective_score,
+            cold_crashes: run.warm_up_crashes,
             violations: run.violations(),
             peak_cache_load: cache_load,
             peak_parent_load: parent_load,
@@ -169,7 +170,7 @@
     ComparedFigure {
         name: "goal",
         preference: Preference::More,
-        value: |figures| figures.goal,
+        value: |figures| figures.objective_score,
     },
     ComparedFigure {
         name: "highest load of warm caches after a restart",
--- a/crates/transport/src/connection/receive.rs
+++ b/crates/transport/src/connection/receive.rs
@@ -24,10 +24,10 @@
     #[error(transparent)]
     Connection(#[from] ConnectionError),
     /// The owner has dropped [`super::Incoming`], so that requests cannot be delivered.
-    #[error("nobody takes requests here")]
+    #[error("requests are not accepted on this connection")]
     RequestsNotAccepted,
     /// The owner has dropped [`super::Incoming`], so that control frames cannot be delivered.
-    #[error("nobody takes control frames here")]
+    #[error("control frames are not accepted on this connection")]
     ControlNotAccepted,
 }
 
@@ -95,8 +95,8 @@
                 self.process_stream_frame(id, frame, closed).await
             }
             (Ok(Received::Control(frame)), _) => self.process_control(frame).await,
-            (Ok(Received::Credit { id, more }), _) => {
-                if !self.shared.grant_credit(id, more) {
+            (Ok(Received::Credit { id, bytes }), _) => {
+                if !self.shared.grant_credit(id, bytes) {
                     return Err(StreamError::CreditTooLarge(id).into());
                 }
                 Ok(())
--- a/crates/transport/src/connection/shared.rs
+++ b/crates/transport/src/connection/shared.rs
@@ -144,7 +144,7 @@
     }
 
     /// Opens a stream for a request of this side and queues the request.
-    pub(super) fn open_call(
+    pub(super) fn open_stream(
         &self,
         compose: DeferredRequest,
         parts: PartSender,
@@ -154,12 +154,14 @@
             return Err(ConnectionError::Closed(reason.clone()));
         }
         if table.peer_going_away {
-            return Err(ConnectionError::Closed("the peer goes away".into()));
+            return Err(ConnectionError::Closed(
+                "the peer is closing the connection".into(),
+            ));
         }
         let id = table
             .streams
-            .open_call()
-            .ok_or(ConnectionError::NoStream(self.max_streams))?;
+            .open_stream()
+            .ok_or(ConnectionError::StreamLimitReached(self.max_streams))?;
         let handle = StreamHandle::Call(parts.clone());
         table.handles.insert(id, handle);
         // Done under the lock, so that requests reach the writer in the order of their stream numbers.
