--- a/crates/cli/src/commands/client_arguments.rs
+++ b/crates/cli/src/commands/client_arguments.rs
@@ -18,7 +18,7 @@
     #[error("no path after the address")]
     NoPath,
     /// The address is a host name, or has no port.
-    #[error("{0:?} is not an address and port, such as 127.0.0.1:8080")]
+    #[error("{0:?} is not an IP address with a port, such as 127.0.0.1:8080 (host names are not resolved)")]
     Address(String),
 }
 
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,11 +17,12 @@
 use exit::{CommandError, ExitStatus, EXIT_STATUS_HELP};
 use std::process::ExitCode;
 
-/// A caching edge for web objects, with parent caches and an origin.
+/// A caching edge for web objects: dispatchers, edge and parent caches, and gateways to an origin.
 #[derive(Parser)]
 #[command(name = "pointspindle", version, about, after_help = EXIT_STATUS_HELP)]
 struct Arguments {
-    /// Log level: error, warn, info, debug or trace. The default is info; `run` then logs no single requests.
+    /// Log level: error, warn, info, debug or trace. Without this option, the level is info, but `run` does not log individual
+    /// requests.
     #[arg(long, global = true)]
     log: Option<tracing::Level>,
     /// Write the log as JSON, one object per line.
@@ -33,7 +34,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    // `run` is given a fraction of one core: it uses one thread and logs no single requests.
+    // `run` is given a fraction of one core: it uses one thread and does not log individual requests.
     let is_cpu_limited = matches!(arguments.command, Command::Run(_));
     logging::start(arguments.log, is_cpu_limited, arguments.log_json);
     let mut builder = if is_cpu_limited {
--- a/crates/dispatcher/src/control_source.rs
+++ b/crates/dispatcher/src/control_source.rs
@@ -20,7 +20,9 @@
     EndpointList(&'a EndpointListHead),
     /// A purge of an object or a group.
     Purge(&'a PurgeHead),
-    /// Whether the source is current.
+    /// Whether the source is current: `true` if the endpoint list, the purges and the roster are as current as they should
+    /// be. While it is `false`, this dispatcher takes no share of the warm-up budget; the use of cached copies does not depend
+    /// on it.
     Freshness(bool),
 }
 
--- a/crates/dispatcher/src/core/input.rs
+++ b/crates/dispatcher/src/core/input.rs
@@ -82,14 +82,15 @@
     /// attempts that still wait to be sent on the connection with [`AttemptEnd::NotSent`], since the router chose the previous
     /// process for them.
     Hello {
-        /// Address or id of the endpoint.
+        /// Name of the endpoint exactly as its record in the endpoint list states it, usually its address: the endpoint's id is
+        /// a hash of this text.
         endpoint: String,
         /// Content of the message.
         hello: HelloHead,
     },
     /// A work lease that an endpoint in slow start grants to this dispatcher.
     Lease {
-        /// Address or id of the endpoint.
+        /// Name of the endpoint, as in [`Input::Hello`].
         endpoint: String,
         /// The granted work.
         lease: LeaseHead,
--- a/crates/dispatcher/src/core/purge_lease.rs
+++ b/crates/dispatcher/src/core/purge_lease.rs
@@ -9,14 +9,16 @@
 use pointspindle::Micros;
 use pointspindle_config::DispatcherSettings;
 
-/// The purge lease. Bound: one point in time. Expiry requires no action: attempts that began under the lease run to their end.
+/// The purge lease. Bound: one point in time and one flag per class. Expiry requires no action: attempts that began under the
+/// lease run to their end.
 #[derive(Debug)]
 pub(super) struct PurgeLease {
     /// Half of the guaranteed time.
     duration: Micros,
     /// Time before which all acknowledged purges are in force here; `None` before the first confirmation.
     confirmed_at: Option<Micros>,
-    /// Whether the copies of each class, by its index, are exempt from the age limit.
+    /// Whether a class, by its index in the settings, is exempt from the age limit that applies without a valid lease. Copies
+    /// of an exempt class are used at any age even then.
     exempt_classes: Vec<bool>,
 }
 
--- a/crates/dispatcher/src/net/connection_registry.rs
+++ b/crates/dispatcher/src/net/connection_registry.rs
@@ -101,7 +101,7 @@
     pub async fn accept_failed(&self, error: std::io::Error) {
         let closed_connections = match AcceptFailure::of(&error) {
             AcceptFailure::Connection => {
-                tracing::debug!(%error, "connection failed before it was accepted");
+                tracing::debug!(%error, "accept error limited to one connection or call; accepting continues without delay");
                 return tokio::task::yield_now().await;
             }
             AcceptFailure::Shortage => 0,
--- a/crates/dispatcher/src/net/control.rs
+++ b/crates/dispatcher/src/net/control.rs
@@ -54,7 +54,7 @@
 
 fn apply_endpoint_list(head: EndpointListHead, sink: &ControlSink) -> Frame {
     let seq = head.seq;
-    tracing::info!(form = ?head.form(), seq, endpoints = head.endpoints.len(), "endpoint list received");
+    tracing::info!(form = ?head.form(), seq, endpoints = head.endpoints.len(), "endpoint list received; applying it");
     let change = sink.apply_endpoint_list(head);
     let rejection = change
         .resync_reason
--- a/crates/etcd/src/feed/requests.rs
+++ b/crates/etcd/src/feed/requests.rs
@@ -24,7 +24,7 @@
     let mark = match etcd.range(request).await {
         Ok(response) => Some(purge_mark(response)),
         Err(error) => {
-            tracing::debug!(%error, "etcd: reading the purge mark failed");
+            tracing::debug!(%error, "etcd: cannot read the purge mark; purges are not confirmed by this read");
             None
         }
     };
--- a/crates/platform/src/connection_pool/connector.rs
+++ b/crates/platform/src/connection_pool/connector.rs
@@ -47,7 +47,7 @@
     let socket = match result {
         Some(Ok(Socket::Tcp(socket))) => socket,
         Some(Err(error)) => {
-            return tracing::debug!(endpoint = id, %error, "endpoint connection failed")
+            return tracing::debug!(endpoint = id, %error, "cannot connect to endpoint")
         }
         _ => return,
     };
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -11,14 +11,15 @@
     /// Number of updates received, summed over all dispatchers.
     #[serde(rename = "heard")]
     pub received: u64,
-    /// Number of updates that a dispatcher did not receive, summed over all dispatchers.
+    /// Number of updates that a dispatcher did not receive, summed over all dispatchers. They have no lag and are not included
+    /// in the quantiles.
     #[serde(rename = "never")]
     pub missing: u64,
-    /// Median lag, milliseconds.
+    /// Median lag of the received updates, milliseconds; 0 if no lag was recorded.
     pub p50_ms: f64,
-    /// 99th percentile of the lag, milliseconds.
+    /// 99th percentile of the lags of the received updates, milliseconds; 0 if no lag was recorded.
     pub p99_ms: f64,
-    /// Longest lag, milliseconds.
+    /// Longest lag of the received updates, milliseconds; 0 if no lag was recorded.
     pub longest_ms: f64,
 }
 
--- a/crates/scenario/src/import/sections.rs
+++ b/crates/scenario/src/import/sections.rs
@@ -1,4 +1,4 @@
-//! Writes the sections of the imported scenario that describe the fleet, the workload and the limits.
+//! Writes all sections of the imported scenario except those of the faults.
 use super::bench_scenario::{BenchCatalogue, BenchClass, BenchScenario};
 use super::layout::{mean, Layout};
 use super::Size;
--- a/crates/scenario/src/workload.rs
+++ b/crates/scenario/src/workload.rs
@@ -105,7 +105,8 @@
     }
 }
 
-/// Minimum size of a response, bytes: one line of content with its checksum.
+/// Minimum size of a response part, in bytes: one line of the content that the testbed generates. The first line is a header that
+/// names object, part and version.
 const MIN_SIZE_BYTES: f64 = 64.0;
 
 /// Maximum size as a multiple of the mean size of the class, so that no single object fills a store.
--- a/crates/store/src/store/stats.rs
+++ b/crates/store/src/store/stats.rs
@@ -17,7 +17,8 @@
     pub purged: u64,
     /// Number of copies removed because they could not be read or an fsync failed.
     pub lost: u64,
-    /// Body bytes accepted from fills.
+    /// Number of body bytes accepted from fills, counted as each block is written: the blocks of fills that are aborted later
+    /// are included.
     pub accepted_bytes: u64,
     /// Total bytes written; divided by `accepted_bytes`, this is the write amplification.
     pub written_bytes: u64,
--- a/crates/store/src/store/write.rs
+++ b/crates/store/src/store/write.rs
@@ -63,7 +63,7 @@
         if let Err(e) = segment.file.write_at(u64::from(offset), &bytes) {
             // The next record must not follow a partial one.
             if let Err(truncate_error) = segment.file.truncate(u64::from(offset)) {
-                tracing::error!(segment = number, error = %truncate_error, "store: truncation after a failed write failed; the next write retries it");
+                tracing::error!(segment = number, error = %truncate_error, "store: truncation after a failed write failed; writes are refused until it succeeds");
                 inner.pending_truncations.push(PendingTruncation {
                     segment: number,
                     offset,
--- a/crates/testbed/src/emulated_hosts/model_driver.rs
+++ b/crates/testbed/src/emulated_hosts/model_driver.rs
@@ -186,7 +186,7 @@
         let hosts = self.clone();
         tokio::spawn(async move {
             if let Err(e) = hosts.listen(host).await {
-                tracing::error!(host, error = %e, "restarted host cannot listen");
+                tracing::error!(host, error = %e, "restarted host cannot listen and stays down");
             }
         });
     }
--- a/crates/testbed/src/fleet_run/error.rs
+++ b/crates/testbed/src/fleet_run/error.rs
@@ -4,7 +4,7 @@
 /// The testbed could not run, or its own timers were too late. Such a run gives no verdict on the dispatchers.
 #[derive(Debug, thiserror::Error)]
 pub enum TestbedError {
-    /// A dispatcher could not be controlled.
+    /// A dispatcher could not be controlled, or ended in an unexpected way.
     #[error("dispatcher {dispatcher}: {failure}")]
     Dispatcher {
         /// The dispatcher's number.
--- a/src/router/outcome.rs
+++ b/src/router/outcome.rs
@@ -201,7 +201,9 @@
         }
     }
 
-    /// Takes the next step of the request, if any: its final response, a cached-only attempt or another attempt.
+    /// Decides how a request continues after an attempt has ended: it is closed or finished, or gets a cached-only or another
+    /// attempt. Also excludes the endpoint at fault and sets the backoff. While another attempt of the request is in flight,
+    /// does nothing.
     fn follow_up(
         &mut self,
         now: Micros,
--- a/src/router/roles.rs
+++ b/src/router/roles.rs
@@ -9,9 +9,11 @@
 pub(super) enum Role {
     /// A cache of the router's own zone.
     Cache,
+    /// A parent, in any zone.
     Parent,
+    /// The origin, in any zone.
     Origin,
-    /// A cache of another zone, to which this router sends no requests.
+    /// A cache of another zone, to which this router sends no requests. Parents and the origin never have this role.
     OtherZone,
 }
 
